--- a/crates/quillpulley/tests/command_line.rs
+++ b/crates/quillpulley/tests/command_line.rs
@@ -62,6 +62,22 @@
     }
 }
 
+/// The texts in `fixtures/help` were printed by the program at commit 0b0971f.
+#[test]
+fn the_help_is_printed_as_before() {
+    for (subcommand, text) in [
+        (None, include_str!("fixtures/help/program.txt")),
+        (Some("proxy"), include_str!("fixtures/help/proxy.txt")),
+        (Some("agent"), include_str!("fixtures/help/agent.txt")),
+        (Some("control"), include_str!("fixtures/help/control.txt")),
+        (Some("check"), include_str!("fixtures/help/check.txt")),
+    ] {
+        let arguments: Vec<&str> = subcommand.into_iter().chain(["--help"]).collect();
+        let output = quillpulley(&arguments);
+        assert_eq!((output.status.code(), out(&output).as_str()), (Some(0), text), "{arguments:?}");
+    }
+}
+
 #[test]
 fn wrong_arguments_end_with_code_2_and_point_to_the_help() {
     for (arguments, part) in [
--- a/crates/quillpulley/tests/control/api.rs
+++ b/crates/quillpulley/tests/control/api.rs
@@ -29,15 +29,20 @@
 
 /// Sends raw bytes and reads the answer up to the end of the connection.
 pub fn send(address: SocketAddr, request: &str) -> Told {
+    parse(&send_raw(address, request))
+}
+
+/// The same, as it came.
+pub fn send_raw(address: SocketAddr, request: &str) -> String {
     let mut stream = TcpStream::connect(address).expect("a connection");
     stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
     stream.write_all(request.as_bytes()).expect("a request sent");
-    read_answer(stream)
-}
-
-fn read_answer(mut stream: TcpStream) -> Told {
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("an answer");
+    answer
+}
+
+fn parse(answer: &str) -> Told {
     let (head, body) = answer.split_once("\r\n\r\n").expect("a head");
     let status = head.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status");
     Told { status, headers: head.to_ascii_lowercase(), body: body.to_string() }
@@ -93,6 +98,63 @@
     assert_eq!(told.status, 200);
 }
 
+/// The bytes that the program at commit 0b0971f wrote.
+#[test]
+fn every_answer_is_written_with_the_same_bytes() {
+    let json = |status: &str, more: &str, body: &str| {
+        let length = body.len();
+        format!(
+            "HTTP/1.1 {status}\r\nContent-Type: application/json\r\nContent-Length: {length}\r\n\
+             Connection: close\r\n{more}\r\n{body}"
+        )
+    };
+    let primary: SocketAddr = "10.0.0.4:8080".parse().expect("an address");
+    let location = "Location: http://10.0.0.4:8080/v1/Evacuate.Start/a\r\n";
+    let again = "Retry-After: 0.2\r\n";
+    let cases = [
+        (Answer::Done, json("200 OK", "", "{}")),
+        (Answer::Configuration(b"{ }".to_vec().into()), json("200 OK", "", "{ }")),
+        (Answer::Status(b"{\"a\":1}".to_vec()), json("200 OK", "", "{\"a\":1}")),
+        (
+            Answer::NoConfiguration,
+            json("404 Not Found", "", r#"{"Error":"no configuration has been taken yet"}"#),
+        ),
+        (
+            Answer::Conflict { current: 7 },
+            json(
+                "412 Precondition Failed",
+                "",
+                r#"{"Error":"version 7 is in place: read it and build on it"}"#,
+            ),
+        ),
+        (
+            Answer::Forgotten { oldest: 9 },
+            json(
+                "503 Service Unavailable",
+                again,
+                r#"{"Error":"what was taken on versions below 9 is forgotten: read the configuration in force"}"#,
+            ),
+        ),
+        (Answer::Invalid("why".to_string()), json("400 Bad Request", "", r#"{"Error":"why"}"#)),
+        (Answer::Redirect(primary), json("307 Temporary Redirect", location, "{}")),
+        (
+            Answer::Unavailable,
+            json(
+                "503 Service Unavailable",
+                again,
+                r#"{"Error":"no primary has confirmed this: send it again"}"#,
+            ),
+        ),
+    ];
+    for (answer, expected) in cases {
+        let (address, calls) = start();
+        let request = call("POST", "/v1/Evacuate.Start/a");
+        let client = std::thread::spawn(move || send_raw(address, &request));
+        calls.recv_timeout(PATIENCE).expect("a call").reply.send(TimedAnswer::lasting(answer.clone()));
+        assert_eq!(client.join().expect("an answer"), expected, "{answer:?}");
+    }
+}
+
 #[test]
 fn the_configuration_comes_as_it_was_sent() {
     let body = format!("{{\"Version\":7,\"x\":\"{}\"}}", "y".repeat(100_000));
--- /dev/null
+++ b/crates/quillpulley/tests/control/compatibility.rs
@@ -0,0 +1,200 @@
+//! What earlier releases stored is read, and what they answered is answered, to the byte.
+//!
+//! The folder `fixtures/data-folder` was written by the program at commit 0b0971f, started as the only control
+//! process of a new system: 280 configurations and 62 evacuations or ends of one. The files in `fixtures/answers` are
+//! what it then answered.
+
+use crate::cluster::PATIENCE;
+use quillpulley::control::disk::Disk;
+use quillpulley_configuration::ControlState;
+use quillpulley_replication::StateMachine;
+use quillpulley_wire::encode_value;
+use std::io::{Read, Write};
+use std::net::{Ipv4Addr, SocketAddr, TcpStream};
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command, Stdio};
+use std::time::{Duration, Instant};
+
+/// The address that the stored view names.
+const ADDRESS: Ipv4Addr = Ipv4Addr::new(127, 251, 0, 1);
+const CONTROL_PORT: u16 = 8166;
+const DIRECTORY_PORT: u16 = 8164;
+const LAST_VERSION: u64 = 280;
+/// How often a process that is starting is called.
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
+
+fn fixtures() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures")
+}
+
+/// A copy of the stored folder, which is removed at the end of its test.
+struct DataFolder(PathBuf);
+
+impl DataFolder {
+    fn copy(name: &str) -> Self {
+        let folder = std::env::temp_dir().join(format!("quillpulley-stored-{}-{name}", std::process::id()));
+        std::fs::create_dir_all(&folder).expect("a folder");
+        for file in std::fs::read_dir(fixtures().join("data-folder")).expect("the fixtures") {
+            let file = file.expect("a fixture");
+            std::fs::copy(file.path(), folder.join(file.file_name())).expect("a copy");
+        }
+        DataFolder(folder)
+    }
+
+    /// Names and contents of its files.
+    fn contents(&self) -> Vec<(PathBuf, Vec<u8>)> {
+        let files = std::fs::read_dir(&self.0).expect("the folder");
+        let mut paths: Vec<PathBuf> = files.map(|file| file.expect("a file").path()).collect();
+        paths.sort();
+        paths.into_iter().map(|path| (path.clone(), std::fs::read(path).expect("a file"))).collect()
+    }
+}
+
+impl Drop for DataFolder {
+    fn drop(&mut self) {
+        std::fs::remove_dir_all(&self.0).ok();
+    }
+}
+
+fn body(version: u64) -> String {
+    format!(
+        r#"{{"Version":{version},"Routes":[{{"Name":"r","Host":"h","PathPrefix":"/{version}/","Kind":"idempotent","TimeoutMs":1000,"TargetLatencyMs":100,"Priority":0,"Service":"s","MaxAttempts":1}}],"Services":[{{"Name":"s","HealthPath":"/health","MaxConnections":10}}],"Limits":{{"MaxHeaderBytes":1000,"MaxBodyBytes":1000,"HeaderTimeoutMs":1000,"IdleTimeoutMs":1000}}}}"#
+    )
+}
+
+/// The control process of a copy of the folder.
+struct Control {
+    process: Child,
+    _folder: DataFolder,
+}
+
+impl Control {
+    fn start() -> Self {
+        let folder = DataFolder::copy("process");
+        let settings = folder.0.with_extension("toml");
+        let text = format!(
+            "NodeName = \"core-0\"\nIp = \"{ADDRESS}\"\nZone = \"zone-0\"\nRegion = \"region-0\"\n\
+             PortRange = [7720, 7735]\nSeeds = [\"{ADDRESS}:{CONTROL_PORT}\"]\nDataDir = \"{}\"\n\
+             [Listen]\nControl = \"{ADDRESS}:{CONTROL_PORT}\"\nDirectory = \"{ADDRESS}:{DIRECTORY_PORT}\"\n\
+             [FaultTolerance]\nMachines = 0\nZones = 0\nRegions = 0\n",
+            folder.0.display()
+        );
+        std::fs::write(&settings, text).expect("a settings file");
+        let mut command = Command::new(env!("CARGO_BIN_EXE_quillpulley"));
+        command.arg("control").env("QUILLPULLEY_CONFIG", &settings).stderr(Stdio::null());
+        let process = command.spawn().expect("the program starts");
+        Control { process, _folder: folder }
+    }
+}
+
+impl Drop for Control {
+    fn drop(&mut self) {
+        self.process.kill().ok();
+        self.process.wait().ok();
+    }
+}
+
+/// The whole answer to a call; none while nobody listens.
+fn exchange(port: u16, request: &str) -> Option<String> {
+    let mut stream = TcpStream::connect(SocketAddr::from((ADDRESS, port))).ok()?;
+    stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+    stream.write_all(request.as_bytes()).expect("a request sent");
+    let mut answer = String::new();
+    stream.read_to_string(&mut answer).expect("an answer");
+    Some(answer)
+}
+
+fn request(method: &str, path: &str, header: &str, body: &str) -> String {
+    let length = body.len();
+    format!("{method} {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n{header}Content-Length: {length}\r\n\r\n{body}")
+}
+
+fn replace(base: u64, body: &str) -> String {
+    request("POST", "/v1/Config.Replace", &format!("Quillpulley-If-Config-Version: {base}\r\n"), body)
+}
+
+fn stored_answer(name: &str) -> String {
+    std::fs::read_to_string(fixtures().join("answers").join(name)).expect("a stored answer")
+}
+
+#[test]
+fn a_folder_of_an_earlier_release_holds_the_same_state() {
+    let folder = DataFolder::copy("state");
+    let stored = folder.contents();
+    let (_disk, recovered) = Disk::open(folder.0.clone(), drop).expect("a readable folder");
+    let record = recovered.record.expect("a witness record");
+    assert_eq!((record.incarnation, record.promised, record.promised_to.address()), (0, 1, ADDRESS));
+    let view = record.accepted.as_ref().expect("a view");
+    assert_eq!((view.epoch, view.primary.address(), view.activated), (1, ADDRESS, true));
+    let (last, snapshot) = recovered.snapshot.expect("a snapshot");
+    assert_eq!((last.epoch, last.index, recovered.entries.len()), (1, 257, 86));
+
+    let mut state = ControlState::default();
+    state.restore(&snapshot).expect("a readable snapshot");
+    assert_eq!(state.snapshot(), snapshot, "a snapshot is written with the same bytes");
+    recovered.entries.iter().for_each(|entry| state.apply(entry));
+    assert_eq!(state.version(), LAST_VERSION);
+    assert_eq!(state.body(), Some(body(LAST_VERSION).as_bytes()));
+    assert_eq!(state.evacuated_zones().collect::<Vec<_>>(), EVACUATED);
+    let record = encode_value(&record);
+    let slots = std::fs::read(folder.0.join("record.slots")).expect("the record");
+    let is_written_so = slots.windows(record.len()).any(|window| window == record);
+    assert!(is_written_so, "a witness record is written with the same bytes");
+    assert_eq!(folder.contents(), stored, "opening a sound folder changes nothing");
+}
+
+/// The zones whose evacuation was begun and not ended.
+const EVACUATED: [&str; 4] = ["zone-0", "zone-1", "zone-3", "zone-5"];
+
+#[test]
+fn a_process_started_on_that_folder_answers_as_before() {
+    let _control = Control::start();
+    let get = request("GET", "/v1/Config.Get", "", "");
+    let started = Instant::now();
+    let first = loop {
+        match exchange(CONTROL_PORT, &get).filter(|answer| answer.starts_with("HTTP/1.1 200")) {
+            Some(answer) => break answer,
+            None => std::thread::sleep(RETRY_INTERVAL),
+        }
+        assert!(started.elapsed() < PATIENCE, "the process does not answer");
+    };
+    assert_eq!(first, stored_answer("config-get.http"));
+    let cases = [
+        ("config-replace-taken.http", replace(LAST_VERSION - 1, &body(LAST_VERSION))),
+        ("config-replace-conflict.http", replace(5, &body(LAST_VERSION + 1))),
+        ("config-replace-invalid.http", replace(LAST_VERSION, "{\"Version\":")),
+        ("config-replace-without-version.http", request("POST", "/v1/Config.Replace", "", "{}")),
+        ("unknown-path.http", request("GET", "/v1/Config.Put", "", "")),
+        ("wrong-method.http", request("GET", "/v1/Config.Replace", "", "")),
+        ("evacuate-without-zone.http", request("POST", "/v1/Evacuate.Start/", "", "")),
+    ];
+    for (name, request) in cases {
+        assert_eq!(exchange(CONTROL_PORT, &request), Some(stored_answer(name)), "{name}");
+    }
+    // The restarted process has been elected once more.
+    let status = stored_answer("control-status.http").replace("\"Epoch\":1", "\"Epoch\":2");
+    assert_eq!(exchange(CONTROL_PORT, &request("GET", "/v1/Control.Status", "", "")), Some(status));
+    let resolve = "/v1/resolve?Name=x&Region=region-0&Zone=zone-0";
+    let cases = [
+        ("resolve-without-proxies.http", request("GET", resolve, "", "")),
+        ("resolve-wrong-method.http", request("POST", resolve, "", "")),
+        ("resolve-unknown-path.http", request("GET", "/v1/elsewhere", "", "")),
+    ];
+    for (name, request) in cases {
+        assert_eq!(exchange(DIRECTORY_PORT, &request), Some(stored_answer(name)), "{name}");
+    }
+}
+
+#[test]
+fn a_folder_that_cannot_be_read_is_named_with_the_remedy_and_left_as_it_was() {
+    let folder = DataFolder::copy("damaged");
+    let segment = folder.0.join("log-000000-000000000001.segment");
+    let mut bytes = std::fs::read(&segment).expect("the segment");
+    bytes[60_000] ^= 0xff;
+    std::fs::write(&segment, bytes).expect("a damaged segment");
+    let before = folder.contents();
+    let error = Disk::open(folder.0.clone(), drop).err().expect("an error").to_string();
+    assert!(error.contains("log-000000-000000000001.segment is damaged at byte"), "{error}");
+    assert!(error.contains("empty the data folder, so that this machine joins anew"), "{error}");
+    assert_eq!(folder.contents(), before);
+}
--- a/crates/quillpulley/tests/control/directory.rs
+++ b/crates/quillpulley/tests/control/directory.rs
@@ -1,5 +1,6 @@
 //! The directory: which addresses a client is told.
 
+use crate::api::send_raw;
 use quickcheck::{Arbitrary, Gen};
 use quillpulley::control::directory::{self, Coverage, Directory, DirectoryBoard, Place};
 use quillpulley_routing::HomeTable;
@@ -333,5 +334,11 @@
     assert_eq!(addresses, ["f1", "f2"]);
     assert_eq!(answer.get("TtlS").and_then(|value| value.cast_f64()), Some(1.5));
 
+    let request =
+        "GET /v1/resolve?Name=x&Region=west&Zone=a%20b HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+    let expected = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 36\r\n\
+                    Connection: close\r\n\r\n{\"Addresses\":[\"f1\",\"f2\"],\"TtlS\":1.5}";
+    assert_eq!(send_raw(address, request), expected, "the bytes of the program at commit 0b0971f");
+
     assert_eq!(ask(address, "/v1/other").status, 404);
 }
--- a/crates/quillpulley/tests/control/main.rs
+++ b/crates/quillpulley/tests/control/main.rs
@@ -3,6 +3,7 @@
 mod agent;
 mod api;
 mod cluster;
+mod compatibility;
 mod directory;
 mod directory_days;
 mod directory_view;
