--- a/crates/quillpulley/tests/control/cluster.rs
+++ b/crates/quillpulley/tests/control/cluster.rs
@@ -2,7 +2,7 @@
 
 use std::io::{BufRead, BufReader};
 use std::net::{Ipv4Addr, SocketAddr};
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::sync::mpsc::{self, Receiver, Sender};
@@ -24,6 +24,7 @@
 /// A machine of the core: its disk, and its process if it runs.
 struct Machine {
     process: Option<Child>,
+    program: PathBuf,
     /// How many lines all had logged when it was started last.
     started_at_line: usize,
     folder: PathBuf,
@@ -56,6 +57,15 @@
 impl Cluster {
     /// Starts so many machines for the first time, all of them seeds.
     pub fn start(count: usize, platform: Option<SocketAddr>) -> Self {
+        let mut cluster = Cluster::prepare(count, platform);
+        for index in 0..count {
+            cluster.run(index);
+        }
+        cluster
+    }
+
+    /// The same with no process running yet.
+    pub fn prepare(count: usize, platform: Option<SocketAddr>) -> Self {
         let process = std::process::id();
         let number = CLUSTERS.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("quillpulley-control-{process}-{number}"));
@@ -68,9 +78,6 @@
         for _ in 0..count {
             cluster.add(true, seeds.clone());
         }
-        for index in 0..count {
-            cluster.run(index);
-        }
         cluster
     }
 
@@ -78,10 +85,17 @@
     pub fn add(&mut self, bootstrap: bool, seeds: Vec<SocketAddr>) -> usize {
         let index = self.machines.len();
         let folder = self.folder.join(format!("disk-{index}"));
-        self.machines.push(Machine { process: None, started_at_line: 0, folder, bootstrap, seeds });
+        let program = PathBuf::from(env!("CARGO_BIN_EXE_quillpulley"));
+        let machine = Machine { process: None, program, started_at_line: 0, folder, bootstrap, seeds };
+        self.machines.push(machine);
         index
     }
 
+    /// Has the next process of a machine run another build of the program.
+    pub fn set_program(&mut self, index: usize, program: &Path) {
+        self.machines[index].program = program.to_path_buf();
+    }
+
     /// Writes other seeds into the settings file of a machine, without a signal.
     pub fn set_seeds(&mut self, index: usize, seeds: Vec<SocketAddr>) {
         self.machines[index].seeds = seeds;
@@ -136,7 +150,7 @@
     /// Starts the process of a machine.
     pub fn run(&mut self, index: usize) {
         let settings = self.write_settings(index);
-        let mut process = Command::new(env!("CARGO_BIN_EXE_quillpulley"))
+        let mut process = Command::new(&self.machines[index].program)
             .arg("control")
             .env("QUILLPULLEY_CONFIG", settings)
             .stderr(Stdio::piped())
--- a/crates/quillpulley/tests/control/main.rs
+++ b/crates/quillpulley/tests/control/main.rs
@@ -11,6 +11,7 @@
 mod fronts;
 mod frozen_host;
 mod late_answers;
+mod mixed_releases;
 mod orders;
 mod peer_table;
 mod platform;
--- /dev/null
+++ b/crates/quillpulley/tests/control/mixed_releases.rs
@@ -0,0 +1,74 @@
+//! Control processes of an earlier release and of this one in one system, exchanged one by one under changes.
+
+use crate::cluster::{Call, Cluster};
+use crate::configuration;
+use std::path::{Path, PathBuf};
+
+/// Names the program of the earlier release.
+const EARLIER_PROGRAM: &str = "QUILLPULLEY_EARLIER_PROGRAM";
+const MACHINES: usize = 3;
+
+/// Sends the next configurations, each on the one before, and a pair of evacuations.
+fn change(cluster: &mut Cluster, version: &mut u64) {
+    for _ in 0..5 {
+        let next = configuration(&(*version + 1).to_string());
+        assert_eq!(cluster.order(&Call::replace(*version, next)).status, 200);
+        *version += 1;
+    }
+    assert_eq!(cluster.order(&Call::evacuate("a")).status, 200);
+    assert_eq!(cluster.order(&Call::take_back("a")).status, 200);
+}
+
+/// The epoch of a view that has all machines as members and survives every tolerated loss.
+fn complete_view(cluster: &Cluster) -> Option<u64> {
+    (0..MACHINES).find_map(|index| {
+        let status = String::from_utf8(cluster.call(index, &Call::status())?.body).ok()?;
+        let members = status.split_once("\"Members\":[")?.1.split_once(']')?.0;
+        let is_complete = members.matches("\"Address\"").count() == MACHINES;
+        let is_primary = status.contains("\"Role\":\"primary\"") && status.contains("\"Covered\":true");
+        let epoch = status.split_once("\"Epoch\":")?.1.split_once(',')?.0.parse().ok()?;
+        (is_complete && is_primary).then_some(epoch)
+    })
+}
+
+fn exchange(cluster: &mut Cluster, index: usize, program: &Path, version: &mut u64) {
+    let before = cluster.until("a complete view", complete_view);
+    assert!(cluster.terminate(index).success());
+    change(cluster, version);
+    cluster.set_program(index, program);
+    cluster.run(index);
+    change(cluster, version);
+    cluster.until("a complete view again", |cluster| complete_view(cluster).filter(|epoch| *epoch > before));
+    change(cluster, version);
+    let newest = configuration(&version.to_string());
+    assert_eq!(cluster.order(&Call::get()).body, newest);
+}
+
+#[test]
+#[ignore = "needs the program of an earlier release, named by QUILLPULLEY_EARLIER_PROGRAM"]
+fn processes_of_two_releases_work_together_while_they_are_exchanged() {
+    let earlier = PathBuf::from(std::env::var_os(EARLIER_PROGRAM).expect("an earlier program"));
+    let present = PathBuf::from(env!("CARGO_BIN_EXE_quillpulley"));
+    let mut cluster = Cluster::prepare(MACHINES, None);
+    for index in 0..MACHINES {
+        cluster.set_program(index, &earlier);
+        cluster.run(index);
+    }
+    let mut version = 0;
+    change(&mut cluster, &mut version);
+    for program in [&present, &earlier, &present] {
+        for index in 0..MACHINES {
+            exchange(&mut cluster, index, program, &mut version);
+        }
+    }
+    // The primary is killed under either release, too.
+    for _ in 0..2 {
+        let primary = cluster.primary();
+        cluster.kill(primary);
+        change(&mut cluster, &mut version);
+        cluster.set_program(primary, &earlier);
+        cluster.run(primary);
+        change(&mut cluster, &mut version);
+        cluster.until("a complete view", complete_view);
+    }
+}
