--- a/crates/configuration/src/control_state/history.rs
+++ b/crates/configuration/src/control_state/history.rs
@@ -1,6 +1,6 @@
 //! The configurations that were taken, so that one that is sent again is known.
 
-use quillpulley_wire::TakenConfig;
+use quillpulley_protocol::TakenConfig;
 use std::collections::VecDeque;
 use xxhash_rust::xxh3::xxh3_64;
 
--- a/crates/configuration/src/control_state/mod.rs
+++ b/crates/configuration/src/control_state/mod.rs
@@ -17,7 +17,7 @@
 use crate::{Configuration, ConfigurationError};
 use history::{History, Recollection};
 use quillpulley_replication::{RestoreError, StateMachine};
-use quillpulley_wire::{
+use quillpulley_protocol::{
     decode_value, encode_value, ControlSnapshot, ControlSnapshotRef, Entry, EvacuatedZone, Evacuation, Order,
     OrderBody, OrderRef, ReplaceConfig, TakenConfig,
 };
--- a/crates/configuration/src/published/items.rs
+++ b/crates/configuration/src/published/items.rs
@@ -4,7 +4,7 @@
 use crate::control_state::ControlState;
 use crate::operator::{read_limits, read_route, read_services, write_json, Route, Service};
 use crate::{Configuration, ConfigurationError};
-use quillpulley_wire::{decode_value, encode_value, ConfigHead, ConfigHeadRef};
+use quillpulley_protocol::{decode_value, encode_value, ConfigHead, ConfigHeadRef};
 use std::collections::BTreeMap;
 
 /// All items that a control state is published as: the configuration and the evacuated zones.
--- a/crates/configuration/tests/control_state.rs
+++ b/crates/configuration/tests/control_state.rs
@@ -7,7 +7,7 @@
 use quillpulley_configuration::control_state::HISTORY_LENGTH;
 use quillpulley_configuration::{ConfigurationError, ControlState, EvacuationDecision, ReplaceDecision};
 use quillpulley_replication::StateMachine;
-use quillpulley_wire::Entry;
+use quillpulley_protocol::Entry;
 use std::sync::Arc;
 
 /// A state and the log that made it.
--- a/crates/configuration/tests/published.rs
+++ b/crates/configuration/tests/published.rs
@@ -7,7 +7,7 @@
 use quillpulley_configuration::published::*;
 use quillpulley_configuration::{Configuration, ConfigurationError, ControlState, ReplaceDecision};
 use quillpulley_replication::StateMachine;
-use quillpulley_wire::Entry;
+use quillpulley_protocol::Entry;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
--- a/crates/routing/src/balancer/listing.rs
+++ b/crates/load-balancer/src/balancer/listing.rs
@@ -4,7 +4,7 @@
 use super::server::{Distance, Server, ServerInfo};
 use super::warmup;
 use super::{Balancer, ServerKey};
-use quillpulley_wire as wire;
+use quillpulley_protocol as wire;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
--- a/crates/routing/src/balancer/load.rs
+++ b/crates/load-balancer/src/balancer/load.rs
@@ -2,7 +2,7 @@
 
 use super::speed::Pace;
 use crate::demand::Demand;
-use quillpulley_wire::ServerLoad;
+use quillpulley_protocol::ServerLoad;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/routing/src/balancer/mod.rs
+++ b/crates/load-balancer/src/balancer/mod.rs
@@ -25,7 +25,7 @@
 
 use prefix::KeptParts;
 use quillpulley_configuration::operator::Service;
-use quillpulley_wire as wire;
+use quillpulley_protocol as wire;
 use requests::{RequestKey, UnderWay};
 use server::Server;
 use service::{ServiceSettings, ServiceState};
--- a/crates/routing/src/balancer/server.rs
+++ b/crates/load-balancer/src/balancer/server.rs
@@ -5,7 +5,7 @@
 use super::options::Place;
 use super::speed::Speed;
 use super::warmup::Sends;
-use quillpulley_wire as wire;
+use quillpulley_protocol as wire;
 use std::net::SocketAddr;
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
--- a/crates/routing/tests/common/fleet.rs
+++ b/crates/load-balancer/tests/common/fleet.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use super::{balancer, engine, limiter, ms, place, ENGINE};
-use quillpulley_routing::{Balancer, Choice, Demand, Limiter, Outcome, PromptPart, ServerKey, Ticket};
+use quillpulley_load_balancer::{Balancer, Choice, Demand, Limiter, Outcome, PromptPart, ServerKey, Ticket};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
@@ -97,7 +97,7 @@
     /// Keys are alike at all balancers, as servers are put in the same order.
     zones: HashMap<ServerKey, &'static str>,
     last_use: HashMap<u64, Duration>,
-    totals: VecDeque<(Duration, HashMap<u64, quillpulley_wire::ServerLoad>)>,
+    totals: VecDeque<(Duration, HashMap<u64, quillpulley_protocol::ServerLoad>)>,
     pub figures: Figures,
     lengths: HashMap<u64, u32>,
 }
@@ -159,10 +159,10 @@
     }
 
     fn exchange(&mut self, now: Duration) {
-        let mut sums: HashMap<u64, quillpulley_wire::ServerLoad> = HashMap::new();
+        let mut sums: HashMap<u64, quillpulley_protocol::ServerLoad> = HashMap::new();
         for balancer in &mut self.balancers {
             for load in balancer.own_loads(now) {
-                let sum = sums.entry(load.server).or_insert(quillpulley_wire::ServerLoad {
+                let sum = sums.entry(load.server).or_insert(quillpulley_protocol::ServerLoad {
                     server: load.server,
                     running: 0,
                     waiting: 0,
@@ -180,7 +180,7 @@
     fn deliver_totals(&mut self, now: Duration) {
         while self.totals.front().is_some_and(|(at, _)| *at <= now) {
             let Some((_, sums)) = self.totals.pop_front() else { return };
-            let loads: Vec<quillpulley_wire::ServerLoad> = sums.into_values().collect();
+            let loads: Vec<quillpulley_protocol::ServerLoad> = sums.into_values().collect();
             for balancer in &mut self.balancers {
                 balancer.set_totals(now, &loads);
             }
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/load-balancer/tests/common/mod.rs
@@ -4,8 +4,8 @@
 pub mod fleet;
 
 use quillpulley_configuration::Configuration;
-use quillpulley_routing::{Balancer, Demand, Limiter, Options, Place, PromptPart};
-use quillpulley_wire as wire;
+use quillpulley_load_balancer::{Balancer, Demand, Limiter, Options, Place, PromptPart};
+use quillpulley_protocol as wire;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/routing/tests/engine_choice.rs
+++ b/crates/load-balancer/tests/engine_choice.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use quillpulley_routing::{server_hash, Balancer, Choice, Demand, Outcome, PromptPart, ServerKey};
-use quillpulley_wire::ServerLoad;
+use quillpulley_load_balancer::{server_hash, Balancer, Choice, Demand, Outcome, PromptPart, ServerKey};
+use quillpulley_protocol::ServerLoad;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/crates/routing/tests/health.rs
+++ b/crates/load-balancer/tests/health.rs
@@ -5,8 +5,8 @@
 mod common;
 
 use common::*;
-use quillpulley_routing::{Balancer, Choice, Demand, FailureKind, Outcome, Probe, ServerKey};
-use quillpulley_wire::ServerLoad;
+use quillpulley_load_balancer::{Balancer, Choice, Demand, FailureKind, Outcome, Probe, ServerKey};
+use quillpulley_protocol::ServerLoad;
 use std::time::Duration;
 
 const START: Duration = Duration::from_secs(60);
@@ -203,7 +203,7 @@
 #[test]
 fn failures_that_others_saw_count_too() {
     let mut player = player();
-    let hash = quillpulley_routing::server_hash("one");
+    let hash = quillpulley_load_balancer::server_hash("one");
     let load = ServerLoad { server: hash, running: 0, waiting: 0, prompt_tokens: 0, failures: 6 };
     player.balancer.set_totals(START, &[load]);
     let chosen =
--- a/crates/routing/tests/home_demand.rs
+++ b/crates/load-balancer/tests/home_demand.rs
@@ -1,6 +1,6 @@
 //! Which regions a limiter prefers over its own for the clients that come to it.
 
-use quillpulley_routing::HomeDemand;
+use quillpulley_load_balancer::HomeDemand;
 use std::time::Duration;
 
 struct Limiter {
--- a/crates/routing/tests/host_homes.rs
+++ b/crates/load-balancer/tests/host_homes.rs
@@ -1,6 +1,6 @@
 //! Where the requests of a host may be served, as the routes in force say.
 
-use quillpulley_routing::{HomeTable, ServedIn};
+use quillpulley_load_balancer::{HomeTable, ServedIn};
 
 /// Routes as `host:home+home`, with nothing after the colon where there are no homes.
 fn table(routes: &str) -> HomeTable {
--- a/crates/routing/tests/listing.rs
+++ b/crates/load-balancer/tests/listing.rs
@@ -4,8 +4,8 @@
 
 use common::*;
 use quickcheck::{quickcheck, Arbitrary, Gen};
-use quillpulley_routing::{Balancer, Choice, Demand, Outcome, ServerKey};
-use quillpulley_wire::{Server, ServerState};
+use quillpulley_load_balancer::{Balancer, Choice, Demand, Outcome, ServerKey};
+use quillpulley_protocol::{Server, ServerState};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
--- a/crates/routing/tests/plain_choice.rs
+++ b/crates/load-balancer/tests/plain_choice.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use quillpulley_routing::{server_hash, Balancer, Choice, Demand, Outcome, ServerKey, Ticket};
-use quillpulley_wire::ServerLoad;
+use quillpulley_load_balancer::{server_hash, Balancer, Choice, Demand, Outcome, ServerKey, Ticket};
+use quillpulley_protocol::ServerLoad;
 use std::time::Duration;
 
 const NOW: Duration = Duration::from_secs(60);
--- a/crates/routing/tests/route_table.rs
+++ b/crates/load-balancer/tests/route_table.rs
@@ -2,7 +2,7 @@
 
 use quillpulley_configuration::operator::Route;
 use quillpulley_configuration::Configuration;
-use quillpulley_routing::{pick_service, RouteTable};
+use quillpulley_load_balancer::{pick_service, RouteTable};
 
 fn configuration(routes: &[(&str, &str)]) -> Configuration {
     let route = |(host, prefix): &(&str, &str)| {
--- a/crates/routing/tests/waiting.rs
+++ b/crates/load-balancer/tests/waiting.rs
@@ -1,7 +1,7 @@
 //! Requests that wait for a place.
 
 use quickcheck::{quickcheck, Arbitrary, Gen};
-use quillpulley_routing::{Terms, Waiting, WaitingKey, WaitingLimits};
+use quillpulley_load_balancer::{Terms, Waiting, WaitingKey, WaitingLimits};
 use std::time::Duration;
 
 const LIMITS: WaitingLimits = WaitingLimits { requests: 3, bytes: 1_000 };
--- a/crates/routing/tests/warmup.rs
+++ b/crates/load-balancer/tests/warmup.rs
@@ -4,8 +4,8 @@
 
 use common::*;
 use quickcheck::{quickcheck, Arbitrary, Gen};
-use quillpulley_routing::{Balancer, Choice, Limiter, Outcome, Probe, ServerKey};
-use quillpulley_wire::Server;
+use quillpulley_load_balancer::{Balancer, Choice, Limiter, Outcome, Probe, ServerKey};
+use quillpulley_protocol::Server;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -135,7 +135,7 @@
         let mut balancer = lone_balancer();
         let server = put(&mut balancer, &engine("s", "a1"));
         let ticket = balancer.begin(NOW, server, &demand(ENGINE));
-        balancer.end(NOW, ticket, Outcome::Failed(quillpulley_routing::FailureKind::Connect));
+        balancer.end(NOW, ticket, Outcome::Failed(quillpulley_load_balancer::FailureKind::Connect));
         let back = NOW + ms(4_000);
         assert_eq!(balancer.probes_due(back), [server]);
         balancer.probed(back, server, Probe::Well { warmup_left: told });
--- a/crates/membership/src/monitor.rs
+++ b/crates/membership/src/monitor.rs
@@ -5,7 +5,7 @@
 
 use crate::rendezvous::Key;
 use crate::target::Target;
-use quillpulley_wire::{Body, Ping, PingAck};
+use quillpulley_protocol::{Body, Ping, PingAck};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/membership/tests/monitoring.rs
+++ b/crates/membership/tests/monitoring.rs
@@ -1,7 +1,7 @@
 //! Monitors on a network that loses datagrams now and then, in virtual time.
 
 use quillpulley_membership::{Action, Event, Monitor, MonitorOptions, Peer};
-use quillpulley_wire::Body;
+use quillpulley_protocol::Body;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
@@ -255,7 +255,7 @@
             let Action::Send(to, Body::Ping(ping)) = action else { continue };
             pings.push((to, ping.sequence));
             if to == address(2) {
-                let ack = quillpulley_wire::PingAck { name: name(2), sequence: ping.sequence };
+                let ack = quillpulley_protocol::PingAck { name: name(2), sequence: ping.sequence };
                 monitor.handle(
                     milliseconds(time),
                     Event::Received(Body::PingAck(Box::new(ack)), to),
@@ -266,7 +266,7 @@
     }
     assert_eq!(monitor.suspects(), [name(1)]);
     let (_, first) = pings.iter().find(|(to, _)| *to == address(1)).copied().expect("a ping");
-    let ack = |sequence| Body::PingAck(Box::new(quillpulley_wire::PingAck { name: name(1), sequence }));
+    let ack = |sequence| Body::PingAck(Box::new(quillpulley_protocol::PingAck { name: name(1), sequence }));
     monitor.handle(milliseconds(4_000), Event::Received(ack(first), address(1)), &mut actions);
     assert_eq!(monitor.suspects(), [name(1)]);
     let (_, latest) = pings.iter().rfind(|(to, _)| *to == address(1)).copied().expect("a ping");
--- a/crates/wire/src/generated.rs
+++ b/crates/protocol/src/generated.rs
@@ -5,24 +5,24 @@
 /// The root namespace
 ///
 /// Generated from these locations:
-/// * File `wire.fbs`
+/// * File `protocol.fbs`
 #[no_implicit_prelude]
 #[allow(clippy::needless_lifetimes)]
 mod root {
     /// The namespace `quillpulley`
     ///
     /// Generated from these locations:
-    /// * File `wire.fbs`
+    /// * File `protocol.fbs`
     pub mod quillpulley {
         /// The namespace `quillpulley.wire`
         ///
         /// Generated from these locations:
-        /// * File `wire.fbs`
+        /// * File `protocol.fbs`
         pub mod wire {
             ///  A core process by its IPv4 address and the life of its disk: a wiped disk gets a new incarnation.
             ///
             /// Generated from these locations:
-            /// * Struct `NodeId` in the file `wire.fbs:8`
+            /// * Struct `NodeId` in the file `protocol.fbs:8`
             #[derive(
                 Copy,
                 Clone,
@@ -224,7 +224,7 @@
             ///  The end of a log: entries are ordered by index, and made unique by the epoch that wrote them.
             ///
             /// Generated from these locations:
-            /// * Struct `Position` in the file `wire.fbs:11`
+            /// * Struct `Position` in the file `protocol.fbs:11`
             #[derive(
                 Copy,
                 Clone,
@@ -425,7 +425,7 @@
             ///  The as-of stamp of published state: the primary's epoch and its running count of lease-checked ticks.
             ///
             /// Generated from these locations:
-            /// * Struct `Stamp` in the file `wire.fbs:14`
+            /// * Struct `Stamp` in the file `protocol.fbs:14`
             #[derive(
                 Copy,
                 Clone,
@@ -623,7 +623,7 @@
             ///  Who holds the control state in an epoch, and who decides on the next one.
             ///
             /// Generated from these locations:
-            /// * Table `View` in the file `wire.fbs:17`
+            /// * Table `View` in the file `protocol.fbs:17`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -1052,7 +1052,7 @@
             /// The table `Entry` in the namespace `quillpulley.wire`
             ///
             /// Generated from these locations:
-            /// * Table `Entry` in the file `wire.fbs:27`
+            /// * Table `Entry` in the file `protocol.fbs:27`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -1371,7 +1371,7 @@
             /// The enum `PeerKind` in the namespace `quillpulley.wire`
             ///
             /// Generated from these locations:
-            /// * Enum `PeerKind` in the file `wire.fbs:31`
+            /// * Enum `PeerKind` in the file `protocol.fbs:31`
             #[derive(
                 Copy,
                 Clone,
@@ -1538,7 +1538,7 @@
             /// The table `Hello` in the namespace `quillpulley.wire`
             ///
             /// Generated from these locations:
-            /// * Table `Hello` in the file `wire.fbs:33`
+            /// * Table `Hello` in the file `protocol.fbs:33`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -1954,7 +1954,7 @@
             ///  The addresses of the core processes that the sender knows.
             ///
             /// Generated from these locations:
-            /// * Table `Cores` in the file `wire.fbs:46`
+            /// * Table `Cores` in the file `protocol.fbs:46`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -2184,7 +2184,7 @@
             ///  Asks a witness to promise an epoch to a candidate; a trial asks only whether it would.
             ///
             /// Generated from these locations:
-            /// * Table `Prepare` in the file `wire.fbs:48`
+            /// * Table `Prepare` in the file `protocol.fbs:48`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -2503,7 +2503,7 @@
             /// The table `Promise` in the namespace `quillpulley.wire`
             ///
             /// Generated from these locations:
-            /// * Table `Promise` in the file `wire.fbs:49`
+            /// * Table `Promise` in the file `protocol.fbs:49`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -3019,7 +3019,7 @@
             ///  Asks a member of the newest view for its state; it takes nothing more from older epochs.
             ///
             /// Generated from these locations:
-            /// * Table `FetchState` in the file `wire.fbs:51`
+            /// * Table `FetchState` in the file `protocol.fbs:51`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -3266,7 +3266,7 @@
             /// The table `StateTransfer` in the namespace `quillpulley.wire`
             ///
             /// Generated from these locations:
-            /// * Table `StateTransfer` in the file `wire.fbs:52`
+            /// * Table `StateTransfer` in the file `protocol.fbs:52`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -3654,7 +3654,7 @@
             ///  Brings a member to the primary's state.
             ///
             /// Generated from these locations:
-            /// * Table `Install` in the file `wire.fbs:54`
+            /// * Table `Install` in the file `protocol.fbs:54`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -4000,7 +4000,7 @@
             /// The table `Installed` in the namespace `quillpulley.wire`
             ///
             /// Generated from these locations:
-            /// * Table `Installed` in the file `wire.fbs:55`
+            /// * Table `Installed` in the file `protocol.fbs:55`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -4319,7 +4319,7 @@
             /// The table `Accept` in the namespace `quillpulley.wire`
             ///
             /// Generated from these locations:
-            /// * Table `Accept` in the file `wire.fbs:56`
+            /// * Table `Accept` in the file `protocol.fbs:56`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -4555,7 +4555,7 @@
             /// The table `Accepted` in the namespace `quillpulley.wire`
             ///
             /// Generated from these locations:
-            /// * Table `Accepted` in the file `wire.fbs:57`
+            /// * Table `Accepted` in the file `protocol.fbs:57`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -4927,7 +4927,7 @@
             /// The table `Append` in the namespace `quillpulley.wire`
             ///
             /// Generated from these locations:
-            /// * Table `Append` in the file `wire.fbs:58`
+            /// * Table `Append` in the file `protocol.fbs:58`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -5284,7 +5284,7 @@
             /// The table `AppendAck` in the namespace `quillpulley.wire`
             ///
             /// Generated from these locations:
-            /// * Table `AppendAck` in the file `wire.fbs:59`
+            /// * Table `AppendAck` in the file `protocol.fbs:59`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -5603,7 +5603,7 @@
             ///  The primary's heartbeat: asks for the lease and tells the view and what is committed.
             ///
             /// Generated from these locations:
-            /// * Table `LeaseRequest` in the file `wire.fbs:61`
+            /// * Table `LeaseRequest` in the file `protocol.fbs:61`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -6027,7 +6027,7 @@
             /// The table `LeaseGrant` in the namespace `quillpulley.wire`
             ///
             /// Generated from these locations:
-            /// * Table `LeaseGrant` in the file `wire.fbs:62`
+            /// * Table `LeaseGrant` in the file `protocol.fbs:62`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -6536,7 +6536,7 @@
             ///  One that is leaving tells so to all, unasked.
             ///
             /// Generated from these locations:
-            /// * Table `Decline` in the file `wire.fbs:65`
+            /// * Table `Decline` in the file `protocol.fbs:65`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -6866,7 +6866,7 @@
             ///  A primary or candidate gives its epoch up: what was granted to it is free again.
             ///
             /// Generated from these locations:
-            /// * Table `Resign` in the file `wire.fbs:67`
+            /// * Table `Resign` in the file `protocol.fbs:67`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -7109,7 +7109,7 @@
             ///  One piece of published state.
             ///
             /// Generated from these locations:
-            /// * Table `Item` in the file `wire.fbs:72`
+            /// * Table `Item` in the file `protocol.fbs:72`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -7421,7 +7421,7 @@
             ///  A child asks its parent for what it lacks: how far it is, and a digest for each range of key hashes.
             ///
             /// Generated from these locations:
-            /// * Table `Subscribe` in the file `wire.fbs:75`
+            /// * Table `Subscribe` in the file `protocol.fbs:75`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -7686,7 +7686,7 @@
             ///  that differ between exactly its stamps; or the answer to a subscription, whose `since` is the subscriber's stamp.
             ///
             /// Generated from these locations:
-            /// * Enum `UpdateKind` in the file `wire.fbs:79`
+            /// * Enum `UpdateKind` in the file `protocol.fbs:79`
             #[derive(
                 Copy,
                 Clone,
@@ -7854,7 +7854,7 @@
             ///  in `complete`, the items are all that there are. `digest` is the sum of the ranges' digests at `stamp`.
             ///
             /// Generated from these locations:
-            /// * Table `Update` in the file `wire.fbs:83`
+            /// * Table `Update` in the file `protocol.fbs:83`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -8284,7 +8284,7 @@
             /// The enum `FrontState` in the namespace `quillpulley.wire`
             ///
             /// Generated from these locations:
-            /// * Enum `FrontState` in the file `wire.fbs:92`
+            /// * Enum `FrontState` in the file `protocol.fbs:92`
             #[derive(
                 Copy,
                 Clone,
@@ -8451,7 +8451,7 @@
             ///  A machine that serves clients. `preferred_regions`: where its clients would be served better, if anywhere.
             ///
             /// Generated from these locations:
-            /// * Table `Front` in the file `wire.fbs:95`
+            /// * Table `Front` in the file `protocol.fbs:95`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -8962,7 +8962,7 @@
             ///  What a subtree counted for a service in the latest budget window: first sends, repeats sent, repeats refused.
             ///
             /// Generated from these locations:
-            /// * Table `ServiceCount` in the file `wire.fbs:98`
+            /// * Table `ServiceCount` in the file `protocol.fbs:98`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -9326,7 +9326,7 @@
             ///  What a subtree has under way at a server, which is named by the hash of its id. All zeros: nothing any more.
             ///
             /// Generated from these locations:
-            /// * Struct `ServerLoad` in the file `wire.fbs:101`
+            /// * Struct `ServerLoad` in the file `protocol.fbs:101`
             #[derive(
                 Copy,
                 Clone,
@@ -9584,7 +9584,7 @@
             ///  Who cannot reach a front.
             ///
             /// Generated from these locations:
-            /// * Table `Suspicion` in the file `wire.fbs:104`
+            /// * Table `Suspicion` in the file `protocol.fbs:104`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -9859,7 +9859,7 @@
             ///  number of levels below the sender; it grows without end where the tree has a loop.
             ///
             /// Generated from these locations:
-            /// * Table `Report` in the file `wire.fbs:109`
+            /// * Table `Report` in the file `protocol.fbs:109`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -10380,7 +10380,7 @@
             ///  the node that made the sums, `hops` the number of nodes that passed them on.
             ///
             /// Generated from these locations:
-            /// * Table `Totals` in the file `wire.fbs:123`
+            /// * Table `Totals` in the file `protocol.fbs:123`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -10876,7 +10876,7 @@
             /// The table `Ping` in the namespace `quillpulley.wire`
             ///
             /// Generated from these locations:
-            /// * Table `Ping` in the file `wire.fbs:135`
+            /// * Table `Ping` in the file `protocol.fbs:135`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -11148,7 +11148,7 @@
             /// The table `PingAck` in the namespace `quillpulley.wire`
             ///
             /// Generated from these locations:
-            /// * Table `PingAck` in the file `wire.fbs:136`
+            /// * Table `PingAck` in the file `protocol.fbs:136`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -11420,7 +11420,7 @@
             /// The enum `ServerState` in the namespace `quillpulley.wire`
             ///
             /// Generated from these locations:
-            /// * Enum `ServerState` in the file `wire.fbs:140`
+            /// * Enum `ServerState` in the file `protocol.fbs:140`
             #[derive(
                 Copy,
                 Clone,
@@ -11583,7 +11583,7 @@
             /// The table `Server` in the namespace `quillpulley.wire`
             ///
             /// Generated from these locations:
-            /// * Table `Server` in the file `wire.fbs:142`
+            /// * Table `Server` in the file `protocol.fbs:142`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -12154,7 +12154,7 @@
             ///  A core process, as agents need to know it.
             ///
             /// Generated from these locations:
-            /// * Table `Core` in the file `wire.fbs:157`
+            /// * Table `Core` in the file `protocol.fbs:157`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -12466,7 +12466,7 @@
             ///  The head of the configuration in force; its routes are items of their own.
             ///
             /// Generated from these locations:
-            /// * Table `ConfigHead` in the file `wire.fbs:160`
+            /// * Table `ConfigHead` in the file `protocol.fbs:160`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -12823,7 +12823,7 @@
             /// The table `ReplaceConfig` in the namespace `quillpulley.wire`
             ///
             /// Generated from these locations:
-            /// * Table `ReplaceConfig` in the file `wire.fbs:164`
+            /// * Table `ReplaceConfig` in the file `protocol.fbs:164`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -13192,7 +13192,7 @@
             /// The table `Evacuation` in the namespace `quillpulley.wire`
             ///
             /// Generated from these locations:
-            /// * Table `Evacuation` in the file `wire.fbs:165`
+            /// * Table `Evacuation` in the file `protocol.fbs:165`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -13466,7 +13466,7 @@
             /// The union `OrderBody` in the namespace `quillpulley.wire`
             ///
             /// Generated from these locations:
-            /// * Union `OrderBody` in the file `wire.fbs:166`
+            /// * Union `OrderBody` in the file `protocol.fbs:166`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -13656,7 +13656,7 @@
             ///  The payload of a log entry.
             ///
             /// Generated from these locations:
-            /// * Table `Order` in the file `wire.fbs:168`
+            /// * Table `Order` in the file `protocol.fbs:168`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -13913,7 +13913,7 @@
             /// The table `TakenConfig` in the namespace `quillpulley.wire`
             ///
             /// Generated from these locations:
-            /// * Table `TakenConfig` in the file `wire.fbs:170`
+            /// * Table `TakenConfig` in the file `protocol.fbs:170`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -14247,7 +14247,7 @@
             /// The table `EvacuatedZone` in the namespace `quillpulley.wire`
             ///
             /// Generated from these locations:
-            /// * Table `EvacuatedZone` in the file `wire.fbs:171`
+            /// * Table `EvacuatedZone` in the file `protocol.fbs:171`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -14569,7 +14569,7 @@
             ///  The replicated state, as a snapshot holds it.
             ///
             /// Generated from these locations:
-            /// * Table `ControlSnapshot` in the file `wire.fbs:173`
+            /// * Table `ControlSnapshot` in the file `protocol.fbs:173`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -14980,7 +14980,7 @@
             ///  What a witness keeps on its disk.
             ///
             /// Generated from these locations:
-            /// * Table `WitnessRecord` in the file `wire.fbs:176`
+            /// * Table `WitnessRecord` in the file `protocol.fbs:176`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -15363,7 +15363,7 @@
             /// The union `Body` in the namespace `quillpulley.wire`
             ///
             /// Generated from these locations:
-            /// * Union `Body` in the file `wire.fbs:178`
+            /// * Union `Body` in the file `protocol.fbs:178`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -16592,7 +16592,7 @@
             /// The table `Frame` in the namespace `quillpulley.wire`
             ///
             /// Generated from these locations:
-            /// * Table `Frame` in the file `wire.fbs:183`
+            /// * Table `Frame` in the file `protocol.fbs:183`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
--- a/crates/wire/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,4 +1,4 @@
-//! The internal protocol of quillpulley: typed messages (generated from `wire.fbs`) and their framing.
+//! The internal protocol of quillpulley: typed messages (generated from `protocol.fbs`) and their framing.
 //!
 //! A frame on a stream is its length as four bytes, least significant first, and then one flatbuffer of the
 //! type [`Frame`]. The bits above the length tell pieces of long messages from whole ones ([`FrameQueue`] cuts them,
--- a/crates/wire/tests/compatibility.rs
+++ b/crates/protocol/tests/compatibility.rs
@@ -3,7 +3,7 @@
 //! `fixtures/messages.hex` and `fixtures/values.hex` were written by the program at commit 0b0971f. Each line holds
 //! a name and the bytes in hexadecimal. Names in the schema may change; these bytes may not.
 
-use quillpulley_wire::*;
+use quillpulley_protocol::*;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
--- a/crates/wire/tests/framing.rs
+++ b/crates/protocol/tests/framing.rs
@@ -1,7 +1,7 @@
 //! Frames come out of a stream as they went in, however the stream is cut, and nothing read can panic.
 
 use quickcheck::quickcheck;
-use quillpulley_wire::{
+use quillpulley_protocol::{
     decode_frame, encode_frame, Append, Body, Entry, FrameDecoder, FrameEncoder, Position, MAX_FRAME,
 };
 
--- a/crates/wire/tests/queue.rs
+++ b/crates/protocol/tests/queue.rs
@@ -1,7 +1,7 @@
 //! Long messages go in pieces, and hold up neither short ones nor those of other lanes.
 
 use quickcheck::quickcheck;
-use quillpulley_wire::{
+use quillpulley_protocol::{
     Append, Body, Entry, FrameDecoder, FrameEncoder, FrameQueue, Install, Lane, LeaseGrant, Position, Update,
     MAX_PIECE, PIECE_WINDOW,
 };
@@ -24,8 +24,8 @@
 }
 
 fn update(tick: u64, bytes: usize) -> Body {
-    let items = vec![quillpulley_wire::Item { key: "k".into(), removed: false, value: vec![1; bytes] }];
-    let stamp = quillpulley_wire::Stamp { epoch: 1, tick };
+    let items = vec![quillpulley_protocol::Item { key: "k".into(), removed: false, value: vec![1; bytes] }];
+    let stamp = quillpulley_protocol::Stamp { epoch: 1, tick };
     Body::Update(Box::new(Update { stamp, items, ..Update::default() }))
 }
 
--- a/crates/wire/tests/sizes.rs
+++ b/crates/protocol/tests/sizes.rs
@@ -1,8 +1,8 @@
 //! What messages and published values take: the figures of `docs/CAPACITY.md` hold.
 
-use quillpulley_wire::View;
-use quillpulley_wire::{encode_frame, encode_value, Body};
-use quillpulley_wire::{
+use quillpulley_protocol::View;
+use quillpulley_protocol::{encode_frame, encode_value, Body};
+use quillpulley_protocol::{
     Front, FrontState, LeaseGrant, LeaseRequest, NodeId, Ping, Position, Server, ServerState,
 };
 use std::net::Ipv4Addr;
--- a/crates/quillpulley/src/agent/children.rs
+++ b/crates/quillpulley/src/agent/children.rs
@@ -1,7 +1,7 @@
 //! The links from children.
 
 use crate::peer::LinkId;
-use quillpulley_wire::{Hello, PeerKind};
+use quillpulley_protocol::{Hello, PeerKind};
 use std::collections::BTreeMap;
 
 /// Who is at the other end.
--- a/crates/quillpulley/src/agent/datagrams.rs
+++ b/crates/quillpulley/src/agent/datagrams.rs
@@ -1,7 +1,7 @@
 //! Pings and their answers, as datagrams.
 
 use log::debug;
-use quillpulley_wire::{decode_frame, Body, FrameEncoder};
+use quillpulley_protocol::{decode_frame, Body, FrameEncoder};
 use std::io;
 use std::net::SocketAddr;
 use tokio::net::UdpSocket;
--- a/crates/quillpulley/src/agent/host/tree.rs
+++ b/crates/quillpulley/src/agent/host/tree.rs
@@ -5,8 +5,8 @@
 use crate::agent::search;
 use crate::peer::LinkId;
 use log::{debug, info};
-use quillpulley_feed as feed;
-use quillpulley_feed::relay::ParentCandidate;
+use quillpulley_state_sync as feed;
+use quillpulley_state_sync::relay::ParentCandidate;
 use quillpulley_membership as membership;
 use std::net::SocketAddr;
 
@@ -96,6 +96,6 @@
     }
 }
 
-fn shown(stamp: quillpulley_wire::Stamp) -> String {
+fn shown(stamp: quillpulley_protocol::Stamp) -> String {
     format!("{}:{}", stamp.epoch, stamp.tick)
 }
--- a/crates/quillpulley/src/agent/neighbourhood.rs
+++ b/crates/quillpulley/src/agent/neighbourhood.rs
@@ -4,10 +4,10 @@
 use crate::Settings;
 use log::warn;
 use quillpulley_configuration::published::{PublishedKey, CORE_PREFIX, FRONT_PREFIX};
-use quillpulley_feed::relay::{parent_candidates, ParentCandidate, Surroundings};
-use quillpulley_feed::{ChangedKey, Store};
+use quillpulley_state_sync::relay::{parent_candidates, ParentCandidate, Surroundings};
+use quillpulley_state_sync::{ChangedKey, Store};
 use quillpulley_membership::Peer;
-use quillpulley_wire::{decode_value, Core, CoreRef, Front, FrontRef, FrontState};
+use quillpulley_protocol::{decode_value, Core, CoreRef, Front, FrontRef, FrontState};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 /// The fronts and core processes as they were published last, and the seeds.
@@ -68,7 +68,7 @@
 fn read_all<'a, T>(
     store: &'a Store,
     prefix: &'a str,
-    decode: impl Fn(&'a [u8]) -> Result<T, quillpulley_wire::WireError>,
+    decode: impl Fn(&'a [u8]) -> Result<T, quillpulley_protocol::WireError>,
 ) -> Vec<T> {
     let read = |(key, value)| {
         let decoded = decode(value);
--- a/crates/quillpulley/src/control/directory.rs
+++ b/crates/quillpulley/src/control/directory.rs
@@ -2,8 +2,8 @@
 
 use super::http::{self, Handler, JsonAnswer};
 use crate::HostError;
-use quillpulley_routing::{HomeTable, HostHomes, ServedIn};
-use quillpulley_wire::{Front, FrontState};
+use quillpulley_load_balancer::{HomeTable, HostHomes, ServedIn};
+use quillpulley_protocol::{Front, FrontState};
 use simd_json::prelude::Writable;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::TcpListener;
--- a/crates/quillpulley/src/control/disk.rs
+++ b/crates/quillpulley/src/control/disk.rs
@@ -3,7 +3,7 @@
 use crate::HostError;
 use quillpulley_replication::{Recovered, StoreFault, Write};
 use quillpulley_storage::{Options, Storage, StorageError};
-use quillpulley_wire::{decode_value, encode_value, WitnessRecord, WitnessRecordRef};
+use quillpulley_protocol::{decode_value, encode_value, WitnessRecord, WitnessRecordRef};
 use std::fmt::Display;
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{self, Receiver, Sender};
--- a/crates/quillpulley/src/control/host.rs
+++ b/crates/quillpulley/src/control/host.rs
@@ -21,9 +21,9 @@
 use crate::peer::PeerEvent;
 use crate::Settings;
 use quillpulley_configuration::ControlState;
-use quillpulley_feed as feed;
+use quillpulley_state_sync as feed;
 use quillpulley_replication::{Action, Event, Replica, Role};
-use quillpulley_wire::{Core, NodeId};
+use quillpulley_protocol::{Core, NodeId};
 use std::time::Duration;
 
 /// The state of a core process.
--- a/crates/quillpulley/src/control/knowledge.rs
+++ b/crates/quillpulley/src/control/knowledge.rs
@@ -4,7 +4,7 @@
 use super::timed_answer::TimedAnswer;
 use quillpulley_configuration::ControlState;
 use quillpulley_replication::Replica;
-use quillpulley_wire::NodeId;
+use quillpulley_protocol::NodeId;
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/quillpulley/src/control/leadership.rs
+++ b/crates/quillpulley/src/control/leadership.rs
@@ -5,7 +5,7 @@
 use super::publisher::{core_changes, state_changes, Publisher};
 use super::tree::Tree;
 use quillpulley_configuration::ControlState;
-use quillpulley_feed::{Change, Event};
+use quillpulley_state_sync::{Change, Event};
 use std::time::Duration;
 
 /// How often a stamp is published at least.
--- a/crates/quillpulley/src/control/parts.rs
+++ b/crates/quillpulley/src/control/parts.rs
@@ -7,7 +7,7 @@
 use crate::peer::Peers;
 use quillpulley_configuration::ControlState;
 use quillpulley_replication::Replica;
-use quillpulley_wire::NodeId;
+use quillpulley_protocol::NodeId;
 use std::rc::Rc;
 
 /// What a host is made of.
--- a/crates/quillpulley/src/control/peer_table.rs
+++ b/crates/quillpulley/src/control/peer_table.rs
@@ -3,7 +3,7 @@
 //! Between two core processes there are two links: each sends only on the link that it opened itself, and
 //! reads on the other's. A process counts as connected while the link to it is open.
 
-use quillpulley_wire::{Hello, NodeId, PeerKind};
+use quillpulley_protocol::{Hello, NodeId, PeerKind};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 use std::time::Duration;
--- a/crates/quillpulley/src/control/platform.rs
+++ b/crates/quillpulley/src/control/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's list of servers: one page of it, as typed entries.
 
 use displaydoc::Display;
-use quillpulley_wire::{Server, ServerState};
+use quillpulley_protocol::{Server, ServerState};
 use simd_json::prelude::*;
 use simd_json::BorrowedValue;
 
--- a/crates/quillpulley/src/control/process.rs
+++ b/crates/quillpulley/src/control/process.rs
@@ -13,7 +13,7 @@
 use crate::{runtime, HostError, Settings};
 use quillpulley_configuration::ControlState;
 use quillpulley_replication::{Options, Recovered, Replica};
-use quillpulley_wire::{Hello, NodeId, PeerKind};
+use quillpulley_protocol::{Hello, NodeId, PeerKind};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::time::Duration;
 use tokio::sync::mpsc::{channel, unbounded_channel, Receiver, UnboundedReceiver, UnboundedSender};
--- a/crates/quillpulley/src/control/relay.rs
+++ b/crates/quillpulley/src/control/relay.rs
@@ -4,7 +4,7 @@
 //! each other's reports. One that hears of a new primary may subscribe before that primary knows of its own
 //! election; what it sends is kept until then.
 
-use quillpulley_wire::{Body, NodeId};
+use quillpulley_protocol::{Body, NodeId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/crates/quillpulley/src/control/servers.rs
+++ b/crates/quillpulley/src/control/servers.rs
@@ -2,8 +2,8 @@
 
 use super::platform::Reading;
 use quillpulley_configuration::published::{server_key, PublishedKey};
-use quillpulley_feed::Change;
-use quillpulley_wire::{decode_value, encode_value, Server, ServerRef};
+use quillpulley_state_sync::Change;
+use quillpulley_protocol::{decode_value, encode_value, Server, ServerRef};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/crates/quillpulley/src/control/status.rs
+++ b/crates/quillpulley/src/control/status.rs
@@ -7,7 +7,7 @@
 use super::orders::Answer;
 use super::timed_answer::TimedAnswer;
 use quillpulley_replication::{Role, ViewExposure};
-use quillpulley_wire::{NodeId, View};
+use quillpulley_protocol::{NodeId, View};
 use simd_json::prelude::Writable;
 use simd_json::{json, OwnedValue};
 use std::time::Duration;
--- a/crates/quillpulley/src/peer/link.rs
+++ b/crates/quillpulley/src/peer/link.rs
@@ -4,7 +4,7 @@
 use super::{socket, LinkId, Shared};
 use displaydoc::Display;
 use log::{debug, warn};
-use quillpulley_wire::{Body, FrameDecoder, Hello, WireError};
+use quillpulley_protocol::{Body, FrameDecoder, Hello, WireError};
 use std::future::poll_fn;
 use std::io;
 use std::mem::MaybeUninit;
--- a/crates/quillpulley/src/peer/mod.rs
+++ b/crates/quillpulley/src/peer/mod.rs
@@ -11,7 +11,7 @@
 mod socket;
 mod table;
 
-use quillpulley_wire::{Body, FrameEncoder, Hello, Lane};
+use quillpulley_protocol::{Body, FrameEncoder, Hello, Lane};
 use std::cell::{Cell, RefCell};
 use std::fmt::{Display, Formatter};
 use std::net::SocketAddr;
--- a/crates/quillpulley/src/peer/outbound.rs
+++ b/crates/quillpulley/src/peer/outbound.rs
@@ -1,6 +1,6 @@
 //! What waits to be written on one link.
 
-use quillpulley_wire::{FrameQueue, Lane, QueueFull};
+use quillpulley_protocol::{FrameQueue, Lane, QueueFull};
 use std::task::{Context, Waker};
 
 /// The queue of one link, and who empties it.
--- a/crates/quillpulley/src/peer/table.rs
+++ b/crates/quillpulley/src/peer/table.rs
@@ -3,7 +3,7 @@
 use super::outbound::Outbound;
 use super::{LinkId, PeerEvent};
 use log::{debug, warn};
-use quillpulley_wire::{Body, Hello, Lane};
+use quillpulley_protocol::{Body, Hello, Lane};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/quillpulley/src/proxy/admission.rs
+++ b/crates/quillpulley/src/proxy/admission.rs
@@ -6,7 +6,7 @@
 use super::request::Job;
 use super::run::Run;
 use super::servers::{PlaceListener, Servers};
-use quillpulley_routing::{Balancer, Choice, ServerKey, Terms, Waiting, WaitingKey, WaitingLimits};
+use quillpulley_load_balancer::{Balancer, Choice, ServerKey, Terms, Waiting, WaitingKey, WaitingLimits};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
--- a/crates/quillpulley/src/proxy/front.rs
+++ b/crates/quillpulley/src/proxy/front.rs
@@ -11,7 +11,7 @@
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use hyper::{Request, StatusCode};
-use quillpulley_link::{Connection, Service};
+use quillpulley_http1_client::{Connection, Service};
 use std::future::{poll_fn, Future};
 use std::io;
 use std::pin::pin;
--- a/crates/quillpulley/src/proxy/health.rs
+++ b/crates/quillpulley/src/proxy/health.rs
@@ -8,7 +8,7 @@
 use http_body_util::Full;
 use hyper::header::{HeaderMap, HeaderValue, HOST};
 use hyper::{Request, Response, StatusCode};
-use quillpulley_routing::{Probe, ServerKey};
+use quillpulley_load_balancer::{Probe, ServerKey};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::spawn_local;
--- a/crates/quillpulley/src/proxy/lifecycle.rs
+++ b/crates/quillpulley/src/proxy/lifecycle.rs
@@ -1,6 +1,6 @@
 //! Whether a proxy may take clients: a pure state machine. Times are since the start of the process.
 
-use quillpulley_wire::FrontState;
+use quillpulley_protocol::FrontState;
 use std::time::Duration;
 
 /// How long fresh news are waited for once a configuration is known, as nobody may be there to give any.
--- a/crates/quillpulley/src/proxy/plan.rs
+++ b/crates/quillpulley/src/proxy/plan.rs
@@ -2,7 +2,7 @@
 
 use quillpulley_configuration::operator::{Limits, Route, RouteKind};
 use quillpulley_configuration::Configuration;
-use quillpulley_routing::{pick_service, HomeTable, RouteTable};
+use quillpulley_load_balancer::{pick_service, HomeTable, RouteTable};
 use std::time::Duration;
 
 /// The configuration in force.
--- a/crates/quillpulley/src/proxy/pool.rs
+++ b/crates/quillpulley/src/proxy/pool.rs
@@ -1,7 +1,7 @@
 //! Kept connections to servers, and making new ones.
 
-use quillpulley_link::{Link, LinkOptions, Socket};
-use quillpulley_routing::ServerKey;
+use quillpulley_http1_client::{Link, LinkOptions, Socket};
+use quillpulley_load_balancer::ServerKey;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::future::poll_fn;
--- a/crates/quillpulley/src/proxy/published.rs
+++ b/crates/quillpulley/src/proxy/published.rs
@@ -3,9 +3,9 @@
 use super::plane::Plane;
 use quillpulley_configuration::published::{PublishedKey, CONFIG_KEY, ROUTE_PREFIX};
 use quillpulley_configuration::{Configuration, ConfigurationError};
-use quillpulley_feed::{ChangedKey, Store};
-use quillpulley_routing::{Limiter, Place};
-use quillpulley_wire::{decode_value, ConfigHead, ConfigHeadRef, Front, FrontRef, Server, ServerRef};
+use quillpulley_state_sync::{ChangedKey, Store};
+use quillpulley_load_balancer::{Limiter, Place};
+use quillpulley_protocol::{decode_value, ConfigHead, ConfigHeadRef, Front, FrontRef, Server, ServerRef};
 use std::rc::Rc;
 
 const EVACUATED_PREFIX: &str = "evacuated/";
--- a/crates/quillpulley/src/proxy/ready.rs
+++ b/crates/quillpulley/src/proxy/ready.rs
@@ -5,7 +5,7 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
-use quillpulley_link::{Connection, ConnectionOptions, Service};
+use quillpulley_http1_client::{Connection, ConnectionOptions, Service};
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/quillpulley/src/proxy/request.rs
+++ b/crates/quillpulley/src/proxy/request.rs
@@ -10,7 +10,7 @@
 use hyper::http::request::Parts;
 use hyper::http::uri::PathAndQuery;
 use hyper::{Method, Request, StatusCode, Uri};
-use quillpulley_routing::{Demand, PromptPart};
+use quillpulley_load_balancer::{Demand, PromptPart};
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/crates/quillpulley/src/proxy/servers.rs
+++ b/crates/quillpulley/src/proxy/servers.rs
@@ -5,7 +5,7 @@
 use super::failures::Failures;
 use super::memory::BodyBudget;
 use super::pool::Pool;
-use quillpulley_routing::{Balancer, ServerKey};
+use quillpulley_load_balancer::{Balancer, ServerKey};
 use std::cell::{Cell, OnceCell, RefCell};
 use std::rc::{Rc, Weak};
 use std::time::Duration;
--- a/crates/quillpulley/src/proxy/stream.rs
+++ b/crates/quillpulley/src/proxy/stream.rs
@@ -14,7 +14,7 @@
 use displaydoc::Display;
 use hyper::body::{Body, Frame, Incoming};
 use hyper::http::response::Parts;
-use quillpulley_routing::{FailureKind, Outcome};
+use quillpulley_load_balancer::{FailureKind, Outcome};
 use std::future::Future;
 use std::pin::Pin;
 use std::task::{ready, Context, Poll};
--- a/crates/quillpulley/tests/agent.rs
+++ b/crates/quillpulley/tests/agent.rs
@@ -8,7 +8,7 @@
 use quillpulley::signals::Command;
 use quillpulley::Settings;
 use quillpulley_configuration::published::{core_key, front_key};
-use quillpulley_wire::{encode_frame, encode_value, Body, Core, Front, PeerKind};
+use quillpulley_protocol::{encode_frame, encode_value, Body, Core, Front, PeerKind};
 use std::cell::RefCell;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
--- a/crates/quillpulley/tests/catch_up/disk.rs
+++ b/crates/quillpulley/tests/catch_up/disk.rs
@@ -3,7 +3,7 @@
 use quillpulley_replication::{Recovered, StoreFault, Write};
 use quillpulley_storage::files::{DataFile, Files};
 use quillpulley_storage::{Options, Storage};
-use quillpulley_wire::{decode_value, encode_value, WitnessRecord, WitnessRecordRef};
+use quillpulley_protocol::{decode_value, encode_value, WitnessRecord, WitnessRecordRef};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io;
--- a/crates/quillpulley/tests/catch_up/world.rs
+++ b/crates/quillpulley/tests/catch_up/world.rs
@@ -4,7 +4,7 @@
 use quillpulley_replication::{
     Action, Event, Faults, Options, Rejection, Replica, RestoreError, Role, StateMachine, StoreFault,
 };
-use quillpulley_wire::{Body, Entry, FrameDecoder, FrameEncoder, FrameQueue, Lane, NodeId};
+use quillpulley_protocol::{Body, Entry, FrameDecoder, FrameEncoder, FrameQueue, Lane, NodeId};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::net::Ipv4Addr;
--- a/crates/quillpulley/tests/common/mod.rs
+++ b/crates/quillpulley/tests/common/mod.rs
@@ -4,7 +4,7 @@
 pub mod tree;
 
 use quillpulley::peer::{LinkId, PeerEvent, Peers};
-use quillpulley_wire::{Body, FrameDecoder, Hello, NodeId, PeerKind};
+use quillpulley_protocol::{Body, FrameDecoder, Hello, NodeId, PeerKind};
 use std::future::Future;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
--- a/crates/quillpulley/tests/control/compatibility.rs
+++ b/crates/quillpulley/tests/control/compatibility.rs
@@ -8,7 +8,7 @@
 use quillpulley::control::disk::Disk;
 use quillpulley_configuration::ControlState;
 use quillpulley_replication::StateMachine;
-use quillpulley_wire::encode_value;
+use quillpulley_protocol::encode_value;
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
--- a/crates/quillpulley/tests/control/directory.rs
+++ b/crates/quillpulley/tests/control/directory.rs
@@ -3,8 +3,8 @@
 use crate::api::send_raw;
 use quickcheck::{Arbitrary, Gen};
 use quillpulley::control::directory::{self, Coverage, Directory, DirectoryBoard, Place};
-use quillpulley_routing::HomeTable;
-use quillpulley_wire::{Front, FrontState};
+use quillpulley_load_balancer::HomeTable;
+use quillpulley_protocol::{Front, FrontState};
 use simd_json::prelude::*;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
--- a/crates/quillpulley/tests/control/directory_days.rs
+++ b/crates/quillpulley/tests/control/directory_days.rs
@@ -5,7 +5,7 @@
 #[path = "directory_days/system.rs"]
 mod system;
 
-use quillpulley_wire::FrontState;
+use quillpulley_protocol::FrontState;
 use std::time::Duration;
 use system::{agent, ms, State, System, AGENTS, CORES, TICK};
 
--- a/crates/quillpulley/tests/control/directory_view.rs
+++ b/crates/quillpulley/tests/control/directory_view.rs
@@ -3,8 +3,8 @@
 use quillpulley::control::directory::{Coverage, Directory};
 use quillpulley::control::directory_view::{DirectoryView, Known};
 use quillpulley_configuration::published::front_key;
-use quillpulley_feed::{Change, Event, FeedNode, Options, Subtree};
-use quillpulley_wire::{encode_value, Front, FrontState};
+use quillpulley_state_sync::{Change, Event, FeedNode, Options, Subtree};
+use quillpulley_protocol::{encode_value, Front, FrontState};
 use std::time::Duration;
 
 /// A front as its name, its state and its life: `f:r1`.
--- a/crates/quillpulley/tests/control/fronts.rs
+++ b/crates/quillpulley/tests/control/fronts.rs
@@ -7,8 +7,8 @@
 
 use quillpulley::control::fronts::PublishedFronts;
 use quillpulley_configuration::published::front_key;
-use quillpulley_feed::{Change, Subtree};
-use quillpulley_wire::{decode_value, encode_value, Front, FrontRef, FrontState};
+use quillpulley_state_sync::{Change, Subtree};
+use quillpulley_protocol::{decode_value, encode_value, Front, FrontRef, FrontState};
 use std::time::Duration;
 
 fn front(text: &str) -> Front {
--- a/crates/quillpulley/tests/control/frozen_host.rs
+++ b/crates/quillpulley/tests/control/frozen_host.rs
@@ -13,7 +13,7 @@
 use quillpulley::Settings;
 use quillpulley_configuration::ControlState;
 use quillpulley_replication::{Options, Replica};
-use quillpulley_wire::{Hello, NodeId, PeerKind};
+use quillpulley_protocol::{Hello, NodeId, PeerKind};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/quillpulley/tests/control/orders.rs
+++ b/crates/quillpulley/tests/control/orders.rs
@@ -10,7 +10,7 @@
 use quillpulley::control::orders::{Answer, Order, Orders, Proposal};
 use quillpulley_configuration::ControlState;
 use quillpulley_replication::StateMachine;
-use quillpulley_wire::Entry;
+use quillpulley_protocol::Entry;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/quillpulley/tests/control/peer_table.rs
+++ b/crates/quillpulley/tests/control/peer_table.rs
@@ -1,7 +1,7 @@
 //! The links between core processes: who is dialled when, and who is forgotten.
 
 use quillpulley::control::peer_table::{PeerChange, PeerTable};
-use quillpulley_wire::{Hello, NodeId, PeerKind};
+use quillpulley_protocol::{Hello, NodeId, PeerKind};
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
--- a/crates/quillpulley/tests/control/platform.rs
+++ b/crates/quillpulley/tests/control/platform.rs
@@ -3,7 +3,7 @@
 use quillpulley::control::fetcher::Fetcher;
 use quillpulley::control::platform::{parse_page, PageError};
 use quillpulley::control::reader::{Fetch, FetchError};
-use quillpulley_wire::ServerState;
+use quillpulley_protocol::ServerState;
 use std::net::SocketAddr;
 use std::sync::mpsc::{self, Receiver};
 use std::time::Duration;
--- a/crates/quillpulley/tests/control/publisher.rs
+++ b/crates/quillpulley/tests/control/publisher.rs
@@ -3,9 +3,9 @@
 use quillpulley::control::publisher::{core_changes, state_changes};
 use quillpulley_configuration::published::{core_key, evacuated_key, server_key};
 use quillpulley_configuration::{ControlState, EvacuationDecision};
-use quillpulley_feed::{Change, Event, FeedNode, Options, Store};
+use quillpulley_state_sync::{Change, Event, FeedNode, Options, Store};
 use quillpulley_replication::StateMachine;
-use quillpulley_wire::{Core, Entry};
+use quillpulley_protocol::{Core, Entry};
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
--- a/crates/quillpulley/tests/control/reader.rs
+++ b/crates/quillpulley/tests/control/reader.rs
@@ -10,7 +10,7 @@
 
 use quillpulley::control::platform::{Page, PageError};
 use quillpulley::control::reader::{Fetch, FetchError, ListReader, Outcome, ReaderOptions};
-use quillpulley_wire::{Server, ServerState};
+use quillpulley_protocol::{Server, ServerState};
 use std::time::Duration;
 
 struct Bench {
--- a/crates/quillpulley/tests/control/relay.rs
+++ b/crates/quillpulley/tests/control/relay.rs
@@ -1,7 +1,7 @@
 //! Who is whose parent among the core processes.
 
 use quillpulley::control::relay::{ChildFrame, ParentChange, Relay};
-use quillpulley_wire::{Body, NodeId, Report, Stamp, Subscribe};
+use quillpulley_protocol::{Body, NodeId, Report, Stamp, Subscribe};
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
--- a/crates/quillpulley/tests/control/servers.rs
+++ b/crates/quillpulley/tests/control/servers.rs
@@ -7,8 +7,8 @@
 use quillpulley::control::platform::Reading;
 use quillpulley::control::servers::PublishedServers;
 use quillpulley_configuration::published::server_key;
-use quillpulley_feed::Change;
-use quillpulley_wire::{decode_value, encode_value, Server, ServerRef, ServerState};
+use quillpulley_state_sync::Change;
+use quillpulley_protocol::{decode_value, encode_value, Server, ServerRef, ServerState};
 use std::time::Duration;
 
 fn server(text: &str) -> Server {
--- a/crates/quillpulley/tests/operators/checker.rs
+++ b/crates/quillpulley/tests/operators/checker.rs
@@ -5,7 +5,7 @@
 use quillpulley::control::orders::Answer;
 use quillpulley_configuration::ControlState;
 use quillpulley_replication::StateMachine;
-use quillpulley_wire::Entry;
+use quillpulley_protocol::Entry;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A call as it was sent.
--- a/crates/quillpulley/tests/operators/faults.rs
+++ b/crates/quillpulley/tests/operators/faults.rs
@@ -5,7 +5,7 @@
 use super::node::{Input, Node};
 use super::world::{address, zone, Happening, World};
 use quillpulley_replication::{Event, Options, Role};
-use quillpulley_wire::NodeId;
+use quillpulley_protocol::NodeId;
 
 /// So few entries that snapshots are frequent.
 const COMPACT_ENTRIES: usize = 8;
--- a/crates/quillpulley/tests/operators/node.rs
+++ b/crates/quillpulley/tests/operators/node.rs
@@ -3,7 +3,7 @@
 use quillpulley::control::orders::{Answer, Order, Orders};
 use quillpulley_configuration::{ControlState, EvacuationDecision, ReplaceDecision};
 use quillpulley_replication::{Action, Event, Options, Recovered, Replica, Role, Write};
-use quillpulley_wire::{
+use quillpulley_protocol::{
     decode_value, encode_value, Body, ControlSnapshot, ControlSnapshotRef, Entry, NodeId,
 };
 use std::collections::BTreeMap;
--- a/crates/quillpulley/tests/operators/world.rs
+++ b/crates/quillpulley/tests/operators/world.rs
@@ -8,7 +8,7 @@
 use super::orders::Wish;
 use quillpulley::control::orders::Answer;
 use quillpulley_replication::{Event, Place, StoreFault, Write};
-use quillpulley_wire::{Body, NodeId};
+use quillpulley_protocol::{Body, NodeId};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::net::Ipv4Addr;
--- a/crates/quillpulley/tests/peer.rs
+++ b/crates/quillpulley/tests/peer.rs
@@ -4,7 +4,7 @@
 
 use common::{expect, hello, listener, read_message, read_to_end, run, Side};
 use quillpulley::peer::{PeerEvent, PeerOptions, Peers};
-use quillpulley_wire::{
+use quillpulley_protocol::{
     encode_frame, Body, FrameDecoder, Hello, Install, LeaseGrant, PeerKind, Ping, Position, MAX_FRAME,
 };
 use std::net::{Ipv4Addr, SocketAddr};
--- a/crates/quillpulley/tests/proxy/life.rs
+++ b/crates/quillpulley/tests/proxy/life.rs
@@ -3,7 +3,7 @@
 use crate::support::client::request;
 use crate::support::{configuration, route, run, FakeServer, Proxy};
 use quillpulley::signals::Command;
-use quillpulley_wire::FrontState;
+use quillpulley_protocol::FrontState;
 
 #[test]
 fn it_is_ready_once_a_configuration_is_in_force() {
--- a/crates/quillpulley/tests/proxy/limits.rs
+++ b/crates/quillpulley/tests/proxy/limits.rs
@@ -93,7 +93,7 @@
     run(async {
         let mut one = FakeServer::start("i-1", "one").await;
         let proxy = Proxy::start(&configuration(1, &[&route("a", "idempotent", "")]), &[]).await;
-        proxy.agent.publish_server(&quillpulley_wire::Server { slots: 4, ..one.entry() });
+        proxy.agent.publish_server(&quillpulley_protocol::Server { slots: 4, ..one.entry() });
         let mut served = Vec::new();
         let refused = loop {
             let mut client = proxy.client().await;
@@ -124,7 +124,7 @@
     run(async {
         let mut one = FakeServer::start("i-1", "one").await;
         let proxy = Proxy::start(&configuration(1, &[&route("a", "idempotent", "")]), &[]).await;
-        proxy.agent.publish_server(&quillpulley_wire::Server { slots: 4, ..one.entry() });
+        proxy.agent.publish_server(&quillpulley_protocol::Server { slots: 4, ..one.entry() });
         let mut served = Vec::new();
         loop {
             let mut client = proxy.client().await;
--- a/crates/quillpulley/tests/proxy/support/agent.rs
+++ b/crates/quillpulley/tests/proxy/support/agent.rs
@@ -3,8 +3,8 @@
 use quillpulley::peer::{LinkId, PeerEvent, Peers};
 use quillpulley_configuration::published::server_key;
 use quillpulley_configuration::Configuration;
-use quillpulley_feed::{Action, Change, Event, FeedNode, Options};
-use quillpulley_wire::{encode_value, Body, Front, FrontState, Hello, NodeId, PeerKind, Server};
+use quillpulley_state_sync::{Action, Change, Event, FeedNode, Options};
+use quillpulley_protocol::{encode_value, Body, Front, FrontState, Hello, NodeId, PeerKind, Server};
 use std::cell::{Cell, RefCell};
 use std::net::Ipv4Addr;
 use std::rc::Rc;
--- a/crates/quillpulley/tests/proxy/support/mod.rs
+++ b/crates/quillpulley/tests/proxy/support/mod.rs
@@ -12,7 +12,7 @@
 use quillpulley::proxy::{serve_with_faults, Faults, Listeners};
 use quillpulley::signals::Command;
 use quillpulley::Settings;
-use quillpulley_wire::Server;
+use quillpulley_protocol::Server;
 pub use server::{Call, FakeServer};
 use std::future::Future;
 use std::net::SocketAddr;
--- a/crates/quillpulley/tests/proxy/support/script.rs
+++ b/crates/quillpulley/tests/proxy/support/script.rs
@@ -18,7 +18,7 @@
 
 use super::message::Message;
 use super::server::entry;
-use quillpulley_wire as wire;
+use quillpulley_protocol as wire;
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
--- a/crates/quillpulley/tests/proxy/support/server.rs
+++ b/crates/quillpulley/tests/proxy/support/server.rs
@@ -1,7 +1,7 @@
 //! A server, whose answers the test writes.
 
 use super::message::Message;
-use quillpulley_wire as wire;
+use quillpulley_protocol as wire;
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
--- a/crates/quillpulley/tests/proxy_lifecycle.rs
+++ b/crates/quillpulley/tests/proxy_lifecycle.rs
@@ -1,7 +1,7 @@
 //! When a proxy takes clients, as timelines.
 
 use quillpulley::proxy::lifecycle::{retry_after_start, Event, Lifecycle};
-use quillpulley_wire::FrontState;
+use quillpulley_protocol::FrontState;
 use std::time::Duration;
 
 /// Each line: what happens at which millisecond, the millisecond at which it is looked at, and the state.
--- a/src/bin/liftrouter-sim/main.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter-sim/main.rs
@@ -4,7 +4,7 @@
 
 mod wire;
 
-use liftrouter::{Action, Event, Limiter};
+use rate_limiter::{Action, Event, Limiter};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufWriter, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -64,7 +64,7 @@
     match serve(io::stdin().lock(), BufWriter::with_capacity(1 << 20, io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("liftrouter-sim: {fault}");
+            eprintln!("rate-limiter-sim: {fault}");
             ExitCode::FAILURE
         }
     }
--- a/src/bin/liftrouter-sim/wire.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter-sim/wire.rs
@@ -1,6 +1,6 @@
 //! The wire's words: lines to events and settings, actions to lines.
 
-use liftrouter::{Action, Event, LoadReport, Outcome, Request, ServerEntry, ServerState, Settings};
+use rate_limiter::{Action, Event, LoadReport, Outcome, Request, ServerEntry, ServerState, Settings};
 use std::io::{self, Write};
 use std::sync::Arc;
 
--- a/src/bin/liftrouter/host.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/host.rs
@@ -9,7 +9,7 @@
 use crate::servers::{Attempt, Ended, Forward, Limits, Place, Servers};
 use bytes::Bytes;
 use hyper::Response;
-use liftrouter::{
+use rate_limiter::{
     Action, Event, Limiter, LoadReport, Outcome, Request, RequestId, ServerId, ServerState, Settings,
 };
 use std::cell::{Cell, RefCell};
--- a/src/bin/liftrouter/limits.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/limits.rs
@@ -1,6 +1,6 @@
 //! What messages and connections may take, on the side of clients and of servers alike.
 
-use quillpulley_link::LinkOptions;
+use quillpulley_http1_client::LinkOptions;
 use std::time::Duration;
 
 /// Bodies hold at most this many bytes, in either direction.
--- a/src/bin/liftrouter/main.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/main.rs
@@ -1,4 +1,4 @@
-//! liftrouter: a quota-keeping rate limiter on real sockets.
+//! rate-limiter: a quota-keeping rate limiter on real sockets.
 //!
 //! This file reads the environment and the configuration, starts the parts, moves them to new addresses on
 //! SIGHUP, and ends them on SIGTERM.
@@ -16,7 +16,7 @@
 use counter::Counter;
 use discovery::{Discovery, Update};
 use host::Host;
-use liftrouter::Settings;
+use rate_limiter::Settings;
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 use serde_json::Value;
@@ -89,7 +89,7 @@
     match read_setup().and_then(run) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            log("liftrouter", &fault);
+            log("rate-limiter", &fault);
             ExitCode::FAILURE
         }
     }
@@ -138,7 +138,7 @@
 /// read keeps no limiter from starting.
 fn read_known(path: &str, known: Value) -> Option<Update> {
     let read = serde_json::from_value(known);
-    read.map_err(|e| log("liftrouter", format_args!("ROUTER_CONFIG: {path}: known: {e}; starting without")))
+    read.map_err(|e| log("rate-limiter", format_args!("ROUTER_CONFIG: {path}: known: {e}; starting without")))
         .ok()
 }
 
@@ -163,11 +163,11 @@
             Ok(addresses) => addresses,
             // Better the old addresses than none, and better either than to end.
             Err(fault) => {
-                log("liftrouter", format_args!("SIGHUP: all stays as it is: {fault}"));
+                log("rate-limiter", format_args!("SIGHUP: all stays as it is: {fault}"));
                 continue;
             }
         };
-        log("liftrouter", format_args!("SIGHUP: discovery {discovery:?}, counter {counter:?}"));
+        log("rate-limiter", format_args!("SIGHUP: discovery {discovery:?}, counter {counter:?}"));
         if let Some(address) = discovery {
             host.discovery().move_to(address);
         }
@@ -215,7 +215,7 @@
         let clients = clients.clone();
         async move { clients.accept(listener).await }
     });
-    log("liftrouter", format_args!("listening on {bound}"));
+    log("rate-limiter", format_args!("listening on {bound}"));
     spawn_local({
         let (host, clients) = (host.clone(), clients.clone());
         async move {
@@ -226,7 +226,7 @@
     });
 
     terminated.recv().await;
-    log("liftrouter", format_args!("SIGTERM: finishing {} requests", host.open_requests()));
+    log("rate-limiter", format_args!("SIGTERM: finishing {} requests", host.open_requests()));
     // SIGKILL does not wait for what came late: that has to be answered by then.
     let answered = Duration::from_secs_f64(longest.clamp(0.0, KILL_MOST)) + ACCEPT_ON;
     clients.drain(Instant::now() + answered);
--- a/src/bin/liftrouter/request.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/request.rs
@@ -7,7 +7,7 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::{Method, StatusCode};
-use liftrouter::{Class, Effect, Settings};
+use rate_limiter::{Class, Effect, Settings};
 use std::time::Duration;
 
 const METERING: HeaderName = HeaderName::from_static("x-metering");
--- a/src/lib.rs
+++ b/crates/rate-limiter/src/lib.rs
@@ -6,7 +6,7 @@
 //! service; each decides every request from what it has itself seen.
 //!
 //! ```
-//! use liftrouter::{Action, Event, Limiter, Settings};
+//! use rate_limiter::{Action, Event, Limiter, Settings};
 //!
 //! let mut limiter = Limiter::new(Settings::default(), 7, 0.0);
 //! let mut actions: Vec<Action> = Vec::new();
@@ -17,7 +17,7 @@
 
 /// The example of the limiter's page, kept compiling.
 #[cfg(doctest)]
-#[doc = include_str!("../docs/LIMITER.md")]
+#[doc = include_str!("../../../docs/LIMITER.md")]
 struct ReadmeExample;
 
 mod interface;
--- a/tests/common/mod.rs
+++ b/crates/rate-limiter/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 pub mod sockets;
 
-use liftrouter::*;
+use rate_limiter::*;
 use std::sync::Arc;
 
 pub const A: &str = "10.0.0.1:1";
--- a/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -269,7 +269,7 @@
 }
 
 pub fn command() -> Command {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_liftrouter"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_rate-limiter"));
     for name in ["ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY", "ROUTER_CONFIG"] {
         command.env_remove(name);
     }
@@ -310,7 +310,7 @@
         let address = loop {
             let line = lines.next().expect("it listens").expect("utf-8");
             early += &(line.clone() + "\n");
-            if let Some(address) = line.strip_prefix("liftrouter: listening on ") {
+            if let Some(address) = line.strip_prefix("rate-limiter: listening on ") {
                 break address.parse().expect("an address");
             }
         };
--- a/tests/heavy.rs
+++ b/crates/rate-limiter/tests/heavy.rs
@@ -1,7 +1,7 @@
 //! Hundreds of limiters that share a customer: most of its requests meet one that does not know it.
 mod common;
 use common::*;
-use liftrouter::*;
+use rate_limiter::*;
 use std::collections::BTreeMap;
 
 const LIMITERS: usize = 300;
--- a/tests/load.rs
+++ b/crates/rate-limiter/tests/load.rs
@@ -1,7 +1,7 @@
 //! What the servers report of their load: the choice of a server, and what is refused for pressure.
 mod common;
 use common::*;
-use liftrouter::*;
+use rate_limiter::*;
 use std::collections::BTreeMap;
 
 fn fleet(servers: u32, weight: impl Fn(u32) -> f64) -> Vec<ServerEntry> {
--- a/tests/quota.rs
+++ b/crates/rate-limiter/tests/quota.rs
@@ -1,7 +1,7 @@
 //! Buckets, the limit, counter totals, settlement and the ceiling, on scripted events.
 mod common;
 use common::*;
-use liftrouter::*;
+use rate_limiter::*;
 
 /// Feeds the limiter a customer's demand for some seconds; the counter answers that all limiters together
 /// had `all` times its demand and `used` of it was accepted (per unit of own demand).
--- a/tests/requests.rs
+++ b/crates/rate-limiter/tests/requests.rs
@@ -1,7 +1,7 @@
 //! One final answer on every path, and how far each effect class may be repeated.
 mod common;
 use common::*;
-use liftrouter::*;
+use rate_limiter::*;
 
 fn timer_of(out: &[Action], id: u64, kind: u64) -> Option<(f64, u64)> {
     out.iter().find_map(|a| match a {
--- a/tests/servers.rs
+++ b/crates/rate-limiter/tests/servers.rs
@@ -1,7 +1,7 @@
 //! Drains, cold servers, ejection, the bound on what is out.
 mod common;
 use common::*;
-use liftrouter::*;
+use rate_limiter::*;
 
 #[test]
 fn drained_and_missing_servers_get_nothing_new() {
--- a/tests/wire.rs
+++ b/crates/rate-limiter/tests/wire.rs
@@ -3,7 +3,7 @@
 use std::process::{Command, Output, Stdio};
 
 fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_liftrouter-sim"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_rate-limiter-sim"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/replication/src/catch_up.rs
+++ b/crates/replication/src/catch_up.rs
@@ -3,7 +3,7 @@
 //! With long entries one after the other such a node would always lack the one that is on its way. A view change
 //! that begins then sends it a second time, in the new epoch, and the node does not get there in time.
 
-use quillpulley_wire::NodeId;
+use quillpulley_protocol::NodeId;
 
 use crate::primary::Leadership;
 use crate::replica::Replica;
--- a/crates/replication/src/cover.rs
+++ b/crates/replication/src/cover.rs
@@ -5,7 +5,7 @@
 //! degraded state: otherwise the loss of a region, which is tolerated, would stop all orders.
 
 use log::{info, warn};
-use quillpulley_wire::{NodeId, View};
+use quillpulley_protocol::{NodeId, View};
 use std::time::Duration;
 
 use crate::place::{exposure_of_members, exposure_of_witnesses, Exposure, Place, Tolerance};
--- a/crates/replication/src/disk.rs
+++ b/crates/replication/src/disk.rs
@@ -3,7 +3,7 @@
 //! One write is with the host at a time, and the next one leaves only when it has succeeded. So the disk always
 //! holds a state through which the memory has gone, also after a write has failed.
 
-use quillpulley_wire::{Body, NodeId, WitnessRecord};
+use quillpulley_protocol::{Body, NodeId, WitnessRecord};
 use std::collections::VecDeque;
 use std::time::Duration;
 
--- a/crates/replication/src/election.rs
+++ b/crates/replication/src/election.rs
@@ -1,7 +1,7 @@
 //! Elections: when a node stands, and how candidates and active primaries collect promises and the state.
 
 use log::info;
-use quillpulley_wire::{Body, FetchState, NodeId, Prepare, Promise, Resign, StateTransfer, View};
+use quillpulley_protocol::{Body, FetchState, NodeId, Prepare, Promise, Resign, StateTransfer, View};
 use std::time::Duration;
 
 use crate::disk::Effect;
--- a/crates/replication/src/event.rs
+++ b/crates/replication/src/event.rs
@@ -1,7 +1,7 @@
 //! What goes into a replica and what comes out of it.
 
 use crate::Place;
-use quillpulley_wire::{Body, Entry, NodeId, Position, WitnessRecord};
+use quillpulley_protocol::{Body, Entry, NodeId, Position, WitnessRecord};
 
 /// Something that a replica must know of.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/replication/src/formation.rs
+++ b/crates/replication/src/formation.rs
@@ -1,6 +1,6 @@
 //! From the state to a view in force: members are brought to it, witnesses accept.
 
-use quillpulley_wire::{Accept, Accepted, AppendAck, Body, Decline, Installed, NodeId, Position, View};
+use quillpulley_protocol::{Accept, Accepted, AppendAck, Body, Decline, Installed, NodeId, Position, View};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
--- a/crates/replication/src/lease.rs
+++ b/crates/replication/src/lease.rs
@@ -1,6 +1,6 @@
 //! The lease as its holder sees it: rounds that it asked for, and who granted them.
 
-use quillpulley_wire::NodeId;
+use quillpulley_protocol::NodeId;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
--- a/crates/replication/src/leaving.rs
+++ b/crates/replication/src/leaving.rs
@@ -1,6 +1,6 @@
 //! The end of a process: what it hands over, and when its data stands elsewhere.
 
-use quillpulley_wire::{Body, Decline, NodeId, View};
+use quillpulley_protocol::{Body, Decline, NodeId, View};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
--- a/crates/replication/src/log.rs
+++ b/crates/replication/src/log.rs
@@ -1,6 +1,6 @@
 //! A member's log in memory: the entries after a base that a snapshot covers.
 
-use quillpulley_wire::{Entry, Position};
+use quillpulley_protocol::{Entry, Position};
 use std::collections::VecDeque;
 
 use crate::quorum::position;
--- a/crates/replication/src/member.rs
+++ b/crates/replication/src/member.rs
@@ -1,7 +1,7 @@
 //! The member's side: taking the log of a primary or candidate, giving its state away, applying, compacting.
 
 use log::{error, info, warn};
-use quillpulley_wire::{
+use quillpulley_protocol::{
     Append, AppendAck, Body, Entry, FetchState, Install, Installed, NodeId, Position, StateTransfer,
 };
 
--- a/crates/replication/src/options.rs
+++ b/crates/replication/src/options.rs
@@ -2,7 +2,7 @@
 
 use crate::RestoreError;
 use displaydoc::Display;
-use quillpulley_wire::{Entry, NodeId, Position, WitnessRecord};
+use quillpulley_protocol::{Entry, NodeId, Position, WitnessRecord};
 use std::time::Duration;
 
 /// How a replica behaves. Start from [`Options::default`] and set at least `me`.
--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -1,7 +1,7 @@
 //! What is known of the other core processes: connections, answers, and how often they were dropped.
 
 use crate::Place;
-use quillpulley_wire::{NodeId, Position};
+use quillpulley_protocol::{NodeId, Position};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/replication/src/place.rs
+++ b/crates/replication/src/place.rs
@@ -1,6 +1,6 @@
 //! Where nodes stand, and which losses a set of nodes survives.
 
-use quillpulley_wire::NodeId;
+use quillpulley_protocol::NodeId;
 use std::collections::BTreeMap;
 use std::fmt;
 
--- a/crates/replication/src/primary.rs
+++ b/crates/replication/src/primary.rs
@@ -1,7 +1,7 @@
 //! The active primary: the lease, orders, and what is committed.
 
 use log::info;
-use quillpulley_wire::{Body, LeaseGrant, LeaseRequest, NodeId, View};
+use quillpulley_protocol::{Body, LeaseGrant, LeaseRequest, NodeId, View};
 use std::collections::VecDeque;
 use std::time::Duration;
 
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -1,6 +1,6 @@
 //! How far each node has the log of the epoch in which this node writes.
 
-use quillpulley_wire::{Append, Body, Entry, Install, NodeId, Position};
+use quillpulley_protocol::{Append, Body, Entry, Install, NodeId, Position};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/replication/src/quorum.rs
+++ b/crates/replication/src/quorum.rs
@@ -1,6 +1,6 @@
 //! Questions to a view: who belongs to it, and which answers are enough.
 
-use quillpulley_wire::{NodeId, Position, View};
+use quillpulley_protocol::{NodeId, Position, View};
 
 /// The epoch of the view that stands for the first set of witnesses, before any primary.
 pub(crate) const BOOTSTRAP_EPOCH: u64 = 0;
@@ -82,6 +82,6 @@
 }
 
 /// The position of an entry.
-pub(crate) fn position(entry: &quillpulley_wire::Entry) -> Position {
+pub(crate) fn position(entry: &quillpulley_protocol::Entry) -> Position {
     Position { epoch: entry.epoch, index: entry.index }
 }
--- a/crates/replication/src/reconfiguration.rs
+++ b/crates/replication/src/reconfiguration.rs
@@ -1,6 +1,6 @@
 //! What an active primary changes about its view: whom it drops, whom it lets in, who becomes a witness.
 
-use quillpulley_wire::{NodeId, View};
+use quillpulley_protocol::{NodeId, View};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -1,7 +1,7 @@
 //! The replica: what it holds, how events reach its parts, and what the host may ask.
 
 use log::info;
-use quillpulley_wire::{Body, Decline, NodeId, Position, View, WitnessRecord};
+use quillpulley_protocol::{Body, Decline, NodeId, Position, View, WitnessRecord};
 use std::collections::VecDeque;
 use std::time::Duration;
 
--- a/crates/replication/src/state_machine.rs
+++ b/crates/replication/src/state_machine.rs
@@ -1,6 +1,6 @@
 //! What is replicated, as the replication sees it.
 
-use quillpulley_wire::Entry;
+use quillpulley_protocol::Entry;
 use std::fmt;
 
 /// A deterministic state machine: whoever applies the same entries to the same state gets the same state.
--- a/crates/replication/src/view_change.rs
+++ b/crates/replication/src/view_change.rs
@@ -3,7 +3,7 @@
 //! `Trial` (elections only) → `Claim` → `Prepare` → `Fetch` (if this node is no member) → `Sync` → `Accept` →
 //! `Activate` (if the set of witnesses changes) → in force.
 
-use quillpulley_wire::{NodeId, Position, View};
+use quillpulley_protocol::{NodeId, Position, View};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
--- a/crates/replication/src/witness.rs
+++ b/crates/replication/src/witness.rs
@@ -1,6 +1,6 @@
 //! The witness: what it has promised and accepted, and the lease that it has granted.
 
-use quillpulley_wire::{NodeId, View, WitnessRecord};
+use quillpulley_protocol::{NodeId, View, WitnessRecord};
 use std::time::Duration;
 
 use crate::quorum::is_newer;
--- a/crates/replication/src/witness_set.rs
+++ b/crates/replication/src/witness_set.rs
@@ -1,6 +1,6 @@
 //! The set of witnesses: who comes in, who goes, one at a time.
 
-use quillpulley_wire::NodeId;
+use quillpulley_protocol::NodeId;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
--- a/crates/replication/tests/replication/harness/checker.rs
+++ b/crates/replication/tests/replication/harness/checker.rs
@@ -7,7 +7,7 @@
 //! - At most one replica holds the lease, and an epoch has one holder.
 //! - What is in force is stated only under the lease.
 
-use quillpulley_wire::Position;
+use quillpulley_protocol::Position;
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::ledger::{Applied, Ledger};
--- a/crates/replication/tests/replication/harness/durability.rs
+++ b/crates/replication/tests/replication/harness/durability.rs
@@ -2,7 +2,7 @@
 //! acknowledged is with every member of the view from which it would go on, and these are more than the losses to
 //! tolerate. So a copy is left, also if as many disks as that are lost at once.
 
-use quillpulley_wire::{NodeId, Position, View};
+use quillpulley_protocol::{NodeId, Position, View};
 use std::collections::BTreeSet;
 
 use super::disk::DiskImage;
@@ -22,7 +22,7 @@
     /// Whether its log holds the entry at that position.
     fn holds(&self, position: Position) -> bool {
         let is_entry =
-            |entry: &quillpulley_wire::Entry| entry.index == position.index && entry.epoch == position.epoch;
+            |entry: &quillpulley_protocol::Entry| entry.index == position.index && entry.epoch == position.epoch;
         position.index <= self.covered() || self.disk.entries.iter().any(is_entry)
     }
 
--- a/crates/replication/tests/replication/scenarios/places.rs
+++ b/crates/replication/tests/replication/scenarios/places.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::{quickcheck, TestResult};
 use quillpulley_replication::{Event, Options, Place, Recovered, Replica, Role};
-use quillpulley_wire::{NodeId, View, WitnessRecord};
+use quillpulley_protocol::{NodeId, View, WitnessRecord};
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
 use std::time::Duration;
--- a/crates/budget/tests/budgets.rs
+++ b/crates/retry-budget/tests/budgets.rs
@@ -1,7 +1,7 @@
 //! Token buckets, counts and ageing. A timeline holds one character for each 100 ms:
 //! `f` a request, `R` a repeat that is sent, `r` one that is refused, `t` totals, `.` nothing.
 
-use quillpulley_budget::{Options, RetryBudgets, ServiceTotals};
+use quillpulley_retry_budget::{Options, RetryBudgets, ServiceTotals};
 use std::time::Duration;
 
 const SERVICE: &str = "writers";
--- a/crates/budget/tests/cap.rs
+++ b/crates/retry-budget/tests/cap.rs
@@ -1,7 +1,7 @@
 //! The hard cap under any schedule, any restarts and any knowledge of the others.
 
 use quickcheck::{quickcheck, Arbitrary, Gen};
-use quillpulley_budget::{Options, RetryBudgets, ServiceTotals};
+use quillpulley_retry_budget::{Options, RetryBudgets, ServiceTotals};
 use std::time::Duration;
 
 const SERVICE: &str = "writers";
--- a/crates/budget/tests/share.rs
+++ b/crates/retry-budget/tests/share.rs
@@ -1,6 +1,6 @@
 //! The limit by share of demand.
 
-use quillpulley_budget::share::{limit, Demand};
+use quillpulley_retry_budget::share::{limit, Demand};
 
 const TARGET: f64 = 100.0;
 
--- a/crates/feed/src/aggregate.rs
+++ b/crates/state-sync/src/aggregate.rs
@@ -2,7 +2,7 @@
 
 use crate::counts::{server_load, service_count, set_tally, Tally, TallyChange};
 use crate::subtree::{front_rank, Subtree, Touched};
-use quillpulley_wire::{Report, Totals};
+use quillpulley_protocol::{Report, Totals};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
--- a/crates/feed/src/children.rs
+++ b/crates/state-sync/src/children.rs
@@ -1,7 +1,7 @@
 //! The children of a node and how far each is with its subscription.
 
 use crate::store::Digests;
-use quillpulley_wire::{Report, Stamp, Subscribe};
+use quillpulley_protocol::{Report, Stamp, Subscribe};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/feed/src/counting.rs
+++ b/crates/state-sync/src/counting.rs
@@ -3,8 +3,8 @@
 use crate::aggregate::Source;
 use crate::node::{Action, FeedNode, Role};
 use crate::subtree::LocalReport;
-use quillpulley_wire as wire;
-use quillpulley_wire::{Body, Report};
+use quillpulley_protocol as wire;
+use quillpulley_protocol::{Body, Report};
 use std::hash::Hash;
 use std::time::Duration;
 
--- a/crates/feed/src/counts.rs
+++ b/crates/state-sync/src/counts.rs
@@ -1,6 +1,6 @@
 //! Numbers that are summed over proxies: by service, and by server.
 
-use quillpulley_wire::{ServerLoad, ServiceCount};
+use quillpulley_protocol::{ServerLoad, ServiceCount};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
--- a/crates/feed/src/node.rs
+++ b/crates/state-sync/src/node.rs
@@ -6,7 +6,7 @@
 use crate::store::{Change, ChangedKey, Store};
 use crate::subtree::{LocalReport, Subtree};
 use crate::totals::{Totals, TotalsState};
-use quillpulley_wire::{Body, Stamp};
+use quillpulley_protocol::{Body, Stamp};
 use std::hash::Hash;
 use std::time::Duration;
 
--- a/crates/feed/src/publishing.rs
+++ b/crates/state-sync/src/publishing.rs
@@ -2,7 +2,7 @@
 
 use crate::node::{Action, FeedNode, Role};
 use crate::store::{item, Change, ChangedKey};
-use quillpulley_wire::{Item, Stamp, Update, UpdateKind};
+use quillpulley_protocol::{Item, Stamp, Update, UpdateKind};
 use std::hash::Hash;
 use std::time::Duration;
 
--- a/crates/feed/src/relay.rs
+++ b/crates/state-sync/src/relay.rs
@@ -5,7 +5,7 @@
 //! higher rank than its child, whichever of the agents somebody knows or has given up, so no loops form.
 
 use quillpulley_membership::rendezvous::{ranked, Key};
-use quillpulley_wire::{Core, Front, FrontState};
+use quillpulley_protocol::{Core, Front, FrontState};
 use std::collections::HashSet;
 use std::net::Ipv4Addr;
 
--- a/crates/feed/src/store.rs
+++ b/crates/state-sync/src/store.rs
@@ -1,6 +1,6 @@
 //! The published state: a map of small items with digests of ranges of it.
 
-use quillpulley_wire::Item;
+use quillpulley_protocol::Item;
 use std::collections::btree_map::{BTreeMap, Range};
 use std::ops::Bound;
 use std::sync::Arc;
--- a/crates/feed/src/subtree.rs
+++ b/crates/state-sync/src/subtree.rs
@@ -2,7 +2,7 @@
 
 use crate::counts::{apply_tallies, server_load, server_tally, service_count, service_tally};
 use crate::counts::{Counts, ServerTally, ServiceTally, TallyChange};
-use quillpulley_wire::{Front, FrontState, Report, ServerLoad, ServiceCount, Suspicion};
+use quillpulley_protocol::{Front, FrontState, Report, ServerLoad, ServiceCount, Suspicion};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a node knows of itself and of all below it.
--- a/crates/feed/src/totals.rs
+++ b/crates/state-sync/src/totals.rs
@@ -4,7 +4,7 @@
 use crate::counts::{
     apply_tallies, server_load, server_tally, service_count, service_tally, tallies_between,
 };
-use quillpulley_wire as wire;
+use quillpulley_protocol as wire;
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
--- a/crates/feed/src/updates.rs
+++ b/crates/state-sync/src/updates.rs
@@ -10,7 +10,7 @@
 use crate::node::{Action, FeedNode, Role};
 use crate::publishing::items_of;
 use crate::store::{change, Change, ChangedKey, RANGES};
-use quillpulley_wire::{Body, Item, Stamp, Subscribe, Update, UpdateKind};
+use quillpulley_protocol::{Body, Item, Stamp, Subscribe, Update, UpdateKind};
 use std::collections::HashSet;
 use std::hash::Hash;
 use std::time::Duration;
--- a/crates/feed/tests/store.rs
+++ b/crates/state-sync/tests/store.rs
@@ -1,7 +1,7 @@
 //! The digests of a store follow its items, and say where two stores differ.
 
 use quickcheck::quickcheck;
-use quillpulley_feed::{Change, Event, FeedNode, Options, Store};
+use quillpulley_state_sync::{Change, Event, FeedNode, Options, Store};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/feed/tests/timelines_counts.rs
+++ b/crates/state-sync/tests/timelines_counts.rs
@@ -3,8 +3,8 @@
 mod network;
 
 use network::timeline::{play, play_with};
-use quillpulley_feed::{server_key, Event, LocalReport, Options};
-use quillpulley_wire::ServerLoad;
+use quillpulley_state_sync::{server_key, Event, LocalReport, Options};
+use quillpulley_protocol::ServerLoad;
 use std::time::Duration;
 
 #[test]
--- a/crates/storage/src/format/segment.rs
+++ b/crates/storage/src/format/segment.rs
@@ -9,7 +9,7 @@
 //! a whole record tells of damage before it whether a loss of power can have done that.
 
 use super::{checksum, Reader, VERSION};
-use quillpulley_wire::Entry;
+use quillpulley_protocol::Entry;
 
 const HEAD_MAGIC: u32 = u32::from_le_bytes(*b"QPsg");
 const RECORD_MAGIC: [u8; 4] = *b"QPen";
--- a/crates/storage/src/format/snapshot.rs
+++ b/crates/storage/src/format/snapshot.rs
@@ -3,7 +3,7 @@
 //! Head: magic, version, length of the state, epoch, index, checksum of all that and of the state.
 
 use super::{checksum, Reader, VERSION};
-use quillpulley_wire::Position;
+use quillpulley_protocol::Position;
 
 const MAGIC: u32 = u32::from_le_bytes(*b"QPsn");
 const CHECKED: usize = 32;
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -6,7 +6,7 @@
 use crate::names::FileName;
 use crate::segments::Segment;
 use crate::StorageError;
-use quillpulley_wire::{Entry, Position};
+use quillpulley_protocol::{Entry, Position};
 
 /// What was stored before.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
--- a/crates/storage/src/segments.rs
+++ b/crates/storage/src/segments.rs
@@ -4,7 +4,7 @@
 use crate::format::segment::{encode_record, Head, RecordPlace, HEAD};
 use crate::names::FileName;
 use crate::StorageError;
-use quillpulley_wire::Entry;
+use quillpulley_protocol::Entry;
 
 /// One segment, which has at least one record.
 #[derive(Debug)]
--- a/crates/storage/src/storage.rs
+++ b/crates/storage/src/storage.rs
@@ -8,7 +8,7 @@
 use crate::recovery::{recover, Recovered};
 use crate::segments::{create, Segments};
 use crate::StorageError;
-use quillpulley_wire::{Entry, Position};
+use quillpulley_protocol::{Entry, Position};
 use std::path::Path;
 
 const DEFAULT_SEGMENT_BYTES: u64 = 4 * 1024 * 1024;
--- a/crates/storage/tests/common/mod.rs
+++ b/crates/storage/tests/common/mod.rs
@@ -4,7 +4,7 @@
 pub mod disk;
 
 use quillpulley_storage::{Options, Recovered, Storage, StorageError};
-use quillpulley_wire::{Entry, Position};
+use quillpulley_protocol::{Entry, Position};
 
 /// Short segments, so that a few entries fill one.
 pub const OPTIONS: Options = Options { segment_bytes: 300 };
--- a/crates/storage/tests/crashes.rs
+++ b/crates/storage/tests/crashes.rs
@@ -7,7 +7,7 @@
 use common::*;
 use quickcheck::{quickcheck, Arbitrary, Gen, QuickCheck};
 use quillpulley_storage::{Recovered, Storage, StorageError};
-use quillpulley_wire::{Entry, Position};
+use quillpulley_protocol::{Entry, Position};
 
 #[derive(Clone, Debug)]
 enum Operation {
