--- a/crates/configuration/src/control_state/decision.rs
+++ b/crates/control-state/src/decision.rs
@@ -1,6 +1,6 @@
 //! What to do about an order.
 
-use crate::ConfigurationError;
+use quillpulley_serving_config::ConfigurationError;
 
 /// What to do about a configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/configuration/src/control_state/mod.rs
+++ b/crates/control-state/src/lib.rs
@@ -8,19 +8,23 @@
 //! A configuration that is sent again is known by its base and the hash of its content. Two operators that send
 //! the same bytes on the same base are therefore one order, and both are told that it was taken.
 
+#![forbid(unsafe_code)]
+
 mod decision;
 mod history;
+mod published;
 
 pub use decision::{EvacuationDecision, ReplaceDecision};
 pub use history::HISTORY_LENGTH;
 
-use crate::{Configuration, ConfigurationError};
 use history::{History, Recollection};
-use quillpulley_replication::{RestoreError, StateMachine};
+pub use published::items_of;
 use quillpulley_protocol::{
     decode_value, encode_value, ControlSnapshot, ControlSnapshotRef, Entry, EvacuatedZone, Evacuation, Order,
     OrderBody, OrderRef, ReplaceConfig, TakenConfig,
 };
+use quillpulley_replication::{RestoreError, StateMachine};
+use quillpulley_serving_config::{Configuration, ConfigurationError};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- /dev/null
+++ b/crates/control-state/src/published.rs
@@ -0,0 +1,20 @@
+//! The items that the control state is published as.
+
+use crate::ControlState;
+use quillpulley_serving_config::published::evacuated_key;
+use std::collections::BTreeMap;
+
+/// All items that a control state is published as: the configuration and the evacuated zones.
+pub fn items_of(state: &ControlState) -> BTreeMap<String, Vec<u8>> {
+    let mut items = match state.configuration() {
+        Ok(Some(configuration)) => configuration.to_items(),
+        Ok(None) => BTreeMap::new(),
+        // Nothing invalid gets into the state, unless by a version of this program with other rules.
+        Err(error) => {
+            log::error!("configuration {} cannot be published: {error}", state.version());
+            BTreeMap::new()
+        }
+    };
+    items.extend(state.evacuated_zones().map(|zone| (evacuated_key(zone), Vec::new())));
+    items
+}
--- a/crates/configuration/tests/control_state.rs
+++ b/crates/control-state/tests/control_state.rs
@@ -1,13 +1,15 @@
 //! The control state: what becomes of orders.
 
+#[path = "../../serving-config/tests/common/mod.rs"]
 mod common;
 
 use common::*;
 use quickcheck::{quickcheck, Arbitrary, Gen};
-use quillpulley_configuration::control_state::HISTORY_LENGTH;
-use quillpulley_configuration::{ConfigurationError, ControlState, EvacuationDecision, ReplaceDecision};
-use quillpulley_replication::StateMachine;
+use quillpulley_control_state::HISTORY_LENGTH;
+use quillpulley_control_state::{ControlState, EvacuationDecision, ReplaceDecision};
 use quillpulley_protocol::Entry;
+use quillpulley_replication::StateMachine;
+use quillpulley_serving_config::ConfigurationError;
 use std::sync::Arc;
 
 /// A state and the log that made it.
--- a/crates/configuration/tests/published.rs
+++ b/crates/control-state/tests/published.rs
@@ -1,13 +1,15 @@
 //! Items and back.
 
+#[path = "../../serving-config/tests/common/mod.rs"]
 mod common;
 
 use common::*;
 use quickcheck::{quickcheck, Arbitrary, Gen};
-use quillpulley_configuration::published::*;
-use quillpulley_configuration::{Configuration, ConfigurationError, ControlState, ReplaceDecision};
-use quillpulley_replication::StateMachine;
+use quillpulley_control_state::{items_of, ControlState, ReplaceDecision};
 use quillpulley_protocol::Entry;
+use quillpulley_replication::StateMachine;
+use quillpulley_serving_config::published::*;
+use quillpulley_serving_config::{Configuration, ConfigurationError};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
@@ -53,7 +55,7 @@
         let ReplaceDecision::Take(payload) = order else { panic!("{order:?}") };
         state.apply(&Entry { epoch: 1, index: index as u64 + 1, payload });
     }
-    let quillpulley_configuration::EvacuationDecision::Take(payload) = state.decide_evacuation("z", true)
+    let quillpulley_control_state::EvacuationDecision::Take(payload) = state.decide_evacuation("z", true)
     else {
         panic!("not yet evacuated")
     };
--- a/crates/load-balancer/src/balancer/mod.rs
+++ b/crates/load-balancer/src/balancer/mod.rs
@@ -24,8 +24,8 @@
 pub use server::{server_hash, ServerInfo};
 
 use prefix::KeptParts;
-use quillpulley_configuration::operator::Service;
 use quillpulley_protocol as wire;
+use quillpulley_serving_config::Service;
 use requests::{RequestKey, UnderWay};
 use server::Server;
 use service::{ServiceSettings, ServiceState};
--- a/crates/load-balancer/src/balancer/service.rs
+++ b/crates/load-balancer/src/balancer/service.rs
@@ -4,7 +4,7 @@
 use super::speed::{median, Pace};
 use super::warmup::Share;
 use super::ServerKey;
-use quillpulley_configuration::operator::Service;
+use quillpulley_serving_config::Service;
 use slotmap::SlotMap;
 use std::time::Duration;
 
--- a/crates/load-balancer/src/route_table.rs
+++ b/crates/load-balancer/src/route_table.rs
@@ -1,7 +1,7 @@
 //! Finds the route of a request by its host and path.
 
-use quillpulley_configuration::operator::Route;
-use quillpulley_configuration::Configuration;
+use quillpulley_serving_config::Configuration;
+use quillpulley_serving_config::Route;
 use std::borrow::Cow;
 use std::collections::HashMap;
 
--- a/crates/load-balancer/tests/common/mod.rs
+++ b/crates/load-balancer/tests/common/mod.rs
@@ -3,9 +3,9 @@
 
 pub mod fleet;
 
-use quillpulley_configuration::Configuration;
 use quillpulley_load_balancer::{Balancer, Demand, Limiter, Options, Place, PromptPart};
 use quillpulley_protocol as wire;
+use quillpulley_serving_config::Configuration;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/load-balancer/tests/route_table.rs
+++ b/crates/load-balancer/tests/route_table.rs
@@ -1,8 +1,8 @@
 //! Finding routes, and picking one of their services.
 
-use quillpulley_configuration::operator::Route;
-use quillpulley_configuration::Configuration;
 use quillpulley_load_balancer::{pick_service, RouteTable};
+use quillpulley_serving_config::Configuration;
+use quillpulley_serving_config::Route;
 
 fn configuration(routes: &[(&str, &str)]) -> Configuration {
     let route = |(host, prefix): &(&str, &str)| {
--- a/crates/quillpulley/src/agent/host/links.rs
+++ b/crates/quillpulley/src/agent/host/links.rs
@@ -5,8 +5,8 @@
 use crate::agent::search;
 use crate::peer::{LinkId, PeerEvent};
 use log::{debug, info};
-use quillpulley_state_sync as feed;
 use quillpulley_protocol::{Body, Hello, PeerKind};
+use quillpulley_state_sync as feed;
 use std::net::SocketAddr;
 
 impl Host {
--- a/crates/quillpulley/src/agent/host/tree.rs
+++ b/crates/quillpulley/src/agent/host/tree.rs
@@ -5,9 +5,9 @@
 use crate::agent::search;
 use crate::peer::LinkId;
 use log::{debug, info};
+use quillpulley_membership as membership;
 use quillpulley_state_sync as feed;
 use quillpulley_state_sync::relay::ParentCandidate;
-use quillpulley_membership as membership;
 use std::net::SocketAddr;
 
 impl Host {
--- a/crates/quillpulley/src/agent/local.rs
+++ b/crates/quillpulley/src/agent/local.rs
@@ -1,8 +1,8 @@
 //! What an agent itself reports: the front of its machine, which its proxy tells it, and the peers that do not
 //! answer.
 
-use quillpulley_state_sync::LocalReport;
 use quillpulley_protocol::{Front, Report};
+use quillpulley_state_sync::LocalReport;
 
 /// The agent's own report.
 #[derive(Default)]
--- a/crates/quillpulley/src/agent/mod.rs
+++ b/crates/quillpulley/src/agent/mod.rs
@@ -18,7 +18,7 @@
 use crate::signals::{self, Command};
 use crate::{runtime, HostError, Settings};
 use host::Host;
-use quillpulley_configuration::SettingsError;
+use quillpulley_settings::SettingsError;
 use std::net::{Ipv4Addr, SocketAddr};
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::mpsc::UnboundedReceiver;
--- a/crates/quillpulley/src/agent/neighbourhood.rs
+++ b/crates/quillpulley/src/agent/neighbourhood.rs
@@ -3,11 +3,11 @@
 
 use crate::Settings;
 use log::warn;
-use quillpulley_configuration::published::{PublishedKey, CORE_PREFIX, FRONT_PREFIX};
-use quillpulley_state_sync::relay::{parent_candidates, ParentCandidate, Surroundings};
-use quillpulley_state_sync::{ChangedKey, Store};
 use quillpulley_membership::Peer;
 use quillpulley_protocol::{decode_value, Core, CoreRef, Front, FrontRef, FrontState};
+use quillpulley_serving_config::published::{PublishedKey, CORE_PREFIX, FRONT_PREFIX};
+use quillpulley_state_sync::relay::{parent_candidates, ParentCandidate, Surroundings};
+use quillpulley_state_sync::{ChangedKey, Store};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 /// The fronts and core processes as they were published last, and the seeds.
--- a/crates/quillpulley/src/check.rs
+++ b/crates/quillpulley/src/check.rs
@@ -1,7 +1,8 @@
 //! Checks of files before they are used: settings and operator's configurations.
 
 use quillpulley::Settings;
-use quillpulley_configuration::{Configuration, SettingsError};
+use quillpulley_serving_config::Configuration;
+use quillpulley_settings::SettingsError;
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
--- a/crates/quillpulley/src/control/directory_view.rs
+++ b/crates/quillpulley/src/control/directory_view.rs
@@ -7,10 +7,10 @@
 use super::directory::{Coverage, Directory};
 use super::fronts::is_suspected;
 use super::reported::ReportedFronts;
-use quillpulley_configuration::published::{route_of, PublishedKey, FRONT_PREFIX, ROUTE_PREFIX};
-use quillpulley_state_sync::{ChangedKey, FeedNode, Store, Subtree};
 use quillpulley_load_balancer::HomeTable;
 use quillpulley_protocol::{decode_value, Front, FrontRef, FrontState};
+use quillpulley_serving_config::published::{route_of, PublishedKey, FRONT_PREFIX, ROUTE_PREFIX};
+use quillpulley_state_sync::{ChangedKey, FeedNode, Store, Subtree};
 use std::collections::BTreeMap;
 use std::hash::Hash;
 use std::sync::Arc;
--- a/crates/quillpulley/src/control/disk.rs
+++ b/crates/quillpulley/src/control/disk.rs
@@ -1,9 +1,9 @@
 //! The thread that owns the disk. A disk in trouble hangs for seconds: no other thread waits for it.
 
 use crate::HostError;
+use quillpulley_protocol::{decode_value, encode_value, WitnessRecord, WitnessRecordRef};
 use quillpulley_replication::{Recovered, StoreFault, Write};
 use quillpulley_storage::{Options, Storage, StorageError};
-use quillpulley_protocol::{decode_value, encode_value, WitnessRecord, WitnessRecordRef};
 use std::fmt::Display;
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{self, Receiver, Sender};
--- a/crates/quillpulley/src/control/fronts.rs
+++ b/crates/quillpulley/src/control/fronts.rs
@@ -1,8 +1,8 @@
 //! Which proxies the primary publishes: those that the agents report, without those that cannot be reached.
 
-use quillpulley_configuration::published::{front_key, PublishedKey};
-use quillpulley_state_sync::{Change, Subtree};
 use quillpulley_protocol::{decode_value, encode_value, Front, FrontRef};
+use quillpulley_serving_config::published::{front_key, PublishedKey};
+use quillpulley_state_sync::{Change, Subtree};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/quillpulley/src/control/host.rs
+++ b/crates/quillpulley/src/control/host.rs
@@ -20,10 +20,10 @@
 use super::tree::{Child, Tree};
 use crate::peer::PeerEvent;
 use crate::Settings;
-use quillpulley_configuration::ControlState;
-use quillpulley_state_sync as feed;
-use quillpulley_replication::{Action, Event, Replica, Role};
+use quillpulley_control_state::ControlState;
 use quillpulley_protocol::{Core, NodeId};
+use quillpulley_replication::{Action, Event, Replica, Role};
+use quillpulley_state_sync as feed;
 use std::time::Duration;
 
 /// The state of a core process.
--- a/crates/quillpulley/src/control/knowledge.rs
+++ b/crates/quillpulley/src/control/knowledge.rs
@@ -2,9 +2,9 @@
 
 use super::orders::Answer;
 use super::timed_answer::TimedAnswer;
-use quillpulley_configuration::ControlState;
-use quillpulley_replication::Replica;
+use quillpulley_control_state::ControlState;
 use quillpulley_protocol::NodeId;
+use quillpulley_replication::Replica;
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/quillpulley/src/control/leadership.rs
+++ b/crates/quillpulley/src/control/leadership.rs
@@ -4,7 +4,7 @@
 use super::platform::Reading;
 use super::publisher::{core_changes, state_changes, Publisher};
 use super::tree::Tree;
-use quillpulley_configuration::ControlState;
+use quillpulley_control_state::ControlState;
 use quillpulley_state_sync::{Change, Event};
 use std::time::Duration;
 
--- a/crates/quillpulley/src/control/links.rs
+++ b/crates/quillpulley/src/control/links.rs
@@ -4,8 +4,8 @@
 
 use super::peer_table::{PeerChange, PeerTable};
 use crate::peer::{LinkId, PeerEvent, Peers};
-use quillpulley_replication::Place;
 use quillpulley_protocol::{Body, Core, Cores, Hello, NodeId, PeerKind};
+use quillpulley_replication::Place;
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
--- a/crates/quillpulley/src/control/orders.rs
+++ b/crates/quillpulley/src/control/orders.rs
@@ -4,7 +4,7 @@
 //! of two configurations on one base exactly one is taken, and an order without a clear answer comes into force
 //! before the next one is answered, or never.
 
-use quillpulley_configuration::{ControlState, EvacuationDecision, ReplaceDecision};
+use quillpulley_control_state::{ControlState, EvacuationDecision, ReplaceDecision};
 use quillpulley_replication::Replica;
 use std::collections::VecDeque;
 use std::fmt;
--- a/crates/quillpulley/src/control/parts.rs
+++ b/crates/quillpulley/src/control/parts.rs
@@ -5,9 +5,9 @@
 use super::disk::Disk;
 use super::fetcher::Fetcher;
 use crate::peer::Peers;
-use quillpulley_configuration::ControlState;
-use quillpulley_replication::Replica;
+use quillpulley_control_state::ControlState;
 use quillpulley_protocol::NodeId;
+use quillpulley_replication::Replica;
 use std::rc::Rc;
 
 /// What a host is made of.
--- a/crates/quillpulley/src/control/process.rs
+++ b/crates/quillpulley/src/control/process.rs
@@ -11,9 +11,9 @@
 use crate::peer::{bind, PeerEvent, Peers};
 use crate::signals::{self, Command};
 use crate::{runtime, HostError, Settings};
-use quillpulley_configuration::ControlState;
-use quillpulley_replication::{Options, Recovered, Replica};
+use quillpulley_control_state::ControlState;
 use quillpulley_protocol::{Hello, NodeId, PeerKind};
+use quillpulley_replication::{Options, Recovered, Replica};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::time::Duration;
 use tokio::sync::mpsc::{channel, unbounded_channel, Receiver, UnboundedReceiver, UnboundedSender};
@@ -209,7 +209,7 @@
     })
 }
 
-fn settings_error(error: quillpulley_configuration::SettingsError) -> HostError {
+fn settings_error(error: quillpulley_settings::SettingsError) -> HostError {
     HostError::Settings(error.to_string())
 }
 
--- a/crates/quillpulley/src/control/publisher.rs
+++ b/crates/quillpulley/src/control/publisher.rs
@@ -3,10 +3,10 @@
 use super::fronts::PublishedFronts;
 use super::platform::Reading;
 use super::servers::PublishedServers;
-use quillpulley_configuration::published::{core_key, items_of, PublishedKey};
-use quillpulley_configuration::ControlState;
-use quillpulley_state_sync::{Change, Store, Subtree};
+use quillpulley_control_state::{items_of, ControlState};
 use quillpulley_protocol::{encode_value, Core};
+use quillpulley_serving_config::published::{core_key, PublishedKey};
+use quillpulley_state_sync::{Change, Store, Subtree};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 use std::time::Duration;
--- a/crates/quillpulley/src/control/reported.rs
+++ b/crates/quillpulley/src/control/reported.rs
@@ -1,8 +1,8 @@
 //! The fronts that report to this core process, or did until just now.
 
 use super::fronts::is_suspected;
-use quillpulley_state_sync::Subtree;
 use quillpulley_protocol::Front;
+use quillpulley_state_sync::Subtree;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/quillpulley/src/control/servers.rs
+++ b/crates/quillpulley/src/control/servers.rs
@@ -1,9 +1,9 @@
 //! Which servers the primary has published, and what a newer reading of the platform's list changes in that.
 
 use super::platform::Reading;
-use quillpulley_configuration::published::{server_key, PublishedKey};
-use quillpulley_state_sync::Change;
 use quillpulley_protocol::{decode_value, encode_value, Server, ServerRef};
+use quillpulley_serving_config::published::{server_key, PublishedKey};
+use quillpulley_state_sync::Change;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/crates/quillpulley/src/control/status.rs
+++ b/crates/quillpulley/src/control/status.rs
@@ -6,8 +6,8 @@
 use super::knowledge::Knowledge;
 use super::orders::Answer;
 use super::timed_answer::TimedAnswer;
-use quillpulley_replication::{Role, ViewExposure};
 use quillpulley_protocol::{NodeId, View};
+use quillpulley_replication::{Role, ViewExposure};
 use simd_json::prelude::Writable;
 use simd_json::{json, OwnedValue};
 use std::time::Duration;
--- a/crates/quillpulley/src/control/tree.rs
+++ b/crates/quillpulley/src/control/tree.rs
@@ -6,8 +6,8 @@
 use super::links::Links;
 use super::relay::{ChildFrame, ParentChange, Relay};
 use crate::peer::LinkId;
-use quillpulley_state_sync::{Action, Event, FeedNode, Options, Store, Subtree};
 use quillpulley_protocol::{Body, NodeId};
+use quillpulley_state_sync::{Action, Event, FeedNode, Options, Store, Subtree};
 use std::time::Duration;
 
 /// A child in the relay tree.
--- a/crates/quillpulley/src/proxy/exchange.rs
+++ b/crates/quillpulley/src/proxy/exchange.rs
@@ -1,9 +1,9 @@
 //! What this proxy tells the others of its load and its counts, and what they tell.
 
 use super::plane::Plane;
+use quillpulley_protocol::{ServerLoad, ServiceCount};
 use quillpulley_retry_budget::ServiceTotals;
 use quillpulley_state_sync::{ServerTally, ServiceTally, Totals};
-use quillpulley_protocol::{ServerLoad, ServiceCount};
 use std::rc::Rc;
 
 impl Plane {
--- a/crates/quillpulley/src/proxy/plan.rs
+++ b/crates/quillpulley/src/proxy/plan.rs
@@ -1,8 +1,8 @@
 //! The configuration in force, and what it says of a request.
 
-use quillpulley_configuration::operator::{Limits, Route, RouteKind};
-use quillpulley_configuration::Configuration;
 use quillpulley_load_balancer::{pick_service, HomeTable, RouteTable};
+use quillpulley_serving_config::Configuration;
+use quillpulley_serving_config::{Limits, Route, RouteKind};
 use std::time::Duration;
 
 /// The configuration in force.
--- a/crates/quillpulley/src/proxy/published.rs
+++ b/crates/quillpulley/src/proxy/published.rs
@@ -1,11 +1,11 @@
 //! Takes published items into what all requests share.
 
 use super::plane::Plane;
-use quillpulley_configuration::published::{PublishedKey, CONFIG_KEY, ROUTE_PREFIX};
-use quillpulley_configuration::{Configuration, ConfigurationError};
-use quillpulley_state_sync::{ChangedKey, Store};
 use quillpulley_load_balancer::{Limiter, Place};
 use quillpulley_protocol::{decode_value, ConfigHead, ConfigHeadRef, Front, FrontRef, Server, ServerRef};
+use quillpulley_serving_config::published::{PublishedKey, CONFIG_KEY, ROUTE_PREFIX};
+use quillpulley_serving_config::{Configuration, ConfigurationError};
+use quillpulley_state_sync::{ChangedKey, Store};
 use std::rc::Rc;
 
 const EVACUATED_PREFIX: &str = "evacuated/";
--- a/crates/quillpulley/src/settings.rs
+++ b/crates/quillpulley/src/settings.rs
@@ -1,3 +1,3 @@
 //! The settings of a process, as the hosts use them.
 
-pub use quillpulley_configuration::Settings;
+pub use quillpulley_settings::Settings;
--- a/crates/quillpulley/tests/catch_up/disk.rs
+++ b/crates/quillpulley/tests/catch_up/disk.rs
@@ -1,9 +1,9 @@
 //! A disk in memory that counts what it holds, and what a machine's real one would need for it.
 
+use quillpulley_protocol::{decode_value, encode_value, WitnessRecord, WitnessRecordRef};
 use quillpulley_replication::{Recovered, StoreFault, Write};
 use quillpulley_storage::files::{DataFile, Files};
 use quillpulley_storage::{Options, Storage};
-use quillpulley_protocol::{decode_value, encode_value, WitnessRecord, WitnessRecordRef};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io;
--- a/crates/quillpulley/tests/catch_up/world.rs
+++ b/crates/quillpulley/tests/catch_up/world.rs
@@ -1,10 +1,10 @@
 //! Core processes in virtual time on links of limited bandwidth, with the storage and the queues that are in use.
 
 use super::disk::Disk;
+use quillpulley_protocol::{Body, Entry, FrameDecoder, FrameEncoder, FrameQueue, Lane, NodeId};
 use quillpulley_replication::{
     Action, Event, Faults, Options, Rejection, Replica, RestoreError, Role, StateMachine, StoreFault,
 };
-use quillpulley_protocol::{Body, Entry, FrameDecoder, FrameEncoder, FrameQueue, Lane, NodeId};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::net::Ipv4Addr;
--- a/crates/quillpulley/tests/common/tree.rs
+++ b/crates/quillpulley/tests/common/tree.rs
@@ -2,8 +2,8 @@
 
 use super::{expect, hello};
 use quillpulley::peer::{LinkId, PeerEvent, Peers};
-use quillpulley_state_sync::{Action, Change, Event, FeedNode, LocalReport, Options};
 use quillpulley_protocol::{Body, Front, FrontState, PeerKind};
+use quillpulley_state_sync::{Action, Change, Event, FeedNode, LocalReport, Options};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
--- a/crates/quillpulley/tests/control/agent.rs
+++ b/crates/quillpulley/tests/control/agent.rs
@@ -2,8 +2,8 @@
 
 use crate::cluster::PATIENCE;
 use quillpulley::peer::{LinkId, PeerEvent, Peers};
-use quillpulley_state_sync::{Action, Event, FeedNode, LocalReport, Options};
 use quillpulley_protocol::{Front, FrontState, Hello, NodeId, PeerKind};
+use quillpulley_state_sync::{Action, Event, FeedNode, LocalReport, Options};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
--- a/crates/quillpulley/tests/control/compatibility.rs
+++ b/crates/quillpulley/tests/control/compatibility.rs
@@ -6,9 +6,9 @@
 
 use crate::cluster::PATIENCE;
 use quillpulley::control::disk::Disk;
-use quillpulley_configuration::ControlState;
-use quillpulley_replication::StateMachine;
+use quillpulley_control_state::ControlState;
 use quillpulley_protocol::encode_value;
+use quillpulley_replication::StateMachine;
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
--- a/crates/quillpulley/tests/control/directory_days/system.rs
+++ b/crates/quillpulley/tests/control/directory_days/system.rs
@@ -3,8 +3,8 @@
 use quillpulley::control::directory::{Coverage, Directory};
 use quillpulley::control::directory_view::{DirectoryView, Known};
 use quillpulley::control::fronts::PublishedFronts;
-use quillpulley_state_sync::{Action, Event, FeedNode, LocalReport, Options};
 use quillpulley_protocol::{Body, Front, FrontState};
+use quillpulley_state_sync::{Action, Event, FeedNode, LocalReport, Options};
 use std::collections::VecDeque;
 use std::time::Duration;
 
--- a/crates/quillpulley/tests/control/directory_view.rs
+++ b/crates/quillpulley/tests/control/directory_view.rs
@@ -2,9 +2,9 @@
 
 use quillpulley::control::directory::{Coverage, Directory};
 use quillpulley::control::directory_view::{DirectoryView, Known};
-use quillpulley_configuration::published::front_key;
-use quillpulley_state_sync::{Change, Event, FeedNode, Options, Subtree};
 use quillpulley_protocol::{encode_value, Front, FrontState};
+use quillpulley_serving_config::published::front_key;
+use quillpulley_state_sync::{Change, Event, FeedNode, Options, Subtree};
 use std::time::Duration;
 
 /// A front as its name, its state and its life: `f:r1`.
--- a/crates/quillpulley/tests/control/disk.rs
+++ b/crates/quillpulley/tests/control/disk.rs
@@ -3,8 +3,8 @@
 use crate::cluster::PATIENCE;
 use quillpulley::control::disk::{Disk, Stored};
 use quillpulley::HostError;
-use quillpulley_replication::{Recovered, StoreFault, Write};
 use quillpulley_protocol::{Entry, NodeId, Position, WitnessRecord};
+use quillpulley_replication::{Recovered, StoreFault, Write};
 use std::path::PathBuf;
 use std::sync::mpsc::{self, Receiver};
 
--- a/crates/quillpulley/tests/control/fronts.rs
+++ b/crates/quillpulley/tests/control/fronts.rs
@@ -6,9 +6,9 @@
 //! shown likewise, `-f` for gone. A line without a report (`.`) only lets time pass.
 
 use quillpulley::control::fronts::PublishedFronts;
-use quillpulley_configuration::published::front_key;
-use quillpulley_state_sync::{Change, Subtree};
 use quillpulley_protocol::{decode_value, encode_value, Front, FrontRef, FrontState};
+use quillpulley_serving_config::published::front_key;
+use quillpulley_state_sync::{Change, Subtree};
 use std::time::Duration;
 
 fn front(text: &str) -> Front {
--- a/crates/quillpulley/tests/control/orders.rs
+++ b/crates/quillpulley/tests/control/orders.rs
@@ -8,9 +8,9 @@
 
 use crate::configuration;
 use quillpulley::control::orders::{Answer, Order, Orders, Proposal};
-use quillpulley_configuration::ControlState;
-use quillpulley_replication::StateMachine;
+use quillpulley_control_state::ControlState;
 use quillpulley_protocol::Entry;
+use quillpulley_replication::StateMachine;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/quillpulley/tests/control/publisher.rs
+++ b/crates/quillpulley/tests/control/publisher.rs
@@ -1,11 +1,11 @@
 //! What the root publishes of the control state and of the core processes.
 
 use quillpulley::control::publisher::{core_changes, state_changes};
-use quillpulley_configuration::published::{core_key, evacuated_key, server_key};
-use quillpulley_configuration::{ControlState, EvacuationDecision};
-use quillpulley_state_sync::{Change, Event, FeedNode, Options, Store};
-use quillpulley_replication::StateMachine;
+use quillpulley_control_state::{ControlState, EvacuationDecision};
 use quillpulley_protocol::{Core, Entry};
+use quillpulley_replication::StateMachine;
+use quillpulley_serving_config::published::{core_key, evacuated_key, server_key};
+use quillpulley_state_sync::{Change, Event, FeedNode, Options, Store};
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
--- a/crates/quillpulley/tests/control/servers.rs
+++ b/crates/quillpulley/tests/control/servers.rs
@@ -6,9 +6,9 @@
 
 use quillpulley::control::platform::Reading;
 use quillpulley::control::servers::PublishedServers;
-use quillpulley_configuration::published::server_key;
-use quillpulley_state_sync::Change;
 use quillpulley_protocol::{decode_value, encode_value, Server, ServerRef, ServerState};
+use quillpulley_serving_config::published::server_key;
+use quillpulley_state_sync::Change;
 use std::time::Duration;
 
 fn server(text: &str) -> Server {
--- a/crates/quillpulley/tests/control/tree.rs
+++ b/crates/quillpulley/tests/control/tree.rs
@@ -3,9 +3,9 @@
 use crate::agent::Agents;
 use crate::cluster::{Call, Cluster};
 use crate::configuration;
-use quillpulley_configuration::published::{core_key, evacuated_key, front_key, server_key, CONFIG_KEY};
-use quillpulley_state_sync::FeedNode;
 use quillpulley_protocol::{decode_value, ConfigHead, ConfigHeadRef, Server, ServerRef, ServerState};
+use quillpulley_serving_config::published::{core_key, evacuated_key, front_key, server_key, CONFIG_KEY};
+use quillpulley_state_sync::FeedNode;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use tiny_http::Response;
--- a/crates/quillpulley/tests/operators/checker.rs
+++ b/crates/quillpulley/tests/operators/checker.rs
@@ -3,9 +3,9 @@
 use super::node::CallId;
 use super::orders::Wish;
 use quillpulley::control::orders::Answer;
-use quillpulley_configuration::ControlState;
-use quillpulley_replication::StateMachine;
+use quillpulley_control_state::ControlState;
 use quillpulley_protocol::Entry;
+use quillpulley_replication::StateMachine;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A call as it was sent.
--- a/crates/quillpulley/tests/operators/faults.rs
+++ b/crates/quillpulley/tests/operators/faults.rs
@@ -4,8 +4,8 @@
 use super::network::NetworkOptions;
 use super::node::{Input, Node};
 use super::world::{address, zone, Happening, World};
-use quillpulley_replication::{Event, Options, Role};
 use quillpulley_protocol::NodeId;
+use quillpulley_replication::{Event, Options, Role};
 
 /// So few entries that snapshots are frequent.
 const COMPACT_ENTRIES: usize = 8;
--- a/crates/quillpulley/tests/operators/node.rs
+++ b/crates/quillpulley/tests/operators/node.rs
@@ -1,11 +1,11 @@
 //! One core process: a replica and the orders of operators, put together as the host does it.
 
 use quillpulley::control::orders::{Answer, Order, Orders};
-use quillpulley_configuration::{ControlState, EvacuationDecision, ReplaceDecision};
-use quillpulley_replication::{Action, Event, Options, Recovered, Replica, Role, Write};
+use quillpulley_control_state::{ControlState, EvacuationDecision, ReplaceDecision};
 use quillpulley_protocol::{
     decode_value, encode_value, Body, ControlSnapshot, ControlSnapshotRef, Entry, NodeId,
 };
+use quillpulley_replication::{Action, Event, Options, Recovered, Replica, Role, Write};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/quillpulley/tests/proxy/support/agent.rs
+++ b/crates/quillpulley/tests/proxy/support/agent.rs
@@ -1,10 +1,10 @@
 //! An agent, whose published state the test sets.
 
 use quillpulley::peer::{LinkId, PeerEvent, Peers};
-use quillpulley_configuration::published::server_key;
-use quillpulley_configuration::Configuration;
-use quillpulley_state_sync::{Action, Change, Event, FeedNode, Options};
 use quillpulley_protocol::{encode_value, Body, Front, FrontState, Hello, NodeId, PeerKind, Server};
+use quillpulley_serving_config::published::server_key;
+use quillpulley_serving_config::Configuration;
+use quillpulley_state_sync::{Action, Change, Event, FeedNode, Options};
 use std::cell::{Cell, RefCell};
 use std::net::Ipv4Addr;
 use std::rc::Rc;
--- a/crates/replication/src/voter.rs
+++ b/crates/replication/src/voter.rs
@@ -1,6 +1,8 @@
 //! The witness's side of elections and leases: which requests it grants, and what it stores before it says so.
 
-use quillpulley_protocol::{Accept, Accepted, Body, LeaseGrant, LeaseRequest, NodeId, Prepare, Promise, Resign};
+use quillpulley_protocol::{
+    Accept, Accepted, Body, LeaseGrant, LeaseRequest, NodeId, Prepare, Promise, Resign,
+};
 use std::time::Duration;
 
 use crate::quorum::{is_member, is_witness};
--- a/crates/replication/tests/replication/harness/disk.rs
+++ b/crates/replication/tests/replication/harness/disk.rs
@@ -1,7 +1,7 @@
 //! A disk that keeps exactly what was synced, and of a write under way any part.
 
-use quillpulley_replication::{Recovered, Write};
 use quillpulley_protocol::{Entry, Position, WitnessRecord};
+use quillpulley_replication::{Recovered, Write};
 
 /// How a disk behaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/replication/tests/replication/harness/durability.rs
+++ b/crates/replication/tests/replication/harness/durability.rs
@@ -21,8 +21,9 @@
 
     /// Whether its log holds the entry at that position.
     fn holds(&self, position: Position) -> bool {
-        let is_entry =
-            |entry: &quillpulley_protocol::Entry| entry.index == position.index && entry.epoch == position.epoch;
+        let is_entry = |entry: &quillpulley_protocol::Entry| {
+            entry.index == position.index && entry.epoch == position.epoch
+        };
         position.index <= self.covered() || self.disk.entries.iter().any(is_entry)
     }
 
--- a/crates/replication/tests/replication/harness/faults.rs
+++ b/crates/replication/tests/replication/harness/faults.rs
@@ -1,7 +1,7 @@
 //! What is done to machines: starts, ends and troubles.
 
-use quillpulley_replication::{Event, Options, Replica, Role};
 use quillpulley_protocol::NodeId;
+use quillpulley_replication::{Event, Options, Replica, Role};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
--- a/crates/replication/tests/replication/harness/inspect.rs
+++ b/crates/replication/tests/replication/harness/inspect.rs
@@ -1,7 +1,7 @@
 //! What can be seen of the world, and the invariants that are checked as it runs.
 
-use quillpulley_replication::{Place, Replica, Role, ViewExposure};
 use quillpulley_protocol::NodeId;
+use quillpulley_replication::{Place, Replica, Role, ViewExposure};
 use std::time::Duration;
 
 use super::disk::DiskImage;
--- a/crates/replication/tests/replication/harness/ledger.rs
+++ b/crates/replication/tests/replication/harness/ledger.rs
@@ -1,7 +1,7 @@
 //! The replicated state of the tests: orders, each of which builds on the one before it.
 
-use quillpulley_replication::{RestoreError, StateMachine};
 use quillpulley_protocol::{Entry, Position};
+use quillpulley_replication::{RestoreError, StateMachine};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// How many words an entry has in a snapshot.
--- a/crates/replication/tests/replication/harness/world.rs
+++ b/crates/replication/tests/replication/harness/world.rs
@@ -1,7 +1,7 @@
 //! The machines and the time.
 
-use quillpulley_replication::{Action, Event, Faults, Rejection, Replica, StoreFault, Write};
 use quillpulley_protocol::{Body, NodeId};
+use quillpulley_replication::{Action, Event, Faults, Rejection, Replica, StoreFault, Write};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::net::Ipv4Addr;
--- a/crates/replication/tests/replication/model/cluster.rs
+++ b/crates/replication/tests/replication/model/cluster.rs
@@ -1,7 +1,7 @@
 //! Some nodes and what is under way between them.
 
-use quillpulley_replication::{Action, Event, Faults, Options, Replica, Role};
 use quillpulley_protocol::{Body, NodeId, Position};
+use quillpulley_replication::{Action, Event, Faults, Options, Replica, Role};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt::{self, Write};
 use std::hash::{DefaultHasher, Hash, Hasher};
--- a/crates/replication/tests/replication/model/inspect.rs
+++ b/crates/replication/tests/replication/model/inspect.rs
@@ -1,7 +1,7 @@
 //! What can be seen of the nodes, and what must hold of them.
 
-use quillpulley_replication::Role;
 use quillpulley_protocol::{Body, NodeId, Position};
+use quillpulley_replication::Role;
 use std::collections::BTreeSet;
 
 use super::cluster::{Cluster, Node, TOLERATED};
--- a/crates/replication/tests/replication/scenarios/places.rs
+++ b/crates/replication/tests/replication/scenarios/places.rs
@@ -1,8 +1,8 @@
 //! Zones and regions: which losses a view survives, and what is done while its members stand in too few places.
 
 use quickcheck::{quickcheck, TestResult};
-use quillpulley_replication::{Event, Options, Place, Recovered, Replica, Role};
 use quillpulley_protocol::{NodeId, View, WitnessRecord};
+use quillpulley_replication::{Event, Options, Place, Recovered, Replica, Role};
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
 use std::time::Duration;
--- a/crates/configuration/src/operator/mod.rs
+++ b/crates/serving-config/src/lib.rs
@@ -3,10 +3,13 @@
 //! A configuration is checked for what makes it invalid, and for nothing else: fields and kinds that are not
 //! known are passed over, and what is missing gets a default wherever one makes sense.
 
+#![forbid(unsafe_code)]
+
 mod error;
 mod fields;
 mod json;
 mod limits;
+pub mod published;
 mod route;
 mod service;
 
--- a/crates/configuration/src/published/items.rs
+++ b/crates/serving-config/src/published/items.rs
@@ -1,27 +1,11 @@
-//! From the control state to items, and from items to a configuration.
+//! Conversion of a configuration to published items and back.
 
-use super::{evacuated_key, route_key, PublishedKey, CONFIG_KEY};
-use crate::control_state::ControlState;
-use crate::operator::{read_limits, read_route, read_services, write_json, Route, Service};
-use crate::{Configuration, ConfigurationError};
+use super::{route_key, PublishedKey, CONFIG_KEY};
+use crate::{read_limits, read_route, read_services, write_json};
+use crate::{Configuration, ConfigurationError, Route, Service};
 use quillpulley_protocol::{decode_value, encode_value, ConfigHead, ConfigHeadRef};
 use std::collections::BTreeMap;
 
-/// All items that a control state is published as: the configuration and the evacuated zones.
-pub fn items_of(state: &ControlState) -> BTreeMap<String, Vec<u8>> {
-    let mut items = match state.configuration() {
-        Ok(Some(configuration)) => configuration.to_items(),
-        Ok(None) => BTreeMap::new(),
-        // Nothing invalid gets into the state, unless by a version of this program with other rules.
-        Err(error) => {
-            log::error!("configuration {} cannot be published: {error}", state.version());
-            BTreeMap::new()
-        }
-    };
-    items.extend(state.evacuated_zones().map(|zone| (evacuated_key(zone), Vec::new())));
-    items
-}
-
 /// The route of a published item; none for items of other kinds, and for one that cannot be read.
 pub fn route_of(key: &str, value: &[u8]) -> Option<Route> {
     match PublishedKey::parse(key)? {
--- a/crates/configuration/src/published/mod.rs
+++ b/crates/serving-config/src/published/mod.rs
@@ -6,7 +6,7 @@
 mod items;
 mod key;
 
-pub use items::{items_of, route_of};
+pub use items::route_of;
 pub use key::{
     core_key, evacuated_key, front_key, route_key, server_key, PublishedKey, CONFIG_KEY, CORE_PREFIX,
     FRONT_PREFIX, ROUTE_PREFIX,
--- a/crates/configuration/tests/common/mod.rs
+++ b/crates/serving-config/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! Configurations for tests.
 #![allow(dead_code)]
 
-use quillpulley_configuration::operator::Route;
-use quillpulley_configuration::{Configuration, ConfigurationError};
+use quillpulley_serving_config::Route;
+use quillpulley_serving_config::{Configuration, ConfigurationError};
 
 /// The fields of a service that any configuration may name.
 pub const SERVICES: &str = r#"[{"Name":"s","HealthPath":"/health","MaxConnections":360,"Protocol":"h1","Tls":false,
--- a/crates/configuration/tests/operator.rs
+++ b/crates/serving-config/tests/configuration.rs
@@ -4,8 +4,8 @@
 
 use common::*;
 use quickcheck::quickcheck;
-use quillpulley_configuration::operator::{Limits, RouteKind, WeightedService};
-use quillpulley_configuration::{Configuration, ConfigurationError};
+use quillpulley_serving_config::{Configuration, ConfigurationError};
+use quillpulley_serving_config::{Limits, RouteKind, WeightedService};
 use std::time::Duration;
 
 const WHOLE: &str = r#"{"Version":7,"Routes":[{"Name":"r-1","Host":"ficu95.example","PathPrefix":"/lohu930/",
--- a/crates/configuration/src/settings/mod.rs
+++ b/crates/settings/src/lib.rs
@@ -4,6 +4,8 @@
 //! bound that is `true` or `false` counts as missing. The defaults are those of [`Bounds`], [`ProcessLimits`],
 //! [`FaultTolerance`] and [`Cloud`].
 
+#![forbid(unsafe_code)]
+
 mod error;
 mod reader;
 mod sections;
--- a/crates/configuration/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Reading of the settings file of a process.
 
 use quickcheck::quickcheck;
-use quillpulley_configuration::{Settings, SettingsError};
+use quillpulley_settings::{Settings, SettingsError};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
 use std::time::Duration;
--- a/crates/state-sync/tests/begin_anew.rs
+++ b/crates/state-sync/tests/begin_anew.rs
@@ -1,7 +1,7 @@
 //! A child that begins anew on a connection that its parent takes for the one before.
 
-use quillpulley_state_sync::{Action, Event, FeedNode, LocalReport, Options};
 use quillpulley_protocol::Body;
+use quillpulley_state_sync::{Action, Event, FeedNode, LocalReport, Options};
 use std::time::Duration;
 
 /// Two nodes, and the frames between them.
--- a/crates/state-sync/tests/frame_sizes.rs
+++ b/crates/state-sync/tests/frame_sizes.rs
@@ -1,7 +1,7 @@
 //! What frames take on the wire: the figures that `Options` gives hold.
 
-use quillpulley_state_sync::{server_key, Action, Event, FeedNode, LocalReport, Options};
 use quillpulley_protocol::{encode_frame, Body, Front, FrontState, ServerLoad, ServiceCount};
+use quillpulley_state_sync::{server_key, Action, Event, FeedNode, LocalReport, Options};
 use std::time::Duration;
 
 const TICK: Duration = Duration::from_millis(500);
--- a/crates/state-sync/tests/network/mod.rs
+++ b/crates/state-sync/tests/network/mod.rs
@@ -3,8 +3,8 @@
 
 pub mod timeline;
 
-use quillpulley_state_sync::{Action, Change, Event, FeedNode, LocalReport, Options};
 use quillpulley_protocol::{Body, Stamp};
+use quillpulley_state_sync::{Action, Change, Event, FeedNode, LocalReport, Options};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
--- a/crates/state-sync/tests/network/timeline.rs
+++ b/crates/state-sync/tests/network/timeline.rs
@@ -18,8 +18,8 @@
 //! | `= fronts x,y`, `= suspects x*2` | its subtree's fronts, and how many suspect which |
 
 use super::{Items, Network};
-use quillpulley_state_sync::{Event, LocalReport, Options};
 use quillpulley_protocol::{Front, FrontState, ServiceCount};
+use quillpulley_state_sync::{Event, LocalReport, Options};
 use std::time::Duration;
 
 /// The service that timelines count for.
--- a/crates/state-sync/tests/random_trees.rs
+++ b/crates/state-sync/tests/random_trees.rs
@@ -5,8 +5,8 @@
 
 use network::Network;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use quillpulley_state_sync::{Counts, Event, LocalReport, Options, ServiceTally};
 use quillpulley_protocol::{Front, FrontState, ServerLoad, ServiceCount};
+use quillpulley_state_sync::{Counts, Event, LocalReport, Options, ServiceTally};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/state-sync/tests/relay.rs
+++ b/crates/state-sync/tests/relay.rs
@@ -1,8 +1,8 @@
 //! Where agents find their parents: bounded fan-out, no loops, few crossings, and a next one for each that fails.
 
 use quickcheck::{quickcheck, TestResult};
-use quillpulley_state_sync::relay::{parent_candidates, ParentCandidate, Surroundings, FAN_OUT};
 use quillpulley_protocol::{Core, Front, FrontState};
+use quillpulley_state_sync::relay::{parent_candidates, ParentCandidate, Surroundings, FAN_OUT};
 use std::collections::{BTreeMap, HashSet};
 use std::net::Ipv4Addr;
 
--- a/crates/state-sync/tests/timelines_counts.rs
+++ b/crates/state-sync/tests/timelines_counts.rs
@@ -3,8 +3,8 @@
 mod network;
 
 use network::timeline::{play, play_with};
-use quillpulley_state_sync::{server_key, Event, LocalReport, Options};
 use quillpulley_protocol::ServerLoad;
+use quillpulley_state_sync::{server_key, Event, LocalReport, Options};
 use std::time::Duration;
 
 #[test]
--- a/crates/storage/tests/common/mod.rs
+++ b/crates/storage/tests/common/mod.rs
@@ -3,8 +3,8 @@
 
 pub mod disk;
 
-use quillpulley_storage::{Options, Recovered, Storage, StorageError};
 use quillpulley_protocol::{Entry, Position};
+use quillpulley_storage::{Options, Recovered, Storage, StorageError};
 
 /// Short segments, so that a few entries fill one.
 pub const OPTIONS: Options = Options { segment_bytes: 300 };
--- a/crates/storage/tests/crashes.rs
+++ b/crates/storage/tests/crashes.rs
@@ -6,8 +6,8 @@
 use common::disk::{Disk, Fault, Random};
 use common::*;
 use quickcheck::{quickcheck, Arbitrary, Gen, QuickCheck};
-use quillpulley_storage::{Recovered, Storage, StorageError};
 use quillpulley_protocol::{Entry, Position};
+use quillpulley_storage::{Recovered, Storage, StorageError};
 
 #[derive(Clone, Debug)]
 enum Operation {
