--- a/crates/control-state/src/decision.rs
+++ b/crates/control-state/src/decision.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplaceDecision {
     /// That very configuration was taken on that very base: acknowledge it, whatever has followed.
-    AlreadyTaken,
+    AlreadyApplied,
     /// It builds on another version than the one in force: refuse it.
     Conflict {
         /// The version in force.
@@ -14,21 +14,21 @@
     },
     /// It builds on a version that is older than all that is remembered: whether it was taken is not known any
     /// more, so it is neither acknowledged nor refused.
-    Forgotten {
+    HistoryExpired {
         /// The oldest base for which it would be known.
         oldest: u64,
     },
     /// It is invalid: refuse it.
     Invalid(ConfigurationError),
     /// Append this payload to the log.
-    Take(Vec<u8>),
+    Propose(Vec<u8>),
 }
 
 /// What to do about an order to evacuate a zone, or to take it back.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EvacuationDecision {
     /// The zone is as the order wants it: acknowledge it.
-    AlreadySo,
+    AlreadyInEffect,
     /// Append this payload to the log.
-    Take(Vec<u8>),
+    Propose(Vec<u8>),
 }
--- a/crates/control-state/src/history.rs
+++ b/crates/control-state/src/history.rs
@@ -1,6 +1,6 @@
 //! The configurations that were taken, so that one that is sent again is known.
 
-use quillpulley_protocol::TakenConfig;
+use quillpulley_protocol::AppliedConfig;
 use std::collections::VecDeque;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -10,54 +10,54 @@
 
 /// What is remembered about a configuration on some base.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Recollection {
+pub(super) enum DedupLookup {
     /// It was taken.
-    Taken,
+    Applied,
     /// It was not taken.
-    NotTaken,
+    NotApplied,
     /// What was taken on its base is forgotten; the changes on this base and later ones are remembered.
-    Forgotten { oldest: u64 },
+    Expired { oldest: u64 },
 }
 
 /// The configurations that were taken, oldest first. Each builds on the version of the one before it, so their
 /// bases rise, and there is one at most for each base.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct History {
-    taken: VecDeque<TakenConfig>,
+    applied: VecDeque<AppliedConfig>,
 }
 
 impl History {
-    pub fn push(&mut self, taken: TakenConfig) {
-        if self.taken.len() == HISTORY_LENGTH {
-            self.taken.pop_front();
+    pub fn push(&mut self, applied: AppliedConfig) {
+        if self.applied.len() == HISTORY_LENGTH {
+            self.applied.pop_front();
         }
-        self.taken.push_back(taken);
+        self.applied.push_back(applied);
     }
 
     /// What became of a configuration with this content on this base. Only what is older than all that is
     /// remembered can be forgotten.
-    pub fn recall(&self, base: u64, content_hash: u64) -> Recollection {
-        match self.taken.front() {
-            Some(first) if base < first.base => Recollection::Forgotten { oldest: first.base },
-            _ if self.taken_on(base) == Some(content_hash) => Recollection::Taken,
-            _ => Recollection::NotTaken,
+    pub fn look_up(&self, base: u64, content_hash: u64) -> DedupLookup {
+        match self.applied.front() {
+            Some(first) if base < first.base => DedupLookup::Expired { oldest: first.base },
+            _ if self.applied_on(base) == Some(content_hash) => DedupLookup::Applied,
+            _ => DedupLookup::NotApplied,
         }
     }
 
     /// The content of the configuration that was taken on a base.
-    fn taken_on(&self, base: u64) -> Option<u64> {
-        let index = self.taken.binary_search_by_key(&base, |taken| taken.base).ok()?;
-        self.taken.get(index).map(|taken| taken.content_hash)
+    fn applied_on(&self, base: u64) -> Option<u64> {
+        let index = self.applied.binary_search_by_key(&base, |applied| applied.base).ok()?;
+        self.applied.get(index).map(|applied| applied.content_hash)
     }
 
-    pub fn to_vec(&self) -> Vec<TakenConfig> {
-        self.taken.iter().cloned().collect()
+    pub fn to_vec(&self) -> Vec<AppliedConfig> {
+        self.applied.iter().cloned().collect()
     }
 }
 
-impl From<Vec<TakenConfig>> for History {
-    fn from(taken: Vec<TakenConfig>) -> Self {
-        History { taken: taken.into() }
+impl From<Vec<AppliedConfig>> for History {
+    fn from(applied: Vec<AppliedConfig>) -> Self {
+        History { applied: applied.into() }
     }
 }
 
--- a/crates/control-state/src/lib.rs
+++ b/crates/control-state/src/lib.rs
@@ -3,7 +3,7 @@
 //! An order is decided on ([`ControlState::decide_replace`], [`ControlState::decide_evacuation`]), appended to
 //! the log, and applied. Orders that are on their way through the log are not seen by a decision, so two of them
 //! may build on one version; the one that is applied second is then ignored. What became of an order is known
-//! by deciding on it once more after it was applied: `AlreadyTaken` or `AlreadySo` if it is in force or was.
+//! by deciding on it once more after it was applied: `AlreadyApplied` or `AlreadySo` if it is in force or was.
 //!
 //! A configuration that is sent again is known by its base and the hash of its content. Two operators that send
 //! the same bytes on the same base are therefore one order, and both are told that it was taken.
@@ -17,11 +17,11 @@
 pub use decision::{EvacuationDecision, ReplaceDecision};
 pub use history::HISTORY_LENGTH;
 
-use history::{History, Recollection};
-pub use published::items_of;
+use history::{DedupLookup, History};
+pub use published::published_items;
 use quillpulley_protocol::{
-    decode_value, encode_value, ControlSnapshot, ControlSnapshotRef, Entry, EvacuatedZone, Evacuation, Order,
-    OrderBody, OrderRef, ReplaceConfig, TakenConfig,
+    decode_value, encode_value, AppliedConfig, ControlSnapshot, ControlSnapshotRef, Entry, EvacuatedZone,
+    Evacuation, LogCommand, LogCommandBody, LogCommandRef, ReplaceConfig,
 };
 use quillpulley_replication::{RestoreError, StateMachine};
 use quillpulley_serving_config::{Configuration, ConfigurationError};
@@ -84,18 +84,18 @@
     /// What to do about a configuration that is to follow version `base`.
     pub fn decide_replace(&self, base: u64, body: &[u8]) -> ReplaceDecision {
         let content_hash = history::content_hash(body);
-        match self.history.recall(base, content_hash) {
-            Recollection::Taken => return ReplaceDecision::AlreadyTaken,
-            Recollection::Forgotten { oldest } => return ReplaceDecision::Forgotten { oldest },
-            Recollection::NotTaken => {}
+        match self.history.look_up(base, content_hash) {
+            DedupLookup::Applied => return ReplaceDecision::AlreadyApplied,
+            DedupLookup::Expired { oldest } => return ReplaceDecision::HistoryExpired { oldest },
+            DedupLookup::NotApplied => {}
         }
         if base != self.version {
             return ReplaceDecision::Conflict { current: self.version };
         }
-        match self.check(body) {
+        match self.validate(body) {
             Ok(version) => {
-                let order = ReplaceConfig { version, base, content_hash, body: body.to_vec() };
-                ReplaceDecision::Take(order_bytes(OrderBody::ReplaceConfig(Box::new(order))))
+                let command = ReplaceConfig { version, base, content_hash, body: body.to_vec() };
+                ReplaceDecision::Propose(encode_command(LogCommandBody::ReplaceConfig(Box::new(command))))
             }
             Err(error) => ReplaceDecision::Invalid(error),
         }
@@ -104,49 +104,49 @@
     /// What to do about an order to evacuate a zone, or to take it back.
     pub fn decide_evacuation(&self, zone: &str, active: bool) -> EvacuationDecision {
         if self.is_evacuated(zone) == active {
-            return EvacuationDecision::AlreadySo;
+            return EvacuationDecision::AlreadyInEffect;
         }
-        let order = Evacuation { zone: zone.to_string(), active };
-        EvacuationDecision::Take(order_bytes(OrderBody::Evacuation(Box::new(order))))
+        let command = Evacuation { zone: zone.to_string(), active };
+        EvacuationDecision::Propose(encode_command(LogCommandBody::Evacuation(Box::new(command))))
     }
 
     /// The version of a configuration that may follow the one in force.
-    fn check(&self, body: &[u8]) -> Result<u64, ConfigurationError> {
+    fn validate(&self, body: &[u8]) -> Result<u64, ConfigurationError> {
         let configuration = Configuration::parse(body)?;
         configuration.check_follows(self.version)?;
         Ok(configuration.version)
     }
 
     /// Takes a configuration if it builds on the one in force.
-    fn replace(&mut self, order: ReplaceConfig, index: u64) {
-        if order.base != self.version || order.version <= self.version {
+    fn apply_replacement(&mut self, command: ReplaceConfig, index: u64) {
+        if command.base != self.version || command.version <= self.version {
             return;
         }
-        let ReplaceConfig { version, base, content_hash, body } = order;
-        self.history.push(TakenConfig { version, base, content_hash });
+        let ReplaceConfig { version, base, content_hash, body } = command;
+        self.history.push(AppliedConfig { version, base, content_hash });
         self.version = version;
         self.body = body.into();
         self.config_index = index;
     }
 
-    fn evacuate(&mut self, order: Evacuation, index: u64) {
-        if order.active {
-            self.evacuated.entry(order.zone).or_insert(index);
+    fn apply_evacuation(&mut self, command: Evacuation, index: u64) {
+        if command.active {
+            self.evacuated.entry(command.zone).or_insert(index);
         } else {
-            self.evacuated.remove(&order.zone);
+            self.evacuated.remove(&command.zone);
         }
     }
 }
 
 impl StateMachine for ControlState {
     fn apply(&mut self, entry: &Entry) {
-        let order: Order = match decode_value::<OrderRef<'_>, _>(&entry.payload) {
-            Ok(order) => order,
+        let command: LogCommand = match decode_value::<LogCommandRef<'_>, _>(&entry.payload) {
+            Ok(command) => command,
             Err(error) => return log::error!("log entry {} is passed over: {error}", entry.index),
         };
-        match order.body {
-            Some(OrderBody::ReplaceConfig(order)) => self.replace(*order, entry.index),
-            Some(OrderBody::Evacuation(order)) => self.evacuate(*order, entry.index),
+        match command.body {
+            Some(LogCommandBody::ReplaceConfig(command)) => self.apply_replacement(*command, entry.index),
+            Some(LogCommandBody::Evacuation(command)) => self.apply_evacuation(*command, entry.index),
             None => {}
         }
     }
@@ -182,6 +182,6 @@
     }
 }
 
-fn order_bytes(body: OrderBody) -> Vec<u8> {
-    encode_value::<Order>(&Order { body: Some(body) })
+fn encode_command(body: LogCommandBody) -> Vec<u8> {
+    encode_value::<LogCommand>(&LogCommand { body: Some(body) })
 }
--- a/crates/control-state/src/published.rs
+++ b/crates/control-state/src/published.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 /// All items that a control state is published as: the configuration and the evacuated zones.
-pub fn items_of(state: &ControlState) -> BTreeMap<String, Vec<u8>> {
+pub fn published_items(state: &ControlState) -> BTreeMap<String, Vec<u8>> {
     let mut items = match state.configuration() {
         Ok(Some(configuration)) => configuration.to_items(),
         Ok(None) => BTreeMap::new(),
--- a/crates/control-state/tests/control_state.rs
+++ b/crates/control-state/tests/control_state.rs
@@ -29,7 +29,7 @@
     /// Decides on a configuration and appends it if it is to be taken.
     fn replace(&mut self, base: u64, body: &[u8]) -> ReplaceDecision {
         let decision = self.state.decide_replace(base, body);
-        if let ReplaceDecision::Take(payload) = &decision {
+        if let ReplaceDecision::Propose(payload) = &decision {
             self.append(payload.clone());
         }
         decision
@@ -37,12 +37,12 @@
 
     fn take(&mut self, base: u64, body: &[u8]) {
         let decision = self.replace(base, body);
-        assert!(matches!(decision, ReplaceDecision::Take(_)), "{decision:?}");
+        assert!(matches!(decision, ReplaceDecision::Propose(_)), "{decision:?}");
     }
 
     fn evacuate(&mut self, zone: &str, active: bool) -> EvacuationDecision {
         let decision = self.state.decide_evacuation(zone, active);
-        if let EvacuationDecision::Take(payload) = &decision {
+        if let EvacuationDecision::Propose(payload) = &decision {
             self.append(payload.clone());
         }
         decision
@@ -51,7 +51,7 @@
 
 fn payload(decision: ReplaceDecision) -> Vec<u8> {
     match decision {
-        ReplaceDecision::Take(payload) => payload,
+        ReplaceDecision::Propose(payload) => payload,
         other => panic!("{other:?}"),
     }
 }
@@ -85,10 +85,10 @@
     let (five, other_five) = (valid(5, 1, 1000), valid(5, 1, 2000));
     let mut replica = Replica::default();
     replica.take(0, &three);
-    assert_eq!(replica.replace(0, &three), ReplaceDecision::AlreadyTaken);
+    assert_eq!(replica.replace(0, &three), ReplaceDecision::AlreadyApplied);
     assert_eq!(replica.replace(0, &other_three), ReplaceDecision::Conflict { current: 3 });
     replica.take(3, &five);
-    assert_eq!(replica.replace(0, &three), ReplaceDecision::AlreadyTaken);
+    assert_eq!(replica.replace(0, &three), ReplaceDecision::AlreadyApplied);
     assert_eq!(replica.replace(3, &other_five), ReplaceDecision::Conflict { current: 5 });
     let not_above = |version| ConfigurationError::VersionNotAbove { version, current: 5 };
     assert_eq!(replica.replace(5, &five), ReplaceDecision::Invalid(not_above(5)));
@@ -113,7 +113,7 @@
     replica.append(second);
     replica.append(again);
     assert_eq!(replica.state.body(), Some(one.as_slice()));
-    assert_eq!(replica.replace(3, &one), ReplaceDecision::AlreadyTaken);
+    assert_eq!(replica.replace(3, &one), ReplaceDecision::AlreadyApplied);
     assert_eq!(replica.replace(3, &other), ReplaceDecision::Conflict { current: 5 });
     assert_eq!(replica.state.config_index(), 2);
 }
@@ -121,11 +121,11 @@
 #[test]
 fn a_zone_is_evacuated_and_taken_back() {
     let mut replica = Replica::default();
-    assert_eq!(replica.evacuate("a", false), EvacuationDecision::AlreadySo);
-    assert!(matches!(replica.evacuate("a", true), EvacuationDecision::Take(_)));
-    assert_eq!(replica.evacuate("a", true), EvacuationDecision::AlreadySo);
-    assert!(matches!(replica.evacuate("b", true), EvacuationDecision::Take(_)));
-    assert!(matches!(replica.evacuate("a", false), EvacuationDecision::Take(_)));
+    assert_eq!(replica.evacuate("a", false), EvacuationDecision::AlreadyInEffect);
+    assert!(matches!(replica.evacuate("a", true), EvacuationDecision::Propose(_)));
+    assert_eq!(replica.evacuate("a", true), EvacuationDecision::AlreadyInEffect);
+    assert!(matches!(replica.evacuate("b", true), EvacuationDecision::Propose(_)));
+    assert!(matches!(replica.evacuate("a", false), EvacuationDecision::Propose(_)));
     assert!(!replica.state.is_evacuated("a") && replica.state.is_evacuated("b"));
     assert_eq!(replica.state.evacuated_zones().collect::<Vec<_>>(), ["b"]);
 }
@@ -143,10 +143,10 @@
     }
     let current = HISTORY_LENGTH as u64 + 1;
     for state in [&replica.state, &restored(&replica.state)] {
-        let forgotten = ReplaceDecision::Forgotten { oldest: 1 };
+        let forgotten = ReplaceDecision::HistoryExpired { oldest: 1 };
         assert_eq!(state.decide_replace(0, &small(1, "a")), forgotten);
         assert_eq!(state.decide_replace(0, &small(1, "b")), forgotten);
-        assert_eq!(state.decide_replace(1, &small(2, "a")), ReplaceDecision::AlreadyTaken);
+        assert_eq!(state.decide_replace(1, &small(2, "a")), ReplaceDecision::AlreadyApplied);
         assert_eq!(state.decide_replace(1, &small(2, "b")), ReplaceDecision::Conflict { current });
     }
     assert_eq!(restored(&replica.state), replica.state);
@@ -173,7 +173,7 @@
     assert_eq!(replica.replace(3, &loser), ReplaceDecision::Conflict { current: 5 });
     replica.take(5, &valid(6, 1, 3000));
     assert_eq!(replica.replace(3, &loser), ReplaceDecision::Conflict { current: 6 });
-    assert_eq!(replica.replace(3, &valid(5, 1, 1000)), ReplaceDecision::AlreadyTaken);
+    assert_eq!(replica.replace(3, &valid(5, 1, 1000)), ReplaceDecision::AlreadyApplied);
     // The same bytes on another base are another order: the number is in use.
     assert!(matches!(replica.replace(6, &loser), ReplaceDecision::Invalid(_)));
 }
@@ -195,7 +195,7 @@
     let first = payload(replica.state.decide_replace(3, &both));
     let second = payload(replica.state.decide_replace(3, &both));
     replica.append(first);
-    assert_eq!(replica.replace(3, &both), ReplaceDecision::AlreadyTaken);
+    assert_eq!(replica.replace(3, &both), ReplaceDecision::AlreadyApplied);
     assert!(!changes(&replica.state, second), "the second entry of the same order changes nothing");
 }
 
@@ -204,9 +204,12 @@
 fn a_late_evacuation_is_taken_as_a_new_one() {
     let mut replica = Replica::default();
     for active in [true, false, true, false] {
-        assert!(matches!(replica.evacuate("a", active), EvacuationDecision::Take(_)));
-        assert_eq!(replica.evacuate("a", active), EvacuationDecision::AlreadySo);
-        assert_eq!(restored(&replica.state).decide_evacuation("a", active), EvacuationDecision::AlreadySo);
+        assert!(matches!(replica.evacuate("a", active), EvacuationDecision::Propose(_)));
+        assert_eq!(replica.evacuate("a", active), EvacuationDecision::AlreadyInEffect);
+        assert_eq!(
+            restored(&replica.state).decide_evacuation("a", active),
+            EvacuationDecision::AlreadyInEffect
+        );
         assert_eq!(replica.state.is_evacuated("a"), active);
     }
 }
@@ -343,7 +346,7 @@
                 taken.push((before, replica.state.body().expect("taken").to_vec()));
             }
         }
-        taken.iter().all(|(base, body)| replica.state.decide_replace(*base, body) == ReplaceDecision::AlreadyTaken)
+        taken.iter().all(|(base, body)| replica.state.decide_replace(*base, body) == ReplaceDecision::AlreadyApplied)
     }
 
     fn any_snapshot_is_read_or_refused(bytes: Vec<u8>) -> bool {
--- a/crates/control-state/tests/published.rs
+++ b/crates/control-state/tests/published.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use quickcheck::{quickcheck, Arbitrary, Gen};
-use quillpulley_control_state::{items_of, ControlState, ReplaceDecision};
+use quillpulley_control_state::{published_items, ControlState, ReplaceDecision};
 use quillpulley_protocol::Entry;
 use quillpulley_replication::StateMachine;
 use quillpulley_serving_config::published::*;
@@ -49,18 +49,18 @@
 #[test]
 fn a_state_is_published_whole() {
     let mut state = ControlState::default();
-    assert_eq!(items_of(&state), BTreeMap::new());
+    assert_eq!(published_items(&state), BTreeMap::new());
     let orders = [state.decide_replace(0, &valid(3, 2, 1000))];
     for (index, order) in orders.into_iter().enumerate() {
-        let ReplaceDecision::Take(payload) = order else { panic!("{order:?}") };
+        let ReplaceDecision::Propose(payload) = order else { panic!("{order:?}") };
         state.apply(&Entry { epoch: 1, index: index as u64 + 1, payload });
     }
-    let quillpulley_control_state::EvacuationDecision::Take(payload) = state.decide_evacuation("z", true)
+    let quillpulley_control_state::EvacuationDecision::Propose(payload) = state.decide_evacuation("z", true)
     else {
         panic!("not yet evacuated")
     };
     state.apply(&Entry { epoch: 1, index: 2, payload });
-    let items = items_of(&state);
+    let items = published_items(&state);
     let keys: Vec<&str> = items.keys().map(String::as_str).collect();
     assert_eq!(keys, ["config", "evacuated/z", "route/h.example//0/", "route/h.example//1/"]);
     assert!(items["evacuated/z"].is_empty());
@@ -75,8 +75,8 @@
         (route_key("h", "/a/"), PublishedKey::Route("h//a/")),
         (evacuated_key("a/b"), PublishedKey::Evacuated("a/b")),
         (server_key("i-1"), PublishedKey::Server("i-1")),
-        (front_key("front-1"), PublishedKey::Front("front-1")),
-        (core_key(address), PublishedKey::Core(address)),
+        (endpoint_key("front-1"), PublishedKey::ProxyEndpoint("front-1")),
+        (control_node_key(address), PublishedKey::ControlNode(address)),
     ];
     for (key, parts) in keys {
         assert_eq!(PublishedKey::parse(&key), Some(parts), "{key}");
--- a/crates/load-balancer/src/balancer/requests.rs
+++ b/crates/load-balancer/src/balancer/requests.rs
@@ -35,7 +35,7 @@
     /// The server is well, and stays cold for this long, if it told.
     Well {
         /// For how long it stays cold; zero for a warm one.
-        warmup_left: Option<Duration>,
+        warmup_remaining: Option<Duration>,
     },
     /// It is not well, or did not answer.
     Failed,
@@ -147,9 +147,9 @@
                     server.health.handle(now, Event::CheckFailed);
                 }
             }
-            Probe::Well { warmup_left } => {
+            Probe::Well { warmup_remaining } => {
                 self.heard_well(now, key);
-                if let Some(left) = warmup_left {
+                if let Some(left) = warmup_remaining {
                     self.learn_cold(now, key, left);
                 }
             }
--- a/crates/load-balancer/src/balancer/server.rs
+++ b/crates/load-balancer/src/balancer/server.rs
@@ -145,9 +145,9 @@
     }
 
     fn take_entry(&mut self, now: Duration, entry: &wire::Server) {
-        let leaving = entry.state == wire::ServerState::Draining || entry.has_time_left;
+        let leaving = entry.state == wire::ServerState::Draining || entry.has_time_remaining;
         self.listing = self.listing.after(ListingEvent::Listed { leaving });
-        self.set_cold(now, Duration::from_millis(u64::from(entry.warmup_left_ms)));
+        self.set_cold(now, Duration::from_millis(u64::from(entry.warmup_remaining_ms)));
     }
 
     /// It has told, or the list has, for how long it stays cold.
--- a/crates/load-balancer/src/demand.rs
+++ b/crates/load-balancer/src/demand.rs
@@ -31,7 +31,7 @@
     /// The time from its arrival within which an answer earns its full worth.
     pub objective: Duration,
     /// The time until its client gives it up.
-    pub time_left: Duration,
+    pub time_remaining: Duration,
     /// Whether its route asks for affinity.
     pub sticky: bool,
 }
--- a/crates/load-balancer/tests/common/fleet.rs
+++ b/crates/load-balancer/tests/common/fleet.rs
@@ -245,7 +245,7 @@
             body_bytes: kind.body_bytes,
             priority: kind.priority,
             objective: kind.objective,
-            time_left: ms(5_000),
+            time_remaining: ms(5_000),
             sticky: true,
         };
         self.figures.requests += 1;
--- a/crates/load-balancer/tests/common/mod.rs
+++ b/crates/load-balancer/tests/common/mod.rs
@@ -69,9 +69,9 @@
         zone: zone.to_owned(),
         slots,
         state: wire::ServerState::Ready,
-        warmup_left_ms: 0,
-        time_left_ms: 0,
-        has_time_left: false,
+        warmup_remaining_ms: 0,
+        time_remaining_ms: 0,
+        has_time_remaining: false,
     }
 }
 
@@ -94,7 +94,7 @@
         body_bytes: 600,
         priority: 0,
         objective: ms(800),
-        time_left: ms(5_000),
+        time_remaining: ms(5_000),
         sticky: false,
     }
 }
--- a/crates/load-balancer/tests/health.rs
+++ b/crates/load-balancer/tests/health.rs
@@ -137,7 +137,7 @@
     player.check("SSSSSSSSSS", "xxxxxxxxxs");
     player.check("F.....", "s.....");
     assert_eq!(player.balancer.probes_due(player.now), [player.server]);
-    player.balancer.probed(player.now, player.server, Probe::Well { warmup_left: None });
+    player.balancer.probed(player.now, player.server, Probe::Well { warmup_remaining: None });
     player.check("SS", "ss");
 }
 
--- a/crates/load-balancer/tests/listing.rs
+++ b/crates/load-balancer/tests/listing.rs
@@ -60,7 +60,7 @@
 fn a_server_that_is_taken_away_at_short_notice_gets_nothing_more() {
     let mut balancer = lone_balancer();
     put(&mut balancer, &plain("s", "a1"));
-    put(&mut balancer, &Server { has_time_left: true, time_left_ms: 2_000, ..plain("s", "a1") });
+    put(&mut balancer, &Server { has_time_remaining: true, time_remaining_ms: 2_000, ..plain("s", "a1") });
     assert_eq!(chosen(&mut balancer, &demand(PLAIN)), None);
 }
 
@@ -185,8 +185,8 @@
         let service = if number.is_multiple_of(2) { ENGINE } else { PLAIN };
         let entry = Server {
             state: if state == 0 { ServerState::Draining } else { ServerState::Ready },
-            has_time_left: state == 1,
-            warmup_left_ms: if state == 2 { 3_000 } else { 0 },
+            has_time_remaining: state == 1,
+            warmup_remaining_ms: if state == 2 { 3_000 } else { 0 },
             ..server(&format!("s{number}"), service, zone, 4)
         };
         let key = self.balancer.put_server(self.now, &entry).expect("its address can be read");
@@ -211,7 +211,7 @@
         found.is_some_and(|(_, server)| {
             server.service == demand.service
                 && server.state == ServerState::Ready
-                && !server.has_time_left
+                && !server.has_time_remaining
                 && !self.evacuated.contains(&server.zone)
                 && (demand.homes.is_empty() || demand.homes.contains(&server.zone[..1].to_owned()))
         })
--- a/crates/load-balancer/tests/warmup.rs
+++ b/crates/load-balancer/tests/warmup.rs
@@ -12,7 +12,7 @@
 const NOW: Duration = Duration::from_secs(60);
 
 fn cold(id: &str, zone: &str) -> Server {
-    Server { warmup_left_ms: 3_000, ..engine(id, zone) }
+    Server { warmup_remaining_ms: 3_000, ..engine(id, zone) }
 }
 
 fn put(balancer: &mut Balancer, server: &Server) -> ServerKey {
@@ -121,7 +121,7 @@
 #[test]
 fn a_service_without_cold_servers_knows_none() {
     let mut balancer = lone_balancer();
-    let server = balancer.put_server(NOW, &Server { warmup_left_ms: 3_000, ..plain("s", "a1") });
+    let server = balancer.put_server(NOW, &Server { warmup_remaining_ms: 3_000, ..plain("s", "a1") });
     for _ in 0..100 {
         assert_eq!(balancer.choose(NOW, &demand(PLAIN), &[]), server.map_or(Choice::NoServer, Choice::Send));
         let ticket = balancer.begin(NOW, server.expect("it was put"), &demand(PLAIN));
@@ -138,7 +138,7 @@
         balancer.end(NOW, ticket, Outcome::Failed(quillpulley_load_balancer::FailureKind::Connect));
         let back = NOW + ms(4_000);
         assert_eq!(balancer.probes_due(back), [server]);
-        balancer.probed(back, server, Probe::Well { warmup_left: told });
+        balancer.probed(back, server, Probe::Well { warmup_remaining: told });
         let sent = sends_to(&mut balancer, server, back, ms(1_000));
         assert_eq!(most_in_a_second(&sent), most);
     }
@@ -178,7 +178,7 @@
     let mut sent = Vec::new();
     for (number, own) in all.iter().enumerate() {
         let mut balancer = balancer(&own.name, &own.place.zone, &all);
-        let entry = Server { warmup_left_ms: 10_000, ..cold("s", ZONES[cut.server_zone]) };
+        let entry = Server { warmup_remaining_ms: 10_000, ..cold("s", ZONES[cut.server_zone]) };
         put(&mut balancer, &entry);
         let side = cut.limiters[number].1;
         let reached = all.iter().zip(&cut.limiters).filter(|(_, (_, other))| *other == side);
--- a/crates/protocol/src/generated.rs
+++ b/crates/protocol/src/generated.rs
@@ -14,15 +14,15 @@
     /// Generated from these locations:
     /// * File `protocol.fbs`
     pub mod quillpulley {
-        /// The namespace `quillpulley.wire`
+        /// The namespace `quillpulley.protocol`
         ///
         /// Generated from these locations:
         /// * File `protocol.fbs`
-        pub mod wire {
-            ///  A core process by its IPv4 address and the life of its disk: a wiped disk gets a new incarnation.
+        pub mod protocol {
+            ///  A control node: its IPv4 address and the incarnation of its disk. A wiped disk gets a new incarnation.
             ///
             /// Generated from these locations:
-            /// * Struct `NodeId` in the file `protocol.fbs:8`
+            /// * Struct `NodeId` in the file `protocol.fbs:10`
             #[derive(
                 Copy,
                 Clone,
@@ -221,10 +221,10 @@
                 }
             }
 
-            ///  The end of a log: entries are ordered by index, and made unique by the epoch that wrote them.
+            ///  A position in the replicated log. Entries are ordered by index and made unique by the epoch that wrote them.
             ///
             /// Generated from these locations:
-            /// * Struct `Position` in the file `protocol.fbs:11`
+            /// * Struct `Position` in the file `protocol.fbs:13`
             #[derive(
                 Copy,
                 Clone,
@@ -422,10 +422,10 @@
                 }
             }
 
-            ///  The as-of stamp of published state: the primary's epoch and its running count of lease-checked ticks.
+            ///  The revision of published state: the epoch of the primary and its count of publications under its lease.
             ///
             /// Generated from these locations:
-            /// * Struct `Stamp` in the file `protocol.fbs:14`
+            /// * Struct `Revision` in the file `protocol.fbs:16`
             #[derive(
                 Copy,
                 Clone,
@@ -439,23 +439,23 @@
                 ::serde::Serialize,
                 ::serde::Deserialize,
             )]
-            pub struct Stamp {
-                /// The field `epoch` in the struct `Stamp`
+            pub struct Revision {
+                /// The field `epoch` in the struct `Revision`
                 pub epoch: u64,
 
-                /// The field `tick` in the struct `Stamp`
+                /// The field `tick` in the struct `Revision`
                 pub tick: u64,
             }
 
             /// # Safety
             /// The Planus compiler correctly calculates `ALIGNMENT` and `SIZE`.
-            unsafe impl ::planus::Primitive for Stamp {
+            unsafe impl ::planus::Primitive for Revision {
                 const ALIGNMENT: usize = 8;
                 const SIZE: usize = 16;
             }
 
             #[allow(clippy::identity_op)]
-            impl ::planus::WriteAsPrimitive<Stamp> for Stamp {
+            impl ::planus::WriteAsPrimitive<Revision> for Revision {
                 #[inline]
                 fn write<const N: usize>(&self, cursor: ::planus::Cursor<'_, N>, buffer_position: u32) {
                     let (cur, cursor) = cursor.split::<8, 8>();
@@ -466,9 +466,9 @@
                 }
             }
 
-            impl ::planus::WriteAsOffset<Stamp> for Stamp {
+            impl ::planus::WriteAsOffset<Revision> for Revision {
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<Stamp> {
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<Revision> {
                     unsafe {
                         builder.write_with(16, 7, |buffer_position, bytes| {
                             let bytes = bytes.as_mut_ptr();
@@ -486,7 +486,7 @@
                 }
             }
 
-            impl ::planus::WriteAs<Stamp> for Stamp {
+            impl ::planus::WriteAs<Revision> for Revision {
                 type Prepared = Self;
                 #[inline]
                 fn prepare(&self, _builder: &mut ::planus::Builder) -> Self {
@@ -494,7 +494,7 @@
                 }
             }
 
-            impl ::planus::WriteAsOptional<Stamp> for Stamp {
+            impl ::planus::WriteAsOptional<Revision> for Revision {
                 type Prepared = Self;
                 #[inline]
                 fn prepare(&self, _builder: &mut ::planus::Builder) -> ::core::option::Option<Self> {
@@ -502,19 +502,19 @@
                 }
             }
 
-            /// Reference to a deserialized [Stamp].
+            /// Reference to a deserialized [Revision].
             #[derive(Copy, Clone)]
-            pub struct StampRef<'a>(::planus::ArrayWithStartOffset<'a, 16>);
+            pub struct RevisionRef<'a>(::planus::ArrayWithStartOffset<'a, 16>);
 
-            impl<'a> StampRef<'a> {
-                /// Getter for the [`epoch` field](Stamp#structfield.epoch).
+            impl<'a> RevisionRef<'a> {
+                /// Getter for the [`epoch` field](Revision#structfield.epoch).
                 pub fn epoch(&self) -> u64 {
                     let buffer = self.0.advance_as_array::<8>(0).unwrap();
 
                     u64::from_le_bytes(*buffer.as_array())
                 }
 
-                /// Getter for the [`tick` field](Stamp#structfield.tick).
+                /// Getter for the [`tick` field](Revision#structfield.tick).
                 pub fn tick(&self) -> u64 {
                     let buffer = self.0.advance_as_array::<8>(8).unwrap();
 
@@ -522,55 +522,58 @@
                 }
             }
 
-            impl<'a> ::core::fmt::Debug for StampRef<'a> {
+            impl<'a> ::core::fmt::Debug for RevisionRef<'a> {
                 fn fmt(&self, f: &mut ::core::fmt::Formatter<'_>) -> ::core::fmt::Result {
-                    let mut f = f.debug_struct("StampRef");
+                    let mut f = f.debug_struct("RevisionRef");
                     f.field("epoch", &self.epoch());
                     f.field("tick", &self.tick());
                     f.finish()
                 }
             }
 
-            impl<'a> ::core::convert::From<::planus::ArrayWithStartOffset<'a, 16>> for StampRef<'a> {
+            impl<'a> ::core::convert::From<::planus::ArrayWithStartOffset<'a, 16>> for RevisionRef<'a> {
                 fn from(array: ::planus::ArrayWithStartOffset<'a, 16>) -> Self {
                     Self(array)
                 }
             }
 
-            impl<'a> ::core::convert::From<StampRef<'a>> for Stamp {
+            impl<'a> ::core::convert::From<RevisionRef<'a>> for Revision {
                 #[allow(unreachable_code)]
-                fn from(value: StampRef<'a>) -> Self {
+                fn from(value: RevisionRef<'a>) -> Self {
                     Self { epoch: value.epoch(), tick: value.tick() }
                 }
             }
 
-            impl<'a, 'b> ::core::cmp::PartialEq<StampRef<'a>> for StampRef<'b> {
-                fn eq(&self, other: &StampRef<'_>) -> bool {
+            impl<'a, 'b> ::core::cmp::PartialEq<RevisionRef<'a>> for RevisionRef<'b> {
+                fn eq(&self, other: &RevisionRef<'_>) -> bool {
                     self.epoch() == other.epoch() && self.tick() == other.tick()
                 }
             }
 
-            impl<'a> ::core::cmp::Eq for StampRef<'a> {}
-            impl<'a, 'b> ::core::cmp::PartialOrd<StampRef<'a>> for StampRef<'b> {
-                fn partial_cmp(&self, other: &StampRef<'_>) -> ::core::option::Option<::core::cmp::Ordering> {
+            impl<'a> ::core::cmp::Eq for RevisionRef<'a> {}
+            impl<'a, 'b> ::core::cmp::PartialOrd<RevisionRef<'a>> for RevisionRef<'b> {
+                fn partial_cmp(
+                    &self,
+                    other: &RevisionRef<'_>,
+                ) -> ::core::option::Option<::core::cmp::Ordering> {
                     ::core::option::Option::Some(::core::cmp::Ord::cmp(self, other))
                 }
             }
 
-            impl<'a> ::core::cmp::Ord for StampRef<'a> {
-                fn cmp(&self, other: &StampRef<'_>) -> ::core::cmp::Ordering {
+            impl<'a> ::core::cmp::Ord for RevisionRef<'a> {
+                fn cmp(&self, other: &RevisionRef<'_>) -> ::core::cmp::Ordering {
                     self.epoch().cmp(&other.epoch()).then_with(|| self.tick().cmp(&other.tick()))
                 }
             }
 
-            impl<'a> ::core::hash::Hash for StampRef<'a> {
+            impl<'a> ::core::hash::Hash for RevisionRef<'a> {
                 fn hash<H: ::core::hash::Hasher>(&self, state: &mut H) {
                     self.epoch().hash(state);
                     self.tick().hash(state);
                 }
             }
 
-            impl<'a> ::planus::TableRead<'a> for StampRef<'a> {
+            impl<'a> ::planus::TableRead<'a> for RevisionRef<'a> {
                 #[inline]
                 fn from_buffer(
                     buffer: ::planus::SliceWithStartOffset<'a>,
@@ -581,7 +584,7 @@
                 }
             }
 
-            impl<'a> ::planus::VectorRead<'a> for StampRef<'a> {
+            impl<'a> ::planus::VectorRead<'a> for RevisionRef<'a> {
                 const STRIDE: usize = 16;
 
                 #[inline]
@@ -593,10 +596,10 @@
             /// # Safety
             /// The planus compiler generates implementations that initialize
             /// the bytes in `write_values`.
-            unsafe impl ::planus::VectorWrite<Stamp> for Stamp {
+            unsafe impl ::planus::VectorWrite<Revision> for Revision {
                 const STRIDE: usize = 16;
 
-                type Value = Stamp;
+                type Value = Revision;
 
                 #[inline]
                 fn prepare(&self, _builder: &mut ::planus::Builder) -> Self::Value {
@@ -605,7 +608,7 @@
 
                 #[inline]
                 unsafe fn write_values(
-                    values: &[Stamp],
+                    values: &[Revision],
                     bytes: *mut ::core::mem::MaybeUninit<u8>,
                     buffer_position: u32,
                 ) {
@@ -620,10 +623,10 @@
                 }
             }
 
-            ///  Who holds the control state in an epoch, and who decides on the next one.
+            ///  The configuration of the replication in an epoch: who holds the data, and who decides on the next view.
             ///
             /// Generated from these locations:
-            /// * Table `View` in the file `protocol.fbs:17`
+            /// * Table `View` in the file `protocol.fbs:19`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -636,7 +639,7 @@
                 pub backups: ::planus::alloc::vec::Vec<self::NodeId>,
                 /// The field `witnesses` in the table `View`
                 pub witnesses: ::planus::alloc::vec::Vec<self::NodeId>,
-                ///  The witnesses of the view before; both sets must accept until the view is activated.
+                ///  The witnesses of the view before. Majorities of both sets must accept until the view is activated.
                 pub previous_witnesses: ::planus::alloc::vec::Vec<self::NodeId>,
                 /// The field `activated` in the table `View`
                 pub activated: bool,
@@ -1049,10 +1052,10 @@
                 }
             }
 
-            /// The table `Entry` in the namespace `quillpulley.wire`
+            ///  An entry of the replicated log. An empty payload only marks the begin of an epoch.
             ///
             /// Generated from these locations:
-            /// * Table `Entry` in the file `protocol.fbs:27`
+            /// * Table `Entry` in the file `protocol.fbs:30`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -1368,10 +1371,10 @@
                 }
             }
 
-            /// The enum `PeerKind` in the namespace `quillpulley.wire`
+            /// The enum `PeerKind` in the namespace `quillpulley.protocol`
             ///
             /// Generated from these locations:
-            /// * Enum `PeerKind` in the file `protocol.fbs:31`
+            /// * Enum `PeerKind` in the file `protocol.fbs:34`
             #[derive(
                 Copy,
                 Clone,
@@ -1535,10 +1538,10 @@
                 }
             }
 
-            /// The table `Hello` in the namespace `quillpulley.wire`
+            ///  The first message on every connection, in both directions.
             ///
             /// Generated from these locations:
-            /// * Table `Hello` in the file `protocol.fbs:33`
+            /// * Table `Hello` in the file `protocol.fbs:37`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -1553,8 +1556,8 @@
                 pub zone: ::planus::alloc::string::String,
                 /// The field `region` in the table `Hello`
                 pub region: ::planus::alloc::string::String,
-                ///  The address of the control API, for core processes.
-                pub control: ::planus::alloc::string::String,
+                ///  The address of the operator's API, of control nodes.
+                pub control_address: ::planus::alloc::string::String,
             }
 
             #[allow(clippy::derivable_impls)]
@@ -1566,7 +1569,7 @@
                         name: ::core::default::Default::default(),
                         zone: ::core::default::Default::default(),
                         region: ::core::default::Default::default(),
-                        control: ::core::default::Default::default(),
+                        control_address: ::core::default::Default::default(),
                     }
                 }
             }
@@ -1586,14 +1589,14 @@
                     field_name: impl ::planus::WriteAs<::planus::Offset<str>>,
                     field_zone: impl ::planus::WriteAs<::planus::Offset<str>>,
                     field_region: impl ::planus::WriteAs<::planus::Offset<str>>,
-                    field_control: impl ::planus::WriteAs<::planus::Offset<str>>,
+                    field_control_address: impl ::planus::WriteAs<::planus::Offset<str>>,
                 ) -> ::planus::Offset<Self> {
                     let prepared_kind = field_kind.prepare(builder, &self::PeerKind::Control);
                     let prepared_node = field_node.prepare(builder);
                     let prepared_name = field_name.prepare(builder);
                     let prepared_zone = field_zone.prepare(builder);
                     let prepared_region = field_region.prepare(builder);
-                    let prepared_control = field_control.prepare(builder);
+                    let prepared_control_address = field_control_address.prepare(builder);
 
                     let mut table_writer: ::planus::table_writer::TableWriter<16> =
                         ::core::default::Default::default();
@@ -1612,7 +1615,7 @@
                             object_writer.write::<_, _, 4>(&prepared_name);
                             object_writer.write::<_, _, 4>(&prepared_zone);
                             object_writer.write::<_, _, 4>(&prepared_region);
-                            object_writer.write::<_, _, 4>(&prepared_control);
+                            object_writer.write::<_, _, 4>(&prepared_control_address);
                             if let ::core::option::Option::Some(prepared_kind) = prepared_kind {
                                 object_writer.write::<_, _, 1>(&prepared_kind);
                             }
@@ -1653,7 +1656,7 @@
                         &self.name,
                         &self.zone,
                         &self.region,
-                        &self.control,
+                        &self.control_address,
                     )
                 }
             }
@@ -1737,10 +1740,10 @@
             }
 
             impl<T0, T1, T2, T3, T4> HelloBuilder<(T0, T1, T2, T3, T4)> {
-                /// Setter for the [`control` field](Hello#structfield.control).
+                /// Setter for the [`control_address` field](Hello#structfield.control_address).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn control<T5>(self, value: T5) -> HelloBuilder<(T0, T1, T2, T3, T4, T5)>
+                pub fn control_address<T5>(self, value: T5) -> HelloBuilder<(T0, T1, T2, T3, T4, T5)>
                 where
                     T5: ::planus::WriteAs<::planus::Offset<str>>,
                 {
@@ -1851,10 +1854,10 @@
                     self.0.access_required(4, "Hello", "region")
                 }
 
-                /// Getter for the [`control` field](Hello#structfield.control).
+                /// Getter for the [`control_address` field](Hello#structfield.control_address).
                 #[inline]
-                pub fn control(&self) -> ::planus::Result<&'a ::core::primitive::str> {
-                    self.0.access_required(5, "Hello", "control")
+                pub fn control_address(&self) -> ::planus::Result<&'a ::core::primitive::str> {
+                    self.0.access_required(5, "Hello", "control_address")
                 }
             }
 
@@ -1866,7 +1869,7 @@
                     f.field("name", &self.name());
                     f.field("zone", &self.zone());
                     f.field("region", &self.region());
-                    f.field("control", &self.control());
+                    f.field("control_address", &self.control_address());
                     f.finish()
                 }
             }
@@ -1882,7 +1885,7 @@
                         name: ::core::convert::Into::into(value.name()?),
                         zone: ::core::convert::Into::into(value.zone()?),
                         region: ::core::convert::Into::into(value.region()?),
-                        control: ::core::convert::Into::into(value.control()?),
+                        control_address: ::core::convert::Into::into(value.control_address()?),
                     })
                 }
             }
@@ -1951,30 +1954,30 @@
                 }
             }
 
-            ///  The addresses of the core processes that the sender knows.
+            ///  The addresses of the control nodes that the sender knows.
             ///
             /// Generated from these locations:
-            /// * Table `Cores` in the file `protocol.fbs:46`
+            /// * Table `ControlNodes` in the file `protocol.fbs:50`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
-            pub struct Cores {
-                /// The field `addresses` in the table `Cores`
+            pub struct ControlNodes {
+                /// The field `addresses` in the table `ControlNodes`
                 pub addresses: ::planus::alloc::vec::Vec<u32>,
             }
 
             #[allow(clippy::derivable_impls)]
-            impl ::core::default::Default for Cores {
+            impl ::core::default::Default for ControlNodes {
                 fn default() -> Self {
                     Self { addresses: ::core::default::Default::default() }
                 }
             }
 
-            impl Cores {
-                /// Creates a [CoresBuilder] for serializing an instance of this table.
+            impl ControlNodes {
+                /// Creates a [ControlNodesBuilder] for serializing an instance of this table.
                 #[inline]
-                pub fn builder() -> CoresBuilder<()> {
-                    CoresBuilder(())
+                pub fn builder() -> ControlNodesBuilder<()> {
+                    ControlNodesBuilder(())
                 }
 
                 #[allow(clippy::too_many_arguments)]
@@ -1997,127 +2000,129 @@
                 }
             }
 
-            impl ::planus::WriteAs<::planus::Offset<Cores>> for Cores {
+            impl ::planus::WriteAs<::planus::Offset<ControlNodes>> for ControlNodes {
                 type Prepared = ::planus::Offset<Self>;
 
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<Cores> {
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<ControlNodes> {
                     ::planus::WriteAsOffset::prepare(self, builder)
                 }
             }
 
-            impl ::planus::WriteAsOptional<::planus::Offset<Cores>> for Cores {
+            impl ::planus::WriteAsOptional<::planus::Offset<ControlNodes>> for ControlNodes {
                 type Prepared = ::planus::Offset<Self>;
 
                 #[inline]
                 fn prepare(
                     &self,
                     builder: &mut ::planus::Builder,
-                ) -> ::core::option::Option<::planus::Offset<Cores>> {
+                ) -> ::core::option::Option<::planus::Offset<ControlNodes>> {
                     ::core::option::Option::Some(::planus::WriteAsOffset::prepare(self, builder))
                 }
             }
 
-            impl ::planus::WriteAsOffset<Cores> for Cores {
+            impl ::planus::WriteAsOffset<ControlNodes> for ControlNodes {
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<Cores> {
-                    Cores::create(builder, &self.addresses)
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<ControlNodes> {
+                    ControlNodes::create(builder, &self.addresses)
                 }
             }
 
-            /// Builder for serializing an instance of the [Cores] type.
+            /// Builder for serializing an instance of the [ControlNodes] type.
             ///
-            /// Can be created using the [Cores::builder] method.
+            /// Can be created using the [ControlNodes::builder] method.
             #[derive(Debug)]
             #[must_use]
-            pub struct CoresBuilder<State>(State);
+            pub struct ControlNodesBuilder<State>(State);
 
-            impl CoresBuilder<()> {
-                /// Setter for the [`addresses` field](Cores#structfield.addresses).
+            impl ControlNodesBuilder<()> {
+                /// Setter for the [`addresses` field](ControlNodes#structfield.addresses).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn addresses<T0>(self, value: T0) -> CoresBuilder<(T0,)>
+                pub fn addresses<T0>(self, value: T0) -> ControlNodesBuilder<(T0,)>
                 where
                     T0: ::planus::WriteAs<::planus::Offset<[u32]>>,
                 {
-                    CoresBuilder((value,))
+                    ControlNodesBuilder((value,))
                 }
             }
 
-            impl<T0> CoresBuilder<(T0,)> {
-                /// Finish writing the builder to get an [Offset](::planus::Offset) to a serialized [Cores].
+            impl<T0> ControlNodesBuilder<(T0,)> {
+                /// Finish writing the builder to get an [Offset](::planus::Offset) to a serialized [ControlNodes].
                 #[inline]
-                pub fn finish(self, builder: &mut ::planus::Builder) -> ::planus::Offset<Cores>
+                pub fn finish(self, builder: &mut ::planus::Builder) -> ::planus::Offset<ControlNodes>
                 where
-                    Self: ::planus::WriteAsOffset<Cores>,
+                    Self: ::planus::WriteAsOffset<ControlNodes>,
                 {
                     ::planus::WriteAsOffset::prepare(&self, builder)
                 }
             }
 
-            impl<T0: ::planus::WriteAs<::planus::Offset<[u32]>>> ::planus::WriteAs<::planus::Offset<Cores>>
-                for CoresBuilder<(T0,)>
+            impl<T0: ::planus::WriteAs<::planus::Offset<[u32]>>>
+                ::planus::WriteAs<::planus::Offset<ControlNodes>> for ControlNodesBuilder<(T0,)>
             {
-                type Prepared = ::planus::Offset<Cores>;
+                type Prepared = ::planus::Offset<ControlNodes>;
 
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<Cores> {
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<ControlNodes> {
                     ::planus::WriteAsOffset::prepare(self, builder)
                 }
             }
 
             impl<T0: ::planus::WriteAs<::planus::Offset<[u32]>>>
-                ::planus::WriteAsOptional<::planus::Offset<Cores>> for CoresBuilder<(T0,)>
+                ::planus::WriteAsOptional<::planus::Offset<ControlNodes>> for ControlNodesBuilder<(T0,)>
             {
-                type Prepared = ::planus::Offset<Cores>;
+                type Prepared = ::planus::Offset<ControlNodes>;
 
                 #[inline]
                 fn prepare(
                     &self,
                     builder: &mut ::planus::Builder,
-                ) -> ::core::option::Option<::planus::Offset<Cores>> {
+                ) -> ::core::option::Option<::planus::Offset<ControlNodes>> {
                     ::core::option::Option::Some(::planus::WriteAsOffset::prepare(self, builder))
                 }
             }
 
-            impl<T0: ::planus::WriteAs<::planus::Offset<[u32]>>> ::planus::WriteAsOffset<Cores> for CoresBuilder<(T0,)> {
+            impl<T0: ::planus::WriteAs<::planus::Offset<[u32]>>> ::planus::WriteAsOffset<ControlNodes>
+                for ControlNodesBuilder<(T0,)>
+            {
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<Cores> {
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<ControlNodes> {
                     let (v0,) = &self.0;
-                    Cores::create(builder, v0)
+                    ControlNodes::create(builder, v0)
                 }
             }
 
-            /// Reference to a deserialized [Cores].
+            /// Reference to a deserialized [ControlNodes].
             #[derive(Copy, Clone)]
-            pub struct CoresRef<'a>(#[allow(dead_code)] ::planus::table_reader::Table<'a>);
+            pub struct ControlNodesRef<'a>(#[allow(dead_code)] ::planus::table_reader::Table<'a>);
 
-            impl<'a> CoresRef<'a> {
-                /// Getter for the [`addresses` field](Cores#structfield.addresses).
+            impl<'a> ControlNodesRef<'a> {
+                /// Getter for the [`addresses` field](ControlNodes#structfield.addresses).
                 #[inline]
                 pub fn addresses(&self) -> ::planus::Result<::planus::Vector<'a, u32>> {
-                    self.0.access_required(0, "Cores", "addresses")
+                    self.0.access_required(0, "ControlNodes", "addresses")
                 }
             }
 
-            impl<'a> ::core::fmt::Debug for CoresRef<'a> {
+            impl<'a> ::core::fmt::Debug for ControlNodesRef<'a> {
                 fn fmt(&self, f: &mut ::core::fmt::Formatter<'_>) -> ::core::fmt::Result {
-                    let mut f = f.debug_struct("CoresRef");
+                    let mut f = f.debug_struct("ControlNodesRef");
                     f.field("addresses", &self.addresses());
                     f.finish()
                 }
             }
 
-            impl<'a> ::core::convert::TryFrom<CoresRef<'a>> for Cores {
+            impl<'a> ::core::convert::TryFrom<ControlNodesRef<'a>> for ControlNodes {
                 type Error = ::planus::Error;
 
                 #[allow(unreachable_code)]
-                fn try_from(value: CoresRef<'a>) -> ::planus::Result<Self> {
+                fn try_from(value: ControlNodesRef<'a>) -> ::planus::Result<Self> {
                     ::core::result::Result::Ok(Self { addresses: value.addresses()?.to_vec()? })
                 }
             }
 
-            impl<'a> ::planus::TableRead<'a> for CoresRef<'a> {
+            impl<'a> ::planus::TableRead<'a> for ControlNodesRef<'a> {
                 #[inline]
                 fn from_buffer(
                     buffer: ::planus::SliceWithStartOffset<'a>,
@@ -2129,7 +2134,7 @@
                 }
             }
 
-            impl<'a> ::planus::VectorReadInner<'a> for CoresRef<'a> {
+            impl<'a> ::planus::VectorReadInner<'a> for ControlNodesRef<'a> {
                 type Error = ::planus::Error;
                 const STRIDE: usize = 4;
 
@@ -2138,7 +2143,7 @@
                     offset: usize,
                 ) -> ::planus::Result<Self> {
                     ::planus::TableRead::from_buffer(buffer, offset).map_err(|error_kind| {
-                        error_kind.with_error_location("[CoresRef]", "get", buffer.offset_from_start)
+                        error_kind.with_error_location("[ControlNodesRef]", "get", buffer.offset_from_start)
                     })
                 }
             }
@@ -2146,8 +2151,8 @@
             /// # Safety
             /// The planus compiler generates implementations that initialize
             /// the bytes in `write_values`.
-            unsafe impl ::planus::VectorWrite<::planus::Offset<Cores>> for Cores {
-                type Value = ::planus::Offset<Cores>;
+            unsafe impl ::planus::VectorWrite<::planus::Offset<ControlNodes>> for ControlNodes {
+                type Value = ::planus::Offset<ControlNodes>;
                 const STRIDE: usize = 4;
                 #[inline]
                 fn prepare(&self, builder: &mut ::planus::Builder) -> Self::Value {
@@ -2156,7 +2161,7 @@
 
                 #[inline]
                 unsafe fn write_values(
-                    values: &[::planus::Offset<Cores>],
+                    values: &[::planus::Offset<ControlNodes>],
                     bytes: *mut ::core::mem::MaybeUninit<u8>,
                     buffer_position: u32,
                 ) {
@@ -2171,20 +2176,22 @@
                 }
             }
 
-            impl<'a> ::planus::ReadAsRoot<'a> for CoresRef<'a> {
+            impl<'a> ::planus::ReadAsRoot<'a> for ControlNodesRef<'a> {
                 fn read_as_root(slice: &'a [u8]) -> ::planus::Result<Self> {
                     ::planus::TableRead::from_buffer(
                         ::planus::SliceWithStartOffset { buffer: slice, offset_from_start: 0 },
                         0,
                     )
-                    .map_err(|error_kind| error_kind.with_error_location("[CoresRef]", "read_as_root", 0))
+                    .map_err(|error_kind| {
+                        error_kind.with_error_location("[ControlNodesRef]", "read_as_root", 0)
+                    })
                 }
             }
 
-            ///  Asks a witness to promise an epoch to a candidate; a trial asks only whether it would.
+            ///  Asks a witness to promise an epoch to a candidate. With `pre_vote` it only asks whether the witness would.
             ///
             /// Generated from these locations:
-            /// * Table `Prepare` in the file `protocol.fbs:48`
+            /// * Table `Prepare` in the file `protocol.fbs:52`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -2193,14 +2200,14 @@
                 pub epoch: u64,
                 /// The field `candidate` in the table `Prepare`
                 pub candidate: self::NodeId,
-                /// The field `trial` in the table `Prepare`
-                pub trial: bool,
+                /// The field `pre_vote` in the table `Prepare`
+                pub pre_vote: bool,
             }
 
             #[allow(clippy::derivable_impls)]
             impl ::core::default::Default for Prepare {
                 fn default() -> Self {
-                    Self { epoch: 0, candidate: ::core::default::Default::default(), trial: false }
+                    Self { epoch: 0, candidate: ::core::default::Default::default(), pre_vote: false }
                 }
             }
 
@@ -2216,11 +2223,11 @@
                     builder: &mut ::planus::Builder,
                     field_epoch: impl ::planus::WriteAsDefault<u64, u64>,
                     field_candidate: impl ::planus::WriteAs<self::NodeId>,
-                    field_trial: impl ::planus::WriteAsDefault<bool, bool>,
+                    field_pre_vote: impl ::planus::WriteAsDefault<bool, bool>,
                 ) -> ::planus::Offset<Self> {
                     let prepared_epoch = field_epoch.prepare(builder, &0);
                     let prepared_candidate = field_candidate.prepare(builder);
-                    let prepared_trial = field_trial.prepare(builder, &false);
+                    let prepared_pre_vote = field_pre_vote.prepare(builder, &false);
 
                     let mut table_writer: ::planus::table_writer::TableWriter<10> =
                         ::core::default::Default::default();
@@ -2228,7 +2235,7 @@
                         table_writer.write_entry::<u64>(0);
                     }
                     table_writer.write_entry::<self::NodeId>(1);
-                    if prepared_trial.is_some() {
+                    if prepared_pre_vote.is_some() {
                         table_writer.write_entry::<bool>(2);
                     }
 
@@ -2238,8 +2245,8 @@
                                 object_writer.write::<_, _, 8>(&prepared_epoch);
                             }
                             object_writer.write::<_, _, 16>(&prepared_candidate);
-                            if let ::core::option::Option::Some(prepared_trial) = prepared_trial {
-                                object_writer.write::<_, _, 1>(&prepared_trial);
+                            if let ::core::option::Option::Some(prepared_pre_vote) = prepared_pre_vote {
+                                object_writer.write::<_, _, 1>(&prepared_pre_vote);
                             }
                         });
                     }
@@ -2271,7 +2278,7 @@
             impl ::planus::WriteAsOffset<Prepare> for Prepare {
                 #[inline]
                 fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<Prepare> {
-                    Prepare::create(builder, self.epoch, self.candidate, self.trial)
+                    Prepare::create(builder, self.epoch, self.candidate, self.pre_vote)
                 }
             }
 
@@ -2315,10 +2322,10 @@
             }
 
             impl<T0, T1> PrepareBuilder<(T0, T1)> {
-                /// Setter for the [`trial` field](Prepare#structfield.trial).
+                /// Setter for the [`pre_vote` field](Prepare#structfield.pre_vote).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn trial<T2>(self, value: T2) -> PrepareBuilder<(T0, T1, T2)>
+                pub fn pre_vote<T2>(self, value: T2) -> PrepareBuilder<(T0, T1, T2)>
                 where
                     T2: ::planus::WriteAsDefault<bool, bool>,
                 {
@@ -2326,11 +2333,11 @@
                     PrepareBuilder((v0, v1, value))
                 }
 
-                /// Sets the [`trial` field](Prepare#structfield.trial) to the default value.
+                /// Sets the [`pre_vote` field](Prepare#structfield.pre_vote) to the default value.
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn trial_as_default(self) -> PrepareBuilder<(T0, T1, ::planus::DefaultValue)> {
-                    self.trial(::planus::DefaultValue)
+                pub fn pre_vote_as_default(self) -> PrepareBuilder<(T0, T1, ::planus::DefaultValue)> {
+                    self.pre_vote(::planus::DefaultValue)
                 }
             }
 
@@ -2406,10 +2413,10 @@
                     self.0.access_required(1, "Prepare", "candidate")
                 }
 
-                /// Getter for the [`trial` field](Prepare#structfield.trial).
+                /// Getter for the [`pre_vote` field](Prepare#structfield.pre_vote).
                 #[inline]
-                pub fn trial(&self) -> ::planus::Result<bool> {
-                    ::core::result::Result::Ok(self.0.access(2, "Prepare", "trial")?.unwrap_or(false))
+                pub fn pre_vote(&self) -> ::planus::Result<bool> {
+                    ::core::result::Result::Ok(self.0.access(2, "Prepare", "pre_vote")?.unwrap_or(false))
                 }
             }
 
@@ -2418,7 +2425,7 @@
                     let mut f = f.debug_struct("PrepareRef");
                     f.field("epoch", &self.epoch());
                     f.field("candidate", &self.candidate());
-                    f.field("trial", &self.trial());
+                    f.field("pre_vote", &self.pre_vote());
                     f.finish()
                 }
             }
@@ -2431,7 +2438,7 @@
                     ::core::result::Result::Ok(Self {
                         epoch: ::core::convert::TryInto::try_into(value.epoch()?)?,
                         candidate: ::core::convert::Into::into(value.candidate()?),
-                        trial: ::core::convert::TryInto::try_into(value.trial()?)?,
+                        pre_vote: ::core::convert::TryInto::try_into(value.pre_vote()?)?,
                     })
                 }
             }
@@ -2500,10 +2507,10 @@
                 }
             }
 
-            /// The table `Promise` in the namespace `quillpulley.wire`
+            ///  Answers `Prepare`. `accepted` is the newest view that the witness has accepted, `last` the end of its log.
             ///
             /// Generated from these locations:
-            /// * Table `Promise` in the file `protocol.fbs:49`
+            /// * Table `Promise` in the file `protocol.fbs:54`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -2518,10 +2525,10 @@
                 pub accepted: ::core::option::Option<::planus::alloc::boxed::Box<self::View>>,
                 /// The field `last` in the table `Promise`
                 pub last: self::Position,
-                /// The field `lease_left_ms` in the table `Promise`
-                pub lease_left_ms: u32,
-                /// The field `trial` in the table `Promise`
-                pub trial: bool,
+                /// The field `lease_remaining_ms` in the table `Promise`
+                pub lease_remaining_ms: u32,
+                /// The field `pre_vote` in the table `Promise`
+                pub pre_vote: bool,
             }
 
             #[allow(clippy::derivable_impls)]
@@ -2533,8 +2540,8 @@
                         promised: 0,
                         accepted: ::core::default::Default::default(),
                         last: ::core::default::Default::default(),
-                        lease_left_ms: 0,
-                        trial: false,
+                        lease_remaining_ms: 0,
+                        pre_vote: false,
                     }
                 }
             }
@@ -2554,16 +2561,16 @@
                     field_promised: impl ::planus::WriteAsDefault<u64, u64>,
                     field_accepted: impl ::planus::WriteAsOptional<::planus::Offset<self::View>>,
                     field_last: impl ::planus::WriteAs<self::Position>,
-                    field_lease_left_ms: impl ::planus::WriteAsDefault<u32, u32>,
-                    field_trial: impl ::planus::WriteAsDefault<bool, bool>,
+                    field_lease_remaining_ms: impl ::planus::WriteAsDefault<u32, u32>,
+                    field_pre_vote: impl ::planus::WriteAsDefault<bool, bool>,
                 ) -> ::planus::Offset<Self> {
                     let prepared_epoch = field_epoch.prepare(builder, &0);
                     let prepared_granted = field_granted.prepare(builder, &false);
                     let prepared_promised = field_promised.prepare(builder, &0);
                     let prepared_accepted = field_accepted.prepare(builder);
                     let prepared_last = field_last.prepare(builder);
-                    let prepared_lease_left_ms = field_lease_left_ms.prepare(builder, &0);
-                    let prepared_trial = field_trial.prepare(builder, &false);
+                    let prepared_lease_remaining_ms = field_lease_remaining_ms.prepare(builder, &0);
+                    let prepared_pre_vote = field_pre_vote.prepare(builder, &false);
 
                     let mut table_writer: ::planus::table_writer::TableWriter<18> =
                         ::core::default::Default::default();
@@ -2577,13 +2584,13 @@
                     if prepared_accepted.is_some() {
                         table_writer.write_entry::<::planus::Offset<self::View>>(3);
                     }
-                    if prepared_lease_left_ms.is_some() {
+                    if prepared_lease_remaining_ms.is_some() {
                         table_writer.write_entry::<u32>(5);
                     }
                     if prepared_granted.is_some() {
                         table_writer.write_entry::<bool>(1);
                     }
-                    if prepared_trial.is_some() {
+                    if prepared_pre_vote.is_some() {
                         table_writer.write_entry::<bool>(6);
                     }
 
@@ -2599,16 +2606,16 @@
                             if let ::core::option::Option::Some(prepared_accepted) = prepared_accepted {
                                 object_writer.write::<_, _, 4>(&prepared_accepted);
                             }
-                            if let ::core::option::Option::Some(prepared_lease_left_ms) =
-                                prepared_lease_left_ms
+                            if let ::core::option::Option::Some(prepared_lease_remaining_ms) =
+                                prepared_lease_remaining_ms
                             {
-                                object_writer.write::<_, _, 4>(&prepared_lease_left_ms);
+                                object_writer.write::<_, _, 4>(&prepared_lease_remaining_ms);
                             }
                             if let ::core::option::Option::Some(prepared_granted) = prepared_granted {
                                 object_writer.write::<_, _, 1>(&prepared_granted);
                             }
-                            if let ::core::option::Option::Some(prepared_trial) = prepared_trial {
-                                object_writer.write::<_, _, 1>(&prepared_trial);
+                            if let ::core::option::Option::Some(prepared_pre_vote) = prepared_pre_vote {
+                                object_writer.write::<_, _, 1>(&prepared_pre_vote);
                             }
                         });
                     }
@@ -2647,8 +2654,8 @@
                         self.promised,
                         &self.accepted,
                         self.last,
-                        self.lease_left_ms,
-                        self.trial,
+                        self.lease_remaining_ms,
+                        self.pre_vote,
                     )
                 }
             }
@@ -2753,10 +2760,10 @@
             }
 
             impl<T0, T1, T2, T3, T4> PromiseBuilder<(T0, T1, T2, T3, T4)> {
-                /// Setter for the [`lease_left_ms` field](Promise#structfield.lease_left_ms).
+                /// Setter for the [`lease_remaining_ms` field](Promise#structfield.lease_remaining_ms).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn lease_left_ms<T5>(self, value: T5) -> PromiseBuilder<(T0, T1, T2, T3, T4, T5)>
+                pub fn lease_remaining_ms<T5>(self, value: T5) -> PromiseBuilder<(T0, T1, T2, T3, T4, T5)>
                 where
                     T5: ::planus::WriteAsDefault<u32, u32>,
                 {
@@ -2764,21 +2771,21 @@
                     PromiseBuilder((v0, v1, v2, v3, v4, value))
                 }
 
-                /// Sets the [`lease_left_ms` field](Promise#structfield.lease_left_ms) to the default value.
+                /// Sets the [`lease_remaining_ms` field](Promise#structfield.lease_remaining_ms) to the default value.
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn lease_left_ms_as_default(
+                pub fn lease_remaining_ms_as_default(
                     self,
                 ) -> PromiseBuilder<(T0, T1, T2, T3, T4, ::planus::DefaultValue)> {
-                    self.lease_left_ms(::planus::DefaultValue)
+                    self.lease_remaining_ms(::planus::DefaultValue)
                 }
             }
 
             impl<T0, T1, T2, T3, T4, T5> PromiseBuilder<(T0, T1, T2, T3, T4, T5)> {
-                /// Setter for the [`trial` field](Promise#structfield.trial).
+                /// Setter for the [`pre_vote` field](Promise#structfield.pre_vote).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn trial<T6>(self, value: T6) -> PromiseBuilder<(T0, T1, T2, T3, T4, T5, T6)>
+                pub fn pre_vote<T6>(self, value: T6) -> PromiseBuilder<(T0, T1, T2, T3, T4, T5, T6)>
                 where
                     T6: ::planus::WriteAsDefault<bool, bool>,
                 {
@@ -2786,13 +2793,13 @@
                     PromiseBuilder((v0, v1, v2, v3, v4, v5, value))
                 }
 
-                /// Sets the [`trial` field](Promise#structfield.trial) to the default value.
+                /// Sets the [`pre_vote` field](Promise#structfield.pre_vote) to the default value.
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn trial_as_default(
+                pub fn pre_vote_as_default(
                     self,
                 ) -> PromiseBuilder<(T0, T1, T2, T3, T4, T5, ::planus::DefaultValue)> {
-                    self.trial(::planus::DefaultValue)
+                    self.pre_vote(::planus::DefaultValue)
                 }
             }
 
@@ -2900,16 +2907,18 @@
                     self.0.access_required(4, "Promise", "last")
                 }
 
-                /// Getter for the [`lease_left_ms` field](Promise#structfield.lease_left_ms).
+                /// Getter for the [`lease_remaining_ms` field](Promise#structfield.lease_remaining_ms).
                 #[inline]
-                pub fn lease_left_ms(&self) -> ::planus::Result<u32> {
-                    ::core::result::Result::Ok(self.0.access(5, "Promise", "lease_left_ms")?.unwrap_or(0))
+                pub fn lease_remaining_ms(&self) -> ::planus::Result<u32> {
+                    ::core::result::Result::Ok(
+                        self.0.access(5, "Promise", "lease_remaining_ms")?.unwrap_or(0),
+                    )
                 }
 
-                /// Getter for the [`trial` field](Promise#structfield.trial).
+                /// Getter for the [`pre_vote` field](Promise#structfield.pre_vote).
                 #[inline]
-                pub fn trial(&self) -> ::planus::Result<bool> {
-                    ::core::result::Result::Ok(self.0.access(6, "Promise", "trial")?.unwrap_or(false))
+                pub fn pre_vote(&self) -> ::planus::Result<bool> {
+                    ::core::result::Result::Ok(self.0.access(6, "Promise", "pre_vote")?.unwrap_or(false))
                 }
             }
 
@@ -2923,8 +2932,8 @@
                         f.field("accepted", &field_accepted);
                     }
                     f.field("last", &self.last());
-                    f.field("lease_left_ms", &self.lease_left_ms());
-                    f.field("trial", &self.trial());
+                    f.field("lease_remaining_ms", &self.lease_remaining_ms());
+                    f.field("pre_vote", &self.pre_vote());
                     f.finish()
                 }
             }
@@ -2946,8 +2955,8 @@
                             ::core::option::Option::None
                         },
                         last: ::core::convert::Into::into(value.last()?),
-                        lease_left_ms: ::core::convert::TryInto::try_into(value.lease_left_ms()?)?,
-                        trial: ::core::convert::TryInto::try_into(value.trial()?)?,
+                        lease_remaining_ms: ::core::convert::TryInto::try_into(value.lease_remaining_ms()?)?,
+                        pre_vote: ::core::convert::TryInto::try_into(value.pre_vote()?)?,
                     })
                 }
             }
@@ -3016,10 +3025,10 @@
                 }
             }
 
-            ///  Asks a member of the newest view for its state; it takes nothing more from older epochs.
+            ///  Asks a member of the newest view for its state. From then on the member takes nothing from older epochs.
             ///
             /// Generated from these locations:
-            /// * Table `FetchState` in the file `protocol.fbs:51`
+            /// * Table `FetchState` in the file `protocol.fbs:56`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -3263,10 +3272,10 @@
                 }
             }
 
-            /// The table `StateTransfer` in the namespace `quillpulley.wire`
+            ///  Answers `FetchState` with a snapshot and the entries after it.
             ///
             /// Generated from these locations:
-            /// * Table `StateTransfer` in the file `protocol.fbs:52`
+            /// * Table `StateTransfer` in the file `protocol.fbs:58`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -3651,10 +3660,10 @@
                 }
             }
 
-            ///  Brings a member to the primary's state.
+            ///  Replaces the state of a member or learner.
             ///
             /// Generated from these locations:
-            /// * Table `Install` in the file `protocol.fbs:54`
+            /// * Table `Install` in the file `protocol.fbs:60`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -3997,10 +4006,10 @@
                 }
             }
 
-            /// The table `Installed` in the namespace `quillpulley.wire`
+            ///  Answers `Install`, once the state is durable.
             ///
             /// Generated from these locations:
-            /// * Table `Installed` in the file `protocol.fbs:55`
+            /// * Table `Installed` in the file `protocol.fbs:62`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -4316,10 +4325,10 @@
                 }
             }
 
-            /// The table `Accept` in the namespace `quillpulley.wire`
+            ///  Asks a witness to accept a view.
             ///
             /// Generated from these locations:
-            /// * Table `Accept` in the file `protocol.fbs:56`
+            /// * Table `Accept` in the file `protocol.fbs:64`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -4552,10 +4561,10 @@
                 }
             }
 
-            /// The table `Accepted` in the namespace `quillpulley.wire`
+            ///  Answers `Accept`.
             ///
             /// Generated from these locations:
-            /// * Table `Accepted` in the file `protocol.fbs:57`
+            /// * Table `Accepted` in the file `protocol.fbs:66`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -4924,10 +4933,10 @@
                 }
             }
 
-            /// The table `Append` in the namespace `quillpulley.wire`
+            ///  Appends entries after `previous`, and tells up to which index the log is committed.
             ///
             /// Generated from these locations:
-            /// * Table `Append` in the file `protocol.fbs:58`
+            /// * Table `Append` in the file `protocol.fbs:68`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -5281,10 +5290,10 @@
                 }
             }
 
-            /// The table `AppendAck` in the namespace `quillpulley.wire`
+            ///  Answers `Append`: the log of the sender matches up to `last`, or only up to there does it surely match.
             ///
             /// Generated from these locations:
-            /// * Table `AppendAck` in the file `protocol.fbs:59`
+            /// * Table `AppendAck` in the file `protocol.fbs:70`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -5600,10 +5609,10 @@
                 }
             }
 
-            ///  The primary's heartbeat: asks for the lease and tells the view and what is committed.
+            ///  The heartbeat of a primary: asks for its lease, and tells its view and what is committed.
             ///
             /// Generated from these locations:
-            /// * Table `LeaseRequest` in the file `protocol.fbs:61`
+            /// * Table `LeaseRequest` in the file `protocol.fbs:72`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -5616,8 +5625,8 @@
                 pub view: ::planus::alloc::boxed::Box<self::View>,
                 /// The field `committed` in the table `LeaseRequest`
                 pub committed: u64,
-                /// The field `leased` in the table `LeaseRequest`
-                pub leased: bool,
+                /// The field `holds_lease` in the table `LeaseRequest`
+                pub holds_lease: bool,
             }
 
             #[allow(clippy::derivable_impls)]
@@ -5628,7 +5637,7 @@
                         round: 0,
                         view: ::core::default::Default::default(),
                         committed: 0,
-                        leased: false,
+                        holds_lease: false,
                     }
                 }
             }
@@ -5647,13 +5656,13 @@
                     field_round: impl ::planus::WriteAsDefault<u64, u64>,
                     field_view: impl ::planus::WriteAs<::planus::Offset<self::View>>,
                     field_committed: impl ::planus::WriteAsDefault<u64, u64>,
-                    field_leased: impl ::planus::WriteAsDefault<bool, bool>,
+                    field_holds_lease: impl ::planus::WriteAsDefault<bool, bool>,
                 ) -> ::planus::Offset<Self> {
                     let prepared_epoch = field_epoch.prepare(builder, &0);
                     let prepared_round = field_round.prepare(builder, &0);
                     let prepared_view = field_view.prepare(builder);
                     let prepared_committed = field_committed.prepare(builder, &0);
-                    let prepared_leased = field_leased.prepare(builder, &false);
+                    let prepared_holds_lease = field_holds_lease.prepare(builder, &false);
 
                     let mut table_writer: ::planus::table_writer::TableWriter<14> =
                         ::core::default::Default::default();
@@ -5667,7 +5676,7 @@
                         table_writer.write_entry::<u64>(3);
                     }
                     table_writer.write_entry::<::planus::Offset<self::View>>(2);
-                    if prepared_leased.is_some() {
+                    if prepared_holds_lease.is_some() {
                         table_writer.write_entry::<bool>(4);
                     }
 
@@ -5683,8 +5692,8 @@
                                 object_writer.write::<_, _, 8>(&prepared_committed);
                             }
                             object_writer.write::<_, _, 4>(&prepared_view);
-                            if let ::core::option::Option::Some(prepared_leased) = prepared_leased {
-                                object_writer.write::<_, _, 1>(&prepared_leased);
+                            if let ::core::option::Option::Some(prepared_holds_lease) = prepared_holds_lease {
+                                object_writer.write::<_, _, 1>(&prepared_holds_lease);
                             }
                         });
                     }
@@ -5722,7 +5731,7 @@
                         self.round,
                         &self.view,
                         self.committed,
-                        self.leased,
+                        self.holds_lease,
                     )
                 }
             }
@@ -5809,10 +5818,10 @@
             }
 
             impl<T0, T1, T2, T3> LeaseRequestBuilder<(T0, T1, T2, T3)> {
-                /// Setter for the [`leased` field](LeaseRequest#structfield.leased).
+                /// Setter for the [`holds_lease` field](LeaseRequest#structfield.holds_lease).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn leased<T4>(self, value: T4) -> LeaseRequestBuilder<(T0, T1, T2, T3, T4)>
+                pub fn holds_lease<T4>(self, value: T4) -> LeaseRequestBuilder<(T0, T1, T2, T3, T4)>
                 where
                     T4: ::planus::WriteAsDefault<bool, bool>,
                 {
@@ -5820,13 +5829,13 @@
                     LeaseRequestBuilder((v0, v1, v2, v3, value))
                 }
 
-                /// Sets the [`leased` field](LeaseRequest#structfield.leased) to the default value.
+                /// Sets the [`holds_lease` field](LeaseRequest#structfield.holds_lease) to the default value.
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn leased_as_default(
+                pub fn holds_lease_as_default(
                     self,
                 ) -> LeaseRequestBuilder<(T0, T1, T2, T3, ::planus::DefaultValue)> {
-                    self.leased(::planus::DefaultValue)
+                    self.holds_lease(::planus::DefaultValue)
                 }
             }
 
@@ -5922,10 +5931,12 @@
                     ::core::result::Result::Ok(self.0.access(3, "LeaseRequest", "committed")?.unwrap_or(0))
                 }
 
-                /// Getter for the [`leased` field](LeaseRequest#structfield.leased).
+                /// Getter for the [`holds_lease` field](LeaseRequest#structfield.holds_lease).
                 #[inline]
-                pub fn leased(&self) -> ::planus::Result<bool> {
-                    ::core::result::Result::Ok(self.0.access(4, "LeaseRequest", "leased")?.unwrap_or(false))
+                pub fn holds_lease(&self) -> ::planus::Result<bool> {
+                    ::core::result::Result::Ok(
+                        self.0.access(4, "LeaseRequest", "holds_lease")?.unwrap_or(false),
+                    )
                 }
             }
 
@@ -5936,7 +5947,7 @@
                     f.field("round", &self.round());
                     f.field("view", &self.view());
                     f.field("committed", &self.committed());
-                    f.field("leased", &self.leased());
+                    f.field("holds_lease", &self.holds_lease());
                     f.finish()
                 }
             }
@@ -5953,7 +5964,7 @@
                             value.view()?,
                         )?),
                         committed: ::core::convert::TryInto::try_into(value.committed()?)?,
-                        leased: ::core::convert::TryInto::try_into(value.leased()?)?,
+                        holds_lease: ::core::convert::TryInto::try_into(value.holds_lease()?)?,
                     })
                 }
             }
@@ -6024,10 +6035,10 @@
                 }
             }
 
-            /// The table `LeaseGrant` in the namespace `quillpulley.wire`
+            ///  Answers `LeaseRequest`.
             ///
             /// Generated from these locations:
-            /// * Table `LeaseGrant` in the file `protocol.fbs:62`
+            /// * Table `LeaseGrant` in the file `protocol.fbs:74`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -6532,35 +6543,35 @@
                 }
             }
 
-            ///  Answers a message for the log: its epoch is older than what the sender has promised, or it cannot store now.
-            ///  One that is leaving tells so to all, unasked.
+            ///  Rejects a message for the log: its epoch is older than the promised one, or nothing can be stored now. A node
+            ///  that shuts down sends it unasked.
             ///
             /// Generated from these locations:
-            /// * Table `Decline` in the file `protocol.fbs:65`
+            /// * Table `Reject` in the file `protocol.fbs:77`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
-            pub struct Decline {
-                /// The field `epoch` in the table `Decline`
+            pub struct Reject {
+                /// The field `epoch` in the table `Reject`
                 pub epoch: u64,
-                /// The field `promised` in the table `Decline`
+                /// The field `promised` in the table `Reject`
                 pub promised: u64,
-                /// The field `leaving` in the table `Decline`
-                pub leaving: bool,
+                /// The field `shutting_down` in the table `Reject`
+                pub shutting_down: bool,
             }
 
             #[allow(clippy::derivable_impls)]
-            impl ::core::default::Default for Decline {
+            impl ::core::default::Default for Reject {
                 fn default() -> Self {
-                    Self { epoch: 0, promised: 0, leaving: false }
+                    Self { epoch: 0, promised: 0, shutting_down: false }
                 }
             }
 
-            impl Decline {
-                /// Creates a [DeclineBuilder] for serializing an instance of this table.
+            impl Reject {
+                /// Creates a [RejectBuilder] for serializing an instance of this table.
                 #[inline]
-                pub fn builder() -> DeclineBuilder<()> {
-                    DeclineBuilder(())
+                pub fn builder() -> RejectBuilder<()> {
+                    RejectBuilder(())
                 }
 
                 #[allow(clippy::too_many_arguments)]
@@ -6568,11 +6579,11 @@
                     builder: &mut ::planus::Builder,
                     field_epoch: impl ::planus::WriteAsDefault<u64, u64>,
                     field_promised: impl ::planus::WriteAsDefault<u64, u64>,
-                    field_leaving: impl ::planus::WriteAsDefault<bool, bool>,
+                    field_shutting_down: impl ::planus::WriteAsDefault<bool, bool>,
                 ) -> ::planus::Offset<Self> {
                     let prepared_epoch = field_epoch.prepare(builder, &0);
                     let prepared_promised = field_promised.prepare(builder, &0);
-                    let prepared_leaving = field_leaving.prepare(builder, &false);
+                    let prepared_shutting_down = field_shutting_down.prepare(builder, &false);
 
                     let mut table_writer: ::planus::table_writer::TableWriter<10> =
                         ::core::default::Default::default();
@@ -6582,7 +6593,7 @@
                     if prepared_promised.is_some() {
                         table_writer.write_entry::<u64>(1);
                     }
-                    if prepared_leaving.is_some() {
+                    if prepared_shutting_down.is_some() {
                         table_writer.write_entry::<bool>(2);
                     }
 
@@ -6594,8 +6605,10 @@
                             if let ::core::option::Option::Some(prepared_promised) = prepared_promised {
                                 object_writer.write::<_, _, 8>(&prepared_promised);
                             }
-                            if let ::core::option::Option::Some(prepared_leaving) = prepared_leaving {
-                                object_writer.write::<_, _, 1>(&prepared_leaving);
+                            if let ::core::option::Option::Some(prepared_shutting_down) =
+                                prepared_shutting_down
+                            {
+                                object_writer.write::<_, _, 1>(&prepared_shutting_down);
                             }
                         });
                     }
@@ -6603,106 +6616,106 @@
                 }
             }
 
-            impl ::planus::WriteAs<::planus::Offset<Decline>> for Decline {
+            impl ::planus::WriteAs<::planus::Offset<Reject>> for Reject {
                 type Prepared = ::planus::Offset<Self>;
 
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<Decline> {
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<Reject> {
                     ::planus::WriteAsOffset::prepare(self, builder)
                 }
             }
 
-            impl ::planus::WriteAsOptional<::planus::Offset<Decline>> for Decline {
+            impl ::planus::WriteAsOptional<::planus::Offset<Reject>> for Reject {
                 type Prepared = ::planus::Offset<Self>;
 
                 #[inline]
                 fn prepare(
                     &self,
                     builder: &mut ::planus::Builder,
-                ) -> ::core::option::Option<::planus::Offset<Decline>> {
+                ) -> ::core::option::Option<::planus::Offset<Reject>> {
                     ::core::option::Option::Some(::planus::WriteAsOffset::prepare(self, builder))
                 }
             }
 
-            impl ::planus::WriteAsOffset<Decline> for Decline {
+            impl ::planus::WriteAsOffset<Reject> for Reject {
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<Decline> {
-                    Decline::create(builder, self.epoch, self.promised, self.leaving)
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<Reject> {
+                    Reject::create(builder, self.epoch, self.promised, self.shutting_down)
                 }
             }
 
-            /// Builder for serializing an instance of the [Decline] type.
+            /// Builder for serializing an instance of the [Reject] type.
             ///
-            /// Can be created using the [Decline::builder] method.
+            /// Can be created using the [Reject::builder] method.
             #[derive(Debug)]
             #[must_use]
-            pub struct DeclineBuilder<State>(State);
+            pub struct RejectBuilder<State>(State);
 
-            impl DeclineBuilder<()> {
-                /// Setter for the [`epoch` field](Decline#structfield.epoch).
+            impl RejectBuilder<()> {
+                /// Setter for the [`epoch` field](Reject#structfield.epoch).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn epoch<T0>(self, value: T0) -> DeclineBuilder<(T0,)>
+                pub fn epoch<T0>(self, value: T0) -> RejectBuilder<(T0,)>
                 where
                     T0: ::planus::WriteAsDefault<u64, u64>,
                 {
-                    DeclineBuilder((value,))
+                    RejectBuilder((value,))
                 }
 
-                /// Sets the [`epoch` field](Decline#structfield.epoch) to the default value.
+                /// Sets the [`epoch` field](Reject#structfield.epoch) to the default value.
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn epoch_as_default(self) -> DeclineBuilder<(::planus::DefaultValue,)> {
+                pub fn epoch_as_default(self) -> RejectBuilder<(::planus::DefaultValue,)> {
                     self.epoch(::planus::DefaultValue)
                 }
             }
 
-            impl<T0> DeclineBuilder<(T0,)> {
-                /// Setter for the [`promised` field](Decline#structfield.promised).
+            impl<T0> RejectBuilder<(T0,)> {
+                /// Setter for the [`promised` field](Reject#structfield.promised).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn promised<T1>(self, value: T1) -> DeclineBuilder<(T0, T1)>
+                pub fn promised<T1>(self, value: T1) -> RejectBuilder<(T0, T1)>
                 where
                     T1: ::planus::WriteAsDefault<u64, u64>,
                 {
                     let (v0,) = self.0;
-                    DeclineBuilder((v0, value))
+                    RejectBuilder((v0, value))
                 }
 
-                /// Sets the [`promised` field](Decline#structfield.promised) to the default value.
+                /// Sets the [`promised` field](Reject#structfield.promised) to the default value.
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn promised_as_default(self) -> DeclineBuilder<(T0, ::planus::DefaultValue)> {
+                pub fn promised_as_default(self) -> RejectBuilder<(T0, ::planus::DefaultValue)> {
                     self.promised(::planus::DefaultValue)
                 }
             }
 
-            impl<T0, T1> DeclineBuilder<(T0, T1)> {
-                /// Setter for the [`leaving` field](Decline#structfield.leaving).
+            impl<T0, T1> RejectBuilder<(T0, T1)> {
+                /// Setter for the [`shutting_down` field](Reject#structfield.shutting_down).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn leaving<T2>(self, value: T2) -> DeclineBuilder<(T0, T1, T2)>
+                pub fn shutting_down<T2>(self, value: T2) -> RejectBuilder<(T0, T1, T2)>
                 where
                     T2: ::planus::WriteAsDefault<bool, bool>,
                 {
                     let (v0, v1) = self.0;
-                    DeclineBuilder((v0, v1, value))
+                    RejectBuilder((v0, v1, value))
                 }
 
-                /// Sets the [`leaving` field](Decline#structfield.leaving) to the default value.
+                /// Sets the [`shutting_down` field](Reject#structfield.shutting_down) to the default value.
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn leaving_as_default(self) -> DeclineBuilder<(T0, T1, ::planus::DefaultValue)> {
-                    self.leaving(::planus::DefaultValue)
+                pub fn shutting_down_as_default(self) -> RejectBuilder<(T0, T1, ::planus::DefaultValue)> {
+                    self.shutting_down(::planus::DefaultValue)
                 }
             }
 
-            impl<T0, T1, T2> DeclineBuilder<(T0, T1, T2)> {
-                /// Finish writing the builder to get an [Offset](::planus::Offset) to a serialized [Decline].
+            impl<T0, T1, T2> RejectBuilder<(T0, T1, T2)> {
+                /// Finish writing the builder to get an [Offset](::planus::Offset) to a serialized [Reject].
                 #[inline]
-                pub fn finish(self, builder: &mut ::planus::Builder) -> ::planus::Offset<Decline>
+                pub fn finish(self, builder: &mut ::planus::Builder) -> ::planus::Offset<Reject>
                 where
-                    Self: ::planus::WriteAsOffset<Decline>,
+                    Self: ::planus::WriteAsOffset<Reject>,
                 {
                     ::planus::WriteAsOffset::prepare(&self, builder)
                 }
@@ -6712,12 +6725,12 @@
                     T0: ::planus::WriteAsDefault<u64, u64>,
                     T1: ::planus::WriteAsDefault<u64, u64>,
                     T2: ::planus::WriteAsDefault<bool, bool>,
-                > ::planus::WriteAs<::planus::Offset<Decline>> for DeclineBuilder<(T0, T1, T2)>
+                > ::planus::WriteAs<::planus::Offset<Reject>> for RejectBuilder<(T0, T1, T2)>
             {
-                type Prepared = ::planus::Offset<Decline>;
+                type Prepared = ::planus::Offset<Reject>;
 
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<Decline> {
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<Reject> {
                     ::planus::WriteAsOffset::prepare(self, builder)
                 }
             }
@@ -6726,15 +6739,15 @@
                     T0: ::planus::WriteAsDefault<u64, u64>,
                     T1: ::planus::WriteAsDefault<u64, u64>,
                     T2: ::planus::WriteAsDefault<bool, bool>,
-                > ::planus::WriteAsOptional<::planus::Offset<Decline>> for DeclineBuilder<(T0, T1, T2)>
+                > ::planus::WriteAsOptional<::planus::Offset<Reject>> for RejectBuilder<(T0, T1, T2)>
             {
-                type Prepared = ::planus::Offset<Decline>;
+                type Prepared = ::planus::Offset<Reject>;
 
                 #[inline]
                 fn prepare(
                     &self,
                     builder: &mut ::planus::Builder,
-                ) -> ::core::option::Option<::planus::Offset<Decline>> {
+                ) -> ::core::option::Option<::planus::Offset<Reject>> {
                     ::core::option::Option::Some(::planus::WriteAsOffset::prepare(self, builder))
                 }
             }
@@ -6743,63 +6756,63 @@
                     T0: ::planus::WriteAsDefault<u64, u64>,
                     T1: ::planus::WriteAsDefault<u64, u64>,
                     T2: ::planus::WriteAsDefault<bool, bool>,
-                > ::planus::WriteAsOffset<Decline> for DeclineBuilder<(T0, T1, T2)>
+                > ::planus::WriteAsOffset<Reject> for RejectBuilder<(T0, T1, T2)>
             {
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<Decline> {
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<Reject> {
                     let (v0, v1, v2) = &self.0;
-                    Decline::create(builder, v0, v1, v2)
+                    Reject::create(builder, v0, v1, v2)
                 }
             }
 
-            /// Reference to a deserialized [Decline].
+            /// Reference to a deserialized [Reject].
             #[derive(Copy, Clone)]
-            pub struct DeclineRef<'a>(#[allow(dead_code)] ::planus::table_reader::Table<'a>);
+            pub struct RejectRef<'a>(#[allow(dead_code)] ::planus::table_reader::Table<'a>);
 
-            impl<'a> DeclineRef<'a> {
-                /// Getter for the [`epoch` field](Decline#structfield.epoch).
+            impl<'a> RejectRef<'a> {
+                /// Getter for the [`epoch` field](Reject#structfield.epoch).
                 #[inline]
                 pub fn epoch(&self) -> ::planus::Result<u64> {
-                    ::core::result::Result::Ok(self.0.access(0, "Decline", "epoch")?.unwrap_or(0))
+                    ::core::result::Result::Ok(self.0.access(0, "Reject", "epoch")?.unwrap_or(0))
                 }
 
-                /// Getter for the [`promised` field](Decline#structfield.promised).
+                /// Getter for the [`promised` field](Reject#structfield.promised).
                 #[inline]
                 pub fn promised(&self) -> ::planus::Result<u64> {
-                    ::core::result::Result::Ok(self.0.access(1, "Decline", "promised")?.unwrap_or(0))
+                    ::core::result::Result::Ok(self.0.access(1, "Reject", "promised")?.unwrap_or(0))
                 }
 
-                /// Getter for the [`leaving` field](Decline#structfield.leaving).
+                /// Getter for the [`shutting_down` field](Reject#structfield.shutting_down).
                 #[inline]
-                pub fn leaving(&self) -> ::planus::Result<bool> {
-                    ::core::result::Result::Ok(self.0.access(2, "Decline", "leaving")?.unwrap_or(false))
+                pub fn shutting_down(&self) -> ::planus::Result<bool> {
+                    ::core::result::Result::Ok(self.0.access(2, "Reject", "shutting_down")?.unwrap_or(false))
                 }
             }
 
-            impl<'a> ::core::fmt::Debug for DeclineRef<'a> {
+            impl<'a> ::core::fmt::Debug for RejectRef<'a> {
                 fn fmt(&self, f: &mut ::core::fmt::Formatter<'_>) -> ::core::fmt::Result {
-                    let mut f = f.debug_struct("DeclineRef");
+                    let mut f = f.debug_struct("RejectRef");
                     f.field("epoch", &self.epoch());
                     f.field("promised", &self.promised());
-                    f.field("leaving", &self.leaving());
+                    f.field("shutting_down", &self.shutting_down());
                     f.finish()
                 }
             }
 
-            impl<'a> ::core::convert::TryFrom<DeclineRef<'a>> for Decline {
+            impl<'a> ::core::convert::TryFrom<RejectRef<'a>> for Reject {
                 type Error = ::planus::Error;
 
                 #[allow(unreachable_code)]
-                fn try_from(value: DeclineRef<'a>) -> ::planus::Result<Self> {
+                fn try_from(value: RejectRef<'a>) -> ::planus::Result<Self> {
                     ::core::result::Result::Ok(Self {
                         epoch: ::core::convert::TryInto::try_into(value.epoch()?)?,
                         promised: ::core::convert::TryInto::try_into(value.promised()?)?,
-                        leaving: ::core::convert::TryInto::try_into(value.leaving()?)?,
+                        shutting_down: ::core::convert::TryInto::try_into(value.shutting_down()?)?,
                     })
                 }
             }
 
-            impl<'a> ::planus::TableRead<'a> for DeclineRef<'a> {
+            impl<'a> ::planus::TableRead<'a> for RejectRef<'a> {
                 #[inline]
                 fn from_buffer(
                     buffer: ::planus::SliceWithStartOffset<'a>,
@@ -6811,7 +6824,7 @@
                 }
             }
 
-            impl<'a> ::planus::VectorReadInner<'a> for DeclineRef<'a> {
+            impl<'a> ::planus::VectorReadInner<'a> for RejectRef<'a> {
                 type Error = ::planus::Error;
                 const STRIDE: usize = 4;
 
@@ -6820,7 +6833,7 @@
                     offset: usize,
                 ) -> ::planus::Result<Self> {
                     ::planus::TableRead::from_buffer(buffer, offset).map_err(|error_kind| {
-                        error_kind.with_error_location("[DeclineRef]", "get", buffer.offset_from_start)
+                        error_kind.with_error_location("[RejectRef]", "get", buffer.offset_from_start)
                     })
                 }
             }
@@ -6828,8 +6841,8 @@
             /// # Safety
             /// The planus compiler generates implementations that initialize
             /// the bytes in `write_values`.
-            unsafe impl ::planus::VectorWrite<::planus::Offset<Decline>> for Decline {
-                type Value = ::planus::Offset<Decline>;
+            unsafe impl ::planus::VectorWrite<::planus::Offset<Reject>> for Reject {
+                type Value = ::planus::Offset<Reject>;
                 const STRIDE: usize = 4;
                 #[inline]
                 fn prepare(&self, builder: &mut ::planus::Builder) -> Self::Value {
@@ -6838,7 +6851,7 @@
 
                 #[inline]
                 unsafe fn write_values(
-                    values: &[::planus::Offset<Decline>],
+                    values: &[::planus::Offset<Reject>],
                     bytes: *mut ::core::mem::MaybeUninit<u8>,
                     buffer_position: u32,
                 ) {
@@ -6853,20 +6866,20 @@
                 }
             }
 
-            impl<'a> ::planus::ReadAsRoot<'a> for DeclineRef<'a> {
+            impl<'a> ::planus::ReadAsRoot<'a> for RejectRef<'a> {
                 fn read_as_root(slice: &'a [u8]) -> ::planus::Result<Self> {
                     ::planus::TableRead::from_buffer(
                         ::planus::SliceWithStartOffset { buffer: slice, offset_from_start: 0 },
                         0,
                     )
-                    .map_err(|error_kind| error_kind.with_error_location("[DeclineRef]", "read_as_root", 0))
+                    .map_err(|error_kind| error_kind.with_error_location("[RejectRef]", "read_as_root", 0))
                 }
             }
 
-            ///  A primary or candidate gives its epoch up: what was granted to it is free again.
+            ///  A primary or candidate gives up its epoch. What witnesses have granted to it is free again.
             ///
             /// Generated from these locations:
-            /// * Table `Resign` in the file `protocol.fbs:67`
+            /// * Table `Resign` in the file `protocol.fbs:79`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -7106,10 +7119,10 @@
                 }
             }
 
-            ///  One piece of published state.
+            ///  An item of published state.
             ///
             /// Generated from these locations:
-            /// * Table `Item` in the file `protocol.fbs:72`
+            /// * Table `Item` in the file `protocol.fbs:84`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -7418,16 +7431,16 @@
                 }
             }
 
-            ///  A child asks its parent for what it lacks: how far it is, and a digest for each range of key hashes.
+            ///  A child asks its parent for updates: its revision, and a digest for each range of key hashes.
             ///
             /// Generated from these locations:
-            /// * Table `Subscribe` in the file `protocol.fbs:75`
+            /// * Table `Subscribe` in the file `protocol.fbs:87`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
             pub struct Subscribe {
-                /// The field `stamp` in the table `Subscribe`
-                pub stamp: self::Stamp,
+                /// The field `revision` in the table `Subscribe`
+                pub revision: self::Revision,
                 /// The field `digests` in the table `Subscribe`
                 pub digests: ::planus::alloc::vec::Vec<u64>,
             }
@@ -7436,7 +7449,7 @@
             impl ::core::default::Default for Subscribe {
                 fn default() -> Self {
                     Self {
-                        stamp: ::core::default::Default::default(),
+                        revision: ::core::default::Default::default(),
                         digests: ::core::default::Default::default(),
                     }
                 }
@@ -7452,20 +7465,20 @@
                 #[allow(clippy::too_many_arguments)]
                 pub fn create(
                     builder: &mut ::planus::Builder,
-                    field_stamp: impl ::planus::WriteAs<self::Stamp>,
+                    field_revision: impl ::planus::WriteAs<self::Revision>,
                     field_digests: impl ::planus::WriteAs<::planus::Offset<[u64]>>,
                 ) -> ::planus::Offset<Self> {
-                    let prepared_stamp = field_stamp.prepare(builder);
+                    let prepared_revision = field_revision.prepare(builder);
                     let prepared_digests = field_digests.prepare(builder);
 
                     let mut table_writer: ::planus::table_writer::TableWriter<8> =
                         ::core::default::Default::default();
-                    table_writer.write_entry::<self::Stamp>(0);
+                    table_writer.write_entry::<self::Revision>(0);
                     table_writer.write_entry::<::planus::Offset<[u64]>>(1);
 
                     unsafe {
                         table_writer.finish(builder, |object_writer| {
-                            object_writer.write::<_, _, 16>(&prepared_stamp);
+                            object_writer.write::<_, _, 16>(&prepared_revision);
                             object_writer.write::<_, _, 4>(&prepared_digests);
                         });
                     }
@@ -7497,7 +7510,7 @@
             impl ::planus::WriteAsOffset<Subscribe> for Subscribe {
                 #[inline]
                 fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<Subscribe> {
-                    Subscribe::create(builder, self.stamp, &self.digests)
+                    Subscribe::create(builder, self.revision, &self.digests)
                 }
             }
 
@@ -7509,12 +7522,12 @@
             pub struct SubscribeBuilder<State>(State);
 
             impl SubscribeBuilder<()> {
-                /// Setter for the [`stamp` field](Subscribe#structfield.stamp).
+                /// Setter for the [`revision` field](Subscribe#structfield.revision).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn stamp<T0>(self, value: T0) -> SubscribeBuilder<(T0,)>
+                pub fn revision<T0>(self, value: T0) -> SubscribeBuilder<(T0,)>
                 where
-                    T0: ::planus::WriteAs<self::Stamp>,
+                    T0: ::planus::WriteAs<self::Revision>,
                 {
                     SubscribeBuilder((value,))
                 }
@@ -7544,7 +7557,7 @@
                 }
             }
 
-            impl<T0: ::planus::WriteAs<self::Stamp>, T1: ::planus::WriteAs<::planus::Offset<[u64]>>>
+            impl<T0: ::planus::WriteAs<self::Revision>, T1: ::planus::WriteAs<::planus::Offset<[u64]>>>
                 ::planus::WriteAs<::planus::Offset<Subscribe>> for SubscribeBuilder<(T0, T1)>
             {
                 type Prepared = ::planus::Offset<Subscribe>;
@@ -7555,7 +7568,7 @@
                 }
             }
 
-            impl<T0: ::planus::WriteAs<self::Stamp>, T1: ::planus::WriteAs<::planus::Offset<[u64]>>>
+            impl<T0: ::planus::WriteAs<self::Revision>, T1: ::planus::WriteAs<::planus::Offset<[u64]>>>
                 ::planus::WriteAsOptional<::planus::Offset<Subscribe>> for SubscribeBuilder<(T0, T1)>
             {
                 type Prepared = ::planus::Offset<Subscribe>;
@@ -7569,7 +7582,7 @@
                 }
             }
 
-            impl<T0: ::planus::WriteAs<self::Stamp>, T1: ::planus::WriteAs<::planus::Offset<[u64]>>>
+            impl<T0: ::planus::WriteAs<self::Revision>, T1: ::planus::WriteAs<::planus::Offset<[u64]>>>
                 ::planus::WriteAsOffset<Subscribe> for SubscribeBuilder<(T0, T1)>
             {
                 #[inline]
@@ -7584,10 +7597,10 @@
             pub struct SubscribeRef<'a>(#[allow(dead_code)] ::planus::table_reader::Table<'a>);
 
             impl<'a> SubscribeRef<'a> {
-                /// Getter for the [`stamp` field](Subscribe#structfield.stamp).
+                /// Getter for the [`revision` field](Subscribe#structfield.revision).
                 #[inline]
-                pub fn stamp(&self) -> ::planus::Result<self::StampRef<'a>> {
-                    self.0.access_required(0, "Subscribe", "stamp")
+                pub fn revision(&self) -> ::planus::Result<self::RevisionRef<'a>> {
+                    self.0.access_required(0, "Subscribe", "revision")
                 }
 
                 /// Getter for the [`digests` field](Subscribe#structfield.digests).
@@ -7600,7 +7613,7 @@
             impl<'a> ::core::fmt::Debug for SubscribeRef<'a> {
                 fn fmt(&self, f: &mut ::core::fmt::Formatter<'_>) -> ::core::fmt::Result {
                     let mut f = f.debug_struct("SubscribeRef");
-                    f.field("stamp", &self.stamp());
+                    f.field("revision", &self.revision());
                     f.field("digests", &self.digests());
                     f.finish()
                 }
@@ -7612,7 +7625,7 @@
                 #[allow(unreachable_code)]
                 fn try_from(value: SubscribeRef<'a>) -> ::planus::Result<Self> {
                     ::core::result::Result::Ok(Self {
-                        stamp: ::core::convert::Into::into(value.stamp()?),
+                        revision: ::core::convert::Into::into(value.revision()?),
                         digests: value.digests()?.to_vec()?,
                     })
                 }
@@ -7682,11 +7695,10 @@
                 }
             }
 
-            ///  What an update holds: every key that was touched between its stamps, fit for any state between them; the keys
-            ///  that differ between exactly its stamps; or the answer to a subscription, whose `since` is the subscriber's stamp.
+            ///  What an update contains.
             ///
             /// Generated from these locations:
-            /// * Enum `UpdateKind` in the file `protocol.fbs:79`
+            /// * Enum `UpdateKind` in the file `protocol.fbs:90`
             #[derive(
                 Copy,
                 Clone,
@@ -7701,19 +7713,19 @@
             )]
             #[repr(u8)]
             pub enum UpdateKind {
-                /// The variant `Changes` in the enum `UpdateKind`
+                ///  Every key that was touched between the two revisions. Fits any state between them.
                 Changes = 0,
 
-                /// The variant `Difference` in the enum `UpdateKind`
-                Difference = 1,
+                ///  The keys that differ between exactly the two revisions. Fits the state of `base` only.
+                Delta = 1,
 
-                /// The variant `Answer` in the enum `UpdateKind`
-                Answer = 2,
+                ///  The answer to a subscription: all items of the ranges that differ. `base` is the revision of the subscriber.
+                RangeRepair = 2,
             }
 
             impl UpdateKind {
                 /// Array containing all valid variants of UpdateKind
-                pub const ENUM_VALUES: [Self; 3] = [Self::Changes, Self::Difference, Self::Answer];
+                pub const ENUM_VALUES: [Self; 3] = [Self::Changes, Self::Delta, Self::RangeRepair];
             }
 
             impl ::core::convert::TryFrom<u8> for UpdateKind {
@@ -7723,8 +7735,8 @@
                     #[allow(clippy::match_single_binding)]
                     match value {
                         0 => ::core::result::Result::Ok(UpdateKind::Changes),
-                        1 => ::core::result::Result::Ok(UpdateKind::Difference),
-                        2 => ::core::result::Result::Ok(UpdateKind::Answer),
+                        1 => ::core::result::Result::Ok(UpdateKind::Delta),
+                        2 => ::core::result::Result::Ok(UpdateKind::RangeRepair),
 
                         _ => ::core::result::Result::Err(::planus::errors::UnknownEnumTagKind {
                             tag: value as i128,
@@ -7850,21 +7862,21 @@
                 }
             }
 
-            ///  Brings a child from one stamp to another, applied as a whole; without items, a heartbeat. For each range listed
-            ///  in `complete`, the items are all that there are. `digest` is the sum of the ranges' digests at `stamp`.
+            ///  Brings a child from the revision `base` to `revision`, atomically. Without items it is a heartbeat. For each range
+            ///  listed in `complete`, the items are all that there are. `digest` is the sum of the ranges' digests at `revision`.
             ///
             /// Generated from these locations:
-            /// * Table `Update` in the file `protocol.fbs:83`
+            /// * Table `Update` in the file `protocol.fbs:101`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
             pub struct Update {
                 /// The field `kind` in the table `Update`
                 pub kind: self::UpdateKind,
-                /// The field `since` in the table `Update`
-                pub since: self::Stamp,
-                /// The field `stamp` in the table `Update`
-                pub stamp: self::Stamp,
+                /// The field `base` in the table `Update`
+                pub base: self::Revision,
+                /// The field `revision` in the table `Update`
+                pub revision: self::Revision,
                 /// The field `digest` in the table `Update`
                 pub digest: u64,
                 /// The field `complete` in the table `Update`
@@ -7878,8 +7890,8 @@
                 fn default() -> Self {
                     Self {
                         kind: self::UpdateKind::Changes,
-                        since: ::core::default::Default::default(),
-                        stamp: ::core::default::Default::default(),
+                        base: ::core::default::Default::default(),
+                        revision: ::core::default::Default::default(),
                         digest: 0,
                         complete: ::core::default::Default::default(),
                         items: ::core::default::Default::default(),
@@ -7898,23 +7910,23 @@
                 pub fn create(
                     builder: &mut ::planus::Builder,
                     field_kind: impl ::planus::WriteAsDefault<self::UpdateKind, self::UpdateKind>,
-                    field_since: impl ::planus::WriteAs<self::Stamp>,
-                    field_stamp: impl ::planus::WriteAs<self::Stamp>,
+                    field_base: impl ::planus::WriteAs<self::Revision>,
+                    field_revision: impl ::planus::WriteAs<self::Revision>,
                     field_digest: impl ::planus::WriteAsDefault<u64, u64>,
                     field_complete: impl ::planus::WriteAs<::planus::Offset<[u8]>>,
                     field_items: impl ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::Item>]>>,
                 ) -> ::planus::Offset<Self> {
                     let prepared_kind = field_kind.prepare(builder, &self::UpdateKind::Changes);
-                    let prepared_since = field_since.prepare(builder);
-                    let prepared_stamp = field_stamp.prepare(builder);
+                    let prepared_base = field_base.prepare(builder);
+                    let prepared_revision = field_revision.prepare(builder);
                     let prepared_digest = field_digest.prepare(builder, &0);
                     let prepared_complete = field_complete.prepare(builder);
                     let prepared_items = field_items.prepare(builder);
 
                     let mut table_writer: ::planus::table_writer::TableWriter<16> =
                         ::core::default::Default::default();
-                    table_writer.write_entry::<self::Stamp>(1);
-                    table_writer.write_entry::<self::Stamp>(2);
+                    table_writer.write_entry::<self::Revision>(1);
+                    table_writer.write_entry::<self::Revision>(2);
                     if prepared_digest.is_some() {
                         table_writer.write_entry::<u64>(3);
                     }
@@ -7926,8 +7938,8 @@
 
                     unsafe {
                         table_writer.finish(builder, |object_writer| {
-                            object_writer.write::<_, _, 16>(&prepared_since);
-                            object_writer.write::<_, _, 16>(&prepared_stamp);
+                            object_writer.write::<_, _, 16>(&prepared_base);
+                            object_writer.write::<_, _, 16>(&prepared_revision);
                             if let ::core::option::Option::Some(prepared_digest) = prepared_digest {
                                 object_writer.write::<_, _, 8>(&prepared_digest);
                             }
@@ -7969,8 +7981,8 @@
                     Update::create(
                         builder,
                         self.kind,
-                        self.since,
-                        self.stamp,
+                        self.base,
+                        self.revision,
                         self.digest,
                         &self.complete,
                         &self.items,
@@ -8005,12 +8017,12 @@
             }
 
             impl<T0> UpdateBuilder<(T0,)> {
-                /// Setter for the [`since` field](Update#structfield.since).
+                /// Setter for the [`base` field](Update#structfield.base).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn since<T1>(self, value: T1) -> UpdateBuilder<(T0, T1)>
+                pub fn base<T1>(self, value: T1) -> UpdateBuilder<(T0, T1)>
                 where
-                    T1: ::planus::WriteAs<self::Stamp>,
+                    T1: ::planus::WriteAs<self::Revision>,
                 {
                     let (v0,) = self.0;
                     UpdateBuilder((v0, value))
@@ -8018,12 +8030,12 @@
             }
 
             impl<T0, T1> UpdateBuilder<(T0, T1)> {
-                /// Setter for the [`stamp` field](Update#structfield.stamp).
+                /// Setter for the [`revision` field](Update#structfield.revision).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn stamp<T2>(self, value: T2) -> UpdateBuilder<(T0, T1, T2)>
+                pub fn revision<T2>(self, value: T2) -> UpdateBuilder<(T0, T1, T2)>
                 where
-                    T2: ::planus::WriteAs<self::Stamp>,
+                    T2: ::planus::WriteAs<self::Revision>,
                 {
                     let (v0, v1) = self.0;
                     UpdateBuilder((v0, v1, value))
@@ -8089,8 +8101,8 @@
 
             impl<
                     T0: ::planus::WriteAsDefault<self::UpdateKind, self::UpdateKind>,
-                    T1: ::planus::WriteAs<self::Stamp>,
-                    T2: ::planus::WriteAs<self::Stamp>,
+                    T1: ::planus::WriteAs<self::Revision>,
+                    T2: ::planus::WriteAs<self::Revision>,
                     T3: ::planus::WriteAsDefault<u64, u64>,
                     T4: ::planus::WriteAs<::planus::Offset<[u8]>>,
                     T5: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::Item>]>>,
@@ -8106,8 +8118,8 @@
 
             impl<
                     T0: ::planus::WriteAsDefault<self::UpdateKind, self::UpdateKind>,
-                    T1: ::planus::WriteAs<self::Stamp>,
-                    T2: ::planus::WriteAs<self::Stamp>,
+                    T1: ::planus::WriteAs<self::Revision>,
+                    T2: ::planus::WriteAs<self::Revision>,
                     T3: ::planus::WriteAsDefault<u64, u64>,
                     T4: ::planus::WriteAs<::planus::Offset<[u8]>>,
                     T5: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::Item>]>>,
@@ -8127,8 +8139,8 @@
 
             impl<
                     T0: ::planus::WriteAsDefault<self::UpdateKind, self::UpdateKind>,
-                    T1: ::planus::WriteAs<self::Stamp>,
-                    T2: ::planus::WriteAs<self::Stamp>,
+                    T1: ::planus::WriteAs<self::Revision>,
+                    T2: ::planus::WriteAs<self::Revision>,
                     T3: ::planus::WriteAsDefault<u64, u64>,
                     T4: ::planus::WriteAs<::planus::Offset<[u8]>>,
                     T5: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::Item>]>>,
@@ -8154,16 +8166,16 @@
                     )
                 }
 
-                /// Getter for the [`since` field](Update#structfield.since).
+                /// Getter for the [`base` field](Update#structfield.base).
                 #[inline]
-                pub fn since(&self) -> ::planus::Result<self::StampRef<'a>> {
-                    self.0.access_required(1, "Update", "since")
+                pub fn base(&self) -> ::planus::Result<self::RevisionRef<'a>> {
+                    self.0.access_required(1, "Update", "base")
                 }
 
-                /// Getter for the [`stamp` field](Update#structfield.stamp).
+                /// Getter for the [`revision` field](Update#structfield.revision).
                 #[inline]
-                pub fn stamp(&self) -> ::planus::Result<self::StampRef<'a>> {
-                    self.0.access_required(2, "Update", "stamp")
+                pub fn revision(&self) -> ::planus::Result<self::RevisionRef<'a>> {
+                    self.0.access_required(2, "Update", "revision")
                 }
 
                 /// Getter for the [`digest` field](Update#structfield.digest).
@@ -8192,8 +8204,8 @@
                 fn fmt(&self, f: &mut ::core::fmt::Formatter<'_>) -> ::core::fmt::Result {
                     let mut f = f.debug_struct("UpdateRef");
                     f.field("kind", &self.kind());
-                    f.field("since", &self.since());
-                    f.field("stamp", &self.stamp());
+                    f.field("base", &self.base());
+                    f.field("revision", &self.revision());
                     f.field("digest", &self.digest());
                     f.field("complete", &self.complete());
                     f.field("items", &self.items());
@@ -8208,8 +8220,8 @@
                 fn try_from(value: UpdateRef<'a>) -> ::planus::Result<Self> {
                     ::core::result::Result::Ok(Self {
                         kind: ::core::convert::TryInto::try_into(value.kind()?)?,
-                        since: ::core::convert::Into::into(value.since()?),
-                        stamp: ::core::convert::Into::into(value.stamp()?),
+                        base: ::core::convert::Into::into(value.base()?),
+                        revision: ::core::convert::Into::into(value.revision()?),
                         digest: ::core::convert::TryInto::try_into(value.digest()?)?,
                         complete: value.complete()?.to_vec(),
                         items: value.items()?.to_vec_result()?,
@@ -8281,10 +8293,10 @@
                 }
             }
 
-            /// The enum `FrontState` in the namespace `quillpulley.wire`
+            /// The enum `EndpointState` in the namespace `quillpulley.protocol`
             ///
             /// Generated from these locations:
-            /// * Enum `FrontState` in the file `protocol.fbs:92`
+            /// * Enum `EndpointState` in the file `protocol.fbs:110`
             #[derive(
                 Copy,
                 Clone,
@@ -8298,31 +8310,31 @@
                 ::serde::Deserialize,
             )]
             #[repr(u8)]
-            pub enum FrontState {
-                /// The variant `Starting` in the enum `FrontState`
+            pub enum EndpointState {
+                /// The variant `Starting` in the enum `EndpointState`
                 Starting = 0,
 
-                /// The variant `Ready` in the enum `FrontState`
+                /// The variant `Ready` in the enum `EndpointState`
                 Ready = 1,
 
-                /// The variant `Leaving` in the enum `FrontState`
-                Leaving = 2,
+                /// The variant `Draining` in the enum `EndpointState`
+                Draining = 2,
             }
 
-            impl FrontState {
-                /// Array containing all valid variants of FrontState
-                pub const ENUM_VALUES: [Self; 3] = [Self::Starting, Self::Ready, Self::Leaving];
+            impl EndpointState {
+                /// Array containing all valid variants of EndpointState
+                pub const ENUM_VALUES: [Self; 3] = [Self::Starting, Self::Ready, Self::Draining];
             }
 
-            impl ::core::convert::TryFrom<u8> for FrontState {
+            impl ::core::convert::TryFrom<u8> for EndpointState {
                 type Error = ::planus::errors::UnknownEnumTagKind;
                 #[inline]
                 fn try_from(value: u8) -> ::core::result::Result<Self, ::planus::errors::UnknownEnumTagKind> {
                     #[allow(clippy::match_single_binding)]
                     match value {
-                        0 => ::core::result::Result::Ok(FrontState::Starting),
-                        1 => ::core::result::Result::Ok(FrontState::Ready),
-                        2 => ::core::result::Result::Ok(FrontState::Leaving),
+                        0 => ::core::result::Result::Ok(EndpointState::Starting),
+                        1 => ::core::result::Result::Ok(EndpointState::Ready),
+                        2 => ::core::result::Result::Ok(EndpointState::Draining),
 
                         _ => ::core::result::Result::Err(::planus::errors::UnknownEnumTagKind {
                             tag: value as i128,
@@ -8331,45 +8343,45 @@
                 }
             }
 
-            impl ::core::convert::From<FrontState> for u8 {
+            impl ::core::convert::From<EndpointState> for u8 {
                 #[inline]
-                fn from(value: FrontState) -> Self {
+                fn from(value: EndpointState) -> Self {
                     value as u8
                 }
             }
 
             /// # Safety
             /// The Planus compiler correctly calculates `ALIGNMENT` and `SIZE`.
-            unsafe impl ::planus::Primitive for FrontState {
+            unsafe impl ::planus::Primitive for EndpointState {
                 const ALIGNMENT: usize = 1;
                 const SIZE: usize = 1;
             }
 
-            impl ::planus::WriteAsPrimitive<FrontState> for FrontState {
+            impl ::planus::WriteAsPrimitive<EndpointState> for EndpointState {
                 #[inline]
                 fn write<const N: usize>(&self, cursor: ::planus::Cursor<'_, N>, buffer_position: u32) {
                     (*self as u8).write(cursor, buffer_position);
                 }
             }
 
-            impl ::planus::WriteAs<FrontState> for FrontState {
+            impl ::planus::WriteAs<EndpointState> for EndpointState {
                 type Prepared = Self;
 
                 #[inline]
-                fn prepare(&self, _builder: &mut ::planus::Builder) -> FrontState {
+                fn prepare(&self, _builder: &mut ::planus::Builder) -> EndpointState {
                     *self
                 }
             }
 
-            impl ::planus::WriteAsDefault<FrontState, FrontState> for FrontState {
+            impl ::planus::WriteAsDefault<EndpointState, EndpointState> for EndpointState {
                 type Prepared = Self;
 
                 #[inline]
                 fn prepare(
                     &self,
                     _builder: &mut ::planus::Builder,
-                    default: &FrontState,
-                ) -> ::core::option::Option<FrontState> {
+                    default: &EndpointState,
+                ) -> ::core::option::Option<EndpointState> {
                     if self == default {
                         ::core::option::Option::None
                     } else {
@@ -8378,16 +8390,16 @@
                 }
             }
 
-            impl ::planus::WriteAsOptional<FrontState> for FrontState {
+            impl ::planus::WriteAsOptional<EndpointState> for EndpointState {
                 type Prepared = Self;
 
                 #[inline]
-                fn prepare(&self, _builder: &mut ::planus::Builder) -> ::core::option::Option<FrontState> {
+                fn prepare(&self, _builder: &mut ::planus::Builder) -> ::core::option::Option<EndpointState> {
                     ::core::option::Option::Some(*self)
                 }
             }
 
-            impl<'buf> ::planus::TableRead<'buf> for FrontState {
+            impl<'buf> ::planus::TableRead<'buf> for EndpointState {
                 #[inline]
                 fn from_buffer(
                     buffer: ::planus::SliceWithStartOffset<'buf>,
@@ -8398,7 +8410,7 @@
                 }
             }
 
-            impl<'buf> ::planus::VectorReadInner<'buf> for FrontState {
+            impl<'buf> ::planus::VectorReadInner<'buf> for EndpointState {
                 type Error = ::planus::errors::UnknownEnumTag;
                 const STRIDE: usize = 1;
                 #[inline]
@@ -8410,7 +8422,7 @@
                     let value: ::core::result::Result<Self, _> = ::core::convert::TryInto::try_into(value);
                     value.map_err(|error_kind| {
                         error_kind.with_error_location(
-                            "FrontState",
+                            "EndpointState",
                             "VectorRead::from_buffer",
                             buffer.offset_from_start,
                         )
@@ -8421,7 +8433,7 @@
             /// # Safety
             /// The planus compiler generates implementations that initialize
             /// the bytes in `write_values`.
-            unsafe impl ::planus::VectorWrite<FrontState> for FrontState {
+            unsafe impl ::planus::VectorWrite<EndpointState> for EndpointState {
                 const STRIDE: usize = 1;
 
                 type Value = Self;
@@ -8448,34 +8460,34 @@
                 }
             }
 
-            ///  A machine that serves clients. `preferred_regions`: where its clients would be served better, if anywhere.
+            ///  The address at which a proxy serves clients. `preferred_regions`: where its clients would be served better.
             ///
             /// Generated from these locations:
-            /// * Table `Front` in the file `protocol.fbs:95`
+            /// * Table `ProxyEndpoint` in the file `protocol.fbs:113`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
-            pub struct Front {
-                /// The field `name` in the table `Front`
+            pub struct ProxyEndpoint {
+                /// The field `name` in the table `ProxyEndpoint`
                 pub name: ::planus::alloc::string::String,
-                /// The field `ip` in the table `Front`
+                /// The field `ip` in the table `ProxyEndpoint`
                 pub ip: u32,
-                /// The field `zone` in the table `Front`
+                /// The field `zone` in the table `ProxyEndpoint`
                 pub zone: ::planus::alloc::string::String,
-                /// The field `region` in the table `Front`
+                /// The field `region` in the table `ProxyEndpoint`
                 pub region: ::planus::alloc::string::String,
-                /// The field `address` in the table `Front`
+                /// The field `address` in the table `ProxyEndpoint`
                 pub address: ::planus::alloc::string::String,
-                /// The field `state` in the table `Front`
-                pub state: self::FrontState,
-                /// The field `life` in the table `Front`
-                pub life: u64,
-                /// The field `preferred_regions` in the table `Front`
+                /// The field `state` in the table `ProxyEndpoint`
+                pub state: self::EndpointState,
+                /// The field `incarnation` in the table `ProxyEndpoint`
+                pub incarnation: u64,
+                /// The field `preferred_regions` in the table `ProxyEndpoint`
                 pub preferred_regions: ::planus::alloc::vec::Vec<::planus::alloc::string::String>,
             }
 
             #[allow(clippy::derivable_impls)]
-            impl ::core::default::Default for Front {
+            impl ::core::default::Default for ProxyEndpoint {
                 fn default() -> Self {
                     Self {
                         name: ::core::default::Default::default(),
@@ -8483,18 +8495,18 @@
                         zone: ::core::default::Default::default(),
                         region: ::core::default::Default::default(),
                         address: ::core::default::Default::default(),
-                        state: self::FrontState::Starting,
-                        life: 0,
+                        state: self::EndpointState::Starting,
+                        incarnation: 0,
                         preferred_regions: ::core::default::Default::default(),
                     }
                 }
             }
 
-            impl Front {
-                /// Creates a [FrontBuilder] for serializing an instance of this table.
+            impl ProxyEndpoint {
+                /// Creates a [ProxyEndpointBuilder] for serializing an instance of this table.
                 #[inline]
-                pub fn builder() -> FrontBuilder<()> {
-                    FrontBuilder(())
+                pub fn builder() -> ProxyEndpointBuilder<()> {
+                    ProxyEndpointBuilder(())
                 }
 
                 #[allow(clippy::too_many_arguments)]
@@ -8505,8 +8517,8 @@
                     field_zone: impl ::planus::WriteAs<::planus::Offset<str>>,
                     field_region: impl ::planus::WriteAs<::planus::Offset<str>>,
                     field_address: impl ::planus::WriteAs<::planus::Offset<str>>,
-                    field_state: impl ::planus::WriteAsDefault<self::FrontState, self::FrontState>,
-                    field_life: impl ::planus::WriteAsDefault<u64, u64>,
+                    field_state: impl ::planus::WriteAsDefault<self::EndpointState, self::EndpointState>,
+                    field_incarnation: impl ::planus::WriteAsDefault<u64, u64>,
                     field_preferred_regions: impl ::planus::WriteAs<::planus::Offset<[::planus::Offset<str>]>>,
                 ) -> ::planus::Offset<Self> {
                     let prepared_name = field_name.prepare(builder);
@@ -8514,13 +8526,13 @@
                     let prepared_zone = field_zone.prepare(builder);
                     let prepared_region = field_region.prepare(builder);
                     let prepared_address = field_address.prepare(builder);
-                    let prepared_state = field_state.prepare(builder, &self::FrontState::Starting);
-                    let prepared_life = field_life.prepare(builder, &0);
+                    let prepared_state = field_state.prepare(builder, &self::EndpointState::Starting);
+                    let prepared_incarnation = field_incarnation.prepare(builder, &0);
                     let prepared_preferred_regions = field_preferred_regions.prepare(builder);
 
                     let mut table_writer: ::planus::table_writer::TableWriter<20> =
                         ::core::default::Default::default();
-                    if prepared_life.is_some() {
+                    if prepared_incarnation.is_some() {
                         table_writer.write_entry::<u64>(6);
                     }
                     table_writer.write_entry::<::planus::Offset<str>>(0);
@@ -8532,13 +8544,13 @@
                     table_writer.write_entry::<::planus::Offset<str>>(4);
                     table_writer.write_entry::<::planus::Offset<[::planus::Offset<str>]>>(7);
                     if prepared_state.is_some() {
-                        table_writer.write_entry::<self::FrontState>(5);
+                        table_writer.write_entry::<self::EndpointState>(5);
                     }
 
                     unsafe {
                         table_writer.finish(builder, |object_writer| {
-                            if let ::core::option::Option::Some(prepared_life) = prepared_life {
-                                object_writer.write::<_, _, 8>(&prepared_life);
+                            if let ::core::option::Option::Some(prepared_incarnation) = prepared_incarnation {
+                                object_writer.write::<_, _, 8>(&prepared_incarnation);
                             }
                             object_writer.write::<_, _, 4>(&prepared_name);
                             if let ::core::option::Option::Some(prepared_ip) = prepared_ip {
@@ -8557,31 +8569,31 @@
                 }
             }
 
-            impl ::planus::WriteAs<::planus::Offset<Front>> for Front {
+            impl ::planus::WriteAs<::planus::Offset<ProxyEndpoint>> for ProxyEndpoint {
                 type Prepared = ::planus::Offset<Self>;
 
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<Front> {
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<ProxyEndpoint> {
                     ::planus::WriteAsOffset::prepare(self, builder)
                 }
             }
 
-            impl ::planus::WriteAsOptional<::planus::Offset<Front>> for Front {
+            impl ::planus::WriteAsOptional<::planus::Offset<ProxyEndpoint>> for ProxyEndpoint {
                 type Prepared = ::planus::Offset<Self>;
 
                 #[inline]
                 fn prepare(
                     &self,
                     builder: &mut ::planus::Builder,
-                ) -> ::core::option::Option<::planus::Offset<Front>> {
+                ) -> ::core::option::Option<::planus::Offset<ProxyEndpoint>> {
                     ::core::option::Option::Some(::planus::WriteAsOffset::prepare(self, builder))
                 }
             }
 
-            impl ::planus::WriteAsOffset<Front> for Front {
+            impl ::planus::WriteAsOffset<ProxyEndpoint> for ProxyEndpoint {
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<Front> {
-                    Front::create(
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<ProxyEndpoint> {
+                    ProxyEndpoint::create(
                         builder,
                         &self.name,
                         self.ip,
@@ -8589,154 +8601,156 @@
                         &self.region,
                         &self.address,
                         self.state,
-                        self.life,
+                        self.incarnation,
                         &self.preferred_regions,
                     )
                 }
             }
 
-            /// Builder for serializing an instance of the [Front] type.
+            /// Builder for serializing an instance of the [ProxyEndpoint] type.
             ///
-            /// Can be created using the [Front::builder] method.
+            /// Can be created using the [ProxyEndpoint::builder] method.
             #[derive(Debug)]
             #[must_use]
-            pub struct FrontBuilder<State>(State);
+            pub struct ProxyEndpointBuilder<State>(State);
 
-            impl FrontBuilder<()> {
-                /// Setter for the [`name` field](Front#structfield.name).
+            impl ProxyEndpointBuilder<()> {
+                /// Setter for the [`name` field](ProxyEndpoint#structfield.name).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn name<T0>(self, value: T0) -> FrontBuilder<(T0,)>
+                pub fn name<T0>(self, value: T0) -> ProxyEndpointBuilder<(T0,)>
                 where
                     T0: ::planus::WriteAs<::planus::Offset<str>>,
                 {
-                    FrontBuilder((value,))
+                    ProxyEndpointBuilder((value,))
                 }
             }
 
-            impl<T0> FrontBuilder<(T0,)> {
-                /// Setter for the [`ip` field](Front#structfield.ip).
+            impl<T0> ProxyEndpointBuilder<(T0,)> {
+                /// Setter for the [`ip` field](ProxyEndpoint#structfield.ip).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn ip<T1>(self, value: T1) -> FrontBuilder<(T0, T1)>
+                pub fn ip<T1>(self, value: T1) -> ProxyEndpointBuilder<(T0, T1)>
                 where
                     T1: ::planus::WriteAsDefault<u32, u32>,
                 {
                     let (v0,) = self.0;
-                    FrontBuilder((v0, value))
+                    ProxyEndpointBuilder((v0, value))
                 }
 
-                /// Sets the [`ip` field](Front#structfield.ip) to the default value.
+                /// Sets the [`ip` field](ProxyEndpoint#structfield.ip) to the default value.
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn ip_as_default(self) -> FrontBuilder<(T0, ::planus::DefaultValue)> {
+                pub fn ip_as_default(self) -> ProxyEndpointBuilder<(T0, ::planus::DefaultValue)> {
                     self.ip(::planus::DefaultValue)
                 }
             }
 
-            impl<T0, T1> FrontBuilder<(T0, T1)> {
-                /// Setter for the [`zone` field](Front#structfield.zone).
+            impl<T0, T1> ProxyEndpointBuilder<(T0, T1)> {
+                /// Setter for the [`zone` field](ProxyEndpoint#structfield.zone).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn zone<T2>(self, value: T2) -> FrontBuilder<(T0, T1, T2)>
+                pub fn zone<T2>(self, value: T2) -> ProxyEndpointBuilder<(T0, T1, T2)>
                 where
                     T2: ::planus::WriteAs<::planus::Offset<str>>,
                 {
                     let (v0, v1) = self.0;
-                    FrontBuilder((v0, v1, value))
+                    ProxyEndpointBuilder((v0, v1, value))
                 }
             }
 
-            impl<T0, T1, T2> FrontBuilder<(T0, T1, T2)> {
-                /// Setter for the [`region` field](Front#structfield.region).
+            impl<T0, T1, T2> ProxyEndpointBuilder<(T0, T1, T2)> {
+                /// Setter for the [`region` field](ProxyEndpoint#structfield.region).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn region<T3>(self, value: T3) -> FrontBuilder<(T0, T1, T2, T3)>
+                pub fn region<T3>(self, value: T3) -> ProxyEndpointBuilder<(T0, T1, T2, T3)>
                 where
                     T3: ::planus::WriteAs<::planus::Offset<str>>,
                 {
                     let (v0, v1, v2) = self.0;
-                    FrontBuilder((v0, v1, v2, value))
+                    ProxyEndpointBuilder((v0, v1, v2, value))
                 }
             }
 
-            impl<T0, T1, T2, T3> FrontBuilder<(T0, T1, T2, T3)> {
-                /// Setter for the [`address` field](Front#structfield.address).
+            impl<T0, T1, T2, T3> ProxyEndpointBuilder<(T0, T1, T2, T3)> {
+                /// Setter for the [`address` field](ProxyEndpoint#structfield.address).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn address<T4>(self, value: T4) -> FrontBuilder<(T0, T1, T2, T3, T4)>
+                pub fn address<T4>(self, value: T4) -> ProxyEndpointBuilder<(T0, T1, T2, T3, T4)>
                 where
                     T4: ::planus::WriteAs<::planus::Offset<str>>,
                 {
                     let (v0, v1, v2, v3) = self.0;
-                    FrontBuilder((v0, v1, v2, v3, value))
+                    ProxyEndpointBuilder((v0, v1, v2, v3, value))
                 }
             }
 
-            impl<T0, T1, T2, T3, T4> FrontBuilder<(T0, T1, T2, T3, T4)> {
-                /// Setter for the [`state` field](Front#structfield.state).
+            impl<T0, T1, T2, T3, T4> ProxyEndpointBuilder<(T0, T1, T2, T3, T4)> {
+                /// Setter for the [`state` field](ProxyEndpoint#structfield.state).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn state<T5>(self, value: T5) -> FrontBuilder<(T0, T1, T2, T3, T4, T5)>
+                pub fn state<T5>(self, value: T5) -> ProxyEndpointBuilder<(T0, T1, T2, T3, T4, T5)>
                 where
-                    T5: ::planus::WriteAsDefault<self::FrontState, self::FrontState>,
+                    T5: ::planus::WriteAsDefault<self::EndpointState, self::EndpointState>,
                 {
                     let (v0, v1, v2, v3, v4) = self.0;
-                    FrontBuilder((v0, v1, v2, v3, v4, value))
+                    ProxyEndpointBuilder((v0, v1, v2, v3, v4, value))
                 }
 
-                /// Sets the [`state` field](Front#structfield.state) to the default value.
+                /// Sets the [`state` field](ProxyEndpoint#structfield.state) to the default value.
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn state_as_default(self) -> FrontBuilder<(T0, T1, T2, T3, T4, ::planus::DefaultValue)> {
+                pub fn state_as_default(
+                    self,
+                ) -> ProxyEndpointBuilder<(T0, T1, T2, T3, T4, ::planus::DefaultValue)> {
                     self.state(::planus::DefaultValue)
                 }
             }
 
-            impl<T0, T1, T2, T3, T4, T5> FrontBuilder<(T0, T1, T2, T3, T4, T5)> {
-                /// Setter for the [`life` field](Front#structfield.life).
+            impl<T0, T1, T2, T3, T4, T5> ProxyEndpointBuilder<(T0, T1, T2, T3, T4, T5)> {
+                /// Setter for the [`incarnation` field](ProxyEndpoint#structfield.incarnation).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn life<T6>(self, value: T6) -> FrontBuilder<(T0, T1, T2, T3, T4, T5, T6)>
+                pub fn incarnation<T6>(self, value: T6) -> ProxyEndpointBuilder<(T0, T1, T2, T3, T4, T5, T6)>
                 where
                     T6: ::planus::WriteAsDefault<u64, u64>,
                 {
                     let (v0, v1, v2, v3, v4, v5) = self.0;
-                    FrontBuilder((v0, v1, v2, v3, v4, v5, value))
+                    ProxyEndpointBuilder((v0, v1, v2, v3, v4, v5, value))
                 }
 
-                /// Sets the [`life` field](Front#structfield.life) to the default value.
+                /// Sets the [`incarnation` field](ProxyEndpoint#structfield.incarnation) to the default value.
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn life_as_default(
+                pub fn incarnation_as_default(
                     self,
-                ) -> FrontBuilder<(T0, T1, T2, T3, T4, T5, ::planus::DefaultValue)> {
-                    self.life(::planus::DefaultValue)
+                ) -> ProxyEndpointBuilder<(T0, T1, T2, T3, T4, T5, ::planus::DefaultValue)> {
+                    self.incarnation(::planus::DefaultValue)
                 }
             }
 
-            impl<T0, T1, T2, T3, T4, T5, T6> FrontBuilder<(T0, T1, T2, T3, T4, T5, T6)> {
-                /// Setter for the [`preferred_regions` field](Front#structfield.preferred_regions).
+            impl<T0, T1, T2, T3, T4, T5, T6> ProxyEndpointBuilder<(T0, T1, T2, T3, T4, T5, T6)> {
+                /// Setter for the [`preferred_regions` field](ProxyEndpoint#structfield.preferred_regions).
                 #[inline]
                 #[allow(clippy::type_complexity)]
                 pub fn preferred_regions<T7>(
                     self,
                     value: T7,
-                ) -> FrontBuilder<(T0, T1, T2, T3, T4, T5, T6, T7)>
+                ) -> ProxyEndpointBuilder<(T0, T1, T2, T3, T4, T5, T6, T7)>
                 where
                     T7: ::planus::WriteAs<::planus::Offset<[::planus::Offset<str>]>>,
                 {
                     let (v0, v1, v2, v3, v4, v5, v6) = self.0;
-                    FrontBuilder((v0, v1, v2, v3, v4, v5, v6, value))
+                    ProxyEndpointBuilder((v0, v1, v2, v3, v4, v5, v6, value))
                 }
             }
 
-            impl<T0, T1, T2, T3, T4, T5, T6, T7> FrontBuilder<(T0, T1, T2, T3, T4, T5, T6, T7)> {
-                /// Finish writing the builder to get an [Offset](::planus::Offset) to a serialized [Front].
+            impl<T0, T1, T2, T3, T4, T5, T6, T7> ProxyEndpointBuilder<(T0, T1, T2, T3, T4, T5, T6, T7)> {
+                /// Finish writing the builder to get an [Offset](::planus::Offset) to a serialized [ProxyEndpoint].
                 #[inline]
-                pub fn finish(self, builder: &mut ::planus::Builder) -> ::planus::Offset<Front>
+                pub fn finish(self, builder: &mut ::planus::Builder) -> ::planus::Offset<ProxyEndpoint>
                 where
-                    Self: ::planus::WriteAsOffset<Front>,
+                    Self: ::planus::WriteAsOffset<ProxyEndpoint>,
                 {
                     ::planus::WriteAsOffset::prepare(&self, builder)
                 }
@@ -8748,16 +8762,16 @@
                     T2: ::planus::WriteAs<::planus::Offset<str>>,
                     T3: ::planus::WriteAs<::planus::Offset<str>>,
                     T4: ::planus::WriteAs<::planus::Offset<str>>,
-                    T5: ::planus::WriteAsDefault<self::FrontState, self::FrontState>,
+                    T5: ::planus::WriteAsDefault<self::EndpointState, self::EndpointState>,
                     T6: ::planus::WriteAsDefault<u64, u64>,
                     T7: ::planus::WriteAs<::planus::Offset<[::planus::Offset<str>]>>,
-                > ::planus::WriteAs<::planus::Offset<Front>>
-                for FrontBuilder<(T0, T1, T2, T3, T4, T5, T6, T7)>
+                > ::planus::WriteAs<::planus::Offset<ProxyEndpoint>>
+                for ProxyEndpointBuilder<(T0, T1, T2, T3, T4, T5, T6, T7)>
             {
-                type Prepared = ::planus::Offset<Front>;
+                type Prepared = ::planus::Offset<ProxyEndpoint>;
 
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<Front> {
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<ProxyEndpoint> {
                     ::planus::WriteAsOffset::prepare(self, builder)
                 }
             }
@@ -8768,19 +8782,19 @@
                     T2: ::planus::WriteAs<::planus::Offset<str>>,
                     T3: ::planus::WriteAs<::planus::Offset<str>>,
                     T4: ::planus::WriteAs<::planus::Offset<str>>,
-                    T5: ::planus::WriteAsDefault<self::FrontState, self::FrontState>,
+                    T5: ::planus::WriteAsDefault<self::EndpointState, self::EndpointState>,
                     T6: ::planus::WriteAsDefault<u64, u64>,
                     T7: ::planus::WriteAs<::planus::Offset<[::planus::Offset<str>]>>,
-                > ::planus::WriteAsOptional<::planus::Offset<Front>>
-                for FrontBuilder<(T0, T1, T2, T3, T4, T5, T6, T7)>
+                > ::planus::WriteAsOptional<::planus::Offset<ProxyEndpoint>>
+                for ProxyEndpointBuilder<(T0, T1, T2, T3, T4, T5, T6, T7)>
             {
-                type Prepared = ::planus::Offset<Front>;
+                type Prepared = ::planus::Offset<ProxyEndpoint>;
 
                 #[inline]
                 fn prepare(
                     &self,
                     builder: &mut ::planus::Builder,
-                ) -> ::core::option::Option<::planus::Offset<Front>> {
+                ) -> ::core::option::Option<::planus::Offset<ProxyEndpoint>> {
                     ::core::option::Option::Some(::planus::WriteAsOffset::prepare(self, builder))
                 }
             }
@@ -8791,97 +8805,98 @@
                     T2: ::planus::WriteAs<::planus::Offset<str>>,
                     T3: ::planus::WriteAs<::planus::Offset<str>>,
                     T4: ::planus::WriteAs<::planus::Offset<str>>,
-                    T5: ::planus::WriteAsDefault<self::FrontState, self::FrontState>,
+                    T5: ::planus::WriteAsDefault<self::EndpointState, self::EndpointState>,
                     T6: ::planus::WriteAsDefault<u64, u64>,
                     T7: ::planus::WriteAs<::planus::Offset<[::planus::Offset<str>]>>,
-                > ::planus::WriteAsOffset<Front> for FrontBuilder<(T0, T1, T2, T3, T4, T5, T6, T7)>
+                > ::planus::WriteAsOffset<ProxyEndpoint>
+                for ProxyEndpointBuilder<(T0, T1, T2, T3, T4, T5, T6, T7)>
             {
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<Front> {
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<ProxyEndpoint> {
                     let (v0, v1, v2, v3, v4, v5, v6, v7) = &self.0;
-                    Front::create(builder, v0, v1, v2, v3, v4, v5, v6, v7)
+                    ProxyEndpoint::create(builder, v0, v1, v2, v3, v4, v5, v6, v7)
                 }
             }
 
-            /// Reference to a deserialized [Front].
+            /// Reference to a deserialized [ProxyEndpoint].
             #[derive(Copy, Clone)]
-            pub struct FrontRef<'a>(#[allow(dead_code)] ::planus::table_reader::Table<'a>);
+            pub struct ProxyEndpointRef<'a>(#[allow(dead_code)] ::planus::table_reader::Table<'a>);
 
-            impl<'a> FrontRef<'a> {
-                /// Getter for the [`name` field](Front#structfield.name).
+            impl<'a> ProxyEndpointRef<'a> {
+                /// Getter for the [`name` field](ProxyEndpoint#structfield.name).
                 #[inline]
                 pub fn name(&self) -> ::planus::Result<&'a ::core::primitive::str> {
-                    self.0.access_required(0, "Front", "name")
+                    self.0.access_required(0, "ProxyEndpoint", "name")
                 }
 
-                /// Getter for the [`ip` field](Front#structfield.ip).
+                /// Getter for the [`ip` field](ProxyEndpoint#structfield.ip).
                 #[inline]
                 pub fn ip(&self) -> ::planus::Result<u32> {
-                    ::core::result::Result::Ok(self.0.access(1, "Front", "ip")?.unwrap_or(0))
+                    ::core::result::Result::Ok(self.0.access(1, "ProxyEndpoint", "ip")?.unwrap_or(0))
                 }
 
-                /// Getter for the [`zone` field](Front#structfield.zone).
+                /// Getter for the [`zone` field](ProxyEndpoint#structfield.zone).
                 #[inline]
                 pub fn zone(&self) -> ::planus::Result<&'a ::core::primitive::str> {
-                    self.0.access_required(2, "Front", "zone")
+                    self.0.access_required(2, "ProxyEndpoint", "zone")
                 }
 
-                /// Getter for the [`region` field](Front#structfield.region).
+                /// Getter for the [`region` field](ProxyEndpoint#structfield.region).
                 #[inline]
                 pub fn region(&self) -> ::planus::Result<&'a ::core::primitive::str> {
-                    self.0.access_required(3, "Front", "region")
+                    self.0.access_required(3, "ProxyEndpoint", "region")
                 }
 
-                /// Getter for the [`address` field](Front#structfield.address).
+                /// Getter for the [`address` field](ProxyEndpoint#structfield.address).
                 #[inline]
                 pub fn address(&self) -> ::planus::Result<&'a ::core::primitive::str> {
-                    self.0.access_required(4, "Front", "address")
+                    self.0.access_required(4, "ProxyEndpoint", "address")
                 }
 
-                /// Getter for the [`state` field](Front#structfield.state).
+                /// Getter for the [`state` field](ProxyEndpoint#structfield.state).
                 #[inline]
-                pub fn state(&self) -> ::planus::Result<self::FrontState> {
+                pub fn state(&self) -> ::planus::Result<self::EndpointState> {
                     ::core::result::Result::Ok(
-                        self.0.access(5, "Front", "state")?.unwrap_or(self::FrontState::Starting),
+                        self.0.access(5, "ProxyEndpoint", "state")?.unwrap_or(self::EndpointState::Starting),
                     )
                 }
 
-                /// Getter for the [`life` field](Front#structfield.life).
+                /// Getter for the [`incarnation` field](ProxyEndpoint#structfield.incarnation).
                 #[inline]
-                pub fn life(&self) -> ::planus::Result<u64> {
-                    ::core::result::Result::Ok(self.0.access(6, "Front", "life")?.unwrap_or(0))
+                pub fn incarnation(&self) -> ::planus::Result<u64> {
+                    ::core::result::Result::Ok(self.0.access(6, "ProxyEndpoint", "incarnation")?.unwrap_or(0))
                 }
 
-                /// Getter for the [`preferred_regions` field](Front#structfield.preferred_regions).
+                /// Getter for the [`preferred_regions` field](ProxyEndpoint#structfield.preferred_regions).
                 #[inline]
                 pub fn preferred_regions(
                     &self,
                 ) -> ::planus::Result<::planus::Vector<'a, ::planus::Result<&'a ::core::primitive::str>>>
                 {
-                    self.0.access_required(7, "Front", "preferred_regions")
+                    self.0.access_required(7, "ProxyEndpoint", "preferred_regions")
                 }
             }
 
-            impl<'a> ::core::fmt::Debug for FrontRef<'a> {
+            impl<'a> ::core::fmt::Debug for ProxyEndpointRef<'a> {
                 fn fmt(&self, f: &mut ::core::fmt::Formatter<'_>) -> ::core::fmt::Result {
-                    let mut f = f.debug_struct("FrontRef");
+                    let mut f = f.debug_struct("ProxyEndpointRef");
                     f.field("name", &self.name());
                     f.field("ip", &self.ip());
                     f.field("zone", &self.zone());
                     f.field("region", &self.region());
                     f.field("address", &self.address());
                     f.field("state", &self.state());
-                    f.field("life", &self.life());
+                    f.field("incarnation", &self.incarnation());
                     f.field("preferred_regions", &self.preferred_regions());
                     f.finish()
                 }
             }
 
-            impl<'a> ::core::convert::TryFrom<FrontRef<'a>> for Front {
+            impl<'a> ::core::convert::TryFrom<ProxyEndpointRef<'a>> for ProxyEndpoint {
                 type Error = ::planus::Error;
 
                 #[allow(unreachable_code)]
-                fn try_from(value: FrontRef<'a>) -> ::planus::Result<Self> {
+                fn try_from(value: ProxyEndpointRef<'a>) -> ::planus::Result<Self> {
                     ::core::result::Result::Ok(Self {
                         name: ::core::convert::Into::into(value.name()?),
                         ip: ::core::convert::TryInto::try_into(value.ip()?)?,
@@ -8889,13 +8904,13 @@
                         region: ::core::convert::Into::into(value.region()?),
                         address: ::core::convert::Into::into(value.address()?),
                         state: ::core::convert::TryInto::try_into(value.state()?)?,
-                        life: ::core::convert::TryInto::try_into(value.life()?)?,
+                        incarnation: ::core::convert::TryInto::try_into(value.incarnation()?)?,
                         preferred_regions: value.preferred_regions()?.to_vec_result()?,
                     })
                 }
             }
 
-            impl<'a> ::planus::TableRead<'a> for FrontRef<'a> {
+            impl<'a> ::planus::TableRead<'a> for ProxyEndpointRef<'a> {
                 #[inline]
                 fn from_buffer(
                     buffer: ::planus::SliceWithStartOffset<'a>,
@@ -8907,7 +8922,7 @@
                 }
             }
 
-            impl<'a> ::planus::VectorReadInner<'a> for FrontRef<'a> {
+            impl<'a> ::planus::VectorReadInner<'a> for ProxyEndpointRef<'a> {
                 type Error = ::planus::Error;
                 const STRIDE: usize = 4;
 
@@ -8916,7 +8931,7 @@
                     offset: usize,
                 ) -> ::planus::Result<Self> {
                     ::planus::TableRead::from_buffer(buffer, offset).map_err(|error_kind| {
-                        error_kind.with_error_location("[FrontRef]", "get", buffer.offset_from_start)
+                        error_kind.with_error_location("[ProxyEndpointRef]", "get", buffer.offset_from_start)
                     })
                 }
             }
@@ -8924,8 +8939,8 @@
             /// # Safety
             /// The planus compiler generates implementations that initialize
             /// the bytes in `write_values`.
-            unsafe impl ::planus::VectorWrite<::planus::Offset<Front>> for Front {
-                type Value = ::planus::Offset<Front>;
+            unsafe impl ::planus::VectorWrite<::planus::Offset<ProxyEndpoint>> for ProxyEndpoint {
+                type Value = ::planus::Offset<ProxyEndpoint>;
                 const STRIDE: usize = 4;
                 #[inline]
                 fn prepare(&self, builder: &mut ::planus::Builder) -> Self::Value {
@@ -8934,7 +8949,7 @@
 
                 #[inline]
                 unsafe fn write_values(
-                    values: &[::planus::Offset<Front>],
+                    values: &[::planus::Offset<ProxyEndpoint>],
                     bytes: *mut ::core::mem::MaybeUninit<u8>,
                     buffer_position: u32,
                 ) {
@@ -8949,85 +8964,94 @@
                 }
             }
 
-            impl<'a> ::planus::ReadAsRoot<'a> for FrontRef<'a> {
+            impl<'a> ::planus::ReadAsRoot<'a> for ProxyEndpointRef<'a> {
                 fn read_as_root(slice: &'a [u8]) -> ::planus::Result<Self> {
                     ::planus::TableRead::from_buffer(
                         ::planus::SliceWithStartOffset { buffer: slice, offset_from_start: 0 },
                         0,
                     )
-                    .map_err(|error_kind| error_kind.with_error_location("[FrontRef]", "read_as_root", 0))
+                    .map_err(|error_kind| {
+                        error_kind.with_error_location("[ProxyEndpointRef]", "read_as_root", 0)
+                    })
                 }
             }
 
-            ///  What a subtree counted for a service in the latest budget window: first sends, repeats sent, repeats refused.
+            ///  What a subtree counted for a service in the latest window of the retry budget.
             ///
             /// Generated from these locations:
-            /// * Table `ServiceCount` in the file `protocol.fbs:98`
+            /// * Table `ServiceCounters` in the file `protocol.fbs:116`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
-            pub struct ServiceCount {
-                /// The field `service` in the table `ServiceCount`
+            pub struct ServiceCounters {
+                /// The field `service` in the table `ServiceCounters`
                 pub service: ::planus::alloc::string::String,
-                /// The field `first` in the table `ServiceCount`
-                pub first: u32,
-                /// The field `allowed` in the table `ServiceCount`
-                pub allowed: u32,
-                /// The field `refused` in the table `ServiceCount`
-                pub refused: u32,
+                /// The field `requests` in the table `ServiceCounters`
+                pub requests: u32,
+                /// The field `retries` in the table `ServiceCounters`
+                pub retries: u32,
+                /// The field `rejected_retries` in the table `ServiceCounters`
+                pub rejected_retries: u32,
             }
 
             #[allow(clippy::derivable_impls)]
-            impl ::core::default::Default for ServiceCount {
+            impl ::core::default::Default for ServiceCounters {
                 fn default() -> Self {
-                    Self { service: ::core::default::Default::default(), first: 0, allowed: 0, refused: 0 }
+                    Self {
+                        service: ::core::default::Default::default(),
+                        requests: 0,
+                        retries: 0,
+                        rejected_retries: 0,
+                    }
                 }
             }
 
-            impl ServiceCount {
-                /// Creates a [ServiceCountBuilder] for serializing an instance of this table.
+            impl ServiceCounters {
+                /// Creates a [ServiceCountersBuilder] for serializing an instance of this table.
                 #[inline]
-                pub fn builder() -> ServiceCountBuilder<()> {
-                    ServiceCountBuilder(())
+                pub fn builder() -> ServiceCountersBuilder<()> {
+                    ServiceCountersBuilder(())
                 }
 
                 #[allow(clippy::too_many_arguments)]
                 pub fn create(
                     builder: &mut ::planus::Builder,
                     field_service: impl ::planus::WriteAs<::planus::Offset<str>>,
-                    field_first: impl ::planus::WriteAsDefault<u32, u32>,
-                    field_allowed: impl ::planus::WriteAsDefault<u32, u32>,
-                    field_refused: impl ::planus::WriteAsDefault<u32, u32>,
+                    field_requests: impl ::planus::WriteAsDefault<u32, u32>,
+                    field_retries: impl ::planus::WriteAsDefault<u32, u32>,
+                    field_rejected_retries: impl ::planus::WriteAsDefault<u32, u32>,
                 ) -> ::planus::Offset<Self> {
                     let prepared_service = field_service.prepare(builder);
-                    let prepared_first = field_first.prepare(builder, &0);
-                    let prepared_allowed = field_allowed.prepare(builder, &0);
-                    let prepared_refused = field_refused.prepare(builder, &0);
+                    let prepared_requests = field_requests.prepare(builder, &0);
+                    let prepared_retries = field_retries.prepare(builder, &0);
+                    let prepared_rejected_retries = field_rejected_retries.prepare(builder, &0);
 
                     let mut table_writer: ::planus::table_writer::TableWriter<12> =
                         ::core::default::Default::default();
                     table_writer.write_entry::<::planus::Offset<str>>(0);
-                    if prepared_first.is_some() {
+                    if prepared_requests.is_some() {
                         table_writer.write_entry::<u32>(1);
                     }
-                    if prepared_allowed.is_some() {
+                    if prepared_retries.is_some() {
                         table_writer.write_entry::<u32>(2);
                     }
-                    if prepared_refused.is_some() {
+                    if prepared_rejected_retries.is_some() {
                         table_writer.write_entry::<u32>(3);
                     }
 
                     unsafe {
                         table_writer.finish(builder, |object_writer| {
                             object_writer.write::<_, _, 4>(&prepared_service);
-                            if let ::core::option::Option::Some(prepared_first) = prepared_first {
-                                object_writer.write::<_, _, 4>(&prepared_first);
+                            if let ::core::option::Option::Some(prepared_requests) = prepared_requests {
+                                object_writer.write::<_, _, 4>(&prepared_requests);
                             }
-                            if let ::core::option::Option::Some(prepared_allowed) = prepared_allowed {
-                                object_writer.write::<_, _, 4>(&prepared_allowed);
+                            if let ::core::option::Option::Some(prepared_retries) = prepared_retries {
+                                object_writer.write::<_, _, 4>(&prepared_retries);
                             }
-                            if let ::core::option::Option::Some(prepared_refused) = prepared_refused {
-                                object_writer.write::<_, _, 4>(&prepared_refused);
+                            if let ::core::option::Option::Some(prepared_rejected_retries) =
+                                prepared_rejected_retries
+                            {
+                                object_writer.write::<_, _, 4>(&prepared_rejected_retries);
                             }
                         });
                     }
@@ -9035,119 +9059,127 @@
                 }
             }
 
-            impl ::planus::WriteAs<::planus::Offset<ServiceCount>> for ServiceCount {
+            impl ::planus::WriteAs<::planus::Offset<ServiceCounters>> for ServiceCounters {
                 type Prepared = ::planus::Offset<Self>;
 
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<ServiceCount> {
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<ServiceCounters> {
                     ::planus::WriteAsOffset::prepare(self, builder)
                 }
             }
 
-            impl ::planus::WriteAsOptional<::planus::Offset<ServiceCount>> for ServiceCount {
+            impl ::planus::WriteAsOptional<::planus::Offset<ServiceCounters>> for ServiceCounters {
                 type Prepared = ::planus::Offset<Self>;
 
                 #[inline]
                 fn prepare(
                     &self,
                     builder: &mut ::planus::Builder,
-                ) -> ::core::option::Option<::planus::Offset<ServiceCount>> {
+                ) -> ::core::option::Option<::planus::Offset<ServiceCounters>> {
                     ::core::option::Option::Some(::planus::WriteAsOffset::prepare(self, builder))
                 }
             }
 
-            impl ::planus::WriteAsOffset<ServiceCount> for ServiceCount {
+            impl ::planus::WriteAsOffset<ServiceCounters> for ServiceCounters {
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<ServiceCount> {
-                    ServiceCount::create(builder, &self.service, self.first, self.allowed, self.refused)
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<ServiceCounters> {
+                    ServiceCounters::create(
+                        builder,
+                        &self.service,
+                        self.requests,
+                        self.retries,
+                        self.rejected_retries,
+                    )
                 }
             }
 
-            /// Builder for serializing an instance of the [ServiceCount] type.
+            /// Builder for serializing an instance of the [ServiceCounters] type.
             ///
-            /// Can be created using the [ServiceCount::builder] method.
+            /// Can be created using the [ServiceCounters::builder] method.
             #[derive(Debug)]
             #[must_use]
-            pub struct ServiceCountBuilder<State>(State);
+            pub struct ServiceCountersBuilder<State>(State);
 
-            impl ServiceCountBuilder<()> {
-                /// Setter for the [`service` field](ServiceCount#structfield.service).
+            impl ServiceCountersBuilder<()> {
+                /// Setter for the [`service` field](ServiceCounters#structfield.service).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn service<T0>(self, value: T0) -> ServiceCountBuilder<(T0,)>
+                pub fn service<T0>(self, value: T0) -> ServiceCountersBuilder<(T0,)>
                 where
                     T0: ::planus::WriteAs<::planus::Offset<str>>,
                 {
-                    ServiceCountBuilder((value,))
+                    ServiceCountersBuilder((value,))
                 }
             }
 
-            impl<T0> ServiceCountBuilder<(T0,)> {
-                /// Setter for the [`first` field](ServiceCount#structfield.first).
+            impl<T0> ServiceCountersBuilder<(T0,)> {
+                /// Setter for the [`requests` field](ServiceCounters#structfield.requests).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn first<T1>(self, value: T1) -> ServiceCountBuilder<(T0, T1)>
+                pub fn requests<T1>(self, value: T1) -> ServiceCountersBuilder<(T0, T1)>
                 where
                     T1: ::planus::WriteAsDefault<u32, u32>,
                 {
                     let (v0,) = self.0;
-                    ServiceCountBuilder((v0, value))
+                    ServiceCountersBuilder((v0, value))
                 }
 
-                /// Sets the [`first` field](ServiceCount#structfield.first) to the default value.
+                /// Sets the [`requests` field](ServiceCounters#structfield.requests) to the default value.
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn first_as_default(self) -> ServiceCountBuilder<(T0, ::planus::DefaultValue)> {
-                    self.first(::planus::DefaultValue)
+                pub fn requests_as_default(self) -> ServiceCountersBuilder<(T0, ::planus::DefaultValue)> {
+                    self.requests(::planus::DefaultValue)
                 }
             }
 
-            impl<T0, T1> ServiceCountBuilder<(T0, T1)> {
-                /// Setter for the [`allowed` field](ServiceCount#structfield.allowed).
+            impl<T0, T1> ServiceCountersBuilder<(T0, T1)> {
+                /// Setter for the [`retries` field](ServiceCounters#structfield.retries).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn allowed<T2>(self, value: T2) -> ServiceCountBuilder<(T0, T1, T2)>
+                pub fn retries<T2>(self, value: T2) -> ServiceCountersBuilder<(T0, T1, T2)>
                 where
                     T2: ::planus::WriteAsDefault<u32, u32>,
                 {
                     let (v0, v1) = self.0;
-                    ServiceCountBuilder((v0, v1, value))
+                    ServiceCountersBuilder((v0, v1, value))
                 }
 
-                /// Sets the [`allowed` field](ServiceCount#structfield.allowed) to the default value.
+                /// Sets the [`retries` field](ServiceCounters#structfield.retries) to the default value.
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn allowed_as_default(self) -> ServiceCountBuilder<(T0, T1, ::planus::DefaultValue)> {
-                    self.allowed(::planus::DefaultValue)
+                pub fn retries_as_default(self) -> ServiceCountersBuilder<(T0, T1, ::planus::DefaultValue)> {
+                    self.retries(::planus::DefaultValue)
                 }
             }
 
-            impl<T0, T1, T2> ServiceCountBuilder<(T0, T1, T2)> {
-                /// Setter for the [`refused` field](ServiceCount#structfield.refused).
+            impl<T0, T1, T2> ServiceCountersBuilder<(T0, T1, T2)> {
+                /// Setter for the [`rejected_retries` field](ServiceCounters#structfield.rejected_retries).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn refused<T3>(self, value: T3) -> ServiceCountBuilder<(T0, T1, T2, T3)>
+                pub fn rejected_retries<T3>(self, value: T3) -> ServiceCountersBuilder<(T0, T1, T2, T3)>
                 where
                     T3: ::planus::WriteAsDefault<u32, u32>,
                 {
                     let (v0, v1, v2) = self.0;
-                    ServiceCountBuilder((v0, v1, v2, value))
+                    ServiceCountersBuilder((v0, v1, v2, value))
                 }
 
-                /// Sets the [`refused` field](ServiceCount#structfield.refused) to the default value.
+                /// Sets the [`rejected_retries` field](ServiceCounters#structfield.rejected_retries) to the default value.
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn refused_as_default(self) -> ServiceCountBuilder<(T0, T1, T2, ::planus::DefaultValue)> {
-                    self.refused(::planus::DefaultValue)
+                pub fn rejected_retries_as_default(
+                    self,
+                ) -> ServiceCountersBuilder<(T0, T1, T2, ::planus::DefaultValue)> {
+                    self.rejected_retries(::planus::DefaultValue)
                 }
             }
 
-            impl<T0, T1, T2, T3> ServiceCountBuilder<(T0, T1, T2, T3)> {
-                /// Finish writing the builder to get an [Offset](::planus::Offset) to a serialized [ServiceCount].
+            impl<T0, T1, T2, T3> ServiceCountersBuilder<(T0, T1, T2, T3)> {
+                /// Finish writing the builder to get an [Offset](::planus::Offset) to a serialized [ServiceCounters].
                 #[inline]
-                pub fn finish(self, builder: &mut ::planus::Builder) -> ::planus::Offset<ServiceCount>
+                pub fn finish(self, builder: &mut ::planus::Builder) -> ::planus::Offset<ServiceCounters>
                 where
-                    Self: ::planus::WriteAsOffset<ServiceCount>,
+                    Self: ::planus::WriteAsOffset<ServiceCounters>,
                 {
                     ::planus::WriteAsOffset::prepare(&self, builder)
                 }
@@ -9158,13 +9190,13 @@
                     T1: ::planus::WriteAsDefault<u32, u32>,
                     T2: ::planus::WriteAsDefault<u32, u32>,
                     T3: ::planus::WriteAsDefault<u32, u32>,
-                > ::planus::WriteAs<::planus::Offset<ServiceCount>>
-                for ServiceCountBuilder<(T0, T1, T2, T3)>
+                > ::planus::WriteAs<::planus::Offset<ServiceCounters>>
+                for ServiceCountersBuilder<(T0, T1, T2, T3)>
             {
-                type Prepared = ::planus::Offset<ServiceCount>;
+                type Prepared = ::planus::Offset<ServiceCounters>;
 
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<ServiceCount> {
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<ServiceCounters> {
                     ::planus::WriteAsOffset::prepare(self, builder)
                 }
             }
@@ -9174,16 +9206,16 @@
                     T1: ::planus::WriteAsDefault<u32, u32>,
                     T2: ::planus::WriteAsDefault<u32, u32>,
                     T3: ::planus::WriteAsDefault<u32, u32>,
-                > ::planus::WriteAsOptional<::planus::Offset<ServiceCount>>
-                for ServiceCountBuilder<(T0, T1, T2, T3)>
+                > ::planus::WriteAsOptional<::planus::Offset<ServiceCounters>>
+                for ServiceCountersBuilder<(T0, T1, T2, T3)>
             {
-                type Prepared = ::planus::Offset<ServiceCount>;
+                type Prepared = ::planus::Offset<ServiceCounters>;
 
                 #[inline]
                 fn prepare(
                     &self,
                     builder: &mut ::planus::Builder,
-                ) -> ::core::option::Option<::planus::Offset<ServiceCount>> {
+                ) -> ::core::option::Option<::planus::Offset<ServiceCounters>> {
                     ::core::option::Option::Some(::planus::WriteAsOffset::prepare(self, builder))
                 }
             }
@@ -9193,71 +9225,73 @@
                     T1: ::planus::WriteAsDefault<u32, u32>,
                     T2: ::planus::WriteAsDefault<u32, u32>,
                     T3: ::planus::WriteAsDefault<u32, u32>,
-                > ::planus::WriteAsOffset<ServiceCount> for ServiceCountBuilder<(T0, T1, T2, T3)>
+                > ::planus::WriteAsOffset<ServiceCounters> for ServiceCountersBuilder<(T0, T1, T2, T3)>
             {
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<ServiceCount> {
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<ServiceCounters> {
                     let (v0, v1, v2, v3) = &self.0;
-                    ServiceCount::create(builder, v0, v1, v2, v3)
+                    ServiceCounters::create(builder, v0, v1, v2, v3)
                 }
             }
 
-            /// Reference to a deserialized [ServiceCount].
+            /// Reference to a deserialized [ServiceCounters].
             #[derive(Copy, Clone)]
-            pub struct ServiceCountRef<'a>(#[allow(dead_code)] ::planus::table_reader::Table<'a>);
+            pub struct ServiceCountersRef<'a>(#[allow(dead_code)] ::planus::table_reader::Table<'a>);
 
-            impl<'a> ServiceCountRef<'a> {
-                /// Getter for the [`service` field](ServiceCount#structfield.service).
+            impl<'a> ServiceCountersRef<'a> {
+                /// Getter for the [`service` field](ServiceCounters#structfield.service).
                 #[inline]
                 pub fn service(&self) -> ::planus::Result<&'a ::core::primitive::str> {
-                    self.0.access_required(0, "ServiceCount", "service")
+                    self.0.access_required(0, "ServiceCounters", "service")
                 }
 
-                /// Getter for the [`first` field](ServiceCount#structfield.first).
+                /// Getter for the [`requests` field](ServiceCounters#structfield.requests).
                 #[inline]
-                pub fn first(&self) -> ::planus::Result<u32> {
-                    ::core::result::Result::Ok(self.0.access(1, "ServiceCount", "first")?.unwrap_or(0))
+                pub fn requests(&self) -> ::planus::Result<u32> {
+                    ::core::result::Result::Ok(self.0.access(1, "ServiceCounters", "requests")?.unwrap_or(0))
                 }
 
-                /// Getter for the [`allowed` field](ServiceCount#structfield.allowed).
+                /// Getter for the [`retries` field](ServiceCounters#structfield.retries).
                 #[inline]
-                pub fn allowed(&self) -> ::planus::Result<u32> {
-                    ::core::result::Result::Ok(self.0.access(2, "ServiceCount", "allowed")?.unwrap_or(0))
+                pub fn retries(&self) -> ::planus::Result<u32> {
+                    ::core::result::Result::Ok(self.0.access(2, "ServiceCounters", "retries")?.unwrap_or(0))
                 }
 
-                /// Getter for the [`refused` field](ServiceCount#structfield.refused).
+                /// Getter for the [`rejected_retries` field](ServiceCounters#structfield.rejected_retries).
                 #[inline]
-                pub fn refused(&self) -> ::planus::Result<u32> {
-                    ::core::result::Result::Ok(self.0.access(3, "ServiceCount", "refused")?.unwrap_or(0))
+                pub fn rejected_retries(&self) -> ::planus::Result<u32> {
+                    ::core::result::Result::Ok(
+                        self.0.access(3, "ServiceCounters", "rejected_retries")?.unwrap_or(0),
+                    )
                 }
             }
 
-            impl<'a> ::core::fmt::Debug for ServiceCountRef<'a> {
+            impl<'a> ::core::fmt::Debug for ServiceCountersRef<'a> {
                 fn fmt(&self, f: &mut ::core::fmt::Formatter<'_>) -> ::core::fmt::Result {
-                    let mut f = f.debug_struct("ServiceCountRef");
+                    let mut f = f.debug_struct("ServiceCountersRef");
                     f.field("service", &self.service());
-                    f.field("first", &self.first());
-                    f.field("allowed", &self.allowed());
-                    f.field("refused", &self.refused());
+                    f.field("requests", &self.requests());
+                    f.field("retries", &self.retries());
+                    f.field("rejected_retries", &self.rejected_retries());
                     f.finish()
                 }
             }
 
-            impl<'a> ::core::convert::TryFrom<ServiceCountRef<'a>> for ServiceCount {
+            impl<'a> ::core::convert::TryFrom<ServiceCountersRef<'a>> for ServiceCounters {
                 type Error = ::planus::Error;
 
                 #[allow(unreachable_code)]
-                fn try_from(value: ServiceCountRef<'a>) -> ::planus::Result<Self> {
+                fn try_from(value: ServiceCountersRef<'a>) -> ::planus::Result<Self> {
                     ::core::result::Result::Ok(Self {
                         service: ::core::convert::Into::into(value.service()?),
-                        first: ::core::convert::TryInto::try_into(value.first()?)?,
-                        allowed: ::core::convert::TryInto::try_into(value.allowed()?)?,
-                        refused: ::core::convert::TryInto::try_into(value.refused()?)?,
+                        requests: ::core::convert::TryInto::try_into(value.requests()?)?,
+                        retries: ::core::convert::TryInto::try_into(value.retries()?)?,
+                        rejected_retries: ::core::convert::TryInto::try_into(value.rejected_retries()?)?,
                     })
                 }
             }
 
-            impl<'a> ::planus::TableRead<'a> for ServiceCountRef<'a> {
+            impl<'a> ::planus::TableRead<'a> for ServiceCountersRef<'a> {
                 #[inline]
                 fn from_buffer(
                     buffer: ::planus::SliceWithStartOffset<'a>,
@@ -9269,7 +9303,7 @@
                 }
             }
 
-            impl<'a> ::planus::VectorReadInner<'a> for ServiceCountRef<'a> {
+            impl<'a> ::planus::VectorReadInner<'a> for ServiceCountersRef<'a> {
                 type Error = ::planus::Error;
                 const STRIDE: usize = 4;
 
@@ -9278,7 +9312,11 @@
                     offset: usize,
                 ) -> ::planus::Result<Self> {
                     ::planus::TableRead::from_buffer(buffer, offset).map_err(|error_kind| {
-                        error_kind.with_error_location("[ServiceCountRef]", "get", buffer.offset_from_start)
+                        error_kind.with_error_location(
+                            "[ServiceCountersRef]",
+                            "get",
+                            buffer.offset_from_start,
+                        )
                     })
                 }
             }
@@ -9286,8 +9324,8 @@
             /// # Safety
             /// The planus compiler generates implementations that initialize
             /// the bytes in `write_values`.
-            unsafe impl ::planus::VectorWrite<::planus::Offset<ServiceCount>> for ServiceCount {
-                type Value = ::planus::Offset<ServiceCount>;
+            unsafe impl ::planus::VectorWrite<::planus::Offset<ServiceCounters>> for ServiceCounters {
+                type Value = ::planus::Offset<ServiceCounters>;
                 const STRIDE: usize = 4;
                 #[inline]
                 fn prepare(&self, builder: &mut ::planus::Builder) -> Self::Value {
@@ -9296,7 +9334,7 @@
 
                 #[inline]
                 unsafe fn write_values(
-                    values: &[::planus::Offset<ServiceCount>],
+                    values: &[::planus::Offset<ServiceCounters>],
                     bytes: *mut ::core::mem::MaybeUninit<u8>,
                     buffer_position: u32,
                 ) {
@@ -9311,22 +9349,22 @@
                 }
             }
 
-            impl<'a> ::planus::ReadAsRoot<'a> for ServiceCountRef<'a> {
+            impl<'a> ::planus::ReadAsRoot<'a> for ServiceCountersRef<'a> {
                 fn read_as_root(slice: &'a [u8]) -> ::planus::Result<Self> {
                     ::planus::TableRead::from_buffer(
                         ::planus::SliceWithStartOffset { buffer: slice, offset_from_start: 0 },
                         0,
                     )
                     .map_err(|error_kind| {
-                        error_kind.with_error_location("[ServiceCountRef]", "read_as_root", 0)
+                        error_kind.with_error_location("[ServiceCountersRef]", "read_as_root", 0)
                     })
                 }
             }
 
-            ///  What a subtree has under way at a server, which is named by the hash of its id. All zeros: nothing any more.
+            ///  What a subtree has in flight at a server, which is named by the hash of its id. All zeros remove the entry.
             ///
             /// Generated from these locations:
-            /// * Struct `ServerLoad` in the file `protocol.fbs:101`
+            /// * Struct `ServerLoad` in the file `protocol.fbs:119`
             #[derive(
                 Copy,
                 Clone,
@@ -9581,10 +9619,10 @@
                 }
             }
 
-            ///  Who cannot reach a front.
+            ///  Which monitors cannot reach a proxy.
             ///
             /// Generated from these locations:
-            /// * Table `Suspicion` in the file `protocol.fbs:104`
+            /// * Table `Suspicion` in the file `protocol.fbs:122`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -9854,12 +9892,12 @@
                 }
             }
 
-            ///  What a child tells its parent of its whole subtree. The first report on a connection is complete; those after it
-            ///  are a `delta` and hold what is new: a suspicion without monitors and counts of zero are gone. `depth` is the
-            ///  number of levels below the sender; it grows without end where the tree has a loop.
+            ///  What a child reports of its whole subtree. The first report on a connection is complete. Later ones are a `delta`:
+            ///  a suspicion without monitors and counters of zero remove an entry. `depth` is the number of levels below the
+            ///  sender, which grows without bound where the tree has a loop.
             ///
             /// Generated from these locations:
-            /// * Table `Report` in the file `protocol.fbs:109`
+            /// * Table `Report` in the file `protocol.fbs:127`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
