@@ -9868,16 +9906,16 @@
                 pub delta: bool,
                 /// The field `depth` in the table `Report`
                 pub depth: u8,
-                /// The field `fronts` in the table `Report`
-                pub fronts: ::planus::alloc::vec::Vec<self::Front>,
-                /// The field `fronts_gone` in the table `Report`
-                pub fronts_gone: ::planus::alloc::vec::Vec<::planus::alloc::string::String>,
+                /// The field `endpoints` in the table `Report`
+                pub endpoints: ::planus::alloc::vec::Vec<self::ProxyEndpoint>,
+                /// The field `removed_endpoints` in the table `Report`
+                pub removed_endpoints: ::planus::alloc::vec::Vec<::planus::alloc::string::String>,
                 /// The field `suspicions` in the table `Report`
                 pub suspicions: ::planus::alloc::vec::Vec<self::Suspicion>,
                 /// The field `proxies` in the table `Report`
                 pub proxies: u32,
                 /// The field `services` in the table `Report`
-                pub services: ::planus::alloc::vec::Vec<self::ServiceCount>,
+                pub services: ::planus::alloc::vec::Vec<self::ServiceCounters>,
                 /// The field `servers` in the table `Report`
                 pub servers: ::planus::alloc::vec::Vec<self::ServerLoad>,
             }
@@ -9888,8 +9926,8 @@
                     Self {
                         delta: false,
                         depth: 0,
-                        fronts: ::core::default::Default::default(),
-                        fronts_gone: ::core::default::Default::default(),
+                        endpoints: ::core::default::Default::default(),
+                        removed_endpoints: ::core::default::Default::default(),
                         suspicions: ::core::default::Default::default(),
                         proxies: 0,
                         services: ::core::default::Default::default(),
@@ -9910,21 +9948,23 @@
                     builder: &mut ::planus::Builder,
                     field_delta: impl ::planus::WriteAsDefault<bool, bool>,
                     field_depth: impl ::planus::WriteAsDefault<u8, u8>,
-                    field_fronts: impl ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::Front>]>>,
-                    field_fronts_gone: impl ::planus::WriteAs<::planus::Offset<[::planus::Offset<str>]>>,
+                    field_endpoints: impl ::planus::WriteAs<
+                        ::planus::Offset<[::planus::Offset<self::ProxyEndpoint>]>,
+                    >,
+                    field_removed_endpoints: impl ::planus::WriteAs<::planus::Offset<[::planus::Offset<str>]>>,
                     field_suspicions: impl ::planus::WriteAs<
                         ::planus::Offset<[::planus::Offset<self::Suspicion>]>,
                     >,
                     field_proxies: impl ::planus::WriteAsDefault<u32, u32>,
                     field_services: impl ::planus::WriteAs<
-                        ::planus::Offset<[::planus::Offset<self::ServiceCount>]>,
+                        ::planus::Offset<[::planus::Offset<self::ServiceCounters>]>,
                     >,
                     field_servers: impl ::planus::WriteAs<::planus::Offset<[self::ServerLoad]>>,
                 ) -> ::planus::Offset<Self> {
                     let prepared_delta = field_delta.prepare(builder, &false);
                     let prepared_depth = field_depth.prepare(builder, &0);
-                    let prepared_fronts = field_fronts.prepare(builder);
-                    let prepared_fronts_gone = field_fronts_gone.prepare(builder);
+                    let prepared_endpoints = field_endpoints.prepare(builder);
+                    let prepared_removed_endpoints = field_removed_endpoints.prepare(builder);
                     let prepared_suspicions = field_suspicions.prepare(builder);
                     let prepared_proxies = field_proxies.prepare(builder, &0);
                     let prepared_services = field_services.prepare(builder);
@@ -9932,13 +9972,14 @@
 
                     let mut table_writer: ::planus::table_writer::TableWriter<20> =
                         ::core::default::Default::default();
-                    table_writer.write_entry::<::planus::Offset<[::planus::Offset<self::Front>]>>(2);
+                    table_writer.write_entry::<::planus::Offset<[::planus::Offset<self::ProxyEndpoint>]>>(2);
                     table_writer.write_entry::<::planus::Offset<[::planus::Offset<str>]>>(3);
                     table_writer.write_entry::<::planus::Offset<[::planus::Offset<self::Suspicion>]>>(4);
                     if prepared_proxies.is_some() {
                         table_writer.write_entry::<u32>(5);
                     }
-                    table_writer.write_entry::<::planus::Offset<[::planus::Offset<self::ServiceCount>]>>(6);
+                    table_writer
+                        .write_entry::<::planus::Offset<[::planus::Offset<self::ServiceCounters>]>>(6);
                     table_writer.write_entry::<::planus::Offset<[self::ServerLoad]>>(7);
                     if prepared_delta.is_some() {
                         table_writer.write_entry::<bool>(0);
@@ -9949,8 +9990,8 @@
 
                     unsafe {
                         table_writer.finish(builder, |object_writer| {
-                            object_writer.write::<_, _, 4>(&prepared_fronts);
-                            object_writer.write::<_, _, 4>(&prepared_fronts_gone);
+                            object_writer.write::<_, _, 4>(&prepared_endpoints);
+                            object_writer.write::<_, _, 4>(&prepared_removed_endpoints);
                             object_writer.write::<_, _, 4>(&prepared_suspicions);
                             if let ::core::option::Option::Some(prepared_proxies) = prepared_proxies {
                                 object_writer.write::<_, _, 4>(&prepared_proxies);
@@ -9997,8 +10038,8 @@
                         builder,
                         self.delta,
                         self.depth,
-                        &self.fronts,
-                        &self.fronts_gone,
+                        &self.endpoints,
+                        &self.removed_endpoints,
                         &self.suspicions,
                         self.proxies,
                         &self.services,
@@ -10054,12 +10095,12 @@
             }
 
             impl<T0, T1> ReportBuilder<(T0, T1)> {
-                /// Setter for the [`fronts` field](Report#structfield.fronts).
+                /// Setter for the [`endpoints` field](Report#structfield.endpoints).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn fronts<T2>(self, value: T2) -> ReportBuilder<(T0, T1, T2)>
+                pub fn endpoints<T2>(self, value: T2) -> ReportBuilder<(T0, T1, T2)>
                 where
-                    T2: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::Front>]>>,
+                    T2: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::ProxyEndpoint>]>>,
                 {
                     let (v0, v1) = self.0;
                     ReportBuilder((v0, v1, value))
@@ -10067,10 +10108,10 @@
             }
 
             impl<T0, T1, T2> ReportBuilder<(T0, T1, T2)> {
-                /// Setter for the [`fronts_gone` field](Report#structfield.fronts_gone).
+                /// Setter for the [`removed_endpoints` field](Report#structfield.removed_endpoints).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn fronts_gone<T3>(self, value: T3) -> ReportBuilder<(T0, T1, T2, T3)>
+                pub fn removed_endpoints<T3>(self, value: T3) -> ReportBuilder<(T0, T1, T2, T3)>
                 where
                     T3: ::planus::WriteAs<::planus::Offset<[::planus::Offset<str>]>>,
                 {
@@ -10120,7 +10161,7 @@
                 #[allow(clippy::type_complexity)]
                 pub fn services<T6>(self, value: T6) -> ReportBuilder<(T0, T1, T2, T3, T4, T5, T6)>
                 where
-                    T6: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::ServiceCount>]>>,
+                    T6: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::ServiceCounters>]>>,
                 {
                     let (v0, v1, v2, v3, v4, v5) = self.0;
                     ReportBuilder((v0, v1, v2, v3, v4, v5, value))
@@ -10154,11 +10195,11 @@
             impl<
                     T0: ::planus::WriteAsDefault<bool, bool>,
                     T1: ::planus::WriteAsDefault<u8, u8>,
-                    T2: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::Front>]>>,
+                    T2: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::ProxyEndpoint>]>>,
                     T3: ::planus::WriteAs<::planus::Offset<[::planus::Offset<str>]>>,
                     T4: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::Suspicion>]>>,
                     T5: ::planus::WriteAsDefault<u32, u32>,
-                    T6: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::ServiceCount>]>>,
+                    T6: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::ServiceCounters>]>>,
                     T7: ::planus::WriteAs<::planus::Offset<[self::ServerLoad]>>,
                 > ::planus::WriteAs<::planus::Offset<Report>>
                 for ReportBuilder<(T0, T1, T2, T3, T4, T5, T6, T7)>
@@ -10174,11 +10215,11 @@
             impl<
                     T0: ::planus::WriteAsDefault<bool, bool>,
                     T1: ::planus::WriteAsDefault<u8, u8>,
-                    T2: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::Front>]>>,
+                    T2: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::ProxyEndpoint>]>>,
                     T3: ::planus::WriteAs<::planus::Offset<[::planus::Offset<str>]>>,
                     T4: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::Suspicion>]>>,
                     T5: ::planus::WriteAsDefault<u32, u32>,
-                    T6: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::ServiceCount>]>>,
+                    T6: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::ServiceCounters>]>>,
                     T7: ::planus::WriteAs<::planus::Offset<[self::ServerLoad]>>,
                 > ::planus::WriteAsOptional<::planus::Offset<Report>>
                 for ReportBuilder<(T0, T1, T2, T3, T4, T5, T6, T7)>
@@ -10197,11 +10238,11 @@
             impl<
                     T0: ::planus::WriteAsDefault<bool, bool>,
                     T1: ::planus::WriteAsDefault<u8, u8>,
-                    T2: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::Front>]>>,
+                    T2: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::ProxyEndpoint>]>>,
                     T3: ::planus::WriteAs<::planus::Offset<[::planus::Offset<str>]>>,
                     T4: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::Suspicion>]>>,
                     T5: ::planus::WriteAsDefault<u32, u32>,
-                    T6: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::ServiceCount>]>>,
+                    T6: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::ServiceCounters>]>>,
                     T7: ::planus::WriteAs<::planus::Offset<[self::ServerLoad]>>,
                 > ::planus::WriteAsOffset<Report> for ReportBuilder<(T0, T1, T2, T3, T4, T5, T6, T7)>
             {
@@ -10229,22 +10270,22 @@
                     ::core::result::Result::Ok(self.0.access(1, "Report", "depth")?.unwrap_or(0))
                 }
 
-                /// Getter for the [`fronts` field](Report#structfield.fronts).
+                /// Getter for the [`endpoints` field](Report#structfield.endpoints).
                 #[inline]
-                pub fn fronts(
+                pub fn endpoints(
                     &self,
-                ) -> ::planus::Result<::planus::Vector<'a, ::planus::Result<self::FrontRef<'a>>>>
+                ) -> ::planus::Result<::planus::Vector<'a, ::planus::Result<self::ProxyEndpointRef<'a>>>>
                 {
-                    self.0.access_required(2, "Report", "fronts")
+                    self.0.access_required(2, "Report", "endpoints")
                 }
 
-                /// Getter for the [`fronts_gone` field](Report#structfield.fronts_gone).
+                /// Getter for the [`removed_endpoints` field](Report#structfield.removed_endpoints).
                 #[inline]
-                pub fn fronts_gone(
+                pub fn removed_endpoints(
                     &self,
                 ) -> ::planus::Result<::planus::Vector<'a, ::planus::Result<&'a ::core::primitive::str>>>
                 {
-                    self.0.access_required(3, "Report", "fronts_gone")
+                    self.0.access_required(3, "Report", "removed_endpoints")
                 }
 
                 /// Getter for the [`suspicions` field](Report#structfield.suspicions).
@@ -10266,7 +10307,7 @@
                 #[inline]
                 pub fn services(
                     &self,
-                ) -> ::planus::Result<::planus::Vector<'a, ::planus::Result<self::ServiceCountRef<'a>>>>
+                ) -> ::planus::Result<::planus::Vector<'a, ::planus::Result<self::ServiceCountersRef<'a>>>>
                 {
                     self.0.access_required(6, "Report", "services")
                 }
@@ -10283,8 +10324,8 @@
                     let mut f = f.debug_struct("ReportRef");
                     f.field("delta", &self.delta());
                     f.field("depth", &self.depth());
-                    f.field("fronts", &self.fronts());
-                    f.field("fronts_gone", &self.fronts_gone());
+                    f.field("endpoints", &self.endpoints());
+                    f.field("removed_endpoints", &self.removed_endpoints());
                     f.field("suspicions", &self.suspicions());
                     f.field("proxies", &self.proxies());
                     f.field("services", &self.services());
@@ -10301,8 +10342,8 @@
                     ::core::result::Result::Ok(Self {
                         delta: ::core::convert::TryInto::try_into(value.delta()?)?,
                         depth: ::core::convert::TryInto::try_into(value.depth()?)?,
-                        fronts: value.fronts()?.to_vec_result()?,
-                        fronts_gone: value.fronts_gone()?.to_vec_result()?,
+                        endpoints: value.endpoints()?.to_vec_result()?,
+                        removed_endpoints: value.removed_endpoints()?.to_vec_result()?,
                         suspicions: value.suspicions()?.to_vec_result()?,
                         proxies: ::core::convert::TryInto::try_into(value.proxies()?)?,
                         services: value.services()?.to_vec_result()?,
@@ -10376,11 +10417,11 @@
             }
 
             ///  The sums over the whole system, or over the part that the sender reaches where `complete` is false. The first
-            ///  totals on a connection hold all; those after it are a `delta`, as reports are. `origin` is the hash of the name of
-            ///  the node that made the sums, `hops` the number of nodes that passed them on.
+            ///  totals on a connection hold all, later ones are a `delta`. `origin` is the hash of the name of the node that made
+            ///  the sums, `hops` the number of nodes that passed them on.
             ///
             /// Generated from these locations:
-            /// * Table `Totals` in the file `protocol.fbs:123`
+            /// * Table `Totals` in the file `protocol.fbs:141`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -10396,7 +10437,7 @@
                 /// The field `proxies` in the table `Totals`
                 pub proxies: u32,
                 /// The field `services` in the table `Totals`
-                pub services: ::planus::alloc::vec::Vec<self::ServiceCount>,
+                pub services: ::planus::alloc::vec::Vec<self::ServiceCounters>,
                 /// The field `servers` in the table `Totals`
                 pub servers: ::planus::alloc::vec::Vec<self::ServerLoad>,
             }
@@ -10432,7 +10473,7 @@
                     field_origin: impl ::planus::WriteAsDefault<u64, u64>,
                     field_proxies: impl ::planus::WriteAsDefault<u32, u32>,
                     field_services: impl ::planus::WriteAs<
-                        ::planus::Offset<[::planus::Offset<self::ServiceCount>]>,
+                        ::planus::Offset<[::planus::Offset<self::ServiceCounters>]>,
                     >,
                     field_servers: impl ::planus::WriteAs<::planus::Offset<[self::ServerLoad]>>,
                 ) -> ::planus::Offset<Self> {
@@ -10452,7 +10493,8 @@
                     if prepared_proxies.is_some() {
                         table_writer.write_entry::<u32>(4);
                     }
-                    table_writer.write_entry::<::planus::Offset<[::planus::Offset<self::ServiceCount>]>>(5);
+                    table_writer
+                        .write_entry::<::planus::Offset<[::planus::Offset<self::ServiceCounters>]>>(5);
                     table_writer.write_entry::<::planus::Offset<[self::ServerLoad]>>(6);
                     if prepared_complete.is_some() {
                         table_writer.write_entry::<bool>(0);
@@ -10638,7 +10680,7 @@
                 #[allow(clippy::type_complexity)]
                 pub fn services<T5>(self, value: T5) -> TotalsBuilder<(T0, T1, T2, T3, T4, T5)>
                 where
-                    T5: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::ServiceCount>]>>,
+                    T5: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::ServiceCounters>]>>,
                 {
                     let (v0, v1, v2, v3, v4) = self.0;
                     TotalsBuilder((v0, v1, v2, v3, v4, value))
@@ -10675,7 +10717,7 @@
                     T2: ::planus::WriteAsDefault<u8, u8>,
                     T3: ::planus::WriteAsDefault<u64, u64>,
                     T4: ::planus::WriteAsDefault<u32, u32>,
-                    T5: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::ServiceCount>]>>,
+                    T5: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::ServiceCounters>]>>,
                     T6: ::planus::WriteAs<::planus::Offset<[self::ServerLoad]>>,
                 > ::planus::WriteAs<::planus::Offset<Totals>>
                 for TotalsBuilder<(T0, T1, T2, T3, T4, T5, T6)>
@@ -10694,7 +10736,7 @@
                     T2: ::planus::WriteAsDefault<u8, u8>,
                     T3: ::planus::WriteAsDefault<u64, u64>,
                     T4: ::planus::WriteAsDefault<u32, u32>,
-                    T5: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::ServiceCount>]>>,
+                    T5: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::ServiceCounters>]>>,
                     T6: ::planus::WriteAs<::planus::Offset<[self::ServerLoad]>>,
                 > ::planus::WriteAsOptional<::planus::Offset<Totals>>
                 for TotalsBuilder<(T0, T1, T2, T3, T4, T5, T6)>
@@ -10716,7 +10758,7 @@
                     T2: ::planus::WriteAsDefault<u8, u8>,
                     T3: ::planus::WriteAsDefault<u64, u64>,
                     T4: ::planus::WriteAsDefault<u32, u32>,
-                    T5: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::ServiceCount>]>>,
+                    T5: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::ServiceCounters>]>>,
                     T6: ::planus::WriteAs<::planus::Offset<[self::ServerLoad]>>,
                 > ::planus::WriteAsOffset<Totals> for TotalsBuilder<(T0, T1, T2, T3, T4, T5, T6)>
             {
@@ -10766,7 +10808,7 @@
                 #[inline]
                 pub fn services(
                     &self,
-                ) -> ::planus::Result<::planus::Vector<'a, ::planus::Result<self::ServiceCountRef<'a>>>>
+                ) -> ::planus::Result<::planus::Vector<'a, ::planus::Result<self::ServiceCountersRef<'a>>>>
                 {
                     self.0.access_required(5, "Totals", "services")
                 }
@@ -10873,10 +10915,10 @@
                 }
             }
 
-            /// The table `Ping` in the namespace `quillpulley.wire`
+            /// The table `Ping` in the namespace `quillpulley.protocol`
             ///
             /// Generated from these locations:
-            /// * Table `Ping` in the file `protocol.fbs:135`
+            /// * Table `Ping` in the file `protocol.fbs:153`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -11145,10 +11187,10 @@
                 }
             }
 
-            /// The table `PingAck` in the namespace `quillpulley.wire`
+            /// The table `PingAck` in the namespace `quillpulley.protocol`
             ///
             /// Generated from these locations:
-            /// * Table `PingAck` in the file `protocol.fbs:136`
+            /// * Table `PingAck` in the file `protocol.fbs:154`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -11417,10 +11459,10 @@
                 }
             }
 
-            /// The enum `ServerState` in the namespace `quillpulley.wire`
+            /// The enum `ServerState` in the namespace `quillpulley.protocol`
             ///
             /// Generated from these locations:
-            /// * Enum `ServerState` in the file `protocol.fbs:140`
+            /// * Enum `ServerState` in the file `protocol.fbs:158`
             #[derive(
                 Copy,
                 Clone,
@@ -11580,10 +11622,10 @@
                 }
             }
 
-            /// The table `Server` in the namespace `quillpulley.wire`
+            /// The table `Server` in the namespace `quillpulley.protocol`
             ///
             /// Generated from these locations:
-            /// * Table `Server` in the file `protocol.fbs:142`
+            /// * Table `Server` in the file `protocol.fbs:160`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -11600,12 +11642,12 @@
                 pub slots: u32,
                 /// The field `state` in the table `Server`
                 pub state: self::ServerState,
-                ///  Time for which it stays cold, counted from the publication, in milliseconds.
-                pub warmup_left_ms: u32,
-                ///  For a server that is taken away at short notice: the time left to it, in milliseconds.
-                pub time_left_ms: u32,
-                /// The field `has_time_left` in the table `Server`
-                pub has_time_left: bool,
+                ///  Remaining time of the warm-up, counted from the publication, in milliseconds.
+                pub warmup_remaining_ms: u32,
+                ///  Remaining time of a server that is taken away at short notice, in milliseconds.
+                pub time_remaining_ms: u32,
+                /// The field `has_time_remaining` in the table `Server`
+                pub has_time_remaining: bool,
             }
 
             #[allow(clippy::derivable_impls)]
@@ -11618,9 +11660,9 @@
                         zone: ::core::default::Default::default(),
                         slots: 0,
                         state: self::ServerState::Ready,
-                        warmup_left_ms: 0,
-                        time_left_ms: 0,
-                        has_time_left: false,
+                        warmup_remaining_ms: 0,
+                        time_remaining_ms: 0,
+                        has_time_remaining: false,
                     }
                 }
             }
@@ -11641,9 +11683,9 @@
                     field_zone: impl ::planus::WriteAs<::planus::Offset<str>>,
                     field_slots: impl ::planus::WriteAsDefault<u32, u32>,
                     field_state: impl ::planus::WriteAsDefault<self::ServerState, self::ServerState>,
-                    field_warmup_left_ms: impl ::planus::WriteAsDefault<u32, u32>,
-                    field_time_left_ms: impl ::planus::WriteAsDefault<u32, u32>,
-                    field_has_time_left: impl ::planus::WriteAsDefault<bool, bool>,
+                    field_warmup_remaining_ms: impl ::planus::WriteAsDefault<u32, u32>,
+                    field_time_remaining_ms: impl ::planus::WriteAsDefault<u32, u32>,
+                    field_has_time_remaining: impl ::planus::WriteAsDefault<bool, bool>,
                 ) -> ::planus::Offset<Self> {
                     let prepared_id = field_id.prepare(builder);
                     let prepared_service = field_service.prepare(builder);
@@ -11651,9 +11693,9 @@
                     let prepared_zone = field_zone.prepare(builder);
                     let prepared_slots = field_slots.prepare(builder, &0);
                     let prepared_state = field_state.prepare(builder, &self::ServerState::Ready);
-                    let prepared_warmup_left_ms = field_warmup_left_ms.prepare(builder, &0);
-                    let prepared_time_left_ms = field_time_left_ms.prepare(builder, &0);
-                    let prepared_has_time_left = field_has_time_left.prepare(builder, &false);
+                    let prepared_warmup_remaining_ms = field_warmup_remaining_ms.prepare(builder, &0);
+                    let prepared_time_remaining_ms = field_time_remaining_ms.prepare(builder, &0);
+                    let prepared_has_time_remaining = field_has_time_remaining.prepare(builder, &false);
 
                     let mut table_writer: ::planus::table_writer::TableWriter<22> =
                         ::core::default::Default::default();
@@ -11664,16 +11706,16 @@
                     if prepared_slots.is_some() {
                         table_writer.write_entry::<u32>(4);
                     }
-                    if prepared_warmup_left_ms.is_some() {
+                    if prepared_warmup_remaining_ms.is_some() {
                         table_writer.write_entry::<u32>(6);
                     }
-                    if prepared_time_left_ms.is_some() {
+                    if prepared_time_remaining_ms.is_some() {
                         table_writer.write_entry::<u32>(7);
                     }
                     if prepared_state.is_some() {
                         table_writer.write_entry::<self::ServerState>(5);
                     }
-                    if prepared_has_time_left.is_some() {
+                    if prepared_has_time_remaining.is_some() {
                         table_writer.write_entry::<bool>(8);
                     }
 
@@ -11686,22 +11728,23 @@
                             if let ::core::option::Option::Some(prepared_slots) = prepared_slots {
                                 object_writer.write::<_, _, 4>(&prepared_slots);
                             }
-                            if let ::core::option::Option::Some(prepared_warmup_left_ms) =
-                                prepared_warmup_left_ms
+                            if let ::core::option::Option::Some(prepared_warmup_remaining_ms) =
+                                prepared_warmup_remaining_ms
                             {
-                                object_writer.write::<_, _, 4>(&prepared_warmup_left_ms);
+                                object_writer.write::<_, _, 4>(&prepared_warmup_remaining_ms);
                             }
-                            if let ::core::option::Option::Some(prepared_time_left_ms) = prepared_time_left_ms
+                            if let ::core::option::Option::Some(prepared_time_remaining_ms) =
+                                prepared_time_remaining_ms
                             {
-                                object_writer.write::<_, _, 4>(&prepared_time_left_ms);
+                                object_writer.write::<_, _, 4>(&prepared_time_remaining_ms);
                             }
                             if let ::core::option::Option::Some(prepared_state) = prepared_state {
                                 object_writer.write::<_, _, 1>(&prepared_state);
                             }
-                            if let ::core::option::Option::Some(prepared_has_time_left) =
-                                prepared_has_time_left
+                            if let ::core::option::Option::Some(prepared_has_time_remaining) =
+                                prepared_has_time_remaining
                             {
-                                object_writer.write::<_, _, 1>(&prepared_has_time_left);
+                                object_writer.write::<_, _, 1>(&prepared_has_time_remaining);
                             }
                         });
                     }
@@ -11741,9 +11784,9 @@
                         &self.zone,
                         self.slots,
                         self.state,
-                        self.warmup_left_ms,
-                        self.time_left_ms,
-                        self.has_time_left,
+                        self.warmup_remaining_ms,
+                        self.time_remaining_ms,
+                        self.has_time_remaining,
                     )
                 }
             }
@@ -11847,10 +11890,10 @@
             }
 
             impl<T0, T1, T2, T3, T4, T5> ServerBuilder<(T0, T1, T2, T3, T4, T5)> {
-                /// Setter for the [`warmup_left_ms` field](Server#structfield.warmup_left_ms).
+                /// Setter for the [`warmup_remaining_ms` field](Server#structfield.warmup_remaining_ms).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn warmup_left_ms<T6>(self, value: T6) -> ServerBuilder<(T0, T1, T2, T3, T4, T5, T6)>
+                pub fn warmup_remaining_ms<T6>(self, value: T6) -> ServerBuilder<(T0, T1, T2, T3, T4, T5, T6)>
                 where
                     T6: ::planus::WriteAsDefault<u32, u32>,
                 {
@@ -11858,21 +11901,24 @@
                     ServerBuilder((v0, v1, v2, v3, v4, v5, value))
                 }
 
-                /// Sets the [`warmup_left_ms` field](Server#structfield.warmup_left_ms) to the default value.
+                /// Sets the [`warmup_remaining_ms` field](Server#structfield.warmup_remaining_ms) to the default value.
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn warmup_left_ms_as_default(
+                pub fn warmup_remaining_ms_as_default(
                     self,
                 ) -> ServerBuilder<(T0, T1, T2, T3, T4, T5, ::planus::DefaultValue)> {
-                    self.warmup_left_ms(::planus::DefaultValue)
+                    self.warmup_remaining_ms(::planus::DefaultValue)
                 }
             }
 
             impl<T0, T1, T2, T3, T4, T5, T6> ServerBuilder<(T0, T1, T2, T3, T4, T5, T6)> {
-                /// Setter for the [`time_left_ms` field](Server#structfield.time_left_ms).
+                /// Setter for the [`time_remaining_ms` field](Server#structfield.time_remaining_ms).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn time_left_ms<T7>(self, value: T7) -> ServerBuilder<(T0, T1, T2, T3, T4, T5, T6, T7)>
+                pub fn time_remaining_ms<T7>(
+                    self,
+                    value: T7,
+                ) -> ServerBuilder<(T0, T1, T2, T3, T4, T5, T6, T7)>
                 where
                     T7: ::planus::WriteAsDefault<u32, u32>,
                 {
@@ -11880,21 +11926,21 @@
                     ServerBuilder((v0, v1, v2, v3, v4, v5, v6, value))
                 }
 
-                /// Sets the [`time_left_ms` field](Server#structfield.time_left_ms) to the default value.
+                /// Sets the [`time_remaining_ms` field](Server#structfield.time_remaining_ms) to the default value.
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn time_left_ms_as_default(
+                pub fn time_remaining_ms_as_default(
                     self,
                 ) -> ServerBuilder<(T0, T1, T2, T3, T4, T5, T6, ::planus::DefaultValue)> {
-                    self.time_left_ms(::planus::DefaultValue)
+                    self.time_remaining_ms(::planus::DefaultValue)
                 }
             }
 
             impl<T0, T1, T2, T3, T4, T5, T6, T7> ServerBuilder<(T0, T1, T2, T3, T4, T5, T6, T7)> {
-                /// Setter for the [`has_time_left` field](Server#structfield.has_time_left).
+                /// Setter for the [`has_time_remaining` field](Server#structfield.has_time_remaining).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn has_time_left<T8>(
+                pub fn has_time_remaining<T8>(
                     self,
                     value: T8,
                 ) -> ServerBuilder<(T0, T1, T2, T3, T4, T5, T6, T7, T8)>
@@ -11905,13 +11951,13 @@
                     ServerBuilder((v0, v1, v2, v3, v4, v5, v6, v7, value))
                 }
 
-                /// Sets the [`has_time_left` field](Server#structfield.has_time_left) to the default value.
+                /// Sets the [`has_time_remaining` field](Server#structfield.has_time_remaining) to the default value.
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn has_time_left_as_default(
+                pub fn has_time_remaining_as_default(
                     self,
                 ) -> ServerBuilder<(T0, T1, T2, T3, T4, T5, T6, T7, ::planus::DefaultValue)> {
-                    self.has_time_left(::planus::DefaultValue)
+                    self.has_time_remaining(::planus::DefaultValue)
                 }
             }
 
@@ -12033,22 +12079,26 @@
                     )
                 }
 
-                /// Getter for the [`warmup_left_ms` field](Server#structfield.warmup_left_ms).
+                /// Getter for the [`warmup_remaining_ms` field](Server#structfield.warmup_remaining_ms).
                 #[inline]
-                pub fn warmup_left_ms(&self) -> ::planus::Result<u32> {
-                    ::core::result::Result::Ok(self.0.access(6, "Server", "warmup_left_ms")?.unwrap_or(0))
+                pub fn warmup_remaining_ms(&self) -> ::planus::Result<u32> {
+                    ::core::result::Result::Ok(
+                        self.0.access(6, "Server", "warmup_remaining_ms")?.unwrap_or(0),
+                    )
                 }
 
-                /// Getter for the [`time_left_ms` field](Server#structfield.time_left_ms).
+                /// Getter for the [`time_remaining_ms` field](Server#structfield.time_remaining_ms).
                 #[inline]
-                pub fn time_left_ms(&self) -> ::planus::Result<u32> {
-                    ::core::result::Result::Ok(self.0.access(7, "Server", "time_left_ms")?.unwrap_or(0))
+                pub fn time_remaining_ms(&self) -> ::planus::Result<u32> {
+                    ::core::result::Result::Ok(self.0.access(7, "Server", "time_remaining_ms")?.unwrap_or(0))
                 }
 
-                /// Getter for the [`has_time_left` field](Server#structfield.has_time_left).
+                /// Getter for the [`has_time_remaining` field](Server#structfield.has_time_remaining).
                 #[inline]
-                pub fn has_time_left(&self) -> ::planus::Result<bool> {
-                    ::core::result::Result::Ok(self.0.access(8, "Server", "has_time_left")?.unwrap_or(false))
+                pub fn has_time_remaining(&self) -> ::planus::Result<bool> {
+                    ::core::result::Result::Ok(
+                        self.0.access(8, "Server", "has_time_remaining")?.unwrap_or(false),
+                    )
                 }
             }
 
@@ -12061,9 +12111,9 @@
                     f.field("zone", &self.zone());
                     f.field("slots", &self.slots());
                     f.field("state", &self.state());
-                    f.field("warmup_left_ms", &self.warmup_left_ms());
-                    f.field("time_left_ms", &self.time_left_ms());
-                    f.field("has_time_left", &self.has_time_left());
+                    f.field("warmup_remaining_ms", &self.warmup_remaining_ms());
+                    f.field("time_remaining_ms", &self.time_remaining_ms());
+                    f.field("has_time_remaining", &self.has_time_remaining());
                     f.finish()
                 }
             }
@@ -12080,9 +12130,11 @@
                         zone: ::core::convert::Into::into(value.zone()?),
                         slots: ::core::convert::TryInto::try_into(value.slots()?)?,
                         state: ::core::convert::TryInto::try_into(value.state()?)?,
-                        warmup_left_ms: ::core::convert::TryInto::try_into(value.warmup_left_ms()?)?,
-                        time_left_ms: ::core::convert::TryInto::try_into(value.time_left_ms()?)?,
-                        has_time_left: ::core::convert::TryInto::try_into(value.has_time_left()?)?,
+                        warmup_remaining_ms: ::core::convert::TryInto::try_into(
+                            value.warmup_remaining_ms()?,
+                        )?,
+                        time_remaining_ms: ::core::convert::TryInto::try_into(value.time_remaining_ms()?)?,
+                        has_time_remaining: ::core::convert::TryInto::try_into(value.has_time_remaining()?)?,
                     })
                 }
             }
@@ -12151,24 +12203,24 @@
                 }
             }
 
-            ///  A core process, as agents need to know it.
+            ///  A control node, as agents need to know it.
             ///
             /// Generated from these locations:
-            /// * Table `Core` in the file `protocol.fbs:157`
+            /// * Table `ControlNode` in the file `protocol.fbs:175`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
-            pub struct Core {
-                /// The field `ip` in the table `Core`
+            pub struct ControlNode {
+                /// The field `ip` in the table `ControlNode`
                 pub ip: u32,
-                /// The field `zone` in the table `Core`
+                /// The field `zone` in the table `ControlNode`
                 pub zone: ::planus::alloc::string::String,
-                /// The field `region` in the table `Core`
+                /// The field `region` in the table `ControlNode`
                 pub region: ::planus::alloc::string::String,
             }
 
             #[allow(clippy::derivable_impls)]
-            impl ::core::default::Default for Core {
+            impl ::core::default::Default for ControlNode {
                 fn default() -> Self {
                     Self {
                         ip: 0,
@@ -12178,11 +12230,11 @@
                 }
             }
 
-            impl Core {
-                /// Creates a [CoreBuilder] for serializing an instance of this table.
+            impl ControlNode {
+                /// Creates a [ControlNodeBuilder] for serializing an instance of this table.
                 #[inline]
-                pub fn builder() -> CoreBuilder<()> {
-                    CoreBuilder(())
+                pub fn builder() -> ControlNodeBuilder<()> {
+                    ControlNodeBuilder(())
                 }
 
                 #[allow(clippy::too_many_arguments)]
@@ -12217,92 +12269,92 @@
                 }
             }
 
-            impl ::planus::WriteAs<::planus::Offset<Core>> for Core {
+            impl ::planus::WriteAs<::planus::Offset<ControlNode>> for ControlNode {
                 type Prepared = ::planus::Offset<Self>;
 
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<Core> {
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<ControlNode> {
                     ::planus::WriteAsOffset::prepare(self, builder)
                 }
             }
 
-            impl ::planus::WriteAsOptional<::planus::Offset<Core>> for Core {
+            impl ::planus::WriteAsOptional<::planus::Offset<ControlNode>> for ControlNode {
                 type Prepared = ::planus::Offset<Self>;
 
                 #[inline]
                 fn prepare(
                     &self,
                     builder: &mut ::planus::Builder,
-                ) -> ::core::option::Option<::planus::Offset<Core>> {
+                ) -> ::core::option::Option<::planus::Offset<ControlNode>> {
                     ::core::option::Option::Some(::planus::WriteAsOffset::prepare(self, builder))
                 }
             }
 
-            impl ::planus::WriteAsOffset<Core> for Core {
+            impl ::planus::WriteAsOffset<ControlNode> for ControlNode {
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<Core> {
-                    Core::create(builder, self.ip, &self.zone, &self.region)
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<ControlNode> {
+                    ControlNode::create(builder, self.ip, &self.zone, &self.region)
                 }
             }
 
-            /// Builder for serializing an instance of the [Core] type.
+            /// Builder for serializing an instance of the [ControlNode] type.
             ///
-            /// Can be created using the [Core::builder] method.
+            /// Can be created using the [ControlNode::builder] method.
             #[derive(Debug)]
             #[must_use]
-            pub struct CoreBuilder<State>(State);
+            pub struct ControlNodeBuilder<State>(State);
 
-            impl CoreBuilder<()> {
-                /// Setter for the [`ip` field](Core#structfield.ip).
+            impl ControlNodeBuilder<()> {
+                /// Setter for the [`ip` field](ControlNode#structfield.ip).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn ip<T0>(self, value: T0) -> CoreBuilder<(T0,)>
+                pub fn ip<T0>(self, value: T0) -> ControlNodeBuilder<(T0,)>
                 where
                     T0: ::planus::WriteAsDefault<u32, u32>,
                 {
-                    CoreBuilder((value,))
+                    ControlNodeBuilder((value,))
                 }
 
-                /// Sets the [`ip` field](Core#structfield.ip) to the default value.
+                /// Sets the [`ip` field](ControlNode#structfield.ip) to the default value.
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn ip_as_default(self) -> CoreBuilder<(::planus::DefaultValue,)> {
+                pub fn ip_as_default(self) -> ControlNodeBuilder<(::planus::DefaultValue,)> {
                     self.ip(::planus::DefaultValue)
                 }
             }
 
-            impl<T0> CoreBuilder<(T0,)> {
-                /// Setter for the [`zone` field](Core#structfield.zone).
+            impl<T0> ControlNodeBuilder<(T0,)> {
+                /// Setter for the [`zone` field](ControlNode#structfield.zone).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn zone<T1>(self, value: T1) -> CoreBuilder<(T0, T1)>
+                pub fn zone<T1>(self, value: T1) -> ControlNodeBuilder<(T0, T1)>
                 where
                     T1: ::planus::WriteAs<::planus::Offset<str>>,
                 {
                     let (v0,) = self.0;
-                    CoreBuilder((v0, value))
+                    ControlNodeBuilder((v0, value))
                 }
             }
 
-            impl<T0, T1> CoreBuilder<(T0, T1)> {
-                /// Setter for the [`region` field](Core#structfield.region).
+            impl<T0, T1> ControlNodeBuilder<(T0, T1)> {
+                /// Setter for the [`region` field](ControlNode#structfield.region).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn region<T2>(self, value: T2) -> CoreBuilder<(T0, T1, T2)>
+                pub fn region<T2>(self, value: T2) -> ControlNodeBuilder<(T0, T1, T2)>
                 where
                     T2: ::planus::WriteAs<::planus::Offset<str>>,
                 {
                     let (v0, v1) = self.0;
-                    CoreBuilder((v0, v1, value))
+                    ControlNodeBuilder((v0, v1, value))
                 }
             }
 
-            impl<T0, T1, T2> CoreBuilder<(T0, T1, T2)> {
-                /// Finish writing the builder to get an [Offset](::planus::Offset) to a serialized [Core].
+            impl<T0, T1, T2> ControlNodeBuilder<(T0, T1, T2)> {
+                /// Finish writing the builder to get an [Offset](::planus::Offset) to a serialized [ControlNode].
                 #[inline]
-                pub fn finish(self, builder: &mut ::planus::Builder) -> ::planus::Offset<Core>
+                pub fn finish(self, builder: &mut ::planus::Builder) -> ::planus::Offset<ControlNode>
                 where
-                    Self: ::planus::WriteAsOffset<Core>,
+                    Self: ::planus::WriteAsOffset<ControlNode>,
                 {
                     ::planus::WriteAsOffset::prepare(&self, builder)
                 }
@@ -12312,12 +12364,12 @@
                     T0: ::planus::WriteAsDefault<u32, u32>,
                     T1: ::planus::WriteAs<::planus::Offset<str>>,
                     T2: ::planus::WriteAs<::planus::Offset<str>>,
-                > ::planus::WriteAs<::planus::Offset<Core>> for CoreBuilder<(T0, T1, T2)>
+                > ::planus::WriteAs<::planus::Offset<ControlNode>> for ControlNodeBuilder<(T0, T1, T2)>
             {
-                type Prepared = ::planus::Offset<Core>;
+                type Prepared = ::planus::Offset<ControlNode>;
 
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<Core> {
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<ControlNode> {
                     ::planus::WriteAsOffset::prepare(self, builder)
                 }
             }
@@ -12326,15 +12378,16 @@
                     T0: ::planus::WriteAsDefault<u32, u32>,
                     T1: ::planus::WriteAs<::planus::Offset<str>>,
                     T2: ::planus::WriteAs<::planus::Offset<str>>,
-                > ::planus::WriteAsOptional<::planus::Offset<Core>> for CoreBuilder<(T0, T1, T2)>
+                > ::planus::WriteAsOptional<::planus::Offset<ControlNode>>
+                for ControlNodeBuilder<(T0, T1, T2)>
             {
-                type Prepared = ::planus::Offset<Core>;
+                type Prepared = ::planus::Offset<ControlNode>;
 
                 #[inline]
                 fn prepare(
                     &self,
                     builder: &mut ::planus::Builder,
-                ) -> ::core::option::Option<::planus::Offset<Core>> {
+                ) -> ::core::option::Option<::planus::Offset<ControlNode>> {
                     ::core::option::Option::Some(::planus::WriteAsOffset::prepare(self, builder))
                 }
             }
@@ -12343,42 +12396,42 @@
                     T0: ::planus::WriteAsDefault<u32, u32>,
                     T1: ::planus::WriteAs<::planus::Offset<str>>,
                     T2: ::planus::WriteAs<::planus::Offset<str>>,
-                > ::planus::WriteAsOffset<Core> for CoreBuilder<(T0, T1, T2)>
+                > ::planus::WriteAsOffset<ControlNode> for ControlNodeBuilder<(T0, T1, T2)>
             {
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<Core> {
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<ControlNode> {
                     let (v0, v1, v2) = &self.0;
-                    Core::create(builder, v0, v1, v2)
+                    ControlNode::create(builder, v0, v1, v2)
                 }
             }
 
-            /// Reference to a deserialized [Core].
+            /// Reference to a deserialized [ControlNode].
             #[derive(Copy, Clone)]
-            pub struct CoreRef<'a>(#[allow(dead_code)] ::planus::table_reader::Table<'a>);
+            pub struct ControlNodeRef<'a>(#[allow(dead_code)] ::planus::table_reader::Table<'a>);
 
-            impl<'a> CoreRef<'a> {
-                /// Getter for the [`ip` field](Core#structfield.ip).
+            impl<'a> ControlNodeRef<'a> {
+                /// Getter for the [`ip` field](ControlNode#structfield.ip).
                 #[inline]
                 pub fn ip(&self) -> ::planus::Result<u32> {
-                    ::core::result::Result::Ok(self.0.access(0, "Core", "ip")?.unwrap_or(0))
+                    ::core::result::Result::Ok(self.0.access(0, "ControlNode", "ip")?.unwrap_or(0))
                 }
 
-                /// Getter for the [`zone` field](Core#structfield.zone).
+                /// Getter for the [`zone` field](ControlNode#structfield.zone).
                 #[inline]
                 pub fn zone(&self) -> ::planus::Result<&'a ::core::primitive::str> {
-                    self.0.access_required(1, "Core", "zone")
+                    self.0.access_required(1, "ControlNode", "zone")
                 }
 
-                /// Getter for the [`region` field](Core#structfield.region).
+                /// Getter for the [`region` field](ControlNode#structfield.region).
                 #[inline]
                 pub fn region(&self) -> ::planus::Result<&'a ::core::primitive::str> {
-                    self.0.access_required(2, "Core", "region")
+                    self.0.access_required(2, "ControlNode", "region")
                 }
             }
 
-            impl<'a> ::core::fmt::Debug for CoreRef<'a> {
+            impl<'a> ::core::fmt::Debug for ControlNodeRef<'a> {
                 fn fmt(&self, f: &mut ::core::fmt::Formatter<'_>) -> ::core::fmt::Result {
-                    let mut f = f.debug_struct("CoreRef");
+                    let mut f = f.debug_struct("ControlNodeRef");
                     f.field("ip", &self.ip());
                     f.field("zone", &self.zone());
                     f.field("region", &self.region());
@@ -12386,11 +12439,11 @@
                 }
             }
 
-            impl<'a> ::core::convert::TryFrom<CoreRef<'a>> for Core {
+            impl<'a> ::core::convert::TryFrom<ControlNodeRef<'a>> for ControlNode {
                 type Error = ::planus::Error;
 
                 #[allow(unreachable_code)]
-                fn try_from(value: CoreRef<'a>) -> ::planus::Result<Self> {
+                fn try_from(value: ControlNodeRef<'a>) -> ::planus::Result<Self> {
                     ::core::result::Result::Ok(Self {
                         ip: ::core::convert::TryInto::try_into(value.ip()?)?,
                         zone: ::core::convert::Into::into(value.zone()?),
@@ -12399,7 +12452,7 @@
                 }
             }
 
-            impl<'a> ::planus::TableRead<'a> for CoreRef<'a> {
+            impl<'a> ::planus::TableRead<'a> for ControlNodeRef<'a> {
                 #[inline]
                 fn from_buffer(
                     buffer: ::planus::SliceWithStartOffset<'a>,
@@ -12411,7 +12464,7 @@
                 }
             }
 
-            impl<'a> ::planus::VectorReadInner<'a> for CoreRef<'a> {
+            impl<'a> ::planus::VectorReadInner<'a> for ControlNodeRef<'a> {
                 type Error = ::planus::Error;
                 const STRIDE: usize = 4;
 
@@ -12420,7 +12473,7 @@
                     offset: usize,
                 ) -> ::planus::Result<Self> {
                     ::planus::TableRead::from_buffer(buffer, offset).map_err(|error_kind| {
-                        error_kind.with_error_location("[CoreRef]", "get", buffer.offset_from_start)
+                        error_kind.with_error_location("[ControlNodeRef]", "get", buffer.offset_from_start)
                     })
                 }
             }
@@ -12428,8 +12481,8 @@
             /// # Safety
             /// The planus compiler generates implementations that initialize
             /// the bytes in `write_values`.
-            unsafe impl ::planus::VectorWrite<::planus::Offset<Core>> for Core {
-                type Value = ::planus::Offset<Core>;
+            unsafe impl ::planus::VectorWrite<::planus::Offset<ControlNode>> for ControlNode {
+                type Value = ::planus::Offset<ControlNode>;
                 const STRIDE: usize = 4;
                 #[inline]
                 fn prepare(&self, builder: &mut ::planus::Builder) -> Self::Value {
@@ -12438,7 +12491,7 @@
 
                 #[inline]
                 unsafe fn write_values(
-                    values: &[::planus::Offset<Core>],
+                    values: &[::planus::Offset<ControlNode>],
                     bytes: *mut ::core::mem::MaybeUninit<u8>,
                     buffer_position: u32,
                 ) {
@@ -12453,20 +12506,22 @@
                 }
             }
 
-            impl<'a> ::planus::ReadAsRoot<'a> for CoreRef<'a> {
+            impl<'a> ::planus::ReadAsRoot<'a> for ControlNodeRef<'a> {
                 fn read_as_root(slice: &'a [u8]) -> ::planus::Result<Self> {
                     ::planus::TableRead::from_buffer(
                         ::planus::SliceWithStartOffset { buffer: slice, offset_from_start: 0 },
                         0,
                     )
-                    .map_err(|error_kind| error_kind.with_error_location("[CoreRef]", "read_as_root", 0))
+                    .map_err(|error_kind| {
+                        error_kind.with_error_location("[ControlNodeRef]", "read_as_root", 0)
+                    })
                 }
             }
 
-            ///  The head of the configuration in force; its routes are items of their own.
+            ///  The head of the configuration in force. Its routes are items of their own.
             ///
             /// Generated from these locations:
-            /// * Table `ConfigHead` in the file `protocol.fbs:160`
+            /// * Table `ConfigHead` in the file `protocol.fbs:178`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -12820,10 +12875,10 @@
                 }
             }
 
-            /// The table `ReplaceConfig` in the namespace `quillpulley.wire`
+            /// The table `ReplaceConfig` in the namespace `quillpulley.protocol`
             ///
             /// Generated from these locations:
-            /// * Table `ReplaceConfig` in the file `protocol.fbs:164`
+            /// * Table `ReplaceConfig` in the file `protocol.fbs:182`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -13189,10 +13244,10 @@
                 }
             }
 
-            /// The table `Evacuation` in the namespace `quillpulley.wire`
+            /// The table `Evacuation` in the namespace `quillpulley.protocol`
             ///
             /// Generated from these locations:
-            /// * Table `Evacuation` in the file `protocol.fbs:165`
+            /// * Table `Evacuation` in the file `protocol.fbs:183`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -13463,26 +13518,26 @@
                 }
             }
 
-            /// The union `OrderBody` in the namespace `quillpulley.wire`
+            /// The union `LogCommandBody` in the namespace `quillpulley.protocol`
             ///
             /// Generated from these locations:
-            /// * Union `OrderBody` in the file `protocol.fbs:166`
+            /// * Union `LogCommandBody` in the file `protocol.fbs:184`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
-            pub enum OrderBody {
-                /// The variant of type `ReplaceConfig` in the union `OrderBody`
+            pub enum LogCommandBody {
+                /// The variant of type `ReplaceConfig` in the union `LogCommandBody`
                 ReplaceConfig(::planus::alloc::boxed::Box<self::ReplaceConfig>),
 
-                /// The variant of type `Evacuation` in the union `OrderBody`
+                /// The variant of type `Evacuation` in the union `LogCommandBody`
                 Evacuation(::planus::alloc::boxed::Box<self::Evacuation>),
             }
 
-            impl OrderBody {
-                /// Creates a [OrderBodyBuilder] for serializing an instance of this table.
+            impl LogCommandBody {
+                /// Creates a [LogCommandBodyBuilder] for serializing an instance of this table.
                 #[inline]
-                pub fn builder() -> OrderBodyBuilder<::planus::Uninitialized> {
-                    OrderBodyBuilder(::planus::Uninitialized)
+                pub fn builder() -> LogCommandBodyBuilder<::planus::Uninitialized> {
+                    LogCommandBodyBuilder(::planus::Uninitialized)
                 }
 
                 #[inline]
@@ -13502,7 +13557,7 @@
                 }
             }
 
-            impl ::planus::WriteAsUnion<OrderBody> for OrderBody {
+            impl ::planus::WriteAsUnion<LogCommandBody> for LogCommandBody {
                 #[inline]
                 fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::UnionOffset<Self> {
                     match self {
@@ -13512,7 +13567,7 @@
                 }
             }
 
-            impl ::planus::WriteAsOptionalUnion<OrderBody> for OrderBody {
+            impl ::planus::WriteAsOptionalUnion<LogCommandBody> for LogCommandBody {
                 #[inline]
                 fn prepare(
                     &self,
@@ -13522,55 +13577,55 @@
                 }
             }
 
-            /// Builder for serializing an instance of the [OrderBody] type.
+            /// Builder for serializing an instance of the [LogCommandBody] type.
             ///
-            /// Can be created using the [OrderBody::builder] method.
+            /// Can be created using the [LogCommandBody::builder] method.
             #[derive(Debug)]
             #[must_use]
-            pub struct OrderBodyBuilder<T>(T);
+            pub struct LogCommandBodyBuilder<T>(T);
 
-            impl OrderBodyBuilder<::planus::Uninitialized> {
-                /// Creates an instance of the [`ReplaceConfig` variant](OrderBody#variant.ReplaceConfig).
+            impl LogCommandBodyBuilder<::planus::Uninitialized> {
+                /// Creates an instance of the [`ReplaceConfig` variant](LogCommandBody#variant.ReplaceConfig).
                 #[inline]
-                pub fn replace_config<T>(self, value: T) -> OrderBodyBuilder<::planus::Initialized<1, T>>
+                pub fn replace_config<T>(self, value: T) -> LogCommandBodyBuilder<::planus::Initialized<1, T>>
                 where
                     T: ::planus::WriteAsOffset<self::ReplaceConfig>,
                 {
-                    OrderBodyBuilder(::planus::Initialized(value))
+                    LogCommandBodyBuilder(::planus::Initialized(value))
                 }
 
-                /// Creates an instance of the [`Evacuation` variant](OrderBody#variant.Evacuation).
+                /// Creates an instance of the [`Evacuation` variant](LogCommandBody#variant.Evacuation).
                 #[inline]
-                pub fn evacuation<T>(self, value: T) -> OrderBodyBuilder<::planus::Initialized<2, T>>
+                pub fn evacuation<T>(self, value: T) -> LogCommandBodyBuilder<::planus::Initialized<2, T>>
                 where
                     T: ::planus::WriteAsOffset<self::Evacuation>,
                 {
-                    OrderBodyBuilder(::planus::Initialized(value))
+                    LogCommandBodyBuilder(::planus::Initialized(value))
                 }
             }
 
-            impl<const N: u8, T> OrderBodyBuilder<::planus::Initialized<N, T>> {
-                /// Finish writing the builder to get an [UnionOffset](::planus::UnionOffset) to a serialized [OrderBody].
+            impl<const N: u8, T> LogCommandBodyBuilder<::planus::Initialized<N, T>> {
+                /// Finish writing the builder to get an [UnionOffset](::planus::UnionOffset) to a serialized [LogCommandBody].
                 #[inline]
-                pub fn finish(self, builder: &mut ::planus::Builder) -> ::planus::UnionOffset<OrderBody>
+                pub fn finish(self, builder: &mut ::planus::Builder) -> ::planus::UnionOffset<LogCommandBody>
                 where
-                    Self: ::planus::WriteAsUnion<OrderBody>,
+                    Self: ::planus::WriteAsUnion<LogCommandBody>,
                 {
                     ::planus::WriteAsUnion::prepare(&self, builder)
                 }
             }
 
-            impl<T> ::planus::WriteAsUnion<OrderBody> for OrderBodyBuilder<::planus::Initialized<1, T>>
+            impl<T> ::planus::WriteAsUnion<LogCommandBody> for LogCommandBodyBuilder<::planus::Initialized<1, T>>
             where
                 T: ::planus::WriteAsOffset<self::ReplaceConfig>,
             {
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::UnionOffset<OrderBody> {
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::UnionOffset<LogCommandBody> {
                     ::planus::UnionOffset::new(1, (self.0).0.prepare(builder).downcast())
                 }
             }
 
-            impl<T> ::planus::WriteAsOptionalUnion<OrderBody> for OrderBodyBuilder<::planus::Initialized<1, T>>
+            impl<T> ::planus::WriteAsOptionalUnion<LogCommandBody> for LogCommandBodyBuilder<::planus::Initialized<1, T>>
             where
                 T: ::planus::WriteAsOffset<self::ReplaceConfig>,
             {
@@ -13578,21 +13633,21 @@
                 fn prepare(
                     &self,
                     builder: &mut ::planus::Builder,
-                ) -> ::core::option::Option<::planus::UnionOffset<OrderBody>> {
+                ) -> ::core::option::Option<::planus::UnionOffset<LogCommandBody>> {
                     ::core::option::Option::Some(::planus::WriteAsUnion::prepare(self, builder))
                 }
             }
-            impl<T> ::planus::WriteAsUnion<OrderBody> for OrderBodyBuilder<::planus::Initialized<2, T>>
+            impl<T> ::planus::WriteAsUnion<LogCommandBody> for LogCommandBodyBuilder<::planus::Initialized<2, T>>
             where
                 T: ::planus::WriteAsOffset<self::Evacuation>,
             {
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::UnionOffset<OrderBody> {
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::UnionOffset<LogCommandBody> {
                     ::planus::UnionOffset::new(2, (self.0).0.prepare(builder).downcast())
                 }
             }
 
-            impl<T> ::planus::WriteAsOptionalUnion<OrderBody> for OrderBodyBuilder<::planus::Initialized<2, T>>
+            impl<T> ::planus::WriteAsOptionalUnion<LogCommandBody> for LogCommandBodyBuilder<::planus::Initialized<2, T>>
             where
                 T: ::planus::WriteAsOffset<self::Evacuation>,
             {
@@ -13600,35 +13655,35 @@
                 fn prepare(
                     &self,
                     builder: &mut ::planus::Builder,
-                ) -> ::core::option::Option<::planus::UnionOffset<OrderBody>> {
+                ) -> ::core::option::Option<::planus::UnionOffset<LogCommandBody>> {
                     ::core::option::Option::Some(::planus::WriteAsUnion::prepare(self, builder))
                 }
             }
 
-            /// Reference to a deserialized [OrderBody].
+            /// Reference to a deserialized [LogCommandBody].
             #[derive(Copy, Clone, Debug)]
-            pub enum OrderBodyRef<'a> {
+            pub enum LogCommandBodyRef<'a> {
                 ReplaceConfig(self::ReplaceConfigRef<'a>),
                 Evacuation(self::EvacuationRef<'a>),
             }
 
-            impl<'a> ::core::convert::TryFrom<OrderBodyRef<'a>> for OrderBody {
+            impl<'a> ::core::convert::TryFrom<LogCommandBodyRef<'a>> for LogCommandBody {
                 type Error = ::planus::Error;
 
-                fn try_from(value: OrderBodyRef<'a>) -> ::planus::Result<Self> {
+                fn try_from(value: LogCommandBodyRef<'a>) -> ::planus::Result<Self> {
                     ::core::result::Result::Ok(match value {
-                        OrderBodyRef::ReplaceConfig(value) => Self::ReplaceConfig(
+                        LogCommandBodyRef::ReplaceConfig(value) => Self::ReplaceConfig(
                             ::planus::alloc::boxed::Box::new(::core::convert::TryFrom::try_from(value)?),
                         ),
 
-                        OrderBodyRef::Evacuation(value) => Self::Evacuation(
+                        LogCommandBodyRef::Evacuation(value) => Self::Evacuation(
                             ::planus::alloc::boxed::Box::new(::core::convert::TryFrom::try_from(value)?),
                         ),
                     })
                 }
             }
 
-            impl<'a> ::planus::TableReadUnion<'a> for OrderBodyRef<'a> {
+            impl<'a> ::planus::TableReadUnion<'a> for LogCommandBodyRef<'a> {
                 fn from_buffer(
                     buffer: ::planus::SliceWithStartOffset<'a>,
                     tag: u8,
@@ -13649,47 +13704,47 @@
                 }
             }
 
-            impl<'a> ::planus::VectorReadUnion<'a> for OrderBodyRef<'a> {
-                const VECTOR_NAME: &'static str = "[OrderBodyRef]";
+            impl<'a> ::planus::VectorReadUnion<'a> for LogCommandBodyRef<'a> {
+                const VECTOR_NAME: &'static str = "[LogCommandBodyRef]";
             }
 
-            ///  The payload of a log entry.
+            ///  A command of an operator as the payload of a log entry.
             ///
             /// Generated from these locations:
-            /// * Table `Order` in the file `protocol.fbs:168`
+            /// * Table `LogCommand` in the file `protocol.fbs:186`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
-            pub struct Order {
-                /// The field `body` in the table `Order`
-                pub body: ::core::option::Option<self::OrderBody>,
+            pub struct LogCommand {
+                /// The field `body` in the table `LogCommand`
+                pub body: ::core::option::Option<self::LogCommandBody>,
             }
 
             #[allow(clippy::derivable_impls)]
-            impl ::core::default::Default for Order {
+            impl ::core::default::Default for LogCommand {
                 fn default() -> Self {
                     Self { body: ::core::default::Default::default() }
                 }
             }
 
-            impl Order {
-                /// Creates a [OrderBuilder] for serializing an instance of this table.
+            impl LogCommand {
+                /// Creates a [LogCommandBuilder] for serializing an instance of this table.
                 #[inline]
-                pub fn builder() -> OrderBuilder<()> {
-                    OrderBuilder(())
+                pub fn builder() -> LogCommandBuilder<()> {
+                    LogCommandBuilder(())
                 }
 
                 #[allow(clippy::too_many_arguments)]
                 pub fn create(
                     builder: &mut ::planus::Builder,
-                    field_body: impl ::planus::WriteAsOptionalUnion<self::OrderBody>,
+                    field_body: impl ::planus::WriteAsOptionalUnion<self::LogCommandBody>,
                 ) -> ::planus::Offset<Self> {
                     let prepared_body = field_body.prepare(builder);
 
                     let mut table_writer: ::planus::table_writer::TableWriter<8> =
                         ::core::default::Default::default();
                     if prepared_body.is_some() {
-                        table_writer.write_entry::<::planus::Offset<self::OrderBody>>(1);
+                        table_writer.write_entry::<::planus::Offset<self::LogCommandBody>>(1);
                     }
                     if prepared_body.is_some() {
                         table_writer.write_entry::<u8>(0);
@@ -13709,121 +13764,121 @@
                 }
             }
 
-            impl ::planus::WriteAs<::planus::Offset<Order>> for Order {
+            impl ::planus::WriteAs<::planus::Offset<LogCommand>> for LogCommand {
                 type Prepared = ::planus::Offset<Self>;
 
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<Order> {
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<LogCommand> {
                     ::planus::WriteAsOffset::prepare(self, builder)
                 }
             }
 
-            impl ::planus::WriteAsOptional<::planus::Offset<Order>> for Order {
+            impl ::planus::WriteAsOptional<::planus::Offset<LogCommand>> for LogCommand {
                 type Prepared = ::planus::Offset<Self>;
 
                 #[inline]
                 fn prepare(
                     &self,
                     builder: &mut ::planus::Builder,
-                ) -> ::core::option::Option<::planus::Offset<Order>> {
+                ) -> ::core::option::Option<::planus::Offset<LogCommand>> {
                     ::core::option::Option::Some(::planus::WriteAsOffset::prepare(self, builder))
                 }
             }
 
-            impl ::planus::WriteAsOffset<Order> for Order {
+            impl ::planus::WriteAsOffset<LogCommand> for LogCommand {
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<Order> {
-                    Order::create(builder, &self.body)
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<LogCommand> {
+                    LogCommand::create(builder, &self.body)
                 }
             }
 
-            /// Builder for serializing an instance of the [Order] type.
+            /// Builder for serializing an instance of the [LogCommand] type.
             ///
-            /// Can be created using the [Order::builder] method.
+            /// Can be created using the [LogCommand::builder] method.
             #[derive(Debug)]
             #[must_use]
-            pub struct OrderBuilder<State>(State);
+            pub struct LogCommandBuilder<State>(State);
 
-            impl OrderBuilder<()> {
-                /// Setter for the [`body` field](Order#structfield.body).
+            impl LogCommandBuilder<()> {
+                /// Setter for the [`body` field](LogCommand#structfield.body).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn body<T0>(self, value: T0) -> OrderBuilder<(T0,)>
+                pub fn body<T0>(self, value: T0) -> LogCommandBuilder<(T0,)>
                 where
-                    T0: ::planus::WriteAsOptionalUnion<self::OrderBody>,
+                    T0: ::planus::WriteAsOptionalUnion<self::LogCommandBody>,
                 {
-                    OrderBuilder((value,))
+                    LogCommandBuilder((value,))
                 }
 
-                /// Sets the [`body` field](Order#structfield.body) to null.
+                /// Sets the [`body` field](LogCommand#structfield.body) to null.
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn body_as_null(self) -> OrderBuilder<((),)> {
+                pub fn body_as_null(self) -> LogCommandBuilder<((),)> {
                     self.body(())
                 }
             }
 
-            impl<T0> OrderBuilder<(T0,)> {
-                /// Finish writing the builder to get an [Offset](::planus::Offset) to a serialized [Order].
+            impl<T0> LogCommandBuilder<(T0,)> {
+                /// Finish writing the builder to get an [Offset](::planus::Offset) to a serialized [LogCommand].
                 #[inline]
-                pub fn finish(self, builder: &mut ::planus::Builder) -> ::planus::Offset<Order>
+                pub fn finish(self, builder: &mut ::planus::Builder) -> ::planus::Offset<LogCommand>
                 where
-                    Self: ::planus::WriteAsOffset<Order>,
+                    Self: ::planus::WriteAsOffset<LogCommand>,
                 {
                     ::planus::WriteAsOffset::prepare(&self, builder)
                 }
             }
 
-            impl<T0: ::planus::WriteAsOptionalUnion<self::OrderBody>>
-                ::planus::WriteAs<::planus::Offset<Order>> for OrderBuilder<(T0,)>
+            impl<T0: ::planus::WriteAsOptionalUnion<self::LogCommandBody>>
+                ::planus::WriteAs<::planus::Offset<LogCommand>> for LogCommandBuilder<(T0,)>
             {
-                type Prepared = ::planus::Offset<Order>;
+                type Prepared = ::planus::Offset<LogCommand>;
 
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<Order> {
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<LogCommand> {
                     ::planus::WriteAsOffset::prepare(self, builder)
                 }
             }
 
-            impl<T0: ::planus::WriteAsOptionalUnion<self::OrderBody>>
-                ::planus::WriteAsOptional<::planus::Offset<Order>> for OrderBuilder<(T0,)>
+            impl<T0: ::planus::WriteAsOptionalUnion<self::LogCommandBody>>
+                ::planus::WriteAsOptional<::planus::Offset<LogCommand>> for LogCommandBuilder<(T0,)>
             {
-                type Prepared = ::planus::Offset<Order>;
+                type Prepared = ::planus::Offset<LogCommand>;
 
                 #[inline]
                 fn prepare(
                     &self,
                     builder: &mut ::planus::Builder,
-                ) -> ::core::option::Option<::planus::Offset<Order>> {
+                ) -> ::core::option::Option<::planus::Offset<LogCommand>> {
                     ::core::option::Option::Some(::planus::WriteAsOffset::prepare(self, builder))
                 }
             }
 
-            impl<T0: ::planus::WriteAsOptionalUnion<self::OrderBody>> ::planus::WriteAsOffset<Order>
-                for OrderBuilder<(T0,)>
+            impl<T0: ::planus::WriteAsOptionalUnion<self::LogCommandBody>> ::planus::WriteAsOffset<LogCommand>
+                for LogCommandBuilder<(T0,)>
             {
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<Order> {
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<LogCommand> {
                     let (v0,) = &self.0;
-                    Order::create(builder, v0)
+                    LogCommand::create(builder, v0)
                 }
             }
 
-            /// Reference to a deserialized [Order].
+            /// Reference to a deserialized [LogCommand].
             #[derive(Copy, Clone)]
-            pub struct OrderRef<'a>(#[allow(dead_code)] ::planus::table_reader::Table<'a>);
+            pub struct LogCommandRef<'a>(#[allow(dead_code)] ::planus::table_reader::Table<'a>);
 
-            impl<'a> OrderRef<'a> {
-                /// Getter for the [`body` field](Order#structfield.body).
+            impl<'a> LogCommandRef<'a> {
+                /// Getter for the [`body` field](LogCommand#structfield.body).
                 #[inline]
-                pub fn body(&self) -> ::planus::Result<::core::option::Option<self::OrderBodyRef<'a>>> {
-                    self.0.access_union(0, "Order", "body")
+                pub fn body(&self) -> ::planus::Result<::core::option::Option<self::LogCommandBodyRef<'a>>> {
+                    self.0.access_union(0, "LogCommand", "body")
                 }
             }
 
-            impl<'a> ::core::fmt::Debug for OrderRef<'a> {
+            impl<'a> ::core::fmt::Debug for LogCommandRef<'a> {
                 fn fmt(&self, f: &mut ::core::fmt::Formatter<'_>) -> ::core::fmt::Result {
-                    let mut f = f.debug_struct("OrderRef");
+                    let mut f = f.debug_struct("LogCommandRef");
                     if let ::core::option::Option::Some(field_body) = self.body().transpose() {
                         f.field("body", &field_body);
                     }
@@ -13831,11 +13886,11 @@
                 }
             }
 
-            impl<'a> ::core::convert::TryFrom<OrderRef<'a>> for Order {
+            impl<'a> ::core::convert::TryFrom<LogCommandRef<'a>> for LogCommand {
                 type Error = ::planus::Error;
 
                 #[allow(unreachable_code)]
-                fn try_from(value: OrderRef<'a>) -> ::planus::Result<Self> {
+                fn try_from(value: LogCommandRef<'a>) -> ::planus::Result<Self> {
                     ::core::result::Result::Ok(Self {
                         body: if let ::core::option::Option::Some(body) = value.body()? {
                             ::core::option::Option::Some(::core::convert::TryInto::try_into(body)?)
@@ -13846,7 +13901,7 @@
                 }
             }
 
-            impl<'a> ::planus::TableRead<'a> for OrderRef<'a> {
+            impl<'a> ::planus::TableRead<'a> for LogCommandRef<'a> {
                 #[inline]
                 fn from_buffer(
                     buffer: ::planus::SliceWithStartOffset<'a>,
@@ -13858,7 +13913,7 @@
                 }
             }
 
-            impl<'a> ::planus::VectorReadInner<'a> for OrderRef<'a> {
+            impl<'a> ::planus::VectorReadInner<'a> for LogCommandRef<'a> {
                 type Error = ::planus::Error;
                 const STRIDE: usize = 4;
 
@@ -13867,7 +13922,7 @@
                     offset: usize,
                 ) -> ::planus::Result<Self> {
                     ::planus::TableRead::from_buffer(buffer, offset).map_err(|error_kind| {
-                        error_kind.with_error_location("[OrderRef]", "get", buffer.offset_from_start)
+                        error_kind.with_error_location("[LogCommandRef]", "get", buffer.offset_from_start)
                     })
                 }
             }
@@ -13875,8 +13930,8 @@
             /// # Safety
             /// The planus compiler generates implementations that initialize
             /// the bytes in `write_values`.
-            unsafe impl ::planus::VectorWrite<::planus::Offset<Order>> for Order {
-                type Value = ::planus::Offset<Order>;
+            unsafe impl ::planus::VectorWrite<::planus::Offset<LogCommand>> for LogCommand {
+                type Value = ::planus::Offset<LogCommand>;
                 const STRIDE: usize = 4;
                 #[inline]
                 fn prepare(&self, builder: &mut ::planus::Builder) -> Self::Value {
@@ -13885,7 +13940,7 @@
 
                 #[inline]
                 unsafe fn write_values(
-                    values: &[::planus::Offset<Order>],
+                    values: &[::planus::Offset<LogCommand>],
                     bytes: *mut ::core::mem::MaybeUninit<u8>,
                     buffer_position: u32,
                 ) {
@@ -13900,44 +13955,46 @@
                 }
             }
 
-            impl<'a> ::planus::ReadAsRoot<'a> for OrderRef<'a> {
+            impl<'a> ::planus::ReadAsRoot<'a> for LogCommandRef<'a> {
                 fn read_as_root(slice: &'a [u8]) -> ::planus::Result<Self> {
                     ::planus::TableRead::from_buffer(
                         ::planus::SliceWithStartOffset { buffer: slice, offset_from_start: 0 },
                         0,
                     )
-                    .map_err(|error_kind| error_kind.with_error_location("[OrderRef]", "read_as_root", 0))
+                    .map_err(|error_kind| {
+                        error_kind.with_error_location("[LogCommandRef]", "read_as_root", 0)
+                    })
                 }
             }
 
-            /// The table `TakenConfig` in the namespace `quillpulley.wire`
+            /// The table `AppliedConfig` in the namespace `quillpulley.protocol`
             ///
             /// Generated from these locations:
-            /// * Table `TakenConfig` in the file `protocol.fbs:170`
+            /// * Table `AppliedConfig` in the file `protocol.fbs:188`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
-            pub struct TakenConfig {
-                /// The field `version` in the table `TakenConfig`
+            pub struct AppliedConfig {
+                /// The field `version` in the table `AppliedConfig`
                 pub version: u64,
-                /// The field `base` in the table `TakenConfig`
+                /// The field `base` in the table `AppliedConfig`
                 pub base: u64,
-                /// The field `content_hash` in the table `TakenConfig`
+                /// The field `content_hash` in the table `AppliedConfig`
                 pub content_hash: u64,
             }
 
             #[allow(clippy::derivable_impls)]
-            impl ::core::default::Default for TakenConfig {
+            impl ::core::default::Default for AppliedConfig {
                 fn default() -> Self {
                     Self { version: 0, base: 0, content_hash: 0 }
                 }
             }
 
-            impl TakenConfig {
-                /// Creates a [TakenConfigBuilder] for serializing an instance of this table.
+            impl AppliedConfig {
+                /// Creates a [AppliedConfigBuilder] for serializing an instance of this table.
                 #[inline]
-                pub fn builder() -> TakenConfigBuilder<()> {
-                    TakenConfigBuilder(())
+                pub fn builder() -> AppliedConfigBuilder<()> {
+                    AppliedConfigBuilder(())
                 }
 
                 #[allow(clippy::too_many_arguments)]
@@ -13981,106 +14038,108 @@
                 }
             }
 
-            impl ::planus::WriteAs<::planus::Offset<TakenConfig>> for TakenConfig {
+            impl ::planus::WriteAs<::planus::Offset<AppliedConfig>> for AppliedConfig {
                 type Prepared = ::planus::Offset<Self>;
 
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<TakenConfig> {
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<AppliedConfig> {
                     ::planus::WriteAsOffset::prepare(self, builder)
                 }
             }
 
-            impl ::planus::WriteAsOptional<::planus::Offset<TakenConfig>> for TakenConfig {
+            impl ::planus::WriteAsOptional<::planus::Offset<AppliedConfig>> for AppliedConfig {
                 type Prepared = ::planus::Offset<Self>;
 
                 #[inline]
                 fn prepare(
                     &self,
                     builder: &mut ::planus::Builder,
-                ) -> ::core::option::Option<::planus::Offset<TakenConfig>> {
+                ) -> ::core::option::Option<::planus::Offset<AppliedConfig>> {
                     ::core::option::Option::Some(::planus::WriteAsOffset::prepare(self, builder))
                 }
             }
 
-            impl ::planus::WriteAsOffset<TakenConfig> for TakenConfig {
+            impl ::planus::WriteAsOffset<AppliedConfig> for AppliedConfig {
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<TakenConfig> {
-                    TakenConfig::create(builder, self.version, self.base, self.content_hash)
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<AppliedConfig> {
+                    AppliedConfig::create(builder, self.version, self.base, self.content_hash)
                 }
             }
 
-            /// Builder for serializing an instance of the [TakenConfig] type.
+            /// Builder for serializing an instance of the [AppliedConfig] type.
             ///
-            /// Can be created using the [TakenConfig::builder] method.
+            /// Can be created using the [AppliedConfig::builder] method.
             #[derive(Debug)]
             #[must_use]
-            pub struct TakenConfigBuilder<State>(State);
+            pub struct AppliedConfigBuilder<State>(State);
 
-            impl TakenConfigBuilder<()> {
-                /// Setter for the [`version` field](TakenConfig#structfield.version).
+            impl AppliedConfigBuilder<()> {
+                /// Setter for the [`version` field](AppliedConfig#structfield.version).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn version<T0>(self, value: T0) -> TakenConfigBuilder<(T0,)>
+                pub fn version<T0>(self, value: T0) -> AppliedConfigBuilder<(T0,)>
                 where
                     T0: ::planus::WriteAsDefault<u64, u64>,
                 {
-                    TakenConfigBuilder((value,))
+                    AppliedConfigBuilder((value,))
                 }
 
-                /// Sets the [`version` field](TakenConfig#structfield.version) to the default value.
+                /// Sets the [`version` field](AppliedConfig#structfield.version) to the default value.
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn version_as_default(self) -> TakenConfigBuilder<(::planus::DefaultValue,)> {
+                pub fn version_as_default(self) -> AppliedConfigBuilder<(::planus::DefaultValue,)> {
                     self.version(::planus::DefaultValue)
                 }
             }
 
-            impl<T0> TakenConfigBuilder<(T0,)> {
-                /// Setter for the [`base` field](TakenConfig#structfield.base).
+            impl<T0> AppliedConfigBuilder<(T0,)> {
+                /// Setter for the [`base` field](AppliedConfig#structfield.base).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn base<T1>(self, value: T1) -> TakenConfigBuilder<(T0, T1)>
+                pub fn base<T1>(self, value: T1) -> AppliedConfigBuilder<(T0, T1)>
                 where
                     T1: ::planus::WriteAsDefault<u64, u64>,
                 {
                     let (v0,) = self.0;
-                    TakenConfigBuilder((v0, value))
+                    AppliedConfigBuilder((v0, value))
                 }
 
-                /// Sets the [`base` field](TakenConfig#structfield.base) to the default value.
+                /// Sets the [`base` field](AppliedConfig#structfield.base) to the default value.
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn base_as_default(self) -> TakenConfigBuilder<(T0, ::planus::DefaultValue)> {
+                pub fn base_as_default(self) -> AppliedConfigBuilder<(T0, ::planus::DefaultValue)> {
                     self.base(::planus::DefaultValue)
                 }
             }
 
-            impl<T0, T1> TakenConfigBuilder<(T0, T1)> {
-                /// Setter for the [`content_hash` field](TakenConfig#structfield.content_hash).
+            impl<T0, T1> AppliedConfigBuilder<(T0, T1)> {
+                /// Setter for the [`content_hash` field](AppliedConfig#structfield.content_hash).
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn content_hash<T2>(self, value: T2) -> TakenConfigBuilder<(T0, T1, T2)>
+                pub fn content_hash<T2>(self, value: T2) -> AppliedConfigBuilder<(T0, T1, T2)>
                 where
                     T2: ::planus::WriteAsDefault<u64, u64>,
                 {
                     let (v0, v1) = self.0;
-                    TakenConfigBuilder((v0, v1, value))
+                    AppliedConfigBuilder((v0, v1, value))
                 }
 
-                /// Sets the [`content_hash` field](TakenConfig#structfield.content_hash) to the default value.
+                /// Sets the [`content_hash` field](AppliedConfig#structfield.content_hash) to the default value.
                 #[inline]
                 #[allow(clippy::type_complexity)]
-                pub fn content_hash_as_default(self) -> TakenConfigBuilder<(T0, T1, ::planus::DefaultValue)> {
+                pub fn content_hash_as_default(
+                    self,
+                ) -> AppliedConfigBuilder<(T0, T1, ::planus::DefaultValue)> {
                     self.content_hash(::planus::DefaultValue)
                 }
             }
 
-            impl<T0, T1, T2> TakenConfigBuilder<(T0, T1, T2)> {
-                /// Finish writing the builder to get an [Offset](::planus::Offset) to a serialized [TakenConfig].
+            impl<T0, T1, T2> AppliedConfigBuilder<(T0, T1, T2)> {
+                /// Finish writing the builder to get an [Offset](::planus::Offset) to a serialized [AppliedConfig].
                 #[inline]
-                pub fn finish(self, builder: &mut ::planus::Builder) -> ::planus::Offset<TakenConfig>
+                pub fn finish(self, builder: &mut ::planus::Builder) -> ::planus::Offset<AppliedConfig>
                 where
-                    Self: ::planus::WriteAsOffset<TakenConfig>,
+                    Self: ::planus::WriteAsOffset<AppliedConfig>,
                 {
                     ::planus::WriteAsOffset::prepare(&self, builder)
                 }
@@ -14090,12 +14149,12 @@
                     T0: ::planus::WriteAsDefault<u64, u64>,
                     T1: ::planus::WriteAsDefault<u64, u64>,
                     T2: ::planus::WriteAsDefault<u64, u64>,
-                > ::planus::WriteAs<::planus::Offset<TakenConfig>> for TakenConfigBuilder<(T0, T1, T2)>
+                > ::planus::WriteAs<::planus::Offset<AppliedConfig>> for AppliedConfigBuilder<(T0, T1, T2)>
             {
-                type Prepared = ::planus::Offset<TakenConfig>;
+                type Prepared = ::planus::Offset<AppliedConfig>;
 
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<TakenConfig> {
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<AppliedConfig> {
                     ::planus::WriteAsOffset::prepare(self, builder)
                 }
             }
@@ -14104,16 +14163,16 @@
                     T0: ::planus::WriteAsDefault<u64, u64>,
                     T1: ::planus::WriteAsDefault<u64, u64>,
                     T2: ::planus::WriteAsDefault<u64, u64>,
-                > ::planus::WriteAsOptional<::planus::Offset<TakenConfig>>
-                for TakenConfigBuilder<(T0, T1, T2)>
+                > ::planus::WriteAsOptional<::planus::Offset<AppliedConfig>>
+                for AppliedConfigBuilder<(T0, T1, T2)>
             {
-                type Prepared = ::planus::Offset<TakenConfig>;
+                type Prepared = ::planus::Offset<AppliedConfig>;
 
                 #[inline]
                 fn prepare(
                     &self,
                     builder: &mut ::planus::Builder,
-                ) -> ::core::option::Option<::planus::Offset<TakenConfig>> {
+                ) -> ::core::option::Option<::planus::Offset<AppliedConfig>> {
                     ::core::option::Option::Some(::planus::WriteAsOffset::prepare(self, builder))
                 }
             }
@@ -14122,42 +14181,44 @@
                     T0: ::planus::WriteAsDefault<u64, u64>,
                     T1: ::planus::WriteAsDefault<u64, u64>,
                     T2: ::planus::WriteAsDefault<u64, u64>,
-                > ::planus::WriteAsOffset<TakenConfig> for TakenConfigBuilder<(T0, T1, T2)>
+                > ::planus::WriteAsOffset<AppliedConfig> for AppliedConfigBuilder<(T0, T1, T2)>
             {
                 #[inline]
-                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<TakenConfig> {
+                fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::Offset<AppliedConfig> {
                     let (v0, v1, v2) = &self.0;
-                    TakenConfig::create(builder, v0, v1, v2)
+                    AppliedConfig::create(builder, v0, v1, v2)
                 }
             }
 
-            /// Reference to a deserialized [TakenConfig].
+            /// Reference to a deserialized [AppliedConfig].
             #[derive(Copy, Clone)]
-            pub struct TakenConfigRef<'a>(#[allow(dead_code)] ::planus::table_reader::Table<'a>);
+            pub struct AppliedConfigRef<'a>(#[allow(dead_code)] ::planus::table_reader::Table<'a>);
 
-            impl<'a> TakenConfigRef<'a> {
-                /// Getter for the [`version` field](TakenConfig#structfield.version).
+            impl<'a> AppliedConfigRef<'a> {
+                /// Getter for the [`version` field](AppliedConfig#structfield.version).
                 #[inline]
                 pub fn version(&self) -> ::planus::Result<u64> {
-                    ::core::result::Result::Ok(self.0.access(0, "TakenConfig", "version")?.unwrap_or(0))
+                    ::core::result::Result::Ok(self.0.access(0, "AppliedConfig", "version")?.unwrap_or(0))
                 }
 
-                /// Getter for the [`base` field](TakenConfig#structfield.base).
+                /// Getter for the [`base` field](AppliedConfig#structfield.base).
                 #[inline]
                 pub fn base(&self) -> ::planus::Result<u64> {
-                    ::core::result::Result::Ok(self.0.access(1, "TakenConfig", "base")?.unwrap_or(0))
+                    ::core::result::Result::Ok(self.0.access(1, "AppliedConfig", "base")?.unwrap_or(0))
                 }
 
-                /// Getter for the [`content_hash` field](TakenConfig#structfield.content_hash).
+                /// Getter for the [`content_hash` field](AppliedConfig#structfield.content_hash).
                 #[inline]
                 pub fn content_hash(&self) -> ::planus::Result<u64> {
-                    ::core::result::Result::Ok(self.0.access(2, "TakenConfig", "content_hash")?.unwrap_or(0))
+                    ::core::result::Result::Ok(
+                        self.0.access(2, "AppliedConfig", "content_hash")?.unwrap_or(0),
+                    )
                 }
             }
 
-            impl<'a> ::core::fmt::Debug for TakenConfigRef<'a> {
+            impl<'a> ::core::fmt::Debug for AppliedConfigRef<'a> {
                 fn fmt(&self, f: &mut ::core::fmt::Formatter<'_>) -> ::core::fmt::Result {
-                    let mut f = f.debug_struct("TakenConfigRef");
+                    let mut f = f.debug_struct("AppliedConfigRef");
                     f.field("version", &self.version());
                     f.field("base", &self.base());
                     f.field("content_hash", &self.content_hash());
@@ -14165,11 +14226,11 @@
                 }
             }
 
-            impl<'a> ::core::convert::TryFrom<TakenConfigRef<'a>> for TakenConfig {
+            impl<'a> ::core::convert::TryFrom<AppliedConfigRef<'a>> for AppliedConfig {
                 type Error = ::planus::Error;
 
                 #[allow(unreachable_code)]
-                fn try_from(value: TakenConfigRef<'a>) -> ::planus::Result<Self> {
+                fn try_from(value: AppliedConfigRef<'a>) -> ::planus::Result<Self> {
                     ::core::result::Result::Ok(Self {
                         version: ::core::convert::TryInto::try_into(value.version()?)?,
                         base: ::core::convert::TryInto::try_into(value.base()?)?,
@@ -14178,7 +14239,7 @@
                 }
             }
 
-            impl<'a> ::planus::TableRead<'a> for TakenConfigRef<'a> {
+            impl<'a> ::planus::TableRead<'a> for AppliedConfigRef<'a> {
                 #[inline]
                 fn from_buffer(
                     buffer: ::planus::SliceWithStartOffset<'a>,
@@ -14190,7 +14251,7 @@
                 }
             }
 
-            impl<'a> ::planus::VectorReadInner<'a> for TakenConfigRef<'a> {
+            impl<'a> ::planus::VectorReadInner<'a> for AppliedConfigRef<'a> {
                 type Error = ::planus::Error;
                 const STRIDE: usize = 4;
 
@@ -14199,7 +14260,7 @@
                     offset: usize,
                 ) -> ::planus::Result<Self> {
                     ::planus::TableRead::from_buffer(buffer, offset).map_err(|error_kind| {
-                        error_kind.with_error_location("[TakenConfigRef]", "get", buffer.offset_from_start)
+                        error_kind.with_error_location("[AppliedConfigRef]", "get", buffer.offset_from_start)
                     })
                 }
             }
@@ -14207,8 +14268,8 @@
             /// # Safety
             /// The planus compiler generates implementations that initialize
             /// the bytes in `write_values`.
-            unsafe impl ::planus::VectorWrite<::planus::Offset<TakenConfig>> for TakenConfig {
-                type Value = ::planus::Offset<TakenConfig>;
+            unsafe impl ::planus::VectorWrite<::planus::Offset<AppliedConfig>> for AppliedConfig {
+                type Value = ::planus::Offset<AppliedConfig>;
                 const STRIDE: usize = 4;
                 #[inline]
                 fn prepare(&self, builder: &mut ::planus::Builder) -> Self::Value {
@@ -14217,7 +14278,7 @@
 
                 #[inline]
                 unsafe fn write_values(
-                    values: &[::planus::Offset<TakenConfig>],
+                    values: &[::planus::Offset<AppliedConfig>],
                     bytes: *mut ::core::mem::MaybeUninit<u8>,
                     buffer_position: u32,
                 ) {
@@ -14232,22 +14293,22 @@
                 }
             }
 
-            impl<'a> ::planus::ReadAsRoot<'a> for TakenConfigRef<'a> {
+            impl<'a> ::planus::ReadAsRoot<'a> for AppliedConfigRef<'a> {
                 fn read_as_root(slice: &'a [u8]) -> ::planus::Result<Self> {
                     ::planus::TableRead::from_buffer(
                         ::planus::SliceWithStartOffset { buffer: slice, offset_from_start: 0 },
                         0,
                     )
                     .map_err(|error_kind| {
-                        error_kind.with_error_location("[TakenConfigRef]", "read_as_root", 0)
+                        error_kind.with_error_location("[AppliedConfigRef]", "read_as_root", 0)
                     })
                 }
             }
 
-            /// The table `EvacuatedZone` in the namespace `quillpulley.wire`
+            /// The table `EvacuatedZone` in the namespace `quillpulley.protocol`
             ///
             /// Generated from these locations:
-            /// * Table `EvacuatedZone` in the file `protocol.fbs:171`
+            /// * Table `EvacuatedZone` in the file `protocol.fbs:189`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -14566,10 +14627,10 @@
                 }
             }
 
-            ///  The replicated state, as a snapshot holds it.
+            ///  The replicated state, as a snapshot stores it.
             ///
             /// Generated from these locations:
-            /// * Table `ControlSnapshot` in the file `protocol.fbs:173`
+            /// * Table `ControlSnapshot` in the file `protocol.fbs:191`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -14579,7 +14640,7 @@
                 /// The field `body` in the table `ControlSnapshot`
                 pub body: ::planus::alloc::vec::Vec<u8>,
                 /// The field `history` in the table `ControlSnapshot`
-                pub history: ::planus::alloc::vec::Vec<self::TakenConfig>,
+                pub history: ::planus::alloc::vec::Vec<self::AppliedConfig>,
                 /// The field `zones` in the table `ControlSnapshot`
                 pub zones: ::planus::alloc::vec::Vec<self::EvacuatedZone>,
                 /// The field `config_index` in the table `ControlSnapshot`
@@ -14611,7 +14672,9 @@
                     builder: &mut ::planus::Builder,
                     field_version: impl ::planus::WriteAsDefault<u64, u64>,
                     field_body: impl ::planus::WriteAs<::planus::Offset<[u8]>>,
-                    field_history: impl ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::TakenConfig>]>>,
+                    field_history: impl ::planus::WriteAs<
+                        ::planus::Offset<[::planus::Offset<self::AppliedConfig>]>,
+                    >,
                     field_zones: impl ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::EvacuatedZone>]>>,
                     field_config_index: impl ::planus::WriteAsDefault<u64, u64>,
                 ) -> ::planus::Offset<Self> {
@@ -14630,7 +14693,7 @@
                         table_writer.write_entry::<u64>(4);
                     }
                     table_writer.write_entry::<::planus::Offset<[u8]>>(1);
-                    table_writer.write_entry::<::planus::Offset<[::planus::Offset<self::TakenConfig>]>>(2);
+                    table_writer.write_entry::<::planus::Offset<[::planus::Offset<self::AppliedConfig>]>>(2);
                     table_writer.write_entry::<::planus::Offset<[::planus::Offset<self::EvacuatedZone>]>>(3);
 
                     unsafe {
@@ -14731,7 +14794,7 @@
                 #[allow(clippy::type_complexity)]
                 pub fn history<T2>(self, value: T2) -> ControlSnapshotBuilder<(T0, T1, T2)>
                 where
-                    T2: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::TakenConfig>]>>,
+                    T2: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::AppliedConfig>]>>,
                 {
                     let (v0, v1) = self.0;
                     ControlSnapshotBuilder((v0, v1, value))
@@ -14787,7 +14850,7 @@
             impl<
                     T0: ::planus::WriteAsDefault<u64, u64>,
                     T1: ::planus::WriteAs<::planus::Offset<[u8]>>,
-                    T2: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::TakenConfig>]>>,
+                    T2: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::AppliedConfig>]>>,
                     T3: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::EvacuatedZone>]>>,
                     T4: ::planus::WriteAsDefault<u64, u64>,
                 > ::planus::WriteAs<::planus::Offset<ControlSnapshot>>
@@ -14804,7 +14867,7 @@
             impl<
                     T0: ::planus::WriteAsDefault<u64, u64>,
                     T1: ::planus::WriteAs<::planus::Offset<[u8]>>,
-                    T2: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::TakenConfig>]>>,
+                    T2: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::AppliedConfig>]>>,
                     T3: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::EvacuatedZone>]>>,
                     T4: ::planus::WriteAsDefault<u64, u64>,
                 > ::planus::WriteAsOptional<::planus::Offset<ControlSnapshot>>
@@ -14824,7 +14887,7 @@
             impl<
                     T0: ::planus::WriteAsDefault<u64, u64>,
                     T1: ::planus::WriteAs<::planus::Offset<[u8]>>,
-                    T2: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::TakenConfig>]>>,
+                    T2: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::AppliedConfig>]>>,
                     T3: ::planus::WriteAs<::planus::Offset<[::planus::Offset<self::EvacuatedZone>]>>,
                     T4: ::planus::WriteAsDefault<u64, u64>,
                 > ::planus::WriteAsOffset<ControlSnapshot> for ControlSnapshotBuilder<(T0, T1, T2, T3, T4)>
@@ -14857,7 +14920,7 @@
                 #[inline]
                 pub fn history(
                     &self,
-                ) -> ::planus::Result<::planus::Vector<'a, ::planus::Result<self::TakenConfigRef<'a>>>>
+                ) -> ::planus::Result<::planus::Vector<'a, ::planus::Result<self::AppliedConfigRef<'a>>>>
                 {
                     self.0.access_required(2, "ControlSnapshot", "history")
                 }
@@ -14977,10 +15040,10 @@
                 }
             }
 
-            ///  What a witness keeps on its disk.
+            ///  The durable state of a witness.
             ///
             /// Generated from these locations:
-            /// * Table `WitnessRecord` in the file `protocol.fbs:176`
+            /// * Table `WitnessRecord` in the file `protocol.fbs:194`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -15360,10 +15423,10 @@
                 }
             }
 
-            /// The union `Body` in the namespace `quillpulley.wire`
+            /// The union `Body` in the namespace `quillpulley.protocol`
             ///
             /// Generated from these locations:
-            /// * Union `Body` in the file `protocol.fbs:178`
+            /// * Union `Body` in the file `protocol.fbs:196`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
@@ -15371,8 +15434,8 @@
                 /// The variant of type `Hello` in the union `Body`
                 Hello(::planus::alloc::boxed::Box<self::Hello>),
 
-                /// The variant of type `Cores` in the union `Body`
-                Cores(::planus::alloc::boxed::Box<self::Cores>),
+                /// The variant of type `ControlNodes` in the union `Body`
+                ControlNodes(::planus::alloc::boxed::Box<self::ControlNodes>),
 
                 /// The variant of type `Prepare` in the union `Body`
                 Prepare(::planus::alloc::boxed::Box<self::Prepare>),
@@ -15428,8 +15491,8 @@
                 /// The variant of type `PingAck` in the union `Body`
                 PingAck(::planus::alloc::boxed::Box<self::PingAck>),
 
-                /// The variant of type `Decline` in the union `Body`
-                Decline(::planus::alloc::boxed::Box<self::Decline>),
+                /// The variant of type `Reject` in the union `Body`
+                Reject(::planus::alloc::boxed::Box<self::Reject>),
 
                 /// The variant of type `Resign` in the union `Body`
                 Resign(::planus::alloc::boxed::Box<self::Resign>),
@@ -15451,9 +15514,9 @@
                 }
 
                 #[inline]
-                pub fn create_cores(
+                pub fn create_control_nodes(
                     builder: &mut ::planus::Builder,
-                    value: impl ::planus::WriteAsOffset<self::Cores>,
+                    value: impl ::planus::WriteAsOffset<self::ControlNodes>,
                 ) -> ::planus::UnionOffset<Self> {
                     ::planus::UnionOffset::new(2, value.prepare(builder).downcast())
                 }
@@ -15603,9 +15666,9 @@
                 }
 
                 #[inline]
-                pub fn create_decline(
+                pub fn create_reject(
                     builder: &mut ::planus::Builder,
-                    value: impl ::planus::WriteAsOffset<self::Decline>,
+                    value: impl ::planus::WriteAsOffset<self::Reject>,
                 ) -> ::planus::UnionOffset<Self> {
                     ::planus::UnionOffset::new(21, value.prepare(builder).downcast())
                 }
@@ -15624,7 +15687,7 @@
                 fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::UnionOffset<Self> {
                     match self {
                         Self::Hello(value) => Self::create_hello(builder, value),
-                        Self::Cores(value) => Self::create_cores(builder, value),
+                        Self::ControlNodes(value) => Self::create_control_nodes(builder, value),
                         Self::Prepare(value) => Self::create_prepare(builder, value),
                         Self::Promise(value) => Self::create_promise(builder, value),
                         Self::FetchState(value) => Self::create_fetch_state(builder, value),
@@ -15643,7 +15706,7 @@
                         Self::Totals(value) => Self::create_totals(builder, value),
                         Self::Ping(value) => Self::create_ping(builder, value),
                         Self::PingAck(value) => Self::create_ping_ack(builder, value),
-                        Self::Decline(value) => Self::create_decline(builder, value),
+                        Self::Reject(value) => Self::create_reject(builder, value),
                         Self::Resign(value) => Self::create_resign(builder, value),
                     }
                 }
@@ -15676,11 +15739,11 @@
                     BodyBuilder(::planus::Initialized(value))
                 }
 
-                /// Creates an instance of the [`Cores` variant](Body#variant.Cores).
+                /// Creates an instance of the [`ControlNodes` variant](Body#variant.ControlNodes).
                 #[inline]
-                pub fn cores<T>(self, value: T) -> BodyBuilder<::planus::Initialized<2, T>>
+                pub fn control_nodes<T>(self, value: T) -> BodyBuilder<::planus::Initialized<2, T>>
                 where
-                    T: ::planus::WriteAsOffset<self::Cores>,
+                    T: ::planus::WriteAsOffset<self::ControlNodes>,
                 {
                     BodyBuilder(::planus::Initialized(value))
                 }
@@ -15847,11 +15910,11 @@
                     BodyBuilder(::planus::Initialized(value))
                 }
 
-                /// Creates an instance of the [`Decline` variant](Body#variant.Decline).
+                /// Creates an instance of the [`Reject` variant](Body#variant.Reject).
                 #[inline]
-                pub fn decline<T>(self, value: T) -> BodyBuilder<::planus::Initialized<21, T>>
+                pub fn reject<T>(self, value: T) -> BodyBuilder<::planus::Initialized<21, T>>
                 where
-                    T: ::planus::WriteAsOffset<self::Decline>,
+                    T: ::planus::WriteAsOffset<self::Reject>,
                 {
                     BodyBuilder(::planus::Initialized(value))
                 }
@@ -15901,7 +15964,7 @@
             }
             impl<T> ::planus::WriteAsUnion<Body> for BodyBuilder<::planus::Initialized<2, T>>
             where
-                T: ::planus::WriteAsOffset<self::Cores>,
+                T: ::planus::WriteAsOffset<self::ControlNodes>,
             {
                 #[inline]
                 fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::UnionOffset<Body> {
@@ -15911,7 +15974,7 @@
 
             impl<T> ::planus::WriteAsOptionalUnion<Body> for BodyBuilder<::planus::Initialized<2, T>>
             where
-                T: ::planus::WriteAsOffset<self::Cores>,
+                T: ::planus::WriteAsOffset<self::ControlNodes>,
             {
                 #[inline]
                 fn prepare(
@@ -16319,7 +16382,7 @@
             }
             impl<T> ::planus::WriteAsUnion<Body> for BodyBuilder<::planus::Initialized<21, T>>
             where
-                T: ::planus::WriteAsOffset<self::Decline>,
+                T: ::planus::WriteAsOffset<self::Reject>,
             {
                 #[inline]
                 fn prepare(&self, builder: &mut ::planus::Builder) -> ::planus::UnionOffset<Body> {
@@ -16329,7 +16392,7 @@
 
             impl<T> ::planus::WriteAsOptionalUnion<Body> for BodyBuilder<::planus::Initialized<21, T>>
             where
-                T: ::planus::WriteAsOffset<self::Decline>,
+                T: ::planus::WriteAsOffset<self::Reject>,
             {
                 #[inline]
                 fn prepare(
@@ -16366,7 +16429,7 @@
             #[derive(Copy, Clone, Debug)]
             pub enum BodyRef<'a> {
                 Hello(self::HelloRef<'a>),
-                Cores(self::CoresRef<'a>),
+                ControlNodes(self::ControlNodesRef<'a>),
                 Prepare(self::PrepareRef<'a>),
                 Promise(self::PromiseRef<'a>),
                 FetchState(self::FetchStateRef<'a>),
@@ -16385,7 +16448,7 @@
                 Totals(self::TotalsRef<'a>),
                 Ping(self::PingRef<'a>),
                 PingAck(self::PingAckRef<'a>),
-                Decline(self::DeclineRef<'a>),
+                Reject(self::RejectRef<'a>),
                 Resign(self::ResignRef<'a>),
             }
 
@@ -16398,7 +16461,7 @@
                             ::core::convert::TryFrom::try_from(value)?,
                         )),
 
-                        BodyRef::Cores(value) => Self::Cores(::planus::alloc::boxed::Box::new(
+                        BodyRef::ControlNodes(value) => Self::ControlNodes(::planus::alloc::boxed::Box::new(
                             ::core::convert::TryFrom::try_from(value)?,
                         )),
 
@@ -16474,7 +16537,7 @@
                             ::core::convert::TryFrom::try_from(value)?,
                         )),
 
-                        BodyRef::Decline(value) => Self::Decline(::planus::alloc::boxed::Box::new(
+                        BodyRef::Reject(value) => Self::Reject(::planus::alloc::boxed::Box::new(
                             ::core::convert::TryFrom::try_from(value)?,
                         )),
 
@@ -16496,10 +16559,9 @@
                             buffer,
                             field_offset,
                         )?)),
-                        2 => ::core::result::Result::Ok(Self::Cores(::planus::TableRead::from_buffer(
-                            buffer,
-                            field_offset,
-                        )?)),
+                        2 => ::core::result::Result::Ok(Self::ControlNodes(
+                            ::planus::TableRead::from_buffer(buffer, field_offset)?,
+                        )),
                         3 => ::core::result::Result::Ok(Self::Prepare(::planus::TableRead::from_buffer(
                             buffer,
                             field_offset,
@@ -16570,7 +16632,7 @@
                             buffer,
                             field_offset,
                         )?)),
-                        21 => ::core::result::Result::Ok(Self::Decline(::planus::TableRead::from_buffer(
+                        21 => ::core::result::Result::Ok(Self::Reject(::planus::TableRead::from_buffer(
                             buffer,
                             field_offset,
                         )?)),
@@ -16589,10 +16651,10 @@
                 const VECTOR_NAME: &'static str = "[BodyRef]";
             }
 
-            /// The table `Frame` in the namespace `quillpulley.wire`
+            /// The table `Frame` in the namespace `quillpulley.protocol`
             ///
             /// Generated from these locations:
-            /// * Table `Frame` in the file `protocol.fbs:183`
+            /// * Table `Frame` in the file `protocol.fbs:201`
             #[derive(
                 Clone, Debug, PartialEq, PartialOrd, Eq, Ord, Hash, ::serde::Serialize, ::serde::Deserialize,
             )]
--- a/crates/protocol/src/lane.rs
+++ b/crates/protocol/src/lane.rs
@@ -29,7 +29,7 @@
             | Body::AppendAck(_)
             | Body::LeaseRequest(_)
             | Body::LeaseGrant(_)
-            | Body::Decline(_)
+            | Body::Reject(_)
             | Body::Resign(_) => Lane::Control,
             Body::StateTransfer(_) | Body::Install(_) | Body::Append(_) => Lane::State,
             _ => Lane::Ordered,
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -18,6 +18,6 @@
     decode_frame, decode_value, encode_frame, encode_value, frame_message, FrameDecoder, FrameEncoder,
     WireError, MAX_FRAME, MAX_PIECE,
 };
-pub use generated::quillpulley::wire::*;
+pub use generated::quillpulley::protocol::*;
 pub use lane::Lane;
 pub use queue::{FrameQueue, QueueFull, PIECE_WINDOW};
--- a/crates/protocol/tests/compatibility.rs
+++ b/crates/protocol/tests/compatibility.rs
@@ -18,8 +18,8 @@
     Position { epoch: 7, index }
 }
 
-fn stamp(tick: u64) -> Stamp {
-    Stamp { epoch: 7, tick }
+fn revision(tick: u64) -> Revision {
+    Revision { epoch: 7, tick }
 }
 
 fn view() -> Box<View> {
@@ -38,21 +38,21 @@
     (41..=43).map(entry).collect()
 }
 
-fn front() -> Front {
-    Front {
+fn endpoint() -> ProxyEndpoint {
+    ProxyEndpoint {
         name: "front-1".to_string(),
         ip: 0x0a01_000d,
         zone: "zone-a".to_string(),
         region: "region-a".to_string(),
         address: "10.1.0.13:8161".to_string(),
-        state: FrontState::Ready,
-        life: 1_700_000_000_000_000,
+        state: EndpointState::Ready,
+        incarnation: 1_700_000_000_000_000,
         preferred_regions: vec!["region-b".to_string()],
     }
 }
 
-fn services() -> Vec<ServiceCount> {
-    vec![ServiceCount { service: "cards".to_string(), first: 90, allowed: 8, refused: 3 }]
+fn services() -> Vec<ServiceCounters> {
+    vec![ServiceCounters { service: "cards".to_string(), requests: 90, retries: 8, rejected_retries: 3 }]
 }
 
 fn server_loads() -> Vec<ServerLoad> {
@@ -67,7 +67,7 @@
         name: "front-1".to_string(),
         zone: "zone-a".to_string(),
         region: "region-a".to_string(),
-        control: "10.1.0.5:8166".to_string(),
+        control_address: "10.1.0.5:8166".to_string(),
     };
     let promise = Promise {
         epoch: 8,
@@ -75,8 +75,8 @@
         promised: 8,
         accepted: Some(view()),
         last: position(43),
-        lease_left_ms: 350,
-        trial: true,
+        lease_remaining_ms: 350,
+        pre_vote: true,
     };
     let transfer = StateTransfer {
         epoch: 8,
@@ -87,7 +87,7 @@
     };
     let install =
         Install { epoch: 8, snapshot_last: position(40), snapshot: b"state".to_vec(), entries: entries() };
-    let request = LeaseRequest { epoch: 7, round: 9, view: view(), committed: 42, leased: true };
+    let request = LeaseRequest { epoch: 7, round: 9, view: view(), committed: 42, holds_lease: true };
     let grant = LeaseGrant {
         epoch: 7,
         round: 9,
@@ -98,9 +98,9 @@
         witness: true,
     };
     let update = Update {
-        kind: UpdateKind::Difference,
-        since: stamp(3),
-        stamp: stamp(4),
+        kind: UpdateKind::Delta,
+        base: revision(3),
+        revision: revision(4),
         digest: 0xabcd_ef01_2345,
         complete: vec![0, 63],
         items: vec![
@@ -115,8 +115,8 @@
     let report = Report {
         delta: true,
         depth: 3,
-        fronts: vec![front()],
-        fronts_gone: vec!["front-8".to_string()],
+        endpoints: vec![endpoint()],
+        removed_endpoints: vec!["front-8".to_string()],
         suspicions: vec![suspicion],
         proxies: 17,
         services: services(),
@@ -133,8 +133,8 @@
     };
     vec![
         ("Hello", Body::Hello(Box::new(hello))),
-        ("Cores", Body::Cores(Box::new(Cores { addresses: vec![0x0a01_0001, 0x0a01_0002] }))),
-        ("Prepare", Body::Prepare(Box::new(Prepare { epoch: 8, candidate: node(2), trial: true }))),
+        ("Cores", Body::ControlNodes(Box::new(ControlNodes { addresses: vec![0x0a01_0001, 0x0a01_0002] }))),
+        ("Prepare", Body::Prepare(Box::new(Prepare { epoch: 8, candidate: node(2), pre_vote: true }))),
         ("Promise", Body::Promise(Box::new(promise))),
         ("FetchState", Body::FetchState(Box::new(FetchState { epoch: 8 }))),
         ("StateTransfer", Body::StateTransfer(Box::new(transfer))),
@@ -157,13 +157,16 @@
         ("AppendAck", Body::AppendAck(Box::new(AppendAck { epoch: 7, last: position(43), matched: true }))),
         ("LeaseRequest", Body::LeaseRequest(Box::new(request))),
         ("LeaseGrant", Body::LeaseGrant(Box::new(grant))),
-        ("Subscribe", Body::Subscribe(Box::new(Subscribe { stamp: stamp(3), digests: vec![1, u64::MAX] }))),
+        (
+            "Subscribe",
+            Body::Subscribe(Box::new(Subscribe { revision: revision(3), digests: vec![1, u64::MAX] })),
+        ),
         ("Update", Body::Update(Box::new(update))),
         ("Report", Body::Report(Box::new(report))),
         ("Totals", Body::Totals(Box::new(totals))),
         ("Ping", Body::Ping(Box::new(Ping { name: "front-1".to_string(), sequence: 7_000 }))),
         ("PingAck", Body::PingAck(Box::new(PingAck { name: "front-2".to_string(), sequence: 7_000 }))),
-        ("Decline", Body::Decline(Box::new(Decline { epoch: 7, promised: 8, leaving: true }))),
+        ("Decline", Body::Reject(Box::new(Reject { epoch: 7, promised: 8, shutting_down: true }))),
         ("Resign", Body::Resign(Box::new(Resign { epoch: 7 }))),
     ]
 }
@@ -177,11 +180,12 @@
         zone: "zone-a".to_string(),
         slots: 64,
         state: ServerState::Draining,
-        warmup_left_ms: 900,
-        time_left_ms: 30_000,
-        has_time_left: true,
+        warmup_remaining_ms: 900,
+        time_remaining_ms: 30_000,
+        has_time_remaining: true,
     };
-    let core = Core { ip: 0x0a01_0001, zone: "zone-a".to_string(), region: "region-a".to_string() };
+    let control_node =
+        ControlNode { ip: 0x0a01_0001, zone: "zone-a".to_string(), region: "region-a".to_string() };
     let head = ConfigHead { version: 12, routes: 3, services: b"[]".to_vec(), limits: b"{}".to_vec() };
     let replace = ReplaceConfig {
         version: 12,
@@ -194,8 +198,8 @@
         version: 12,
         body: b"{\"Version\":12}".to_vec(),
         history: vec![
-            TakenConfig { version: 11, base: 10, content_hash: 0xabcd },
-            TakenConfig { version: 12, base: 11, content_hash: 0xc0ff_ee00 },
+            AppliedConfig { version: 11, base: 10, content_hash: 0xabcd },
+            AppliedConfig { version: 12, base: 11, content_hash: 0xc0ff_ee00 },
         ],
         zones: vec![EvacuatedZone { zone: "zone-a".to_string(), active: true, index: 40 }],
         config_index: 39,
@@ -208,14 +212,17 @@
     };
     vec![
         ("Server", encode_value(&server)),
-        ("Front", encode_value(&front())),
-        ("Core", encode_value(&core)),
+        ("Front", encode_value(&endpoint())),
+        ("Core", encode_value(&control_node)),
         ("ConfigHead", encode_value(&head)),
         (
             "OrderReplaceConfig",
-            encode_value(&Order { body: Some(OrderBody::ReplaceConfig(Box::new(replace))) }),
+            encode_value(&LogCommand { body: Some(LogCommandBody::ReplaceConfig(Box::new(replace))) }),
+        ),
+        (
+            "OrderEvacuation",
+            encode_value(&LogCommand { body: Some(LogCommandBody::Evacuation(Box::new(evacuation))) }),
         ),
-        ("OrderEvacuation", encode_value(&Order { body: Some(OrderBody::Evacuation(Box::new(evacuation))) })),
         ("ControlSnapshot", encode_value(&snapshot)),
         ("WitnessRecord", encode_value(&record)),
     ]
@@ -276,7 +283,7 @@
     let snapshot: ControlSnapshot = decode_value::<ControlSnapshotRef, _>(&snapshot).expect("a snapshot");
     assert_eq!((snapshot.version, snapshot.history.len(), snapshot.config_index), (12, 2, 39));
     let order = unhex(expected["OrderEvacuation"]);
-    let order: Order = decode_value::<OrderRef, _>(&order).expect("an entry's payload");
+    let order: LogCommand = decode_value::<LogCommandRef, _>(&order).expect("an entry's payload");
     let evacuation = Evacuation { zone: "zone-a".to_string(), active: true };
-    assert_eq!(order.body, Some(OrderBody::Evacuation(Box::new(evacuation))));
+    assert_eq!(order.body, Some(LogCommandBody::Evacuation(Box::new(evacuation))));
 }
--- a/crates/protocol/tests/queue.rs
+++ b/crates/protocol/tests/queue.rs
@@ -25,8 +25,8 @@
 
 fn update(tick: u64, bytes: usize) -> Body {
     let items = vec![quillpulley_protocol::Item { key: "k".into(), removed: false, value: vec![1; bytes] }];
-    let stamp = quillpulley_protocol::Stamp { epoch: 1, tick };
-    Body::Update(Box::new(Update { stamp, items, ..Update::default() }))
+    let revision = quillpulley_protocol::Revision { epoch: 1, tick };
+    Body::Update(Box::new(Update { revision, items, ..Update::default() }))
 }
 
 /// The two ends of a link, with nothing between them.
--- a/crates/protocol/tests/sizes.rs
+++ b/crates/protocol/tests/sizes.rs
@@ -3,7 +3,7 @@
 use quillpulley_protocol::View;
 use quillpulley_protocol::{encode_frame, encode_value, Body};
 use quillpulley_protocol::{
-    Front, FrontState, LeaseGrant, LeaseRequest, NodeId, Ping, Position, Server, ServerState,
+    EndpointState, LeaseGrant, LeaseRequest, NodeId, Ping, Position, ProxyEndpoint, Server, ServerState,
 };
 use std::net::Ipv4Addr;
 
@@ -22,7 +22,7 @@
         previous_witnesses: Vec::new(),
         activated: true,
     };
-    let request = LeaseRequest { epoch: 3, round: 9, view: Box::new(view), committed: 5, leased: true };
+    let request = LeaseRequest { epoch: 3, round: 9, view: Box::new(view), committed: 5, holds_lease: true };
     encode_frame(Body::LeaseRequest(Box::new(request))).len()
 }
 
@@ -41,26 +41,26 @@
         zone: "puget-a".to_string(),
         slots: 64,
         state: ServerState::Ready,
-        warmup_left_ms: 0,
-        time_left_ms: 0,
-        has_time_left: false,
+        warmup_remaining_ms: 0,
+        time_remaining_ms: 0,
+        has_time_remaining: false,
     };
     assert_eq!(encode_value(&server).len(), 103);
 }
 
 #[test]
 fn a_front_takes_136_bytes() {
-    let front = Front {
+    let endpoint = ProxyEndpoint {
         name: NAME.to_string(),
         ip: 0x0a01_000d,
         zone: "zona-10".to_string(),
         region: "gt-central".to_string(),
         address: "10.1.0.13:8161".to_string(),
-        state: FrontState::Ready,
-        life: 1_700_000_000_000_000,
+        state: EndpointState::Ready,
+        incarnation: 1_700_000_000_000_000,
         preferred_regions: Vec::new(),
     };
-    assert_eq!(encode_value(&front).len(), 136);
+    assert_eq!(encode_value(&endpoint).len(), 136);
 }
 
 #[test]
--- a/crates/quillpulley/src/agent/host/links.rs
+++ b/crates/quillpulley/src/agent/host/links.rs
@@ -61,7 +61,7 @@
             self.tell_node(feed::Event::ParentFrame(body));
         } else if self.children.contains(link) {
             if let Body::Report(report) = &mut body {
-                if self.children.is_proxy(link) && self.local.take_front(report) {
+                if self.children.is_proxy(link) && self.local.take_endpoint(report) {
                     self.report_local();
                 }
             }
@@ -85,7 +85,7 @@
     pub(super) fn forget_child(&mut self, link: LinkId) {
         if self.children.is_proxy(link) {
             info!("proxy disconnected");
-            if self.local.forget_front() {
+            if self.local.forget_endpoint() {
                 self.report_local();
             }
         }
--- a/crates/quillpulley/src/agent/host/mod.rs
+++ b/crates/quillpulley/src/agent/host/mod.rs
@@ -227,6 +227,6 @@
         name: settings.node_name.clone(),
         zone: settings.zone.clone(),
         region: settings.region.clone(),
-        control: String::new(),
+        control_address: String::new(),
     }
 }
--- a/crates/quillpulley/src/agent/host/tree.rs
+++ b/crates/quillpulley/src/agent/host/tree.rs
@@ -12,12 +12,12 @@
 
 impl Host {
     pub(super) fn tell_node(&mut self, event: feed::Event<LinkId>) {
-        let before = self.node.stamp();
+        let before = self.node.revision();
         let mut actions = Vec::new();
         self.node.handle(self.now(), event, &mut actions);
         actions.into_iter().for_each(|action| self.do_for_node(action));
-        if self.node.stamp() != before {
-            self.tell_search(search::Event::StampMoved);
+        if self.node.revision() != before {
+            self.tell_search(search::Event::RevisionMoved);
             self.log_parent();
         }
     }
@@ -36,7 +36,7 @@
             feed::Action::Changed(changed) => {
                 self.neighbours_changed |= Neighbourhood::is_touched_by(&changed);
             }
-            feed::Action::TotalsChanged | feed::Action::FrontsChanged => {}
+            feed::Action::TotalsChanged | feed::Action::EndpointsChanged => {}
         }
     }
 
@@ -66,7 +66,7 @@
 
     fn address(&self, candidate: ParentCandidate) -> SocketAddr {
         match candidate {
-            ParentCandidate::Core(ip) => SocketAddr::from((ip, self.settings.control_port())),
+            ParentCandidate::ControlNode(ip) => SocketAddr::from((ip, self.settings.control_port())),
             ParentCandidate::Agent(ip) => SocketAddr::from((ip, self.settings.agent_port())),
         }
     }
@@ -74,7 +74,11 @@
     fn log_parent(&mut self) {
         let parent = self.search.parent();
         if let Some(candidate) = parent.filter(|_| parent != self.logged_parent) {
-            info!("takes published state from {} at {}", self.address(candidate), shown(self.node.stamp()));
+            info!(
+                "takes published state from {} at {}",
+                self.address(candidate),
+                shown(self.node.revision())
+            );
             self.logged_parent = parent;
         }
     }
@@ -96,6 +100,6 @@
     }
 }
 
-fn shown(stamp: quillpulley_protocol::Stamp) -> String {
-    format!("{}:{}", stamp.epoch, stamp.tick)
+fn shown(revision: quillpulley_protocol::Revision) -> String {
+    format!("{}:{}", revision.epoch, revision.tick)
 }
--- a/crates/quillpulley/src/agent/neighbourhood.rs
+++ b/crates/quillpulley/src/agent/neighbourhood.rs
@@ -4,8 +4,10 @@
 use crate::Settings;
 use log::warn;
 use quillpulley_membership::Peer;
-use quillpulley_protocol::{decode_value, Core, CoreRef, Front, FrontRef, FrontState};
-use quillpulley_serving_config::published::{PublishedKey, CORE_PREFIX, FRONT_PREFIX};
+use quillpulley_protocol::{
+    decode_value, ControlNode, ControlNodeRef, EndpointState, ProxyEndpoint, ProxyEndpointRef,
+};
+use quillpulley_serving_config::published::{PublishedKey, CONTROL_NODE_PREFIX, ENDPOINT_PREFIX};
 use quillpulley_state_sync::relay::{parent_candidates, ParentCandidate, Surroundings};
 use quillpulley_state_sync::{ChangedKey, Store};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -13,8 +15,8 @@
 /// The fronts and core processes as they were published last, and the seeds.
 #[derive(Default)]
 pub struct Neighbourhood {
-    fronts: Vec<Front>,
-    cores: Vec<Core>,
+    endpoints: Vec<ProxyEndpoint>,
+    control_nodes: Vec<ControlNode>,
     seeds: Vec<Ipv4Addr>,
 }
 
@@ -31,13 +33,17 @@
     /// Whether any of these items is a front or a core process.
     pub fn is_touched_by(changed: &[ChangedKey]) -> bool {
         let kinds = changed.iter().filter_map(|item| PublishedKey::parse(&item.key));
-        kinds.into_iter().any(|key| matches!(key, PublishedKey::Front(_) | PublishedKey::Core(_)))
+        kinds
+            .into_iter()
+            .any(|key| matches!(key, PublishedKey::ProxyEndpoint(_) | PublishedKey::ControlNode(_)))
     }
 
     /// Reads the published items anew.
     pub fn read(&mut self, store: &Store) {
-        self.fronts = read_all(store, FRONT_PREFIX, decode_value::<FrontRef<'_>, Front>);
-        self.cores = read_all(store, CORE_PREFIX, decode_value::<CoreRef<'_>, Core>);
+        self.endpoints =
+            read_all(store, ENDPOINT_PREFIX, decode_value::<ProxyEndpointRef<'_>, ProxyEndpoint>);
+        self.control_nodes =
+            read_all(store, CONTROL_NODE_PREFIX, decode_value::<ControlNodeRef<'_>, ControlNode>);
     }
 
     /// The candidates for the parent of the agent with these settings, best first.
@@ -46,8 +52,8 @@
             name: &settings.node_name,
             zone: &settings.zone,
             region: &settings.region,
-            fronts: &self.fronts,
-            cores: &self.cores,
+            endpoints: &self.endpoints,
+            control_nodes: &self.control_nodes,
             seeds: &self.seeds,
             failed,
         })
@@ -55,10 +61,10 @@
 
     /// The agents that stay, as peers to be monitored.
     pub fn peers(&self, agent_port: u16) -> Vec<Peer> {
-        let staying = self.fronts.iter().filter(|front| front.state != FrontState::Leaving);
-        let peer = |front: &Front| Peer {
-            name: front.name.clone(),
-            address: SocketAddr::from((Ipv4Addr::from_bits(front.ip), agent_port)),
+        let staying = self.endpoints.iter().filter(|endpoint| endpoint.state != EndpointState::Draining);
+        let peer = |endpoint: &ProxyEndpoint| Peer {
+            name: endpoint.name.clone(),
+            address: SocketAddr::from((Ipv4Addr::from_bits(endpoint.ip), agent_port)),
         };
         staying.map(peer).collect()
     }
--- a/crates/quillpulley/src/agent/search/mod.rs
+++ b/crates/quillpulley/src/agent/search/mod.rs
@@ -12,7 +12,7 @@
 
 /// How long a stamp may stand still, by what the parent is. Below an agent it is longer, so that those below a
 /// parent that has to move wait for it.
-const CORE_PATIENCE: Duration = Duration::from_millis(1_000);
+const CONTROL_NODE_TIMEOUT: Duration = Duration::from_millis(1_000);
 const AGENT_PATIENCE: Duration = Duration::from_millis(1_300);
 /// Added to the above by chance, so that siblings do not move together.
 const PATIENCE_JITTER: Duration = Duration::from_millis(200);
@@ -38,7 +38,7 @@
     /// The link to a candidate did not come up, or closed.
     Lost(ParentCandidate),
     /// The state's stamp has moved.
-    StampMoved,
+    RevisionMoved,
     /// Time has passed: wanted at [`ParentSearch::next_tick`], or a little later.
     Tick,
 }
@@ -77,7 +77,7 @@
     /// Links that were asked for and are not open yet.
     attempts: Vec<ParentCandidate>,
     parent: Option<Parent>,
-    stamp_moved: Duration,
+    revision_moved: Duration,
     failures: u32,
     penalties: Penalties,
     random: fastrand::Rng,
@@ -91,7 +91,7 @@
             candidates: Vec::new(),
             attempts: Vec::new(),
             parent: None,
-            stamp_moved: Duration::ZERO,
+            revision_moved: Duration::ZERO,
             failures: 0,
             penalties: Penalties::default(),
             random: fastrand::Rng::with_seed(seed),
@@ -104,7 +104,7 @@
             Event::Candidates(candidates) => self.candidates = candidates,
             Event::Opened(candidate) => self.opened(now, candidate, actions),
             Event::Lost(candidate) => self.lost(now, candidate),
-            Event::StampMoved => self.stamp_moved(now, actions),
+            Event::RevisionMoved => self.revision_moved(now, actions),
             Event::Tick => {}
         }
         self.check(now, actions);
@@ -182,8 +182,8 @@
         self.change(State::Searching { since, next_connect });
     }
 
-    fn stamp_moved(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        self.stamp_moved = now;
+    fn revision_moved(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        self.revision_moved = now;
         let Some(parent) = self.parent else { return };
         match now.saturating_sub(parent.since) >= PROVEN {
             true => self.penalties.clear(parent.candidate),
@@ -287,12 +287,12 @@
     /// When the parent counts as standing still, if the stamp does not move.
     fn deadline(&self) -> Duration {
         let Some(parent) = self.parent else { return Duration::MAX };
-        self.stamp_moved.max(parent.since) + parent.patience
+        self.revision_moved.max(parent.since) + parent.patience
     }
 
     fn patience(&mut self, candidate: ParentCandidate) -> Duration {
         let least = match candidate {
-            ParentCandidate::Core(_) => CORE_PATIENCE,
+            ParentCandidate::ControlNode(_) => CONTROL_NODE_TIMEOUT,
             ParentCandidate::Agent(_) => AGENT_PATIENCE,
         };
         least + self.jitter(PATIENCE_JITTER)
--- a/crates/quillpulley/src/control/directory.rs
+++ b/crates/quillpulley/src/control/directory.rs
@@ -3,7 +3,7 @@
 use super::http::{self, Handler, JsonAnswer};
 use crate::HostError;
 use quillpulley_load_balancer::{HomeTable, HostHomes, ServedIn};
-use quillpulley_protocol::{Front, FrontState};
+use quillpulley_protocol::{EndpointState, ProxyEndpoint};
 use simd_json::prelude::Writable;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::TcpListener;
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Directory {
     /// The known fronts.
-    pub fronts: Vec<Front>,
+    pub endpoints: Vec<ProxyEndpoint>,
     /// Which these are.
     pub coverage: Coverage,
     /// Where the requests of each host may be served.
@@ -64,7 +64,7 @@
             fastrand::shuffle(&mut chosen);
             chosen.truncate(MAX_ADDRESSES);
         }
-        chosen.into_iter().map(|front| front.address.clone()).collect()
+        chosen.into_iter().map(|endpoint| endpoint.address.clone()).collect()
     }
 }
 
@@ -78,7 +78,7 @@
 }
 
 impl<'a> Candidates<'a> {
-    fn choose(&self) -> Vec<&'a Front> {
+    fn choose(&self) -> Vec<&'a ProxyEndpoint> {
         let elsewhere = self.elsewhere();
         if !elsewhere.is_empty() || self.are_others_better_asked() {
             return elsewhere;
@@ -91,17 +91,17 @@
             Self::anywhere,
         ];
         let mut chosen = steps.into_iter().map(|step| step(self));
-        chosen.find(|fronts| !fronts.is_empty()).unwrap_or_default()
+        chosen.find(|endpoints| !endpoints.is_empty()).unwrap_or_default()
     }
 
     /// Those of other regions where the client is served better.
-    fn elsewhere(&self) -> Vec<&'a Front> {
+    fn elsewhere(&self) -> Vec<&'a ProxyEndpoint> {
         match self.homes.served_in(&self.place.region) {
             ServedIn::All => Vec::new(),
-            ServedIn::None => self.ready(|front| !self.is_near(front) && self.is_common_home(front)),
+            ServedIn::None => self.ready(|endpoint| !self.is_near(endpoint) && self.is_common_home(endpoint)),
             ServedIn::Some => {
                 let preferred = self.preferred_regions();
-                self.ready(|front| preferred.contains(front.region.as_str()))
+                self.ready(|endpoint| preferred.contains(endpoint.region.as_str()))
             }
         }
     }
@@ -124,62 +124,62 @@
     }
 
     /// None with too few to share the load.
-    fn ready_in_zone(&self) -> Vec<&'a Front> {
-        let in_zone = self.ready(|front| front.zone == self.place.zone);
+    fn ready_in_zone(&self) -> Vec<&'a ProxyEndpoint> {
+        let in_zone = self.ready(|endpoint| endpoint.zone == self.place.zone);
         if in_zone.len() < ENOUGH_IN_ZONE {
             return Vec::new();
         }
         in_zone
     }
 
-    fn ready_in_region(&self) -> Vec<&'a Front> {
-        self.ready(|front| self.is_near(front))
+    fn ready_in_region(&self) -> Vec<&'a ProxyEndpoint> {
+        self.ready(|endpoint| self.is_near(endpoint))
     }
 
-    fn ready_in_common_homes(&self) -> Vec<&'a Front> {
-        self.ready(|front| self.is_common_home(front))
+    fn ready_in_common_homes(&self) -> Vec<&'a ProxyEndpoint> {
+        self.ready(|endpoint| self.is_common_home(endpoint))
     }
 
     /// Those that start or leave: they serve, or refuse at once.
-    fn others_in_region_or_homes(&self) -> Vec<&'a Front> {
-        let fronts = self.directory.fronts.iter();
-        fronts.filter(|front| self.is_near(front) || self.is_common_home(front)).collect()
+    fn others_in_region_or_homes(&self) -> Vec<&'a ProxyEndpoint> {
+        let endpoints = self.directory.endpoints.iter();
+        endpoints.filter(|endpoint| self.is_near(endpoint) || self.is_common_home(endpoint)).collect()
     }
 
-    fn anywhere(&self) -> Vec<&'a Front> {
+    fn anywhere(&self) -> Vec<&'a ProxyEndpoint> {
         if self.directory.coverage != Coverage::All {
             return Vec::new();
         }
         let ready = self.ready(|_| true);
         if ready.is_empty() {
-            return self.directory.fronts.iter().collect();
+            return self.directory.endpoints.iter().collect();
         }
         ready
     }
 
-    fn ready(&self, is_wanted: impl Fn(&Front) -> bool) -> Vec<&'a Front> {
-        let ready = self.directory.fronts.iter().filter(|front| front.state == FrontState::Ready);
-        ready.filter(|front| is_wanted(front)).collect()
+    fn ready(&self, is_wanted: impl Fn(&ProxyEndpoint) -> bool) -> Vec<&'a ProxyEndpoint> {
+        let ready = self.directory.endpoints.iter().filter(|endpoint| endpoint.state == EndpointState::Ready);
+        ready.filter(|endpoint| is_wanted(endpoint)).collect()
     }
 
-    fn is_near(&self, front: &Front) -> bool {
-        front.zone == self.place.zone || front.region == self.place.region
+    fn is_near(&self, endpoint: &ProxyEndpoint) -> bool {
+        endpoint.zone == self.place.zone || endpoint.region == self.place.region
     }
 
-    fn is_common_home(&self, front: &Front) -> bool {
-        self.homes.is_common_home(&front.region)
+    fn is_common_home(&self, endpoint: &ProxyEndpoint) -> bool {
+        self.homes.is_common_home(&endpoint.region)
     }
 }
 
 /// The regions that at least half of these fronts prefer over their own.
-fn preferred_regions<'a>(fronts: &[&'a Front]) -> BTreeSet<&'a str> {
+fn preferred_regions<'a>(endpoints: &[&'a ProxyEndpoint]) -> BTreeSet<&'a str> {
     let mut votes: BTreeMap<&str, usize> = BTreeMap::new();
-    for front in fronts {
-        for region in &front.preferred_regions {
+    for endpoint in endpoints {
+        for region in &endpoint.preferred_regions {
             *votes.entry(region).or_default() += 1;
         }
     }
-    votes.retain(|_, count| *count * 2 >= fronts.len());
+    votes.retain(|_, count| *count * 2 >= endpoints.len());
     votes.into_keys().collect()
 }
 
--- a/crates/quillpulley/src/control/directory_view.rs
+++ b/crates/quillpulley/src/control/directory_view.rs
@@ -5,11 +5,11 @@
 //! whether others still run is not known.
 
 use super::directory::{Coverage, Directory};
-use super::fronts::is_suspected;
-use super::reported::ReportedFronts;
+use super::endpoint_registry::is_suspected;
+use super::reported_endpoints::ReportedEndpoints;
 use quillpulley_load_balancer::HomeTable;
-use quillpulley_protocol::{decode_value, Front, FrontRef, FrontState};
-use quillpulley_serving_config::published::{route_of, PublishedKey, FRONT_PREFIX, ROUTE_PREFIX};
+use quillpulley_protocol::{decode_value, EndpointState, ProxyEndpoint, ProxyEndpointRef};
+use quillpulley_serving_config::published::{route_of, PublishedKey, ENDPOINT_PREFIX, ROUTE_PREFIX};
 use quillpulley_state_sync::{ChangedKey, FeedNode, Store, Subtree};
 use std::collections::BTreeMap;
 use std::hash::Hash;
@@ -44,7 +44,7 @@
         Known {
             fresh: feed.is_fresh(now),
             last_moved: feed.last_moved(),
-            epoch: feed.stamp().epoch,
+            epoch: feed.revision().epoch,
             store: feed.store(),
             subtree: feed.subtree(),
         }
@@ -60,7 +60,7 @@
 pub struct DirectoryView {
     first_known: Option<Duration>,
     complete: bool,
-    reported: ReportedFronts,
+    reported: ReportedEndpoints,
     homes: Homes,
     epoch: Option<Epoch>,
     settled: bool,
@@ -87,14 +87,14 @@
     pub fn directory(&mut self, now: Duration, known: &Known<'_>) -> Directory {
         self.fresh = known.fresh;
         self.reported.update(now, known.subtree, known.fresh);
-        let fronts = self.known_fronts(now, known);
-        if !fronts.is_empty() {
+        let endpoints = self.known_endpoints(now, known);
+        if !endpoints.is_empty() {
             let first_known = *self.first_known.get_or_insert(now);
             self.complete |= known.fresh || now >= first_known + PATIENCE;
         }
         self.settle(now, known);
         self.coverage = self.coverage(known.is_out_of_touch(now));
-        Directory { fronts, coverage: self.coverage, homes: self.homes.read(known.store) }
+        Directory { endpoints, coverage: self.coverage, homes: self.homes.read(known.store) }
     }
 
     fn coverage(&self, out_of_touch: bool) -> Coverage {
@@ -111,7 +111,7 @@
         let has = |prefix: &str| changed.iter().any(|changed| changed.key.starts_with(prefix));
         let routes_changed = has(ROUTE_PREFIX);
         self.homes.known &= !routes_changed;
-        routes_changed || has(FRONT_PREFIX)
+        routes_changed || has(ENDPOINT_PREFIX)
     }
 
     /// Whether time alone may change what the directory tells; `fresh` is whether the published state is.
@@ -126,23 +126,23 @@
         self.settled = self.epoch.is_some_and(|epoch| now >= epoch.since + SETTLING);
     }
 
-    fn known_fronts(&self, now: Duration, known: &Known<'_>) -> Vec<Front> {
+    fn known_endpoints(&self, now: Duration, known: &Known<'_>) -> Vec<ProxyEndpoint> {
         let published = || published(known.store);
         if known.is_out_of_touch(now) {
-            return self.reported.fronts().cloned().collect();
+            return self.reported.endpoints().cloned().collect();
         }
-        let mut fronts: BTreeMap<String, Front> = published().collect();
-        if known.fresh && !fronts.is_empty() {
-            return fronts.into_values().collect();
+        let mut endpoints: BTreeMap<String, ProxyEndpoint> = published().collect();
+        if known.fresh && !endpoints.is_empty() {
+            return endpoints.into_values().collect();
         }
-        fronts.retain(|name, _| !is_suspected(known.subtree, name));
-        for front in self.reported.fronts() {
-            let is_newer = fronts.get(&front.name).is_none_or(|known| rank(front) > rank(known));
+        endpoints.retain(|name, _| !is_suspected(known.subtree, name));
+        for endpoint in self.reported.endpoints() {
+            let is_newer = endpoints.get(&endpoint.name).is_none_or(|known| rank(endpoint) > rank(known));
             if is_newer {
-                fronts.insert(front.name.clone(), front.clone());
+                endpoints.insert(endpoint.name.clone(), endpoint.clone());
             }
         }
-        fronts.into_values().collect()
+        endpoints.into_values().collect()
     }
 }
 
@@ -159,20 +159,21 @@
     }
 }
 
-fn published(store: &Store) -> impl Iterator<Item = (String, Front)> + '_ {
-    let items =
-        store.iter().filter(|(key, _)| matches!(PublishedKey::parse(key), Some(PublishedKey::Front(_))));
+fn published(store: &Store) -> impl Iterator<Item = (String, ProxyEndpoint)> + '_ {
+    let items = store
+        .iter()
+        .filter(|(key, _)| matches!(PublishedKey::parse(key), Some(PublishedKey::ProxyEndpoint(_))));
     items
-        .filter_map(|(_, value)| decode_value::<FrontRef, Front>(value).ok())
-        .map(|front| (front.name.clone(), front))
+        .filter_map(|(_, value)| decode_value::<ProxyEndpointRef, ProxyEndpoint>(value).ok())
+        .map(|endpoint| (endpoint.name.clone(), endpoint))
 }
 
 /// A later life counts more, and in one life the state from which there is no way back.
-fn rank(front: &Front) -> (u64, u8) {
-    let progress = match front.state {
-        FrontState::Starting => 0,
-        FrontState::Ready => 1,
-        FrontState::Leaving => 2,
+fn rank(endpoint: &ProxyEndpoint) -> (u64, u8) {
+    let progress = match endpoint.state {
+        EndpointState::Starting => 0,
+        EndpointState::Ready => 1,
+        EndpointState::Draining => 2,
     };
-    (front.life, progress)
+    (endpoint.incarnation, progress)
 }
--- a/crates/quillpulley/src/control/host.rs
+++ b/crates/quillpulley/src/control/host.rs
@@ -21,7 +21,7 @@
 use crate::peer::PeerEvent;
 use crate::Settings;
 use quillpulley_control_state::ControlState;
-use quillpulley_protocol::{Core, NodeId};
+use quillpulley_protocol::{ControlNode, NodeId};
 use quillpulley_replication::{Action, Event, Replica, Role};
 use quillpulley_state_sync as feed;
 use std::time::Duration;
@@ -47,9 +47,10 @@
     pub fn new(settings: Settings, parts: Parts) -> Self {
         let now = parts.clock.now();
         let rate_per_s = settings.cloud.as_ref().map_or(0.0, |cloud| cloud.rate_per_s);
-        let core = Core { ip: parts.me.ip, zone: settings.zone.clone(), region: settings.region.clone() };
+        let control_node =
+            ControlNode { ip: parts.me.ip, zone: settings.zone.clone(), region: settings.region.clone() };
         let mut host = Host {
-            links: Links::new(core, parts.peers),
+            links: Links::new(control_node, parts.peers),
             tree: Tree::new(parts.clock.clone(), &settings.node_name),
             list: PlatformList::new(parts.fetcher, rate_per_s),
             seeds: Seeds::new(now, settings.seeds.clone()),
@@ -62,7 +63,7 @@
             orders: Orders::default(),
             leadership: Leadership::default(),
         };
-        host.learn_cores(now);
+        host.learn_control_nodes(now);
         host.settle();
         host
     }
@@ -111,17 +112,17 @@
     fn take_news(&mut self, news: LinkNews) {
         match news {
             LinkNews::Connected(node, place) => {
-                self.leadership.cores_changed();
+                self.leadership.control_nodes_changed();
                 self.replicate(Event::Located { node, place });
                 self.replicate(Event::Connected(node));
             }
             LinkNews::Disconnected(node) => {
-                self.tree.core_lost(node, &mut self.links);
+                self.tree.control_node_lost(node, &mut self.links);
                 self.replicate(Event::Disconnected(node));
             }
-            LinkNews::Silenced(node) => self.tree.core_lost(node, &mut self.links),
-            LinkNews::FromCore(node, body) => {
-                if let Some(body) = self.tree.take_from_core(node, body, &mut self.links) {
+            LinkNews::Silenced(node) => self.tree.control_node_lost(node, &mut self.links),
+            LinkNews::FromControlNode(node, body) => {
+                if let Some(body) = self.tree.take_from_control_node(node, body, &mut self.links) {
                     self.replicate(Event::Message { from: node, body });
                 }
             }
@@ -145,7 +146,7 @@
         self.leadership.tick(now, &mut self.tree, &mut self.links);
         self.list.tick(now, self.leadership.leads());
         self.tree.note_time(now);
-        self.forget_cores(now);
+        self.forget_control_nodes(now);
         let isolated = self.replica.view().is_none() && self.links.is_alone();
         if self.seeds.are_due(now, isolated) {
             self.read_seeds();
@@ -172,20 +173,20 @@
     /// Reads the seeds in the settings file anew.
     pub fn read_seeds(&mut self) {
         self.seeds.read_again();
-        self.learn_cores(self.clock.now());
+        self.learn_control_nodes(self.clock.now());
         self.settle();
     }
 
     /// Takes note of all core processes that this one should know of.
-    fn learn_cores(&mut self, now: Duration) {
+    fn learn_control_nodes(&mut self, now: Duration) {
         self.links.learn(now, self.seeds.addresses());
         self.links.learn(now, self.replica.known_nodes().iter().map(NodeId::address));
     }
 
     /// Forgets the core processes that are gone, and takes note of those in the view.
-    fn forget_cores(&mut self, now: Duration) {
+    fn forget_control_nodes(&mut self, now: Duration) {
         if self.links.keep(now, &self.replica.known_nodes()) {
-            self.leadership.cores_changed();
+            self.leadership.control_nodes_changed();
         }
     }
 
@@ -209,7 +210,7 @@
 
     fn perform(&mut self, action: Action) {
         match action {
-            Action::Send { to, body } => self.links.send_core(to, &body),
+            Action::Send { to, body } => self.links.send_to_control_node(to, &body),
             Action::Store { ticket, write } => self.disk.store(ticket, write),
             Action::Applied { .. } => self.leadership.state_changed(),
             Action::Committed { order } => self.committed(order),
--- a/crates/quillpulley/src/control/leadership.rs
+++ b/crates/quillpulley/src/control/leadership.rs
@@ -2,14 +2,14 @@
 
 use super::links::Links;
 use super::platform::Reading;
-use super::publisher::{core_changes, state_changes, Publisher};
+use super::publisher::{control_node_changes, state_changes, Publisher};
 use super::tree::Tree;
 use quillpulley_control_state::ControlState;
 use quillpulley_state_sync::{Change, Event};
 use std::time::Duration;
 
 /// How often a stamp is published at least.
-const STAMP_INTERVAL: Duration = Duration::from_millis(200);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// What has become of the leadership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -26,13 +26,13 @@
 #[derive(Debug, Default)]
 struct Unpublished {
     state: bool,
-    cores: bool,
+    control_nodes: bool,
 }
 
 struct Term {
     publisher: Publisher,
     epoch: u64,
-    stamped_at: Duration,
+    published_at: Duration,
 }
 
 /// The leadership of a process, if it is the primary and holds the lease.
@@ -59,8 +59,8 @@
     }
 
     /// The known core processes have changed.
-    pub fn cores_changed(&mut self) {
-        self.unpublished.cores = true;
+    pub fn control_nodes_changed(&mut self) {
+        self.unpublished.control_nodes = true;
     }
 
     /// Takes or gives up the leadership: this process leads in `epoch`, or does not lead.
@@ -99,8 +99,8 @@
             Some(before) => before.publisher,
             None => Publisher::take_over(now, tree.store()),
         };
-        self.term = Some(Term { publisher, epoch, stamped_at: now });
-        self.unpublished = Unpublished { state: true, cores: true };
+        self.term = Some(Term { publisher, epoch, published_at: now });
+        self.unpublished = Unpublished { state: true, control_nodes: true };
         tree.changes.reports = true;
     }
 
@@ -131,8 +131,8 @@
         if std::mem::take(&mut self.unpublished.state) {
             changes.extend(state_changes(tree.store(), state));
         }
-        if std::mem::take(&mut self.unpublished.cores) {
-            changes.extend(core_changes(tree.store(), links.known_cores()));
+        if std::mem::take(&mut self.unpublished.control_nodes) {
+            changes.extend(control_node_changes(tree.store(), links.known_control_nodes()));
         }
         if std::mem::take(&mut tree.changes.reports) {
             changes.extend(term.publisher.report(now, tree.subtree()));
@@ -152,16 +152,16 @@
         let Some(term) = &mut self.term else { return };
         let changes = term.publisher.tick(now);
         self.publish(now, changes, tree, links);
-        let is_due = |term: &&mut Term| now >= term.stamped_at + STAMP_INTERVAL;
+        let is_due = |term: &&mut Term| now >= term.published_at + HEARTBEAT_INTERVAL;
         if let Some(term) = self.term.as_mut().filter(is_due) {
-            term.stamped_at = now;
-            tree.take(Event::Stamp, links);
+            term.published_at = now;
+            tree.take(Event::Heartbeat, links);
         }
     }
 
     fn publish(&mut self, now: Duration, changes: Vec<Change>, tree: &mut Tree, links: &mut Links) {
         let Some(term) = self.term.as_mut().filter(|_| !changes.is_empty()) else { return };
-        term.stamped_at = now;
+        term.published_at = now;
         tree.take(Event::Publish(changes), links);
     }
 }
--- a/crates/quillpulley/src/control/links.rs
+++ b/crates/quillpulley/src/control/links.rs
@@ -4,7 +4,7 @@
 
 use super::peer_table::{PeerChange, PeerTable};
 use crate::peer::{LinkId, PeerEvent, Peers};
-use quillpulley_protocol::{Body, Core, Cores, Hello, NodeId, PeerKind};
+use quillpulley_protocol::{Body, ControlNode, ControlNodes, Hello, NodeId, PeerKind};
 use quillpulley_replication::Place;
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -21,7 +21,7 @@
     /// Nothing more comes from a core process.
     Silenced(NodeId),
     /// A core process sends this.
-    FromCore(NodeId, Body),
+    FromControlNode(NodeId, Body),
     /// An agent has connected.
     AgentUp(LinkId),
     /// An agent has gone.
@@ -32,7 +32,7 @@
 
 /// The links of a core process.
 pub struct Links {
-    me: Core,
+    me: ControlNode,
     peers: Rc<Peers>,
     table: PeerTable<LinkId>,
     agents: BTreeSet<LinkId>,
@@ -42,7 +42,7 @@
 
 impl Links {
     /// The links of the process that describes itself as `me`; none is open yet.
-    pub fn new(me: Core, peers: Rc<Peers>) -> Self {
+    pub fn new(me: ControlNode, peers: Rc<Peers>) -> Self {
         let table = PeerTable::new(Ipv4Addr::from_bits(me.ip));
         Links { me, peers, table, agents: BTreeSet::new(), told: Vec::new() }
     }
@@ -87,7 +87,7 @@
             return None;
         };
         log::debug!("connected to {node}");
-        self.tell_cores(Some(link));
+        self.announce_control_nodes(Some(link));
         Some(LinkNews::Connected(node, place))
     }
 
@@ -99,7 +99,7 @@
         news.extend(self.table.sender(link).map(LinkNews::Silenced));
         if let Some(PeerChange::Disconnected(node)) = self.table.closed(now, link, fastrand::f64()) {
             log::debug!("disconnected from {node}");
-            self.tell_cores(None);
+            self.announce_control_nodes(None);
             news.push(LinkNews::Disconnected(node));
         }
         news
@@ -110,17 +110,17 @@
             return self.agents.contains(&link).then_some(LinkNews::FromAgent(link, body));
         };
         match body {
-            Body::Cores(cores) => {
-                self.learn(now, cores.addresses.into_iter().map(Ipv4Addr::from_bits));
+            Body::ControlNodes(control_nodes) => {
+                self.learn(now, control_nodes.addresses.into_iter().map(Ipv4Addr::from_bits));
                 None
             }
             Body::Hello(_) | Body::Ping(_) | Body::PingAck(_) => None,
-            body => Some(LinkNews::FromCore(node, body)),
+            body => Some(LinkNews::FromControlNode(node, body)),
         }
     }
 
     /// Sends a message to a core process, if it can be reached.
-    pub fn send_core(&self, node: NodeId, body: &Body) {
+    pub fn send_to_control_node(&self, node: NodeId, body: &Body) {
         if let Some(link) = self.table.link_to(node) {
             self.peers.send(link, body);
         }
@@ -153,8 +153,8 @@
     }
 
     /// The core processes that agents should know: this one and those that were reached and are not forgotten.
-    pub fn known_cores(&self) -> Vec<Core> {
-        let others = self.table.known().map(|hello| Core {
+    pub fn known_control_nodes(&self) -> Vec<ControlNode> {
+        let others = self.table.known().map(|hello| ControlNode {
             ip: hello.node.ip,
             zone: hello.zone.clone(),
             region: hello.region.clone(),
@@ -190,10 +190,10 @@
 
     /// Tells others which core processes can be reached: one whose link has just opened, and all if that
     /// changed.
-    fn tell_cores(&mut self, opened: Option<LinkId>) {
+    fn announce_control_nodes(&mut self, opened: Option<LinkId>) {
         let addresses: Vec<u32> = self.table.reachable().into_iter().map(Ipv4Addr::to_bits).collect();
         let changed = addresses != self.told;
-        let body = Body::Cores(Box::new(Cores { addresses: addresses.clone() }));
+        let body = Body::ControlNodes(Box::new(ControlNodes { addresses: addresses.clone() }));
         for (link, _) in self.table.connected().filter(|(link, _)| changed || Some(*link) == opened) {
             self.peers.send(link, &body);
         }
--- a/crates/quillpulley/src/control/orders.rs
+++ b/crates/quillpulley/src/control/orders.rs
@@ -225,15 +225,15 @@
 fn decide(state: &ControlState, order: &Order) -> Decision {
     match order {
         Order::Replace { base, body } => match state.decide_replace(*base, body) {
-            ReplaceDecision::AlreadyTaken => Decision::Answer(Answer::Done),
+            ReplaceDecision::AlreadyApplied => Decision::Answer(Answer::Done),
             ReplaceDecision::Conflict { current } => Decision::Answer(Answer::Conflict { current }),
-            ReplaceDecision::Forgotten { oldest } => Decision::Answer(Answer::Forgotten { oldest }),
+            ReplaceDecision::HistoryExpired { oldest } => Decision::Answer(Answer::Forgotten { oldest }),
             ReplaceDecision::Invalid(error) => Decision::Answer(Answer::Invalid(error.to_string())),
-            ReplaceDecision::Take(payload) => Decision::Propose(payload),
+            ReplaceDecision::Propose(payload) => Decision::Propose(payload),
         },
         Order::Evacuate { zone, active } => match state.decide_evacuation(zone, *active) {
-            EvacuationDecision::AlreadySo => Decision::Answer(Answer::Done),
-            EvacuationDecision::Take(payload) => Decision::Propose(payload),
+            EvacuationDecision::AlreadyInEffect => Decision::Answer(Answer::Done),
+            EvacuationDecision::Propose(payload) => Decision::Propose(payload),
         },
     }
 }
--- a/crates/quillpulley/src/control/platform.rs
+++ b/crates/quillpulley/src/control/platform.rs
@@ -63,7 +63,7 @@
 
 fn parse_server(entry: &BorrowedValue<'_>) -> Option<Server> {
     let text = |name: &str| entry.get_str(name).filter(|text| !text.is_empty()).map(str::to_string);
-    let time_left = entry.get("TimeLeftMs").and_then(as_millis);
+    let time_remaining = entry.get("TimeLeftMs").and_then(as_millis);
     Some(Server {
         id: text("Id")?,
         service: text("Service")?,
@@ -71,9 +71,9 @@
         zone: text("Zone")?,
         slots: entry.get("Slots").and_then(as_millis).unwrap_or(1).max(1),
         state: parse_state(entry.get_str("State")?)?,
-        warmup_left_ms: entry.get("WarmupLeftMs").and_then(as_millis).unwrap_or(0),
-        time_left_ms: time_left.unwrap_or(0),
-        has_time_left: time_left.is_some(),
+        warmup_remaining_ms: entry.get("WarmupLeftMs").and_then(as_millis).unwrap_or(0),
+        time_remaining_ms: time_remaining.unwrap_or(0),
+        has_time_remaining: time_remaining.is_some(),
     })
 }
 
--- a/crates/quillpulley/src/control/process.rs
+++ b/crates/quillpulley/src/control/process.rs
@@ -205,7 +205,7 @@
         name: settings.node_name.clone(),
         zone: settings.zone.clone(),
         region: settings.region.clone(),
-        control: settings.control_address().map_err(settings_error)?.to_string(),
+        control_address: settings.control_address().map_err(settings_error)?.to_string(),
     })
 }
 
--- a/crates/quillpulley/src/control/publisher.rs
+++ b/crates/quillpulley/src/control/publisher.rs
@@ -1,11 +1,11 @@
 //! What the root of the relay tree publishes.
 
-use super::fronts::PublishedFronts;
+use super::endpoint_registry::EndpointRegistry;
 use super::platform::Reading;
 use super::servers::PublishedServers;
-use quillpulley_control_state::{items_of, ControlState};
-use quillpulley_protocol::{encode_value, Core};
-use quillpulley_serving_config::published::{core_key, PublishedKey};
+use quillpulley_control_state::{published_items, ControlState};
+use quillpulley_protocol::{encode_value, ControlNode};
+use quillpulley_serving_config::published::{control_node_key, PublishedKey};
 use quillpulley_state_sync::{Change, Store, Subtree};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -15,14 +15,14 @@
 #[derive(Default)]
 pub struct Publisher {
     servers: PublishedServers,
-    fronts: PublishedFronts,
+    endpoints: EndpointRegistry,
 }
 
 impl Publisher {
     /// Begins with what the root before has published.
     pub fn take_over(now: Duration, store: &Store) -> Self {
         let servers = PublishedServers::inherit(store.iter());
-        Publisher { servers, fronts: PublishedFronts::inherit(now, store.iter()) }
+        Publisher { servers, endpoints: EndpointRegistry::inherit(now, store.iter()) }
     }
 
     /// How many servers are published.
@@ -37,32 +37,34 @@
 
     /// What the reports of the whole tree change.
     pub fn report(&mut self, now: Duration, tree: &Subtree) -> Vec<Change> {
-        self.fronts.update(now, tree)
+        self.endpoints.update(now, tree)
     }
 
     /// What the passing of time changes.
     pub fn tick(&mut self, now: Duration) -> Vec<Change> {
-        self.fronts.tick(now)
+        self.endpoints.tick(now)
     }
 }
 
 /// What has to be published so that the store tells the committed configuration and evacuations.
 pub fn state_changes(store: &Store, state: &ControlState) -> Vec<Change> {
-    differences(store, items_of(state), is_of_state)
+    differences(store, published_items(state), is_of_state)
 }
 
 /// What has to be published so that the store tells these core processes.
-pub fn core_changes(store: &Store, cores: Vec<Core>) -> Vec<Change> {
-    let item = |core: Core| (core_key(Ipv4Addr::from_bits(core.ip)), encode_value(&core));
-    differences(store, cores.into_iter().map(item).collect(), is_core)
+pub fn control_node_changes(store: &Store, control_nodes: Vec<ControlNode>) -> Vec<Change> {
+    let item = |control_node: ControlNode| {
+        (control_node_key(Ipv4Addr::from_bits(control_node.ip)), encode_value(&control_node))
+    };
+    differences(store, control_nodes.into_iter().map(item).collect(), is_control_node)
 }
 
 fn is_of_state(key: PublishedKey<'_>) -> bool {
     matches!(key, PublishedKey::Config | PublishedKey::Route(_) | PublishedKey::Evacuated(_))
 }
 
-fn is_core(key: PublishedKey<'_>) -> bool {
-    matches!(key, PublishedKey::Core(_))
+fn is_control_node(key: PublishedKey<'_>) -> bool {
+    matches!(key, PublishedKey::ControlNode(_))
 }
 
 /// The changes that make the items of some kinds those that are wanted, and no others.
--- a/crates/quillpulley/src/control/reported.rs
+++ b/crates/quillpulley/src/control/reported_endpoints.rs
@@ -1,7 +1,7 @@
 //! The fronts that report to this core process, or did until just now.
 
-use super::fronts::is_suspected;
-use quillpulley_protocol::Front;
+use super::endpoint_registry::is_suspected;
+use quillpulley_protocol::ProxyEndpoint;
 use quillpulley_state_sync::Subtree;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,31 +11,31 @@
 pub const REMEMBERED: Duration = Duration::from_secs(2);
 
 struct Reported {
-    front: Front,
+    endpoint: ProxyEndpoint,
     /// When it was reported last.
     at: Duration,
 }
 
 /// The fronts that report to this process, by name.
 #[derive(Default)]
-pub struct ReportedFronts {
-    fronts: BTreeMap<String, Reported>,
+pub struct ReportedEndpoints {
+    endpoints: BTreeMap<String, Reported>,
 }
 
-impl ReportedFronts {
+impl ReportedEndpoints {
     /// Takes what is reported at `now`, without the fronts that their monitors cannot reach. While the published
     /// state is fresh nothing is remembered: the primary knows better.
     pub fn update(&mut self, now: Duration, subtree: &Subtree, fresh: bool) {
         let remembered = if fresh { Duration::ZERO } else { REMEMBERED };
-        self.fronts.retain(|_, reported| now < reported.at + remembered);
-        for front in subtree.fronts.values() {
-            self.fronts.insert(front.name.clone(), Reported { front: front.clone(), at: now });
+        self.endpoints.retain(|_, reported| now < reported.at + remembered);
+        for endpoint in subtree.endpoints.values() {
+            self.endpoints.insert(endpoint.name.clone(), Reported { endpoint: endpoint.clone(), at: now });
         }
-        self.fronts.retain(|name, _| !is_suspected(subtree, name));
+        self.endpoints.retain(|name, _| !is_suspected(subtree, name));
     }
 
     /// Those that count.
-    pub fn fronts(&self) -> impl Iterator<Item = &Front> {
-        self.fronts.values().map(|reported| &reported.front)
+    pub fn endpoints(&self) -> impl Iterator<Item = &ProxyEndpoint> {
+        self.endpoints.values().map(|reported| &reported.endpoint)
     }
 }
--- a/crates/quillpulley/src/control/servers.rs
+++ b/crates/quillpulley/src/control/servers.rs
@@ -73,7 +73,9 @@
 impl Published {
     /// Whether those who know the published entry know all that `listed` says.
     fn still_tells(&self, now: Duration, listed: &Server) -> bool {
-        self.same_fixed_parts(listed) && self.same_warmup(now, listed) && self.same_time_left(now, listed)
+        self.same_fixed_parts(listed)
+            && self.same_warmup(now, listed)
+            && self.same_time_remaining(now, listed)
     }
 
     fn same_fixed_parts(&self, listed: &Server) -> bool {
@@ -87,7 +89,7 @@
 
     /// The end of a warm-up is published too, so that those who come later do not start its count anew.
     fn same_warmup(&self, now: Duration, listed: &Server) -> bool {
-        match (self.server.warmup_left_ms, listed.warmup_left_ms) {
+        match (self.server.warmup_remaining_ms, listed.warmup_remaining_ms) {
             (0, 0) => true,
             (0, _) | (_, 0) => false,
             (known, left) => {
@@ -96,12 +98,14 @@
         }
     }
 
-    fn same_time_left(&self, now: Duration, listed: &Server) -> bool {
-        match (self.server.has_time_left, listed.has_time_left) {
+    fn same_time_remaining(&self, now: Duration, listed: &Server) -> bool {
+        match (self.server.has_time_remaining, listed.has_time_remaining) {
             (false, false) => true,
             (true, true) => {
-                let expected = self.left(now, self.server.time_left_ms);
-                expected.is_some_and(|expected| expected <= millis(listed.time_left_ms) + COUNTDOWN_TOLERANCE)
+                let expected = self.left(now, self.server.time_remaining_ms);
+                expected.is_some_and(|expected| {
+                    expected <= millis(listed.time_remaining_ms) + COUNTDOWN_TOLERANCE
+                })
             }
             _ => false,
         }
--- a/crates/quillpulley/src/control/tree.rs
+++ b/crates/quillpulley/src/control/tree.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Child {
     /// Another core process: it gets its frames on the link that this process opened.
-    Core(NodeId),
+    ControlNode(NodeId),
     /// An agent, on the link that it opened.
     Agent(LinkId),
 }
@@ -41,7 +41,7 @@
 impl Tree {
     /// A node that knows nothing and has no parent.
     pub fn new(clock: Clock, name: &str) -> Self {
-        let feed = FeedNode::new(Options::core(name));
+        let feed = FeedNode::new(Options::control_node(name));
         Tree {
             clock,
             feed,
@@ -86,7 +86,7 @@
         match action {
             Action::SendParent(body) => {
                 if let Some(parent) = self.relay.parent() {
-                    links.send_core(parent, &body);
+                    links.send_to_control_node(parent, &body);
                 }
             }
             Action::SendChild(child, body) => send_child(child, &body, links),
@@ -100,7 +100,7 @@
                 self.changes.directory |= self.directory_view.published(&changed);
             }
             Action::TotalsChanged => {}
-            Action::FrontsChanged => {
+            Action::EndpointsChanged => {
                 self.changes.reports = true;
                 self.changes.directory = true;
             }
@@ -110,17 +110,17 @@
     /// A core process that is dropped notices that nothing new comes, and applies again.
     fn drop_child(&mut self, child: Child, links: &mut Links) {
         match child {
-            Child::Core(node) => drop(self.relay.lost(node)),
+            Child::ControlNode(node) => drop(self.relay.lost(node)),
             Child::Agent(link) => links.drop_agent(link),
         }
     }
 
     /// Takes what another core process sends, or gives it back if it is no frame of the tree.
-    pub fn take_from_core(&mut self, node: NodeId, body: Body, links: &mut Links) -> Option<Body> {
+    pub fn take_from_control_node(&mut self, node: NodeId, body: Body, links: &mut Links) -> Option<Body> {
         match body {
             Body::Subscribe(_) | Body::Report(_) => {
                 if let ChildFrame::Take(body) = self.relay.child_frame(node, body) {
-                    self.take(Event::ChildFrame(Child::Core(node), body), links);
+                    self.take(Event::ChildFrame(Child::ControlNode(node), body), links);
                 }
                 None
             }
@@ -135,9 +135,9 @@
     }
 
     /// Frames of a core process do not come or go any more.
-    pub fn core_lost(&mut self, node: NodeId, links: &mut Links) {
+    pub fn control_node_lost(&mut self, node: NodeId, links: &mut Links) {
         if self.relay.lost(node) {
-            self.take(Event::ChildDown(Child::Core(node)), links);
+            self.take(Event::ChildDown(Child::ControlNode(node)), links);
         }
     }
 
@@ -161,16 +161,16 @@
     pub fn leave_root(&mut self, links: &mut Links) {
         self.take(Event::LeaveRoot, links);
         for node in self.relay.leave_root() {
-            self.take(Event::ChildDown(Child::Core(node)), links);
+            self.take(Event::ChildDown(Child::ControlNode(node)), links);
         }
     }
 
     /// Takes in the core processes that have applied to this process, which is the root.
     pub fn adopt_children(&mut self, links: &mut Links) {
         for (node, frames) in self.relay.adopt(|node| links.sends_to(node)) {
-            self.take(Event::ChildUp(Child::Core(node)), links);
+            self.take(Event::ChildUp(Child::ControlNode(node)), links);
             for frame in frames {
-                self.take(Event::ChildFrame(Child::Core(node), frame), links);
+                self.take(Event::ChildFrame(Child::ControlNode(node), frame), links);
             }
         }
     }
@@ -178,7 +178,7 @@
 
 fn send_child(child: Child, body: &Body, links: &Links) {
     match child {
-        Child::Core(node) => links.send_core(node, body),
+        Child::ControlNode(node) => links.send_to_control_node(node, body),
         Child::Agent(link) => links.send_agent(link, body),
     }
 }
--- a/crates/quillpulley/src/proxy/front.rs
+++ b/crates/quillpulley/src/proxy/client_service.rs
@@ -32,7 +32,7 @@
 pub const RECORDED: usize = 1;
 
 /// The service for clients.
-pub struct FrontService {
+pub struct ClientService {
     plane: Rc<Plane>,
 }
 
@@ -43,10 +43,10 @@
     held: HeldBytes,
 }
 
-impl FrontService {
+impl ClientService {
     /// Over what all requests share.
     pub fn new(plane: Rc<Plane>) -> Rc<Self> {
-        Rc::new(FrontService { plane })
+        Rc::new(ClientService { plane })
     }
 
     async fn answer(
@@ -125,7 +125,7 @@
     }
 }
 
-impl Service for FrontService {
+impl Service for ClientService {
     type Body = ReplyBody;
 
     async fn respond(
--- a/crates/quillpulley/src/proxy/exchange.rs
+++ b/crates/quillpulley/src/proxy/exchange.rs
@@ -1,9 +1,9 @@
 //! What this proxy tells the others of its load and its counts, and what they tell.
 
 use super::plane::Plane;
-use quillpulley_protocol::{ServerLoad, ServiceCount};
-use quillpulley_retry_budget::ServiceTotals;
-use quillpulley_state_sync::{ServerTally, ServiceTally, Totals};
+use quillpulley_protocol::{ServerLoad, ServiceCounters};
+use quillpulley_retry_budget::ServiceUsage;
+use quillpulley_state_sync::{RetryCounters, ServerTally, Totals};
 use std::rc::Rc;
 
 impl Plane {
@@ -21,15 +21,15 @@
 
     /// Sets the rates of the retry budgets. To be called every exchange period.
     pub fn update_budgets(&self, totals: &Totals) {
-        let services: Vec<ServiceTotals> = totals.counts.services.iter().map(service_totals).collect();
+        let services: Vec<ServiceUsage> = totals.counts.services.iter().map(service_totals).collect();
         let limiters = totals.counts.proxies as usize;
         self.budgets().borrow_mut().set_totals(self.now(), &services, limiters, totals.complete);
     }
 
     /// What this proxy counted of late.
-    pub fn service_counts(&self) -> Vec<ServiceCount> {
+    pub fn service_counts(&self) -> Vec<ServiceCounters> {
         let counts = self.budgets().borrow().counts(self.now());
-        counts.into_iter().map(service_count).collect()
+        counts.into_iter().map(service_counters).collect()
     }
 }
 
@@ -43,16 +43,16 @@
     }
 }
 
-fn service_totals((service, tally): (&String, &ServiceTally)) -> ServiceTotals {
-    ServiceTotals {
+fn service_totals((service, tally): (&String, &RetryCounters)) -> ServiceUsage {
+    ServiceUsage {
         service: service.clone(),
-        first: tally.first,
-        allowed: tally.allowed,
-        refused: tally.refused,
+        requests: tally.requests,
+        retries: tally.retries,
+        rejected_retries: tally.rejected_retries,
     }
 }
 
-fn service_count(counts: ServiceTotals) -> ServiceCount {
-    let ServiceTotals { service, first, allowed, refused } = counts;
-    ServiceCount { service, first, allowed, refused }
+fn service_counters(counts: ServiceUsage) -> ServiceCounters {
+    let ServiceUsage { service, requests, retries, rejected_retries } = counts;
+    ServiceCounters { service, requests, retries, rejected_retries }
 }
--- a/crates/quillpulley/src/proxy/feed_client.rs
+++ b/crates/quillpulley/src/proxy/feed_client.rs
@@ -6,7 +6,7 @@
 use super::published;
 use crate::peer::{LinkId, PeerEvent, Peers};
 use crate::Settings;
-use quillpulley_protocol::{Body, Front, FrontState, Hello, NodeId, PeerKind};
+use quillpulley_protocol::{Body, EndpointState, Hello, NodeId, PeerKind, ProxyEndpoint};
 use quillpulley_state_sync::{Action, Event, FeedNode, LocalReport, Options};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -37,7 +37,7 @@
 /// The leaf of the relay tree.
 pub struct FeedClient {
     plane: Rc<Plane>,
-    front: Front,
+    endpoint: ProxyEndpoint,
     agent: SocketAddr,
     peers: Rc<Peers>,
     events: UnboundedReceiver<PeerEvent>,
@@ -52,11 +52,11 @@
 
 impl FeedClient {
     /// For the front that clients reach at this address.
-    pub fn new(plane: Rc<Plane>, settings: &Settings, front: Option<SocketAddr>) -> Self {
+    pub fn new(plane: Rc<Plane>, settings: &Settings, endpoint: Option<SocketAddr>) -> Self {
         let (peers, events) = Peers::new(hello(settings));
         FeedClient {
             plane,
-            front: own_front(settings, front),
+            endpoint: own_endpoint(settings, endpoint),
             agent: SocketAddr::from((Ipv4Addr::LOCALHOST, settings.proxy_port())),
             peers,
             events,
@@ -158,16 +158,16 @@
     }
 
     fn state_changed(&self) -> bool {
-        self.reported.front.as_ref().is_some_and(|front| front.state != self.plane.front_state())
+        self.reported.endpoint.as_ref().is_some_and(|endpoint| endpoint.state != self.plane.endpoint_state())
     }
 
     fn report(&mut self) {
         self.plane.update_budgets(self.node.totals());
         let report = LocalReport {
-            front: Some(Front {
-                state: self.plane.front_state(),
+            endpoint: Some(ProxyEndpoint {
+                state: self.plane.endpoint_state(),
                 preferred_regions: self.plane.preferred_regions(),
-                ..self.front.clone()
+                ..self.endpoint.clone()
             }),
             suspects: Vec::new(),
             proxies: 1,
@@ -199,7 +199,7 @@
             Action::SendChild(..)
             | Action::SendChildren(..)
             | Action::DropChild(_)
-            | Action::FrontsChanged => {}
+            | Action::EndpointsChanged => {}
         }
     }
 
@@ -217,25 +217,25 @@
         name: settings.node_name.clone(),
         zone: settings.zone.clone(),
         region: settings.region.clone(),
-        control: String::new(),
+        control_address: String::new(),
     }
 }
 
-fn own_front(settings: &Settings, address: Option<SocketAddr>) -> Front {
-    Front {
+fn own_endpoint(settings: &Settings, address: Option<SocketAddr>) -> ProxyEndpoint {
+    ProxyEndpoint {
         name: settings.node_name.clone(),
         ip: settings.ip.to_bits(),
         zone: settings.zone.clone(),
         region: settings.region.clone(),
         address: address.map_or_else(String::new, |address| address.to_string()),
-        state: FrontState::Starting,
-        life: life(),
+        state: EndpointState::Starting,
+        incarnation: incarnation(),
         preferred_regions: Vec::new(),
     }
 }
 
 /// Later lives of a machine's proxy have higher numbers.
-fn life() -> u64 {
+fn incarnation() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since_epoch.as_micros()).unwrap_or(u64::MAX)
 }
--- a/crates/quillpulley/src/proxy/forward.rs
+++ b/crates/quillpulley/src/proxy/forward.rs
@@ -71,7 +71,7 @@
     /// A request that was taken from a client just now.
     pub fn new(plane: Rc<Plane>, job: Job) -> Self {
         let Job { request, plan } = &job;
-        plane.budgets().borrow_mut().first(plane.now(), &plan.service);
+        plane.budgets().borrow_mut().record_request(plane.now(), &plan.service);
         let repeats_after_reset = plane.faults().repeat_after_reset;
         let rules =
             Rules { repeatable: plan.repeatable, max_attempts: plan.max_attempts, repeats_after_reset };
--- a/crates/quillpulley/src/proxy/health.rs
+++ b/crates/quillpulley/src/proxy/health.rs
@@ -77,14 +77,14 @@
     }
     let is_itself = headers.get(INSTANCE_ID).is_some_and(|instance| instance == id);
     match answer.status() {
-        StatusCode::OK if is_itself => Probe::Well { warmup_left: warmup_left(headers) },
+        StatusCode::OK if is_itself => Probe::Well { warmup_remaining: warmup_remaining(headers) },
         StatusCode::MISDIRECTED_REQUEST => Probe::Failed,
-        _ if headers.contains_key(NOT_EXECUTED) => Probe::Well { warmup_left: None },
+        _ if headers.contains_key(NOT_EXECUTED) => Probe::Well { warmup_remaining: None },
         _ => Probe::Failed,
     }
 }
 
-fn warmup_left(headers: &HeaderMap<HeaderValue>) -> Option<Duration> {
+fn warmup_remaining(headers: &HeaderMap<HeaderValue>) -> Option<Duration> {
     let milliseconds: f64 = headers::single_text(headers, &WARMUP_REMAINING_MS)?.parse().ok()?;
     Duration::try_from_secs_f64(milliseconds / 1000.0).ok()
 }
--- a/crates/quillpulley/src/proxy/lifecycle.rs
+++ b/crates/quillpulley/src/proxy/lifecycle.rs
@@ -1,6 +1,6 @@
 //! Whether a proxy may take clients: a pure state machine. Times are since the start of the process.
 
-use quillpulley_protocol::FrontState;
+use quillpulley_protocol::EndpointState;
 use std::time::Duration;
 
 /// How long fresh news are waited for once a configuration is known, as nobody may be there to give any.
@@ -67,18 +67,18 @@
     }
 
     /// What others are told.
-    pub fn front_state(&self, now: Duration) -> FrontState {
+    pub fn endpoint_state(&self, now: Duration) -> EndpointState {
         match self.stage {
-            Stage::Ready => FrontState::Ready,
-            Stage::Unconfirmed { since } if now >= since + FRESH_PATIENCE => FrontState::Ready,
-            Stage::Starting { .. } | Stage::Unconfirmed { .. } => FrontState::Starting,
-            Stage::Leaving => FrontState::Leaving,
+            Stage::Ready => EndpointState::Ready,
+            Stage::Unconfirmed { since } if now >= since + FRESH_PATIENCE => EndpointState::Ready,
+            Stage::Starting { .. } | Stage::Unconfirmed { .. } => EndpointState::Starting,
+            Stage::Leaving => EndpointState::Draining,
         }
     }
 
     /// Whether new clients may come.
     pub fn is_ready(&self, now: Duration) -> bool {
-        self.front_state(now) == FrontState::Ready
+        self.endpoint_state(now) == EndpointState::Ready
     }
 }
 
--- a/crates/quillpulley/src/proxy/mod.rs
+++ b/crates/quillpulley/src/proxy/mod.rs
@@ -1,12 +1,13 @@
 //! The host of proxies: requests of clients, servers and streams.
 //!
-//! A proxy takes clients' requests ([`front`]), chooses a server for each and forwards it ([`forward`]) until it has
+//! A proxy takes clients' requests ([`endpoint`]), chooses a server for each and forwards it ([`forward`]) until it has
 //! an answer to pass on, which it does event by event where it is a stream ([`stream`]). What it must know it gets
 //! from the agent of its machine ([`feed_client`]).
 
 mod admission;
 pub mod answer;
 pub mod attempts;
+mod client_service;
 pub mod departure;
 pub mod events;
 mod exchange;
@@ -14,7 +15,6 @@
 mod faults;
 mod feed_client;
 mod forward;
-mod front;
 mod headers;
 mod health;
 pub mod lifecycle;
--- a/crates/quillpulley/src/proxy/plane.rs
+++ b/crates/quillpulley/src/proxy/plane.rs
@@ -13,7 +13,7 @@
 use super::servers::Servers;
 use hyper::header::HeaderValue;
 use quillpulley_load_balancer::{Balancer, HomeDemand, Limiter, ServedIn, ServerKey, WaitingLimits};
-use quillpulley_protocol::{FrontState, Server, ServerState};
+use quillpulley_protocol::{EndpointState, Server, ServerState};
 use quillpulley_retry_budget::RetryBudgets;
 use quillpulley_serving_config::Configuration;
 use std::cell::{Cell, RefCell};
@@ -182,8 +182,8 @@
     }
 
     /// What others are told of this proxy.
-    pub fn front_state(&self) -> FrontState {
-        self.lifecycle.get().front_state(self.now())
+    pub fn endpoint_state(&self) -> EndpointState {
+        self.lifecycle.get().endpoint_state(self.now())
     }
 
     /// Counts a request to a host by the regions in which it may be served, where the configuration in force
@@ -252,9 +252,9 @@
     }
 
     /// The proxies that share the servers.
-    pub fn set_fronts(self: &Rc<Self>, fronts: Vec<Limiter>) {
-        self.servers.set_fronts(fronts.len());
-        self.balancer().borrow_mut().set_limiters(fronts);
+    pub fn set_endpoints(self: &Rc<Self>, endpoints: Vec<Limiter>) {
+        self.servers.set_endpoints(endpoints.len());
+        self.balancer().borrow_mut().set_limiters(endpoints);
         self.admit_all();
     }
 
--- a/crates/quillpulley/src/proxy/published.rs
+++ b/crates/quillpulley/src/proxy/published.rs
@@ -2,21 +2,23 @@
 
 use super::plane::Plane;
 use quillpulley_load_balancer::{Limiter, Place};
-use quillpulley_protocol::{decode_value, ConfigHead, ConfigHeadRef, Front, FrontRef, Server, ServerRef};
+use quillpulley_protocol::{
+    decode_value, ConfigHead, ConfigHeadRef, ProxyEndpoint, ProxyEndpointRef, Server, ServerRef,
+};
 use quillpulley_serving_config::published::{PublishedKey, CONFIG_KEY, ROUTE_PREFIX};
 use quillpulley_serving_config::{Configuration, ConfigurationError};
 use quillpulley_state_sync::{ChangedKey, Store};
 use std::rc::Rc;
 
 const EVACUATED_PREFIX: &str = "evacuated/";
-const FRONT_PREFIX: &str = "front/";
+const ENDPOINT_PREFIX: &str = "front/";
 
 /// What has to be read anew after a change.
 #[derive(Default)]
 struct Affected {
     configuration: bool,
     evacuations: bool,
-    fronts: bool,
+    endpoints: bool,
 }
 
 /// Takes in what has changed in the store.
@@ -26,9 +28,9 @@
         match PublishedKey::parse(&change.key) {
             Some(PublishedKey::Config | PublishedKey::Route(_)) => affected.configuration = true,
             Some(PublishedKey::Evacuated(_)) => affected.evacuations = true,
-            Some(PublishedKey::Front(_)) => affected.fronts = true,
+            Some(PublishedKey::ProxyEndpoint(_)) => affected.endpoints = true,
             Some(PublishedKey::Server(id)) => apply_server(plane, id, change.new.as_deref()),
-            Some(PublishedKey::Core(_)) | None => {}
+            Some(PublishedKey::ControlNode(_)) | None => {}
         }
     }
     if affected.configuration {
@@ -38,8 +40,8 @@
         let zones = store.with_prefix(EVACUATED_PREFIX);
         plane.set_evacuated(&zones.map(|(key, _)| key[EVACUATED_PREFIX.len()..].to_string()).collect());
     }
-    if affected.fronts {
-        plane.set_fronts(fronts(store));
+    if affected.endpoints {
+        plane.set_endpoints(endpoints(store));
     }
 }
 
@@ -71,9 +73,10 @@
 }
 
 /// All fronts: one that starts or leaves may send requests to servers too.
-fn fronts(store: &Store) -> Vec<Limiter> {
-    let fronts = store.with_prefix(FRONT_PREFIX);
-    let fronts = fronts.filter_map(|(_, value)| decode_value::<FrontRef<'_>, Front>(value).ok());
-    let limiter = |Front { name, zone, region, .. }| Limiter { name, place: Place { zone, region } };
-    fronts.map(limiter).collect()
+fn endpoints(store: &Store) -> Vec<Limiter> {
+    let endpoints = store.with_prefix(ENDPOINT_PREFIX);
+    let endpoints =
+        endpoints.filter_map(|(_, value)| decode_value::<ProxyEndpointRef<'_>, ProxyEndpoint>(value).ok());
+    let limiter = |ProxyEndpoint { name, zone, region, .. }| Limiter { name, place: Place { zone, region } };
+    endpoints.map(limiter).collect()
 }
--- a/crates/quillpulley/src/proxy/request.rs
+++ b/crates/quillpulley/src/proxy/request.rs
@@ -117,7 +117,7 @@
     }
 
     /// The time that is left for an answer.
-    pub fn time_left(&self) -> Duration {
+    pub fn time_remaining(&self) -> Duration {
         self.due.saturating_duration_since(Instant::now())
     }
 
@@ -127,7 +127,7 @@
         *request.method_mut() = self.head.method.clone();
         *request.uri_mut() = Uri::from(self.head.target.clone());
         let mut headers = self.head.headers.clone();
-        headers.insert(DEADLINE_MS, HeaderValue::from(self.time_left().as_millis() as u64));
+        headers.insert(DEADLINE_MS, HeaderValue::from(self.time_remaining().as_millis() as u64));
         headers.insert(EXPECT_INSTANCE, HeaderValue::from_str(instance).ok()?);
         if let Some(id) = resume_after {
             headers.insert(LAST_EVENT_ID, HeaderValue::from_bytes(id).ok()?);
@@ -158,7 +158,7 @@
             body_bytes: request.body.len(),
             priority: plan.priority,
             objective: plan.objective,
-            time_left: request.time_left(),
+            time_remaining: request.time_remaining(),
             sticky: plan.sticky,
         }
     }
--- a/crates/quillpulley/src/proxy/server.rs
+++ b/crates/quillpulley/src/proxy/server.rs
@@ -1,9 +1,9 @@
 //! Starts the parts of a proxy and ends them.
 
+use super::client_service::{ClientService, RECORDED};
 use super::departure::Departure;
 use super::faults::Faults;
 use super::feed_client::FeedClient;
-use super::front::{FrontService, RECORDED};
 use super::health::check_servers;
 use super::memory::BodyBudget;
 use super::plane::{Parts, Plane};
@@ -45,7 +45,7 @@
 /// Where a proxy can be reached.
 pub struct Listeners {
     /// For clients.
-    pub front: TcpListener,
+    pub endpoint: TcpListener,
     /// For checks.
     pub ready: TcpListener,
 }
@@ -56,7 +56,7 @@
         let unusable = |error| HostError::Settings(format!("{error}"));
         let front = settings.front_address().map_err(unusable)?;
         let ready = settings.ready_address().map_err(unusable)?;
-        Ok(Listeners { front: bind(front).await?, ready: bind(ready).await? })
+        Ok(Listeners { endpoint: bind(front).await?, ready: bind(ready).await? })
     }
 }
 
@@ -116,7 +116,7 @@
             faults,
         });
         let clients = Connections::new(client_options(for_clients.max(1), &Limits::default()));
-        let front_address = listeners.front.local_addr().ok().or(settings.listen.front);
+        let front_address = listeners.endpoint.local_addr().ok().or(settings.listen.front);
         if let Some(address) = front_address {
             log::info!("listening for clients on {address}");
         }
@@ -125,7 +125,7 @@
         spawn_local(feed.run());
         spawn_local(plane.clone().keep_admitting());
         spawn_local(check_servers(plane.clone()));
-        spawn_local(accept_clients(clients.clone(), listeners.front, plane.clone()));
+        spawn_local(accept_clients(clients.clone(), listeners.endpoint, plane.clone()));
         spawn_local(accept_checks(listeners.ready, plane.clone()));
         spawn_local(sweep(clients.clone(), plane.clone(), for_clients.max(1)));
         Proxy { plane, clients, news }
@@ -151,7 +151,7 @@
 }
 
 async fn accept_clients(clients: Rc<Connections>, listener: TcpListener, plane: Rc<Plane>) {
-    clients.accept(listener, FrontService::new(plane)).await;
+    clients.accept(listener, ClientService::new(plane)).await;
 }
 
 async fn accept_checks(listener: TcpListener, plane: Rc<Plane>) {
--- a/crates/quillpulley/src/proxy/servers.rs
+++ b/crates/quillpulley/src/proxy/servers.rs
@@ -25,7 +25,7 @@
     bodies: BodyBudget,
     failures: Failures,
     /// The proxies that share the servers.
-    fronts: Cell<usize>,
+    endpoints: Cell<usize>,
     listener: OnceCell<Weak<dyn PlaceListener>>,
 }
 
@@ -38,7 +38,7 @@
             pool,
             bodies,
             failures: Failures::default(),
-            fronts: Cell::new(1),
+            endpoints: Cell::new(1),
             listener: OnceCell::new(),
         })
     }
@@ -84,13 +84,13 @@
     }
 
     /// So many proxies share the servers.
-    pub fn set_fronts(&self, fronts: usize) {
-        self.fronts.set(fronts.max(1));
+    pub fn set_endpoints(&self, endpoints: usize) {
+        self.endpoints.set(endpoints.max(1));
     }
 
     /// The part of a server's connections that this proxy may keep.
     pub fn connection_share(&self, max_connections: u32) -> usize {
-        max_connections as usize / self.fronts.get()
+        max_connections as usize / self.endpoints.get()
     }
 
     /// A place came free at a server of this service.
