--- a/crates/quillpulley/tests/agent.rs
+++ b/crates/quillpulley/tests/agent.rs
@@ -2,13 +2,13 @@
 
 mod common;
 
-use common::tree::{front, Node};
+use common::tree::{endpoint, Node};
 use common::{expect, hello, read_to_end, run};
 use quillpulley::agent::{serve, AgentSockets};
 use quillpulley::signals::Command;
 use quillpulley::Settings;
-use quillpulley_protocol::{encode_frame, encode_value, Body, Core, Front, PeerKind};
-use quillpulley_serving_config::published::{core_key, front_key};
+use quillpulley_protocol::{encode_frame, encode_value, Body, ControlNode, PeerKind, ProxyEndpoint};
+use quillpulley_serving_config::published::{control_node_key, endpoint_key};
 use std::cell::RefCell;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -29,22 +29,22 @@
         Machines { network: NEXT.fetch_add(1, Ordering::Relaxed) }
     }
 
-    fn core(&self, number: u8) -> Ipv4Addr {
+    fn control_node(&self, number: u8) -> Ipv4Addr {
         Ipv4Addr::new(127, self.network, 0, number)
     }
 
-    fn front(&self, number: u8) -> Ipv4Addr {
+    fn endpoint(&self, number: u8) -> Ipv4Addr {
         Ipv4Addr::new(127, self.network, 1, number)
     }
 
     /// What the proxy of a machine reports.
-    fn report(&self, number: u8) -> Front {
-        front(&format!("front-{number}"), self.front(number), "zone-a")
+    fn report(&self, number: u8) -> ProxyEndpoint {
+        endpoint(&format!("front-{number}"), self.endpoint(number), "zone-a")
     }
 
     /// The value of a published front.
     fn published(&self, number: u8) -> Vec<u8> {
-        encode_value::<Front>(&self.report(number))
+        encode_value::<ProxyEndpoint>(&self.report(number))
     }
 
     fn settings(&self, number: u8, first_port: u16, seeds: &[Ipv4Addr]) -> Settings {
@@ -52,7 +52,7 @@
         let text = format!(
             "NodeName = \"front-{number}\"\nIp = \"{}\"\nZone = \"zone-a\"\nRegion = \"region-a\"\n\
              PortRange = [{first_port}, {}]\nSeeds = [{}]\n[Bounds]\nGraceS = 8\n",
-            self.front(number),
+            self.endpoint(number),
             first_port + 15,
             seeds.join(", ")
         );
@@ -113,18 +113,20 @@
 fn state_goes_down_to_the_proxy_and_its_front_up_to_the_core() {
     run(async {
         let machines = Machines::new();
-        let (port, [listener]) = same_ports([machines.core(1)]).await;
-        let mut core = Node::core(listener, 1);
-        core.publish("route/x", b"first".to_vec());
-        let agent = Agent::start(machines.settings(1, port, &[machines.core(1)])).await;
+        let (port, [listener]) = same_ports([machines.control_node(1)]).await;
+        let mut control_node = Node::control_node(listener, 1);
+        control_node.publish("route/x", b"first".to_vec());
+        let agent = Agent::start(machines.settings(1, port, &[machines.control_node(1)])).await;
         let mut proxy = Node::proxy(agent.proxy, machines.report(1));
         proxy.until("the first state", |shown| shown.holds("route/x", b"first")).await;
-        core.publish("route/x", b"second".to_vec());
+        control_node.publish("route/x", b"second".to_vec());
         proxy.until("the second state", |shown| shown.holds("route/x", b"second")).await;
-        core.until("the front", |shown| shown.fronts.contains_key("front-1") && shown.proxies == 1).await;
+        control_node
+            .until("the front", |shown| shown.endpoints.contains_key("front-1") && shown.proxies == 1)
+            .await;
         drop(proxy);
-        core.until("no front", |shown| shown.fronts.is_empty() && shown.proxies == 0).await;
-        assert!(core.shown().children.contains("front-1"), "the agent stays");
+        control_node.until("no front", |shown| shown.endpoints.is_empty() && shown.proxies == 0).await;
+        assert!(control_node.shown().children.contains("front-1"), "the agent stays");
     });
 }
 
@@ -132,10 +134,10 @@
 fn a_childs_older_connection_does_not_take_the_place_of_its_later_one() {
     run(async {
         let machines = Machines::new();
-        let (port, [listener]) = same_ports([machines.core(1)]).await;
-        let core = Node::core(listener, 1);
-        core.publish("route/x", b"first".to_vec());
-        let agent = Agent::start(machines.settings(1, port, &[machines.core(1)])).await;
+        let (port, [listener]) = same_ports([machines.control_node(1)]).await;
+        let control_node = Node::control_node(listener, 1);
+        control_node.publish("route/x", b"first".to_vec());
+        let agent = Agent::start(machines.settings(1, port, &[machines.control_node(1)])).await;
         // Its introduction comes late.
         let mut older = TcpStream::connect(agent.proxy).await.expect("a connection");
         let mut proxy = Node::proxy(agent.proxy, machines.report(1));
@@ -143,7 +145,7 @@
         let introduction = Body::Hello(Box::new(hello(PeerKind::Proxy, "front-1")));
         older.write_all(&encode_frame(introduction)).await.expect("a hello");
         expect("the end of the older one", read_to_end(&mut older)).await;
-        core.publish("route/x", b"second".to_vec());
+        control_node.publish("route/x", b"second".to_vec());
         proxy.until("the second state", |shown| shown.holds("route/x", b"second")).await;
         assert_eq!(proxy.shown().parents_lost, 0);
     });
@@ -153,17 +155,17 @@
 fn when_the_parent_dies_the_next_seed_is_taken() {
     run(async {
         let machines = Machines::new();
-        let seeds = [machines.core(1), machines.core(2)];
+        let seeds = [machines.control_node(1), machines.control_node(2)];
         let (port, [listener_a, listener_b]) = same_ports(seeds).await;
-        let (core_a, core_b) = (Node::core(listener_a, 1), Node::core(listener_b, 2));
+        let (control_a, control_b) = (Node::control_node(listener_a, 1), Node::control_node(listener_b, 2));
         let agent = Agent::start(machines.settings(1, port, &seeds)).await;
         let mut proxy = Node::proxy(agent.proxy, machines.report(1));
         proxy.until("fresh state", |shown| shown.fresh).await;
-        let is_below_a = core_a.shown().children.contains("front-1");
-        let (dies, mut stays) = if is_below_a { (core_a, core_b) } else { (core_b, core_a) };
+        let is_below_a = control_a.shown().children.contains("front-1");
+        let (dies, mut stays) = if is_below_a { (control_a, control_b) } else { (control_b, control_a) };
         drop(dies);
         stays.until("the agent", |shown| shown.children.contains("front-1")).await;
-        stays.until("the front", |shown| shown.fronts.contains_key("front-1")).await;
+        stays.until("the front", |shown| shown.endpoints.contains_key("front-1")).await;
         assert_eq!(proxy.shown().parents_lost, 0);
     });
 }
@@ -172,19 +174,19 @@
 fn a_parent_whose_stamp_stands_still_is_left_for_one_whose_stamp_moves() {
     run(async {
         let machines = Machines::new();
-        let seeds = [machines.core(1), machines.core(2)];
+        let seeds = [machines.control_node(1), machines.control_node(2)];
         let (port, [listener_a, listener_b]) = same_ports(seeds).await;
-        let mut core_a = Node::core(listener_a, 1);
+        let mut control_a = Node::control_node(listener_a, 1);
         let agent = Agent::start(machines.settings(1, port, &seeds)).await;
         let mut proxy = Node::proxy(agent.proxy, machines.report(1));
-        core_a.until("the agent", |shown| shown.children.contains("front-1")).await;
+        control_a.until("the agent", |shown| shown.children.contains("front-1")).await;
         proxy.until("fresh state", |shown| shown.fresh).await;
-        core_a.stop_stamps();
-        let mut core_b = Node::core(listener_b, 2);
-        core_b.publish("route/x", b"newer".to_vec());
+        control_a.stop_heartbeats();
+        let mut control_b = Node::control_node(listener_b, 2);
+        control_b.publish("route/x", b"newer".to_vec());
         proxy.until("newer state", |shown| shown.holds("route/x", b"newer")).await;
-        core_b.until("the front", |shown| shown.fronts.contains_key("front-1")).await;
-        core_a.until("no agent", |shown| shown.children.is_empty()).await;
+        control_b.until("the front", |shown| shown.endpoints.contains_key("front-1")).await;
+        control_a.until("no agent", |shown| shown.children.is_empty()).await;
         assert_eq!(proxy.shown().parents_lost, 0);
     });
 }
@@ -193,27 +195,31 @@
 fn an_agent_takes_state_from_the_agent_above_it() {
     run(async {
         let machines = Machines::new();
-        let (port, [listener]) = same_ports([machines.core(1)]).await;
-        let mut core = Node::core(listener, 1);
-        let elsewhere =
-            Core { ip: machines.core(1).to_bits(), zone: "zone-b".into(), region: "region-a".into() };
-        core.publish(&core_key(machines.core(1)), encode_value::<Core>(&elsewhere));
+        let (port, [listener]) = same_ports([machines.control_node(1)]).await;
+        let mut control_node = Node::control_node(listener, 1);
+        let elsewhere = ControlNode {
+            ip: machines.control_node(1).to_bits(),
+            zone: "zone-b".into(),
+            region: "region-a".into(),
+        };
+        control_node
+            .publish(&control_node_key(machines.control_node(1)), encode_value::<ControlNode>(&elsewhere));
         let (mut agents, mut proxies) = (Vec::new(), Vec::new());
         for number in [1, 2] {
-            core.publish(&front_key(&format!("front-{number}")), machines.published(number));
-            agents.push(Agent::start(machines.settings(number, port, &[machines.core(1)])).await);
+            control_node.publish(&endpoint_key(&format!("front-{number}")), machines.published(number));
+            agents.push(Agent::start(machines.settings(number, port, &[machines.control_node(1)])).await);
             proxies.push(Node::proxy(agents[agents.len() - 1].proxy, machines.report(number)));
         }
-        core.until("both agents", |shown| shown.children.len() == 2).await;
-        let shown = core.until("one agent below the other", |shown| shown.children.len() == 1).await;
-        core.until("both fronts", |shown| shown.fronts.len() == 2 && shown.proxies == 2).await;
-        core.publish("route/x", b"down the tree".to_vec());
+        control_node.until("both agents", |shown| shown.children.len() == 2).await;
+        let shown = control_node.until("one agent below the other", |shown| shown.children.len() == 1).await;
+        control_node.until("both fronts", |shown| shown.endpoints.len() == 2 && shown.proxies == 2).await;
+        control_node.publish("route/x", b"down the tree".to_vec());
         for proxy in &mut proxies {
             proxy.until("the state", |shown| shown.holds("route/x", b"down the tree")).await;
         }
         let (top, other) = if shown.children.contains("front-1") { (0, "front-2") } else { (1, "front-1") };
         agents[top].command(Command::Stop);
-        core.until("the other agent", |shown| shown.children.contains(other)).await;
+        control_node.until("the other agent", |shown| shown.children.contains(other)).await;
     });
 }
 
@@ -221,13 +227,13 @@
 fn an_agent_that_ends_serves_its_proxy_until_that_has_ended() {
     run(async {
         let machines = Machines::new();
-        let (port, [listener]) = same_ports([machines.core(1)]).await;
-        let core = Node::core(listener, 1);
-        let mut agent = Agent::start(machines.settings(1, port, &[machines.core(1)])).await;
+        let (port, [listener]) = same_ports([machines.control_node(1)]).await;
+        let control_node = Node::control_node(listener, 1);
+        let mut agent = Agent::start(machines.settings(1, port, &[machines.control_node(1)])).await;
         let mut proxy = Node::proxy(agent.proxy, machines.report(1));
         proxy.until("fresh state", |shown| shown.fresh).await;
         agent.command(Command::Stop);
-        core.publish("route/x", b"late".to_vec());
+        control_node.publish("route/x", b"late".to_vec());
         proxy.until("late state", |shown| shown.holds("route/x", b"late")).await;
         assert!(!agent.task.is_finished());
         drop(proxy);
@@ -239,7 +245,7 @@
 fn an_agent_without_a_proxy_ends_at_once() {
     run(async {
         let machines = Machines::new();
-        let (port, _) = same_ports([machines.core(1)]).await;
+        let (port, _) = same_ports([machines.control_node(1)]).await;
         let agent = Agent::start(machines.settings(1, port, &[])).await;
         agent.command(Command::Stop);
         expect("the end", agent.task).await.expect("no panic");
@@ -250,12 +256,12 @@
 fn new_seeds_are_taken_with_the_settings() {
     run(async {
         let machines = Machines::new();
-        let (port, [listener]) = same_ports([machines.core(1)]).await;
-        let mut core = Node::core(listener, 1);
-        let agent = Agent::start(machines.settings(1, port, &[machines.core(2)])).await;
-        *agent.settings.borrow_mut() = machines.settings(1, port, &[machines.core(1)]);
+        let (port, [listener]) = same_ports([machines.control_node(1)]).await;
+        let mut control_node = Node::control_node(listener, 1);
+        let agent = Agent::start(machines.settings(1, port, &[machines.control_node(2)])).await;
+        *agent.settings.borrow_mut() = machines.settings(1, port, &[machines.control_node(1)]);
         agent.command(Command::Reload);
-        core.until("the agent", |shown| shown.children.contains("front-1")).await;
+        control_node.until("the agent", |shown| shown.children.contains("front-1")).await;
     });
 }
 
@@ -263,11 +269,11 @@
 fn new_seeds_are_found_without_being_told() {
     run(async {
         let machines = Machines::new();
-        let (port, [listener]) = same_ports([machines.core(1)]).await;
-        let mut core = Node::core(listener, 1);
-        let agent = Agent::start(machines.settings(1, port, &[machines.core(2)])).await;
-        *agent.settings.borrow_mut() = machines.settings(1, port, &[machines.core(1)]);
-        core.until("the agent", |shown| shown.children.contains("front-1")).await;
+        let (port, [listener]) = same_ports([machines.control_node(1)]).await;
+        let mut control_node = Node::control_node(listener, 1);
+        let agent = Agent::start(machines.settings(1, port, &[machines.control_node(2)])).await;
+        *agent.settings.borrow_mut() = machines.settings(1, port, &[machines.control_node(1)]);
+        control_node.until("the agent", |shown| shown.children.contains("front-1")).await;
     });
 }
 
@@ -275,14 +281,14 @@
 fn a_front_that_does_not_answer_is_suspected() {
     run(async {
         let machines = Machines::new();
-        let (port, [listener]) = same_ports([machines.core(1)]).await;
-        let mut core = Node::core(listener, 1);
+        let (port, [listener]) = same_ports([machines.control_node(1)]).await;
+        let mut control_node = Node::control_node(listener, 1);
         for number in [1, 2, 3] {
-            core.publish(&front_key(&format!("front-{number}")), machines.published(number));
+            control_node.publish(&endpoint_key(&format!("front-{number}")), machines.published(number));
         }
-        let _first = Agent::start(machines.settings(1, port, &[machines.core(1)])).await;
-        let _third = Agent::start(machines.settings(3, port, &[machines.core(1)])).await;
-        core.until("the suspicion", |shown| shown.suspects.contains("front-2")).await;
-        assert!(!core.shown().suspects.contains("front-3"));
+        let _first = Agent::start(machines.settings(1, port, &[machines.control_node(1)])).await;
+        let _third = Agent::start(machines.settings(3, port, &[machines.control_node(1)])).await;
+        control_node.until("the suspicion", |shown| shown.suspects.contains("front-2")).await;
+        assert!(!control_node.shown().suspects.contains("front-3"));
     });
 }
--- a/crates/quillpulley/tests/catch_up/world.rs
+++ b/crates/quillpulley/tests/catch_up/world.rs
@@ -64,7 +64,7 @@
     pub id: NodeId,
     pub replica: Option<Replica<Counter>>,
     pub disk: Disk,
-    life: u64,
+    incarnation: u64,
     started_at: u64,
     sending: bool,
     turn: usize,
@@ -73,8 +73,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Happening {
     Arrive { from: usize, to: usize, connection: u64, bytes: Vec<u8> },
-    Stored { machine: usize, life: u64, ticket: u64, result: Result<(), ()> },
-    Tick { machine: usize, life: u64 },
+    Stored { machine: usize, incarnation: u64, ticket: u64, result: Result<(), ()> },
+    Tick { machine: usize, incarnation: u64 },
     Sent { machine: usize },
     Connect { one: usize, other: usize },
 }
@@ -108,7 +108,7 @@
             id: *id,
             replica: None,
             disk: Disk::new(),
-            life: 0,
+            incarnation: 0,
             started_at: 0,
             sending: false,
             turn: 0,
@@ -138,20 +138,20 @@
     /// Starts a process on a machine, with what its disk holds.
     pub fn start(&mut self, machine: usize) {
         let slot = &mut self.machines[machine];
-        slot.life += 1;
+        slot.incarnation += 1;
         slot.started_at = self.now;
-        let (life, bootstrap) = (slot.life, Some(self.witnesses.clone()));
+        let (incarnation, bootstrap) = (slot.incarnation, Some(self.witnesses.clone()));
         let options = Options {
             me: slot.id,
             bootstrap,
-            seed: life * 31 + machine as u64,
+            seed: incarnation * 31 + machine as u64,
             faults: self.faults,
             ..Options::default()
         };
         let recovered = slot.disk.open();
         slot.replica =
             Some(Replica::new(options, recovered, Counter::default(), Duration::ZERO).expect("a start"));
-        self.plan(TICK_US, Happening::Tick { machine, life });
+        self.plan(TICK_US, Happening::Tick { machine, incarnation });
         for other in 0..self.machines.len() {
             self.plan(CONNECT_US, Happening::Connect { one: machine, other });
         }
@@ -160,7 +160,7 @@
     /// Ends a process at once.
     pub fn kill(&mut self, machine: usize) {
         self.machines[machine].replica = None;
-        self.machines[machine].life += 1;
+        self.machines[machine].incarnation += 1;
         for other in 0..self.machines.len() {
             self.disconnect(machine, other);
         }
@@ -215,13 +215,15 @@
     fn happen(&mut self, happening: Happening) {
         match happening {
             Happening::Arrive { from, to, connection, bytes } => self.arrive(from, to, connection, &bytes),
-            Happening::Stored { machine, life, ticket, result } if self.machines[machine].life == life => {
+            Happening::Stored { machine, incarnation, ticket, result }
+                if self.machines[machine].incarnation == incarnation =>
+            {
                 let result = result.map_err(|()| StoreFault);
                 self.handle(machine, Event::Stored { ticket, result });
             }
-            Happening::Tick { machine, life } if self.machines[machine].life == life => {
+            Happening::Tick { machine, incarnation } if self.machines[machine].incarnation == incarnation => {
                 self.handle(machine, Event::Tick);
-                self.plan(TICK_US, Happening::Tick { machine, life });
+                self.plan(TICK_US, Happening::Tick { machine, incarnation });
             }
             Happening::Sent { machine } => {
                 self.machines[machine].sending = false;
@@ -309,7 +311,7 @@
                 let slot = &mut self.machines[machine];
                 let (result, time) = slot.disk.write(write);
                 let result = result.map_err(|_| ());
-                let stored = Happening::Stored { machine, life: slot.life, ticket, result };
+                let stored = Happening::Stored { machine, incarnation: slot.incarnation, ticket, result };
                 self.plan(time, stored);
             }
             Action::Committed { order } => {
--- a/crates/quillpulley/tests/common/mod.rs
+++ b/crates/quillpulley/tests/common/mod.rs
@@ -49,7 +49,7 @@
         name: name.to_string(),
         zone: "zone-a".to_string(),
         region: "region-a".to_string(),
-        control: String::new(),
+        control_address: String::new(),
     }
 }
 
--- a/crates/quillpulley/tests/common/tree.rs
+++ b/crates/quillpulley/tests/common/tree.rs
@@ -2,7 +2,7 @@
 
 use super::{expect, hello};
 use quillpulley::peer::{LinkId, PeerEvent, Peers};
-use quillpulley_protocol::{Body, Front, FrontState, PeerKind};
+use quillpulley_protocol::{Body, EndpointState, PeerKind, ProxyEndpoint};
 use quillpulley_state_sync::{Action, Change, Event, FeedNode, LocalReport, Options};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -14,7 +14,7 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{interval, Instant};
 
-const STAMP_EVERY: Duration = Duration::from_millis(50);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What a node shows.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -22,7 +22,7 @@
     /// The published items.
     pub items: BTreeMap<String, Vec<u8>>,
     /// The names of the fronts that were reported, with their states.
-    pub fronts: BTreeMap<String, FrontState>,
+    pub endpoints: BTreeMap<String, EndpointState>,
     /// The fronts that are suspected.
     pub suspects: BTreeSet<String>,
     /// The proxies that were reported.
@@ -45,7 +45,7 @@
 enum Order {
     Publish(Vec<Change>),
     Report(LocalReport),
-    StopStamps,
+    StopHeartbeats,
 }
 
 /// A node that runs beside the test; dropping it closes its links.
@@ -63,19 +63,19 @@
 
 impl Node {
     /// A core process that publishes in this epoch.
-    pub fn core(listener: TcpListener, epoch: u64) -> Node {
+    pub fn control_node(listener: TcpListener, epoch: u64) -> Node {
         let (peers, events) = Peers::new(hello(PeerKind::Control, "core"));
         peers.listen(listener);
-        let node = FeedNode::new(Options::core("core"));
+        let node = FeedNode::new(Options::control_node("core"));
         Node::start(Running::new(peers, events, node, None), Some(epoch))
     }
 
     /// A proxy of the agent at this address, with its front.
-    pub fn proxy(agent: SocketAddr, front: Front) -> Node {
-        let (peers, events) = Peers::new(hello(PeerKind::Proxy, &front.name));
+    pub fn proxy(agent: SocketAddr, endpoint: ProxyEndpoint) -> Node {
+        let (peers, events) = Peers::new(hello(PeerKind::Proxy, &endpoint.name));
         let parent = peers.connect(agent);
-        let mut node = FeedNode::new(Options::new(&front.name));
-        let report = LocalReport { front: Some(front), proxies: 1, ..LocalReport::default() };
+        let mut node = FeedNode::new(Options::new(&endpoint.name));
+        let report = LocalReport { endpoint: Some(endpoint), proxies: 1, ..LocalReport::default() };
         node.handle(Duration::ZERO, Event::LocalReport(report), &mut Vec::new());
         Node::start(Running::new(peers, events, node, Some(parent)), None)
     }
@@ -101,8 +101,8 @@
     }
 
     /// Gives no stamps any more, as a primary that has lost its lease.
-    pub fn stop_stamps(&self) {
-        self.order(Order::StopStamps);
+    pub fn stop_heartbeats(&self) {
+        self.order(Order::StopHeartbeats);
     }
 
     /// Waits until it shows what is awaited.
@@ -122,15 +122,15 @@
 }
 
 /// A front of a machine of the tests.
-pub fn front(name: &str, ip: Ipv4Addr, zone: &str) -> Front {
-    Front {
+pub fn endpoint(name: &str, ip: Ipv4Addr, zone: &str) -> ProxyEndpoint {
+    ProxyEndpoint {
         name: name.to_string(),
         ip: ip.to_bits(),
         zone: zone.to_string(),
         region: "region-a".to_string(),
         address: format!("{ip}:8161"),
-        state: FrontState::Ready,
-        life: 1,
+        state: EndpointState::Ready,
+        incarnation: 1,
         preferred_regions: Vec::new(),
     }
 }
@@ -158,20 +158,20 @@
         Running { started: Instant::now(), peers, events, node, parent, children, parents_lost: 0, shown }
     }
 
-    async fn run(mut self, mut orders: UnboundedReceiver<Order>, mut stamps: bool) {
-        let mut ticks = interval(STAMP_EVERY);
+    async fn run(mut self, mut orders: UnboundedReceiver<Order>, mut revisions: bool) {
+        let mut ticks = interval(HEARTBEAT_INTERVAL);
         loop {
             tokio::select! {
                 Some(event) = self.events.recv() => self.peer_event(event),
                 Some(order) = orders.recv() => match order {
                     Order::Publish(changes) => self.tell(Event::Publish(changes)),
                     Order::Report(report) => self.tell(Event::LocalReport(report)),
-                    Order::StopStamps => stamps = false,
+                    Order::StopHeartbeats => revisions = false,
                 },
                 _ = ticks.tick() => {
                     self.tell(Event::Tick);
-                    if stamps {
-                        self.tell(Event::Stamp);
+                    if revisions {
+                        self.tell(Event::Heartbeat);
                     }
                 }
             }
@@ -218,7 +218,7 @@
                 Action::SendChild(child, body) => self.send(&[child], &body),
                 Action::SendChildren(children, body) => self.send(&children, &body),
                 Action::DropChild(child) => self.peers.close(child),
-                Action::Changed(_) | Action::TotalsChanged | Action::FrontsChanged => {}
+                Action::Changed(_) | Action::TotalsChanged | Action::EndpointsChanged => {}
             }
         }
     }
@@ -230,10 +230,10 @@
     fn look(&self) -> Shown {
         let subtree = self.node.subtree();
         let items = self.node.store().iter().map(|(key, value)| (key.to_string(), value.to_vec()));
-        let fronts = subtree.fronts.iter().map(|(name, front)| (name.clone(), front.state));
+        let endpoints = subtree.endpoints.iter().map(|(name, endpoint)| (name.clone(), endpoint.state));
         Shown {
             items: items.collect(),
-            fronts: fronts.collect(),
+            endpoints: endpoints.collect(),
             suspects: subtree.suspicions.keys().cloned().collect(),
             proxies: subtree.counts.proxies,
             children: self.children.values().cloned().collect(),
--- a/crates/quillpulley/tests/control/agent.rs
+++ b/crates/quillpulley/tests/control/agent.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::PATIENCE;
 use quillpulley::peer::{LinkId, PeerEvent, Peers};
-use quillpulley_protocol::{Front, FrontState, Hello, NodeId, PeerKind};
+use quillpulley_protocol::{EndpointState, Hello, NodeId, PeerKind, ProxyEndpoint};
 use quillpulley_state_sync::{Action, Event, FeedNode, LocalReport, Options};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -32,7 +32,7 @@
 }
 
 impl Agents {
-    /// Connects an agent to each of these core processes; the first one's front is `front-0`.
+    /// Connects an agent to each of these core processes; the first one's front is `endpoint-0`.
     pub fn connect(zone: &str, parents: impl Iterator<Item = SocketAddr>) -> Self {
         let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
         let tasks = LocalSet::new();
@@ -65,7 +65,7 @@
 
     /// The epoch up to which the first agent's state goes.
     pub fn epoch(&self) -> u64 {
-        self.agents[0].feed.stamp().epoch
+        self.agents[0].feed.revision().epoch
     }
 
     fn step(&mut self) {
@@ -92,22 +92,22 @@
             name: name.to_string(),
             zone: zone.to_string(),
             region: "none".to_string(),
-            control: String::new(),
+            control_address: String::new(),
         });
-        let front = Front {
+        let endpoint = ProxyEndpoint {
             name: name.to_string(),
             ip: 0,
             zone: zone.to_string(),
             region: "none".to_string(),
             address: format!("{name}:80"),
-            state: FrontState::Ready,
-            life: 1,
+            state: EndpointState::Ready,
+            incarnation: 1,
             preferred_regions: Vec::new(),
         };
         let (address, parent) = (parent, peers.connect(parent));
         let feed = FeedNode::new(Options::new(name));
         let mut agent = Agent { peers, events, address, parent, feed };
-        let report = LocalReport { front: Some(front), ..LocalReport::default() };
+        let report = LocalReport { endpoint: Some(endpoint), ..LocalReport::default() };
         agent.handle(Duration::ZERO, Event::LocalReport(report));
         agent
     }
--- a/crates/quillpulley/tests/control/directory.rs
+++ b/crates/quillpulley/tests/control/directory.rs
@@ -4,36 +4,36 @@
 use quickcheck::{Arbitrary, Gen};
 use quillpulley::control::directory::{self, Coverage, Directory, DirectoryBoard, Place};
 use quillpulley_load_balancer::HomeTable;
-use quillpulley_protocol::{Front, FrontState};
+use quillpulley_protocol::{EndpointState, ProxyEndpoint};
 use simd_json::prelude::*;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
 use std::time::Duration;
 
 /// A front as `name zone region state`.
-fn front(text: &str) -> Front {
+fn endpoint(text: &str) -> ProxyEndpoint {
     let [name, zone, region, state] = text.split(' ').collect::<Vec<_>>()[..] else {
         panic!("four words: {text}")
     };
-    Front {
+    ProxyEndpoint {
         name: name.to_string(),
         ip: 0,
         zone: zone.to_string(),
         region: region.to_string(),
         address: name.to_string(),
         state: match state {
-            "starting" => FrontState::Starting,
-            "ready" => FrontState::Ready,
-            _ => FrontState::Leaving,
+            "starting" => EndpointState::Starting,
+            "ready" => EndpointState::Ready,
+            _ => EndpointState::Draining,
         },
-        life: 1,
+        incarnation: 1,
         preferred_regions: Vec::new(),
     }
 }
 
-fn directory(fronts: &[&str]) -> Directory {
-    let fronts = fronts.iter().map(|text| front(text)).collect();
-    Directory { fronts, coverage: Coverage::All, homes: Arc::default() }
+fn directory(endpoints: &[&str]) -> Directory {
+    let endpoints = endpoints.iter().map(|text| endpoint(text)).collect();
+    Directory { endpoints, coverage: Coverage::All, homes: Arc::default() }
 }
 
 /// The homes of routes as `host:home+home`; nothing after the colon where there are none.
@@ -75,31 +75,32 @@
 
 #[test]
 fn clients_go_to_the_regions_that_most_fronts_of_theirs_prefer() {
-    let prefers = |text: &str| Front { preferred_regions: vec!["west".to_string()], ..front(text) };
-    let ready = ["f1 a west ready", "f2 b north ready"].map(front);
-    let fronts = |of_the_east: [Front; 2]| ready.iter().cloned().chain(of_the_east).collect();
+    let prefers =
+        |text: &str| ProxyEndpoint { preferred_regions: vec!["west".to_string()], ..endpoint(text) };
+    let ready = ["f1 a west ready", "f2 b north ready"].map(endpoint);
+    let endpoints = |of_the_east: [ProxyEndpoint; 2]| ready.iter().cloned().chain(of_the_east).collect();
     let homes = homes("h:west h:");
-    let directory = |fronts| Directory { fronts, coverage: Coverage::All, homes: homes.clone() };
+    let directory = |endpoints| Directory { endpoints, coverage: Coverage::All, homes: homes.clone() };
 
-    let one_of_two = directory(fronts([prefers("f3 c east ready"), front("f4 c east ready")]));
+    let one_of_two = directory(endpoints([prefers("f3 c east ready"), endpoint("f4 c east ready")]));
     assert_eq!(chosen(&one_of_two, "c", "east"), "f1");
     assert_eq!(chosen(&one_of_two, "b", "north"), "f2");
 
-    let leaving = directory(fronts([prefers("f3 c east leaving"), front("f4 c east ready")]));
+    let leaving = directory(endpoints([prefers("f3 c east leaving"), endpoint("f4 c east ready")]));
     assert_eq!(chosen(&leaving, "c", "east"), "f4");
 
-    let nobody_there = directory(vec![prefers("f3 c east ready"), front("f1 a west starting")]);
+    let nobody_there = directory(vec![prefers("f3 c east ready"), endpoint("f1 a west starting")]);
     assert_eq!(chosen(&nobody_there, "c", "east"), "f3");
 }
 
 #[test]
 fn an_answer_is_never_empty_if_any_front_is_known() {
-    let fronts = directory(&["f1 a west starting", "f2 b east leaving"]);
-    let known = Directory { homes: homes("h:"), ..fronts.clone() };
+    let endpoints = directory(&["f1 a west starting", "f2 b east leaving"]);
+    let known = Directory { homes: homes("h:"), ..endpoints.clone() };
     assert_eq!(chosen(&known, "a", "west"), "f1 f2");
     // Without a configuration any request may have homes.
-    assert_eq!(chosen(&fronts, "a", "west"), "f1");
-    assert_eq!(chosen(&fronts, "c", "north"), "f1 f2");
+    assert_eq!(chosen(&endpoints, "a", "west"), "f1");
+    assert_eq!(chosen(&endpoints, "c", "north"), "f1 f2");
     assert_eq!(chosen(&directory(&[]), "a", "west"), "");
 }
 
@@ -111,8 +112,8 @@
 
 #[test]
 fn at_most_64_addresses_are_told() {
-    let fronts: Vec<String> = (0..100).map(|number| format!("f{number} a west ready")).collect();
-    let known = directory(&fronts.iter().map(String::as_str).collect::<Vec<_>>());
+    let endpoints: Vec<String> = (0..100).map(|number| format!("f{number} a west ready")).collect();
+    let known = directory(&endpoints.iter().map(String::as_str).collect::<Vec<_>>());
     let mut told = known.choose("h", &Place { zone: "a".to_string(), region: "west".to_string() });
     told.sort();
     told.dedup();
@@ -149,7 +150,7 @@
     ];
     for (routes, preferred, expected) in table {
         let mut known = Directory { homes: homes(routes), ..directory(&THREE_REGIONS) };
-        known.fronts[0].preferred_regions = preferred.split_whitespace().map(str::to_string).collect();
+        known.endpoints[0].preferred_regions = preferred.split_whitespace().map(str::to_string).collect();
         assert_eq!(chosen(&known, "a", "east"), expected, "{routes} | {preferred}");
     }
 }
@@ -163,9 +164,9 @@
     assert_eq!(chosen_of(&known, "g", "a", "east"), "w n");
     assert_eq!(chosen_of(&known, "i", "a", "east"), "e f", "there is no other home");
 
-    known.fronts[2] = front("w b west starting");
+    known.endpoints[2] = endpoint("w b west starting");
     assert_eq!(chosen_of(&known, "h", "a", "east"), "e f w");
-    known.fronts.retain(|front| front.region == "north");
+    known.endpoints.retain(|endpoint| endpoint.region == "north");
     assert_eq!(chosen_of(&known, "h", "a", "east"), "n", "no front is left in any home");
 }
 
@@ -195,7 +196,7 @@
     assert_eq!(chosen_of(&known, "h", "a", "east"), "");
     assert_eq!(chosen_of(&known, "g", "a", "east"), "e");
     assert_eq!(chosen_of(&known, "i", "a", "east"), "e");
-    known.fronts[0].preferred_regions = vec!["west".to_string()];
+    known.endpoints[0].preferred_regions = vec!["west".to_string()];
     assert_eq!(chosen_of(&known, "i", "a", "east"), "");
     known.coverage = Coverage::All;
     assert_eq!(chosen_of(&known, "h", "a", "east"), "e", "all fronts of the homes are lost");
@@ -216,26 +217,26 @@
     chosen.map(|region| region.to_string()).collect()
 }
 
-fn any_front(random: &mut Gen, number: usize) -> Front {
+fn any_endpoint(random: &mut Gen, number: usize) -> ProxyEndpoint {
     let region = *random.choose(&REGIONS).expect("a region");
     let zone = format!("{region}-{}", random.choose(&["a", "b"]).expect("a zone"));
     let state = random.choose(&["starting", "ready", "ready", "ready", "leaving"]).expect("a state");
     let mut preferred_regions = some_regions(random);
     preferred_regions.retain(|preferred| preferred != region);
-    Front { preferred_regions, ..front(&format!("f{number} {zone} {region} {state}")) }
+    ProxyEndpoint { preferred_regions, ..endpoint(&format!("f{number} {zone} {region} {state}")) }
 }
 
 impl Arbitrary for AnyDirectory {
     fn arbitrary(random: &mut Gen) -> Self {
         let count = usize::arbitrary(random) % 10;
-        let fronts = (0..count).map(|number| any_front(random, number)).collect();
+        let endpoints = (0..count).map(|number| any_endpoint(random, number)).collect();
         let coverages = [Coverage::TooFew, Coverage::Settling, Coverage::All, Coverage::OwnReports];
         let coverage = *random.choose(&coverages).expect("a coverage");
         let count = usize::arbitrary(random) % 5;
         let host = |random: &mut Gen| random.choose(&HOSTS[..2]).expect("a host").to_string();
         let routes: Vec<_> = (0..count).map(|_| (host(random), some_regions(random))).collect();
         let homes = HomeTable::new(routes.iter().map(|(host, homes)| (host.as_str(), homes.as_slice())));
-        AnyDirectory { directory: Directory { fronts, coverage, homes: Arc::new(homes) }, routes }
+        AnyDirectory { directory: Directory { endpoints, coverage, homes: Arc::new(homes) }, routes }
     }
 }
 
@@ -245,19 +246,20 @@
         let place = Place { zone: format!("{region}-a"), region: region.to_string() };
         let told = self.directory.choose(host, &place);
         let region_of = |address: &String| {
-            let front = self.directory.fronts.iter().find(|front| front.address == *address);
-            front.expect("a known front").region.clone()
+            let endpoint = self.directory.endpoints.iter().find(|endpoint| endpoint.address == *address);
+            endpoint.expect("a known front").region.clone()
         };
         told.iter().map(region_of).collect()
     }
 
     /// Whether a front is known in the client's region or in a home of all routes of the host that have homes.
-    fn has_fronts_for(&self, host: &str, region: &str) -> bool {
+    fn has_endpoints_for(&self, host: &str, region: &str) -> bool {
         let routes = self.routes.iter().filter(|(of, homes)| of == host && !homes.is_empty());
         let homes: Vec<_> = routes.map(|(_, homes)| homes).collect();
-        let suits =
-            |front: &Front| front.region == region || homes.iter().all(|homes| homes.contains(&front.region));
-        self.directory.fronts.iter().any(suits)
+        let suits = |endpoint: &ProxyEndpoint| {
+            endpoint.region == region || homes.iter().all(|homes| homes.contains(&endpoint.region))
+        };
+        self.directory.endpoints.iter().any(suits)
     }
 }
 
@@ -268,7 +270,7 @@
     fn holds(any: AnyDirectory) -> bool {
         let clients = HOSTS[..2].iter().flat_map(|host| REGIONS.map(|region| (*host, region)));
         clients.into_iter().all(|(host, region)| {
-            let bound = any.directory.coverage != Coverage::All || any.has_fronts_for(host, region);
+            let bound = any.directory.coverage != Coverage::All || any.has_endpoints_for(host, region);
             let told = any.told_regions(host, region);
             let routes = any.routes.iter().filter(|(of, homes)| of == host && !homes.is_empty());
             let third = |homes: &[String]| told.iter().any(|told| told != region && !homes.contains(told));
@@ -281,7 +283,7 @@
 #[test]
 fn once_all_fronts_are_known_somebody_is_told() {
     fn holds(any: AnyDirectory) -> bool {
-        let is_due = any.directory.coverage == Coverage::All && !any.directory.fronts.is_empty();
+        let is_due = any.directory.coverage == Coverage::All && !any.directory.endpoints.is_empty();
         let clients = HOSTS.iter().flat_map(|host| REGIONS.map(|region| (*host, region)));
         !is_due || clients.into_iter().all(|(host, region)| !any.told_regions(host, region).is_empty())
     }
@@ -318,10 +320,10 @@
     assert_eq!((unknown.status, unknown.retry_after.as_deref()), (503, Some("0.2")));
 
     board.set(Directory {
-        fronts: vec![
-            Front { zone: "a b".to_string(), ..front("f1 a west ready") },
-            Front { zone: "a b".to_string(), ..front("f2 a west ready") },
-            front("f3 c west ready"),
+        endpoints: vec![
+            ProxyEndpoint { zone: "a b".to_string(), ..endpoint("f1 a west ready") },
+            ProxyEndpoint { zone: "a b".to_string(), ..endpoint("f2 a west ready") },
+            endpoint("f3 c west ready"),
         ],
         coverage: Coverage::All,
         homes: Arc::default(),
--- a/crates/quillpulley/tests/control/directory_days.rs
+++ b/crates/quillpulley/tests/control/directory_days.rs
@@ -5,14 +5,14 @@
 #[path = "directory_days/system.rs"]
 mod system;
 
-use quillpulley_protocol::FrontState;
+use quillpulley_protocol::EndpointState;
 use std::time::Duration;
-use system::{agent, ms, State, System, AGENTS, CORES, TICK};
+use system::{agent, ms, State, System, AGENTS, CONTROL_NODES, TICK};
 
 /// The time for reports of an agent and of its core process to reach the primary.
 const REPORTED: Duration = Duration::from_millis(650);
 
-const ALL: [usize; CORES] = [0, 1, 2];
+const ALL: [usize; CONTROL_NODES] = [0, 1, 2];
 
 #[track_caller]
 fn assert_within(time: u128, from: u128, to: u128) {
@@ -60,7 +60,7 @@
     assert_eq!(system.told(0).len(), AGENTS - 2, "which the others do not tell any more");
     system.heal();
     system.run(ms(4_000));
-    assert!(ALL.iter().all(|core| system.told(*core).len() == AGENTS));
+    assert!(ALL.iter().all(|control_node| system.told(*control_node).len() == AGENTS));
 }
 
 #[test]
@@ -80,15 +80,15 @@
 #[test]
 fn core_processes_that_were_all_killed_tell_no_front_that_died_with_them() {
     let mut system = System::settled();
-    ALL.into_iter().for_each(|core| system.fail(core, State::Ended));
+    ALL.into_iter().for_each(|control_node| system.fail(control_node, State::Ended));
     system.nodes[0].publisher = None;
     system.fail(agent(3), State::Ended);
     system.run(ms(1_000));
-    ALL.into_iter().for_each(|core| system.restart(core));
+    ALL.into_iter().for_each(|control_node| system.restart(control_node));
     system.run(ms(2_000));
     system.elect(1);
     assert_eq!(system.time_until_untold(&[3], &ALL), 0);
-    assert!(ALL.iter().all(|core| system.told(*core).len() == AGENTS - 1));
+    assert!(ALL.iter().all(|control_node| system.told(*control_node).len() == AGENTS - 1));
 }
 
 #[test]
@@ -99,7 +99,7 @@
     assert!(!system.is_told_by(3, &ALL));
     system.restart(agent(3));
     system.run(REPORTED);
-    assert!(ALL.iter().all(|core| system.is_told_by(3, &[*core])));
+    assert!(ALL.iter().all(|control_node| system.is_told_by(3, &[*control_node])));
 }
 
 #[test]
@@ -108,7 +108,7 @@
         let mut system = System::settled();
         system.cut = cut;
         system.run(ms(5_000));
-        system.report(3, FrontState::Leaving, 1);
+        system.report(3, EndpointState::Draining, 1);
         system.run(REPORTED);
         assert!(system.told(1).contains(&"(front-3)".to_string()));
         assert!(!system.is_told_by(3, &ALL));
@@ -135,13 +135,14 @@
             2 | 3 => system.restart(agent(number)),
             4 if system.cut.is_some() => system.heal(),
             4 => {
-                system.cut = Some(whom as usize % CORES);
+                system.cut = Some(whom as usize % CONTROL_NODES);
                 disturbed = system.now;
             }
             _ => {
-                let core =
-                    (0..CORES).find(|core| Some(*core) != system.cut && Some(*core) != system.primary());
-                system.elect(core.unwrap_or(0));
+                let control_node = (0..CONTROL_NODES).find(|control_node| {
+                    Some(*control_node) != system.cut && Some(*control_node) != system.primary()
+                });
+                system.elect(control_node.unwrap_or(0));
                 disturbed = system.now;
             }
         }
--- a/crates/quillpulley/tests/control/directory_days/system.rs
+++ b/crates/quillpulley/tests/control/directory_days/system.rs
@@ -2,17 +2,17 @@
 
 use quillpulley::control::directory::{Coverage, Directory};
 use quillpulley::control::directory_view::{DirectoryView, Known};
-use quillpulley::control::fronts::PublishedFronts;
-use quillpulley_protocol::{Body, Front, FrontState};
+use quillpulley::control::endpoint_registry::EndpointRegistry;
+use quillpulley_protocol::{Body, EndpointState, ProxyEndpoint};
 use quillpulley_state_sync::{Action, Event, FeedNode, LocalReport, Options};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-pub(super) const CORES: usize = 3;
+pub(super) const CONTROL_NODES: usize = 3;
 pub(super) const AGENTS: usize = 6;
 /// How often processes look at what time has changed.
 pub(super) const TICK: Duration = Duration::from_millis(50);
-pub(super) const STAMP_EVERY: Duration = Duration::from_millis(200);
+pub(super) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 /// An agent without news for so long tries another parent.
 pub(super) const SEARCH_AFTER: Duration = Duration::from_secs(1);
 
@@ -21,7 +21,7 @@
 }
 
 pub(super) fn agent(number: usize) -> usize {
-    CORES + number
+    CONTROL_NODES + number
 }
 
 pub(super) fn name(number: usize) -> String {
@@ -48,14 +48,14 @@
     pub(super) directory: Directory,
     pub(super) dirty: bool,
     pub(super) reports_dirty: bool,
-    pub(super) publisher: Option<PublishedFronts>,
+    pub(super) publisher: Option<EndpointRegistry>,
     pub(super) stamped: Duration,
 }
 
 impl Node {
     pub(super) fn new(number: usize, now: Duration) -> Self {
-        let (region, options) = match number.checked_sub(CORES) {
-            None => (number, Options::core(&format!("core-{number}"))),
+        let (region, options) = match number.checked_sub(CONTROL_NODES) {
+            None => (number, Options::control_node(&format!("core-{number}"))),
             Some(agent) => (agent / 2, Options::new(&name(agent))),
         };
         Node {
@@ -86,12 +86,13 @@
     /// All are up and known everywhere; the primary is the core process of region 0.
     pub(super) fn settled() -> Self {
         let now = Duration::ZERO;
-        let nodes = (0..CORES + AGENTS).map(|number| Node::new(number, now)).collect();
+        let nodes = (0..CONTROL_NODES + AGENTS).map(|number| Node::new(number, now)).collect();
         let mut system = System { now, nodes, queue: VecDeque::new(), cut: None, epoch: 0 };
         system.elect(0);
-        (0..AGENTS).for_each(|number| system.report(number, FrontState::Ready, 1));
+        (0..AGENTS).for_each(|number| system.report(number, EndpointState::Ready, 1));
         system.run(ms(10_000));
-        let told: Vec<Vec<String>> = (0..CORES).map(|core| system.told(core)).collect();
+        let told: Vec<Vec<String>> =
+            (0..CONTROL_NODES).map(|control_node| system.told(control_node)).collect();
         assert!(told.iter().all(|told| told.len() == AGENTS), "all are known: {told:?}");
         system
     }
@@ -102,40 +103,40 @@
         run && is_cut(one) == is_cut(other)
     }
 
-    pub(super) fn report(&mut self, number: usize, state: FrontState, life: u64) {
+    pub(super) fn report(&mut self, number: usize, state: EndpointState, incarnation: u64) {
         let node = agent(number);
         let region = format!("region-{}", self.nodes[node].region);
-        let front = Front {
+        let endpoint = ProxyEndpoint {
             name: name(number),
             ip: number as u32,
             zone: region.clone(),
             region,
             address: name(number),
             state,
-            life,
+            incarnation,
             preferred_regions: Vec::new(),
         };
-        let report = LocalReport { front: Some(front), proxies: 1, ..LocalReport::default() };
+        let report = LocalReport { endpoint: Some(endpoint), proxies: 1, ..LocalReport::default() };
         self.event(node, Event::LocalReport(report));
     }
 
-    pub(super) fn elect(&mut self, core: usize) {
-        for other in 0..CORES {
+    pub(super) fn elect(&mut self, control_node: usize) {
+        for other in 0..CONTROL_NODES {
             if self.nodes[other].publisher.take().is_some() && self.nodes[other].state == State::Running {
                 self.event(other, Event::LeaveRoot);
             }
         }
         self.epoch += 1;
-        let node = &mut self.nodes[core];
-        node.publisher = Some(PublishedFronts::inherit(self.now, node.feed.store().iter()));
+        let node = &mut self.nodes[control_node];
+        node.publisher = Some(EndpointRegistry::inherit(self.now, node.feed.store().iter()));
         node.reports_dirty = true;
         node.parent = None;
-        self.event(core, Event::BecomeRoot { epoch: self.epoch });
-        self.event(core, Event::Stamp);
+        self.event(control_node, Event::BecomeRoot { epoch: self.epoch });
+        self.event(control_node, Event::Heartbeat);
     }
 
     pub(super) fn primary(&self) -> Option<usize> {
-        (0..CORES).find(|core| self.nodes[*core].publisher.is_some())
+        (0..CONTROL_NODES).find(|control_node| self.nodes[*control_node].publisher.is_some())
     }
 
     pub(super) fn fail(&mut self, node: usize, state: State) {
@@ -171,8 +172,8 @@
     pub(super) fn restart(&mut self, node: usize) {
         self.fail(node, State::Ended);
         self.nodes[node] = Node::new(node, self.now);
-        if node >= CORES {
-            self.report(node - CORES, FrontState::Ready, 2 + self.now.as_millis() as u64);
+        if node >= CONTROL_NODES {
+            self.report(node - CONTROL_NODES, EndpointState::Ready, 2 + self.now.as_millis() as u64);
         }
     }
 
@@ -205,7 +206,7 @@
                 let node = &mut self.nodes[node];
                 node.dirty |= node.view.published(&changed);
             }
-            Action::FrontsChanged => {
+            Action::EndpointsChanged => {
                 self.nodes[node].dirty = true;
                 self.nodes[node].reports_dirty = true;
             }
@@ -236,7 +237,7 @@
                     self.publish(node);
                 }
             }
-            (0..CORES).for_each(|core| self.show(core));
+            (0..CONTROL_NODES).for_each(|control_node| self.show(control_node));
         }
     }
 
@@ -245,15 +246,17 @@
         let current = self.nodes[node].parent;
         let lately = self.now < self.nodes[node].parent_since + SEARCH_AFTER;
         let fresh = self.nodes[node].feed.is_fresh(self.now);
-        let candidate = if node < CORES {
+        let candidate = if node < CONTROL_NODES {
             self.primary().filter(|primary| *primary != node && !self.nodes[node].feed.is_root())
         } else if current.is_some() && (fresh || lately) {
             current
         } else {
             let first = current.map_or(self.nodes[node].region, |current| current + 1);
-            (first..first + CORES).map(|core| core % CORES).find(|core| self.reaches(node, *core))
+            (first..first + CONTROL_NODES)
+                .map(|control_node| control_node % CONTROL_NODES)
+                .find(|control_node| self.reaches(node, *control_node))
         };
-        let is_asked_again = node < CORES && !fresh && !lately;
+        let is_asked_again = node < CONTROL_NODES && !fresh && !lately;
         if candidate == current && !is_asked_again {
             return;
         }
@@ -268,9 +271,9 @@
         }
     }
 
-    pub(super) fn publish(&mut self, core: usize) {
+    pub(super) fn publish(&mut self, control_node: usize) {
         let now = self.now;
-        let node = &mut self.nodes[core];
+        let node = &mut self.nodes[control_node];
         let Some(publisher) = &mut node.publisher else { return };
         let changes = if std::mem::take(&mut node.reports_dirty) {
             publisher.update(now, node.feed.subtree())
@@ -278,16 +281,16 @@
             publisher.tick(now)
         };
         if !changes.is_empty() {
-            self.event(core, Event::Publish(changes));
-        } else if now >= node.stamped + STAMP_EVERY {
+            self.event(control_node, Event::Publish(changes));
+        } else if now >= node.stamped + HEARTBEAT_INTERVAL {
             node.stamped = now;
-            self.event(core, Event::Stamp);
+            self.event(control_node, Event::Heartbeat);
         }
     }
 
-    pub(super) fn show(&mut self, core: usize) {
+    pub(super) fn show(&mut self, control_node: usize) {
         let now = self.now;
-        let node = &mut self.nodes[core];
+        let node = &mut self.nodes[control_node];
         let waiting = node.view.is_waiting(node.feed.is_fresh(now));
         if node.state == State::Running && (std::mem::take(&mut node.dirty) || waiting) {
             node.directory = node.view.directory(now, &Known::at(now, &node.feed));
@@ -295,28 +298,28 @@
     }
 
     /// The fronts that the directory of a core process may tell, with those that leave in brackets.
-    pub(super) fn told(&self, core: usize) -> Vec<String> {
-        let directory = &self.nodes[core].directory;
-        if self.nodes[core].state != State::Running || directory.coverage == Coverage::TooFew {
+    pub(super) fn told(&self, control_node: usize) -> Vec<String> {
+        let directory = &self.nodes[control_node].directory;
+        if self.nodes[control_node].state != State::Running || directory.coverage == Coverage::TooFew {
             return Vec::new();
         }
-        let shown = directory.fronts.iter().map(|front| match front.state {
-            FrontState::Leaving => format!("({})", front.name),
-            FrontState::Starting | FrontState::Ready => front.name.clone(),
+        let shown = directory.endpoints.iter().map(|endpoint| match endpoint.state {
+            EndpointState::Draining => format!("({})", endpoint.name),
+            EndpointState::Starting | EndpointState::Ready => endpoint.name.clone(),
         });
         shown.collect()
     }
 
-    pub(super) fn is_told_by(&self, number: usize, cores: &[usize]) -> bool {
-        cores.iter().any(|core| self.told(*core).contains(&name(number)))
+    pub(super) fn is_told_by(&self, number: usize, control_nodes: &[usize]) -> bool {
+        control_nodes.iter().any(|control_node| self.told(*control_node).contains(&name(number)))
     }
 
     /// How long these directories go on telling any of these fronts.
-    pub(super) fn time_until_untold(&mut self, numbers: &[usize], cores: &[usize]) -> u128 {
+    pub(super) fn time_until_untold(&mut self, numbers: &[usize], control_nodes: &[usize]) -> u128 {
         let (start, mut last) = (self.now, self.now);
         for _ in 0..400 {
             self.run(TICK);
-            if numbers.iter().any(|number| self.is_told_by(*number, cores)) {
+            if numbers.iter().any(|number| self.is_told_by(*number, control_nodes)) {
                 last = self.now;
             }
         }
--- a/crates/quillpulley/tests/control/directory_view.rs
+++ b/crates/quillpulley/tests/control/directory_view.rs
@@ -2,38 +2,38 @@
 
 use quillpulley::control::directory::{Coverage, Directory};
 use quillpulley::control::directory_view::{DirectoryView, Known};
-use quillpulley_protocol::{encode_value, Front, FrontState};
-use quillpulley_serving_config::published::front_key;
+use quillpulley_protocol::{encode_value, EndpointState, ProxyEndpoint};
+use quillpulley_serving_config::published::endpoint_key;
 use quillpulley_state_sync::{Change, Event, FeedNode, Options, Subtree};
 use std::time::Duration;
 
 /// A front as its name, its state and its life: `f:r1`.
-fn front(text: &str) -> Front {
+fn endpoint(text: &str) -> ProxyEndpoint {
     let (name, rest) = text.split_once(':').expect("a state");
-    let (state, life) = rest.split_at(1);
-    Front {
+    let (state, incarnation) = rest.split_at(1);
+    ProxyEndpoint {
         name: name.to_string(),
         ip: 0,
         zone: "a".to_string(),
         region: "west".to_string(),
         address: name.to_string(),
         state: match state {
-            "s" => FrontState::Starting,
-            "r" => FrontState::Ready,
-            _ => FrontState::Leaving,
+            "s" => EndpointState::Starting,
+            "r" => EndpointState::Ready,
+            _ => EndpointState::Draining,
         },
-        life: life.parse().expect("a life"),
+        incarnation: incarnation.parse().expect("a life"),
         preferred_regions: Vec::new(),
     }
 }
 
-fn show(front: &Front) -> String {
-    let state = match front.state {
-        FrontState::Starting => "s",
-        FrontState::Ready => "r",
-        FrontState::Leaving => "l",
+fn show(endpoint: &ProxyEndpoint) -> String {
+    let state = match endpoint.state {
+        EndpointState::Starting => "s",
+        EndpointState::Ready => "r",
+        EndpointState::Draining => "l",
     };
-    format!("{}:{state}{}", front.name, front.life)
+    format!("{}:{state}{}", endpoint.name, endpoint.incarnation)
 }
 
 /// What a view tells with these fronts published, the latest stamp of which came at `moved`, and these reported.
@@ -48,22 +48,23 @@
 }
 
 fn subtree(text: &str) -> Subtree {
-    let (suspicions, fronts): (Vec<&str>, Vec<&str>) =
+    let (suspicions, endpoints): (Vec<&str>, Vec<&str>) =
         text.split_whitespace().partition(|entry| entry.starts_with('!'));
     let suspicion = |text: &str| {
         let (suspect, monitors) = text[1..].split_once(':').expect("monitors");
         (suspect.to_string(), monitors.split(',').map(str::to_string).collect())
     };
     Subtree {
-        fronts: fronts.into_iter().map(|text| (front(text).name, front(text))).collect(),
+        endpoints: endpoints.into_iter().map(|text| (endpoint(text).name, endpoint(text))).collect(),
         suspicions: suspicions.into_iter().map(suspicion).collect(),
         ..Subtree::default()
     }
 }
 
 fn directory(view: &mut DirectoryView, moment: &Moment) -> Directory {
-    let mut root = FeedNode::<u32>::new(Options::core("core"));
-    let publish = |text| Change { key: front_key(&front(text).name), value: Some(encode_value(front(text))) };
+    let mut root = FeedNode::<u32>::new(Options::control_node("core"));
+    let publish =
+        |text| Change { key: endpoint_key(&endpoint(text).name), value: Some(encode_value(endpoint(text))) };
     let changes = moment.published.split_whitespace().map(publish).collect();
     root.handle(Duration::ZERO, Event::BecomeRoot { epoch: moment.epoch }, &mut Vec::new());
     root.handle(Duration::ZERO, Event::Publish(changes), &mut Vec::new());
@@ -78,7 +79,7 @@
 }
 
 fn shown(directory: &Directory) -> String {
-    let shown: Vec<String> = directory.fronts.iter().map(show).collect();
+    let shown: Vec<String> = directory.endpoints.iter().map(show).collect();
     shown.join(" ")
 }
 
--- a/crates/quillpulley/tests/control/fronts.rs
+++ b/crates/quillpulley/tests/control/endpoint_registry.rs
@@ -5,42 +5,42 @@
 //! not 1: `f:r`, `f:r2`. `!f:m` is a suspicion of the monitor `m`, and of others after commas. Published is
 //! shown likewise, `-f` for gone. A line without a report (`.`) only lets time pass.
 
-use quillpulley::control::fronts::PublishedFronts;
-use quillpulley_protocol::{decode_value, encode_value, Front, FrontRef, FrontState};
-use quillpulley_serving_config::published::front_key;
+use quillpulley::control::endpoint_registry::EndpointRegistry;
+use quillpulley_protocol::{decode_value, encode_value, EndpointState, ProxyEndpoint, ProxyEndpointRef};
+use quillpulley_serving_config::published::endpoint_key;
 use quillpulley_state_sync::{Change, Subtree};
 use std::time::Duration;
 
-fn front(text: &str) -> Front {
+fn endpoint(text: &str) -> ProxyEndpoint {
     let (name, rest) = text.split_once(':').expect("a state");
-    let (state, life) = rest.split_at(1);
-    Front {
+    let (state, incarnation) = rest.split_at(1);
+    ProxyEndpoint {
         name: name.to_string(),
         ip: 0x0a00_0001,
         zone: "a".to_string(),
         region: "west".to_string(),
         address: "10.0.0.1:80".to_string(),
         state: match state {
-            "s" => FrontState::Starting,
-            "r" => FrontState::Ready,
-            "l" => FrontState::Leaving,
+            "s" => EndpointState::Starting,
+            "r" => EndpointState::Ready,
+            "l" => EndpointState::Draining,
             other => panic!("unknown state {other}"),
         },
-        life: if life.is_empty() { 1 } else { life.parse().expect("a life") },
+        incarnation: if incarnation.is_empty() { 1 } else { incarnation.parse().expect("a life") },
         preferred_regions: Vec::new(),
     }
 }
 
 fn tree(text: &str) -> Subtree {
-    let (suspicions, fronts): (Vec<&str>, Vec<&str>) =
+    let (suspicions, endpoints): (Vec<&str>, Vec<&str>) =
         text.split_whitespace().partition(|entry| entry.starts_with('!'));
     let suspicion = |text: &str| {
         let (suspect, monitors) = text[1..].split_once(':').expect("monitors");
         (suspect.to_string(), monitors.split(',').map(str::to_string).collect())
     };
-    let fronts = fronts.into_iter().map(front);
+    let endpoints = endpoints.into_iter().map(endpoint);
     Subtree {
-        fronts: fronts.map(|front| (front.name.clone(), front)).collect(),
+        endpoints: endpoints.map(|endpoint| (endpoint.name.clone(), endpoint)).collect(),
         suspicions: suspicions.into_iter().map(suspicion).collect(),
         ..Subtree::default()
     }
@@ -50,25 +50,26 @@
     let Some(value) = &change.value else {
         return format!("-{}", change.key.strip_prefix("front/").expect("a front"));
     };
-    let front: Front = decode_value::<FrontRef, Front>(value).expect("a front");
-    let state = match front.state {
-        FrontState::Starting => "s",
-        FrontState::Ready => "r",
-        FrontState::Leaving => "l",
+    let endpoint: ProxyEndpoint = decode_value::<ProxyEndpointRef, ProxyEndpoint>(value).expect("a front");
+    let state = match endpoint.state {
+        EndpointState::Starting => "s",
+        EndpointState::Ready => "r",
+        EndpointState::Draining => "l",
     };
-    let life = if front.life == 1 { String::new() } else { front.life.to_string() };
-    format!("{}:{state}{life}", front.name)
+    let incarnation =
+        if endpoint.incarnation == 1 { String::new() } else { endpoint.incarnation.to_string() };
+    format!("{}:{state}{incarnation}", endpoint.name)
 }
 
-fn play(mut fronts: PublishedFronts, timeline: &str) {
+fn play(mut endpoints: EndpointRegistry, timeline: &str) {
     for line in timeline.lines().map(str::trim).filter(|line| !line.is_empty()) {
         let mut columns = line.split('|').map(str::trim);
         let mut column = || columns.next().expect("three columns");
         let (time, reported, expected) = (column(), column(), column());
         let now = Duration::from_millis(time.parse().expect("a time"));
         let changes = match reported {
-            "." => fronts.tick(now),
-            reported => fronts.update(now, &tree(reported)),
+            "." => endpoints.tick(now),
+            reported => endpoints.update(now, &tree(reported)),
         };
         let shown: Vec<String> = changes.iter().map(show).collect();
         assert_eq!(shown.join(" "), expected, "{line}");
@@ -78,7 +79,7 @@
 #[test]
 fn states_are_published_at_once() {
     play(
-        PublishedFronts::default(),
+        EndpointRegistry::default(),
         "
            0 | f:s     | f:s
          100 | f:r g:r | f:r g:r
@@ -92,7 +93,7 @@
 #[test]
 fn a_front_that_comes_back_within_a_second_is_never_gone() {
     play(
-        PublishedFronts::default(),
+        EndpointRegistry::default(),
         "
            0 | f:r g:r | f:r g:r
          100 | g:r     |
@@ -109,7 +110,7 @@
 #[test]
 fn two_monitors_are_believed_and_one_is_not() {
     play(
-        PublishedFronts::default(),
+        EndpointRegistry::default(),
         "
            0 | f:r g:r          | f:r g:r
          100 | f:r g:r !f:g     |
@@ -122,10 +123,10 @@
 
 #[test]
 fn a_new_primary_gives_the_agents_time_to_report() {
-    let items = ["f:r", "g:r"].map(|text| (front_key(&text[..1]), encode_value(front(text))));
+    let items = ["f:r", "g:r"].map(|text| (endpoint_key(&text[..1]), encode_value(endpoint(text))));
     let items = items.iter().map(|(key, value)| (key.as_str(), value.as_slice()));
     play(
-        PublishedFronts::inherit(Duration::ZERO, items),
+        EndpointRegistry::inherit(Duration::ZERO, items),
         "
            0 |         |
         1500 | f:r     |
--- a/crates/quillpulley/tests/control/frozen_host.rs
+++ b/crates/quillpulley/tests/control/frozen_host.rs
@@ -68,7 +68,7 @@
             name: "core".to_string(),
             zone: "a".to_string(),
             region: "a".to_string(),
-            control: api.to_string(),
+            control_address: api.to_string(),
         };
         // Alone it dials nobody, and so its links need no runtime.
         let (peers, _) = Peers::new(hello);
--- a/crates/quillpulley/tests/control/main.rs
+++ b/crates/quillpulley/tests/control/main.rs
@@ -8,7 +8,7 @@
 mod directory_days;
 mod directory_view;
 mod disk;
-mod fronts;
+mod endpoint_registry;
 mod frozen_host;
 mod late_answers;
 mod mixed_releases;
--- a/crates/quillpulley/tests/control/peer_table.rs
+++ b/crates/quillpulley/tests/control/peer_table.rs
@@ -21,7 +21,7 @@
         name: "core".to_string(),
         zone: "a".to_string(),
         region: "west".to_string(),
-        control: format!("{}:80", node.address()),
+        control_address: format!("{}:80", node.address()),
     }
 }
 
--- a/crates/quillpulley/tests/control/platform.rs
+++ b/crates/quillpulley/tests/control/platform.rs
@@ -24,10 +24,13 @@
     assert_eq!(page.next_token.as_deref(), Some("p-50"));
     assert!(page.unreadable.is_empty());
     let [ready, draining] = &page.servers[..] else { panic!("two servers, not {:?}", page.servers) };
-    assert_eq!((ready.id.as_str(), ready.state, ready.warmup_left_ms), ("i-1", ServerState::Ready, 1500));
-    assert_eq!((ready.slots, ready.has_time_left), (64, false));
+    assert_eq!(
+        (ready.id.as_str(), ready.state, ready.warmup_remaining_ms),
+        ("i-1", ServerState::Ready, 1500)
+    );
+    assert_eq!((ready.slots, ready.has_time_remaining), (64, false));
     assert_eq!((draining.zone.as_str(), draining.state), ("b", ServerState::Draining));
-    assert_eq!((draining.has_time_left, draining.time_left_ms), (true, 2500));
+    assert_eq!((draining.has_time_remaining, draining.time_remaining_ms), (true, 2500));
 }
 
 #[test]
--- a/crates/quillpulley/tests/control/publisher.rs
+++ b/crates/quillpulley/tests/control/publisher.rs
@@ -1,17 +1,17 @@
 //! What the root publishes of the control state and of the core processes.
 
-use quillpulley::control::publisher::{core_changes, state_changes};
+use quillpulley::control::publisher::{control_node_changes, state_changes};
 use quillpulley_control_state::{ControlState, EvacuationDecision};
-use quillpulley_protocol::{Core, Entry};
+use quillpulley_protocol::{ControlNode, Entry};
 use quillpulley_replication::StateMachine;
-use quillpulley_serving_config::published::{core_key, evacuated_key, server_key};
+use quillpulley_serving_config::published::{control_node_key, evacuated_key, server_key};
 use quillpulley_state_sync::{Change, Event, FeedNode, Options, Store};
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
 /// The store of a root that has published these items.
 fn with_store<T>(items: &[(String, &str)], look: impl FnOnce(&Store) -> T) -> T {
-    let mut root = FeedNode::<u32>::new(Options::core("core"));
+    let mut root = FeedNode::<u32>::new(Options::control_node("core"));
     let changes = items.iter().map(|(key, value)| set(key, value.as_bytes().to_vec()));
     root.handle(Duration::ZERO, Event::BecomeRoot { epoch: 1 }, &mut Vec::new());
     root.handle(Duration::ZERO, Event::Publish(changes.collect()), &mut Vec::new());
@@ -25,7 +25,7 @@
 fn evacuated(zones: &[&str]) -> ControlState {
     let mut state = ControlState::default();
     for (index, zone) in (1..).zip(zones) {
-        let EvacuationDecision::Take(payload) = state.decide_evacuation(zone, true) else {
+        let EvacuationDecision::Propose(payload) = state.decide_evacuation(zone, true) else {
             panic!("a new zone")
         };
         state.apply(&Entry { epoch: 1, index, payload });
@@ -56,14 +56,14 @@
 
 #[test]
 fn core_processes_are_published_and_removed() {
-    let core = |number: u8| Core {
+    let control_node = |number: u8| ControlNode {
         ip: Ipv4Addr::new(10, 0, 0, number).to_bits(),
         zone: "a".to_string(),
         region: "west".to_string(),
     };
-    let key = |number| core_key(Ipv4Addr::new(10, 0, 0, number));
+    let key = |number| control_node_key(Ipv4Addr::new(10, 0, 0, number));
     let items = [(key(1), "x"), (server_key("i-1"), "x")];
-    let changes = with_store(&items, |store| core_changes(store, vec![core(2)]));
+    let changes = with_store(&items, |store| control_node_changes(store, vec![control_node(2)]));
     let keys: Vec<(String, bool)> =
         changes.into_iter().map(|change| (change.key, change.value.is_some())).collect();
     assert_eq!(keys, [(key(1), false), (key(2), true)]);
--- a/crates/quillpulley/tests/control/reader.rs
+++ b/crates/quillpulley/tests/control/reader.rs
@@ -30,9 +30,9 @@
         zone: "a".to_string(),
         slots: 4,
         state: ServerState::Ready,
-        warmup_left_ms: 0,
-        time_left_ms: 0,
-        has_time_left: false,
+        warmup_remaining_ms: 0,
+        time_remaining_ms: 0,
+        has_time_remaining: false,
     }
 }
 
--- a/crates/quillpulley/tests/control/relay.rs
+++ b/crates/quillpulley/tests/control/relay.rs
@@ -1,7 +1,7 @@
 //! Who is whose parent among the core processes.
 
 use quillpulley::control::relay::{ChildFrame, ParentChange, Relay};
-use quillpulley_protocol::{Body, NodeId, Report, Stamp, Subscribe};
+use quillpulley_protocol::{Body, NodeId, Report, Revision, Subscribe};
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
@@ -14,15 +14,15 @@
 }
 
 fn subscription() -> Body {
-    Body::Subscribe(Box::new(Subscribe { stamp: Stamp::default(), digests: Vec::new() }))
+    Body::Subscribe(Box::new(Subscribe { revision: Revision::default(), digests: Vec::new() }))
 }
 
 fn report(delta: bool, proxies: u32) -> Body {
     Body::Report(Box::new(Report {
         delta,
         depth: 0,
-        fronts: Vec::new(),
-        fronts_gone: Vec::new(),
+        endpoints: Vec::new(),
+        removed_endpoints: Vec::new(),
         suspicions: Vec::new(),
         proxies,
         services: Vec::new(),
--- a/crates/quillpulley/tests/control/servers.rs
+++ b/crates/quillpulley/tests/control/servers.rs
@@ -21,18 +21,18 @@
         zone: "z".to_string(),
         slots: 4,
         state: ServerState::Ready,
-        warmup_left_ms: 0,
-        time_left_ms: 0,
-        has_time_left: false,
+        warmup_remaining_ms: 0,
+        time_remaining_ms: 0,
+        has_time_remaining: false,
     };
     for part in parts {
         match part.split_at(1) {
             ("*", _) => server.state = ServerState::Draining,
             ("@", address) => server.address = address.to_string(),
-            ("w", count) => server.warmup_left_ms = count.parse().expect("a count"),
+            ("w", count) => server.warmup_remaining_ms = count.parse().expect("a count"),
             ("t", count) => {
-                server.has_time_left = true;
-                server.time_left_ms = count.parse().expect("a count");
+                server.has_time_remaining = true;
+                server.time_remaining_ms = count.parse().expect("a count");
             }
             other => panic!("unknown mark {other:?}"),
         }
@@ -52,11 +52,11 @@
     if server.address != "a" {
         shown += &format!("/@{}", server.address);
     }
-    if server.warmup_left_ms > 0 {
-        shown += &format!("/w{}", server.warmup_left_ms);
+    if server.warmup_remaining_ms > 0 {
+        shown += &format!("/w{}", server.warmup_remaining_ms);
     }
-    if server.has_time_left {
-        shown += &format!("/t{}", server.time_left_ms);
+    if server.has_time_remaining {
+        shown += &format!("/t{}", server.time_remaining_ms);
     }
     shown
 }
--- a/crates/quillpulley/tests/control/tree.rs
+++ b/crates/quillpulley/tests/control/tree.rs
@@ -4,7 +4,9 @@
 use crate::cluster::{Call, Cluster};
 use crate::configuration;
 use quillpulley_protocol::{decode_value, ConfigHead, ConfigHeadRef, Server, ServerRef, ServerState};
-use quillpulley_serving_config::published::{core_key, evacuated_key, front_key, server_key, CONFIG_KEY};
+use quillpulley_serving_config::published::{
+    control_node_key, endpoint_key, evacuated_key, server_key, CONFIG_KEY,
+};
 use quillpulley_state_sync::FeedNode;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -63,11 +65,13 @@
     let mut cluster = Cluster::start(3, Some(platform.address));
     assert_eq!(cluster.order(&Call::replace(0, configuration("5"))).status, 200);
     let primary = cluster.primary();
-    let cores: Vec<String> = (0..3).map(|index| core_key(cluster.address(index))).collect();
+    let control_nodes: Vec<String> = (0..3).map(|index| control_node_key(cluster.address(index))).collect();
     let mut agents = Agents::connect("zone-0", (0..3).map(|index| cluster.link(index)));
     agents.until("the configuration", |feed| version(feed) == Some(5));
     agents.until("the servers", |feed| server_state(feed, "i-3") == Some(ServerState::Ready));
-    agents.until("the core", |feed| cores.iter().all(|core| feed.store().get(core).is_some()));
+    agents.until("the core", |feed| {
+        control_nodes.iter().all(|control_node| feed.store().get(control_node).is_some())
+    });
 
     platform.set(&["i-1 draining", "i-2 ready"]);
     assert_eq!(cluster.order(&Call::evacuate("zone-0")).status, 200);
@@ -80,7 +84,7 @@
     let epoch = agents.epoch();
     cluster.kill(primary);
     assert_eq!(cluster.order(&Call::replace(5, configuration("6"))).status, 200);
-    agents.until("the next configuration", |feed| version(feed) == Some(6) && feed.stamp().epoch > epoch);
+    agents.until("the next configuration", |feed| version(feed) == Some(6) && feed.revision().epoch > epoch);
     agents.until("the servers still", |feed| server_state(feed, "i-2") == Some(ServerState::Ready));
 }
 
@@ -88,7 +92,7 @@
 fn the_directory_tells_the_fronts_of_all_agents() {
     let mut cluster = Cluster::start(3, None);
     let mut agents = Agents::connect("zone-0", (0..2).map(|index| cluster.link(index)));
-    let is_known = |feed: &FeedNode<()>, name: &str| feed.store().get(&front_key(name)).is_some();
+    let is_known = |feed: &FeedNode<()>, name: &str| feed.store().get(&endpoint_key(name)).is_some();
     agents.until("both fronts", |feed| is_known(feed, "front-0") && is_known(feed, "front-1"));
     let told = |cluster: &Cluster, index| {
         let told = cluster.resolve(index, "zone-0")?;
--- a/crates/quillpulley/tests/operators/node.rs
+++ b/crates/quillpulley/tests/operators/node.rs
@@ -218,15 +218,15 @@
         let state = self.replica.state();
         let decision = match order {
             Order::Replace { base, body } => match state.decide_replace(*base, body) {
-                ReplaceDecision::Take(payload) => Err(payload),
-                ReplaceDecision::AlreadyTaken => Ok(Answer::Done),
+                ReplaceDecision::Propose(payload) => Err(payload),
+                ReplaceDecision::AlreadyApplied => Ok(Answer::Done),
                 ReplaceDecision::Conflict { current } => Ok(Answer::Conflict { current }),
-                ReplaceDecision::Forgotten { oldest } => Ok(Answer::Forgotten { oldest }),
+                ReplaceDecision::HistoryExpired { oldest } => Ok(Answer::Forgotten { oldest }),
                 ReplaceDecision::Invalid(error) => Ok(Answer::Invalid(error.to_string())),
             },
             Order::Evacuate { zone, active } => match state.decide_evacuation(zone, *active) {
-                EvacuationDecision::AlreadySo => Ok(Answer::Done),
-                EvacuationDecision::Take(payload) => Err(payload),
+                EvacuationDecision::AlreadyInEffect => Ok(Answer::Done),
+                EvacuationDecision::Propose(payload) => Err(payload),
             },
         };
         match decision {
--- a/crates/quillpulley/tests/parent_search.rs
+++ b/crates/quillpulley/tests/parent_search.rs
@@ -11,14 +11,14 @@
     let (kind, number) = name.split_at(1);
     let number = number.parse().expect("a name such as C1");
     match kind {
-        "C" => ParentCandidate::Core(Ipv4Addr::new(10, 0, 0, number)),
+        "C" => ParentCandidate::ControlNode(Ipv4Addr::new(10, 0, 0, number)),
         _ => ParentCandidate::Agent(Ipv4Addr::new(10, 0, 0, number)),
     }
 }
 
 fn name(candidate: ParentCandidate) -> String {
     match candidate {
-        ParentCandidate::Core(ip) => format!("C{}", ip.octets()[3]),
+        ParentCandidate::ControlNode(ip) => format!("C{}", ip.octets()[3]),
         ParentCandidate::Agent(ip) => format!("A{}", ip.octets()[3]),
     }
 }
@@ -30,7 +30,7 @@
         "candidates" => Event::Candidates(rest.split_whitespace().map(candidate).collect()),
         "opened" => Event::Opened(candidate(rest)),
         "lost" => Event::Lost(candidate(rest)),
-        "moved" => Event::StampMoved,
+        "moved" => Event::RevisionMoved,
         _ => panic!("{verb} is no event"),
     }
 }
@@ -254,7 +254,7 @@
                 1 => Event::Candidates(vec![candidate("C3"), candidate("A1")]),
                 2 if connecting.contains(&which) => Event::Opened(which),
                 3 if connecting.contains(&which) || parent == Some(which) => Event::Lost(which),
-                4 => Event::StampMoved,
+                4 => Event::RevisionMoved,
                 _ => Event::Tick,
             };
             let opened = matches!(event, Event::Opened(_)).then_some(which);
--- a/crates/quillpulley/tests/peer.rs
+++ b/crates/quillpulley/tests/peer.rs
@@ -45,7 +45,7 @@
 #[test]
 fn both_sides_learn_who_the_other_is() {
     run(async {
-        let (mut core, address) = listening("core").await;
+        let (mut control_node, address) = listening("core").await;
         let mut agent = Side::new(PeerKind::Agent, "agent");
         let asked = agent.peers.connect(address);
         match agent.event().await {
@@ -54,7 +54,7 @@
             }
             other => panic!("{other:?}"),
         }
-        match core.event().await {
+        match control_node.event().await {
             PeerEvent::Opened { hello: Hello { name, kind, .. }, incoming, .. } => {
                 assert_eq!((name.as_str(), kind, incoming), ("agent", PeerKind::Agent, true));
             }
@@ -66,18 +66,18 @@
 #[test]
 fn frames_come_in_order_both_ways_also_those_sent_before_the_link_opens() {
     run(async {
-        let (mut core, address) = listening("core").await;
+        let (mut control_node, address) = listening("core").await;
         let mut agent = Side::new(PeerKind::Agent, "agent");
         let link = agent.peers.connect(address);
         let long_name = "n".repeat(30_000);
         for sequence in 0..50 {
             agent.peers.send(link, &ping(&long_name, sequence));
         }
-        let (at_core, _) = core.opened().await;
+        let (at_control_node, _) = control_node.opened().await;
         agent.opened().await;
         for sequence in 0..50 {
-            assert_eq!(core.frame().await, (at_core, ping(&long_name, sequence)));
-            core.peers.send(at_core, &ping("back", sequence));
+            assert_eq!(control_node.frame().await, (at_control_node, ping(&long_name, sequence)));
+            control_node.peers.send(at_control_node, &ping("back", sequence));
         }
         for sequence in 0..50 {
             assert_eq!(agent.frame().await, (link, ping("back", sequence)));
@@ -88,17 +88,17 @@
 #[test]
 fn a_link_that_one_side_closes_is_closed_once_on_both() {
     run(async {
-        let (mut core, address) = listening("core").await;
+        let (mut control_node, address) = listening("core").await;
         let mut agent = Side::new(PeerKind::Agent, "agent");
         let link = agent.peers.connect(address);
-        let (at_core, _) = core.opened().await;
+        let (at_control_node, _) = control_node.opened().await;
         agent.opened().await;
         agent.peers.send(link, &ping("last words", 1));
         agent.peers.close(link);
         agent.peers.close(link);
         agent.closed(link).await;
-        assert_eq!(core.frame().await.1, ping("last words", 1));
-        core.closed(at_core).await;
+        assert_eq!(control_node.frame().await.1, ping("last words", 1));
+        control_node.closed(at_control_node).await;
         agent.peers.send(link, &ping("too late", 2));
         assert!(agent.events.try_recv().is_err());
     });
@@ -107,13 +107,13 @@
 #[test]
 fn all_links_close_with_their_process() {
     run(async {
-        let (mut core, address) = listening("core").await;
+        let (mut control_node, address) = listening("core").await;
         let mut agent = Side::new(PeerKind::Agent, "agent");
         agent.peers.connect(address);
-        let (at_core, _) = core.opened().await;
+        let (at_control_node, _) = control_node.opened().await;
         agent.opened().await;
         drop(agent);
-        core.closed(at_core).await;
+        control_node.closed(at_control_node).await;
     });
 }
 
@@ -152,33 +152,33 @@
 #[test]
 fn half_a_hello_is_cut_off_and_not_told_of() {
     run(async {
-        let (mut core, address) = listening("core").await;
+        let (mut control_node, address) = listening("core").await;
         let mut stream = TcpStream::connect(address).await.expect("a connection");
         let whole = greeting("half");
         stream.write_all(&whole[..whole.len() / 2]).await.expect("half a hello");
         read_to_end(&mut stream).await;
-        assert!(core.events.try_recv().is_err());
+        assert!(control_node.events.try_recv().is_err());
     });
 }
 
 #[test]
 fn a_first_message_that_is_no_hello_is_cut_off() {
     run(async {
-        let (mut core, address) = listening("core").await;
+        let (mut control_node, address) = listening("core").await;
         let mut stream = TcpStream::connect(address).await.expect("a connection");
         stream.write_all(&encode_frame(ping("rude", 1))).await.expect("a message");
         read_to_end(&mut stream).await;
-        assert!(core.events.try_recv().is_err());
+        assert!(control_node.events.try_recv().is_err());
     });
 }
 
 #[test]
 fn a_frame_over_the_limit_closes_the_link() {
     run(async {
-        let (mut core, address) = listening("core").await;
-        let (mut stream, link) = bare(&mut core, address).await;
+        let (mut control_node, address) = listening("core").await;
+        let (mut stream, link) = bare(&mut control_node, address).await;
         stream.write_all(&(MAX_FRAME as u32 + 1).to_le_bytes()).await.expect("a length");
-        core.closed(link).await;
+        control_node.closed(link).await;
         read_to_end(&mut stream).await;
     });
 }
@@ -186,43 +186,44 @@
 #[test]
 fn a_malformed_frame_closes_the_link() {
     run(async {
-        let (mut core, address) = listening("core").await;
-        let (mut stream, link) = bare(&mut core, address).await;
+        let (mut control_node, address) = listening("core").await;
+        let (mut stream, link) = bare(&mut control_node, address).await;
         let mut junk = 8u32.to_le_bytes().to_vec();
         junk.extend_from_slice(&[0xff; 8]);
         stream.write_all(&junk).await.expect("junk");
-        core.closed(link).await;
+        control_node.closed(link).await;
     });
 }
 
 #[test]
 fn a_slow_reader_loses_its_link_and_holds_nobody_up() {
     run(async {
-        let mut core = with_options(PeerOptions { maximum_queued: 100_000, ..PeerOptions::default() });
+        let mut control_node =
+            with_options(PeerOptions { maximum_queued: 100_000, ..PeerOptions::default() });
         let (listener, address) = listener(HERE).await;
-        core.peers.listen(listener);
-        let (mut stream, slow) = bare(&mut core, address).await;
+        control_node.peers.listen(listener);
+        let (mut stream, slow) = bare(&mut control_node, address).await;
         let mut decoder = FrameDecoder::default();
         assert!(matches!(read_message(&mut stream, &mut decoder).await, Some(Body::Hello(_))));
         let large = "x".repeat(200_000);
-        core.peers.send(slow, &ping(&large, 1));
-        core.peers.send(slow, &ping(&large, 2));
-        core.closed(slow).await;
+        control_node.peers.send(slow, &ping(&large, 1));
+        control_node.peers.send(slow, &ping(&large, 2));
+        control_node.closed(slow).await;
     });
 }
 
 #[test]
 fn one_frame_may_exceed_the_bound_of_what_waits() {
     run(async {
-        let mut core = with_options(PeerOptions { maximum_queued: 1_000, ..PeerOptions::default() });
+        let mut control_node = with_options(PeerOptions { maximum_queued: 1_000, ..PeerOptions::default() });
         let (listener, address) = listener(HERE).await;
-        core.peers.listen(listener);
+        control_node.peers.listen(listener);
         let mut agent = Side::new(PeerKind::Agent, "agent");
         agent.peers.connect(address);
-        let (link, _) = core.opened().await;
+        let (link, _) = control_node.opened().await;
         agent.opened().await;
         let large = ping(&"x".repeat(5_000_000), 1);
-        core.peers.send(link, &large);
+        control_node.peers.send(link, &large);
         assert_eq!(agent.frame().await.1, large);
     });
 }
@@ -240,17 +241,18 @@
 #[test]
 fn state_that_is_sent_again_and_again_closes_no_link_and_lets_heartbeats_pass() {
     run(async {
-        let mut core = with_options(PeerOptions { maximum_queued: 100_000, ..PeerOptions::default() });
+        let mut control_node =
+            with_options(PeerOptions { maximum_queued: 100_000, ..PeerOptions::default() });
         let (listener, address) = listener(HERE).await;
-        core.peers.listen(listener);
+        control_node.peers.listen(listener);
         let mut member = Side::new(PeerKind::Control, "member");
         member.peers.connect(address);
-        let (link, _) = core.opened().await;
+        let (link, _) = control_node.opened().await;
         member.opened().await;
         let grant = Body::LeaseGrant(Box::<LeaseGrant>::default());
         for index in 1..=20 {
-            core.peers.send(link, &install(index));
-            core.peers.send(link, &grant);
+            control_node.peers.send(link, &install(index));
+            control_node.peers.send(link, &grant);
         }
         let mut came = Vec::new();
         while !came.contains(&install(20)) {
@@ -270,9 +272,9 @@
         watchful.peers.listen(listener);
         let mut agent = Side::new(PeerKind::Agent, "agent");
         let link = agent.peers.connect(address);
-        let (at_core, _) = watchful.opened().await;
+        let (at_control_node, _) = watchful.opened().await;
         agent.opened().await;
-        watchful.closed(at_core).await;
+        watchful.closed(at_control_node).await;
         agent.closed(link).await;
     });
 }
@@ -280,30 +282,30 @@
 #[test]
 fn connections_beyond_the_bound_are_closed() {
     run(async {
-        let mut core = with_options(PeerOptions { maximum_incoming: 1, ..PeerOptions::default() });
+        let mut control_node = with_options(PeerOptions { maximum_incoming: 1, ..PeerOptions::default() });
         let (listener, address) = listener(HERE).await;
-        core.peers.listen(listener);
-        let (first, link) = bare(&mut core, address).await;
+        control_node.peers.listen(listener);
+        let (first, link) = bare(&mut control_node, address).await;
         let mut second = TcpStream::connect(address).await.expect("a connection");
         read_to_end(&mut second).await;
         drop(first);
-        core.closed(link).await;
-        bare(&mut core, address).await;
+        control_node.closed(link).await;
+        bare(&mut control_node, address).await;
     });
 }
 
 #[test]
 fn no_new_links_come_after_listening_has_stopped() {
     run(async {
-        let (mut core, address) = listening("core").await;
-        let (_stream, link) = bare(&mut core, address).await;
-        core.peers.stop_listening();
+        let (mut control_node, address) = listening("core").await;
+        let (_stream, link) = bare(&mut control_node, address).await;
+        control_node.peers.stop_listening();
         tokio::task::yield_now().await;
         let mut agent = Side::new(PeerKind::Agent, "agent");
         agent.peers.connect(address);
         assert!(matches!(agent.event().await, PeerEvent::ConnectFailed { .. }));
-        core.peers.send(link, &ping("still here", 1));
-        assert!(expect("no event", async { core.events.try_recv() }).await.is_err());
+        control_node.peers.send(link, &ping("still here", 1));
+        assert!(expect("no event", async { control_node.events.try_recv() }).await.is_err());
     });
 }
 
--- a/crates/quillpulley/tests/proxy/life.rs
+++ b/crates/quillpulley/tests/proxy/incarnation.rs
@@ -3,19 +3,19 @@
 use crate::support::client::request;
 use crate::support::{configuration, route, run, FakeServer, Proxy};
 use quillpulley::signals::Command;
-use quillpulley_protocol::FrontState;
+use quillpulley_protocol::EndpointState;
 
 #[test]
 fn it_is_ready_once_a_configuration_is_in_force() {
     run(async {
         let proxy = Proxy::start_unready("").await;
-        proxy.agent.until_front(FrontState::Starting).await;
+        proxy.agent.until_endpoint(EndpointState::Starting).await;
         assert_eq!(proxy.ready_status().await, 503);
         proxy.agent.publish_configuration(&configuration(1, &[&route("a", "idempotent", "")]));
         proxy.agent.until_ready().await;
         assert_eq!(proxy.ready_status().await, 200);
-        let front = proxy.agent.front().expect("a front");
-        assert_eq!((front.name.as_str(), front.address), ("front-1", proxy.front.to_string()));
+        let endpoint = proxy.agent.endpoint().expect("a front");
+        assert_eq!((endpoint.name.as_str(), endpoint.address), ("front-1", proxy.endpoint.to_string()));
     });
 }
 
@@ -81,7 +81,7 @@
         let call = one.call().await;
 
         proxy.commands.send(Command::Stop).expect("the proxy runs");
-        proxy.agent.until_front(FrontState::Leaving).await;
+        proxy.agent.until_endpoint(EndpointState::Draining).await;
         assert_eq!(proxy.ready_status().await, 503);
         for (number, client) in [&mut idle, &mut proxy.client().await].into_iter().enumerate() {
             client.send(&request("GET /a/b", &format!("late-{number}"), "", "")).await;
@@ -119,7 +119,7 @@
         let configuration = configuration(1, &[&route("a", "non_idempotent", "")]);
         let proxy = Proxy::start_with("GraceS = 3", &configuration, &[&one]).await;
         proxy.commands.send(Command::Stop).expect("the proxy runs");
-        proxy.agent.until_front(FrontState::Leaving).await;
+        proxy.agent.until_endpoint(EndpointState::Draining).await;
 
         // The time-out of its route is after the end of the process: it is not passed on.
         let mut client = proxy.client().await;
--- a/crates/quillpulley/tests/proxy/main.rs
+++ b/crates/quillpulley/tests/proxy/main.rs
@@ -3,7 +3,7 @@
 mod support;
 
 mod homes;
-mod life;
+mod incarnation;
 mod limits;
 mod repeats;
 mod routing;
--- a/crates/quillpulley/tests/proxy/support/agent.rs
+++ b/crates/quillpulley/tests/proxy/support/agent.rs
@@ -1,7 +1,9 @@
 //! An agent, whose published state the test sets.
 
 use quillpulley::peer::{LinkId, PeerEvent, Peers};
-use quillpulley_protocol::{encode_value, Body, Front, FrontState, Hello, NodeId, PeerKind, Server};
+use quillpulley_protocol::{
+    encode_value, Body, EndpointState, Hello, NodeId, PeerKind, ProxyEndpoint, Server,
+};
 use quillpulley_serving_config::published::server_key;
 use quillpulley_serving_config::Configuration;
 use quillpulley_state_sync::{Action, Change, Event, FeedNode, Options};
@@ -46,14 +48,14 @@
             name: "agent".to_string(),
             zone: "a".to_string(),
             region: "r".to_string(),
-            control: String::new(),
+            control_address: String::new(),
         };
         let (peers, events) = Peers::new(hello);
         peers.listen(listener);
         let shared = Rc::new(Shared {
             started: Instant::now(),
             peers,
-            node: RefCell::new(FeedNode::new(Options::core("agent"))),
+            node: RefCell::new(FeedNode::new(Options::control_node("agent"))),
             routes: RefCell::default(),
             totals_sent: Cell::new(false),
             changed: Notify::new(),
@@ -89,24 +91,24 @@
     }
 
     /// What the proxy reports of its front.
-    pub fn front(&self) -> Option<Front> {
-        self.shared.node.borrow().subtree().fronts.values().next().cloned()
+    pub fn endpoint(&self) -> Option<ProxyEndpoint> {
+        self.shared.node.borrow().subtree().endpoints.values().next().cloned()
     }
 
     /// Waits until the proxy has reported a front like this.
-    pub async fn until(&self, is_wanted: impl Fn(&Front) -> bool) {
-        while !self.front().is_some_and(|front| is_wanted(&front)) {
+    pub async fn until(&self, is_wanted: impl Fn(&ProxyEndpoint) -> bool) {
+        while !self.endpoint().is_some_and(|endpoint| is_wanted(&endpoint)) {
             self.shared.changed.notified().await;
         }
     }
 
     /// Waits until the proxy has reported this state.
-    pub async fn until_front(&self, state: FrontState) {
-        self.until(|front| front.state == state).await;
+    pub async fn until_endpoint(&self, state: EndpointState) {
+        self.until(|endpoint| endpoint.state == state).await;
     }
 
     pub async fn until_ready(&self) {
-        self.until_front(FrontState::Ready).await;
+        self.until_endpoint(EndpointState::Ready).await;
     }
 
     /// Waits until the proxy has been sent totals that include itself: retry budgets need them.
@@ -142,7 +144,7 @@
                 Some(PeerEvent::ConnectFailed { .. }) => {}
                 None => return,
             },
-            () = sleep(Duration::from_millis(50)) => shared.handle(Event::Stamp),
+            () = sleep(Duration::from_millis(50)) => shared.handle(Event::Heartbeat),
         }
         shared.handle(Event::Tick);
     }
--- a/crates/quillpulley/tests/proxy/support/mod.rs
+++ b/crates/quillpulley/tests/proxy/support/mod.rs
@@ -38,7 +38,7 @@
 
 /// A proxy that is ready, with its agent.
 pub struct Proxy {
-    pub front: SocketAddr,
+    pub endpoint: SocketAddr,
     pub ready: SocketAddr,
     pub agent: FakeAgent,
     pub commands: UnboundedSender<Command>,
@@ -83,16 +83,16 @@
         let settings = settings(agent.port(), bounds);
         let bind = || TcpListener::bind("127.0.0.1:0");
         let listeners =
-            Listeners { front: bind().await.expect("front"), ready: bind().await.expect("ready") };
-        let front = listeners.front.local_addr().expect("front");
+            Listeners { endpoint: bind().await.expect("front"), ready: bind().await.expect("ready") };
+        let endpoint = listeners.endpoint.local_addr().expect("front");
         let ready = listeners.ready.local_addr().expect("ready");
         let (commands, receiver) = unbounded_channel();
         let ended = spawn_local(serve_with_faults(settings, listeners, receiver, faults));
-        Proxy { front, ready, agent, commands, ended }
+        Proxy { endpoint, ready, agent, commands, ended }
     }
 
     pub async fn client(&self) -> Client {
-        Client::connect(self.front).await
+        Client::connect(self.endpoint).await
     }
 
     /// The status of `GET /v1/ready`.
--- a/crates/quillpulley/tests/proxy/support/server.rs
+++ b/crates/quillpulley/tests/proxy/support/server.rs
@@ -71,9 +71,9 @@
         zone: "a".to_string(),
         slots: 64,
         state: wire::ServerState::Ready,
-        warmup_left_ms: 0,
-        time_left_ms: 0,
-        has_time_left: false,
+        warmup_remaining_ms: 0,
+        time_remaining_ms: 0,
+        has_time_remaining: false,
     }
 }
 
--- a/crates/quillpulley/tests/proxy_lifecycle.rs
+++ b/crates/quillpulley/tests/proxy_lifecycle.rs
@@ -1,7 +1,7 @@
 //! When a proxy takes clients, as timelines.
 
 use quillpulley::proxy::lifecycle::{retry_after_start, Event, Lifecycle};
-use quillpulley_protocol::FrontState;
+use quillpulley_protocol::EndpointState;
 use std::time::Duration;
 
 /// Each line: what happens at which millisecond, the millisecond at which it is looked at, and the state.
@@ -27,10 +27,10 @@
         for pair in words.chunks(2) {
             lifecycle.handle(milliseconds(pair[0]), event(pair[1]));
         }
-        let state = lifecycle.front_state(milliseconds(columns[1]));
+        let state = lifecycle.endpoint_state(milliseconds(columns[1]));
         assert_eq!(name(state), columns[2], "{line}");
-        assert_eq!(lifecycle.is_ready(milliseconds(columns[1])), state == FrontState::Ready, "{line}");
-        assert_eq!(lifecycle.is_leaving(), state == FrontState::Leaving, "{line}");
+        assert_eq!(lifecycle.is_ready(milliseconds(columns[1])), state == EndpointState::Ready, "{line}");
+        assert_eq!(lifecycle.is_leaving(), state == EndpointState::Draining, "{line}");
     }
 }
 
@@ -47,11 +47,11 @@
     }
 }
 
-fn name(state: FrontState) -> &'static str {
+fn name(state: EndpointState) -> &'static str {
     match state {
-        FrontState::Starting => "starting",
-        FrontState::Ready => "ready",
-        FrontState::Leaving => "leaving",
+        EndpointState::Starting => "starting",
+        EndpointState::Ready => "ready",
+        EndpointState::Draining => "leaving",
     }
 }
 
--- a/crates/replication/src/election.rs
+++ b/crates/replication/src/election.rs
@@ -58,7 +58,7 @@
         }
         let Some(view) = self.witness.view().filter(|view| self.belongs_to(view)).cloned() else { return };
         let epoch = self.highest_epoch + 1;
-        self.change = Some(ViewChange::new(epoch, Phase::Trial, self.now, view, None));
+        self.change = Some(ViewChange::new(epoch, Phase::PreVote, self.now, view, None));
         self.ask_for_promises();
     }
 
@@ -69,8 +69,11 @@
     /// Asks all witnesses that have not promised yet.
     pub(crate) fn ask_for_promises(&mut self) {
         let Some(change) = &mut self.change else { return };
-        let prepare =
-            Prepare { epoch: change.epoch, candidate: self.options.me, trial: change.phase == Phase::Trial };
+        let prepare = Prepare {
+            epoch: change.epoch,
+            candidate: self.options.me,
+            pre_vote: change.phase == Phase::PreVote,
+        };
         let mut asked = electors(change.voters());
         asked.retain(|node| !change.agreed.contains(node));
         change.resend_at = self.now + ASK_AGAIN;
@@ -82,12 +85,12 @@
     /// Asks a witness that can be reached from now on, without waiting for the next round.
     pub(crate) fn ask_for_promise(&mut self, node: NodeId) {
         let Some(change) = &self.change else { return };
-        let is_asked = matches!(change.phase, Phase::Trial | Phase::Prepare)
+        let is_asked = matches!(change.phase, Phase::PreVote | Phase::Prepare)
             && electors(change.voters()).contains(&node)
             && !change.agreed.contains(&node);
         if is_asked {
-            let trial = change.phase == Phase::Trial;
-            let prepare = Prepare { epoch: change.epoch, candidate: self.options.me, trial };
+            let pre_vote = change.phase == Phase::PreVote;
+            let prepare = Prepare { epoch: change.epoch, candidate: self.options.me, pre_vote };
             self.send(node, Body::Prepare(Box::new(prepare)));
         }
     }
@@ -124,8 +127,8 @@
         self.note_epoch(promise.promised);
         let Some(change) = &mut self.change else { return };
         let asked_for = match change.phase {
-            Phase::Trial => promise.trial,
-            Phase::Prepare => !promise.trial,
+            Phase::PreVote => promise.pre_vote,
+            Phase::Prepare => !promise.pre_vote,
             _ => false,
         };
         if change.epoch != promise.epoch || !asked_for {
@@ -166,9 +169,9 @@
     fn on_superseded(&mut self, by: NodeId) {
         let next_epoch = self.highest_epoch + 1;
         let Some(change) = &mut self.change else { return };
-        if change.phase == Phase::Trial {
+        if change.phase == Phase::PreVote {
             change.epoch = next_epoch;
-            change.enter(Phase::Trial, self.now);
+            change.enter(Phase::PreVote, self.now);
             self.ask_for_promises();
             return;
         }
@@ -186,7 +189,7 @@
     fn on_promised(&mut self) {
         let me = self.options.me;
         let Some(change) = &mut self.change else { return };
-        if change.phase == Phase::Trial {
+        if change.phase == Phase::PreVote {
             self.claim_epoch();
             return;
         }
--- a/crates/replication/src/formation.rs
+++ b/crates/replication/src/formation.rs
@@ -1,6 +1,6 @@
 //! From the state to a view in force: members are brought to it, witnesses accept.
 
-use quillpulley_protocol::{Accept, Accepted, AppendAck, Body, Decline, Installed, NodeId, Position, View};
+use quillpulley_protocol::{Accept, Accepted, AppendAck, Body, Installed, NodeId, Position, Reject, View};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 fn patience(phase: Phase) -> Option<Duration> {
     match phase {
         // A trial binds no one, and a claim waits for the own disk, which has its own limit.
-        Phase::Trial | Phase::Claim => None,
+        Phase::PreVote | Phase::Claim => None,
         Phase::Prepare => Some(Duration::from_millis(700)),
         Phase::Fetch | Phase::Sync => Some(Duration::from_millis(2500)),
         Phase::Accept => Some(Duration::from_millis(1500)),
@@ -50,7 +50,7 @@
     fn ask_again(&mut self) {
         let Some(change) = &self.change else { return };
         match change.phase {
-            Phase::Trial | Phase::Prepare => self.ask_for_promises(),
+            Phase::PreVote | Phase::Prepare => self.ask_for_promises(),
             Phase::Fetch => self.ask_for_state(),
             Phase::Accept | Phase::Activate => self.ask_to_accept(),
             Phase::Claim | Phase::Sync => {}
@@ -162,24 +162,24 @@
     }
 
     /// A node has promised a higher epoch, cannot store, or is leaving: it is not waited for.
-    pub(crate) fn on_decline(&mut self, from: NodeId, decline: Decline) {
-        self.note_epoch(decline.promised);
-        if decline.leaving {
+    pub(crate) fn on_reject(&mut self, from: NodeId, reject: Reject) {
+        self.note_epoch(reject.promised);
+        if reject.shutting_down {
             self.peers.note_leaving(self.now, from);
         }
         if let Some(replicator) = &mut self.replicator {
-            replicator.declined(self.now, from, decline.epoch);
+            replicator.rejected(self.now, from, reject.epoch);
         }
         let Some(change) = &mut self.change else { return };
-        let is_superseded = change.epoch == decline.epoch && decline.promised >= decline.epoch;
+        let is_superseded = change.epoch == reject.epoch && reject.promised >= reject.epoch;
         match change.phase {
             // It takes the log as long as it is there.
-            _ if decline.leaving && !is_superseded => self.go_on_without_leaving(from),
+            _ if reject.shutting_down && !is_superseded => self.go_on_without_leaving(from),
             // A holder of the state that went after an epoch of its own follows a higher one.
             Phase::Fetch if is_superseded => self.claim_again(),
-            Phase::Fetch if change.epoch == decline.epoch => change.resend_at = self.now + ASK_AGAIN,
+            Phase::Fetch if change.epoch == reject.epoch => change.resend_at = self.now + ASK_AGAIN,
             Phase::Sync if is_superseded => self.go_on_without(from),
-            Phase::Sync if change.epoch == decline.epoch => {
+            Phase::Sync if change.epoch == reject.epoch => {
                 change.awaited.remove(&from);
                 self.check_sync();
             }
--- a/crates/replication/src/leaving.rs
+++ b/crates/replication/src/leaving.rs
@@ -1,6 +1,6 @@
 //! The end of a process: what it hands over, and when its data stands elsewhere.
 
-use quillpulley_protocol::{Body, Decline, NodeId, View};
+use quillpulley_protocol::{Body, NodeId, Reject, View};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -48,8 +48,8 @@
 
     /// Says that this node is to end, whatever is under way: this refuses no epoch.
     pub(crate) fn announce_leaving_to(&mut self, to: NodeId) {
-        let decline = Decline { epoch: 0, promised: self.witness.promised(), leaving: true };
-        self.send(to, Body::Decline(Box::new(decline)));
+        let reject = Reject { epoch: 0, promised: self.witness.promised(), shutting_down: true };
+        self.send(to, Body::Reject(Box::new(reject)));
     }
 
     /// A primary has told of its view, which is in force, under an epoch that this node has admitted.
--- a/crates/replication/src/member.rs
+++ b/crates/replication/src/member.rs
@@ -22,13 +22,13 @@
             self.announce_leaving_to(from);
         }
         if !self.disk.is_usable(self.now) {
-            self.decline(from, epoch);
+            self.reject(from, epoch);
         }
         if !self.disk.is_healthy() {
             return false;
         }
         if !self.witness.admit(epoch, from) {
-            self.decline(from, epoch);
+            self.reject(from, epoch);
             return false;
         }
         self.defer_to(from);
--- a/crates/replication/src/primary.rs
+++ b/crates/replication/src/primary.rs
@@ -168,14 +168,14 @@
 
     /// Asks all for the lease and tells them of the view. That is the heartbeat.
     fn heartbeat(&mut self) {
-        let leased = self.holds_lease(self.now);
+        let holds_lease = self.holds_lease(self.now);
         let Some(leadership) = &mut self.leadership else { return };
         let public = self.change.as_ref().filter(|change| change.is_public());
         let epoch = public.map_or(leadership.view.epoch, |change| change.epoch);
         leadership.next_heartbeat = self.now + self.options.heartbeat;
         let round = leadership.lease.ask(self.now, epoch);
         let view = Box::new(leadership.view.clone());
-        let request = LeaseRequest { epoch, round, view, committed: self.applied.index, leased };
+        let request = LeaseRequest { epoch, round, view, committed: self.applied.index, holds_lease };
         let request = Body::LeaseRequest(Box::new(request));
         self.send(self.options.me, request.clone());
         for node in self.peers.connected() {
@@ -185,7 +185,7 @@
 
     pub(crate) fn on_lease_grant(&mut self, from: NodeId, grant: LeaseGrant) {
         self.note_epoch(grant.promised);
-        let was_leased = self.holds_lease(self.now);
+        let held_lease = self.holds_lease(self.now);
         let peer = self.peers.get_mut(from);
         peer.heard(self.now);
         peer.last = grant.last;
@@ -196,7 +196,7 @@
         if grant.granted {
             leadership.lease.granted(from, grant.round, grant.epoch);
         }
-        if !was_leased && self.holds_lease(self.now) {
+        if !held_lease && self.holds_lease(self.now) {
             // The others follow only a primary that says that it holds the lease.
             self.heartbeat();
         }
@@ -288,12 +288,12 @@
 
     /// Tells the fate of the orders that are committed.
     fn settle_orders(&mut self) {
-        let leased = self.holds_lease(self.now);
+        let holds_lease = self.holds_lease(self.now);
         let Some(leadership) = &mut self.leadership else { return };
         let applied = self.applied.index;
         let settled = leadership.pending.iter().take_while(|pending| pending.index <= applied).count();
         for PendingOrder { order, .. } in leadership.pending.drain(..settled) {
-            self.actions.push(if leased {
+            self.actions.push(if holds_lease {
                 Action::Committed { order }
             } else {
                 Action::Rejected { order, why: Rejection::Unknown }
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -139,7 +139,7 @@
     }
 
     /// A node takes nothing at the moment.
-    pub fn declined(&mut self, now: Duration, node: NodeId, epoch: u64) {
+    pub fn rejected(&mut self, now: Duration, node: NodeId, epoch: u64) {
         if let Some(progress) = self.nodes.get_mut(&node).filter(|_| epoch == self.epoch) {
             progress.paused_until = now + PAUSE;
         }
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -1,7 +1,7 @@
 //! The replica: what it holds, how events reach its parts, and what the host may ask.
 
 use log::info;
-use quillpulley_protocol::{Body, Decline, NodeId, Position, View, WitnessRecord};
+use quillpulley_protocol::{Body, NodeId, Position, Reject, View, WitnessRecord};
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -261,7 +261,7 @@
             Body::AppendAck(ack) => self.on_append_ack(from, *ack),
             Body::LeaseRequest(request) => self.on_lease_request(from, *request),
             Body::LeaseGrant(grant) => self.on_lease_grant(from, *grant),
-            Body::Decline(decline) => self.on_decline(from, *decline),
+            Body::Reject(reject) => self.on_reject(from, *reject),
             Body::Resign(resign) => self.on_resign(from, *resign),
             _ => {}
         }
@@ -309,9 +309,9 @@
     }
 
     /// Refuses a message for the log.
-    pub(crate) fn decline(&mut self, to: NodeId, epoch: u64) {
-        let decline = Decline { epoch, promised: self.witness.promised(), leaving: self.stopped };
-        self.send(to, Body::Decline(Box::new(decline)));
+    pub(crate) fn reject(&mut self, to: NodeId, epoch: u64) {
+        let reject = Reject { epoch, promised: self.witness.promised(), shutting_down: self.stopped };
+        self.send(to, Body::Reject(Box::new(reject)));
     }
 
     pub(crate) fn note_epoch(&mut self, epoch: u64) {
--- a/crates/replication/src/view_change.rs
+++ b/crates/replication/src/view_change.rs
@@ -1,6 +1,6 @@
 //! A new view on its way: the state that elections and reconfigurations share.
 //!
-//! `Trial` (elections only) → `Claim` → `Prepare` → `Fetch` (if this node is no member) → `Sync` → `Accept` →
+//! `PreVote` (elections only) → `Claim` → `Prepare` → `Fetch` (if this node is no member) → `Sync` → `Accept` →
 //! `Activate` (if the set of witnesses changes) → in force.
 
 use quillpulley_protocol::{NodeId, Position, View};
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
     /// Asks whether witnesses would promise.
-    Trial,
+    PreVote,
     /// Stores its own epoch.
     Claim,
     /// Asks witnesses to promise.
@@ -95,7 +95,7 @@
 
     /// Whether the epoch is this node's own: no longer a trial.
     pub fn is_claimed(&self) -> bool {
-        self.phase != Phase::Trial
+        self.phase != Phase::PreVote
     }
 
     /// Whether the promises are not in yet.
--- a/crates/replication/src/voter.rs
+++ b/crates/replication/src/voter.rs
@@ -21,13 +21,13 @@
         if prepare.candidate != from || !self.disk.has_record() || !self.disk.is_healthy() {
             return;
         }
-        let Prepare { epoch, trial, .. } = prepare;
-        if trial {
-            self.answer_trial(from, epoch);
+        let Prepare { epoch, pre_vote, .. } = prepare;
+        if pre_vote {
+            self.answer_pre_vote(from, epoch);
             return;
         }
         let vote = self.witness.vote(self.now, epoch, from, CANDIDATE_HOLD);
-        let promise = self.promise(epoch, trial, vote);
+        let promise = self.promise(epoch, pre_vote, vote);
         if vote == Vote::Granted {
             self.defer_to(from);
             self.disk.write_record(self.witness.record());
@@ -38,13 +38,13 @@
         }
     }
 
-    fn answer_trial(&mut self, from: NodeId, epoch: u64) {
+    fn answer_pre_vote(&mut self, from: NodeId, epoch: u64) {
         if !self.disk.is_usable(self.now) {
             return;
         }
         let is_rival = from != self.options.me && self.change.as_ref().is_some_and(ViewChange::is_claimed);
         let vote =
-            if is_rival { Vote::Held(CANDIDATE_HOLD) } else { self.witness.trial(self.now, epoch, from) };
+            if is_rival { Vote::Held(CANDIDATE_HOLD) } else { self.witness.pre_vote(self.now, epoch, from) };
         let promise = self.promise(epoch, true, vote);
         self.send(from, Body::Promise(Box::new(promise)));
     }
@@ -60,8 +60,8 @@
         }
     }
 
-    fn promise(&self, epoch: u64, trial: bool, vote: Vote) -> Promise {
-        let lease_left = match vote {
+    fn promise(&self, epoch: u64, pre_vote: bool, vote: Vote) -> Promise {
+        let lease_remaining = match vote {
             Vote::Held(left) => left,
             Vote::Granted | Vote::Superseded => Duration::ZERO,
         };
@@ -71,8 +71,8 @@
             promised: self.witness.promised(),
             accepted: self.witness.view().cloned().map(Box::new),
             last: self.log.last(),
-            lease_left_ms: u32::try_from(lease_left.as_millis()).unwrap_or(u32::MAX),
-            trial,
+            lease_remaining_ms: u32::try_from(lease_remaining.as_millis()).unwrap_or(u32::MAX),
+            pre_vote,
         }
     }
 
@@ -95,14 +95,14 @@
     }
 
     pub(crate) fn on_lease_request(&mut self, from: NodeId, request: LeaseRequest) {
-        let LeaseRequest { epoch, round, view, committed, leased } = request;
+        let LeaseRequest { epoch, round, view, committed, holds_lease } = request;
         // An epoch that is not yet that of a view is only asked for: until it is promised, leases come first.
         let contested = epoch > view.epoch && self.witness.is_held_by_other(self.now, from);
         let may_grant = view.primary == from && self.disk.has_record() && !contested;
         let granted = may_grant && self.witness.admit(epoch, from);
         if granted {
             self.witness.grant_lease(from, epoch, self.now + self.options.lease);
-            self.follow_primary(from, epoch, leased);
+            self.follow_primary(from, epoch, holds_lease);
             self.witness.learn(&view);
             self.note_view_in_force(epoch, &view);
             if self.disk.is_healthy() {
@@ -136,12 +136,12 @@
 
     /// Another node is the primary of an epoch that is not out of date. Without its lease it keeps no one from
     /// trying to be elected.
-    fn follow_primary(&mut self, from: NodeId, epoch: u64, leased: bool) {
+    fn follow_primary(&mut self, from: NodeId, epoch: u64, holds_lease: bool) {
         if from == self.options.me {
             return;
         }
         let outdated = self.change.as_ref().is_some_and(|change| change.is_claimed() && change.epoch < epoch);
-        if leased {
+        if holds_lease {
             self.defer_to(from);
             self.primary_heard = Some((from, self.now));
         } else if self.leadership.is_some() || outdated {
--- a/crates/replication/src/witness.rs
+++ b/crates/replication/src/witness.rs
@@ -101,7 +101,7 @@
     }
 
     /// What a candidate would hear, without a change.
-    pub fn trial(&self, now: Duration, epoch: u64, candidate: NodeId) -> Vote {
+    pub fn pre_vote(&self, now: Duration, epoch: u64, candidate: NodeId) -> Vote {
         if let Some(left) = self.candidate.and_then(|hold| hold.left(now, candidate)) {
             return Vote::Held(left);
         }
--- a/crates/replication/tests/replication/reads.rs
+++ b/crates/replication/tests/replication/reads.rs
@@ -66,7 +66,7 @@
 /// An answer that waits to be written.
 struct Waiting {
     machine: usize,
-    life: u64,
+    incarnation: u64,
     due: u64,
     /// The end of the lease, by the machine's own clock.
     valid_until: Duration,
@@ -208,7 +208,7 @@
         let taken = ledger.history.iter().filter(|applied| applied.taken_on.is_some());
         let waiting = Waiting {
             machine,
-            life: self.world.life(machine),
+            incarnation: self.world.life(machine),
             due: self.world.now + self.random.u64(0..LONGEST_WAIT_MS),
             valid_until,
             taken: taken.map(|applied| applied.order).collect(),
@@ -230,7 +230,7 @@
         let waiting = std::mem::take(&mut self.waiting);
         for answer in waiting {
             let runs = self.world.is_running(answer.machine);
-            if !runs || self.world.life(answer.machine) != answer.life {
+            if !runs || self.world.life(answer.machine) != answer.incarnation {
                 continue;
             }
             if self.world.machines[answer.machine].frozen || answer.due > self.world.now {
--- a/crates/retry-budget/src/budgets.rs
+++ b/crates/retry-budget/src/budgets.rs
@@ -23,15 +23,15 @@
 
 /// Counts of a service in the latest window: of one limiter, or summed over all.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ServiceTotals {
+pub struct ServiceUsage {
     /// Name of the service.
     pub service: String,
     /// Requests taken from clients.
-    pub first: u32,
+    pub requests: u32,
     /// Repeats that were sent.
-    pub allowed: u32,
+    pub retries: u32,
     /// Repeats that were not sent for want of budget.
-    pub refused: u32,
+    pub rejected_retries: u32,
 }
 
 /// The retry budgets of one limiter. `now` is the time since the start of the process.
@@ -58,11 +58,11 @@
     }
 
     /// Counts a request that was taken from a client for a service.
-    pub fn first(&mut self, now: Duration, service: &str) {
+    pub fn record_request(&mut self, now: Duration, service: &str) {
         let budget = self.budget(now, service);
         budget.counts.advance(now);
         let slot = budget.counts.present();
-        slot.first = slot.first.saturating_add(1);
+        slot.requests = slot.requests.saturating_add(1);
         budget.last_used = now;
     }
 
@@ -73,18 +73,18 @@
         let budget = self.budget(now, service);
         budget.last_used = now;
         let newest = budget.counts.advance(now);
-        let allowed = budget.take(now, newest, ratio, part);
+        let retries = budget.take(now, newest, ratio, part);
         let slot = budget.counts.present();
-        let count = if allowed { &mut slot.allowed } else { &mut slot.refused };
+        let count = if retries { &mut slot.retries } else { &mut slot.rejected_retries };
         *count = count.saturating_add(1);
-        allowed
+        retries
     }
 
     /// Sets the rate of each service's bucket. To be called every exchange period, with or without totals.
     ///
     /// `totals` are sums over `limiters` limiters, this one included. Where they are not `complete`, or lack a
     /// service, its limit comes from the own counts. Also forgets services that are idle.
-    pub fn set_totals(&mut self, now: Duration, totals: &[ServiceTotals], limiters: usize, complete: bool) {
+    pub fn set_totals(&mut self, now: Duration, totals: &[ServiceUsage], limiters: usize, complete: bool) {
         if complete {
             self.most_limiters = self.most_limiters.max(limiters);
         }
@@ -100,12 +100,14 @@
     }
 
     /// Own counts of the latest window, for the exchange.
-    pub fn counts(&self, now: Duration) -> Vec<ServiceTotals> {
+    pub fn counts(&self, now: Duration) -> Vec<ServiceUsage> {
         let counts = self.services.iter().map(|budget| {
-            let Slot { first, allowed, refused } = budget.counts.latest_window(now);
-            ServiceTotals { service: budget.service.clone(), first, allowed, refused }
+            let Slot { requests, retries, rejected_retries } = budget.counts.latest_window(now);
+            ServiceUsage { service: budget.service.clone(), requests, retries, rejected_retries }
         });
-        counts.filter(|counts| counts.first > 0 || counts.allowed > 0 || counts.refused > 0).collect()
+        counts
+            .filter(|counts| counts.requests > 0 || counts.retries > 0 || counts.rejected_retries > 0)
+            .collect()
     }
 
     fn budget(&mut self, now: Duration, service: &str) -> &mut Budget {
@@ -138,13 +140,13 @@
 }
 
 /// Repeats that may be sent in a window. Where totals are missing, the fallback from the own requests.
-fn limit(ratio: f64, own: Slot, totals: Option<&ServiceTotals>, limiters: usize) -> f64 {
+fn limit(ratio: f64, own: Slot, totals: Option<&ServiceUsage>, limiters: usize) -> f64 {
     let Some(totals) = totals else {
-        return ratio * f64::from(own.first);
+        return ratio * f64::from(own.requests);
     };
-    let own = f64::from(own.allowed.saturating_add(own.refused));
-    let total = f64::from(totals.allowed.saturating_add(totals.refused));
-    let target = ratio * f64::from(totals.first);
-    let used = f64::from(totals.allowed);
+    let own = f64::from(own.retries.saturating_add(own.rejected_retries));
+    let total = f64::from(totals.retries.saturating_add(totals.rejected_retries));
+    let target = ratio * f64::from(totals.requests);
+    let used = f64::from(totals.retries);
     share::limit(&Demand { target, own, total, used, limiters })
 }
--- a/crates/retry-budget/src/cap.rs
+++ b/crates/retry-budget/src/cap.rs
@@ -55,7 +55,7 @@
     let window = SLOTS_PER_WINDOW as i64;
     let newest = newest as i64;
     (newest..=newest + window).all(|end| {
-        let repeats = 1 + sum(end - window, end, |slot| counts.slot(slot).allowed);
+        let repeats = 1 + sum(end - window, end, |slot| counts.slot(slot).retries);
         f64::from(repeats) <= ratio * requests(counts, end) + part
     })
 }
@@ -63,10 +63,10 @@
 /// Requests in the three windows for the one that ends in slot `end`, weighted.
 fn requests(counts: &Counts, end: i64) -> f64 {
     let window = SLOTS_PER_WINDOW as i64;
-    let first = |slot| counts.slot(slot).first;
-    let this = sum(end - window + 1, end, first);
-    let half_before = sum(end - window * 3 / 2 + 1, end - window / 2 - 1, first);
-    let before = sum(end - window * 2 + 1, end - window - 1, first);
+    let requests = |slot| counts.slot(slot).requests;
+    let this = sum(end - window + 1, end, requests);
+    let half_before = sum(end - window * 3 / 2 + 1, end - window / 2 - 1, requests);
+    let before = sum(end - window * 2 + 1, end - window - 1, requests);
     WEIGHTS[0] * f64::from(this) + WEIGHTS[1] * f64::from(half_before) + WEIGHTS[2] * f64::from(before)
 }
 
--- a/crates/retry-budget/src/counts.rs
+++ b/crates/retry-budget/src/counts.rs
@@ -11,9 +11,9 @@
 /// What was counted in one slot.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Slot {
-    pub(crate) first: u32,
-    pub(crate) allowed: u32,
-    pub(crate) refused: u32,
+    pub(crate) requests: u32,
+    pub(crate) retries: u32,
+    pub(crate) rejected_retries: u32,
 }
 
 /// A ring of slots, which begins at the start of the process.
@@ -66,10 +66,10 @@
         let number = self.number(now).max(self.newest) as i64;
         let mut sum = Slot::default();
         for slot in (number - SLOTS_PER_WINDOW as i64 + 1)..=number {
-            let Slot { first, allowed, refused } = self.slot(slot);
-            sum.first = sum.first.saturating_add(first);
-            sum.allowed = sum.allowed.saturating_add(allowed);
-            sum.refused = sum.refused.saturating_add(refused);
+            let Slot { requests, retries, rejected_retries } = self.slot(slot);
+            sum.requests = sum.requests.saturating_add(requests);
+            sum.retries = sum.retries.saturating_add(retries);
+            sum.rejected_retries = sum.rejected_retries.saturating_add(rejected_retries);
         }
         sum
     }
--- a/crates/retry-budget/src/lib.rs
+++ b/crates/retry-budget/src/lib.rs
@@ -15,4 +15,4 @@
 mod counts;
 pub mod share;
 
-pub use budgets::{Options, RetryBudgets, ServiceTotals};
+pub use budgets::{Options, RetryBudgets, ServiceUsage};
--- a/crates/retry-budget/tests/budgets.rs
+++ b/crates/retry-budget/tests/budgets.rs
@@ -1,7 +1,7 @@
 //! Token buckets, counts and ageing. A timeline holds one character for each 100 ms:
 //! `f` a request, `R` a repeat that is sent, `r` one that is refused, `t` totals, `.` nothing.
 
-use quillpulley_retry_budget::{Options, RetryBudgets, ServiceTotals};
+use quillpulley_retry_budget::{Options, RetryBudgets, ServiceUsage};
 use std::time::Duration;
 
 const SERVICE: &str = "writers";
@@ -13,12 +13,12 @@
 struct Limiter {
     budgets: RetryBudgets,
     now: Duration,
-    totals: ServiceTotals,
+    totals: ServiceUsage,
     limiters: usize,
 }
 
 impl Limiter {
-    fn new(totals: ServiceTotals, limiters: usize) -> Self {
+    fn new(totals: ServiceUsage, limiters: usize) -> Self {
         Limiter { budgets: RetryBudgets::new(OPTIONS), now: WINDOW * 2, totals, limiters }
     }
 
@@ -35,7 +35,7 @@
     fn step(&mut self, event: char) -> char {
         self.now += STEP;
         match event {
-            'f' => self.budgets.first(self.now, SERVICE),
+            'f' => self.budgets.record_request(self.now, SERVICE),
             't' => self.tell_totals(),
             'R' | 'r' => return if self.budgets.try_repeat(self.now, SERVICE) { 'R' } else { 'r' },
             _ => {}
@@ -48,8 +48,8 @@
     }
 }
 
-fn totals(first: u32, allowed: u32, refused: u32) -> ServiceTotals {
-    ServiceTotals { service: SERVICE.to_owned(), first, allowed, refused }
+fn totals(requests: u32, retries: u32, rejected_retries: u32) -> ServiceUsage {
+    ServiceUsage { service: SERVICE.to_owned(), requests, retries, rejected_retries }
 }
 
 #[test]
--- a/crates/retry-budget/tests/cap.rs
+++ b/crates/retry-budget/tests/cap.rs
@@ -1,7 +1,7 @@
 //! The hard cap under any schedule, any restarts and any knowledge of the others.
 
 use quickcheck::{quickcheck, Arbitrary, Gen};
-use quillpulley_retry_budget::{Options, RetryBudgets, ServiceTotals};
+use quillpulley_retry_budget::{Options, RetryBudgets, ServiceUsage};
 use std::time::Duration;
 
 const SERVICE: &str = "writers";
@@ -89,18 +89,19 @@
     match event {
         Event::Requests(count) => {
             for _ in 0..count {
-                limiter.budgets.first(age, SERVICE);
+                limiter.budgets.record_request(age, SERVICE);
             }
             sent.requests.push((now, usize::from(count)));
         }
         Event::Repeats(count) => {
-            let allowed = (0..count).filter(|_| limiter.budgets.try_repeat(age, SERVICE)).count();
-            sent.repeats.push((now, allowed));
+            let retries = (0..count).filter(|_| limiter.budgets.try_repeat(age, SERVICE)).count();
+            sent.repeats.push((now, retries));
         }
         Event::Restart => *limiter = Limiter { budgets: RetryBudgets::new(OPTIONS), started: now },
-        Event::Totals(first) => {
-            let first = u32::from(first);
-            let totals = ServiceTotals { service: SERVICE.to_owned(), first, allowed: 0, refused: 0 };
+        Event::Totals(requests) => {
+            let requests = u32::from(requests);
+            let totals =
+                ServiceUsage { service: SERVICE.to_owned(), requests, retries: 0, rejected_retries: 0 };
             limiter.budgets.set_totals(age, &[totals], LIMITERS, true);
         }
         Event::Cut => limiter.budgets.set_totals(age, &[], 0, false),
@@ -144,11 +145,12 @@
 #[test]
 fn in_steady_traffic_the_cap_leaves_more_than_half_of_the_ratio_for_one_burst() {
     let mut budgets = RetryBudgets::new(OPTIONS);
-    let totals = ServiceTotals { service: SERVICE.to_owned(), first: 100_000, allowed: 0, refused: 0 };
+    let totals =
+        ServiceUsage { service: SERVICE.to_owned(), requests: 100_000, retries: 0, rejected_retries: 0 };
     let mut now = WINDOW;
     for _ in 0..300 {
         now += Duration::from_millis(100);
-        budgets.first(now, SERVICE);
+        budgets.record_request(now, SERVICE);
         budgets.set_totals(now, std::slice::from_ref(&totals), LIMITERS, true);
     }
     let burst = (0..100).filter(|_| budgets.try_repeat(now, SERVICE)).count();
--- a/crates/serving-config/src/published/key.rs
+++ b/crates/serving-config/src/published/key.rs
@@ -9,9 +9,9 @@
 const EVACUATED_PREFIX: &str = "evacuated/";
 const SERVER_PREFIX: &str = "server/";
 /// What the keys of machines that serve clients begin with.
-pub const FRONT_PREFIX: &str = "front/";
+pub const ENDPOINT_PREFIX: &str = "front/";
 /// What the keys of core processes begin with.
-pub const CORE_PREFIX: &str = "core/";
+pub const CONTROL_NODE_PREFIX: &str = "core/";
 
 /// A key, taken apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,10 +24,10 @@
     Evacuated(&'a str),
     /// A server by its id; its value is a `wire::Server`.
     Server(&'a str),
-    /// A machine that serves clients by its name; its value is a `wire::Front`.
-    Front(&'a str),
-    /// A core process by its address; its value is a `wire::Core`.
-    Core(Ipv4Addr),
+    /// A machine that serves clients by its name; its value is a `wire::ProxyEndpoint`.
+    ProxyEndpoint(&'a str),
+    /// A core process by its address; its value is a `wire::ControlNode`.
+    ControlNode(Ipv4Addr),
 }
 
 impl<'a> PublishedKey<'a> {
@@ -41,8 +41,8 @@
             ROUTE_PREFIX => Some(PublishedKey::Route(name)),
             EVACUATED_PREFIX => Some(PublishedKey::Evacuated(name)),
             SERVER_PREFIX => Some(PublishedKey::Server(name)),
-            FRONT_PREFIX => Some(PublishedKey::Front(name)),
-            CORE_PREFIX => Some(PublishedKey::Core(name.parse().ok()?)),
+            ENDPOINT_PREFIX => Some(PublishedKey::ProxyEndpoint(name)),
+            CONTROL_NODE_PREFIX => Some(PublishedKey::ControlNode(name.parse().ok()?)),
             _ => None,
         }
     }
@@ -65,11 +65,11 @@
 }
 
 /// The key of a machine that serves clients.
-pub fn front_key(name: &str) -> String {
-    format!("{FRONT_PREFIX}{name}")
+pub fn endpoint_key(name: &str) -> String {
+    format!("{ENDPOINT_PREFIX}{name}")
 }
 
 /// The key of a core process.
-pub fn core_key(address: Ipv4Addr) -> String {
-    format!("{CORE_PREFIX}{address}")
+pub fn control_node_key(address: Ipv4Addr) -> String {
+    format!("{CONTROL_NODE_PREFIX}{address}")
 }
--- a/crates/state-sync/src/aggregate.rs
+++ b/crates/state-sync/src/aggregate.rs
@@ -1,7 +1,7 @@
 //! The merge of what a node's own process and its children report, kept up to date with each report.
 
-use crate::counts::{server_load, service_count, set_tally, Tally, TallyChange};
-use crate::subtree::{front_rank, Subtree, Touched};
+use crate::counts::{server_load, service_counters, set_tally, Tally, TallyChange};
+use crate::subtree::{endpoint_rank, Subtree, Touched};
 use quillpulley_protocol::{Report, Totals};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
@@ -27,7 +27,7 @@
 /// Entries that have changed since they were last sent.
 #[derive(Debug, Default)]
 pub(crate) struct Pending {
-    fronts: BTreeSet<String>,
+    endpoints: BTreeSet<String>,
     suspects: BTreeSet<String>,
     proxies: bool,
     services: BTreeSet<String>,
@@ -38,7 +38,7 @@
 
 impl Pending {
     pub(crate) fn is_empty(&self) -> bool {
-        self.fronts.is_empty()
+        self.endpoints.is_empty()
             && self.suspects.is_empty()
             && !self.proxies
             && self.services.is_empty()
@@ -95,9 +95,9 @@
         let proxies = contribution.counts.proxies;
         self.merge_counts(&touched, proxies);
         self.merge_depth();
-        let fronts_changed = touched.fronts.iter().filter(|name| self.merge_front(name)).count() > 0;
+        let endpoints_changed = touched.endpoints.iter().filter(|name| self.merge_endpoint(name)).count() > 0;
         let suspects_changed = touched.suspects.iter().filter(|name| self.merge_suspect(name)).count() > 0;
-        fronts_changed || suspects_changed
+        endpoints_changed || suspects_changed
     }
 
     /// Leaves out what one has reported. Returns whether the merged fronts or suspicions have changed.
@@ -120,19 +120,19 @@
         let servers = self.upward.take_servers(servers_max);
         let pending = &mut self.upward;
         pending.proxies = false;
-        let (present, gone): (Vec<_>, Vec<_>) = std::mem::take(&mut pending.fronts)
+        let (present, gone): (Vec<_>, Vec<_>) = std::mem::take(&mut pending.endpoints)
             .into_iter()
-            .partition(|name| merged.fronts.contains_key(name));
+            .partition(|name| merged.endpoints.contains_key(name));
         let services = std::mem::take(&mut pending.services);
         let suspects = std::mem::take(&mut pending.suspects);
         Report {
             delta: true,
             depth: merged.depth,
-            fronts: present.iter().filter_map(|name| merged.fronts.get(name)).cloned().collect(),
-            fronts_gone: gone,
+            endpoints: present.iter().filter_map(|name| merged.endpoints.get(name)).cloned().collect(),
+            removed_endpoints: gone,
             suspicions: suspects.iter().map(|suspect| merged.suspicion(suspect)).collect(),
             proxies: merged.counts.proxies,
-            services: pick(&merged.counts.services, services).map(service_count).collect(),
+            services: pick(&merged.counts.services, services).map(service_counters).collect(),
             servers: pick(&merged.counts.servers, servers).map(server_load).collect(),
         }
     }
@@ -149,7 +149,7 @@
             hops: 0,
             origin: 0,
             proxies: counts.proxies,
-            services: pick(&counts.services, services).map(service_count).collect(),
+            services: pick(&counts.services, services).map(service_counters).collect(),
             servers: pick(&counts.servers, servers).map(server_load).collect(),
         }
     }
@@ -168,17 +168,17 @@
         self.merged.depth = depths.max().unwrap_or(0);
     }
 
-    fn merge_front(&mut self, name: &str) -> bool {
-        let accounts = self.contributions.values().filter_map(|subtree| subtree.fronts.get(name));
-        let best = accounts.max_by_key(|front| front_rank(front));
-        if best == self.merged.fronts.get(name) {
+    fn merge_endpoint(&mut self, name: &str) -> bool {
+        let accounts = self.contributions.values().filter_map(|subtree| subtree.endpoints.get(name));
+        let best = accounts.max_by_key(|endpoint| endpoint_rank(endpoint));
+        if best == self.merged.endpoints.get(name) {
             return false;
         }
         match best.cloned() {
-            Some(front) => self.merged.fronts.insert(name.to_string(), front),
-            None => self.merged.fronts.remove(name),
+            Some(endpoint) => self.merged.endpoints.insert(name.to_string(), endpoint),
+            None => self.merged.endpoints.remove(name),
         };
-        self.upward.fronts.insert(name.to_string());
+        self.upward.endpoints.insert(name.to_string());
         true
     }
 
--- a/crates/state-sync/src/children.rs
+++ b/crates/state-sync/src/children.rs
@@ -1,14 +1,14 @@
 //! The children of a node and how far each is with its subscription.
 
 use crate::store::Digests;
-use quillpulley_protocol::{Report, Stamp, Subscribe};
+use quillpulley_protocol::{Report, Revision, Subscribe};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// A subscription that waits for its answer.
 #[derive(Clone, Debug)]
 pub(crate) struct Subscription {
-    pub(crate) stamp: Stamp,
+    pub(crate) revision: Revision,
     pub(crate) digests: Box<Digests>,
 }
 
@@ -115,6 +115,6 @@
     /// What a child has sent, if it has a digest for each range.
     pub(crate) fn read(subscribe: Subscribe) -> Option<Self> {
         let digests: Box<Digests> = subscribe.digests.into_boxed_slice().try_into().ok()?;
-        Some(Subscription { stamp: subscribe.stamp, digests })
+        Some(Subscription { revision: subscribe.revision, digests })
     }
 }
--- a/crates/state-sync/src/counting.rs
+++ b/crates/state-sync/src/counting.rs
@@ -18,7 +18,7 @@
     }
 
     pub(crate) fn take_report(&mut self, child: Child, report: Report, actions: &mut Vec<Action<Child>>) {
-        let is_below_itself = report.fronts.iter().any(|front| front.name == self.options.name);
+        let is_below_itself = report.endpoints.iter().any(|endpoint| endpoint.name == self.options.name);
         if is_below_itself || report.depth >= DEPTH_MAX {
             // The tree has a loop.
             return self.drop_child(child, actions);
@@ -35,7 +35,7 @@
 
     fn aggregate_report(&mut self, source: Source<Child>, report: Report, actions: &mut Vec<Action<Child>>) {
         if self.aggregate.apply(source, report) {
-            actions.push(Action::FrontsChanged);
+            actions.push(Action::EndpointsChanged);
         }
     }
 
@@ -62,7 +62,7 @@
             state.set_aside = Some(reports.unwrap_or_default());
         }
         if self.aggregate.remove(source) {
-            actions.push(Action::FrontsChanged);
+            actions.push(Action::EndpointsChanged);
         }
     }
 
--- a/crates/state-sync/src/counts.rs
+++ b/crates/state-sync/src/counts.rs
@@ -1,6 +1,6 @@
 //! Numbers that are summed over proxies: by service, and by server.
 
-use quillpulley_protocol::{ServerLoad, ServiceCount};
+use quillpulley_protocol::{ServerLoad, ServiceCounters};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -11,13 +11,13 @@
 
 /// What was counted for a service in the latest budget window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ServiceTally {
+pub struct RetryCounters {
     /// First sends of requests.
-    pub first: u32,
+    pub requests: u32,
     /// Repeats that were sent.
-    pub allowed: u32,
+    pub retries: u32,
     /// Repeats that were refused.
-    pub refused: u32,
+    pub rejected_retries: u32,
 }
 
 /// What is under way at a server.
@@ -39,7 +39,7 @@
     /// How many proxies were counted.
     pub proxies: u32,
     /// By the name of the service.
-    pub services: BTreeMap<String, ServiceTally>,
+    pub services: BTreeMap<String, RetryCounters>,
     /// By [`server_key`].
     pub servers: BTreeMap<u64, ServerTally>,
 }
@@ -50,20 +50,20 @@
     fn minus(self, other: Self) -> Self;
 }
 
-impl Tally for ServiceTally {
+impl Tally for RetryCounters {
     fn plus(self, other: Self) -> Self {
-        ServiceTally {
-            first: self.first.wrapping_add(other.first),
-            allowed: self.allowed.wrapping_add(other.allowed),
-            refused: self.refused.wrapping_add(other.refused),
+        RetryCounters {
+            requests: self.requests.wrapping_add(other.requests),
+            retries: self.retries.wrapping_add(other.retries),
+            rejected_retries: self.rejected_retries.wrapping_add(other.rejected_retries),
         }
     }
 
     fn minus(self, other: Self) -> Self {
-        ServiceTally {
-            first: self.first.wrapping_sub(other.first),
-            allowed: self.allowed.wrapping_sub(other.allowed),
-            refused: self.refused.wrapping_sub(other.refused),
+        RetryCounters {
+            requests: self.requests.wrapping_sub(other.requests),
+            retries: self.retries.wrapping_sub(other.retries),
+            rejected_retries: self.rejected_retries.wrapping_sub(other.rejected_retries),
         }
     }
 }
@@ -134,13 +134,22 @@
 }
 
 /// An entry for a service as a frame has it.
-pub(crate) fn service_count((service, tally): (String, ServiceTally)) -> ServiceCount {
-    ServiceCount { service, first: tally.first, allowed: tally.allowed, refused: tally.refused }
+pub(crate) fn service_counters((service, tally): (String, RetryCounters)) -> ServiceCounters {
+    ServiceCounters {
+        service,
+        requests: tally.requests,
+        retries: tally.retries,
+        rejected_retries: tally.rejected_retries,
+    }
 }
 
 /// The entry for a service that a frame has.
-pub(crate) fn service_tally(count: ServiceCount) -> (String, ServiceTally) {
-    let tally = ServiceTally { first: count.first, allowed: count.allowed, refused: count.refused };
+pub(crate) fn retry_counters(count: ServiceCounters) -> (String, RetryCounters) {
+    let tally = RetryCounters {
+        requests: count.requests,
+        retries: count.retries,
+        rejected_retries: count.rejected_retries,
+    };
     (count.service, tally)
 }
 
--- a/crates/state-sync/src/lib.rs
+++ b/crates/state-sync/src/lib.rs
@@ -24,7 +24,7 @@
 mod totals;
 mod updates;
 
-pub use counts::{server_key, Counts, ServerTally, ServiceTally};
+pub use counts::{server_key, Counts, RetryCounters, ServerTally};
 pub use node::{Action, Event, FeedNode};
 pub use options::Options;
 pub use store::{Change, ChangedKey, Digests, Store, RANGES};
--- a/crates/state-sync/src/node.rs
+++ b/crates/state-sync/src/node.rs
@@ -6,7 +6,7 @@
 use crate::store::{Change, ChangedKey, Store};
 use crate::subtree::{LocalReport, Subtree};
 use crate::totals::{Totals, TotalsState};
-use quillpulley_protocol::{Body, Stamp};
+use quillpulley_protocol::{Body, Revision};
 use std::hash::Hash;
 use std::time::Duration;
 
@@ -29,8 +29,8 @@
     Publish(Vec<Change>),
     /// Root only: a new stamp without changes, as a heartbeat. The host does this at least every 200 ms while it
     /// holds the lease.
-    Stamp,
-    /// This process is the root from now on. Children are told nothing before the first `Publish` or `Stamp`:
+    Heartbeat,
+    /// This process is the root from now on. Children are told nothing before the first `Publish` or `Heartbeat`:
     /// a root whose store lacks what it is to publish has until then to fill it (see [`Store::changes_to`]).
     /// Ignored if the node has seen a later epoch.
     BecomeRoot {
@@ -61,7 +61,7 @@
     /// The totals have changed.
     TotalsChanged,
     /// The fronts or the suspicions of the subtree have changed.
-    FrontsChanged,
+    EndpointsChanged,
 }
 
 /// Where a node gets its state from.
@@ -71,7 +71,7 @@
     Root {
         /// The last stamp that children may have been told. While it is older than the node's own, the root has
         /// not published in its epoch yet.
-        announced: Stamp,
+        announced: Revision,
     },
     /// It has no parent.
     Orphan,
@@ -87,7 +87,7 @@
     pub(crate) options: Options,
     pub(crate) role: Role,
     pub(crate) store: Store,
-    pub(crate) stamp: Stamp,
+    pub(crate) revision: Revision,
     /// Whether the store is known not to be what it should be at its stamp.
     pub(crate) damaged: bool,
     /// When the stamp moved last, and since when it has never stood for too long.
@@ -114,7 +114,7 @@
             options,
             role: Role::Orphan,
             store: Store::default(),
-            stamp: Stamp::default(),
+            revision: Revision::default(),
             damaged: false,
             moved: None,
             fresh_since: Duration::ZERO,
@@ -137,7 +137,7 @@
             Event::ChildDown(child) => self.forget_child(child, actions),
             Event::ChildFrame(child, body) => self.child_frame(now, child, body, actions),
             Event::Publish(changes) => self.publish(now, changes, actions),
-            Event::Stamp => self.publish(now, Vec::new(), actions),
+            Event::Heartbeat => self.publish(now, Vec::new(), actions),
             Event::BecomeRoot { epoch } => self.become_root(now, epoch),
             Event::LeaveRoot => self.leave_root(),
             Event::LocalReport(report) => self.local_report(report, actions),
@@ -145,14 +145,14 @@
         }
     }
 
-    /// The published items as they were at [`FeedNode::stamp`].
+    /// The published items as they were at [`FeedNode::revision`].
     pub fn store(&self) -> &Store {
         &self.store
     }
 
     /// How far the state is; 0:0 while nothing is known.
-    pub fn stamp(&self) -> Stamp {
-        self.stamp
+    pub fn revision(&self) -> Revision {
+        self.revision
     }
 
     /// Whether this node publishes.
@@ -201,12 +201,12 @@
     }
 
     /// Sets the stamp, which only ever grows.
-    pub(crate) fn advance(&mut self, now: Duration, stamp: Stamp) {
+    pub(crate) fn advance(&mut self, now: Duration, revision: Revision) {
         if !self.is_fresh(now) {
             self.fresh_since = now;
         }
         self.moved = Some(now);
-        self.stamp = stamp;
+        self.revision = revision;
     }
 
     fn parent_up(&mut self, now: Duration, actions: &mut Vec<Action<Child>>) {
@@ -262,7 +262,7 @@
 
     fn forget_child(&mut self, child: Child, actions: &mut Vec<Action<Child>>) {
         if self.children.remove(child).is_some() && self.aggregate.remove(Source::Child(child)) {
-            actions.push(Action::FrontsChanged);
+            actions.push(Action::EndpointsChanged);
         }
     }
 
--- a/crates/state-sync/src/options.rs
+++ b/crates/state-sync/src/options.rs
@@ -55,7 +55,7 @@
     }
 
     /// The usual figures of a core process, which takes in the first agents of many zones.
-    pub fn core(name: &str) -> Self {
+    pub fn control_node(name: &str) -> Self {
         Options { fan_out_max: 256, ..Options::new(name) }
     }
 }
--- a/crates/state-sync/src/publishing.rs
+++ b/crates/state-sync/src/publishing.rs
@@ -2,20 +2,20 @@
 
 use crate::node::{Action, FeedNode, Role};
 use crate::store::{item, Change, ChangedKey};
-use quillpulley_protocol::{Item, Stamp, Update, UpdateKind};
+use quillpulley_protocol::{Item, Revision, Update, UpdateKind};
 use std::hash::Hash;
 use std::time::Duration;
 
 impl<Child: Copy + Eq + Hash + Ord> FeedNode<Child> {
     pub(crate) fn become_root(&mut self, now: Duration, epoch: u64) {
-        if epoch < self.stamp.epoch {
+        if epoch < self.revision.epoch {
             return;
         }
-        let announced = self.stamp;
-        let first = Stamp { epoch, tick: 1 };
-        let stamp = if first > announced { first } else { next(announced) };
+        let announced = self.revision;
+        let first = Revision { epoch, tick: 1 };
+        let revision = if first > announced { first } else { next(announced) };
         self.role = Role::Root { announced };
-        self.advance(now, stamp);
+        self.advance(now, revision);
     }
 
     pub(crate) fn leave_root(&mut self) {
@@ -30,9 +30,9 @@
         let Role::Root { announced } = self.role else { return };
         let changed: Vec<ChangedKey> =
             changes.into_iter().filter_map(|change| self.store.apply(change)).collect();
-        let stamp = next(self.stamp);
-        self.advance(now, stamp);
-        self.role = Role::Root { announced: stamp };
+        let revision = next(self.revision);
+        self.advance(now, revision);
+        self.role = Role::Root { announced: revision };
         self.forward(self.update(UpdateKind::Changes, announced, items_of(&changed)), actions);
         if !changed.is_empty() {
             actions.push(Action::Changed(changed));
@@ -41,9 +41,9 @@
     }
 
     /// An update from a stamp to this node's own.
-    pub(crate) fn update(&self, kind: UpdateKind, since: Stamp, items: Vec<Item>) -> Update {
+    pub(crate) fn update(&self, kind: UpdateKind, base: Revision, items: Vec<Item>) -> Update {
         let digest = self.store.digest();
-        Update { kind, since, stamp: self.stamp, digest, complete: Vec::new(), items }
+        Update { kind, base, revision: self.revision, digest, complete: Vec::new(), items }
     }
 }
 
@@ -52,6 +52,6 @@
     changed.iter().map(|changed| item(&changed.key, changed.new.as_ref())).collect()
 }
 
-fn next(stamp: Stamp) -> Stamp {
-    Stamp { epoch: stamp.epoch, tick: stamp.tick + 1 }
+fn next(revision: Revision) -> Revision {
+    Revision { epoch: revision.epoch, tick: revision.tick + 1 }
 }
--- a/crates/state-sync/src/relay.rs
+++ b/crates/state-sync/src/relay.rs
@@ -5,7 +5,7 @@
 //! higher rank than its child, whichever of the agents somebody knows or has given up, so no loops form.
 
 use quillpulley_membership::rendezvous::{ranked, Key};
-use quillpulley_protocol::{Core, Front, FrontState};
+use quillpulley_protocol::{ControlNode, EndpointState, ProxyEndpoint};
 use std::collections::HashSet;
 use std::net::Ipv4Addr;
 
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum ParentCandidate {
     /// The core process on the machine with this address.
-    Core(Ipv4Addr),
+    ControlNode(Ipv4Addr),
     /// The agent on the machine with this address.
     Agent(Ipv4Addr),
 }
@@ -31,9 +31,9 @@
     /// The region of its machine.
     pub region: &'a str,
     /// The published fronts: each has an agent. Whether the agent itself is among them makes no difference.
-    pub fronts: &'a [Front],
+    pub endpoints: &'a [ProxyEndpoint],
     /// The published core processes.
-    pub cores: &'a [Core],
+    pub control_nodes: &'a [ControlNode],
     /// The addresses of the seeds, which are core processes or were some.
     pub seeds: &'a [Ipv4Addr],
     /// Candidates that failed lately. The agents among them are left out of the ranking, so that those who have
@@ -46,10 +46,10 @@
 /// failed lately.
 pub fn parent_candidates(surroundings: &Surroundings) -> Vec<ParentCandidate> {
     let agents = agents_above(surroundings);
-    let cores = cores_by_distance(surroundings);
-    let mut candidates = match starts_at_core(surroundings) {
-        true => cores,
-        false => agents.into_iter().chain(cores).collect(),
+    let control_nodes = control_nodes_by_distance(surroundings);
+    let mut candidates = match starts_at_control_node(surroundings) {
+        true => control_nodes,
+        false => agents.into_iter().chain(control_nodes).collect(),
     };
     candidates.extend(seeds_by_hash(surroundings));
     let (failed, mut ordered): (Vec<_>, Vec<_>) =
@@ -61,59 +61,63 @@
 }
 
 /// Whether all agents of the zone are children of its core process: there is one that did not fail, and they are few.
-fn starts_at_core(surroundings: &Surroundings) -> bool {
-    let mut in_zone = surroundings.cores.iter().filter(|core| core.zone == surroundings.zone);
-    let has_core = in_zone.any(|core| !surroundings.failed.contains(&core_process(core)));
-    has_core && zone_agents(surroundings).count() < FAN_OUT
+fn starts_at_control_node(surroundings: &Surroundings) -> bool {
+    let mut in_zone =
+        surroundings.control_nodes.iter().filter(|control_node| control_node.zone == surroundings.zone);
+    let has_control_node =
+        in_zone.any(|control_node| !surroundings.failed.contains(&control_process(control_node)));
+    has_control_node && zone_agents(surroundings).count() < FAN_OUT
 }
 
 /// The other agents of the zone that stay.
-fn zone_agents<'a>(surroundings: &Surroundings<'a>) -> impl Iterator<Item = &'a Front> + use<'a> {
+fn zone_agents<'a>(surroundings: &Surroundings<'a>) -> impl Iterator<Item = &'a ProxyEndpoint> + use<'a> {
     let (name, zone) = (surroundings.name, surroundings.zone);
-    let in_zone = surroundings.fronts.iter().filter(move |front| front.zone == zone && front.name != name);
-    in_zone.filter(|front| front.state != FrontState::Leaving)
+    let in_zone =
+        surroundings.endpoints.iter().filter(move |endpoint| endpoint.zone == zone && endpoint.name != name);
+    in_zone.filter(|endpoint| endpoint.state != EndpointState::Draining)
 }
 
 /// The agents on the way from this one to the top of the heap, nearest first.
 fn agents_above(surroundings: &Surroundings) -> Vec<ParentCandidate> {
     let key = Key::new(surroundings.zone);
     let own_rank = key.rank(surroundings.name);
-    let ahead = zone_agents(surroundings).filter(|front| key.rank(&front.name) < own_rank);
-    let mut ahead: Vec<&Front> = ahead.filter(|front| !surroundings.failed.contains(&agent(front))).collect();
-    ahead.sort_by_cached_key(|front| key.rank(&front.name));
+    let ahead = zone_agents(surroundings).filter(|endpoint| key.rank(&endpoint.name) < own_rank);
+    let mut ahead: Vec<&ProxyEndpoint> =
+        ahead.filter(|endpoint| !surroundings.failed.contains(&agent(endpoint))).collect();
+    ahead.sort_by_cached_key(|endpoint| key.rank(&endpoint.name));
     let above = std::iter::successors(position_above(ahead.len()), |position| position_above(*position));
-    above.filter_map(|position| ahead.get(position)).map(|front| agent(front)).collect()
+    above.filter_map(|position| ahead.get(position)).map(|endpoint| agent(endpoint)).collect()
 }
 
 fn position_above(position: usize) -> Option<usize> {
     position.checked_sub(1).map(|before| before / FAN_OUT)
 }
 
-fn agent(front: &Front) -> ParentCandidate {
-    ParentCandidate::Agent(Ipv4Addr::from_bits(front.ip))
+fn agent(endpoint: &ProxyEndpoint) -> ParentCandidate {
+    ParentCandidate::Agent(Ipv4Addr::from_bits(endpoint.ip))
 }
 
-fn core_process(core: &Core) -> ParentCandidate {
-    ParentCandidate::Core(Ipv4Addr::from_bits(core.ip))
+fn control_process(control_node: &ControlNode) -> ParentCandidate {
+    ParentCandidate::ControlNode(Ipv4Addr::from_bits(control_node.ip))
 }
 
 /// The core processes: those of the zone, then of the region, then the others; alike ones by rendezvous hashing.
-fn cores_by_distance(surroundings: &Surroundings) -> Vec<ParentCandidate> {
+fn control_nodes_by_distance(surroundings: &Surroundings) -> Vec<ParentCandidate> {
     let key = Key::new(surroundings.name);
-    let mut cores: Vec<&Core> = surroundings.cores.iter().collect();
-    cores.sort_by_cached_key(|core| {
-        let address = Ipv4Addr::from_bits(core.ip).to_string();
+    let mut control_nodes: Vec<&ControlNode> = surroundings.control_nodes.iter().collect();
+    control_nodes.sort_by_cached_key(|control_node| {
+        let address = Ipv4Addr::from_bits(control_node.ip).to_string();
         (
-            core.zone != surroundings.zone,
-            core.region != surroundings.region,
+            control_node.zone != surroundings.zone,
+            control_node.region != surroundings.region,
             std::cmp::Reverse(key.score(&address)),
         )
     });
-    cores.into_iter().map(core_process).collect()
+    control_nodes.into_iter().map(control_process).collect()
 }
 
 fn seeds_by_hash(surroundings: &Surroundings) -> Vec<ParentCandidate> {
     let names: Vec<String> = surroundings.seeds.iter().map(Ipv4Addr::to_string).collect();
     let ordered = ranked(surroundings.name, names.iter().map(String::as_str));
-    ordered.into_iter().filter_map(|seed| seed.parse().ok()).map(ParentCandidate::Core).collect()
+    ordered.into_iter().filter_map(|seed| seed.parse().ok()).map(ParentCandidate::ControlNode).collect()
 }
--- a/crates/state-sync/src/totals.rs
+++ b/crates/state-sync/src/totals.rs
@@ -2,7 +2,7 @@
 
 use crate::counts::Counts;
 use crate::counts::{
-    apply_tallies, server_load, server_tally, service_count, service_tally, tallies_between,
+    apply_tallies, retry_counters, server_load, server_tally, service_counters, tallies_between,
 };
 use quillpulley_protocol as wire;
 use std::time::Duration;
@@ -152,7 +152,7 @@
 
 fn apply(counts: &mut Counts, frame: wire::Totals) {
     counts.proxies = frame.proxies;
-    apply_tallies(&mut counts.services, frame.services.into_iter().map(service_tally), frame.delta);
+    apply_tallies(&mut counts.services, frame.services.into_iter().map(retry_counters), frame.delta);
     apply_tallies(&mut counts.servers, frame.servers.into_iter().map(server_tally), frame.delta);
 }
 
@@ -166,7 +166,7 @@
         hops: header.hops,
         origin: header.origin,
         proxies: to.proxies,
-        services: services.into_iter().map(service_count).collect(),
+        services: services.into_iter().map(service_counters).collect(),
         servers: servers.into_iter().map(server_load).collect(),
     }
 }
--- a/crates/state-sync/src/updates.rs
+++ b/crates/state-sync/src/updates.rs
@@ -10,7 +10,7 @@
 use crate::node::{Action, FeedNode, Role};
 use crate::publishing::items_of;
 use crate::store::{change, Change, ChangedKey, RANGES};
-use quillpulley_protocol::{Body, Item, Stamp, Subscribe, Update, UpdateKind};
+use quillpulley_protocol::{Body, Item, Revision, Subscribe, Update, UpdateKind};
 use std::collections::HashSet;
 use std::hash::Hash;
 use std::time::Duration;
@@ -29,53 +29,54 @@
     pub(crate) fn subscribe(&mut self, now: Duration, actions: &mut Vec<Action<Child>>) {
         self.role = Role::Subscribing { at: now };
         let digests = self.store.digests().to_vec();
-        let subscribe = Subscribe { stamp: self.stamp, digests };
+        let subscribe = Subscribe { revision: self.revision, digests };
         actions.push(Action::SendParent(Body::Subscribe(Box::new(subscribe))));
     }
 
     pub(crate) fn take_update(&mut self, now: Duration, update: Update, actions: &mut Vec<Action<Child>>) {
         let is_subscribing = matches!(self.role, Role::Subscribing { .. });
         match update.kind {
-            UpdateKind::Answer if is_subscribing => self.take_answer(now, update, actions),
-            UpdateKind::Answer => {}
-            UpdateKind::Changes | UpdateKind::Difference if is_subscribing || update.stamp <= self.stamp => {}
-            UpdateKind::Changes | UpdateKind::Difference if self.fits(&update) => {
+            UpdateKind::RangeRepair if is_subscribing => self.take_answer(now, update, actions),
+            UpdateKind::RangeRepair => {}
+            UpdateKind::Changes | UpdateKind::Delta if is_subscribing || update.revision <= self.revision => {
+            }
+            UpdateKind::Changes | UpdateKind::Delta if self.fits(&update) => {
                 self.take_changes(now, update, actions);
             }
-            UpdateKind::Changes | UpdateKind::Difference => self.subscribe(now, actions),
+            UpdateKind::Changes | UpdateKind::Delta => self.subscribe(now, actions),
         }
     }
 
     /// Whether an update that is newer than this node's state can be applied to it.
     fn fits(&self, update: &Update) -> bool {
-        let epoch = self.stamp.epoch;
+        let epoch = self.revision.epoch;
         let is_between =
-            update.since.epoch == epoch && update.stamp.epoch == epoch && update.since <= self.stamp;
-        update.since == self.stamp || (update.kind == UpdateKind::Changes && is_between)
+            update.base.epoch == epoch && update.revision.epoch == epoch && update.base <= self.revision;
+        update.base == self.revision || (update.kind == UpdateKind::Changes && is_between)
     }
 
     fn take_changes(&mut self, now: Duration, update: Update, actions: &mut Vec<Action<Child>>) {
         let changes = update.items.iter().cloned().map(change).collect();
         let changed = self.apply_all(changes);
-        self.advance(now, update.stamp);
+        self.advance(now, update.revision);
         let digest = update.digest;
         self.forward(update, actions);
         self.finish_update(now, digest, changed, actions);
     }
 
     fn take_answer(&mut self, now: Duration, answer: Update, actions: &mut Vec<Action<Child>>) {
-        if answer.since != self.stamp {
+        if answer.base != self.revision {
             return;
         }
         self.role = Role::Following;
-        if answer.stamp <= self.stamp {
+        if answer.revision <= self.revision {
             return;
         }
         let changes = self.changes_of_answer(&answer.complete, answer.items);
         let changed = self.apply_all(changes);
-        self.advance(now, answer.stamp);
+        self.advance(now, answer.revision);
         if self.store.digest() == answer.digest {
-            self.forward(self.update(UpdateKind::Difference, answer.since, items_of(&changed)), actions);
+            self.forward(self.update(UpdateKind::Delta, answer.base, items_of(&changed)), actions);
         }
         self.finish_update(now, answer.digest, changed, actions);
     }
@@ -145,19 +146,19 @@
             if !ranges.is_empty() {
                 self.answers_left -= 1;
             }
-            self.send_answer(child, subscription.stamp, ranges, actions);
+            self.send_answer(child, subscription.revision, ranges, actions);
         }
     }
 
     fn answer_to(&self, subscription: &Subscription) -> Answer {
-        if !self.knows_own_state() || self.stamp.epoch < subscription.stamp.epoch {
+        if !self.knows_own_state() || self.revision.epoch < subscription.revision.epoch {
             return Answer::Later;
         }
-        if self.stamp < subscription.stamp {
+        if self.revision < subscription.revision {
             return Answer::Nothing;
         }
         let ranges = self.store.ranges_differing_from(&subscription.digests);
-        if self.stamp > subscription.stamp {
+        if self.revision > subscription.revision {
             Answer::Ranges(ranges)
         } else if ranges.is_empty() {
             Answer::Nothing
@@ -169,14 +170,20 @@
     /// Whether the state can be passed on: there is one, it is sound, and a new root has published.
     fn knows_own_state(&self) -> bool {
         let is_announced = match self.role {
-            Role::Root { announced } => announced == self.stamp,
+            Role::Root { announced } => announced == self.revision,
             Role::Orphan | Role::Subscribing { .. } | Role::Following => true,
         };
-        is_announced && !self.damaged && self.stamp != Stamp::default()
+        is_announced && !self.damaged && self.revision != Revision::default()
     }
 
-    fn send_answer(&mut self, child: Child, since: Stamp, ranges: Vec<u8>, actions: &mut Vec<Action<Child>>) {
-        let mut update = self.update(UpdateKind::Answer, since, self.store.items_of(&ranges));
+    fn send_answer(
+        &mut self,
+        child: Child,
+        base: Revision,
+        ranges: Vec<u8>,
+        actions: &mut Vec<Action<Child>>,
+    ) {
+        let mut update = self.update(UpdateKind::RangeRepair, base, self.store.items_of(&ranges));
         update.complete = ranges;
         if let Some(state) = self.children.get_mut(child) {
             state.turn(Phase::Following);
--- a/crates/state-sync/tests/begin_anew.rs
+++ b/crates/state-sync/tests/begin_anew.rs
@@ -16,8 +16,9 @@
 
 impl Pair {
     fn new() -> Pair {
-        let root = FeedNode::new(Options::core("root"));
-        let mut pair = Pair { now: Duration::ZERO, root, child: FeedNode::new(Options::core("child")) };
+        let root = FeedNode::new(Options::control_node("root"));
+        let mut pair =
+            Pair { now: Duration::ZERO, root, child: FeedNode::new(Options::control_node("child")) };
         pair.at_root(Event::BecomeRoot { epoch: 1 });
         pair.at_root(Event::ChildUp(CHILD));
         pair
@@ -52,7 +53,7 @@
         let end = self.now + time;
         while self.now < end {
             self.now += STEP;
-            self.at_root(Event::Stamp);
+            self.at_root(Event::Heartbeat);
             self.at_root(Event::Tick);
             self.at_child(Event::Tick);
         }
@@ -81,7 +82,7 @@
     pair.at_child(Event::LocalReport(LocalReport { proxies: 2, ..LocalReport::default() }));
     pair.at_child(Event::ParentUp);
     pair.go_on(Duration::from_secs(2));
-    pair.child = FeedNode::new(Options::core("child"));
+    pair.child = FeedNode::new(Options::control_node("child"));
     pair.at_child(Event::LocalReport(LocalReport { proxies: 3, ..LocalReport::default() }));
     pair.at_child(Event::ParentUp);
     pair.go_on(Duration::from_secs(4));
--- a/crates/state-sync/tests/frame_sizes.rs
+++ b/crates/state-sync/tests/frame_sizes.rs
@@ -1,6 +1,6 @@
 //! What frames take on the wire: the figures that `Options` gives hold.
 
-use quillpulley_protocol::{encode_frame, Body, Front, FrontState, ServerLoad, ServiceCount};
+use quillpulley_protocol::{encode_frame, Body, EndpointState, ProxyEndpoint, ServerLoad, ServiceCounters};
 use quillpulley_state_sync::{server_key, Action, Event, FeedNode, LocalReport, Options};
 use std::time::Duration;
 
@@ -27,8 +27,12 @@
 }
 
 fn services(count: u32) -> LocalReport {
-    let count_of =
-        |number| ServiceCount { service: format!("service-{number}"), first: 10, allowed: 1, refused: 1 };
+    let count_of = |number| ServiceCounters {
+        service: format!("service-{number}"),
+        requests: 10,
+        retries: 1,
+        rejected_retries: 1,
+    };
     LocalReport { services: (0..count).map(count_of).collect(), ..LocalReport::default() }
 }
 
@@ -49,7 +53,7 @@
     let mut child: FeedNode<u32> = FeedNode::new(Options::new("child"));
     let mut actions = Vec::new();
     root.handle(Duration::ZERO, Event::BecomeRoot { epoch: 1 }, &mut actions);
-    root.handle(Duration::ZERO, Event::Stamp, &mut actions);
+    root.handle(Duration::ZERO, Event::Heartbeat, &mut actions);
     root.handle(Duration::ZERO, Event::ChildUp(1), &mut actions);
     let mut sent = Vec::new();
     child.handle(Duration::ZERO, Event::ParentUp, &mut sent);
@@ -58,7 +62,7 @@
         _ => None,
     });
     root.handle(Duration::ZERO, Event::ChildFrame(1, subscribe.expect("a subscription")), &mut actions);
-    root.handle(TICK, Event::Stamp, &mut actions);
+    root.handle(TICK, Event::Heartbeat, &mut actions);
     assert!(size_of_last(&actions) <= 100, "{}", size_of_last(&actions));
 }
 
@@ -79,16 +83,16 @@
 
 #[test]
 fn a_front_takes_150_bytes_at_most() {
-    let front = Front {
+    let endpoint = ProxyEndpoint {
         name: "front-zona-10-1".to_string(),
         ip: 0x0a01_000d,
         zone: "zona-10".to_string(),
         region: "gt-central".to_string(),
         address: "10.1.0.13:8161".to_string(),
-        state: FrontState::Ready,
-        life: 1,
+        state: EndpointState::Ready,
+        incarnation: 1,
         preferred_regions: Vec::new(),
     };
-    let with = report_size(LocalReport { front: Some(front), ..LocalReport::default() });
+    let with = report_size(LocalReport { endpoint: Some(endpoint), ..LocalReport::default() });
     assert!(with - report_size(LocalReport::default()) <= 150, "{with}");
 }
--- a/crates/state-sync/tests/network/mod.rs
+++ b/crates/state-sync/tests/network/mod.rs
@@ -3,7 +3,7 @@
 
 pub mod timeline;
 
-use quillpulley_protocol::{Body, Stamp};
+use quillpulley_protocol::{Body, Revision};
 use quillpulley_state_sync::{Action, Change, Event, FeedNode, LocalReport, Options};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -25,7 +25,7 @@
 pub struct Seen {
     pub frames_sent: usize,
     pub items_sent: usize,
-    pub fronts_changed: usize,
+    pub endpoints_changed: usize,
     pub totals_changed: usize,
 }
 
@@ -39,7 +39,7 @@
     /// The copies of the stores that hosts keep from what they are told has changed.
     pub mirrors: Vec<Items>,
     /// What roots had at each stamp.
-    pub published: BTreeMap<Stamp, Items>,
+    pub published: BTreeMap<Revision, Items>,
     pub frozen: Vec<bool>,
     next_link: LinkId,
 }
@@ -55,7 +55,7 @@
             links: BTreeMap::new(),
             parent_links: vec![None; count],
             mirrors: vec![Items::new(); count],
-            published: BTreeMap::from([(Stamp::default(), Items::new())]),
+            published: BTreeMap::from([(Revision::default(), Items::new())]),
             frozen: vec![false; count],
             next_link: 1,
         }
@@ -66,7 +66,7 @@
     }
 
     pub fn handle(&mut self, node: usize, event: Event<LinkId>) {
-        let before = self.nodes[node].stamp();
+        let before = self.nodes[node].revision();
         let mut actions = Vec::new();
         self.nodes[node].handle(self.now, event, &mut actions);
         for action in actions {
@@ -77,18 +77,18 @@
 
     /// What holds after every event: the stamp never goes back, the store is what a root had at that stamp, and
     /// the host was told of every change.
-    fn check(&mut self, node: usize, before: Stamp) {
-        let stamp = self.nodes[node].stamp();
-        assert!(stamp >= before, "node {node} went back from {before:?} to {stamp:?}");
+    fn check(&mut self, node: usize, before: Revision) {
+        let revision = self.nodes[node].revision();
+        assert!(revision >= before, "node {node} went back from {before:?} to {revision:?}");
         let items = self.items(node);
-        if self.nodes[node].is_root() && stamp > before {
-            let taken = self.published.insert(stamp, items.clone());
-            assert!(taken.is_none(), "{stamp:?} was given twice");
+        if self.nodes[node].is_root() && revision > before {
+            let taken = self.published.insert(revision, items.clone());
+            assert!(taken.is_none(), "{revision:?} was given twice");
         }
         assert_eq!(
             Some(&items),
-            self.published.get(&stamp),
-            "node {node} is not what the root was at {stamp:?}"
+            self.published.get(&revision),
+            "node {node} is not what the root was at {revision:?}"
         );
         assert_eq!(items, self.mirrors[node], "the host of node {node} was not told of everything");
     }
@@ -114,7 +114,7 @@
                 }
             }
             Action::TotalsChanged => self.seen[node].totals_changed += 1,
-            Action::FrontsChanged => self.seen[node].fronts_changed += 1,
+            Action::EndpointsChanged => self.seen[node].endpoints_changed += 1,
         }
     }
 
--- a/crates/state-sync/tests/network/timeline.rs
+++ b/crates/state-sync/tests/network/timeline.rs
@@ -7,18 +7,18 @@
 //! | cell | what it does |
 //! | --- | --- |
 //! | `root 3`, `leave` | the node becomes root in epoch 3; it is root no more |
-//! | `put a=1 b=2`, `del a`, `stamp` | the root publishes |
+//! | `put a=1 b=2`, `del a`, `revision` | the root publishes |
 //! | `on x`, `off`, `broken` | gets x as its parent; loses it; loses it without the parent's knowing |
 //! | `lose` | the next update on its way to the node is left out |
 //! | `freeze`, `thaw` | the node does nothing for a while |
-//! | `front 1 Ready`, `count 7`, `suspect x` | what its own process reports |
+//! | `endpoint 1 Ready`, `count 7`, `suspect x` | what its own process reports |
 //! | `= 1:3 a=1` | it is at stamp 1:3 with just these items |
 //! | `= fresh`, `= stale` | whether its stamps keep coming |
 //! | `= total 7`, `= partial 7`, `= proxies 2` | the totals that it shows, complete or not |
-//! | `= fronts x,y`, `= suspects x*2` | its subtree's fronts, and how many suspect which |
+//! | `= endpoints x,y`, `= suspects x*2` | its subtree's fronts, and how many suspect which |
 
 use super::{Items, Network};
-use quillpulley_protocol::{Front, FrontState, ServiceCount};
+use quillpulley_protocol::{EndpointState, ProxyEndpoint, ServiceCounters};
 use quillpulley_state_sync::{Event, LocalReport, Options};
 use std::time::Duration;
 
@@ -80,7 +80,7 @@
                 self.network.handle(node, Event::BecomeRoot { epoch });
             }
             ["leave"] => self.network.handle(node, Event::LeaveRoot),
-            ["stamp"] => self.network.handle(node, Event::Stamp),
+            ["stamp"] => self.network.handle(node, Event::Heartbeat),
             ["put", ref items @ ..] => {
                 let changes = items.iter().map(|item| pair(item)).map(|(key, value)| (key, Some(value)));
                 self.network.publish(node, changes.collect());
@@ -97,15 +97,19 @@
             ["lose"] => self.network.lose_update(node),
             ["freeze"] => self.network.frozen[node] = true,
             ["thaw"] => self.network.frozen[node] = false,
-            ["front", life, state] => {
-                self.reports[node].front = Some(self.front(node, life, state));
+            ["front", incarnation, state] => {
+                self.reports[node].endpoint = Some(self.endpoint(node, incarnation, state));
                 self.report(node);
             }
             ["count", count] => {
-                let first = count.parse().expect("a count");
+                let requests = count.parse().expect("a count");
                 self.reports[node].proxies = 1;
-                self.reports[node].services =
-                    vec![ServiceCount { service: SERVICE.to_string(), first, allowed: 0, refused: 0 }];
+                self.reports[node].services = vec![ServiceCounters {
+                    service: SERVICE.to_string(),
+                    requests,
+                    retries: 0,
+                    rejected_retries: 0,
+                }];
                 self.report(node);
             }
             ["suspect", ref names @ ..] => {
@@ -116,19 +120,19 @@
         }
     }
 
-    fn front(&self, node: usize, life: &str, state: &str) -> Front {
-        Front {
+    fn endpoint(&self, node: usize, incarnation: &str, state: &str) -> ProxyEndpoint {
+        ProxyEndpoint {
             name: self.names[node].clone(),
             ip: node as u32,
             zone: "zone".to_string(),
             region: "region".to_string(),
             address: "10.0.0.1:80".to_string(),
             state: match state {
-                "Ready" => FrontState::Ready,
-                "Leaving" => FrontState::Leaving,
-                _ => FrontState::Starting,
+                "Ready" => EndpointState::Ready,
+                "Leaving" => EndpointState::Draining,
+                _ => EndpointState::Starting,
             },
-            life: life.parse().expect("a life"),
+            incarnation: incarnation.parse().expect("a life"),
             preferred_regions: Vec::new(),
         }
     }
@@ -141,17 +145,17 @@
     fn expect(&self, node: usize, expected: &str, row: &str) {
         let state = &self.network.nodes[node];
         let totals = state.totals();
-        let first = totals.counts.services.get(SERVICE).map_or(0, |tally| tally.first);
+        let requests = totals.counts.services.get(SERVICE).map_or(0, |tally| tally.requests);
         let words: Vec<&str> = expected.split_whitespace().collect();
         let found = match words[..] {
             ["fresh" | "stale"] if state.is_fresh(self.network.now) => "fresh".to_string(),
             ["fresh" | "stale"] => "stale".to_string(),
-            ["total" | "partial", _] if totals.complete => format!("total {first}"),
-            ["total" | "partial", _] => format!("partial {first}"),
+            ["total" | "partial", _] if totals.complete => format!("total {requests}"),
+            ["total" | "partial", _] => format!("partial {requests}"),
             ["proxies", _] => format!("proxies {}", totals.counts.proxies),
             ["fronts", ..] => {
-                let fronts: Vec<&str> = state.subtree().fronts.keys().map(String::as_str).collect();
-                format!("fronts {}", fronts.join(",")).trim_end().to_string()
+                let endpoints: Vec<&str> = state.subtree().endpoints.keys().map(String::as_str).collect();
+                format!("fronts {}", endpoints.join(",")).trim_end().to_string()
             }
             ["suspects", ..] => {
                 let suspects = state.subtree().suspicions.iter();
@@ -166,10 +170,10 @@
 
     /// The stamp and the items of a node as a cell has them.
     fn position(&self, node: usize) -> String {
-        let stamp = self.network.nodes[node].stamp();
+        let revision = self.network.nodes[node].revision();
         let items: Items = self.network.items(node);
         let shown = items.iter().map(|(key, value)| format!(" {key}={}", String::from_utf8_lossy(value)));
-        format!("{}:{}{}", stamp.epoch, stamp.tick, shown.collect::<String>())
+        format!("{}:{}{}", revision.epoch, revision.tick, shown.collect::<String>())
     }
 }
 
--- a/crates/state-sync/tests/random_trees.rs
+++ b/crates/state-sync/tests/random_trees.rs
@@ -5,20 +5,20 @@
 
 use network::Network;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use quillpulley_protocol::{Front, FrontState, ServerLoad, ServiceCount};
-use quillpulley_state_sync::{Counts, Event, LocalReport, Options, ServiceTally};
+use quillpulley_protocol::{EndpointState, ProxyEndpoint, ServerLoad, ServiceCounters};
+use quillpulley_state_sync::{Counts, Event, LocalReport, Options, RetryCounters};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// The nodes that may become root; the others only relay.
-const CORES: usize = 3;
+const CONTROL_NODES: usize = 3;
 const NODES: usize = 9;
 const KEYS: u8 = 12;
 
 #[derive(Clone, Debug)]
 enum Step {
     Publish { root: usize, changes: Vec<(u8, Option<u8>)> },
-    Stamp { root: usize },
+    Heartbeat { root: usize },
     BecomeRoot { node: usize },
     LeaveRoot { node: usize },
     Connect { child: usize, parent: usize },
@@ -34,18 +34,18 @@
 impl Arbitrary for Step {
     fn arbitrary(gen: &mut Gen) -> Self {
         let mut below = |bound: usize| usize::arbitrary(gen) % bound;
-        let (kind, core, node, other) = (below(24), below(CORES), below(NODES), below(NODES));
+        let (kind, control_node, node, other) = (below(24), below(CONTROL_NODES), below(NODES), below(NODES));
         let (frames, count, milliseconds) = (below(6), below(100) as u32, below(900) as u64);
         match kind {
             0..=3 => {
                 let value = |v: u8| Some(v % 4).filter(|value| *value > 0);
                 let pairs = Vec::<(u8, u8)>::arbitrary(gen);
                 let changes = pairs.into_iter().take(3).map(|(key, v)| (key % KEYS, value(v))).collect();
-                Step::Publish { root: core, changes }
+                Step::Publish { root: control_node, changes }
             }
-            4 => Step::Stamp { root: core },
-            5 => Step::BecomeRoot { node: core },
-            6 => Step::LeaveRoot { node: core },
+            4 => Step::Heartbeat { root: control_node },
+            5 => Step::BecomeRoot { node: control_node },
+            6 => Step::LeaveRoot { node: control_node },
             7..=9 => Step::Connect { child: node, parent: other },
             10 => Step::Disconnect { child: node },
             11 => Step::BreakAtChild { child: node },
@@ -59,25 +59,25 @@
 }
 
 fn local_report(node: usize, count: u32, suspect: bool) -> LocalReport {
-    let front = Front {
+    let endpoint = ProxyEndpoint {
         name: format!("n{node}"),
         ip: node as u32,
         zone: "zone".to_string(),
         region: "region".to_string(),
         address: "address".to_string(),
-        state: FrontState::Ready,
-        life: 1,
+        state: EndpointState::Ready,
+        incarnation: 1,
         preferred_regions: Vec::new(),
     };
     LocalReport {
-        front: (node >= CORES).then_some(front),
+        endpoint: (node >= CONTROL_NODES).then_some(endpoint),
         suspects: suspect.then(|| "n8".to_string()).into_iter().collect(),
-        proxies: u32::from(node >= CORES),
-        services: vec![ServiceCount {
+        proxies: u32::from(node >= CONTROL_NODES),
+        services: vec![ServiceCounters {
             service: format!("s{}", count % 3),
-            first: count,
-            allowed: 1,
-            refused: 0,
+            requests: count,
+            retries: 1,
+            rejected_retries: 0,
         }],
         servers: (0..count % 5)
             .map(|server| ServerLoad {
@@ -111,7 +111,7 @@
                     changes.into_iter().map(|(key, value)| (format!("k{key}"), value.map(|v| vec![v])));
                 network.publish(root, changes.collect());
             }
-            Step::Stamp { root } => network.handle(root, Event::Stamp),
+            Step::Heartbeat { root } => network.handle(root, Event::Heartbeat),
             Step::BecomeRoot { node } => self.become_root(node),
             Step::LeaveRoot { node } => network.handle(node, Event::LeaveRoot),
             Step::Connect { child, parent } if child != parent && !network.nodes[child].is_root() => {
@@ -148,10 +148,10 @@
 
     /// One root, a tree below it to which those return who are turned away, and time.
     fn calm(&mut self, parents: &[usize]) -> usize {
-        let root = self.epoch as usize % CORES;
-        (0..CORES).for_each(|core| self.network.handle(core, Event::LeaveRoot));
+        let root = self.epoch as usize % CONTROL_NODES;
+        (0..CONTROL_NODES).for_each(|control_node| self.network.handle(control_node, Event::LeaveRoot));
         self.become_root(root);
-        self.network.handle(root, Event::Stamp);
+        self.network.handle(root, Event::Heartbeat);
         let others: Vec<usize> = (0..NODES).filter(|node| *node != root).collect();
         let parent_of = |position: usize| match parents.get(position).copied().unwrap_or(0) % (position + 1) {
             0 => root,
@@ -166,7 +166,7 @@
             }
             let until = self.network.now + Duration::from_millis(200);
             self.network.run(until);
-            self.network.handle(root, Event::Stamp);
+            self.network.handle(root, Event::Heartbeat);
         }
         self.network.settle();
         root
@@ -177,10 +177,10 @@
         for report in self.reports.values() {
             counts.proxies += report.proxies;
             for count in &report.services {
-                let sum: &mut ServiceTally = counts.services.entry(count.service.clone()).or_default();
-                sum.first += count.first;
-                sum.allowed += count.allowed;
-                sum.refused += count.refused;
+                let sum: &mut RetryCounters = counts.services.entry(count.service.clone()).or_default();
+                sum.requests += count.requests;
+                sum.retries += count.retries;
+                sum.rejected_retries += count.rejected_retries;
             }
             for load in &report.servers {
                 let sum = counts.servers.entry(load.server).or_default();
@@ -195,7 +195,7 @@
         let network = &self.network;
         let counts = self.expected_counts();
         for (number, node) in network.nodes.iter().enumerate() {
-            assert_eq!(node.stamp(), network.nodes[root].stamp(), "node {number}");
+            assert_eq!(node.revision(), network.nodes[root].revision(), "node {number}");
             assert_eq!(network.items(number), network.items(root), "node {number}");
             assert!(node.is_fresh(network.now), "node {number}");
             assert!(node.totals().complete, "node {number}");
@@ -203,9 +203,9 @@
         }
         let subtree = network.nodes[root].subtree();
         assert_eq!(subtree.counts, counts);
-        let fronts: Vec<String> =
-            self.reports.values().filter_map(|r| Some(r.front.as_ref()?.name.clone())).collect();
-        assert_eq!(subtree.fronts.keys().cloned().collect::<Vec<_>>(), fronts);
+        let endpoints: Vec<String> =
+            self.reports.values().filter_map(|r| Some(r.endpoint.as_ref()?.name.clone())).collect();
+        assert_eq!(subtree.endpoints.keys().cloned().collect::<Vec<_>>(), endpoints);
         let suspecting = self.reports.values().filter(|report| !report.suspects.is_empty()).count();
         assert_eq!(subtree.suspicions.get("n8").map_or(0, |monitors| monitors.len()), suspecting);
     }
--- a/crates/state-sync/tests/timelines_counts.rs
+++ b/crates/state-sync/tests/timelines_counts.rs
@@ -115,7 +115,7 @@
      1600 | = fronts z |         |         |
     ",
     );
-    assert_eq!(timeline.network.nodes[0].subtree().fronts["z"].life, 2);
+    assert_eq!(timeline.network.nodes[0].subtree().endpoints["z"].incarnation, 2);
 }
 
 #[test]
--- a/crates/state-sync/tests/timelines_state.rs
+++ b/crates/state-sync/tests/timelines_state.rs
@@ -38,7 +38,7 @@
     );
     let mut network = timeline.network;
     let before = (network.seen[0].frames_sent, network.seen[0].items_sent);
-    network.handle(0, quillpulley_state_sync::Event::Stamp);
+    network.handle(0, quillpulley_state_sync::Event::Heartbeat);
     assert_eq!((network.seen[0].frames_sent, network.seen[0].items_sent), (before.0 + 2, before.1));
 }
 
