--- a/crates/quillpulley/src/command_line/logging.rs
+++ b/crates/quillpulley/src/command_line/logging.rs
@@ -1,19 +1,35 @@
-//! Logs, a line each: level, part of the program, message.
+//! The log format: a line for each record, with level, module, message, and key-value fields.
 
 use env_logger::Builder;
+use log::kv::{Error, Key, Value, VisitSource};
 use log::{LevelFilter, Record};
-use std::io::Write;
+use std::io::{self, Write};
 
-/// Logs what is at least so important to standard error from now on.
+/// Logs records of at least this level to standard error from now on.
 pub fn start(level: LevelFilter) {
-    Builder::new()
-        .filter_level(level)
-        .format(|line, record| writeln!(line, "{} {}: {}", record.level(), part(record), record.args()))
-        .init();
+    Builder::new().filter_level(level).format(|line, record| write_record(line, record)).init();
 }
 
-/// The module that logs, without the parts that all modules have in common.
-fn part<'a>(record: &'a Record<'_>) -> &'a str {
+fn write_record(line: &mut impl Write, record: &Record<'_>) -> io::Result<()> {
+    write!(line, "{} {}: {}", record.level(), module(record), record.args())?;
+    let mut fields = FieldWriter { line };
+    record.key_values().visit(&mut fields).map_err(io::Error::other)?;
+    writeln!(line)
+}
+
+/// Writes fields as ` key=value`.
+struct FieldWriter<'a, W> {
+    line: &'a mut W,
+}
+
+impl<'kvs, W: Write> VisitSource<'kvs> for FieldWriter<'_, W> {
+    fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
+        write!(self.line, " {key}={value}").map_err(Error::boxed)
+    }
+}
+
+/// Returns the module that logs, without the prefix that all modules have in common.
+fn module<'a>(record: &'a Record<'_>) -> &'a str {
     let target = record.target();
     target.strip_prefix("quillpulley::").or(target.strip_prefix("quillpulley_")).unwrap_or(target)
 }
--- a/crates/quillpulley/src/control/disk.rs
+++ b/crates/quillpulley/src/control/disk.rs
@@ -2,7 +2,7 @@
 
 use crate::HostError;
 use quillpulley_protocol::{decode_value, encode_value, WitnessRecord, WitnessRecordRef};
-use quillpulley_replication::{Recovered, StoreFault, Write};
+use quillpulley_replication::{Recovered, Write, WriteFailed};
 use quillpulley_storage::{Options, Storage, StorageError};
 use std::fmt::Display;
 use std::path::{Path, PathBuf};
@@ -15,7 +15,7 @@
     /// The write's ticket.
     pub ticket: u64,
     /// Whether it is durable.
-    pub result: Result<(), StoreFault>,
+    pub result: Result<(), WriteFailed>,
 }
 
 /// Hands writes to the thread that owns the disk.
@@ -70,7 +70,7 @@
     while let Ok((ticket, write)) = queue.recv() {
         let outcome = store(&mut storage, write);
         report(&outcome, &mut failing);
-        deliver(Stored { ticket, result: outcome.map_err(|_| StoreFault) });
+        deliver(Stored { ticket, result: outcome.map_err(|_| WriteFailed) });
     }
 }
 
--- a/crates/quillpulley/src/control/host.rs
+++ b/crates/quillpulley/src/control/host.rs
@@ -70,7 +70,7 @@
 
     /// The disk has finished a write.
     pub fn stored(&mut self, stored: Stored) {
-        self.replicate(Event::Stored { ticket: stored.ticket, result: stored.result });
+        self.replicate(Event::WriteCompleted { ticket: stored.ticket, result: stored.result });
         self.settle();
     }
 
@@ -113,7 +113,7 @@
         match news {
             LinkNews::Connected(node, place) => {
                 self.leadership.control_nodes_changed();
-                self.replicate(Event::Located { node, place });
+                self.replicate(Event::LocalityLearned { node, locality: place });
                 self.replicate(Event::Connected(node));
             }
             LinkNews::Disconnected(node) => {
@@ -156,13 +156,13 @@
 
     /// The process is about to end: hands over what it leads.
     pub fn stop(&mut self) {
-        self.replicate(Event::Stop);
+        self.replicate(Event::Shutdown);
         self.settle();
     }
 
     /// Whether a process that was told to stop may end: its data stands elsewhere.
     pub fn may_end(&self) -> bool {
-        self.replica.may_end()
+        self.replica.can_exit()
     }
 
     /// How long after it was told to end the process is killed.
@@ -213,8 +213,8 @@
             Action::Send { to, body } => self.links.send_to_control_node(to, &body),
             Action::Store { ticket, write } => self.disk.store(ticket, write),
             Action::Applied { .. } => self.leadership.state_changed(),
-            Action::Committed { order } => self.committed(order),
-            Action::Rejected { order, .. } => self.orders.failed(order),
+            Action::Committed { proposal } => self.committed(proposal),
+            Action::Rejected { proposal, .. } => self.orders.failed(proposal),
             // The leadership follows the role and the lease at every moment; the replica itself logs its roles.
             Action::RoleChanged(_) => {}
         }
@@ -241,7 +241,7 @@
     /// Takes or gives up the leadership as the replica and its lease say.
     fn update_leadership(&mut self, now: Duration) {
         let epoch = match self.replica.role(now) {
-            Role::Primary { epoch, lease: true } => Some(epoch),
+            Role::Primary { epoch, holds_lease: true } => Some(epoch),
             _ => None,
         };
         let (state, tree, links) = (self.replica.state(), &mut self.tree, &mut self.links);
@@ -272,7 +272,7 @@
             let proposal = self.orders.next_for(&self.replica);
             self.send_answers(lease_end);
             let Some(proposal) = proposal else { return };
-            self.replicate(Event::Propose { order: proposal.order, payload: proposal.payload });
+            self.replicate(Event::Propose { proposal: proposal.order, payload: proposal.payload });
         }
     }
 
--- a/crates/quillpulley/src/control/links.rs
+++ b/crates/quillpulley/src/control/links.rs
@@ -5,7 +5,7 @@
 use super::peer_table::{PeerChange, PeerTable};
 use crate::peer::{LinkId, PeerEvent, Peers};
 use quillpulley_protocol::{Body, ControlNode, ControlNodes, Hello, NodeId, PeerKind};
-use quillpulley_replication::Place;
+use quillpulley_replication::Locality as Place;
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
--- a/crates/quillpulley/src/control/orders.rs
+++ b/crates/quillpulley/src/control/orders.rs
@@ -136,7 +136,7 @@
     /// an order that its state lacks, also one whose caller got no clear answer. To be called only while the lease
     /// is held.
     pub fn next_for(&mut self, replica: &Replica<ControlState>) -> Option<Proposal> {
-        if replica.has_open_orders() {
+        if replica.has_unresolved_proposals() {
             return None;
         }
         self.next_proposal(replica.state())
--- a/crates/quillpulley/src/control/process.rs
+++ b/crates/quillpulley/src/control/process.rs
@@ -13,7 +13,7 @@
 use crate::{runtime, HostError, Settings};
 use quillpulley_control_state::ControlState;
 use quillpulley_protocol::{Hello, NodeId, PeerKind};
-use quillpulley_replication::{Options, Recovered, Replica};
+use quillpulley_replication::{FaultTolerance, Locality, Options, Recovered, Replica};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::time::Duration;
 use tokio::sync::mpsc::{channel, unbounded_channel, Receiver, UnboundedReceiver, UnboundedSender};
@@ -187,12 +187,13 @@
     let founders = founders(settings);
     Options {
         me,
-        zone: settings.zone.clone(),
-        region: settings.region.clone(),
+        locality: Locality { zone: settings.zone.clone(), region: settings.region.clone() },
         bootstrap: Some(founders).filter(|founders| founders.contains(&me)),
-        tolerated_machines: settings.fault_tolerance.machines as usize,
-        tolerated_zones: settings.fault_tolerance.zones as usize,
-        tolerated_regions: settings.fault_tolerance.regions as usize,
+        fault_tolerance: FaultTolerance {
+            machines: settings.fault_tolerance.machines as usize,
+            zones: settings.fault_tolerance.zones as usize,
+            regions: settings.fault_tolerance.regions as usize,
+        },
         seed: fastrand::u64(..),
         ..Options::default()
     }
--- a/crates/quillpulley/src/control/status.rs
+++ b/crates/quillpulley/src/control/status.rs
@@ -7,7 +7,7 @@
 use super::orders::Answer;
 use super::timed_answer::TimedAnswer;
 use quillpulley_protocol::{NodeId, View};
-use quillpulley_replication::{Role, ViewExposure};
+use quillpulley_replication::{DurabilityStatus, Role};
 use simd_json::prelude::Writable;
 use simd_json::{json, OwnedValue};
 use std::time::Duration;
@@ -21,7 +21,7 @@
 fn describe(knowledge: &Knowledge<'_>, now: Duration) -> Vec<u8> {
     let view = knowledge.replica.view();
     let primary = knowledge.replica.primary_hint(now).map(|primary| primary.address().to_string());
-    let exposure = knowledge.replica.exposure();
+    let exposure = knowledge.replica.durability();
     let status = json!({
         "Node": knowledge.name,
         "Address": knowledge.me.address().to_string(),
@@ -30,7 +30,7 @@
         "Primary": primary,
         "Members": places(knowledge, &view.map(members).unwrap_or_default()),
         "Witnesses": places(knowledge, view.map(|view| view.witnesses.as_slice()).unwrap_or_default()),
-        "Covered": exposure.is_some_and(ViewExposure::is_none),
+        "Covered": exposure.is_some_and(DurabilityStatus::is_covered),
         "MembersDoNotSurvive": exposure.map(|exposure| exposure.members.kinds()),
         "WitnessesDoNotSurvive": exposure.map(|exposure| exposure.witnesses.kinds()),
     });
@@ -39,11 +39,11 @@
 
 fn role(role: Role) -> &'static str {
     match role {
-        Role::Primary { lease: true, .. } => "primary",
-        Role::Primary { lease: false, .. } => "primary without lease",
+        Role::Primary { holds_lease: true, .. } => "primary",
+        Role::Primary { holds_lease: false, .. } => "primary without lease",
         Role::Candidate => "candidate",
         Role::Follower { .. } => "follower",
-        Role::Stopped => "leaving",
+        Role::ShuttingDown => "leaving",
     }
 }
 
@@ -53,7 +53,7 @@
 
 fn places(knowledge: &Knowledge<'_>, nodes: &[NodeId]) -> Vec<OwnedValue> {
     let describe = |node: &NodeId| {
-        let place = knowledge.replica.place_of(*node);
+        let place = knowledge.replica.locality_of(*node);
         json!({
             "Address": node.address().to_string(),
             "Zone": place.map(|place| place.zone.as_str()),
--- a/crates/quillpulley/tests/catch_up/disk.rs
+++ b/crates/quillpulley/tests/catch_up/disk.rs
@@ -1,7 +1,7 @@
 //! A disk in memory that counts what it holds, and what a machine's real one would need for it.
 
 use quillpulley_protocol::{decode_value, encode_value, WitnessRecord, WitnessRecordRef};
-use quillpulley_replication::{Recovered, StoreFault, Write};
+use quillpulley_replication::{Recovered, Write, WriteFailed};
 use quillpulley_storage::files::{DataFile, Files};
 use quillpulley_storage::{Options, Storage};
 use std::cell::{Cell, RefCell};
@@ -143,7 +143,7 @@
     }
 
     /// Makes a write; gives how it ended and how long it takes.
-    pub fn write(&mut self, write: Write) -> (Result<(), StoreFault>, u64) {
+    pub fn write(&mut self, write: Write) -> (Result<(), WriteFailed>, u64) {
         let shared = &self.folder.0;
         let before = (shared.syncs.get(), shared.written.get());
         let storage = self.storage.as_mut().expect("an open disk");
@@ -156,7 +156,7 @@
         let syncs = shared.syncs.get() - before.0;
         let bytes = shared.written.get() - before.1;
         let time = syncs * self.speed.sync_us + (bytes as f64 / self.speed.bytes_per_us) as u64;
-        (outcome.map_err(|_| StoreFault), time)
+        (outcome.map_err(|_| WriteFailed), time)
     }
 
     /// Whether it takes no more bytes than it has.
--- a/crates/quillpulley/tests/catch_up/world.rs
+++ b/crates/quillpulley/tests/catch_up/world.rs
@@ -3,7 +3,7 @@
 use super::disk::Disk;
 use quillpulley_protocol::{Body, Entry, FrameDecoder, FrameEncoder, FrameQueue, Lane, NodeId};
 use quillpulley_replication::{
-    Action, Event, Faults, Options, Rejection, Replica, RestoreError, Role, StateMachine, StoreFault,
+    Action, Event, Faults, Options, RejectReason, Replica, RestoreError, Role, StateMachine, WriteFailed,
 };
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -218,8 +218,8 @@
             Happening::Stored { machine, incarnation, ticket, result }
                 if self.machines[machine].incarnation == incarnation =>
             {
-                let result = result.map_err(|()| StoreFault);
-                self.handle(machine, Event::Stored { ticket, result });
+                let result = result.map_err(|()| WriteFailed);
+                self.handle(machine, Event::WriteCompleted { ticket, result });
             }
             Happening::Tick { machine, incarnation } if self.machines[machine].incarnation == incarnation => {
                 self.handle(machine, Event::Tick);
@@ -314,13 +314,13 @@
                 let stored = Happening::Stored { machine, incarnation: slot.incarnation, ticket, result };
                 self.plan(time, stored);
             }
-            Action::Committed { order } => {
+            Action::Committed { proposal } => {
                 self.acknowledged += 1;
-                self.settled(order);
+                self.settled(proposal);
             }
-            Action::Rejected { order, why } => {
-                self.unclear += u64::from(why == Rejection::Unknown);
-                self.settled(order);
+            Action::Rejected { proposal, reason } => {
+                self.unclear += u64::from(reason == RejectReason::OutcomeUnknown);
+                self.settled(proposal);
             }
             Action::Applied { .. } | Action::RoleChanged(_) => {}
         }
@@ -355,7 +355,7 @@
         let order = self.next_order;
         self.next_order += 1;
         self.under_way = Some((order, self.now));
-        self.handle(leader, Event::Propose { order, payload: vec![order as u8; bytes] });
+        self.handle(leader, Event::Propose { proposal: order, payload: vec![order as u8; bytes] });
         true
     }
 
@@ -379,7 +379,8 @@
     }
 
     pub fn leader(&self) -> Option<usize> {
-        let leads = |machine: &usize| matches!(self.role(*machine), Some(Role::Primary { lease: true, .. }));
+        let leads =
+            |machine: &usize| matches!(self.role(*machine), Some(Role::Primary { holds_lease: true, .. }));
         (0..self.machines.len()).find(leads)
     }
 
--- a/crates/quillpulley/tests/control/cluster.rs
+++ b/crates/quillpulley/tests/control/cluster.rs
@@ -217,7 +217,7 @@
     /// Waits until a primary has let a machine in as a member since it was started last.
     pub fn wait_for_member(&mut self, index: usize) {
         let address = self.address(index).to_string();
-        self.wait_for_view(index, "with backups [", |backups| backups.contains(&address.as_str()));
+        self.wait_for_view(index, "backups=[", |backups| backups.contains(&address.as_str()));
     }
 
     /// Waits until these machines are the witnesses, since the last of them was started last.
@@ -226,7 +226,7 @@
             machines.iter().map(|index| self.address(*index).to_string()).collect();
         expected.sort();
         let newest = machines.iter().copied().max_by_key(|index| self.machines[*index].started_at_line);
-        self.wait_for_view(newest.expect("machines"), "and witnesses [", |witnesses| {
+        self.wait_for_view(newest.expect("machines"), "witnesses=[", |witnesses| {
             let mut witnesses = witnesses.to_vec();
             witnesses.sort();
             witnesses == expected
--- a/crates/quillpulley/tests/control/disk.rs
+++ b/crates/quillpulley/tests/control/disk.rs
@@ -4,7 +4,7 @@
 use quillpulley::control::disk::{Disk, Stored};
 use quillpulley::HostError;
 use quillpulley_protocol::{Entry, NodeId, Position, WitnessRecord};
-use quillpulley_replication::{Recovered, StoreFault, Write};
+use quillpulley_replication::{Recovered, Write, WriteFailed};
 use std::path::PathBuf;
 use std::sync::mpsc::{self, Receiver};
 
@@ -82,7 +82,7 @@
     std::fs::remove_dir_all(&folder.0).expect("a folder that is gone");
     let install = |index| Write::Install { last: position(index), snapshot: Vec::new(), entries: Vec::new() };
     disk.store(1, install(1));
-    assert_eq!(outcomes.recv_timeout(PATIENCE), Ok(Stored { ticket: 1, result: Err(StoreFault) }));
+    assert_eq!(outcomes.recv_timeout(PATIENCE), Ok(Stored { ticket: 1, result: Err(WriteFailed) }));
     std::fs::create_dir_all(&folder.0).expect("a folder");
     disk.store(2, install(2));
     assert_eq!(outcomes.recv_timeout(PATIENCE), Ok(Stored { ticket: 2, result: Ok(()) }));
--- a/crates/quillpulley/tests/control/frozen_host.rs
+++ b/crates/quillpulley/tests/control/frozen_host.rs
@@ -13,7 +13,7 @@
 use quillpulley::Settings;
 use quillpulley_control_state::ControlState;
 use quillpulley_protocol::{Hello, NodeId, PeerKind};
-use quillpulley_replication::{Options, Replica};
+use quillpulley_replication::{FaultTolerance, Options, Replica};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -60,7 +60,12 @@
         let deliver = move |fate| drop(store.send(fate));
         let (disk, recovered) = Disk::open(folder.clone(), deliver).expect("a disk");
         let me = NodeId::new(IP, 0);
-        let options = Options { me, bootstrap: Some(vec![me]), tolerated_machines: 0, ..Options::default() };
+        let options = Options {
+            me,
+            bootstrap: Some(vec![me]),
+            fault_tolerance: FaultTolerance { machines: 0, zones: 0, regions: 0 },
+            ..Options::default()
+        };
         let replica = Replica::new(options, recovered, ControlState::default(), clock.now());
         let hello = Hello {
             kind: PeerKind::Control,
--- a/crates/quillpulley/tests/operators/faults.rs
+++ b/crates/quillpulley/tests/operators/faults.rs
@@ -5,7 +5,7 @@
 use super::node::{Input, Node};
 use super::world::{address, zone, Happening, World};
 use quillpulley_protocol::NodeId;
-use quillpulley_replication::{Event, Options, Role};
+use quillpulley_replication::{Event, FaultTolerance, Locality, Options, Role};
 
 /// So few entries that snapshots are frequent.
 const COMPACT_ENTRIES: usize = 8;
@@ -19,11 +19,9 @@
         }
         let options = Options {
             me: slot.id,
-            zone: zone(machine),
-            region: "region".to_string(),
+            locality: Locality { zone: zone(machine), region: "region".to_string() },
             bootstrap: slot.bootstrap.then_some(seeds),
-            tolerated_machines: self.tolerated,
-            tolerated_zones: 1,
+            fault_tolerance: FaultTolerance { machines: self.tolerated, zones: 1, regions: 0 },
             seed: self.random.u64(..),
             compact_entries: COMPACT_ENTRIES,
             ..Options::default()
@@ -79,7 +77,7 @@
     }
 
     pub fn stop(&mut self, machine: usize) {
-        self.handle(machine, Input::Event(Event::Stop));
+        self.handle(machine, Input::Event(Event::Shutdown));
     }
 
     pub fn set_disk(&mut self, machine: usize, mode: DiskMode) {
@@ -108,7 +106,7 @@
             let now = self.local(*machine);
             let slot = &self.machines[*machine];
             let role = slot.node.as_ref().map(|node| node.replica.role(now));
-            !slot.frozen && matches!(role, Some(Role::Primary { lease: true, .. }))
+            !slot.frozen && matches!(role, Some(Role::Primary { holds_lease: true, .. }))
         };
         (0..self.machines.len()).find(leads)
     }
@@ -137,7 +135,7 @@
             }
             let now = self.local(machine);
             let role = self.machines[machine].node.as_ref().map(|node| node.replica.role(now));
-            if role == Some(Role::Stopped) {
+            if role == Some(Role::ShuttingDown) {
                 self.kill(machine);
             }
             self.start(machine);
--- a/crates/quillpulley/tests/operators/node.rs
+++ b/crates/quillpulley/tests/operators/node.rs
@@ -122,7 +122,10 @@
     fn check_inherited(&mut self, now: Duration) {
         let is_primary = matches!(self.replica.role(now), Role::Primary { .. });
         let was_elected = is_primary && !self.was_primary;
-        assert!(!was_elected || !self.replica.has_open_orders(), "a new primary lacks what it inherited");
+        assert!(
+            !was_elected || !self.replica.has_unresolved_proposals(),
+            "a new primary lacks what it inherited"
+        );
         self.was_primary = is_primary;
     }
 
@@ -144,7 +147,7 @@
     fn settle(&mut self, now: Duration) {
         self.update_leadership(now);
         while let Some(proposal) = self.next_proposal(now) {
-            self.replicate(now, Event::Propose { order: proposal.order, payload: proposal.payload });
+            self.replicate(now, Event::Propose { proposal: proposal.order, payload: proposal.payload });
         }
         let answers = self.orders.take_answers();
         self.outputs.extend(answers.into_iter().map(|(call, answer)| Output::Answer(call, answer)));
@@ -180,15 +183,15 @@
                 let entry = self.log.get(&index).cloned();
                 self.outputs.push(Output::Applied { index, entry });
             }
-            Action::Committed { order } => {
+            Action::Committed { proposal } => {
                 let holds_lease = self.holds_lease(now);
-                self.orders.committed(order, self.replica.state(), holds_lease);
-                let overlapping = self.overlapping.remove(&order);
+                self.orders.committed(proposal, self.replica.state(), holds_lease);
+                let overlapping = self.overlapping.remove(&proposal);
                 self.outputs.extend(overlapping.map(|call| Output::Answer(call, Answer::Done)));
             }
-            Action::Rejected { order, .. } => {
-                self.orders.failed(order);
-                let overlapping = self.overlapping.remove(&order);
+            Action::Rejected { proposal, .. } => {
+                self.orders.failed(proposal);
+                let overlapping = self.overlapping.remove(&proposal);
                 self.outputs.extend(overlapping.map(|call| Output::Answer(call, Answer::Unavailable)));
             }
             Action::RoleChanged(_) => {}
@@ -234,7 +237,7 @@
             Err(payload) => {
                 let name = call as u64 + 1;
                 self.overlapping.insert(name, call);
-                self.replicate(now, Event::Propose { order: name, payload });
+                self.replicate(now, Event::Propose { proposal: name, payload });
             }
         }
     }
--- a/crates/quillpulley/tests/operators/world.rs
+++ b/crates/quillpulley/tests/operators/world.rs
@@ -8,7 +8,7 @@
 use super::orders::Wish;
 use quillpulley::control::orders::Answer;
 use quillpulley_protocol::{Body, NodeId};
-use quillpulley_replication::{Event, Place, StoreFault, Write};
+use quillpulley_replication::{Event, Locality, Write, WriteFailed};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::net::Ipv4Addr;
@@ -195,12 +195,12 @@
         }
         let Some((_, write)) = slot.write.take() else { return };
         let result = if slot.mode == DiskMode::Full {
-            Err(StoreFault)
+            Err(WriteFailed)
         } else {
             slot.disk.apply(write);
             Ok(())
         };
-        self.handle(machine, Input::Event(Event::Stored { ticket, result }));
+        self.handle(machine, Input::Event(Event::WriteCompleted { ticket, result }));
     }
 
     /// Makes and drops connections as the network and the processes are.
@@ -223,8 +223,8 @@
                 }
             } else if let Some((id, life)) = wanted {
                 slot.connections.insert(other, (id, life));
-                let place = Place { zone: zone(other), region: "region".to_string() };
-                self.handle(machine, Input::Event(Event::Located { node: id, place }));
+                let place = Locality { zone: zone(other), region: "region".to_string() };
+                self.handle(machine, Input::Event(Event::LocalityLearned { node: id, locality: place }));
                 self.handle(machine, Input::Event(Event::Connected(id)));
             }
         }
--- a/crates/replication/src/event.rs
+++ b/crates/replication/src/event.rs
@@ -1,61 +1,62 @@
-//! What goes into a replica and what comes out of it.
+//! The events that a replica takes and the actions that it returns.
 
-use crate::Place;
+use crate::Locality;
 use quillpulley_protocol::{Body, Entry, NodeId, Position, WitnessRecord};
 
-/// Something that a replica must know of.
+/// An input of a replica.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A message of another core process, whose `Hello` named it.
+    /// Another control node, which identified itself with a `Hello`, has sent a message.
     Message { from: NodeId, body: Body },
-    /// Where a node stands, as its `Hello` told. Comes before [`Event::Connected`].
-    Located { node: NodeId, place: Place },
+    /// The failure domains of a node, as its `Hello` told. Comes before [`Event::Connected`].
+    LocalityLearned { node: NodeId, locality: Locality },
     /// Messages can be sent to the node from now on.
     Connected(NodeId),
-    /// Messages to the node go nowhere from now on.
+    /// Messages to the node are lost from now on.
     Disconnected(NodeId),
     /// A write is durable, or has failed.
-    Stored { ticket: u64, result: Result<(), StoreFault> },
-    /// An order to append, which is not empty. Its fate comes as [`Action::Committed`] or [`Action::Rejected`] with the same number.
-    Propose { order: u64, payload: Vec<u8> },
+    WriteCompleted { ticket: u64, result: Result<(), WriteFailed> },
+    /// A payload to append to the log; must not be empty. Its outcome is reported by [`Action::Committed`] or
+    /// [`Action::Rejected`] with the same number.
+    Propose { proposal: u64, payload: Vec<u8> },
     /// Time has passed. Due every 50 ms.
     Tick,
-    /// The process is about to end: a primary hands over, and stands for no election any more.
-    Stop,
+    /// The process is about to shut down: a primary hands over, and the node stands for no election any more.
+    Shutdown,
 }
 
-/// Something that the host has to do.
+/// An output of a replica, which the host has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a message. Losing it does no harm.
+    /// Send a message. It may get lost.
     Send { to: NodeId, body: Body },
-    /// Make a write durable and answer with [`Event::Stored`]. No write comes before the one before it is answered.
+    /// Make a write durable and report it with [`Event::WriteCompleted`]. There is one write at a time.
     Store { ticket: u64, write: Write },
-    /// The entry is committed and has been applied to the state. Not told of entries that a snapshot covers.
+    /// The entry is committed and applied to the state. Not reported for entries that a snapshot covers.
     Applied { index: u64 },
-    /// The order is committed, and the replica held the lease when it saw that.
-    Committed { order: u64 },
-    /// The order was not acknowledged.
-    Rejected { order: u64, why: Rejection },
-    /// The role is another one than before.
+    /// The proposal is committed, and the replica held its lease when it saw that.
+    Committed { proposal: u64 },
+    /// The proposal is not acknowledged.
+    Rejected { proposal: u64, reason: RejectReason },
+    /// The role has changed.
     RoleChanged(Role),
 }
 
 /// A write to disk.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Write {
-    /// Replace the record. All or nothing.
+    /// Replace the witness record, atomically.
     Record(WitnessRecord),
-    /// Append entries. Entries on disk from the first one's index on are cut off before.
+    /// Append entries, after truncating the stored log from the index of the first one on.
     Append(Vec<Entry>),
-    /// Replace the whole log by a snapshot and the entries after it. All or nothing.
+    /// Replace the whole log by a snapshot and the entries after it, atomically.
     Install { last: Position, snapshot: Vec<u8>, entries: Vec<Entry> },
-    /// Put a snapshot in the place of the entries up to `last`. All or nothing.
+    /// Replace the entries up to `last` by a snapshot, atomically.
     Compact { last: Position, snapshot: Vec<u8> },
 }
 
 impl Write {
-    /// About how many bytes it puts on disk.
+    /// Returns about how many bytes it puts on disk.
     pub(crate) fn bytes(&self) -> usize {
         match self {
             Write::Record(_) => 0,
@@ -70,22 +71,21 @@
     entries.iter().map(|entry| entry.payload.len()).sum()
 }
 
-/// A write has failed: the disk is full or broken. The replica tries again by itself.
+/// A write has failed: the disk is full or broken. The replica retries by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StoreFault;
+pub struct WriteFailed;
 
-/// Why an order was not acknowledged.
+/// Why a proposal is not acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rejection {
-    /// The replica holds no lease, and the order was not appended and never will be. The hint is the primary that
-    /// it has heard within the lease.
+pub enum RejectReason {
+    /// The replica holds no lease. The proposal was not appended and never will be. `hint` is the primary that the
+    /// replica has heard within the lease.
     NotPrimary { hint: Option<NodeId> },
-    /// The order was appended, and the replica lost its lease or its leadership before it was committed: it may come
-    /// into force or not.
-    Unknown,
+    /// The proposal was appended, and the replica lost its lease before it was committed: it may take effect or not.
+    OutcomeUnknown,
 }
 
-/// What a replica is at the moment.
+/// The role of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// It follows the primary that it has heard within the lease, if there is one.
@@ -93,7 +93,7 @@
     /// It stands for election.
     Candidate,
     /// It is the primary of an epoch. Without the lease it must not act as one.
-    Primary { epoch: u64, lease: bool },
-    /// It has been told to stop.
-    Stopped,
+    Primary { epoch: u64, holds_lease: bool },
+    /// It has been told to shut down.
+    ShuttingDown,
 }
--- /dev/null
+++ b/crates/replication/src/fault_tolerance.rs
@@ -0,0 +1,120 @@
+//! Failure domains, and which failures a set of nodes survives.
+
+use quillpulley_protocol::NodeId;
+use std::collections::BTreeMap;
+use std::fmt;
+
+use crate::view::majority;
+
+/// The failure domains of a machine. An empty name is one that is not known.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Locality {
+    /// The zone, which lies in the region.
+    pub zone: String,
+    /// The region.
+    pub region: String,
+}
+
+/// The failures to survive: the loss of any `machines`, or of any `zones`, or of any `regions` at once, with all
+/// members and witnesses in them.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FaultTolerance {
+    /// Machines that may lose their disks at once. Commits need more members than this.
+    pub machines: usize,
+    /// Zones that may be lost at once.
+    pub zones: usize,
+    /// Regions that may be lost at once.
+    pub regions: usize,
+}
+
+impl Default for FaultTolerance {
+    /// One machine.
+    fn default() -> Self {
+        FaultTolerance { machines: 1, zones: 0, regions: 0 }
+    }
+}
+
+/// The kinds of tolerated failures that a set of nodes does not survive.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct UncoveredFailures {
+    /// The loss of as many machines as are tolerated.
+    pub machines: bool,
+    /// The loss of as many zones as are tolerated.
+    pub zones: bool,
+    /// The loss of as many regions as are tolerated.
+    pub regions: bool,
+}
+
+impl UncoveredFailures {
+    /// Returns whether every tolerated failure is survived.
+    pub fn is_empty(self) -> bool {
+        self.count() == 0
+    }
+
+    /// Returns whether the loss of zones or of regions is not survived.
+    pub fn has_domains(self) -> bool {
+        self.zones || self.regions
+    }
+
+    pub(crate) fn count(self) -> usize {
+        [self.machines, self.zones, self.regions].iter().filter(|uncovered| **uncovered).count()
+    }
+
+    /// Returns the names of the failures that are not survived.
+    pub fn kinds(self) -> Vec<&'static str> {
+        let kinds = [(self.machines, "machines"), (self.zones, "zones"), (self.regions, "regions")];
+        kinds.iter().filter(|(uncovered, _)| *uncovered).map(|(_, kind)| *kind).collect()
+    }
+}
+
+impl fmt::Display for UncoveredFailures {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(&self.kinds().join(" or "))
+    }
+}
+
+/// Returns the failures after which no copy remains with these members.
+pub(crate) fn uncovered_by_members<'a>(
+    members: &[NodeId],
+    tolerance: FaultTolerance,
+    locality_of: impl Fn(NodeId) -> Option<&'a Locality>,
+) -> UncoveredFailures {
+    uncovered(members, tolerance, locality_of, 1)
+}
+
+/// Returns the failures after which these witnesses have no majority.
+pub(crate) fn uncovered_by_witnesses<'a>(
+    witnesses: &[NodeId],
+    tolerance: FaultTolerance,
+    locality_of: impl Fn(NodeId) -> Option<&'a Locality>,
+) -> UncoveredFailures {
+    uncovered(witnesses, tolerance, locality_of, majority(witnesses.len()))
+}
+
+/// Returns the failures after which fewer than `needed` of the nodes remain.
+fn uncovered<'a>(
+    nodes: &[NodeId],
+    tolerance: FaultTolerance,
+    locality_of: impl Fn(NodeId) -> Option<&'a Locality>,
+    needed: usize,
+) -> UncoveredFailures {
+    let zone = |node: &NodeId| locality_of(*node).map(|locality| locality.zone.as_str());
+    let region = |node: &NodeId| locality_of(*node).map(|locality| locality.region.as_str());
+    UncoveredFailures {
+        machines: nodes.len() < tolerance.machines + needed,
+        zones: tolerance.zones > 0 && remaining_after(nodes, tolerance.zones, zone) < needed,
+        regions: tolerance.regions > 0 && remaining_after(nodes, tolerance.regions, region) < needed,
+    }
+}
+
+/// Returns how many nodes remain after the loss of the domains with the most of them. A node whose domain is not known
+/// may be in any of them, and so counts as lost.
+fn remaining_after<'a>(nodes: &[NodeId], lost: usize, domain: impl Fn(&NodeId) -> Option<&'a str>) -> usize {
+    let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
+    for name in nodes.iter().filter_map(domain).filter(|name| !name.is_empty()) {
+        *counts.entry(name).or_default() += 1;
+    }
+    let mut counts: Vec<usize> = counts.into_values().collect();
+    counts.sort_unstable_by(|a, b| b.cmp(a));
+    counts.iter().skip(lost).sum()
+}
--- a/crates/replication/src/lease.rs
+++ b/crates/replication/src/lease.rs
@@ -1,13 +1,16 @@
-//! The lease as its holder sees it: rounds that it asked for, and who granted them.
+//! The lease as its holder sees it: the rounds of requests, and which witnesses granted them.
+//!
+//! Invariant: the holder counts a lease from before it sent the request, a witness from when it received it. So the
+//! holder's lease ends first, as long as no clock runs faster than another by more than the safety margin.
 
 use quillpulley_protocol::NodeId;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use crate::quorum::majority;
+use crate::view::majority;
 
-/// The part of a lease that the holder does not use, against clocks that run at different rates.
-const SAFETY_MARGIN: u32 = 10;
+/// The holder leaves one part in so many of a lease unused, against clocks that run at different rates.
+const SAFETY_MARGIN_DIVISOR: u32 = 10;
 
 #[derive(Clone, Copy, Debug)]
 struct Round {
@@ -16,7 +19,7 @@
     sent_at: Duration,
 }
 
-/// The lease of a primary, kept across the views that it forms itself.
+/// The lease of a primary. It is kept across the views that the primary forms itself.
 #[derive(Clone, Debug)]
 pub(crate) struct Lease {
     duration: Duration,
@@ -31,8 +34,8 @@
         Lease { duration, next_round: 1, rounds: VecDeque::new(), granted: BTreeMap::new() }
     }
 
-    /// Begins a round of requests; returns its number.
-    pub fn ask(&mut self, now: Duration, epoch: u64) -> u64 {
+    /// Begins a round of requests and returns its number.
+    pub fn begin_round(&mut self, now: Duration, epoch: u64) -> u64 {
         let number = self.next_round;
         self.next_round += 1;
         self.rounds.retain(|round| round.sent_at + self.duration > now);
@@ -40,8 +43,8 @@
         number
     }
 
-    /// A witness has granted a round. Rounds that are long over count for nothing.
-    pub fn granted(&mut self, witness: NodeId, number: u64, epoch: u64) {
+    /// Records that a witness has granted a round. Rounds that have expired count for nothing.
+    pub fn record_grant(&mut self, witness: NodeId, number: u64, epoch: u64) {
         let round = self.rounds.iter().find(|round| round.number == number && round.epoch == epoch);
         if let Some(round) = round {
             let newest = self.granted.entry(witness).or_default();
@@ -49,13 +52,13 @@
         }
     }
 
-    /// When the lease ends that majorities of all the sets have granted; none if they never have.
+    /// Returns when the lease ends that majorities of all the sets have granted, if they ever have.
     pub fn ends_at(&self, sets: &[&[NodeId]]) -> Option<Duration> {
         let sent_at = sets.iter().map(|set| self.granted_by_majority(set)).min().flatten()?;
-        Some(sent_at + self.duration - self.duration / SAFETY_MARGIN)
+        Some(sent_at + self.duration - self.duration / SAFETY_MARGIN_DIVISOR)
     }
 
-    /// The latest time such that a majority of the set has granted a round sent then or later.
+    /// Returns the latest time such that a majority of the set has granted a round sent then or later.
     fn granted_by_majority(&self, set: &[NodeId]) -> Option<Duration> {
         let mut times: Vec<Duration> =
             set.iter().filter_map(|node| self.granted.get(node)).copied().collect();
--- a/crates/replication/src/log.rs
+++ b/crates/replication/src/log.rs
@@ -1,20 +1,20 @@
-//! A member's log in memory: the entries after a base that a snapshot covers.
+//! The replicated log in memory: the entries after a base that a snapshot covers.
+//!
+//! Invariants: indices have no gaps; a committed entry is never truncated.
 
 use quillpulley_protocol::{Entry, Position};
 use std::collections::VecDeque;
 
-use crate::quorum::position;
-
-/// Why entries do not go into the log.
+/// Why entries are not appended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AppendError {
     /// The log does not hold the entry that they follow.
     Mismatch,
-    /// They contradict entries that are committed: a defect, or a disk that lies.
-    AgainstCommitted,
+    /// They conflict with committed entries: a defect, or a disk that has lost what it confirmed.
+    ConflictsWithCommitted,
 }
 
-/// Entries in the order of their index, without gaps.
+/// The entries after a base, ordered by index.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Log {
     base: Position,
@@ -23,7 +23,10 @@
 }
 
 impl Log {
-    /// A log of the entries after `base`; the error is the index at which one is missing.
+    /// Creates a log of the entries after `base`. Entries up to the base are skipped.
+    ///
+    /// # Errors
+    /// The index of the first entry behind a gap.
     pub fn new(base: Position, entries: Vec<Entry>) -> Result<Self, u64> {
         let mut log = Log { base, ..Log::default() };
         for entry in entries {
@@ -38,28 +41,30 @@
         Ok(log)
     }
 
+    /// Returns the position of the last entry that is covered by a snapshot.
     pub fn base(&self) -> Position {
         self.base
     }
 
-    /// The position of the last entry.
+    /// Returns the position of the last entry, or the base.
     pub fn last(&self) -> Position {
-        self.entries.back().map_or(self.base, position)
+        self.entries.back().map_or(self.base, position_of)
     }
 
+    /// Returns the bytes of all payloads.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// The position of the entry with that index, if the log still holds it or has it as its base.
+    /// Returns the position of the entry with that index, if the log holds it or has it as its base.
     pub fn position_at(&self, index: u64) -> Option<Position> {
         if index == self.base.index {
             return Some(self.base);
         }
-        self.get(index).map(position)
+        self.get(index).map(position_of)
     }
 
-    /// Whether the log up to that position is known to be the same as that of whoever holds the position.
+    /// Returns whether the log holds that position. If so, it matches up to there the log of any other holder of it.
     pub fn contains(&self, wanted: Position) -> bool {
         self.position_at(wanted.index) == Some(wanted)
     }
@@ -69,69 +74,72 @@
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Copies of the entries after an index.
+    /// Returns copies of the entries after an index.
     pub fn after(&self, index: u64) -> Vec<Entry> {
         let skipped = index.saturating_sub(self.base.index) as usize;
         self.entries.iter().skip(skipped).cloned().collect()
     }
 
-    /// Whether an entry after an index is an order, and no mere mark of an epoch.
+    /// Returns whether an entry after an index has a payload, and does not only mark the begin of an epoch.
     pub fn has_payload_after(&self, index: u64) -> bool {
         let skipped = index.saturating_sub(self.base.index) as usize;
         self.entries.iter().skip(skipped).any(|entry| !entry.payload.is_empty())
     }
 
-    /// Copies of the entries after an index, at least one, and no more once they exceed `bytes`.
+    /// Returns copies of entries after an index: at least one, and as many as fit into `bytes`.
     pub fn batch_after(&self, index: u64, bytes: usize) -> Vec<Entry> {
         let skipped = index.saturating_sub(self.base.index) as usize;
-        let mut room = bytes;
+        let mut remaining = bytes;
         let mut batch = Vec::new();
         for entry in self.entries.iter().skip(skipped) {
-            if !batch.is_empty() && entry.payload.len() > room {
+            if !batch.is_empty() && entry.payload.len() > remaining {
                 break;
             }
-            room = room.saturating_sub(entry.payload.len());
+            remaining = remaining.saturating_sub(entry.payload.len());
             batch.push(entry.clone());
         }
         batch
     }
 
-    /// Appends a new entry of the epoch; returns its position.
+    /// Appends a new entry of an epoch and returns its position.
     pub fn append(&mut self, epoch: u64, payload: Vec<u8>) -> Position {
         let index = self.last().index + 1;
         self.push(Entry { epoch, index, payload });
         self.last()
     }
 
-    /// Takes entries that follow `previous` in the log of a primary. Entries that contradict them are cut off, but
-    /// never one up to `committed`. Returns the entries that are new, which have to be stored.
-    pub fn take(
+    /// Appends entries that follow `previous` in the log of a primary, if this log holds `previous`. Conflicting entries
+    /// are truncated, but never one up to `committed`. Returns the entries that are new, which have to be stored.
+    ///
+    /// # Errors
+    /// [`AppendError`]; the log is then unchanged.
+    pub fn maybe_append(
         &mut self,
         previous: Position,
         entries: Vec<Entry>,
         committed: u64,
     ) -> Result<Vec<Entry>, AppendError> {
-        if !follow_each_other(previous, &entries) {
+        if !are_consecutive(previous, &entries) {
             return Err(AppendError::Mismatch);
         }
-        // What the base covers is committed, and so the same everywhere.
+        // Entries that the base covers are committed, and so the same everywhere.
         if previous.index > self.base.index && !self.contains(previous) {
             return Err(AppendError::Mismatch);
         }
-        let is_known = |entry: &Entry| entry.index <= self.base.index || self.contains(position(entry));
+        let is_known = |entry: &Entry| entry.index <= self.base.index || self.contains(position_of(entry));
         let known = entries.iter().take_while(|entry| is_known(entry)).count();
-        let fresh: Vec<Entry> = entries.into_iter().skip(known).collect();
-        if let Some(first) = fresh.first() {
+        let new: Vec<Entry> = entries.into_iter().skip(known).collect();
+        if let Some(first) = new.first() {
             if first.index <= committed {
-                return Err(AppendError::AgainstCommitted);
+                return Err(AppendError::ConflictsWithCommitted);
             }
             self.truncate_from(first.index);
-            fresh.iter().for_each(|entry| self.push(entry.clone()));
+            new.iter().for_each(|entry| self.push(entry.clone()));
         }
-        Ok(fresh)
+        Ok(new)
     }
 
-    /// Forgets the entries up to a position that the log holds.
+    /// Drops the entries up to a position that the log holds.
     pub fn compact(&mut self, base: Position) {
         while self.entries.front().is_some_and(|entry| entry.index <= base.index) {
             self.pop_front();
@@ -159,7 +167,12 @@
     }
 }
 
-fn follow_each_other(previous: Position, entries: &[Entry]) -> bool {
+fn are_consecutive(previous: Position, entries: &[Entry]) -> bool {
     let expected = (previous.index..u64::MAX).map(|index| index + 1);
     entries.iter().zip(expected).all(|(entry, index)| entry.index == index)
 }
+
+/// Returns the position of an entry.
+pub(crate) fn position_of(entry: &Entry) -> Position {
+    Position { epoch: entry.epoch, index: entry.index }
+}
--- /dev/null
+++ b/crates/replication/src/membership/learners.rs
@@ -0,0 +1,48 @@
+//! Learners: nodes that receive the log and are about to become members.
+//!
+//! New proposals wait until a learner has caught up. With long entries one after the other it would otherwise always
+//! lack the one that is on its way; a view change that begins then sends that entry a second time, in the new epoch,
+//! and the learner does not catch up in time.
+
+use quillpulley_protocol::NodeId;
+
+use super::Planner;
+use crate::view::members;
+
+impl Planner<'_> {
+    /// Returns the nodes that reply steadily and are no members.
+    pub fn learners(&self) -> Vec<NodeId> {
+        let present = members(self.primary.view());
+        let mut nodes = self.cluster.peers.connected();
+        nodes.retain(|node| !present.contains(node) && self.is_steady(*node));
+        nodes
+    }
+
+    /// Returns whether a learner holds the log, or can get it only under a higher epoch.
+    pub(super) fn is_ready(&self, node: NodeId) -> bool {
+        let Some(tracker) = self.tracker else { return false };
+        let is_rejecting = self.cluster.peers.is_rejecting(node);
+        let is_counted_early = self.cluster.options.faults.count_learner_early();
+        let has_log = tracker.match_index(node).is_some_and(|index| index >= self.applied.index);
+        is_rejecting || is_counted_early || has_log && !self.is_catching_up(node)
+    }
+
+    /// Returns whether proposals wait for a learner that has the log by now, so that the view can be changed at once.
+    pub fn can_add_at_once(&self, node: NodeId) -> bool {
+        self.primary.proposals.has_queued() && self.learners().contains(&node) && self.is_ready(node)
+    }
+
+    /// Returns whether new proposals have to wait, since a learner is receiving the last entries.
+    pub fn waits_for_learner(&self) -> bool {
+        self.learners().iter().any(|node| self.is_catching_up(*node))
+    }
+
+    /// Returns whether the last entries are on their way to a node that acknowledges them.
+    fn is_catching_up(&self, node: NodeId) -> bool {
+        let Some(progress) = self.progress(node) else { return false };
+        let Some(matched) = progress.matched() else { return false };
+        let is_behind = matched.index < self.log.last().index;
+        let drop_after = self.cluster.options.drop_after;
+        is_behind && self.log.contains(matched) && !progress.is_stuck(self.cluster.now, drop_after)
+    }
+}
--- /dev/null
+++ b/crates/replication/src/membership/planner.rs
@@ -0,0 +1,159 @@
+//! The view as it should be: which members are dropped, and which learners are added.
+
+use quillpulley_protocol::{NodeId, Position};
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+use super::ClusterState;
+use crate::durability::DurabilityInputs;
+use crate::log::Log;
+use crate::primary::PrimaryState;
+use crate::progress::{Progress, ProgressTracker};
+use crate::view::members;
+
+/// How long a node has to be responsive before it is added.
+const STEADY_TIME: Duration = Duration::from_millis(300);
+
+/// The view that an active primary wants.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub(crate) struct ViewPlan {
+    pub members: BTreeSet<NodeId>,
+    pub witnesses: Vec<NodeId>,
+    /// The node that becomes a witness, if one does.
+    pub new_witness: Option<NodeId>,
+}
+
+impl ViewPlan {
+    /// Returns whether the new witness is among the nodes that hold the state.
+    pub fn is_possible_with(&self, synced: &BTreeSet<NodeId>) -> bool {
+        self.new_witness.is_none_or(|node| synced.contains(&node))
+    }
+}
+
+/// Decides on the membership for a primary.
+pub(crate) struct Planner<'a> {
+    pub(super) cluster: ClusterState<'a>,
+    pub(super) primary: &'a PrimaryState,
+    pub(super) tracker: Option<&'a ProgressTracker>,
+    pub(super) log: &'a Log,
+    pub(super) applied: Position,
+}
+
+impl<'a> Planner<'a> {
+    pub fn new(
+        cluster: ClusterState<'a>,
+        primary: &'a PrimaryState,
+        tracker: Option<&'a ProgressTracker>,
+        log: &'a Log,
+        applied: Position,
+    ) -> Self {
+        Planner { cluster, primary, tracker, log, applied }
+    }
+
+    /// Returns the view as it should be now. Members are dropped only as long as enough remain.
+    pub fn plan(&self) -> ViewPlan {
+        let present: BTreeSet<NodeId> = members(self.primary.view()).into_iter().collect();
+        let mut wanted: BTreeSet<NodeId> =
+            present.iter().copied().filter(|node| !self.is_lost(*node)).collect();
+        wanted.extend(self.learners().into_iter().filter(|node| self.is_ready(*node)));
+        wanted.extend(self.shutting_down_to_keep(&present, &wanted));
+        if wanted.len() <= self.cluster.options.fault_tolerance.machines {
+            wanted.extend(present);
+        }
+        let change = self.next_witnesses(&wanted);
+        ViewPlan { members: wanted, witnesses: change.witnesses, new_witness: change.added }
+    }
+
+    /// Returns whether the view has to be replaced by the planned one.
+    pub fn requires_view_change(&self, plan: &ViewPlan) -> bool {
+        let view = self.primary.view();
+        let is_different = plan.members != members(view).into_iter().collect::<BTreeSet<NodeId>>()
+            || plan.witnesses != view.witnesses;
+        is_different || self.is_superseded(plan)
+    }
+
+    /// Returns whether a member does not do its part any more.
+    fn is_lost(&self, node: NodeId) -> bool {
+        if self.cluster.is_me(node) {
+            return false;
+        }
+        let drop_after = self.cluster.options.drop_after;
+        let is_silent = self.cluster.silent_for(node, self.primary.elected_at()) > drop_after;
+        is_silent
+            || self.cluster.is_shutting_down(node)
+            || self.progress(node).is_some_and(|progress| progress.is_stuck(self.cluster.now, drop_after))
+    }
+
+    /// Returns whether a node of the planned view has promised an epoch to another node, and so takes nothing from this
+    /// one.
+    fn is_superseded(&self, plan: &ViewPlan) -> bool {
+        let rejects = |node: &NodeId| {
+            self.cluster.peers.is_responsive(self.cluster.now, *node)
+                && self.cluster.peers.is_rejecting(*node)
+        };
+        plan.members.iter().chain(&plan.witnesses).any(rejects)
+    }
+
+    /// Returns the members that are shutting down and are kept beside those that stay: as many as are needed for the loss
+    /// of machines, and those whose failure domain is needed until a connected node takes their place.
+    fn shutting_down_to_keep(
+        &self,
+        present: &BTreeSet<NodeId>,
+        staying: &BTreeSet<NodeId>,
+    ) -> BTreeSet<NodeId> {
+        let is_candidate = |node: &&NodeId| {
+            self.cluster.peers.is_responsive(self.cluster.now, **node)
+                && self.cluster.is_shutting_down(**node)
+        };
+        let candidates: BTreeSet<NodeId> = present.iter().filter(is_candidate).copied().collect();
+        let missing = (self.cluster.options.fault_tolerance.machines + 1).saturating_sub(staying.len());
+        if missing > candidates.len() {
+            return BTreeSet::new();
+        }
+        let mut kept: BTreeSet<NodeId> = candidates.iter().take(missing).copied().collect();
+        let with_kept: BTreeSet<NodeId> = staying.union(&kept).copied().collect();
+        let mut with_available = with_kept.clone();
+        with_available.extend(self.cluster.available_nodes());
+        if self.cluster.count_uncovered(&with_available) < self.cluster.count_uncovered(&with_kept) {
+            kept.extend(self.cluster.covering(&candidates, &with_kept));
+        }
+        kept
+    }
+
+    /// Returns what the durability of the view is judged by.
+    pub fn durability_inputs(&self) -> DurabilityInputs {
+        let view = self.primary.view();
+        DurabilityInputs {
+            status: self.cluster.durability_of(view),
+            has_enough_witnesses: view.witnesses.len() > 2 * self.cluster.options.fault_tolerance.machines,
+            could_add_witness: self.could_add_witness(),
+            elected_at: self.primary.elected_at(),
+        }
+    }
+
+    /// Returns whether the view would survive more failures of zones or regions with nodes that are connected.
+    pub fn could_cover_domains(&self) -> bool {
+        let status = self.cluster.durability_of(self.primary.view());
+        if !status.has_uncovered_domains() {
+            return false;
+        }
+        let present = members(self.primary.view());
+        let mut with_available = present.clone();
+        let available = self.cluster.available_nodes();
+        with_available.extend(available.into_iter().filter(|node| !present.contains(node)));
+        let members_help =
+            self.cluster.uncovered_by_members(&with_available).count() < status.members.count();
+        let witnesses_help = status.witnesses.has_domains()
+            && self.cluster.uncovered_by_witnesses(&self.plan().witnesses).count() < status.witnesses.count();
+        members_help || witnesses_help
+    }
+
+    pub(super) fn progress(&self, node: NodeId) -> Option<&'a Progress> {
+        self.tracker.and_then(|tracker| tracker.get(node))
+    }
+
+    pub(super) fn is_steady(&self, node: NodeId) -> bool {
+        let is_steady = self.cluster.peers.is_steady(self.cluster.now, node, STEADY_TIME);
+        is_steady && !self.cluster.is_shutting_down(node)
+    }
+}
--- /dev/null
+++ b/crates/replication/src/membership/witness_set.rs
@@ -0,0 +1,154 @@
+//! The set of witnesses: who is added and who is removed, one node at a time.
+
+use quillpulley_protocol::NodeId;
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+use super::Planner;
+
+/// A witness that has been silent for so long is replaced by another node.
+const REPLACE_AFTER: Duration = Duration::from_secs(1);
+/// Two witnesses that have been silent for so long are removed, one after the other, from a set that is larger than the
+/// tolerated failures need.
+const REMOVE_SPARE_AFTER: Duration = Duration::from_secs(3);
+
+/// The next set of witnesses.
+pub(super) struct WitnessChange {
+    pub witnesses: Vec<NodeId>,
+    /// The node that is new in the set, if there is one.
+    pub added: Option<NodeId>,
+}
+
+impl WitnessChange {
+    fn unchanged(witnesses: &[NodeId]) -> Self {
+        WitnessChange { witnesses: witnesses.to_vec(), added: None }
+    }
+
+    fn add(witnesses: &[NodeId], node: NodeId) -> Self {
+        let mut next = witnesses.to_vec();
+        next.push(node);
+        WitnessChange { witnesses: next, added: Some(node) }
+    }
+
+    fn replace(witnesses: &[NodeId], index: usize, node: NodeId) -> Self {
+        let mut next = witnesses.to_vec();
+        next[index] = node;
+        WitnessChange { witnesses: next, added: Some(node) }
+    }
+
+    fn remove(witnesses: &[NodeId], index: usize) -> Self {
+        let mut next = witnesses.to_vec();
+        next.remove(index);
+        WitnessChange { witnesses: next, added: None }
+    }
+}
+
+impl Planner<'_> {
+    /// Returns the next set of witnesses, with at most one node added or removed.
+    pub(super) fn next_witnesses(&self, members: &BTreeSet<NodeId>) -> WitnessChange {
+        let present = &self.primary.view().witnesses;
+        let candidates = self.witness_candidates(present, members);
+        self.replace_one(present, &candidates)
+            .or_else(|| self.remove_one(present))
+            .or_else(|| self.spread(present, &candidates))
+            .or_else(|| self.add_one(present, &candidates))
+            .unwrap_or_else(|| WitnessChange::unchanged(present))
+    }
+
+    /// Returns whether a connected node could become a witness.
+    pub(super) fn could_add_witness(&self) -> bool {
+        let witnesses = &self.primary.view().witnesses;
+        let is_candidate = |node: &NodeId| {
+            !witnesses.contains(node) && self.cluster.peers.is_responsive(self.cluster.now, *node)
+        };
+        self.cluster.peers.connected().iter().any(is_candidate)
+    }
+
+    /// Returns the available members that are no witnesses.
+    fn witness_candidates(&self, witnesses: &[NodeId], members: &BTreeSet<NodeId>) -> Vec<NodeId> {
+        let is_available = |node: NodeId| self.cluster.is_me(node) || self.cluster.is_available(node);
+        members.iter().copied().filter(|node| !witnesses.contains(node) && is_available(*node)).collect()
+    }
+
+    /// Replaces a witness by a candidate: one with the same address, else one that is shutting down or silent.
+    fn replace_one(&self, present: &[NodeId], candidates: &[NodeId]) -> Option<WitnessChange> {
+        let successor = candidates.iter().find_map(|node| {
+            let index = present.iter().position(|other| other.ip == node.ip)?;
+            Some((index, *node))
+        });
+        if let Some((index, node)) = successor {
+            return Some(WitnessChange::replace(present, index, node));
+        }
+        let index = self.unavailable(present, REPLACE_AFTER)?;
+        let replacements = candidates.iter().map(|node| WitnessChange::replace(present, index, *node));
+        replacements.min_by_key(|change| self.count_uncovered_by(change))
+    }
+
+    /// Removes an unavailable witness from a set of even size: that makes the majority smaller, and so the others survive
+    /// one loss more. From a set of odd size one is removed if two are unavailable that it does not need.
+    fn remove_one(&self, present: &[NodeId]) -> Option<WitnessChange> {
+        let silent_for = match present.len().is_multiple_of(2) {
+            true => self.cluster.options.drop_after,
+            false if self.has_two_to_spare(present) => REMOVE_SPARE_AFTER,
+            false => return None,
+        };
+        self.unavailable(present, silent_for).map(|index| WitnessChange::remove(present, index))
+    }
+
+    /// Returns whether two witnesses are unavailable without which the set would still be large enough. They would count
+    /// against the next losses.
+    fn has_two_to_spare(&self, present: &[NodeId]) -> bool {
+        let is_large = present.len() > 2 * self.cluster.options.fault_tolerance.machines + 1;
+        let unavailable =
+            present.iter().filter(|node| self.is_unavailable(**node, REMOVE_SPARE_AFTER)).count();
+        is_large && unavailable >= 2
+    }
+
+    /// Replaces or removes a witness if the set then survives failures of zones or regions that it does not survive now.
+    fn spread(&self, present: &[NodeId], candidates: &[NodeId]) -> Option<WitnessChange> {
+        let uncovered = self.cluster.uncovered_by_witnesses(present);
+        let is_known = present.iter().all(|node| self.cluster.locality_of(*node).is_some());
+        if !uncovered.has_domains() || !is_known {
+            return None;
+        }
+        let is_better = |change: &WitnessChange| self.count_uncovered_by(change) < uncovered.count();
+        // Enough for the loss of machines have to stay: else the next one would be added again.
+        let is_removable = |change: &WitnessChange| {
+            !self.cluster.uncovered_by_witnesses(&change.witnesses).machines && is_better(change)
+        };
+        let mut removals = (0..present.len()).map(|index| WitnessChange::remove(present, index));
+        if let Some(removal) = removals.find(is_removable) {
+            return Some(removal);
+        }
+        let pairs = candidates.iter().flat_map(|node| (0..present.len()).map(move |index| (index, *node)));
+        let mut replacements = pairs.map(|(index, node)| WitnessChange::replace(present, index, node));
+        replacements.find(is_better)
+    }
+
+    /// Adds a candidate. A larger set needs a larger majority: so only while all witnesses are available, and not where
+    /// the set would survive fewer failures, unless more witnesses are needed for the loss of machines.
+    fn add_one(&self, present: &[NodeId], candidates: &[NodeId]) -> Option<WitnessChange> {
+        if self.unavailable(present, self.cluster.options.drop_after).is_some() {
+            return None;
+        }
+        let uncovered = self.cluster.uncovered_by_witnesses(present);
+        let additions = candidates.iter().map(|node| WitnessChange::add(present, *node));
+        let addition = additions.min_by_key(|change| self.count_uncovered_by(change))?;
+        let is_safe = self.count_uncovered_by(&addition) <= uncovered.count();
+        (uncovered.machines || is_safe).then_some(addition)
+    }
+
+    fn count_uncovered_by(&self, change: &WitnessChange) -> usize {
+        self.cluster.uncovered_by_witnesses(&change.witnesses).count()
+    }
+
+    /// Returns the index of a witness that is shutting down, or has been silent for longer than `time`.
+    fn unavailable(&self, witnesses: &[NodeId], time: Duration) -> Option<usize> {
+        witnesses.iter().position(|node| self.is_unavailable(*node, time))
+    }
+
+    fn is_unavailable(&self, node: NodeId, time: Duration) -> bool {
+        let is_silent = || self.cluster.silent_for(node, self.primary.elected_at()) > time;
+        !self.cluster.is_me(node) && (self.cluster.is_shutting_down(node) || is_silent())
+    }
+}
--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -1,145 +1,173 @@
-//! What is known of the other core processes: connections, answers, and how often they were dropped.
+//! The connections to other control nodes, and what is known of each of them.
 
-use crate::Place;
+use crate::Locality;
 use quillpulley_protocol::{NodeId, Position};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A peer that has answered within this time, again and again, counts as answering without a break.
-const ANSWER_GAP: Duration = Duration::from_millis(500);
+/// A peer whose replies are never further apart than this counts as responsive without a break.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
 /// The delays before a node that was dropped may come back, by how often that happened lately.
-const READMIT_DELAYS: [Duration; 5] = [
+const READMISSION_DELAYS: [Duration; 5] = [
     Duration::from_millis(300),
     Duration::from_millis(700),
     Duration::from_millis(1500),
     Duration::from_millis(2500),
     Duration::from_millis(4000),
 ];
-/// How long a process that is about to end counts as such.
-const LEAVING: Duration = Duration::from_millis(1500);
+/// How long an announced shutdown is believed.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(1500);
 /// How long after the last drop the earlier ones are forgotten.
-const FORGET_DROPS: Duration = Duration::from_secs(30);
+const FORGET_DROPS_AFTER: Duration = Duration::from_secs(30);
 
-/// One other core process.
+/// Another control node.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Peer {
-    pub connected: bool,
-    /// Where it stands, if its `Hello` was heard in this life of the process.
-    pub place: Option<Place>,
+struct Peer {
+    is_connected: bool,
+    /// Its failure domains, if its `Hello` was heard since the start of this process.
+    locality: Option<Locality>,
     heard_at: Option<Duration>,
-    answering_since: Option<Duration>,
-    /// The end of its log, as it told last.
-    pub last: Position,
-    /// It has promised an epoch to another and refuses this node's, as it told last.
-    pub refuses: bool,
-    /// Until then it counts as about to end, since it has told so.
-    pub leaving_until: Duration,
+    responsive_since: Option<Duration>,
+    /// The end of its log, as it reported last.
+    last: Position,
+    /// It has promised an epoch to another node and rejects this node's, as it reported last.
+    is_rejecting: bool,
+    /// Until then it counts as shutting down, since it has announced it.
+    shutting_down_until: Duration,
     drops: usize,
     dropped_at: Duration,
 }
 
 impl Peer {
-    /// Notes an answer, which proves that messages pass in both directions.
-    pub fn heard(&mut self, now: Duration) {
-        let was_answering = self.heard_at.is_some_and(|heard_at| now < heard_at + ANSWER_GAP);
-        if !was_answering {
-            self.answering_since = Some(now);
-        }
-        self.heard_at = Some(now);
+    fn is_responsive(&self, now: Duration) -> bool {
+        self.is_connected && self.heard_at.is_some_and(|heard_at| now < heard_at + REPLY_TIMEOUT)
     }
+}
 
-    /// For how long nothing has been heard, counted from `start` at the earliest.
-    pub fn silent_for(&self, now: Duration, start: Duration) -> Duration {
-        now.saturating_sub(self.heard_at.unwrap_or_default().max(start))
+/// All nodes that were connected since the start of this process.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct Peers {
+    peers: BTreeMap<NodeId, Peer>,
+}
+
+impl Peers {
+    /// Records a connection. A node with the same address and another incarnation is gone for good.
+    pub fn connect(&mut self, node: NodeId) {
+        self.peers.retain(|other, _| other.ip != node.ip || other.incarnation == node.incarnation);
+        let peer = self.get_mut(node);
+        peer.is_connected = true;
+        peer.shutting_down_until = Duration::ZERO;
     }
 
-    /// Whether it answers now.
-    pub fn is_answering(&self, now: Duration) -> bool {
-        self.connected && self.heard_at.is_some_and(|heard_at| now < heard_at + ANSWER_GAP)
+    pub fn disconnect(&mut self, node: NodeId) {
+        if let Some(peer) = self.peers.get_mut(&node) {
+            peer.is_connected = false;
+        }
     }
 
-    /// Whether it has answered for so long, and has stayed away long enough if it was dropped.
-    pub fn is_steady(&self, now: Duration, time: Duration) -> bool {
-        let steady = self.answering_since.is_some_and(|since| now >= since + time);
-        let delay =
-            self.drops.checked_sub(1).map(|drops| READMIT_DELAYS[drops.min(READMIT_DELAYS.len() - 1)]);
-        let waited = delay.is_none_or(|delay| now >= self.dropped_at + delay);
-        self.is_answering(now) && steady && waited
+    pub fn set_locality(&mut self, node: NodeId, locality: Locality) {
+        self.get_mut(node).locality = Some(locality);
     }
 
-    /// Notes that it was dropped from a view, or failed to come into one.
-    pub fn dropped(&mut self, now: Duration) {
-        if now > self.dropped_at + FORGET_DROPS {
-            self.drops = 0;
+    /// Records a reply, which proves that messages pass in both directions.
+    pub fn record_reply(&mut self, now: Duration, node: NodeId) {
+        let peer = self.get_mut(node);
+        let was_responsive = peer.heard_at.is_some_and(|heard_at| now < heard_at + REPLY_TIMEOUT);
+        if !was_responsive {
+            peer.responsive_since = Some(now);
         }
-        self.drops += 1;
-        self.dropped_at = now;
-        self.answering_since = self.heard_at.map(|_| now);
+        peer.heard_at = Some(now);
     }
-}
 
-/// All peers that were ever connected in this life of the process.
-#[derive(Clone, Debug, Default)]
-pub(crate) struct Peers {
-    peers: BTreeMap<NodeId, Peer>,
-}
-
-impl Peers {
-    pub fn get(&self, node: NodeId) -> Option<&Peer> {
-        self.peers.get(&node)
+    /// Records the end of a node's log.
+    pub fn record_position(&mut self, node: NodeId, last: Position) {
+        self.get_mut(node).last = last;
     }
 
-    /// Where the machine of a node stands, whatever incarnation told it.
-    pub fn place_at(&self, node: NodeId) -> Option<&Place> {
-        let own = self.get(node).and_then(|peer| peer.place.as_ref());
-        let same_machine = |(other, _): &(&NodeId, &Peer)| other.ip == node.ip;
-        own.or_else(|| self.peers.iter().filter(same_machine).find_map(|(_, peer)| peer.place.as_ref()))
+    /// Records whether a node rejects this node's epoch.
+    pub fn set_rejecting(&mut self, node: NodeId, is_rejecting: bool) {
+        self.get_mut(node).is_rejecting = is_rejecting;
     }
 
-    pub fn get_mut(&mut self, node: NodeId) -> &mut Peer {
-        self.peers.entry(node).or_default()
+    /// Clears all rejections: they count for the epoch in which they came.
+    pub fn clear_rejections(&mut self) {
+        self.peers.values_mut().for_each(|peer| peer.is_rejecting = false);
     }
 
-    /// Notes a connection. A node of the same address with another incarnation is gone for good.
-    pub fn connect(&mut self, node: NodeId) {
-        self.peers.retain(|other, _| other.ip != node.ip || other.incarnation == node.incarnation);
-        let peer = self.get_mut(node);
-        peer.connected = true;
-        peer.leaving_until = Duration::ZERO;
+    /// Records that a process is shutting down. The announcement may come late, when the next process runs already, and
+    /// so it is not believed for long.
+    pub fn record_shutdown(&mut self, now: Duration, node: NodeId) {
+        self.get_mut(node).shutting_down_until = now + SHUTDOWN_TIMEOUT;
     }
 
-    pub fn disconnect(&mut self, node: NodeId) {
-        if let Some(peer) = self.peers.get_mut(&node) {
-            peer.connected = false;
+    /// Records that a node was dropped from a view, or failed to become a member.
+    pub fn record_drop(&mut self, now: Duration, node: NodeId) {
+        let peer = self.get_mut(node);
+        if now > peer.dropped_at + FORGET_DROPS_AFTER {
+            peer.drops = 0;
         }
+        peer.drops += 1;
+        peer.dropped_at = now;
+        peer.responsive_since = peer.heard_at.map(|_| now);
     }
 
-    /// Refusals count for the epoch in which they came.
-    pub fn forget_refusals(&mut self) {
-        self.peers.values_mut().for_each(|peer| peer.refuses = false);
+    /// Returns the nodes to which messages can be sent.
+    pub fn connected(&self) -> Vec<NodeId> {
+        self.peers.iter().filter(|(_, peer)| peer.is_connected).map(|(node, _)| *node).collect()
     }
 
     pub fn is_connected(&self, node: NodeId) -> bool {
-        self.get(node).is_some_and(|peer| peer.connected)
+        self.get(node).is_some_and(|peer| peer.is_connected)
     }
 
-    /// Notes that a process is about to end. That may come late, when the next one runs already, and so it does
-    /// not hold for long.
-    pub fn note_leaving(&mut self, now: Duration, node: NodeId) {
-        self.get_mut(node).leaving_until = now + LEAVING;
+    /// Returns whether a node is connected and replies.
+    pub fn is_responsive(&self, now: Duration, node: NodeId) -> bool {
+        self.get(node).is_some_and(|peer| peer.is_responsive(now))
     }
 
-    /// Whether a node answers at present.
-    pub fn is_answering(&self, now: Duration, node: NodeId) -> bool {
-        self.get(node).is_some_and(|peer| peer.is_answering(now))
+    /// Returns whether a node has been responsive for `time`, and long enough since its last drop.
+    pub fn is_steady(&self, now: Duration, node: NodeId, time: Duration) -> bool {
+        let Some(peer) = self.get(node) else { return false };
+        let is_steady = peer.responsive_since.is_some_and(|since| now >= since + time);
+        let readmission = peer
+            .drops
+            .checked_sub(1)
+            .map(|drops| READMISSION_DELAYS[drops.min(READMISSION_DELAYS.len() - 1)]);
+        let is_readmitted = readmission.is_none_or(|delay| now >= peer.dropped_at + delay);
+        peer.is_responsive(now) && is_steady && is_readmitted
     }
 
-    pub fn is_leaving(&self, now: Duration, node: NodeId) -> bool {
-        self.get(node).is_some_and(|peer| now < peer.leaving_until)
+    pub fn is_shutting_down(&self, now: Duration, node: NodeId) -> bool {
+        self.get(node).is_some_and(|peer| now < peer.shutting_down_until)
     }
 
-    /// The nodes to which messages can be sent.
-    pub fn connected(&self) -> Vec<NodeId> {
-        self.peers.iter().filter(|(_, peer)| peer.connected).map(|(node, _)| *node).collect()
+    pub fn is_rejecting(&self, node: NodeId) -> bool {
+        self.get(node).is_some_and(|peer| peer.is_rejecting)
+    }
+
+    /// Returns the end of a node's log as it reported last.
+    pub fn last_position(&self, node: NodeId) -> Position {
+        self.get(node).map(|peer| peer.last).unwrap_or_default()
+    }
+
+    /// Returns for how long a node has been silent, counted from `start` at the earliest.
+    pub fn silent_for(&self, now: Duration, node: NodeId, start: Duration) -> Duration {
+        let heard_at = self.get(node).and_then(|peer| peer.heard_at).unwrap_or_default();
+        now.saturating_sub(heard_at.max(start))
+    }
+
+    /// Returns the failure domains of a node's machine, whichever incarnation told them.
+    pub fn locality_of(&self, node: NodeId) -> Option<&Locality> {
+        let own = self.get(node).and_then(|peer| peer.locality.as_ref());
+        let is_same_machine = |(other, _): &(&NodeId, &Peer)| other.ip == node.ip;
+        own.or_else(|| self.peers.iter().filter(is_same_machine).find_map(|(_, peer)| peer.locality.as_ref()))
+    }
+
+    fn get(&self, node: NodeId) -> Option<&Peer> {
+        self.peers.get(&node)
+    }
+
+    fn get_mut(&mut self, node: NodeId) -> &mut Peer {
+        self.peers.entry(node).or_default()
     }
 }
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -1,116 +1,166 @@
-//! How far each node has the log of the epoch in which this node writes.
+//! How far the log of each replication target goes, and what it is sent next.
 
 use quillpulley_protocol::{Append, Body, Entry, Install, NodeId, Position};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::disk::per_mb;
 use crate::event::payload_bytes;
 use crate::log::Log;
+use crate::write_queue::per_mb;
 
-/// How long a message may go without an answer before it is sent again.
-const RESEND: Duration = Duration::from_millis(300);
-/// How long a node that has declined is left alone.
-const PAUSE: Duration = Duration::from_millis(500);
-/// What a message may take beyond that, for its size: several receivers share a link, and a disk may be slow.
-pub(crate) const TIME_PER_MB: Duration = Duration::from_millis(600);
-/// The most bytes of entries in one message, if there is more than one.
-const BATCH_BYTES: usize = 1024 * 1024;
-/// The most bytes of entries that are sent to a node of which it isn't known whether it has what comes before.
-const TRIED_BYTES: usize = 64 * 1024;
+/// How long a message may stay unacknowledged before it is sent again.
+const RESEND_TIMEOUT: Duration = Duration::from_millis(300);
+/// How long nothing is sent to a node that has rejected a message.
+const REJECTED_BACKOFF: Duration = Duration::from_millis(500);
+/// The additional time for each megabyte of a message: several targets share a link, and a disk may be slow.
+const TIME_PER_MB: Duration = Duration::from_millis(600);
+/// The most bytes of entries in one message with more than one entry.
+const MAX_BATCH_BYTES: usize = 1024 * 1024;
+/// The most bytes of entries sent to a node of which it is not known whether it holds the entry before.
+const MAX_PROBE_BYTES: usize = 64 * 1024;
 
+/// A message that is not acknowledged yet.
 #[derive(Clone, Copy, Debug)]
-struct Flight {
+struct InFlight {
     sent_at: Duration,
+    /// The index of the last entry that the target holds afterwards.
     end: u64,
     bytes: usize,
 }
 
-/// What is known of one node's log.
+/// The progress of one replication target.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Progress {
-    /// Up to here it has durably what the log has.
-    acked: Option<Position>,
-    /// Up to here it probably has what the log has.
-    guess: Position,
-    /// It needs the whole state, since the log does not reach back to anything that it has.
-    needs_install: bool,
-    flight: Option<Flight>,
-    /// Nothing is sent to it before that time, since it has declined.
+    /// Its log durably matches up to here.
+    matched: Option<Position>,
+    /// Its log probably matches up to here.
+    probable: Position,
+    /// It needs a snapshot, since the log does not reach back to an entry that it holds.
+    needs_snapshot: bool,
+    in_flight: Option<InFlight>,
+    /// Nothing is sent to it before that time, since it has rejected a message.
     paused_until: Duration,
-    /// It may have restarted: then it has its log but not yet a state that goes as far, until it hears anew what is
-    /// committed.
-    needs_word: bool,
-    /// Since when it has not moved although there is something to move to.
-    waits_since: Option<Duration>,
+    /// It may have restarted: then it holds its log, but applies it only once it is told again what is committed.
+    needs_commit_index: bool,
+    /// Since when it has made no progress although it lacks entries.
+    behind_since: Option<Duration>,
+}
+
+/// What a target is sent next.
+enum NextMessage {
+    Nothing,
+    /// The entries after a position that it holds.
+    Append {
+        previous: Position,
+    },
+    /// The entries after a position that it may not hold.
+    Probe {
+        previous: Position,
+    },
+    Snapshot,
 }
 
 impl Progress {
-    pub fn new(guess: Position) -> Self {
+    fn new(probable: Position) -> Self {
         Progress {
-            acked: None,
-            guess,
-            needs_install: false,
-            flight: None,
+            matched: None,
+            probable,
+            needs_snapshot: false,
+            in_flight: None,
             paused_until: Duration::ZERO,
-            needs_word: false,
-            waits_since: None,
+            needs_commit_index: false,
+            behind_since: None,
         }
     }
 
-    /// The position up to which the node has durably what the log has.
-    pub fn acked(&self) -> Option<Position> {
-        self.acked
+    /// Returns the position up to which its log durably matches.
+    pub fn matched(&self) -> Option<Position> {
+        self.matched
     }
 
-    /// The index up to which the node has durably what the log has.
-    pub fn acked_index(&self) -> Option<u64> {
-        self.acked.map(|position| position.index)
+    /// Returns the position up to which its log at least probably matches.
+    pub fn probable(&self) -> Position {
+        self.matched.unwrap_or(self.probable)
     }
 
-    /// Where the node is believed to be.
-    pub fn guess(&self) -> Position {
-        self.acked.unwrap_or(self.guess)
+    /// Returns whether it has made no progress for longer than `timeout`.
+    pub fn is_stuck(&self, now: Duration, timeout: Duration) -> bool {
+        let bytes = self.in_flight.map_or(0, |message| message.bytes);
+        self.behind_since.is_some_and(|since| now > since + timeout + per_mb(TIME_PER_MB, bytes))
     }
 
-    /// Whether it has left something without an answer for longer than `patience`.
-    pub fn is_stuck(&self, now: Duration, patience: Duration) -> bool {
-        let bytes = self.flight.map_or(0, |flight| flight.bytes);
-        self.waits_since.is_some_and(|since| now > since + patience + per_mb(TIME_PER_MB, bytes))
+    /// Has the message in flight sent again at once, or at least an empty one with the commit index.
+    fn resend(&mut self) {
+        self.in_flight = None;
+        self.needs_commit_index = true;
     }
 
-    /// Sends again at once whatever is under way, and at least where the log ends and what of it is committed.
-    pub fn resend(&mut self) {
-        self.flight = None;
-        self.needs_word = true;
+    fn record_match(&mut self, now: Duration, last: Position, log: &Log) {
+        if self.matched.is_none_or(|matched| matched.index < last.index) {
+            self.matched = Some(last);
+            self.behind_since = Some(now);
+        }
+        self.needs_snapshot = false;
+        if self.in_flight.is_some_and(|message| message.end <= last.index) {
+            self.in_flight = None;
+            self.needs_commit_index = false;
+        }
+        if self.matched.is_some_and(|matched| matched.index >= log.last().index) {
+            self.behind_since = None;
+        }
     }
-}
 
-/// What goes to a node next.
-enum Step {
-    Nothing,
-    Append {
-        previous: Position,
-    },
-    /// It may lack what comes before.
-    Try {
-        previous: Position,
-    },
-    Install,
+    fn record_mismatch(&mut self, last: Position, log: &Log) {
+        if self.matched.is_some() || self.in_flight.is_none() {
+            return;
+        }
+        self.in_flight = None;
+        if log.contains(last) && self.probable != last {
+            self.probable = last;
+        } else {
+            self.needs_snapshot = true;
+        }
+    }
+
+    fn next_message(&self, now: Duration, log: &Log, applied: Position) -> NextMessage {
+        if now < self.paused_until {
+            return NextMessage::Nothing;
+        }
+        if let Some(message) = &self.in_flight {
+            let timeout = RESEND_TIMEOUT + per_mb(TIME_PER_MB, message.bytes);
+            if now < message.sent_at + timeout {
+                return NextMessage::Nothing;
+            }
+        }
+        if self.needs_snapshot {
+            return NextMessage::Snapshot;
+        }
+        match self.matched {
+            Some(matched) if matched.index >= log.last().index && !self.needs_commit_index => {
+                NextMessage::Nothing
+            }
+            Some(matched) if log.contains(matched) => NextMessage::Append { previous: matched },
+            Some(_) => NextMessage::Snapshot,
+            None if log.contains(self.probable) => NextMessage::Append { previous: self.probable },
+            None if log.contains(applied) => NextMessage::Probe { previous: applied },
+            None => NextMessage::Snapshot,
+        }
+    }
 }
 
-/// The progress of all nodes that get the log of one epoch, this node among them.
+/// The progress of all nodes that receive the log of one epoch, this node among them.
 #[derive(Clone, Debug)]
-pub(crate) struct Replicator {
+pub(crate) struct ProgressTracker {
     epoch: u64,
     nodes: BTreeMap<NodeId, Progress>,
 }
 
-impl Replicator {
+impl ProgressTracker {
     pub fn new(epoch: u64) -> Self {
-        Replicator { epoch, nodes: BTreeMap::new() }
+        ProgressTracker { epoch, nodes: BTreeMap::new() }
     }
 
+    /// Returns the epoch whose log is replicated.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
@@ -119,33 +169,49 @@
         self.nodes.get(&node)
     }
 
-    pub fn acked_index(&self, node: NodeId) -> Option<u64> {
-        self.get(node)?.acked_index()
+    /// Returns the index up to which the log of a node durably matches.
+    pub fn match_index(&self, node: NodeId) -> Option<u64> {
+        self.get(node)?.matched.map(|position| position.index)
     }
 
-    /// Begins with a node where it is believed to be, unless it is known.
-    pub fn add(&mut self, node: NodeId, guess: Position) {
-        self.nodes.entry(node).or_insert_with(|| Progress::new(guess));
+    /// Adds a node whose log probably matches up to a position, unless it is there already.
+    pub fn add(&mut self, node: NodeId, probable: Position) {
+        self.nodes.entry(node).or_insert_with(|| Progress::new(probable));
     }
 
     pub fn remove(&mut self, node: NodeId) {
         self.nodes.remove(&node);
     }
 
+    /// Has the message in flight to a node sent again at once, or at least an empty one with the commit index.
     pub fn resend(&mut self, node: NodeId) {
         if let Some(progress) = self.nodes.get_mut(&node) {
             progress.resend();
         }
     }
 
-    /// A node takes nothing at the moment.
-    pub fn rejected(&mut self, now: Duration, node: NodeId, epoch: u64) {
+    /// Records that a node has rejected a message of an epoch.
+    pub fn record_rejection(&mut self, now: Duration, node: NodeId, epoch: u64) {
         if let Some(progress) = self.nodes.get_mut(&node).filter(|_| epoch == self.epoch) {
-            progress.paused_until = now + PAUSE;
+            progress.paused_until = now + REJECTED_BACKOFF;
         }
     }
 
-    /// The next message for a node, if one is due. `snapshot` gives the state that the log has at `applied`.
+    /// Records that the log of a node durably matches up to a position.
+    pub fn record_match(&mut self, now: Duration, node: NodeId, last: Position, log: &Log) {
+        if let Some(progress) = self.nodes.get_mut(&node) {
+            progress.record_match(now, last, log);
+        }
+    }
+
+    /// Records that a node does not hold the entry before those sent to it. `last` is a position that it surely holds.
+    pub fn record_mismatch(&mut self, node: NodeId, last: Position, log: &Log) {
+        if let Some(progress) = self.nodes.get_mut(&node) {
+            progress.record_mismatch(last, log);
+        }
+    }
+
+    /// Returns the next message for a node, if one is due. `snapshot` returns the state at `applied`.
     pub fn next_message(
         &mut self,
         now: Duration,
@@ -156,94 +222,47 @@
     ) -> Option<Body> {
         let epoch = self.epoch;
         let progress = self.nodes.get_mut(&node)?;
-        let (body, end, bytes) = match progress.next_step(now, log, applied) {
-            Step::Nothing => return None,
-            Step::Append { previous } => {
-                let entries = log.batch_after(previous.index, BATCH_BYTES);
-                append(epoch, previous, entries, applied)
+        let message = match progress.next_message(now, log, applied) {
+            NextMessage::Nothing => return None,
+            NextMessage::Append { previous } => {
+                let entries = log.batch_after(previous.index, MAX_BATCH_BYTES);
+                SizedMessage::append(epoch, previous, entries, applied)
             }
-            Step::Try { previous } => {
-                let mut entries = log.batch_after(previous.index, BATCH_BYTES);
-                if payload_bytes(&entries) > TRIED_BYTES {
-                    // The answer to none tells what it has.
+            NextMessage::Probe { previous } => {
+                let mut entries = log.batch_after(previous.index, MAX_BATCH_BYTES);
+                if payload_bytes(&entries) > MAX_PROBE_BYTES {
+                    // The reply to an empty message tells what it holds.
                     entries.clear();
                 }
-                append(epoch, previous, entries, applied)
-            }
-            Step::Install => {
-                let entries = log.after(applied.index);
-                let snapshot = snapshot();
-                let bytes = snapshot.len() + payload_bytes(&entries);
-                let install = Install { epoch, snapshot_last: applied, snapshot, entries };
-                (Body::Install(Box::new(install)), log.last().index, bytes)
+                SizedMessage::append(epoch, previous, entries, applied)
             }
+            NextMessage::Snapshot => SizedMessage::install(epoch, log, applied, snapshot()),
         };
-        progress.flight = Some(Flight { sent_at: now, end, bytes });
-        progress.waits_since.get_or_insert(now);
-        Some(body)
-    }
-
-    /// A node has durably all up to a position.
-    pub fn acked(&mut self, now: Duration, node: NodeId, last: Position, log: &Log) {
-        let Some(progress) = self.nodes.get_mut(&node) else { return };
-        if progress.acked.is_none_or(|acked| acked.index < last.index) {
-            progress.acked = Some(last);
-            progress.waits_since = Some(now);
-        }
-        progress.needs_install = false;
-        if progress.flight.is_some_and(|flight| flight.end <= last.index) {
-            progress.flight = None;
-            progress.needs_word = false;
-        }
-        if progress.acked.is_some_and(|acked| acked.index >= log.last().index) {
-            progress.waits_since = None;
-        }
-    }
-
-    /// A node does not hold what the entries sent to it follow. `last` is what it surely has.
-    pub fn mismatched(&mut self, node: NodeId, last: Position, log: &Log) {
-        let Some(progress) = self.nodes.get_mut(&node) else { return };
-        if progress.acked.is_some() || progress.flight.is_none() {
-            return;
-        }
-        progress.flight = None;
-        if log.contains(last) && progress.guess != last {
-            progress.guess = last;
-        } else {
-            progress.needs_install = true;
-        }
+        progress.in_flight = Some(InFlight { sent_at: now, end: message.end, bytes: message.bytes });
+        progress.behind_since.get_or_insert(now);
+        Some(message.body)
     }
 }
 
-/// A message with entries, the index at which they end, and their bytes.
-fn append(epoch: u64, previous: Position, entries: Vec<Entry>, applied: Position) -> (Body, u64, usize) {
-    let end = entries.last().map_or(previous.index, |entry| entry.index);
-    let bytes = payload_bytes(&entries);
-    let append = Append { epoch, previous, entries, committed: applied.index };
-    (Body::Append(Box::new(append)), end, bytes)
+/// A message, the index at which the target's log ends after it, and its bytes.
+struct SizedMessage {
+    body: Body,
+    end: u64,
+    bytes: usize,
 }
 
-impl Progress {
-    fn next_step(&self, now: Duration, log: &Log, applied: Position) -> Step {
-        if now < self.paused_until {
-            return Step::Nothing;
-        }
-        if let Some(flight) = &self.flight {
-            let patience = RESEND + per_mb(TIME_PER_MB, flight.bytes);
-            if now < flight.sent_at + patience {
-                return Step::Nothing;
-            }
-        }
-        if self.needs_install {
-            return Step::Install;
-        }
-        match self.acked {
-            Some(acked) if acked.index >= log.last().index && !self.needs_word => Step::Nothing,
-            Some(acked) if log.contains(acked) => Step::Append { previous: acked },
-            Some(_) => Step::Install,
-            None if log.contains(self.guess) => Step::Append { previous: self.guess },
-            None if log.contains(applied) => Step::Try { previous: applied },
-            None => Step::Install,
-        }
+impl SizedMessage {
+    fn append(epoch: u64, previous: Position, entries: Vec<Entry>, applied: Position) -> Self {
+        let end = entries.last().map_or(previous.index, |entry| entry.index);
+        let bytes = payload_bytes(&entries);
+        let append = Append { epoch, previous, entries, committed: applied.index };
+        SizedMessage { body: Body::Append(Box::new(append)), end, bytes }
+    }
+
+    fn install(epoch: u64, log: &Log, applied: Position, snapshot: Vec<u8>) -> Self {
+        let entries = log.after(applied.index);
+        let bytes = snapshot.len() + payload_bytes(&entries);
+        let install = Install { epoch, snapshot_last: applied, snapshot, entries };
+        SizedMessage { body: Body::Install(Box::new(install)), end: log.last().index, bytes }
     }
 }
--- /dev/null
+++ b/crates/replication/src/replica/follower.rs
@@ -0,0 +1,153 @@
+//! The member or learner: receives the log of a primary or candidate, gives its state away, applies and compacts.
+
+use log::{error, info, warn};
+use quillpulley_protocol::{
+    Append, AppendAck, Body, Entry, FetchState, Install, Installed, NodeId, Position,
+};
+
+use super::Replica;
+use crate::event::{Action, Write};
+use crate::log::{position_of, AppendError};
+use crate::primary::ResignReason;
+use crate::StateMachine;
+
+impl<S: StateMachine> Replica<S> {
+    /// Admits a message of an epoch for the log, and from then on, also after a restart, none of older epochs. Replies
+    /// have to wait for the record that this writes.
+    fn admit_log_message(&mut self, from: NodeId, epoch: u64) -> bool {
+        if from == self.options.me {
+            return false;
+        }
+        if self.shutdown.has_begun() {
+            self.announce_shutdown_to(from);
+        }
+        if !self.writes.is_usable(self.now) {
+            self.reject(from, epoch);
+        }
+        if !self.writes.is_healthy() {
+            return false;
+        }
+        if !self.witness.admit(epoch, from) {
+            self.reject(from, epoch);
+            return false;
+        }
+        self.defer_to(from);
+        self.writes.push_record(self.witness.record());
+        true
+    }
+
+    pub(super) fn handle_append(&mut self, from: NodeId, append: Append) {
+        let Append { epoch, previous, entries, committed } = append;
+        if !self.admit_log_message(from, epoch) {
+            return;
+        }
+        let end = entries.last().map_or(previous, position_of);
+        let applied = self.member.applied();
+        match self.member.maybe_append(previous, entries) {
+            Ok(new) => {
+                if !new.is_empty() {
+                    self.writes.push(Write::Append(new));
+                }
+                self.member.record_match(epoch, end.index);
+                self.commit_to(epoch, committed);
+                let ack = AppendAck { epoch, last: end, matched: true };
+                self.send_when_durable(from, Body::AppendAck(Box::new(ack)));
+            }
+            Err(AppendError::Mismatch) => {
+                let ack = AppendAck { epoch, last: applied, matched: false };
+                self.send(from, Body::AppendAck(Box::new(ack)));
+            }
+            Err(AppendError::ConflictsWithCommitted) => {
+                error!(
+                    node:% = self.options.me, peer:% = from, epoch, index = applied.index;
+                    "entries that conflict with the committed log are not appended"
+                );
+            }
+        }
+    }
+
+    pub(super) fn handle_install(&mut self, from: NodeId, install: Install) {
+        let Install { epoch, snapshot_last, snapshot, entries } = install;
+        // A whole state for a disk that does not complete writes would only pile up in memory.
+        if !self.admit_log_message(from, epoch) || !self.writes.is_usable(self.now) {
+            return;
+        }
+        let last = entries.last().map_or(snapshot_last, position_of);
+        let ok = self.member.log().contains(last) || self.install(snapshot_last, snapshot, entries);
+        if ok {
+            self.member.record_match(epoch, last.index);
+        }
+        let installed = Body::Installed(Box::new(Installed { epoch, last, ok }));
+        if self.options.faults.install_before_complete() {
+            self.send(from, installed);
+        } else {
+            self.send_when_durable(from, installed);
+        }
+    }
+
+    pub(super) fn handle_fetch_state(&mut self, from: NodeId, fetch: FetchState) {
+        if !self.admit_log_message(from, fetch.epoch) {
+            return;
+        }
+        let transfer = self.member.transfer(fetch.epoch);
+        self.send_when_durable(from, Body::StateTransfer(Box::new(transfer)));
+    }
+
+    /// Replaces the state and the log of this node by those of another one. Returns false if they cannot be installed.
+    pub(super) fn install(&mut self, last: Position, snapshot: Vec<u8>, entries: Vec<Entry>) -> bool {
+        match self.member.install(last, snapshot, entries) {
+            Ok(write) => {
+                self.writes.push(write);
+                true
+            }
+            Err(reason) => {
+                error!(node:% = self.options.me, reason:% = reason; "a state is not installed");
+                false
+            }
+        }
+    }
+
+    /// Applies what the primary of an epoch has committed, as far as the log is known to match that primary's.
+    pub(super) fn commit_to(&mut self, epoch: u64, committed: u64) {
+        if let Some(index) = self.member.committable(epoch, committed) {
+            self.apply_up_to(index);
+        }
+    }
+
+    pub(super) fn apply_up_to(&mut self, index: u64) {
+        for index in self.member.apply_up_to(index) {
+            self.outbox.push(Action::Applied { index });
+        }
+        self.maybe_compact();
+    }
+
+    fn maybe_compact(&mut self) {
+        // A learner that catches up needs the last entries; no others follow meanwhile.
+        let is_due = self.writes.is_healthy() && self.member.needs_compaction(&self.options);
+        if is_due && !self.planner().is_some_and(|planner| planner.waits_for_learner()) {
+            let write = self.member.compact();
+            self.writes.push(write);
+        }
+    }
+
+    pub(super) fn handle_write_failure(&mut self, ticket: u64) {
+        if !self.writes.fail(ticket, self.now) {
+            return;
+        }
+        warn!(node:% = self.options.me; "a write failed: this node neither votes nor stores until one succeeds");
+        if self.primary.is_some() {
+            self.step_down(ResignReason::DiskFailed);
+        }
+        self.abandon_candidacy();
+    }
+
+    /// Retries a failed disk, with everything that it has to hold.
+    pub(super) fn retry_failed_disk(&mut self) {
+        if !self.writes.is_retry_due(self.now) {
+            return;
+        }
+        info!(node:% = self.options.me; "retrying the disk");
+        let rewrite = self.member.rewrite();
+        self.writes.retry(self.witness.record(), rewrite);
+    }
+}
--- a/crates/replication/src/state_machine.rs
+++ b/crates/replication/src/state_machine.rs
@@ -1,17 +1,20 @@
-//! What is replicated, as the replication sees it.
+//! The interface of the replicated state machine.
 
 use quillpulley_protocol::Entry;
 use std::fmt;
 
-/// A deterministic state machine: whoever applies the same entries to the same state gets the same state.
+/// A deterministic state machine: the same entries applied to the same state give the same state.
 pub trait StateMachine {
     /// Applies the next entry of the log. An entry that cannot be read, or does not fit the state, is ignored.
     fn apply(&mut self, entry: &Entry);
 
-    /// The whole state, for [`StateMachine::restore`].
+    /// Returns the whole state, for [`StateMachine::restore`].
     fn snapshot(&self) -> Vec<u8>;
 
-    /// Replaces the state by a snapshot's. After an error the state is as before.
+    /// Replaces the state by that of a snapshot.
+    ///
+    /// # Errors
+    /// [`RestoreError`] if the snapshot cannot be read. The state is then unchanged.
     fn restore(&mut self, snapshot: &[u8]) -> Result<(), RestoreError>;
 }
 
@@ -27,7 +30,7 @@
         let reason = &self.reason;
         write!(
             formatter,
-            "the snapshot cannot be read ({reason}): run the same version on all core machines, \
+            "the snapshot cannot be read ({reason}): run the same version on all control machines, \
              or empty the data folder of this one"
         )
     }
--- a/crates/replication/src/quorum.rs
+++ b/crates/replication/src/view.rs
@@ -1,11 +1,11 @@
-//! Questions to a view: who belongs to it, and which answers are enough.
+//! Queries of a [`View`]: its members and witnesses, and which answers make a quorum.
 
-use quillpulley_protocol::{NodeId, Position, View};
+use quillpulley_protocol::{NodeId, View};
 
 /// The epoch of the view that stands for the first set of witnesses, before any primary.
 pub(crate) const BOOTSTRAP_EPOCH: u64 = 0;
 
-/// The view that stands for the first set of witnesses. It has no members.
+/// Creates the view that stands for the first set of witnesses. It has no members.
 pub(crate) fn bootstrap_view(witnesses: Vec<NodeId>) -> View {
     View {
         epoch: BOOTSTRAP_EPOCH,
@@ -17,7 +17,7 @@
     }
 }
 
-/// The primary and the backups.
+/// Returns the primary and the backups.
 pub(crate) fn members(view: &View) -> Vec<NodeId> {
     if view.epoch == BOOTSTRAP_EPOCH {
         return Vec::new();
@@ -35,7 +35,7 @@
     witness_sets(view).iter().any(|set| set.contains(&node))
 }
 
-/// The sets of witnesses of which a majority each has to agree before another view follows this one.
+/// Returns the sets of witnesses of which a majority each has to agree before another view follows this one.
 pub(crate) fn witness_sets(view: &View) -> Vec<&[NodeId]> {
     if view.activated {
         vec![&view.witnesses]
@@ -44,34 +44,33 @@
     }
 }
 
-/// All witnesses of whom an answer may count, each once.
-pub(crate) fn electors(view: &View) -> Vec<NodeId> {
-    let mut electors = view.witnesses.clone();
+/// Returns all witnesses that have a vote, each once.
+pub(crate) fn voters(view: &View) -> Vec<NodeId> {
+    let mut voters = view.witnesses.clone();
     if !view.activated {
-        electors.extend(&view.previous_witnesses);
+        voters.extend(&view.previous_witnesses);
     }
-    electors.sort_unstable();
-    electors.dedup();
-    electors
+    voters.sort_unstable();
+    voters.dedup();
+    voters
 }
 
-/// Whether a majority of each of the view's sets of witnesses agrees.
-pub(crate) fn has_majorities(view: &View, agrees: impl Fn(&NodeId) -> bool) -> bool {
-    witness_sets(view).iter().all(|set| has_majority(set, &agrees))
+/// Returns whether a majority of each set of witnesses of the view has granted.
+pub(crate) fn has_quorum(view: &View, has_granted: impl Fn(&NodeId) -> bool) -> bool {
+    witness_sets(view).iter().all(|set| has_majority(set, &has_granted))
 }
 
-/// Whether a majority of the set agrees.
-pub(crate) fn has_majority(set: &[NodeId], agrees: impl Fn(&NodeId) -> bool) -> bool {
-    let count = set.iter().filter(|node| agrees(node)).count();
+fn has_majority(set: &[NodeId], has_granted: impl Fn(&NodeId) -> bool) -> bool {
+    let count = set.iter().filter(|node| has_granted(node)).count();
     count >= majority(set.len())
 }
 
-/// How many of a set are more than half of it.
+/// Returns the size of a majority of a set.
 pub(crate) fn majority(size: usize) -> usize {
     size / 2 + 1
 }
 
-/// Whether a view tells more than what is known: a newer epoch, or that the same view is activated.
+/// Returns whether a view supersedes the known one: it has a higher epoch, or it is the same view and activated.
 pub(crate) fn is_newer(view: &View, known: Option<&View>) -> bool {
     match known {
         None => true,
@@ -80,8 +79,3 @@
         }
     }
 }
-
-/// The position of an entry.
-pub(crate) fn position(entry: &quillpulley_protocol::Entry) -> Position {
-    Position { epoch: entry.epoch, index: entry.index }
-}
--- a/crates/replication/src/view_change.rs
+++ b/crates/replication/src/view_change.rs
@@ -1,26 +1,27 @@
-//! A new view on its way: the state that elections and reconfigurations share.
+//! A view change in progress: the state that elections and reconfigurations share.
 //!
 //! `PreVote` (elections only) → `Claim` → `Prepare` → `Fetch` (if this node is no member) → `Sync` → `Accept` →
-//! `Activate` (if the set of witnesses changes) → in force.
+//! `Activate` (if the set of witnesses changes) → the view is in force.
 
 use quillpulley_protocol::{NodeId, Position, View};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use crate::quorum::{has_majorities, is_newer, majority, witness_sets};
+use crate::membership::ViewPlan;
+use crate::view::{has_quorum, is_newer, majority, voters, witness_sets};
 
-/// Where a view change stands.
+/// The phases of a view change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// Asks whether witnesses would promise.
+    /// Asks whether witnesses would promise, which changes nothing.
     PreVote,
-    /// Stores its own epoch.
+    /// Makes the epoch durable as its own.
     Claim,
     /// Asks witnesses to promise.
     Prepare,
-    /// Asks members for their state.
+    /// Fetches the state from a member of the newest view.
     Fetch,
-    /// Brings the members of the new view to the state.
+    /// Replicates the state to the members of the new view.
     Sync,
     /// Asks witnesses to accept the view.
     Accept,
@@ -28,115 +29,265 @@
     Activate,
 }
 
-/// What an active primary wants to change.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Plan {
-    pub members: BTreeSet<NodeId>,
-    pub witnesses: Vec<NodeId>,
-    /// The node that becomes a witness, if one does.
-    pub incoming: Option<NodeId>,
+impl Phase {
+    /// Returns how long the phase may take before the view change is retried or aborted.
+    fn timeout(self) -> Option<Duration> {
+        match self {
+            // A pre-vote binds no one, and a claim waits for this node's disk, which has its own timeout.
+            Phase::PreVote | Phase::Claim => None,
+            Phase::Prepare => Some(Duration::from_millis(700)),
+            Phase::Fetch | Phase::Sync => Some(Duration::from_millis(2500)),
+            Phase::Accept => Some(Duration::from_millis(1500)),
+            Phase::Activate => Some(Duration::from_millis(3000)),
+        }
+    }
 }
 
-/// A new view on its way.
+/// A view change in progress.
 #[derive(Clone, Debug)]
 pub(crate) struct ViewChange {
-    pub epoch: u64,
-    pub phase: Phase,
-    /// When the phase began.
-    pub since: Duration,
-    pub resend_at: Duration,
-    /// The newest view that anyone asked has accepted.
-    pub highest: View,
-    /// Who granted what the phase asks for.
-    pub agreed: BTreeSet<NodeId>,
-    /// Who has promised a higher epoch to another.
-    pub refused: BTreeSet<NodeId>,
-    /// What an active primary wants; none in an election.
-    pub plan: Option<Plan>,
+    epoch: u64,
+    phase: Phase,
+    phase_began_at: Duration,
+    resend_at: Duration,
+    /// The newest view that any witness has accepted.
+    newest: View,
+    /// The witnesses that have granted what the phase asks for.
+    granted: BTreeSet<NodeId>,
+    /// The nodes that have promised a higher epoch to another node.
+    rejected: BTreeSet<NodeId>,
+    /// The view that an active primary wants; none in an election.
+    plan: Option<ViewPlan>,
     /// The nodes that may become members.
-    pub targets: BTreeSet<NodeId>,
-    /// Those among them for which it is worth to wait a little.
-    pub awaited: BTreeSet<NodeId>,
-    /// The end of the log that every member has to reach: the entry that marks the epoch's begin.
-    pub end: Position,
-    /// The view, once it is chosen.
-    pub proposal: Option<View>,
-    /// Counts the members that were asked for their state.
-    pub fetches: usize,
+    targets: BTreeSet<NodeId>,
+    /// The targets for which it is worth to wait a little.
+    awaited: BTreeSet<NodeId>,
+    /// The end of the log that every member has to reach: the entry that marks the begin of the epoch.
+    log_end: Position,
+    /// The view, once its members are known.
+    proposed: Option<View>,
+    /// How many members were asked for their state.
+    fetch_attempts: usize,
 }
 
 impl ViewChange {
-    pub fn new(epoch: u64, phase: Phase, now: Duration, highest: View, plan: Option<Plan>) -> Self {
+    pub fn new(epoch: u64, phase: Phase, now: Duration, newest: View, plan: Option<ViewPlan>) -> Self {
         ViewChange {
             epoch,
             phase,
-            since: now,
+            phase_began_at: now,
             resend_at: now,
-            highest,
-            agreed: BTreeSet::new(),
-            refused: BTreeSet::new(),
+            newest,
+            granted: BTreeSet::new(),
+            rejected: BTreeSet::new(),
             plan,
             targets: BTreeSet::new(),
             awaited: BTreeSet::new(),
-            end: Position::default(),
-            proposal: None,
-            fetches: 0,
+            log_end: Position::default(),
+            proposed: None,
+            fetch_attempts: 0,
         }
     }
 
-    /// Goes on to a phase, with no answers yet.
+    pub fn epoch(&self) -> u64 {
+        self.epoch
+    }
+
+    pub fn phase(&self) -> Phase {
+        self.phase
+    }
+
+    /// Returns the newest view that any witness has accepted.
+    pub fn newest_view(&self) -> &View {
+        &self.newest
+    }
+
+    pub fn plan(&self) -> Option<&ViewPlan> {
+        self.plan.as_ref()
+    }
+
+    /// Returns the end of the log that every member has to reach.
+    pub fn log_end(&self) -> Position {
+        self.log_end
+    }
+
+    pub fn proposed_view(&self) -> Option<&View> {
+        self.proposed.as_ref()
+    }
+
+    /// Returns the nodes that may become members.
+    pub fn targets(&self) -> &BTreeSet<NodeId> {
+        &self.targets
+    }
+
+    pub fn awaited(&self) -> &BTreeSet<NodeId> {
+        &self.awaited
+    }
+
+    /// Enters a phase, with no replies yet.
     pub fn enter(&mut self, phase: Phase, now: Duration) {
         self.phase = phase;
-        self.since = now;
+        self.phase_began_at = now;
         self.resend_at = now;
-        self.agreed.clear();
-        self.refused.clear();
+        self.granted.clear();
+        self.rejected.clear();
+    }
+
+    /// Starts the pre-vote again with a higher epoch.
+    pub fn restart_pre_vote(&mut self, epoch: u64, now: Duration) {
+        self.epoch = epoch;
+        self.enter(Phase::PreVote, now);
+    }
+
+    /// Returns whether the phase has taken too long.
+    pub fn is_timed_out(&self, now: Duration) -> bool {
+        self.phase.timeout().is_some_and(|timeout| now > self.phase_began_at + timeout)
     }
 
-    /// Whether the epoch is this node's own: no longer a trial.
+    /// Returns whether the phase began less than `time` ago.
+    pub fn is_within(&self, now: Duration, time: Duration) -> bool {
+        now < self.phase_began_at + time
+    }
+
+    pub fn is_resend_due(&self, now: Duration) -> bool {
+        now >= self.resend_at
+    }
+
+    pub fn resend_at(&mut self, time: Duration) {
+        self.resend_at = time;
+    }
+
+    /// Returns whether the epoch is claimed by this node.
     pub fn is_claimed(&self) -> bool {
         self.phase != Phase::PreVote
     }
 
-    /// Whether the promises are not in yet.
+    /// Returns whether the promises are still missing.
     pub fn is_contested(&self) -> bool {
         matches!(self.phase, Phase::Claim | Phase::Prepare)
     }
 
-    /// Whether the log of this epoch is being written.
-    pub fn is_writing(&self) -> bool {
+    /// Returns whether the log of this epoch is being replicated.
+    pub fn is_replicating(&self) -> bool {
         matches!(self.phase, Phase::Sync | Phase::Accept | Phase::Activate)
     }
 
-    /// Whether witnesses have the epoch in sight, so that leases are asked for under it.
+    /// Returns whether witnesses may have promised the epoch, so that leases are requested under it.
     pub fn is_public(&self) -> bool {
-        self.is_writing() || matches!(self.phase, Phase::Prepare | Phase::Fetch)
+        self.is_replicating() || matches!(self.phase, Phase::Prepare | Phase::Fetch)
     }
 
-    /// Takes in a view that a witness has accepted. Says whether it was news.
+    /// Learns of a view that a witness has accepted. Returns whether it is newer than the known one.
     pub fn learn(&mut self, view: View) -> bool {
-        let news = is_newer(&view, Some(&self.highest));
-        if news {
-            self.highest = view;
+        let is_new = is_newer(&view, Some(&self.newest));
+        if is_new {
+            self.newest = view;
         }
-        news
+        is_new
+    }
+
+    /// Returns the view whose witnesses have to grant in this phase.
+    fn deciding_view(&self) -> &View {
+        self.proposed.as_ref().unwrap_or(&self.newest)
     }
 
-    /// The view whose witnesses have to agree in this phase.
-    pub fn voters(&self) -> &View {
-        self.proposal.as_ref().unwrap_or(&self.highest)
+    /// Returns the witnesses that have not granted yet.
+    pub fn pending_voters(&self) -> Vec<NodeId> {
+        let mut pending = voters(self.deciding_view());
+        pending.retain(|node| !self.granted.contains(node));
+        pending
     }
 
-    /// Whether enough witnesses agree for the next phase.
-    pub fn is_agreed(&self) -> bool {
-        has_majorities(self.voters(), |node| self.agreed.contains(node))
+    pub fn record_grant(&mut self, node: NodeId) {
+        self.granted.insert(node);
     }
 
-    /// Whether so many have refused that the others are no majority.
+    pub fn revoke_grant(&mut self, node: NodeId) {
+        self.granted.remove(&node);
+    }
+
+    pub fn record_rejection(&mut self, node: NodeId) {
+        self.rejected.insert(node);
+    }
+
+    /// Returns whether enough witnesses have granted for the next phase.
+    pub fn has_quorum(&self) -> bool {
+        has_quorum(self.deciding_view(), |node| self.granted.contains(node))
+    }
+
+    /// Returns whether so many witnesses have rejected that the others are no quorum.
     pub fn is_lost(&self) -> bool {
-        witness_sets(self.voters()).iter().any(|set| {
-            let refused = set.iter().filter(|node| self.refused.contains(node)).count();
-            set.len() - refused < majority(set.len())
+        witness_sets(self.deciding_view()).iter().any(|set| {
+            let rejected = set.iter().filter(|node| self.rejected.contains(node)).count();
+            set.len() - rejected < majority(set.len())
         })
     }
+
+    /// Returns the next of the nodes to fetch the state from.
+    pub fn next_fetch_source(&mut self, sources: &[NodeId]) -> Option<NodeId> {
+        if sources.is_empty() {
+            return None;
+        }
+        let source = sources[self.fetch_attempts % sources.len()];
+        self.fetch_attempts += 1;
+        Some(source)
+    }
+
+    /// Sets the nodes that may become members, all of which are worth waiting for except `me`.
+    pub fn set_targets(&mut self, me: NodeId, targets: BTreeSet<NodeId>) {
+        self.awaited = targets.clone();
+        self.targets = targets;
+        self.targets.insert(me);
+    }
+
+    /// Adds nodes that may become members and are worth waiting for.
+    pub fn await_targets(&mut self, nodes: &BTreeSet<NodeId>) {
+        self.awaited.extend(nodes);
+        self.targets.extend(nodes);
+    }
+
+    /// Adds a node that may become a member, unless it has rejected. Returns whether it is new.
+    pub fn add_target(&mut self, node: NodeId) -> bool {
+        !self.rejected.contains(&node) && self.targets.insert(node)
+    }
+
+    pub fn remove_target(&mut self, node: NodeId) {
+        self.targets.remove(&node);
+        self.awaited.remove(&node);
+    }
+
+    pub fn stop_awaiting(&mut self, node: NodeId) {
+        self.awaited.remove(&node);
+    }
+
+    pub fn set_log_end(&mut self, log_end: Position) {
+        self.log_end = log_end;
+    }
+
+    /// Proposes a view to the witnesses.
+    pub fn propose(&mut self, view: View, now: Duration) {
+        self.proposed = Some(view);
+        self.enter(Phase::Accept, now);
+    }
+
+    /// Has the new witnesses store that the proposed view is activated.
+    pub fn activate(&mut self, now: Duration) {
+        if let Some(view) = &mut self.proposed {
+            view.activated = true;
+        }
+        self.enter(Phase::Activate, now);
+    }
+
+    /// Returns the proposed view, the plan, and the end of the log that the members have reached.
+    pub fn into_outcome(self) -> Option<ViewChangeOutcome> {
+        let ViewChange { proposed, plan, log_end, .. } = self;
+        proposed.map(|view| ViewChangeOutcome { view, plan, log_end })
+    }
+}
+
+/// What a completed view change leaves behind.
+pub(crate) struct ViewChangeOutcome {
+    pub view: View,
+    pub plan: Option<ViewPlan>,
+    pub log_end: Position,
 }
--- a/crates/replication/src/witness.rs
+++ b/crates/replication/src/witness.rs
@@ -1,60 +1,63 @@
-//! The witness: what it has promised and accepted, and the lease that it has granted.
+//! The durable state of a witness, and the leases that it has granted.
+//!
+//! Invariants: the promised epoch never goes back; a promise of a higher epoch is not granted while a lease that was
+//! granted to another node runs. Callers make the record durable before anyone hears of a vote.
 
 use quillpulley_protocol::{NodeId, View, WitnessRecord};
 use std::time::Duration;
 
-use crate::quorum::is_newer;
+use crate::view::is_newer;
 
-/// A hold that ends by itself.
+/// A grant that expires by itself.
 #[derive(Clone, Copy, Debug)]
-struct Hold {
+struct Grant {
     holder: NodeId,
     epoch: u64,
     until: Duration,
 }
 
-impl Hold {
-    /// For how long the hold still keeps another node out.
-    fn left(&self, now: Duration, other: NodeId) -> Option<Duration> {
+impl Grant {
+    /// Returns for how long the grant still keeps another node out.
+    fn remaining_against(&self, now: Duration, other: NodeId) -> Option<Duration> {
         if self.holder == other {
             return None;
         }
-        self.until.checked_sub(now).filter(|left| !left.is_zero())
+        self.until.checked_sub(now).filter(|remaining| !remaining.is_zero())
     }
 }
 
-/// An answer to a candidate.
+/// The vote on a candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Vote {
     Granted,
-    /// The witness has promised an epoch that is as high to another.
+    /// The witness has promised an epoch at least as high to another node.
     Superseded,
-    /// The lease of another, or its candidacy, runs for that time.
-    Held(Duration),
+    /// The lease or the candidacy of another node runs for that time.
+    Deferred(Duration),
 }
 
-/// The part of the witness that votes. Whoever calls it makes the record durable before anyone hears of a vote.
+/// The state of a witness.
 #[derive(Clone, Debug)]
 pub(crate) struct Witness {
     record: WitnessRecord,
-    lease: Option<Hold>,
-    /// A candidate that got a promise lately. It only delays other candidates' trials.
-    candidate: Option<Hold>,
-    /// The last node that gave an epoch up: what comes late of that epoch or before is not taken.
+    lease: Option<Grant>,
+    /// A candidate that got a promise lately. It only delays the pre-votes of others.
+    candidate: Option<Grant>,
+    /// The last node that gave up an epoch: late messages of that epoch or before are not admitted.
     resigned: Option<(NodeId, u64)>,
-    /// Promises under a lease too: a fault for tests.
+    /// Promises while a lease runs: a fault of tests.
     ignores_lease: bool,
 }
 
 impl Witness {
-    /// A witness with the record of its disk. It may have granted a lease in an earlier life that runs until
+    /// Creates a witness from its durable record. Before the restart it may have granted a lease that runs until
     /// `lease_end` at the latest. Leases are granted only once the promise of their epoch is durable, and a later
-    /// promise is made or learned of only when no other node's lease counts any more. So it is the lease of the
-    /// node that the record names, if any.
+    /// promise is made or learned of only when no other node's lease counts any more. So it is the lease of the node
+    /// that the record names, if any.
     pub fn new(record: WitnessRecord, lease_end: Duration, ignores_lease: bool) -> Self {
         let has_promised = record.promised > 0;
-        let hold = Hold { holder: record.promised_to, epoch: record.promised, until: lease_end };
-        let lease = has_promised.then_some(hold);
+        let grant = Grant { holder: record.promised_to, epoch: record.promised, until: lease_end };
+        let lease = has_promised.then_some(grant);
         Witness { record, lease, candidate: None, resigned: None, ignores_lease }
     }
 
@@ -62,27 +65,27 @@
         &self.record
     }
 
+    /// Returns the highest epoch that it has promised, 0 before the first.
     pub fn promised(&self) -> u64 {
         self.record.promised
     }
 
-    /// To whom it has promised its newest epoch, if it has promised any.
+    /// Returns the node to which it has promised its highest epoch.
     pub fn promised_to(&self) -> Option<NodeId> {
         (self.record.promised > 0).then_some(self.record.promised_to)
     }
 
-    /// Whether it may have granted a lease that still runs to another node.
-    pub fn is_held_by_other(&self, now: Duration, node: NodeId) -> bool {
-        !self.ignores_lease && self.lease.and_then(|hold| hold.left(now, node)).is_some()
-    }
-
-    /// The newest view that it has accepted or heard of from its primary.
+    /// Returns the newest view that it has accepted, or has learned of from its primary.
     pub fn view(&self) -> Option<&View> {
         self.record.accepted.as_deref()
     }
 
-    /// Whether a message of the epoch is not out of date.
-    pub fn admits(&self, epoch: u64, from: NodeId) -> bool {
+    /// Returns whether it may have granted a lease to another node that still runs.
+    pub fn is_leased_to_other(&self, now: Duration, node: NodeId) -> bool {
+        !self.ignores_lease && self.lease.and_then(|lease| lease.remaining_against(now, node)).is_some()
+    }
+
+    fn admits(&self, epoch: u64, from: NodeId) -> bool {
         let has_resigned = self.resigned.is_some_and(|(node, last)| node == from && epoch <= last);
         if has_resigned {
             return false;
@@ -90,7 +93,7 @@
         epoch > self.record.promised || epoch == self.record.promised && self.record.promised_to == from
     }
 
-    /// Takes a message of the epoch, and from then on none of older ones. Says whether the message may be taken.
+    /// Admits a message of an epoch, and from then on none of older epochs. Returns false if it is outdated.
     pub fn admit(&mut self, epoch: u64, from: NodeId) -> bool {
         if !self.admits(epoch, from) {
             return false;
@@ -100,20 +103,21 @@
         true
     }
 
-    /// What a candidate would hear, without a change.
+    /// Returns the vote that a candidate would get, without any change.
     pub fn pre_vote(&self, now: Duration, epoch: u64, candidate: NodeId) -> Vote {
-        if let Some(left) = self.candidate.and_then(|hold| hold.left(now, candidate)) {
-            return Vote::Held(left);
+        if let Some(remaining) = self.candidate.and_then(|grant| grant.remaining_against(now, candidate)) {
+            return Vote::Deferred(remaining);
         }
         self.consider(now, epoch, candidate)
     }
 
-    /// Promises the epoch to a candidate if nothing stands against it.
+    /// Promises an epoch to a candidate, unless it is outdated or a lease of another node runs. For `hold` it delays the
+    /// pre-votes of other candidates.
     pub fn vote(&mut self, now: Duration, epoch: u64, candidate: NodeId, hold: Duration) -> Vote {
         let vote = self.consider(now, epoch, candidate);
         if vote == Vote::Granted {
             self.admit(epoch, candidate);
-            self.candidate = Some(Hold { holder: candidate, epoch, until: now + hold });
+            self.candidate = Some(Grant { holder: candidate, epoch, until: now + hold });
         }
         vote
     }
@@ -122,40 +126,41 @@
         if !self.admits(epoch, candidate) {
             return Vote::Superseded;
         }
-        match self.lease.and_then(|hold| hold.left(now, candidate)) {
-            Some(left) if !self.ignores_lease => Vote::Held(left),
+        match self.lease.and_then(|lease| lease.remaining_against(now, candidate)) {
+            Some(remaining) if !self.ignores_lease => Vote::Deferred(remaining),
             _ => Vote::Granted,
         }
     }
 
-    /// Accepts a view whose epoch is admitted.
+    /// Accepts a view, unless its epoch is outdated. Returns whether it did.
     pub fn accept(&mut self, view: &View) -> bool {
-        self.admit(view.epoch, view.primary) && {
+        let is_admitted = self.admit(view.epoch, view.primary);
+        if is_admitted {
             self.learn(view);
-            true
         }
+        is_admitted
     }
 
-    /// Notes a view that is known to be in force, or that is accepted. Says whether it was news.
+    /// Records a view that is in force or accepted. Returns whether it is newer than the known one.
     pub fn learn(&mut self, view: &View) -> bool {
-        let news = is_newer(view, self.view());
-        if news {
+        let is_new = is_newer(view, self.view());
+        if is_new {
             self.record.accepted = Some(Box::new(view.clone()));
         }
-        news
+        is_new
     }
 
     /// Grants or renews a lease.
     pub fn grant_lease(&mut self, holder: NodeId, epoch: u64, until: Duration) {
-        self.lease = Some(Hold { holder, epoch, until });
+        self.lease = Some(Grant { holder, epoch, until });
     }
 
-    /// Ends what was granted to a node that gives an epoch up. What was granted for a later epoch stays.
+    /// Releases what was granted to a node that gives up an epoch. Grants for later epochs stay.
     pub fn release(&mut self, holder: NodeId, epoch: u64) {
         self.resigned = Some((holder, epoch));
-        for hold in [&mut self.lease, &mut self.candidate] {
-            if hold.is_some_and(|hold| hold.holder == holder && hold.epoch <= epoch) {
-                *hold = None;
+        for grant in [&mut self.lease, &mut self.candidate] {
+            if grant.is_some_and(|grant| grant.holder == holder && grant.epoch <= epoch) {
+                *grant = None;
             }
         }
     }
--- a/crates/replication/tests/replication/broken.rs
+++ b/crates/replication/tests/replication/broken.rs
@@ -117,7 +117,7 @@
 
 #[test]
 fn a_joining_member_that_is_counted_early_is_caught() {
-    let faults = Faults { count_joiner_early: true, ..Faults::default() };
+    let faults = Faults { count_learner_early: true, ..Faults::default() };
     assert!(first_failure_of_a_long_run(faults).is_some_and(|message| message.contains("lost")));
 }
 
--- a/crates/replication/tests/replication/harness/clients.rs
+++ b/crates/replication/tests/replication/harness/clients.rs
@@ -40,7 +40,7 @@
         payload.resize(payload.len() + self.random.usize(0..=PADDING), 0);
         self.proposed.push((message, machine, self.machines[machine].life));
         self.note(machine, &format!("gets order {} on {}", order.number, order.base));
-        self.handle(machine, Event::Propose { order: message, payload });
+        self.handle(machine, Event::Propose { proposal: message, payload });
     }
 
     /// The number of the order that a message has.
@@ -70,9 +70,9 @@
     /// Answers what is in force, if the replica says that it may.
     pub(super) fn answer(&mut self, machine: usize) {
         let now = self.local(machine);
-        let has_lease = matches!(self.role(machine), Some(Role::Primary { lease: true, .. }));
+        let has_lease = matches!(self.role(machine), Some(Role::Primary { holds_lease: true, .. }));
         let Some(replica) = &self.machines[machine].replica else { return };
-        if replica.may_answer(now) {
+        if replica.can_answer(now) {
             self.answers += 1;
             self.checker.check_answer(replica.state(), has_lease);
         }
--- a/crates/replication/tests/replication/harness/faults.rs
+++ b/crates/replication/tests/replication/harness/faults.rs
@@ -1,7 +1,7 @@
 //! What is done to machines: starts, ends and troubles.
 
 use quillpulley_protocol::NodeId;
-use quillpulley_replication::{Event, Options, Replica, Role};
+use quillpulley_replication::{Event, FaultTolerance, Options, Replica, Role};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -81,12 +81,13 @@
         let now = self.now;
         let options = Options {
             me: self.machines[machine].id,
-            zone: self.place_of(machine).zone,
-            region: self.place_of(machine).region,
+            locality: self.place_of(machine),
             bootstrap: self.machines[machine].bootstrap.clone(),
-            tolerated_machines: self.options.tolerated,
-            tolerated_zones: self.options.tolerated_zones,
-            tolerated_regions: self.options.tolerated_regions,
+            fault_tolerance: FaultTolerance {
+                machines: self.options.tolerated,
+                zones: self.options.tolerated_zones,
+                regions: self.options.tolerated_regions,
+            },
             seed: self.random.u64(..),
             compact_entries: self.options.compact_entries,
             compact_bytes: COMPACT_BYTES,
@@ -175,7 +176,7 @@
             if self.machines[machine].frozen {
                 self.wake(machine);
             }
-            if self.role(machine) == Some(Role::Stopped) {
+            if self.role(machine) == Some(Role::ShuttingDown) {
                 self.kill(machine, false);
             }
             if !self.is_running(machine) {
@@ -214,7 +215,7 @@
     /// Tells the process to end, and kills it a little later.
     pub fn stop(&mut self, machine: usize) {
         self.note(machine, "is told to stop");
-        self.handle(machine, Event::Stop);
+        self.handle(machine, Event::Shutdown);
     }
 
     /// Makes the connections of a machine that has started.
--- a/crates/replication/tests/replication/harness/inspect.rs
+++ b/crates/replication/tests/replication/harness/inspect.rs
@@ -1,7 +1,7 @@
 //! What can be seen of the world, and the invariants that are checked as it runs.
 
 use quillpulley_protocol::NodeId;
-use quillpulley_replication::{Place, Replica, Role, ViewExposure};
+use quillpulley_replication::{DurabilityStatus, Locality, Replica, Role};
 use std::time::Duration;
 
 use super::disk::DiskImage;
@@ -41,23 +41,23 @@
     }
 
     /// Where a machine stands.
-    pub fn place_of(&self, machine: usize) -> Place {
+    pub fn place_of(&self, machine: usize) -> Locality {
         if self.options.tells_zones {
             let zone = self.machines[machine].zone;
-            return Place { zone: format!("zone-{zone}"), region: format!("region-{}", REGION_OF[zone]) };
+            return Locality { zone: format!("zone-{zone}"), region: format!("region-{}", REGION_OF[zone]) };
         }
         let (zone, region) = self.options.places.get(machine).copied().unwrap_or_default();
-        Place { zone: zone.into(), region: region.into() }
+        Locality { zone: zone.into(), region: region.into() }
     }
 
     /// The tolerated losses that the view of the leader does not survive.
-    pub fn exposure(&self) -> Option<ViewExposure> {
-        self.leader().and_then(|leader| self.machines[leader].replica.as_ref()).and_then(Replica::exposure)
+    pub fn exposure(&self) -> Option<DurabilityStatus> {
+        self.leader().and_then(|leader| self.machines[leader].replica.as_ref()).and_then(Replica::durability)
     }
 
     /// Whether a process that was told to stop may end.
     pub fn may_end(&self, machine: usize) -> bool {
-        self.machines[machine].replica.as_ref().is_some_and(Replica::may_end)
+        self.machines[machine].replica.as_ref().is_some_and(Replica::can_exit)
     }
 
     /// Whether a machine is storing a whole state.
@@ -79,7 +79,7 @@
     pub fn leader(&self) -> Option<usize> {
         let is_leader = |machine: &usize| {
             !self.machines[*machine].frozen
-                && matches!(self.role(*machine), Some(Role::Primary { lease: true, .. }))
+                && matches!(self.role(*machine), Some(Role::Primary { holds_lease: true, .. }))
         };
         (0..self.machines.len()).find(is_leader)
     }
@@ -183,7 +183,7 @@
     pub(super) fn check_leases(&mut self) {
         let mut holders = Vec::new();
         for machine in 0..self.machines.len() {
-            if let Some(Role::Primary { epoch, lease: true }) = self.role(machine) {
+            if let Some(Role::Primary { epoch, holds_lease: true }) = self.role(machine) {
                 let slot = &mut self.machines[machine];
                 holders.push((slot.name.clone(), epoch));
                 if let Some(replica) = &slot.replica {
--- a/crates/replication/tests/replication/harness/timeline.rs
+++ b/crates/replication/tests/replication/harness/timeline.rs
@@ -138,7 +138,7 @@
             "deposed" => !matches!(world.role(machine), Some(Role::Primary { .. })),
             "names" => world.named(machine) == Some((self.machine_of)(argument)),
             "names-none" => world.named(machine).is_none(),
-            "no-lease" => !matches!(world.role(machine), Some(Role::Primary { lease: true, .. })),
+            "no-lease" => !matches!(world.role(machine), Some(Role::Primary { holds_lease: true, .. })),
             "member" => world.members().contains(&machine),
             "out" => !world.members().contains(&machine),
             "witness" => world.witnesses().contains(&machine),
--- a/crates/replication/tests/replication/harness/world.rs
+++ b/crates/replication/tests/replication/harness/world.rs
@@ -1,7 +1,7 @@
 //! The machines and the time.
 
 use quillpulley_protocol::{Body, NodeId};
-use quillpulley_replication::{Action, Event, Faults, Rejection, Replica, StoreFault, Write};
+use quillpulley_replication::{Action, Event, Faults, RejectReason, Replica, Write, WriteFailed};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::net::Ipv4Addr;
@@ -227,7 +227,7 @@
             self.handle(machine, Event::Disconnected(gone));
         }
         let place = self.place_of(other);
-        self.handle(machine, Event::Located { node: id, place });
+        self.handle(machine, Event::LocalityLearned { node: id, locality: place });
         self.handle(machine, Event::Connected(id));
     }
 
@@ -241,13 +241,13 @@
         let slot = &mut self.machines[machine];
         let Some((_, write)) = slot.write.take() else { return };
         let result = if slot.mode == DiskMode::Full {
-            Err(StoreFault)
+            Err(WriteFailed)
         } else {
             slot.disk.apply(write);
             Ok(())
         };
         self.check_disks();
-        self.handle(machine, Event::Stored { ticket, result });
+        self.handle(machine, Event::WriteCompleted { ticket, result });
     }
 
     pub(super) fn handle(&mut self, machine: usize, event: Event) {
@@ -280,7 +280,7 @@
                 let delay = (DISK_MS + self.random.u64(0..4)) * slowness;
                 self.plan(delay, done);
             }
-            Action::Committed { order: message } => {
+            Action::Committed { proposal: message } => {
                 let order = self.order_in(message);
                 self.note(machine, &format!("acknowledges order {order}"));
                 if let Some(replica) = &self.machines[machine].replica {
@@ -288,10 +288,10 @@
                 }
                 self.check_disks();
             }
-            Action::Rejected { order: message, why } => {
+            Action::Rejected { proposal: message, reason } => {
                 let order = self.order_in(message);
-                self.note(machine, &format!("rejects order {order}: {why:?}"));
-                self.checker.reject(message, matches!(why, Rejection::NotPrimary { .. }));
+                self.note(machine, &format!("rejects order {order}: {reason:?}"));
+                self.checker.reject(message, matches!(reason, RejectReason::NotPrimary { .. }));
             }
             Action::RoleChanged(role) => self.note(machine, &format!("{role:?}")),
             Action::Applied { .. } => {}
--- a/crates/replication/tests/replication/model/cluster.rs
+++ b/crates/replication/tests/replication/model/cluster.rs
@@ -1,7 +1,7 @@
 //! Some nodes and what is under way between them.
 
 use quillpulley_protocol::{Body, NodeId, Position};
-use quillpulley_replication::{Action, Event, Faults, Options, Replica, Role};
+use quillpulley_replication::{Action, Event, FaultTolerance, Faults, Options, Replica, Role};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt::{self, Write};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -152,7 +152,7 @@
             bootstrap,
             seed: u64::from(id.ip),
             faults: self.faulty,
-            tolerated_machines: TOLERATED,
+            fault_tolerance: FaultTolerance { machines: TOLERATED, zones: 0, regions: 0 },
             compact_entries: self.compact_entries,
             ..Options::default()
         };
@@ -215,10 +215,10 @@
             }
             Action::Store { ticket, write } => {
                 self.nodes[node].disk.apply(write);
-                Some(Event::Stored { ticket, result: Ok(()) })
+                Some(Event::WriteCompleted { ticket, result: Ok(()) })
             }
-            Action::Committed { order } => {
-                self.acknowledge(node, order);
+            Action::Committed { proposal } => {
+                self.acknowledge(node, proposal);
                 None
             }
             Action::RoleChanged(Role::Primary { epoch, .. }) => {
@@ -321,7 +321,7 @@
     fn send_order(&mut self, node: usize, order: Order) {
         self.messages.push(order.number);
         let message = self.messages.len() as u64;
-        self.handle(node, Event::Propose { order: message, payload: order.payload(message) });
+        self.handle(node, Event::Propose { proposal: message, payload: order.payload(message) });
     }
 
     /// How many messages with orders there were.
--- a/crates/replication/tests/replication/model/inspect.rs
+++ b/crates/replication/tests/replication/model/inspect.rs
@@ -11,7 +11,7 @@
 impl Cluster {
     pub fn leaders(&self) -> Vec<usize> {
         let leads = |node: &usize| {
-            matches!(self.nodes[*node].replica.role(self.time()), Role::Primary { lease: true, .. })
+            matches!(self.nodes[*node].replica.role(self.time()), Role::Primary { holds_lease: true, .. })
         };
         self.present().into_iter().filter(leads).collect()
     }
@@ -58,7 +58,7 @@
     }
 
     fn outdated_answer(&self) -> Option<String> {
-        let may_answer = |node: &&Node| !node.gone && node.replica.may_answer(self.time());
+        let may_answer = |node: &&Node| !node.gone && node.replica.can_answer(self.time());
         self.nodes.iter().filter(may_answer).find_map(|node| {
             let state = node.replica.state();
             let lacks = |(_, order): &&(Position, u64)| !state.has_taken(*order);
--- a/crates/replication/tests/replication/model/mod.rs
+++ b/crates/replication/tests/replication/model/mod.rs
@@ -217,7 +217,7 @@
 
 #[test]
 fn a_joining_member_that_is_counted_early_is_found() {
-    let faults = Faults { count_joiner_early: true, ..Faults::default() };
+    let faults = Faults { count_learner_early: true, ..Faults::default() };
     let found = explore(replacement(faults), Extra::Nothing, 4).discoveries();
     assert!(found.contains_key(NOTHING_LOST));
 }
--- a/crates/replication/tests/replication/scenarios/places.rs
+++ b/crates/replication/tests/replication/scenarios/places.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::{quickcheck, TestResult};
 use quillpulley_protocol::{NodeId, View, WitnessRecord};
-use quillpulley_replication::{Event, Options, Place, Recovered, Replica, Role};
+use quillpulley_replication::{Event, FaultTolerance, Locality, Options, Recovered, Replica, Role};
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -63,7 +63,7 @@
         let id = world.machines[2].id;
         let knows = |world: &World| {
             let replica = world.machines[leader].replica.as_ref();
-            replica.is_some_and(|replica| replica.place_of(id).is_some()) && world.is_running(2)
+            replica.is_some_and(|replica| replica.locality_of(id).is_some()) && world.is_running(2)
         };
         assert!(world.run_until(1000, knows));
         world.run_for(250);
@@ -71,7 +71,7 @@
         let order = world.propose(leader);
         assert!(world.run_until(ACKNOWLEDGED_WITHIN_MS, |world| world.is_acknowledged(order)));
         assert!(world.members().contains(&2), "acknowledged in one region only\n{}", world.trace.join("\n"));
-        assert!(world.exposure().is_some_and(|exposure| exposure.members.is_none()));
+        assert!(world.exposure().is_some_and(|exposure| exposure.members.is_empty()));
     }
 }
 
@@ -133,7 +133,7 @@
 fn a_region_with_two_of_four_machines_may_be_lost() {
     for seed in 0..SEEDS {
         let mut world = world(seed, &[A, B, C, A2]);
-        assert!(world.exposure().is_some_and(|exposure| exposure.is_none()), "{}", world.trace.join("\n"));
+        assert!(world.exposure().is_some_and(|exposure| exposure.is_covered()), "{}", world.trace.join("\n"));
         assert!(acknowledged(&mut world, 500));
         world.remove(0);
         world.remove(3);
@@ -145,7 +145,7 @@
 fn witnesses_are_spread_over_regions_as_machines_come() {
     for seed in 0..SEEDS {
         let mut world = world(seed, &[A, A2, B, C]);
-        assert!(world.exposure().is_some_and(|exposure| exposure.is_none()), "{}", world.trace.join("\n"));
+        assert!(world.exposure().is_some_and(|exposure| exposure.is_covered()), "{}", world.trace.join("\n"));
         assert!(acknowledged(&mut world, 500));
         world.kill(0, true);
         world.kill(1, true);
@@ -232,20 +232,24 @@
         WitnessRecord { incarnation: 0, promised: 5, promised_to: nodes[0], accepted: Some(Box::new(view)) };
     let options = Options {
         me: nodes[0],
-        zone: format!("zone-{}", places[0].0),
-        region: format!("region-{}", places[0].1),
-        tolerated_machines: tolerated.0,
-        tolerated_zones: tolerated.1,
-        tolerated_regions: tolerated.2,
+        locality: Locality {
+            zone: format!("zone-{}", places[0].0),
+            region: format!("region-{}", places[0].1),
+        },
+        fault_tolerance: FaultTolerance { machines: tolerated.0, zones: tolerated.1, regions: tolerated.2 },
         ..Options::default()
     };
     let recovered = Recovered { record: Some(record), ..Recovered::default() };
     let mut replica = Replica::new(options, recovered, Ledger::default(), Duration::ZERO).expect("a replica");
     for (node, (zone, region)) in nodes.iter().zip(places) {
-        let place = Place { zone: format!("zone-{zone}"), region: format!("region-{region}") };
-        replica.handle(Duration::ZERO, Event::Located { node: *node, place }, &mut Vec::new());
+        let place = Locality { zone: format!("zone-{zone}"), region: format!("region-{region}") };
+        replica.handle(
+            Duration::ZERO,
+            Event::LocalityLearned { node: *node, locality: place },
+            &mut Vec::new(),
+        );
     }
-    let exposure = replica.exposure().expect("a view");
+    let exposure = replica.durability().expect("a view");
     [exposure.members, exposure.witnesses].map(|exposed| [exposed.machines, exposed.zones, exposed.regions])
 }
 
--- a/crates/replication/tests/replication/scenarios/second_loss.rs
+++ b/crates/replication/tests/replication/scenarios/second_loss.rs
@@ -247,6 +247,6 @@
 
 #[test]
 fn a_joiner_counted_before_it_holds_the_log_is_caught() {
-    let faults = Faults { count_joiner_early: true, ..Faults::default() };
+    let faults = Faults { count_learner_early: true, ..Faults::default() };
     assert!(is_caught(faults, hand_over_while_a_wiped_node_returns));
 }
