--- a/crates/quillpulley/src/agent/host/mod.rs
+++ b/crates/quillpulley/src/agent/host/mod.rs
@@ -12,7 +12,7 @@
 use crate::agent::search::{self, ParentSearch};
 use crate::agent::{AgentSockets, LoadSettings};
 use crate::peer::{LinkId, PeerEvent, PeerOptions, Peers};
-use crate::signals::Command;
+use crate::signals::ProcessSignal;
 use crate::Settings;
 use log::{info, warn};
 use quillpulley_membership::{self as membership, Monitor, MonitorOptions};
@@ -89,7 +89,7 @@
     }
 
     /// Serves until a stop has been obeyed.
-    pub async fn serve(mut self, mut commands: UnboundedReceiver<Command>) {
+    pub async fn serve(mut self, mut commands: UnboundedReceiver<ProcessSignal>) {
         self.tick();
         while !self.ending.is_over() {
             let wake_up = self.wake_up();
@@ -165,14 +165,14 @@
         self.report_local();
     }
 
-    fn obey(&mut self, command: Command) {
+    fn obey(&mut self, command: ProcessSignal) {
         match command {
-            Command::Stop => {
+            ProcessSignal::Shutdown => {
                 let mut actions = Vec::new();
                 self.ending.stop(self.now(), &mut actions);
                 actions.into_iter().for_each(|action| self.do_for_ending(action));
             }
-            Command::Reload => self.read_seeds(),
+            ProcessSignal::Reload => self.read_seeds(),
         }
     }
 
--- a/crates/quillpulley/src/agent/mod.rs
+++ b/crates/quillpulley/src/agent/mod.rs
@@ -15,7 +15,7 @@
 pub mod search;
 
 use crate::peer::{bind, bind_datagrams};
-use crate::signals::{self, Command};
+use crate::signals::{self, ProcessSignal};
 use crate::{runtime, HostError, Settings};
 use host::Host;
 use quillpulley_settings::SettingsError;
@@ -52,18 +52,18 @@
 /// Serves until the process is told to end.
 pub fn run(settings: Settings) -> Result<(), HostError> {
     runtime::block_on(async {
-        let commands = signals::commands()?;
+        let commands = signals::subscribe()?;
         let sockets = AgentSockets::bind(&settings).await?;
         serve(settings, sockets, commands, Box::new(Settings::from_environment)).await;
         Ok(())
     })
 }
 
-/// Serves until a [`Command::Stop`] has been obeyed. Must be awaited on a tokio `LocalSet`.
+/// Serves until a [`ProcessSignal::Shutdown`] has been obeyed. Must be awaited on a tokio `LocalSet`.
 pub async fn serve(
     settings: Settings,
     sockets: AgentSockets,
-    commands: UnboundedReceiver<Command>,
+    commands: UnboundedReceiver<ProcessSignal>,
     load_settings: LoadSettings,
 ) {
     Host::start(settings, sockets, load_settings).serve(commands).await;
--- a/crates/quillpulley/src/command_line/mod.rs
+++ b/crates/quillpulley/src/command_line/mod.rs
@@ -141,8 +141,7 @@
 
 fn serve(role: Role, log_level: LevelFilter) -> Result<(), HostError> {
     logging::start(log_level);
-    let settings = Settings::from_environment();
-    let settings = settings.map_err(|error| HostError::Settings(error.to_string()))?;
+    let settings = Settings::from_environment()?;
     info!("{} {VERSION} starts on {} ({})", role.name(), settings.node_name, settings.ip);
     match role {
         Role::Proxy => proxy::run(settings),
--- a/crates/quillpulley/src/control/http.rs
+++ b/crates/quillpulley/src/control/api/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server for calls of the operator and of clients that look for a proxy.
+//! A small HTTP server for operators and for clients that look for a proxy.
 
 use crate::HostError;
 use socket2::{SockRef, TcpKeepalive};
@@ -9,19 +9,19 @@
 use std::time::Duration;
 use tiny_http::{Request, Server, StatusCode};
 
-/// A connection whose peer takes nothing for so long is reset.
+/// A connection whose peer acknowledges nothing for so long is reset.
 const USER_TIMEOUT: Duration = Duration::from_secs(10);
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(10);
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(3);
 const KEEPALIVE_PROBES: u32 = 3;
-/// The pause before accepting again after a failure, as for want of descriptors.
-const RESTART_PAUSE: Duration = Duration::from_millis(100);
+/// How long after a failure to accept, such as a lack of descriptors, the server is started again.
+const RESTART_DELAY: Duration = Duration::from_millis(100);
 
-/// What answers a request; called by several threads.
+/// Responds to a request. Called by several threads.
 pub type Handler = Arc<dyn Fn(Request) + Send + Sync>;
 
-/// Has the connections of a listening socket send at once and notice peers that are gone, as far as they inherit
-/// its options. Without them they work all the same.
+/// Sets options that accepted connections inherit: no delay of small writes, and detection of peers that are gone.
+/// Failures are logged only, as connections work without them.
 pub fn tune(listener: &TcpListener) {
     let socket = SockRef::from(listener);
     let keepalive = TcpKeepalive::new()
@@ -34,11 +34,11 @@
         socket.set_tcp_user_timeout(Some(USER_TIMEOUT)),
     ];
     for error in set.into_iter().filter_map(Result::err) {
-        log::debug!("a listening socket lacks an option: {error}");
+        log::debug!(error:% = error; "a listening socket lacks an option");
     }
 }
 
-/// Answers requests on `listener` with `threads` threads until the process ends.
+/// Serves requests on `listener` with `threads` threads until the process ends.
 ///
 /// # Errors
 /// [`HostError::Runtime`] if the threads cannot be started.
@@ -57,7 +57,7 @@
     Server::from_listener(listener, None).map_err(|error| HostError::Runtime(io::Error::other(error)))
 }
 
-/// The threads of a server, and the server that they ask for requests: one that stopped accepting is
+/// The threads of a server, and the server from which they receive requests. One that has stopped accepting is
 /// replaced.
 struct Pool {
     listener: TcpListener,
@@ -82,11 +82,11 @@
         if !Arc::ptr_eq(&current, stopped) {
             return;
         }
-        log::warn!("accepting of HTTP connections stopped ({error}), starting again");
-        thread::sleep(RESTART_PAUSE);
+        log::warn!(error:% = error; "accepting HTTP connections failed, restarting the server");
+        thread::sleep(RESTART_DELAY);
         match start_server(&self.listener) {
             Ok(server) => *current = Arc::new(server),
-            Err(error) => log::warn!("{error}"),
+            Err(error) => log::warn!(error:% = error; "the HTTP server could not be restarted"),
         }
         for _ in 1..self.threads {
             stopped.unblock();
@@ -94,23 +94,23 @@
     }
 }
 
-/// An answer with a JSON body, after which the caller is to close the connection.
+/// A response with a JSON body, after which the caller has to close the connection.
 ///
-/// `tiny_http` has a thread for each connection, and may leave a new one waiting for the end of another.
+/// `tiny_http` has a thread for each connection, and may leave a new connection waiting for the end of another one.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct JsonAnswer {
+pub struct JsonResponse {
     status: u16,
     headers: Vec<(&'static str, String)>,
     body: Vec<u8>,
 }
 
-impl JsonAnswer {
-    /// An answer without further headers.
+impl JsonResponse {
+    /// Creates a response without further headers.
     pub fn new(status: u16, body: Vec<u8>) -> Self {
-        JsonAnswer { status, headers: Vec::new(), body }
+        JsonResponse { status, headers: Vec::new(), body }
     }
 
-    /// Adds a header, whose value must be text without line ends.
+    /// Adds a header. Its value must be text without line breaks.
     pub fn with_header(mut self, name: &'static str, value: impl Into<String>) -> Self {
         self.headers.push((name, value.into()));
         self
@@ -134,22 +134,22 @@
     }
 }
 
-/// Answers a request; a caller that has gone is none of our business.
-pub fn respond(request: Request, answer: JsonAnswer) {
+/// Writes a response. A caller that has closed its connection is no error.
+pub fn respond(request: Request, response: JsonResponse) {
     let mut writer = request.into_writer();
-    let written = writer.write_all(&answer.into_bytes()).and_then(|()| writer.flush());
+    let written = writer.write_all(&response.into_bytes()).and_then(|()| writer.flush());
     if let Err(error) = written {
-        log::debug!("an answer was not delivered: {error}");
+        log::debug!(error:% = error; "a response was not delivered");
     }
 }
 
-/// The first value of a header.
+/// Returns the first value of a header.
 pub fn header<'a>(request: &'a Request, name: &'static str) -> Option<&'a str> {
     let found = request.headers().iter().find(|header| header.field.equiv(name))?;
     Some(found.value.as_str())
 }
 
-/// Decodes `%41` in a piece of a URL.
+/// Decodes percent-encoding such as `%41` in a part of a URL.
 pub fn percent_decode(text: &str) -> String {
     let mut decoded = Vec::with_capacity(text.len());
     let mut bytes = text.bytes();
@@ -170,7 +170,7 @@
     u8::try_from(high * 16 + low).ok()
 }
 
-/// The value of a parameter of a URL's query, decoded.
+/// Returns the decoded value of a query parameter of a URL.
 pub fn query_parameter(url: &str, name: &str) -> Option<String> {
     let (_, query) = url.split_once('?')?;
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -178,7 +178,7 @@
     Some(percent_decode(&value.replace('+', " ")))
 }
 
-/// The path of a URL, without its query.
+/// Returns the path of a URL, without its query.
 pub fn path(url: &str) -> &str {
     url.split_once('?').map_or(url, |(path, _)| path)
 }
--- /dev/null
+++ b/crates/quillpulley/src/control/api/mod.rs
@@ -0,0 +1,153 @@
+//! The operator's API: reads requests, hands them to the main thread, and writes its responses.
+//!
+//! A few threads read requests; none of them waits for a response. The main thread decides, and a few other threads
+//! write, so that neither a slow caller nor a command in flight holds up the rest. Right before a response is written
+//! the writer checks the clock: once the lease on which the response relies has ended, the caller is told to retry.
+
+pub mod http;
+mod render;
+mod request;
+
+pub use request::{Operation, MAX_BODY_BYTES};
+
+use crate::control::clock::Clock;
+use crate::control::response::{Response, TimedResponse};
+use crate::HostError;
+use http::Handler;
+use request::RequestError;
+use std::net::TcpListener;
+use std::sync::mpsc::{self, Receiver, Sender};
+use std::sync::{Arc, Mutex, PoisonError};
+use std::thread;
+use tiny_http::Request;
+
+const READER_THREADS: usize = 6;
+const WRITER_THREADS: usize = 2;
+
+/// A request of an operator, and what responds to it.
+pub struct ApiRequest {
+    /// What is asked for.
+    pub operation: Operation,
+    /// Responds to the caller.
+    pub responder: Responder,
+}
+
+/// Responds to one request. If it is dropped unused, the caller gets a 500.
+pub struct Responder {
+    request: Request,
+    responses: Sender<PendingResponse>,
+}
+
+struct PendingResponse {
+    request: Request,
+    response: TimedResponse,
+}
+
+impl Responder {
+    /// Has another thread write the response, if that is still valid then.
+    pub fn send(self, response: TimedResponse) {
+        let pending = PendingResponse { request: self.request, response };
+        if self.responses.send(pending).is_err() {
+            log::warn!("no thread is left to write responses to operators");
+        }
+    }
+}
+
+/// Deliberate faults of tests; see the feature `fault-injection`.
+#[doc(hidden)]
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Faults {
+    /// Responses are written without checking whether the lease has ended.
+    #[cfg(feature = "fault-injection")]
+    pub skip_lease_check: bool,
+}
+
+impl Faults {
+    #[cfg(feature = "fault-injection")]
+    fn skip_lease_check(self) -> bool {
+        self.skip_lease_check
+    }
+
+    #[cfg(not(feature = "fault-injection"))]
+    const fn skip_lease_check(self) -> bool {
+        false
+    }
+}
+
+/// Serves the API on `listener`. `deliver` hands a request to the main thread, and gives it back if that is overloaded.
+/// Responses expire by `clock`.
+///
+/// # Errors
+/// [`HostError::Runtime`] if the threads cannot be started.
+pub fn serve<D>(listener: TcpListener, clock: Clock, deliver: D) -> Result<(), HostError>
+where
+    D: Fn(Box<ApiRequest>) -> Result<(), Box<ApiRequest>> + Send + Sync + 'static,
+{
+    serve_with_faults(listener, clock, Faults::default(), deliver)
+}
+
+/// Serves with deliberate faults.
+#[doc(hidden)]
+pub fn serve_with_faults<D>(
+    listener: TcpListener,
+    clock: Clock,
+    faults: Faults,
+    deliver: D,
+) -> Result<(), HostError>
+where
+    D: Fn(Box<ApiRequest>) -> Result<(), Box<ApiRequest>> + Send + Sync + 'static,
+{
+    let (responses, pending) = mpsc::channel();
+    let writer = Writer { pending: Arc::new(Mutex::new(pending)), clock, faults };
+    for _ in 0..WRITER_THREADS {
+        let writer = writer.clone();
+        thread::Builder::new().spawn(move || writer.write_all()).map_err(HostError::Runtime)?;
+    }
+    let handler: Handler = Arc::new(move |request| handle_request(request, &responses, &deliver));
+    http::serve(listener, READER_THREADS, handler)
+}
+
+/// What the threads that write responses share.
+#[derive(Clone)]
+struct Writer {
+    pending: Arc<Mutex<Receiver<PendingResponse>>>,
+    clock: Clock,
+    faults: Faults,
+}
+
+impl Writer {
+    fn write_all(&self) {
+        loop {
+            let next = self.pending.lock().unwrap_or_else(PoisonError::into_inner).recv();
+            let Ok(PendingResponse { request, response }) = next else { return };
+            self.write(request, response);
+        }
+    }
+
+    fn write(&self, request: Request, response: TimedResponse) {
+        let response = match self.faults.skip_lease_check() {
+            true => response.decided().clone(),
+            false => response.at(self.clock.now()),
+        };
+        let response = render::render(request.url(), response);
+        http::respond(request, response);
+    }
+}
+
+fn handle_request<D>(mut request: Request, responses: &Sender<PendingResponse>, deliver: &D)
+where
+    D: Fn(Box<ApiRequest>) -> Result<(), Box<ApiRequest>>,
+{
+    match request::parse(&mut request) {
+        Ok(operation) => {
+            let responder = Responder { request, responses: responses.clone() };
+            if let Err(returned) = deliver(Box::new(ApiRequest { operation, responder })) {
+                returned.responder.send(TimedResponse::without_expiry(Response::Unavailable));
+            }
+        }
+        Err(RequestError::Incomplete(reason)) => {
+            log::debug!(reason = reason.as_str(); "a request of an operator was incomplete");
+        }
+        Err(error) => http::respond(request, render::error(error.status(), &error.to_string())),
+    }
+}
--- a/crates/quillpulley/src/control/clock.rs
+++ b/crates/quillpulley/src/control/clock.rs
@@ -1,25 +1,25 @@
-//! The time as all threads of a core process see it.
+//! The monotonic clock that all threads of a control process share.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The time since the process started, by a steady clock that goes on while the process is stopped.
+/// A monotonic clock that goes on while the process is suspended.
 #[derive(Clone)]
 pub struct Clock(Arc<dyn Fn() -> Duration + Send + Sync>);
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts at zero now.
     pub fn start() -> Self {
         let start = Instant::now();
         Clock(Arc::new(move || start.elapsed()))
     }
 
-    /// A clock that shows what `read` returns.
+    /// Creates a clock that returns what `read` returns.
     pub fn reading(read: impl Fn() -> Duration + Send + Sync + 'static) -> Self {
         Clock(Arc::new(read))
     }
 
-    /// The time since the start.
+    /// Returns the time since the start.
     pub fn now(&self) -> Duration {
         (self.0)()
     }
--- /dev/null
+++ b/crates/quillpulley/src/control/commands.rs
@@ -0,0 +1,217 @@
+//! Commands of operators: decided one after the other against the committed state, and then replicated.
+//!
+//! Invariant: there is one command in flight at a time, and the next one is decided on a state that has every command of
+//! the log. So of two configurations with one base exactly one is applied, and a command without a clear outcome takes
+//! effect before the next one is answered, or never.
+
+use crate::control::response::Response;
+use quillpulley_control_state::{ControlState, EvacuationDecision, ReplaceDecision};
+use quillpulley_replication::Replica;
+use std::collections::VecDeque;
+use std::fmt;
+use std::time::Duration;
+
+/// How long a command may wait for its response.
+pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// The bytes of queued configurations beyond which callers are told to retry.
+const MAX_QUEUED_BYTES: usize = 32 * 1024 * 1024;
+
+/// A command of an operator.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum Command {
+    /// Puts a whole configuration in force.
+    Replace {
+        /// The version that it builds on.
+        base: u64,
+        /// The configuration as it was sent.
+        body: Vec<u8>,
+    },
+    /// Begins or ends the evacuation of a zone.
+    Evacuate {
+        /// The zone's name.
+        zone: String,
+        /// Whether the evacuation begins.
+        active: bool,
+    },
+}
+
+impl fmt::Display for Command {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Command::Replace { base, body } => {
+                write!(formatter, "replace version {base} by {} bytes", body.len())
+            }
+            Command::Evacuate { zone, active: true } => write!(formatter, "evacuate {zone}"),
+            Command::Evacuate { zone, active: false } => write!(formatter, "end evacuation of {zone}"),
+        }
+    }
+}
+
+impl Command {
+    fn bytes(&self) -> usize {
+        match self {
+            Command::Replace { body, .. } => body.len(),
+            Command::Evacuate { zone, .. } => zone.len(),
+        }
+    }
+}
+
+/// A command as it is proposed to the replicas.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Proposal {
+    /// The number under which its outcome is reported.
+    pub number: u64,
+    /// The payload of its log entry.
+    pub payload: Vec<u8>,
+}
+
+struct QueuedCommand<R> {
+    command: Command,
+    responder: R,
+    expires_at: Duration,
+}
+
+struct InFlight<R> {
+    number: u64,
+    command: Command,
+    /// None once the caller has been told that the outcome is unknown.
+    responder: Option<R>,
+    expires_at: Duration,
+}
+
+/// The commands that have no response yet. `R` responds to a caller.
+pub struct CommandQueue<R> {
+    queued: VecDeque<QueuedCommand<R>>,
+    in_flight: Option<InFlight<R>>,
+    next_number: u64,
+    responses: Vec<(R, Response)>,
+}
+
+impl<R> Default for CommandQueue<R> {
+    fn default() -> Self {
+        CommandQueue { queued: VecDeque::new(), in_flight: None, next_number: 1, responses: Vec::new() }
+    }
+}
+
+impl<R> CommandQueue<R> {
+    /// Queues a command that came at `now`.
+    pub fn push(&mut self, now: Duration, command: Command, responder: R) {
+        let queued: usize = self.queued.iter().map(|queued| queued.command.bytes()).sum();
+        if queued + command.bytes() > MAX_QUEUED_BYTES {
+            self.responses.push((responder, Response::Unavailable));
+            return;
+        }
+        self.queued.push_back(QueuedCommand { command, responder, expires_at: now + RESPONSE_TIMEOUT });
+    }
+
+    /// Decides queued commands up to the first that has to be replicated, and returns that. Decides none while the log of
+    /// the replica has a command that its state lacks, also one whose caller got no clear outcome. Must be called only
+    /// while the lease is held.
+    pub fn next_for(&mut self, replica: &Replica<ControlState>) -> Option<Proposal> {
+        if replica.has_unresolved_proposals() {
+            return None;
+        }
+        self.next_proposal(replica.state())
+    }
+
+    /// Decides queued commands against the committed `state` up to the first that has to be replicated, and returns that.
+    /// Must be called only where [`CommandQueue::next_for`] would.
+    pub fn next_proposal(&mut self, state: &ControlState) -> Option<Proposal> {
+        while self.in_flight.is_none() {
+            let queued = self.queued.pop_front()?;
+            match decide(state, &queued.command) {
+                Decision::Respond(response) => {
+                    if let Response::Invalid(reason) = &response {
+                        log::info!(command:% = queued.command, reason = reason.as_str(); "command rejected");
+                    }
+                    self.responses.push((queued.responder, response));
+                }
+                Decision::Propose(payload) => return Some(self.start(queued, payload)),
+            }
+        }
+        None
+    }
+
+    fn start(&mut self, queued: QueuedCommand<R>, payload: Vec<u8>) -> Proposal {
+        let QueuedCommand { command, responder, expires_at } = queued;
+        let number = self.next_number;
+        self.next_number += 1;
+        self.in_flight = Some(InFlight { number, command, responder: Some(responder), expires_at });
+        Proposal { number, payload }
+    }
+
+    /// Handles that a proposal is committed and applied to `state`. Its command is acknowledged if it is in effect now: an
+    /// entry of an earlier epoch may have come before it. Without the lease the outcome is not clear.
+    pub fn committed(&mut self, number: u64, state: &ControlState, holds_lease: bool) {
+        let Some(command) = self.in_flight.take_if(|command| command.number == number) else { return };
+        let is_in_effect =
+            matches!(decide(state, &command.command), Decision::Respond(Response::Acknowledged));
+        let response =
+            if is_in_effect && holds_lease { Response::Acknowledged } else { Response::Unavailable };
+        log::info!(proposal = number, command:% = command.command, version = state.version(); "command committed");
+        self.responses.extend(command.responder.map(|responder| (responder, response)));
+    }
+
+    /// Handles that the outcome of a proposal is unknown.
+    pub fn failed(&mut self, number: u64) {
+        let failed = self.in_flight.take_if(|command| command.number == number);
+        let responder = failed.and_then(|command| command.responder);
+        self.responses.extend(responder.map(|responder| (responder, Response::Unavailable)));
+    }
+
+    /// Responds to everything that has waited too long. The command in flight stays in flight.
+    pub fn expire(&mut self, now: Duration) {
+        if let Some(command) = self.in_flight.as_mut().filter(|command| command.expires_at <= now) {
+            let responder = command.responder.take();
+            self.responses.extend(responder.map(|responder| (responder, Response::Unavailable)));
+        }
+        while self.queued.front().is_some_and(|queued| queued.expires_at <= now) {
+            let expired = self.queued.pop_front();
+            self.responses.extend(expired.map(|queued| (queued.responder, Response::Unavailable)));
+        }
+    }
+
+    /// Handles that this process is no longer the primary: responds to the queued commands with `response`, and to the one
+    /// in flight that its outcome is unknown.
+    pub fn abandon(&mut self, response: &Response) {
+        if let Some(command) = self.in_flight.take() {
+            let responder = command.responder;
+            self.responses.extend(responder.map(|responder| (responder, Response::Unavailable)));
+        }
+        let queued = std::mem::take(&mut self.queued);
+        self.responses.extend(queued.into_iter().map(|queued| (queued.responder, response.clone())));
+    }
+
+    /// Returns whether nothing is queued and nothing in flight.
+    pub fn is_idle(&self) -> bool {
+        self.queued.is_empty() && self.in_flight.is_none()
+    }
+
+    /// Removes and returns the responses since the last call.
+    pub fn take_responses(&mut self) -> Vec<(R, Response)> {
+        std::mem::take(&mut self.responses)
+    }
+}
+
+enum Decision {
+    Respond(Response),
+    Propose(Vec<u8>),
+}
+
+fn decide(state: &ControlState, command: &Command) -> Decision {
+    match command {
+        Command::Replace { base, body } => match state.decide_replace(*base, body) {
+            ReplaceDecision::AlreadyApplied => Decision::Respond(Response::Acknowledged),
+            ReplaceDecision::Conflict { current } => Decision::Respond(Response::Conflict { current }),
+            ReplaceDecision::HistoryExpired { oldest } => {
+                Decision::Respond(Response::HistoryExpired { oldest })
+            }
+            ReplaceDecision::Invalid(error) => Decision::Respond(Response::Invalid(error.to_string())),
+            ReplaceDecision::Propose(payload) => Decision::Propose(payload),
+        },
+        Command::Evacuate { zone, active } => match state.decide_evacuation(zone, *active) {
+            EvacuationDecision::AlreadyInEffect => Decision::Respond(Response::Acknowledged),
+            EvacuationDecision::Propose(payload) => Decision::Propose(payload),
+        },
+    }
+}
--- /dev/null
+++ b/crates/quillpulley/src/control/directory/builder.rs
@@ -0,0 +1,179 @@
+//! Builds the directory from the published proxy endpoints and those that report to this process.
+//!
+//! While the published state is fresh it alone counts: the primary hears of all endpoints. Once it has not moved for a
+//! second, the endpoints that report to this process itself are added, and after [`OUT_OF_TOUCH_AFTER`] only these count:
+//! whether others still run is not known.
+
+use super::reported_endpoints::ReportedEndpoints;
+use super::{Coverage, Directory};
+use crate::control::distribution::endpoint_registry::is_suspected;
+use quillpulley_load_balancer::HomeTable;
+use quillpulley_protocol::{decode_value, EndpointState, ProxyEndpoint, ProxyEndpointRef};
+use quillpulley_serving_config::published::{route_of, PublishedKey, ENDPOINT_PREFIX, ROUTE_PREFIX};
+use quillpulley_state_sync::{ChangedKey, FeedNode, Store, Subtree};
+use std::collections::BTreeMap;
+use std::hash::Hash;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// How long a process that has just started waits for more endpoints once it knows any, unless the published state is
+/// fresh.
+const INITIAL_WAIT: Duration = Duration::from_millis(1500);
+/// How long published endpoints count after the published state has moved last. An election takes less.
+pub const OUT_OF_TOUCH_AFTER: Duration = Duration::from_secs(3);
+/// How long after the start or an election some endpoints may not have been reported to the primary yet.
+pub const SETTLING_TIME: Duration = Duration::from_secs(3);
+
+/// What the directory is built from.
+pub struct DirectoryInputs<'a> {
+    /// Whether the published state is up to date.
+    pub fresh: bool,
+    /// When the published state moved last, if it has.
+    pub last_moved: Option<Duration>,
+    /// The epoch of the published state.
+    pub epoch: u64,
+    /// The published state.
+    pub store: &'a Store,
+    /// What is reported to this process.
+    pub subtree: &'a Subtree,
+}
+
+impl<'a> DirectoryInputs<'a> {
+    /// Returns what a node of the relay tree knows at `now`.
+    pub fn at<Child: Copy + Eq + Hash + Ord>(now: Duration, feed: &'a FeedNode<Child>) -> Self {
+        DirectoryInputs {
+            fresh: feed.is_fresh(now),
+            last_moved: feed.last_moved(),
+            epoch: feed.revision().epoch,
+            store: feed.store(),
+            subtree: feed.subtree(),
+        }
+    }
+
+    fn is_out_of_touch(&self, now: Duration) -> bool {
+        !self.fresh && self.last_moved.is_none_or(|moved| now >= moved + OUT_OF_TOUCH_AFTER)
+    }
+}
+
+/// Builds directories, and keeps track of whether enough endpoints are known.
+#[derive(Default)]
+pub struct DirectoryBuilder {
+    first_known_at: Option<Duration>,
+    has_waited: bool,
+    reported: ReportedEndpoints,
+    homes: HomeCache,
+    epoch: Option<Epoch>,
+    is_settled: bool,
+    coverage: Coverage,
+    was_fresh: bool,
+}
+
+/// The epoch of the published state, and when it began here.
+#[derive(Clone, Copy)]
+struct Epoch {
+    number: u64,
+    began_at: Duration,
+}
+
+/// The home regions of the published routes.
+#[derive(Default)]
+struct HomeCache {
+    table: Arc<HomeTable>,
+    is_current: bool,
+}
+
+impl DirectoryBuilder {
+    /// Builds the directory at `now`.
+    pub fn build(&mut self, now: Duration, inputs: &DirectoryInputs<'_>) -> Directory {
+        self.was_fresh = inputs.fresh;
+        self.reported.update(now, inputs.subtree, inputs.fresh);
+        let endpoints = self.known_endpoints(now, inputs);
+        if !endpoints.is_empty() {
+            let first_known_at = *self.first_known_at.get_or_insert(now);
+            self.has_waited |= inputs.fresh || now >= first_known_at + INITIAL_WAIT;
+        }
+        self.update_epoch(now, inputs);
+        self.coverage = self.coverage(inputs.is_out_of_touch(now));
+        Directory { endpoints, coverage: self.coverage, homes: self.homes.table(inputs.store) }
+    }
+
+    fn coverage(&self, is_out_of_touch: bool) -> Coverage {
+        match (self.has_waited, is_out_of_touch) {
+            (false, _) => Coverage::TooFew,
+            (true, true) => Coverage::OwnReports,
+            (true, false) if !self.is_settled => Coverage::Settling,
+            (true, false) => Coverage::All,
+        }
+    }
+
+    /// Notes that published items have changed. Returns whether that may change the directory.
+    pub fn items_changed(&mut self, changed: &[ChangedKey]) -> bool {
+        let has = |prefix: &str| changed.iter().any(|changed| changed.key.starts_with(prefix));
+        let routes_changed = has(ROUTE_PREFIX);
+        self.homes.is_current &= !routes_changed;
+        routes_changed || has(ENDPOINT_PREFIX)
+    }
+
+    /// Returns whether time alone may change the directory. `is_fresh` tells whether the published state is fresh.
+    pub fn depends_on_time(&self, is_fresh: bool) -> bool {
+        !(self.coverage == Coverage::All && self.was_fresh && is_fresh)
+    }
+
+    fn update_epoch(&mut self, now: Duration, inputs: &DirectoryInputs<'_>) {
+        if self.epoch.is_none_or(|epoch| epoch.number != inputs.epoch) {
+            self.epoch = Some(Epoch { number: inputs.epoch, began_at: now });
+        }
+        self.is_settled = self.epoch.is_some_and(|epoch| now >= epoch.began_at + SETTLING_TIME);
+    }
+
+    fn known_endpoints(&self, now: Duration, inputs: &DirectoryInputs<'_>) -> Vec<ProxyEndpoint> {
+        let published = || published(inputs.store);
+        if inputs.is_out_of_touch(now) {
+            return self.reported.endpoints().cloned().collect();
+        }
+        let mut endpoints: BTreeMap<String, ProxyEndpoint> = published().collect();
+        if inputs.fresh && !endpoints.is_empty() {
+            return endpoints.into_values().collect();
+        }
+        endpoints.retain(|name, _| !is_suspected(inputs.subtree, name));
+        for endpoint in self.reported.endpoints() {
+            let is_newer = endpoints.get(&endpoint.name).is_none_or(|known| rank(endpoint) > rank(known));
+            if is_newer {
+                endpoints.insert(endpoint.name.clone(), endpoint.clone());
+            }
+        }
+        endpoints.into_values().collect()
+    }
+}
+
+impl HomeCache {
+    fn table(&mut self, store: &Store) -> Arc<HomeTable> {
+        if !self.is_current {
+            let routes: Vec<_> =
+                store.with_prefix(ROUTE_PREFIX).filter_map(|(key, value)| route_of(key, value)).collect();
+            let homes = routes.iter().map(|route| (route.host.as_str(), route.home_regions.as_slice()));
+            self.table = Arc::new(HomeTable::new(homes));
+            self.is_current = true;
+        }
+        self.table.clone()
+    }
+}
+
+fn published(store: &Store) -> impl Iterator<Item = (String, ProxyEndpoint)> + '_ {
+    let items = store
+        .iter()
+        .filter(|(key, _)| matches!(PublishedKey::parse(key), Some(PublishedKey::ProxyEndpoint(_))));
+    items
+        .filter_map(|(_, value)| decode_value::<ProxyEndpointRef, ProxyEndpoint>(value).ok())
+        .map(|endpoint| (endpoint.name.clone(), endpoint))
+}
+
+/// Ranks what is known of an endpoint: a later incarnation is newer, and within one the state that comes later.
+fn rank(endpoint: &ProxyEndpoint) -> (u64, u8) {
+    let progress = match endpoint.state {
+        EndpointState::Starting => 0,
+        EndpointState::Ready => 1,
+        EndpointState::Draining => 2,
+    };
+    (endpoint.incarnation, progress)
+}
--- /dev/null
+++ b/crates/quillpulley/src/control/directory/reported_endpoints.rs
@@ -0,0 +1,41 @@
+//! The proxy endpoints that report to this control node, or did until just now.
+
+use crate::control::distribution::endpoint_registry::is_suspected;
+use quillpulley_protocol::ProxyEndpoint;
+use quillpulley_state_sync::Subtree;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// How long an endpoint that is no longer reported still counts: its agent may be changing its parent, as all agents do
+/// in turn while there is no primary.
+pub const RETENTION: Duration = Duration::from_secs(2);
+
+struct Reported {
+    endpoint: ProxyEndpoint,
+    reported_at: Duration,
+}
+
+/// The endpoints that report to this process, by name.
+#[derive(Default)]
+pub struct ReportedEndpoints {
+    endpoints: BTreeMap<String, Reported>,
+}
+
+impl ReportedEndpoints {
+    /// Updates the reports of `now`, without endpoints that their monitors suspect. While the published state is fresh
+    /// nothing is retained: the primary knows better.
+    pub fn update(&mut self, now: Duration, subtree: &Subtree, is_fresh: bool) {
+        let retention = if is_fresh { Duration::ZERO } else { RETENTION };
+        self.endpoints.retain(|_, reported| now < reported.reported_at + retention);
+        for endpoint in subtree.endpoints.values() {
+            self.endpoints
+                .insert(endpoint.name.clone(), Reported { endpoint: endpoint.clone(), reported_at: now });
+        }
+        self.endpoints.retain(|name, _| !is_suspected(subtree, name));
+    }
+
+    /// Returns the endpoints that count.
+    pub fn endpoints(&self) -> impl Iterator<Item = &ProxyEndpoint> {
+        self.endpoints.values().map(|reported| &reported.endpoint)
+    }
+}
--- a/crates/quillpulley/src/control/fetcher.rs
+++ b/crates/quillpulley/src/control/discovery/fetcher.rs
@@ -1,6 +1,6 @@
-//! Fetches pages of the platform's list in a thread of its own, one at a time.
+//! The thread that fetches pages of the platform's list, one at a time.
 
-use super::platform;
+use super::page;
 use super::reader::{Fetch, FetchError};
 use crate::HostError;
 use std::net::SocketAddr;
@@ -9,15 +9,15 @@
 use std::time::Duration;
 use ureq::Agent;
 
-/// The longest that one call may take.
-const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// The longest page that is read.
+/// The longest time for one request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
+/// The longest page that is read, in bytes.
 const MAX_PAGE_BYTES: u64 = 16 * 1024 * 1024;
 
-/// What a fetch brings.
-pub type Fetched = Result<platform::Page, FetchError>;
+/// The outcome of a fetch.
+pub type Fetched = Result<page::Page, FetchError>;
 
-/// The thread that fetches.
+/// The handle of the thread.
 pub struct Fetcher {
     fetches: Sender<Fetch>,
 }
@@ -38,17 +38,17 @@
         Ok(Fetcher { fetches })
     }
 
-    /// Has a page fetched.
+    /// Has a page fetched, after those before it.
     pub fn fetch(&self, fetch: Fetch) {
         if self.fetches.send(fetch).is_err() {
-            log::error!("the thread that reads the platform's list has ended: restart the process");
+            log::error!("the thread that fetches the platform's list has ended: restart the process");
         }
     }
 }
 
 fn fetch_all(platform: SocketAddr, queue: &Receiver<Fetch>, deliver: impl Fn(Fetched)) {
     let config = Agent::config_builder()
-        .timeout_global(Some(CALL_TIMEOUT))
+        .timeout_global(Some(REQUEST_TIMEOUT))
         .http_status_as_error(false)
         .max_redirects(0)
         .build();
@@ -75,5 +75,5 @@
         .limit(MAX_PAGE_BYTES)
         .read_to_vec()
         .map_err(|error| FetchError::Failed(error.to_string()))?;
-    platform::parse_page(&mut body).map_err(|error| FetchError::Unreadable(error.to_string()))
+    page::parse_page(&mut body).map_err(|error| FetchError::Unreadable(error.to_string()))
 }
--- a/crates/quillpulley/src/control/platform.rs
+++ b/crates/quillpulley/src/control/discovery/page.rs
@@ -1,18 +1,18 @@
-//! The platform's list of servers: one page of it, as typed entries.
+//! Parsing of the platform's list of servers, page by page.
 
 use displaydoc::Display;
 use quillpulley_protocol::{Server, ServerState};
 use simd_json::prelude::*;
 use simd_json::BorrowedValue;
 
-/// What a page of the list holds.
+/// A page of the list.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Page {
-    /// The servers that could be read.
+    /// The servers that could be parsed.
     pub servers: Vec<Server>,
-    /// The ids of entries that could not be read whole, as far as they have one.
+    /// The ids of entries that could not be parsed; empty for those without one.
     pub unreadable: Vec<String>,
-    /// The token of the following page.
+    /// The token of the next page; none on the last one.
     pub next_token: Option<String>,
 }
 
@@ -21,11 +21,11 @@
 pub struct Reading {
     /// The servers on the list.
     pub servers: Vec<Server>,
-    /// Ids of entries that could not be read: what was published of these stays.
+    /// The ids of entries that could not be parsed: what was published of these stays.
     pub unreadable: Vec<String>,
 }
 
-/// Why a page cannot be used.
+/// Why a page cannot be parsed.
 #[derive(Debug, Display, PartialEq, Eq)]
 pub enum PageError {
     /// the list is no JSON ({0}): check the platform's address in the settings file
@@ -36,7 +36,10 @@
 
 impl std::error::Error for PageError {}
 
-/// Reads a page. Entries that lack something are skipped and told; fields that are not known are ignored.
+/// Parses a page. Entries that lack something are reported as unreadable, unknown fields are ignored.
+///
+/// # Errors
+/// [`PageError`] if it is no page of this protocol.
 pub fn parse_page(body: &mut [u8]) -> Result<Page, PageError> {
     let value = simd_json::to_borrowed_value(body).map_err(|error| PageError::NotJson(error.to_string()))?;
     let entries = value.get_array("Instances").ok_or(PageError::Missing("Instances"))?;
@@ -77,7 +80,7 @@
     })
 }
 
-/// Only `ready` and `draining` are told by the platform; a server in any other state gets nothing new either.
+/// The platform knows `ready` and `draining`. A server in any other state gets no new requests either.
 fn parse_state(state: &str) -> Option<ServerState> {
     match state {
         "ready" => Some(ServerState::Ready),
@@ -86,7 +89,7 @@
     }
 }
 
-/// A count that may come as a fraction.
+/// Returns a number of milliseconds that may come as a fraction.
 fn as_millis(value: &BorrowedValue<'_>) -> Option<u32> {
     let number = value.cast_f64()?;
     (number >= 0.0).then(|| number.min(f64::from(u32::MAX)) as u32)
--- a/crates/quillpulley/src/control/servers.rs
+++ b/crates/quillpulley/src/control/discovery/published_servers.rs
@@ -1,19 +1,19 @@
-//! Which servers the primary has published, and what a newer reading of the platform's list changes in that.
+//! The servers that the primary has published, and what a newer reading of the platform's list changes.
 
-use super::platform::Reading;
+use super::page::Reading;
 use quillpulley_protocol::{decode_value, encode_value, Server, ServerRef};
 use quillpulley_serving_config::published::{server_key, PublishedKey};
 use quillpulley_state_sync::Change;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A published count-down stands as long as a newer reading does not differ from it by more.
+/// A published countdown stays as long as a newer reading does not differ from it by more.
 const COUNTDOWN_TOLERANCE: Duration = Duration::from_millis(300);
 
 struct Published {
     server: Server,
-    /// When its count-downs began; `None` if another primary published it.
-    at: Option<Duration>,
+    /// When its countdowns began; none if another primary has published it.
+    published_at: Option<Duration>,
 }
 
 /// The published servers, by id.
@@ -23,33 +23,33 @@
 }
 
 impl PublishedServers {
-    /// Starts with what another primary published, as key and value of items.
+    /// Begins with what another primary has published, given as keys and values of items.
     pub fn inherit<'a>(items: impl Iterator<Item = (&'a str, &'a [u8])>) -> Self {
         let servers = items
             .filter(|(key, _)| matches!(PublishedKey::parse(key), Some(PublishedKey::Server(_))))
             .filter_map(|(_, value)| decode_value::<ServerRef, Server>(value).ok())
-            .map(|server| (server.id.clone(), Published { server, at: None }));
+            .map(|server| (server.id.clone(), Published { server, published_at: None }));
         PublishedServers { servers: servers.collect() }
     }
 
-    /// How many servers are published.
+    /// Returns the number of published servers.
     pub fn len(&self) -> usize {
         self.servers.len()
     }
 
-    /// Whether no server is published.
+    /// Returns whether no server is published.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
 
-    /// Takes a complete reading of `now` and returns what has to be published.
+    /// Returns the changes for a complete reading of `now`.
     pub fn update(&mut self, now: Duration, reading: Reading) -> Vec<Change> {
         let listed: BTreeSet<&str> = reading.servers.iter().map(|server| server.id.as_str()).collect();
         let unreadable: BTreeSet<&str> = reading.unreadable.iter().map(String::as_str).collect();
-        let gone = |id: &str| !listed.contains(id) && !unreadable.contains(id);
+        let is_removed = |id: &str| !listed.contains(id) && !unreadable.contains(id);
         let mut changes = Vec::new();
         self.servers.retain(|id, _| {
-            let stays = !gone(id);
+            let stays = !is_removed(id);
             if !stays {
                 changes.push(Change { key: server_key(id), value: None });
             }
@@ -62,23 +62,23 @@
     }
 
     fn update_server(&mut self, now: Duration, server: Server, changes: &mut Vec<Change>) {
-        if self.servers.get(&server.id).is_some_and(|published| published.still_tells(now, &server)) {
+        if self.servers.get(&server.id).is_some_and(|published| published.is_current(now, &server)) {
             return;
         }
         changes.push(Change { key: server_key(&server.id), value: Some(encode_value(&server)) });
-        self.servers.insert(server.id.clone(), Published { server, at: Some(now) });
+        self.servers.insert(server.id.clone(), Published { server, published_at: Some(now) });
     }
 }
 
 impl Published {
-    /// Whether those who know the published entry know all that `listed` says.
-    fn still_tells(&self, now: Duration, listed: &Server) -> bool {
-        self.same_fixed_parts(listed)
+    /// Returns whether the published entry still says what `listed` says.
+    fn is_current(&self, now: Duration, listed: &Server) -> bool {
+        self.same_static_fields(listed)
             && self.same_warmup(now, listed)
             && self.same_time_remaining(now, listed)
     }
 
-    fn same_fixed_parts(&self, listed: &Server) -> bool {
+    fn same_static_fields(&self, listed: &Server) -> bool {
         let known = &self.server;
         known.service == listed.service
             && known.address == listed.address
@@ -87,14 +87,14 @@
             && known.state == listed.state
     }
 
-    /// The end of a warm-up is published too, so that those who come later do not start its count anew.
+    /// Compares the warm-ups. The end of one is published too, so that a proxy that starts later does not count it anew.
     fn same_warmup(&self, now: Duration, listed: &Server) -> bool {
         match (self.server.warmup_remaining_ms, listed.warmup_remaining_ms) {
             (0, 0) => true,
             (0, _) | (_, 0) => false,
-            (known, left) => {
-                self.left(now, known).is_some_and(|expected| millis(left) <= expected + COUNTDOWN_TOLERANCE)
-            }
+            (known, listed) => self
+                .remaining(now, known)
+                .is_some_and(|expected| millis(listed) <= expected + COUNTDOWN_TOLERANCE),
         }
     }
 
@@ -102,7 +102,7 @@
         match (self.server.has_time_remaining, listed.has_time_remaining) {
             (false, false) => true,
             (true, true) => {
-                let expected = self.left(now, self.server.time_remaining_ms);
+                let expected = self.remaining(now, self.server.time_remaining_ms);
                 expected.is_some_and(|expected| {
                     expected <= millis(listed.time_remaining_ms) + COUNTDOWN_TOLERANCE
                 })
@@ -111,9 +111,9 @@
         }
     }
 
-    /// What is left by now of a count-down that began with the publication, if that is known.
-    fn left(&self, now: Duration, published_ms: u32) -> Option<Duration> {
-        let elapsed = now.saturating_sub(self.at?);
+    /// Returns what remains by now of a countdown that began with the publication, if that time is known.
+    fn remaining(&self, now: Duration, published_ms: u32) -> Option<Duration> {
+        let elapsed = now.saturating_sub(self.published_at?);
         Some(millis(published_ms).saturating_sub(elapsed))
     }
 }
--- a/crates/quillpulley/src/control/reader.rs
+++ b/crates/quillpulley/src/control/discovery/reader.rs
@@ -1,23 +1,23 @@
-//! When the platform's list is read, page by page, and which readings are believed. Pure: the host fetches.
+//! When which page of the platform's list is fetched, and which readings are believed. Pure: the host fetches.
 //!
-//! Only the holder of the lease reads. A reading is started anew if its pages do not belong together, and one
-//! that lacks more than half of what is published has to be confirmed by a second.
+//! Only the holder of the lease reads. A reading begins anew if its pages do not belong together, and one that lacks more
+//! than half of the published servers has to be confirmed by a second one.
 
-use super::platform::{Page, Reading};
+use super::page::{Page, Reading};
 use displaydoc::Display;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The share of the platform's rate that the primary uses at most: one part in so many.
-const RATE_PARTS: f64 = 4.0;
-/// How soon a reading that looks wrong is repeated.
+/// The primary uses at most one part in so many of the platform's rate.
+const RATE_DIVISOR: f64 = 4.0;
+/// How soon an implausible reading is repeated.
 const CONFIRM_AFTER: Duration = Duration::from_millis(100);
-/// The longest pause after failures in a row.
+/// The longest backoff after consecutive failures.
 const LONGEST_BACKOFF: Duration = Duration::from_secs(2);
 /// More pages than any list has.
 const MAX_PAGES: usize = 10_000;
 
-/// Why a page did not come.
+/// Why a page was not fetched.
 #[derive(Debug, Display, Clone, PartialEq, Eq)]
 pub enum FetchError {
     /// the platform asks for fewer calls: lower the rate of reading
@@ -35,30 +35,30 @@
 /// A page to be fetched.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fetch {
-    /// The token of the page; `None` for the first.
+    /// The token of the page; none for the first.
     pub token: Option<String>,
 }
 
 /// How the list is read.
 #[derive(Debug, Clone, Copy)]
 pub struct ReaderOptions {
-    /// The time between the starts of two readings, if the platform's rate allows it.
+    /// The time between the beginnings of two readings, if the platform's rate allows it.
     pub interval: Duration,
-    /// The calls in a second that the platform takes from all limiters together.
+    /// The calls a second that the platform accepts from all machines together.
     pub rate_per_s: f64,
 }
 
 enum State {
-    /// The next reading starts at this time.
+    /// The next reading begins at this time.
     Waiting(Duration),
     /// A page is being fetched.
-    Reading(Partial),
-    /// A page is being fetched whose answer will not be used.
+    Reading(PartialReading),
+    /// A page is being fetched that will not be used.
     Discarding,
 }
 
 #[derive(Default)]
-struct Partial {
+struct PartialReading {
     started: Duration,
     pages: usize,
     reading: Reading,
@@ -70,55 +70,55 @@
     options: ReaderOptions,
     state: State,
     failures: u32,
-    /// The size of a reading that has to be confirmed.
-    doubted: Option<usize>,
+    /// The size of an implausible reading, which another one has to confirm.
+    unconfirmed_size: Option<usize>,
 }
 
 impl ListReader {
-    /// A reader that has read nothing yet.
+    /// Creates a reader that begins at once.
     pub fn new(options: ReaderOptions) -> Self {
-        ListReader { options, state: State::Waiting(Duration::ZERO), failures: 0, doubted: None }
+        ListReader { options, state: State::Waiting(Duration::ZERO), failures: 0, unconfirmed_size: None }
     }
 
-    /// Begins anew, as after an election. A page that is being fetched is not used.
+    /// Begins anew, as after an election. A page that is being fetched will not be used.
     pub fn reset(&mut self, now: Duration) {
-        self.doubted = None;
+        self.unconfirmed_size = None;
         self.state = match self.state {
             State::Reading(_) | State::Discarding => State::Discarding,
             State::Waiting(_) => State::Waiting(now),
         };
     }
 
-    /// The page to fetch at `now`, if it is time for a new reading. `leading` is whether the lease is held.
-    pub fn tick(&mut self, now: Duration, leading: bool) -> Option<Fetch> {
+    /// Returns the page to fetch at `now`, if a reading is due. `is_leader` tells whether the lease is held.
+    pub fn tick(&mut self, now: Duration, is_leader: bool) -> Option<Fetch> {
         match self.state {
-            State::Waiting(at) if leading && at <= now => {
-                self.state = State::Reading(Partial { started: now, ..Partial::default() });
+            State::Waiting(at) if is_leader && at <= now => {
+                self.state = State::Reading(PartialReading { started: now, ..PartialReading::default() });
                 Some(Fetch { token: None })
             }
             _ => None,
         }
     }
 
-    /// Takes the outcome of a fetch. `published` is the number of servers that are published.
-    pub fn fetched(
+    /// Handles the outcome of a fetch. `published` is the number of servers that are published.
+    pub fn handle_page(
         &mut self,
         now: Duration,
-        leading: bool,
+        is_leader: bool,
         published: usize,
         outcome: Result<Page, FetchError>,
     ) -> Outcome {
         match std::mem::replace(&mut self.state, State::Waiting(now)) {
-            State::Reading(partial) if leading => self.take_page(now, published, partial, outcome),
+            State::Reading(partial) if is_leader => self.add_page(now, published, partial, outcome),
             State::Reading(_) | State::Discarding | State::Waiting(_) => Outcome::Nothing,
         }
     }
 
-    fn take_page(
+    fn add_page(
         &mut self,
         now: Duration,
         published: usize,
-        mut partial: Partial,
+        mut partial: PartialReading,
         outcome: Result<Page, FetchError>,
     ) -> Outcome {
         let page = match outcome {
@@ -145,46 +145,46 @@
         Outcome::Failed { error, first: self.failures == 1 }
     }
 
-    fn complete(&mut self, now: Duration, published: usize, partial: Partial) -> Outcome {
+    fn complete(&mut self, now: Duration, published: usize, partial: PartialReading) -> Outcome {
         self.failures = 0;
         let size = partial.reading.servers.len() + partial.reading.unreadable.len();
-        let shrunk = size * 2 < published;
-        if shrunk && self.doubted != Some(size) {
-            self.doubted = Some(size);
+        let is_implausible = size * 2 < published;
+        if is_implausible && self.unconfirmed_size != Some(size) {
+            self.unconfirmed_size = Some(size);
             self.state = State::Waiting(now + CONFIRM_AFTER);
             return Outcome::Nothing;
         }
-        self.doubted = None;
+        self.unconfirmed_size = None;
         let next = partial.started + self.interval_for(partial.pages);
         self.state = State::Waiting(next.max(now));
         Outcome::Complete(partial.reading)
     }
 
-    /// So many pages in this time stay below the share of the platform's rate.
+    /// Returns the interval in which reading so many pages stays within the allowed rate.
     fn interval_for(&self, pages: usize) -> Duration {
         if self.options.rate_per_s <= 0.0 {
             return self.options.interval;
         }
-        let least = pages as f64 * RATE_PARTS / self.options.rate_per_s;
+        let least = pages as f64 * RATE_DIVISOR / self.options.rate_per_s;
         let least = Duration::try_from_secs_f64(least).unwrap_or(Duration::MAX);
         self.options.interval.max(least)
     }
 }
 
-/// What follows from a page.
+/// What follows from a fetch.
 #[derive(Debug, PartialEq)]
 pub enum Outcome {
-    /// Wait for the next tick.
+    /// Nothing before the next tick.
     Nothing,
-    /// Fetch this page next.
+    /// This page has to be fetched next.
     Fetch(Fetch),
-    /// The list was read whole and is believed.
+    /// The list is read completely and is believed.
     Complete(Reading),
-    /// The reading is given up and will be tried again.
+    /// The reading has failed and will be retried.
     Failed {
         /// Why.
         error: FetchError,
-        /// Whether the reading before it was complete.
+        /// Whether the previous reading was complete.
         first: bool,
     },
 }
--- a/crates/quillpulley/src/control/endpoint_registry.rs
+++ b/crates/quillpulley/src/control/distribution/endpoint_registry.rs
@@ -1,4 +1,4 @@
-//! Which proxies the primary publishes: those that the agents report, without those that cannot be reached.
+//! The proxy endpoints that the primary publishes: those that agents report, without those that cannot be reached.
 
 use quillpulley_protocol::{decode_value, encode_value, ProxyEndpoint, ProxyEndpointRef};
 use quillpulley_serving_config::published::{endpoint_key, PublishedKey};
@@ -6,29 +6,29 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A front that is no longer reported stays published for so long: its agent may be changing its parent.
-pub const ABSENCE: Duration = Duration::from_secs(1);
-/// After an election the agents need so long to find their places again.
-pub const ABSENCE_AFTER_ELECTION: Duration = Duration::from_secs(3);
-/// A front is taken for unreachable if so many of its monitors say so.
+/// An endpoint that is no longer reported stays published for so long: its agent may be changing its parent.
+pub const ABSENCE_TIMEOUT: Duration = Duration::from_secs(1);
+/// The same after an election, when all agents change their parents.
+pub const ABSENCE_TIMEOUT_AFTER_ELECTION: Duration = Duration::from_secs(3);
+/// So many monitors have to suspect an endpoint before it counts as unreachable.
 const SUSPECTING_MONITORS: usize = 2;
 
 struct Published {
     endpoint: ProxyEndpoint,
-    /// When it is removed unless it is reported again; `None` while it is reported.
+    /// When it is removed unless it is reported again; none while it is reported.
     removal_at: Option<Duration>,
 }
 
-/// The published fronts, by name.
+/// The published endpoints, by name.
 #[derive(Default)]
 pub struct EndpointRegistry {
     endpoints: BTreeMap<String, Published>,
 }
 
 impl EndpointRegistry {
-    /// Starts with what another primary published, as key and value of items.
+    /// Begins with what another primary has published, given as keys and values of items.
     pub fn inherit<'a>(now: Duration, items: impl Iterator<Item = (&'a str, &'a [u8])>) -> Self {
-        let removal_at = Some(now + ABSENCE_AFTER_ELECTION);
+        let removal_at = Some(now + ABSENCE_TIMEOUT_AFTER_ELECTION);
         let endpoints = items
             .filter(|(key, _)| matches!(PublishedKey::parse(key), Some(PublishedKey::ProxyEndpoint(_))))
             .filter_map(|(_, value)| decode_value::<ProxyEndpointRef, ProxyEndpoint>(value).ok())
@@ -36,7 +36,7 @@
         EndpointRegistry { endpoints: endpoints.collect() }
     }
 
-    /// Takes what the whole tree reports at `now` and returns what has to be published.
+    /// Returns the changes for the reports of the whole tree at `now`.
     pub fn update(&mut self, now: Duration, tree: &Subtree) -> Vec<Change> {
         let mut changes = Vec::new();
         for endpoint in tree.endpoints.values().filter(|endpoint| !is_suspected(tree, &endpoint.name)) {
@@ -46,7 +46,7 @@
             if is_suspected(tree, name) {
                 published.removal_at = Some(now);
             } else if !tree.endpoints.contains_key(name) {
-                published.removal_at.get_or_insert(now + ABSENCE);
+                published.removal_at.get_or_insert(now + ABSENCE_TIMEOUT);
             }
         }
         changes.extend(self.tick(now));
@@ -65,7 +65,7 @@
         self.endpoints.insert(endpoint.name.clone(), published);
     }
 
-    /// Removes the fronts that have been absent for too long.
+    /// Returns the removals of endpoints that have been absent for too long.
     pub fn tick(&mut self, now: Duration) -> Vec<Change> {
         let mut changes = Vec::new();
         self.endpoints.retain(|name, published| {
@@ -79,7 +79,7 @@
     }
 }
 
-/// Whether enough monitors of a front say that they cannot reach it.
-pub(super) fn is_suspected(tree: &Subtree, name: &str) -> bool {
+/// Returns whether enough monitors suspect an endpoint.
+pub(in crate::control) fn is_suspected(tree: &Subtree, name: &str) -> bool {
     tree.suspicions.get(name).is_some_and(|monitors| monitors.len() >= SUSPECTING_MONITORS)
 }
--- /dev/null
+++ b/crates/quillpulley/src/control/distribution/leader_publisher.rs
@@ -0,0 +1,174 @@
+//! The primary as publisher: it is the root of the relay tree while it holds the lease.
+
+use super::published_state::{control_node_changes, state_changes, PublishedState};
+use super::relay_node::RelayNode;
+use crate::control::discovery::page::Reading;
+use crate::control::replica_host::links::Links;
+use quillpulley_control_state::ControlState;
+use quillpulley_state_sync::{Change, Event};
+use std::time::Duration;
+
+/// The longest time between two published revisions.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
+
+/// A change of the leadership.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum LeadershipChange {
+    /// Nothing has changed.
+    Unchanged,
+    /// This process leads from now on, or leads in a later epoch.
+    Gained,
+    /// This process does not lead any more.
+    Lost,
+}
+
+/// What has changed since the last publication, apart from the reports of the tree.
+#[derive(Debug, Default)]
+struct PendingChanges {
+    state: bool,
+    control_nodes: bool,
+}
+
+/// An epoch in which this process leads.
+struct Term {
+    epoch: u64,
+    published: PublishedState,
+    published_at: Duration,
+}
+
+/// Publishes while this process is the primary and holds the lease.
+#[derive(Default)]
+pub struct LeaderPublisher {
+    term: Option<Term>,
+    pending: PendingChanges,
+}
+
+impl LeaderPublisher {
+    /// Returns whether this process leads.
+    pub fn is_leader(&self) -> bool {
+        self.term.is_some()
+    }
+
+    /// Returns the number of published servers; 0 if this process does not lead.
+    pub fn server_count(&self) -> usize {
+        self.term.as_ref().map_or(0, |term| term.published.server_count())
+    }
+
+    /// Notes that the committed state has changed.
+    pub fn state_changed(&mut self) {
+        self.pending.state = true;
+    }
+
+    /// Notes that the known control nodes have changed.
+    pub fn control_nodes_changed(&mut self) {
+        self.pending.control_nodes = true;
+    }
+
+    /// Gains or loses the leadership: this process leads in `epoch`, or does not lead.
+    pub fn update(
+        &mut self,
+        now: Duration,
+        epoch: Option<u64>,
+        state: &ControlState,
+        relay: &mut RelayNode,
+        links: &mut Links,
+    ) -> LeadershipChange {
+        if epoch == self.term.as_ref().map(|term| term.epoch) {
+            return LeadershipChange::Unchanged;
+        }
+        let before = self.term.take();
+        match epoch {
+            Some(epoch) => {
+                log::info!(epoch; "publishing as primary");
+                self.begin_term(now, epoch, before, relay);
+                relay.become_root(epoch, links);
+                let changes = self.collect_changes(now, state, relay, links);
+                relay.handle(Event::Publish(changes), links);
+                LeadershipChange::Gained
+            }
+            None => {
+                log::info!("no longer publishing as primary");
+                relay.leave_root(links);
+                LeadershipChange::Lost
+            }
+        }
+    }
+
+    /// Begins a term. Its first revision is published together with all that the previous root has left out.
+    fn begin_term(&mut self, now: Duration, epoch: u64, before: Option<Term>, relay: &mut RelayNode) {
+        let published = match before {
+            Some(before) => before.published,
+            None => PublishedState::inherit(now, relay.store()),
+        };
+        self.term = Some(Term { epoch, published, published_at: now });
+        self.pending = PendingChanges { state: true, control_nodes: true };
+        relay.mark_reports_changed();
+    }
+
+    /// Publishes what has changed and admits children, if this process leads.
+    pub fn publish_changes(
+        &mut self,
+        now: Duration,
+        state: &ControlState,
+        relay: &mut RelayNode,
+        links: &mut Links,
+    ) {
+        if self.is_leader() {
+            let changes = self.collect_changes(now, state, relay, links);
+            self.publish(now, changes, relay, links);
+            relay.admit_children(links);
+        }
+    }
+
+    fn collect_changes(
+        &mut self,
+        now: Duration,
+        state: &ControlState,
+        relay: &mut RelayNode,
+        links: &Links,
+    ) -> Vec<Change> {
+        let Some(term) = &mut self.term else { return Vec::new() };
+        let mut changes = Vec::new();
+        if std::mem::take(&mut self.pending.state) {
+            changes.extend(state_changes(relay.store(), state));
+        }
+        if std::mem::take(&mut self.pending.control_nodes) {
+            changes.extend(control_node_changes(relay.store(), links.known_control_nodes()));
+        }
+        if relay.take_reports_changed() {
+            changes.extend(term.published.update_endpoints(now, relay.subtree()));
+        }
+        changes
+    }
+
+    /// Publishes a complete reading of the platform's list, if this process leads.
+    pub fn publish_list(
+        &mut self,
+        now: Duration,
+        reading: Reading,
+        relay: &mut RelayNode,
+        links: &mut Links,
+    ) {
+        let Some(term) = &mut self.term else { return };
+        let changes = term.published.update_servers(now, reading);
+        self.publish(now, changes, relay, links);
+    }
+
+    /// Publishes what time alone has changed, or else a heartbeat if one is due, if this process leads.
+    pub fn tick(&mut self, now: Duration, relay: &mut RelayNode, links: &mut Links) {
+        let Some(term) = &mut self.term else { return };
+        let changes = term.published.tick(now);
+        self.publish(now, changes, relay, links);
+        let is_due = |term: &&mut Term| now >= term.published_at + HEARTBEAT_INTERVAL;
+        if let Some(term) = self.term.as_mut().filter(is_due) {
+            term.published_at = now;
+            relay.handle(Event::Heartbeat, links);
+        }
+    }
+
+    fn publish(&mut self, now: Duration, changes: Vec<Change>, relay: &mut RelayNode, links: &mut Links) {
+        let Some(term) = self.term.as_mut().filter(|_| !changes.is_empty()) else { return };
+        term.published_at = now;
+        relay.handle(Event::Publish(changes), links);
+    }
+}
--- /dev/null
+++ b/crates/quillpulley/src/control/distribution/mod.rs
@@ -0,0 +1,7 @@
+//! Distribution of published state: what the primary publishes, and the place of this process in the relay tree.
+
+pub mod control_topology;
+pub mod endpoint_registry;
+pub mod leader_publisher;
+pub mod published_state;
+pub mod relay_node;
--- /dev/null
+++ b/crates/quillpulley/src/control/distribution/published_state.rs
@@ -0,0 +1,81 @@
+//! What the root of the relay tree has published, and which changes bring that up to date.
+
+use super::endpoint_registry::EndpointRegistry;
+use crate::control::discovery::page::Reading;
+use crate::control::discovery::published_servers::PublishedServers;
+use quillpulley_control_state::{published_items, ControlState};
+use quillpulley_protocol::{encode_value, ControlNode};
+use quillpulley_serving_config::published::{control_node_key, PublishedKey};
+use quillpulley_state_sync::{Change, Store, Subtree};
+use std::collections::BTreeMap;
+use std::net::Ipv4Addr;
+use std::time::Duration;
+
+/// The servers and proxy endpoints that this process has published as the root.
+#[derive(Default)]
+pub struct PublishedState {
+    servers: PublishedServers,
+    endpoints: EndpointRegistry,
+}
+
+impl PublishedState {
+    /// Begins with what the previous root has published.
+    pub fn inherit(now: Duration, store: &Store) -> Self {
+        let servers = PublishedServers::inherit(store.iter());
+        PublishedState { servers, endpoints: EndpointRegistry::inherit(now, store.iter()) }
+    }
+
+    /// Returns the number of published servers.
+    pub fn server_count(&self) -> usize {
+        self.servers.len()
+    }
+
+    /// Returns the changes for a complete reading of the platform's list.
+    pub fn update_servers(&mut self, now: Duration, reading: Reading) -> Vec<Change> {
+        self.servers.update(now, reading)
+    }
+
+    /// Returns the changes for the reports of the whole tree.
+    pub fn update_endpoints(&mut self, now: Duration, tree: &Subtree) -> Vec<Change> {
+        self.endpoints.update(now, tree)
+    }
+
+    /// Returns the changes that time alone has brought.
+    pub fn tick(&mut self, now: Duration) -> Vec<Change> {
+        self.endpoints.tick(now)
+    }
+}
+
+/// Returns the changes that bring the store up to the committed configuration and evacuations.
+pub fn state_changes(store: &Store, state: &ControlState) -> Vec<Change> {
+    differences(store, published_items(state), is_from_state)
+}
+
+/// Returns the changes that bring the store up to these control nodes.
+pub fn control_node_changes(store: &Store, control_nodes: Vec<ControlNode>) -> Vec<Change> {
+    let item = |node: ControlNode| (control_node_key(Ipv4Addr::from_bits(node.ip)), encode_value(&node));
+    differences(store, control_nodes.into_iter().map(item).collect(), is_control_node)
+}
+
+fn is_from_state(key: PublishedKey<'_>) -> bool {
+    matches!(key, PublishedKey::Config | PublishedKey::Route(_) | PublishedKey::Evacuated(_))
+}
+
+fn is_control_node(key: PublishedKey<'_>) -> bool {
+    matches!(key, PublishedKey::ControlNode(_))
+}
+
+/// Returns the changes that make the published items of some kinds equal to those that are wanted.
+fn differences(
+    store: &Store,
+    wanted: BTreeMap<String, Vec<u8>>,
+    is_of_kind: fn(PublishedKey<'_>) -> bool,
+) -> Vec<Change> {
+    let published = store.iter().map(|(key, _)| key);
+    let published = published.filter(|key| PublishedKey::parse(key).is_some_and(is_of_kind));
+    let removed: Vec<String> =
+        published.filter(|key| !wanted.contains_key(*key)).map(str::to_string).collect();
+    let removed = removed.into_iter().map(|key| Change { key, value: None });
+    let different = wanted.into_iter().filter(|(key, value)| store.get(key) != Some(value));
+    removed.chain(different.map(|(key, value)| Change { key, value: Some(value) })).collect()
+}
--- /dev/null
+++ b/crates/quillpulley/src/control/distribution/relay_node.rs
@@ -0,0 +1,192 @@
+//! The node of the relay tree: its published state, its position among the control nodes, and its frames on the links.
+
+use super::control_topology::{ChildMessage, ControlTopology, ParentChange};
+use crate::control::clock::Clock;
+use crate::control::directory::builder::{DirectoryBuilder, DirectoryInputs};
+use crate::control::directory::Directory;
+use crate::control::replica_host::links::Links;
+use crate::peer::LinkId;
+use quillpulley_protocol::{Body, NodeId};
+use quillpulley_state_sync::{Action, Event, FeedNode, Options, Store, Subtree};
+use std::time::Duration;
+
+/// A child in the relay tree.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub enum Child {
+    /// Another control node: it gets its frames on the link that this process opened.
+    ControlNode(NodeId),
+    /// An agent, on the link that it opened.
+    Agent(LinkId),
+}
+
+/// The node of this process in the relay tree.
+pub struct RelayNode {
+    clock: Clock,
+    feed: FeedNode<Child>,
+    topology: ControlTopology,
+    directory: DirectoryBuilder,
+    /// Whether reports of the subtree have changed since they were last published.
+    reports_changed: bool,
+    /// Whether the directory may have changed since it was last built.
+    directory_changed: bool,
+}
+
+impl RelayNode {
+    /// Creates a node without published state and without a parent.
+    pub fn new(clock: Clock, name: &str) -> Self {
+        RelayNode {
+            clock,
+            feed: FeedNode::new(Options::control_node(name)),
+            topology: ControlTopology::default(),
+            directory: DirectoryBuilder::default(),
+            reports_changed: false,
+            directory_changed: false,
+        }
+    }
+
+    /// Returns the published state.
+    pub fn store(&self) -> &Store {
+        self.feed.store()
+    }
+
+    /// Returns the reports of this process and of all below it.
+    pub fn subtree(&self) -> &Subtree {
+        self.feed.subtree()
+    }
+
+    /// Has the reports published with the next changes.
+    pub fn mark_reports_changed(&mut self) {
+        self.reports_changed = true;
+    }
+
+    /// Returns whether reports have changed since the last call.
+    pub fn take_reports_changed(&mut self) -> bool {
+        std::mem::take(&mut self.reports_changed)
+    }
+
+    /// Returns the directory at `now`, if it may have changed since the last call.
+    pub fn changed_directory(&mut self, now: Duration) -> Option<Directory> {
+        let inputs = DirectoryInputs::at(now, &self.feed);
+        let has_changed = std::mem::take(&mut self.directory_changed);
+        has_changed.then(|| self.directory.build(now, &inputs))
+    }
+
+    /// Notes that time has passed, which alone may change the directory.
+    pub fn tick_directory(&mut self, now: Duration) {
+        self.directory_changed |= self.directory.depends_on_time(self.feed.is_fresh(now));
+    }
+
+    /// Handles an event and performs the resulting actions.
+    pub fn handle(&mut self, event: Event<Child>, links: &mut Links) {
+        let mut actions = Vec::new();
+        self.feed.handle(self.clock.now(), event, &mut actions);
+        for action in actions {
+            self.perform(action, links);
+        }
+    }
+
+    fn perform(&mut self, action: Action<Child>, links: &mut Links) {
+        match action {
+            Action::SendParent(body) => {
+                if let Some(parent) = self.topology.parent() {
+                    links.send_to_control_node(parent, &body);
+                }
+            }
+            Action::SendChild(child, body) => send_to_child(child, &body, links),
+            Action::SendChildren(children, body) => {
+                for child in children {
+                    send_to_child(child, &body, links);
+                }
+            }
+            Action::DropChild(child) => self.drop_child(child, links),
+            Action::Changed(changed) => {
+                self.directory_changed |= self.directory.items_changed(&changed);
+            }
+            Action::TotalsChanged => {}
+            Action::EndpointsChanged => {
+                self.reports_changed = true;
+                self.directory_changed = true;
+            }
+        }
+    }
+
+    /// Drops a child. A control node that is dropped notices that nothing new comes, and subscribes again.
+    fn drop_child(&mut self, child: Child, links: &mut Links) {
+        match child {
+            Child::ControlNode(node) => drop(self.topology.remove(node)),
+            Child::Agent(link) => links.drop_agent(link),
+        }
+    }
+
+    /// Handles a message of another control node, or gives it back if it is no frame of the tree.
+    pub fn handle_control_node_message(
+        &mut self,
+        node: NodeId,
+        body: Body,
+        links: &mut Links,
+    ) -> Option<Body> {
+        match body {
+            Body::Subscribe(_) | Body::Report(_) => {
+                if let ChildMessage::FromChild(body) = self.topology.handle_child_message(node, body) {
+                    self.handle(Event::ChildFrame(Child::ControlNode(node), body), links);
+                }
+                None
+            }
+            Body::Update(_) | Body::Totals(_) => {
+                if self.topology.parent() == Some(node) {
+                    self.handle(Event::ParentFrame(body), links);
+                }
+                None
+            }
+            body => Some(body),
+        }
+    }
+
+    /// Handles that a control node cannot be reached, or heard, any more.
+    pub fn control_node_lost(&mut self, node: NodeId, links: &mut Links) {
+        if self.topology.remove(node) {
+            self.handle(Event::ChildDown(Child::ControlNode(node)), links);
+        }
+    }
+
+    /// Chooses the parent: the primary if it can be reached. Must not be called at the root.
+    pub fn update_parent(&mut self, now: Duration, primary: Option<NodeId>, links: &mut Links) {
+        let is_reachable = |node| links.exchanges_with(node);
+        match self.topology.choose_parent(now, primary, self.feed.last_moved(), is_reachable) {
+            Some(ParentChange::Up) => self.handle(Event::ParentUp, links),
+            Some(ParentChange::Down) => self.handle(Event::ParentDown, links),
+            None => {}
+        }
+    }
+
+    /// Makes this process the root, in an epoch.
+    pub fn become_root(&mut self, epoch: u64, links: &mut Links) {
+        self.topology.become_root();
+        self.handle(Event::BecomeRoot { epoch }, links);
+    }
+
+    /// Makes this process no root any more, without control nodes as children.
+    pub fn leave_root(&mut self, links: &mut Links) {
+        self.handle(Event::LeaveRoot, links);
+        for node in self.topology.leave_root() {
+            self.handle(Event::ChildDown(Child::ControlNode(node)), links);
+        }
+    }
+
+    /// Admits the control nodes that have subscribed to this process, which is the root.
+    pub fn admit_children(&mut self, links: &mut Links) {
+        for (node, messages) in self.topology.admit_pending(|node| links.sends_to(node)) {
+            self.handle(Event::ChildUp(Child::ControlNode(node)), links);
+            for message in messages {
+                self.handle(Event::ChildFrame(Child::ControlNode(node), message), links);
+            }
+        }
+    }
+}
+
+fn send_to_child(child: Child, body: &Body, links: &Links) {
+    match child {
+        Child::ControlNode(node) => links.send_to_control_node(node, body),
+        Child::Agent(link) => links.send_to_agent(link, body),
+    }
+}
--- a/crates/quillpulley/src/control/mod.rs
+++ b/crates/quillpulley/src/control/mod.rs
@@ -1,43 +1,24 @@
-//! The host of core processes: the operator's API, the directory, the control state and the root of the relay
-//! tree.
+//! The control role: the operator's API, the directory, the replicated control state, and the root of the relay tree.
 //!
-//! [`process`] starts it all. One thread, the [`host`]'s, owns all state; the others wait: for the disk
-//! ([`disk`]), for the platform ([`fetcher`]), for the operator ([`api`]) and for clients ([`directory`]).
+//! One thread, that of the [`ControlHost`](replica_host::host::ControlHost), owns all state. The others wait: for the
+//! disk, for the platform, for operators and for clients. They exchange messages with it and share nothing else.
+//!
+//! | module | concern |
+//! | --- | --- |
+//! | [`api`] | HTTP: parsing of an operator's requests, writing of responses |
+//! | [`commands`] | commands of operators, decided one after the other and replicated |
+//! | [`discovery`] | the platform's list of servers |
+//! | [`distribution`] | what the primary publishes, and the place of this process in the relay tree |
+//! | [`directory`] | which proxies a client is sent to |
+//! | [`replica_host`] | the process: event loop, replica, disk, links to other control nodes |
 
 pub mod api;
 pub mod clock;
+pub mod commands;
 pub mod directory;
-pub mod directory_view;
-pub mod disk;
-pub mod endpoint_registry;
-pub mod fetcher;
-pub mod host;
-pub mod http;
-mod knowledge;
-mod leadership;
-mod links;
-mod list;
-pub mod orders;
-pub mod parts;
-pub mod peer_table;
-pub mod platform;
-pub mod process;
-pub mod publisher;
-pub mod reader;
-pub mod relay;
-pub mod reported_endpoints;
-mod seeds;
-pub mod servers;
-mod status;
-pub mod timed_answer;
-mod tree;
-
-use crate::{HostError, Settings};
+pub mod discovery;
+pub mod distribution;
+pub mod replica_host;
+pub mod response;
 
-/// Serves until the process is told to end.
-///
-/// # Errors
-/// If the process cannot start.
-pub fn run(settings: Settings) -> Result<(), HostError> {
-    process::run(settings)
-}
+pub use replica_host::process::run;
--- a/crates/quillpulley/src/control/parts.rs
+++ b/crates/quillpulley/src/control/replica_host/components.rs
@@ -1,17 +1,17 @@
-//! The parts of a host that its process opens.
+//! The components that a process opens for its host.
 
-use super::clock::Clock;
-use super::directory::DirectoryBoard;
-use super::disk::Disk;
-use super::fetcher::Fetcher;
+use super::storage_thread::StorageThread;
+use crate::control::clock::Clock;
+use crate::control::directory::DirectoryHandle;
+use crate::control::discovery::fetcher::Fetcher;
 use crate::peer::Peers;
 use quillpulley_control_state::ControlState;
 use quillpulley_protocol::NodeId;
 use quillpulley_replication::Replica;
 use std::rc::Rc;
 
-/// What a host is made of.
-pub struct Parts {
+/// What a [`ControlHost`](super::host::ControlHost) is built from.
+pub struct Components {
     /// The time since the start of the process.
     pub clock: Clock,
     /// The identity of this process.
@@ -21,9 +21,9 @@
     /// The replica of the control state.
     pub replica: Replica<ControlState>,
     /// The thread that writes to the disk.
-    pub disk: Disk,
-    /// The thread that reads the platform's list, if there is one.
+    pub storage: StorageThread,
+    /// The thread that fetches the platform's list, if there is one.
     pub fetcher: Option<Fetcher>,
-    /// What the directory tells.
-    pub directory: DirectoryBoard,
+    /// The directory that clients are served from.
+    pub directory: DirectoryHandle,
 }
--- /dev/null
+++ b/crates/quillpulley/src/control/replica_host/host.rs
@@ -0,0 +1,297 @@
+//! The main thread of a control node: it owns all state, and everything that happens comes to it as an event.
+//!
+//! After each event [`ControlHost::advance`] brings everything in line with the new state: the leadership, the position in
+//! the relay tree, what is published, commands and responses, the directory, and the links.
+
+use super::components::Components;
+use super::links::{LinkEvent, Links};
+use super::seeds::Seeds;
+use super::status;
+use super::status_snapshot::StatusSnapshot;
+use super::storage_thread::{StorageThread, WriteCompletion};
+use crate::control::api::{ApiRequest, Operation, Responder};
+use crate::control::clock::Clock;
+use crate::control::commands::CommandQueue;
+use crate::control::directory::DirectoryHandle;
+use crate::control::discovery::fetcher::Fetched;
+use crate::control::discovery::ServiceDiscovery;
+use crate::control::distribution::leader_publisher::{LeaderPublisher, LeadershipChange};
+use crate::control::distribution::relay_node::{Child, RelayNode};
+use crate::control::response::TimedResponse;
+use crate::peer::PeerEvent;
+use crate::Settings;
+use quillpulley_control_state::ControlState;
+use quillpulley_protocol::{ControlNode, NodeId};
+use quillpulley_replication::{Action, Event, Replica, Role};
+use quillpulley_state_sync as state_sync;
+use std::time::Duration;
+
+/// The state of a control node.
+pub struct ControlHost {
+    clock: Clock,
+    me: NodeId,
+    settings: Settings,
+    replica: Replica<ControlState>,
+    storage: StorageThread,
+    discovery: ServiceDiscovery,
+    directory: DirectoryHandle,
+    links: Links,
+    relay: RelayNode,
+    commands: CommandQueue<Responder>,
+    publisher: LeaderPublisher,
+    seeds: Seeds,
+}
+
+impl ControlHost {
+    /// Creates a host that is connected to no other node yet.
+    pub fn new(settings: Settings, components: Components) -> Self {
+        let Components { clock, me, peers, replica, storage, fetcher, directory } = components;
+        let now = clock.now();
+        let rate_per_s = settings.cloud.as_ref().map_or(0.0, |cloud| cloud.rate_per_s);
+        let node = ControlNode { ip: me.ip, zone: settings.zone.clone(), region: settings.region.clone() };
+        let mut host = ControlHost {
+            links: Links::new(node, peers),
+            relay: RelayNode::new(clock.clone(), &settings.node_name),
+            discovery: ServiceDiscovery::new(fetcher, rate_per_s),
+            seeds: Seeds::new(now, settings.seeds.clone()),
+            settings,
+            clock,
+            me,
+            replica,
+            storage,
+            directory,
+            commands: CommandQueue::default(),
+            publisher: LeaderPublisher::default(),
+        };
+        host.learn_control_nodes(now);
+        host.advance();
+        host
+    }
+
+    /// Handles the outcome of a write to the disk.
+    pub fn handle_write_completed(&mut self, completion: WriteCompletion) {
+        let WriteCompletion { ticket, result } = completion;
+        self.replicate(Event::WriteCompleted { ticket, result });
+        self.advance();
+    }
+
+    /// Handles a request of an operator.
+    pub fn handle_request(&mut self, request: ApiRequest) {
+        let now = self.clock.now();
+        self.update_leadership(now);
+        let ApiRequest { operation, responder } = request;
+        match (self.replica.lease_until(now), operation) {
+            (_, Operation::ReadStatus) => responder.send(status::response(&self.snapshot(), now)),
+            (None, _) => responder.send(self.snapshot().redirect(now)),
+            (Some(_), Operation::Execute(command)) => self.commands.push(now, command, responder),
+            (Some(lease_end), Operation::ReadConfiguration) => {
+                responder.send(self.snapshot().configuration(lease_end));
+            }
+        }
+        self.advance();
+    }
+
+    /// Handles a page of the platform's list, or the failure to get one.
+    pub fn handle_page(&mut self, fetched: Fetched) {
+        let now = self.clock.now();
+        self.update_leadership(now);
+        let published = self.publisher.server_count();
+        let reading = self.discovery.handle_page(now, self.publisher.is_leader(), published, fetched);
+        if let Some(reading) = reading {
+            self.publisher.publish_list(now, reading, &mut self.relay, &mut self.links);
+        }
+        self.advance();
+    }
+
+    /// Handles an event of the sockets.
+    pub fn handle_peer_event(&mut self, event: PeerEvent) {
+        for event in self.links.handle(self.clock.now(), event) {
+            self.handle_link_event(event);
+        }
+        self.advance();
+    }
+
+    fn handle_link_event(&mut self, event: LinkEvent) {
+        match event {
+            LinkEvent::Connected(node, locality) => {
+                self.publisher.control_nodes_changed();
+                self.replicate(Event::LocalityLearned { node, locality });
+                self.replicate(Event::Connected(node));
+            }
+            LinkEvent::Disconnected(node) => {
+                self.relay.control_node_lost(node, &mut self.links);
+                self.replicate(Event::Disconnected(node));
+            }
+            LinkEvent::ReceiverLost(node) => self.relay.control_node_lost(node, &mut self.links),
+            LinkEvent::ControlNodeMessage(node, body) => {
+                if let Some(body) = self.relay.handle_control_node_message(node, body, &mut self.links) {
+                    self.replicate(Event::Message { from: node, body });
+                }
+            }
+            LinkEvent::AgentConnected(link) => {
+                self.sync(state_sync::Event::ChildUp(Child::Agent(link)));
+            }
+            LinkEvent::AgentDisconnected(link) => {
+                self.sync(state_sync::Event::ChildDown(Child::Agent(link)));
+            }
+            LinkEvent::AgentMessage(link, body) => {
+                self.sync(state_sync::Event::ChildFrame(Child::Agent(link), body));
+            }
+        }
+    }
+
+    fn sync(&mut self, event: state_sync::Event<Child>) {
+        self.relay.handle(event, &mut self.links);
+    }
+
+    /// Notes that time has passed. Due every 50 ms.
+    pub fn tick(&mut self) {
+        let now = self.clock.now();
+        self.replicate(Event::Tick);
+        self.update_leadership(now);
+        self.sync(state_sync::Event::Tick);
+        self.commands.expire(now);
+        self.publisher.tick(now, &mut self.relay, &mut self.links);
+        self.discovery.tick(now, self.publisher.is_leader());
+        self.relay.tick_directory(now);
+        self.forget_control_nodes(now);
+        let is_isolated = self.replica.view().is_none() && self.links.is_alone();
+        if self.seeds.is_reload_due(now, is_isolated) {
+            self.reload_seeds();
+        }
+        self.advance();
+    }
+
+    /// Begins a graceful shutdown: hands over the leadership.
+    pub fn begin_shutdown(&mut self) {
+        self.replicate(Event::Shutdown);
+        self.advance();
+    }
+
+    /// Returns whether a process that shuts down may exit, since its data is safe elsewhere.
+    pub fn can_exit(&self) -> bool {
+        self.replica.can_exit()
+    }
+
+    /// Returns how long after SIGTERM the process is killed.
+    pub fn grace(&self) -> Duration {
+        self.settings.bounds.grace
+    }
+
+    /// Reloads the seeds from the settings file.
+    pub fn reload_seeds(&mut self) {
+        self.seeds.reload();
+        self.learn_control_nodes(self.clock.now());
+        self.advance();
+    }
+
+    fn learn_control_nodes(&mut self, now: Duration) {
+        self.links.learn(now, self.seeds.addresses());
+        self.links.learn(now, self.replica.known_nodes().iter().map(NodeId::address));
+    }
+
+    fn forget_control_nodes(&mut self, now: Duration) {
+        if self.links.forget_unreachable(now, &self.replica.known_nodes()) {
+            self.publisher.control_nodes_changed();
+        }
+    }
+
+    fn snapshot(&self) -> StatusSnapshot<'_> {
+        StatusSnapshot {
+            name: &self.settings.node_name,
+            me: self.me,
+            control_port: self.settings.listen.control.map(|address| address.port()),
+            replica: &self.replica,
+        }
+    }
+
+    /// Has the replica handle an event, and performs the resulting actions.
+    fn replicate(&mut self, event: Event) {
+        let mut actions = Vec::new();
+        self.replica.handle(self.clock.now(), event, &mut actions);
+        for action in actions {
+            self.perform(action);
+        }
+    }
+
+    fn perform(&mut self, action: Action) {
+        match action {
+            Action::Send { to, body } => self.links.send_to_control_node(to, &body),
+            Action::Store { ticket, write } => self.storage.store(ticket, write),
+            Action::Applied { .. } => self.publisher.state_changed(),
+            Action::Committed { proposal } => self.handle_committed(proposal),
+            Action::Rejected { proposal, .. } => self.commands.failed(proposal),
+            // The leadership follows the role and the lease at every moment; the replica itself logs its roles.
+            Action::RoleChanged(_) => {}
+        }
+    }
+
+    fn handle_committed(&mut self, proposal: u64) {
+        let lease_end = self.replica.lease_until(self.clock.now());
+        self.commands.committed(proposal, self.replica.state(), lease_end.is_some());
+        self.send_responses(lease_end.unwrap_or_default());
+    }
+
+    /// Brings everything in line with what has happened.
+    fn advance(&mut self) {
+        let now = self.clock.now();
+        self.update_leadership(now);
+        self.update_relay(now);
+        self.propose_commands();
+        // Without a lease no remaining response can be clear.
+        self.send_responses(Duration::ZERO);
+        self.update_directory(now);
+        self.links.connect_due(now, self.settings.control_port());
+    }
+
+    /// Gains or loses the leadership as the replica and its lease say.
+    fn update_leadership(&mut self, now: Duration) {
+        let epoch = match self.replica.role(now) {
+            Role::Primary { epoch, holds_lease: true } => Some(epoch),
+            _ => None,
+        };
+        let (state, relay, links) = (self.replica.state(), &mut self.relay, &mut self.links);
+        match self.publisher.update(now, epoch, state, relay, links) {
+            LeadershipChange::Unchanged => {}
+            LeadershipChange::Gained => self.discovery.reset(now),
+            LeadershipChange::Lost => {
+                let redirect = self.snapshot().redirect(now);
+                self.commands.abandon(redirect.decided());
+                self.send_responses(redirect.expires_at());
+            }
+        }
+    }
+
+    /// Publishes what has changed as the primary, or else chooses a parent.
+    fn update_relay(&mut self, now: Duration) {
+        let (relay, links) = (&mut self.relay, &mut self.links);
+        if self.publisher.is_leader() {
+            self.publisher.publish_changes(now, self.replica.state(), relay, links);
+        } else {
+            let primary = self.replica.primary_hint(now).filter(|primary| *primary != self.me);
+            relay.update_parent(now, primary, links);
+        }
+    }
+
+    fn propose_commands(&mut self) {
+        while let Some(lease_end) = self.replica.lease_until(self.clock.now()) {
+            let proposal = self.commands.next_for(&self.replica);
+            self.send_responses(lease_end);
+            let Some(proposal) = proposal else { return };
+            self.replicate(Event::Propose { proposal: proposal.number, payload: proposal.payload });
+        }
+    }
+
+    /// Sends the responses that were decided under a lease that ends at `lease_end`.
+    fn send_responses(&mut self, lease_end: Duration) {
+        for (responder, response) in self.commands.take_responses() {
+            responder.send(TimedResponse::until(lease_end, response));
+        }
+    }
+
+    fn update_directory(&mut self, now: Duration) {
+        if let Some(directory) = self.relay.changed_directory(now) {
+            self.directory.set(directory);
+        }
+    }
+}
--- a/crates/quillpulley/src/control/links.rs
+++ b/crates/quillpulley/src/control/replica_host/links.rs
@@ -1,54 +1,54 @@
-//! The links of a core process: which other core processes and agents are there, and what comes from them.
+//! The links of a control node: which other control nodes and agents are connected, and what they send.
 //!
-//! What happens is told as [`LinkNews`]; what it means for the replica and the relay tree is the host's to say.
+//! What happens is reported as [`LinkEvent`]s. What that means for the replica and the relay tree is the host's to decide.
 
 use super::peer_table::{PeerChange, PeerTable};
 use crate::peer::{LinkId, PeerEvent, Peers};
 use quillpulley_protocol::{Body, ControlNode, ControlNodes, Hello, NodeId, PeerKind};
-use quillpulley_replication::Locality as Place;
+use quillpulley_replication::Locality;
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What happened on the links.
+/// What has happened on the links.
 #[derive(Debug)]
-pub enum LinkNews {
-    /// Messages can be sent to a core process, which is at this place.
-    Connected(NodeId, Place),
-    /// Nothing more can be sent to a core process.
+pub enum LinkEvent {
+    /// Messages can be sent to a control node in these failure domains.
+    Connected(NodeId, Locality),
+    /// Nothing more can be sent to a control node.
     Disconnected(NodeId),
-    /// Nothing more comes from a core process.
-    Silenced(NodeId),
-    /// A core process sends this.
-    FromControlNode(NodeId, Body),
+    /// Nothing more comes from a control node.
+    ReceiverLost(NodeId),
+    /// A control node has sent a message.
+    ControlNodeMessage(NodeId, Body),
     /// An agent has connected.
-    AgentUp(LinkId),
-    /// An agent has gone.
-    AgentDown(LinkId),
-    /// An agent sends this.
-    FromAgent(LinkId, Body),
+    AgentConnected(LinkId),
+    /// An agent has disconnected.
+    AgentDisconnected(LinkId),
+    /// An agent has sent a message.
+    AgentMessage(LinkId, Body),
 }
 
-/// The links of a core process.
+/// The links of a control node.
 pub struct Links {
     me: ControlNode,
     peers: Rc<Peers>,
     table: PeerTable<LinkId>,
     agents: BTreeSet<LinkId>,
-    /// The core processes that the others were told of last.
-    told: Vec<u32>,
+    /// The control nodes that were announced to the others last.
+    announced: Vec<u32>,
 }
 
 impl Links {
-    /// The links of the process that describes itself as `me`; none is open yet.
+    /// Creates the links of the node that describes itself as `me`; none is open yet.
     pub fn new(me: ControlNode, peers: Rc<Peers>) -> Self {
         let table = PeerTable::new(Ipv4Addr::from_bits(me.ip));
-        Links { me, peers, table, agents: BTreeSet::new(), told: Vec::new() }
+        Links { me, peers, table, agents: BTreeSet::new(), announced: Vec::new() }
     }
 
-    /// Takes an event and says what it means.
-    pub fn take(&mut self, now: Duration, event: PeerEvent) -> Vec<LinkNews> {
+    /// Handles an event of the sockets and returns what it means.
+    pub fn handle(&mut self, now: Duration, event: PeerEvent) -> Vec<LinkEvent> {
         match event {
             PeerEvent::Opened { link, hello, incoming: true, .. } => {
                 self.accepted(now, link, hello).into_iter().collect()
@@ -61,17 +61,17 @@
         }
     }
 
-    fn accepted(&mut self, now: Duration, link: LinkId, hello: Hello) -> Option<LinkNews> {
+    fn accepted(&mut self, now: Duration, link: LinkId, hello: Hello) -> Option<LinkEvent> {
         match hello.kind {
             PeerKind::Control if hello.node.ip != self.me.ip => {
-                for given_up in self.table.accepted(now, link, hello.node) {
-                    self.peers.close(given_up);
+                for superseded in self.table.accepted(now, link, hello.node) {
+                    self.peers.close(superseded);
                 }
                 None
             }
             PeerKind::Agent => {
                 self.agents.insert(link);
-                Some(LinkNews::AgentUp(link))
+                Some(LinkEvent::AgentConnected(link))
             }
             PeerKind::Control | PeerKind::Proxy => {
                 self.peers.close(link);
@@ -80,46 +80,46 @@
         }
     }
 
-    fn opened(&mut self, link: LinkId, hello: Hello) -> Option<LinkNews> {
-        let place = Place { zone: hello.zone.clone(), region: hello.region.clone() };
+    fn opened(&mut self, link: LinkId, hello: Hello) -> Option<LinkEvent> {
+        let locality = Locality { zone: hello.zone.clone(), region: hello.region.clone() };
         let Some(PeerChange::Connected(node)) = self.table.opened(link, hello) else {
             self.peers.close(link);
             return None;
         };
-        log::debug!("connected to {node}");
+        log::debug!(peer:% = node; "connected");
         self.announce_control_nodes(Some(link));
-        Some(LinkNews::Connected(node, place))
+        Some(LinkEvent::Connected(node, locality))
     }
 
-    fn closed(&mut self, now: Duration, link: LinkId) -> Vec<LinkNews> {
-        let mut news = Vec::new();
+    fn closed(&mut self, now: Duration, link: LinkId) -> Vec<LinkEvent> {
+        let mut events = Vec::new();
         if self.agents.remove(&link) {
-            news.push(LinkNews::AgentDown(link));
+            events.push(LinkEvent::AgentDisconnected(link));
         }
-        news.extend(self.table.sender(link).map(LinkNews::Silenced));
+        events.extend(self.table.sender(link).map(LinkEvent::ReceiverLost));
         if let Some(PeerChange::Disconnected(node)) = self.table.closed(now, link, fastrand::f64()) {
-            log::debug!("disconnected from {node}");
+            log::debug!(peer:% = node; "disconnected");
             self.announce_control_nodes(None);
-            news.push(LinkNews::Disconnected(node));
+            events.push(LinkEvent::Disconnected(node));
         }
-        news
+        events
     }
 
-    fn frame(&mut self, now: Duration, link: LinkId, body: Body) -> Option<LinkNews> {
+    fn frame(&mut self, now: Duration, link: LinkId, body: Body) -> Option<LinkEvent> {
         let Some(node) = self.table.sender(link) else {
-            return self.agents.contains(&link).then_some(LinkNews::FromAgent(link, body));
+            return self.agents.contains(&link).then_some(LinkEvent::AgentMessage(link, body));
         };
         match body {
-            Body::ControlNodes(control_nodes) => {
-                self.learn(now, control_nodes.addresses.into_iter().map(Ipv4Addr::from_bits));
+            Body::ControlNodes(nodes) => {
+                self.learn(now, nodes.addresses.into_iter().map(Ipv4Addr::from_bits));
                 None
             }
             Body::Hello(_) | Body::Ping(_) | Body::PingAck(_) => None,
-            body => Some(LinkNews::FromControlNode(node, body)),
+            body => Some(LinkEvent::ControlNodeMessage(node, body)),
         }
     }
 
-    /// Sends a message to a core process, if it can be reached.
+    /// Sends a message to a control node, if it can be reached.
     pub fn send_to_control_node(&self, node: NodeId, body: &Body) {
         if let Some(link) = self.table.link_to(node) {
             self.peers.send(link, body);
@@ -127,7 +127,7 @@
     }
 
     /// Sends a message to an agent.
-    pub fn send_agent(&self, link: LinkId, body: &Body) {
+    pub fn send_to_agent(&self, link: LinkId, body: &Body) {
         self.peers.send(link, body);
     }
 
@@ -137,22 +137,22 @@
         self.peers.close(link);
     }
 
-    /// Whether messages can be sent to a core process.
+    /// Returns whether messages can be sent to a control node.
     pub fn sends_to(&self, node: NodeId) -> bool {
         self.table.link_to(node).is_some()
     }
 
-    /// Whether messages can be sent to a core process and can come from it.
+    /// Returns whether messages can be sent to a control node and can come from it.
     pub fn exchanges_with(&self, node: NodeId) -> bool {
         self.sends_to(node) && self.table.receives_from(node)
     }
 
-    /// Whether nothing can be sent to any core process.
+    /// Returns whether nothing can be sent to any control node.
     pub fn is_alone(&self) -> bool {
         self.table.connected().next().is_none()
     }
 
-    /// The core processes that agents should know: this one and those that were reached and are not forgotten.
+    /// Returns the control nodes that agents should know: this one, and those that were reached and are not forgotten.
     pub fn known_control_nodes(&self) -> Vec<ControlNode> {
         let others = self.table.known().map(|hello| ControlNode {
             ip: hello.node.ip,
@@ -162,16 +162,16 @@
         std::iter::once(self.me.clone()).chain(others).collect()
     }
 
-    /// Takes note of core processes; they will be dialled at once.
+    /// Learns addresses of control nodes, which are connected to at once.
     pub fn learn(&mut self, now: Duration, addresses: impl IntoIterator<Item = Ipv4Addr>) {
         for address in addresses {
             self.table.learn(now, address);
         }
     }
 
-    /// Forgets the core processes that have long been unreachable, except those in the view, which it takes note of.
-    /// Says whether any was forgotten.
-    pub fn keep(&mut self, now: Duration, in_view: &[NodeId]) -> bool {
+    /// Forgets the control nodes that have long been unreachable, except those in the view, which it learns. Returns
+    /// whether any was forgotten.
+    pub fn forget_unreachable(&mut self, now: Duration, in_view: &[NodeId]) -> bool {
         let in_view: Vec<Ipv4Addr> = in_view.iter().map(NodeId::address).collect();
         let known_before = self.table.known().count();
         self.table.forget(now, |address| in_view.contains(&address));
@@ -180,23 +180,23 @@
         has_forgotten
     }
 
-    /// Dials the core processes that are due, at this port.
-    pub fn dial(&mut self, now: Duration, port: u16) {
+    /// Connects to the control nodes that are due, at this port.
+    pub fn connect_due(&mut self, now: Duration, port: u16) {
         for address in self.table.due(now) {
             let link = self.peers.connect(SocketAddr::from((address, port)));
-            self.table.dialled(address, link);
+            self.table.connecting(address, link);
         }
     }
 
-    /// Tells others which core processes can be reached: one whose link has just opened, and all if that
+    /// Announces which control nodes can be reached: to the one whose link has just opened, and to all if that has
     /// changed.
     fn announce_control_nodes(&mut self, opened: Option<LinkId>) {
         let addresses: Vec<u32> = self.table.reachable().into_iter().map(Ipv4Addr::to_bits).collect();
-        let changed = addresses != self.told;
+        let has_changed = addresses != self.announced;
         let body = Body::ControlNodes(Box::new(ControlNodes { addresses: addresses.clone() }));
-        for (link, _) in self.table.connected().filter(|(link, _)| changed || Some(*link) == opened) {
+        for (link, _) in self.table.connected().filter(|(link, _)| has_changed || Some(*link) == opened) {
             self.peers.send(link, &body);
         }
-        self.told = addresses;
+        self.announced = addresses;
     }
 }
--- /dev/null
+++ b/crates/quillpulley/src/control/replica_host/mod.rs
@@ -0,0 +1,11 @@
+//! The process of a control node: its event loop, and the parts that own sockets, timers, threads and files.
+
+pub mod components;
+pub mod host;
+pub(crate) mod links;
+pub mod peer_table;
+pub mod process;
+mod seeds;
+mod status;
+mod status_snapshot;
+pub mod storage_thread;
--- /dev/null
+++ b/crates/quillpulley/src/control/replica_host/process.rs
@@ -0,0 +1,233 @@
+//! The start of a control process, and the loop that feeds events to its host.
+
+use super::components::Components;
+use super::host::ControlHost;
+use super::storage_thread::{StorageThread, WriteCompletion};
+use crate::control::api::{self, http, ApiRequest};
+use crate::control::clock::Clock;
+use crate::control::directory::{self, DirectoryHandle};
+use crate::control::discovery::fetcher::{Fetched, Fetcher};
+use crate::peer::{bind, PeerEvent, Peers};
+use crate::signals::{self, ProcessSignal};
+use crate::{runtime, HostError, Settings};
+use quillpulley_control_state::ControlState;
+use quillpulley_protocol::{Hello, NodeId, PeerKind};
+use quillpulley_replication::{FaultTolerance, Locality, Options, Recovered, Replica};
+use std::net::{Ipv4Addr, SocketAddr, TcpListener};
+use std::time::Duration;
+use tokio::sync::mpsc::{channel, unbounded_channel, Receiver, UnboundedReceiver, UnboundedSender};
+use tokio::time::{interval, sleep_until, Instant, MissedTickBehavior};
+
+/// How often the host is told that time has passed.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// How long a process handles events after SIGTERM at least, to hand over and to send what is queued.
+const MIN_SHUTDOWN_TIME: Duration = Duration::from_millis(400);
+/// How long before it is killed a process exits, even if its data is safe nowhere else.
+const KILL_MARGIN: Duration = Duration::from_secs(1);
+/// The exit code after a panic.
+const PANIC_EXIT_CODE: i32 = 101;
+/// The requests of operators that may wait for the main thread.
+const REQUEST_QUEUE: usize = 16;
+
+/// What other threads report to the main thread.
+enum ThreadEvent {
+    WriteCompleted(WriteCompletion),
+    Fetched(Fetched),
+}
+
+/// Where the events of the host come from.
+struct EventSources {
+    peers: UnboundedReceiver<PeerEvent>,
+    threads: UnboundedReceiver<ThreadEvent>,
+    requests: Receiver<Box<ApiRequest>>,
+    signals: UnboundedReceiver<ProcessSignal>,
+}
+
+/// Runs a control process until it has shut down.
+///
+/// # Errors
+/// [`HostError`] if it cannot start.
+pub fn run(settings: Settings) -> Result<(), HostError> {
+    exit_on_panic();
+    runtime::block_on(async {
+        let (host, sources) = start(settings).await?;
+        serve(host, sources).await;
+        Ok(())
+    })
+}
+
+/// Has a panic of any thread end the process: it would serve only in part, and the platform starts it again.
+fn exit_on_panic() {
+    let print = std::panic::take_hook();
+    std::panic::set_hook(Box::new(move |panic| {
+        print(panic);
+        std::process::exit(PANIC_EXIT_CODE);
+    }));
+}
+
+async fn start(settings: Settings) -> Result<(ControlHost, EventSources), HostError> {
+    let clock = Clock::start();
+    let (event, threads) = unbounded_channel();
+    let (storage, recovered) = open_storage(&settings, event.clone())?;
+    let me = identity(&settings, &recovered);
+    let index = last_index(&recovered);
+    log::info!(node:% = me, name = settings.node_name.as_str(), index; "control node started");
+
+    let (links, peers) = Peers::new(hello(&settings, me)?);
+    links.listen(bind(SocketAddr::from((settings.ip, settings.control_port()))).await?);
+    let directory = DirectoryHandle::default();
+    if let Some(address) = settings.listen.directory {
+        let max_time_to_live_s = settings.bounds.ttl_max.as_secs_f64();
+        directory::serve(listen(address).await?, directory.clone(), max_time_to_live_s)?;
+    }
+    let (request, requests) = channel(REQUEST_QUEUE);
+    let address = settings.control_address()?;
+    api::serve(listen(address).await?, clock.clone(), move |parsed| {
+        request.try_send(parsed).map_err(|rejected| rejected.into_inner())
+    })?;
+
+    let fetcher = match &settings.cloud {
+        Some(cloud) => {
+            Some(Fetcher::start(cloud.address, move |page| send(&event, ThreadEvent::Fetched(page)))?)
+        }
+        None => None,
+    };
+    let now = clock.now();
+    let replica = Replica::new(options(&settings, me), recovered, ControlState::default(), now)?;
+    let components = Components { clock, me, peers: links, replica, storage, fetcher, directory };
+    let sources = EventSources { peers, threads, requests, signals: signals::subscribe()? };
+    Ok((ControlHost::new(settings, components), sources))
+}
+
+/// When a process that shuts down exits: between these times, as soon as it can.
+#[derive(Clone, Copy)]
+struct ExitWindow {
+    earliest: Instant,
+    latest: Instant,
+}
+
+impl ExitWindow {
+    fn is_due(self, host: &ControlHost) -> bool {
+        let now = Instant::now();
+        now >= self.latest || now >= self.earliest && host.can_exit()
+    }
+}
+
+async fn serve(mut host: ControlHost, mut sources: EventSources) {
+    let mut ticks = interval(TICK_INTERVAL);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut exit: Option<ExitWindow> = None;
+    while !exit.is_some_and(|exit| exit.is_due(&host)) {
+        let earliest_exit = async {
+            match exit {
+                Some(ExitWindow { earliest, .. }) if Instant::now() < earliest => sleep_until(earliest).await,
+                _ => std::future::pending().await,
+            }
+        };
+        tokio::select! {
+            biased;
+            () = earliest_exit => {}
+            Some(signal) = sources.signals.recv() => match signal {
+                ProcessSignal::Shutdown if exit.is_none() => exit = Some(begin_shutdown(&mut host)),
+                ProcessSignal::Shutdown => {}
+                ProcessSignal::Reload => host.reload_seeds(),
+            },
+            _ = ticks.tick() => host.tick(),
+            Some(event) = sources.threads.recv() => match event {
+                ThreadEvent::WriteCompleted(completion) => host.handle_write_completed(completion),
+                ThreadEvent::Fetched(page) => host.handle_page(page),
+            },
+            Some(event) = sources.peers.recv() => host.handle_peer_event(event),
+            Some(request) = sources.requests.recv() => host.handle_request(*request),
+        }
+    }
+}
+
+fn begin_shutdown(host: &mut ControlHost) -> ExitWindow {
+    log::info!("SIGTERM received, shutting down");
+    host.begin_shutdown();
+    let now = Instant::now();
+    let latest = host.grace().saturating_sub(KILL_MARGIN).max(MIN_SHUTDOWN_TIME);
+    ExitWindow { earliest: now + MIN_SHUTDOWN_TIME, latest: now + latest }
+}
+
+fn open_storage(
+    settings: &Settings,
+    event: UnboundedSender<ThreadEvent>,
+) -> Result<(StorageThread, Recovered), HostError> {
+    let folder = settings.required_data_folder()?;
+    StorageThread::open(folder.to_path_buf(), move |completion| {
+        send(&event, ThreadEvent::WriteCompleted(completion));
+    })
+}
+
+/// Sends an event to the main thread. If that has ended, the process ends too.
+fn send(events: &UnboundedSender<ThreadEvent>, event: ThreadEvent) {
+    if events.send(event).is_err() {
+        log::debug!("the main thread has ended");
+    }
+}
+
+/// Returns the identity of this process. A disk keeps its incarnation; an empty one has incarnation 0 only at the first
+/// start of the system.
+fn identity(settings: &Settings, recovered: &Recovered) -> NodeId {
+    let incarnation = match &recovered.record {
+        Some(record) => record.incarnation,
+        None if first_witnesses(settings).contains(&NodeId::new(settings.ip, 0)) => 0,
+        None => fastrand::u64(1..),
+    };
+    NodeId::new(settings.ip, incarnation)
+}
+
+/// Returns the first witnesses, at the first start of the whole system.
+fn first_witnesses(settings: &Settings) -> Vec<NodeId> {
+    if !settings.bootstrap {
+        return Vec::new();
+    }
+    let addresses = settings.seeds.iter().filter_map(|seed| match seed {
+        SocketAddr::V4(seed) => Some(*seed.ip()),
+        SocketAddr::V6(_) => None,
+    });
+    addresses.map(|address: Ipv4Addr| NodeId::new(address, 0)).collect()
+}
+
+fn options(settings: &Settings, me: NodeId) -> Options {
+    let first_witnesses = first_witnesses(settings);
+    Options {
+        me,
+        locality: Locality { zone: settings.zone.clone(), region: settings.region.clone() },
+        bootstrap: Some(first_witnesses).filter(|witnesses| witnesses.contains(&me)),
+        fault_tolerance: FaultTolerance {
+            machines: settings.fault_tolerance.machines as usize,
+            zones: settings.fault_tolerance.zones as usize,
+            regions: settings.fault_tolerance.regions as usize,
+        },
+        seed: fastrand::u64(..),
+        ..Options::default()
+    }
+}
+
+fn hello(settings: &Settings, me: NodeId) -> Result<Hello, HostError> {
+    Ok(Hello {
+        kind: PeerKind::Control,
+        node: me,
+        name: settings.node_name.clone(),
+        zone: settings.zone.clone(),
+        region: settings.region.clone(),
+        control_address: settings.control_address()?.to_string(),
+    })
+}
+
+/// Opens a blocking socket, for threads.
+async fn listen(address: SocketAddr) -> Result<TcpListener, HostError> {
+    let unusable = |error| HostError::Listen { address, error };
+    let listener = bind(address).await?.into_std().map_err(unusable)?;
+    listener.set_nonblocking(false).map_err(unusable)?;
+    http::tune(&listener);
+    Ok(listener)
+}
+
+fn last_index(recovered: &Recovered) -> u64 {
+    let snapshot = recovered.snapshot.as_ref().map(|(last, _)| last.index);
+    recovered.entries.last().map(|entry| entry.index).or(snapshot).unwrap_or(0)
+}
--- a/crates/quillpulley/src/control/disk.rs
+++ b/crates/quillpulley/src/control/replica_host/storage_thread.rs
@@ -4,34 +4,39 @@
 use quillpulley_protocol::{decode_value, encode_value, WitnessRecord, WitnessRecordRef};
 use quillpulley_replication::{Recovered, Write, WriteFailed};
 use quillpulley_storage::{Options, Storage, StorageError};
-use std::fmt::Display;
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{self, Receiver, Sender};
 use std::thread;
 
-/// The fate of a write.
+/// The outcome of a write.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Stored {
-    /// The write's ticket.
+pub struct WriteCompletion {
+    /// The ticket of the write.
     pub ticket: u64,
     /// Whether it is durable.
     pub result: Result<(), WriteFailed>,
 }
 
-/// Hands writes to the thread that owns the disk.
-pub struct Disk {
-    writes: Sender<(u64, Write)>,
+struct QueuedWrite {
+    ticket: u64,
+    write: Write,
 }
 
-impl Disk {
-    /// Opens the storage in `folder` and waits for what it holds. `deliver` is called with the fate of each
-    /// write.
+/// The handle of the thread.
+pub struct StorageThread {
+    writes: Sender<QueuedWrite>,
+}
+
+impl StorageThread {
+    /// Starts the thread, which opens the storage in `folder`, and waits for what that holds. `deliver` is called with the
+    /// outcome of each write.
     ///
     /// # Errors
-    /// [`HostError::Storage`] if the folder cannot be read, [`HostError::Runtime`] if there can be no thread.
-    pub fn open<D>(folder: PathBuf, deliver: D) -> Result<(Disk, Recovered), HostError>
+    /// [`HostError::Storage`] or [`HostError::WitnessRecord`] if the folder cannot be read, [`HostError::Runtime`] if the
+    /// thread cannot be started.
+    pub fn open<D>(folder: PathBuf, deliver: D) -> Result<(StorageThread, Recovered), HostError>
     where
-        D: Fn(Stored) + Send + 'static,
+        D: Fn(WriteCompletion) + Send + 'static,
     {
         let (opened, outcome) = mpsc::channel();
         let (writes, queue) = mpsc::channel();
@@ -46,31 +51,30 @@
         thread::Builder::new().spawn(work).map_err(HostError::Runtime)?;
         let ended = |_| HostError::Runtime(std::io::Error::other("the storage thread has ended"));
         let recovered = outcome.recv().map_err(ended)??;
-        Ok((Disk { writes }, recovered))
+        Ok((StorageThread { writes }, recovered))
     }
 
     /// Has a write made durable, after those before it.
     pub fn store(&self, ticket: u64, write: Write) {
-        if self.writes.send((ticket, write)).is_err() {
+        if self.writes.send(QueuedWrite { ticket, write }).is_err() {
             log::error!("the storage thread has ended: restart the process");
         }
     }
 }
 
 fn open(folder: &Path) -> Result<(Storage, Recovered), HostError> {
-    let unusable = |error: &dyn Display| HostError::Storage(error.to_string());
-    let (storage, found) = Storage::open(folder, Options::default()).map_err(|error| unusable(&error))?;
+    let (storage, found) = Storage::open(folder, Options::default()).map_err(HostError::Storage)?;
     let record = found.record.as_deref().map(decode_value::<WitnessRecordRef, WitnessRecord>).transpose();
-    let record = record.map_err(|error| unusable(&error))?;
+    let record = record.map_err(HostError::WitnessRecord)?;
     Ok((storage, Recovered { record, snapshot: found.snapshot, entries: found.entries }))
 }
 
-fn store_all(mut storage: Storage, queue: &Receiver<(u64, Write)>, deliver: impl Fn(Stored)) {
-    let mut failing = false;
-    while let Ok((ticket, write)) = queue.recv() {
+fn store_all(mut storage: Storage, queue: &Receiver<QueuedWrite>, deliver: impl Fn(WriteCompletion)) {
+    let mut is_failing = false;
+    while let Ok(QueuedWrite { ticket, write }) = queue.recv() {
         let outcome = store(&mut storage, write);
-        report(&outcome, &mut failing);
-        deliver(Stored { ticket, result: outcome.map_err(|_| WriteFailed) });
+        log_outcome(&outcome, &mut is_failing);
+        deliver(WriteCompletion { ticket, result: outcome.map_err(|_| WriteFailed) });
     }
 }
 
@@ -84,11 +88,11 @@
 }
 
 /// Logs the first of several failures, and when they are over.
-fn report(outcome: &Result<(), StorageError>, failing: &mut bool) {
+fn log_outcome(outcome: &Result<(), StorageError>, is_failing: &mut bool) {
     match outcome {
-        Err(error) if !*failing => log::warn!("storage: {error}"),
-        Ok(()) if *failing => log::info!("storage takes writes again"),
+        Err(error) if !*is_failing => log::warn!(error:% = error; "a write to the disk failed"),
+        Ok(()) if *is_failing => log::info!("the disk accepts writes again"),
         _ => {}
     }
-    *failing = outcome.is_err();
+    *is_failing = outcome.is_err();
 }
--- /dev/null
+++ b/crates/quillpulley/src/control/response.rs
@@ -0,0 +1,76 @@
+//! Responses to operators, and until when they may be given.
+//!
+//! Only the primary knows the newest state, and only while its lease runs. A response is decided by one thread and
+//! written by another, and the process may be suspended between the two. So a response carries the end of the lease
+//! under which it was decided, and the writer checks the clock again.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// What the caller of the operator's API is told.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum Response {
+    /// The command is in effect, and survives the failures that the deployment tolerates.
+    Acknowledged,
+    /// The newest configuration, as it was sent. Responses that wait for slow callers share it.
+    Configuration(Arc<[u8]>),
+    /// What this process knows of the control nodes, as JSON.
+    Status(Vec<u8>),
+    /// There is no configuration yet.
+    NoConfiguration,
+    /// The configuration builds on another version than the one in force.
+    Conflict {
+        /// The version in force.
+        current: u64,
+    },
+    /// Whether the configuration was applied is not known any more: it builds on a version older than the history.
+    HistoryExpired {
+        /// The oldest base that the history still has.
+        oldest: u64,
+    },
+    /// The command is invalid, for this reason.
+    Invalid(String),
+    /// Another process is the primary.
+    Redirect(SocketAddr),
+    /// The outcome is not known: the caller has to send the command again, here or elsewhere.
+    Unavailable,
+}
+
+/// A response that may be given until a certain time.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct TimedResponse {
+    response: Response,
+    expires_at: Duration,
+}
+
+impl TimedResponse {
+    /// Creates a response that relies on a lease which ends at `expires_at`.
+    pub fn until(expires_at: Duration, response: Response) -> Self {
+        TimedResponse { response, expires_at }
+    }
+
+    /// Creates a response that relies on no lease.
+    pub fn without_expiry(response: Response) -> Self {
+        TimedResponse { response, expires_at: Duration::MAX }
+    }
+
+    /// Returns the response as it was decided.
+    pub fn decided(&self) -> &Response {
+        &self.response
+    }
+
+    /// Returns until when it may be given.
+    pub fn expires_at(&self) -> Duration {
+        self.expires_at
+    }
+
+    /// Returns what may be told at `now`: [`Response::Unavailable`] once the lease has ended.
+    pub fn at(self, now: Duration) -> Response {
+        if now < self.expires_at {
+            self.response
+        } else {
+            Response::Unavailable
+        }
+    }
+}
--- a/crates/quillpulley/src/error.rs
+++ b/crates/quillpulley/src/error.rs
@@ -1,25 +1,45 @@
 //! Why a host cannot run.
 
 use displaydoc::Display;
+use quillpulley_protocol::WireError;
+use quillpulley_replication::StartError;
+use quillpulley_settings::SettingsError;
+use quillpulley_storage::StorageError;
 use std::io;
 use std::net::SocketAddr;
 
-/// A failure that ends a host; its process exits with code 2.
+/// A failure that ends a host. Its process exits with code 2.
 #[derive(Debug, Display)]
 pub enum HostError {
     /// cannot listen on {address} ({error}): free the port, or correct the address in the settings file
     Listen {
-        /// The address that was asked for.
+        /// The address to listen on.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the system.
         error: io::Error,
     },
     /// cannot start the runtime ({0}): raise the limits of open files and threads
     Runtime(io::Error),
     /// unusable settings: {0}
-    Settings(String),
+    Settings(SettingsError),
     /// the data folder cannot be used: {0}
-    Storage(String),
+    Storage(StorageError),
+    /// the data folder cannot be used: record.slots is unreadable ({0}): empty the folder, so that this machine joins anew
+    WitnessRecord(WireError),
+    /// the data folder cannot be used: {0}
+    Replica(StartError),
 }
 
 impl std::error::Error for HostError {}
+
+impl From<SettingsError> for HostError {
+    fn from(error: SettingsError) -> Self {
+        HostError::Settings(error)
+    }
+}
+
+impl From<StartError> for HostError {
+    fn from(error: StartError) -> Self {
+        HostError::Replica(error)
+    }
+}
--- a/crates/quillpulley/src/proxy/forward.rs
+++ b/crates/quillpulley/src/proxy/forward.rs
@@ -72,7 +72,7 @@
     pub fn new(plane: Rc<Plane>, job: Job) -> Self {
         let Job { request, plan } = &job;
         plane.budgets().borrow_mut().record_request(plane.now(), &plan.service);
-        let repeats_after_reset = plane.faults().repeat_after_reset;
+        let repeats_after_reset = plane.faults().retry_after_reset();
         let rules =
             Rules { repeatable: plan.repeatable, max_attempts: plan.max_attempts, repeats_after_reset };
         Forwarding {
@@ -246,7 +246,7 @@
 
     fn verdict(&self, head: &Parts) -> Verdict {
         let id = &self.job.request.head.id;
-        let ignores_id = self.plane.faults().ignore_answer_ids;
+        let ignores_id = self.plane.faults().ignore_response_ids();
         let expected = headers::single(&head.headers, &REQUEST_ID).filter(|_| ignores_id).unwrap_or(id);
         answer::judge(head, expected)
     }
--- a/crates/quillpulley/src/proxy/mod.rs
+++ b/crates/quillpulley/src/proxy/mod.rs
@@ -39,7 +39,7 @@
 /// Serves until the process is told to end.
 pub fn run(settings: Settings) -> Result<(), HostError> {
     runtime::block_on(async {
-        let commands = signals::commands()?;
+        let commands = signals::subscribe()?;
         let listeners = Listeners::bind(&settings).await?;
         serve(settings, listeners, commands).await;
         Ok(())
--- a/crates/quillpulley/src/proxy/server.rs
+++ b/crates/quillpulley/src/proxy/server.rs
@@ -10,7 +10,7 @@
 use super::pool::Pool;
 use super::ready::{self, ReadyService};
 use crate::peer::bind;
-use crate::signals::Command;
+use crate::signals::ProcessSignal;
 use crate::{HostError, Settings};
 use quillpulley_http1_client::{ConnectionOptions, Connections};
 use quillpulley_load_balancer::{Balancer, Options, Place, WaitingLimits};
@@ -53,7 +53,7 @@
 impl Listeners {
     /// At the addresses of the settings.
     pub async fn bind(settings: &Settings) -> Result<Listeners, HostError> {
-        let unusable = |error| HostError::Settings(format!("{error}"));
+        let unusable = |error| HostError::Settings(error);
         let front = settings.front_address().map_err(unusable)?;
         let ready = settings.ready_address().map_err(unusable)?;
         Ok(Listeners { endpoint: bind(front).await?, ready: bind(ready).await? })
@@ -61,7 +61,7 @@
 }
 
 /// Serves until it is told to stop and has done so. Must be called on a tokio `LocalSet`.
-pub async fn serve(settings: Settings, listeners: Listeners, commands: UnboundedReceiver<Command>) {
+pub async fn serve(settings: Settings, listeners: Listeners, commands: UnboundedReceiver<ProcessSignal>) {
     serve_with_faults(settings, listeners, commands, Faults::default()).await;
 }
 
@@ -69,14 +69,14 @@
 pub async fn serve_with_faults(
     settings: Settings,
     listeners: Listeners,
-    mut commands: UnboundedReceiver<Command>,
+    mut commands: UnboundedReceiver<ProcessSignal>,
     faults: Faults,
 ) {
     let proxy = Proxy::start(&settings, listeners, faults);
     while let Some(command) = commands.recv().await {
         match command {
-            Command::Reload => reload(),
-            Command::Stop => break,
+            ProcessSignal::Reload => reload(),
+            ProcessSignal::Shutdown => break,
         }
     }
     proxy.drain(&settings).await;
--- a/crates/quillpulley/src/signals.rs
+++ b/crates/quillpulley/src/signals.rs
@@ -1,36 +1,39 @@
-//! The signals that a host obeys, as commands.
+//! The signals that a host handles.
 
 use crate::HostError;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::task::spawn_local;
 
-/// What a host is told from outside.
+/// A signal, as a host understands it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Command {
-    /// Finish what is under way and end (SIGTERM, SIGINT).
-    Stop,
-    /// The settings have changed (SIGHUP).
+pub enum ProcessSignal {
+    /// Drain and exit (SIGTERM, SIGINT).
+    Shutdown,
+    /// Reload the settings (SIGHUP).
     Reload,
 }
 
-/// Commands as signals come. Must be called on a tokio `LocalSet`.
-pub fn commands() -> Result<UnboundedReceiver<Command>, HostError> {
+/// Subscribes to the signals of this process. Must be called on a tokio `LocalSet`.
+///
+/// # Errors
+/// [`HostError::Runtime`] if a handler cannot be installed.
+pub fn subscribe() -> Result<UnboundedReceiver<ProcessSignal>, HostError> {
     let (sender, receiver) = unbounded_channel();
-    for (kind, command) in [
-        (SignalKind::terminate(), Command::Stop),
-        (SignalKind::interrupt(), Command::Stop),
-        (SignalKind::hangup(), Command::Reload),
+    for (kind, meaning) in [
+        (SignalKind::terminate(), ProcessSignal::Shutdown),
+        (SignalKind::interrupt(), ProcessSignal::Shutdown),
+        (SignalKind::hangup(), ProcessSignal::Reload),
     ] {
         let signals = signal(kind).map_err(HostError::Runtime)?;
-        spawn_local(forward(signals, command, sender.clone()));
+        spawn_local(forward(signals, meaning, sender.clone()));
     }
     Ok(receiver)
 }
 
-async fn forward(mut signals: Signal, command: Command, sender: UnboundedSender<Command>) {
+async fn forward(mut signals: Signal, signal: ProcessSignal, sender: UnboundedSender<ProcessSignal>) {
     while signals.recv().await.is_some() {
-        if sender.send(command).is_err() {
+        if sender.send(signal).is_err() {
             return;
         }
     }
--- a/crates/quillpulley/tests/agent.rs
+++ b/crates/quillpulley/tests/agent.rs
@@ -5,7 +5,7 @@
 use common::tree::{endpoint, Node};
 use common::{expect, hello, read_to_end, run};
 use quillpulley::agent::{serve, AgentSockets};
-use quillpulley::signals::Command;
+use quillpulley::signals::ProcessSignal;
 use quillpulley::Settings;
 use quillpulley_protocol::{encode_frame, encode_value, Body, ControlNode, PeerKind, ProxyEndpoint};
 use quillpulley_serving_config::published::{control_node_key, endpoint_key};
@@ -78,7 +78,7 @@
 
 /// An agent that runs beside the test.
 struct Agent {
-    commands: UnboundedSender<Command>,
+    commands: UnboundedSender<ProcessSignal>,
     task: JoinHandle<()>,
     /// Where its proxy connects.
     proxy: SocketAddr,
@@ -104,7 +104,7 @@
         Agent { commands, task, proxy: proxy_address, settings: shared }
     }
 
-    fn command(&self, command: Command) {
+    fn command(&self, command: ProcessSignal) {
         self.commands.send(command).expect("the agent runs");
     }
 }
@@ -218,7 +218,7 @@
             proxy.until("the state", |shown| shown.holds("route/x", b"down the tree")).await;
         }
         let (top, other) = if shown.children.contains("front-1") { (0, "front-2") } else { (1, "front-1") };
-        agents[top].command(Command::Stop);
+        agents[top].command(ProcessSignal::Shutdown);
         control_node.until("the other agent", |shown| shown.children.contains(other)).await;
     });
 }
@@ -232,7 +232,7 @@
         let mut agent = Agent::start(machines.settings(1, port, &[machines.control_node(1)])).await;
         let mut proxy = Node::proxy(agent.proxy, machines.report(1));
         proxy.until("fresh state", |shown| shown.fresh).await;
-        agent.command(Command::Stop);
+        agent.command(ProcessSignal::Shutdown);
         control_node.publish("route/x", b"late".to_vec());
         proxy.until("late state", |shown| shown.holds("route/x", b"late")).await;
         assert!(!agent.task.is_finished());
@@ -247,7 +247,7 @@
         let machines = Machines::new();
         let (port, _) = same_ports([machines.control_node(1)]).await;
         let agent = Agent::start(machines.settings(1, port, &[])).await;
-        agent.command(Command::Stop);
+        agent.command(ProcessSignal::Shutdown);
         expect("the end", agent.task).await.expect("no panic");
     });
 }
@@ -260,7 +260,7 @@
         let mut control_node = Node::control_node(listener, 1);
         let agent = Agent::start(machines.settings(1, port, &[machines.control_node(2)])).await;
         *agent.settings.borrow_mut() = machines.settings(1, port, &[machines.control_node(1)]);
-        agent.command(Command::Reload);
+        agent.command(ProcessSignal::Reload);
         control_node.until("the agent", |shown| shown.children.contains("front-1")).await;
     });
 }
--- a/crates/quillpulley/tests/catch_up/main.rs
+++ b/crates/quillpulley/tests/catch_up/main.rs
@@ -7,7 +7,7 @@
 use world::World;
 
 /// The largest body that is taken.
-const LARGEST: usize = quillpulley::control::api::MAX_BODY;
+const LARGEST: usize = quillpulley::control::api::MAX_BODY_BYTES;
 /// So many of them go through the log: it is compacted after every four.
 const LARGEST_CHANGES: usize = 100;
 /// Within which a member that comes back has to be a member again (`CatchUpS`).
--- a/crates/quillpulley/tests/control/api.rs
+++ b/crates/quillpulley/tests/control/api.rs
@@ -1,9 +1,10 @@
 //! The operator's API over HTTP, with a main thread that answers as the test says.
 
-use quillpulley::control::api::{self, ApiCall, Call};
+use quillpulley::control::api::{self, ApiRequest, Operation};
 use quillpulley::control::clock::Clock;
-use quillpulley::control::orders::{Answer, Order};
-use quillpulley::control::timed_answer::TimedAnswer;
+use quillpulley::control::commands::Command;
+use quillpulley::control::response::Response;
+use quillpulley::control::response::TimedResponse;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{self, Receiver};
@@ -12,7 +13,7 @@
 const PATIENCE: Duration = Duration::from_secs(10);
 
 /// An API whose calls the test takes and answers.
-fn start() -> (SocketAddr, Receiver<Box<ApiCall>>) {
+fn start() -> (SocketAddr, Receiver<Box<ApiRequest>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a socket");
     let address = listener.local_addr().expect("an address");
     let (send, calls) = mpsc::channel();
@@ -61,41 +62,43 @@
 }
 
 /// Sends a request, expects it as a call, and has it answered.
-fn exchange(request: String, expected: Call, answer: Answer) -> Told {
+fn exchange(request: String, expected: Operation, answer: Response) -> Told {
     let (address, calls) = start();
     let client = std::thread::spawn(move || send(address, &request));
     let taken = calls.recv_timeout(PATIENCE).expect("a call");
-    assert_eq!(taken.call, expected);
-    taken.reply.send(TimedAnswer::lasting(answer));
+    assert_eq!(taken.operation, expected);
+    taken.responder.send(TimedResponse::without_expiry(answer));
     client.join().expect("an answer")
 }
 
-fn evacuation(zone: &str, active: bool) -> Call {
-    Call::Order(Order::Evacuate { zone: zone.to_string(), active })
+fn evacuation(zone: &str, active: bool) -> Operation {
+    Operation::Execute(Command::Evacuate { zone: zone.to_string(), active })
 }
 
-fn replacement(base: u64, body: &str) -> Call {
-    Call::Order(Order::Replace { base, body: body.as_bytes().to_vec() })
+fn replacement(base: u64, body: &str) -> Operation {
+    Operation::Execute(Command::Replace { base, body: body.as_bytes().to_vec() })
 }
 
 #[test]
 fn calls_are_read_and_answers_written() {
-    let told = exchange(replace("5", "{}"), replacement(5, "{}"), Answer::Done);
-    assert_eq!(told.status, 200);
+    let announced = exchange(replace("5", "{}"), replacement(5, "{}"), Response::Acknowledged);
+    assert_eq!(announced.status, 200);
 
-    let told = exchange(replace(" 0 ", "{}"), replacement(0, "{}"), Answer::Conflict { current: 7 });
-    assert_eq!(told.status, 412);
-    assert!(told.body.contains("version 7"), "{}", told.body);
+    let announced = exchange(replace(" 0 ", "{}"), replacement(0, "{}"), Response::Conflict { current: 7 });
+    assert_eq!(announced.status, 412);
+    assert!(announced.body.contains("version 7"), "{}", announced.body);
 
     let why = "a \"quoted\" reason".to_string();
-    let told = exchange(replace("5", "{}"), replacement(5, "{}"), Answer::Invalid(why));
-    assert_eq!(told.status, 400);
-    assert_eq!(told.body, r#"{"Error":"a \"quoted\" reason"}"#);
+    let announced = exchange(replace("5", "{}"), replacement(5, "{}"), Response::Invalid(why));
+    assert_eq!(announced.status, 400);
+    assert_eq!(announced.body, r#"{"Error":"a \"quoted\" reason"}"#);
 
-    let told = exchange(call("POST", "/v1/Evacuate.Start/a-1"), evacuation("a-1", true), Answer::Done);
-    assert_eq!(told.status, 200);
-    let told = exchange(call("POST", "/v1/Evacuate.End/a%201"), evacuation("a 1", false), Answer::Done);
-    assert_eq!(told.status, 200);
+    let announced =
+        exchange(call("POST", "/v1/Evacuate.Start/a-1"), evacuation("a-1", true), Response::Acknowledged);
+    assert_eq!(announced.status, 200);
+    let announced =
+        exchange(call("POST", "/v1/Evacuate.End/a%201"), evacuation("a 1", false), Response::Acknowledged);
+    assert_eq!(announced.status, 200);
 }
 
 /// The bytes that the program at commit 0b0971f wrote.
@@ -112,15 +115,15 @@
     let location = "Location: http://10.0.0.4:8080/v1/Evacuate.Start/a\r\n";
     let again = "Retry-After: 0.2\r\n";
     let cases = [
-        (Answer::Done, json("200 OK", "", "{}")),
-        (Answer::Configuration(b"{ }".to_vec().into()), json("200 OK", "", "{ }")),
-        (Answer::Status(b"{\"a\":1}".to_vec()), json("200 OK", "", "{\"a\":1}")),
+        (Response::Acknowledged, json("200 OK", "", "{}")),
+        (Response::Configuration(b"{ }".to_vec().into()), json("200 OK", "", "{ }")),
+        (Response::Status(b"{\"a\":1}".to_vec()), json("200 OK", "", "{\"a\":1}")),
         (
-            Answer::NoConfiguration,
+            Response::NoConfiguration,
             json("404 Not Found", "", r#"{"Error":"no configuration has been taken yet"}"#),
         ),
         (
-            Answer::Conflict { current: 7 },
+            Response::Conflict { current: 7 },
             json(
                 "412 Precondition Failed",
                 "",
@@ -128,17 +131,17 @@
             ),
         ),
         (
-            Answer::Forgotten { oldest: 9 },
+            Response::HistoryExpired { oldest: 9 },
             json(
                 "503 Service Unavailable",
                 again,
                 r#"{"Error":"what was taken on versions below 9 is forgotten: read the configuration in force"}"#,
             ),
         ),
-        (Answer::Invalid("why".to_string()), json("400 Bad Request", "", r#"{"Error":"why"}"#)),
-        (Answer::Redirect(primary), json("307 Temporary Redirect", location, "{}")),
+        (Response::Invalid("why".to_string()), json("400 Bad Request", "", r#"{"Error":"why"}"#)),
+        (Response::Redirect(primary), json("307 Temporary Redirect", location, "{}")),
         (
-            Answer::Unavailable,
+            Response::Unavailable,
             json(
                 "503 Service Unavailable",
                 again,
@@ -150,7 +153,11 @@
         let (address, calls) = start();
         let request = call("POST", "/v1/Evacuate.Start/a");
         let client = std::thread::spawn(move || send_raw(address, &request));
-        calls.recv_timeout(PATIENCE).expect("a call").reply.send(TimedAnswer::lasting(answer.clone()));
+        calls
+            .recv_timeout(PATIENCE)
+            .expect("a call")
+            .responder
+            .send(TimedResponse::without_expiry(answer.clone()));
         assert_eq!(client.join().expect("an answer"), expected, "{answer:?}");
     }
 }
@@ -158,40 +165,46 @@
 #[test]
 fn the_configuration_comes_as_it_was_sent() {
     let body = format!("{{\"Version\":7,\"x\":\"{}\"}}", "y".repeat(100_000));
-    let answer = Answer::Configuration(body.clone().into_bytes().into());
-    let told = exchange(call("GET", "/v1/Config.Get"), Call::ReadConfiguration, answer);
-    assert_eq!(told.status, 200);
-    assert!(told.headers.contains("content-type: application/json"), "{}", told.headers);
-    assert!(told.headers.contains(&format!("content-length: {}", body.len())), "{}", told.headers);
-    assert_eq!(told.body, body);
+    let answer = Response::Configuration(body.clone().into_bytes().into());
+    let announced = exchange(call("GET", "/v1/Config.Get"), Operation::ReadConfiguration, answer);
+    assert_eq!(announced.status, 200);
+    assert!(announced.headers.contains("content-type: application/json"), "{}", announced.headers);
+    assert!(announced.headers.contains(&format!("content-length: {}", body.len())), "{}", announced.headers);
+    assert_eq!(announced.body, body);
 
-    let told = exchange(call("GET", "/v1/Config.Get"), Call::ReadConfiguration, Answer::NoConfiguration);
-    assert_eq!(told.status, 404);
+    let announced =
+        exchange(call("GET", "/v1/Config.Get"), Operation::ReadConfiguration, Response::NoConfiguration);
+    assert_eq!(announced.status, 404);
 
-    let status = Answer::Status(br#"{"Role":"follower"}"#.to_vec());
-    let told = exchange(call("GET", "/v1/Control.Status"), Call::ReadStatus, status);
-    assert_eq!((told.status, told.body.as_str()), (200, r#"{"Role":"follower"}"#));
+    let status = Response::Status(br#"{"Role":"follower"}"#.to_vec());
+    let announced = exchange(call("GET", "/v1/Control.Status"), Operation::ReadStatus, status);
+    assert_eq!((announced.status, announced.body.as_str()), (200, r#"{"Role":"follower"}"#));
 }
 
 #[test]
 fn callers_are_sent_to_the_primary_or_told_to_come_back() {
     let primary: SocketAddr = "10.0.0.4:8080".parse().expect("an address");
     let path = "/v1/Evacuate.Start/a";
-    let told = exchange(call("POST", path), evacuation("a", true), Answer::Redirect(primary));
-    assert_eq!(told.status, 307);
-    assert!(told.headers.contains("location: http://10.0.0.4:8080/v1/evacuate.start/a"), "{}", told.headers);
+    let announced = exchange(call("POST", path), evacuation("a", true), Response::Redirect(primary));
+    assert_eq!(announced.status, 307);
+    assert!(
+        announced.headers.contains("location: http://10.0.0.4:8080/v1/evacuate.start/a"),
+        "{}",
+        announced.headers
+    );
 
-    let told = exchange(call("POST", path), evacuation("a", true), Answer::Unavailable);
-    assert_eq!(told.status, 503);
-    assert!(told.headers.contains("retry-after: 0.2"), "{}", told.headers);
+    let announced = exchange(call("POST", path), evacuation("a", true), Response::Unavailable);
+    assert_eq!(announced.status, 503);
+    assert!(announced.headers.contains("retry-after: 0.2"), "{}", announced.headers);
 }
 
 #[test]
 fn what_is_forgotten_has_no_clear_answer_that_names_the_bound() {
-    let told = exchange(replace("5", "{}"), replacement(5, "{}"), Answer::Forgotten { oldest: 9 });
-    assert_eq!(told.status, 503);
-    assert!(told.body.contains("below 9 is forgotten"), "{}", told.body);
-    assert!(told.headers.contains("retry-after: 0.2"), "{}", told.headers);
+    let announced =
+        exchange(replace("5", "{}"), replacement(5, "{}"), Response::HistoryExpired { oldest: 9 });
+    assert_eq!(announced.status, 503);
+    assert!(announced.body.contains("below 9 is forgotten"), "{}", announced.body);
+    assert!(announced.headers.contains("retry-after: 0.2"), "{}", announced.headers);
 }
 
 #[test]
@@ -219,8 +232,8 @@
     let (address, calls) = start();
     let head = "POST /v1/Config.Replace HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\
                 Quillpulley-If-Config-Version: 1\r\n";
-    let told = send(address, &format!("{head}Content-Length: 4500001\r\n\r\n{}", "x".repeat(4_500_001)));
-    assert_eq!(told.status, 413);
+    let announced = send(address, &format!("{head}Content-Length: 4500001\r\n\r\n{}", "x".repeat(4_500_001)));
+    assert_eq!(announced.status, 413);
     assert!(calls.try_recv().is_err());
 }
 
@@ -229,8 +242,8 @@
     let request = "POST /v1/Config.Replace HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\
                    Quillpulley-If-Config-Version: 1\r\nTransfer-Encoding: chunked\r\n\r\n\
                    3\r\n{\"a\r\n4\r\n\":1}\r\n0\r\n\r\n";
-    let told = exchange(request.to_string(), replacement(1, "{\"a\":1}"), Answer::Done);
-    assert_eq!(told.status, 200);
+    let announced = exchange(request.to_string(), replacement(1, "{\"a\":1}"), Response::Acknowledged);
+    assert_eq!(announced.status, 200);
 }
 
 #[test]
@@ -261,8 +274,12 @@
     let first = calls.recv_timeout(PATIENCE).expect("a call");
     // The first call has no answer yet when the second is answered.
     let second = std::thread::spawn(move || send(address, &call("POST", "/v1/Evacuate.Start/b")));
-    calls.recv_timeout(PATIENCE).expect("a call").reply.send(TimedAnswer::lasting(Answer::Done));
+    calls
+        .recv_timeout(PATIENCE)
+        .expect("a call")
+        .responder
+        .send(TimedResponse::without_expiry(Response::Acknowledged));
     assert_eq!(second.join().expect("an answer").status, 200);
-    first.reply.send(TimedAnswer::lasting(Answer::Done));
+    first.responder.send(TimedResponse::without_expiry(Response::Acknowledged));
     assert_eq!(waiting.join().expect("an answer").status, 200);
 }
--- a/crates/quillpulley/tests/control/cluster.rs
+++ b/crates/quillpulley/tests/control/cluster.rs
@@ -261,23 +261,23 @@
     }
 
     /// Calls one machine once.
-    pub fn call(&self, index: usize, call: &Call) -> Option<Told> {
+    pub fn call(&self, index: usize, call: &Operation) -> Option<Told> {
         call.send(self.control(index))
     }
 
     /// Calls the machines until one gives a clear answer, as the operator does.
-    pub fn order(&mut self, call: &Call) -> Told {
+    pub fn order(&mut self, call: &Operation) -> Told {
         let running: Vec<usize> =
             (0..self.machines.len()).filter(|index| self.machines[*index].process.is_some()).collect();
         let mut turn = 0;
         self.until("a clear answer", |cluster| {
             turn += 1;
-            let told = call.send(cluster.control(running[turn % running.len()]))?;
-            let told = match told.location {
+            let announced = call.send(cluster.control(running[turn % running.len()]))?;
+            let announced = match announced.location {
                 Some(location) => call.send_to(&location)?,
-                None => told,
+                None => announced,
             };
-            (told.status < 500 && told.status != 307).then_some(told)
+            (announced.status < 500 && announced.status != 307).then_some(announced)
         })
     }
 
@@ -285,11 +285,11 @@
     pub fn primary(&mut self) -> usize {
         self.until("a primary", |cluster| {
             let answers = |index: &usize| {
-                let told = cluster.machines[*index]
+                let announced = cluster.machines[*index]
                     .process
                     .as_ref()
-                    .and_then(|_| cluster.call(*index, &Call::get()));
-                told.is_some_and(|told| told.status == 200 || told.status == 404)
+                    .and_then(|_| cluster.call(*index, &Operation::get()));
+                announced.is_some_and(|announced| announced.status == 200 || announced.status == 404)
             };
             (0..cluster.machines.len()).find(answers)
         })
@@ -299,7 +299,7 @@
     pub fn resolve(&self, index: usize, zone: &str) -> Option<Told> {
         let address = SocketAddr::from((self.address(index), DIRECTORY_PORT));
         let path = format!("/v1/resolve?Name=x&Region=none&Zone={zone}");
-        Call { method: "GET", path, base: None, body: Vec::new() }.send(address)
+        Operation { method: "GET", path, base: None, body: Vec::new() }.send(address)
     }
 }
 
@@ -315,37 +315,37 @@
 
 /// A call of the operator.
 #[derive(Clone)]
-pub struct Call {
+pub struct Operation {
     method: &'static str,
     path: String,
     base: Option<u64>,
     body: Vec<u8>,
 }
 
-impl Call {
+impl Operation {
     /// Asks for the configuration.
     pub fn get() -> Self {
-        Call { method: "GET", path: "/v1/Config.Get".to_string(), base: None, body: Vec::new() }
+        Operation { method: "GET", path: "/v1/Config.Get".to_string(), base: None, body: Vec::new() }
     }
 
     /// Asks a process what it knows of the core.
     pub fn status() -> Self {
-        Call { method: "GET", path: "/v1/Control.Status".to_string(), base: None, body: Vec::new() }
+        Operation { method: "GET", path: "/v1/Control.Status".to_string(), base: None, body: Vec::new() }
     }
 
     /// Replaces the configuration.
     pub fn replace(base: u64, body: Vec<u8>) -> Self {
-        Call { method: "POST", path: "/v1/Config.Replace".to_string(), base: Some(base), body }
+        Operation { method: "POST", path: "/v1/Config.Replace".to_string(), base: Some(base), body }
     }
 
     /// Evacuates a zone.
     pub fn evacuate(zone: &str) -> Self {
-        Call { method: "POST", path: format!("/v1/Evacuate.Start/{zone}"), base: None, body: Vec::new() }
+        Operation { method: "POST", path: format!("/v1/Evacuate.Start/{zone}"), base: None, body: Vec::new() }
     }
 
     /// Takes an evacuation back.
     pub fn take_back(zone: &str) -> Self {
-        Call { method: "POST", path: format!("/v1/Evacuate.End/{zone}"), base: None, body: Vec::new() }
+        Operation { method: "POST", path: format!("/v1/Evacuate.End/{zone}"), base: None, body: Vec::new() }
     }
 
     /// Sends it to one process; none if there is no answer.
--- a/crates/quillpulley/tests/control/compatibility.rs
+++ b/crates/quillpulley/tests/control/compatibility.rs
@@ -5,7 +5,7 @@
 //! what it then answered.
 
 use crate::cluster::PATIENCE;
-use quillpulley::control::disk::Disk;
+use quillpulley::control::replica_host::storage_thread::StorageThread;
 use quillpulley_control_state::ControlState;
 use quillpulley_protocol::encode_value;
 use quillpulley_replication::StateMachine;
@@ -120,8 +120,8 @@
 #[test]
 fn a_folder_of_an_earlier_release_holds_the_same_state() {
     let folder = DataFolder::copy("state");
-    let stored = folder.contents();
-    let (_disk, recovered) = Disk::open(folder.0.clone(), drop).expect("a readable folder");
+    let handle_write_completed = folder.contents();
+    let (_disk, recovered) = StorageThread::open(folder.0.clone(), drop).expect("a readable folder");
     let record = recovered.record.expect("a witness record");
     assert_eq!((record.incarnation, record.promised, record.promised_to.address()), (0, 1, ADDRESS));
     let view = record.accepted.as_ref().expect("a view");
@@ -140,7 +140,7 @@
     let slots = std::fs::read(folder.0.join("record.slots")).expect("the record");
     let is_written_so = slots.windows(record.len()).any(|window| window == record);
     assert!(is_written_so, "a witness record is written with the same bytes");
-    assert_eq!(folder.contents(), stored, "opening a sound folder changes nothing");
+    assert_eq!(folder.contents(), handle_write_completed, "opening a sound folder changes nothing");
 }
 
 /// The zones whose evacuation was begun and not ended.
@@ -193,7 +193,7 @@
     bytes[60_000] ^= 0xff;
     std::fs::write(&segment, bytes).expect("a damaged segment");
     let before = folder.contents();
-    let error = Disk::open(folder.0.clone(), drop).err().expect("an error").to_string();
+    let error = StorageThread::open(folder.0.clone(), drop).err().expect("an error").to_string();
     assert!(error.contains("log-000000-000000000001.segment is damaged at byte"), "{error}");
     assert!(error.contains("empty the data folder, so that this machine joins anew"), "{error}");
     assert_eq!(folder.contents(), before);
--- a/crates/quillpulley/tests/control/directory.rs
+++ b/crates/quillpulley/tests/control/directory.rs
@@ -2,9 +2,10 @@
 
 use crate::api::send_raw;
 use quickcheck::{Arbitrary, Gen};
-use quillpulley::control::directory::{self, Coverage, Directory, DirectoryBoard, Place};
+use quillpulley::control::directory::{self, Coverage, Directory, DirectoryHandle};
 use quillpulley_load_balancer::HomeTable;
 use quillpulley_protocol::{EndpointState, ProxyEndpoint};
+use quillpulley_replication::Locality;
 use simd_json::prelude::*;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -52,7 +53,7 @@
 }
 
 fn chosen_of(directory: &Directory, host: &str, zone: &str, region: &str) -> String {
-    let place = Place { zone: zone.to_string(), region: region.to_string() };
+    let place = Locality { zone: zone.to_string(), region: region.to_string() };
     directory.choose(host, &place).join(" ")
 }
 
@@ -114,10 +115,10 @@
 fn at_most_64_addresses_are_told() {
     let endpoints: Vec<String> = (0..100).map(|number| format!("f{number} a west ready")).collect();
     let known = directory(&endpoints.iter().map(String::as_str).collect::<Vec<_>>());
-    let mut told = known.choose("h", &Place { zone: "a".to_string(), region: "west".to_string() });
-    told.sort();
-    told.dedup();
-    assert_eq!(told.len(), 64);
+    let mut announced = known.choose("h", &Locality { zone: "a".to_string(), region: "west".to_string() });
+    announced.sort();
+    announced.dedup();
+    assert_eq!(announced.len(), 64);
 }
 
 const THREE_REGIONS: [&str; 4] = ["e a east ready", "w b west ready", "x b west ready", "n c north ready"];
@@ -243,13 +244,13 @@
 impl AnyDirectory {
     /// The regions of the fronts that a client is told.
     fn told_regions(&self, host: &str, region: &str) -> Vec<String> {
-        let place = Place { zone: format!("{region}-a"), region: region.to_string() };
-        let told = self.directory.choose(host, &place);
+        let place = Locality { zone: format!("{region}-a"), region: region.to_string() };
+        let announced = self.directory.choose(host, &place);
         let region_of = |address: &String| {
             let endpoint = self.directory.endpoints.iter().find(|endpoint| endpoint.address == *address);
             endpoint.expect("a known front").region.clone()
         };
-        told.iter().map(region_of).collect()
+        announced.iter().map(region_of).collect()
     }
 
     /// Whether a front is known in the client's region or in a home of all routes of the host that have homes.
@@ -271,9 +272,11 @@
         let clients = HOSTS[..2].iter().flat_map(|host| REGIONS.map(|region| (*host, region)));
         clients.into_iter().all(|(host, region)| {
             let bound = any.directory.coverage != Coverage::All || any.has_endpoints_for(host, region);
-            let told = any.told_regions(host, region);
+            let announced = any.told_regions(host, region);
             let routes = any.routes.iter().filter(|(of, homes)| of == host && !homes.is_empty());
-            let third = |homes: &[String]| told.iter().any(|told| told != region && !homes.contains(told));
+            let third = |homes: &[String]| {
+                announced.iter().any(|announced| announced != region && !homes.contains(announced))
+            };
             !bound || routes.into_iter().all(|(_, homes)| !third(homes))
         })
     }
@@ -313,7 +316,7 @@
 fn clients_ask_over_http() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a socket");
     let address = listener.local_addr().expect("an address");
-    let board = DirectoryBoard::default();
+    let board = DirectoryHandle::default();
     directory::serve(listener, board.clone(), 1.5).expect("a server");
 
     let unknown = ask(address, "/v1/resolve?Name=x&Region=west&Zone=a");
@@ -328,9 +331,9 @@
         coverage: Coverage::All,
         homes: Arc::default(),
     });
-    let mut told = ask(address, "/v1/resolve?Name=x&Region=west&Zone=a%20b");
-    assert_eq!(told.status, 200);
-    let answer = simd_json::to_owned_value(&mut told.body).expect("JSON");
+    let mut announced = ask(address, "/v1/resolve?Name=x&Region=west&Zone=a%20b");
+    assert_eq!(announced.status, 200);
+    let answer = simd_json::to_owned_value(&mut announced.body).expect("JSON");
     let addresses: Vec<&str> =
         answer.get_array("Addresses").expect("addresses").iter().filter_map(|value| value.as_str()).collect();
     assert_eq!(addresses, ["f1", "f2"]);
--- a/crates/quillpulley/tests/control/directory_days.rs
+++ b/crates/quillpulley/tests/control/directory_days.rs
@@ -38,7 +38,7 @@
     let mut system = System::settled();
     [1, agent(2), agent(3)].into_iter().for_each(|node| system.fail(node, State::Silent));
     assert_within(system.time_until_untold(&[2, 3], &[0, 2]), 1_800, 2_700);
-    assert_eq!(system.told(0).len(), AGENTS - 2);
+    assert_eq!(system.announced(0).len(), AGENTS - 2);
 }
 
 #[test]
@@ -48,7 +48,7 @@
     system.run(ms(2_000));
     system.elect(1);
     assert_within(system.time_until_untold(&[0, 1], &[1, 2]), 2_800, 3_100);
-    assert_eq!(system.told(2).len(), AGENTS - 2);
+    assert_eq!(system.announced(2).len(), AGENTS - 2);
 }
 
 #[test]
@@ -56,11 +56,11 @@
     let mut system = System::settled();
     system.cut = Some(2);
     assert_within(system.time_until_untold(&[0, 1, 2, 3], &[2]), 2_800, 3_100);
-    assert_eq!(system.told(2), ["front-4", "front-5"], "it goes on with those that report to it");
-    assert_eq!(system.told(0).len(), AGENTS - 2, "which the others do not tell any more");
+    assert_eq!(system.announced(2), ["front-4", "front-5"], "it goes on with those that report to it");
+    assert_eq!(system.announced(0).len(), AGENTS - 2, "which the others do not tell any more");
     system.heal();
     system.run(ms(4_000));
-    assert!(ALL.iter().all(|control_node| system.told(*control_node).len() == AGENTS));
+    assert!(ALL.iter().all(|control_node| system.announced(*control_node).len() == AGENTS));
 }
 
 #[test]
@@ -73,7 +73,7 @@
         assert_within(system.time_until_untold(&[4], &[2]), from, to);
         system.fail(agent(5), state);
         system.time_until_untold(&[5], &[2]);
-        assert!(system.told(2).is_empty(), "nobody reports: 503");
+        assert!(system.announced(2).is_empty(), "nobody reports: 503");
     }
 }
 
@@ -88,7 +88,7 @@
     system.run(ms(2_000));
     system.elect(1);
     assert_eq!(system.time_until_untold(&[3], &ALL), 0);
-    assert!(ALL.iter().all(|control_node| system.told(*control_node).len() == AGENTS - 1));
+    assert!(ALL.iter().all(|control_node| system.announced(*control_node).len() == AGENTS - 1));
 }
 
 #[test]
@@ -110,7 +110,7 @@
         system.run(ms(5_000));
         system.report(3, EndpointState::Draining, 1);
         system.run(REPORTED);
-        assert!(system.told(1).contains(&"(front-3)".to_string()));
+        assert!(system.announced(1).contains(&"(front-3)".to_string()));
         assert!(!system.is_told_by(3, &ALL));
     }
 }
--- a/crates/quillpulley/tests/control/directory_days/system.rs
+++ b/crates/quillpulley/tests/control/directory_days/system.rs
@@ -1,8 +1,8 @@
 //! Three core processes with their directories and six agents, in virtual time.
 
+use quillpulley::control::directory::builder::{DirectoryBuilder, DirectoryInputs};
 use quillpulley::control::directory::{Coverage, Directory};
-use quillpulley::control::directory_view::{DirectoryView, Known};
-use quillpulley::control::endpoint_registry::EndpointRegistry;
+use quillpulley::control::distribution::endpoint_registry::EndpointRegistry;
 use quillpulley_protocol::{Body, EndpointState, ProxyEndpoint};
 use quillpulley_state_sync::{Action, Event, FeedNode, LocalReport, Options};
 use std::collections::VecDeque;
@@ -44,7 +44,7 @@
     pub(super) parent: Option<usize>,
     pub(super) parent_since: Duration,
     /// Of core processes.
-    pub(super) view: DirectoryView,
+    pub(super) view: DirectoryBuilder,
     pub(super) directory: Directory,
     pub(super) dirty: bool,
     pub(super) reports_dirty: bool,
@@ -64,7 +64,7 @@
             region,
             parent: None,
             parent_since: now,
-            view: DirectoryView::default(),
+            view: DirectoryBuilder::default(),
             directory: Directory::default(),
             dirty: true,
             reports_dirty: true,
@@ -91,9 +91,9 @@
         system.elect(0);
         (0..AGENTS).for_each(|number| system.report(number, EndpointState::Ready, 1));
         system.run(ms(10_000));
-        let told: Vec<Vec<String>> =
-            (0..CONTROL_NODES).map(|control_node| system.told(control_node)).collect();
-        assert!(told.iter().all(|told| told.len() == AGENTS), "all are known: {told:?}");
+        let announced: Vec<Vec<String>> =
+            (0..CONTROL_NODES).map(|control_node| system.announced(control_node)).collect();
+        assert!(announced.iter().all(|announced| announced.len() == AGENTS), "all are known: {announced:?}");
         system
     }
 
@@ -204,7 +204,7 @@
             }
             Action::Changed(changed) => {
                 let node = &mut self.nodes[node];
-                node.dirty |= node.view.published(&changed);
+                node.dirty |= node.view.items_changed(&changed);
             }
             Action::EndpointsChanged => {
                 self.nodes[node].dirty = true;
@@ -291,14 +291,14 @@
     pub(super) fn show(&mut self, control_node: usize) {
         let now = self.now;
         let node = &mut self.nodes[control_node];
-        let waiting = node.view.is_waiting(node.feed.is_fresh(now));
+        let waiting = node.view.depends_on_time(node.feed.is_fresh(now));
         if node.state == State::Running && (std::mem::take(&mut node.dirty) || waiting) {
-            node.directory = node.view.directory(now, &Known::at(now, &node.feed));
+            node.directory = node.view.build(now, &DirectoryInputs::at(now, &node.feed));
         }
     }
 
     /// The fronts that the directory of a core process may tell, with those that leave in brackets.
-    pub(super) fn told(&self, control_node: usize) -> Vec<String> {
+    pub(super) fn announced(&self, control_node: usize) -> Vec<String> {
         let directory = &self.nodes[control_node].directory;
         if self.nodes[control_node].state != State::Running || directory.coverage == Coverage::TooFew {
             return Vec::new();
@@ -311,7 +311,7 @@
     }
 
     pub(super) fn is_told_by(&self, number: usize, control_nodes: &[usize]) -> bool {
-        control_nodes.iter().any(|control_node| self.told(*control_node).contains(&name(number)))
+        control_nodes.iter().any(|control_node| self.announced(*control_node).contains(&name(number)))
     }
 
     /// How long these directories go on telling any of these fronts.
--- a/crates/quillpulley/tests/control/directory_view.rs
+++ b/crates/quillpulley/tests/control/directory_view.rs
@@ -1,7 +1,7 @@
 //! What the directory is told of the published state and of the reports to a core process.
 
+use quillpulley::control::directory::builder::{DirectoryBuilder, DirectoryInputs};
 use quillpulley::control::directory::{Coverage, Directory};
-use quillpulley::control::directory_view::{DirectoryView, Known};
 use quillpulley_protocol::{encode_value, EndpointState, ProxyEndpoint};
 use quillpulley_serving_config::published::endpoint_key;
 use quillpulley_state_sync::{Change, Event, FeedNode, Options, Subtree};
@@ -61,21 +61,21 @@
     }
 }
 
-fn directory(view: &mut DirectoryView, moment: &Moment) -> Directory {
+fn directory(view: &mut DirectoryBuilder, moment: &Moment) -> Directory {
     let mut root = FeedNode::<u32>::new(Options::control_node("core"));
     let publish =
         |text| Change { key: endpoint_key(&endpoint(text).name), value: Some(encode_value(endpoint(text))) };
     let changes = moment.published.split_whitespace().map(publish).collect();
     root.handle(Duration::ZERO, Event::BecomeRoot { epoch: moment.epoch }, &mut Vec::new());
     root.handle(Duration::ZERO, Event::Publish(changes), &mut Vec::new());
-    let known = Known {
+    let known = DirectoryInputs {
         fresh: moment.fresh,
         last_moved: Some(Duration::from_millis(moment.moved)),
         epoch: moment.epoch,
         store: root.store(),
         subtree: &subtree(moment.reported),
     };
-    view.directory(Duration::from_millis(moment.now), &known)
+    view.build(Duration::from_millis(moment.now), &known)
 }
 
 fn shown(directory: &Directory) -> String {
@@ -84,7 +84,7 @@
 }
 
 /// What is told at a time; in brackets if it may not be all.
-fn told(view: &mut DirectoryView, now: u64, fresh: bool, published: &str, reported: &str) -> String {
+fn announced(view: &mut DirectoryBuilder, now: u64, fresh: bool, published: &str, reported: &str) -> String {
     let moved = if fresh { now } else { 0 };
     let directory = directory(view, &Moment { now, moved, fresh, epoch: 1, published, reported });
     if directory.coverage == Coverage::TooFew {
@@ -96,38 +96,38 @@
 
 #[test]
 fn published_fronts_count_while_they_are_fresh() {
-    let mut view = DirectoryView::default();
-    assert_eq!(told(&mut view, 0, true, "f:r1 g:r1", "f:l1 h:r1"), "f:r1 g:r1");
+    let mut view = DirectoryBuilder::default();
+    assert_eq!(announced(&mut view, 0, true, "f:r1 g:r1", "f:l1 h:r1"), "f:r1 g:r1");
 }
 
 #[test]
 fn out_of_date_state_is_joined_with_the_own_reports() {
-    let mut view = DirectoryView::default();
-    told(&mut view, 0, true, "f:r1", "");
-    assert_eq!(told(&mut view, 10, false, "f:r1 g:r2", "f:l1 g:s1 h:r1"), "f:l1 g:r2 h:r1");
+    let mut view = DirectoryBuilder::default();
+    announced(&mut view, 0, true, "f:r1", "");
+    assert_eq!(announced(&mut view, 10, false, "f:r1 g:r2", "f:l1 g:s1 h:r1"), "f:l1 g:r2 h:r1");
 }
 
 #[test]
 fn a_new_process_waits_for_fresh_state_or_a_while_after_it_knows_a_front() {
-    let mut view = DirectoryView::default();
-    assert_eq!(told(&mut view, 0, true, "", ""), "()");
-    assert_eq!(told(&mut view, 1000, false, "", "f:r1"), "(f:r1)");
-    assert_eq!(told(&mut view, 2499, false, "", "f:r1"), "(f:r1)");
-    assert_eq!(told(&mut view, 2500, false, "", "f:r1"), "f:r1");
+    let mut view = DirectoryBuilder::default();
+    assert_eq!(announced(&mut view, 0, true, "", ""), "()");
+    assert_eq!(announced(&mut view, 1000, false, "", "f:r1"), "(f:r1)");
+    assert_eq!(announced(&mut view, 2499, false, "", "f:r1"), "(f:r1)");
+    assert_eq!(announced(&mut view, 2500, false, "", "f:r1"), "f:r1");
     // A front whose agent may be changing its parent counts for two seconds more.
-    assert_eq!(told(&mut view, 4499, false, "", ""), "f:r1");
+    assert_eq!(announced(&mut view, 4499, false, "", ""), "f:r1");
     // Once it knew enough it does not doubt any more.
-    assert_eq!(told(&mut view, 4500, false, "", ""), "");
+    assert_eq!(announced(&mut view, 4500, false, "", ""), "");
 
-    let mut view = DirectoryView::default();
-    assert_eq!(told(&mut view, 10, false, "f:r1", ""), "(f:r1)");
-    assert_eq!(told(&mut view, 20, true, "f:r1", ""), "f:r1");
+    let mut view = DirectoryBuilder::default();
+    assert_eq!(announced(&mut view, 10, false, "f:r1", ""), "(f:r1)");
+    assert_eq!(announced(&mut view, 20, true, "f:r1", ""), "f:r1");
 }
 
 /// Lines are a time in ms, when the latest stamp came, `fresh` or `stale`, what is published, what is reported, and
 /// what the directory tells, with `own` before it if these are the own reports alone.
 fn play(timeline: &str) {
-    let mut view = DirectoryView::default();
+    let mut view = DirectoryBuilder::default();
     for line in timeline.lines().map(str::trim).filter(|line| !line.is_empty()) {
         let columns: Vec<&str> = line.split('|').map(str::trim).collect();
         let [now, moved, freshness, published, reported, expected] = columns[..] else {
@@ -212,7 +212,7 @@
 
 #[test]
 fn a_directory_settles_three_seconds_after_its_start_and_after_each_election() {
-    let mut view = DirectoryView::default();
+    let mut view = DirectoryBuilder::default();
     let mut coverage = |now, epoch| {
         let moment = Moment { now, moved: now, fresh: true, epoch, published: "f:r1", reported: "" };
         directory(&mut view, &moment).coverage
@@ -227,10 +227,10 @@
 
 #[test]
 fn time_alone_changes_what_is_told_only_while_something_is_open() {
-    let mut view = DirectoryView::default();
+    let mut view = DirectoryBuilder::default();
     let mut is_waiting_after = |now, moved, fresh| {
         directory(&mut view, &Moment { now, moved, fresh, epoch: 1, published: "f:r1", reported: "" });
-        [true, false].map(|fresh| view.is_waiting(fresh))
+        [true, false].map(|fresh| view.depends_on_time(fresh))
     };
     assert_eq!(is_waiting_after(0, 0, true), [true, true], "an election has just been");
     assert_eq!(is_waiting_after(3000, 3000, true), [false, true]);
--- a/crates/quillpulley/tests/control/disk.rs
+++ b/crates/quillpulley/tests/control/disk.rs
@@ -1,7 +1,7 @@
 //! The thread that owns the disk: what it stores, and that a failure is told and not fatal.
 
 use crate::cluster::PATIENCE;
-use quillpulley::control::disk::{Disk, Stored};
+use quillpulley::control::replica_host::storage_thread::{StorageThread, WriteCompletion};
 use quillpulley::HostError;
 use quillpulley_protocol::{Entry, NodeId, Position, WitnessRecord};
 use quillpulley_replication::{Recovered, Write, WriteFailed};
@@ -25,10 +25,10 @@
     }
 }
 
-fn open(folder: &TestFolder) -> (Disk, Recovered, Receiver<Stored>) {
+fn open(folder: &TestFolder) -> (StorageThread, Recovered, Receiver<WriteCompletion>) {
     let (send, outcomes) = mpsc::channel();
-    let deliver = move |stored| drop(send.send(stored));
-    let (disk, recovered) = Disk::open(folder.0.clone(), deliver).expect("a disk");
+    let deliver = move |handle_write_completed| drop(send.send(handle_write_completed));
+    let (disk, recovered) = StorageThread::open(folder.0.clone(), deliver).expect("a disk");
     (disk, recovered, outcomes)
 }
 
@@ -59,7 +59,7 @@
         disk.store(ticket, write);
     }
     for ticket in 1..=4 {
-        assert_eq!(outcomes.recv_timeout(PATIENCE), Ok(Stored { ticket, result: Ok(()) }));
+        assert_eq!(outcomes.recv_timeout(PATIENCE), Ok(WriteCompletion { ticket, result: Ok(()) }));
     }
     drop(disk);
 
@@ -69,7 +69,7 @@
     assert_eq!(recovered.entries, [entry(2)]);
     let install = Write::Install { last: position(9), snapshot: b"nine".to_vec(), entries: vec![entry(10)] };
     disk.store(1, install);
-    assert_eq!(outcomes.recv_timeout(PATIENCE), Ok(Stored { ticket: 1, result: Ok(()) }));
+    assert_eq!(outcomes.recv_timeout(PATIENCE), Ok(WriteCompletion { ticket: 1, result: Ok(()) }));
     let (_, recovered, _) = open(&folder);
     assert_eq!(recovered.snapshot, Some((position(9), b"nine".to_vec())));
     assert_eq!(recovered.entries, [entry(10)]);
@@ -82,10 +82,10 @@
     std::fs::remove_dir_all(&folder.0).expect("a folder that is gone");
     let install = |index| Write::Install { last: position(index), snapshot: Vec::new(), entries: Vec::new() };
     disk.store(1, install(1));
-    assert_eq!(outcomes.recv_timeout(PATIENCE), Ok(Stored { ticket: 1, result: Err(WriteFailed) }));
+    assert_eq!(outcomes.recv_timeout(PATIENCE), Ok(WriteCompletion { ticket: 1, result: Err(WriteFailed) }));
     std::fs::create_dir_all(&folder.0).expect("a folder");
     disk.store(2, install(2));
-    assert_eq!(outcomes.recv_timeout(PATIENCE), Ok(Stored { ticket: 2, result: Ok(()) }));
+    assert_eq!(outcomes.recv_timeout(PATIENCE), Ok(WriteCompletion { ticket: 2, result: Ok(()) }));
 }
 
 #[test]
@@ -93,6 +93,6 @@
     let folder = TestFolder::new("file");
     let file = folder.0.join("file");
     std::fs::write(&file, "x").expect("a file");
-    let opened = Disk::open(file, |_| ());
+    let opened = StorageThread::open(file, |_| ());
     assert!(matches!(opened, Err(HostError::Storage(_))));
 }
--- a/crates/quillpulley/tests/control/endpoint_registry.rs
+++ b/crates/quillpulley/tests/control/endpoint_registry.rs
@@ -5,7 +5,7 @@
 //! not 1: `f:r`, `f:r2`. `!f:m` is a suspicion of the monitor `m`, and of others after commas. Published is
 //! shown likewise, `-f` for gone. A line without a report (`.`) only lets time pass.
 
-use quillpulley::control::endpoint_registry::EndpointRegistry;
+use quillpulley::control::distribution::endpoint_registry::EndpointRegistry;
 use quillpulley_protocol::{decode_value, encode_value, EndpointState, ProxyEndpoint, ProxyEndpointRef};
 use quillpulley_serving_config::published::endpoint_key;
 use quillpulley_state_sync::{Change, Subtree};
--- a/crates/quillpulley/tests/control/frozen_host.rs
+++ b/crates/quillpulley/tests/control/frozen_host.rs
@@ -3,12 +3,12 @@
 
 use crate::api::{call, replace, send, Told};
 use crate::configuration;
-use quillpulley::control::api::{self, ApiCall, Faults};
+use quillpulley::control::api::{self, ApiRequest, Faults};
 use quillpulley::control::clock::Clock;
-use quillpulley::control::directory::DirectoryBoard;
-use quillpulley::control::disk::{Disk, Stored};
-use quillpulley::control::host::Host;
-use quillpulley::control::parts::Parts;
+use quillpulley::control::directory::DirectoryHandle;
+use quillpulley::control::replica_host::components::Components;
+use quillpulley::control::replica_host::host::ControlHost;
+use quillpulley::control::replica_host::storage_thread::{StorageThread, WriteCompletion};
 use quillpulley::peer::Peers;
 use quillpulley::Settings;
 use quillpulley_control_state::ControlState;
@@ -31,14 +31,14 @@
 static FOLDERS: AtomicU64 = AtomicU64::new(0);
 
 struct Bench {
-    host: Host,
+    host: ControlHost,
     /// The clock of the main thread, in milliseconds.
     now: Arc<AtomicU64>,
     /// How much later the writers of answers come to look at the clock.
     writers_late: Arc<AtomicU64>,
     api: SocketAddr,
-    calls: Receiver<Box<ApiCall>>,
-    stored: Receiver<Stored>,
+    calls: Receiver<Box<ApiRequest>>,
+    handle_write_completed: Receiver<WriteCompletion>,
     folder: PathBuf,
 }
 
@@ -56,9 +56,9 @@
         let deliver = move |call| deliver.send(call).map_err(|refused| refused.0);
         api::serve_with_faults(listener, clock.clone(), faults, deliver).expect("a server");
 
-        let (store, stored) = mpsc::channel();
+        let (store, handle_write_completed) = mpsc::channel();
         let deliver = move |fate| drop(store.send(fate));
-        let (disk, recovered) = Disk::open(folder.clone(), deliver).expect("a disk");
+        let (disk, recovered) = StorageThread::open(folder.clone(), deliver).expect("a disk");
         let me = NodeId::new(IP, 0);
         let options = Options {
             me,
@@ -77,19 +77,19 @@
         };
         // Alone it dials nobody, and so its links need no runtime.
         let (peers, _) = Peers::new(hello);
-        let parts = Parts {
+        let parts = Components {
             clock,
             me,
             peers,
             replica: replica.expect("a replica"),
-            disk,
+            storage: disk,
             fetcher: None,
-            directory: DirectoryBoard::default(),
+            directory: DirectoryHandle::default(),
         };
-        let host = Host::new(settings(api, &folder), parts);
-        let mut bench = Bench { host, now, writers_late, api, calls, stored, folder };
-        let told = bench.run_until_clear(&replace("0", &text("5")));
-        assert_eq!(told.status, 200);
+        let host = ControlHost::new(settings(api, &folder), parts);
+        let mut bench = Bench { host, now, writers_late, api, calls, handle_write_completed, folder };
+        let announced = bench.run_until_clear(&replace("0", &text("5")));
+        assert_eq!(announced.status, 200);
         bench
     }
 
@@ -98,20 +98,22 @@
         self.now.fetch_add(TICK_MS, Ordering::SeqCst);
         self.host.tick();
         // A write takes less than this by far; one that does not is taken at the next step.
-        while let Ok(stored) = self.stored.recv_timeout(Duration::from_millis(20)) {
-            self.host.stored(stored);
+        while let Ok(handle_write_completed) =
+            self.handle_write_completed.recv_timeout(Duration::from_millis(20))
+        {
+            self.host.handle_write_completed(handle_write_completed);
         }
     }
 
     /// Calls, and gives the call to the main thread once it has come.
     fn ask(&mut self, request: &str) -> JoinHandle<Told> {
         let (caller, taken) = self.queue(request);
-        self.host.called(*taken);
+        self.host.handle_request(*taken);
         caller
     }
 
     /// Calls, and keeps the call in the queue of the main thread.
-    fn queue(&mut self, request: &str) -> (JoinHandle<Told>, Box<ApiCall>) {
+    fn queue(&mut self, request: &str) -> (JoinHandle<Told>, Box<ApiRequest>) {
         let (api, request) = (self.api, request.to_string());
         let caller = thread::spawn(move || send(api, &request));
         (caller, self.calls.recv_timeout(PATIENCE).expect("a call"))
@@ -124,9 +126,9 @@
             while !caller.is_finished() {
                 self.step();
             }
-            let told = caller.join().expect("an answer");
-            if told.status != 503 {
-                return told;
+            let announced = caller.join().expect("an answer");
+            if announced.status != 503 {
+                return announced;
             }
         }
         panic!("no clear answer to {request}");
@@ -193,7 +195,7 @@
         let mut bench = Bench::start(Faults::default());
         let (caller, taken) = bench.queue(&request);
         bench.freeze();
-        bench.host.called(*taken);
+        bench.host.handle_request(*taken);
         assert_eq!(caller.join().expect("an answer").status, 503, "{request}");
     }
 }
@@ -204,12 +206,14 @@
     // Nothing else is with the disk when the order comes.
     bench.step();
     let caller = bench.ask(&replace("5", &text("7")));
-    let stored = bench.stored.recv_timeout(PATIENCE).expect("a write");
+    let handle_write_completed = bench.handle_write_completed.recv_timeout(PATIENCE).expect("a write");
     bench.freeze();
-    bench.host.stored(stored);
+    bench.host.handle_write_completed(handle_write_completed);
     while !caller.is_finished() {
-        if let Ok(stored) = bench.stored.recv_timeout(Duration::from_millis(20)) {
-            bench.host.stored(stored);
+        if let Ok(handle_write_completed) =
+            bench.handle_write_completed.recv_timeout(Duration::from_millis(20))
+        {
+            bench.host.handle_write_completed(handle_write_completed);
         }
     }
     assert_eq!(caller.join().expect("an answer").status, 503);
@@ -236,5 +240,5 @@
 
 #[test]
 fn a_host_whose_writers_do_not_look_at_the_lease_is_caught() {
-    assert_eq!(statements_of_late_writers(Faults { write_without_look: true }), [200, 200, 412, 400]);
+    assert_eq!(statements_of_late_writers(Faults { skip_lease_check: true }), [200, 200, 412, 400]);
 }
--- a/crates/quillpulley/tests/control/late_answers.rs
+++ b/crates/quillpulley/tests/control/late_answers.rs
@@ -3,8 +3,8 @@
 use crate::api::{call, send, Told};
 use quillpulley::control::api::{self, Faults};
 use quillpulley::control::clock::Clock;
-use quillpulley::control::orders::Answer;
-use quillpulley::control::timed_answer::TimedAnswer;
+use quillpulley::control::response::Response;
+use quillpulley::control::response::TimedResponse;
 use std::net::TcpListener;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{mpsc, Arc};
@@ -15,7 +15,7 @@
 const LEASE_END_MS: u64 = 810;
 
 /// What a caller gets whose answer was decided at 0 and is written at `written_at_ms`.
-fn written_at(written_at_ms: u64, faults: Faults, answer: Answer) -> Told {
+fn written_at(written_at_ms: u64, faults: Faults, answer: Response) -> Told {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a socket");
     let address = listener.local_addr().expect("an address");
     let milliseconds = Arc::new(AtomicU64::new(0));
@@ -26,23 +26,23 @@
     api::serve_with_faults(listener, clock, faults, deliver).expect("a server");
     let caller = std::thread::spawn(move || send(address, &call("GET", "/v1/Config.Get")));
     let taken = calls.recv_timeout(PATIENCE).expect("a call");
-    let decided = TimedAnswer::until(Duration::from_millis(LEASE_END_MS), answer);
+    let decided = TimedResponse::until(Duration::from_millis(LEASE_END_MS), answer);
     // Here the process stands still.
     milliseconds.store(written_at_ms, Ordering::SeqCst);
-    taken.reply.send(decided);
+    taken.responder.send(decided);
     caller.join().expect("an answer")
 }
 
 /// Every answer that states what is in force, or where that is known.
-fn statements() -> Vec<(u16, Answer)> {
+fn statements() -> Vec<(u16, Response)> {
     let primary = "10.0.0.4:8080".parse().expect("an address");
     vec![
-        (200, Answer::Done),
-        (200, Answer::Configuration(b"{\"Version\":5}".as_slice().into())),
-        (404, Answer::NoConfiguration),
-        (412, Answer::Conflict { current: 5 }),
-        (400, Answer::Invalid("its version is not above the current one".to_string())),
-        (307, Answer::Redirect(primary)),
+        (200, Response::Acknowledged),
+        (200, Response::Configuration(b"{\"Version\":5}".as_slice().into())),
+        (404, Response::NoConfiguration),
+        (412, Response::Conflict { current: 5 }),
+        (400, Response::Invalid("its version is not above the current one".to_string())),
+        (307, Response::Redirect(primary)),
     ]
 }
 
@@ -50,8 +50,8 @@
 fn statements_after_the_lease(faults: Faults) -> Vec<u16> {
     let times = [LEASE_END_MS, 20_000];
     let cases = times.into_iter().flat_map(|time| statements().into_iter().map(move |case| (time, case)));
-    let told = cases.map(|(time, (_, answer))| written_at(time, faults, answer));
-    told.filter(|told| told.status != 503).map(|told| told.status).collect()
+    let announced = cases.map(|(time, (_, answer))| written_at(time, faults, answer));
+    announced.filter(|announced| announced.status != 503).map(|announced| announced.status).collect()
 }
 
 #[test]
@@ -64,20 +64,20 @@
 #[test]
 fn nothing_is_stated_once_the_lease_has_ended() {
     assert_eq!(statements_after_the_lease(Faults::default()), Vec::<u16>::new());
-    let told =
-        written_at(20_000, Faults::default(), Answer::Configuration(b"{\"Version\":5}".as_slice().into()));
-    assert!(told.headers.contains("retry-after: 0.2"), "{}", told.headers);
-    assert!(!told.body.contains("Version"), "{}", told.body);
+    let announced =
+        written_at(20_000, Faults::default(), Response::Configuration(b"{\"Version\":5}".as_slice().into()));
+    assert!(announced.headers.contains("retry-after: 0.2"), "{}", announced.headers);
+    assert!(!announced.body.contains("Version"), "{}", announced.body);
 }
 
 #[test]
 fn a_writer_that_does_not_look_at_the_clock_is_caught() {
-    let faults = Faults { write_without_look: true };
+    let faults = Faults { skip_lease_check: true };
     assert!(!statements_after_the_lease(faults).is_empty());
 }
 
 #[test]
 fn what_rests_on_no_lease_is_written_at_any_time() {
-    let lasting = TimedAnswer::lasting(Answer::Invalid("no number".to_string()));
-    assert_eq!(lasting.at(Duration::from_secs(86_400)), Answer::Invalid("no number".to_string()));
+    let without_expiry = TimedResponse::without_expiry(Response::Invalid("no number".to_string()));
+    assert_eq!(without_expiry.at(Duration::from_secs(86_400)), Response::Invalid("no number".to_string()));
 }
--- a/crates/quillpulley/tests/control/mixed_releases.rs
+++ b/crates/quillpulley/tests/control/mixed_releases.rs
@@ -1,6 +1,6 @@
 //! Control processes of an earlier release and of this one in one system, exchanged one by one under changes.
 
-use crate::cluster::{Call, Cluster};
+use crate::cluster::{Cluster, Operation};
 use crate::configuration;
 use std::path::{Path, PathBuf};
 
@@ -12,17 +12,17 @@
 fn change(cluster: &mut Cluster, version: &mut u64) {
     for _ in 0..5 {
         let next = configuration(&(*version + 1).to_string());
-        assert_eq!(cluster.order(&Call::replace(*version, next)).status, 200);
+        assert_eq!(cluster.order(&Operation::replace(*version, next)).status, 200);
         *version += 1;
     }
-    assert_eq!(cluster.order(&Call::evacuate("a")).status, 200);
-    assert_eq!(cluster.order(&Call::take_back("a")).status, 200);
+    assert_eq!(cluster.order(&Operation::evacuate("a")).status, 200);
+    assert_eq!(cluster.order(&Operation::take_back("a")).status, 200);
 }
 
 /// The epoch of a view that has all machines as members and survives every tolerated loss.
 fn complete_view(cluster: &Cluster) -> Option<u64> {
     (0..MACHINES).find_map(|index| {
-        let status = String::from_utf8(cluster.call(index, &Call::status())?.body).ok()?;
+        let status = String::from_utf8(cluster.call(index, &Operation::status())?.body).ok()?;
         let members = status.split_once("\"Members\":[")?.1.split_once(']')?.0;
         let is_complete = members.matches("\"Address\"").count() == MACHINES;
         let is_primary = status.contains("\"Role\":\"primary\"") && status.contains("\"Covered\":true");
@@ -41,7 +41,7 @@
     cluster.until("a complete view again", |cluster| complete_view(cluster).filter(|epoch| *epoch > before));
     change(cluster, version);
     let newest = configuration(&version.to_string());
-    assert_eq!(cluster.order(&Call::get()).body, newest);
+    assert_eq!(cluster.order(&Operation::get()).body, newest);
 }
 
 #[test]
--- a/crates/quillpulley/tests/control/orders.rs
+++ b/crates/quillpulley/tests/control/orders.rs
@@ -7,7 +7,8 @@
 //! `N: SENT`.
 
 use crate::configuration;
-use quillpulley::control::orders::{Answer, Order, Orders, Proposal};
+use quillpulley::control::commands::{Command, CommandQueue, Proposal};
+use quillpulley::control::response::Response;
 use quillpulley_control_state::ControlState;
 use quillpulley_protocol::Entry;
 use quillpulley_replication::StateMachine;
@@ -16,18 +17,18 @@
 
 #[derive(Default)]
 struct Bench {
-    orders: Orders<String>,
+    orders: CommandQueue<String>,
     state: ControlState,
     proposed: BTreeMap<u64, Proposal>,
     index: u64,
 }
 
-fn order(text: &str) -> Order {
+fn order(text: &str) -> Command {
     if let Some((base, version)) = text.split_once('>') {
-        return Order::Replace { base: base.parse().expect("a base"), body: configuration(version) };
+        return Command::Replace { base: base.parse().expect("a base"), body: configuration(version) };
     }
     let (sign, zone) = text.split_at(1);
-    Order::Evacuate { zone: zone.to_string(), active: sign == "+" }
+    Command::Evacuate { zone: zone.to_string(), active: sign == "+" }
 }
 
 impl Bench {
@@ -45,12 +46,14 @@
             ["commit", name, "stale"] => self.commit(name, false),
             ["fail", name] => self.orders.failed(name.parse().expect("a name")),
             ["foreign", text] => {
-                let mut other = Orders::default();
+                let mut other = CommandQueue::default();
                 other.push(Duration::ZERO, order(text), ());
                 let proposal = other.next_proposal(&self.state).expect("a proposal");
                 self.apply(proposal.payload);
             }
-            ["deposed"] => self.orders.abandon(&Answer::Redirect("10.0.0.4:80".parse().expect("an address"))),
+            ["deposed"] => {
+                self.orders.abandon(&Response::Redirect("10.0.0.4:80".parse().expect("an address")))
+            }
             _ => panic!("unknown event {event}"),
         }
     }
@@ -58,7 +61,7 @@
     fn commit(&mut self, name: &str, holds_lease: bool) {
         let proposal = self.proposed.remove(&name.parse().expect("a name")).expect("a proposal");
         self.apply(proposal.payload);
-        self.orders.committed(proposal.order, &self.state, holds_lease);
+        self.orders.committed(proposal.number, &self.state, holds_lease);
     }
 
     fn apply(&mut self, payload: Vec<u8>) {
@@ -71,23 +74,26 @@
         self.orders.expire(now);
         let mut results = Vec::new();
         while let Some(proposal) = self.orders.next_proposal(&self.state) {
-            results.push(format!("proposed {}", proposal.order));
-            self.proposed.insert(proposal.order, proposal);
+            results.push(format!("proposed {}", proposal.number));
+            self.proposed.insert(proposal.number, proposal);
         }
         results.extend(
-            self.orders.take_answers().into_iter().map(|(sent, answer)| format!("{sent} {}", show(&answer))),
+            self.orders
+                .take_responses()
+                .into_iter()
+                .map(|(sent, answer)| format!("{sent} {}", show(&answer))),
         );
         results.join(", ")
     }
 }
 
-fn show(answer: &Answer) -> String {
+fn show(answer: &Response) -> String {
     match answer {
-        Answer::Done => "done".to_string(),
-        Answer::Conflict { current } => format!("conflict {current}"),
-        Answer::Invalid(_) => "invalid".to_string(),
-        Answer::Unavailable => "unclear".to_string(),
-        Answer::Redirect(_) => "elsewhere".to_string(),
+        Response::Acknowledged => "done".to_string(),
+        Response::Conflict { current } => format!("conflict {current}"),
+        Response::Invalid(_) => "invalid".to_string(),
+        Response::Unavailable => "unclear".to_string(),
+        Response::Redirect(_) => "elsewhere".to_string(),
         other => panic!("not an answer to an order: {other:?}"),
     }
 }
@@ -216,10 +222,10 @@
 
 #[test]
 fn more_than_can_be_kept_is_sent_away() {
-    let mut orders = Orders::default();
-    let large = Order::Replace { base: 0, body: vec![0; 4_000_000] };
+    let mut orders = CommandQueue::default();
+    let large = Command::Replace { base: 0, body: vec![0; 4_000_000] };
     for number in 0..9 {
         orders.push(Duration::ZERO, large.clone(), number);
     }
-    assert_eq!(orders.take_answers(), [(8, Answer::Unavailable)]);
+    assert_eq!(orders.take_responses(), [(8, Response::Unavailable)]);
 }
--- a/crates/quillpulley/tests/control/peer_table.rs
+++ b/crates/quillpulley/tests/control/peer_table.rs
@@ -1,6 +1,6 @@
 //! The links between core processes: who is dialled when, and who is forgotten.
 
-use quillpulley::control::peer_table::{PeerChange, PeerTable};
+use quillpulley::control::replica_host::peer_table::{PeerChange, PeerTable};
 use quillpulley_protocol::{Hello, NodeId, PeerKind};
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -30,7 +30,7 @@
     let mut peer_table = PeerTable::new(ME);
     peer_table.learn(at(0), OTHER);
     assert_eq!(peer_table.due(at(0)), [OTHER]);
-    peer_table.dialled(OTHER, 1);
+    peer_table.connecting(OTHER, 1);
     assert!(peer_table.due(at(0)).is_empty());
     peer_table
 }
@@ -56,7 +56,7 @@
     let (before, after) = (NodeId::new(OTHER, 7), NodeId::new(OTHER, 8));
     peer_table.opened(1, hello(before));
     peer_table.closed(at(0), 1, NO_JITTER);
-    peer_table.dialled(OTHER, 2);
+    peer_table.connecting(OTHER, 2);
     assert_eq!(peer_table.opened(2, hello(after)), Some(PeerChange::Connected(after)));
     assert_eq!((peer_table.link_to(before), peer_table.link_to(after)), (None, Some(2)));
 }
@@ -70,7 +70,7 @@
         assert!(peer_table.due(at(now + pause - 1)).is_empty(), "{pause}");
         now += pause;
         assert_eq!(peer_table.due(at(now)), [OTHER], "{pause}");
-        peer_table.dialled(OTHER, 1);
+        peer_table.connecting(OTHER, 1);
     }
     peer_table.opened(1, hello(NodeId::new(OTHER, 7)));
     peer_table.closed(at(now), 1, NO_JITTER);
@@ -120,7 +120,7 @@
     let node = NodeId::new(OTHER, 7);
     assert_eq!(peer_table.accepted(at(20), 9, node), [1]);
     assert_eq!(peer_table.due(at(20)), [OTHER]);
-    peer_table.dialled(OTHER, 2);
+    peer_table.connecting(OTHER, 2);
     assert_eq!(peer_table.closed(at(21), 1, NO_JITTER), None);
     // Once is enough: both sides would call off each other's attempts for ever.
     assert_eq!(peer_table.accepted(at(30), 10, node), [9]);
--- a/crates/quillpulley/tests/control/platform.rs
+++ b/crates/quillpulley/tests/control/platform.rs
@@ -1,8 +1,8 @@
 //! Pages of the platform's list: what is read of them, and how they are fetched.
 
-use quillpulley::control::fetcher::Fetcher;
-use quillpulley::control::platform::{parse_page, PageError};
-use quillpulley::control::reader::{Fetch, FetchError};
+use quillpulley::control::discovery::fetcher::Fetcher;
+use quillpulley::control::discovery::page::{parse_page, PageError};
+use quillpulley::control::discovery::reader::{Fetch, FetchError};
 use quillpulley_protocol::ServerState;
 use std::net::SocketAddr;
 use std::sync::mpsc::{self, Receiver};
--- a/crates/quillpulley/tests/control/publisher.rs
+++ b/crates/quillpulley/tests/control/publisher.rs
@@ -1,6 +1,6 @@
 //! What the root publishes of the control state and of the core processes.
 
-use quillpulley::control::publisher::{control_node_changes, state_changes};
+use quillpulley::control::distribution::published_state::{control_node_changes, state_changes};
 use quillpulley_control_state::{ControlState, EvacuationDecision};
 use quillpulley_protocol::{ControlNode, Entry};
 use quillpulley_replication::StateMachine;
--- a/crates/quillpulley/tests/control/reader.rs
+++ b/crates/quillpulley/tests/control/reader.rs
@@ -8,8 +8,8 @@
 //! - `has N` sets how many servers are published; `reset` begins anew.
 //! - Results: `first`, `next T`, `complete N`, `failed` (after a success), `failed again`, `-`.
 
-use quillpulley::control::platform::{Page, PageError};
-use quillpulley::control::reader::{Fetch, FetchError, ListReader, Outcome, ReaderOptions};
+use quillpulley::control::discovery::page::{Page, PageError};
+use quillpulley::control::discovery::reader::{Fetch, FetchError, ListReader, Outcome, ReaderOptions};
 use quillpulley_protocol::{Server, ServerState};
 use std::time::Duration;
 
@@ -46,8 +46,8 @@
 }
 
 impl Bench {
-    fn fetched(&mut self, now: Duration, leading: bool, outcome: Result<Page, FetchError>) -> String {
-        match self.reader.fetched(now, leading, self.published, outcome) {
+    fn handle_page(&mut self, now: Duration, leading: bool, outcome: Result<Page, FetchError>) -> String {
+        match self.reader.handle_page(now, leading, self.published, outcome) {
             Outcome::Nothing => "-".to_string(),
             Outcome::Fetch(fetch) => show(&fetch),
             Outcome::Complete(reading) => format!("complete {}", reading.servers.len()),
@@ -61,13 +61,13 @@
         match kind {
             "tick" => self.reader.tick(now, true).map_or("-".to_string(), |fetch| show(&fetch)),
             "idle" => self.reader.tick(now, false).map_or("-".to_string(), |fetch| show(&fetch)),
-            "page" => self.fetched(now, true, Ok(page(rest))),
-            "late" => self.fetched(now, false, Ok(page(rest))),
-            "429" => self.fetched(now, true, Err(FetchError::RateLimited)),
-            "500" => self.fetched(now, true, Err(FetchError::Status(500))),
+            "page" => self.handle_page(now, true, Ok(page(rest))),
+            "late" => self.handle_page(now, false, Ok(page(rest))),
+            "429" => self.handle_page(now, true, Err(FetchError::RateLimited)),
+            "500" => self.handle_page(now, true, Err(FetchError::Status(500))),
             "broken" => {
                 let error = PageError::Missing("Instances").to_string();
-                self.fetched(now, true, Err(FetchError::Unreadable(error)))
+                self.handle_page(now, true, Err(FetchError::Unreadable(error)))
             }
             "has" => {
                 self.published = rest.parse().expect("a count");
