--- a/crates/quillpulley/tests/control/relay.rs
+++ b/crates/quillpulley/tests/control/relay.rs
@@ -1,6 +1,6 @@
 //! Who is whose parent among the core processes.
 
-use quillpulley::control::relay::{ChildFrame, ParentChange, Relay};
+use quillpulley::control::distribution::control_topology::{ChildMessage, ControlTopology, ParentChange};
 use quillpulley_protocol::{Body, NodeId, Report, Revision, Subscribe};
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -32,7 +32,7 @@
 
 #[test]
 fn the_primary_that_was_heard_is_the_parent() {
-    let mut relay = Relay::default();
+    let mut relay = ControlTopology::default();
     let moved = |milliseconds| Some(at(milliseconds));
     assert_eq!(relay.choose_parent(at(0), None, None, |_| true), None);
     assert_eq!(relay.choose_parent(at(10), Some(node(1)), None, |_| true), Some(ParentChange::Up));
@@ -46,7 +46,7 @@
 
 #[test]
 fn a_parent_that_cannot_be_reached_is_none() {
-    let mut relay = Relay::default();
+    let mut relay = ControlTopology::default();
     assert_eq!(relay.choose_parent(at(0), Some(node(1)), None, |_| false), None);
     relay.choose_parent(at(10), Some(node(1)), None, |_| true);
     assert_eq!(relay.choose_parent(at(20), Some(node(1)), None, |_| false), Some(ParentChange::Down));
@@ -56,7 +56,7 @@
 
 #[test]
 fn a_parent_that_brings_nothing_new_is_asked_anew_every_second() {
-    let mut relay = Relay::default();
+    let mut relay = ControlTopology::default();
     let mut choose = |now, moved| relay.choose_parent(at(now), Some(node(1)), Some(at(moved)), |_| true);
     assert_eq!(choose(100, 0), Some(ParentChange::Up));
     assert_eq!(choose(1099, 0), None);
@@ -68,38 +68,41 @@
 
 #[test]
 fn who_applies_too_early_becomes_a_child_at_the_election() {
-    let mut relay = Relay::default();
+    let mut relay = ControlTopology::default();
     for body in [subscription(), report(false, 1), report(true, 2)] {
-        assert_eq!(relay.child_frame(node(2), body), ChildFrame::Kept);
+        assert_eq!(relay.handle_child_message(node(2), body), ChildMessage::Pending);
     }
-    assert_eq!(relay.child_frame(node(3), subscription()), ChildFrame::Kept);
+    assert_eq!(relay.handle_child_message(node(3), subscription()), ChildMessage::Pending);
     relay.become_root();
-    assert!(relay.adopt(|_| false).is_empty());
+    assert!(relay.admit_pending(|_| false).is_empty());
     let kept = vec![subscription(), report(false, 1), report(true, 2)];
-    assert_eq!(relay.adopt(|_| true), [(node(2), kept)]);
-    assert_eq!(relay.child_frame(node(2), report(true, 3)), ChildFrame::Take(report(true, 3)));
-    assert!(relay.lost(node(2)));
-    assert!(!relay.lost(node(2)));
+    assert_eq!(relay.admit_pending(|_| true), [(node(2), kept)]);
+    assert_eq!(
+        relay.handle_child_message(node(2), report(true, 3)),
+        ChildMessage::FromChild(report(true, 3))
+    );
+    assert!(relay.remove(node(2)));
+    assert!(!relay.remove(node(2)));
 }
 
 #[test]
 fn reports_without_their_beginning_are_not_kept() {
-    let mut relay = Relay::default();
-    relay.child_frame(node(2), report(true, 1));
-    relay.child_frame(node(2), subscription());
-    assert!(relay.adopt(|_| true).is_empty());
-    relay.child_frame(node(2), report(false, 2));
-    assert_eq!(relay.adopt(|_| true), [(node(2), vec![subscription(), report(false, 2)])]);
+    let mut relay = ControlTopology::default();
+    relay.handle_child_message(node(2), report(true, 1));
+    relay.handle_child_message(node(2), subscription());
+    assert!(relay.admit_pending(|_| true).is_empty());
+    relay.handle_child_message(node(2), report(false, 2));
+    assert_eq!(relay.admit_pending(|_| true), [(node(2), vec![subscription(), report(false, 2)])]);
 }
 
 #[test]
 fn a_root_that_resigns_has_no_core_process_as_a_child() {
-    let mut relay = Relay::default();
+    let mut relay = ControlTopology::default();
     relay.become_root();
-    relay.child_frame(node(2), subscription());
-    relay.child_frame(node(2), report(false, 1));
-    relay.adopt(|_| true);
+    relay.handle_child_message(node(2), subscription());
+    relay.handle_child_message(node(2), report(false, 1));
+    relay.admit_pending(|_| true);
     assert_eq!(relay.leave_root(), [node(2)]);
-    assert_eq!(relay.child_frame(node(2), report(true, 1)), ChildFrame::Kept);
-    assert!(relay.adopt(|_| true).is_empty());
+    assert_eq!(relay.handle_child_message(node(2), report(true, 1)), ChildMessage::Pending);
+    assert!(relay.admit_pending(|_| true).is_empty());
 }
--- a/crates/quillpulley/tests/control/servers.rs
+++ b/crates/quillpulley/tests/control/servers.rs
@@ -4,8 +4,8 @@
 //! server is written as its id with what is special: `*` draining, `wN` cold for N ms, `tN` N ms left to it,
 //! `?` an entry that cannot be read, `@b` at another address. Published is shown likewise, `-x` for gone.
 
-use quillpulley::control::platform::Reading;
-use quillpulley::control::servers::PublishedServers;
+use quillpulley::control::discovery::page::Reading;
+use quillpulley::control::discovery::published_servers::PublishedServers;
 use quillpulley_protocol::{decode_value, encode_value, Server, ServerRef, ServerState};
 use quillpulley_serving_config::published::server_key;
 use quillpulley_state_sync::Change;
--- a/crates/quillpulley/tests/control/tree.rs
+++ b/crates/quillpulley/tests/control/tree.rs
@@ -1,7 +1,7 @@
 //! Core processes as the top of the relay tree, with a platform, agents and clients that look for a proxy.
 
 use crate::agent::Agents;
-use crate::cluster::{Call, Cluster};
+use crate::cluster::{Cluster, Operation};
 use crate::configuration;
 use quillpulley_protocol::{decode_value, ConfigHead, ConfigHeadRef, Server, ServerRef, ServerState};
 use quillpulley_serving_config::published::{
@@ -63,7 +63,7 @@
 fn agents_learn_all_that_is_published_from_any_core_process() {
     let platform = Platform::start(&["i-1 ready", "i-2 ready", "i-3 ready"]);
     let mut cluster = Cluster::start(3, Some(platform.address));
-    assert_eq!(cluster.order(&Call::replace(0, configuration("5"))).status, 200);
+    assert_eq!(cluster.order(&Operation::replace(0, configuration("5"))).status, 200);
     let primary = cluster.primary();
     let control_nodes: Vec<String> = (0..3).map(|index| control_node_key(cluster.address(index))).collect();
     let mut agents = Agents::connect("zone-0", (0..3).map(|index| cluster.link(index)));
@@ -74,7 +74,7 @@
     });
 
     platform.set(&["i-1 draining", "i-2 ready"]);
-    assert_eq!(cluster.order(&Call::evacuate("zone-0")).status, 200);
+    assert_eq!(cluster.order(&Operation::evacuate("zone-0")).status, 200);
     agents.until("a server that drains", |feed| server_state(feed, "i-1") == Some(ServerState::Draining));
     agents.until("a server that is gone", |feed| server_state(feed, "i-3").is_none());
     agents.until("an evacuation", |feed| feed.store().get(&evacuated_key("zone-0")).is_some());
@@ -83,7 +83,7 @@
     agents.keep((primary + 1) % 3);
     let epoch = agents.epoch();
     cluster.kill(primary);
-    assert_eq!(cluster.order(&Call::replace(5, configuration("6"))).status, 200);
+    assert_eq!(cluster.order(&Operation::replace(5, configuration("6"))).status, 200);
     agents.until("the next configuration", |feed| version(feed) == Some(6) && feed.revision().epoch > epoch);
     agents.until("the servers still", |feed| server_state(feed, "i-2") == Some(ServerState::Ready));
 }
@@ -94,13 +94,13 @@
     let mut agents = Agents::connect("zone-0", (0..2).map(|index| cluster.link(index)));
     let is_known = |feed: &FeedNode<()>, name: &str| feed.store().get(&endpoint_key(name)).is_some();
     agents.until("both fronts", |feed| is_known(feed, "front-0") && is_known(feed, "front-1"));
-    let told = |cluster: &Cluster, index| {
-        let told = cluster.resolve(index, "zone-0")?;
-        (told.status == 200).then(|| String::from_utf8(told.body).expect("text"))
+    let announced = |cluster: &Cluster, index| {
+        let announced = cluster.resolve(index, "zone-0")?;
+        (announced.status == 200).then(|| String::from_utf8(announced.body).expect("text"))
     };
     for index in 0..3 {
         cluster.until("both fronts in the directory", |cluster| {
-            let body = told(cluster, index)?;
+            let body = announced(cluster, index)?;
             (body.contains("front-0:80") && body.contains("front-1:80")).then_some(())
         });
     }
@@ -108,7 +108,7 @@
     agents.until("a front that is gone", |feed| is_known(feed, "front-0") && !is_known(feed, "front-1"));
     for index in 0..3 {
         cluster.until("one front in the directory", |cluster| {
-            let body = told(cluster, index)?;
+            let body = announced(cluster, index)?;
             (body.contains("front-0:80") && !body.contains("front-1:80")).then_some(())
         });
     }
--- a/crates/quillpulley/tests/operators/checker.rs
+++ b/crates/quillpulley/tests/operators/checker.rs
@@ -2,7 +2,7 @@
 
 use super::node::CallId;
 use super::orders::Wish;
-use quillpulley::control::orders::Answer;
+use quillpulley::control::response::Response;
 use quillpulley_control_state::ControlState;
 use quillpulley_protocol::Entry;
 use quillpulley_replication::StateMachine;
@@ -10,7 +10,7 @@
 
 /// A call as it was sent.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct Operation {
     pub wish: Wish,
     pub sent_at: u64,
     /// The newest version that was acknowledged to anybody when it was sent.
@@ -46,7 +46,7 @@
     fates: BTreeMap<Change, Fate>,
     acknowledged_on: BTreeMap<u64, Vec<u8>>,
     newest_acknowledged: u64,
-    pub calls: Vec<Call>,
+    pub calls: Vec<Operation>,
     /// What the only operator of a zone was told last, with no order of its own under way.
     promised: BTreeMap<String, bool>,
     pub answers: BTreeMap<&'static str, usize>,
@@ -62,14 +62,15 @@
             self.promised.remove(zone);
         }
         let newest = self.newest_acknowledged;
-        self.calls.push(Call { wish: wish.clone(), sent_at: now, newest, open: true });
+        self.calls.push(Operation { wish: wish.clone(), sent_at: now, newest, open: true });
         self.calls.len() - 1
     }
 
     /// Whether a process may still act on an order for the zone.
     pub fn has_open_evacuation(&self, wanted: &str) -> bool {
-        let is_open =
-            |call: &Call| call.open && matches!(&call.wish, Wish::Evacuate { zone, .. } if zone == wanted);
+        let is_open = |call: &Operation| {
+            call.open && matches!(&call.wish, Wish::Evacuate { zone, .. } if zone == wanted)
+        };
         self.calls.iter().any(is_open)
     }
 
@@ -113,13 +114,13 @@
     }
 
     /// A call was answered, or its process has ended.
-    pub fn ended(&mut self, now: u64, call: CallId, answer: Option<&Answer>) {
+    pub fn ended(&mut self, now: u64, call: CallId, answer: Option<&Response>) {
         assert!(std::mem::replace(&mut self.calls[call].open, false), "a call is answered twice");
-        let Call { wish, newest, sent_at, .. } = self.calls[call].clone();
+        let Operation { wish, newest, sent_at, .. } = self.calls[call].clone();
         if let Some(answer) = answer {
             *self.answers.entry(name(answer)).or_default() += 1;
             self.check_answer(&wish, newest, answer);
-            if !matches!(answer, Answer::Unavailable | Answer::Redirect(_)) && wish != Wish::Read {
+            if !matches!(answer, Response::Unavailable | Response::Redirect(_)) && wish != Wish::Read {
                 self.bury(sent_at);
             }
         }
@@ -128,26 +129,28 @@
         }
     }
 
-    fn check_answer(&mut self, wish: &Wish, newest: u64, answer: &Answer) {
+    fn check_answer(&mut self, wish: &Wish, newest: u64, answer: &Response) {
         match (wish, answer) {
-            (_, Answer::Unavailable | Answer::Redirect(_)) => {}
-            (Wish::Replace { base, version, body, valid }, Answer::Done) => {
+            (_, Response::Unavailable | Response::Redirect(_)) => {}
+            (Wish::Replace { base, version, body, valid }, Response::Acknowledged) => {
                 assert!(*valid, "an invalid configuration on {base} is acknowledged");
                 self.acknowledge(*base, *version, body);
             }
-            (Wish::Replace { base, body, .. }, Answer::Conflict { current }) => {
+            (Wish::Replace { base, body, .. }, Response::Conflict { current }) => {
                 assert!(*current >= newest, "refused for version {current}, older than {newest}");
                 self.refuse(*base, body);
             }
-            (Wish::Replace { base, body, valid, .. }, Answer::Invalid(why)) => {
+            (Wish::Replace { base, body, valid, .. }, Response::Invalid(why)) => {
                 assert!(!valid, "a valid configuration on {base} is refused: {why}");
                 self.refuse(*base, body);
             }
-            (Wish::Evacuate { zone, active }, Answer::Done) => {
+            (Wish::Evacuate { zone, active }, Response::Acknowledged) => {
                 assert_eq!(self.state.is_evacuated(zone), *active, "an evacuation of {zone} is not in force");
             }
-            (Wish::Read, Answer::NoConfiguration) => assert_eq!(newest, 0, "a read misses version {newest}"),
-            (Wish::Read, Answer::Configuration(body)) => {
+            (Wish::Read, Response::NoConfiguration) => {
+                assert_eq!(newest, 0, "a read misses version {newest}")
+            }
+            (Wish::Read, Response::Configuration(body)) => {
                 let found = self.versions.iter().rev().find(|(_, known)| known[..] == body[..]);
                 let (version, _) = found.expect("what is read was in force");
                 assert!(*version >= newest, "a read of version {version} is older than {newest}");
@@ -216,14 +219,14 @@
     }
 }
 
-fn name(answer: &Answer) -> &'static str {
+fn name(answer: &Response) -> &'static str {
     match answer {
-        Answer::Done => "done",
-        Answer::Conflict { .. } => "conflict",
-        Answer::Invalid(_) => "invalid",
-        Answer::Redirect(_) => "redirect",
-        Answer::Unavailable => "unclear",
-        Answer::Forgotten { .. } => "forgotten",
-        Answer::Configuration(_) | Answer::NoConfiguration | Answer::Status(_) => "read",
+        Response::Acknowledged => "done",
+        Response::Conflict { .. } => "conflict",
+        Response::Invalid(_) => "invalid",
+        Response::Redirect(_) => "redirect",
+        Response::Unavailable => "unclear",
+        Response::HistoryExpired { .. } => "forgotten",
+        Response::Configuration(_) | Response::NoConfiguration | Response::Status(_) => "read",
     }
 }
--- a/crates/quillpulley/tests/operators/faults.rs
+++ b/crates/quillpulley/tests/operators/faults.rs
@@ -47,8 +47,8 @@
         slot.connections.clear();
         slot.broken_since.clear();
         slot.held.clear();
-        for call in 0..self.called.len() {
-            if self.called[call] == machine && self.checker.calls[call].open {
+        for call in 0..self.handle_request.len() {
+            if self.handle_request[call] == machine && self.checker.calls[call].open {
                 self.end_call(call, None);
             }
         }
@@ -86,7 +86,7 @@
         let life = slot.life;
         let waiting = slot.write.as_ref().map(|(ticket, _)| *ticket);
         if let (Some(ticket), true) = (waiting, mode != DiskMode::Hangs) {
-            self.plan(2, Happening::Stored { machine, life, ticket });
+            self.plan(2, Happening::WriteCompletion { machine, life, ticket });
         }
     }
 
@@ -102,13 +102,13 @@
 
     /// The machine that holds the lease and is not frozen.
     pub fn leader(&self) -> Option<usize> {
-        let leads = |machine: &usize| {
+        let is_leader = |machine: &usize| {
             let now = self.local(*machine);
             let slot = &self.machines[*machine];
             let role = slot.node.as_ref().map(|node| node.replica.role(now));
             !slot.frozen && matches!(role, Some(Role::Primary { holds_lease: true, .. }))
         };
-        (0..self.machines.len()).find(leads)
+        (0..self.machines.len()).find(is_leader)
     }
 
     /// Whether every machine runs, is a member and a witness, so that one may lose its disk.
--- a/crates/quillpulley/tests/operators/node.rs
+++ b/crates/quillpulley/tests/operators/node.rs
@@ -1,6 +1,7 @@
 //! One core process: a replica and the orders of operators, put together as the host does it.
 
-use quillpulley::control::orders::{Answer, Order, Orders};
+use quillpulley::control::commands::{Command, CommandQueue};
+use quillpulley::control::response::Response;
 use quillpulley_control_state::{ControlState, EvacuationDecision, ReplaceDecision};
 use quillpulley_protocol::{
     decode_value, encode_value, Body, ControlSnapshot, ControlSnapshotRef, Entry, NodeId,
@@ -31,7 +32,7 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     Event(Event),
-    Order(CallId, Order),
+    Command(CallId, Command),
     Read(CallId),
 }
 
@@ -45,15 +46,15 @@
         index: u64,
         entry: Option<Entry>,
     },
-    Answer(CallId, Answer),
+    Response(CallId, Response),
 }
 
 pub struct Node {
     me: NodeId,
     fault: Fault,
     pub replica: Replica<ControlState>,
-    orders: Orders<CallId>,
-    leads: bool,
+    orders: CommandQueue<CallId>,
+    is_leader: bool,
     /// Whether it was the primary, with the lease or without, when that was last looked at.
     was_primary: bool,
     /// The entries that it has taken, by index.
@@ -72,8 +73,8 @@
             me,
             fault,
             replica: replica.expect("a sound disk"),
-            orders: Orders::default(),
-            leads: false,
+            orders: CommandQueue::default(),
+            is_leader: false,
             was_primary: false,
             log,
             overlapping: BTreeMap::new(),
@@ -91,11 +92,11 @@
                     self.orders.expire(now);
                 }
             }
-            Input::Order(call, order) => self.ordered(now, call, order),
+            Input::Command(call, order) => self.ordered(now, call, order),
             Input::Read(call) => {
                 self.update_leadership(now);
-                let answer = if self.leads { self.configuration() } else { self.elsewhere(now) };
-                self.outputs.push(Output::Answer(call, answer));
+                let answer = if self.is_leader { self.configuration() } else { self.redirect(now) };
+                self.outputs.push(Output::Response(call, answer));
             }
         }
         self.settle(now);
@@ -106,11 +107,11 @@
         self.replica.holds_lease(now)
     }
 
-    fn ordered(&mut self, now: Duration, call: CallId, order: Order) {
+    fn ordered(&mut self, now: Duration, call: CallId, order: Command) {
         self.update_leadership(now);
-        if !self.leads {
-            let answer = self.elsewhere(now);
-            self.outputs.push(Output::Answer(call, answer));
+        if !self.is_leader {
+            let answer = self.redirect(now);
+            self.outputs.push(Output::Response(call, answer));
         } else if self.fault == Fault::Overlapping {
             self.decide_at_once(now, call, &order);
         } else {
@@ -131,31 +132,31 @@
 
     fn update_leadership(&mut self, now: Duration) {
         self.check_inherited(now);
-        let leads = if self.fault == Fault::NoLease {
-            self.leads && self.replica.view().is_some_and(|view| view.primary == self.me)
+        let is_leader = if self.fault == Fault::NoLease {
+            self.is_leader && self.replica.view().is_some_and(|view| view.primary == self.me)
                 || self.holds_lease(now)
         } else {
             self.holds_lease(now)
         };
-        if self.leads && !leads {
-            let answer = self.elsewhere(now);
+        if self.is_leader && !is_leader {
+            let answer = self.redirect(now);
             self.orders.abandon(&answer);
         }
-        self.leads = leads;
+        self.is_leader = is_leader;
     }
 
     fn settle(&mut self, now: Duration) {
         self.update_leadership(now);
         while let Some(proposal) = self.next_proposal(now) {
-            self.replicate(now, Event::Propose { proposal: proposal.order, payload: proposal.payload });
+            self.replicate(now, Event::Propose { proposal: proposal.number, payload: proposal.payload });
         }
-        let answers = self.orders.take_answers();
-        self.outputs.extend(answers.into_iter().map(|(call, answer)| Output::Answer(call, answer)));
+        let answers = self.orders.take_responses();
+        self.outputs.extend(answers.into_iter().map(|(call, answer)| Output::Response(call, answer)));
     }
 
-    fn next_proposal(&mut self, now: Duration) -> Option<quillpulley::control::orders::Proposal> {
+    fn next_proposal(&mut self, now: Duration) -> Option<quillpulley::control::commands::Proposal> {
         match self.fault {
-            Fault::NoLease if self.leads => self.orders.next_proposal(self.replica.state()),
+            Fault::NoLease if self.is_leader => self.orders.next_proposal(self.replica.state()),
             Fault::OpenOrders if self.holds_lease(now) => self.orders.next_proposal(self.replica.state()),
             Fault::NoLease | Fault::OpenOrders => None,
             _ if self.holds_lease(now) => self.orders.next_for(&self.replica),
@@ -187,12 +188,12 @@
                 let holds_lease = self.holds_lease(now);
                 self.orders.committed(proposal, self.replica.state(), holds_lease);
                 let overlapping = self.overlapping.remove(&proposal);
-                self.outputs.extend(overlapping.map(|call| Output::Answer(call, Answer::Done)));
+                self.outputs.extend(overlapping.map(|call| Output::Response(call, Response::Acknowledged)));
             }
             Action::Rejected { proposal, .. } => {
                 self.orders.failed(proposal);
                 let overlapping = self.overlapping.remove(&proposal);
-                self.outputs.extend(overlapping.map(|call| Output::Answer(call, Answer::Unavailable)));
+                self.outputs.extend(overlapping.map(|call| Output::Response(call, Response::Unavailable)));
             }
             Action::RoleChanged(_) => {}
         }
@@ -204,36 +205,36 @@
         self.log.extend(entries.iter().map(|entry| (entry.index, entry.clone())));
     }
 
-    fn configuration(&self) -> Answer {
+    fn configuration(&self) -> Response {
         let body = self.replica.state().body();
-        body.map_or(Answer::NoConfiguration, |body| Answer::Configuration(body.into()))
+        body.map_or(Response::NoConfiguration, |body| Response::Configuration(body.into()))
     }
 
-    fn elsewhere(&self, now: Duration) -> Answer {
+    fn redirect(&self, now: Duration) -> Response {
         let primary = self.replica.primary_hint(now).filter(|primary| *primary != self.me);
-        primary.map_or(Answer::Unavailable, |primary| {
-            Answer::Redirect(SocketAddr::from((primary.address(), 80)))
+        primary.map_or(Response::Unavailable, |primary| {
+            Response::Redirect(SocketAddr::from((primary.address(), 80)))
         })
     }
 
     /// What the fault with overlapping orders does with one.
-    fn decide_at_once(&mut self, now: Duration, call: CallId, order: &Order) {
+    fn decide_at_once(&mut self, now: Duration, call: CallId, order: &Command) {
         let state = self.replica.state();
         let decision = match order {
-            Order::Replace { base, body } => match state.decide_replace(*base, body) {
+            Command::Replace { base, body } => match state.decide_replace(*base, body) {
                 ReplaceDecision::Propose(payload) => Err(payload),
-                ReplaceDecision::AlreadyApplied => Ok(Answer::Done),
-                ReplaceDecision::Conflict { current } => Ok(Answer::Conflict { current }),
-                ReplaceDecision::HistoryExpired { oldest } => Ok(Answer::Forgotten { oldest }),
-                ReplaceDecision::Invalid(error) => Ok(Answer::Invalid(error.to_string())),
+                ReplaceDecision::AlreadyApplied => Ok(Response::Acknowledged),
+                ReplaceDecision::Conflict { current } => Ok(Response::Conflict { current }),
+                ReplaceDecision::HistoryExpired { oldest } => Ok(Response::HistoryExpired { oldest }),
+                ReplaceDecision::Invalid(error) => Ok(Response::Invalid(error.to_string())),
             },
-            Order::Evacuate { zone, active } => match state.decide_evacuation(zone, *active) {
-                EvacuationDecision::AlreadyInEffect => Ok(Answer::Done),
+            Command::Evacuate { zone, active } => match state.decide_evacuation(zone, *active) {
+                EvacuationDecision::AlreadyInEffect => Ok(Response::Acknowledged),
                 EvacuationDecision::Propose(payload) => Err(payload),
             },
         };
         match decision {
-            Ok(answer) => self.outputs.push(Output::Answer(call, answer)),
+            Ok(answer) => self.outputs.push(Output::Response(call, answer)),
             Err(payload) => {
                 let name = call as u64 + 1;
                 self.overlapping.insert(name, call);
--- a/crates/quillpulley/tests/operators/operator.rs
+++ b/crates/quillpulley/tests/operators/operator.rs
@@ -3,7 +3,7 @@
 use super::node::CallId;
 use super::orders::{Wish, INVALID_KINDS};
 use super::world::{address, World};
-use quillpulley::control::orders::Answer;
+use quillpulley::control::response::Response;
 use std::net::IpAddr;
 
 /// How long an operator waits for an answer before it sends again.
@@ -80,16 +80,16 @@
     }
 
     /// Handles an answer; says whether the work is done.
-    fn take_answer(&mut self, world: &mut World, work: &mut Work, answer: Option<Answer>) -> bool {
+    fn take_answer(&mut self, world: &mut World, work: &mut Work, answer: Option<Response>) -> bool {
         match answer {
-            Some(Answer::Redirect(to)) if work.redirects < MOST_REDIRECTS => {
+            Some(Response::Redirect(to)) if work.redirects < MOST_REDIRECTS => {
                 work.redirects += 1;
                 let found =
                     (0..world.machines.len()).find(|machine| IpAddr::V4(address(*machine)) == to.ip());
                 send(world, work, found.expect("a redirect to a machine that there is"));
                 false
             }
-            None | Some(Answer::Redirect(_) | Answer::Unavailable | Answer::Forgotten { .. }) => {
+            None | Some(Response::Redirect(_) | Response::Unavailable | Response::HistoryExpired { .. }) => {
                 work.redirects = 0;
                 work.next_at = world.now + world.random.u64(1..LONGEST_PAUSE_MS);
                 false
@@ -102,12 +102,12 @@
         }
     }
 
-    fn learn(&mut self, world: &mut World, wish: &Wish, answer: &Answer) {
+    fn learn(&mut self, world: &mut World, wish: &Wish, answer: &Response) {
         match (wish, answer) {
-            (Wish::Replace { version, .. }, Answer::Done) => self.known = self.known.max(*version),
-            (_, Answer::Conflict { current }) => self.known = *current,
-            (Wish::Evacuate { zone, active }, Answer::Done) => world.checker.promise(zone, *active),
-            (Wish::Read, Answer::Configuration(_)) => {
+            (Wish::Replace { version, .. }, Response::Acknowledged) => self.known = self.known.max(*version),
+            (_, Response::Conflict { current }) => self.known = *current,
+            (Wish::Evacuate { zone, active }, Response::Acknowledged) => world.checker.promise(zone, *active),
+            (Wish::Read, Response::Configuration(_)) => {
                 self.known = world.checker.recent_versions().last().copied().unwrap_or(0);
             }
             _ => {}
--- a/crates/quillpulley/tests/operators/orders.rs
+++ b/crates/quillpulley/tests/operators/orders.rs
@@ -1,6 +1,6 @@
 //! What operators send: valid configurations, invalid ones of each kind, and evacuations.
 
-use quillpulley::control::orders::Order;
+use quillpulley::control::commands::Command;
 
 /// What an operator asks for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -40,10 +40,12 @@
     }
 
     /// The order that it is for the processes; none for a read.
-    pub fn order(&self) -> Option<Order> {
+    pub fn order(&self) -> Option<Command> {
         match self {
-            Wish::Replace { base, body, .. } => Some(Order::Replace { base: *base, body: body.clone() }),
-            Wish::Evacuate { zone, active } => Some(Order::Evacuate { zone: zone.clone(), active: *active }),
+            Wish::Replace { base, body, .. } => Some(Command::Replace { base: *base, body: body.clone() }),
+            Wish::Evacuate { zone, active } => {
+                Some(Command::Evacuate { zone: zone.clone(), active: *active })
+            }
             Wish::Read => None,
         }
     }
--- a/crates/quillpulley/tests/operators/scenarios.rs
+++ b/crates/quillpulley/tests/operators/scenarios.rs
@@ -4,7 +4,7 @@
 use super::node::{CallId, Fault};
 use super::orders::Wish;
 use super::world::World;
-use quillpulley::control::orders::Answer;
+use quillpulley::control::response::Response;
 
 /// The moments after the sending of an order at which trouble strikes, in milliseconds: up to its answer.
 const MOMENTS: std::ops::Range<u64> = 0..80;
@@ -17,26 +17,26 @@
 fn with_version_5(seed: u64) -> (World, usize) {
     let mut world = World::new(seed, 3, NetworkOptions::default(), Fault::None);
     assert!(world.run_until(ELECTION_MS, |world| world.is_whole()));
-    assert_eq!(insist(&mut world, &Wish::valid(0, 5, "first")), Answer::Done);
+    assert_eq!(insist(&mut world, &Wish::valid(0, 5, "first")), Response::Acknowledged);
     let leader = world.leader().expect("a leader");
     (world, leader)
 }
 
 /// Sends an order to one machine after the other until its answer is clear.
-fn insist(world: &mut World, wish: &Wish) -> Answer {
+fn insist(world: &mut World, wish: &Wish) -> Response {
     let mut answer = None;
     for send in 0..SENDS {
         let call = world.call(send % world.machines.len(), wish);
         answer = outcome(world, call);
         match &answer {
-            None | Some(Answer::Unavailable | Answer::Redirect(_)) => world.run_for(100),
+            None | Some(Response::Unavailable | Response::Redirect(_)) => world.run_for(100),
             Some(clear) => return clear.clone(),
         }
     }
     panic!("no clear answer to an order, the last is {answer:?}");
 }
 
-fn outcome(world: &mut World, call: CallId) -> Option<Answer> {
+fn outcome(world: &mut World, call: CallId) -> Option<Response> {
     world.run_until(ANSWER_MS, |world| world.answer(call).is_some());
     world.answer(call).cloned().flatten()
 }
@@ -48,9 +48,9 @@
     entries.iter().any(|entry| entry.payload.windows(body.len()).any(|bytes| bytes == body))
 }
 
-fn exactly_one_won(one: &Answer, other: &Answer) -> bool {
-    let refused = |answer: &Answer| matches!(answer, Answer::Conflict { .. });
-    *one == Answer::Done && refused(other) || *other == Answer::Done && refused(one)
+fn exactly_one_won(one: &Response, other: &Response) -> bool {
+    let refused = |answer: &Response| matches!(answer, Response::Conflict { .. });
+    *one == Response::Acknowledged && refused(other) || *other == Response::Acknowledged && refused(one)
 }
 
 //    operator | 7 on 5 |       |           | again, to any machine: done
@@ -64,8 +64,8 @@
         world.call(leader, &order);
         world.run_for(moment);
         world.kill(leader);
-        assert_eq!(insist(&mut world, &order), Answer::Done, "killed after {moment} ms");
-        assert_eq!(insist(&mut world, &order), Answer::Done, "killed after {moment} ms");
+        assert_eq!(insist(&mut world, &order), Response::Acknowledged, "killed after {moment} ms");
+        assert_eq!(insist(&mut world, &order), Response::Acknowledged, "killed after {moment} ms");
         assert_eq!(world.checker.changes(), 2, "killed after {moment} ms");
     }
 }
@@ -112,8 +112,8 @@
         assert!(exactly_one_won(&first, &second), "cut off after {moment} ms: {first:?}, {second:?}");
         world.run_until(ELECTION_MS, |world| !is_on_disk(world, leader, &one));
         let is_there = is_on_disk(&world, leader, &one);
-        assert!(!is_there || first == Answer::Done, "cut off after {moment} ms: the entry stays");
-        cut_entries += usize::from(was_appended && !is_there && second == Answer::Done);
+        assert!(!is_there || first == Response::Acknowledged, "cut off after {moment} ms: the entry stays");
+        cut_entries += usize::from(was_appended && !is_there && second == Response::Acknowledged);
     }
     assert!(cut_entries > 0, "no entry of the old leader was cut off");
 }
@@ -132,9 +132,9 @@
         assert!(world.run_until(ELECTION_MS, moved), "cut off after {moment} ms");
         let new = world.leader().expect("a leader");
         let call = world.call(new, &order);
-        assert_eq!(outcome(&mut world, call), Some(Answer::Done), "cut off after {moment} ms");
+        assert_eq!(outcome(&mut world, call), Some(Response::Acknowledged), "cut off after {moment} ms");
         world.network.join_all();
-        assert_eq!(insist(&mut world, &order), Answer::Done, "cut off after {moment} ms");
+        assert_eq!(insist(&mut world, &order), Response::Acknowledged, "cut off after {moment} ms");
         assert_eq!(world.checker.changes(), 2, "cut off after {moment} ms");
     }
 }
@@ -149,10 +149,10 @@
         world.call((leader + 1) % 3, &order);
         world.run_for(moment);
         world.kill(leader);
-        assert_eq!(insist(&mut world, &order), Answer::Done);
+        assert_eq!(insist(&mut world, &order), Response::Acknowledged);
         world.start(leader);
-        assert_eq!(insist(&mut world, &order), Answer::Done);
-        assert_eq!(insist(&mut world, &Wish::valid(5, 7, "b")), Answer::Conflict { current: 7 });
+        assert_eq!(insist(&mut world, &order), Response::Acknowledged);
+        assert_eq!(insist(&mut world, &Wish::valid(5, 7, "b")), Response::Conflict { current: 7 });
     }
 }
 
@@ -162,16 +162,16 @@
     let (mut world, _) = with_version_5(1);
     let orders: Vec<Wish> = (5..35).map(|base| Wish::valid(base, base + 1, "a")).collect();
     for order in &orders {
-        assert_eq!(insist(&mut world, order), Answer::Done);
+        assert_eq!(insist(&mut world, order), Response::Acknowledged);
     }
     for round in 0..3 {
         (0..3).for_each(|machine| world.kill(machine));
         (0..3).for_each(|machine| world.start(machine));
         for order in &orders {
-            assert_eq!(insist(&mut world, order), Answer::Done, "round {round}");
+            assert_eq!(insist(&mut world, order), Response::Acknowledged, "round {round}");
         }
         let loser = Wish::valid(20, 21, "b");
-        assert_eq!(insist(&mut world, &loser), Answer::Conflict { current: 35 }, "round {round}");
+        assert_eq!(insist(&mut world, &loser), Response::Conflict { current: 35 }, "round {round}");
     }
 }
 
@@ -187,7 +187,11 @@
             world.run_for(moment);
             world.kill(leader);
             for _ in 0..2 {
-                assert_eq!(insist(&mut world, &evacuate(active)), Answer::Done, "killed after {moment} ms");
+                assert_eq!(
+                    insist(&mut world, &evacuate(active)),
+                    Response::Acknowledged,
+                    "killed after {moment} ms"
+                );
                 assert_eq!(world.checker.state.is_evacuated("z"), active, "killed after {moment} ms");
             }
             assert!(!world.checker.calls[call].open);
--- a/crates/quillpulley/tests/operators/world.rs
+++ b/crates/quillpulley/tests/operators/world.rs
@@ -6,7 +6,7 @@
 use super::node::{CallId, Fault, Input, Node, Output};
 use super::operator::Operator;
 use super::orders::Wish;
-use quillpulley::control::orders::Answer;
+use quillpulley::control::response::Response;
 use quillpulley_protocol::{Body, NodeId};
 use quillpulley_replication::{Event, Locality, Write, WriteFailed};
 use std::cmp::Reverse;
@@ -41,9 +41,9 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Happening {
     Deliver { to: usize, id: NodeId, from: NodeId, body: Body },
-    Stored { machine: usize, life: u64, ticket: u64 },
+    WriteCompletion { machine: usize, life: u64, ticket: u64 },
     Tick { machine: usize, life: u64 },
-    Call { machine: usize, call: CallId },
+    Operation { machine: usize, call: CallId },
     Poll { operator: usize },
 }
 
@@ -56,12 +56,12 @@
     pub checker: Checker,
     pub operators: Vec<Operator>,
     /// Answers, or the ends of connections, by the time from which their callers can see them.
-    pub told: BTreeMap<CallId, (u64, Option<Answer>)>,
+    pub announced: BTreeMap<CallId, (u64, Option<Response>)>,
     /// Answers lost of a hundred.
     pub lost_answers: u32,
     pub random: fastrand::Rng,
     /// The machine that each call was sent to.
-    pub(super) called: Vec<usize>,
+    pub(super) handle_request: Vec<usize>,
     queue: BinaryHeap<Reverse<(u64, u64, Happening)>>,
     sequence: u64,
 }
@@ -77,10 +77,10 @@
             network: Network::new(network),
             checker: Checker::default(),
             operators: Vec::new(),
-            told: BTreeMap::new(),
+            announced: BTreeMap::new(),
             lost_answers: 0,
             random: fastrand::Rng::with_seed(seed),
-            called: Vec::new(),
+            handle_request: Vec::new(),
             queue: BinaryHeap::new(),
             sequence: 0,
         };
@@ -100,15 +100,15 @@
     /// Sends a call to a machine.
     pub fn call(&mut self, machine: usize, wish: &Wish) -> CallId {
         let call = self.checker.sent(self.now, wish);
-        self.called.push(machine);
+        self.handle_request.push(machine);
         let delay = self.random.u64(1..20);
-        self.plan(delay, Happening::Call { machine, call });
+        self.plan(delay, Happening::Operation { machine, call });
         call
     }
 
     /// What the caller of a call sees by now: an answer, the end of its connection, or nothing.
-    pub fn answer(&self, call: CallId) -> Option<&Option<Answer>> {
-        self.told.get(&call).filter(|(at, _)| *at <= self.now).map(|(_, answer)| answer)
+    pub fn answer(&self, call: CallId) -> Option<&Option<Response>> {
+        self.announced.get(&call).filter(|(at, _)| *at <= self.now).map(|(_, answer)| answer)
     }
 
     pub fn run_for(&mut self, milliseconds: u64) {
@@ -137,7 +137,9 @@
                     self.handle(to, Input::Event(Event::Message { from, body }));
                 }
             }
-            Happening::Stored { machine, life, ticket } => self.stored(machine, life, ticket),
+            Happening::WriteCompletion { machine, life, ticket } => {
+                self.handle_write_completed(machine, life, ticket)
+            }
             Happening::Tick { machine, life } => {
                 if self.lives(machine, life) {
                     self.check_connections(machine);
@@ -147,7 +149,7 @@
                     self.plan(TICK_MS, Happening::Tick { machine, life });
                 }
             }
-            Happening::Call { machine, call } => self.deliver_call(machine, call),
+            Happening::Operation { machine, call } => self.deliver_call(machine, call),
             Happening::Poll { operator } => {
                 self.poll(operator);
                 let pause = POLL_MS + self.random.u64(0..POLL_MS);
@@ -171,23 +173,23 @@
             return self.end_call(call, None);
         }
         let input = match self.checker.calls[call].wish.order() {
-            Some(order) => Input::Order(call, order),
+            Some(order) => Input::Command(call, order),
             None => Input::Read(call),
         };
         self.handle(machine, input);
     }
 
     /// A call is answered, or its process has gone.
-    pub(super) fn end_call(&mut self, call: CallId, answer: Option<Answer>) {
+    pub(super) fn end_call(&mut self, call: CallId, answer: Option<Response>) {
         self.checker.ended(self.now, call, answer.as_ref());
         let is_lost = answer.is_some() && self.random.u32(0..100) < self.lost_answers;
         if !is_lost {
             let at = self.now + self.random.u64(1..20);
-            self.told.insert(call, (at, answer));
+            self.announced.insert(call, (at, answer));
         }
     }
 
-    fn stored(&mut self, machine: usize, life: u64, ticket: u64) {
+    fn handle_write_completed(&mut self, machine: usize, life: u64, ticket: u64) {
         let slot = &mut self.machines[machine];
         let is_current = slot.write.as_ref().is_some_and(|(current, _)| *current == ticket);
         if slot.node.is_none() || slot.life != life || !is_current || slot.mode == DiskMode::Hangs {
@@ -251,10 +253,10 @@
                 let life = self.machines[machine].life;
                 self.machines[machine].write = Some((ticket, write));
                 let delay = DISK_MS + self.random.u64(0..4);
-                self.plan(delay, Happening::Stored { machine, life, ticket });
+                self.plan(delay, Happening::WriteCompletion { machine, life, ticket });
             }
             Output::Applied { index, entry } => self.checker.applied(index, entry),
-            Output::Answer(call, answer) => self.end_call(call, Some(answer)),
+            Output::Response(call, answer) => self.end_call(call, Some(answer)),
         }
     }
 
--- a/crates/quillpulley/tests/proxy/incarnation.rs
+++ b/crates/quillpulley/tests/proxy/incarnation.rs
@@ -2,7 +2,7 @@
 
 use crate::support::client::request;
 use crate::support::{configuration, route, run, FakeServer, Proxy};
-use quillpulley::signals::Command;
+use quillpulley::signals::ProcessSignal;
 use quillpulley_protocol::EndpointState;
 
 #[test]
@@ -80,7 +80,7 @@
         busy.send(&request("GET /a/b", "id-1", "", "")).await;
         let call = one.call().await;
 
-        proxy.commands.send(Command::Stop).expect("the proxy runs");
+        proxy.commands.send(ProcessSignal::Shutdown).expect("the proxy runs");
         proxy.agent.until_endpoint(EndpointState::Draining).await;
         assert_eq!(proxy.ready_status().await, 503);
         for (number, client) in [&mut idle, &mut proxy.client().await].into_iter().enumerate() {
@@ -106,7 +106,7 @@
         let mut client = proxy.client().await;
         client.send(&request("GET /a/b", "id-1", "", "")).await;
         let call = one.call().await;
-        proxy.commands.send(Command::Reload).expect("the proxy runs");
+        proxy.commands.send(ProcessSignal::Reload).expect("the proxy runs");
         call.serve("ok").await;
         assert_eq!(client.answer().await.text(), "ok");
     });
@@ -118,7 +118,7 @@
         let mut one = FakeServer::start("i-1", "one").await;
         let configuration = configuration(1, &[&route("a", "non_idempotent", "")]);
         let proxy = Proxy::start_with("GraceS = 3", &configuration, &[&one]).await;
-        proxy.commands.send(Command::Stop).expect("the proxy runs");
+        proxy.commands.send(ProcessSignal::Shutdown).expect("the proxy runs");
         proxy.agent.until_endpoint(EndpointState::Draining).await;
 
         // The time-out of its route is after the end of the process: it is not passed on.
@@ -147,7 +147,7 @@
         let mut silent = proxy.client().await;
         silent.send(&request("POST /a/b", "silent", "", "work")).await;
         let call = one.call().await;
-        proxy.commands.send(Command::Stop).expect("the proxy runs");
+        proxy.commands.send(ProcessSignal::Shutdown).expect("the proxy runs");
         // It may have run, so that the answer promises nothing.
         assert_eq!(silent.answer().await.status(), 504);
         call.left().await;
--- a/crates/quillpulley/tests/proxy/support/mod.rs
+++ b/crates/quillpulley/tests/proxy/support/mod.rs
@@ -10,7 +10,7 @@
 pub use client::Client;
 pub use message::Message;
 use quillpulley::proxy::{serve_with_faults, Faults, Listeners};
-use quillpulley::signals::Command;
+use quillpulley::signals::ProcessSignal;
 use quillpulley::Settings;
 use quillpulley_protocol::Server;
 pub use server::{Call, FakeServer};
@@ -41,7 +41,7 @@
     pub endpoint: SocketAddr,
     pub ready: SocketAddr,
     pub agent: FakeAgent,
-    pub commands: UnboundedSender<Command>,
+    pub commands: UnboundedSender<ProcessSignal>,
     pub ended: JoinHandle<()>,
 }
 
--- a/crates/quillpulley/tests/proxy/timelines.rs
+++ b/crates/quillpulley/tests/proxy/timelines.rs
@@ -230,7 +230,7 @@
 #[test]
 fn a_proxy_that_repeats_after_a_reset_is_caught() {
     run(async {
-        let faults = Faults { repeat_after_reset: true, ..Faults::default() };
+        let faults = Faults { retry_after_reset: true, ..Faults::default() };
         let case = Case::parse("once=502 | request reset ; request ok");
         assert_eq!(play(case, faults).await, Err("id-0 on once ran 2 times".to_string()));
         let case = Case::parse("once=502 | request reset ; request declined");
@@ -241,7 +241,7 @@
 #[test]
 fn a_proxy_that_takes_another_requests_answer_is_caught() {
     run(async {
-        let faults = Faults { ignore_answer_ids: true, ..Faults::default() };
+        let faults = Faults { ignore_response_ids: true, ..Faults::default() };
         let case = Case::parse("once=502 | request other");
         assert_eq!(play(case, faults).await, Err("id-0 on once got the answer to another".to_string()));
     });
