--- a/crates/control-state/src/history.rs
+++ b/crates/control-state/src/history.rs
@@ -34,7 +34,7 @@
         self.applied.push_back(applied);
     }
 
-    /// What became of a configuration with this content on this base. Only what is older than all that is
+    /// Returns what became of a configuration with this content on this base. Only what is older than all that is
     /// remembered can be forgotten.
     pub fn look_up(&self, base: u64, content_hash: u64) -> DedupLookup {
         match self.applied.front() {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The content of the configuration that was taken on a base.
+    /// Returns the content of the configuration that was taken on a base.
     fn applied_on(&self, base: u64) -> Option<u64> {
         let index = self.applied.binary_search_by_key(&base, |applied| applied.base).ok()?;
         self.applied.get(index).map(|applied| applied.content_hash)
@@ -61,8 +61,8 @@
     }
 }
 
-/// What stands for the content of a configuration. That two different ones on one base have the same hash by chance
-/// has a probability of 2^-64.
+/// Returns what stands for the content of a configuration. That two different ones on one base have the same hash by
+/// chance has a probability of 2^-64.
 pub(super) fn content_hash(body: &[u8]) -> u64 {
     xxh3_64(body)
 }
--- a/crates/control-state/src/lib.rs
+++ b/crates/control-state/src/lib.rs
@@ -46,42 +46,42 @@
 }
 
 impl ControlState {
-    /// The version in force; 0 before the first configuration.
+    /// Returns the version in force; 0 before the first configuration.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The configuration in force, exactly as it was sent.
+    /// Returns the configuration in force, exactly as it was sent.
     pub fn body(&self) -> Option<&[u8]> {
         (self.version != NO_VERSION).then_some(&self.body)
     }
 
-    /// The same, to be kept while other configurations follow, without a copy.
+    /// Returns the same, to be kept while other configurations follow, without a copy.
     pub fn shared_body(&self) -> Option<Arc<[u8]>> {
         (self.version != NO_VERSION).then(|| self.body.clone())
     }
 
-    /// The index of the log entry that brought the configuration in force; 0 before the first.
+    /// Returns the index of the log entry that brought the configuration in force; 0 before the first.
     pub fn config_index(&self) -> u64 {
         self.config_index
     }
 
-    /// The configuration in force, read anew.
+    /// Returns the configuration in force, read anew.
     pub fn configuration(&self) -> Result<Option<Configuration>, ConfigurationError> {
         self.body().map(Configuration::parse).transpose()
     }
 
-    /// Whether nothing more may be sent to a zone.
+    /// Returns whether nothing more may be sent to a zone.
     pub fn is_evacuated(&self, zone: &str) -> bool {
         self.evacuated.contains_key(zone)
     }
 
-    /// The zones to which nothing more may be sent.
+    /// Returns the zones to which nothing more may be sent.
     pub fn evacuated_zones(&self) -> impl Iterator<Item = &str> {
         self.evacuated.keys().map(String::as_str)
     }
 
-    /// What to do about a configuration that is to follow version `base`.
+    /// Returns what to do about a configuration that is to follow version `base`.
     pub fn decide_replace(&self, base: u64, body: &[u8]) -> ReplaceDecision {
         let content_hash = history::content_hash(body);
         match self.history.look_up(base, content_hash) {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// What to do about an order to evacuate a zone, or to take it back.
+    /// Returns what to do about an order to evacuate a zone, or to take it back.
     pub fn decide_evacuation(&self, zone: &str, active: bool) -> EvacuationDecision {
         if self.is_evacuated(zone) == active {
             return EvacuationDecision::AlreadyInEffect;
@@ -110,7 +110,7 @@
         EvacuationDecision::Propose(encode_command(LogCommandBody::Evacuation(Box::new(command))))
     }
 
-    /// The version of a configuration that may follow the one in force.
+    /// Returns the version of a configuration that may follow the one in force.
     fn validate(&self, body: &[u8]) -> Result<u64, ConfigurationError> {
         let configuration = Configuration::parse(body)?;
         configuration.check_follows(self.version)?;
--- a/crates/control-state/src/published.rs
+++ b/crates/control-state/src/published.rs
@@ -4,7 +4,7 @@
 use quillpulley_serving_config::published::evacuated_key;
 use std::collections::BTreeMap;
 
-/// All items that a control state is published as: the configuration and the evacuated zones.
+/// Returns all items that a control state is published as: the configuration and the evacuated zones.
 pub fn published_items(state: &ControlState) -> BTreeMap<String, Vec<u8>> {
     let mut items = match state.configuration() {
         Ok(Some(configuration)) => configuration.to_items(),
--- a/crates/http1-client/src/connections.rs
+++ b/crates/http1-client/src/connections.rs
@@ -103,7 +103,7 @@
         }
     }
 
-    /// The socket that it is on.
+    /// Returns the socket that it is on.
     pub fn socket(&self) -> &Rc<Socket> {
         &self.socket
     }
@@ -112,7 +112,7 @@
         !self.busy.get() && self.since.get().elapsed() > at_rest
     }
 
-    /// Whether it may give way to a new one. Those that never asked come first, so that silent connections
+    /// Returns whether it may give way to a new one. Those that never asked come first, so that silent connections
     /// crowd out no client.
     fn rank_to_close(&self, options: &ConnectionOptions) -> Option<(bool, Instant)> {
         let silent =
@@ -120,7 +120,7 @@
         (silent || self.at_rest(options.at_rest)).then(|| (self.asked.get(), self.since.get()))
     }
 
-    /// Whether it is idle for too long, or a head that it began does not end.
+    /// Returns whether it is idle for too long, or a head that it began does not end.
     fn slow(&self, idle_time: Duration, head_time: Duration) -> bool {
         if self.busy.get() {
             self.begun.set(None);
--- a/crates/http1-client/src/link.rs
+++ b/crates/http1-client/src/link.rs
@@ -94,14 +94,14 @@
         &self.socket
     }
 
-    /// Whether requests may go out on it, from now on or once it has rested. What came behind the last answer
+    /// Returns whether requests may go out on it, from now on or once it has rested. What came behind the last answer
     /// is no answer to anything: with it the link is of no further use. Nor is it while the rest of the last
     /// request waits to be written: its server answered early, and may read the rest when it likes or never.
     pub fn usable(&self) -> bool {
         !self.ended && !self.is_writing() && self.sender.is_ready() && self.socket.quiet()
     }
 
-    /// Whether a part of the last request waits to be written.
+    /// Returns whether a part of the last request waits to be written.
     pub fn is_writing(&self) -> bool {
         self.socket.written() == Written::Part
     }
@@ -170,7 +170,8 @@
         }
     }
 
-    /// The next piece of the body of an answer, as it came; `None` once it is whole. Keeps the connection going.
+    /// Returns the next piece of the body of an answer, as it came; `None` once it is whole. Keeps the connection
+    /// going.
     pub fn poll_data(
         &mut self,
         cx: &mut Context<'_>,
--- a/crates/http1-client/src/socket.rs
+++ b/crates/http1-client/src/socket.rs
@@ -62,7 +62,7 @@
         self.writer.as_ref().expect("it is there until the socket is dropped").as_ref()
     }
 
-    /// How much of the latest message has been written.
+    /// Returns how much of the latest message has been written.
     pub fn written(&self) -> Written {
         self.written.get()
     }
@@ -77,7 +77,7 @@
         self.answering.set(false);
     }
 
-    /// Whether something has come since [`Socket::set_unanswered`].
+    /// Returns whether something has come since [`Socket::set_unanswered`].
     pub(crate) fn answering(&self) -> bool {
         self.answering.get()
     }
@@ -96,7 +96,7 @@
         self.record_most.set(most);
     }
 
-    /// What was recorded; from now on nothing is.
+    /// Returns what was recorded; from now on nothing is.
     pub fn recorded(&self) -> Vec<u8> {
         self.record_most.set(0);
         self.recorded.take()
@@ -128,17 +128,17 @@
         }
     }
 
-    /// Whether a part of a message has come since [`Socket::record`].
+    /// Returns whether a part of a message has come since [`Socket::record`].
     pub fn begun(&self) -> bool {
         !self.recorded.borrow().is_empty()
     }
 
-    /// For how long the peer may leave what was written unacknowledged before the connection breaks.
+    /// Returns for how long the peer may leave what was written unacknowledged before the connection breaks.
     pub fn set_user_timeout(&self, time: Duration) -> io::Result<()> {
         SockRef::from(self.stream()).set_tcp_user_timeout(Some(time))
     }
 
-    /// Whether the connection is open and has nothing to read. Asks the kernel, since the runtime may not
+    /// Returns whether the connection is open and has nothing to read. Asks the kernel, since the runtime may not
     /// have noticed yet.
     pub fn quiet(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
--- a/crates/load-balancer/src/balancer/candidates.rs
+++ b/crates/load-balancer/src/balancer/candidates.rs
@@ -42,7 +42,7 @@
 }
 
 impl Standing {
-    /// Whether a request may be sent there.
+    /// Returns whether a request may be sent there.
     pub(super) fn is_open(self) -> bool {
         self < Standing::Full
     }
@@ -71,7 +71,7 @@
 }
 
 impl Balancer {
-    /// All servers that a request may go to, but for those that are excluded, with their standing.
+    /// Returns all servers that a request may go to, but for those that are excluded, with their standing.
     pub(super) fn candidates(
         &self,
         now: Duration,
@@ -163,7 +163,7 @@
         }
     }
 
-    /// The part of all slots that is taken.
+    /// Returns the part of all slots that is taken.
     fn busy_part(&self, servers: &[(ServerKey, &Server)]) -> f64 {
         let requests: f64 = servers.iter().map(|(_, server)| server.load.total(self.now).requests()).sum();
         let slots: f64 = servers.iter().map(|(_, server)| self.settings.slots(&server.info)).sum();
@@ -205,7 +205,7 @@
     candidates
 }
 
-/// How many were counted in a region so far.
+/// Returns how many were counted in a region so far.
 fn next_rank<'a>(in_regions: &mut Vec<(&'a str, usize)>, region: &'a str) -> usize {
     match in_regions.iter_mut().find(|(known, _)| *known == region) {
         Some((_, count)) => {
--- a/crates/load-balancer/src/balancer/condition.rs
+++ b/crates/load-balancer/src/balancer/condition.rs
@@ -18,7 +18,7 @@
 }
 
 impl ConditionCosts {
-    /// The cost of a server's condition now.
+    /// Returns the cost of a server's condition now.
     pub(super) fn of(&self, server: &Server, medians: &Medians, now: Duration) -> f64 {
         let slowness = server.speed.slowness(now, medians.token_ms);
         let slow = if slowness > SLOW_FROM { (slowness - 1.0) * self.slow } else { 0.0 };
--- a/crates/load-balancer/src/balancer/engine.rs
+++ b/crates/load-balancer/src/balancer/engine.rs
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The cost of a candidate, where it has read `kept` tokens of the prompt for this limiter.
+    /// Returns the cost of a candidate, where it has read `kept` tokens of the prompt for this limiter.
     pub(super) fn of(&self, candidate: &Candidate, server: &Server, kept: u32) -> f64 {
         let shared = self.reading(candidate, kept);
         shared
@@ -79,7 +79,7 @@
         by_rank.min((self.shared_tokens - f64::from(kept)).max(0.0))
     }
 
-    /// Time costs little until the first byte may come too late.
+    /// Returns the cost of time, which is little until the first byte may come too late.
     fn waiting(&self, server: &Server, read_here: f64) -> f64 {
         let tokens = server.load.total(self.now).waiting_tokens;
         let objective_ms = (self.demand.objective.as_secs_f64() * 1e3).max(1.0);
--- a/crates/load-balancer/src/balancer/health.rs
+++ b/crates/load-balancer/src/balancer/health.rs
@@ -121,7 +121,7 @@
         matches!(self.state, State::Healthy { .. })
     }
 
-    /// Whether it should get a request now.
+    /// Returns whether it should get a request now.
     pub(crate) fn fitness(&self, now: Duration, urgent: bool) -> Fitness {
         let delay = if urgent { TRIAL_DELAY } else { Duration::ZERO };
         match self.state {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Whether it is time for a health check.
+    /// Returns whether it is time for a health check.
     pub(crate) fn check_due(&self, now: Duration) -> bool {
         let State::Ejected { until, check, .. } = self.state else { return false };
         now + CHECK_AHEAD >= until && !is_open(check, now)
--- a/crates/load-balancer/src/balancer/listing.rs
+++ b/crates/load-balancer/src/balancer/listing.rs
@@ -9,7 +9,8 @@
 use std::time::Duration;
 
 impl Balancer {
-    /// A server is listed, or its entry has changed. `None` where its address cannot be read; it is not used then.
+    /// Handles that a server is listed, or its entry has changed. `None` where its address cannot be read; it is not used
+    /// then.
     pub fn put_server(&mut self, now: Duration, entry: &wire::Server) -> Option<ServerKey> {
         let info = self.info(entry)?;
         let distance = Distance::between(&self.place, &info.place);
@@ -28,7 +29,7 @@
         Some(key)
     }
 
-    /// A server is not listed any more.
+    /// Handles that a server is not listed any more.
     pub fn remove_server(&mut self, _now: Duration, id: &str) -> Option<ServerKey> {
         let key = self.by_id.remove(id)?;
         self.leave_service(key);
--- a/crates/load-balancer/src/balancer/load.rs
+++ b/crates/load-balancer/src/balancer/load.rs
@@ -33,7 +33,7 @@
         }
     }
 
-    /// What is left without a part, none of it below zero, faded.
+    /// Returns what is left without a part, none of it below zero, faded.
     fn without(&self, part: &Tally, factor: f64) -> Tally {
         let left = |all: f64, part: f64| (all - part).max(0.0) * factor;
         Tally {
@@ -145,12 +145,12 @@
         self.silent_since = (self.waiting > 0).then_some(now);
     }
 
-    /// For how long requests have waited without a word of the server.
+    /// Returns for how long requests have waited without a word of the server.
     fn silence(&self, now: Duration) -> Duration {
         self.silent_since.map_or(Duration::ZERO, |since| now.saturating_sub(since))
     }
 
-    /// Whether requests have waited for longer than the service's pace explains.
+    /// Returns whether requests have waited for longer than the service's pace explains.
     pub(crate) fn is_silent(&self, now: Duration, pace: &Pace) -> bool {
         self.silence(now) > pace.silence(self.total(now).waiting_tokens)
     }
@@ -168,7 +168,7 @@
         self.running + self.waiting
     }
 
-    /// What is to be told to others, which is remembered.
+    /// Returns what is to be told to others, which is remembered.
     pub(crate) fn report(&mut self, server: u64, failures: f64) -> ServerLoad {
         let load = ServerLoad {
             server,
@@ -188,13 +188,13 @@
         self.told = now;
     }
 
-    /// What others have under way.
+    /// Returns what others have under way.
     pub(crate) fn others(&self, now: Duration) -> Tally {
         let age = now.saturating_sub(self.told).as_secs_f64() / TOLD_FRESH.as_secs_f64();
         self.others.without(&Tally::default(), (2.0 - age).clamp(0.0, 1.0))
     }
 
-    /// What all limiters have under way.
+    /// Returns what all limiters have under way.
     pub(crate) fn total(&self, now: Duration) -> Tally {
         let others = self.others(now);
         Tally {
--- a/crates/load-balancer/src/balancer/mod.rs
+++ b/crates/load-balancer/src/balancer/mod.rs
@@ -98,8 +98,8 @@
         }
     }
 
-    /// What this limiter has under way, to be told to others. Servers without anything are left out. Requests that
-    /// a server has left without a word for long are told as failures, so that others need not wait for as long.
+    /// Returns what this limiter has under way, to be told to others. Servers without anything are left out. Requests
+    /// that a server has left without a word for long are told as failures, so that others need not wait for as long.
     pub fn own_loads(&mut self, now: Duration) -> Vec<wire::ServerLoad> {
         let services = &self.services;
         let report = |server: &mut Server| {
@@ -112,12 +112,13 @@
         loads.filter(|load| load.running > 0 || load.waiting > 0 || load.failures > 0).collect()
     }
 
-    /// Where a server listens, and what else the list says; `None` once it is not listed any more.
+    /// Returns where a server listens, and what else the list says; `None` once it is not listed any more.
     pub fn server(&self, key: ServerKey) -> Option<&ServerInfo> {
         Some(&self.servers.get(key)?.info)
     }
 
-    /// Whether anything may be sent to a server that was chosen before: it may be draining or evacuated since.
+    /// Returns whether anything may be sent to a server that was chosen before: it may be draining or evacuated
+    /// since.
     pub fn is_usable(&self, key: ServerKey) -> bool {
         self.servers.get(key).is_some_and(Server::is_usable)
     }
--- a/crates/load-balancer/src/balancer/prefix.rs
+++ b/crates/load-balancer/src/balancer/prefix.rs
@@ -46,8 +46,8 @@
         mix(self.hash ^ server_hash)
     }
 
-    /// The part of the shared tokens that a server is taken to have to read, by its ranks among all servers that
-    /// may serve the request and among those of its region.
+    /// Returns the part of the shared tokens that a server is taken to have to read, by its ranks among all servers
+    /// that may serve the request and among those of its region.
     pub(crate) fn unread(self, rank: usize, rank_in_region: usize) -> f64 {
         let part = |table: &[f64], rank: usize| table.get(rank).copied().unwrap_or(1.0);
         if self.long {
@@ -57,7 +57,7 @@
     }
 }
 
-/// The finaliser of SplitMix64, which spreads every bit over all.
+/// Applies the finaliser of SplitMix64, which spreads every bit over all.
 fn mix(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/load-balancer/src/balancer/requests.rs
+++ b/crates/load-balancer/src/balancer/requests.rs
@@ -23,7 +23,7 @@
 }
 
 impl Ticket {
-    /// The server that the request was sent to.
+    /// Returns the server that the request was sent to.
     pub fn server(&self) -> ServerKey {
         self.server
     }
@@ -53,7 +53,7 @@
 }
 
 impl Balancer {
-    /// A request is about to be sent to a server.
+    /// Records that a request is about to be sent to a server.
     pub fn begin(&mut self, now: Duration, key: ServerKey, demand: &Demand<'_>) -> Ticket {
         let burden = Burden::new(demand, self.unread_tokens(now, key, demand));
         self.kept.note(now, key, demand.prefix);
@@ -118,8 +118,8 @@
         }
     }
 
-    /// Whether a server leaves requests without a word for longer than what it has to do explains. It may be dead:
-    /// what may run again need not wait for it.
+    /// Returns whether a server leaves requests without a word for longer than what it has to do explains. It may be
+    /// dead: what may run again need not wait for it.
     pub fn is_silent(&self, now: Duration, key: ServerKey) -> bool {
         let Some(server) = self.servers.get(key) else { return false };
         let service = self.services.get(&server.info.service);
@@ -181,7 +181,7 @@
     }
 }
 
-/// Whether the server has said something.
+/// Returns whether the server has said something.
 fn is_word(outcome: Outcome) -> bool {
     match outcome {
         Outcome::Served | Outcome::NotExecuted { .. } | Outcome::Misdirected => true,
--- a/crates/load-balancer/src/balancer/server.rs
+++ b/crates/load-balancer/src/balancer/server.rs
@@ -18,7 +18,7 @@
 /// Requests without failure that every server is taken to have had, so that one failure of few says little.
 const UNSEEN_REQUESTS: f64 = 2.0;
 
-/// The hash by which the loads of a server are told to others.
+/// Returns the hash by which the loads of a server are told to others.
 pub fn server_hash(id: &str) -> u64 {
     xxh3_64(id.as_bytes())
 }
@@ -168,14 +168,14 @@
         self.full_until = now + FULL_TIME;
     }
 
-    /// The share of requests that failed of late. What others saw fail counts half.
+    /// Returns the share of requests that failed of late. What others saw fail counts half.
     pub(crate) fn failing_share(&self, now: Duration) -> f64 {
         let (failures, requests) = self.failures.at(now);
         let of_others = self.load.others(now).failures * OTHERS_FAILURE;
         (failures + of_others) / (requests + of_others + UNSEEN_REQUESTS)
     }
 
-    /// Whether anything may be sent to it.
+    /// Returns whether anything may be sent to it.
     pub(crate) fn is_usable(&self) -> bool {
         self.listing == Listing::Ready && !self.evacuated
     }
--- a/crates/load-balancer/src/balancer/speed.rs
+++ b/crates/load-balancer/src/balancer/speed.rs
@@ -53,7 +53,7 @@
 }
 
 impl Speed {
-    /// How many times as long it takes as the service's median, of late.
+    /// Returns how many times as long it takes as the service's median, of late.
     pub(crate) fn slowness(&self, now: Duration, median: Option<f64>) -> f64 {
         let (Some(own), Some(median)) = (self.mean.settled(), median) else { return 1.0 };
         if median <= 0.0 {
@@ -63,7 +63,7 @@
         1.0 + (own / median - 1.0) * 0.5_f64.powf(age / HALF_LIFE_SECONDS)
     }
 
-    /// The mean, once it says something.
+    /// Returns the mean, once it says something.
     pub(crate) fn settled(&self) -> Option<f64> {
         self.mean.settled()
     }
@@ -116,7 +116,7 @@
         self.token_ms.get().unwrap_or(FIRST_TOKEN_MS)
     }
 
-    /// How long a server may say nothing while a request waits for it, where so many tokens wait to be read.
+    /// Returns how long a server may say nothing while a request waits for it, where so many tokens wait to be read.
     pub(crate) fn silence(&self, waiting_tokens: f64) -> Duration {
         let reading = Duration::from_secs_f64(waiting_tokens * self.token_ms() / 1e3);
         (mean_time(&self.first_byte_ms) * SILENCE_FACTOR).max(LEAST_SILENCE) + reading * READING_FACTOR
@@ -137,7 +137,7 @@
     milliseconds.get().map_or(FIRST_ANSWER, |mean| Duration::from_secs_f64(mean.max(0.0) / 1e3))
 }
 
-/// The median, the lower one of two in the middle.
+/// Returns the median, the lower one of two in the middle.
 pub(crate) fn median(values: impl Iterator<Item = f64>) -> Option<f64> {
     let mut values: Vec<f64> = values.collect();
     values.sort_by(f64::total_cmp);
--- a/crates/load-balancer/src/balancer/warmup.rs
+++ b/crates/load-balancer/src/balancer/warmup.rs
@@ -31,7 +31,7 @@
 }
 
 impl Share {
-    /// The share where all limiters together may send `bound` requests in a second.
+    /// Returns the share where all limiters together may send `bound` requests in a second.
     pub(crate) fn of(bound: f64) -> Share {
         let bound = if bound.is_finite() { bound.max(0.0) as usize } else { 0 };
         let shared = bound / (SENDERS * SIDES);
@@ -45,8 +45,8 @@
     pub(crate) const ALONE: Share = Share { per_second: 1, senders: 1 };
 }
 
-/// Whether the limiter of this name is among those that send to a cold server: those in the server's zone come
-/// first, then those in its region.
+/// Returns whether the limiter of this name is among those that send to a cold server: those in the server's zone
+/// come first, then those in its region.
 pub(crate) fn is_sender(
     name: &str,
     limiters: &[Limiter],
@@ -89,7 +89,7 @@
         self.times.push_back(now);
     }
 
-    /// Whether one more is within the share.
+    /// Returns whether one more is within the share.
     pub(crate) fn allow(&self, now: Duration, share: Share) -> bool {
         let recent = self.times.iter().rev().take_while(|time| now.saturating_sub(**time) < WINDOW).count();
         let latest = self.times.back().map(|time| now.saturating_sub(*time));
--- a/crates/load-balancer/src/demand.rs
+++ b/crates/load-balancer/src/demand.rs
@@ -37,7 +37,7 @@
 }
 
 impl<'a> Demand<'a> {
-    /// The parts that other requests share.
+    /// Returns the parts that other requests share.
     pub(crate) fn shared(&self) -> &'a [PromptPart] {
         match self.prefix.split_last() {
             Some((_own, shared)) => shared,
@@ -55,7 +55,7 @@
         self.prompt_tokens.saturating_sub(self.shared_tokens()).saturating_add(self.output_tokens)
     }
 
-    /// Whether it may be served in a region.
+    /// Returns whether it may be served in a region.
     pub(crate) fn may_go_to(&self, region: &str) -> bool {
         self.homes.is_empty() || self.homes.iter().any(|home| home == region)
     }
--- a/crates/load-balancer/src/home_demand.rs
+++ b/crates/load-balancer/src/home_demand.rs
@@ -35,7 +35,7 @@
         HomeDemand { region, ..HomeDemand::default() }
     }
 
-    /// The region of the limiter.
+    /// Returns the region of the limiter.
     pub fn region(&self) -> &str {
         &self.region
     }
@@ -58,7 +58,7 @@
         *self = HomeDemand::new(std::mem::take(&mut self.region));
     }
 
-    /// The regions whose fronts suit the clients here better; empty while the own region does. While too few
+    /// Returns the regions whose fronts suit the clients here better; empty while the own region does. While too few
     /// requests come, the latest decision holds.
     pub fn preferred_regions(&self) -> &[String] {
         &self.preferred
--- a/crates/load-balancer/src/host_homes.rs
+++ b/crates/load-balancer/src/host_homes.rs
@@ -38,13 +38,13 @@
         }
     }
 
-    /// Whether the region is a home of every route that has homes: only there no request lands outside its homes,
-    /// whatever clients ask for.
+    /// Returns whether the region is a home of every route that has homes: only there no request lands outside its
+    /// homes, whatever clients ask for.
     pub fn is_common_home(&self, region: &str) -> bool {
         self.bound.iter().all(|homes| homes.contains(region))
     }
 
-    /// Which requests may be served in a region.
+    /// Returns which requests may be served in a region.
     pub fn served_in(&self, region: &str) -> ServedIn {
         if self.is_common_home(region) {
             ServedIn::All
@@ -85,12 +85,12 @@
         table
     }
 
-    /// The homes of all hosts together.
+    /// Returns the homes of all hosts together.
     pub fn all(&self) -> &HostHomes {
         &self.others
     }
 
-    /// The homes of a host, which may carry a port.
+    /// Returns the homes of a host, which may carry a port.
     pub fn of(&self, host: &str) -> &HostHomes {
         self.hosts.get(&*host_key(host)).unwrap_or(&self.others)
     }
--- a/crates/load-balancer/src/route_table.rs
+++ b/crates/load-balancer/src/route_table.rs
@@ -24,7 +24,7 @@
 }
 
 impl RouteTable {
-    /// The routes of a configuration.
+    /// Creates the routes of a configuration.
     pub fn new(configuration: &Configuration) -> Self {
         let mut table = RouteTable { routes: configuration.routes.clone(), hosts: HashMap::new() };
         for (index, route) in table.routes.iter().enumerate() {
@@ -36,8 +36,8 @@
         table
     }
 
-    /// The route with the longest prefix that begins the path, among those of the host. `host` may carry a port,
-    /// and `path` a query.
+    /// Returns the route with the longest prefix that begins the path, among those of the host. `host` may carry a
+    /// port, and `path` a query.
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         let routes = self.hosts.get(&*host_key(host))?;
         let path = path.split(['?', '#']).next().unwrap_or(path);
@@ -81,12 +81,12 @@
     picked.or_else(weighted).map(|share| share.service.as_str())
 }
 
-/// What a host is looked up by: without its port and in lower case.
+/// Returns what a host is looked up by: without its port and in lower case.
 pub(crate) fn host_key(host: &str) -> Cow<'_, str> {
     lower_case(without_port(host))
 }
 
-/// The host without its port; an IPv6 address keeps its brackets.
+/// Returns the host without its port; an IPv6 address keeps its brackets.
 fn without_port(host: &str) -> &str {
     match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) && !name.ends_with(':') => name,
--- a/crates/load-balancer/src/waiting.rs
+++ b/crates/load-balancer/src/waiting.rs
@@ -104,7 +104,7 @@
         displaced
     }
 
-    /// The first request that fits a free place, among the first ones that have not waited too long.
+    /// Returns the first request that fits a free place, among the first ones that have not waited too long.
     pub fn next(&mut self, now: Duration, mut fits: impl FnMut(&T) -> bool) -> Option<T> {
         let mut patient = self.requests.iter().filter(|(key, _)| now < key.until).take(LOOKED_AT);
         let key = *patient.find(|(_, held)| fits(&held.request))?.0;
@@ -124,17 +124,17 @@
         expired.into_iter().filter_map(|key| self.remove(key)).collect()
     }
 
-    /// When the next request will have waited too long.
+    /// Returns when the next request will have waited too long.
     pub fn next_expiry(&self) -> Option<Duration> {
         self.requests.keys().map(|key| key.until).min()
     }
 
-    /// How many wait.
+    /// Returns how many wait.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether none waits.
+    /// Returns whether none waits.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
--- a/crates/membership/src/monitor.rs
+++ b/crates/membership/src/monitor.rs
@@ -28,8 +28,8 @@
 }
 
 impl MonitorOptions {
-    /// The usual figures: three monitors, and suspicion 1 to 1.7 s after a peer's death. Even where one datagram
-    /// of twenty is lost, five pings in a row are seldom left without an answer.
+    /// Creates the usual figures: three monitors, and suspicion 1 to 1.7 s after a peer's death. Even where one
+    /// datagram of twenty is lost, five pings in a row are seldom left without an answer.
     pub fn new(name: &str, seed: u64) -> Self {
         MonitorOptions {
             name: name.to_string(),
@@ -85,7 +85,7 @@
 }
 
 impl Monitor {
-    /// A monitor without targets, at the time of the host's start.
+    /// Creates a monitor without targets, at the time of the host's start.
     pub fn new(options: MonitorOptions) -> Self {
         let random = fastrand::Rng::with_seed(options.seed);
         Monitor {
@@ -111,17 +111,17 @@
         self.review(now, actions);
     }
 
-    /// When a [`Event::Tick`] has something to do.
+    /// Returns when a [`Event::Tick`] has something to do.
     pub fn next_tick(&self) -> Duration {
         self.targets.values().map(|target| target.due).min().unwrap_or(Duration::MAX)
     }
 
-    /// The names of the peers that this node pings, in order.
+    /// Returns the names of the peers that this node pings, in order.
     pub fn targets(&self) -> impl Iterator<Item = &str> {
         self.targets.keys().map(String::as_str)
     }
 
-    /// The names of the targets that are suspected, in order.
+    /// Returns the names of the targets that are suspected, in order.
     pub fn suspects(&self) -> &[String] {
         &self.suspects
     }
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Whether this node is among those with the highest scores for a peer. Stops at the first few that score
+    /// Returns whether this node is among those with the highest scores for a peer. Stops at the first few that score
     /// higher, so that the whole takes far less than a score for each pair.
     fn is_monitor_of(&self, peer: &str, peers: &[Peer]) -> bool {
         let own_name = self.options.name.as_str();
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Whether this node itself did nothing for a while: it was frozen or starved, and answers wait unread.
+    /// Returns whether this node itself did nothing for a while: it was frozen or starved, and answers wait unread.
     fn stood_still(&self, now: Duration) -> bool {
         now.saturating_sub(self.next_tick()) > self.options.ping_every
     }
@@ -199,20 +199,20 @@
         }
     }
 
-    /// Whether it may rather be this node that is cut off: nobody has answered it of late, or where its only target
-    /// is silent, nobody has sent it anything. This shows sooner than any target becomes suspect.
+    /// Returns whether it may rather be this node that is cut off: nobody has answered it of late, or where its only
+    /// target is silent, nobody has sent it anything. This shows sooner than any target becomes suspect.
     fn is_cut_off(&self, now: Duration) -> bool {
         let proof = if self.targets.len() > 1 { self.answered } else { self.heard };
         now.saturating_sub(proof) > 2 * self.options.ping_every
     }
 
-    /// A part of the time between pings, so that targets that became known together are spread over it.
+    /// Returns a part of the time between pings, so that targets that became known together are spread over it.
     fn first_wait(&mut self) -> Duration {
         self.options.ping_every.mul_f64(self.random.f64())
     }
 }
 
-/// A time, give or take an eighth.
+/// Returns a time, give or take an eighth.
 fn jittered(time: Duration, random: &mut fastrand::Rng) -> Duration {
     time.mul_f64(0.875 + random.f64() / 4.0)
 }
--- a/crates/membership/src/rendezvous.rs
+++ b/crates/membership/src/rendezvous.rs
@@ -14,23 +14,23 @@
         Key(xxh3_64(key.as_bytes()))
     }
 
-    /// The score of a candidate for this key.
+    /// Returns the score of a candidate for this key.
     pub fn score(self, candidate: &str) -> u64 {
         xxh3_64_with_seed(candidate.as_bytes(), self.0)
     }
 
-    /// What candidates are ordered by, the first with the highest score; equal scores by their names.
+    /// Returns what candidates are ordered by, the first with the highest score; equal scores by their names.
     pub fn rank(self, candidate: &str) -> (Reverse<u64>, &str) {
         (Reverse(self.score(candidate)), candidate)
     }
 }
 
-/// The score of a candidate for a key.
+/// Returns the score of a candidate for a key.
 pub fn score(key: &str, candidate: &str) -> u64 {
     Key::new(key).score(candidate)
 }
 
-/// The candidates ordered by their score for a key, highest first.
+/// Returns the candidates ordered by their score for a key, highest first.
 pub fn ranked<'a>(key: &str, candidates: impl IntoIterator<Item = &'a str>) -> Vec<&'a str> {
     let key = Key::new(key);
     let mut ranked: Vec<&str> = candidates.into_iter().collect();
@@ -38,7 +38,7 @@
     ranked
 }
 
-/// The `count` candidates with the highest scores for a key, highest first.
+/// Returns the `count` candidates with the highest scores for a key, highest first.
 pub fn top<'a>(key: &str, candidates: impl IntoIterator<Item = &'a str>, count: usize) -> Vec<&'a str> {
     let mut ranked = ranked(key, candidates);
     ranked.truncate(count);
--- a/crates/protocol/src/framing.rs
+++ b/crates/protocol/src/framing.rs
@@ -165,7 +165,7 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole message, if there is one. After an error the stream is of no further use.
+    /// Returns the next whole message, if there is one. After an error the stream is of no further use.
     pub fn next_frame(&mut self) -> Result<Option<Body>, WireError> {
         loop {
             let pending = &self.buffer[self.consumed..];
@@ -191,12 +191,12 @@
         }
     }
 
-    /// How many bytes of pieces have come since the last call. The sender waits to be told.
+    /// Returns how many bytes of pieces have come since the last call. The sender waits to be told.
     pub fn take_arrived(&mut self) -> usize {
         std::mem::take(&mut self.arrived)
     }
 
-    /// How many bytes of pieces the other side has told of since the last call.
+    /// Returns how many bytes of pieces the other side has told of since the last call.
     pub fn take_credited(&mut self) -> usize {
         std::mem::take(&mut self.credited)
     }
--- a/crates/protocol/src/lane.rs
+++ b/crates/protocol/src/lane.rs
@@ -17,7 +17,7 @@
 }
 
 impl Lane {
-    /// The lane of a message.
+    /// Returns the lane of a message.
     pub fn of(body: &Body) -> Self {
         match body {
             Body::Prepare(_)
--- a/crates/protocol/src/node_id.rs
+++ b/crates/protocol/src/node_id.rs
@@ -5,12 +5,12 @@
 use std::net::Ipv4Addr;
 
 impl NodeId {
-    /// A node by its address and the incarnation of its disk.
+    /// Creates a node by its address and the incarnation of its disk.
     pub fn new(address: Ipv4Addr, incarnation: u64) -> Self {
         NodeId { ip: address.to_bits(), incarnation }
     }
 
-    /// The address of its machine.
+    /// Returns the address of its machine.
     pub fn address(&self) -> Ipv4Addr {
         Ipv4Addr::from_bits(self.ip)
     }
--- a/crates/protocol/src/queue.rs
+++ b/crates/protocol/src/queue.rs
@@ -80,7 +80,7 @@
         Ok(())
     }
 
-    /// The next bytes to write; empty where nothing may be sent now.
+    /// Returns the next bytes to write; empty where nothing may be sent now.
     pub fn waiting(&mut self) -> &[u8] {
         while self.ready_bytes() < MAX_PIECE && self.under_way < PIECE_WINDOW {
             let Some(message) = self.next_message() else { break };
@@ -115,7 +115,7 @@
         self.under_way = self.under_way.saturating_sub(bytes);
     }
 
-    /// Bytes held for this link.
+    /// Returns bytes held for this link.
     pub fn bytes(&self) -> usize {
         self.bounded_bytes() + self.states.iter().map(Message::left).sum::<usize>()
     }
--- a/crates/quillpulley/src/agent/children.rs
+++ b/crates/quillpulley/src/agent/children.rs
@@ -48,22 +48,22 @@
         self.by_link.remove(&link);
     }
 
-    /// Whether the link is one from a child.
+    /// Returns whether the link is one from a child.
     pub fn contains(&self, link: LinkId) -> bool {
         self.by_link.contains_key(&link)
     }
 
-    /// Whether the link is one from the proxy.
+    /// Returns whether the link is one from the proxy.
     pub fn is_proxy(&self, link: LinkId) -> bool {
         self.by_link.get(&link).is_some_and(|child| child.kind == PeerKind::Proxy)
     }
 
-    /// Whether there is a proxy.
+    /// Returns whether there is a proxy.
     pub fn has_proxy(&self) -> bool {
         self.by_link.values().any(|child| child.kind == PeerKind::Proxy)
     }
 
-    /// The links from other agents.
+    /// Returns the links from other agents.
     pub fn agents(&self) -> Vec<LinkId> {
         let agents = self.by_link.iter().filter(|(_, child)| child.kind == PeerKind::Agent);
         agents.map(|(link, _)| *link).collect()
--- a/crates/quillpulley/src/agent/datagrams.rs
+++ b/crates/quillpulley/src/agent/datagrams.rs
@@ -29,7 +29,7 @@
         let _ = self.socket.readable().await;
     }
 
-    /// The next datagram that is a message, if one has come.
+    /// Returns the next datagram that is a message, if one has come.
     pub fn receive(&self) -> Option<(Body, SocketAddr)> {
         let mut bytes = [0; LONGEST];
         for _ in 0..MOST_SKIPPED {
--- a/crates/quillpulley/src/agent/ending.rs
+++ b/crates/quillpulley/src/agent/ending.rs
@@ -47,7 +47,7 @@
 }
 
 impl Ending {
-    /// An agent that serves, and that would be killed so long after it has been told to end.
+    /// Creates an agent that serves, and that would be killed so long after it has been told to end.
     pub fn new(grace: Duration) -> Ending {
         Ending { state: State::Serving, grace, alone_since: Some(Duration::ZERO) }
     }
@@ -75,7 +75,7 @@
         }
     }
 
-    /// When [`Ending::check`] has something to do.
+    /// Returns when [`Ending::check`] has something to do.
     pub fn next_tick(&self) -> Duration {
         match self.state {
             State::Refusing { since } => self.end().min(since + KEEP_AGENTS),
@@ -83,17 +83,17 @@
         }
     }
 
-    /// Whether new children are to be refused.
+    /// Returns whether new children are to be refused.
     pub fn is_refusing(&self) -> bool {
         self.state != State::Serving
     }
 
-    /// Whether the agent has ended.
+    /// Returns whether the agent has ended.
     pub fn is_over(&self) -> bool {
         self.state == State::Over
     }
 
-    /// When it ends if the proxy neither comes nor goes.
+    /// Returns when it ends if the proxy neither comes nor goes.
     fn end(&self) -> Duration {
         let (State::Refusing { since } | State::ProxyOnly { since }) = self.state else {
             return Duration::MAX;
--- a/crates/quillpulley/src/agent/host/mod.rs
+++ b/crates/quillpulley/src/agent/host/mod.rs
@@ -108,7 +108,7 @@
         self.started.elapsed()
     }
 
-    /// When a state machine has something to do, on the grid of timers.
+    /// Returns when a state machine has something to do, on the grid of timers.
     fn wake_up(&self) -> Instant {
         let due = [
             self.node.next_tick(),
--- a/crates/quillpulley/src/agent/local.rs
+++ b/crates/quillpulley/src/agent/local.rs
@@ -25,7 +25,7 @@
         is_new
     }
 
-    /// The proxy is gone. Returns whether there was a front.
+    /// Handles that the proxy is gone. Returns whether it had an endpoint.
     pub fn forget_endpoint(&mut self) -> bool {
         self.endpoint.take().is_some()
     }
@@ -35,7 +35,7 @@
         self.suspects = suspects;
     }
 
-    /// The whole report.
+    /// Returns the whole report.
     pub fn report(&self) -> LocalReport {
         LocalReport {
             endpoint: self.endpoint.clone(),
--- a/crates/quillpulley/src/agent/mod.rs
+++ b/crates/quillpulley/src/agent/mod.rs
@@ -37,7 +37,7 @@
 }
 
 impl AgentSockets {
-    /// The sockets that the settings ask for.
+    /// Returns the sockets that the settings ask for.
     pub async fn bind(settings: &Settings) -> Result<AgentSockets, HostError> {
         let agents = SocketAddr::from((settings.ip, settings.agent_port()));
         let proxy = SocketAddr::from((Ipv4Addr::LOCALHOST, settings.proxy_port()));
--- a/crates/quillpulley/src/agent/neighbourhood.rs
+++ b/crates/quillpulley/src/agent/neighbourhood.rs
@@ -30,7 +30,7 @@
         self.seeds = settings.seeds.iter().filter_map(ipv4).collect();
     }
 
-    /// Whether any of these items is a front or a core process.
+    /// Returns whether any of these items is a front or a core process.
     pub fn is_touched_by(changed: &[ChangedKey]) -> bool {
         let kinds = changed.iter().filter_map(|item| PublishedKey::parse(&item.key));
         kinds
@@ -46,7 +46,7 @@
             read_all(store, CONTROL_NODE_PREFIX, decode_value::<ControlNodeRef<'_>, ControlNode>);
     }
 
-    /// The candidates for the parent of the agent with these settings, best first.
+    /// Returns the candidates for the parent of the agent with these settings, best first.
     pub fn candidates(&self, settings: &Settings, failed: &[ParentCandidate]) -> Vec<ParentCandidate> {
         parent_candidates(&Surroundings {
             name: &settings.node_name,
@@ -59,7 +59,7 @@
         })
     }
 
-    /// The agents that stay, as peers to be monitored.
+    /// Returns the agents that stay, as peers to be monitored.
     pub fn peers(&self, agent_port: u16) -> Vec<Peer> {
         let staying = self.endpoints.iter().filter(|endpoint| endpoint.state != EndpointState::Draining);
         let peer = |endpoint: &ProxyEndpoint| Peer {
@@ -70,7 +70,7 @@
     }
 }
 
-/// The values of all items whose keys begin with a prefix. Those that cannot be read are left out.
+/// Returns the values of all items whose keys begin with a prefix. Those that cannot be read are left out.
 fn read_all<'a, T>(
     store: &'a Store,
     prefix: &'a str,
--- a/crates/quillpulley/src/agent/parent_links.rs
+++ b/crates/quillpulley/src/agent/parent_links.rs
@@ -17,7 +17,7 @@
         self.links.insert(candidate, link);
     }
 
-    /// The candidate that a link leads to.
+    /// Returns the candidate that a link leads to.
     pub fn candidate(&self, link: LinkId) -> Option<ParentCandidate> {
         self.links.iter().find(|(_, known)| **known == link).map(|(candidate, _)| *candidate)
     }
@@ -36,7 +36,7 @@
         Some(link)
     }
 
-    /// The link to the parent.
+    /// Returns the link to the parent.
     pub fn parent(&self) -> Option<LinkId> {
         self.in_use
     }
--- a/crates/quillpulley/src/agent/search/mod.rs
+++ b/crates/quillpulley/src/agent/search/mod.rs
@@ -84,7 +84,7 @@
 }
 
 impl ParentSearch {
-    /// A search without candidates, at the time of the host's start.
+    /// Creates a search without candidates, at the time of the host's start.
     pub fn new(seed: u64) -> ParentSearch {
         ParentSearch {
             state: State::Searching { since: Duration::ZERO, next_connect: Duration::ZERO },
@@ -110,7 +110,7 @@
         self.check(now, actions);
     }
 
-    /// When an [`Event::Tick`] has something to do.
+    /// Returns when an [`Event::Tick`] has something to do.
     pub fn next_tick(&self) -> Duration {
         match self.state {
             State::Searching { .. } if self.attempts.len() >= MAXIMUM_ATTEMPTS => Duration::MAX,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// The parent, which may have been found to stand still.
+    /// Returns the parent, which may have been found to stand still.
     pub fn parent(&self) -> Option<ParentCandidate> {
         self.parent.map(|parent| parent.candidate)
     }
@@ -132,7 +132,7 @@
         }
     }
 
-    /// The candidates that have failed lately.
+    /// Returns the candidates that have failed lately.
     pub fn failed(&self, now: Duration) -> Vec<ParentCandidate> {
         self.penalties.running(now).collect()
     }
@@ -263,7 +263,7 @@
         self.state = next;
     }
 
-    /// Whether an attempt was under way; it is no longer.
+    /// Returns whether an attempt was under way; it is no longer.
     fn take_attempt(&mut self, candidate: ParentCandidate) -> bool {
         let attempts = self.attempts.len();
         self.attempts.retain(|attempt| *attempt != candidate);
@@ -274,7 +274,7 @@
         self.parent() == Some(candidate) || self.attempts.contains(&candidate)
     }
 
-    /// Whether a candidate comes before another. One that is no longer a candidate comes last.
+    /// Returns whether a candidate comes before another. One that is no longer a candidate comes last.
     fn is_better(&self, candidate: ParentCandidate, other: ParentCandidate) -> bool {
         self.rank(candidate) < self.rank(other)
     }
@@ -284,7 +284,7 @@
         rank.unwrap_or(usize::MAX)
     }
 
-    /// When the parent counts as standing still, if the stamp does not move.
+    /// Returns when the parent counts as standing still, if the stamp does not move.
     fn deadline(&self) -> Duration {
         let Some(parent) = self.parent else { return Duration::MAX };
         self.revision_moved.max(parent.since) + parent.patience
@@ -298,18 +298,18 @@
         least + self.jitter(PATIENCE_JITTER)
     }
 
-    /// The pause after the latest of several failures.
+    /// Returns the pause after the latest of several failures.
     fn pause(&mut self) -> Duration {
         let doublings = self.failures.saturating_sub(1).min(8);
         self.around((FIRST_PAUSE * 2u32.pow(doublings)).min(LONGEST_PAUSE), 0.5)
     }
 
-    /// A time by chance, between none and this.
+    /// Returns a time by chance, between none and this.
     fn jitter(&mut self, most: Duration) -> Duration {
         most.mul_f64(self.random.f64())
     }
 
-    /// A time by chance, around this one by a part of it at most.
+    /// Returns a time by chance, around this one by a part of it at most.
     fn around(&mut self, time: Duration, part: f64) -> Duration {
         time.mul_f64(1.0 - part + 2.0 * part * self.random.f64())
     }
--- a/crates/quillpulley/src/agent/search/penalties.rs
+++ b/crates/quillpulley/src/agent/search/penalties.rs
@@ -44,13 +44,13 @@
         self.by_candidate.remove(&candidate);
     }
 
-    /// Those whose penalty is not over.
+    /// Returns those whose penalty is not over.
     pub fn running(&self, now: Duration) -> impl Iterator<Item = ParentCandidate> + '_ {
         let running = self.by_candidate.iter().filter(move |(_, penalty)| penalty.until > now);
         running.map(|(candidate, _)| *candidate)
     }
 
-    /// What is left of a candidate's penalty.
+    /// Returns what is left of a candidate's penalty.
     pub fn left(&self, now: Duration, candidate: ParentCandidate) -> Duration {
         let until = self.by_candidate.get(&candidate).map_or(Duration::ZERO, |penalty| penalty.until);
         until.saturating_sub(now)
--- a/crates/quillpulley/src/check.rs
+++ b/crates/quillpulley/src/check.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// What a file is, if it can be used.
+/// Returns what a file is, if it can be used.
 fn check(file: &Path) -> Result<String, String> {
     let unreadable = |error| SettingsError::Unreadable { path: file.to_path_buf(), error: Box::new(error) };
     let text = fs::read_to_string(file).map_err(|error| unreadable(error).to_string())?;
@@ -44,7 +44,7 @@
     Ok(format!("settings of {}", settings.node_name))
 }
 
-/// Whether the settings hold what a process needs that these may call from outside.
+/// Returns whether the settings hold what a process needs that these may call from outside.
 fn check_for(settings: &Settings, caller: &str) -> Result<(), SettingsError> {
     match caller {
         "front" => {
--- a/crates/quillpulley/src/control/discovery/page.rs
+++ b/crates/quillpulley/src/control/discovery/page.rs
@@ -80,7 +80,7 @@
     })
 }
 
-/// The platform knows `ready` and `draining`. A server in any other state gets no new requests either.
+/// Returns the platform knows `ready` and `draining`. A server in any other state gets no new requests either.
 fn parse_state(state: &str) -> Option<ServerState> {
     match state {
         "ready" => Some(ServerState::Ready),
--- a/crates/quillpulley/src/peer/link.rs
+++ b/crates/quillpulley/src/peer/link.rs
@@ -144,7 +144,7 @@
 }
 
 impl Connection {
-    /// The first message.
+    /// Returns the first message.
     async fn hello(&mut self) -> Result<Hello, LinkEnd> {
         let first = poll_fn(|context| self.poll_frame(context));
         match timeout(HELLO_LIMIT, first).await {
@@ -155,7 +155,7 @@
         }
     }
 
-    /// The next message; an error where nothing at all comes for the idle limit.
+    /// Returns the next message; an error where nothing at all comes for the idle limit.
     async fn frame(&mut self, idle_limit: Option<Duration>) -> Result<Body, LinkEnd> {
         let Some(limit) = idle_limit else {
             return poll_fn(|context| self.poll_frame(context)).await;
--- a/crates/quillpulley/src/peer/outbound.rs
+++ b/crates/quillpulley/src/peer/outbound.rs
@@ -34,12 +34,12 @@
         self.wake();
     }
 
-    /// Whether the link is to close.
+    /// Returns whether the link is to close.
     pub fn is_ended(&self) -> bool {
         self.ended
     }
 
-    /// The next bytes to write.
+    /// Returns the next bytes to write.
     pub fn waiting(&mut self) -> &[u8] {
         self.queue.waiting()
     }
--- a/crates/quillpulley/src/peer/table.rs
+++ b/crates/quillpulley/src/peer/table.rs
@@ -45,12 +45,12 @@
         Table { links: BTreeMap::new(), next: 1, events, maximum_queued }
     }
 
-    /// A link that this side asks for.
+    /// Returns a link that this side asks for.
     pub fn add_outgoing(&mut self, address: SocketAddr) -> (LinkId, SharedOutbound) {
         self.add(LinkState::Connecting, address)
     }
 
-    /// A link that the other side asks for.
+    /// Returns a link that the other side asks for.
     pub fn add_incoming(&mut self, address: SocketAddr) -> (LinkId, SharedOutbound) {
         self.add(LinkState::Accepted, address)
     }
--- a/crates/quillpulley/src/proxy/admission.rs
+++ b/crates/quillpulley/src/proxy/admission.rs
@@ -96,7 +96,7 @@
 }
 
 impl Admission {
-    /// A place at a server, other than those that were tried, at once or until then.
+    /// Returns a place at a server, other than those that were tried, at once or until then.
     pub async fn place(&self, job: &Rc<Job>, tried: &[ServerKey], until: Instant) -> Result<Run, NoPlace> {
         let choice = self.servers.balancer().borrow_mut().choose(self.servers.now(), &job.demand(), tried);
         let retry_after = match choice {
--- a/crates/quillpulley/src/proxy/answer.rs
+++ b/crates/quillpulley/src/proxy/answer.rs
@@ -56,20 +56,20 @@
     }
 }
 
-/// Whether it is a server's whole answer, as the server made it.
+/// Returns whether it is a server's whole answer, as the server made it.
 fn is_sealed(headers: &HeaderMap) -> bool {
     let encoding = headers.get(CONTENT_ENCODING);
     let plain = encoding.is_none_or(|encoding| encoding.as_bytes().eq_ignore_ascii_case(IDENTITY.as_bytes()));
     plain && headers.contains_key(RESPONSE_SEAL)
 }
 
-/// Whether the end of the body can be told without the end of the connection. Where not, the connection's proper end
-/// is that of the body, and a reset cuts it.
+/// Returns whether the end of the body can be told without the end of the connection. Where not, the connection's
+/// proper end is that of the body, and a reset cuts it.
 fn is_framed(headers: &HeaderMap) -> bool {
     headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
 
-/// How long the server keeps the connection of this answer while it is idle; none where it closes it.
+/// Returns how long the server keeps the connection of this answer while it is idle; none where it closes it.
 pub fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
     if !is_framed(headers) || headers::closes(headers) {
         return None;
@@ -112,7 +112,7 @@
         OwnAnswer { retry_after: Some(retry_after), ..OwnAnswer::status(StatusCode::SERVICE_UNAVAILABLE) }
     }
 
-    /// The value of `Retry-After`: seconds with a fraction.
+    /// Returns the value of `Retry-After`: seconds with a fraction.
     pub fn retry_after_value(&self) -> Option<(hyper::header::HeaderName, HeaderValue)> {
         let seconds = self.retry_after?.as_secs_f64();
         Some((RETRY_AFTER, HeaderValue::try_from(format!("{seconds:.3}")).ok()?))
--- a/crates/quillpulley/src/proxy/attempts.rs
+++ b/crates/quillpulley/src/proxy/attempts.rs
@@ -108,12 +108,12 @@
         Attempts { rules, phase, attempts: 0, sends: 0, may_have_run: false, head_passed: false }
     }
 
-    /// Where it stands.
+    /// Returns where it stands.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Whether a server was chosen before: the next one is a repeat.
+    /// Returns whether a server was chosen before: the next one is a repeat.
     pub fn repeated(&self) -> bool {
         self.sends > 0
     }
--- a/crates/quillpulley/src/proxy/client_service.rs
+++ b/crates/quillpulley/src/proxy/client_service.rs
@@ -100,7 +100,7 @@
         Ok(Taken { job: Job { request, plan }, open, held })
     }
 
-    /// Where the published state is not fresh, another proxy may know a route that this one has not heard of.
+    /// Returns where the published state is not fresh, another proxy may know a route that this one has not heard of.
     fn no_route(&self) -> OwnAnswer {
         match self.plane.is_fresh() {
             true => OwnAnswer::status(StatusCode::NOT_FOUND),
--- a/crates/quillpulley/src/proxy/departure.rs
+++ b/crates/quillpulley/src/proxy/departure.rs
@@ -31,23 +31,23 @@
         Departure { takes_all_until: told + takes_all, ends_at: told + time }
     }
 
-    /// Whether a request is taken whose head came at this time, and whose answer is due then at the latest: at the
-    /// time-out of its route or the deadline of its client, whichever comes first.
+    /// Returns whether a request is taken whose head came at this time, and whose answer is due then at the latest:
+    /// at the time-out of its route or the deadline of its client, whichever comes first.
     pub fn takes(&self, arrived: Duration, due: Duration) -> bool {
         arrived <= self.takes_all_until || due <= self.last_answer_at()
     }
 
-    /// Until when all requests are taken. From then on idle connections are closed.
+    /// Returns until when all requests are taken. From then on idle connections are closed.
     pub fn takes_all_until(&self) -> Duration {
         self.takes_all_until
     }
 
-    /// When whatever has no answer yet gets one.
+    /// Returns when whatever has no answer yet gets one.
     pub fn last_answer_at(&self) -> Duration {
         self.ends_at.saturating_sub(ANSWER_MARGIN)
     }
 
-    /// When the process ends, at the latest.
+    /// Returns when the process ends, at the latest.
     pub fn ends_at(&self) -> Duration {
         self.ends_at
     }
--- a/crates/quillpulley/src/proxy/events.rs
+++ b/crates/quillpulley/src/proxy/events.rs
@@ -32,7 +32,7 @@
         EventSplitter { buffer: BytesMut::new(), searched: 0, position }
     }
 
-    /// How far whole events have been taken out.
+    /// Returns how far whole events have been taken out.
     pub fn position(&self) -> &Position {
         &self.position
     }
@@ -56,20 +56,20 @@
         (!events.is_empty()).then(|| events.freeze())
     }
 
-    /// What is left at the end of the stream.
+    /// Returns what is left at the end of the stream.
     pub fn finish(&mut self) -> Option<Bytes> {
         let rest = self.buffer.split();
         (!rest.is_empty()).then(|| rest.freeze())
     }
 
-    /// The run broke off: forgets the event that is not whole. False if no other run can go on from here.
+    /// Returns the run broke off: forgets the event that is not whole. False if no other run can go on from here.
     pub fn restart(&mut self) -> bool {
         self.buffer.clear();
         self.searched = 0;
         self.position != Position::Unnamed
     }
 
-    /// Where the next event ends: behind a blank line.
+    /// Returns where the next event ends: behind a blank line.
     fn next_end(&mut self) -> Option<usize> {
         let from = self.searched;
         let line_ends = memchr_all(&self.buffer, from);
@@ -115,12 +115,12 @@
     }
 }
 
-/// The places of line feeds from a place on.
+/// Returns the places of line feeds from a place on.
 fn memchr_all(buffer: &[u8], from: usize) -> impl Iterator<Item = usize> + '_ {
     (from..buffer.len()).filter(|at| buffer[*at] == b'\n')
 }
 
-/// The value of the last `id` field.
+/// Returns the value of the last `id` field.
 fn event_id(event: &[u8]) -> Option<&[u8]> {
     let lines = event.split(|byte| *byte == b'\n').map(|line| line.strip_suffix(b"\r").unwrap_or(line));
     let mut ids = lines.filter_map(|line| line.strip_prefix(b"id:"));
--- a/crates/quillpulley/src/proxy/exchange.rs
+++ b/crates/quillpulley/src/proxy/exchange.rs
@@ -14,7 +14,7 @@
         self.admit_all();
     }
 
-    /// What this proxy has under way.
+    /// Returns what this proxy has under way.
     pub fn own_loads(&self) -> Vec<ServerLoad> {
         self.balancer().borrow_mut().own_loads(self.now())
     }
@@ -26,7 +26,7 @@
         self.budgets().borrow_mut().set_totals(self.now(), &services, limiters, totals.complete);
     }
 
-    /// What this proxy counted of late.
+    /// Returns what this proxy counted of late.
     pub fn service_counts(&self) -> Vec<ServiceCounters> {
         let counts = self.budgets().borrow().counts(self.now());
         counts.into_iter().map(service_counters).collect()
--- a/crates/quillpulley/src/proxy/failures.rs
+++ b/crates/quillpulley/src/proxy/failures.rs
@@ -18,7 +18,7 @@
         self.happened.notify_one();
     }
 
-    /// The last one.
+    /// Returns the last one.
     pub fn last(&self) -> Option<Instant> {
         self.last.get()
     }
--- a/crates/quillpulley/src/proxy/forward.rs
+++ b/crates/quillpulley/src/proxy/forward.rs
@@ -68,7 +68,7 @@
 }
 
 impl Forwarding {
-    /// A request that was taken from a client just now.
+    /// Creates a request that was taken from a client just now.
     pub fn new(plane: Rc<Plane>, job: Job) -> Self {
         let Job { request, plan } = &job;
         plane.budgets().borrow_mut().record_request(plane.now(), &plan.service);
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The request, and what is to be done with it.
+    /// Returns the request, and what is to be done with it.
     pub fn job(&self) -> &Job {
         &self.job
     }
@@ -141,7 +141,7 @@
         }
     }
 
-    /// A place at a server, and the right to send the request there. A repeat is counted before it is sent.
+    /// Returns a place at a server, and the right to send the request there. A repeat is counted before it is sent.
     async fn place(&mut self) -> Option<Run> {
         match self.plane.place(&self.job, &self.tried, self.patience).await {
             Ok(run) if !self.attempts.repeated() || self.may_repeat() => Some(run),
@@ -209,7 +209,7 @@
         }
     }
 
-    /// What an answer means; its body is read as far as it must be whole before it is passed on.
+    /// Returns what an answer means; its body is read as far as it must be whole before it is passed on.
     async fn judge(&mut self, run: Run, response: Response<Incoming>) -> Result<Answer, Event> {
         let (head, body) = response.into_parts();
         match self.verdict(&head) {
--- a/crates/quillpulley/src/proxy/headers.rs
+++ b/crates/quillpulley/src/proxy/headers.rs
@@ -47,13 +47,13 @@
     }
 }
 
-/// Whether the connection is closed after the message.
+/// Returns whether the connection is closed after the message.
 pub fn closes(headers: &HeaderMap) -> bool {
     headers.contains_key(CONNECTION)
         && tokens_of_connection(headers).any(|token| token.eq_ignore_ascii_case("close"))
 }
 
-/// The headers of the protocol are for the other end, whatever `Connection` says of them.
+/// Returns false for headers of the protocol, which are for the other end, whatever `Connection` says of them.
 fn named_by_connection(headers: &HeaderMap) -> impl Iterator<Item = HeaderName> + '_ {
     let names = tokens_of_connection(headers).filter_map(|name| name.parse().ok());
     names.filter(|name: &HeaderName| !name.as_str().starts_with(OF_PROTOCOL) && *name != LAST_EVENT_ID)
@@ -64,14 +64,14 @@
     values.flat_map(|value| value.split(',')).map(str::trim)
 }
 
-/// The value of a header that is there once.
+/// Returns the value of a header that is there once.
 pub fn single<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a HeaderValue> {
     let mut values = headers.get_all(name).iter();
     let value = values.next()?;
     values.next().is_none().then_some(value)
 }
 
-/// The text of a header that is there once.
+/// Returns the text of a header that is there once.
 pub fn single_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     single(headers, name)?.to_str().ok().map(str::trim)
 }
--- a/crates/quillpulley/src/proxy/health.rs
+++ b/crates/quillpulley/src/proxy/health.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// What the server says of itself, if anything.
+/// Returns what the server says of itself, if anything.
 async fn ask(plane: &Rc<Plane>, server: ServerKey) -> Option<Probe> {
     let (target, service) = {
         let balancer = plane.balancer().borrow();
--- a/crates/quillpulley/src/proxy/lifecycle.rs
+++ b/crates/quillpulley/src/proxy/lifecycle.rs
@@ -61,12 +61,12 @@
         };
     }
 
-    /// Whether it has been told to end.
+    /// Returns whether it has been told to end.
     pub fn is_leaving(&self) -> bool {
         self.stage == Stage::Leaving
     }
 
-    /// What others are told.
+    /// Returns what others are told.
     pub fn endpoint_state(&self, now: Duration) -> EndpointState {
         match self.stage {
             Stage::Ready => EndpointState::Ready,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Whether new clients may come.
+    /// Returns whether new clients may come.
     pub fn is_ready(&self, now: Duration) -> bool {
         self.endpoint_state(now) == EndpointState::Ready
     }
--- a/crates/quillpulley/src/proxy/memory.rs
+++ b/crates/quillpulley/src/proxy/memory.rs
@@ -33,7 +33,7 @@
         BodyBudget(Rc::new(Budget { limit, taken: Cell::new(0) }))
     }
 
-    /// As many bytes as there are.
+    /// Returns as many bytes as there are.
     pub fn limit(&self) -> usize {
         self.0.limit
     }
--- a/crates/quillpulley/src/proxy/plan.rs
+++ b/crates/quillpulley/src/proxy/plan.rs
@@ -22,17 +22,17 @@
         InForce { table, homes, configuration }
     }
 
-    /// What binds clients.
+    /// Returns what binds clients.
     pub fn limits(&self) -> &Limits {
         &self.configuration.limits
     }
 
-    /// The home regions of its routes by their hosts.
+    /// Returns the home regions of its routes by their hosts.
     pub fn homes(&self) -> &HomeTable {
         &self.homes
     }
 
-    /// What is to be done with a request, if there is a route for it.
+    /// Returns what is to be done with a request, if there is a route for it.
     pub fn find(&self, host: &str, path: &str) -> Option<Plan> {
         let route = self.table.find(host, path)?;
         let service = pick_service(route, fastrand::f64())?;
--- a/crates/quillpulley/src/proxy/plane.rs
+++ b/crates/quillpulley/src/proxy/plane.rs
@@ -81,17 +81,17 @@
         })
     }
 
-    /// The time since the start.
+    /// Returns the time since the start.
     pub fn now(&self) -> Duration {
         self.servers.now()
     }
 
-    /// A time as one since the start.
+    /// Returns a time as one since the start.
     pub fn since_start(&self, time: Instant) -> Duration {
         time.saturating_duration_since(self.servers.started())
     }
 
-    /// A time since the start as one of the clock.
+    /// Returns a time since the start as one of the clock.
     pub fn at(&self, time: Duration) -> Instant {
         self.servers.started() + time
     }
@@ -101,12 +101,12 @@
         lifecycle::retry_after_start(self.now())
     }
 
-    /// The configuration in force, once one is known.
+    /// Returns the configuration in force, once one is known.
     pub fn in_force(&self) -> Option<Rc<InForce>> {
         self.in_force.borrow().clone()
     }
 
-    /// The version of the configuration in force.
+    /// Returns the version of the configuration in force.
     pub fn version(&self) -> Option<u64> {
         self.in_force.borrow().as_ref().map(|in_force| in_force.configuration.version)
     }
@@ -126,12 +126,12 @@
         self.change_lifecycle(lifecycle::Event::ConfigurationKnown);
     }
 
-    /// The choice of servers. Nothing else of the plane may be called while it is borrowed.
+    /// Returns the choice of servers. Nothing else of the plane may be called while it is borrowed.
     pub fn balancer(&self) -> &RefCell<Balancer> {
         self.servers.balancer()
     }
 
-    /// A place at a server, other than those that were tried, at once or until then.
+    /// Returns a place at a server, other than those that were tried, at once or until then.
     pub async fn place(&self, job: &Rc<Job>, tried: &[ServerKey], until: Instant) -> Result<Run, NoPlace> {
         self.admission.place(job, tried, until).await
     }
@@ -146,7 +146,7 @@
         self.admission.keep_admitting().await;
     }
 
-    /// When something failed at a server.
+    /// Returns when something failed at a server.
     pub fn failures(&self) -> &Failures {
         self.servers.failures()
     }
@@ -156,32 +156,32 @@
         &self.faults
     }
 
-    /// The retry budgets.
+    /// Returns the retry budgets.
     pub fn budgets(&self) -> &RefCell<RetryBudgets> {
         &self.budgets
     }
 
-    /// The connections to servers.
+    /// Returns the connections to servers.
     pub fn pool(&self) -> &Rc<Pool> {
         self.servers.pool()
     }
 
-    /// The memory for bodies.
+    /// Returns the memory for bodies.
     pub fn bodies(&self) -> &BodyBudget {
         self.servers.bodies()
     }
 
-    /// Whether the process has been told to end.
+    /// Returns whether the process has been told to end.
     pub fn is_leaving(&self) -> bool {
         self.lifecycle.get().is_leaving()
     }
 
-    /// Whether new clients may come.
+    /// Returns whether new clients may come.
     pub fn is_ready(&self) -> bool {
         self.lifecycle.get().is_ready(self.now())
     }
 
-    /// What others are told of this proxy.
+    /// Returns what others are told of this proxy.
     pub fn endpoint_state(&self) -> EndpointState {
         self.lifecycle.get().endpoint_state(self.now())
     }
@@ -195,7 +195,7 @@
         }
     }
 
-    /// The regions whose fronts would serve the clients of this proxy better.
+    /// Returns the regions whose fronts would serve the clients of this proxy better.
     pub fn preferred_regions(&self) -> Vec<String> {
         self.home_demand.borrow().preferred_regions().to_vec()
     }
@@ -206,7 +206,7 @@
         self.change_lifecycle(lifecycle::Event::Stop);
     }
 
-    /// Whether a request is taken that came then, and whose answer is due then at the latest.
+    /// Returns whether a request is taken that came then, and whose answer is due then at the latest.
     pub fn takes(&self, arrived: Instant, due: Instant) -> bool {
         let taken_by =
             |departure: Departure| departure.takes(self.since_start(arrived), self.since_start(due));
@@ -223,7 +223,7 @@
         self.last_call.notified().await;
     }
 
-    /// Whether the published state is fresh. If not, there may be routes that this proxy has not heard of.
+    /// Returns whether the published state is fresh. If not, there may be routes that this proxy has not heard of.
     pub fn is_fresh(&self) -> bool {
         self.fresh_at.get().is_some_and(|fresh_at| self.now().saturating_sub(fresh_at) < STALE_AFTER)
     }
@@ -282,12 +282,12 @@
         }
     }
 
-    /// Whether anything may be sent to a server that was chosen before.
+    /// Returns whether anything may be sent to a server that was chosen before.
     pub fn is_usable(&self, server: ServerKey) -> bool {
         self.servers.is_usable(server)
     }
 
-    /// The part of a server's connections that this proxy may keep.
+    /// Returns the part of a server's connections that this proxy may keep.
     pub fn connection_share(&self, max_connections: u32) -> usize {
         self.servers.connection_share(max_connections)
     }
--- a/crates/quillpulley/src/proxy/pool.rs
+++ b/crates/quillpulley/src/proxy/pool.rs
@@ -100,7 +100,7 @@
         })
     }
 
-    /// A kept connection if there is a usable one, else a new one.
+    /// Returns a kept connection if there is a usable one, else a new one.
     pub async fn connect(&self, target: &Target) -> Result<Connected, ConnectError> {
         if let Some(link) = poll_fn(|cx| Poll::Ready(self.reuse(target.key, cx))).await {
             return Ok(Connected { link, reused: true });
@@ -162,7 +162,7 @@
         });
     }
 
-    /// The connection that was used last and has rested, past those that are no longer good.
+    /// Returns the connection that was used last and has rested, past those that are no longer good.
     fn reuse(&self, server: ServerKey, cx: &mut Context<'_>) -> Option<Link> {
         let mut kept = self.kept.borrow_mut();
         let of_server = kept.get_mut(&server)?;
--- a/crates/quillpulley/src/proxy/published.rs
+++ b/crates/quillpulley/src/proxy/published.rs
@@ -72,7 +72,7 @@
     }
 }
 
-/// All fronts: one that starts or leaves may send requests to servers too.
+/// Returns all fronts: one that starts or leaves may send requests to servers too.
 fn endpoints(store: &Store) -> Vec<Limiter> {
     let endpoints = store.with_prefix(ENDPOINT_PREFIX);
     let endpoints =
--- a/crates/quillpulley/src/proxy/reply.rs
+++ b/crates/quillpulley/src/proxy/reply.rs
@@ -22,13 +22,13 @@
     Stream(Box<EventStream>),
 }
 
-/// A server's answer.
+/// Returns a server's answer.
 pub fn from_server(mut head: Parts, body: ReplyBody) -> Reply {
     headers::remove_connection_headers(&mut head.headers);
     Response::from_parts(head, body)
 }
 
-/// The limiter's own answer.
+/// Returns the limiter's own answer.
 pub fn own(answer: &OwnAnswer) -> Reply {
     let mut reply = Response::new(ReplyBody::Whole(Some(answer.text())));
     *reply.status_mut() = answer.status;
--- a/crates/quillpulley/src/proxy/request.rs
+++ b/crates/quillpulley/src/proxy/request.rs
@@ -52,14 +52,14 @@
         Ok(RequestHead { method: head.method, target, host, headers, id, deadline })
     }
 
-    /// When the answer is due at the latest, on a route with this time-out.
+    /// Returns when the answer is due at the latest, on a route with this time-out.
     pub fn due(&self, arrived: Instant, timeout: Duration) -> Instant {
         let patience = self.deadline.map_or(timeout, |deadline| deadline.saturating_sub(DEADLINE_MARGIN));
         arrived + patience.min(timeout)
     }
 }
 
-/// The bytes of a head, but for white space that is not needed.
+/// Returns the bytes of a head, but for white space that is not needed.
 pub fn head_bytes(head: &Parts) -> usize {
     let line = head.method.as_str().len() + head.uri.path().len() + head.uri.query().map_or(0, str::len);
     let fields = head.headers.iter().map(|(name, value)| name.as_str().len() + value.len() + HEADER_OVERHEAD);
@@ -70,7 +70,7 @@
     !id.is_empty() && id.len() <= MAX_ID
 }
 
-/// The host of the target, or else `Host`.
+/// Returns the host of the target, or else `Host`.
 fn host(head: &Parts) -> Option<HeaderValue> {
     match head.uri.host() {
         Some(host) => HeaderValue::from_str(host).ok(),
@@ -116,12 +116,12 @@
         Some(Bytes::copy_from_slice(id.as_bytes())).filter(|id| !id.is_empty())
     }
 
-    /// The time that is left for an answer.
+    /// Returns the time that is left for an answer.
     pub fn time_remaining(&self) -> Duration {
         self.due.saturating_duration_since(Instant::now())
     }
 
-    /// The request as a server gets it. `resume_after` is the last event that has been passed on.
+    /// Returns the request as a server gets it. `resume_after` is the last event that has been passed on.
     pub fn for_server(&self, instance: &str, resume_after: Option<&[u8]>) -> Option<Request<Full<Bytes>>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.head.method.clone();
@@ -146,7 +146,7 @@
 }
 
 impl Job {
-    /// What it needs of a server now.
+    /// Returns what it needs of a server now.
     pub fn demand(&self) -> Demand<'_> {
         let Job { request, plan } = self;
         Demand {
--- a/crates/quillpulley/src/proxy/run.rs
+++ b/crates/quillpulley/src/proxy/run.rs
@@ -32,7 +32,7 @@
         Run { servers, job, target, ticket: Some(ticket), link: None, watch: None }
     }
 
-    /// The server.
+    /// Returns the server.
     pub fn target(&self) -> &Target {
         &self.target
     }
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The next piece of the answer's body; `None` once it is whole.
+    /// Returns the next piece of the answer's body; `None` once it is whole.
     pub fn poll_data(
         &mut self,
         cx: &mut Context<'_>,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The whole body of the answer.
+    /// Returns the whole body of the answer.
     pub async fn read_whole(&mut self, mut body: Incoming) -> Result<Bytes, Failure> {
         if body.size_hint().lower() > MAX_ANSWER as u64 {
             return Err(Failure::TooLarge);
--- a/crates/quillpulley/src/proxy/servers.rs
+++ b/crates/quillpulley/src/proxy/servers.rs
@@ -48,37 +48,37 @@
         let _ = self.listener.set(listener);
     }
 
-    /// When the process started.
+    /// Returns when the process started.
     pub fn started(&self) -> Instant {
         self.started
     }
 
-    /// The time since the start.
+    /// Returns the time since the start.
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// The choice of servers. Nothing else may be called while it is borrowed.
+    /// Returns the choice of servers. Nothing else may be called while it is borrowed.
     pub fn balancer(&self) -> &RefCell<Balancer> {
         &self.balancer
     }
 
-    /// The connections to servers.
+    /// Returns the connections to servers.
     pub fn pool(&self) -> &Rc<Pool> {
         &self.pool
     }
 
-    /// The memory for bodies.
+    /// Returns the memory for bodies.
     pub fn bodies(&self) -> &BodyBudget {
         &self.bodies
     }
 
-    /// When something failed at a server.
+    /// Returns when something failed at a server.
     pub fn failures(&self) -> &Failures {
         &self.failures
     }
 
-    /// Whether anything may be sent to a server that was chosen before.
+    /// Returns whether anything may be sent to a server that was chosen before.
     pub fn is_usable(&self, server: ServerKey) -> bool {
         self.balancer.borrow().is_usable(server)
     }
@@ -88,7 +88,7 @@
         self.endpoints.set(endpoints.max(1));
     }
 
-    /// The part of a server's connections that this proxy may keep.
+    /// Returns the part of a server's connections that this proxy may keep.
     pub fn connection_share(&self, max_connections: u32) -> usize {
         max_connections as usize / self.endpoints.get()
     }
--- a/crates/quillpulley/src/proxy/stream.rs
+++ b/crates/quillpulley/src/proxy/stream.rs
@@ -67,7 +67,7 @@
 }
 
 impl EventStream {
-    /// The body of an answer, and its head, which is to be passed on.
+    /// Creates the body of an answer, and its head, which is to be passed on.
     pub fn new(
         mut forwarding: Box<Forwarding>,
         answer: OpenAnswer,
@@ -121,7 +121,7 @@
         }
     }
 
-    /// The server has ended the stream properly.
+    /// Handles that the server has ended the stream properly.
     fn finish(&mut self) -> Option<Bytes> {
         if let Source::Server(server) = self.change_source(Source::Complete) {
             server.run.end_whole(Outcome::Served, server.keep_alive);
@@ -160,14 +160,14 @@
         });
     }
 
-    /// Every change of state happens here. Gives the state before.
+    /// Returns every change of state happens here. Gives the state before.
     fn change_source(&mut self, source: Source) -> Source {
         std::mem::replace(&mut self.source, source)
     }
 }
 
 impl Source {
-    /// The head and the source of the body.
+    /// Returns the head and the source of the body.
     fn server(forwarding: Box<Forwarding>, answer: OpenAnswer) -> (Parts, Source) {
         let OpenAnswer { head, body, run } = answer;
         let keep_alive = answer::keep_alive(&head.headers);
--- a/crates/replication/src/durability.rs
+++ b/crates/replication/src/durability.rs
@@ -61,16 +61,16 @@
 
 impl DurabilityMonitor {
     /// Returns whether what all members have stored survives the tolerated failures, or is as safe as it can be made at
-    /// the moment. `could_cover_domains` tells whether connected nodes could cover more failures of zones or regions.
+    /// the moment. `could_survive_more` tells whether connected nodes could cover more failures of zones or regions.
     pub fn can_acknowledge(
         &self,
         now: Duration,
         inputs: &DurabilityInputs,
-        could_cover_domains: impl Fn() -> bool,
+        could_survive_more: impl Fn() -> bool,
     ) -> bool {
         let has_waited = now > inputs.elected_at + WITNESS_TIMEOUT;
         let are_witnesses_enough = inputs.has_enough_witnesses || has_waited || !inputs.could_add_witness;
-        let waits_for_domains = self.is_within_wait(now) && could_cover_domains();
+        let waits_for_domains = self.is_within_wait(now) && could_survive_more();
         !inputs.status.members.machines && are_witnesses_enough && !waits_for_domains
     }
 
@@ -85,17 +85,17 @@
         now: Duration,
         me: NodeId,
         inputs: &DurabilityInputs,
-        could_cover_domains: impl Fn() -> bool,
+        could_survive_more: impl Fn() -> bool,
     ) {
         let status = inputs.status;
         let is_over = |since: &Duration| now > *since + DOMAIN_TIMEOUT + WAIT_INTERVAL;
         self.waiting_since =
             self.waiting_since.filter(|since| status.has_uncovered_domains() && !is_over(since));
-        if self.waiting_since.is_none() && could_cover_domains() {
+        if self.waiting_since.is_none() && could_survive_more() {
             self.waiting_since = Some(now);
         }
         let is_decided = status.is_covered()
-            || self.can_acknowledge(now, inputs, could_cover_domains)
+            || self.can_acknowledge(now, inputs, could_survive_more)
             || status.members.machines;
         if status != self.logged && is_decided {
             log_status(me, status, self.logged);
--- a/crates/replication/src/membership/cluster_state.rs
+++ b/crates/replication/src/membership/cluster_state.rs
@@ -80,7 +80,7 @@
     }
 
     /// Returns for how long a node has been silent, counted from `start` at the earliest.
-    pub fn silent_for(&self, node: NodeId, start: Duration) -> Duration {
-        self.peers.silent_for(self.now, node, start)
+    pub fn time_since_reply(&self, node: NodeId, start: Duration) -> Duration {
+        self.peers.time_since_reply(self.now, node, start)
     }
 }
--- a/crates/replication/src/membership/mod.rs
+++ b/crates/replication/src/membership/mod.rs
@@ -8,4 +8,4 @@
 mod witness_set;
 
 pub(crate) use cluster_state::ClusterState;
-pub(crate) use planner::{Planner, ViewPlan};
+pub(crate) use planner::{DesiredView, Planner};
--- a/crates/replication/src/membership/planner.rs
+++ b/crates/replication/src/membership/planner.rs
@@ -16,14 +16,14 @@
 
 /// The view that an active primary wants.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct ViewPlan {
+pub(crate) struct DesiredView {
     pub members: BTreeSet<NodeId>,
     pub witnesses: Vec<NodeId>,
     /// The node that becomes a witness, if one does.
     pub new_witness: Option<NodeId>,
 }
 
-impl ViewPlan {
+impl DesiredView {
     /// Returns whether the new witness is among the nodes that hold the state.
     pub fn is_possible_with(&self, synced: &BTreeSet<NodeId>) -> bool {
         self.new_witness.is_none_or(|node| synced.contains(&node))
@@ -51,7 +51,7 @@
     }
 
     /// Returns the view as it should be now. Members are dropped only as long as enough remain.
-    pub fn plan(&self) -> ViewPlan {
+    pub fn desired_view(&self) -> DesiredView {
         let present: BTreeSet<NodeId> = members(self.primary.view()).into_iter().collect();
         let mut wanted: BTreeSet<NodeId> =
             present.iter().copied().filter(|node| !self.is_lost(*node)).collect();
@@ -61,15 +61,15 @@
             wanted.extend(present);
         }
         let change = self.next_witnesses(&wanted);
-        ViewPlan { members: wanted, witnesses: change.witnesses, new_witness: change.added }
+        DesiredView { members: wanted, witnesses: change.witnesses, new_witness: change.added }
     }
 
-    /// Returns whether the view has to be replaced by the planned one.
-    pub fn requires_view_change(&self, plan: &ViewPlan) -> bool {
+    /// Returns whether the view has to be replaced by the desired one.
+    pub fn requires_view_change(&self, desired_view: &DesiredView) -> bool {
         let view = self.primary.view();
-        let is_different = plan.members != members(view).into_iter().collect::<BTreeSet<NodeId>>()
-            || plan.witnesses != view.witnesses;
-        is_different || self.is_superseded(plan)
+        let is_different = desired_view.members != members(view).into_iter().collect::<BTreeSet<NodeId>>()
+            || desired_view.witnesses != view.witnesses;
+        is_different || self.is_superseded(desired_view)
     }
 
     /// Returns whether a member does not do its part any more.
@@ -78,20 +78,20 @@
             return false;
         }
         let drop_after = self.cluster.options.drop_after;
-        let is_silent = self.cluster.silent_for(node, self.primary.elected_at()) > drop_after;
-        is_silent
+        let has_timed_out = self.cluster.time_since_reply(node, self.primary.elected_at()) > drop_after;
+        has_timed_out
             || self.cluster.is_shutting_down(node)
             || self.progress(node).is_some_and(|progress| progress.is_stuck(self.cluster.now, drop_after))
     }
 
     /// Returns whether a node of the planned view has promised an epoch to another node, and so takes nothing from this
     /// one.
-    fn is_superseded(&self, plan: &ViewPlan) -> bool {
+    fn is_superseded(&self, desired_view: &DesiredView) -> bool {
         let rejects = |node: &NodeId| {
             self.cluster.peers.is_responsive(self.cluster.now, *node)
                 && self.cluster.peers.is_rejecting(*node)
         };
-        plan.members.iter().chain(&plan.witnesses).any(rejects)
+        desired_view.members.iter().chain(&desired_view.witnesses).any(rejects)
     }
 
     /// Returns the members that are shutting down and are kept beside those that stay: as many as are needed for the loss
@@ -132,7 +132,7 @@
     }
 
     /// Returns whether the view would survive more failures of zones or regions with nodes that are connected.
-    pub fn could_cover_domains(&self) -> bool {
+    pub fn could_survive_more(&self) -> bool {
         let status = self.cluster.durability_of(self.primary.view());
         if !status.has_uncovered_domains() {
             return false;
@@ -144,7 +144,8 @@
         let members_help =
             self.cluster.uncovered_by_members(&with_available).count() < status.members.count();
         let witnesses_help = status.witnesses.has_domains()
-            && self.cluster.uncovered_by_witnesses(&self.plan().witnesses).count() < status.witnesses.count();
+            && self.cluster.uncovered_by_witnesses(&self.desired_view().witnesses).count()
+                < status.witnesses.count();
         members_help || witnesses_help
     }
 
--- a/crates/replication/src/membership/witness_set.rs
+++ b/crates/replication/src/membership/witness_set.rs
@@ -87,12 +87,12 @@
     /// Removes an unavailable witness from a set of even size: that makes the majority smaller, and so the others survive
     /// one loss more. From a set of odd size one is removed if two are unavailable that it does not need.
     fn remove_one(&self, present: &[NodeId]) -> Option<WitnessChange> {
-        let silent_for = match present.len().is_multiple_of(2) {
+        let time_since_reply = match present.len().is_multiple_of(2) {
             true => self.cluster.options.drop_after,
             false if self.has_two_to_spare(present) => REMOVE_SPARE_AFTER,
             false => return None,
         };
-        self.unavailable(present, silent_for).map(|index| WitnessChange::remove(present, index))
+        self.unavailable(present, time_since_reply).map(|index| WitnessChange::remove(present, index))
     }
 
     /// Returns whether two witnesses are unavailable without which the set would still be large enough. They would count
@@ -148,7 +148,7 @@
     }
 
     fn is_unavailable(&self, node: NodeId, time: Duration) -> bool {
-        let is_silent = || self.cluster.silent_for(node, self.primary.elected_at()) > time;
-        !self.cluster.is_me(node) && (self.cluster.is_shutting_down(node) || is_silent())
+        let has_timed_out = || self.cluster.time_since_reply(node, self.primary.elected_at()) > time;
+        !self.cluster.is_me(node) && (self.cluster.is_shutting_down(node) || has_timed_out())
     }
 }
--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -151,7 +151,7 @@
     }
 
     /// Returns for how long a node has been silent, counted from `start` at the earliest.
-    pub fn silent_for(&self, now: Duration, node: NodeId, start: Duration) -> Duration {
+    pub fn time_since_reply(&self, now: Duration, node: NodeId, start: Duration) -> Duration {
         let heard_at = self.get(node).and_then(|peer| peer.heard_at).unwrap_or_default();
         now.saturating_sub(heard_at.max(start))
     }
--- a/crates/replication/src/replica/primary.rs
+++ b/crates/replication/src/replica/primary.rs
@@ -7,7 +7,7 @@
 
 use super::Replica;
 use crate::event::{Action, RejectReason, Write};
-use crate::membership::ViewPlan;
+use crate::membership::DesiredView;
 use crate::primary::{PrimaryState, ResignReason};
 use crate::proposals::QueuedProposal;
 use crate::view::{majority, members};
@@ -18,7 +18,7 @@
     /// Becomes the primary of the proposed view, which is in force.
     pub(super) fn become_primary(&mut self) {
         let Some(outcome) = self.view_change.take().and_then(ViewChange::into_outcome) else { return };
-        let ViewChangeOutcome { view, plan, log_end } = outcome;
+        let ViewChangeOutcome { view, desired_view, log_end } = outcome;
         info!(
             node:% = self.options.me, epoch = view.epoch, backups:? = addresses(&view.backups),
             witnesses:? = addresses(&view.witnesses);
@@ -27,7 +27,7 @@
         if self.witness.learn(&view) {
             self.writes.push_record(self.witness.record());
         }
-        self.record_drops(&view, plan);
+        self.record_drops(&view, desired_view);
         let primary = match self.primary.take() {
             Some(primary) => primary.continue_in(view, self.now),
             None => PrimaryState::new(view, log_end.index, self.now, self.options.lease),
@@ -41,11 +41,11 @@
     }
 
     /// Records the members that were dropped, and the learners that were to be added and did not catch up in time.
-    fn record_drops(&mut self, view: &View, plan: Option<ViewPlan>) {
+    fn record_drops(&mut self, view: &View, desired_view: Option<DesiredView>) {
         let Some(primary) = &self.primary else { return };
         let present = members(view);
         let mut expected = members(primary.view());
-        expected.extend(plan.into_iter().flat_map(|plan| plan.members));
+        expected.extend(desired_view.into_iter().flat_map(|desired_view| desired_view.members));
         expected.retain(|node| !present.contains(node));
         expected.sort_unstable();
         expected.dedup();
@@ -231,7 +231,7 @@
     fn can_acknowledge(&self) -> bool {
         let (Some(primary), Some(planner)) = (&self.primary, self.planner()) else { return false };
         let inputs = planner.durability_inputs();
-        primary.durability.can_acknowledge(self.now, &inputs, || planner.could_cover_domains())
+        primary.durability.can_acknowledge(self.now, &inputs, || planner.could_survive_more())
     }
 
     fn update_durability(&mut self) {
@@ -239,7 +239,7 @@
         let Some(primary) = &self.primary else { return };
         let inputs = planner.durability_inputs();
         let mut durability = primary.durability;
-        durability.update(self.now, self.options.me, &inputs, || planner.could_cover_domains());
+        durability.update(self.now, self.options.me, &inputs, || planner.could_survive_more());
         if let Some(primary) = &mut self.primary {
             primary.durability = durability;
         }
--- a/crates/replication/src/replica/view_change.rs
+++ b/crates/replication/src/replica/view_change.rs
@@ -52,13 +52,13 @@
             return;
         }
         let Some(planner) = self.planner() else { return };
-        let plan = planner.plan();
-        if !planner.requires_view_change(&plan) {
+        let desired_view = planner.desired_view();
+        if !planner.requires_view_change(&desired_view) {
             return;
         }
         let Some(view) = self.primary.as_ref().map(|primary| primary.view().clone()) else { return };
         let epoch = self.highest_epoch + 1;
-        self.view_change = Some(ViewChange::new(epoch, Phase::Claim, self.now, view, Some(plan)));
+        self.view_change = Some(ViewChange::new(epoch, Phase::Claim, self.now, view, Some(desired_view)));
         self.claim_epoch();
     }
 
@@ -66,9 +66,9 @@
     pub(super) fn retry_claim(&mut self) {
         let Some(change) = &self.view_change else { return };
         let newest = change.newest_view().clone();
-        let plan = self.planner().map(|planner| planner.plan());
+        let desired_view = self.planner().map(|planner| planner.desired_view());
         let epoch = self.highest_epoch + 1;
-        self.view_change = Some(ViewChange::new(epoch, Phase::Claim, self.now, newest, plan));
+        self.view_change = Some(ViewChange::new(epoch, Phase::Claim, self.now, newest, desired_view));
         self.claim_epoch();
     }
 
@@ -87,8 +87,8 @@
         let me = self.options.me;
         let Some(change) = &mut self.view_change else { return };
         change.enter(Phase::Sync, self.now);
-        let mut targets: BTreeSet<NodeId> = match change.plan() {
-            Some(plan) => plan.members.clone(),
+        let mut targets: BTreeSet<NodeId> = match change.desired_view() {
+            Some(desired_view) => desired_view.members.clone(),
             None => members(change.newest_view()).into_iter().chain(voters(change.newest_view())).collect(),
         };
         // Nodes that are shutting down become members only if they are needed beside the others.
@@ -119,7 +119,7 @@
     fn add_sync_targets(&mut self) {
         let needed = self.needed_shutting_down();
         let (Some(change), Some(tracker)) = (&mut self.view_change, &mut self.tracker) else { return };
-        if change.plan().is_some() && change.is_within(self.now, self.options.drop_after) {
+        if change.desired_view().is_some() && change.is_within(self.now, self.options.drop_after) {
             return;
         }
         for node in self.peers.connected() {
@@ -144,7 +144,7 @@
         let Some(change) = &self.view_change else { return BTreeSet::new() };
         let cluster = self.cluster();
         if let Some(planner) = self.planner() {
-            let members = planner.plan().members.into_iter();
+            let members = planner.desired_view().members.into_iter();
             return members.filter(|node| cluster.is_shutting_down(*node)).collect();
         }
         let is_present = |node: NodeId| self.peers.is_connected(node) || node == self.options.me;
@@ -202,7 +202,7 @@
             let needed = self.needed_shutting_down();
             synced.retain(|node| !is_shutting_down(node) || needed.contains(node));
         }
-        let grace = if change.plan().is_some() { self.options.drop_after } else { SYNC_GRACE };
+        let grace = if change.desired_view().is_some() { self.options.drop_after } else { SYNC_GRACE };
         let may_still_sync = |node: &NodeId| !synced.contains(node) && self.peers.is_connected(*node);
         let is_waiting = change.is_within(self.now, grace) && change.awaited().iter().any(may_still_sync);
         let is_enough = synced.contains(&self.options.me) && synced.len() > tolerated_machines;
@@ -228,8 +228,10 @@
         let (witnesses, previous_witnesses) = if newest.activated {
             let can_change =
                 self.primary.as_ref().is_some_and(|primary| primary.view().epoch == newest.epoch);
-            let plan = change.plan().filter(|plan| can_change && plan.is_possible_with(&members));
-            let witnesses = plan.map_or(&newest.witnesses, |plan| &plan.witnesses);
+            let desired_view = change
+                .desired_view()
+                .filter(|desired_view| can_change && desired_view.is_possible_with(&members));
+            let witnesses = desired_view.map_or(&newest.witnesses, |desired_view| &desired_view.witnesses);
             (witnesses.clone(), newest.witnesses.clone())
         } else {
             // Both sets still decide, and so both stay.
--- a/crates/replication/src/view_change.rs
+++ b/crates/replication/src/view_change.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use crate::membership::ViewPlan;
+use crate::membership::DesiredView;
 use crate::view::{has_quorum, is_newer, majority, voters, witness_sets};
 
 /// The phases of a view change.
@@ -57,7 +57,7 @@
     /// The nodes that have promised a higher epoch to another node.
     rejected: BTreeSet<NodeId>,
     /// The view that an active primary wants; none in an election.
-    plan: Option<ViewPlan>,
+    desired_view: Option<DesiredView>,
     /// The nodes that may become members.
     targets: BTreeSet<NodeId>,
     /// The targets for which it is worth to wait a little.
@@ -71,7 +71,13 @@
 }
 
 impl ViewChange {
-    pub fn new(epoch: u64, phase: Phase, now: Duration, newest: View, plan: Option<ViewPlan>) -> Self {
+    pub fn new(
+        epoch: u64,
+        phase: Phase,
+        now: Duration,
+        newest: View,
+        desired_view: Option<DesiredView>,
+    ) -> Self {
         ViewChange {
             epoch,
             phase,
@@ -80,7 +86,7 @@
             newest,
             granted: BTreeSet::new(),
             rejected: BTreeSet::new(),
-            plan,
+            desired_view,
             targets: BTreeSet::new(),
             awaited: BTreeSet::new(),
             log_end: Position::default(),
@@ -102,8 +108,8 @@
         &self.newest
     }
 
-    pub fn plan(&self) -> Option<&ViewPlan> {
-        self.plan.as_ref()
+    pub fn desired_view(&self) -> Option<&DesiredView> {
+        self.desired_view.as_ref()
     }
 
     /// Returns the end of the log that every member has to reach.
@@ -280,14 +286,14 @@
 
     /// Returns the proposed view, the plan, and the end of the log that the members have reached.
     pub fn into_outcome(self) -> Option<ViewChangeOutcome> {
-        let ViewChange { proposed, plan, log_end, .. } = self;
-        proposed.map(|view| ViewChangeOutcome { view, plan, log_end })
+        let ViewChange { proposed, desired_view, log_end, .. } = self;
+        proposed.map(|view| ViewChangeOutcome { view, desired_view, log_end })
     }
 }
 
 /// What a completed view change leaves behind.
 pub(crate) struct ViewChangeOutcome {
     pub view: View,
-    pub plan: Option<ViewPlan>,
+    pub desired_view: Option<DesiredView>,
     pub log_end: Position,
 }
--- a/crates/replication/src/witness.rs
+++ b/crates/replication/src/witness.rs
@@ -11,7 +11,7 @@
 /// A grant that expires by itself.
 #[derive(Clone, Copy, Debug)]
 struct Grant {
-    holder: NodeId,
+    grantee: NodeId,
     epoch: u64,
     until: Duration,
 }
@@ -19,7 +19,7 @@
 impl Grant {
     /// Returns for how long the grant still keeps another node out.
     fn remaining_against(&self, now: Duration, other: NodeId) -> Option<Duration> {
-        if self.holder == other {
+        if self.grantee == other {
             return None;
         }
         self.until.checked_sub(now).filter(|remaining| !remaining.is_zero())
@@ -56,7 +56,7 @@
     /// that the record names, if any.
     pub fn new(record: WitnessRecord, lease_end: Duration, ignores_lease: bool) -> Self {
         let has_promised = record.promised > 0;
-        let grant = Grant { holder: record.promised_to, epoch: record.promised, until: lease_end };
+        let grant = Grant { grantee: record.promised_to, epoch: record.promised, until: lease_end };
         let lease = has_promised.then_some(grant);
         Witness { record, lease, candidate: None, resigned: None, ignores_lease }
     }
@@ -117,7 +117,7 @@
         let vote = self.consider(now, epoch, candidate);
         if vote == Vote::Granted {
             self.admit(epoch, candidate);
-            self.candidate = Some(Grant { holder: candidate, epoch, until: now + hold });
+            self.candidate = Some(Grant { grantee: candidate, epoch, until: now + hold });
         }
         vote
     }
@@ -151,15 +151,15 @@
     }
 
     /// Grants or renews a lease.
-    pub fn grant_lease(&mut self, holder: NodeId, epoch: u64, until: Duration) {
-        self.lease = Some(Grant { holder, epoch, until });
+    pub fn grant_lease(&mut self, grantee: NodeId, epoch: u64, until: Duration) {
+        self.lease = Some(Grant { grantee, epoch, until });
     }
 
     /// Releases what was granted to a node that gives up an epoch. Grants for later epochs stay.
-    pub fn release(&mut self, holder: NodeId, epoch: u64) {
-        self.resigned = Some((holder, epoch));
+    pub fn release(&mut self, grantee: NodeId, epoch: u64) {
+        self.resigned = Some((grantee, epoch));
         for grant in [&mut self.lease, &mut self.candidate] {
-            if grant.is_some_and(|grant| grant.holder == holder && grant.epoch <= epoch) {
+            if grant.is_some_and(|grant| grant.grantee == grantee && grant.epoch <= epoch) {
                 *grant = None;
             }
         }
--- a/crates/retry-budget/src/budgets.rs
+++ b/crates/retry-budget/src/budgets.rs
@@ -66,7 +66,7 @@
         budget.last_used = now;
     }
 
-    /// Whether a repeat may be sent now; counts it as sent, or as refused.
+    /// Returns whether a repeat may be sent now; counts it as sent, or as refused.
     pub fn try_repeat(&mut self, now: Duration, service: &str) -> bool {
         let Options { ratio, window, slack } = self.options;
         let part = cap::part_of_slack(slack, self.most_limiters, now, window);
--- a/crates/retry-budget/src/cap.rs
+++ b/crates/retry-budget/src/cap.rs
@@ -34,7 +34,7 @@
 /// part of the life before, and half a part by all later ones, as their ages add up to at most the window.
 const YOUNG_PART: f64 = 0.5;
 
-/// A limiter's part of the slack, in repeats.
+/// Returns a limiter's part of the slack, in repeats.
 ///
 /// `limiters` is the greatest number of limiters ever known to be live at once; 0 where it is not known, which
 /// gives no part. `age` is the time since the start of the process.
@@ -50,7 +50,7 @@
     part * YOUNG_PART * age.as_secs_f64() / window.as_secs_f64()
 }
 
-/// Whether one more repeat, sent in the newest slot, keeps every window that it is in within the cap.
+/// Returns whether one more repeat, sent in the newest slot, keeps every window that it is in within the cap.
 pub(crate) fn allows_one_more(counts: &Counts, newest: u64, ratio: f64, part: f64) -> bool {
     let window = SLOTS_PER_WINDOW as i64;
     let newest = newest as i64;
--- a/crates/retry-budget/src/counts.rs
+++ b/crates/retry-budget/src/counts.rs
@@ -47,12 +47,12 @@
         self.newest
     }
 
-    /// The newest slot.
+    /// Returns the newest slot.
     pub(crate) fn present(&mut self) -> &mut Slot {
         &mut self.slots[(self.newest % RING as u64) as usize]
     }
 
-    /// The slot of the given number; empty where it has not begun or is not kept any more.
+    /// Returns the slot of the given number; empty where it has not begun or is not kept any more.
     pub(crate) fn slot(&self, number: i64) -> Slot {
         let newest = self.newest as i64;
         if number < 0 || number > newest || number <= newest - RING as i64 {
--- a/crates/serving-config/src/fields.rs
+++ b/crates/serving-config/src/fields.rs
@@ -38,7 +38,7 @@
         self.object.get(field).filter(|value| !value.is_null())
     }
 
-    /// The elements of a list that must be there.
+    /// Returns the elements of a list that must be there.
     pub fn each<T>(
         &self,
         field: &'static str,
@@ -50,7 +50,7 @@
         self.each_if_any(field, read)
     }
 
-    /// The elements of a list; none where it is missing.
+    /// Returns the elements of a list; none where it is missing.
     pub fn each_if_any<T>(
         &self,
         field: &'static str,
@@ -71,13 +71,13 @@
         self.text(field)?.ok_or_else(|| self.missing(field))
     }
 
-    /// A text, or the default where there is anything else.
+    /// Returns a text, or the default where there is anything else.
     pub fn text_or(&self, field: &str, default: &str) -> String {
         let text = self.optional(field).and_then(Value::into_string);
         text.unwrap_or(default).to_string()
     }
 
-    /// Whether the field is true.
+    /// Returns whether the field is true.
     pub fn flag(&self, field: &str) -> bool {
         self.optional(field).and_then(|value| value.as_bool()).unwrap_or(false)
     }
@@ -100,7 +100,7 @@
         Ok(Some(number.ok_or_else(|| self.wrong_kind(field, A_NUMBER))?))
     }
 
-    /// A whole number; a higher one than fits counts as the highest.
+    /// Returns a whole number; a higher one than fits counts as the highest.
     pub fn count(&self, field: &'static str, default: u32) -> Result<u32, ConfigurationError> {
         let number = self.number(field)?.unwrap_or(f64::from(default));
         if number.fract() == 0.0 {
@@ -109,7 +109,7 @@
         Err(self.wrong_kind(field, A_WHOLE_NUMBER))
     }
 
-    /// A whole number that must be there, exact up to the highest.
+    /// Returns a whole number that must be there, exact up to the highest.
     pub fn required_integer(&self, field: &'static str) -> Result<u64, ConfigurationError> {
         let value = self.optional(field).ok_or_else(|| self.missing(field))?;
         if let Some(number) = value.as_u64() {
@@ -137,7 +137,7 @@
     }
 }
 
-/// The error for a field that should be a list.
+/// Returns the error for a field that should be a list.
 pub(super) fn no_list(place: &str, field: &'static str) -> ConfigurationError {
     ConfigurationError::WrongKind { place: place.to_string(), field, expected: A_LIST }
 }
--- a/crates/serving-config/src/lib.rs
+++ b/crates/serving-config/src/lib.rs
@@ -105,7 +105,7 @@
     }
 }
 
-/// The services of a published configuration.
+/// Returns the services of a published configuration.
 pub(crate) fn read_services(json: &[u8]) -> Result<Vec<Service>, ConfigurationError> {
     json::read(json, |value| {
         let services = value.as_array().ok_or_else(|| fields::no_list("the configuration", "Services"))?;
@@ -118,7 +118,7 @@
     json::read(json, |value| Route::read(value, 0))
 }
 
-/// The limits of a published configuration.
+/// Returns the limits of a published configuration.
 pub(crate) fn read_limits(json: &[u8]) -> Result<Limits, ConfigurationError> {
     json::read(json, Limits::read)
 }
--- a/crates/serving-config/src/published/items.rs
+++ b/crates/serving-config/src/published/items.rs
@@ -6,7 +6,7 @@
 use quillpulley_protocol::{decode_value, encode_value, ConfigHead, ConfigHeadRef};
 use std::collections::BTreeMap;
 
-/// The route of a published item; none for items of other kinds, and for one that cannot be read.
+/// Returns the route of a published item; none for items of other kinds, and for one that cannot be read.
 pub fn route_of(key: &str, value: &[u8]) -> Option<Route> {
     match PublishedKey::parse(key)? {
         PublishedKey::Route(_) => read_route(value).ok(),
--- a/crates/serving-config/src/published/key.rs
+++ b/crates/serving-config/src/published/key.rs
@@ -48,28 +48,28 @@
     }
 }
 
-/// The key of a route. Routes of one configuration differ in host or prefix, and so in their keys.
+/// Returns the key of a route. Routes of one configuration differ in host or prefix, and so in their keys.
 pub fn route_key(host: &str, path_prefix: &str) -> String {
     let host = host.replace('%', "%25").replace('/', "%2F");
     format!("{ROUTE_PREFIX}{host}/{path_prefix}")
 }
 
-/// The key of a zone that is evacuated.
+/// Returns the key of a zone that is evacuated.
 pub fn evacuated_key(zone: &str) -> String {
     format!("{EVACUATED_PREFIX}{zone}")
 }
 
-/// The key of a server.
+/// Returns the key of a server.
 pub fn server_key(id: &str) -> String {
     format!("{SERVER_PREFIX}{id}")
 }
 
-/// The key of a machine that serves clients.
+/// Returns the key of a machine that serves clients.
 pub fn endpoint_key(name: &str) -> String {
     format!("{ENDPOINT_PREFIX}{name}")
 }
 
-/// The key of a core process.
+/// Returns the key of a core process.
 pub fn control_node_key(address: Ipv4Addr) -> String {
     format!("{CONTROL_NODE_PREFIX}{address}")
 }
--- a/crates/serving-config/src/route.rs
+++ b/crates/serving-config/src/route.rs
@@ -86,7 +86,7 @@
 }
 
 impl Route {
-    /// Whether a request may run more than once.
+    /// Returns whether a request may run more than once.
     pub fn repeatable(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
--- a/crates/serving-config/src/service.rs
+++ b/crates/serving-config/src/service.rs
@@ -80,7 +80,7 @@
     }
 }
 
-/// What is no object counts as no engine.
+/// Returns what is no object counts as no engine.
 fn read_engine(service: &Fields<'_, '_>) -> Result<Option<Engine>, ConfigurationError> {
     let Some(value) = service.optional("Engine").filter(Value::is_object) else { return Ok(None) };
     let fields = Fields::of(value, &format!("the engine of {}", service.place))?;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -115,22 +115,22 @@
         })
     }
 
-    /// The port on which core processes talk to each other and to agents.
+    /// Returns the port on which core processes talk to each other and to agents.
     pub fn control_port(&self) -> u16 {
         self.ports.first
     }
 
-    /// The port on which agents talk to each other.
+    /// Returns the port on which agents talk to each other.
     pub fn agent_port(&self) -> u16 {
         self.ports.first + 1
     }
 
-    /// The port on which an agent feeds the proxy of its machine.
+    /// Returns the port on which an agent feeds the proxy of its machine.
     pub fn proxy_port(&self) -> u16 {
         self.ports.first + 2
     }
 
-    /// The region of a zone, if `Zones` names it.
+    /// Returns the region of a zone, if `Zones` names it.
     pub fn region_of(&self, zone: &str) -> Option<&str> {
         self.zones.get(zone).map(String::as_str)
     }
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -56,7 +56,7 @@
         self.list(key, TEXTS, text)
     }
 
-    /// All keys of the section, each with a text, which may be empty.
+    /// Returns all keys of the section, each with a text, which may be empty.
     pub fn all_texts(&self) -> Result<BTreeMap<String, String>, SettingsError> {
         let mut texts = BTreeMap::new();
         for key in self.table.into_iter().flat_map(Table::keys) {
@@ -81,7 +81,7 @@
         self.list(key, AN_ADDRESS, address)
     }
 
-    /// The value as a list, each element read by `read`.
+    /// Returns the value as a list, each element read by `read`.
     pub fn list<T>(
         &self,
         key: &str,
@@ -132,7 +132,7 @@
         Ok(duration(self.number(key, default.as_secs_f64())?))
     }
 
-    /// The value of a key; an empty one counts as missing.
+    /// Returns the value of a key; an empty one counts as missing.
     fn value(&self, key: &str) -> Option<&'a Value> {
         self.table?.get(key).filter(|value| match value {
             Value::String(text) => !text.is_empty(),
@@ -157,7 +157,7 @@
     }
 }
 
-/// The error for a text that is no TOML.
+/// Returns the error for a text that is no TOML.
 pub(super) fn not_toml(text: &str, error: &toml::de::Error) -> SettingsError {
     let start = error.span().map_or(0, |span| span.start);
     let before = text.bytes().take(start);
--- a/crates/state-sync/src/aggregate.rs
+++ b/crates/state-sync/src/aggregate.rs
@@ -78,12 +78,12 @@
         }
     }
 
-    /// What is known of the whole subtree.
+    /// Returns what is known of the whole subtree.
     pub(crate) fn merged(&self) -> &Subtree {
         &self.merged
     }
 
-    /// What one has reported.
+    /// Returns what one has reported.
     pub(crate) fn contribution(&self, source: Source<Child>) -> Option<&Subtree> {
         self.contributions.get(&source)
     }
@@ -108,13 +108,13 @@
         changed
     }
 
-    /// A report of everything.
+    /// Returns a report of everything.
     pub(crate) fn full_report(&mut self) -> Report {
         self.upward.clear();
         self.merged.to_report()
     }
 
-    /// A report of what is pending, with a bounded number of servers.
+    /// Returns a report of what is pending, with a bounded number of servers.
     pub(crate) fn delta_report(&mut self, servers_max: usize) -> Report {
         let merged = &self.merged;
         let servers = self.upward.take_servers(servers_max);
@@ -137,7 +137,7 @@
         }
     }
 
-    /// The pending part of the sums as totals for children, with a bounded number of servers.
+    /// Returns the pending part of the sums as totals for children, with a bounded number of servers.
     pub(crate) fn delta_totals(&mut self, complete: bool, servers_max: usize) -> Totals {
         let counts = &self.merged.counts;
         let servers = self.downward.take_servers(servers_max);
@@ -204,7 +204,7 @@
     }
 }
 
-/// The entries for some keys, zero where there is none.
+/// Returns the entries for some keys, zero where there is none.
 fn pick<K: Ord, T: Tally, I: IntoIterator<Item = K>>(
     table: &BTreeMap<K, T>,
     keys: I,
--- a/crates/state-sync/src/children.rs
+++ b/crates/state-sync/src/children.rs
@@ -99,12 +99,12 @@
         self.states.values_mut()
     }
 
-    /// Those for which something holds.
+    /// Returns those for which something holds.
     pub(crate) fn which(&self, mut holds: impl FnMut(&ChildState) -> bool) -> Vec<Child> {
         self.states.iter().filter(|(_, state)| holds(state)).map(|(child, _)| *child).collect()
     }
 
-    /// Those that wait for an answer, with what they have subscribed with.
+    /// Returns those that wait for an answer, with what they have subscribed with.
     pub(crate) fn subscriptions(&self) -> Vec<(Child, Subscription)> {
         let waiting = self.states.iter().filter_map(|(child, state)| Some((*child, state.subscription()?)));
         waiting.map(|(child, subscription)| (child, subscription.clone())).collect()
@@ -112,7 +112,7 @@
 }
 
 impl Subscription {
-    /// What a child has sent, if it has a digest for each range.
+    /// Returns what a child has sent, if it has a digest for each range.
     pub(crate) fn read(subscribe: Subscribe) -> Option<Self> {
         let digests: Box<Digests> = subscribe.digests.into_boxed_slice().try_into().ok()?;
         Some(Subscription { revision: subscribe.revision, digests })
--- a/crates/state-sync/src/counting.rs
+++ b/crates/state-sync/src/counting.rs
@@ -78,7 +78,7 @@
         }
     }
 
-    /// When the next report is due.
+    /// Returns when the next report is due.
     pub(crate) fn report_due(&self) -> Duration {
         match self.role {
             Role::Root { .. } | Role::Orphan => Duration::MAX,
@@ -120,7 +120,7 @@
         self.spread_totals(now, delta, actions);
     }
 
-    /// When own totals are due, or the parent's get out of date.
+    /// Returns when own totals are due, or the parent's get out of date.
     pub(crate) fn totals_due(&self) -> Duration {
         match self.totals.outdated_at(self.options.silence) {
             Some(_) if self.is_root() => Duration::ZERO,
--- a/crates/state-sync/src/counts.rs
+++ b/crates/state-sync/src/counts.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The key by which counts name a server: the hash of its id.
+/// Returns the key by which counts name a server: the hash of its id.
 pub fn server_key(id: &str) -> u64 {
     xxh3_64(id.as_bytes())
 }
@@ -123,7 +123,7 @@
     changes
 }
 
-/// The entries that turn one table into another, with zero for those to remove.
+/// Returns the entries that turn one table into another, with zero for those to remove.
 pub(crate) fn tallies_between<K: Ord + Clone, T: Tally>(
     from: &BTreeMap<K, T>,
     to: &BTreeMap<K, T>,
@@ -133,7 +133,7 @@
     gone.chain(differing.map(|(key, tally)| (key.clone(), *tally))).collect()
 }
 
-/// An entry for a service as a frame has it.
+/// Returns an entry for a service as a frame has it.
 pub(crate) fn service_counters((service, tally): (String, RetryCounters)) -> ServiceCounters {
     ServiceCounters {
         service,
@@ -143,7 +143,7 @@
     }
 }
 
-/// The entry for a service that a frame has.
+/// Returns the entry for a service that a frame has.
 pub(crate) fn retry_counters(count: ServiceCounters) -> (String, RetryCounters) {
     let tally = RetryCounters {
         requests: count.requests,
@@ -153,7 +153,7 @@
     (count.service, tally)
 }
 
-/// An entry for a server as a frame has it.
+/// Returns an entry for a server as a frame has it.
 pub(crate) fn server_load((server, tally): (u64, ServerTally)) -> ServerLoad {
     ServerLoad {
         server,
@@ -164,7 +164,7 @@
     }
 }
 
-/// The entry for a server that a frame has.
+/// Returns the entry for a server that a frame has.
 pub(crate) fn server_tally(load: ServerLoad) -> (u64, ServerTally) {
     let tally = ServerTally {
         running: load.running,
--- a/crates/state-sync/src/node.rs
+++ b/crates/state-sync/src/node.rs
@@ -106,7 +106,7 @@
 }
 
 impl<Child: Copy + Eq + Hash + Ord> FeedNode<Child> {
-    /// A node that knows nothing and has no parent.
+    /// Creates a node that knows nothing and has no parent.
     pub fn new(options: Options) -> Self {
         FeedNode {
             totals: TotalsState::new(&options.name),
@@ -145,22 +145,22 @@
         }
     }
 
-    /// The published items as they were at [`FeedNode::revision`].
+    /// Returns the published items as they were at [`FeedNode::revision`].
     pub fn store(&self) -> &Store {
         &self.store
     }
 
-    /// How far the state is; 0:0 while nothing is known.
+    /// Returns how far the state is; 0:0 while nothing is known.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Whether this node publishes.
+    /// Returns whether this node publishes.
     pub fn is_root(&self) -> bool {
         matches!(self.role, Role::Root { .. })
     }
 
-    /// Whether a new stamp came, or at a root was given, within the last second ([`Options::fresh_for`]).
+    /// Returns whether a new stamp came, or at a root was given, within the last second ([`Options::fresh_for`]).
     pub fn is_fresh(&self, now: Duration) -> bool {
         self.moved.is_some_and(|moved| now.saturating_sub(moved) <= self.options.fresh_for)
     }
@@ -170,27 +170,27 @@
         self.is_fresh(now).then_some(self.fresh_since)
     }
 
-    /// When the stamp moved last.
+    /// Returns when the stamp moved last.
     pub fn last_moved(&self) -> Option<Duration> {
         self.moved
     }
 
-    /// The totals: the root's, or else the sums of what is below this node.
+    /// Returns the totals: the root's, or else the sums of what is below this node.
     pub fn totals(&self) -> &Totals {
         self.totals.shown()
     }
 
-    /// The merged reports of this process and of all below it.
+    /// Returns the merged reports of this process and of all below it.
     pub fn subtree(&self) -> &Subtree {
         self.aggregate.merged()
     }
 
-    /// What one child has reported of its subtree; `None` while it is silent.
+    /// Returns what one child has reported of its subtree; `None` while it is silent.
     pub fn child_subtree(&self, child: Child) -> Option<&Subtree> {
         self.aggregate.contribution(Source::Child(child))
     }
 
-    /// When an [`Event::Tick`] has something to do next.
+    /// Returns when an [`Event::Tick`] has something to do next.
     pub fn next_tick(&self) -> Duration {
         let silent = self.children.values().map(|child| match child.set_aside {
             Some(_) => child.heard + self.options.child_timeout,
--- a/crates/state-sync/src/options.rs
+++ b/crates/state-sync/src/options.rs
@@ -37,7 +37,7 @@
 }
 
 impl Options {
-    /// The usual figures, for an agent or a proxy.
+    /// Creates the usual figures, for an agent or a proxy.
     pub fn new(name: &str) -> Self {
         Options {
             name: name.to_string(),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The usual figures of a core process, which takes in the first agents of many zones.
+    /// Returns the usual figures of a core process, which takes in the first agents of many zones.
     pub fn control_node(name: &str) -> Self {
         Options { fan_out_max: 256, ..Options::new(name) }
     }
--- a/crates/state-sync/src/publishing.rs
+++ b/crates/state-sync/src/publishing.rs
@@ -40,7 +40,7 @@
         self.answer_subscriptions(actions);
     }
 
-    /// An update from a stamp to this node's own.
+    /// Returns an update from a stamp to this node's own.
     pub(crate) fn update(&self, kind: UpdateKind, base: Revision, items: Vec<Item>) -> Update {
         let digest = self.store.digest();
         Update { kind, base, revision: self.revision, digest, complete: Vec::new(), items }
--- a/crates/state-sync/src/relay.rs
+++ b/crates/state-sync/src/relay.rs
@@ -41,9 +41,9 @@
     pub failed: &'a [ParentCandidate],
 }
 
-/// The candidates for an agent's parent, in the order in which to try them: its place in the heap of its zone and
-/// the places above it, the core processes of its zone, its region and elsewhere, the seeds, and core processes that
-/// failed lately.
+/// Returns the candidates for an agent's parent, in the order in which to try them: its place in the heap of its zone
+/// and the places above it, the core processes of its zone, its region and elsewhere, the seeds, and core processes
+/// that failed lately.
 pub fn parent_candidates(surroundings: &Surroundings) -> Vec<ParentCandidate> {
     let agents = agents_above(surroundings);
     let control_nodes = control_nodes_by_distance(surroundings);
@@ -60,7 +60,8 @@
     ordered
 }
 
-/// Whether all agents of the zone are children of its core process: there is one that did not fail, and they are few.
+/// Returns whether all agents of the zone are children of its core process: there is one that did not fail, and they
+/// are few.
 fn starts_at_control_node(surroundings: &Surroundings) -> bool {
     let mut in_zone =
         surroundings.control_nodes.iter().filter(|control_node| control_node.zone == surroundings.zone);
@@ -69,7 +70,7 @@
     has_control_node && zone_agents(surroundings).count() < FAN_OUT
 }
 
-/// The other agents of the zone that stay.
+/// Returns the other agents of the zone that stay.
 fn zone_agents<'a>(surroundings: &Surroundings<'a>) -> impl Iterator<Item = &'a ProxyEndpoint> + use<'a> {
     let (name, zone) = (surroundings.name, surroundings.zone);
     let in_zone =
@@ -77,7 +78,7 @@
     in_zone.filter(|endpoint| endpoint.state != EndpointState::Draining)
 }
 
-/// The agents on the way from this one to the top of the heap, nearest first.
+/// Returns the agents on the way from this one to the top of the heap, nearest first.
 fn agents_above(surroundings: &Surroundings) -> Vec<ParentCandidate> {
     let key = Key::new(surroundings.zone);
     let own_rank = key.rank(surroundings.name);
@@ -101,7 +102,8 @@
     ParentCandidate::ControlNode(Ipv4Addr::from_bits(control_node.ip))
 }
 
-/// The core processes: those of the zone, then of the region, then the others; alike ones by rendezvous hashing.
+/// Returns the core processes: those of the zone, then of the region, then the others; alike ones by rendezvous
+/// hashing.
 fn control_nodes_by_distance(surroundings: &Surroundings) -> Vec<ParentCandidate> {
     let key = Key::new(surroundings.name);
     let mut control_nodes: Vec<&ControlNode> = surroundings.control_nodes.iter().collect();
--- a/crates/state-sync/src/store.rs
+++ b/crates/state-sync/src/store.rs
@@ -56,17 +56,17 @@
 }
 
 impl Store {
-    /// The value of an item.
+    /// Returns the value of an item.
     pub fn get(&self, key: &str) -> Option<&[u8]> {
         self.entries.get(key).map(|entry| &*entry.value)
     }
 
-    /// All items in the order of their keys.
+    /// Returns all items in the order of their keys.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &[u8])> {
         self.entries.iter().map(|(key, entry)| (key.as_str(), &*entry.value))
     }
 
-    /// The items whose keys begin with a prefix, in the order of their keys.
+    /// Returns the items whose keys begin with a prefix, in the order of their keys.
     pub fn with_prefix<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a [u8])> {
         let from: Range<'a, String, Entry> =
             self.entries.range::<str, _>((Bound::Included(prefix), Bound::Unbounded));
@@ -74,27 +74,27 @@
             .map(|(key, entry)| (key.as_str(), &*entry.value))
     }
 
-    /// How many items there are.
+    /// Returns how many items there are.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there is no item.
+    /// Returns whether there is no item.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// The digest of each range.
+    /// Returns the digest of each range.
     pub fn digests(&self) -> &Digests {
         &self.digests
     }
 
-    /// The digest of the whole: the wrapping sum of the ranges' digests.
+    /// Returns the digest of the whole: the wrapping sum of the ranges' digests.
     pub fn digest(&self) -> u64 {
         self.digests.iter().fold(0, |sum, digest| sum.wrapping_add(*digest))
     }
 
-    /// The changes that turn this store into one with exactly these items; of use to a new root.
+    /// Returns the changes that turn this store into one with exactly these items; of use to a new root.
     pub fn changes_to(&self, items: &BTreeMap<String, Vec<u8>>) -> Vec<Change> {
         let gone = self.entries.keys().filter(|key| !items.contains_key(*key));
         let gone = gone.map(|key| Change { key: key.clone(), value: None });
@@ -116,19 +116,19 @@
         Some(ChangedKey { key: change.key, old, new })
     }
 
-    /// The items of some ranges, as a frame has them.
+    /// Returns the items of some ranges, as a frame has them.
     pub(crate) fn items_of(&self, ranges: &[u8]) -> Vec<Item> {
         let entries = self.entries.iter().filter(|(_, entry)| ranges.contains(&entry.range));
         entries.map(|(key, entry)| item(key, Some(&entry.value))).collect()
     }
 
-    /// The keys of some ranges.
+    /// Returns the keys of some ranges.
     pub(crate) fn keys_of<'a>(&'a self, ranges: &'a [u8]) -> impl Iterator<Item = &'a str> {
         let entries = self.entries.iter().filter(|(_, entry)| ranges.contains(&entry.range));
         entries.map(|(key, _)| key.as_str())
     }
 
-    /// The ranges whose digests differ from others'.
+    /// Returns the ranges whose digests differ from others'.
     pub(crate) fn ranges_differing_from(&self, digests: &Digests) -> Vec<u8> {
         (0u8..)
             .zip(self.digests.iter().zip(digests))
@@ -153,7 +153,7 @@
     }
 }
 
-/// An item as a frame has it.
+/// Returns an item as a frame has it.
 pub(crate) fn item(key: &str, value: Option<&Arc<[u8]>>) -> Item {
     Item {
         key: key.to_string(),
@@ -162,7 +162,7 @@
     }
 }
 
-/// The change that an item of a frame stands for.
+/// Returns the change that an item of a frame stands for.
 pub(crate) fn change(item: Item) -> Change {
     Change { key: item.key, value: (!item.removed).then_some(item.value) }
 }
--- a/crates/state-sync/src/subtree.rs
+++ b/crates/state-sync/src/subtree.rs
@@ -44,7 +44,7 @@
 }
 
 impl LocalReport {
-    /// The same as a complete report of the node with this name.
+    /// Returns the same as a complete report of the node with this name.
     pub(crate) fn into_report(self, name: &str) -> Report {
         let suspicion = |suspect| Suspicion { suspect, monitors: vec![name.to_string()] };
         Report {
@@ -79,7 +79,7 @@
         touched
     }
 
-    /// A complete report on this subtree.
+    /// Returns a complete report on this subtree.
     pub(crate) fn to_report(&self) -> Report {
         let services = self.counts.services.clone().into_iter().map(service_counters);
         let servers = self.counts.servers.clone().into_iter().map(server_load);
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Who suspects a front, as a report has it: no monitors where nobody does.
+    /// Returns who suspects a front, as a report has it: no monitors where nobody does.
     pub(crate) fn suspicion(&self, suspect: &str) -> Suspicion {
         let monitors = self.suspicions.get(suspect).into_iter().flatten().cloned().collect();
         Suspicion { suspect: suspect.to_string(), monitors }
--- a/crates/state-sync/src/totals.rs
+++ b/crates/state-sync/src/totals.rs
@@ -64,7 +64,7 @@
         self.origin == Origin::Own
     }
 
-    /// When the parent's totals get out of date.
+    /// Returns when the parent's totals get out of date.
     pub(crate) fn outdated_at(&self, silence: Duration) -> Option<Duration> {
         match self.origin {
             Origin::Own => None,
@@ -125,12 +125,12 @@
         apply(&mut self.shown.counts, delta);
     }
 
-    /// Whether the totals have changed since this was asked last.
+    /// Returns whether the totals have changed since this was asked last.
     pub(crate) fn take_news(&mut self) -> bool {
         std::mem::take(&mut self.has_news)
     }
 
-    /// The whole totals, for a child that was told none: as the frame for the others, but complete.
+    /// Returns the whole totals, for a child that was told none: as the frame for the others, but complete.
     pub(crate) fn whole(&self, delta: &wire::Totals) -> wire::Totals {
         difference(&Counts::default(), &self.shown.counts, Header { delta: false, ..Header::of(delta) })
     }
@@ -156,7 +156,7 @@
     apply_tallies(&mut counts.servers, frame.servers.into_iter().map(server_tally), frame.delta);
 }
 
-/// The frame that turns some sums into others.
+/// Returns the frame that turns some sums into others.
 fn difference(from: &Counts, to: &Counts, header: Header) -> wire::Totals {
     let services = tallies_between(&from.services, &to.services);
     let servers = tallies_between(&from.servers, &to.servers);
--- a/crates/state-sync/src/updates.rs
+++ b/crates/state-sync/src/updates.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Whether an update that is newer than this node's state can be applied to it.
+    /// Returns whether an update that is newer than this node's state can be applied to it.
     fn fits(&self, update: &Update) -> bool {
         let epoch = self.revision.epoch;
         let is_between =
@@ -81,7 +81,7 @@
         self.finish_update(now, answer.digest, changed, actions);
     }
 
-    /// The items of an answer, and the removal of all others in its ranges.
+    /// Returns the items of an answer, and the removal of all others in its ranges.
     fn changes_of_answer(&self, complete: &[u8], items: Vec<Item>) -> Vec<Change> {
         let present: HashSet<&str> = items.iter().map(|item| item.key.as_str()).collect();
         let gone = self.store.keys_of(complete).filter(|key| !present.contains(key));
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Whether the state can be passed on: there is one, it is sound, and a new root has published.
+    /// Returns whether the state can be passed on: there is one, it is sound, and a new root has published.
     fn knows_own_state(&self) -> bool {
         let is_announced = match self.role {
             Role::Root { announced } => announced == self.revision,
@@ -204,7 +204,7 @@
         self.answer_subscriptions(actions);
     }
 
-    /// When a subscription is to be repeated or an answer that was put off can be given.
+    /// Returns when a subscription is to be repeated or an answer that was put off can be given.
     pub(crate) fn updates_due(&self) -> Duration {
         let is_waiting = self.answers_left == 0 && self.children.values().any(|c| c.subscription().is_some());
         match self.role {
--- a/crates/storage/src/files/folder.rs
+++ b/crates/storage/src/files/folder.rs
@@ -12,7 +12,7 @@
 }
 
 impl Folder {
-    /// A folder, which is made if it is missing.
+    /// Creates a folder, which is made if it is missing.
     pub fn open(path: &Path) -> io::Result<Folder> {
         fs::create_dir_all(path)?;
         Ok(Folder { path: path.to_path_buf() })
--- a/crates/storage/src/files/mod.rs
+++ b/crates/storage/src/files/mod.rs
@@ -13,7 +13,7 @@
     /// A file that is open for reading and writing.
     type File: DataFile;
 
-    /// The names of all files.
+    /// Returns the names of all files.
     fn names(&self) -> io::Result<Vec<String>>;
 
     /// Makes an empty file; one that is there is emptied.
@@ -34,7 +34,7 @@
 
 /// The contents of a file.
 pub trait DataFile {
-    /// All of it.
+    /// Returns all of it.
     fn read(&self) -> io::Result<Vec<u8>>;
 
     /// Writes all bytes at an offset. After an error any part may have been written.
--- a/crates/storage/src/format/mod.rs
+++ b/crates/storage/src/format/mod.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// A checksum over several pieces, as if they were one.
+/// Returns a checksum over several pieces, as if they were one.
 pub fn checksum(pieces: &[&[u8]]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     pieces.iter().for_each(|piece| hasher.update(piece));
--- a/crates/storage/src/format/segment.rs
+++ b/crates/storage/src/format/segment.rs
@@ -11,18 +11,18 @@
 use super::{checksum, Reader, VERSION};
 use quillpulley_protocol::Entry;
 
-const HEAD_MAGIC: u32 = u32::from_le_bytes(*b"QPsg");
+const HEADER_MAGIC: u32 = u32::from_le_bytes(*b"QPsg");
 const RECORD_MAGIC: [u8; 4] = *b"QPen";
-const HEAD_CHECKED: usize = 28;
+const HEADER_CHECKED: usize = 28;
 /// Bytes of a head.
-pub const HEAD: usize = HEAD_CHECKED + 4;
-const RECORD_HEAD: usize = 40;
+pub const HEADER_BYTES: usize = HEADER_CHECKED + 4;
+const RECORD_HEADER_BYTES: usize = 40;
 /// What the checksum of a record does not cover: the magic and itself.
 const RECORD_UNCHECKED: usize = 8;
 
 /// The head of a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Head {
+pub struct Header {
     /// The generation that it belongs to.
     pub generation: u64,
     /// The index of its first entry.
@@ -33,9 +33,9 @@
 
 /// What the beginning of a segment is.
 #[derive(Debug, PartialEq, Eq)]
-pub enum DecodedHead {
+pub enum DecodedHeader {
     /// A whole head.
-    Whole(Head),
+    Intact(Header),
     /// None, or a part of one.
     Damaged,
     /// One that another version has written.
@@ -44,7 +44,7 @@
 
 /// Where a record is and what it is known by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RecordPlace {
+pub struct RecordLocation {
     /// The epoch of its entry.
     pub epoch: u64,
     /// The offset of what follows it.
@@ -59,14 +59,14 @@
     /// Their entries.
     pub entries: Vec<Entry>,
     /// Their places.
-    pub records: Vec<RecordPlace>,
+    pub records: Vec<RecordLocation>,
 }
 
-impl Head {
+impl Header {
     /// Appends it to a buffer.
     pub fn encode(&self, buffer: &mut Vec<u8>) {
         let start = buffer.len();
-        buffer.extend_from_slice(&HEAD_MAGIC.to_le_bytes());
+        buffer.extend_from_slice(&HEADER_MAGIC.to_le_bytes());
         buffer.extend_from_slice(&VERSION.to_le_bytes());
         buffer.extend_from_slice(&self.generation.to_le_bytes());
         buffer.extend_from_slice(&self.first.to_le_bytes());
@@ -76,25 +76,25 @@
     }
 
     /// Reads the beginning of a segment.
-    pub fn decode(bytes: &[u8]) -> DecodedHead {
-        let Some((version, head, checksum)) = Head::read(bytes) else { return DecodedHead::Damaged };
-        if checksum != super::checksum(&[&bytes[..HEAD_CHECKED]]) {
-            return DecodedHead::Damaged;
+    pub fn decode(bytes: &[u8]) -> DecodedHeader {
+        let Some((version, header, checksum)) = Header::read(bytes) else { return DecodedHeader::Damaged };
+        if checksum != super::checksum(&[&bytes[..HEADER_CHECKED]]) {
+            return DecodedHeader::Damaged;
         }
         match version {
-            VERSION => DecodedHead::Whole(head),
-            _ => DecodedHead::OtherVersion,
+            VERSION => DecodedHeader::Intact(header),
+            _ => DecodedHeader::OtherVersion,
         }
     }
 
-    fn read(bytes: &[u8]) -> Option<(u32, Head, u32)> {
+    fn read(bytes: &[u8]) -> Option<(u32, Header, u32)> {
         let mut reader = Reader(bytes);
-        if reader.u32()? != HEAD_MAGIC {
+        if reader.u32()? != HEADER_MAGIC {
             return None;
         }
         let version = reader.u32()?;
-        let head = Head { generation: reader.u64()?, first: reader.u64()?, chain: reader.u32()? };
-        Some((version, head, reader.u32()?))
+        let header = Header { generation: reader.u64()?, first: reader.u64()?, chain: reader.u32()? };
+        Some((version, header, reader.u32()?))
     }
 }
 
@@ -115,25 +115,25 @@
 }
 
 /// Reads the records that follow each other without a gap from the head on.
-pub fn scan(bytes: &[u8], head: &Head) -> Scan {
+pub fn scan(bytes: &[u8], header: &Header) -> Scan {
     let mut scan = Scan::default();
-    let mut chain = head.chain;
-    let mut offset = HEAD;
+    let mut chain = header.chain;
+    let mut offset = HEADER_BYTES;
     while let Some(record) = bytes.get(offset..).and_then(Record::decode) {
-        let expected = head.first + scan.entries.len() as u64;
+        let expected = header.first + scan.entries.len() as u64;
         if (record.index, record.chain) != (expected, chain) {
             break;
         }
-        offset += RECORD_HEAD + record.payload.len();
+        offset += RECORD_HEADER_BYTES + record.payload.len();
         chain = record.checksum;
-        scan.records.push(RecordPlace { epoch: record.epoch, end: offset as u64, checksum: chain });
+        scan.records.push(RecordLocation { epoch: record.epoch, end: offset as u64, checksum: chain });
         let payload = record.payload.to_vec();
         scan.entries.push(Entry { epoch: record.epoch, index: record.index, payload });
     }
     scan
 }
 
-/// Whether a whole record shows that what is at this offset had been synced.
+/// Returns whether a whole record shows that what is at this offset had been synced.
 pub fn was_synced(bytes: &[u8], offset: u64) -> bool {
     let rest = bytes.get(offset as usize..).unwrap_or_default();
     let starts = (0..rest.len()).filter(|start| rest[*start..].starts_with(&RECORD_MAGIC));
@@ -161,7 +161,7 @@
         let epoch = reader.u64()?;
         let index = reader.u64()?;
         let payload = reader.0.get(..length)?;
-        let checked = &bytes[RECORD_UNCHECKED..RECORD_HEAD + length];
+        let checked = &bytes[RECORD_UNCHECKED..RECORD_HEADER_BYTES + length];
         (checksum == super::checksum(&[checked])).then_some(Record {
             checksum,
             chain,
--- a/crates/storage/src/names.rs
+++ b/crates/storage/src/names.rs
@@ -21,7 +21,7 @@
 }
 
 impl FileName {
-    /// The file that has this name; none if it is none of storage's.
+    /// Returns the file that has this name; none if it is none of storage's.
     pub fn parse(name: &str) -> Option<FileName> {
         if name == TEMPORARY {
             return Some(FileName::Temporary);
@@ -36,7 +36,7 @@
         Some(FileName::Snapshot { generation, index })
     }
 
-    /// The generation that the file belongs to, if it belongs to one.
+    /// Returns the generation that the file belongs to, if it belongs to one.
     pub fn generation(&self) -> Option<u64> {
         match self {
             FileName::Segment { generation, .. } | FileName::Snapshot { generation, .. } => Some(*generation),
--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -12,12 +12,12 @@
 const SLOTS: usize = 2;
 const MAGIC: u32 = u32::from_le_bytes(*b"QPre");
 /// Magic, checksum, number, length.
-const HEAD: usize = 20;
+const HEADER_BYTES: usize = 20;
 /// What the checksum does not cover: the magic and itself.
 const UNCHECKED: usize = 8;
 
 /// The longest record.
-pub const MAX_RECORD_BYTES: usize = SLOT_BYTES - HEAD;
+pub const MAX_RECORD_BYTES: usize = SLOT_BYTES - HEADER_BYTES;
 
 /// The file of the record.
 pub(crate) struct RecordFile<F: Files> {
@@ -85,7 +85,7 @@
     FileName::Record.to_string()
 }
 
-/// The slot that a record goes to; the first one, with number 1, goes to the second slot.
+/// Returns the slot that a record goes to; the first one, with number 1, goes to the second slot.
 fn slot_of(number: u64) -> usize {
     (number % SLOTS as u64) as usize
 }
@@ -97,7 +97,7 @@
     /// A part of a record.
     Torn,
     /// A whole record.
-    Whole(NumberedRecord),
+    Intact(NumberedRecord),
 }
 
 struct NumberedRecord {
@@ -120,11 +120,13 @@
         let first = slots.next().unwrap_or(Slot::Empty);
         let second = slots.next().unwrap_or(Slot::Empty);
         let (newest, other_is_torn) = match (first, second) {
-            (Slot::Whole(first), Slot::Whole(second)) if first.number > second.number => (Some(first), false),
-            (Slot::Whole(_) | Slot::Empty, Slot::Whole(second)) => (Some(second), false),
-            (Slot::Torn, Slot::Whole(second)) => (Some(second), true),
-            (Slot::Whole(first), Slot::Torn) => (Some(first), true),
-            (Slot::Whole(first), Slot::Empty) => (Some(first), false),
+            (Slot::Intact(first), Slot::Intact(second)) if first.number > second.number => {
+                (Some(first), false)
+            }
+            (Slot::Intact(_) | Slot::Empty, Slot::Intact(second)) => (Some(second), false),
+            (Slot::Torn, Slot::Intact(second)) => (Some(second), true),
+            (Slot::Intact(first), Slot::Torn) => (Some(first), true),
+            (Slot::Intact(first), Slot::Empty) => (Some(first), false),
             (Slot::Empty, Slot::Torn) => (None, true),
             (Slot::Empty, Slot::Empty) => (None, false),
             (Slot::Torn, Slot::Torn | Slot::Empty) => return Err(StorageError::damaged(FileName::Record, 0)),
@@ -134,7 +136,7 @@
 }
 
 fn encode_slot(number: u64, record: &[u8]) -> Vec<u8> {
-    let mut slot = Vec::with_capacity(HEAD + record.len());
+    let mut slot = Vec::with_capacity(HEADER_BYTES + record.len());
     slot.extend_from_slice(&MAGIC.to_le_bytes());
     slot.extend_from_slice(&[0; 4]);
     slot.extend_from_slice(&number.to_le_bytes());
@@ -149,7 +151,7 @@
     if bytes.iter().all(|byte| *byte == 0) {
         return Slot::Empty;
     }
-    decode_record(bytes).map_or(Slot::Torn, Slot::Whole)
+    decode_record(bytes).map_or(Slot::Torn, Slot::Intact)
 }
 
 fn decode_record(bytes: &[u8]) -> Option<NumberedRecord> {
@@ -161,6 +163,6 @@
     let number = reader.u64()?;
     let length = reader.u32()? as usize;
     let record = reader.0.get(..length)?.to_vec();
-    let checked = &bytes[UNCHECKED..HEAD + length];
+    let checked = &bytes[UNCHECKED..HEADER_BYTES + length];
     (expected == checksum(&[checked])).then_some(NumberedRecord { number, record })
 }
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -1,7 +1,7 @@
 //! What a process finds of what another one has stored.
 
 use crate::files::{DataFile, Files};
-use crate::format::segment::{scan, was_synced, DecodedHead, Head, Scan};
+use crate::format::segment::{scan, was_synced, DecodedHeader, Header, Scan};
 use crate::format::snapshot;
 use crate::names::FileName;
 use crate::segments::Segment;
@@ -31,8 +31,8 @@
 pub(crate) fn recover<F: Files>(files: &F, names: &[FileName]) -> Result<RecoveredState, StorageError> {
     let snapshots = names.iter().filter(|name| matches!(name, FileName::Snapshot { .. }));
     let generation = snapshots.filter_map(FileName::generation).max().unwrap_or(0);
-    let Snapshots { whole, damaged } = read_snapshots(files, names, generation)?;
-    let base = whole.as_ref().map_or(0, |(last, _)| last.index);
+    let Snapshots { newest, damaged } = read_snapshots(files, names, generation)?;
+    let base = newest.as_ref().map_or(0, |(last, _)| last.index);
     let log = read_log(files, segments_behind(names, generation, base)?, base)?;
     let last = log.segments.last().map_or(base, Segment::last);
     if let Some(index) = damaged.filter(|index| *index > last) {
@@ -40,7 +40,7 @@
         return Err(StorageError::damaged(FileName::Snapshot { generation, index }, 0));
     }
     let entries = log.entries.into_iter().filter(|entry| entry.index > base).collect();
-    Ok(RecoveredState { generation, snapshot: whole, segments: log.segments, entries })
+    Ok(RecoveredState { generation, snapshot: newest, segments: log.segments, entries })
 }
 
 type Snapshot = (Position, Vec<u8>);
@@ -49,7 +49,7 @@
 #[derive(Default)]
 struct Snapshots {
     /// The newest whole one.
-    whole: Option<Snapshot>,
+    newest: Option<Snapshot>,
     /// The index of the newest damaged one, if it is newer than that.
     damaged: Option<u64>,
 }
@@ -63,8 +63,8 @@
     for index in numbers(names, generation, snapshot_index).into_iter().rev() {
         let name = FileName::Snapshot { generation, index };
         match snapshot::decode(read(files, name)?) {
-            snapshot::Decoded::Whole(last, state) if last.index == index => {
-                snapshots.whole = Some((last, state));
+            snapshot::Decoded::Intact(last, state) if last.index == index => {
+                snapshots.newest = Some((last, state));
                 return Ok(snapshots);
             }
             snapshot::Decoded::OtherVersion => {
@@ -82,7 +82,7 @@
     }
 }
 
-/// The segments that may hold entries behind a base, in their order.
+/// Returns the segments that may hold entries behind a base, in their order.
 fn segments_behind(names: &[FileName], generation: u64, base: u64) -> Result<Vec<FileName>, StorageError> {
     let firsts = numbers(names, generation, segment_first);
     let Some(lowest) = firsts.first() else { return Ok(Vec::new()) };
@@ -102,11 +102,11 @@
 /// write that was not synced.
 fn read_log<F: Files>(files: &F, names: Vec<FileName>, base: u64) -> Result<Log, StorageError> {
     let mut log = Log::default();
-    for (place, name) in names.iter().enumerate() {
+    for (offset, name) in names.iter().enumerate() {
         let bytes = read(files, *name)?;
-        let next = names.get(place + 1).and_then(segment_first);
-        let Some((head, scan)) = read_segment(*name, &bytes, next, base)? else { continue };
-        log.push(*name, head, scan)?;
+        let next = names.get(offset + 1).and_then(segment_first);
+        let Some((header, scan)) = read_segment(*name, &bytes, next, base)? else { continue };
+        log.push(*name, header, scan)?;
     }
     // Segments that a snapshot covers are removed in any order, and some may have come back.
     let is_covered = log.segments.last().is_some_and(|segment| segment.last() < base);
@@ -115,35 +115,35 @@
 
 impl Log {
     /// Takes a segment in, if it goes on where the log ends.
-    fn push(&mut self, name: FileName, head: Head, scan: Scan) -> Result<(), StorageError> {
+    fn push(&mut self, name: FileName, header: Header, scan: Scan) -> Result<(), StorageError> {
         if let Some(before) = self.segments.last() {
             let chain = before.records.last().map(|record| record.checksum);
-            if head.first != before.last() + 1 || Some(head.chain) != chain {
+            if header.first != before.last() + 1 || Some(header.chain) != chain {
                 return Err(StorageError::damaged(name, 0));
             }
         }
         self.entries.extend(scan.entries);
-        self.segments.push(Segment { head, records: scan.records });
+        self.segments.push(Segment { header, records: scan.records });
         Ok(())
     }
 }
 
-/// The records of a segment. `next` is the first index of the segment behind it. None for a last segment that holds
-/// no record: the remains of one that was being made.
+/// Returns the records of a segment. `next` is the first index of the segment behind it. None for a last segment that
+/// holds no record: the remains of one that was being made.
 fn read_segment(
     name: FileName,
     bytes: &[u8],
     next: Option<u64>,
     base: u64,
-) -> Result<Option<(Head, Scan)>, StorageError> {
-    let (head, mut found) = match Head::decode(bytes) {
-        DecodedHead::Whole(head) if is_head_of(&head, name) => (head, scan(bytes, &head)),
-        DecodedHead::OtherVersion => return Err(StorageError::OtherVersion { file: name.to_string() }),
+) -> Result<Option<(Header, Scan)>, StorageError> {
+    let (header, mut found) = match Header::decode(bytes) {
+        DecodedHeader::Intact(header) if is_header_of(&header, name) => (header, scan(bytes, &header)),
+        DecodedHeader::OtherVersion => return Err(StorageError::OtherVersion { file: name.to_string() }),
         _ if next.is_none() && !was_synced(bytes, 0) => return Ok(None),
         _ => return Err(StorageError::damaged(name, 0)),
     };
     let end = found.records.last().map_or(0, |record| record.end);
-    let following = head.first + found.records.len() as u64;
+    let following = header.first + found.records.len() as u64;
     let is_damaged = match next {
         Some(next) => following < next,
         // What a snapshot covers had been synced, too.
@@ -152,14 +152,14 @@
     if is_damaged {
         return Err(StorageError::damaged(name, end));
     }
-    let count = next.map_or(found.records.len(), |next| (next - head.first) as usize);
+    let count = next.map_or(found.records.len(), |next| (next - header.first) as usize);
     found.records.truncate(count);
     found.entries.truncate(count);
-    Ok((count > 0).then_some((head, found)))
+    Ok((count > 0).then_some((header, found)))
 }
 
-fn is_head_of(head: &Head, name: FileName) -> bool {
-    name == FileName::Segment { generation: head.generation, first: head.first }
+fn is_header_of(header: &Header, name: FileName) -> bool {
+    name == FileName::Segment { generation: header.generation, first: header.first }
 }
 
 fn read<F: Files>(files: &F, name: FileName) -> Result<Vec<u8>, StorageError> {
@@ -167,7 +167,7 @@
     file.read().map_err(StorageError::io("read", name))
 }
 
-/// The numbers of the files of a kind and a generation, in their order.
+/// Returns the numbers of the files of a kind and a generation, in their order.
 fn numbers(names: &[FileName], generation: u64, number: fn(&FileName) -> Option<u64>) -> Vec<u64> {
     let own = names.iter().filter(|name| name.generation() == Some(generation));
     let mut numbers: Vec<u64> = own.filter_map(number).collect();
--- a/crates/storage/src/segments.rs
+++ b/crates/storage/src/segments.rs
@@ -1,7 +1,7 @@
 //! The segments of the log, as they are on the disk.
 
 use crate::files::{DataFile, Files};
-use crate::format::segment::{encode_record, Head, RecordPlace, HEAD};
+use crate::format::segment::{encode_record, Header, RecordLocation, HEADER_BYTES};
 use crate::names::FileName;
 use crate::StorageError;
 use quillpulley_protocol::Entry;
@@ -9,39 +9,39 @@
 /// One segment, which has at least one record.
 #[derive(Debug)]
 pub(crate) struct Segment {
-    pub head: Head,
-    pub records: Vec<RecordPlace>,
+    pub header: Header,
+    pub records: Vec<RecordLocation>,
 }
 
 impl Segment {
     pub fn name(&self) -> FileName {
-        FileName::Segment { generation: self.head.generation, first: self.head.first }
+        FileName::Segment { generation: self.header.generation, first: self.header.first }
     }
 
-    /// The index of its last entry.
+    /// Returns the index of its last entry.
     pub fn last(&self) -> u64 {
-        self.head.first + self.records.len() as u64 - 1
+        self.header.first + self.records.len() as u64 - 1
     }
 
-    /// The length of its whole records, all of them synced.
+    /// Returns the length of its whole records, all of them synced.
     pub fn length(&self) -> u64 {
-        self.records.last().map_or(HEAD as u64, |record| record.end)
+        self.records.last().map_or(HEADER_BYTES as u64, |record| record.end)
     }
 
     fn chain(&self) -> u32 {
-        self.records.last().map_or(self.head.chain, |record| record.checksum)
+        self.records.last().map_or(self.header.chain, |record| record.checksum)
     }
 
     fn epoch_of(&self, index: u64) -> Option<u64> {
-        let place = index.checked_sub(self.head.first)?;
-        self.records.get(place as usize).map(|record| record.epoch)
+        let offset = index.checked_sub(self.header.first)?;
+        self.records.get(offset as usize).map(|record| record.epoch)
     }
 }
 
 /// The segments of a generation, one after the other, without those that a snapshot covers.
 ///
 /// After an error the last segment may be longer on the disk than it should be, and there may be files that should
-/// not be there; `cut_to_length` and a sweep of the folder make that good.
+/// not be there; `truncate_to_length` and a sweep of the folder make that good.
 pub(crate) struct Segments<F: Files> {
     segments: Vec<Segment>,
     /// The last segment's file, once it was used.
@@ -53,18 +53,18 @@
         Segments { segments, file: None }
     }
 
-    /// The index of the last entry.
+    /// Returns the index of the last entry.
     pub fn last_index(&self) -> Option<u64> {
         self.segments.last().map(Segment::last)
     }
 
-    /// The epoch of an entry.
+    /// Returns the epoch of an entry.
     pub fn epoch_of(&self, index: u64) -> Option<u64> {
-        let segment = self.segments.iter().rev().find(|segment| segment.head.first <= index)?;
+        let segment = self.segments.iter().rev().find(|segment| segment.header.first <= index)?;
         segment.epoch_of(index)
     }
 
-    /// Bytes of all segments.
+    /// Returns bytes of all segments.
     pub fn bytes(&self) -> u64 {
         self.segments.iter().map(Segment::length).sum()
     }
@@ -84,7 +84,7 @@
     /// Removes all entries behind an index. They are gone for good before this returns; whatever follows cannot
     /// stand beside them.
     pub fn truncate(&mut self, files: &F, last: u64) -> Result<(), StorageError> {
-        while let Some(segment) = self.segments.pop_if(|segment| segment.head.first > last) {
+        while let Some(segment) = self.segments.pop_if(|segment| segment.header.first > last) {
             self.file = None;
             let name = segment.name();
             files.remove(&name.to_string()).map_err(StorageError::io("remove", name))?;
@@ -93,12 +93,12 @@
         let Some(segment) = self.segments.last_mut().filter(|segment| segment.last() > last) else {
             return Ok(());
         };
-        segment.records.truncate((last + 1 - segment.head.first) as usize);
-        self.cut_to_length(files)
+        segment.records.truncate((last + 1 - segment.header.first) as usize);
+        self.truncate_to_length(files)
     }
 
     /// Cuts off what stands behind the last whole record.
-    pub fn cut_to_length(&mut self, files: &F) -> Result<(), StorageError> {
+    pub fn truncate_to_length(&mut self, files: &F) -> Result<(), StorageError> {
         let Some(segment) = self.segments.last() else { return Ok(()) };
         let (name, length) = (segment.name(), segment.length());
         let file = self.last_file(files, name)?;
@@ -143,13 +143,13 @@
     fn begin(&mut self, files: &F, generation: u64, entries: &[Entry]) -> Result<(), StorageError> {
         let Some(first) = entries.first().map(|entry| entry.index) else { return Ok(()) };
         let chain = self.segments.last().map_or(0, Segment::chain);
-        let (segment, file) = create(files, Head { generation, first, chain }, entries)?;
+        let (segment, file) = create(files, Header { generation, first, chain }, entries)?;
         self.segments.push(segment);
         self.file = Some(file);
         Ok(())
     }
 
-    /// The file of the last segment, which has this name.
+    /// Returns the file of the last segment, which has this name.
     fn last_file(&mut self, files: &F, name: FileName) -> Result<&F::File, StorageError> {
         let file = match self.file.take() {
             Some(file) => file,
@@ -162,13 +162,13 @@
 /// Makes a segment of these entries, durable with its name.
 pub(crate) fn create<F: Files>(
     files: &F,
-    head: Head,
+    header: Header,
     entries: &[Entry],
 ) -> Result<(Segment, F::File), StorageError> {
     let mut bytes = Vec::new();
-    head.encode(&mut bytes);
-    let records = encode_records(entries, head.chain, HEAD as u64, 0, &mut bytes);
-    let segment = Segment { head, records };
+    header.encode(&mut bytes);
+    let records = encode_records(entries, header.chain, HEADER_BYTES as u64, 0, &mut bytes);
+    let segment = Segment { header, records };
     let name = segment.name();
     let file = files.create(&name.to_string()).map_err(StorageError::io("create", name))?;
     file.write(0, &bytes).map_err(StorageError::io("write", name))?;
@@ -184,12 +184,12 @@
     start: u64,
     durable: u64,
     bytes: &mut Vec<u8>,
-) -> Vec<RecordPlace> {
+) -> Vec<RecordLocation> {
     let before = bytes.len() as u64;
     let mut record = |entry: &Entry| {
         chain = encode_record(entry, chain, durable, bytes);
         let end = start + bytes.len() as u64 - before;
-        RecordPlace { epoch: entry.epoch, end, checksum: chain }
+        RecordLocation { epoch: entry.epoch, end, checksum: chain }
     };
     entries.iter().map(&mut record).collect()
 }
--- a/crates/storage/src/storage.rs
+++ b/crates/storage/src/storage.rs
@@ -1,7 +1,7 @@
 //! The storage of a process: what it may do, and in which order that reaches the disk.
 
 use crate::files::{DataFile, Files, Folder};
-use crate::format::segment::Head;
+use crate::format::segment::Header;
 use crate::format::snapshot;
 use crate::names::FileName;
 use crate::record::RecordFile;
@@ -80,17 +80,17 @@
         Ok((storage, Recovered { record: saved, snapshot: state.snapshot, entries: state.entries }))
     }
 
-    /// The index of the last entry that is stored or that the snapshot covers; 0 before the first.
+    /// Returns the index of the last entry that is stored or that the snapshot covers; 0 before the first.
     pub fn last_index(&self) -> u64 {
         self.segments.last_index().unwrap_or(self.snapshot_index())
     }
 
-    /// What the snapshot covers, if there is one.
+    /// Returns what the snapshot covers, if there is one.
     pub fn snapshot_position(&self) -> Option<Position> {
         self.snapshot
     }
 
-    /// Bytes of the log on the disk, for a decision on when to compact it.
+    /// Returns bytes of the log on the disk, for a decision on when to compact it.
     pub fn log_bytes(&self) -> u64 {
         self.segments.bytes()
     }
@@ -105,20 +105,20 @@
     /// After an error the log may end before the first entry that was to be replaced.
     pub fn append(&mut self, entries: &[Entry]) -> Result<(), StorageError> {
         let Some(last) = entries.last().map(|entry| entry.index) else { return Ok(()) };
-        self.check_order(entries)?;
-        let known = entries.iter().take_while(|entry| self.holds(entry)).count();
-        let fresh = &entries[known..];
-        let kept = fresh.first().map_or(last, |entry| entry.index - 1);
-        if fresh.is_empty() && kept == self.last_index() && !self.needs_repair {
+        self.check_sequence(entries)?;
+        let known = entries.iter().take_while(|entry| self.contains(entry)).count();
+        let new = &entries[known..];
+        let kept = new.first().map_or(last, |entry| entry.index - 1);
+        if new.is_empty() && kept == self.last_index() && !self.needs_repair {
             return Ok(());
         }
         self.change(|storage| {
             storage.segments.truncate(&storage.files, kept)?;
-            if fresh.is_empty() {
+            if new.is_empty() {
                 return Ok(());
             }
             let segment_bytes = storage.options.segment_bytes;
-            storage.segments.append(&storage.files, storage.generation, segment_bytes, fresh)
+            storage.segments.append(&storage.files, storage.generation, segment_bytes, new)
         })
     }
 
@@ -130,7 +130,7 @@
         snapshot: &[u8],
         entries: &[Entry],
     ) -> Result<(), StorageError> {
-        check_follow(last.index + 1, entries)?;
+        check_consecutive(last.index + 1, entries)?;
         self.change(|storage| storage.install_generation(last, snapshot, entries))
     }
 
@@ -157,18 +157,18 @@
         self.snapshot.map_or(0, |last| last.index)
     }
 
-    /// The first index that entries may have is that behind the snapshot, the last one that behind the log.
-    fn check_order(&self, entries: &[Entry]) -> Result<(), StorageError> {
+    /// Returns the first index that entries may have is that behind the snapshot, the last one that behind the log.
+    fn check_sequence(&self, entries: &[Entry]) -> Result<(), StorageError> {
         let first = entries.first().map_or(0, |entry| entry.index);
         let expected = self.last_index() + 1;
         if first <= self.snapshot_index() || first > expected {
             return Err(StorageError::OutOfOrder { found: first, expected });
         }
-        check_follow(first, entries)
+        check_consecutive(first, entries)
     }
 
-    /// Whether this very entry is stored: an index and an epoch stand for one entry.
-    fn holds(&self, entry: &Entry) -> bool {
+    /// Returns whether this very entry is stored: an index and an epoch stand for one entry.
+    fn contains(&self, entry: &Entry) -> bool {
         self.segments.epoch_of(entry.index) == Some(entry.epoch)
     }
 
@@ -191,7 +191,7 @@
         self.revoke_newer_generations()?;
         self.sweep()?;
         self.sync_names()?;
-        self.segments.cut_to_length(&self.files)?;
+        self.segments.truncate_to_length(&self.files)?;
         self.needs_repair = false;
         Ok(())
     }
@@ -207,8 +207,8 @@
         self.next_generation += 1;
         let mut segments = Vec::new();
         if !entries.is_empty() {
-            let head = Head { generation, first: last.index + 1, chain: 0 };
-            segments.push(create(&self.files, head, entries)?.0);
+            let header = Header { generation, first: last.index + 1, chain: 0 };
+            segments.push(create(&self.files, header, entries)?.0);
         }
         self.write_snapshot(generation, last, snapshot)?;
         self.generation = generation;
@@ -224,9 +224,9 @@
         let temporary = FileName::Temporary;
         let file =
             self.files.create(&temporary.to_string()).map_err(StorageError::io("create", temporary))?;
-        let head = snapshot::encode_head(last, state);
-        file.write(0, &head).map_err(StorageError::io("write", temporary))?;
-        file.write(head.len() as u64, state).map_err(StorageError::io("write", temporary))?;
+        let header = snapshot::encode_header(last, state);
+        file.write(0, &header).map_err(StorageError::io("write", temporary))?;
+        file.write(header.len() as u64, state).map_err(StorageError::io("write", temporary))?;
         file.sync().map_err(StorageError::io("sync", temporary))?;
         let renamed = self.files.rename(&temporary.to_string(), &name.to_string());
         renamed.map_err(StorageError::io("rename", name))?;
@@ -241,18 +241,18 @@
     }
 
     fn sweep(&self) -> Result<(), StorageError> {
-        names(&self.files)?.iter().filter(|name| !self.uses(name)).try_for_each(|name| self.remove(name))
+        names(&self.files)?.iter().filter(|name| !self.is_in_use(name)).try_for_each(|name| self.remove(name))
     }
 
     /// Removes the snapshot of an installation that failed at its end, for good and before its segments: a part of
     /// an installation must not count.
     fn revoke_newer_generations(&self) -> Result<(), StorageError> {
-        let newer = |name: &&FileName| match name {
+        let is_newer = |name: &&FileName| match name {
             FileName::Snapshot { generation, .. } => *generation > self.generation,
             _ => false,
         };
         let names = names(&self.files)?;
-        let mut revoked = names.iter().filter(newer).peekable();
+        let mut revoked = names.iter().filter(is_newer).peekable();
         if revoked.peek().is_none() {
             return Ok(());
         }
@@ -268,7 +268,7 @@
         self.files.sync_names().map_err(StorageError::io("sync", "the folder"))
     }
 
-    fn uses(&self, name: &FileName) -> bool {
+    fn is_in_use(&self, name: &FileName) -> bool {
         match name {
             FileName::Record => true,
             FileName::Temporary => false,
@@ -280,7 +280,7 @@
     }
 }
 
-fn check_follow(first: u64, entries: &[Entry]) -> Result<(), StorageError> {
+fn check_consecutive(first: u64, entries: &[Entry]) -> Result<(), StorageError> {
     let numbered = (first..).zip(entries);
     let mut wrong = numbered.filter(|(expected, entry)| entry.index != *expected);
     match wrong.next() {
