--- a/crates/control-state/tests/published.rs
+++ b/crates/control-state/tests/published.rs
@@ -114,7 +114,7 @@
         configuration.version = version;
         for (route, (millis, weight, attempts, flag)) in configuration.routes.iter_mut().zip(routes) {
             route.timeout = std::time::Duration::from_nanos(u64::from(millis) * 1000 + 1);
-            route.gap_aim = flag.then_some(route.timeout);
+            route.inter_token_target = flag.then_some(route.timeout);
             route.split[0].weight = f64::from(if weight.is_normal() { weight.abs().min(1e9) } else { 1.0 });
             route.max_attempts = u32::from(attempts) + 1;
             route.sticky = flag;
--- a/crates/membership/src/monitor.rs
+++ b/crates/membership/src/monitor.rs
@@ -18,11 +18,11 @@
     /// How many others monitor a peer.
     pub monitors: usize,
     /// Time between two pings to a target that answers or is suspect, give or take an eighth.
-    pub ping_every: Duration,
+    pub ping_interval: Duration,
     /// Time after which a ping without an answer is followed by the next.
-    pub retry_every: Duration,
+    pub retry_interval: Duration,
     /// So many pings in a row without an answer make a target suspect, once the last has had its time as well.
-    pub unanswered_max: usize,
+    pub max_unanswered: usize,
     /// Seed of the jitter.
     pub seed: u64,
 }
@@ -34,9 +34,9 @@
         MonitorOptions {
             name: name.to_string(),
             monitors: 3,
-            ping_every: Duration::from_millis(400),
-            retry_every: Duration::from_millis(200),
-            unanswered_max: 5,
+            ping_interval: Duration::from_millis(400),
+            retry_interval: Duration::from_millis(200),
+            max_unanswered: 5,
             seed,
         }
     }
@@ -80,8 +80,8 @@
     sequence: u64,
     random: fastrand::Rng,
     /// When anything came from another node, and when an answer came.
-    heard: Duration,
-    answered: Duration,
+    heard_at: Duration,
+    answered_at: Duration,
 }
 
 impl Monitor {
@@ -94,8 +94,8 @@
             suspects: Vec::new(),
             sequence: 0,
             random,
-            heard: Duration::ZERO,
-            answered: Duration::ZERO,
+            heard_at: Duration::ZERO,
+            answered_at: Duration::ZERO,
         }
     }
 
@@ -133,7 +133,7 @@
                 continue;
             }
             let target = kept.remove(&peer.name).filter(|target| target.address == peer.address);
-            let target = target.unwrap_or_else(|| Target::new(peer.address, now + self.first_wait()));
+            let target = target.unwrap_or_else(|| Target::new(peer.address, now + self.initial_delay()));
             self.targets.insert(peer.name.clone(), target);
         }
     }
@@ -153,28 +153,28 @@
     }
 
     fn answer(&mut self, now: Duration, ping: &Ping, from: SocketAddr, actions: &mut Vec<Action>) {
-        self.heard = now;
+        self.heard_at = now;
         let ack = PingAck { name: self.options.name.clone(), sequence: ping.sequence };
         actions.push(Action::Send(from, Body::PingAck(Box::new(ack))));
     }
 
     fn acknowledge(&mut self, now: Duration, ack: &PingAck) {
-        self.heard = now;
+        self.heard_at = now;
         if let Some(target) = self.targets.get_mut(&ack.name) {
             target.acknowledge(ack.sequence);
-            self.answered = now;
+            self.answered_at = now;
         }
     }
 
     fn tick(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        if self.stood_still(now) {
-            self.heard = now;
-            self.answered = now;
-            self.targets.values_mut().for_each(Target::forgive);
+        if self.was_suspended(now) {
+            self.heard_at = now;
+            self.answered_at = now;
+            self.targets.values_mut().for_each(Target::reset);
         }
         for target in self.targets.values_mut().filter(|target| target.due <= now) {
             self.sequence += 1;
-            let interval = jittered(self.options.ping_every, &mut self.random);
+            let interval = jittered(self.options.ping_interval, &mut self.random);
             target.ping(now, self.sequence, interval, &self.options);
             let ping = Ping { name: self.options.name.clone(), sequence: self.sequence };
             actions.push(Action::Send(target.address, Body::Ping(Box::new(ping))));
@@ -182,15 +182,15 @@
     }
 
     /// Returns whether this node itself did nothing for a while: it was frozen or starved, and answers wait unread.
-    fn stood_still(&self, now: Duration) -> bool {
-        now.saturating_sub(self.next_tick()) > self.options.ping_every
+    fn was_suspended(&self, now: Duration) -> bool {
+        now.saturating_sub(self.next_tick()) > self.options.ping_interval
     }
 
     /// Works out the suspects anew and tells the host where they changed.
     fn review(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        let silent = self.targets.iter().filter(|(_, target)| target.is_silent());
+        let silent = self.targets.iter().filter(|(_, target)| target.is_unresponsive());
         let mut suspects: Vec<String> = silent.map(|(name, _)| name.clone()).collect();
-        if self.is_cut_off(now) {
+        if self.is_isolated(now) {
             suspects.clear();
         }
         if suspects != self.suspects {
@@ -201,14 +201,14 @@
 
     /// Returns whether it may rather be this node that is cut off: nobody has answered it of late, or where its only
     /// target is silent, nobody has sent it anything. This shows sooner than any target becomes suspect.
-    fn is_cut_off(&self, now: Duration) -> bool {
-        let proof = if self.targets.len() > 1 { self.answered } else { self.heard };
-        now.saturating_sub(proof) > 2 * self.options.ping_every
+    fn is_isolated(&self, now: Duration) -> bool {
+        let proof = if self.targets.len() > 1 { self.answered_at } else { self.heard_at };
+        now.saturating_sub(proof) > 2 * self.options.ping_interval
     }
 
     /// Returns a part of the time between pings, so that targets that became known together are spread over it.
-    fn first_wait(&mut self) -> Duration {
-        self.options.ping_every.mul_f64(self.random.f64())
+    fn initial_delay(&mut self) -> Duration {
+        self.options.ping_interval.mul_f64(self.random.f64())
     }
 }
 
--- a/crates/membership/src/target.rs
+++ b/crates/membership/src/target.rs
@@ -8,9 +8,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Health {
     /// It answered, or was not asked often enough yet.
-    Answering,
+    Responsive,
     /// It left as many pings in a row without an answer as make it suspect.
-    Silent,
+    Unresponsive,
 }
 
 /// A peer that this node pings, and how it answers.
@@ -28,11 +28,11 @@
 
 impl Target {
     pub(crate) fn new(address: SocketAddr, due: Duration) -> Self {
-        Target { address, due, due_if_answered: due, unanswered: Vec::new(), health: Health::Answering }
+        Target { address, due, due_if_answered: due, unanswered: Vec::new(), health: Health::Responsive }
     }
 
-    pub(crate) fn is_silent(&self) -> bool {
-        self.health == Health::Silent
+    pub(crate) fn is_unresponsive(&self) -> bool {
+        self.health == Health::Unresponsive
     }
 
     /// A ping is due: those before it have had their time. `interval` is the time to the one after it if it is
@@ -44,30 +44,30 @@
         interval: Duration,
         options: &MonitorOptions,
     ) {
-        if self.unanswered.len() >= options.unanswered_max {
-            self.turn(Health::Silent);
+        if self.unanswered.len() >= options.max_unanswered {
+            self.set_health(Health::Unresponsive);
             self.unanswered.remove(0);
         }
         self.unanswered.push(sequence);
         self.due_if_answered = now + interval;
-        self.due = now + if self.is_silent() { interval } else { options.retry_every };
+        self.due = now + if self.is_unresponsive() { interval } else { options.retry_interval };
     }
 
     /// It answered a ping. Answers to none of the latest pings prove nothing about now.
     pub(crate) fn acknowledge(&mut self, sequence: u64) {
         if self.unanswered.contains(&sequence) {
             self.due = self.due_if_answered;
-            self.forgive();
+            self.reset();
         }
     }
 
     /// Forgets the pings that were not answered.
-    pub(crate) fn forgive(&mut self) {
+    pub(crate) fn reset(&mut self) {
         self.unanswered.clear();
-        self.turn(Health::Answering);
+        self.set_health(Health::Responsive);
     }
 
-    fn turn(&mut self, health: Health) {
+    fn set_health(&mut self, health: Health) {
         self.health = health;
     }
 }
--- a/crates/protocol/src/framing.rs
+++ b/crates/protocol/src/framing.rs
@@ -7,9 +7,9 @@
 
 /// The most bytes that one frame may hold, its length prefix aside. A whole configuration and what is
 /// published beside it fit.
-pub const MAX_FRAME: usize = 32 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 32 * 1024 * 1024;
 /// The most bytes of a message that go in one piece, where the message is cut.
-pub const MAX_PIECE: usize = 64 * 1024;
+pub const MAX_CHUNK_BYTES: usize = 64 * 1024;
 pub(crate) const PREFIX: usize = 4;
 /// The length takes the low bits of a prefix. The kind of the frame and, for pieces, the lane stand above.
 const LENGTH_BITS: u32 = 26;
@@ -19,22 +19,22 @@
 /// more memory than this.
 const COMPACT_AT: usize = 64 * 1024;
 /// An encoder that has written a longer message than this gives its memory back.
-const KEPT_BUILDER: usize = 64 * 1024;
+const RETAINED_BUILDER_BYTES: usize = 64 * 1024;
 
 /// Why bytes are no frame or no value.
 #[derive(Debug, Display, PartialEq, Eq)]
-pub enum WireError {
+pub enum ProtocolError {
     /// a frame of {0} bytes is over the limit: close the connection and check that the peer speaks this protocol
     TooLong(usize),
     /// the bytes are no message of this protocol ({0}): check that both sides run the same version
     Malformed(String),
 }
 
-impl std::error::Error for WireError {}
+impl std::error::Error for ProtocolError {}
 
-impl From<planus::Error> for WireError {
+impl From<planus::Error> for ProtocolError {
     fn from(error: planus::Error) -> Self {
-        WireError::Malformed(error.to_string())
+        ProtocolError::Malformed(error.to_string())
     }
 }
 
@@ -57,7 +57,7 @@
 impl FrameEncoder {
     /// One message without its length, as a datagram carries it.
     pub fn message(&mut self, body: &Body) -> &[u8] {
-        if self.builder.len() > KEPT_BUILDER {
+        if self.builder.len() > RETAINED_BUILDER_BYTES {
             self.builder = Builder::new();
         }
         self.builder.clear();
@@ -78,9 +78,9 @@
 }
 
 /// Reads one message, without its length: a datagram, or what a [`FrameDecoder`] has cut out.
-pub fn decode_frame(bytes: &[u8]) -> Result<Body, WireError> {
+pub fn decode_frame(bytes: &[u8]) -> Result<Body, ProtocolError> {
     let frame = FrameRef::read_as_root(bytes)?;
-    let body = frame.body()?.ok_or_else(|| WireError::Malformed("an empty frame".to_string()))?;
+    let body = frame.body()?.ok_or_else(|| ProtocolError::Malformed("an empty frame".to_string()))?;
     Ok(Body::try_from(body)?)
 }
 
@@ -90,7 +90,7 @@
 }
 
 /// Reads a table that stands on its own: `decode_value::<ServerRef, Server>(bytes)`.
-pub fn decode_value<'a, R, T>(bytes: &'a [u8]) -> Result<T, WireError>
+pub fn decode_value<'a, R, T>(bytes: &'a [u8]) -> Result<T, ProtocolError>
 where
     R: ReadAsRoot<'a>,
     T: TryFrom<R, Error = planus::Error>,
@@ -102,11 +102,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FrameKind {
     /// A message.
-    Whole,
+    Complete,
     /// A piece of a message. More follow on the same lane, with other frames between them.
-    Piece,
+    Chunk,
     /// The last piece of a message.
-    LastPiece,
+    LastChunk,
     /// How many bytes of pieces have come at the other side, as four bytes.
     Credit,
 }
@@ -125,19 +125,19 @@
         (self.length as u32 | lane << LANE_SHIFT | kind << KIND_SHIFT).to_le_bytes()
     }
 
-    fn decode(bytes: [u8; PREFIX]) -> Result<Self, WireError> {
+    fn decode(bytes: [u8; PREFIX]) -> Result<Self, ProtocolError> {
         let word = u32::from_le_bytes(bytes);
         let length = (word & ((1 << LENGTH_BITS) - 1)) as usize;
         let (kind, limit) = match word >> KIND_SHIFT {
-            0 => (FrameKind::Whole, MAX_FRAME),
-            1 => (FrameKind::Piece, MAX_PIECE),
-            2 => (FrameKind::LastPiece, MAX_PIECE),
+            0 => (FrameKind::Complete, MAX_FRAME_BYTES),
+            1 => (FrameKind::Chunk, MAX_CHUNK_BYTES),
+            2 => (FrameKind::LastChunk, MAX_CHUNK_BYTES),
             3 => (FrameKind::Credit, PREFIX),
-            _ => return Err(WireError::TooLong(word as usize)),
+            _ => return Err(ProtocolError::TooLong(word as usize)),
         };
-        let lane = Lane::from_number(word >> LANE_SHIFT & 3).ok_or(WireError::TooLong(word as usize))?;
+        let lane = Lane::from_number(word >> LANE_SHIFT & 3).ok_or(ProtocolError::TooLong(word as usize))?;
         if length > limit {
-            return Err(WireError::TooLong(word as usize));
+            return Err(ProtocolError::TooLong(word as usize));
         }
         Ok(Prefix { kind, lane, length })
     }
@@ -150,8 +150,8 @@
     consumed: usize,
     /// What has come of a message on each lane.
     unfinished: [Vec<u8>; LANES],
-    arrived: usize,
-    credited: usize,
+    received: usize,
+    receive_credit: usize,
 }
 
 impl FrameDecoder {
@@ -166,7 +166,7 @@
     }
 
     /// Returns the next whole message, if there is one. After an error the stream is of no further use.
-    pub fn next_frame(&mut self) -> Result<Option<Body>, WireError> {
+    pub fn next_frame(&mut self) -> Result<Option<Body>, ProtocolError> {
         loop {
             let pending = &self.buffer[self.consumed..];
             let Some((prefix, rest)) = pending.split_first_chunk::<PREFIX>() else { return Ok(None) };
@@ -174,16 +174,16 @@
             let Some(bytes) = rest.get(..length) else { return Ok(None) };
             self.consumed += PREFIX + length;
             match kind {
-                FrameKind::Whole => return decode_frame(bytes).map(Some),
-                FrameKind::Credit => self.credited += read_credit(bytes)?,
-                FrameKind::Piece | FrameKind::LastPiece => {
-                    self.arrived += length;
+                FrameKind::Complete => return decode_frame(bytes).map(Some),
+                FrameKind::Credit => self.receive_credit += read_credit(bytes)?,
+                FrameKind::Chunk | FrameKind::LastChunk => {
+                    self.received += length;
                     let unfinished = &mut self.unfinished[lane as usize];
-                    if unfinished.len() + length > MAX_FRAME {
-                        return Err(WireError::TooLong(unfinished.len() + length));
+                    if unfinished.len() + length > MAX_FRAME_BYTES {
+                        return Err(ProtocolError::TooLong(unfinished.len() + length));
                     }
                     unfinished.extend_from_slice(bytes);
-                    if kind == FrameKind::LastPiece {
+                    if kind == FrameKind::LastChunk {
                         return decode_frame(&std::mem::take(unfinished)).map(Some);
                     }
                 }
@@ -192,18 +192,18 @@
     }
 
     /// Returns how many bytes of pieces have come since the last call. The sender waits to be told.
-    pub fn take_arrived(&mut self) -> usize {
-        std::mem::take(&mut self.arrived)
+    pub fn take_received(&mut self) -> usize {
+        std::mem::take(&mut self.received)
     }
 
     /// Returns how many bytes of pieces the other side has told of since the last call.
     pub fn take_credited(&mut self) -> usize {
-        std::mem::take(&mut self.credited)
+        std::mem::take(&mut self.receive_credit)
     }
 }
 
-fn read_credit(bytes: &[u8]) -> Result<usize, WireError> {
+fn read_credit(bytes: &[u8]) -> Result<usize, ProtocolError> {
     let bytes =
-        bytes.try_into().map_err(|_| WireError::Malformed("a credit without a number".to_string()))?;
+        bytes.try_into().map_err(|_| ProtocolError::Malformed("a credit without a number".to_string()))?;
     Ok(u32::from_le_bytes(bytes) as usize)
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -16,8 +16,8 @@
 
 pub use framing::{
     decode_frame, decode_value, encode_frame, encode_value, frame_message, FrameDecoder, FrameEncoder,
-    WireError, MAX_FRAME, MAX_PIECE,
+    ProtocolError, MAX_CHUNK_BYTES, MAX_FRAME_BYTES,
 };
 pub use generated::quillpulley::protocol::*;
 pub use lane::Lane;
-pub use queue::{FrameQueue, QueueFull, PIECE_WINDOW};
+pub use queue::{FrameQueue, QueueFull, CHUNK_WINDOW_BYTES};
--- a/crates/protocol/src/queue.rs
+++ b/crates/protocol/src/queue.rs
@@ -3,15 +3,15 @@
 //! Long messages are cut into pieces, and go only as fast as the other side tells that pieces have come. So there is
 //! never much of them between the two processes, and a heartbeat that is sent behind them is not held up.
 
-use crate::framing::{frame_message, FrameKind, Prefix, MAX_PIECE};
+use crate::framing::{frame_message, FrameKind, Prefix, MAX_CHUNK_BYTES};
 use crate::lane::Lane;
 use displaydoc::Display;
 use std::collections::VecDeque;
 
 /// Bytes of pieces that may be under way at a time.
-pub const PIECE_WINDOW: usize = 512 * 1024;
+pub const CHUNK_WINDOW_BYTES: usize = 512 * 1024;
 /// Written bytes are removed from the buffer once they are so many, and an empty one keeps no more memory than this.
-const KEPT_BUFFER: usize = 64 * 1024;
+const RETAINED_BUFFER_BYTES: usize = 64 * 1024;
 
 /// more bytes wait than the bound allows: check the load of the peer
 #[derive(Debug, Display, PartialEq, Eq)]
@@ -24,7 +24,7 @@
 }
 
 impl Message {
-    fn left(&self) -> usize {
+    fn remaining(&self) -> usize {
         self.bytes.len() - self.sent
     }
 }
@@ -42,7 +42,7 @@
     /// The lane whose turn it is.
     states_next: bool,
     /// Bytes of pieces that the other side has not told of.
-    under_way: usize,
+    in_flight: usize,
 }
 
 impl FrameQueue {
@@ -55,14 +55,14 @@
     /// others it is refused if more bytes than `maximum` would wait, unless nothing waits before it.
     pub fn push(&mut self, lane: Lane, message: &[u8], maximum: usize) -> Result<(), QueueFull> {
         if lane == Lane::State {
-            self.states.retain(|waiting| waiting.sent > 0);
+            self.states.retain(|pending| pending.sent > 0);
         } else {
             let before = self.bounded_bytes();
             if before > 0 && before + message.len() > maximum {
                 return Err(QueueFull);
             }
         }
-        let is_short = message.len() <= MAX_PIECE && self.ready_bytes() <= MAX_PIECE;
+        let is_short = message.len() <= MAX_CHUNK_BYTES && self.ready_bytes() <= MAX_CHUNK_BYTES;
         let lane_is_empty = match lane {
             Lane::Control => true,
             Lane::Ordered => self.ordered.is_empty(),
@@ -81,10 +81,10 @@
     }
 
     /// Returns the next bytes to write; empty where nothing may be sent now.
-    pub fn waiting(&mut self) -> &[u8] {
-        while self.ready_bytes() < MAX_PIECE && self.under_way < PIECE_WINDOW {
+    pub fn pending(&mut self) -> &[u8] {
+        while self.ready_bytes() < MAX_CHUNK_BYTES && self.in_flight < CHUNK_WINDOW_BYTES {
             let Some(message) = self.next_message() else { break };
-            self.cut_piece(message);
+            self.take_chunk(message);
         }
         &self.ready[self.written..]
     }
@@ -94,16 +94,16 @@
         self.written += written;
         if self.written == self.ready.len() {
             self.ready.clear();
-            self.ready.shrink_to(KEPT_BUFFER);
+            self.ready.shrink_to(RETAINED_BUFFER_BYTES);
             self.written = 0;
-        } else if self.written > KEPT_BUFFER {
+        } else if self.written > RETAINED_BUFFER_BYTES {
             self.ready.drain(..self.written);
             self.written = 0;
         }
     }
 
     /// Tells the other side that so many bytes of its pieces have come.
-    pub fn tell_arrived(&mut self, bytes: usize) {
+    pub fn acknowledge_chunks(&mut self, bytes: usize) {
         let credit = (bytes as u32).to_le_bytes();
         let prefix = Prefix { kind: FrameKind::Credit, lane: Lane::Control, length: credit.len() };
         self.ready.extend_from_slice(&prefix.encode());
@@ -111,13 +111,13 @@
     }
 
     /// The other side has told that so many bytes of pieces have come.
-    pub fn credited(&mut self, bytes: usize) {
-        self.under_way = self.under_way.saturating_sub(bytes);
+    pub fn receive_credit(&mut self, bytes: usize) {
+        self.in_flight = self.in_flight.saturating_sub(bytes);
     }
 
     /// Returns bytes held for this link.
     pub fn bytes(&self) -> usize {
-        self.bounded_bytes() + self.states.iter().map(Message::left).sum::<usize>()
+        self.bounded_bytes() + self.states.iter().map(Message::remaining).sum::<usize>()
     }
 
     fn ready_bytes(&self) -> usize {
@@ -125,7 +125,7 @@
     }
 
     fn bounded_bytes(&self) -> usize {
-        self.ready_bytes() + self.ordered.iter().map(Message::left).sum::<usize>()
+        self.ready_bytes() + self.ordered.iter().map(Message::remaining).sum::<usize>()
     }
 
     /// Takes the message whose turn it is out of its lane.
@@ -139,16 +139,16 @@
     }
 
     /// Makes the next piece of a message ready, and puts back what is left.
-    fn cut_piece(&mut self, mut message: Message) {
-        let length = message.left().min(MAX_PIECE);
-        let kind = if length == message.left() { FrameKind::LastPiece } else { FrameKind::Piece };
-        let piece = &message.bytes[message.sent..message.sent + length];
+    fn take_chunk(&mut self, mut message: Message) {
+        let length = message.remaining().min(MAX_CHUNK_BYTES);
+        let kind = if length == message.remaining() { FrameKind::LastChunk } else { FrameKind::Chunk };
+        let chunk = &message.bytes[message.sent..message.sent + length];
         self.ready.extend_from_slice(&Prefix { kind, lane: message.lane, length }.encode());
-        self.ready.extend_from_slice(piece);
-        self.under_way += length;
+        self.ready.extend_from_slice(chunk);
+        self.in_flight += length;
         message.sent += length;
         match (kind, message.lane) {
-            (FrameKind::LastPiece, _) => {}
+            (FrameKind::LastChunk, _) => {}
             (_, Lane::State) => self.states.push_front(message),
             _ => self.ordered.push_front(message),
         }
--- a/crates/protocol/tests/framing.rs
+++ b/crates/protocol/tests/framing.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::quickcheck;
 use quillpulley_protocol::{
-    decode_frame, encode_frame, Append, Body, Entry, FrameDecoder, FrameEncoder, Position, MAX_FRAME,
+    decode_frame, encode_frame, Append, Body, Entry, FrameDecoder, FrameEncoder, Position, MAX_FRAME_BYTES,
 };
 
 fn append(payloads: &[Vec<u8>]) -> Body {
@@ -65,6 +65,6 @@
 #[test]
 fn a_length_over_the_limit_is_an_error_at_once() {
     let mut decoder = FrameDecoder::default();
-    decoder.push(&(MAX_FRAME as u32 + 1).to_le_bytes());
+    decoder.push(&(MAX_FRAME_BYTES as u32 + 1).to_le_bytes());
     assert!(decoder.next_frame().is_err());
 }
--- a/crates/protocol/tests/queue.rs
+++ b/crates/protocol/tests/queue.rs
@@ -3,7 +3,7 @@
 use quickcheck::quickcheck;
 use quillpulley_protocol::{
     Append, Body, Entry, FrameDecoder, FrameEncoder, FrameQueue, Install, Lane, LeaseGrant, Position, Update,
-    MAX_PIECE, PIECE_WINDOW,
+    CHUNK_WINDOW_BYTES, MAX_CHUNK_BYTES,
 };
 
 const MAXIMUM: usize = 8 * 1024 * 1024;
@@ -48,7 +48,7 @@
 
     /// Passes on at most so many bytes; says how many there were.
     fn pass(&mut self, most: usize) -> usize {
-        let bytes = self.queue.waiting();
+        let bytes = self.queue.pending();
         let count = bytes.len().min(most);
         self.decoder.push(&bytes[..count]);
         self.queue.advance(count);
@@ -59,15 +59,15 @@
     }
 
     fn tell_back(&mut self) {
-        let arrived = self.decoder.take_arrived();
+        let arrived = self.decoder.take_received();
         if arrived > 0 {
-            self.back.tell_arrived(arrived);
+            self.back.acknowledge_chunks(arrived);
         }
-        let told = self.back.waiting().to_vec();
+        let told = self.back.pending().to_vec();
         self.back.advance(told.len());
         self.back_decoder.push(&told);
         assert!(self.back_decoder.next_frame().expect("no message").is_none());
-        self.queue.credited(self.back_decoder.take_credited());
+        self.queue.receive_credit(self.back_decoder.take_credited());
     }
 
     fn pass_all(&mut self) {
@@ -90,7 +90,7 @@
         ends.tell_back();
     }
     assert_eq!(ends.came, [grant(1)]);
-    assert!(between <= 2 * MAX_PIECE + 1_000, "{between} bytes went first");
+    assert!(between <= 2 * MAX_CHUNK_BYTES + 1_000, "{between} bytes went first");
     ends.pass_all();
     assert_eq!(ends.came, [grant(1), long]);
 }
@@ -106,7 +106,7 @@
             count => sent += count,
         }
     }
-    assert!((PIECE_WINDOW..PIECE_WINDOW + MAX_PIECE).contains(&sent), "{sent} bytes");
+    assert!((CHUNK_WINDOW_BYTES..CHUNK_WINDOW_BYTES + MAX_CHUNK_BYTES).contains(&sent), "{sent} bytes");
     ends.send(&grant(2));
     ends.pass(1_000);
     assert_eq!(ends.came, [grant(2)], "a full window does not hold up control messages");
@@ -175,7 +175,8 @@
 #[test]
 fn pieces_that_never_end_are_an_error() {
     let mut decoder = FrameDecoder::default();
-    let piece = [&(MAX_PIECE as u32 | 2 << 26 | 1 << 28).to_le_bytes()[..], &vec![0; MAX_PIECE]].concat();
+    let piece =
+        [&(MAX_CHUNK_BYTES as u32 | 2 << 26 | 1 << 28).to_le_bytes()[..], &vec![0; MAX_CHUNK_BYTES]].concat();
     let fails = (0..=512).any(|_| {
         decoder.push(&piece);
         decoder.next_frame().is_err()
--- a/crates/quillpulley/src/agent/host/mod.rs
+++ b/crates/quillpulley/src/agent/host/mod.rs
@@ -17,8 +17,8 @@
 use log::{info, warn};
 use quillpulley_membership::{self as membership, Monitor, MonitorOptions};
 use quillpulley_protocol::{Hello, NodeId, PeerKind};
-use quillpulley_state_sync::relay::ParentCandidate;
-use quillpulley_state_sync::{self as feed, FeedNode};
+use quillpulley_state_sync::parent_selection::ParentCandidate;
+use quillpulley_state_sync::{self as feed, SyncNode};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedReceiver;
@@ -40,7 +40,7 @@
     peers: Rc<Peers>,
     events: UnboundedReceiver<PeerEvent>,
     datagrams: Datagrams,
-    node: FeedNode<LinkId>,
+    node: SyncNode<LinkId>,
     monitor: Monitor,
     search: ParentSearch,
     ending: Ending,
@@ -71,7 +71,7 @@
             peers,
             events,
             datagrams: Datagrams::new(sockets.datagrams),
-            node: FeedNode::new(feed::Options::new(&settings.node_name)),
+            node: SyncNode::new(feed::Options::new(&settings.node_name)),
             monitor: Monitor::new(MonitorOptions::new(&settings.node_name, fastrand::u64(..))),
             search: ParentSearch::new(fastrand::u64(..)),
             ending: Ending::new(settings.bounds.grace),
--- a/crates/quillpulley/src/agent/host/tree.rs
+++ b/crates/quillpulley/src/agent/host/tree.rs
@@ -7,7 +7,7 @@
 use log::{debug, info};
 use quillpulley_membership as membership;
 use quillpulley_state_sync as feed;
-use quillpulley_state_sync::relay::ParentCandidate;
+use quillpulley_state_sync::parent_selection::ParentCandidate;
 use std::net::SocketAddr;
 
 impl Host {
--- a/crates/quillpulley/src/agent/neighbourhood.rs
+++ b/crates/quillpulley/src/agent/neighbourhood.rs
@@ -8,7 +8,7 @@
     decode_value, ControlNode, ControlNodeRef, EndpointState, ProxyEndpoint, ProxyEndpointRef,
 };
 use quillpulley_serving_config::published::{PublishedKey, CONTROL_NODE_PREFIX, ENDPOINT_PREFIX};
-use quillpulley_state_sync::relay::{parent_candidates, ParentCandidate, Surroundings};
+use quillpulley_state_sync::parent_selection::{parent_candidates, ParentCandidate, TreeTopology};
 use quillpulley_state_sync::{ChangedKey, Store};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -48,7 +48,7 @@
 
     /// Returns the candidates for the parent of the agent with these settings, best first.
     pub fn candidates(&self, settings: &Settings, failed: &[ParentCandidate]) -> Vec<ParentCandidate> {
-        parent_candidates(&Surroundings {
+        parent_candidates(&TreeTopology {
             name: &settings.node_name,
             zone: &settings.zone,
             region: &settings.region,
@@ -74,7 +74,7 @@
 fn read_all<'a, T>(
     store: &'a Store,
     prefix: &'a str,
-    decode: impl Fn(&'a [u8]) -> Result<T, quillpulley_protocol::WireError>,
+    decode: impl Fn(&'a [u8]) -> Result<T, quillpulley_protocol::ProtocolError>,
 ) -> Vec<T> {
     let read = |(key, value)| {
         let decoded = decode(value);
--- a/crates/quillpulley/src/agent/parent_links.rs
+++ b/crates/quillpulley/src/agent/parent_links.rs
@@ -1,7 +1,7 @@
 //! The links to the parent and to those that may become it.
 
 use crate::peer::LinkId;
-use quillpulley_state_sync::relay::ParentCandidate;
+use quillpulley_state_sync::parent_selection::ParentCandidate;
 use std::collections::BTreeMap;
 
 /// Which link leads to which candidate.
--- a/crates/quillpulley/src/agent/search/mod.rs
+++ b/crates/quillpulley/src/agent/search/mod.rs
@@ -7,7 +7,7 @@
 mod penalties;
 
 use penalties::Penalties;
-use quillpulley_state_sync::relay::ParentCandidate;
+use quillpulley_state_sync::parent_selection::ParentCandidate;
 use std::time::Duration;
 
 /// How long a stamp may stand still, by what the parent is. Below an agent it is longer, so that those below a
--- a/crates/quillpulley/src/agent/search/penalties.rs
+++ b/crates/quillpulley/src/agent/search/penalties.rs
@@ -1,6 +1,6 @@
 //! Candidates that have failed are left alone for a while.
 
-use quillpulley_state_sync::relay::ParentCandidate;
+use quillpulley_state_sync::parent_selection::ParentCandidate;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/quillpulley/src/control/directory/builder.rs
+++ b/crates/quillpulley/src/control/directory/builder.rs
@@ -10,7 +10,7 @@
 use quillpulley_load_balancer::HomeTable;
 use quillpulley_protocol::{decode_value, EndpointState, ProxyEndpoint, ProxyEndpointRef};
 use quillpulley_serving_config::published::{route_of, PublishedKey, ENDPOINT_PREFIX, ROUTE_PREFIX};
-use quillpulley_state_sync::{ChangedKey, FeedNode, Store, Subtree};
+use quillpulley_state_sync::{ChangedKey, Store, SubtreeState, SyncNode};
 use std::collections::BTreeMap;
 use std::hash::Hash;
 use std::sync::Arc;
@@ -35,12 +35,12 @@
     /// The published state.
     pub store: &'a Store,
     /// What is reported to this process.
-    pub subtree: &'a Subtree,
+    pub subtree: &'a SubtreeState,
 }
 
 impl<'a> DirectoryInputs<'a> {
     /// Returns what a node of the relay tree knows at `now`.
-    pub fn at<Child: Copy + Eq + Hash + Ord>(now: Duration, feed: &'a FeedNode<Child>) -> Self {
+    pub fn at<Child: Copy + Eq + Hash + Ord>(now: Duration, feed: &'a SyncNode<Child>) -> Self {
         DirectoryInputs {
             fresh: feed.is_fresh(now),
             last_moved: feed.last_moved(),
--- a/crates/quillpulley/src/control/directory/reported_endpoints.rs
+++ b/crates/quillpulley/src/control/directory/reported_endpoints.rs
@@ -2,7 +2,7 @@
 
 use crate::control::distribution::endpoint_registry::is_suspected;
 use quillpulley_protocol::ProxyEndpoint;
-use quillpulley_state_sync::Subtree;
+use quillpulley_state_sync::SubtreeState;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 impl ReportedEndpoints {
     /// Updates the reports of `now`, without endpoints that their monitors suspect. While the published state is fresh
     /// nothing is retained: the primary knows better.
-    pub fn update(&mut self, now: Duration, subtree: &Subtree, is_fresh: bool) {
+    pub fn update(&mut self, now: Duration, subtree: &SubtreeState, is_fresh: bool) {
         let retention = if is_fresh { Duration::ZERO } else { RETENTION };
         self.endpoints.retain(|_, reported| now < reported.reported_at + retention);
         for endpoint in subtree.endpoints.values() {
--- a/crates/quillpulley/src/control/distribution/endpoint_registry.rs
+++ b/crates/quillpulley/src/control/distribution/endpoint_registry.rs
@@ -2,7 +2,7 @@
 
 use quillpulley_protocol::{decode_value, encode_value, ProxyEndpoint, ProxyEndpointRef};
 use quillpulley_serving_config::published::{endpoint_key, PublishedKey};
-use quillpulley_state_sync::{Change, Subtree};
+use quillpulley_state_sync::{Change, SubtreeState};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -37,7 +37,7 @@
     }
 
     /// Returns the changes for the reports of the whole tree at `now`.
-    pub fn update(&mut self, now: Duration, tree: &Subtree) -> Vec<Change> {
+    pub fn update(&mut self, now: Duration, tree: &SubtreeState) -> Vec<Change> {
         let mut changes = Vec::new();
         for endpoint in tree.endpoints.values().filter(|endpoint| !is_suspected(tree, &endpoint.name)) {
             self.publish(endpoint, &mut changes);
@@ -80,6 +80,6 @@
 }
 
 /// Returns whether enough monitors suspect an endpoint.
-pub(in crate::control) fn is_suspected(tree: &Subtree, name: &str) -> bool {
+pub(in crate::control) fn is_suspected(tree: &SubtreeState, name: &str) -> bool {
     tree.suspicions.get(name).is_some_and(|monitors| monitors.len() >= SUSPECTING_MONITORS)
 }
--- a/crates/quillpulley/src/control/distribution/published_state.rs
+++ b/crates/quillpulley/src/control/distribution/published_state.rs
@@ -6,7 +6,7 @@
 use quillpulley_control_state::{published_items, ControlState};
 use quillpulley_protocol::{encode_value, ControlNode};
 use quillpulley_serving_config::published::{control_node_key, PublishedKey};
-use quillpulley_state_sync::{Change, Store, Subtree};
+use quillpulley_state_sync::{Change, Store, SubtreeState};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -36,7 +36,7 @@
     }
 
     /// Returns the changes for the reports of the whole tree.
-    pub fn update_endpoints(&mut self, now: Duration, tree: &Subtree) -> Vec<Change> {
+    pub fn update_endpoints(&mut self, now: Duration, tree: &SubtreeState) -> Vec<Change> {
         self.endpoints.update(now, tree)
     }
 
--- a/crates/quillpulley/src/control/distribution/relay_node.rs
+++ b/crates/quillpulley/src/control/distribution/relay_node.rs
@@ -7,7 +7,7 @@
 use crate::control::replica_host::links::Links;
 use crate::peer::LinkId;
 use quillpulley_protocol::{Body, NodeId};
-use quillpulley_state_sync::{Action, Event, FeedNode, Options, Store, Subtree};
+use quillpulley_state_sync::{Action, Event, Options, Store, SubtreeState, SyncNode};
 use std::time::Duration;
 
 /// A child in the relay tree.
@@ -22,7 +22,7 @@
 /// The node of this process in the relay tree.
 pub struct RelayNode {
     clock: Clock,
-    feed: FeedNode<Child>,
+    feed: SyncNode<Child>,
     topology: ControlTopology,
     directory: DirectoryBuilder,
     /// Whether reports of the subtree have changed since they were last published.
@@ -36,7 +36,7 @@
     pub fn new(clock: Clock, name: &str) -> Self {
         RelayNode {
             clock,
-            feed: FeedNode::new(Options::control_node(name)),
+            feed: SyncNode::new(Options::control_node(name)),
             topology: ControlTopology::default(),
             directory: DirectoryBuilder::default(),
             reports_changed: false,
@@ -50,7 +50,7 @@
     }
 
     /// Returns the reports of this process and of all below it.
-    pub fn subtree(&self) -> &Subtree {
+    pub fn subtree(&self) -> &SubtreeState {
         self.feed.subtree()
     }
 
--- a/crates/quillpulley/src/control/replica_host/host.rs
+++ b/crates/quillpulley/src/control/replica_host/host.rs
@@ -47,7 +47,7 @@
     pub fn new(settings: Settings, components: Components) -> Self {
         let Components { clock, me, peers, replica, storage, fetcher, directory } = components;
         let now = clock.now();
-        let rate_per_s = settings.cloud.as_ref().map_or(0.0, |cloud| cloud.rate_per_s);
+        let rate_per_s = settings.platform.as_ref().map_or(0.0, |platform| platform.rate_per_s);
         let node = ControlNode { ip: me.ip, zone: settings.zone.clone(), region: settings.region.clone() };
         let mut host = ControlHost {
             links: Links::new(node, peers),
--- a/crates/quillpulley/src/control/replica_host/process.rs
+++ b/crates/quillpulley/src/control/replica_host/process.rs
@@ -86,9 +86,9 @@
         request.try_send(parsed).map_err(|rejected| rejected.into_inner())
     })?;
 
-    let fetcher = match &settings.cloud {
-        Some(cloud) => {
-            Some(Fetcher::start(cloud.address, move |page| send(&event, ThreadEvent::Fetched(page)))?)
+    let fetcher = match &settings.platform {
+        Some(platform) => {
+            Some(Fetcher::start(platform.address, move |page| send(&event, ThreadEvent::Fetched(page)))?)
         }
         None => None,
     };
--- a/crates/quillpulley/src/error.rs
+++ b/crates/quillpulley/src/error.rs
@@ -1,7 +1,7 @@
 //! Why a host cannot run.
 
 use displaydoc::Display;
-use quillpulley_protocol::WireError;
+use quillpulley_protocol::ProtocolError;
 use quillpulley_replication::StartError;
 use quillpulley_settings::SettingsError;
 use quillpulley_storage::StorageError;
@@ -25,7 +25,7 @@
     /// the data folder cannot be used: {0}
     Storage(StorageError),
     /// the data folder cannot be used: record.slots is unreadable ({0}): empty the folder, so that this machine joins anew
-    WitnessRecord(WireError),
+    WitnessRecord(ProtocolError),
     /// the data folder cannot be used: {0}
     Replica(StartError),
 }
--- a/crates/quillpulley/src/peer/link.rs
+++ b/crates/quillpulley/src/peer/link.rs
@@ -4,7 +4,7 @@
 use super::{socket, LinkId, Shared};
 use displaydoc::Display;
 use log::{debug, warn};
-use quillpulley_protocol::{Body, FrameDecoder, Hello, WireError};
+use quillpulley_protocol::{Body, FrameDecoder, Hello, ProtocolError};
 use std::future::poll_fn;
 use std::io;
 use std::mem::MaybeUninit;
@@ -38,7 +38,7 @@
     /// {0}
     Failed(io::Error),
     /// {0}
-    Wire(WireError),
+    Wire(ProtocolError),
     /// the first message is no hello: check that the peer speaks this protocol
     NoHello,
     /// nothing came in time
@@ -186,7 +186,7 @@
 
     /// Tells the other side of pieces that have come, and goes on where it has told of some.
     fn count_pieces(&mut self, context: &mut Context<'_>) -> Result<(), LinkEnd> {
-        let (here, there) = (self.decoder.take_arrived(), self.decoder.take_credited());
+        let (here, there) = (self.decoder.take_received(), self.decoder.take_credited());
         if here == 0 && there == 0 {
             return Ok(());
         }
--- a/crates/quillpulley/src/peer/outbound.rs
+++ b/crates/quillpulley/src/peer/outbound.rs
@@ -41,7 +41,7 @@
 
     /// Returns the next bytes to write.
     pub fn waiting(&mut self) -> &[u8] {
-        self.queue.waiting()
+        self.queue.pending()
     }
 
     /// So many bytes were written.
@@ -52,9 +52,9 @@
     /// What has come of pieces, and what the other side tells that has come there.
     pub fn pieces_came(&mut self, here: usize, there: usize) {
         if here > 0 {
-            self.queue.tell_arrived(here);
+            self.queue.acknowledge_chunks(here);
         }
-        self.queue.credited(there);
+        self.queue.receive_credit(there);
     }
 
     /// Who is woken when there is something to do.
--- a/crates/quillpulley/src/proxy/exchange.rs
+++ b/crates/quillpulley/src/proxy/exchange.rs
@@ -3,7 +3,7 @@
 use super::plane::Plane;
 use quillpulley_protocol::{ServerLoad, ServiceCounters};
 use quillpulley_retry_budget::ServiceUsage;
-use quillpulley_state_sync::{RetryCounters, ServerTally, Totals};
+use quillpulley_state_sync::{LoadCounters, RetryCounters, Totals};
 use std::rc::Rc;
 
 impl Plane {
@@ -33,7 +33,7 @@
     }
 }
 
-fn server_load((server, tally): (&u64, &ServerTally)) -> ServerLoad {
+fn server_load((server, tally): (&u64, &LoadCounters)) -> ServerLoad {
     ServerLoad {
         server: *server,
         running: tally.running,
--- a/crates/quillpulley/src/proxy/feed_client.rs
+++ b/crates/quillpulley/src/proxy/feed_client.rs
@@ -7,7 +7,7 @@
 use crate::peer::{LinkId, PeerEvent, Peers};
 use crate::Settings;
 use quillpulley_protocol::{Body, EndpointState, Hello, NodeId, PeerKind, ProxyEndpoint};
-use quillpulley_state_sync::{Action, Event, FeedNode, LocalReport, Options};
+use quillpulley_state_sync::{Action, Event, LocalReport, Options, SyncNode};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -42,7 +42,7 @@
     peers: Rc<Peers>,
     events: UnboundedReceiver<PeerEvent>,
     link: AgentLink,
-    node: FeedNode<NoChild>,
+    node: SyncNode<NoChild>,
     /// What was reported last.
     reported: LocalReport,
     report_due: Instant,
@@ -61,7 +61,7 @@
             peers,
             events,
             link: AgentLink::Down { again: Instant::now() },
-            node: FeedNode::new(Options::new(&settings.node_name)),
+            node: SyncNode::new(Options::new(&settings.node_name)),
             reported: LocalReport::default(),
             report_due: Instant::now(),
             news: Rc::default(),
--- a/crates/quillpulley/src/proxy/forward.rs
+++ b/crates/quillpulley/src/proxy/forward.rs
@@ -154,7 +154,7 @@
     }
 
     fn may_repeat(&self) -> bool {
-        self.plane.budgets().borrow_mut().try_repeat(self.plane.now(), &self.job.plan.service)
+        self.plane.budgets().borrow_mut().try_retry(self.plane.now(), &self.job.plan.service)
     }
 
     /// Sends it to a server. Gives an answer to pass on, or what became of it.
--- a/crates/quillpulley/src/proxy/plan.rs
+++ b/crates/quillpulley/src/proxy/plan.rs
@@ -74,7 +74,7 @@
             service: service.to_string(),
             streaming: route.kind == RouteKind::Streaming,
             resumable: route.resumable,
-            repeatable: route.repeatable(),
+            repeatable: route.is_idempotent(),
             max_attempts: route.max_attempts,
             timeout: route.timeout,
             objective: route.target_latency,
--- a/crates/quillpulley/tests/catch_up/world.rs
+++ b/crates/quillpulley/tests/catch_up/world.rs
@@ -247,12 +247,12 @@
             }
             bodies.push(body);
         }
-        let (here, there) = (pipe.decoder.take_arrived(), pipe.decoder.take_credited());
+        let (here, there) = (pipe.decoder.take_received(), pipe.decoder.take_credited());
         if let Some(back) = self.pipes.get_mut(&(to, from)) {
             if here > 0 {
-                back.queue.tell_arrived(here);
+                back.queue.acknowledge_chunks(here);
             }
-            back.queue.credited(there);
+            back.queue.receive_credit(there);
         }
         self.send_packet(to);
         let from = self.machines[from].id;
@@ -272,7 +272,7 @@
             self.machines[machine].turn = (to + 1) % count;
             let Some(pipe) = self.pipes.get_mut(&(machine, to)) else { continue };
             while pipe.socket.len() < SOCKET_BUFFER / PACKET {
-                let waiting = pipe.queue.waiting();
+                let waiting = pipe.queue.pending();
                 let taken = waiting.len().min(PACKET);
                 if taken == 0 {
                     break;
--- a/crates/quillpulley/tests/common/tree.rs
+++ b/crates/quillpulley/tests/common/tree.rs
@@ -3,7 +3,7 @@
 use super::{expect, hello};
 use quillpulley::peer::{LinkId, PeerEvent, Peers};
 use quillpulley_protocol::{Body, EndpointState, PeerKind, ProxyEndpoint};
-use quillpulley_state_sync::{Action, Change, Event, FeedNode, LocalReport, Options};
+use quillpulley_state_sync::{Action, Change, Event, LocalReport, Options, SyncNode};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -66,7 +66,7 @@
     pub fn control_node(listener: TcpListener, epoch: u64) -> Node {
         let (peers, events) = Peers::new(hello(PeerKind::Control, "core"));
         peers.listen(listener);
-        let node = FeedNode::new(Options::control_node("core"));
+        let node = SyncNode::new(Options::control_node("core"));
         Node::start(Running::new(peers, events, node, None), Some(epoch))
     }
 
@@ -74,7 +74,7 @@
     pub fn proxy(agent: SocketAddr, endpoint: ProxyEndpoint) -> Node {
         let (peers, events) = Peers::new(hello(PeerKind::Proxy, &endpoint.name));
         let parent = peers.connect(agent);
-        let mut node = FeedNode::new(Options::new(&endpoint.name));
+        let mut node = SyncNode::new(Options::new(&endpoint.name));
         let report = LocalReport { endpoint: Some(endpoint), proxies: 1, ..LocalReport::default() };
         node.handle(Duration::ZERO, Event::LocalReport(report), &mut Vec::new());
         Node::start(Running::new(peers, events, node, Some(parent)), None)
@@ -139,7 +139,7 @@
     started: Instant,
     peers: Rc<Peers>,
     events: UnboundedReceiver<PeerEvent>,
-    node: FeedNode<LinkId>,
+    node: SyncNode<LinkId>,
     parent: Option<LinkId>,
     children: BTreeMap<LinkId, String>,
     parents_lost: u32,
@@ -150,7 +150,7 @@
     fn new(
         peers: Rc<Peers>,
         events: UnboundedReceiver<PeerEvent>,
-        node: FeedNode<LinkId>,
+        node: SyncNode<LinkId>,
         parent: Option<LinkId>,
     ) -> Running {
         let shown = watch::Sender::new(Shown::default());
--- a/crates/quillpulley/tests/control/agent.rs
+++ b/crates/quillpulley/tests/control/agent.rs
@@ -3,7 +3,7 @@
 use crate::cluster::PATIENCE;
 use quillpulley::peer::{LinkId, PeerEvent, Peers};
 use quillpulley_protocol::{EndpointState, Hello, NodeId, PeerKind, ProxyEndpoint};
-use quillpulley_state_sync::{Action, Event, FeedNode, LocalReport, Options};
+use quillpulley_state_sync::{Action, Event, LocalReport, Options, SyncNode};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -28,7 +28,7 @@
     events: UnboundedReceiver<PeerEvent>,
     address: SocketAddr,
     parent: LinkId,
-    feed: FeedNode<()>,
+    feed: SyncNode<()>,
 }
 
 impl Agents {
@@ -42,7 +42,7 @@
     }
 
     /// Waits until all agents know what the test wants.
-    pub fn until(&mut self, what: &str, wanted: impl Fn(&FeedNode<()>) -> bool) {
+    pub fn until(&mut self, what: &str, wanted: impl Fn(&SyncNode<()>) -> bool) {
         let waiting = Instant::now();
         while !self.agents.iter().all(|agent| wanted(&agent.feed)) {
             assert!(waiting.elapsed() < PATIENCE, "not in time: {what}");
@@ -105,7 +105,7 @@
             preferred_regions: Vec::new(),
         };
         let (address, parent) = (parent, peers.connect(parent));
-        let feed = FeedNode::new(Options::new(name));
+        let feed = SyncNode::new(Options::new(name));
         let mut agent = Agent { peers, events, address, parent, feed };
         let report = LocalReport { endpoint: Some(endpoint), ..LocalReport::default() };
         agent.handle(Duration::ZERO, Event::LocalReport(report));
--- a/crates/quillpulley/tests/control/directory_days/system.rs
+++ b/crates/quillpulley/tests/control/directory_days/system.rs
@@ -4,7 +4,7 @@
 use quillpulley::control::directory::{Coverage, Directory};
 use quillpulley::control::distribution::endpoint_registry::EndpointRegistry;
 use quillpulley_protocol::{Body, EndpointState, ProxyEndpoint};
-use quillpulley_state_sync::{Action, Event, FeedNode, LocalReport, Options};
+use quillpulley_state_sync::{Action, Event, LocalReport, Options, SyncNode};
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -38,7 +38,7 @@
 }
 
 pub(super) struct Node {
-    pub(super) feed: FeedNode<usize>,
+    pub(super) feed: SyncNode<usize>,
     pub(super) state: State,
     pub(super) region: usize,
     pub(super) parent: Option<usize>,
@@ -59,7 +59,7 @@
             Some(agent) => (agent / 2, Options::new(&name(agent))),
         };
         Node {
-            feed: FeedNode::new(options),
+            feed: SyncNode::new(options),
             state: State::Running,
             region,
             parent: None,
--- a/crates/quillpulley/tests/control/directory_view.rs
+++ b/crates/quillpulley/tests/control/directory_view.rs
@@ -4,7 +4,7 @@
 use quillpulley::control::directory::{Coverage, Directory};
 use quillpulley_protocol::{encode_value, EndpointState, ProxyEndpoint};
 use quillpulley_serving_config::published::endpoint_key;
-use quillpulley_state_sync::{Change, Event, FeedNode, Options, Subtree};
+use quillpulley_state_sync::{Change, Event, Options, SubtreeState, SyncNode};
 use std::time::Duration;
 
 /// A front as its name, its state and its life: `f:r1`.
@@ -47,22 +47,22 @@
     reported: &'a str,
 }
 
-fn subtree(text: &str) -> Subtree {
+fn subtree(text: &str) -> SubtreeState {
     let (suspicions, endpoints): (Vec<&str>, Vec<&str>) =
         text.split_whitespace().partition(|entry| entry.starts_with('!'));
     let suspicion = |text: &str| {
         let (suspect, monitors) = text[1..].split_once(':').expect("monitors");
         (suspect.to_string(), monitors.split(',').map(str::to_string).collect())
     };
-    Subtree {
+    SubtreeState {
         endpoints: endpoints.into_iter().map(|text| (endpoint(text).name, endpoint(text))).collect(),
         suspicions: suspicions.into_iter().map(suspicion).collect(),
-        ..Subtree::default()
+        ..SubtreeState::default()
     }
 }
 
 fn directory(view: &mut DirectoryBuilder, moment: &Moment) -> Directory {
-    let mut root = FeedNode::<u32>::new(Options::control_node("core"));
+    let mut root = SyncNode::<u32>::new(Options::control_node("core"));
     let publish =
         |text| Change { key: endpoint_key(&endpoint(text).name), value: Some(encode_value(endpoint(text))) };
     let changes = moment.published.split_whitespace().map(publish).collect();
--- a/crates/quillpulley/tests/control/endpoint_registry.rs
+++ b/crates/quillpulley/tests/control/endpoint_registry.rs
@@ -8,7 +8,7 @@
 use quillpulley::control::distribution::endpoint_registry::EndpointRegistry;
 use quillpulley_protocol::{decode_value, encode_value, EndpointState, ProxyEndpoint, ProxyEndpointRef};
 use quillpulley_serving_config::published::endpoint_key;
-use quillpulley_state_sync::{Change, Subtree};
+use quillpulley_state_sync::{Change, SubtreeState};
 use std::time::Duration;
 
 fn endpoint(text: &str) -> ProxyEndpoint {
@@ -31,7 +31,7 @@
     }
 }
 
-fn tree(text: &str) -> Subtree {
+fn tree(text: &str) -> SubtreeState {
     let (suspicions, endpoints): (Vec<&str>, Vec<&str>) =
         text.split_whitespace().partition(|entry| entry.starts_with('!'));
     let suspicion = |text: &str| {
@@ -39,10 +39,10 @@
         (suspect.to_string(), monitors.split(',').map(str::to_string).collect())
     };
     let endpoints = endpoints.into_iter().map(endpoint);
-    Subtree {
+    SubtreeState {
         endpoints: endpoints.map(|endpoint| (endpoint.name.clone(), endpoint)).collect(),
         suspicions: suspicions.into_iter().map(suspicion).collect(),
-        ..Subtree::default()
+        ..SubtreeState::default()
     }
 }
 
--- a/crates/quillpulley/tests/control/publisher.rs
+++ b/crates/quillpulley/tests/control/publisher.rs
@@ -5,13 +5,13 @@
 use quillpulley_protocol::{ControlNode, Entry};
 use quillpulley_replication::StateMachine;
 use quillpulley_serving_config::published::{control_node_key, evacuated_key, server_key};
-use quillpulley_state_sync::{Change, Event, FeedNode, Options, Store};
+use quillpulley_state_sync::{Change, Event, Options, Store, SyncNode};
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
 /// The store of a root that has published these items.
 fn with_store<T>(items: &[(String, &str)], look: impl FnOnce(&Store) -> T) -> T {
-    let mut root = FeedNode::<u32>::new(Options::control_node("core"));
+    let mut root = SyncNode::<u32>::new(Options::control_node("core"));
     let changes = items.iter().map(|(key, value)| set(key, value.as_bytes().to_vec()));
     root.handle(Duration::ZERO, Event::BecomeRoot { epoch: 1 }, &mut Vec::new());
     root.handle(Duration::ZERO, Event::Publish(changes.collect()), &mut Vec::new());
--- a/crates/quillpulley/tests/control/tree.rs
+++ b/crates/quillpulley/tests/control/tree.rs
@@ -7,7 +7,7 @@
 use quillpulley_serving_config::published::{
     control_node_key, endpoint_key, evacuated_key, server_key, CONFIG_KEY,
 };
-use quillpulley_state_sync::FeedNode;
+use quillpulley_state_sync::SyncNode;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use tiny_http::Response;
@@ -49,12 +49,12 @@
     }
 }
 
-fn version(feed: &FeedNode<()>) -> Option<u64> {
+fn version(feed: &SyncNode<()>) -> Option<u64> {
     let head: ConfigHead = decode_value::<ConfigHeadRef, ConfigHead>(feed.store().get(CONFIG_KEY)?).ok()?;
     Some(head.version)
 }
 
-fn server_state(feed: &FeedNode<()>, id: &str) -> Option<ServerState> {
+fn server_state(feed: &SyncNode<()>, id: &str) -> Option<ServerState> {
     let server: Server = decode_value::<ServerRef, Server>(feed.store().get(&server_key(id))?).ok()?;
     Some(server.state)
 }
@@ -92,7 +92,7 @@
 fn the_directory_tells_the_fronts_of_all_agents() {
     let mut cluster = Cluster::start(3, None);
     let mut agents = Agents::connect("zone-0", (0..2).map(|index| cluster.link(index)));
-    let is_known = |feed: &FeedNode<()>, name: &str| feed.store().get(&endpoint_key(name)).is_some();
+    let is_known = |feed: &SyncNode<()>, name: &str| feed.store().get(&endpoint_key(name)).is_some();
     agents.until("both fronts", |feed| is_known(feed, "front-0") && is_known(feed, "front-1"));
     let announced = |cluster: &Cluster, index| {
         let announced = cluster.resolve(index, "zone-0")?;
--- a/crates/quillpulley/tests/parent_search.rs
+++ b/crates/quillpulley/tests/parent_search.rs
@@ -3,7 +3,7 @@
 
 use quickcheck::quickcheck;
 use quillpulley::agent::search::{Action, Event, ParentSearch};
-use quillpulley_state_sync::relay::ParentCandidate;
+use quillpulley_state_sync::parent_selection::ParentCandidate;
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
--- a/crates/quillpulley/tests/peer.rs
+++ b/crates/quillpulley/tests/peer.rs
@@ -5,7 +5,7 @@
 use common::{expect, hello, listener, read_message, read_to_end, run, Side};
 use quillpulley::peer::{PeerEvent, PeerOptions, Peers};
 use quillpulley_protocol::{
-    encode_frame, Body, FrameDecoder, Hello, Install, LeaseGrant, PeerKind, Ping, Position, MAX_FRAME,
+    encode_frame, Body, FrameDecoder, Hello, Install, LeaseGrant, PeerKind, Ping, Position, MAX_FRAME_BYTES,
 };
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -177,7 +177,7 @@
     run(async {
         let (mut control_node, address) = listening("core").await;
         let (mut stream, link) = bare(&mut control_node, address).await;
-        stream.write_all(&(MAX_FRAME as u32 + 1).to_le_bytes()).await.expect("a length");
+        stream.write_all(&(MAX_FRAME_BYTES as u32 + 1).to_le_bytes()).await.expect("a length");
         control_node.closed(link).await;
         read_to_end(&mut stream).await;
     });
--- a/crates/quillpulley/tests/proxy/support/agent.rs
+++ b/crates/quillpulley/tests/proxy/support/agent.rs
@@ -6,7 +6,7 @@
 };
 use quillpulley_serving_config::published::server_key;
 use quillpulley_serving_config::Configuration;
-use quillpulley_state_sync::{Action, Change, Event, FeedNode, Options};
+use quillpulley_state_sync::{Action, Change, Event, Options, SyncNode};
 use std::cell::{Cell, RefCell};
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -27,7 +27,7 @@
 struct Shared {
     started: Instant,
     peers: Rc<Peers>,
-    node: RefCell<FeedNode<LinkId>>,
+    node: RefCell<SyncNode<LinkId>>,
     routes: RefCell<Vec<String>>,
     /// Whether the proxy was told that it is the only one.
     totals_sent: Cell<bool>,
@@ -55,7 +55,7 @@
         let shared = Rc::new(Shared {
             started: Instant::now(),
             peers,
-            node: RefCell::new(FeedNode::new(Options::control_node("agent"))),
+            node: RefCell::new(SyncNode::new(Options::control_node("agent"))),
             routes: RefCell::default(),
             totals_sent: Cell::new(false),
             changed: Notify::new(),
--- a/crates/retry-budget/src/budgets.rs
+++ b/crates/retry-budget/src/budgets.rs
@@ -1,9 +1,9 @@
 //! The budgets of a limiter for all services.
 
-use crate::bucket::Bucket;
 use crate::cap;
-use crate::counts::{Counts, Slot};
 use crate::share::{self, Demand};
+use crate::token_bucket::TokenBucket;
+use crate::window_counters::{Slot, WindowCounters};
 use std::time::Duration;
 
 /// A service without requests and repeats for this many windows is forgotten. It is at least two, for which
@@ -40,21 +40,21 @@
     /// A deployment has a few services, so they are searched in order.
     services: Vec<Budget>,
     /// The greatest number of limiters that were known to be live at once.
-    most_limiters: usize,
+    max_proxies: usize,
 }
 
 /// The budget of one service.
 struct Budget {
     service: String,
-    counts: Counts,
-    bucket: Bucket,
+    counts: WindowCounters,
+    bucket: TokenBucket,
     last_used: Duration,
 }
 
 impl RetryBudgets {
     /// No counts, and no knowledge of other limiters.
     pub fn new(options: Options) -> Self {
-        RetryBudgets { options, services: Vec::new(), most_limiters: 0 }
+        RetryBudgets { options, services: Vec::new(), max_proxies: 0 }
     }
 
     /// Counts a request that was taken from a client for a service.
@@ -67,13 +67,13 @@
     }
 
     /// Returns whether a repeat may be sent now; counts it as sent, or as refused.
-    pub fn try_repeat(&mut self, now: Duration, service: &str) -> bool {
+    pub fn try_retry(&mut self, now: Duration, service: &str) -> bool {
         let Options { ratio, window, slack } = self.options;
-        let part = cap::part_of_slack(slack, self.most_limiters, now, window);
+        let share_of_slack = cap::slack_share(slack, self.max_proxies, now, window);
         let budget = self.budget(now, service);
         budget.last_used = now;
         let newest = budget.counts.advance(now);
-        let retries = budget.take(now, newest, ratio, part);
+        let retries = budget.take(now, newest, ratio, share_of_slack);
         let slot = budget.counts.present();
         let count = if retries { &mut slot.retries } else { &mut slot.rejected_retries };
         *count = count.saturating_add(1);
@@ -82,11 +82,11 @@
 
     /// Sets the rate of each service's bucket. To be called every exchange period, with or without totals.
     ///
-    /// `totals` are sums over `limiters` limiters, this one included. Where they are not `complete`, or lack a
+    /// `totals` are sums over `proxies` limiters, this one included. Where they are not `complete`, or lack a
     /// service, its limit comes from the own counts. Also forgets services that are idle.
-    pub fn set_totals(&mut self, now: Duration, totals: &[ServiceUsage], limiters: usize, complete: bool) {
+    pub fn set_totals(&mut self, now: Duration, totals: &[ServiceUsage], proxies: usize, complete: bool) {
         if complete {
-            self.most_limiters = self.most_limiters.max(limiters);
+            self.max_proxies = self.max_proxies.max(proxies);
         }
         let Options { ratio, window, .. } = self.options;
         let idle = window * IDLE_WINDOWS;
@@ -94,7 +94,7 @@
         for budget in &mut self.services {
             let of_service = totals.iter().find(|totals| complete && totals.service == budget.service);
             let own = budget.counts.latest_window(now);
-            let limit = limit(ratio, own, of_service, limiters);
+            let limit = limit(ratio, own, of_service, proxies);
             budget.bucket.set_rate(now, limit / window.as_secs_f64());
         }
     }
@@ -124,15 +124,15 @@
     fn new(now: Duration, service: &str, window: Duration) -> Self {
         Budget {
             service: service.to_owned(),
-            counts: Counts::new(window, now),
-            bucket: Bucket::full(0.0, now),
+            counts: WindowCounters::new(window, now),
+            bucket: TokenBucket::full(0.0, now),
             last_used: now,
         }
     }
 
     /// Takes a token if the hard cap allows it.
-    fn take(&mut self, now: Duration, newest: u64, ratio: f64, part: f64) -> bool {
-        if !cap::allows_one_more(&self.counts, newest, ratio, part) {
+    fn take(&mut self, now: Duration, newest: u64, ratio: f64, share_of_slack: f64) -> bool {
+        if !cap::allows_one_more(&self.counts, newest, ratio, share_of_slack) {
             return false;
         }
         self.bucket.take(now)
@@ -140,7 +140,7 @@
 }
 
 /// Repeats that may be sent in a window. Where totals are missing, the fallback from the own requests.
-fn limit(ratio: f64, own: Slot, totals: Option<&ServiceUsage>, limiters: usize) -> f64 {
+fn limit(ratio: f64, own: Slot, totals: Option<&ServiceUsage>, proxies: usize) -> f64 {
     let Some(totals) = totals else {
         return ratio * f64::from(own.requests);
     };
@@ -148,5 +148,5 @@
     let total = f64::from(totals.retries.saturating_add(totals.rejected_retries));
     let target = ratio * f64::from(totals.requests);
     let used = f64::from(totals.retries);
-    share::limit(&Demand { target, own, total, used, limiters })
+    share::limit(&Demand { target, own, total, used, proxies })
 }
--- a/crates/retry-budget/src/cap.rs
+++ b/crates/retry-budget/src/cap.rs
@@ -14,7 +14,7 @@
 //! Slots at the edges of a window count in full as repeats and not at all as requests, which also covers that
 //! repeats sent in one window may arrive in one that is shorter by up to a slot.
 
-use crate::counts::{Counts, SLOTS_PER_WINDOW};
+use crate::window_counters::{WindowCounters, SLOTS_PER_WINDOW};
 use std::time::Duration;
 
 /// Weights of the window itself, of the one half a window before, and of the one before. The window before
@@ -22,46 +22,46 @@
 const WEIGHTS: [f64; 3] = [0.25, 0.25, 0.5];
 
 /// The part of the slack that all limiters together plan to use; the rest covers delays on the way.
-const SLACK_USED: f64 = 0.8;
+const USABLE_SLACK: f64 = 0.8;
 
 /// Limiters that are planned for: so many times those that were live at once, and at least so many. What is
-/// above one is for those that restart, see [`YOUNG_PART`].
-const LIMITERS_PLANNED: f64 = 1.5;
-const LIMITERS_LEAST: f64 = 4.0;
+/// above one is for those that restart, see [`STARTUP_SHARE`].
+const PLANNED_PROXIES_FACTOR: f64 = 1.5;
+const MIN_PLANNED_PROXIES: f64 = 4.0;
 
 /// What a process may use of its part at the end of its first window, having had nothing at its start. The
 /// lives of a limiter that restarts any number of times within a window then use up to 1.5 parts in it: one
 /// part of the life before, and half a part by all later ones, as their ages add up to at most the window.
-const YOUNG_PART: f64 = 0.5;
+const STARTUP_SHARE: f64 = 0.5;
 
 /// Returns a limiter's part of the slack, in repeats.
 ///
-/// `limiters` is the greatest number of limiters ever known to be live at once; 0 where it is not known, which
+/// `proxies` is the greatest number of limiters ever known to be live at once; 0 where it is not known, which
 /// gives no part. `age` is the time since the start of the process.
-pub fn part_of_slack(slack: f64, limiters: usize, age: Duration, window: Duration) -> f64 {
-    if limiters == 0 {
+pub fn slack_share(slack: f64, proxies: usize, age: Duration, window: Duration) -> f64 {
+    if proxies == 0 {
         return 0.0;
     }
-    let planned = (limiters as f64 * LIMITERS_PLANNED).max(LIMITERS_LEAST);
-    let part = slack * SLACK_USED / planned;
+    let planned = (proxies as f64 * PLANNED_PROXIES_FACTOR).max(MIN_PLANNED_PROXIES);
+    let share_of_slack = slack * USABLE_SLACK / planned;
     if age >= window {
-        return part;
+        return share_of_slack;
     }
-    part * YOUNG_PART * age.as_secs_f64() / window.as_secs_f64()
+    share_of_slack * STARTUP_SHARE * age.as_secs_f64() / window.as_secs_f64()
 }
 
 /// Returns whether one more repeat, sent in the newest slot, keeps every window that it is in within the cap.
-pub(crate) fn allows_one_more(counts: &Counts, newest: u64, ratio: f64, part: f64) -> bool {
+pub(crate) fn allows_one_more(counts: &WindowCounters, newest: u64, ratio: f64, share_of_slack: f64) -> bool {
     let window = SLOTS_PER_WINDOW as i64;
     let newest = newest as i64;
     (newest..=newest + window).all(|end| {
         let repeats = 1 + sum(end - window, end, |slot| counts.slot(slot).retries);
-        f64::from(repeats) <= ratio * requests(counts, end) + part
+        f64::from(repeats) <= ratio * requests(counts, end) + share_of_slack
     })
 }
 
 /// Requests in the three windows for the one that ends in slot `end`, weighted.
-fn requests(counts: &Counts, end: i64) -> f64 {
+fn requests(counts: &WindowCounters, end: i64) -> f64 {
     let window = SLOTS_PER_WINDOW as i64;
     let requests = |slot| counts.slot(slot).requests;
     let this = sum(end - window + 1, end, requests);
--- a/crates/retry-budget/src/lib.rs
+++ b/crates/retry-budget/src/lib.rs
@@ -9,10 +9,10 @@
 //! than the target. Below them lies a [hard cap](cap) for each limiter alone. The caps of all limiters add up
 //! to no more than the bound of the whole system, whatever each of them believes about the others.
 
-mod bucket;
 mod budgets;
 pub mod cap;
-mod counts;
 pub mod share;
+mod token_bucket;
+mod window_counters;
 
 pub use budgets::{Options, RetryBudgets, ServiceUsage};
--- a/crates/retry-budget/src/share.rs
+++ b/crates/retry-budget/src/share.rs
@@ -12,13 +12,13 @@
     /// Repeats that were sent by all limiters.
     pub used: f64,
     /// Number of limiters.
-    pub limiters: usize,
+    pub proxies: usize,
 }
 
 /// Repeats that this limiter may send in a window: the target by its weight, raised towards the fallback by
 /// what others leave unused.
 pub fn limit(demand: &Demand) -> f64 {
-    let fallback = demand.target / demand.limiters.max(1) as f64;
+    let fallback = demand.target / demand.proxies.max(1) as f64;
     let weighted = demand.target * weight(demand);
     if weighted >= fallback {
         return weighted;
--- a/crates/retry-budget/src/bucket.rs
+++ b/crates/retry-budget/src/token_bucket.rs
@@ -6,19 +6,19 @@
 const DEPTH_SECONDS: f64 = 5.0;
 
 /// A bucket never holds less than one request.
-const LEAST_DEPTH: f64 = 1.0;
+const MIN_DEPTH: f64 = 1.0;
 
 /// A token bucket, which starts full and keeps its tokens when its rate changes.
-pub(crate) struct Bucket {
+pub(crate) struct TokenBucket {
     tokens: f64,
     /// Tokens a second.
     rate: f64,
     filled: Duration,
 }
 
-impl Bucket {
+impl TokenBucket {
     pub(crate) fn full(rate: f64, now: Duration) -> Self {
-        Bucket { tokens: depth(rate), rate, filled: now }
+        TokenBucket { tokens: depth(rate), rate, filled: now }
     }
 
     pub(crate) fn set_rate(&mut self, now: Duration, rate: f64) {
@@ -46,5 +46,5 @@
 }
 
 fn depth(rate: f64) -> f64 {
-    (rate * DEPTH_SECONDS).max(LEAST_DEPTH)
+    (rate * DEPTH_SECONDS).max(MIN_DEPTH)
 }
--- a/crates/retry-budget/src/counts.rs
+++ b/crates/retry-budget/src/window_counters.rs
@@ -17,17 +17,17 @@
 }
 
 /// A ring of slots, which begins at the start of the process.
-pub(crate) struct Counts {
+pub(crate) struct WindowCounters {
     slot_length: Duration,
     slots: [Slot; RING],
     /// Number of the newest slot.
     newest: u64,
 }
 
-impl Counts {
+impl WindowCounters {
     pub(crate) fn new(window: Duration, now: Duration) -> Self {
         let slot_length = (window / SLOTS_PER_WINDOW as u32).max(Duration::from_nanos(1));
-        let mut counts = Counts { slot_length, slots: [Slot::default(); RING], newest: 0 };
+        let mut counts = WindowCounters { slot_length, slots: [Slot::default(); RING], newest: 0 };
         counts.newest = counts.number(now);
         counts
     }
--- a/crates/retry-budget/tests/budgets.rs
+++ b/crates/retry-budget/tests/budgets.rs
@@ -14,17 +14,17 @@
     budgets: RetryBudgets,
     now: Duration,
     totals: ServiceUsage,
-    limiters: usize,
+    proxies: usize,
 }
 
 impl Limiter {
-    fn new(totals: ServiceUsage, limiters: usize) -> Self {
-        Limiter { budgets: RetryBudgets::new(OPTIONS), now: WINDOW * 2, totals, limiters }
+    fn new(totals: ServiceUsage, proxies: usize) -> Self {
+        Limiter { budgets: RetryBudgets::new(OPTIONS), now: WINDOW * 2, totals, proxies }
     }
 
     fn tell_totals(&mut self) {
         let totals = std::slice::from_ref(&self.totals);
-        self.budgets.set_totals(self.now, totals, self.limiters, true);
+        self.budgets.set_totals(self.now, totals, self.proxies, true);
     }
 
     /// Plays a timeline, and gives it back as it went.
@@ -37,7 +37,7 @@
         match event {
             'f' => self.budgets.record_request(self.now, SERVICE),
             't' => self.tell_totals(),
-            'R' | 'r' => return if self.budgets.try_repeat(self.now, SERVICE) { 'R' } else { 'r' },
+            'R' | 'r' => return if self.budgets.try_retry(self.now, SERVICE) { 'R' } else { 'r' },
             _ => {}
         }
         event
--- a/crates/retry-budget/tests/cap.rs
+++ b/crates/retry-budget/tests/cap.rs
@@ -62,11 +62,11 @@
 
 fn play(steps: &[Step]) -> Sent {
     let mut now = WINDOW * 10;
-    let mut limiters: Vec<Limiter> = (0..LIMITERS)
+    let mut proxies: Vec<Limiter> = (0..LIMITERS)
         .map(|_| Limiter { budgets: RetryBudgets::new(OPTIONS), started: Duration::ZERO })
         .collect();
     let mut sent = Sent::default();
-    for limiter in &mut limiters {
+    for limiter in &mut proxies {
         // So that all have a full bucket.
         play_step(limiter, Event::Totals(u16::MAX), now, &mut sent);
         play_step(limiter, Event::Repeats(1), now, &mut sent);
@@ -75,7 +75,7 @@
     now += WINDOW * 2;
     for step in steps {
         now += step.gap;
-        for (number, limiter) in limiters.iter_mut().enumerate() {
+        for (number, limiter) in proxies.iter_mut().enumerate() {
             if step.limiter.is_none_or(|only| only == number) {
                 play_step(limiter, step.event, now, &mut sent);
             }
@@ -94,7 +94,7 @@
             sent.requests.push((now, usize::from(count)));
         }
         Event::Repeats(count) => {
-            let retries = (0..count).filter(|_| limiter.budgets.try_repeat(age, SERVICE)).count();
+            let retries = (0..count).filter(|_| limiter.budgets.try_retry(age, SERVICE)).count();
             sent.repeats.push((now, retries));
         }
         Event::Restart => *limiter = Limiter { budgets: RetryBudgets::new(OPTIONS), started: now },
@@ -153,6 +153,6 @@
         budgets.record_request(now, SERVICE);
         budgets.set_totals(now, std::slice::from_ref(&totals), LIMITERS, true);
     }
-    let burst = (0..100).filter(|_| budgets.try_repeat(now, SERVICE)).count();
+    let burst = (0..100).filter(|_| budgets.try_retry(now, SERVICE)).count();
     assert!((11..=20).contains(&burst), "{burst} repeats for 100 requests in the window");
 }
--- a/crates/retry-budget/tests/share.rs
+++ b/crates/retry-budget/tests/share.rs
@@ -5,7 +5,7 @@
 const TARGET: f64 = 100.0;
 
 fn demand(own: f64, total: f64, used: f64) -> Demand {
-    Demand { target: TARGET, own, total, used, limiters: 10 }
+    Demand { target: TARGET, own, total, used, proxies: 10 }
 }
 
 #[test]
@@ -40,6 +40,6 @@
 
 #[test]
 fn an_unknown_number_of_limiters_counts_as_one() {
-    let lone = Demand { limiters: 0, ..demand(0.0, 0.0, 0.0) };
+    let lone = Demand { proxies: 0, ..demand(0.0, 0.0, 0.0) };
     assert_eq!(limit(&lone), TARGET);
 }
--- a/crates/serving-config/src/error.rs
+++ b/crates/serving-config/src/error.rs
@@ -7,17 +7,17 @@
 pub enum ConfigurationError {
     /// the configuration cannot be read as JSON ({0}): send the whole text
     Unreadable(String),
-    /// {place} lacks {field}: add it
+    /// {location} lacks {field}: add it
     Missing {
         /// Which part of the configuration.
-        place: String,
+        location: String,
         /// The field that it lacks.
         field: &'static str,
     },
-    /// {field} of {place} cannot be used: give it as {expected}
+    /// {field} of {location} cannot be used: give it as {expected}
     WrongKind {
         /// Which part of the configuration.
-        place: String,
+        location: String,
         /// The field with the unusable value.
         field: &'static str,
         /// What belongs there.
@@ -31,7 +31,7 @@
         service: String,
     },
     /// routes {route} and {other} have the same host {host} and prefix {prefix}: remove one of them
-    SamePlace {
+    DuplicateRoute {
         /// The name of the one route.
         route: String,
         /// The name of the other.
--- a/crates/serving-config/src/fields.rs
+++ b/crates/serving-config/src/fields.rs
@@ -10,7 +10,7 @@
 const A_TEXT: &str = "a text";
 const TEXTS: &str = "a list of texts";
 const A_NUMBER: &str = "a number, 0 or above";
-const A_WHOLE_NUMBER: &str = "a whole number, 0 or above";
+const AN_INTEGER: &str = "a whole number, 0 or above";
 
 /// No time of a configuration is longer than this.
 const LONGEST: Duration = Duration::from_secs(7 * 24 * 3600);
@@ -19,15 +19,15 @@
 /// The fields of an object, and what to call the object in errors.
 pub(super) struct Fields<'tape, 'input> {
     object: Object<'tape, 'input>,
-    pub place: String,
+    pub location: String,
 }
 
 impl<'tape, 'input> Fields<'tape, 'input> {
-    pub fn of(value: Value<'tape, 'input>, place: &str) -> Result<Self, ConfigurationError> {
+    pub fn of(value: Value<'tape, 'input>, location: &str) -> Result<Self, ConfigurationError> {
         match value.as_object() {
-            Some(object) => Ok(Fields { object, place: place.to_string() }),
+            Some(object) => Ok(Fields { object, location: location.to_string() }),
             None => Err(ConfigurationError::WrongKind {
-                place: place.to_string(),
+                location: location.to_string(),
                 field: "the value",
                 expected: AN_OBJECT,
             }),
@@ -57,7 +57,7 @@
         read: impl Fn(Value<'_, '_>, usize) -> Result<T, ConfigurationError>,
     ) -> Result<Vec<T>, ConfigurationError> {
         let Some(value) = self.optional(field) else { return Ok(Vec::new()) };
-        let elements = value.as_array().ok_or_else(|| no_list(&self.place, field))?;
+        let elements = value.as_array().ok_or_else(|| not_a_list(&self.location, field))?;
         elements.iter().enumerate().map(|(index, element)| read(element, index)).collect()
     }
 
@@ -106,7 +106,7 @@
         if number.fract() == 0.0 {
             return Ok(number as u32);
         }
-        Err(self.wrong_kind(field, A_WHOLE_NUMBER))
+        Err(self.wrong_kind(field, AN_INTEGER))
     }
 
     /// Returns a whole number that must be there, exact up to the highest.
@@ -116,7 +116,7 @@
             return Ok(number);
         }
         let number = value.as_f64().filter(|number| number.fract() == 0.0 && *number >= 0.0);
-        Ok(number.ok_or_else(|| self.wrong_kind(field, A_WHOLE_NUMBER))? as u64)
+        Ok(number.ok_or_else(|| self.wrong_kind(field, AN_INTEGER))? as u64)
     }
 
     pub fn milliseconds(&self, field: &'static str) -> Result<Option<Duration>, ConfigurationError> {
@@ -129,17 +129,17 @@
     }
 
     pub fn missing(&self, field: &'static str) -> ConfigurationError {
-        ConfigurationError::Missing { place: self.place.clone(), field }
+        ConfigurationError::Missing { location: self.location.clone(), field }
     }
 
     fn wrong_kind(&self, field: &'static str, expected: &'static str) -> ConfigurationError {
-        ConfigurationError::WrongKind { place: self.place.clone(), field, expected }
+        ConfigurationError::WrongKind { location: self.location.clone(), field, expected }
     }
 }
 
 /// Returns the error for a field that should be a list.
-pub(super) fn no_list(place: &str, field: &'static str) -> ConfigurationError {
-    ConfigurationError::WrongKind { place: place.to_string(), field, expected: A_LIST }
+pub(super) fn not_a_list(location: &str, field: &'static str) -> ConfigurationError {
+    ConfigurationError::WrongKind { location: location.to_string(), field, expected: A_LIST }
 }
 
 /// How times are written: for `serialize_with`.
--- a/crates/serving-config/src/lib.rs
+++ b/crates/serving-config/src/lib.rs
@@ -60,11 +60,11 @@
         services: Vec<Service>,
         limits: Limits,
     ) -> Result<Configuration, ConfigurationError> {
-        routes.sort_by(|one, other| one.place().cmp(&other.place()));
+        routes.sort_by(|one, other| one.location().cmp(&other.location()));
         let services = services.into_iter().map(|service| (service.name.clone(), service)).collect();
         let configuration = Configuration { version, routes, services, limits };
         configuration.check_services()?;
-        configuration.check_places()?;
+        configuration.check_unique()?;
         Ok(configuration)
     }
 
@@ -89,11 +89,11 @@
     }
 
     /// Equal places are neighbours, as the routes are ordered by them.
-    fn check_places(&self) -> Result<(), ConfigurationError> {
+    fn check_unique(&self) -> Result<(), ConfigurationError> {
         let pairs = self.routes.iter().zip(self.routes.iter().skip(1));
         for (one, other) in pairs {
-            if one.place() == other.place() {
-                return Err(ConfigurationError::SamePlace {
+            if one.location() == other.location() {
+                return Err(ConfigurationError::DuplicateRoute {
                     route: one.name.clone(),
                     other: other.name.clone(),
                     host: one.host.clone(),
@@ -108,7 +108,7 @@
 /// Returns the services of a published configuration.
 pub(crate) fn read_services(json: &[u8]) -> Result<Vec<Service>, ConfigurationError> {
     json::read(json, |value| {
-        let services = value.as_array().ok_or_else(|| fields::no_list("the configuration", "Services"))?;
+        let services = value.as_array().ok_or_else(|| fields::not_a_list("the configuration", "Services"))?;
         services.iter().enumerate().map(|(index, service)| Service::read(service, index)).collect()
     })
 }
--- a/crates/serving-config/src/route.rs
+++ b/crates/serving-config/src/route.rs
@@ -78,7 +78,7 @@
     pub resumable: bool,
     /// The longest pause between events that still keeps an answer in time.
     #[serde(rename = "gap_aim_ms", serialize_with = "written::optional_milliseconds")]
-    pub gap_aim: Option<Duration>,
+    pub inter_token_target: Option<Duration>,
     /// The only regions in which its requests may be served; none for any.
     pub home_regions: Vec<String>,
     /// The most requests a second, if they are limited.
@@ -87,7 +87,7 @@
 
 impl Route {
     /// Returns whether a request may run more than once.
-    pub fn repeatable(&self) -> bool {
+    pub fn is_idempotent(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
             RouteKind::NonIdempotent => false,
@@ -96,7 +96,7 @@
     }
 
     /// Host and prefix, which no other route of a configuration has.
-    pub fn place(&self) -> (&str, &str) {
+    pub fn location(&self) -> (&str, &str) {
         (&self.host, &self.path_prefix)
     }
 
@@ -106,7 +106,7 @@
         let host = fields.required_text("Host")?.to_ascii_lowercase();
         let path_prefix = fields.required_text("PathPrefix")?;
         let name = fields.text_or("Name", &format!("{host}{path_prefix}"));
-        fields.place = format!("route {name}");
+        fields.location = format!("route {name}");
         if path_prefix.is_empty() {
             return Err(ConfigurationError::NoPrefix { route: name });
         }
@@ -122,7 +122,7 @@
             max_attempts: fields.count("MaxAttempts", DEFAULT_ATTEMPTS)?.max(1),
             sticky: fields.flag("Sticky"),
             resumable: fields.flag("Resumable"),
-            gap_aim: fields.milliseconds("gap_aim_ms")?,
+            inter_token_target: fields.milliseconds("gap_aim_ms")?,
             home_regions: fields.texts("HomeRegions")?,
             rate_per_s: fields.number("RatePerS")?,
             name,
@@ -144,7 +144,7 @@
     if service.is_none() && fields.optional("TrafficSplit").is_none() {
         return Err(fields.missing("Service or TrafficSplit"));
     }
-    let mut split = fields.each_if_any("TrafficSplit", |value, _| read_share(value, &fields.place))?;
+    let mut split = fields.each_if_any("TrafficSplit", |value, _| read_share(value, &fields.location))?;
     if let Some(service) = service {
         let weight = if split.is_empty() { DEFAULT_WEIGHT } else { 0.0 };
         split.push(WeightedService { service, weight });
@@ -155,8 +155,8 @@
     Ok(split)
 }
 
-fn read_share(value: Value<'_, '_>, place: &str) -> Result<WeightedService, ConfigurationError> {
-    let fields = Fields::of(value, &format!("the traffic split of {place}"))?;
+fn read_share(value: Value<'_, '_>, location: &str) -> Result<WeightedService, ConfigurationError> {
+    let fields = Fields::of(value, &format!("the traffic split of {location}"))?;
     let weight = fields.number("Weight")?.unwrap_or(DEFAULT_WEIGHT).min(HIGHEST_WEIGHT);
     Ok(WeightedService { service: fields.required_text("Service")?, weight })
 }
--- a/crates/serving-config/src/service.rs
+++ b/crates/serving-config/src/service.rs
@@ -66,7 +66,7 @@
     pub(super) fn read(value: Value<'_, '_>, index: usize) -> Result<Service, ConfigurationError> {
         let mut fields = Fields::of(value, &format!("service {index} of the list"))?;
         let name = fields.required_text("Name")?;
-        fields.place = format!("service {name}");
+        fields.location = format!("service {name}");
         Ok(Service {
             health_path: fields.text_or("HealthPath", DEFAULT_HEALTH_PATH),
             max_connections: fields.count("MaxConnections", DEFAULT_CONNECTIONS)?.max(1),
@@ -83,7 +83,7 @@
 /// Returns what is no object counts as no engine.
 fn read_engine(service: &Fields<'_, '_>) -> Result<Option<Engine>, ConfigurationError> {
     let Some(value) = service.optional("Engine").filter(Value::is_object) else { return Ok(None) };
-    let fields = Fields::of(value, &format!("the engine of {}", service.place))?;
+    let fields = Fields::of(value, &format!("the engine of {}", service.location))?;
     Ok(Some(Engine {
         slots: fields.count("Slots", 1)?.max(1),
         kv_capacity_tokens: fields.count("KvCapacityTokens", 0)?,
--- a/crates/serving-config/tests/configuration.rs
+++ b/crates/serving-config/tests/configuration.rs
@@ -24,12 +24,12 @@
     let configuration = parse(WHOLE.as_bytes());
     assert_eq!(configuration.version, 7);
     let [first, second] = &configuration.routes[..] else { panic!("two routes") };
-    assert_eq!((first.name.as_str(), first.place()), ("r-1", ("ficu95.example", "/lohu930/")));
+    assert_eq!((first.name.as_str(), first.location()), ("r-1", ("ficu95.example", "/lohu930/")));
     assert_eq!((first.kind, first.priority, first.max_attempts), (RouteKind::Streaming, 0, 2));
     assert_eq!((first.timeout, first.target_latency), (Duration::from_secs(5), Duration::from_millis(800)));
     assert_eq!(first.split[1], WeightedService { service: "wuno".to_string(), weight: 10.0 });
     assert_eq!(
-        (first.sticky, first.resumable, first.gap_aim),
+        (first.sticky, first.resumable, first.inter_token_target),
         (true, true, Some(Duration::from_millis(400)))
     );
     assert_eq!(second.timeout, Duration::from_micros(15_000_500));
@@ -47,13 +47,13 @@
 
 #[test]
 fn only_idempotent_routes_and_resumable_streams_are_repeatable() {
-    let repeatable = |fields| one_route(&format!(",\"Service\":\"s\"{fields}")).repeatable();
-    assert!(repeatable(r#","Kind":"idempotent""#));
-    assert!(repeatable(r#","Kind":"streaming","Resumable":true"#));
-    assert!(!repeatable(r#","Kind":"streaming""#));
-    assert!(!repeatable(r#","Kind":"non_idempotent","Resumable":true"#));
-    assert!(!repeatable(r#","Kind":"of the future""#));
-    assert!(!repeatable(""));
+    let is_idempotent = |fields| one_route(&format!(",\"Service\":\"s\"{fields}")).is_idempotent();
+    assert!(is_idempotent(r#","Kind":"idempotent""#));
+    assert!(is_idempotent(r#","Kind":"streaming","Resumable":true"#));
+    assert!(!is_idempotent(r#","Kind":"streaming""#));
+    assert!(!is_idempotent(r#","Kind":"non_idempotent","Resumable":true"#));
+    assert!(!is_idempotent(r#","Kind":"of the future""#));
+    assert!(!is_idempotent(""));
 }
 
 #[test]
@@ -92,9 +92,9 @@
     let other = route("/a/", ",\"Service\":\"t\",\"Name\":\"other\"");
     let between = route("/b/", ",\"Service\":\"t\"");
     let same = error(&body(1, &[&one, &between, &other]));
-    assert!(matches!(same, ConfigurationError::SamePlace { .. }));
+    assert!(matches!(same, ConfigurationError::DuplicateRoute { .. }));
     let upper = other.replace("h.example", "H.Example");
-    assert!(matches!(error(&body(1, &[&one, &upper])), ConfigurationError::SamePlace { .. }));
+    assert!(matches!(error(&body(1, &[&one, &upper])), ConfigurationError::DuplicateRoute { .. }));
     let elsewhere = other.replace("h.example", "g.example");
     parse(&body(1, &[&one, &elsewhere]));
     parse(&body(1, &[&one, &route("/a/b/", ",\"Service\":\"s\",\"Name\":\"one\"")]));
@@ -221,19 +221,19 @@
 
     fn any_damage_is_read_or_refused(damage: Vec<(u16, u8)>) -> bool {
         let mut text = WHOLE.as_bytes().to_vec();
-        for (place, byte) in damage {
-            let place = usize::from(place) % text.len();
-            text[place] = byte;
+        for (location, byte) in damage {
+            let location = usize::from(location) % text.len();
+            text[location] = byte;
         }
         let _ = Configuration::parse(&text);
         true
     }
 
-    fn any_value_is_read_or_refused(place: u16, number: i64, kind: u8) -> bool {
+    fn any_value_is_read_or_refused(location: u16, number: i64, kind: u8) -> bool {
         let values = [number.to_string(), format!("{number}.5e30"), format!("\"{number}\""), "{}".to_string(),
             "[]".to_string(), "null".to_string(), "true".to_string(), "[{}]".to_string()];
         let colons: Vec<usize> = WHOLE.match_indices(':').map(|(at, _)| at + 1).collect();
-        let start = colons[usize::from(place) % colons.len()];
+        let start = colons[usize::from(location) % colons.len()];
         let length = WHOLE[start..].find([',', '}', ']']).unwrap_or(0);
         let value = &values[usize::from(kind) % values.len()];
         let text = format!("{}{value}{}", &WHOLE[..start], &WHOLE[start + length..]);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Fields that are not known are ignored. A key that may be missing may also be empty (`""` or `[]`), and a
 //! bound that is `true` or `false` counts as missing. The defaults are those of [`Bounds`], [`ProcessLimits`],
-//! [`FaultTolerance`] and [`Cloud`].
+//! [`FaultTolerance`] and [`Platform`].
 
 #![forbid(unsafe_code)]
 
@@ -11,7 +11,7 @@
 mod sections;
 
 pub use error::SettingsError;
-pub use sections::{Bounds, Cloud, FaultTolerance, Listen, PortRange, ProcessLimits};
+pub use sections::{Bounds, FaultTolerance, Listen, Platform, PortRange, ProcessLimits};
 
 use reader::Section;
 use std::collections::BTreeMap;
@@ -66,8 +66,8 @@
     pub fault_tolerance: FaultTolerance,
     /// `Bounds`: the figures of the rules.
     pub bounds: Bounds,
-    /// `Cloud`: the platform's list of servers; none where it has no `Address`.
-    pub cloud: Option<Cloud>,
+    /// `Platform`: the platform's list of servers; none where it has no `Address`.
+    pub platform: Option<Platform>,
 }
 
 impl Settings {
@@ -111,7 +111,7 @@
             limits: ProcessLimits::read(&root.section("Limits")?)?,
             fault_tolerance: FaultTolerance::read(&root.section("FaultTolerance")?)?,
             bounds: Bounds::read(&root.section("Bounds")?)?,
-            cloud: Cloud::read(&root.section("Cloud")?)?,
+            platform: Platform::read(&root.section("Cloud")?)?,
         })
     }
 
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -12,7 +12,7 @@
 pub(super) const AN_ADDRESS: &str = "an address with its port such as \"10.0.0.1:8080\"";
 const TEXTS: &str = "a list of texts such as [\"a\", \"b\"]";
 const A_NUMBER: &str = "a number, 0 or above";
-const A_WHOLE_NUMBER: &str = "a whole number, 0 or above";
+const AN_INTEGER: &str = "a whole number, 0 or above";
 const A_FLAG: &str = "true or false";
 const A_TABLE: &str = "a table, with its keys below";
 
@@ -115,12 +115,12 @@
         Err(self.wrong_kind(key, &Value::Float(number), A_NUMBER))
     }
 
-    pub fn whole(&self, key: &str, default: u32) -> Result<u32, SettingsError> {
+    pub fn integer(&self, key: &str, default: u32) -> Result<u32, SettingsError> {
         let number = self.number(key, f64::from(default))?;
         if number.fract() == 0.0 && number <= f64::from(u32::MAX) {
             return Ok(number as u32);
         }
-        Err(self.wrong_kind(key, &Value::Float(number), A_WHOLE_NUMBER))
+        Err(self.wrong_kind(key, &Value::Float(number), AN_INTEGER))
     }
 
     pub fn milliseconds(&self, key: &str, default: Duration) -> Result<Duration, SettingsError> {
--- a/crates/settings/src/sections.rs
+++ b/crates/settings/src/sections.rs
@@ -66,7 +66,7 @@
     /// `CpuShare`: the share of a core; 1.
     pub cpu_share: f64,
     /// `Cores`: the cores that are shown; 1.
-    pub cores: u32,
+    pub cpu_cores: u32,
     /// `MemoryMb`: the most memory, in megabytes; 256.
     pub memory_mb: u32,
     /// `MaxFds`: the most descriptors; 1,024.
@@ -81,11 +81,11 @@
     pub(super) fn read(section: &Section<'_>) -> Result<ProcessLimits, SettingsError> {
         Ok(ProcessLimits {
             cpu_share: section.number("CpuShare", 1.0)?,
-            cores: section.whole("Cores", 1)?,
-            memory_mb: section.whole("MemoryMb", 256)?,
-            max_descriptors: section.whole("MaxFds", 1024)?,
+            cpu_cores: section.integer("Cores", 1)?,
+            memory_mb: section.integer("MemoryMb", 256)?,
+            max_descriptors: section.integer("MaxFds", 1024)?,
             link_mbps: section.number("LinkMbps", 1000.0)?,
-            disk_mb: section.whole("DiskMb", 0)?,
+            disk_mb: section.integer("DiskMb", 0)?,
         })
     }
 }
@@ -104,9 +104,9 @@
 impl FaultTolerance {
     pub(super) fn read(section: &Section<'_>) -> Result<FaultTolerance, SettingsError> {
         Ok(FaultTolerance {
-            machines: section.whole("Machines", 1)?,
-            zones: section.whole("Zones", 0)?,
-            regions: section.whole("Regions", 0)?,
+            machines: section.integer("Machines", 1)?,
+            zones: section.integer("Zones", 0)?,
+            regions: section.integer("Regions", 0)?,
         })
     }
 }
@@ -188,9 +188,9 @@
     }
 }
 
-/// `Cloud`: the platform's list of servers.
+/// `Platform`: the platform's list of servers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Cloud {
+pub struct Platform {
     /// `Address`: where the list is asked for.
     pub address: SocketAddr,
     /// `RatePerS`: calls a second that all machines may make together; 1.
@@ -201,11 +201,11 @@
     pub max_lag: Duration,
 }
 
-impl Cloud {
+impl Platform {
     /// None without an address.
-    pub(super) fn read(section: &Section<'_>) -> Result<Option<Cloud>, SettingsError> {
+    pub(super) fn read(section: &Section<'_>) -> Result<Option<Platform>, SettingsError> {
         let Some(address) = section.address("Address")? else { return Ok(None) };
-        Ok(Some(Cloud {
+        Ok(Some(Platform {
             address,
             rate_per_s: section.number("RatePerS", 1.0)?,
             duties: section.texts("Duties")?,
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -100,9 +100,9 @@
     assert_eq!(settings.bounds.drain, Duration::from_secs(3));
     assert_eq!(settings.bounds.again, Duration::from_millis(10_500));
     assert_eq!(settings.bounds.retry_slack, 56.0);
-    let cloud = settings.cloud.expect("a cloud");
-    assert_eq!(cloud.address, address("10.200.0.79:8169"));
-    assert_eq!((cloud.rate_per_s, cloud.max_lag), (44.0, Duration::from_millis(800)));
+    let platform = settings.platform.expect("a cloud");
+    assert_eq!(platform.address, address("10.200.0.79:8169"));
+    assert_eq!((platform.rate_per_s, platform.max_lag), (44.0, Duration::from_millis(800)));
 }
 
 #[test]
@@ -131,7 +131,7 @@
     assert_eq!(settings.node_name, "10.0.0.1");
     assert_eq!(settings.bounds.drain, Duration::from_secs(3));
     assert_eq!(settings.limits.memory_mb, 256);
-    assert_eq!(settings.cloud, None);
+    assert_eq!(settings.platform, None);
     assert!(settings.seeds.is_empty() && !settings.bootstrap);
     let by_zone = LEAST.replace("Region = \"r\"\n", "") + "[Zones]\na = \"of the zone\"\n";
     assert_eq!(parse(&by_zone).region, "of the zone");
--- a/crates/state-sync/src/aggregate.rs
+++ b/crates/state-sync/src/aggregate.rs
@@ -1,7 +1,7 @@
 //! The merge of what a node's own process and its children report, kept up to date with each report.
 
-use crate::counts::{server_load, service_counters, set_tally, Tally, TallyChange};
-use crate::subtree::{endpoint_rank, Subtree, Touched};
+use crate::counters::{server_load, service_counters, set_counters, CounterChange, Counters};
+use crate::subtree::{endpoint_rank, DirtyKeys, SubtreeState};
 use quillpulley_protocol::{Report, Totals};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
@@ -16,8 +16,8 @@
 /// The merged reports, and what of them the parent and the children are still to be told.
 #[derive(Debug)]
 pub(crate) struct Aggregate<Child> {
-    contributions: BTreeMap<Source<Child>, Subtree>,
-    merged: Subtree,
+    contributions: BTreeMap<Source<Child>, SubtreeState>,
+    merged: SubtreeState,
     /// What the parent has not been told.
     pub(crate) upward: Pending,
     /// What the children have not been told while the totals are this node's own sums.
@@ -49,10 +49,10 @@
         *self = Pending { cursor: self.cursor, ..Pending::default() };
     }
 
-    fn mark_counts(&mut self, touched: &Touched, proxies: u32) {
-        self.proxies |= touched.proxies_before != proxies;
-        self.services.extend(touched.services.iter().map(|change| change.key.clone()));
-        self.servers.extend(touched.servers.iter().map(|change| change.key));
+    fn mark_counts(&mut self, dirty: &DirtyKeys, proxies: u32) {
+        self.proxies |= dirty.proxies_before != proxies;
+        self.services.extend(dirty.services.iter().map(|change| change.key.clone()));
+        self.servers.extend(dirty.servers.iter().map(|change| change.key));
     }
 
     /// Takes out at most `limit` servers.
@@ -72,31 +72,31 @@
     pub(crate) fn new() -> Self {
         Aggregate {
             contributions: BTreeMap::new(),
-            merged: Subtree::default(),
+            merged: SubtreeState::default(),
             upward: Pending::default(),
             downward: Pending::default(),
         }
     }
 
     /// Returns what is known of the whole subtree.
-    pub(crate) fn merged(&self) -> &Subtree {
+    pub(crate) fn merged(&self) -> &SubtreeState {
         &self.merged
     }
 
     /// Returns what one has reported.
-    pub(crate) fn contribution(&self, source: Source<Child>) -> Option<&Subtree> {
+    pub(crate) fn contribution(&self, source: Source<Child>) -> Option<&SubtreeState> {
         self.contributions.get(&source)
     }
 
     /// Takes in a report. Returns whether the merged fronts or suspicions have changed.
     pub(crate) fn apply(&mut self, source: Source<Child>, report: Report) -> bool {
         let contribution = self.contributions.entry(source).or_default();
-        let touched = contribution.apply(report);
+        let dirty = contribution.apply(report);
         let proxies = contribution.counts.proxies;
-        self.merge_counts(&touched, proxies);
+        self.merge_counts(&dirty, proxies);
         self.merge_depth();
-        let endpoints_changed = touched.endpoints.iter().filter(|name| self.merge_endpoint(name)).count() > 0;
-        let suspects_changed = touched.suspects.iter().filter(|name| self.merge_suspect(name)).count() > 0;
+        let endpoints_changed = dirty.endpoints.iter().filter(|name| self.merge_endpoint(name)).count() > 0;
+        let suspects_changed = dirty.suspects.iter().filter(|name| self.merge_suspect(name)).count() > 0;
         endpoints_changed || suspects_changed
     }
 
@@ -154,13 +154,13 @@
         }
     }
 
-    fn merge_counts(&mut self, touched: &Touched, proxies: u32) {
+    fn merge_counts(&mut self, dirty: &DirtyKeys, proxies: u32) {
         let counts = &mut self.merged.counts;
-        counts.proxies = counts.proxies.wrapping_sub(touched.proxies_before).wrapping_add(proxies);
-        add_changes(&mut counts.services, &touched.services);
-        add_changes(&mut counts.servers, &touched.servers);
-        self.upward.mark_counts(touched, proxies);
-        self.downward.mark_counts(touched, proxies);
+        counts.proxies = counts.proxies.wrapping_sub(dirty.proxies_before).wrapping_add(proxies);
+        add_changes(&mut counts.services, &dirty.services);
+        add_changes(&mut counts.servers, &dirty.servers);
+        self.upward.mark_counts(dirty, proxies);
+        self.downward.mark_counts(dirty, proxies);
     }
 
     fn merge_depth(&mut self) {
@@ -197,20 +197,20 @@
     }
 }
 
-fn add_changes<K: Ord + Clone, T: Tally>(sums: &mut BTreeMap<K, T>, changes: &[TallyChange<K, T>]) {
+fn add_changes<K: Ord + Clone, T: Counters>(sums: &mut BTreeMap<K, T>, changes: &[CounterChange<K, T>]) {
     for change in changes {
         let sum = sums.get(&change.key).copied().unwrap_or_default();
-        set_tally(sums, change.key.clone(), sum.minus(change.old).plus(change.new));
+        set_counters(sums, change.key.clone(), sum.minus(change.old).plus(change.new));
     }
 }
 
 /// Returns the entries for some keys, zero where there is none.
-fn pick<K: Ord, T: Tally, I: IntoIterator<Item = K>>(
+fn pick<K: Ord, T: Counters, I: IntoIterator<Item = K>>(
     table: &BTreeMap<K, T>,
     keys: I,
 ) -> impl Iterator<Item = (K, T)> + use<'_, K, T, I> {
     keys.into_iter().map(|key| {
-        let tally = table.get(&key).copied().unwrap_or_default();
-        (key, tally)
+        let counters = table.get(&key).copied().unwrap_or_default();
+        (key, counters)
     })
 }
--- a/crates/state-sync/src/counting.rs
+++ b/crates/state-sync/src/aggregation.rs
@@ -1,7 +1,7 @@
 //! The way of reports up the tree and of totals down it.
 
 use crate::aggregate::Source;
-use crate::node::{Action, FeedNode, Role};
+use crate::node::{Action, Role, SyncNode};
 use crate::subtree::LocalReport;
 use quillpulley_protocol as wire;
 use quillpulley_protocol::{Body, Report};
@@ -9,17 +9,17 @@
 use std::time::Duration;
 
 /// A subtree of so many levels has a loop: no tree is so deep.
-const DEPTH_MAX: u8 = 12;
+const MAX_DEPTH: u8 = 12;
 
-impl<Child: Copy + Eq + Hash + Ord> FeedNode<Child> {
+impl<Child: Copy + Eq + Hash + Ord> SyncNode<Child> {
     pub(crate) fn local_report(&mut self, report: LocalReport, actions: &mut Vec<Action<Child>>) {
         let report = report.into_report(&self.options.name);
         self.aggregate_report(Source::Own, report, actions);
     }
 
-    pub(crate) fn take_report(&mut self, child: Child, report: Report, actions: &mut Vec<Action<Child>>) {
+    pub(crate) fn handle_report(&mut self, child: Child, report: Report, actions: &mut Vec<Action<Child>>) {
         let is_below_itself = report.endpoints.iter().any(|endpoint| endpoint.name == self.options.name);
-        if is_below_itself || report.depth >= DEPTH_MAX {
+        if is_below_itself || report.depth >= MAX_DEPTH {
             // The tree has a loop.
             return self.drop_child(child, actions);
         }
@@ -27,7 +27,7 @@
         // A second whole report comes from a child that has begun anew: it has forgotten the totals that it was sent.
         let begins_anew = !report.delta && std::mem::replace(&mut state.has_reported, true);
         state.has_totals &= !begins_anew;
-        if let Some(earlier) = state.set_aside.take() {
+        if let Some(earlier) = state.suspended_report.take() {
             self.aggregate_report(Source::Child(child), earlier, actions);
         }
         self.aggregate_report(Source::Child(child), report, actions);
@@ -40,26 +40,29 @@
     }
 
     /// Leaves out children that are silent, and drops those that have been for long.
-    pub(crate) fn check_silence(&mut self, now: Duration, actions: &mut Vec<Action<Child>>) {
-        let (silence, timeout) = (self.options.silence, self.options.child_timeout);
-        if now >= self.ticked + silence {
+    pub(crate) fn check_idle_children(&mut self, now: Duration, actions: &mut Vec<Action<Child>>) {
+        let (silence_timeout, timeout) = (self.options.silence_timeout, self.options.child_timeout);
+        if now >= self.ticked_at + silence_timeout {
             // This process itself stood still: what the children sent meanwhile waits to be read.
             self.children.values_mut().for_each(|child| child.heard = now);
         }
-        self.ticked = now;
+        self.ticked_at = now;
         for child in self.children.which(|child| now >= child.heard + timeout) {
             self.drop_child(child, actions);
         }
-        for child in self.children.which(|child| child.set_aside.is_none() && now >= child.heard + silence) {
-            self.set_aside(child, actions);
+        for child in self
+            .children
+            .which(|child| child.suspended_report.is_none() && now >= child.heard + silence_timeout)
+        {
+            self.suspended_report(child, actions);
         }
     }
 
-    fn set_aside(&mut self, child: Child, actions: &mut Vec<Action<Child>>) {
+    fn suspended_report(&mut self, child: Child, actions: &mut Vec<Action<Child>>) {
         let source = Source::Child(child);
         let reports = self.aggregate.contribution(source).map(|subtree| subtree.to_report());
         if let Some(state) = self.children.get_mut(child) {
-            state.set_aside = Some(reports.unwrap_or_default());
+            state.suspended_report = Some(reports.unwrap_or_default());
         }
         if self.aggregate.remove(source) {
             actions.push(Action::EndpointsChanged);
@@ -73,7 +76,7 @@
 
     pub(crate) fn tick_report(&mut self, now: Duration, actions: &mut Vec<Action<Child>>) {
         if now >= self.report_due() {
-            let report = self.aggregate.delta_report(self.options.servers_per_frame);
+            let report = self.aggregate.delta_report(self.options.max_servers_per_frame);
             self.send_report(now, report, actions);
         }
     }
@@ -83,23 +86,23 @@
         match self.role {
             Role::Root { .. } | Role::Orphan => Duration::MAX,
             Role::Subscribing { .. } | Role::Following => {
-                self.reported + self.pause(self.aggregate.upward.is_empty())
+                self.reported_at + self.send_interval(self.aggregate.upward.is_empty())
             }
         }
     }
 
     fn send_report(&mut self, now: Duration, report: Report, actions: &mut Vec<Action<Child>>) {
-        self.reported = now;
+        self.reported_at = now;
         actions.push(Action::SendParent(Body::Report(Box::new(report))));
     }
 
-    pub(crate) fn take_totals(
+    pub(crate) fn handle_totals(
         &mut self,
         now: Duration,
         frame: wire::Totals,
         actions: &mut Vec<Action<Child>>,
     ) {
-        if let Some(delta) = self.totals.take_parents(now, frame) {
+        if let Some(delta) = self.totals.handle_parent(now, frame) {
             self.spread_totals(now, delta, actions);
         }
     }
@@ -111,36 +114,36 @@
         }
         let complete = self.is_root();
         let delta = if self.totals.is_own() {
-            let delta = self.aggregate.delta_totals(complete, self.options.servers_per_frame);
+            let delta = self.aggregate.delta_totals(complete, self.options.max_servers_per_frame);
             self.totals.show_own(delta)
         } else {
             self.aggregate.downward.clear();
-            self.totals.turn_to_own(complete, &self.aggregate.merged().counts)
+            self.totals.switch_to_own(complete, &self.aggregate.merged().counts)
         };
         self.spread_totals(now, delta, actions);
     }
 
     /// Returns when own totals are due, or the parent's get out of date.
     pub(crate) fn totals_due(&self) -> Duration {
-        match self.totals.outdated_at(self.options.silence) {
+        match self.totals.outdated_at(self.options.silence_timeout) {
             Some(_) if self.is_root() => Duration::ZERO,
             Some(outdated) => outdated,
             None => {
                 let is_told =
                     self.aggregate.downward.is_empty() && self.totals.shown().complete == self.is_root();
-                self.totals_sent + self.pause(is_told)
+                self.totals_sent_at + self.send_interval(is_told)
             }
         }
     }
 
     /// Sends what is new in the totals to the children, and all of them to those who have none yet.
     fn spread_totals(&mut self, now: Duration, delta: wire::Totals, actions: &mut Vec<Action<Child>>) {
-        self.totals_sent = now;
+        self.totals_sent_at = now;
         let informed = self.children.which(|child| child.has_totals);
         let uninformed = self.children.which(|child| !child.has_totals);
         if !uninformed.is_empty() {
-            let whole = self.totals.whole(&delta);
-            actions.push(Action::SendChildren(uninformed.clone(), Body::Totals(Box::new(whole))));
+            let complete_totals = self.totals.complete_totals(&delta);
+            actions.push(Action::SendChildren(uninformed.clone(), Body::Totals(Box::new(complete_totals))));
         }
         if !informed.is_empty() {
             actions.push(Action::SendChildren(informed, Body::Totals(Box::new(delta))));
@@ -150,16 +153,16 @@
                 state.has_totals = true;
             }
         }
-        if self.totals.take_news() {
+        if self.totals.take_changed() {
             actions.push(Action::TotalsChanged);
         }
     }
 
-    fn pause(&self, nothing_new: bool) -> Duration {
+    fn send_interval(&self, nothing_new: bool) -> Duration {
         if nothing_new {
             self.options.keep_alive
         } else {
-            self.options.counts_every
+            self.options.report_interval
         }
     }
 }
--- a/crates/state-sync/src/children.rs
+++ b/crates/state-sync/src/children.rs
@@ -30,7 +30,7 @@
     /// When anything came from it.
     pub(crate) heard: Duration,
     /// Its reports so far, while it is silent and not counted.
-    pub(crate) set_aside: Option<Report>,
+    pub(crate) suspended_report: Option<Report>,
     /// Whether it has reported.
     pub(crate) has_reported: bool,
     /// Whether it was sent totals.
@@ -42,7 +42,7 @@
         ChildState {
             phase: Phase::Connected,
             heard: now,
-            set_aside: None,
+            suspended_report: None,
             has_reported: false,
             has_totals: false,
         }
@@ -59,7 +59,7 @@
         matches!(self.phase, Phase::Following)
     }
 
-    pub(crate) fn turn(&mut self, phase: Phase) {
+    pub(crate) fn enter(&mut self, phase: Phase) {
         self.phase = phase;
     }
 }
--- a/crates/state-sync/src/counts.rs
+++ b/crates/state-sync/src/counters.rs
@@ -22,7 +22,7 @@
 
 /// What is under way at a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ServerTally {
+pub struct LoadCounters {
     /// Requests that run.
     pub running: u32,
     /// Requests that were sent and do not run yet.
@@ -35,22 +35,22 @@
 
 /// The sums over some proxies. Services and servers for which all numbers are zero are left out.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct CounterTable {
     /// How many proxies were counted.
     pub proxies: u32,
     /// By the name of the service.
     pub services: BTreeMap<String, RetryCounters>,
     /// By [`server_key`].
-    pub servers: BTreeMap<u64, ServerTally>,
+    pub servers: BTreeMap<u64, LoadCounters>,
 }
 
 /// Numbers that can be added and subtracted. Both wrap, so that sums stay exact whatever comes and goes.
-pub(crate) trait Tally: Copy + Default + Eq {
+pub(crate) trait Counters: Copy + Default + Eq {
     fn plus(self, other: Self) -> Self;
     fn minus(self, other: Self) -> Self;
 }
 
-impl Tally for RetryCounters {
+impl Counters for RetryCounters {
     fn plus(self, other: Self) -> Self {
         RetryCounters {
             requests: self.requests.wrapping_add(other.requests),
@@ -68,9 +68,9 @@
     }
 }
 
-impl Tally for ServerTally {
+impl Counters for LoadCounters {
     fn plus(self, other: Self) -> Self {
-        ServerTally {
+        LoadCounters {
             running: self.running.wrapping_add(other.running),
             waiting: self.waiting.wrapping_add(other.waiting),
             prompt_tokens: self.prompt_tokens.wrapping_add(other.prompt_tokens),
@@ -79,7 +79,7 @@
     }
 
     fn minus(self, other: Self) -> Self {
-        ServerTally {
+        LoadCounters {
             running: self.running.wrapping_sub(other.running),
             waiting: self.waiting.wrapping_sub(other.waiting),
             prompt_tokens: self.prompt_tokens.wrapping_sub(other.prompt_tokens),
@@ -90,87 +90,87 @@
 
 /// A change of one entry of a table.
 #[derive(Clone, Debug)]
-pub(crate) struct TallyChange<K, T> {
+pub(crate) struct CounterChange<K, T> {
     pub(crate) key: K,
     pub(crate) old: T,
     pub(crate) new: T,
 }
 
 /// Sets an entry, where zero removes it. Returns what it was.
-pub(crate) fn set_tally<K: Ord, T: Tally>(table: &mut BTreeMap<K, T>, key: K, tally: T) -> T {
-    let old = if tally == T::default() { table.remove(&key) } else { table.insert(key, tally) };
+pub(crate) fn set_counters<K: Ord, T: Counters>(table: &mut BTreeMap<K, T>, key: K, counters: T) -> T {
+    let old = if counters == T::default() { table.remove(&key) } else { table.insert(key, counters) };
     old.unwrap_or_default()
 }
 
 /// Sets the entries of a frame; where the frame is no delta, all others are removed. Returns the changes.
-pub(crate) fn apply_tallies<K: Ord + Clone, T: Tally>(
+pub(crate) fn apply_counters<K: Ord + Clone, T: Counters>(
     table: &mut BTreeMap<K, T>,
     entries: impl IntoIterator<Item = (K, T)>,
     delta: bool,
-) -> Vec<TallyChange<K, T>> {
+) -> Vec<CounterChange<K, T>> {
     let mut before = if delta { BTreeMap::new() } else { table.clone() };
     let mut changes = Vec::new();
     for (key, new) in entries {
         before.remove(&key);
-        let old = set_tally(table, key.clone(), new);
-        changes.push(TallyChange { key, old, new });
+        let old = set_counters(table, key.clone(), new);
+        changes.push(CounterChange { key, old, new });
     }
     for (key, old) in before {
         table.remove(&key);
-        changes.push(TallyChange { key, old, new: T::default() });
+        changes.push(CounterChange { key, old, new: T::default() });
     }
     changes.retain(|change| change.old != change.new);
     changes
 }
 
 /// Returns the entries that turn one table into another, with zero for those to remove.
-pub(crate) fn tallies_between<K: Ord + Clone, T: Tally>(
+pub(crate) fn counters_between<K: Ord + Clone, T: Counters>(
     from: &BTreeMap<K, T>,
     to: &BTreeMap<K, T>,
 ) -> Vec<(K, T)> {
     let gone = from.keys().filter(|key| !to.contains_key(*key)).map(|key| (key.clone(), T::default()));
-    let differing = to.iter().filter(|(key, tally)| from.get(*key) != Some(*tally));
-    gone.chain(differing.map(|(key, tally)| (key.clone(), *tally))).collect()
+    let differing = to.iter().filter(|(key, counters)| from.get(*key) != Some(*counters));
+    gone.chain(differing.map(|(key, counters)| (key.clone(), *counters))).collect()
 }
 
 /// Returns an entry for a service as a frame has it.
-pub(crate) fn service_counters((service, tally): (String, RetryCounters)) -> ServiceCounters {
+pub(crate) fn service_counters((service, counters): (String, RetryCounters)) -> ServiceCounters {
     ServiceCounters {
         service,
-        requests: tally.requests,
-        retries: tally.retries,
-        rejected_retries: tally.rejected_retries,
+        requests: counters.requests,
+        retries: counters.retries,
+        rejected_retries: counters.rejected_retries,
     }
 }
 
 /// Returns the entry for a service that a frame has.
 pub(crate) fn retry_counters(count: ServiceCounters) -> (String, RetryCounters) {
-    let tally = RetryCounters {
+    let counters = RetryCounters {
         requests: count.requests,
         retries: count.retries,
         rejected_retries: count.rejected_retries,
     };
-    (count.service, tally)
+    (count.service, counters)
 }
 
 /// Returns an entry for a server as a frame has it.
-pub(crate) fn server_load((server, tally): (u64, ServerTally)) -> ServerLoad {
+pub(crate) fn server_load((server, counters): (u64, LoadCounters)) -> ServerLoad {
     ServerLoad {
         server,
-        running: tally.running,
-        waiting: tally.waiting,
-        prompt_tokens: tally.prompt_tokens,
-        failures: tally.failures,
+        running: counters.running,
+        waiting: counters.waiting,
+        prompt_tokens: counters.prompt_tokens,
+        failures: counters.failures,
     }
 }
 
 /// Returns the entry for a server that a frame has.
-pub(crate) fn server_tally(load: ServerLoad) -> (u64, ServerTally) {
-    let tally = ServerTally {
+pub(crate) fn load_counters(load: ServerLoad) -> (u64, LoadCounters) {
+    let counters = LoadCounters {
         running: load.running,
         waiting: load.waiting,
         prompt_tokens: load.prompt_tokens,
         failures: load.failures,
     };
-    (load.server, tally)
+    (load.server, counters)
 }
--- a/crates/state-sync/src/lib.rs
+++ b/crates/state-sync/src/lib.rs
@@ -1,6 +1,6 @@
 //! Distribution of published state down a tree and of counts up it, as pure state machines.
 //!
-//! A [`FeedNode`] is one node of the tree: the root (the primary), a relay (other core processes, agents) or a leaf
+//! A [`SyncNode`] is one node of the tree: the root (the primary), a relay (other core processes, agents) or a leaf
 //! (proxies). It holds a [`Store`] of the published items as they were at a stamp. What a host tells it are
 //! [`Event`]s with the time since the host's start; what it wants done are [`Action`]s. It never goes back: a
 //! frame whose stamp is not newer than its own changes nothing.
@@ -9,24 +9,24 @@
 //! child notices by the gap and subscribes again), but for a `Report` or `Totals` that it cannot send it has to
 //! close the connection.
 //!
-//! [`relay`] works out where an agent finds its parent.
+//! [`parent_selection`] works out where an agent finds its parent.
 
 mod aggregate;
+mod aggregation;
 mod children;
-mod counting;
-mod counts;
+mod counters;
 mod node;
 mod options;
+pub mod parent_selection;
 mod publishing;
-pub mod relay;
 mod store;
 mod subtree;
 mod totals;
 mod updates;
 
-pub use counts::{server_key, Counts, RetryCounters, ServerTally};
-pub use node::{Action, Event, FeedNode};
+pub use counters::{server_key, CounterTable, LoadCounters, RetryCounters};
+pub use node::{Action, Event, SyncNode};
 pub use options::Options;
 pub use store::{Change, ChangedKey, Digests, Store, RANGES};
-pub use subtree::{LocalReport, Subtree};
+pub use subtree::{LocalReport, SubtreeState};
 pub use totals::Totals;
--- a/crates/state-sync/src/node.rs
+++ b/crates/state-sync/src/node.rs
@@ -4,7 +4,7 @@
 use crate::children::{ChildState, Children};
 use crate::options::Options;
 use crate::store::{Change, ChangedKey, Store};
-use crate::subtree::{LocalReport, Subtree};
+use crate::subtree::{LocalReport, SubtreeState};
 use crate::totals::{Totals, TotalsState};
 use quillpulley_protocol::{Body, Revision};
 use std::hash::Hash;
@@ -41,7 +41,7 @@
     LeaveRoot,
     /// What this process itself reports from now on, whole.
     LocalReport(LocalReport),
-    /// Time has passed: wanted at [`FeedNode::next_tick`], or a little later.
+    /// Time has passed: wanted at [`SyncNode::next_tick`], or a little later.
     Tick,
 }
 
@@ -83,7 +83,7 @@
 
 /// One node of the tree: root, relay or leaf. `Child` is the host's name for a connection from a child.
 #[derive(Debug)]
-pub struct FeedNode<Child> {
+pub struct SyncNode<Child> {
     pub(crate) options: Options,
     pub(crate) role: Role,
     pub(crate) store: Store,
@@ -91,39 +91,39 @@
     /// Whether the store is known not to be what it should be at its stamp.
     pub(crate) damaged: bool,
     /// When the stamp moved last, and since when it has never stood for too long.
-    pub(crate) moved: Option<Duration>,
+    pub(crate) moved_at: Option<Duration>,
     pub(crate) fresh_since: Duration,
     pub(crate) children: Children<Child>,
     /// Answers with items that may still be given, and since when it has been counted.
-    pub(crate) answers_left: usize,
-    pub(crate) answers_since: Duration,
+    pub(crate) remaining_repairs: usize,
+    pub(crate) repair_interval_began_at: Duration,
     pub(crate) aggregate: Aggregate<Child>,
     /// When the last report was sent, totals were sent, and the node was ticked.
-    pub(crate) reported: Duration,
+    pub(crate) reported_at: Duration,
     pub(crate) totals: TotalsState,
-    pub(crate) totals_sent: Duration,
-    pub(crate) ticked: Duration,
+    pub(crate) totals_sent_at: Duration,
+    pub(crate) ticked_at: Duration,
 }
 
-impl<Child: Copy + Eq + Hash + Ord> FeedNode<Child> {
+impl<Child: Copy + Eq + Hash + Ord> SyncNode<Child> {
     /// Creates a node that knows nothing and has no parent.
     pub fn new(options: Options) -> Self {
-        FeedNode {
+        SyncNode {
             totals: TotalsState::new(&options.name),
-            answers_left: options.answers_at_once,
+            remaining_repairs: options.max_concurrent_repairs,
             options,
             role: Role::Orphan,
             store: Store::default(),
             revision: Revision::default(),
             damaged: false,
-            moved: None,
+            moved_at: None,
             fresh_since: Duration::ZERO,
             children: Children::new(),
-            answers_since: Duration::ZERO,
+            repair_interval_began_at: Duration::ZERO,
             aggregate: Aggregate::new(),
-            reported: Duration::ZERO,
-            totals_sent: Duration::ZERO,
-            ticked: Duration::ZERO,
+            reported_at: Duration::ZERO,
+            totals_sent_at: Duration::ZERO,
+            ticked_at: Duration::ZERO,
         }
     }
 
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Returns the published items as they were at [`FeedNode::revision`].
+    /// Returns the published items as they were at [`SyncNode::revision`].
     pub fn store(&self) -> &Store {
         &self.store
     }
@@ -162,7 +162,7 @@
 
     /// Returns whether a new stamp came, or at a root was given, within the last second ([`Options::fresh_for`]).
     pub fn is_fresh(&self, now: Duration) -> bool {
-        self.moved.is_some_and(|moved| now.saturating_sub(moved) <= self.options.fresh_for)
+        self.moved_at.is_some_and(|moved_at| now.saturating_sub(moved_at) <= self.options.fresh_for)
     }
 
     /// Since when the state has been fresh without a break, if it is.
@@ -172,7 +172,7 @@
 
     /// Returns when the stamp moved last.
     pub fn last_moved(&self) -> Option<Duration> {
-        self.moved
+        self.moved_at
     }
 
     /// Returns the totals: the root's, or else the sums of what is below this node.
@@ -181,20 +181,20 @@
     }
 
     /// Returns the merged reports of this process and of all below it.
-    pub fn subtree(&self) -> &Subtree {
+    pub fn subtree(&self) -> &SubtreeState {
         self.aggregate.merged()
     }
 
     /// Returns what one child has reported of its subtree; `None` while it is silent.
-    pub fn child_subtree(&self, child: Child) -> Option<&Subtree> {
+    pub fn child_subtree(&self, child: Child) -> Option<&SubtreeState> {
         self.aggregate.contribution(Source::Child(child))
     }
 
     /// Returns when an [`Event::Tick`] has something to do next.
     pub fn next_tick(&self) -> Duration {
-        let silent = self.children.values().map(|child| match child.set_aside {
+        let silent = self.children.values().map(|child| match child.suspended_report {
             Some(_) => child.heard + self.options.child_timeout,
-            None => child.heard + self.options.silence,
+            None => child.heard + self.options.silence_timeout,
         });
         let times = [self.updates_due(), self.report_due(), self.totals_due()];
         times.into_iter().chain(silent).min().unwrap_or(Duration::MAX)
@@ -205,7 +205,7 @@
         if !self.is_fresh(now) {
             self.fresh_since = now;
         }
-        self.moved = Some(now);
+        self.moved_at = Some(now);
         self.revision = revision;
     }
 
@@ -229,15 +229,15 @@
     fn parent_frame(&mut self, now: Duration, body: Body, actions: &mut Vec<Action<Child>>) {
         match (self.role, body) {
             (Role::Root { .. } | Role::Orphan, _) => {}
-            (_, Body::Update(update)) => self.take_update(now, *update, actions),
-            (_, Body::Totals(totals)) => self.take_totals(now, *totals, actions),
+            (_, Body::Update(update)) => self.handle_update(now, *update, actions),
+            (_, Body::Totals(totals)) => self.handle_totals(now, *totals, actions),
             _ => {}
         }
     }
 
     fn child_up(&mut self, now: Duration, child: Child, actions: &mut Vec<Action<Child>>) {
         self.forget_child(child, actions);
-        if self.children.len() >= self.options.fan_out_max {
+        if self.children.len() >= self.options.max_children {
             actions.push(Action::DropChild(child));
             return;
         }
@@ -248,8 +248,8 @@
         let Some(state) = self.children.get_mut(child) else { return };
         state.heard = now;
         match body {
-            Body::Subscribe(subscribe) => self.take_subscription(child, *subscribe, actions),
-            Body::Report(report) => self.take_report(child, *report, actions),
+            Body::Subscribe(subscribe) => self.handle_subscription(child, *subscribe, actions),
+            Body::Report(report) => self.handle_report(child, *report, actions),
             _ => {}
         }
     }
@@ -267,7 +267,7 @@
     }
 
     fn tick(&mut self, now: Duration, actions: &mut Vec<Action<Child>>) {
-        self.check_silence(now, actions);
+        self.check_idle_children(now, actions);
         self.tick_updates(now, actions);
         self.tick_totals(now, actions);
         self.tick_report(now, actions);
--- a/crates/state-sync/src/options.rs
+++ b/crates/state-sync/src/options.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-/// The figures of a [`FeedNode`](crate::FeedNode).
+/// The figures of a [`SyncNode`](crate::FeedNode).
 ///
 /// A heartbeat takes 100 bytes, five times a second. A frame of counts takes up to 100 bytes and, for what has
-/// changed, 50 for each service and 24 for each server (at most `servers_per_frame`), four times a second and in each
+/// changed, 50 for each service and 24 for each server (at most `max_servers_per_frame`), four times a second and in each
 /// direction; a front takes 150 when it changes. 5 KB/s for a limiter, as at the target size of 900 proxies and
 /// 4,700 servers, leave room for some five services and 10 servers a frame. What would not fit there: the numbers of
 /// all servers, which are 113 KB each time. They are sent whole on a new connection; after that each server would get
@@ -15,25 +15,25 @@
     /// The name of this node: who monitors in its suspicions, and what its own front is called.
     pub name: String,
     /// The most children at once; further ones are turned away.
-    pub fan_out_max: usize,
-    /// The most subscriptions that are answered with items at a time; others wait for `answer_pause`.
-    pub answers_at_once: usize,
+    pub max_children: usize,
+    /// The most subscriptions that are answered with items at a time; others wait for `repair_interval`.
+    pub max_concurrent_repairs: usize,
     /// The time after which more subscriptions are answered.
-    pub answer_pause: Duration,
+    pub repair_interval: Duration,
     /// Without a stamp for this long the state is stale.
     pub fresh_for: Duration,
     /// A subscription without an answer is repeated after this time.
-    pub subscribe_again: Duration,
+    pub resubscribe_after: Duration,
     /// Least time between two reports to the parent, and between two frames of own totals to children.
-    pub counts_every: Duration,
+    pub report_interval: Duration,
     /// Reports and totals are sent this often though nothing has changed.
     pub keep_alive: Duration,
     /// Counts of a child that is silent for so long are left out, and totals of a parent are out of date.
-    pub silence: Duration,
+    pub silence_timeout: Duration,
     /// A child that is silent for so long is dropped.
     pub child_timeout: Duration,
     /// The most servers in one frame of counts, save the first on a connection.
-    pub servers_per_frame: usize,
+    pub max_servers_per_frame: usize,
 }
 
 impl Options {
@@ -41,21 +41,21 @@
     pub fn new(name: &str) -> Self {
         Options {
             name: name.to_string(),
-            fan_out_max: 48,
-            answers_at_once: 4,
-            answer_pause: Duration::from_millis(50),
+            max_children: 48,
+            max_concurrent_repairs: 4,
+            repair_interval: Duration::from_millis(50),
             fresh_for: Duration::from_secs(1),
-            subscribe_again: Duration::from_secs(1),
-            counts_every: Duration::from_millis(250),
+            resubscribe_after: Duration::from_secs(1),
+            report_interval: Duration::from_millis(250),
             keep_alive: Duration::from_millis(500),
-            silence: Duration::from_millis(1500),
+            silence_timeout: Duration::from_millis(1500),
             child_timeout: Duration::from_secs(5),
-            servers_per_frame: 48,
+            max_servers_per_frame: 48,
         }
     }
 
     /// Returns the usual figures of a core process, which takes in the first agents of many zones.
     pub fn control_node(name: &str) -> Self {
-        Options { fan_out_max: 256, ..Options::new(name) }
+        Options { max_children: 256, ..Options::new(name) }
     }
 }
--- a/crates/state-sync/src/relay.rs
+++ b/crates/state-sync/src/parent_selection.rs
@@ -23,7 +23,7 @@
 
 /// What an agent knows of the places in the tree.
 #[derive(Clone, Copy, Debug)]
-pub struct Surroundings<'a> {
+pub struct TreeTopology<'a> {
     /// Its own name, zone and region.
     pub name: &'a str,
     /// The zone of its machine.
@@ -44,16 +44,16 @@
 /// Returns the candidates for an agent's parent, in the order in which to try them: its place in the heap of its zone
 /// and the places above it, the core processes of its zone, its region and elsewhere, the seeds, and core processes
 /// that failed lately.
-pub fn parent_candidates(surroundings: &Surroundings) -> Vec<ParentCandidate> {
-    let agents = agents_above(surroundings);
-    let control_nodes = control_nodes_by_distance(surroundings);
-    let mut candidates = match starts_at_control_node(surroundings) {
+pub fn parent_candidates(topology: &TreeTopology) -> Vec<ParentCandidate> {
+    let agents = agents_above(topology);
+    let control_nodes = control_nodes_by_distance(topology);
+    let mut candidates = match starts_at_control_node(topology) {
         true => control_nodes,
         false => agents.into_iter().chain(control_nodes).collect(),
     };
-    candidates.extend(seeds_by_hash(surroundings));
+    candidates.extend(seeds_by_hash(topology));
     let (failed, mut ordered): (Vec<_>, Vec<_>) =
-        candidates.into_iter().partition(|candidate| surroundings.failed.contains(candidate));
+        candidates.into_iter().partition(|candidate| topology.failed.contains(candidate));
     ordered.extend(failed);
     let mut seen = HashSet::new();
     ordered.retain(|candidate| seen.insert(*candidate));
@@ -62,29 +62,28 @@
 
 /// Returns whether all agents of the zone are children of its core process: there is one that did not fail, and they
 /// are few.
-fn starts_at_control_node(surroundings: &Surroundings) -> bool {
-    let mut in_zone =
-        surroundings.control_nodes.iter().filter(|control_node| control_node.zone == surroundings.zone);
+fn starts_at_control_node(topology: &TreeTopology) -> bool {
+    let mut in_zone = topology.control_nodes.iter().filter(|control_node| control_node.zone == topology.zone);
     let has_control_node =
-        in_zone.any(|control_node| !surroundings.failed.contains(&control_process(control_node)));
-    has_control_node && zone_agents(surroundings).count() < FAN_OUT
+        in_zone.any(|control_node| !topology.failed.contains(&control_process(control_node)));
+    has_control_node && zone_agents(topology).count() < FAN_OUT
 }
 
 /// Returns the other agents of the zone that stay.
-fn zone_agents<'a>(surroundings: &Surroundings<'a>) -> impl Iterator<Item = &'a ProxyEndpoint> + use<'a> {
-    let (name, zone) = (surroundings.name, surroundings.zone);
+fn zone_agents<'a>(topology: &TreeTopology<'a>) -> impl Iterator<Item = &'a ProxyEndpoint> + use<'a> {
+    let (name, zone) = (topology.name, topology.zone);
     let in_zone =
-        surroundings.endpoints.iter().filter(move |endpoint| endpoint.zone == zone && endpoint.name != name);
+        topology.endpoints.iter().filter(move |endpoint| endpoint.zone == zone && endpoint.name != name);
     in_zone.filter(|endpoint| endpoint.state != EndpointState::Draining)
 }
 
 /// Returns the agents on the way from this one to the top of the heap, nearest first.
-fn agents_above(surroundings: &Surroundings) -> Vec<ParentCandidate> {
-    let key = Key::new(surroundings.zone);
-    let own_rank = key.rank(surroundings.name);
-    let ahead = zone_agents(surroundings).filter(|endpoint| key.rank(&endpoint.name) < own_rank);
+fn agents_above(topology: &TreeTopology) -> Vec<ParentCandidate> {
+    let key = Key::new(topology.zone);
+    let own_rank = key.rank(topology.name);
+    let ahead = zone_agents(topology).filter(|endpoint| key.rank(&endpoint.name) < own_rank);
     let mut ahead: Vec<&ProxyEndpoint> =
-        ahead.filter(|endpoint| !surroundings.failed.contains(&agent(endpoint))).collect();
+        ahead.filter(|endpoint| !topology.failed.contains(&agent(endpoint))).collect();
     ahead.sort_by_cached_key(|endpoint| key.rank(&endpoint.name));
     let above = std::iter::successors(position_above(ahead.len()), |position| position_above(*position));
     above.filter_map(|position| ahead.get(position)).map(|endpoint| agent(endpoint)).collect()
@@ -104,22 +103,22 @@
 
 /// Returns the core processes: those of the zone, then of the region, then the others; alike ones by rendezvous
 /// hashing.
-fn control_nodes_by_distance(surroundings: &Surroundings) -> Vec<ParentCandidate> {
-    let key = Key::new(surroundings.name);
-    let mut control_nodes: Vec<&ControlNode> = surroundings.control_nodes.iter().collect();
+fn control_nodes_by_distance(topology: &TreeTopology) -> Vec<ParentCandidate> {
+    let key = Key::new(topology.name);
+    let mut control_nodes: Vec<&ControlNode> = topology.control_nodes.iter().collect();
     control_nodes.sort_by_cached_key(|control_node| {
         let address = Ipv4Addr::from_bits(control_node.ip).to_string();
         (
-            control_node.zone != surroundings.zone,
-            control_node.region != surroundings.region,
+            control_node.zone != topology.zone,
+            control_node.region != topology.region,
             std::cmp::Reverse(key.score(&address)),
         )
     });
     control_nodes.into_iter().map(control_process).collect()
 }
 
-fn seeds_by_hash(surroundings: &Surroundings) -> Vec<ParentCandidate> {
-    let names: Vec<String> = surroundings.seeds.iter().map(Ipv4Addr::to_string).collect();
-    let ordered = ranked(surroundings.name, names.iter().map(String::as_str));
+fn seeds_by_hash(topology: &TreeTopology) -> Vec<ParentCandidate> {
+    let names: Vec<String> = topology.seeds.iter().map(Ipv4Addr::to_string).collect();
+    let ordered = ranked(topology.name, names.iter().map(String::as_str));
     ordered.into_iter().filter_map(|seed| seed.parse().ok()).map(ParentCandidate::ControlNode).collect()
 }
--- a/crates/state-sync/src/publishing.rs
+++ b/crates/state-sync/src/publishing.rs
@@ -1,12 +1,12 @@
 //! The root: stamps and publishes.
 
-use crate::node::{Action, FeedNode, Role};
+use crate::node::{Action, Role, SyncNode};
 use crate::store::{item, Change, ChangedKey};
 use quillpulley_protocol::{Item, Revision, Update, UpdateKind};
 use std::hash::Hash;
 use std::time::Duration;
 
-impl<Child: Copy + Eq + Hash + Ord> FeedNode<Child> {
+impl<Child: Copy + Eq + Hash + Ord> SyncNode<Child> {
     pub(crate) fn become_root(&mut self, now: Duration, epoch: u64) {
         if epoch < self.revision.epoch {
             return;
@@ -37,7 +37,7 @@
         if !changed.is_empty() {
             actions.push(Action::Changed(changed));
         }
-        self.answer_subscriptions(actions);
+        self.serve_subscriptions(actions);
     }
 
     /// Returns an update from a stamp to this node's own.
--- a/crates/state-sync/src/subtree.rs
+++ b/crates/state-sync/src/subtree.rs
@@ -1,19 +1,19 @@
 //! What is known of a subtree: its fronts, whom their monitors suspect, and the sums of its counts.
 
-use crate::counts::{apply_tallies, retry_counters, server_load, server_tally, service_counters};
-use crate::counts::{Counts, RetryCounters, ServerTally, TallyChange};
+use crate::counters::{apply_counters, load_counters, retry_counters, server_load, service_counters};
+use crate::counters::{CounterChange, CounterTable, LoadCounters, RetryCounters};
 use quillpulley_protocol::{EndpointState, ProxyEndpoint, Report, ServerLoad, ServiceCounters, Suspicion};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a node knows of itself and of all below it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Subtree {
+pub struct SubtreeState {
     /// The fronts by name.
     pub endpoints: BTreeMap<String, ProxyEndpoint>,
     /// For each front that is suspected the names of its monitors that cannot reach it.
     pub suspicions: BTreeMap<String, BTreeSet<String>>,
     /// The sums.
-    pub counts: Counts,
+    pub counts: CounterTable,
     /// The number of its levels.
     pub depth: u8,
 }
@@ -35,12 +35,12 @@
 
 /// The entries that a report has touched.
 #[derive(Debug, Default)]
-pub(crate) struct Touched {
+pub(crate) struct DirtyKeys {
     pub(crate) endpoints: BTreeSet<String>,
     pub(crate) suspects: BTreeSet<String>,
     pub(crate) proxies_before: u32,
-    pub(crate) services: Vec<TallyChange<String, RetryCounters>>,
-    pub(crate) servers: Vec<TallyChange<u64, ServerTally>>,
+    pub(crate) services: Vec<CounterChange<String, RetryCounters>>,
+    pub(crate) servers: Vec<CounterChange<u64, LoadCounters>>,
 }
 
 impl LocalReport {
@@ -60,23 +60,23 @@
     }
 }
 
-impl Subtree {
+impl SubtreeState {
     /// Takes in a report on this subtree.
-    pub(crate) fn apply(&mut self, report: Report) -> Touched {
-        let mut touched = Touched { proxies_before: self.counts.proxies, ..Touched::default() };
+    pub(crate) fn apply(&mut self, report: Report) -> DirtyKeys {
+        let mut dirty = DirtyKeys { proxies_before: self.counts.proxies, ..DirtyKeys::default() };
         if !report.delta {
-            touched.endpoints.extend(std::mem::take(&mut self.endpoints).into_keys());
-            touched.suspects.extend(std::mem::take(&mut self.suspicions).into_keys());
+            dirty.endpoints.extend(std::mem::take(&mut self.endpoints).into_keys());
+            dirty.suspects.extend(std::mem::take(&mut self.suspicions).into_keys());
         }
-        self.apply_endpoints(report.endpoints, report.removed_endpoints, &mut touched);
-        self.apply_suspicions(report.suspicions, &mut touched);
+        self.apply_endpoints(report.endpoints, report.removed_endpoints, &mut dirty);
+        self.apply_suspicions(report.suspicions, &mut dirty);
         self.depth = report.depth;
         self.counts.proxies = report.proxies;
         let services = report.services.into_iter().map(retry_counters);
-        touched.services = apply_tallies(&mut self.counts.services, services, report.delta);
-        let servers = report.servers.into_iter().map(server_tally);
-        touched.servers = apply_tallies(&mut self.counts.servers, servers, report.delta);
-        touched
+        dirty.services = apply_counters(&mut self.counts.services, services, report.delta);
+        let servers = report.servers.into_iter().map(load_counters);
+        dirty.servers = apply_counters(&mut self.counts.servers, servers, report.delta);
+        dirty
     }
 
     /// Returns a complete report on this subtree.
@@ -101,20 +101,20 @@
         Suspicion { suspect: suspect.to_string(), monitors }
     }
 
-    fn apply_endpoints(&mut self, endpoints: Vec<ProxyEndpoint>, gone: Vec<String>, touched: &mut Touched) {
+    fn apply_endpoints(&mut self, endpoints: Vec<ProxyEndpoint>, gone: Vec<String>, dirty: &mut DirtyKeys) {
         for name in gone {
             self.endpoints.remove(&name);
-            touched.endpoints.insert(name);
+            dirty.endpoints.insert(name);
         }
         for endpoint in endpoints {
-            touched.endpoints.insert(endpoint.name.clone());
+            dirty.endpoints.insert(endpoint.name.clone());
             self.endpoints.insert(endpoint.name.clone(), endpoint);
         }
     }
 
-    fn apply_suspicions(&mut self, suspicions: Vec<Suspicion>, touched: &mut Touched) {
+    fn apply_suspicions(&mut self, suspicions: Vec<Suspicion>, dirty: &mut DirtyKeys) {
         for Suspicion { suspect, monitors } in suspicions {
-            touched.suspects.insert(suspect.clone());
+            dirty.suspects.insert(suspect.clone());
             if monitors.is_empty() {
                 self.suspicions.remove(&suspect);
             } else {
--- a/crates/state-sync/src/totals.rs
+++ b/crates/state-sync/src/totals.rs
@@ -1,15 +1,15 @@
 //! The totals that a node shows to its own process and to its children: its parent's, or else its own sums.
 
-use crate::counts::Counts;
-use crate::counts::{
-    apply_tallies, retry_counters, server_load, server_tally, service_counters, tallies_between,
+use crate::counters::CounterTable;
+use crate::counters::{
+    apply_counters, counters_between, load_counters, retry_counters, server_load, service_counters,
 };
 use quillpulley_protocol as wire;
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Totals that were passed on by so many nodes go round in a loop: no tree is so deep.
-const HOPS_MAX: u8 = 12;
+const MAX_HOPS: u8 = 12;
 
 /// Sums over the whole system, or over the part that is reached.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -17,7 +17,7 @@
     /// Whether they come from the root.
     pub complete: bool,
     /// The sums.
-    pub counts: Counts,
+    pub counts: CounterTable,
 }
 
 /// Whose sums the totals are.
@@ -37,11 +37,11 @@
     shown: Totals,
     origin: Origin,
     /// What the parent has told on this connection; `None` before its whole totals have come.
-    parents: Option<Counts>,
+    parent_counters: Option<CounterTable>,
     /// Whether what is shown is what the parent has told, so that its next delta can be passed on as it is.
-    in_step: bool,
-    /// Whether what is shown has changed since [`TotalsState::take_news`].
-    has_news: bool,
+    is_in_step: bool,
+    /// Whether what is shown has changed since [`TotalsState::take_changed`].
+    has_changed: bool,
 }
 
 impl TotalsState {
@@ -50,9 +50,9 @@
             own_id: xxh3_64(name.as_bytes()),
             shown: Totals::default(),
             origin: Origin::Own,
-            parents: None,
-            in_step: false,
-            has_news: false,
+            parent_counters: None,
+            is_in_step: false,
+            has_changed: false,
         }
     }
 
@@ -65,45 +65,46 @@
     }
 
     /// Returns when the parent's totals get out of date.
-    pub(crate) fn outdated_at(&self, silence: Duration) -> Option<Duration> {
+    pub(crate) fn outdated_at(&self, silence_timeout: Duration) -> Option<Duration> {
         match self.origin {
             Origin::Own => None,
-            Origin::Parent { heard } => Some(heard + silence),
+            Origin::Parent { heard } => Some(heard + silence_timeout),
         }
     }
 
     /// A connection to a parent has begun or ended: deltas mean nothing until it sends its whole totals.
     pub(crate) fn reset_parent(&mut self) {
-        self.parents = None;
-        self.in_step = false;
+        self.parent_counters = None;
+        self.is_in_step = false;
     }
 
     /// Takes the parent's totals. Returns what to tell the children, `None` for a frame that means nothing or that
     /// goes round in a loop of the tree.
-    pub(crate) fn take_parents(&mut self, now: Duration, mut frame: wire::Totals) -> Option<wire::Totals> {
-        if frame.delta && self.parents.is_none() {
+    pub(crate) fn handle_parent(&mut self, now: Duration, mut frame: wire::Totals) -> Option<wire::Totals> {
+        if frame.delta && self.parent_counters.is_none() {
             return None;
         }
-        let parents = self.parents.get_or_insert_with(Counts::default);
-        apply(parents, frame.clone());
-        let is_step = frame.delta && std::mem::take(&mut self.in_step);
-        if frame.origin == self.own_id || frame.hops >= HOPS_MAX {
+        let parent_counters = self.parent_counters.get_or_insert_with(CounterTable::default);
+        apply(parent_counters, frame.clone());
+        let is_step = frame.delta && std::mem::take(&mut self.is_in_step);
+        if frame.origin == self.own_id || frame.hops >= MAX_HOPS {
             return None;
         }
         self.origin = Origin::Parent { heard: now };
-        self.in_step = true;
+        self.is_in_step = true;
         frame.hops += 1;
         if !is_step {
-            frame = difference(&self.shown.counts, parents, Header { delta: true, ..Header::of(&frame) });
+            frame =
+                difference(&self.shown.counts, parent_counters, Header { delta: true, ..Header::of(&frame) });
         }
         self.show(frame.clone());
         Some(frame)
     }
 
     /// Goes over to own sums. Returns the delta for the children.
-    pub(crate) fn turn_to_own(&mut self, complete: bool, sums: &Counts) -> wire::Totals {
+    pub(crate) fn switch_to_own(&mut self, complete: bool, sums: &CounterTable) -> wire::Totals {
         self.origin = Origin::Own;
-        self.in_step = false;
+        self.is_in_step = false;
         let header = Header { complete, delta: true, hops: 0, origin: self.own_id };
         let delta = difference(&self.shown.counts, sums, header);
         self.show(delta.clone());
@@ -118,21 +119,21 @@
     }
 
     fn show(&mut self, delta: wire::Totals) {
-        self.has_news |= self.shown.complete != delta.complete;
-        self.has_news |= self.shown.counts.proxies != delta.proxies;
-        self.has_news |= !delta.services.is_empty() || !delta.servers.is_empty();
+        self.has_changed |= self.shown.complete != delta.complete;
+        self.has_changed |= self.shown.counts.proxies != delta.proxies;
+        self.has_changed |= !delta.services.is_empty() || !delta.servers.is_empty();
         self.shown.complete = delta.complete;
         apply(&mut self.shown.counts, delta);
     }
 
     /// Returns whether the totals have changed since this was asked last.
-    pub(crate) fn take_news(&mut self) -> bool {
-        std::mem::take(&mut self.has_news)
+    pub(crate) fn take_changed(&mut self) -> bool {
+        std::mem::take(&mut self.has_changed)
     }
 
     /// Returns the whole totals, for a child that was told none: as the frame for the others, but complete.
-    pub(crate) fn whole(&self, delta: &wire::Totals) -> wire::Totals {
-        difference(&Counts::default(), &self.shown.counts, Header { delta: false, ..Header::of(delta) })
+    pub(crate) fn complete_totals(&self, delta: &wire::Totals) -> wire::Totals {
+        difference(&CounterTable::default(), &self.shown.counts, Header { delta: false, ..Header::of(delta) })
     }
 }
 
@@ -150,16 +151,16 @@
     }
 }
 
-fn apply(counts: &mut Counts, frame: wire::Totals) {
+fn apply(counts: &mut CounterTable, frame: wire::Totals) {
     counts.proxies = frame.proxies;
-    apply_tallies(&mut counts.services, frame.services.into_iter().map(retry_counters), frame.delta);
-    apply_tallies(&mut counts.servers, frame.servers.into_iter().map(server_tally), frame.delta);
+    apply_counters(&mut counts.services, frame.services.into_iter().map(retry_counters), frame.delta);
+    apply_counters(&mut counts.servers, frame.servers.into_iter().map(load_counters), frame.delta);
 }
 
 /// Returns the frame that turns some sums into others.
-fn difference(from: &Counts, to: &Counts, header: Header) -> wire::Totals {
-    let services = tallies_between(&from.services, &to.services);
-    let servers = tallies_between(&from.servers, &to.servers);
+fn difference(from: &CounterTable, to: &CounterTable, header: Header) -> wire::Totals {
+    let services = counters_between(&from.services, &to.services);
+    let servers = counters_between(&from.servers, &to.servers);
     wire::Totals {
         complete: header.complete,
         delta: header.delta,
--- a/crates/state-sync/src/updates.rs
+++ b/crates/state-sync/src/updates.rs
@@ -7,7 +7,7 @@
 //! finds the very state whose digests were sent.
 
 use crate::children::{Phase, Subscription};
-use crate::node::{Action, FeedNode, Role};
+use crate::node::{Action, Role, SyncNode};
 use crate::publishing::items_of;
 use crate::store::{change, Change, ChangedKey, RANGES};
 use quillpulley_protocol::{Body, Item, Revision, Subscribe, Update, UpdateKind};
@@ -16,16 +16,16 @@
 use std::time::Duration;
 
 /// What a node can say to a subscription.
-enum Answer {
+enum RepairDecision {
     /// Nothing yet: it is behind the child, or does not know its own state.
-    Later,
+    Wait,
     /// The child is as far as this node or further, in the same epoch: the updates to come will do.
-    Nothing,
+    UpToDate,
     /// All items of these ranges.
-    Ranges(Vec<u8>),
+    Send(Vec<u8>),
 }
 
-impl<Child: Copy + Eq + Hash + Ord> FeedNode<Child> {
+impl<Child: Copy + Eq + Hash + Ord> SyncNode<Child> {
     pub(crate) fn subscribe(&mut self, now: Duration, actions: &mut Vec<Action<Child>>) {
         self.role = Role::Subscribing { at: now };
         let digests = self.store.digests().to_vec();
@@ -33,15 +33,15 @@
         actions.push(Action::SendParent(Body::Subscribe(Box::new(subscribe))));
     }
 
-    pub(crate) fn take_update(&mut self, now: Duration, update: Update, actions: &mut Vec<Action<Child>>) {
+    pub(crate) fn handle_update(&mut self, now: Duration, update: Update, actions: &mut Vec<Action<Child>>) {
         let is_subscribing = matches!(self.role, Role::Subscribing { .. });
         match update.kind {
-            UpdateKind::RangeRepair if is_subscribing => self.take_answer(now, update, actions),
+            UpdateKind::RangeRepair if is_subscribing => self.apply_repair(now, update, actions),
             UpdateKind::RangeRepair => {}
             UpdateKind::Changes | UpdateKind::Delta if is_subscribing || update.revision <= self.revision => {
             }
             UpdateKind::Changes | UpdateKind::Delta if self.fits(&update) => {
-                self.take_changes(now, update, actions);
+                self.apply_changes(now, update, actions);
             }
             UpdateKind::Changes | UpdateKind::Delta => self.subscribe(now, actions),
         }
@@ -55,7 +55,7 @@
         update.base == self.revision || (update.kind == UpdateKind::Changes && is_between)
     }
 
-    fn take_changes(&mut self, now: Duration, update: Update, actions: &mut Vec<Action<Child>>) {
+    fn apply_changes(&mut self, now: Duration, update: Update, actions: &mut Vec<Action<Child>>) {
         let changes = update.items.iter().cloned().map(change).collect();
         let changed = self.apply_all(changes);
         self.advance(now, update.revision);
@@ -64,7 +64,7 @@
         self.finish_update(now, digest, changed, actions);
     }
 
-    fn take_answer(&mut self, now: Duration, answer: Update, actions: &mut Vec<Action<Child>>) {
+    fn apply_repair(&mut self, now: Duration, answer: Update, actions: &mut Vec<Action<Child>>) {
         if answer.base != self.revision {
             return;
         }
@@ -72,7 +72,7 @@
         if answer.revision <= self.revision {
             return;
         }
-        let changes = self.changes_of_answer(&answer.complete, answer.items);
+        let changes = self.changes_of_repair(&answer.complete, answer.items);
         let changed = self.apply_all(changes);
         self.advance(now, answer.revision);
         if self.store.digest() == answer.digest {
@@ -82,7 +82,7 @@
     }
 
     /// Returns the items of an answer, and the removal of all others in its ranges.
-    fn changes_of_answer(&self, complete: &[u8], items: Vec<Item>) -> Vec<Change> {
+    fn changes_of_repair(&self, complete: &[u8], items: Vec<Item>) -> Vec<Change> {
         let present: HashSet<&str> = items.iter().map(|item| item.key.as_str()).collect();
         let gone = self.store.keys_of(complete).filter(|key| !present.contains(key));
         let gone: Vec<Change> = gone.map(|key| Change { key: key.to_string(), value: None }).collect();
@@ -108,7 +108,7 @@
         if self.damaged {
             self.subscribe(now, actions);
         }
-        self.answer_subscriptions(actions);
+        self.serve_subscriptions(actions);
     }
 
     /// Sends an update to the children that follow.
@@ -119,7 +119,7 @@
         }
     }
 
-    pub(crate) fn take_subscription(
+    pub(crate) fn handle_subscription(
         &mut self,
         child: Child,
         subscribe: Subscribe,
@@ -129,41 +129,41 @@
             return self.drop_child(child, actions);
         };
         if let Some(state) = self.children.get_mut(child) {
-            state.turn(Phase::Subscribed(subscription));
+            state.enter(Phase::Subscribed(subscription));
         }
-        self.answer_subscriptions(actions);
+        self.serve_subscriptions(actions);
     }
 
     /// Answers the subscriptions that can be answered, as many as the bound allows.
-    pub(crate) fn answer_subscriptions(&mut self, actions: &mut Vec<Action<Child>>) {
+    pub(crate) fn serve_subscriptions(&mut self, actions: &mut Vec<Action<Child>>) {
         for (child, subscription) in self.children.subscriptions() {
-            let ranges = match self.answer_to(&subscription) {
-                Answer::Later => continue,
-                Answer::Nothing => Vec::new(),
-                Answer::Ranges(_) if self.answers_left == 0 => continue,
-                Answer::Ranges(ranges) => ranges,
+            let ranges = match self.decide_repair(&subscription) {
+                RepairDecision::Wait => continue,
+                RepairDecision::UpToDate => Vec::new(),
+                RepairDecision::Send(_) if self.remaining_repairs == 0 => continue,
+                RepairDecision::Send(ranges) => ranges,
             };
             if !ranges.is_empty() {
-                self.answers_left -= 1;
+                self.remaining_repairs -= 1;
             }
-            self.send_answer(child, subscription.revision, ranges, actions);
+            self.send_repair(child, subscription.revision, ranges, actions);
         }
     }
 
-    fn answer_to(&self, subscription: &Subscription) -> Answer {
+    fn decide_repair(&self, subscription: &Subscription) -> RepairDecision {
         if !self.knows_own_state() || self.revision.epoch < subscription.revision.epoch {
-            return Answer::Later;
+            return RepairDecision::Wait;
         }
         if self.revision < subscription.revision {
-            return Answer::Nothing;
+            return RepairDecision::UpToDate;
         }
         let ranges = self.store.ranges_differing_from(&subscription.digests);
         if self.revision > subscription.revision {
-            Answer::Ranges(ranges)
+            RepairDecision::Send(ranges)
         } else if ranges.is_empty() {
-            Answer::Nothing
+            RepairDecision::UpToDate
         } else {
-            Answer::Later
+            RepairDecision::Wait
         }
     }
 
@@ -176,7 +176,7 @@
         is_announced && !self.damaged && self.revision != Revision::default()
     }
 
-    fn send_answer(
+    fn send_repair(
         &mut self,
         child: Child,
         base: Revision,
@@ -186,30 +186,31 @@
         let mut update = self.update(UpdateKind::RangeRepair, base, self.store.items_of(&ranges));
         update.complete = ranges;
         if let Some(state) = self.children.get_mut(child) {
-            state.turn(Phase::Following);
+            state.enter(Phase::Following);
         }
         actions.push(Action::SendChild(child, Body::Update(Box::new(update))));
     }
 
     pub(crate) fn tick_updates(&mut self, now: Duration, actions: &mut Vec<Action<Child>>) {
         if let Role::Subscribing { at } = self.role {
-            if now >= at + self.options.subscribe_again {
+            if now >= at + self.options.resubscribe_after {
                 self.subscribe(now, actions);
             }
         }
-        if now >= self.answers_since + self.options.answer_pause {
-            self.answers_since = now;
-            self.answers_left = self.options.answers_at_once;
+        if now >= self.repair_interval_began_at + self.options.repair_interval {
+            self.repair_interval_began_at = now;
+            self.remaining_repairs = self.options.max_concurrent_repairs;
         }
-        self.answer_subscriptions(actions);
+        self.serve_subscriptions(actions);
     }
 
     /// Returns when a subscription is to be repeated or an answer that was put off can be given.
     pub(crate) fn updates_due(&self) -> Duration {
-        let is_waiting = self.answers_left == 0 && self.children.values().any(|c| c.subscription().is_some());
+        let is_waiting =
+            self.remaining_repairs == 0 && self.children.values().any(|c| c.subscription().is_some());
         match self.role {
-            _ if is_waiting => self.answers_since + self.options.answer_pause,
-            Role::Subscribing { at } => at + self.options.subscribe_again,
+            _ if is_waiting => self.repair_interval_began_at + self.options.repair_interval,
+            Role::Subscribing { at } => at + self.options.resubscribe_after,
             Role::Root { .. } | Role::Orphan | Role::Following => Duration::MAX,
         }
     }
--- a/crates/state-sync/tests/begin_anew.rs
+++ b/crates/state-sync/tests/begin_anew.rs
@@ -1,14 +1,14 @@
 //! A child that begins anew on a connection that its parent takes for the one before.
 
 use quillpulley_protocol::Body;
-use quillpulley_state_sync::{Action, Event, FeedNode, LocalReport, Options};
+use quillpulley_state_sync::{Action, Event, LocalReport, Options, SyncNode};
 use std::time::Duration;
 
 /// Two nodes, and the frames between them.
 struct Pair {
     now: Duration,
-    root: FeedNode<u8>,
-    child: FeedNode<u8>,
+    root: SyncNode<u8>,
+    child: SyncNode<u8>,
 }
 
 const CHILD: u8 = 1;
@@ -16,9 +16,9 @@
 
 impl Pair {
     fn new() -> Pair {
-        let root = FeedNode::new(Options::control_node("root"));
+        let root = SyncNode::new(Options::control_node("root"));
         let mut pair =
-            Pair { now: Duration::ZERO, root, child: FeedNode::new(Options::control_node("child")) };
+            Pair { now: Duration::ZERO, root, child: SyncNode::new(Options::control_node("child")) };
         pair.at_root(Event::BecomeRoot { epoch: 1 });
         pair.at_root(Event::ChildUp(CHILD));
         pair
@@ -82,7 +82,7 @@
     pair.at_child(Event::LocalReport(LocalReport { proxies: 2, ..LocalReport::default() }));
     pair.at_child(Event::ParentUp);
     pair.go_on(Duration::from_secs(2));
-    pair.child = FeedNode::new(Options::control_node("child"));
+    pair.child = SyncNode::new(Options::control_node("child"));
     pair.at_child(Event::LocalReport(LocalReport { proxies: 3, ..LocalReport::default() }));
     pair.at_child(Event::ParentUp);
     pair.go_on(Duration::from_secs(4));
--- a/crates/state-sync/tests/frame_sizes.rs
+++ b/crates/state-sync/tests/frame_sizes.rs
@@ -1,7 +1,7 @@
 //! What frames take on the wire: the figures that `Options` gives hold.
 
 use quillpulley_protocol::{encode_frame, Body, EndpointState, ProxyEndpoint, ServerLoad, ServiceCounters};
-use quillpulley_state_sync::{server_key, Action, Event, FeedNode, LocalReport, Options};
+use quillpulley_state_sync::{server_key, Action, Event, LocalReport, Options, SyncNode};
 use std::time::Duration;
 
 const TICK: Duration = Duration::from_millis(500);
@@ -18,7 +18,7 @@
 
 /// The size of the second report on a connection, which is a delta.
 fn report_size(report: LocalReport) -> usize {
-    let mut node: FeedNode<u32> = FeedNode::new(Options::new("front-zona-10-1"));
+    let mut node: SyncNode<u32> = SyncNode::new(Options::new("front-zona-10-1"));
     let mut actions = Vec::new();
     node.handle(Duration::ZERO, Event::ParentUp, &mut actions);
     node.handle(Duration::ZERO, Event::LocalReport(report), &mut actions);
@@ -49,8 +49,8 @@
 
 #[test]
 fn a_heartbeat_is_small() {
-    let mut root: FeedNode<u32> = FeedNode::new(Options::new("root"));
-    let mut child: FeedNode<u32> = FeedNode::new(Options::new("child"));
+    let mut root: SyncNode<u32> = SyncNode::new(Options::new("root"));
+    let mut child: SyncNode<u32> = SyncNode::new(Options::new("child"));
     let mut actions = Vec::new();
     root.handle(Duration::ZERO, Event::BecomeRoot { epoch: 1 }, &mut actions);
     root.handle(Duration::ZERO, Event::Heartbeat, &mut actions);
--- a/crates/state-sync/tests/network/mod.rs
+++ b/crates/state-sync/tests/network/mod.rs
@@ -4,7 +4,7 @@
 pub mod timeline;
 
 use quillpulley_protocol::{Body, Revision};
-use quillpulley_state_sync::{Action, Change, Event, FeedNode, LocalReport, Options};
+use quillpulley_state_sync::{Action, Change, Event, LocalReport, Options, SyncNode};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
 
 pub struct Network {
     pub now: Duration,
-    pub nodes: Vec<FeedNode<LinkId>>,
+    pub nodes: Vec<SyncNode<LinkId>>,
     pub seen: Vec<Seen>,
     pub links: BTreeMap<LinkId, Link>,
     /// The connection of each node to its parent.
@@ -46,7 +46,7 @@
 
 impl Network {
     pub fn new(options: impl IntoIterator<Item = Options>) -> Self {
-        let nodes: Vec<_> = options.into_iter().map(FeedNode::new).collect();
+        let nodes: Vec<_> = options.into_iter().map(SyncNode::new).collect();
         let count = nodes.len();
         Network {
             now: Duration::ZERO,
--- a/crates/state-sync/tests/random_trees.rs
+++ b/crates/state-sync/tests/random_trees.rs
@@ -6,7 +6,7 @@
 use network::Network;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use quillpulley_protocol::{EndpointState, ProxyEndpoint, ServerLoad, ServiceCounters};
-use quillpulley_state_sync::{Counts, Event, LocalReport, Options, RetryCounters};
+use quillpulley_state_sync::{CounterTable, Event, LocalReport, Options, RetryCounters};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -172,8 +172,8 @@
         root
     }
 
-    fn expected_counts(&self) -> Counts {
-        let mut counts = Counts::default();
+    fn expected_counts(&self) -> CounterTable {
+        let mut counts = CounterTable::default();
         for report in self.reports.values() {
             counts.proxies += report.proxies;
             for count in &report.services {
--- a/crates/state-sync/tests/relay.rs
+++ b/crates/state-sync/tests/relay.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::{quickcheck, TestResult};
 use quillpulley_protocol::{ControlNode, EndpointState, ProxyEndpoint};
-use quillpulley_state_sync::relay::{parent_candidates, ParentCandidate, Surroundings, FAN_OUT};
+use quillpulley_state_sync::parent_selection::{parent_candidates, ParentCandidate, TreeTopology, FAN_OUT};
 use std::collections::{BTreeMap, HashSet};
 use std::net::Ipv4Addr;
 
@@ -42,7 +42,7 @@
     failed: &[ParentCandidate],
 ) -> Vec<ParentCandidate> {
     let seeds = [Ipv4Addr::from_bits(0x0a09_0001), Ipv4Addr::from_bits(0x0a09_0063)];
-    parent_candidates(&Surroundings {
+    parent_candidates(&TreeTopology {
         name: &own.name,
         zone: &own.zone,
         region: &own.region,
--- a/crates/state-sync/tests/store.rs
+++ b/crates/state-sync/tests/store.rs
@@ -1,17 +1,17 @@
 //! The digests of a store follow its items, and say where two stores differ.
 
 use quickcheck::quickcheck;
-use quillpulley_state_sync::{Change, Event, FeedNode, Options, Store};
+use quillpulley_state_sync::{Change, Event, Options, Store, SyncNode};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-fn root() -> FeedNode<u8> {
-    let mut node = FeedNode::new(Options::new("root"));
+fn root() -> SyncNode<u8> {
+    let mut node = SyncNode::new(Options::new("root"));
     node.handle(Duration::ZERO, Event::BecomeRoot { epoch: 1 }, &mut Vec::new());
     node
 }
 
-fn publish(node: &mut FeedNode<u8>, changes: Vec<Change>) {
+fn publish(node: &mut SyncNode<u8>, changes: Vec<Change>) {
     node.handle(Duration::ZERO, Event::Publish(changes), &mut Vec::new());
 }
 
--- a/crates/state-sync/tests/timelines_counts.rs
+++ b/crates/state-sync/tests/timelines_counts.rs
@@ -156,7 +156,7 @@
 #[test]
 fn changed_servers_take_turns_where_they_are_too_many_for_a_frame() {
     fn ten_servers(name: &str) -> Options {
-        Options { servers_per_frame: 10, ..Options::new(name) }
+        Options { max_servers_per_frame: 10, ..Options::new(name) }
     }
     let timeline = play_with(
         "
--- a/crates/state-sync/tests/timelines_state.rs
+++ b/crates/state-sync/tests/timelines_state.rs
@@ -244,7 +244,11 @@
 #[test]
 fn many_subscriptions_are_answered_a_few_at_a_time() {
     fn one_at_once(name: &str) -> Options {
-        Options { answers_at_once: 1, answer_pause: Duration::from_millis(50), ..Options::new(name) }
+        Options {
+            max_concurrent_repairs: 1,
+            repair_interval: Duration::from_millis(50),
+            ..Options::new(name)
+        }
     }
     play_with(
         "
@@ -262,7 +266,7 @@
 #[test]
 fn children_beyond_the_bound_are_turned_away() {
     fn two_children(name: &str) -> Options {
-        Options { fan_out_max: 2, ..Options::new(name) }
+        Options { max_children: 2, ..Options::new(name) }
     }
     let timeline = play_with(
         "
