--- a/crates/http1-client/src/lib.rs
+++ b/crates/http1-client/src/lib.rs
@@ -1,10 +1,16 @@
-//! Outgoing and incoming HTTP/1.1 connections that know how far a message has been written.
+//! HTTP/1.1 connections that know how far a message has been written.
+//!
+//! - [`ClientConnection`]: an outgoing connection. Nothing is ever sent twice on it.
+//! - [`ConnectionManager`]: all incoming connections, accepted within a budget and drained without losing a request.
+//! - [`Socket`]: the socket of either, with its [`WriteProgress`].
 #![forbid(unsafe_code)]
 
-mod connections;
-mod link;
+mod client_connection;
+mod connection_manager;
+mod server_connection;
 mod socket;
 
-pub use connections::{Connection, ConnectionOptions, Connections, Service};
-pub use link::{Failure, Link, LinkOptions};
-pub use socket::{Socket, Tracked, Written};
+pub use client_connection::{ClientConnection, ConnectionLimits, ResponseError};
+pub use connection_manager::{ConnectionManager, ConnectionOptions, Linger};
+pub use server_connection::{ServerConnection, Service};
+pub use socket::{Socket, Tracked, WriteProgress};
--- /dev/null
+++ b/crates/http1-client/src/server_connection.rs
@@ -0,0 +1,282 @@
+//! An incoming connection: its state, and how it is served.
+
+use crate::connection_manager::ConnectionOptions;
+use crate::socket::{Socket, Tracked};
+use bytes::Bytes;
+use hyper::body::{Body, Frame, Incoming, SizeHint};
+use hyper::header::CONNECTION;
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper::{Request, Response};
+use hyper_util::rt::{TokioIo, TokioTimer};
+use std::cell::Cell;
+use std::convert::Infallible;
+use std::error::Error;
+use std::future::Future;
+use std::io;
+use std::pin::{pin, Pin};
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use std::time::Duration;
+use tokio::sync::Notify;
+use tokio::time::Instant;
+
+/// Responds to the requests of all connections.
+pub trait Service: 'static {
+    /// The body of its responses.
+    type Body: Body<Data = Bytes, Error: Into<Box<dyn Error + Send + Sync>>> + Unpin + 'static;
+
+    /// Responds to a request. `accepted_at` is when the connection was accepted, for its first request.
+    fn respond(
+        self: Rc<Self>,
+        request: Request<Incoming>,
+        connection: Rc<ServerConnection>,
+        accepted_at: Option<Instant>,
+    ) -> impl Future<Output = Response<Self::Body>>;
+
+    /// Handles that a connection could not be accepted. It is tried again.
+    fn accept_failed(&self, error: &io::Error);
+}
+
+/// Which connection is closed first to make room: those that never sent a request, then those that are idle longest.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct CloseRank {
+    has_requested: bool,
+    idle_since: Instant,
+}
+
+/// How a connection ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ServeEnd {
+    /// The last response may meet a client that still sends.
+    Linger,
+    /// Nothing is left to be read or written.
+    Closed,
+}
+
+/// An incoming connection.
+pub struct ServerConnection {
+    socket: Rc<Socket>,
+    /// Whether a request is open.
+    busy: Cell<bool>,
+    /// Whether a complete head of a request has come.
+    has_requested: Cell<bool>,
+    /// When the connection became busy or idle: at first when it was accepted.
+    since: Cell<Instant>,
+    /// When a part of a head was seen first.
+    head_since: Cell<Option<Instant>>,
+    /// Whether the latest response says that the connection closes.
+    closing: Cell<bool>,
+    /// Whether it closes without another response.
+    aborted: Cell<bool>,
+    /// Whether it closes at once, also with a request open.
+    closes_now: Cell<bool>,
+    /// Asks it to close once no request is open.
+    close: Notify,
+}
+
+impl ServerConnection {
+    pub(crate) fn new(socket: Rc<Socket>) -> Self {
+        ServerConnection {
+            socket,
+            busy: Cell::new(false),
+            has_requested: Cell::new(false),
+            since: Cell::new(Instant::now()),
+            head_since: Cell::new(None),
+            closing: Cell::new(false),
+            aborted: Cell::new(false),
+            closes_now: Cell::new(false),
+            close: Notify::new(),
+        }
+    }
+
+    /// Returns the socket.
+    pub fn socket(&self) -> &Rc<Socket> {
+        &self.socket
+    }
+
+    /// Closes the connection at once, also in the middle of a response, which then does not look complete. For
+    /// responses that the client does not read.
+    pub fn close_now(&self) {
+        self.closes_now.set(true);
+        self.close.notify_one();
+    }
+
+    /// Closes the connection without another response.
+    pub(crate) fn abort(&self) {
+        self.aborted.set(true);
+        self.close.notify_one();
+    }
+
+    /// Asks the connection to close once no request is open.
+    pub(crate) fn request_close(&self) {
+        self.close.notify_one();
+    }
+
+    /// Waits until the connection is asked to close.
+    pub(crate) async fn close_requested(&self) {
+        self.close.notified().await;
+    }
+
+    /// Returns whether a complete head of a request has come.
+    pub(crate) fn has_requested(&self) -> bool {
+        self.has_requested.get()
+    }
+
+    /// Forgets the requests of the connection, which has had its last response: it gives way like a silent one.
+    pub(crate) fn set_silent(&self) {
+        self.has_requested.set(false);
+        self.since.set(Instant::now());
+    }
+
+    /// Returns whether the connection has been idle for longer than `idle_grace`.
+    pub(crate) fn is_idle(&self, idle_grace: Duration) -> bool {
+        !self.busy.get() && self.since.get().elapsed() > idle_grace
+    }
+
+    /// Returns the rank of the connection if it may be closed to make room. Silent connections come first, so that they
+    /// crowd out no client.
+    pub(crate) fn close_rank(&self, options: &ConnectionOptions) -> Option<CloseRank> {
+        let is_silent = !self.has_requested.get() && self.is_idle(options.silent_grace);
+        let rank = CloseRank { has_requested: self.has_requested.get(), idle_since: self.since.get() };
+        (is_silent || self.is_idle(options.idle_grace)).then_some(rank)
+    }
+
+    /// Returns whether the connection has been idle for too long, or the head of its next request takes too long.
+    pub(crate) fn is_slow(&self, idle_timeout: Duration, header_timeout: Duration) -> bool {
+        if self.busy.get() {
+            self.head_since.set(None);
+            return false;
+        }
+        if !self.socket.has_input() {
+            self.head_since.set(None);
+            return self.since.get().elapsed() > idle_timeout && self.socket.is_quiet();
+        }
+        let head_since = self.head_since.get().unwrap_or_else(Instant::now);
+        self.head_since.set(Some(head_since));
+        head_since.elapsed() > header_timeout
+    }
+
+    /// Serves the connection until it accepts no more requests.
+    pub(crate) async fn serve<S: Service>(
+        self: &Rc<Self>,
+        options: &ConnectionOptions,
+        service: &Rc<S>,
+        draining: &Cell<bool>,
+    ) -> ServeEnd {
+        let respond = service_fn(|request| self.clone().respond(request, service.clone()));
+        let mut http = http1::Builder::new();
+        if let Some(header_timeout) = options.header_timeout {
+            http.timer(TokioTimer::new()).header_read_timeout(header_timeout);
+        }
+        http.max_buf_size(options.max_header_bytes);
+        let io = TokioIo::new(Tracked(self.socket.clone()));
+        let mut connection = pin!(http.serve_connection(io, respond));
+        loop {
+            tokio::select! {
+                // An error here is the client's: it left, was too slow, or sent invalid HTTP and got a response.
+                end = connection.as_mut() => {
+                    let lingers = end.map_or_else(|error| error.is_parse(), |()| self.closing.get());
+                    return if lingers { ServeEnd::Linger } else { ServeEnd::Closed };
+                }
+                () = self.close.notified() => match self.close_action(draining.get()) {
+                    CloseAction::Now => return ServeEnd::Closed,
+                    CloseAction::Gracefully => connection.as_mut().graceful_shutdown(),
+                    CloseAction::Later => {}
+                },
+            }
+        }
+    }
+
+    async fn respond<S: Service>(
+        self: Rc<Self>,
+        request: Request<Incoming>,
+        service: Rc<S>,
+    ) -> Result<Response<BusyBody<S::Body>>, Infallible> {
+        let accepted_at = (!self.has_requested.replace(true)).then(|| self.since.get());
+        let busy = BusyGuard::new(self.clone());
+        let response = service.respond(request, self.clone(), accepted_at).await;
+        if response.headers().contains_key(CONNECTION) {
+            self.closing.set(true);
+        }
+        Ok(response.map(|body| BusyBody { body, _busy: busy }))
+    }
+
+    /// Returns how the connection closes after it was asked to.
+    fn close_action(&self, draining: bool) -> CloseAction {
+        if self.closes_now.get() {
+            return CloseAction::Now;
+        }
+        if self.busy.get() {
+            self.closing.set(true);
+            return CloseAction::Gracefully;
+        }
+        if self.aborted.get() {
+            return CloseAction::Now;
+        }
+        // A request that is unread or partly read would be lost with its connection: it is served first. When the
+        // connection only makes room, a part of a head on one that never sent a request does not count.
+        let expects_request = self.has_requested.get() || draining;
+        if !self.socket.is_quiet() || (expects_request && self.socket.has_input()) {
+            return CloseAction::Later;
+        }
+        // A part of a head would delay hyper's own shutdown.
+        match self.has_requested.get() {
+            true => CloseAction::Gracefully,
+            false => CloseAction::Now,
+        }
+    }
+}
+
+/// How a connection that was asked to close does so.
+enum CloseAction {
+    /// At once.
+    Now,
+    /// After the response that is open, if any.
+    Gracefully,
+    /// Not yet: a request is on its way.
+    Later,
+}
+
+/// Marks a connection as busy while a request is open.
+struct BusyGuard(Rc<ServerConnection>);
+
+impl BusyGuard {
+    fn new(connection: Rc<ServerConnection>) -> Self {
+        connection.busy.set(true);
+        BusyGuard(connection)
+    }
+}
+
+impl Drop for BusyGuard {
+    fn drop(&mut self) {
+        self.0.busy.set(false);
+        self.0.since.set(Instant::now());
+    }
+}
+
+/// The body of a response, whose connection is busy until hyper has taken all of it.
+struct BusyBody<B> {
+    body: B,
+    _busy: BusyGuard,
+}
+
+impl<B: Body + Unpin> Body for BusyBody<B> {
+    type Data = B::Data;
+    type Error = B::Error;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Self::Data>, Self::Error>>> {
+        Pin::new(&mut self.body).poll_frame(cx)
+    }
+
+    fn is_end_stream(&self) -> bool {
+        self.body.is_end_stream()
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        self.body.size_hint()
+    }
+}
--- a/crates/http1-client/src/socket.rs
+++ b/crates/http1-client/src/socket.rs
@@ -1,4 +1,4 @@
-//! A socket that records how far the latest message was written, and what came in.
+//! A socket that records how far the latest message was written, and what was received.
 
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
@@ -15,102 +15,102 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How much of the latest request has been handed to the kernel.
+/// How much of the latest message has been handed to the kernel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Written {
-    /// Not a byte.
-    Nothing,
-    /// Some of it.
-    Part,
-    /// Its last byte too.
-    Whole,
+pub enum WriteProgress {
+    /// Not one byte.
+    NotStarted,
+    /// Some bytes.
+    Partial,
+    /// All bytes.
+    Complete,
 }
 
-/// A socket that knows how far the latest message was written.
+/// A socket that records how far the latest message was written.
 pub struct Socket {
     /// Reads without asking the kernel once more after it has given less than there was room for.
     reader: RefCell<OwnedReadHalf>,
-    /// There until the socket is dropped.
+    /// Present until the socket is dropped.
     writer: Option<OwnedWriteHalf>,
-    written: Cell<Written>,
-    /// Something has come since the latest message was begun.
-    answering: Cell<bool>,
-    /// The first bytes that came since [`Socket::record`], so many at most.
-    recorded: RefCell<Vec<u8>>,
-    record_most: Cell<usize>,
-    /// This side has ended the connection at once.
+    write_progress: Cell<WriteProgress>,
+    /// Whether anything was received since the latest message was begun.
+    response_started: Cell<bool>,
+    /// The first bytes received since [`Socket::record_input`].
+    recorded_input: RefCell<Vec<u8>>,
+    record_limit: Cell<usize>,
+    /// Whether this side has aborted the connection.
     aborted: Cell<bool>,
 }
 
 impl Socket {
-    /// Small messages are to go out at once.
+    /// Wraps a stream. Small messages go out at once.
     pub fn new(stream: TcpStream) -> Rc<Self> {
         let _ = stream.set_nodelay(true);
         let (reader, writer) = stream.into_split();
         Rc::new(Socket {
             reader: RefCell::new(reader),
             writer: Some(writer),
-            written: Cell::new(Written::Nothing),
-            answering: Cell::new(false),
-            recorded: RefCell::default(),
-            record_most: Cell::new(0),
+            write_progress: Cell::new(WriteProgress::NotStarted),
+            response_started: Cell::new(false),
+            recorded_input: RefCell::default(),
+            record_limit: Cell::new(0),
             aborted: Cell::new(false),
         })
     }
 
     fn stream(&self) -> &TcpStream {
-        self.writer.as_ref().expect("it is there until the socket is dropped").as_ref()
+        self.writer.as_ref().expect("present until the socket is dropped").as_ref()
     }
 
     /// Returns how much of the latest message has been written.
-    pub fn written(&self) -> Written {
-        self.written.get()
+    pub fn write_progress(&self) -> WriteProgress {
+        self.write_progress.get()
     }
 
-    /// From now on it is about the next message that goes out.
+    /// Begins to record the progress of the next message.
     pub(crate) fn begin_message(&self) {
-        self.written.set(Written::Nothing);
+        self.write_progress.set(WriteProgress::NotStarted);
     }
 
-    /// Forgets that anything has come.
-    pub(crate) fn set_unanswered(&self) {
-        self.answering.set(false);
+    /// Forgets that anything was received.
+    pub(crate) fn reset_response_started(&self) {
+        self.response_started.set(false);
     }
 
-    /// Returns whether something has come since [`Socket::set_unanswered`].
-    pub(crate) fn answering(&self) -> bool {
-        self.answering.get()
+    /// Returns whether anything was received since [`Socket::reset_response_started`].
+    pub(crate) fn response_started(&self) -> bool {
+        self.response_started.get()
     }
 
-    /// Ends the connection at once, also while its owner is still to be dropped: a server must never see the
-    /// next attempt of a request while this one still looks open. What is read later fails: the end of what was
-    /// sent until then must not pass for the end that the peer meant.
+    /// Closes the connection at once, before its owner is dropped: a server must never see the next attempt of a request
+    /// while this one still looks open. Later reads fail, so that the end of the input does not look like an orderly
+    /// close by the peer.
     pub fn abort(&self) {
         self.aborted.set(true);
         let _ = SockRef::from(self.stream()).shutdown(Shutdown::Both);
     }
 
-    /// Records anew what comes in, up to so many bytes; none for 0.
-    pub fn record(&self, most: usize) {
-        self.recorded.borrow_mut().clear();
-        self.record_most.set(most);
+    /// Begins to record the next `limit` bytes that are received.
+    pub fn record_input(&self, limit: usize) {
+        self.recorded_input.borrow_mut().clear();
+        self.record_limit.set(limit);
     }
 
-    /// Returns what was recorded; from now on nothing is.
-    pub fn recorded(&self) -> Vec<u8> {
-        self.record_most.set(0);
-        self.recorded.take()
+    /// Returns the recorded bytes, and stops recording.
+    pub fn recorded_input(&self) -> Vec<u8> {
+        self.record_limit.set(0);
+        self.recorded_input.take()
     }
 
-    /// Writes no more, and reads on until the peer has closed, or has had so much time or sent so many bytes.
-    pub async fn linger(&self, time: Duration, most: usize) {
+    /// Stops writing, and reads until the peer has closed, or for up to `time` and `bytes`.
+    pub async fn linger(&self, time: Duration, bytes: usize) {
         let _ = SockRef::from(self.stream()).shutdown(Shutdown::Write);
         let discard = async {
-            let mut left = most;
+            let mut remaining = bytes;
             let mut buffer = vec![0; 8 * 1024];
-            while left > 0 && self.stream().readable().await.is_ok() {
+            while remaining > 0 && self.stream().readable().await.is_ok() {
                 match self.stream().try_read(&mut buffer) {
-                    Ok(n) if n > 0 => left = left.saturating_sub(n),
+                    Ok(read) if read > 0 => remaining = remaining.saturating_sub(read),
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                     _ => break,
                 }
@@ -119,28 +119,31 @@
         let _ = timeout(time, discard).await;
     }
 
-    /// Waits until the peer has closed or ended its sending, also behind bytes that nobody has read.
-    pub async fn peer_left(&self) {
-        // Of this interest the socket reports nothing but the end of what comes in.
+    /// Waits until the peer has closed the connection or its sending side, also behind unread bytes.
+    pub async fn peer_closed(&self) {
+        // With this interest the socket reports only the end of the input.
         match self.stream().ready(Interest::PRIORITY).await {
             Ok(ready) if !ready.is_read_closed() => pending().await,
             _ => {}
         }
     }
 
-    /// Returns whether a part of a message has come since [`Socket::record`].
-    pub fn begun(&self) -> bool {
-        !self.recorded.borrow().is_empty()
+    /// Returns whether anything was received since [`Socket::record_input`].
+    pub fn has_input(&self) -> bool {
+        !self.recorded_input.borrow().is_empty()
     }
 
-    /// Returns for how long the peer may leave what was written unacknowledged before the connection breaks.
+    /// Sets for how long written bytes may stay unacknowledged before the connection breaks.
+    ///
+    /// # Errors
+    /// Those of the socket.
     pub fn set_user_timeout(&self, time: Duration) -> io::Result<()> {
         SockRef::from(self.stream()).set_tcp_user_timeout(Some(time))
     }
 
-    /// Returns whether the connection is open and has nothing to read. Asks the kernel, since the runtime may not
-    /// have noticed yet.
-    pub fn quiet(&self) -> bool {
+    /// Returns whether the connection is open and has nothing to read. Asks the kernel, as the runtime may not have
+    /// noticed yet.
+    pub fn is_quiet(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let peeked = SockRef::from(self.stream()).peek(&mut byte);
         matches!(peeked, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
@@ -148,7 +151,7 @@
 }
 
 impl Drop for Socket {
-    /// Closes it as a whole: the half alone would end its writing in order first.
+    /// Closes both directions at once: dropping the writing half alone would shut it down in an orderly way first.
     fn drop(&mut self) {
         if let Some(writer) = self.writer.take() {
             writer.forget();
@@ -156,7 +159,7 @@
     }
 }
 
-/// The side of the socket that hyper reads and writes.
+/// A socket as hyper reads and writes it.
 pub struct Tracked(pub Rc<Socket>);
 
 impl AsyncRead for Tracked {
@@ -167,10 +170,10 @@
         if data.is_empty() && self.0.aborted.get() {
             return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
         }
-        self.0.answering.set(true);
-        let mut recorded = self.0.recorded.borrow_mut();
-        let room = self.0.record_most.get().saturating_sub(recorded.len());
-        recorded.extend_from_slice(&data[..data.len().min(room)]);
+        self.0.response_started.set(true);
+        let mut recorded_input = self.0.recorded_input.borrow_mut();
+        let room = self.0.record_limit.get().saturating_sub(recorded_input.len());
+        recorded_input.extend_from_slice(&data[..data.len().min(room)]);
         Poll::Ready(Ok(()))
     }
 }
@@ -190,7 +193,7 @@
             match self.0.stream().try_write_vectored(bufs) {
                 Ok(n) => {
                     if n > 0 {
-                        self.0.written.set(Written::Part);
+                        self.0.write_progress.set(WriteProgress::Partial);
                     }
                     return Poll::Ready(Ok(n));
                 }
@@ -204,11 +207,11 @@
         true
     }
 
-    /// hyper flushes once its buffer is empty, and a request with a ready body is buffered whole before any
-    /// of it is written: a flush after a write means that the last byte is out.
+    /// hyper flushes once its buffer is empty, and buffers a request with a ready body completely before it writes any
+    /// of it: a flush after a write means that the last byte was written.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.0.written.get() == Written::Part {
-            self.0.written.set(Written::Whole);
+        if self.0.write_progress.get() == WriteProgress::Partial {
+            self.0.write_progress.set(WriteProgress::Complete);
         }
         Poll::Ready(Ok(()))
     }
--- a/crates/http1-client/tests/link/server.rs
+++ b/crates/http1-client/tests/client_connection/server.rs
@@ -70,7 +70,7 @@
             }
             "close" => return,
             word => {
-                let _ = stream.get_mut().write_all(answer(word).as_bytes()).await;
+                let _ = stream.get_mut().write_all(body_timeout(word).as_bytes()).await;
             }
         }
     }
@@ -78,7 +78,7 @@
     let _ = stream.read_to_end(&mut Vec::new()).await;
 }
 
-fn answer(word: &str) -> String {
+fn body_timeout(word: &str) -> String {
     let ok = "HTTP/1.1 200 OK\r\n";
     match word {
         "ok" => format!("{ok}Content-Length: 4\r\n\r\ndone"),
--- a/crates/load-balancer/src/balancer/condition.rs
+++ b/crates/load-balancer/src/balancer/condition_cost.rs
@@ -14,7 +14,7 @@
     /// For a server that fails more often than others.
     pub(super) failing: f64,
     /// For a server that is cold.
-    pub(super) cold: f64,
+    pub(super) warming: f64,
 }
 
 impl ConditionCosts {
@@ -22,8 +22,8 @@
     pub(super) fn of(&self, server: &Server, medians: &Medians, now: Duration) -> f64 {
         let slowness = server.speed.slowness(now, medians.token_ms);
         let slow = if slowness > SLOW_FROM { (slowness - 1.0) * self.slow } else { 0.0 };
-        let failing = if server.failing_share(now) > medians.failing_from { self.failing } else { 0.0 };
-        let cold = if server.is_cold(now) { self.cold } else { 0.0 };
-        slow + failing + cold
+        let failing = if server.failure_rate(now) > medians.failing_from { self.failing } else { 0.0 };
+        let warming = if server.is_warming(now) { self.warming } else { 0.0 };
+        slow + failing + warming
     }
 }
--- a/crates/load-balancer/src/balancer/candidates.rs
+++ b/crates/load-balancer/src/balancer/eligibility.rs
@@ -1,73 +1,73 @@
 //! Which servers may get a request now.
 
-use super::health::Fitness;
-use super::prefix::{PrefixKey, LONG_PREFIX_TOKENS};
+use super::outlier_detection::HealthStatus;
+use super::prefix_cache::{PrefixKey, LONG_PREFIX_TOKENS};
 use super::server::Server;
 use super::service::{ServiceSettings, ServiceState};
-use super::speed::Pace;
-use super::warmup::Share;
+use super::service_rate::ServiceRate;
+use super::slow_start::SlowStartShare;
 use super::{Balancer, ServerKey};
 use crate::demand::Demand;
 use std::time::Duration;
 
 /// Beyond its slots a server takes this part of them into its queue, from urgent requests alone: so they find a
 /// place when less urgent ones do not.
-const QUEUE_PART: f64 = 0.25;
+const QUEUE_FRACTION: f64 = 0.25;
 /// From this part of its slots on, a server has a place only for what it will have read within these parts of its
 /// objective, for urgent requests and for others: late answers earn little, and make more of them late.
-const BUSY_PART: f64 = 0.5;
-const URGENT_READ_PART: f64 = 0.9;
-const OTHER_READ_PART: f64 = 0.6;
+const BUSY_FRACTION: f64 = 0.5;
+const URGENT_READ_FRACTION: f64 = 0.9;
+const OTHER_READ_FRACTION: f64 = 0.6;
 /// While more of the slots are taken, requests with long shared parts wait for a server that has read them.
 const SPILL_UNTIL: f64 = 0.75;
 /// A server that has this part of the shared tokens to read, or less, has read them.
 const READER_UNREAD: f64 = 0.5;
 /// Limiters get more than their even share of a server's connections, since few need theirs at the same time.
 const CONNECTIONS_FACTOR: f64 = 1.5;
-const LEAST_CONNECTIONS: f64 = 2.0;
+const MIN_CONNECTIONS: f64 = 2.0;
 
 /// Whether a server may get a request, the best first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Standing {
+pub(super) enum Eligibility {
     /// It has a place.
-    Good,
+    Eligible,
     /// It has a place, but may be dead.
-    Doubtful,
+    Suspect,
     /// It has a place, but fails.
     Ejected,
     /// It is well, but has no place.
     Full,
     /// It must get nothing now.
-    Closed,
+    Ineligible,
 }
 
-impl Standing {
+impl Eligibility {
     /// Returns whether a request may be sent there.
     pub(super) fn is_open(self) -> bool {
-        self < Standing::Full
+        self < Eligibility::Full
     }
 }
 
 /// A server that the request may go to, as far as routes and the list are concerned.
 pub(super) struct Candidate {
     pub(super) key: ServerKey,
-    pub(super) standing: Standing,
+    pub(super) eligibility: Eligibility,
     /// The part of the request's shared tokens that it is taken to have to read.
     pub(super) unread: f64,
 }
 
 /// What candidates are judged by.
-struct Judge<'a> {
+struct EligibilityPolicy<'a> {
     now: Duration,
     settings: &'a ServiceSettings,
     urgent: bool,
     /// The tokens that a server may have to read until the request's first byte, where it is busy.
     readable_tokens: f64,
-    pace: Pace,
+    rate: ServiceRate,
     connections: u32,
     /// `None` where a cold server gets nothing for want of knowing the other limiters.
-    alone: Option<Share>,
-    knows_limiters: bool,
+    alone: Option<SlowStartShare>,
+    knows_proxies: bool,
 }
 
 impl Balancer {
@@ -81,22 +81,24 @@
     ) -> Vec<Candidate> {
         let allowed = self.allowed(service, demand);
         let mut candidates = ranked(&allowed, demand);
-        let judge = self.judge(now, service, demand, &allowed);
+        let eligibility_policy = self.eligibility_policy(now, service, demand, &allowed);
         for (candidate, (_, server)) in candidates.iter_mut().zip(&allowed) {
-            candidate.standing = judge.standing(server);
+            candidate.eligibility = eligibility_policy.eligibility(server);
         }
-        open_the_ejected(&mut candidates);
+        readmit_ejected(&mut candidates);
         candidates.retain(|candidate| !exclude.contains(&candidate.key));
-        if demand.shared_tokens() >= LONG_PREFIX_TOKENS && judge.busy_part(&allowed) > SPILL_UNTIL {
-            keep_to_readers(&mut candidates);
+        if demand.shared_tokens() >= LONG_PREFIX_TOKENS
+            && eligibility_policy.occupancy_of(&allowed) > SPILL_UNTIL
+        {
+            restrict_to_cached(&mut candidates);
         }
         candidates
     }
 
     /// Tokens of a request's prompt that a server is taken to have to read.
     pub(super) fn unread_tokens(&self, now: Duration, key: ServerKey, demand: &Demand<'_>) -> u32 {
-        let kept = self.kept.read_tokens(now, key, demand.prefix);
-        let by_own_sends = demand.prompt_tokens.saturating_sub(kept);
+        let cached = self.cached.read_tokens(now, key, demand.prefix);
+        let by_own_sends = demand.prompt_tokens.saturating_sub(cached);
         let Some(service) = self.services.get(demand.service) else { return by_own_sends };
         let candidates = ranked(&self.allowed(service, demand), demand);
         let candidate = candidates.iter().find(|candidate| candidate.key == key);
@@ -108,81 +110,86 @@
     /// Servers that may be used, in regions where the request may be served.
     fn allowed(&self, service: &ServiceState, demand: &Demand<'_>) -> Vec<(ServerKey, &Server)> {
         let servers = service.servers.iter().filter_map(|key| Some((*key, self.servers.get(*key)?)));
-        let is_allowed = |server: &Server| server.is_usable() && demand.may_go_to(&server.info.place.region);
+        let is_allowed =
+            |server: &Server| server.is_usable() && demand.may_go_to(&server.info.locality.region);
         servers.filter(|(_, server)| is_allowed(server)).collect()
     }
 
-    fn judge<'a>(
+    fn eligibility_policy<'a>(
         &self,
         now: Duration,
         service: &'a ServiceState,
         demand: &Demand<'_>,
         allowed: &[(ServerKey, &Server)],
-    ) -> Judge<'a> {
+    ) -> EligibilityPolicy<'a> {
         let urgent = service.most_urgent.is_none_or(|most| demand.priority <= most);
-        let read_part = if urgent { URGENT_READ_PART } else { OTHER_READ_PART };
+        let read_part = if urgent { URGENT_READ_FRACTION } else { OTHER_READ_FRACTION };
         let readable_ms = demand.objective.as_secs_f64() * 1e3 * read_part;
-        let any_warm = allowed.iter().any(|(_, server)| !server.is_cold(now));
-        Judge {
+        let any_warm = allowed.iter().any(|(_, server)| !server.is_warming(now));
+        EligibilityPolicy {
             now,
             settings: &service.settings,
             urgent,
-            readable_tokens: readable_ms / service.pace.token_ms(),
-            pace: service.pace,
-            connections: self.connection_share(&service.settings),
-            alone: (!any_warm).then_some(Share::ALONE),
-            knows_limiters: self.limiters.iter().any(|limiter| limiter.name == self.options.name),
+            readable_tokens: readable_ms / service.rate.token_ms(),
+            rate: service.rate,
+            connections: self.connection_quota(&service.settings),
+            alone: (!any_warm).then_some(SlowStartShare::ALONE),
+            knows_proxies: self.proxies.iter().any(|limiter| limiter.name == self.options.name),
         }
     }
 
     /// Connections of a server that this limiter may use.
-    fn connection_share(&self, settings: &ServiceSettings) -> u32 {
+    fn connection_quota(&self, settings: &ServiceSettings) -> u32 {
         if settings.max_connections == 0 {
             return u32::MAX;
         }
-        let even = f64::from(settings.max_connections) / self.limiters.len().max(1) as f64;
-        let share = (even * CONNECTIONS_FACTOR).max(LEAST_CONNECTIONS) as u32;
+        let even = f64::from(settings.max_connections) / self.proxies.len().max(1) as f64;
+        let share = (even * CONNECTIONS_FACTOR).max(MIN_CONNECTIONS) as u32;
         share.min(settings.max_connections)
     }
 }
 
-impl Judge<'_> {
-    fn standing(&self, server: &Server) -> Standing {
+impl EligibilityPolicy<'_> {
+    fn eligibility(&self, server: &Server) -> Eligibility {
         if !self.warmup_allows(server) {
-            return Standing::Closed;
+            return Eligibility::Ineligible;
         }
-        let has_place = self.has_place(server);
-        match server.health.fitness(self.now, self.urgent) {
-            Fitness::Ejected if has_place => Standing::Ejected,
-            Fitness::Ejected => Standing::Closed,
-            Fitness::Healthy | Fitness::Trial if !has_place => Standing::Full,
-            Fitness::Healthy | Fitness::Trial if server.load.is_silent(self.now, &self.pace) => {
-                Standing::Doubtful
+        let has_capacity = self.has_capacity(server);
+        match server.health.status(self.now, self.urgent) {
+            HealthStatus::Ejected if has_capacity => Eligibility::Ejected,
+            HealthStatus::Ejected => Eligibility::Ineligible,
+            HealthStatus::Healthy | HealthStatus::Probation if !has_capacity => Eligibility::Full,
+            HealthStatus::Healthy | HealthStatus::Probation
+                if server.load.is_unresponsive(self.now, &self.rate) =>
+            {
+                Eligibility::Suspect
             }
-            Fitness::Healthy | Fitness::Trial => Standing::Good,
+            HealthStatus::Healthy | HealthStatus::Probation => Eligibility::Eligible,
         }
     }
 
     /// Returns the part of all slots that is taken.
-    fn busy_part(&self, servers: &[(ServerKey, &Server)]) -> f64 {
+    fn occupancy_of(&self, servers: &[(ServerKey, &Server)]) -> f64 {
         let requests: f64 = servers.iter().map(|(_, server)| server.load.total(self.now).requests()).sum();
         let slots: f64 = servers.iter().map(|(_, server)| self.settings.slots(&server.info)).sum();
         requests / slots.max(1.0)
     }
 
-    fn has_place(&self, server: &Server) -> bool {
+    fn has_capacity(&self, server: &Server) -> bool {
         let slots = self.settings.slots(&server.info);
-        let queue = if self.urgent { (slots * QUEUE_PART).ceil() } else { 0.0 };
+        let queue = if self.urgent { (slots * QUEUE_FRACTION).ceil() } else { 0.0 };
         let load = server.load.total(self.now);
-        let in_time = load.requests() < slots * BUSY_PART || load.waiting_tokens < self.readable_tokens;
+        let in_time = load.requests() < slots * BUSY_FRACTION || load.waiting_tokens < self.readable_tokens;
         let free = load.requests() < slots + queue && server.load.own() < self.connections;
-        free && in_time && !server.says_full(self.now)
+        free && in_time && !server.reports_full(self.now)
     }
 
     fn warmup_allows(&self, server: &Server) -> bool {
-        let Some(share) = self.settings.cold_share.filter(|_| server.is_cold(self.now)) else { return true };
-        if self.knows_limiters {
-            return server.warmup_sender && server.sends.allow(self.now, share);
+        let Some(share) = self.settings.slow_start_share.filter(|_| server.is_warming(self.now)) else {
+            return true;
+        };
+        if self.knows_proxies {
+            return server.is_slow_start_sender && server.sends.allow(self.now, share);
         }
         self.alone.is_some_and(|alone| server.sends.allow(self.now, alone))
     }
@@ -190,7 +197,7 @@
 
 /// Candidates with the part of the shared tokens that each has to read, by their ranks for the request's prefix.
 fn ranked(allowed: &[(ServerKey, &Server)], demand: &Demand<'_>) -> Vec<Candidate> {
-    let candidate = |key| Candidate { key, standing: Standing::Closed, unread: 1.0 };
+    let candidate = |key| Candidate { key, eligibility: Eligibility::Ineligible, unread: 1.0 };
     let mut candidates: Vec<Candidate> = allowed.iter().map(|(key, _)| candidate(*key)).collect();
     let Some(prefix) = PrefixKey::of(demand).filter(|_| demand.sticky) else { return candidates };
     let score = |index: &usize| std::cmp::Reverse(prefix.score(allowed[*index].1.hash));
@@ -198,7 +205,7 @@
     order.sort_by_cached_key(score);
     let mut in_regions: Vec<(&str, usize)> = Vec::new();
     for (rank, index) in order.into_iter().enumerate() {
-        let region = &allowed[index].1.info.place.region;
+        let region = &allowed[index].1.info.locality.region;
         let rank_in_region = next_rank(&mut in_regions, region);
         candidates[index].unread = prefix.unread(rank, rank_in_region);
     }
@@ -221,27 +228,28 @@
 
 /// Where more than half fail, the fault may be on this side, and they are used where nothing else is left.
 /// Where fewer fail, the others must do.
-fn open_the_ejected(candidates: &mut [Candidate]) {
-    let ejected = candidates.iter().filter(|candidate| candidate.standing == Standing::Ejected).count();
+fn readmit_ejected(candidates: &mut [Candidate]) {
+    let ejected = candidates.iter().filter(|candidate| candidate.eligibility == Eligibility::Ejected).count();
     if ejected * 2 > candidates.len() {
         return;
     }
     for candidate in candidates {
-        if candidate.standing == Standing::Ejected {
-            candidate.standing = Standing::Closed;
+        if candidate.eligibility == Eligibility::Ejected {
+            candidate.eligibility = Eligibility::Ineligible;
         }
     }
 }
 
 /// Leaves a request with long shared parts to the servers that have read them, if any of these is well: to read
 /// them anew elsewhere would take the time of several requests.
-fn keep_to_readers(candidates: &mut [Candidate]) {
-    let is_reader = |candidate: &Candidate| candidate.unread <= READER_UNREAD;
-    let is_well = |candidate: &Candidate| matches!(candidate.standing, Standing::Good | Standing::Full);
-    if !candidates.iter().any(|candidate| is_reader(candidate) && is_well(candidate)) {
+fn restrict_to_cached(candidates: &mut [Candidate]) {
+    let has_cached = |candidate: &Candidate| candidate.unread <= READER_UNREAD;
+    let is_available =
+        |candidate: &Candidate| matches!(candidate.eligibility, Eligibility::Eligible | Eligibility::Full);
+    if !candidates.iter().any(|candidate| has_cached(candidate) && is_available(candidate)) {
         return;
     }
-    for candidate in candidates.iter_mut().filter(|candidate| !is_reader(candidate)) {
-        candidate.standing = candidate.standing.max(Standing::Full);
+    for candidate in candidates.iter_mut().filter(|candidate| !has_cached(candidate)) {
+        candidate.eligibility = candidate.eligibility.max(Eligibility::Full);
     }
 }
--- a/crates/load-balancer/src/balancer/listing.rs
+++ b/crates/load-balancer/src/balancer/listing.rs
@@ -1,10 +1,10 @@
 //! What the list and the configuration tell of servers.
 
-use super::options::Place;
 use super::server::{Distance, Server, ServerInfo};
-use super::warmup;
+use super::slow_start;
 use super::{Balancer, ServerKey};
 use quillpulley_protocol as wire;
+use quillpulley_protocol::Locality;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     /// then.
     pub fn put_server(&mut self, now: Duration, entry: &wire::Server) -> Option<ServerKey> {
         let info = self.info(entry)?;
-        let distance = Distance::between(&self.place, &info.place);
+        let distance = Distance::between(&self.locality, &info.locality);
         let key = match self.by_id.get(&entry.id) {
             Some(key) => {
                 let key = *key;
@@ -25,7 +25,7 @@
         };
         self.services.entry(entry.service.clone()).or_default().servers.push(key);
         self.servers[key].evacuated = self.evacuated.contains(&entry.zone);
-        self.choose_warmup_sender(key);
+        self.choose_slow_start_sender(key);
         Some(key)
     }
 
@@ -42,11 +42,11 @@
     pub fn set_evacuated(&mut self, now: Duration, zones: &BTreeSet<String>) {
         self.evacuated.clone_from(zones);
         for server in self.servers.values_mut() {
-            let evacuated = zones.contains(&server.info.place.zone);
+            let evacuated = zones.contains(&server.info.locality.zone);
             let taken_back = server.evacuated && !evacuated;
             server.evacuated = evacuated;
             if let Some(service) = self.services.get(&server.info.service).filter(|_| taken_back) {
-                server.presume_cold(now, service.settings.warmup);
+                server.presume_warming(now, service.settings.warmup);
             }
         }
     }
@@ -57,7 +57,7 @@
             id: entry.id.clone(),
             address: entry.address.parse().ok()?,
             service: entry.service.clone(),
-            place: Place { zone: entry.zone.clone(), region },
+            locality: Locality { zone: entry.zone.clone(), region },
             slots: entry.slots,
         })
     }
@@ -77,19 +77,20 @@
     }
 
     /// Whether this limiter is among those that send to each server while it is cold.
-    pub(super) fn choose_warmup_senders(&mut self) {
+    pub(super) fn choose_slow_start_senders(&mut self) {
         let keys: Vec<ServerKey> = self.servers.keys().collect();
         for key in keys {
-            self.choose_warmup_sender(key);
+            self.choose_slow_start_sender(key);
         }
     }
 
-    fn choose_warmup_sender(&mut self, key: ServerKey) {
+    fn choose_slow_start_sender(&mut self, key: ServerKey) {
         let Some(server) = self.servers.get_mut(key) else { return };
-        let share = self.services.get(&server.info.service).and_then(|service| service.settings.cold_share);
-        server.warmup_sender = share.is_some_and(|share| {
-            let ServerInfo { id, place, .. } = &server.info;
-            warmup::is_sender(&self.options.name, &self.limiters, id, place, share.senders)
+        let share =
+            self.services.get(&server.info.service).and_then(|service| service.settings.slow_start_share);
+        server.is_slow_start_sender = share.is_some_and(|share| {
+            let ServerInfo { id, locality, .. } = &server.info;
+            slow_start::is_sender(&self.options.name, &self.proxies, id, locality, share.senders)
         });
     }
 }
--- a/crates/load-balancer/src/balancer/mod.rs
+++ b/crates/load-balancer/src/balancer/mod.rs
@@ -1,32 +1,33 @@
 //! Chooses a server for each request, and keeps what is known of servers: what the list tells, what is under way,
 //! which fail, are slow or cold, and what they have read.
 
-mod candidates;
 mod choice;
-mod condition;
-mod engine;
-mod health;
+mod condition_cost;
+mod eligibility;
+mod in_flight;
 mod listing;
-mod load;
+mod model_cost;
 mod options;
 mod outcome;
-mod plain;
-mod prefix;
-mod requests;
+mod outlier_detection;
+mod plain_score;
+mod prefix_cache;
 mod server;
+mod server_load;
 mod service;
-mod speed;
-mod warmup;
+mod service_rate;
+mod slow_start;
 
-pub use options::{Limiter, Options, Place};
+pub use in_flight::{HealthCheckResult, Ticket};
+pub use options::{Options, ProxyPeer};
 pub use outcome::{Choice, FailureKind, Outcome};
-pub use requests::{Probe, Ticket};
+pub use quillpulley_protocol::Locality;
 pub use server::{server_hash, ServerInfo};
 
-use prefix::KeptParts;
+use in_flight::{InFlight, RequestKey};
+use prefix_cache::PrefixCacheIndex;
 use quillpulley_protocol as wire;
 use quillpulley_serving_config::Service;
-use requests::{RequestKey, UnderWay};
 use server::Server;
 use service::{ServiceSettings, ServiceState};
 use slotmap::SlotMap;
@@ -40,7 +41,7 @@
 
 /// Chooses a server for each request.
 pub struct Balancer {
-    place: Place,
+    locality: Locality,
     zones: BTreeMap<String, String>,
     options: Options,
     random: fastrand::Rng,
@@ -48,26 +49,26 @@
     by_id: HashMap<String, ServerKey>,
     services: HashMap<String, ServiceState>,
     evacuated: BTreeSet<String>,
-    limiters: Vec<Limiter>,
-    requests: SlotMap<RequestKey, UnderWay>,
-    kept: KeptParts,
+    proxies: Vec<ProxyPeer>,
+    requests: SlotMap<RequestKey, InFlight>,
+    cached: PrefixCacheIndex,
 }
 
 impl Balancer {
     /// Knows no servers and no other limiters. `zones` gives the region of each zone.
-    pub fn new(place: Place, zones: BTreeMap<String, String>, options: Options) -> Self {
+    pub fn new(locality: Locality, zones: BTreeMap<String, String>, options: Options) -> Self {
         Balancer {
             random: fastrand::Rng::with_seed(options.seed),
-            place,
+            locality,
             zones,
             options,
             servers: SlotMap::with_key(),
             by_id: HashMap::new(),
             services: HashMap::new(),
             evacuated: BTreeSet::new(),
-            limiters: Vec::new(),
+            proxies: Vec::new(),
             requests: SlotMap::with_key(),
-            kept: KeptParts::default(),
+            cached: PrefixCacheIndex::default(),
         }
     }
 
@@ -79,13 +80,13 @@
             let settings = ServiceSettings::of(service, warmup_overshoot, warmup_slack);
             self.services.entry(service.name.clone()).or_default().settings = settings;
         }
-        self.choose_warmup_senders();
+        self.choose_slow_start_senders();
     }
 
     /// The limiters that are live, with this one. Until it is called, cold servers get next to nothing.
-    pub fn set_limiters(&mut self, limiters: Vec<Limiter>) {
-        self.limiters = limiters;
-        self.choose_warmup_senders();
+    pub fn set_proxies(&mut self, proxies: Vec<ProxyPeer>) {
+        self.proxies = proxies;
+        self.choose_slow_start_senders();
     }
 
     /// The sums over all limiters, with what this one reported last; a server without an entry has nothing under
@@ -105,7 +106,7 @@
         let report = |server: &mut Server| {
             let (failed, _) = server.failures.at(now);
             let service = services.get(&server.info.service);
-            let unanswered = service.map(|service| server.load.unanswered(now, &service.pace));
+            let unanswered = service.map(|service| server.load.unanswered(now, &service.rate));
             server.load.report(server.hash, failed + unanswered.unwrap_or_default())
         };
         let loads = self.servers.values_mut().map(report);
@@ -124,9 +125,9 @@
     }
 
     /// A server has told for how long it stays cold.
-    pub fn learn_cold(&mut self, now: Duration, key: ServerKey, left: Duration) {
+    pub fn set_warmup_remaining(&mut self, now: Duration, key: ServerKey, remaining: Duration) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.set_cold(now, left);
+            server.set_warming(now, remaining);
         }
     }
 }
--- a/crates/load-balancer/src/balancer/engine.rs
+++ b/crates/load-balancer/src/balancer/model_cost.rs
@@ -3,8 +3,8 @@
 //! Each candidate has a cost, and the least one is chosen. The unit is a token of a prompt that is read anew: it
 //! takes the server's time, and carries a price where another server has read it.
 
-use super::candidates::Candidate;
-use super::condition::ConditionCosts;
+use super::condition_cost::ConditionCosts;
+use super::eligibility::Candidate;
 use super::server::{Distance, Server};
 use super::service::{Medians, ServiceSettings, ServiceState};
 use crate::demand::Demand;
@@ -34,7 +34,7 @@
 const OCCUPANCY: f64 = 500.0;
 const OCCUPANCY_CUBED: f64 = 2_000.0;
 /// A server that is cold reads everything anew, and is slow.
-const CONDITION: ConditionCosts = ConditionCosts { slow: 1_500.0, failing: 8_000.0, cold: 1_000.0 };
+const CONDITION: ConditionCosts = ConditionCosts { slow: 1_500.0, failing: 8_000.0, warming: 1_000.0 };
 
 /// What all candidates of a request have in common.
 pub(super) struct EngineCosts<'a> {
@@ -57,15 +57,15 @@
             settings: service.settings,
             shared_tokens: f64::from(shared_tokens),
             own_tokens: f64::from(demand.prompt_tokens.saturating_sub(shared_tokens)),
-            token_ms: service.pace.token_ms(),
-            private_tokens: service.pace.private_tokens(),
+            token_ms: service.rate.token_ms(),
+            private_tokens: service.rate.private_tokens(),
             medians: service.medians,
         }
     }
 
-    /// Returns the cost of a candidate, where it has read `kept` tokens of the prompt for this limiter.
-    pub(super) fn of(&self, candidate: &Candidate, server: &Server, kept: u32) -> f64 {
-        let shared = self.reading(candidate, kept);
+    /// Returns the cost of a candidate, where it has read `cached` tokens of the prompt for this limiter.
+    pub(super) fn of(&self, candidate: &Candidate, server: &Server, cached: u32) -> f64 {
+        let shared = self.reading(candidate, cached);
         shared
             + self.waiting(server, shared + self.own_tokens)
             + self.disturbance(server, shared + self.own_tokens)
@@ -74,9 +74,9 @@
             + CONDITION.of(server, &self.medians, self.now)
     }
 
-    fn reading(&self, candidate: &Candidate, kept: u32) -> f64 {
+    fn reading(&self, candidate: &Candidate, cached: u32) -> f64 {
         let by_rank = candidate.unread * self.shared_tokens;
-        by_rank.min((self.shared_tokens - f64::from(kept)).max(0.0))
+        by_rank.min((self.shared_tokens - f64::from(cached)).max(0.0))
     }
 
     /// Returns the cost of time, which is little until the first byte may come too late.
--- a/crates/load-balancer/src/balancer/options.rs
+++ b/crates/load-balancer/src/balancer/options.rs
@@ -1,21 +1,14 @@
 //! What a balancer is told of itself and of the other limiters.
 
-/// Where something is.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
-    /// Its zone.
-    pub zone: String,
-    /// The region of the zone.
-    pub region: String,
-}
+use quillpulley_protocol::Locality;
 
 /// A limiter that may send requests to servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Limiter {
+pub struct ProxyPeer {
     /// Its name.
     pub name: String,
     /// Where it is.
-    pub place: Place,
+    pub locality: Locality,
 }
 
 /// What a balancer is told of itself, and the bounds that it keeps.
--- a/crates/load-balancer/src/balancer/outcome.rs
+++ b/crates/load-balancer/src/balancer/outcome.rs
@@ -1,53 +1,53 @@
-//! What is chosen for a request, and how it ended.
+//! The choice of a server for a request, and the outcome of the request.
 
 use super::ServerKey;
 use std::time::Duration;
 
-/// Where a request goes.
+/// The choice of a server for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Choice {
-    /// To this server.
+    /// Send the request to this server.
     Send(ServerKey),
-    /// All servers that it may go to have enough to do; a place may be free after this time.
+    /// All eligible servers are full.
     Full {
-        /// When a client should come again.
+        /// When a server may have capacity.
         retry_after: Duration,
     },
-    /// There is no server that it may go to.
+    /// No server is eligible.
     NoServer,
 }
 
 /// Why a request failed at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureKind {
-    /// No connection could be made.
+    /// No connection could be established.
     Connect,
-    /// The connection was reset or closed before any of the answer came.
-    ResetBeforeAnswer,
-    /// The answer was cut short.
-    BrokeOff,
-    /// Nothing came in time.
+    /// The connection was reset or closed before the response began.
+    ResetBeforeResponse,
+    /// The response was truncated.
+    Truncated,
+    /// The response was not complete in time.
     Timeout,
-    /// What came was no answer, or one that belongs to another request.
-    Garbled,
-    /// The server answered with a failure of its own.
+    /// The response is invalid, or belongs to another request.
+    InvalidResponse,
+    /// The server responded with an error of its own.
     ServerError,
 }
 
-/// How a request ended at a server.
+/// The outcome of a request at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole answer came.
-    Served,
-    /// It failed.
+    /// The response is complete.
+    Completed,
+    /// The request failed.
     Failed(FailureKind),
-    /// The server says that it did not run it.
+    /// The server says that it did not execute the request.
     NotExecuted {
-        /// Because it has too much to do.
+        /// Whether that is because the server is full.
         full: bool,
     },
-    /// Another server is at its address (421). It gets nothing more until the list tells something new of it.
+    /// Another server listens at the address (421). This one is not eligible until its listed entry changes.
     Misdirected,
-    /// The client left, or the request was called off; this says nothing of the server.
-    ClientLeft,
+    /// The client closed its connection, or the request was cancelled. This says nothing about the server.
+    ClientClosed,
 }
--- a/crates/load-balancer/src/balancer/health.rs
+++ b/crates/load-balancer/src/balancer/outlier_detection.rs
@@ -13,9 +13,9 @@
 /// A check is due so long before an ejection ends, so that its answer is there in time.
 const CHECK_AHEAD: Duration = Duration::from_millis(200);
 /// Urgent requests are a server's trial only so long after its ejection; until then others or a check are.
-const TRIAL_DELAY: Duration = Duration::from_millis(300);
+const URGENT_PROBATION_DELAY: Duration = Duration::from_millis(300);
 /// A check that has no end by then is forgotten.
-const CHECK_PATIENCE: Duration = Duration::from_secs(2);
+const CHECK_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What is believed of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
     /// It gets nothing until then, for the `count`th time in a row. `check` is when a health check was begun.
     Ejected { until: Duration, count: u32, check: Option<Duration> },
     /// It has one request, whose end decides.
-    Trial { count: u32 },
+    Probation { count: u32 },
 }
 
 /// What happened at a server.
@@ -33,9 +33,9 @@
 pub(crate) enum Event {
     Failed(FailureKind),
     Answered,
-    TrialBegun,
+    ProbationBegun,
     /// The trial ended without a verdict.
-    TrialAbandoned,
+    ProbationAbandoned,
     CheckBegun,
     CheckFailed,
 }
@@ -43,19 +43,19 @@
 impl Event {
     fn hints_at_absence(self) -> bool {
         match self {
-            Event::Failed(FailureKind::ServerError | FailureKind::Garbled) => false,
+            Event::Failed(FailureKind::ServerError | FailureKind::InvalidResponse) => false,
             Event::Failed(_) | Event::CheckFailed => true,
-            Event::Answered | Event::TrialBegun | Event::TrialAbandoned | Event::CheckBegun => false,
+            Event::Answered | Event::ProbationBegun | Event::ProbationAbandoned | Event::CheckBegun => false,
         }
     }
 }
 
 /// Whether a server should get a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Fitness {
+pub(crate) enum HealthStatus {
     Healthy,
     /// The request will be its trial.
-    Trial,
+    Probation,
     Ejected,
 }
 
@@ -66,12 +66,12 @@
     /// Since when it has not been healthy.
     since: Duration,
     /// Whether it may have been gone meanwhile: a server that answers with a failure of its own has not.
-    maybe_gone: bool,
+    may_have_restarted: bool,
 }
 
 impl Health {
     pub(crate) fn new() -> Self {
-        Health { state: State::Healthy { failures: 0 }, since: Duration::ZERO, maybe_gone: false }
+        Health { state: State::Healthy { failures: 0 }, since: Duration::ZERO, may_have_restarted: false }
     }
 
     /// Takes an event. Every change of state happens here. Gives how long the server may have been gone when it is
@@ -83,14 +83,14 @@
         match (was_healthy, self.is_healthy()) {
             (true, false) => {
                 self.since = now;
-                self.maybe_gone = event.hints_at_absence();
+                self.may_have_restarted = event.hints_at_absence();
                 None
             }
             (false, false) => {
-                self.maybe_gone |= event.hints_at_absence();
+                self.may_have_restarted |= event.hints_at_absence();
                 None
             }
-            (false, true) => self.maybe_gone.then(|| now.saturating_sub(self.since)),
+            (false, true) => self.may_have_restarted.then(|| now.saturating_sub(self.since)),
             (true, true) => None,
         }
     }
@@ -103,12 +103,12 @@
                 ejected(now, 1)
             }
             (State::Healthy { failures }, Event::Failed(_)) => State::Healthy { failures: failures + 1 },
-            (State::Trial { count }, Event::Failed(_)) => ejected(now, count + 1),
-            (State::Trial { count }, Event::TrialAbandoned) => {
+            (State::Probation { count }, Event::Failed(_)) => ejected(now, count + 1),
+            (State::Probation { count }, Event::ProbationAbandoned) => {
                 State::Ejected { until: now, count, check: None }
             }
             (State::Ejected { count, check: Some(_), .. }, Event::CheckFailed) => ejected(now, count + 1),
-            (State::Ejected { count, .. }, Event::TrialBegun) => State::Trial { count },
+            (State::Ejected { count, .. }, Event::ProbationBegun) => State::Probation { count },
             (State::Ejected { until, count, .. }, Event::CheckBegun) => {
                 State::Ejected { until, count, check: Some(now) }
             }
@@ -122,14 +122,14 @@
     }
 
     /// Returns whether it should get a request now.
-    pub(crate) fn fitness(&self, now: Duration, urgent: bool) -> Fitness {
-        let delay = if urgent { TRIAL_DELAY } else { Duration::ZERO };
+    pub(crate) fn status(&self, now: Duration, urgent: bool) -> HealthStatus {
+        let delay = if urgent { URGENT_PROBATION_DELAY } else { Duration::ZERO };
         match self.state {
-            State::Healthy { .. } => Fitness::Healthy,
+            State::Healthy { .. } => HealthStatus::Healthy,
             State::Ejected { until, check, .. } if now >= until + delay && !is_open(check, now) => {
-                Fitness::Trial
+                HealthStatus::Probation
             }
-            State::Ejected { .. } | State::Trial { .. } => Fitness::Ejected,
+            State::Ejected { .. } | State::Probation { .. } => HealthStatus::Ejected,
         }
     }
 
@@ -141,7 +141,7 @@
 }
 
 fn is_open(check: Option<Duration>, now: Duration) -> bool {
-    check.is_some_and(|begun| now < begun + CHECK_PATIENCE)
+    check.is_some_and(|begun| now < begun + CHECK_TIMEOUT)
 }
 
 fn ejected(now: Duration, count: u32) -> State {
@@ -152,16 +152,16 @@
 
 /// Failures and all requests of a server, where each counts half as much after a while.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct FailureShare {
+pub(crate) struct FailureRate {
     failures: f64,
     requests: f64,
     updated: Duration,
 }
 
 /// The time after which a request counts half.
-const HALF_LIFE_SECONDS: f64 = 5.0;
+const HALVING_SECONDS: f64 = 5.0;
 
-impl FailureShare {
+impl FailureRate {
     pub(crate) fn count(&mut self, now: Duration, failed: bool) {
         let (failures, requests) = self.at(now);
         self.failures = failures + f64::from(u8::from(failed));
@@ -172,7 +172,7 @@
     /// Failures and requests as they count now.
     pub(crate) fn at(&self, now: Duration) -> (f64, f64) {
         let age = now.saturating_sub(self.updated).as_secs_f64();
-        let left = 0.5_f64.powf(age / HALF_LIFE_SECONDS);
-        (self.failures * left, self.requests * left)
+        let remaining = 0.5_f64.powf(age / HALVING_SECONDS);
+        (self.failures * remaining, self.requests * remaining)
     }
 }
--- a/crates/load-balancer/src/balancer/plain.rs
+++ b/crates/load-balancer/src/balancer/plain_score.rs
@@ -1,6 +1,6 @@
 //! Choice among servers that run no model: the least occupied one that is near.
 
-use super::condition::ConditionCosts;
+use super::condition_cost::ConditionCosts;
 use super::server::{Distance, Server};
 use super::service::{Medians, ServiceSettings, ServiceState};
 use std::cmp::Ordering;
@@ -9,37 +9,37 @@
 /// A server that is near is used until it is this full; then all are compared.
 const NEAR_UNTIL: f64 = 0.7;
 /// What makes a server look fuller than it is.
-const CONDITION: ConditionCosts = ConditionCosts { slow: 0.2, failing: 0.5, cold: 0.2 };
+const CONDITION: ConditionCosts = ConditionCosts { slow: 0.2, failing: 0.5, warming: 0.2 };
 
 /// How good a server is, the least the best.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Rating {
+pub(super) struct Score {
     /// How far it is, for one that is not full; the same for all others.
     tier: u8,
     occupancy: f64,
     distance: Distance,
 }
 
-impl Rating {
-    pub(super) fn compare(&self, other: &Rating) -> Ordering {
+impl Score {
+    pub(super) fn compare(&self, other: &Score) -> Ordering {
         let by_occupancy = self.tier.cmp(&other.tier).then(self.occupancy.total_cmp(&other.occupancy));
         by_occupancy.then(self.distance.cmp(&other.distance))
     }
 }
 
 /// What all candidates of a request have in common.
-pub(super) struct Ratings {
+pub(super) struct Scorer {
     settings: ServiceSettings,
     now: Duration,
     medians: Medians,
 }
 
-impl Ratings {
+impl Scorer {
     pub(super) fn new(now: Duration, service: &ServiceState) -> Self {
-        Ratings { settings: service.settings, now, medians: service.medians }
+        Scorer { settings: service.settings, now, medians: service.medians }
     }
 
-    pub(super) fn of(&self, server: &Server) -> Rating {
+    pub(super) fn of(&self, server: &Server) -> Score {
         let requests = server.load.total(self.now).requests();
         let occupancy =
             requests / self.settings.slots(&server.info) + CONDITION.of(server, &self.medians, self.now);
@@ -49,6 +49,6 @@
             Distance::SameRegion => 1,
             Distance::Far => 2,
         };
-        Rating { tier, occupancy, distance: server.distance }
+        Score { tier, occupancy, distance: server.distance }
     }
 }
--- a/crates/load-balancer/src/balancer/prefix.rs
+++ b/crates/load-balancer/src/balancer/prefix_cache.rs
@@ -12,11 +12,11 @@
 /// each region than to cross to another. Shorter ones have one in each region.
 pub(super) const LONG_PREFIX_TOKENS: u32 = 1_500;
 /// A part is taken to be kept for so long after its latest use by this limiter.
-const KEPT: Duration = Duration::from_secs(30);
+const CACHE_TTL: Duration = Duration::from_secs(30);
 /// More parts than these are not remembered: those not used of late are dropped first.
-const MOST_PARTS: usize = 8_192;
+const MAX_PARTS: usize = 8_192;
 /// Servers that are remembered for a part.
-const MOST_SERVERS: usize = 6;
+const MAX_SERVERS_PER_PART: usize = 6;
 /// The part of the shared tokens that is taken to be unread at servers after the first, so that those who cannot
 /// use the first agree on the next. Ranks in the whole system, and within the server's region.
 const UNREAD_IN_SYSTEM: [f64; 3] = [0.0, 0.85, 0.95];
@@ -67,20 +67,20 @@
 
 /// Where this limiter sent the parts of prompts.
 #[derive(Default)]
-pub(crate) struct KeptParts {
+pub(crate) struct PrefixCacheIndex {
     parts: HashMap<u64, Vec<(ServerKey, Duration)>>,
 }
 
-impl KeptParts {
+impl PrefixCacheIndex {
     /// Notes that a server reads these parts.
     pub(crate) fn note(&mut self, now: Duration, server: ServerKey, parts: &[PromptPart]) {
-        if self.parts.len() >= MOST_PARTS {
+        if self.parts.len() >= MAX_PARTS {
             self.forget_old(now);
         }
         for part in parts {
             let servers = self.parts.entry(part.id).or_default();
-            servers.retain(|(known, at)| *known != server && now.saturating_sub(*at) < KEPT);
-            if servers.len() == MOST_SERVERS {
+            servers.retain(|(known, at)| *known != server && now.saturating_sub(*at) < CACHE_TTL);
+            if servers.len() == MAX_SERVERS_PER_PART {
                 servers.remove(0);
             }
             servers.push((server, now));
@@ -98,19 +98,19 @@
 
     /// Tokens at the beginning of a prompt that a server has read for this limiter.
     pub(crate) fn read_tokens(&self, now: Duration, server: ServerKey, parts: &[PromptPart]) -> u32 {
-        let kept = parts.iter().take_while(|part| self.is_kept(now, server, part.id));
-        kept.fold(0, |sum, part| sum.saturating_add(part.tokens))
+        let cached = parts.iter().take_while(|part| self.is_cached(now, server, part.id));
+        cached.fold(0, |sum, part| sum.saturating_add(part.tokens))
     }
 
-    fn is_kept(&self, now: Duration, server: ServerKey, id: u64) -> bool {
+    fn is_cached(&self, now: Duration, server: ServerKey, id: u64) -> bool {
         let Some(servers) = self.parts.get(&id) else { return false };
-        servers.iter().any(|(known, at)| *known == server && now.saturating_sub(*at) < KEPT)
+        servers.iter().any(|(known, at)| *known == server && now.saturating_sub(*at) < CACHE_TTL)
     }
 
     /// Drops parts that are not kept any more; all of them where that does not help.
     fn forget_old(&mut self, now: Duration) {
-        self.parts.retain(|_, servers| servers.iter().any(|(_, at)| now.saturating_sub(*at) < KEPT));
-        if self.parts.len() >= MOST_PARTS {
+        self.parts.retain(|_, servers| servers.iter().any(|(_, at)| now.saturating_sub(*at) < CACHE_TTL));
+        if self.parts.len() >= MAX_PARTS {
             self.parts.clear();
         }
     }
--- a/crates/load-balancer/src/balancer/server.rs
+++ b/crates/load-balancer/src/balancer/server.rs
@@ -1,11 +1,11 @@
 //! A server as a balancer knows it.
 
-use super::health::{FailureShare, Health};
-use super::load::Load;
-use super::options::Place;
-use super::speed::Speed;
-use super::warmup::Sends;
+use super::outlier_detection::{FailureRate, Health};
+use super::server_load::Load;
+use super::service_rate::Speed;
+use super::slow_start::Sends;
 use quillpulley_protocol as wire;
+use quillpulley_protocol::Locality;
 use std::net::SocketAddr;
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
@@ -33,7 +33,7 @@
     /// The service that it belongs to.
     pub service: String,
     /// Where it is.
-    pub place: Place,
+    pub locality: Locality,
     /// Requests that it works on at the same time.
     pub slots: u32,
 }
@@ -74,7 +74,7 @@
 }
 
 impl Distance {
-    pub(crate) fn between(one: &Place, other: &Place) -> Self {
+    pub(crate) fn between(one: &Locality, other: &Locality) -> Self {
         if one.zone == other.zone {
             Distance::SameZone
         } else if one.region == other.region {
@@ -94,14 +94,14 @@
     entry: wire::Server,
     listing: Listing,
     pub(crate) evacuated: bool,
-    cold_until: Duration,
+    warming_until: Duration,
     full_until: Duration,
     /// Whether this limiter may send to it while it is cold.
-    pub(crate) warmup_sender: bool,
+    pub(crate) is_slow_start_sender: bool,
     pub(crate) sends: Sends,
     pub(crate) load: Load,
     pub(crate) health: Health,
-    pub(crate) failures: FailureShare,
+    pub(crate) failures: FailureRate,
     pub(crate) speed: Speed,
 }
 
@@ -114,13 +114,13 @@
             entry: entry.clone(),
             listing: Listing::Ready,
             evacuated: false,
-            cold_until: Duration::ZERO,
+            warming_until: Duration::ZERO,
             full_until: Duration::ZERO,
-            warmup_sender: false,
+            is_slow_start_sender: false,
             sends: Sends::default(),
             load: Load::default(),
             health: Health::new(),
-            failures: FailureShare::default(),
+            failures: FailureRate::default(),
             speed: Speed::default(),
         };
         server.take_entry(now, entry);
@@ -147,17 +147,17 @@
     fn take_entry(&mut self, now: Duration, entry: &wire::Server) {
         let leaving = entry.state == wire::ServerState::Draining || entry.has_time_remaining;
         self.listing = self.listing.after(ListingEvent::Listed { leaving });
-        self.set_cold(now, Duration::from_millis(u64::from(entry.warmup_remaining_ms)));
+        self.set_warming(now, Duration::from_millis(u64::from(entry.warmup_remaining_ms)));
     }
 
     /// It has told, or the list has, for how long it stays cold.
-    pub(crate) fn set_cold(&mut self, now: Duration, left: Duration) {
-        self.cold_until = now + left;
+    pub(crate) fn set_warming(&mut self, now: Duration, remaining: Duration) {
+        self.warming_until = now + remaining;
     }
 
     /// It may have become cold.
-    pub(crate) fn presume_cold(&mut self, now: Duration, left: Duration) {
-        self.cold_until = self.cold_until.max(now + left);
+    pub(crate) fn presume_warming(&mut self, now: Duration, remaining: Duration) {
+        self.warming_until = self.warming_until.max(now + remaining);
     }
 
     pub(crate) fn set_misdirected(&mut self) {
@@ -169,7 +169,7 @@
     }
 
     /// Returns the share of requests that failed of late. What others saw fail counts half.
-    pub(crate) fn failing_share(&self, now: Duration) -> f64 {
+    pub(crate) fn failure_rate(&self, now: Duration) -> f64 {
         let (failures, requests) = self.failures.at(now);
         let of_others = self.load.others(now).failures * OTHERS_FAILURE;
         (failures + of_others) / (requests + of_others + UNSEEN_REQUESTS)
@@ -180,11 +180,11 @@
         self.listing == Listing::Ready && !self.evacuated
     }
 
-    pub(crate) fn is_cold(&self, now: Duration) -> bool {
-        now < self.cold_until
+    pub(crate) fn is_warming(&self, now: Duration) -> bool {
+        now < self.warming_until
     }
 
-    pub(crate) fn says_full(&self, now: Duration) -> bool {
+    pub(crate) fn reports_full(&self, now: Duration) -> bool {
         now < self.full_until
     }
 }
--- a/crates/load-balancer/src/balancer/load.rs
+++ b/crates/load-balancer/src/balancer/server_load.rs
@@ -1,6 +1,6 @@
 //! What is under way at a server: the own requests, and those of others as they were last told.
 
-use super::speed::Pace;
+use super::service_rate::ServiceRate;
 use crate::demand::Demand;
 use quillpulley_protocol::ServerLoad;
 use std::collections::BTreeMap;
@@ -8,11 +8,11 @@
 
 /// What others told is taken as it is for this long, and fades until it is twice as old. Without news a server
 /// would else stay avoided, or sought, for what is long over.
-const TOLD_FRESH: Duration = Duration::from_secs(2);
+const REPORT_TTL: Duration = Duration::from_secs(2);
 
 /// Numbers of requests, and what they wait for.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct Tally {
+pub(crate) struct LoadCounts {
     /// Requests whose answer has begun.
     pub(crate) running: f64,
     /// Requests whose answer has not begun.
@@ -23,9 +23,9 @@
     pub(crate) failures: f64,
 }
 
-impl Tally {
+impl LoadCounts {
     fn of(load: &ServerLoad) -> Self {
-        Tally {
+        LoadCounts {
             running: f64::from(load.running),
             waiting: f64::from(load.waiting),
             waiting_tokens: f64::from(load.prompt_tokens),
@@ -34,13 +34,13 @@
     }
 
     /// Returns what is left without a part, none of it below zero, faded.
-    fn without(&self, part: &Tally, factor: f64) -> Tally {
-        let left = |all: f64, part: f64| (all - part).max(0.0) * factor;
-        Tally {
-            running: left(self.running, part.running),
-            waiting: left(self.waiting, part.waiting),
-            waiting_tokens: left(self.waiting_tokens, part.waiting_tokens),
-            failures: left(self.failures, part.failures),
+    fn without(&self, part: &LoadCounts, factor: f64) -> LoadCounts {
+        let remaining = |all: f64, part: f64| (all - part).max(0.0) * factor;
+        LoadCounts {
+            running: remaining(self.running, part.running),
+            waiting: remaining(self.waiting, part.waiting),
+            waiting_tokens: remaining(self.waiting_tokens, part.waiting_tokens),
+            failures: remaining(self.failures, part.failures),
         }
     }
 
@@ -51,7 +51,7 @@
 
 /// What a request adds to a server's load.
 #[derive(Clone, Debug)]
-pub(crate) struct Burden {
+pub(crate) struct RequestCost {
     /// Tokens of its prompt that the server has to read.
     pub(crate) unread: u32,
     /// Tokens that it alone needs in the server's memory.
@@ -60,10 +60,10 @@
     shared: Box<[(u64, u32)]>,
 }
 
-impl Burden {
+impl RequestCost {
     pub(crate) fn new(demand: &Demand<'_>, unread: u32) -> Self {
         let shared = demand.shared().iter().map(|part| (part.id, part.tokens)).collect();
-        Burden { unread, private: demand.private_tokens(), shared }
+        RequestCost { unread, private: demand.private_tokens(), shared }
     }
 
     pub(crate) fn shared_ids(&self) -> impl Iterator<Item = u64> + '_ {
@@ -82,54 +82,60 @@
     shared: BTreeMap<u64, (u32, u32)>,
     shared_tokens: u64,
     /// Since when nothing has been heard of the server while a request waits.
-    silent_since: Option<Duration>,
+    unresponsive_since: Option<Duration>,
     /// The own tally as others were last told.
-    reported: Tally,
-    others: Tally,
-    told: Duration,
+    reported: LoadCounts,
+    others: LoadCounts,
+    reported_at: Duration,
 }
 
 impl Load {
-    pub(crate) fn begin(&mut self, now: Duration, burden: &Burden) {
+    pub(crate) fn begin(&mut self, now: Duration, request_cost: &RequestCost) {
         self.waiting += 1;
-        self.waiting_tokens += u64::from(burden.unread);
-        self.private_tokens += u64::from(burden.private);
-        for (id, tokens) in burden.shared.iter().copied() {
+        self.waiting_tokens += u64::from(request_cost.unread);
+        self.private_tokens += u64::from(request_cost.private);
+        for (id, tokens) in request_cost.shared.iter().copied() {
             let (users, _) = self.shared.entry(id).or_insert((0, tokens));
             *users += 1;
             if *users == 1 {
                 self.shared_tokens += u64::from(tokens);
             }
         }
-        self.silent_since = self.silent_since.or(Some(now));
+        self.unresponsive_since = self.unresponsive_since.or(Some(now));
     }
 
     /// The answer of a waiting request has begun.
-    pub(crate) fn start(&mut self, now: Duration, burden: &Burden) {
-        self.stop_waiting(burden);
+    pub(crate) fn start(&mut self, now: Duration, request_cost: &RequestCost) {
+        self.stop_waiting(request_cost);
         self.running += 1;
-        self.heard(now);
-    }
-
-    /// A request has ended; `heard`: the server has said something.
-    pub(crate) fn end(&mut self, now: Duration, burden: &Burden, started: bool, heard: bool) {
-        if started {
+        self.record_response_time(now);
+    }
+
+    /// A request has ended; `is_response`: the server has said something.
+    pub(crate) fn end(
+        &mut self,
+        now: Duration,
+        request_cost: &RequestCost,
+        record_started: bool,
+        is_response: bool,
+    ) {
+        if record_started {
             self.running = self.running.saturating_sub(1);
         } else {
-            self.stop_waiting(burden);
+            self.stop_waiting(request_cost);
         }
-        self.private_tokens = self.private_tokens.saturating_sub(u64::from(burden.private));
-        for id in burden.shared_ids() {
+        self.private_tokens = self.private_tokens.saturating_sub(u64::from(request_cost.private));
+        for id in request_cost.shared_ids() {
             self.release(id);
         }
-        if heard || self.waiting == 0 {
-            self.heard(now);
+        if is_response || self.waiting == 0 {
+            self.record_response_time(now);
         }
     }
 
-    fn stop_waiting(&mut self, burden: &Burden) {
+    fn stop_waiting(&mut self, request_cost: &RequestCost) {
         self.waiting = self.waiting.saturating_sub(1);
-        self.waiting_tokens = self.waiting_tokens.saturating_sub(u64::from(burden.unread));
+        self.waiting_tokens = self.waiting_tokens.saturating_sub(u64::from(request_cost.unread));
     }
 
     fn release(&mut self, id: u64) {
@@ -141,23 +147,23 @@
         }
     }
 
-    fn heard(&mut self, now: Duration) {
-        self.silent_since = (self.waiting > 0).then_some(now);
+    fn record_response_time(&mut self, now: Duration) {
+        self.unresponsive_since = (self.waiting > 0).then_some(now);
     }
 
     /// Returns for how long requests have waited without a word of the server.
-    fn silence(&self, now: Duration) -> Duration {
-        self.silent_since.map_or(Duration::ZERO, |since| now.saturating_sub(since))
+    fn response_timeout(&self, now: Duration) -> Duration {
+        self.unresponsive_since.map_or(Duration::ZERO, |since| now.saturating_sub(since))
     }
 
     /// Returns whether requests have waited for longer than the service's pace explains.
-    pub(crate) fn is_silent(&self, now: Duration, pace: &Pace) -> bool {
-        self.silence(now) > pace.silence(self.total(now).waiting_tokens)
+    pub(crate) fn is_unresponsive(&self, now: Duration, rate: &ServiceRate) -> bool {
+        self.response_timeout(now) > rate.response_timeout(self.total(now).waiting_tokens)
     }
 
     /// Requests that wait for a server which has said nothing for longer than it may.
-    pub(crate) fn unanswered(&self, now: Duration, pace: &Pace) -> f64 {
-        if self.is_silent(now, pace) {
+    pub(crate) fn unanswered(&self, now: Duration, rate: &ServiceRate) -> f64 {
+        if self.is_unresponsive(now, rate) {
             return f64::from(self.waiting);
         }
         0.0
@@ -177,27 +183,27 @@
             prompt_tokens: u32::try_from(self.waiting_tokens).unwrap_or(u32::MAX),
             failures: failures.round() as u32,
         };
-        self.reported = Tally::of(&load);
+        self.reported = LoadCounts::of(&load);
         load
     }
 
     /// The sum over all limiters; `None` where nobody has anything under way.
     pub(crate) fn set_total(&mut self, now: Duration, total: Option<&ServerLoad>) {
-        let total = total.map(Tally::of).unwrap_or_default();
+        let total = total.map(LoadCounts::of).unwrap_or_default();
         self.others = total.without(&self.reported, 1.0);
-        self.told = now;
+        self.reported_at = now;
     }
 
     /// Returns what others have under way.
-    pub(crate) fn others(&self, now: Duration) -> Tally {
-        let age = now.saturating_sub(self.told).as_secs_f64() / TOLD_FRESH.as_secs_f64();
-        self.others.without(&Tally::default(), (2.0 - age).clamp(0.0, 1.0))
+    pub(crate) fn others(&self, now: Duration) -> LoadCounts {
+        let age = now.saturating_sub(self.reported_at).as_secs_f64() / REPORT_TTL.as_secs_f64();
+        self.others.without(&LoadCounts::default(), (2.0 - age).clamp(0.0, 1.0))
     }
 
     /// Returns what all limiters have under way.
-    pub(crate) fn total(&self, now: Duration) -> Tally {
+    pub(crate) fn total(&self, now: Duration) -> LoadCounts {
         let others = self.others(now);
-        Tally {
+        LoadCounts {
             running: others.running + f64::from(self.running),
             waiting: others.waiting + f64::from(self.waiting),
             waiting_tokens: others.waiting_tokens + self.waiting_tokens as f64,
--- a/crates/load-balancer/src/balancer/service.rs
+++ b/crates/load-balancer/src/balancer/service.rs
@@ -1,8 +1,8 @@
 //! A service as a balancer knows it.
 
 use super::server::{Server, ServerInfo};
-use super::speed::{median, Pace};
-use super::warmup::Share;
+use super::service_rate::{median, ServiceRate};
+use super::slow_start::SlowStartShare;
 use super::ServerKey;
 use quillpulley_serving_config::Service;
 use slotmap::SlotMap;
@@ -10,9 +10,9 @@
 
 /// A server fails more often than others from so many times the median share of failures, and this share at least.
 const FAILING_FACTOR: f64 = 3.0;
-const FAILING_LEAST: f64 = 0.1;
+const MIN_FAILURE_RATE: f64 = 0.1;
 /// Medians are taken anew after this time.
-const MEDIANS_KEPT: Duration = Duration::from_millis(100);
+const MEDIANS_TTL: Duration = Duration::from_millis(100);
 
 /// A service.
 #[derive(Default)]
@@ -20,7 +20,7 @@
     pub(crate) settings: ServiceSettings,
     /// Its servers.
     pub(crate) servers: Vec<ServerKey>,
-    pub(crate) pace: Pace,
+    pub(crate) rate: ServiceRate,
     pub(crate) medians: Medians,
     /// The most urgent rank that was seen.
     pub(crate) most_urgent: Option<u32>,
@@ -39,15 +39,15 @@
 impl ServiceState {
     /// Takes the medians anew, if they are old.
     pub(crate) fn refresh_medians(&mut self, now: Duration, servers: &SlotMap<ServerKey, Server>) {
-        if self.medians.taken.is_some_and(|taken| now < taken + MEDIANS_KEPT) {
+        if self.medians.taken.is_some_and(|taken| now < taken + MEDIANS_TTL) {
             return;
         }
         let servers = || self.servers.iter().filter_map(|key| servers.get(*key));
-        let share = median(servers().map(|server| server.failing_share(now))).unwrap_or(0.0);
+        let share = median(servers().map(|server| server.failure_rate(now))).unwrap_or(0.0);
         self.medians = Medians {
             taken: Some(now),
-            token_ms: median(servers().filter_map(|server| server.speed.settled())),
-            failing_from: (share * FAILING_FACTOR).max(FAILING_LEAST),
+            token_ms: median(servers().filter_map(|server| server.speed.reliable())),
+            failing_from: (share * FAILING_FACTOR).max(MIN_FAILURE_RATE),
         };
     }
 
@@ -66,7 +66,7 @@
     /// How long a server stays cold; zero where servers are not cold.
     pub(crate) warmup: Duration,
     /// What this limiter may send to a cold server; `None` where it bears any rate.
-    pub(crate) cold_share: Option<Share>,
+    pub(crate) slow_start_share: Option<SlowStartShare>,
     pub(crate) engine: Option<EngineSettings>,
 }
 
@@ -90,7 +90,7 @@
         ServiceSettings {
             max_connections: service.max_connections,
             warmup: service.warmup,
-            cold_share: (!bears_any).then(|| Share::of(bound)),
+            slow_start_share: (!bears_any).then(|| SlowStartShare::of(bound)),
             engine,
         }
     }
--- a/crates/load-balancer/src/balancer/speed.rs
+++ b/crates/load-balancer/src/balancer/service_rate.rs
@@ -5,17 +5,17 @@
 /// The weight of one answer in a mean.
 const GAIN: f64 = 0.15;
 /// Answers after which a mean says something.
-const LEAST_ANSWERS: u32 = 5;
+const MIN_SAMPLES: u32 = 5;
 /// Slowness without news counts half after this time: what was slow is tried again.
-const HALF_LIFE_SECONDS: f64 = 10.0;
+const HALVING_SECONDS: f64 = 10.0;
 /// The work of a request that is not reading its prompt, in tokens.
 const BASE_TOKENS: f64 = 400.0;
 /// The time for a token before any is known, in milliseconds.
 const FIRST_TOKEN_MS: f64 = 0.05;
 /// A server that has said nothing for so many mean times to the first byte, and at least this time, while a
 /// request waits for it, may be dead.
-const SILENCE_FACTOR: u32 = 4;
-const LEAST_SILENCE: Duration = Duration::from_millis(250);
+const TIMEOUT_FACTOR: u32 = 4;
+const MIN_TIMEOUT: Duration = Duration::from_millis(250);
 /// While it reads long prompts it may say nothing for so many times as long as these should take.
 const READING_FACTOR: u32 = 2;
 /// The time of a request before any is known.
@@ -40,8 +40,8 @@
         (self.samples > 0).then_some(self.value)
     }
 
-    fn settled(&self) -> Option<f64> {
-        (self.samples >= LEAST_ANSWERS).then_some(self.value)
+    fn reliable(&self) -> Option<f64> {
+        (self.samples >= MIN_SAMPLES).then_some(self.value)
     }
 }
 
@@ -55,17 +55,17 @@
 impl Speed {
     /// Returns how many times as long it takes as the service's median, of late.
     pub(crate) fn slowness(&self, now: Duration, median: Option<f64>) -> f64 {
-        let (Some(own), Some(median)) = (self.mean.settled(), median) else { return 1.0 };
+        let (Some(own), Some(median)) = (self.mean.reliable(), median) else { return 1.0 };
         if median <= 0.0 {
             return 1.0;
         }
         let age = now.saturating_sub(self.updated).as_secs_f64();
-        1.0 + (own / median - 1.0) * 0.5_f64.powf(age / HALF_LIFE_SECONDS)
+        1.0 + (own / median - 1.0) * 0.5_f64.powf(age / HALVING_SECONDS)
     }
 
     /// Returns the mean, once it says something.
-    pub(crate) fn settled(&self) -> Option<f64> {
-        self.mean.settled()
+    pub(crate) fn reliable(&self) -> Option<f64> {
+        self.mean.reliable()
     }
 
     pub(crate) fn add(&mut self, now: Duration, ms_per_token: f64) {
@@ -76,7 +76,7 @@
 
 /// How long the requests of a service take.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Pace {
+pub(crate) struct ServiceRate {
     /// The least time to the first byte by distance, in milliseconds: what the way adds is told by their
     /// differences.
     floors: [Option<f64>; 3],
@@ -85,12 +85,12 @@
     /// Milliseconds to the first byte.
     first_byte_ms: Mean,
     /// Milliseconds from the send to the end of the answer.
-    whole_ms: Mean,
+    duration_ms: Mean,
     /// Tokens that a request alone needs in a server's memory.
     private_tokens: Mean,
 }
 
-impl Pace {
+impl ServiceRate {
     /// Takes the time to a first byte; gives the milliseconds for each token of work, without the way.
     pub(crate) fn first_byte(&mut self, time: Duration, distance: usize, work_tokens: f64) -> f64 {
         let milliseconds = time.as_secs_f64() * 1e3;
@@ -104,7 +104,7 @@
     }
 
     pub(crate) fn ended(&mut self, time: Duration) {
-        self.whole_ms.add(time.as_secs_f64() * 1e3);
+        self.duration_ms.add(time.as_secs_f64() * 1e3);
     }
 
     pub(crate) fn begun(&mut self, private_tokens: u32) {
@@ -117,14 +117,14 @@
     }
 
     /// Returns how long a server may say nothing while a request waits for it, where so many tokens wait to be read.
-    pub(crate) fn silence(&self, waiting_tokens: f64) -> Duration {
+    pub(crate) fn response_timeout(&self, waiting_tokens: f64) -> Duration {
         let reading = Duration::from_secs_f64(waiting_tokens * self.token_ms() / 1e3);
-        (mean_time(&self.first_byte_ms) * SILENCE_FACTOR).max(LEAST_SILENCE) + reading * READING_FACTOR
+        (mean_time(&self.first_byte_ms) * TIMEOUT_FACTOR).max(MIN_TIMEOUT) + reading * READING_FACTOR
     }
 
     /// Mean time from the send to the end of the answer.
-    pub(crate) fn whole_mean(&self) -> Duration {
-        mean_time(&self.whole_ms)
+    pub(crate) fn mean_duration(&self) -> Duration {
+        mean_time(&self.duration_ms)
     }
 
     /// Mean tokens that a request alone needs.
--- a/crates/load-balancer/src/balancer/warmup.rs
+++ b/crates/load-balancer/src/balancer/slow_start.rs
@@ -5,8 +5,9 @@
 //! a quarter of the bound: where the limiters are split in two and each side chooses its own two, the bound still
 //! holds. The rest covers a limiter that takes over from one that has just died.
 
-use super::options::{Limiter, Place};
+use super::options::ProxyPeer;
 use quillpulley_membership::rendezvous::Key;
+use quillpulley_protocol::Locality;
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -23,50 +24,50 @@
 
 /// What one limiter may send to a cold server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Share {
+pub(crate) struct SlowStartShare {
     /// Requests in any second.
     pub(crate) per_second: usize,
     /// Limiters that have it.
     pub(crate) senders: usize,
 }
 
-impl Share {
+impl SlowStartShare {
     /// Returns the share where all limiters together may send `bound` requests in a second.
-    pub(crate) fn of(bound: f64) -> Share {
+    pub(crate) fn of(bound: f64) -> SlowStartShare {
         let bound = if bound.is_finite() { bound.max(0.0) as usize } else { 0 };
         let shared = bound / (SENDERS * SIDES);
         if shared == 0 {
-            return Share { per_second: bound / SIDES, senders: 1 };
+            return SlowStartShare { per_second: bound / SIDES, senders: 1 };
         }
-        Share { per_second: shared.min(REMEMBERED), senders: SENDERS }
+        SlowStartShare { per_second: shared.min(REMEMBERED), senders: SENDERS }
     }
 
     /// The share of a limiter that does not know the others.
-    pub(crate) const ALONE: Share = Share { per_second: 1, senders: 1 };
+    pub(crate) const ALONE: SlowStartShare = SlowStartShare { per_second: 1, senders: 1 };
 }
 
 /// Returns whether the limiter of this name is among those that send to a cold server: those in the server's zone
 /// come first, then those in its region.
 pub(crate) fn is_sender(
     name: &str,
-    limiters: &[Limiter],
+    proxies: &[ProxyPeer],
     server_id: &str,
-    server_place: &Place,
+    server_locality: &Locality,
     senders: usize,
 ) -> bool {
     let key = Key::new(server_id);
-    let rank = |limiter: &Limiter| (distance(&limiter.place, server_place), key.score(&limiter.name));
-    let Some(own) = limiters.iter().find(|limiter| limiter.name == name) else { return false };
+    let rank = |limiter: &ProxyPeer| (distance(&limiter.locality, server_locality), key.score(&limiter.name));
+    let Some(own) = proxies.iter().find(|limiter| limiter.name == name) else { return false };
     let (own_distance, own_score) = rank(own);
-    let is_before = |other: &&Limiter| {
+    let is_before = |other: &&ProxyPeer| {
         let (distance, score) = rank(other);
         (distance, std::cmp::Reverse(score), &other.name)
             < (own_distance, std::cmp::Reverse(own_score), &own.name)
     };
-    limiters.iter().filter(is_before).count() < senders
+    proxies.iter().filter(is_before).count() < senders
 }
 
-fn distance(one: &Place, other: &Place) -> u8 {
+fn distance(one: &Locality, other: &Locality) -> u8 {
     match (one.zone == other.zone, one.region == other.region) {
         (true, _) => 0,
         (false, true) => 1,
@@ -90,7 +91,7 @@
     }
 
     /// Returns whether one more is within the share.
-    pub(crate) fn allow(&self, now: Duration, share: Share) -> bool {
+    pub(crate) fn allow(&self, now: Duration, share: SlowStartShare) -> bool {
         let recent = self.times.iter().rev().take_while(|time| now.saturating_sub(**time) < WINDOW).count();
         let latest = self.times.back().map(|time| now.saturating_sub(*time));
         let apart = Duration::from_secs(1).mul_f64(SPACING / share.per_second.max(1) as f64);
--- a/crates/load-balancer/src/home_demand.rs
+++ b/crates/load-balancer/src/home_demand.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// Counts lose half of their weight in this time.
-const HALF_LIFE: Duration = Duration::from_secs(5);
+const HALVING_TIME: Duration = Duration::from_secs(5);
 /// So many requests say something.
 const ENOUGH_REQUESTS: f64 = 20.0;
 /// Above this share of requests that may not be served here, other regions are preferred; below the second one, this
@@ -67,7 +67,7 @@
     fn fade(&mut self, now: Duration) {
         let age = now.saturating_sub(self.counted).as_secs_f64();
         self.counted = self.counted.max(now);
-        let factor = 0.5_f64.powf(age / HALF_LIFE.as_secs_f64());
+        let factor = 0.5_f64.powf(age / HALVING_TIME.as_secs_f64());
         self.all *= factor;
         self.elsewhere *= factor;
         self.by_home.values_mut().for_each(|count| *count *= factor);
--- a/crates/load-balancer/src/waiting.rs
+++ b/crates/load-balancer/src/request_queue.rs
@@ -7,14 +7,14 @@
 use std::time::Duration;
 
 /// The part of its objective for which a request waits.
-const PATIENCE_DIVISOR: u32 = 4;
+const QUEUE_TIME_DIVISOR: u32 = 4;
 
 /// So many requests are looked at for a free place: whether one fits costs time, and most want the same.
-const LOOKED_AT: usize = 8;
+const MAX_EXAMINED: usize = 8;
 
 /// What may wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct WaitingLimits {
+pub struct QueueLimits {
     /// Requests.
     pub requests: usize,
     /// Bytes that they hold together.
@@ -23,7 +23,7 @@
 
 /// How a request waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct QueueTerms {
     /// Its rank; 0 is the most urgent.
     pub priority: u32,
     /// The time within which its answer earns its full worth.
@@ -37,7 +37,7 @@
 /// Names a request that waits. They are ordered as they will be served: the most urgent first, among these the one
 /// that can wait least.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct WaitingKey {
+pub struct QueueKey {
     priority: u32,
     until: Duration,
     number: u64,
@@ -47,80 +47,80 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct Queued<T> {
     /// Names it.
-    pub key: WaitingKey,
+    pub key: QueueKey,
     /// Less urgent ones that do not wait any more.
     pub displaced: Vec<T>,
 }
 
 /// Requests that wait for a place at a server of one service.
-pub struct Waiting<T> {
-    limits: WaitingLimits,
-    requests: BTreeMap<WaitingKey, Held<T>>,
+pub struct RequestQueue<T> {
+    limits: QueueLimits,
+    requests: BTreeMap<QueueKey, Entry<T>>,
     bytes: usize,
     next_number: u64,
 }
 
-struct Held<T> {
+struct Entry<T> {
     request: T,
     bytes: usize,
 }
 
-impl<T> Waiting<T> {
+impl<T> RequestQueue<T> {
     /// Nothing waits.
-    pub fn new(limits: WaitingLimits) -> Self {
-        Waiting { limits, requests: BTreeMap::new(), bytes: 0, next_number: 0 }
+    pub fn new(limits: QueueLimits) -> Self {
+        RequestQueue { limits, requests: BTreeMap::new(), bytes: 0, next_number: 0 }
     }
 
     /// Lets a request wait from now on; it comes back where there is no room for it even without those that are
     /// less urgent.
-    pub fn push(&mut self, now: Duration, terms: Terms, request: T) -> Result<Queued<T>, T> {
-        let until = (now + terms.objective / PATIENCE_DIVISOR).min(terms.due);
-        let key = WaitingKey { priority: terms.priority, until, number: self.next_number };
-        if !self.has_room_among_urgent(terms) {
+    pub fn push(&mut self, now: Duration, terms: QueueTerms, request: T) -> Result<Queued<T>, T> {
+        let until = (now + terms.objective / QUEUE_TIME_DIVISOR).min(terms.due);
+        let key = QueueKey { priority: terms.priority, until, number: self.next_number };
+        if !self.fits_among_urgent(terms) {
             return Err(request);
         }
         self.next_number += 1;
-        let displaced = self.make_room(terms.bytes);
-        self.requests.insert(key, Held { request, bytes: terms.bytes });
+        let displaced = self.displace(terms.bytes);
+        self.requests.insert(key, Entry { request, bytes: terms.bytes });
         self.bytes += terms.bytes;
         Ok(Queued { key, displaced })
     }
 
-    fn has_room_among_urgent(&self, terms: Terms) -> bool {
-        let is_kept = |key: &WaitingKey| key.priority <= terms.priority;
-        let kept = self.requests.iter().take_while(|(key, _)| is_kept(key));
-        let (requests, bytes) =
-            kept.fold((1, terms.bytes), |(requests, bytes), (_, held)| (requests + 1, bytes + held.bytes));
+    fn fits_among_urgent(&self, terms: QueueTerms) -> bool {
+        let is_cached = |key: &QueueKey| key.priority <= terms.priority;
+        let cached = self.requests.iter().take_while(|(key, _)| is_cached(key));
+        let (requests, bytes) = cached
+            .fold((1, terms.bytes), |(requests, bytes), (_, entry)| (requests + 1, bytes + entry.bytes));
         requests <= self.limits.requests && bytes <= self.limits.bytes
     }
 
-    fn make_room(&mut self, bytes: usize) -> Vec<T> {
+    fn displace(&mut self, bytes: usize) -> Vec<T> {
         let mut displaced = Vec::new();
         while self.requests.len() >= self.limits.requests || self.bytes + bytes > self.limits.bytes {
-            let Some((_, held)) = self.requests.pop_last() else { break };
-            self.bytes -= held.bytes;
-            displaced.push(held.request);
+            let Some((_, entry)) = self.requests.pop_last() else { break };
+            self.bytes -= entry.bytes;
+            displaced.push(entry.request);
         }
         displaced
     }
 
     /// Returns the first request that fits a free place, among the first ones that have not waited too long.
     pub fn next(&mut self, now: Duration, mut fits: impl FnMut(&T) -> bool) -> Option<T> {
-        let mut patient = self.requests.iter().filter(|(key, _)| now < key.until).take(LOOKED_AT);
-        let key = *patient.find(|(_, held)| fits(&held.request))?.0;
+        let mut patient = self.requests.iter().filter(|(key, _)| now < key.until).take(MAX_EXAMINED);
+        let key = *patient.find(|(_, entry)| fits(&entry.request))?.0;
         self.remove(key)
     }
 
     /// Takes out a request, as when its client has left.
-    pub fn remove(&mut self, key: WaitingKey) -> Option<T> {
-        let held = self.requests.remove(&key)?;
-        self.bytes -= held.bytes;
-        Some(held.request)
+    pub fn remove(&mut self, key: QueueKey) -> Option<T> {
+        let entry = self.requests.remove(&key)?;
+        self.bytes -= entry.bytes;
+        Some(entry.request)
     }
 
     /// Takes out the requests that have waited too long. They are to be refused.
     pub fn take_expired(&mut self, now: Duration) -> Vec<T> {
-        let expired: Vec<WaitingKey> = self.requests.keys().filter(|key| now >= key.until).copied().collect();
+        let expired: Vec<QueueKey> = self.requests.keys().filter(|key| now >= key.until).copied().collect();
         expired.into_iter().filter_map(|key| self.remove(key)).collect()
     }
 
--- a/crates/load-balancer/src/route_table.rs
+++ b/crates/load-balancer/src/route_table.rs
@@ -72,10 +72,10 @@
 /// One of the services of a route, by their weights. `random` is evenly spread between 0 and 1.
 pub fn pick_service(route: &Route, random: f64) -> Option<&str> {
     let total: f64 = route.split.iter().map(|share| share.weight).sum();
-    let mut left = random.clamp(0.0, 1.0) * total;
+    let mut remaining = random.clamp(0.0, 1.0) * total;
     let picked = route.split.iter().find(|share| {
-        left -= share.weight;
-        left < 0.0
+        remaining -= share.weight;
+        remaining < 0.0
     });
     let weighted = || route.split.iter().rfind(|share| share.weight > 0.0);
     picked.or_else(weighted).map(|share| share.service.as_str())
--- a/crates/load-balancer/tests/common/fleet.rs
+++ b/crates/load-balancer/tests/common/fleet.rs
@@ -2,7 +2,9 @@
 #![allow(dead_code)]
 
 use super::{balancer, engine, limiter, ms, place, ENGINE};
-use quillpulley_load_balancer::{Balancer, Choice, Demand, Limiter, Outcome, PromptPart, ServerKey, Ticket};
+use quillpulley_load_balancer::{
+    Balancer, Choice, Demand, Outcome, PromptPart, ProxyPeer, ServerKey, Ticket,
+};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
@@ -71,7 +73,7 @@
     to_read: u32,
     parts: Vec<PromptPart>,
     output_left: u32,
-    started: bool,
+    record_started: bool,
     /// Tokens since the latest event of its stream, and when that was; whether one came too late.
     tokens: u32,
     event: Duration,
@@ -91,7 +93,7 @@
 pub struct Fleet {
     options: Options,
     random: fastrand::Rng,
-    limiters: Vec<Limiter>,
+    proxies: Vec<ProxyPeer>,
     balancers: Vec<Balancer>,
     engines: BTreeMap<ServerKey, Engine>,
     /// Keys are alike at all balancers, as servers are put in the same order.
@@ -105,9 +107,9 @@
 impl Fleet {
     pub fn new(options: Options) -> Self {
         let zones = options.limiter_zones.iter().enumerate();
-        let limiters: Vec<Limiter> = zones.map(|(n, zone)| limiter(&format!("l{n}"), zone)).collect();
+        let proxies: Vec<ProxyPeer> = zones.map(|(n, zone)| limiter(&format!("l{n}"), zone)).collect();
         let mut balancers: Vec<Balancer> =
-            limiters.iter().map(|own| balancer(&own.name, &own.place.zone, &limiters)).collect();
+            proxies.iter().map(|own| balancer(&own.name, &own.locality.zone, &proxies)).collect();
         let mut engines = BTreeMap::new();
         let mut zones = HashMap::new();
         for (n, zone) in options.server_zones.iter().enumerate() {
@@ -121,7 +123,7 @@
         let random = fastrand::Rng::with_seed(options.seed);
         Fleet {
             random,
-            limiters,
+            proxies,
             balancers,
             engines,
             zones,
@@ -209,8 +211,9 @@
             index += 1;
         }
         let zone = ["a1", "b1", "c1"][self.random.usize(..3)];
-        let near: Vec<usize> =
-            (0..self.limiters.len()).filter(|limiter| self.limiters[*limiter].place == place(zone)).collect();
+        let near: Vec<usize> = (0..self.proxies.len())
+            .filter(|limiter| self.proxies[*limiter].locality == place(zone))
+            .collect();
         let limiter = near[self.random.usize(..near.len())];
         let [first, second] = self.options.kinds[index].chain;
         let thing = self.random.u64(..second.0);
@@ -254,7 +257,7 @@
             return;
         };
         let ticket = self.balancers[limiter].begin(now, key, &demand);
-        let (from, to) = (&self.limiters[limiter].place, place(self.zones[&key]));
+        let (from, to) = (&self.proxies[limiter].locality, place(self.zones[&key]));
         if from.region != to.region {
             self.figures.far += 1;
             self.figures.far_bytes += kind.body_bytes as u64 + u64::from(output_tokens) * 12;
@@ -268,7 +271,7 @@
             unread: 0,
             to_read: 0,
             output_left: output_tokens,
-            started: false,
+            record_started: false,
             tokens: 0,
             event: now,
             paused: false,
@@ -321,11 +324,11 @@
                 attention += f64::from(piece) * context as f64 / 1e6 * MS_PER_MILLION_PAIRS;
                 continue;
             }
-            if !request.started {
-                request.started = true;
+            if !request.record_started {
+                request.record_started = true;
                 request.event = now;
                 if let Some(ticket) = &request.ticket {
-                    self.balancers[request.limiter].started(now, ticket);
+                    self.balancers[request.limiter].record_started(now, ticket);
                 }
                 let reading = Duration::from_secs_f64(f64::from(request.to_read) / TOKENS_PER_MS / 1e3);
                 if now - request.sent > request.objective && reading < request.objective / 2 {
@@ -352,7 +355,7 @@
         for index in ended.into_iter().rev() {
             let mut request = engine.running.remove(index);
             if let Some(ticket) = request.ticket.take() {
-                self.balancers[request.limiter].end(now, ticket, Outcome::Served);
+                self.balancers[request.limiter].end(now, ticket, Outcome::Completed);
             }
         }
     }
--- a/crates/load-balancer/tests/common/mod.rs
+++ b/crates/load-balancer/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 pub mod fleet;
 
-use quillpulley_load_balancer::{Balancer, Demand, Limiter, Options, Place, PromptPart};
+use quillpulley_load_balancer::{Balancer, Demand, Locality, Options, PromptPart, ProxyPeer};
 use quillpulley_protocol as wire;
 use quillpulley_serving_config::Configuration;
 use std::collections::BTreeMap;
@@ -22,8 +22,8 @@
 }
 
 /// Zone `a1` is in region `a`, and so on.
-pub fn place(zone: &str) -> Place {
-    Place { zone: zone.to_owned(), region: zone[..1].to_owned() }
+pub fn place(zone: &str) -> Locality {
+    Locality { zone: zone.to_owned(), region: zone[..1].to_owned() }
 }
 
 pub fn zones() -> BTreeMap<String, String> {
@@ -42,16 +42,16 @@
     Options { name: name.to_owned(), warmup_overshoot: 1.5, warmup_slack: 5.0, seed: 7 }
 }
 
-pub fn limiter(name: &str, zone: &str) -> Limiter {
-    Limiter { name: name.to_owned(), place: place(zone) }
+pub fn limiter(name: &str, zone: &str) -> ProxyPeer {
+    ProxyPeer { name: name.to_owned(), locality: place(zone) }
 }
 
 /// A balancer that knows the configuration and no servers.
-pub fn balancer(name: &str, zone: &str, limiters: &[Limiter]) -> Balancer {
+pub fn balancer(name: &str, zone: &str, proxies: &[ProxyPeer]) -> Balancer {
     let mut balancer = Balancer::new(place(zone), zones(), options(name));
     balancer.set_services(configuration().services.values());
-    if !limiters.is_empty() {
-        balancer.set_limiters(limiters.to_vec());
+    if !proxies.is_empty() {
+        balancer.set_proxies(proxies.to_vec());
     }
     balancer
 }
--- a/crates/load-balancer/tests/engine_choice.rs
+++ b/crates/load-balancer/tests/engine_choice.rs
@@ -13,8 +13,8 @@
 
 /// A balancer that knows nine servers, whose ids are `s0` and so on.
 fn fleet(zone: &str) -> Balancer {
-    let limiters = ["a1", "b1", "c1"].map(|zone| limiter(zone, zone));
-    let mut balancer = balancer(zone, zone, &limiters);
+    let proxies = ["a1", "b1", "c1"].map(|zone| limiter(zone, zone));
+    let mut balancer = balancer(zone, zone, &proxies);
     for (number, zone) in ZONES.iter().enumerate() {
         balancer.put_server(NOW, &engine(&format!("s{number}"), zone));
     }
@@ -51,7 +51,7 @@
 }
 
 fn region(balancer: &Balancer, key: ServerKey) -> String {
-    balancer.server(key).expect("it is listed").place.region.clone()
+    balancer.server(key).expect("it is listed").locality.region.clone()
 }
 
 #[test]
@@ -119,8 +119,8 @@
     let session = [PromptPart { id: 7, tokens: 3_000 }];
     let first = chosen(&mut balancer, &request(&session));
     let ticket = balancer.begin(NOW, first, &request(&session));
-    balancer.started(NOW, &ticket);
-    balancer.end(NOW, ticket, Outcome::Served);
+    balancer.record_started(NOW, &ticket);
+    balancer.end(NOW, ticket, Outcome::Completed);
     for other in 100..120 {
         let own = [PromptPart { id: other, tokens: 100 }];
         let key = chosen(&mut balancer, &request(&own));
@@ -168,7 +168,7 @@
         let key = chosen(&mut balancer, &demand);
         *counts.entry(key).or_default() += 1;
         let ticket = balancer.begin(NOW, key, &demand);
-        balancer.started(NOW, &ticket);
+        balancer.record_started(NOW, &ticket);
     }
     assert_eq!(counts.len(), 4, "only those of the region");
     assert!(counts.values().all(|count| (9..=11).contains(count)), "{counts:?}");
@@ -184,7 +184,7 @@
         let mut sent = 0;
         while let Choice::Send(key) = balancer.choose(NOW, demand, &[]) {
             let ticket = balancer.begin(NOW, key, demand);
-            balancer.started(NOW, &ticket);
+            balancer.record_started(NOW, &ticket);
             sent += 1;
         }
         sent
--- a/crates/load-balancer/tests/health.rs
+++ b/crates/load-balancer/tests/health.rs
@@ -5,7 +5,9 @@
 mod common;
 
 use common::*;
-use quillpulley_load_balancer::{Balancer, Choice, Demand, FailureKind, Outcome, Probe, ServerKey};
+use quillpulley_load_balancer::{
+    Balancer, Choice, Demand, FailureKind, HealthCheckResult, Outcome, ServerKey,
+};
 use quillpulley_protocol::ServerLoad;
 use std::time::Duration;
 
@@ -37,9 +39,9 @@
         let outcome = match event {
             'F' => Outcome::Failed(FailureKind::Connect),
             'e' => Outcome::Failed(FailureKind::ServerError),
-            'b' => Outcome::Failed(FailureKind::BrokeOff),
-            'S' => Outcome::Served,
-            'L' => Outcome::ClientLeft,
+            'b' => Outcome::Failed(FailureKind::Truncated),
+            'S' => Outcome::Completed,
+            'L' => Outcome::ClientClosed,
             _ => return event,
         };
         let demand = Demand { priority: 1, ..demand(PLAIN) };
@@ -110,7 +112,7 @@
     let Choice::Send(key) = player.balancer.choose(now, &demand, &player.others) else { panic!("no trial") };
     let trial = player.balancer.begin(now, key, &demand);
     assert!(matches!(player.balancer.choose(now, &demand, &player.others), Choice::Full { .. }));
-    player.balancer.end(now, trial, Outcome::Served);
+    player.balancer.end(now, trial, Outcome::Completed);
     assert_eq!(player.balancer.choose(now, &demand, &player.others), Choice::Send(player.server));
 }
 
@@ -128,16 +130,20 @@
 fn a_check_comes_before_a_trial() {
     let mut player = player();
     player.check("F..", "s..");
-    assert_eq!(player.balancer.probes_due(player.now), []);
+    assert_eq!(player.balancer.due_health_checks(player.now), []);
     player.check("..", "..");
-    assert_eq!(player.balancer.probes_due(player.now), [player.server]);
-    assert_eq!(player.balancer.probes_due(player.now), [], "one check at a time");
+    assert_eq!(player.balancer.due_health_checks(player.now), [player.server]);
+    assert_eq!(player.balancer.due_health_checks(player.now), [], "one check at a time");
     player.check("SSS", "xxx");
-    player.balancer.probed(player.now, player.server, Probe::Failed);
+    player.balancer.record_health_check(player.now, player.server, HealthCheckResult::Failed);
     player.check("SSSSSSSSSS", "xxxxxxxxxs");
     player.check("F.....", "s.....");
-    assert_eq!(player.balancer.probes_due(player.now), [player.server]);
-    player.balancer.probed(player.now, player.server, Probe::Well { warmup_remaining: None });
+    assert_eq!(player.balancer.due_health_checks(player.now), [player.server]);
+    player.balancer.record_health_check(
+        player.now,
+        player.server,
+        HealthCheckResult::Passed { warmup_remaining: None },
+    );
     player.check("SS", "ss");
 }
 
@@ -162,12 +168,12 @@
         all.collect::<Vec<Choice>>()
     };
     let later = START + ms(2_000);
-    assert!(!player.balancer.is_silent(START + ms(100), player.server));
-    assert!(player.balancer.is_silent(later, player.server));
+    assert!(!player.balancer.is_unresponsive(START + ms(100), player.server));
+    assert!(player.balancer.is_unresponsive(later, player.server));
     assert!(!choices(&mut player.balancer, later).contains(&Choice::Send(player.server)));
     assert_eq!(player.balancer.choose(later, &demand(PLAIN), &player.others), Choice::Send(player.server));
-    player.balancer.started(later, &silent);
-    player.balancer.end(later, silent, Outcome::Served);
+    player.balancer.record_started(later, &silent);
+    player.balancer.end(later, silent, Outcome::Completed);
     assert!(choices(&mut player.balancer, later).contains(&Choice::Send(player.server)));
 }
 
@@ -189,7 +195,7 @@
         let now = START + ms(50 * step);
         for key in [player.server, player.others[0], player.others[1]] {
             let fails = key == player.server && step % 3 == 0;
-            let outcome = if fails { Outcome::Failed(FailureKind::BrokeOff) } else { Outcome::Served };
+            let outcome = if fails { Outcome::Failed(FailureKind::Truncated) } else { Outcome::Completed };
             let ticket = player.balancer.begin(now, key, &demand(PLAIN));
             player.balancer.end(now, ticket, outcome);
         }
@@ -219,8 +225,8 @@
         for key in [player.server, player.others[0], player.others[1]] {
             let time = if key == player.server { ms(240) } else { ms(30) };
             let ticket = player.balancer.begin(now, key, &demand(PLAIN));
-            player.balancer.started(now + time, &ticket);
-            player.balancer.end(now + time, ticket, Outcome::Served);
+            player.balancer.record_started(now + time, &ticket);
+            player.balancer.end(now + time, ticket, Outcome::Completed);
         }
     }
     let count = |player: &mut Player, now| {
--- a/crates/load-balancer/tests/listing.rs
+++ b/crates/load-balancer/tests/listing.rs
@@ -200,7 +200,7 @@
         let allowed = self.may_send(demand, key) && !exclude.contains(&key) && self.balancer.is_usable(key);
         let ticket = self.balancer.begin(self.now, key, demand);
         if !outcome.is_multiple_of(3) {
-            let outcome = if outcome % 3 == 1 { Outcome::Served } else { Outcome::ClientLeft };
+            let outcome = if outcome % 3 == 1 { Outcome::Completed } else { Outcome::ClientClosed };
             self.balancer.end(self.now, ticket, outcome);
         }
         allowed
--- a/crates/load-balancer/tests/plain_choice.rs
+++ b/crates/load-balancer/tests/plain_choice.rs
@@ -130,8 +130,8 @@
 
 #[test]
 fn a_limiter_keeps_to_its_part_of_the_connections() {
-    let limiters: Vec<_> = (0..50).map(|number| limiter(&format!("l{number}"), "a1")).collect();
-    let mut balancer = balancer("l0", "a1", &limiters);
+    let proxies: Vec<_> = (0..50).map(|number| limiter(&format!("l{number}"), "a1")).collect();
+    let mut balancer = balancer("l0", "a1", &proxies);
     balancer.put_server(NOW, &server("s", PLAIN, "a1", 1_000));
     let mut sent = Vec::new();
     while let Choice::Send(key) = balancer.choose(NOW, &demand(PLAIN), &[]) {
@@ -161,9 +161,9 @@
     fleet.send_all(8, &demand(PLAIN));
     for (number, ticket) in fleet.under_way.drain(..).enumerate() {
         if number % 2 == 0 {
-            fleet.balancer.started(NOW, &ticket);
+            fleet.balancer.record_started(NOW, &ticket);
         }
-        let outcome = if number % 3 == 0 { Outcome::ClientLeft } else { Outcome::Served };
+        let outcome = if number % 3 == 0 { Outcome::ClientClosed } else { Outcome::Completed };
         fleet.balancer.end(NOW, ticket, outcome);
     }
     assert_eq!(fleet.balancer.own_loads(NOW), []);
@@ -175,7 +175,7 @@
     fleet.send(&demand(PLAIN));
     fleet.balancer.remove_server(NOW, "a1");
     let ticket = fleet.under_way.pop().expect("a request is under way");
-    fleet.balancer.started(NOW, &ticket);
-    fleet.balancer.end(NOW, ticket, Outcome::Served);
+    fleet.balancer.record_started(NOW, &ticket);
+    fleet.balancer.end(NOW, ticket, Outcome::Completed);
     assert_eq!(fleet.balancer.own_loads(NOW), []);
 }
--- a/crates/load-balancer/tests/waiting.rs
+++ b/crates/load-balancer/tests/request_queue.rs
@@ -1,24 +1,29 @@
 //! Requests that wait for a place.
 
 use quickcheck::{quickcheck, Arbitrary, Gen};
-use quillpulley_load_balancer::{Terms, Waiting, WaitingKey, WaitingLimits};
+use quillpulley_load_balancer::{QueueKey, QueueLimits, QueueTerms, RequestQueue};
 use std::time::Duration;
 
-const LIMITS: WaitingLimits = WaitingLimits { requests: 3, bytes: 1_000 };
+const LIMITS: QueueLimits = QueueLimits { requests: 3, bytes: 1_000 };
 
 fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
 }
 
-fn terms(priority: u32, objective: u64) -> Terms {
-    Terms { priority, objective: ms(objective), due: ms(60_000), bytes: 100 }
+fn terms(priority: u32, objective: u64) -> QueueTerms {
+    QueueTerms { priority, objective: ms(objective), due: ms(60_000), bytes: 100 }
 }
 
-fn waiting() -> Waiting<&'static str> {
-    Waiting::new(LIMITS)
+fn waiting() -> RequestQueue<&'static str> {
+    RequestQueue::new(LIMITS)
 }
 
-fn push(waiting: &mut Waiting<&'static str>, now: u64, terms: Terms, name: &'static str) -> WaitingKey {
+fn push(
+    waiting: &mut RequestQueue<&'static str>,
+    now: u64,
+    terms: QueueTerms,
+    name: &'static str,
+) -> QueueKey {
     waiting.push(ms(now), terms, name).expect("there is room").key
 }
 
@@ -52,7 +57,7 @@
 
 #[test]
 fn only_the_first_are_looked_at() {
-    let mut waiting = Waiting::new(WaitingLimits { requests: 1_000, bytes: 1_000_000 });
+    let mut waiting = RequestQueue::new(QueueLimits { requests: 1_000, bytes: 1_000_000 });
     for number in 0..1_000 {
         assert!(waiting.push(ms(0), terms(0, 800), number).is_ok());
     }
@@ -79,7 +84,7 @@
 #[test]
 fn nobody_waits_beyond_what_the_client_does() {
     let mut waiting = waiting();
-    push(&mut waiting, 0, Terms { due: ms(50), ..terms(0, 800) }, "one");
+    push(&mut waiting, 0, QueueTerms { due: ms(50), ..terms(0, 800) }, "one");
     assert_eq!(waiting.next_expiry(), Some(ms(50)));
 }
 
@@ -98,22 +103,23 @@
 #[test]
 fn bytes_are_bounded_too() {
     let mut waiting = waiting();
-    push(&mut waiting, 0, Terms { bytes: 600, ..terms(1, 800) }, "one");
-    let large = Terms { bytes: 500, ..terms(1, 800) };
+    push(&mut waiting, 0, QueueTerms { bytes: 600, ..terms(1, 800) }, "one");
+    let large = QueueTerms { bytes: 500, ..terms(1, 800) };
     assert_eq!(waiting.push(ms(0), large, "refused"), Err("refused"));
-    let queued = waiting.push(ms(0), Terms { priority: 0, ..large }, "urgent").expect("it is more urgent");
+    let queued =
+        waiting.push(ms(0), QueueTerms { priority: 0, ..large }, "urgent").expect("it is more urgent");
     assert_eq!(queued.displaced, ["one"]);
-    let too_large = Terms { bytes: 1_001, ..terms(0, 800) };
+    let too_large = QueueTerms { bytes: 1_001, ..terms(0, 800) };
     assert_eq!(waiting.push(ms(0), too_large, "refused"), Err("refused"));
 }
 
 #[test]
 fn a_client_that_leaves_makes_room() {
     let mut waiting = waiting();
-    let key = push(&mut waiting, 0, Terms { bytes: 1_000, ..terms(0, 800) }, "one");
+    let key = push(&mut waiting, 0, QueueTerms { bytes: 1_000, ..terms(0, 800) }, "one");
     assert_eq!(waiting.remove(key), Some("one"));
     assert_eq!(waiting.remove(key), None);
-    push(&mut waiting, 0, Terms { bytes: 1_000, ..terms(0, 800) }, "two");
+    push(&mut waiting, 0, QueueTerms { bytes: 1_000, ..terms(0, 800) }, "two");
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -139,13 +145,13 @@
 
 quickcheck! {
     fn limits_hold_and_no_request_is_lost(steps: Vec<Step>) -> bool {
-        let mut waiting: Waiting<(usize, usize)> = Waiting::new(LIMITS);
+        let mut waiting: RequestQueue<(usize, usize)> = RequestQueue::new(LIMITS);
         let mut held: Vec<(usize, usize)> = Vec::new();
         for (number, step) in steps.iter().enumerate() {
             let now = ms(number as u64 * 20);
             let gone = match *step {
                 Step::Push { priority, objective, bytes } => {
-                    let terms = Terms { bytes, ..terms(priority, objective) };
+                    let terms = QueueTerms { bytes, ..terms(priority, objective) };
                     held.push((number, bytes));
                     waiting.push(now, terms, (number, bytes)).map_or_else(|refused| vec![refused], |queued| queued.displaced)
                 }
--- a/crates/load-balancer/tests/warmup.rs
+++ b/crates/load-balancer/tests/warmup.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use quickcheck::{quickcheck, Arbitrary, Gen};
-use quillpulley_load_balancer::{Balancer, Choice, Limiter, Outcome, Probe, ServerKey};
+use quillpulley_load_balancer::{Balancer, Choice, HealthCheckResult, Outcome, ProxyPeer, ServerKey};
 use quillpulley_protocol::Server;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -26,7 +26,7 @@
     while now < from + time {
         if let Choice::Send(key) = balancer.choose(now, &demand(ENGINE), &[]) {
             let ticket = balancer.begin(now, key, &demand(ENGINE));
-            balancer.end(now, ticket, Outcome::Served);
+            balancer.end(now, ticket, Outcome::Completed);
             if key == server {
                 sent.push(now);
             }
@@ -36,7 +36,7 @@
     sent
 }
 
-fn limiters(zones: &[&str]) -> Vec<Limiter> {
+fn proxies(zones: &[&str]) -> Vec<ProxyPeer> {
     zones.iter().enumerate().map(|(number, zone)| limiter(&format!("l{number}"), zone)).collect()
 }
 
@@ -70,30 +70,30 @@
     let mut balancer = lone_balancer();
     let server = put(&mut balancer, &engine("s", "a1"));
     sends_to(&mut balancer, server, NOW, ms(500));
-    balancer.learn_cold(NOW + ms(500), server, WARMUP);
+    balancer.set_warmup_remaining(NOW + ms(500), server, WARMUP);
     assert_eq!(sends_to(&mut balancer, server, NOW + ms(500), ms(700)), []);
 }
 
 #[test]
 fn two_limiters_of_many_send_and_those_near_the_server_first() {
     let zones = ["a1", "a1", "a1", "a2", "b1", "b1", "c1", "c2"];
-    let all = limiters(&zones);
+    let all = proxies(&zones);
     for (server_zone, expected) in [("a1", "a1"), ("b1", "b1")] {
-        let senders = all.iter().filter(|own| sends(&own.name, &own.place.zone, &all, server_zone));
-        let zones: Vec<&str> = senders.map(|sender| sender.place.zone.as_str()).collect();
+        let senders = all.iter().filter(|own| sends(&own.name, &own.locality.zone, &all, server_zone));
+        let zones: Vec<&str> = senders.map(|sender| sender.locality.zone.as_str()).collect();
         assert_eq!(zones, [expected, expected]);
     }
 }
 
 #[test]
 fn limiters_of_the_region_send_where_the_zone_has_too_few() {
-    let all = limiters(&["a1", "a2", "a2", "b1", "b1"]);
-    let senders = all.iter().filter(|own| sends(&own.name, &own.place.zone, &all, "a1"));
-    let zones: Vec<&str> = senders.map(|sender| sender.place.zone.as_str()).collect();
+    let all = proxies(&["a1", "a2", "a2", "b1", "b1"]);
+    let senders = all.iter().filter(|own| sends(&own.name, &own.locality.zone, &all, "a1"));
+    let zones: Vec<&str> = senders.map(|sender| sender.locality.zone.as_str()).collect();
     assert_eq!(zones, ["a1", "a2"]);
 }
 
-fn sends(name: &str, zone: &str, all: &[Limiter], server_zone: &str) -> bool {
+fn sends(name: &str, zone: &str, all: &[ProxyPeer], server_zone: &str) -> bool {
     let mut balancer = balancer(name, zone, all);
     let server = put(&mut balancer, &cold("s", server_zone));
     !sends_to(&mut balancer, server, NOW, ms(300)).is_empty()
@@ -125,7 +125,7 @@
     for _ in 0..100 {
         assert_eq!(balancer.choose(NOW, &demand(PLAIN), &[]), server.map_or(Choice::NoServer, Choice::Send));
         let ticket = balancer.begin(NOW, server.expect("it was put"), &demand(PLAIN));
-        balancer.end(NOW, ticket, Outcome::Served);
+        balancer.end(NOW, ticket, Outcome::Completed);
     }
 }
 
@@ -137,8 +137,8 @@
         let ticket = balancer.begin(NOW, server, &demand(ENGINE));
         balancer.end(NOW, ticket, Outcome::Failed(quillpulley_load_balancer::FailureKind::Connect));
         let back = NOW + ms(4_000);
-        assert_eq!(balancer.probes_due(back), [server]);
-        balancer.probed(back, server, Probe::Well { warmup_remaining: told });
+        assert_eq!(balancer.due_health_checks(back), [server]);
+        balancer.record_health_check(back, server, HealthCheckResult::Passed { warmup_remaining: told });
         let sent = sends_to(&mut balancer, server, back, ms(1_000));
         assert_eq!(most_in_a_second(&sent), most);
     }
@@ -148,7 +148,7 @@
 #[derive(Clone, Debug)]
 struct Cut {
     /// For each limiter: its zone, and its side.
-    limiters: Vec<(usize, bool)>,
+    proxies: Vec<(usize, bool)>,
     server_zone: usize,
     /// When each limiter learns of the cut, in milliseconds; before, it knows all.
     learns: Vec<u16>,
@@ -163,7 +163,7 @@
     fn arbitrary(g: &mut Gen) -> Self {
         let count = 1 + usize::arbitrary(g) % MOST_LIMITERS;
         Cut {
-            limiters: (0..count).map(|_| (usize::arbitrary(g) % ZONES.len(), bool::arbitrary(g))).collect(),
+            proxies: (0..count).map(|_| (usize::arbitrary(g) % ZONES.len(), bool::arbitrary(g))).collect(),
             server_zone: usize::arbitrary(g) % ZONES.len(),
             learns: (0..count).map(|_| u16::arbitrary(g) % 4_000).collect(),
             gaps: (0..count).map(|_| 1 + u8::arbitrary(g) % 40).collect(),
@@ -173,25 +173,25 @@
 
 /// Sends of all limiters to the one server, which is cold.
 fn play(cut: &Cut) -> Vec<Duration> {
-    let zones: Vec<&str> = cut.limiters.iter().map(|(zone, _)| ZONES[*zone]).collect();
-    let all = limiters(&zones);
+    let zones: Vec<&str> = cut.proxies.iter().map(|(zone, _)| ZONES[*zone]).collect();
+    let all = proxies(&zones);
     let mut sent = Vec::new();
     for (number, own) in all.iter().enumerate() {
-        let mut balancer = balancer(&own.name, &own.place.zone, &all);
+        let mut balancer = balancer(&own.name, &own.locality.zone, &all);
         let entry = Server { warmup_remaining_ms: 10_000, ..cold("s", ZONES[cut.server_zone]) };
         put(&mut balancer, &entry);
-        let side = cut.limiters[number].1;
-        let reached = all.iter().zip(&cut.limiters).filter(|(_, (_, other))| *other == side);
-        let reached: Vec<Limiter> = reached.map(|(limiter, _)| limiter.clone()).collect();
+        let side = cut.proxies[number].1;
+        let reached = all.iter().zip(&cut.proxies).filter(|(_, (_, other))| *other == side);
+        let reached: Vec<ProxyPeer> = reached.map(|(limiter, _)| limiter.clone()).collect();
         let learns = NOW + ms(u64::from(cut.learns[number]));
         let mut now = NOW;
         while now < NOW + ms(5_000) {
             if now >= learns {
-                balancer.set_limiters(reached.clone());
+                balancer.set_proxies(reached.clone());
             }
             if let Choice::Send(key) = balancer.choose(now, &demand(ENGINE), &[]) {
                 let ticket = balancer.begin(now, key, &demand(ENGINE));
-                balancer.end(now, ticket, Outcome::Served);
+                balancer.end(now, ticket, Outcome::Completed);
                 sent.push(now);
             }
             now += ms(u64::from(cut.gaps[number]));
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -11,6 +11,7 @@
 
 mod framing;
 mod lane;
+mod locality;
 mod node_id;
 mod queue;
 
@@ -20,4 +21,5 @@
 };
 pub use generated::quillpulley::protocol::*;
 pub use lane::Lane;
+pub use locality::Locality;
 pub use queue::{FrameQueue, QueueFull, CHUNK_WINDOW_BYTES};
--- a/crates/quillpulley/src/control/discovery/reader.rs
+++ b/crates/quillpulley/src/control/discovery/reader.rs
@@ -50,7 +50,7 @@
 
 enum State {
     /// The next reading begins at this time.
-    Waiting(Duration),
+    RequestQueue(Duration),
     /// A page is being fetched.
     Reading(PartialReading),
     /// A page is being fetched that will not be used.
@@ -77,7 +77,12 @@
 impl ListReader {
     /// Creates a reader that begins at once.
     pub fn new(options: ReaderOptions) -> Self {
-        ListReader { options, state: State::Waiting(Duration::ZERO), failures: 0, unconfirmed_size: None }
+        ListReader {
+            options,
+            state: State::RequestQueue(Duration::ZERO),
+            failures: 0,
+            unconfirmed_size: None,
+        }
     }
 
     /// Begins anew, as after an election. A page that is being fetched will not be used.
@@ -85,14 +90,14 @@
         self.unconfirmed_size = None;
         self.state = match self.state {
             State::Reading(_) | State::Discarding => State::Discarding,
-            State::Waiting(_) => State::Waiting(now),
+            State::RequestQueue(_) => State::RequestQueue(now),
         };
     }
 
     /// Returns the page to fetch at `now`, if a reading is due. `is_leader` tells whether the lease is held.
     pub fn tick(&mut self, now: Duration, is_leader: bool) -> Option<Fetch> {
         match self.state {
-            State::Waiting(at) if is_leader && at <= now => {
+            State::RequestQueue(at) if is_leader && at <= now => {
                 self.state = State::Reading(PartialReading { started: now, ..PartialReading::default() });
                 Some(Fetch { token: None })
             }
@@ -108,9 +113,9 @@
         published: usize,
         outcome: Result<Page, FetchError>,
     ) -> Outcome {
-        match std::mem::replace(&mut self.state, State::Waiting(now)) {
+        match std::mem::replace(&mut self.state, State::RequestQueue(now)) {
             State::Reading(partial) if is_leader => self.add_page(now, published, partial, outcome),
-            State::Reading(_) | State::Discarding | State::Waiting(_) => Outcome::Nothing,
+            State::Reading(_) | State::Discarding | State::RequestQueue(_) => Outcome::Nothing,
         }
     }
 
@@ -141,7 +146,7 @@
     fn fail(&mut self, now: Duration, error: FetchError) -> Outcome {
         let backoff = self.options.interval * 2u32.saturating_pow(self.failures.min(16));
         self.failures += 1;
-        self.state = State::Waiting(now + backoff.min(LONGEST_BACKOFF));
+        self.state = State::RequestQueue(now + backoff.min(LONGEST_BACKOFF));
         Outcome::Failed { error, first: self.failures == 1 }
     }
 
@@ -151,12 +156,12 @@
         let is_implausible = size * 2 < published;
         if is_implausible && self.unconfirmed_size != Some(size) {
             self.unconfirmed_size = Some(size);
-            self.state = State::Waiting(now + CONFIRM_AFTER);
+            self.state = State::RequestQueue(now + CONFIRM_AFTER);
             return Outcome::Nothing;
         }
         self.unconfirmed_size = None;
         let next = partial.started + self.interval_for(partial.pages);
-        self.state = State::Waiting(next.max(now));
+        self.state = State::RequestQueue(next.max(now));
         Outcome::Complete(partial.reading)
     }
 
--- a/crates/quillpulley/src/control/replica_host/peer_table.rs
+++ b/crates/quillpulley/src/control/replica_host/peer_table.rs
@@ -18,7 +18,7 @@
 /// The link that this process opened to a peer.
 enum Outgoing<L> {
     /// The next attempt is due at this time.
-    Waiting(Duration),
+    RequestQueue(Duration),
     Connecting {
         link: L,
         /// It replaces a connection that may have hung.
@@ -65,7 +65,7 @@
             return;
         }
         self.peers.entry(address).or_insert_with(|| Peer {
-            outgoing: Outgoing::Waiting(now),
+            outgoing: Outgoing::RequestQueue(now),
             hello: None,
             next_is_replacement: false,
             failures: 0,
@@ -75,7 +75,7 @@
 
     /// Returns the addresses to connect to now. The host has to call [`PeerTable::connecting`] for each.
     pub fn due(&self, now: Duration) -> Vec<Ipv4Addr> {
-        let is_due = |peer: &Peer<L>| matches!(peer.outgoing, Outgoing::Waiting(at) if at <= now);
+        let is_due = |peer: &Peer<L>| matches!(peer.outgoing, Outgoing::RequestQueue(at) if at <= now);
         self.peers.iter().filter(|(_, peer)| is_due(peer)).map(|(address, _)| *address).collect()
     }
 
@@ -127,12 +127,12 @@
     fn reconnect(&mut self, now: Duration, address: Ipv4Addr) -> Option<L> {
         let peer = self.peers.get_mut(&address)?;
         match peer.outgoing {
-            Outgoing::Waiting(_) => {
-                peer.outgoing = Outgoing::Waiting(now);
+            Outgoing::RequestQueue(_) => {
+                peer.outgoing = Outgoing::RequestQueue(now);
                 None
             }
             Outgoing::Connecting { link, is_replacement: false } => {
-                peer.outgoing = Outgoing::Waiting(now);
+                peer.outgoing = Outgoing::RequestQueue(now);
                 peer.next_is_replacement = true;
                 Some(link)
             }
@@ -146,19 +146,19 @@
         let (_, peer) = self.peer_of(link)?;
         let backoff = LONGEST_BACKOFF.min(FIRST_BACKOFF * 2u32.saturating_pow(peer.failures.min(8)));
         let next = now + backoff.mul_f64(1.0 + jitter.clamp(0.0, 1.0) / 2.0);
-        let before = std::mem::replace(&mut peer.outgoing, Outgoing::Waiting(next));
+        let before = std::mem::replace(&mut peer.outgoing, Outgoing::RequestQueue(next));
         peer.failures += 1;
         peer.unreachable_since.get_or_insert(now);
         match before {
             Outgoing::Open(_, node) => Some(PeerChange::Disconnected(node)),
-            Outgoing::Connecting { .. } | Outgoing::Waiting(_) => None,
+            Outgoing::Connecting { .. } | Outgoing::RequestQueue(_) => None,
         }
     }
 
     fn peer_of(&mut self, link: L) -> Option<(Ipv4Addr, &mut Peer<L>)> {
         let has_link = |peer: &Peer<L>| match &peer.outgoing {
             Outgoing::Connecting { link: other, .. } | Outgoing::Open(other, _) => *other == link,
-            Outgoing::Waiting(_) => false,
+            Outgoing::RequestQueue(_) => false,
         };
         self.peers.iter_mut().find(|(_, peer)| has_link(peer)).map(|(address, peer)| (*address, peer))
     }
@@ -193,7 +193,7 @@
     pub fn connected(&self) -> impl Iterator<Item = (L, NodeId)> + '_ {
         self.peers.values().filter_map(|peer| match peer.outgoing {
             Outgoing::Open(link, node) => Some((link, node)),
-            Outgoing::Waiting(_) | Outgoing::Connecting { .. } => None,
+            Outgoing::RequestQueue(_) | Outgoing::Connecting { .. } => None,
         })
     }
 
--- /dev/null
+++ b/crates/quillpulley/src/proxy/admission/mod.rs
@@ -0,0 +1,179 @@
+//! Capacity at servers: a request gets it at once, or waits in a queue for a short time.
+//!
+//! Whoever waits is admitted as soon as there is capacity, before anybody who comes later.
+
+pub mod buffer_budget;
+
+use crate::proxy::downstream::request::RequestContext;
+use crate::proxy::upstream::upstream_call::UpstreamCall;
+use crate::proxy::upstream::upstreams::{CapacityListener, Upstreams};
+use quillpulley_load_balancer::{Choice, QueueKey, QueueLimits, QueueTerms, RequestQueue, ServerKey};
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::{oneshot, Notify};
+use tokio::time::{sleep, timeout_at, Instant};
+
+/// How often queues are looked at while they are not empty: some capacity comes with time alone, as warming servers get
+/// their requests one by one.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// No server has capacity for a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct NoCapacity {
+    /// When there may be capacity, if that is known.
+    pub retry_after: Option<Duration>,
+}
+
+/// A request in a queue.
+struct Waiter {
+    context: Rc<RequestContext>,
+    /// The servers that it was sent to.
+    tried: Vec<ServerKey>,
+    admitted: oneshot::Sender<UpstreamCall>,
+}
+
+/// Admits requests to servers, and queues those for which there is no capacity.
+pub struct Admission {
+    upstreams: Rc<Upstreams>,
+    limits: QueueLimits,
+    queues: RefCell<HashMap<String, RequestQueue<Waiter>>>,
+    /// The first request is queued.
+    queue_filled: Notify,
+}
+
+impl Admission {
+    /// Creates empty queues, which hold up to `limits` for each service.
+    pub fn new(upstreams: Rc<Upstreams>, limits: QueueLimits) -> Rc<Self> {
+        let queue_filled = Notify::new();
+        let admission = Rc::new(Admission { upstreams, limits, queues: RefCell::default(), queue_filled });
+        let listener: Rc<dyn CapacityListener> = admission.clone();
+        admission.upstreams.set_capacity_listener(Rc::downgrade(&listener));
+        admission
+    }
+
+    /// Returns a call to a server, other than those that were tried, at once or until then.
+    ///
+    /// # Errors
+    /// [`NoCapacity`] if no server had capacity by then.
+    pub async fn acquire(
+        &self,
+        context: &Rc<RequestContext>,
+        tried: &[ServerKey],
+        until: Instant,
+    ) -> Result<UpstreamCall, NoCapacity> {
+        let retry_after = match self.upstreams.choose(&context.demand(), tried) {
+            Choice::Send(server) => {
+                return self.begin(context.clone(), server).ok_or(NoCapacity { retry_after: None })
+            }
+            Choice::Full { retry_after } => Some(retry_after),
+            Choice::NoServer => return Err(NoCapacity { retry_after: None }),
+        };
+        let (admitted, call) = oneshot::channel();
+        let waiter = Waiter { context: context.clone(), tried: tried.to_vec(), admitted };
+        let key = self.enqueue(self.queue_terms(context, until), waiter).ok_or(NoCapacity { retry_after })?;
+        let _entry = QueueEntry { admission: self, service: &context.decision.service, key };
+        match timeout_at(until, call).await {
+            Ok(Ok(call)) => Ok(call),
+            Ok(Err(_)) | Err(_) => Err(NoCapacity { retry_after }),
+        }
+    }
+
+    /// Admits queued requests to servers of a service, as long as there is capacity.
+    pub fn admit(&self, service: &str) {
+        loop {
+            let mut chosen = None;
+            let waiter = self.dequeue(service, |waiter| {
+                chosen = self.choose_for(waiter);
+                chosen.is_some()
+            });
+            let Some((waiter, server)) = waiter.zip(chosen) else { return };
+            if let Some(call) = self.begin(waiter.context, server) {
+                // A call that nobody takes any more ends by itself.
+                let _ = waiter.admitted.send(call);
+            }
+        }
+    }
+
+    /// Admits queued requests of all services.
+    pub fn admit_all(&self) {
+        let services: Vec<String> = self.queues.borrow().keys().cloned().collect();
+        services.iter().for_each(|service| self.admit(service));
+    }
+
+    /// Admits queued requests again and again, for as long as it is polled.
+    pub async fn poll_queues(self: Rc<Self>) {
+        loop {
+            self.queue_filled.notified().await;
+            while !self.is_idle() {
+                sleep(POLL_INTERVAL).await;
+                self.admit_all();
+            }
+        }
+    }
+
+    fn is_idle(&self) -> bool {
+        self.queues.borrow().values().all(RequestQueue::is_empty)
+    }
+
+    fn enqueue(&self, terms: QueueTerms, waiter: Waiter) -> Option<QueueKey> {
+        if self.is_idle() {
+            self.queue_filled.notify_one();
+        }
+        let service = waiter.context.decision.service.clone();
+        let mut queues = self.queues.borrow_mut();
+        let queue = queues.entry(service).or_insert_with(|| RequestQueue::new(self.limits));
+        // Displaced requests find their sender dropped.
+        queue.push(self.upstreams.now(), terms, waiter).ok().map(|queued| queued.key)
+    }
+
+    fn dequeue(&self, service: &str, fits: impl FnMut(&Waiter) -> bool) -> Option<Waiter> {
+        self.queues.borrow_mut().get_mut(service)?.next(self.upstreams.now(), fits)
+    }
+
+    fn remove(&self, service: &str, key: QueueKey) {
+        let removed = self.queues.borrow_mut().get_mut(service).and_then(|queue| queue.remove(key));
+        drop(removed);
+    }
+
+    fn choose_for(&self, waiter: &Waiter) -> Option<ServerKey> {
+        match self.upstreams.choose(&waiter.context.demand(), &waiter.tried) {
+            Choice::Send(server) => Some(server),
+            Choice::Full { .. } | Choice::NoServer => None,
+        }
+    }
+
+    fn begin(&self, context: Rc<RequestContext>, server: ServerKey) -> Option<UpstreamCall> {
+        let (peer, ticket) = self.upstreams.begin_call(server, &context.demand())?;
+        Some(UpstreamCall::new(self.upstreams.clone(), context, peer, ticket))
+    }
+
+    fn queue_terms(&self, context: &RequestContext, until: Instant) -> QueueTerms {
+        QueueTerms {
+            priority: context.decision.priority,
+            objective: context.decision.objective,
+            due: until.saturating_duration_since(self.upstreams.started_at()),
+            bytes: context.request.body.len(),
+        }
+    }
+}
+
+impl CapacityListener for Admission {
+    fn capacity_freed(self: Rc<Self>, service: &str) {
+        self.admit(service);
+    }
+}
+
+/// The place of a request in a queue, for as long as this lives.
+struct QueueEntry<'a> {
+    admission: &'a Admission,
+    service: &'a str,
+    key: QueueKey,
+}
+
+impl Drop for QueueEntry<'_> {
+    fn drop(&mut self) {
+        self.admission.remove(self.service, self.key);
+    }
+}
--- /dev/null
+++ b/crates/quillpulley/src/proxy/config/updates.rs
@@ -0,0 +1,86 @@
+//! Applies changes of the published state to what all requests share.
+
+use crate::proxy::state::ProxyState;
+use quillpulley_load_balancer::ProxyPeer;
+use quillpulley_protocol::{
+    decode_value, ConfigHead, ConfigHeadRef, Locality, ProxyEndpoint, ProxyEndpointRef, Server, ServerRef,
+};
+use quillpulley_serving_config::published::{
+    PublishedKey, CONFIG_KEY, ENDPOINT_PREFIX, EVACUATED_PREFIX, ROUTE_PREFIX,
+};
+use quillpulley_serving_config::{Configuration, ConfigurationError};
+use quillpulley_state_sync::{ChangedKey, Store};
+use std::rc::Rc;
+
+/// The kinds of items that have to be read again after a change.
+#[derive(Default)]
+struct Affected {
+    configuration: bool,
+    evacuations: bool,
+    endpoints: bool,
+}
+
+/// Applies what has changed in the store.
+pub fn apply(state: &Rc<ProxyState>, store: &Store, changes: &[ChangedKey]) {
+    let mut affected = Affected::default();
+    for change in changes {
+        match PublishedKey::parse(&change.key) {
+            Some(PublishedKey::Config | PublishedKey::Route(_)) => affected.configuration = true,
+            Some(PublishedKey::Evacuated(_)) => affected.evacuations = true,
+            Some(PublishedKey::ProxyEndpoint(_)) => affected.endpoints = true,
+            Some(PublishedKey::Server(id)) => apply_server(state, id, change.new.as_deref()),
+            Some(PublishedKey::ControlNode(_)) | None => {}
+        }
+    }
+    if affected.configuration {
+        apply_configuration(state, store);
+    }
+    if affected.evacuations {
+        let zones = store.with_prefix(EVACUATED_PREFIX);
+        state.set_evacuated(&zones.map(|(key, _)| key[EVACUATED_PREFIX.len()..].to_string()).collect());
+    }
+    if affected.endpoints {
+        state.set_proxies(proxies(store));
+    }
+}
+
+fn apply_server(state: &Rc<ProxyState>, id: &str, value: Option<&[u8]>) {
+    match value.map(decode_value::<ServerRef<'_>, Server>) {
+        Some(Ok(server)) => state.put_server(&server),
+        Some(Err(error)) => log::error!(server = id, error:% = error; "a published server cannot be read"),
+        None => state.upstreams.remove_server(id),
+    }
+}
+
+/// Applies the configuration if it is a later one: its head changes with it.
+fn apply_configuration(state: &ProxyState, store: &Store) {
+    let Some(head) = store.get(CONFIG_KEY) else { return };
+    let version = match decode_value::<ConfigHeadRef<'_>, ConfigHead>(head) {
+        Ok(head) => head.version,
+        Err(error) => {
+            return log::error!(error:% = error; "the head of the published configuration cannot be read")
+        }
+    };
+    if state.config.version().is_some_and(|current| version <= current) {
+        return;
+    }
+    let routes = store.with_prefix(ROUTE_PREFIX).map(|(_, value)| value);
+    match Configuration::from_items(head, routes) {
+        Ok(configuration) => state.activate(configuration),
+        // The rest comes with the next frame.
+        Err(error @ ConfigurationError::Incomplete { .. }) => {
+            log::debug!(version, error:% = error; "the published configuration is incomplete");
+        }
+        Err(error) => log::error!(version, error:% = error; "the published configuration cannot be read"),
+    }
+}
+
+/// Returns all proxies: one that starts or drains may send requests to servers too.
+fn proxies(store: &Store) -> Vec<ProxyPeer> {
+    let endpoints = store.with_prefix(ENDPOINT_PREFIX);
+    let endpoints =
+        endpoints.filter_map(|(_, value)| decode_value::<ProxyEndpointRef<'_>, ProxyEndpoint>(value).ok());
+    let proxy =
+        |ProxyEndpoint { name, zone, region, .. }| ProxyPeer { name, locality: Locality { zone, region } };
+    endpoints.map(proxy).collect()
+}
--- /dev/null
+++ b/crates/quillpulley/src/proxy/downstream/client_service.rs
@@ -0,0 +1,201 @@
+//! Serves clients: each request is accepted, forwarded, and answered.
+//!
+//! A request passes through these phases, each a method: `accept` reads and checks it, `forward` has it sent to servers,
+//! and `respond` (of [`Service`]) writes the response. A client that closes its connection ends its request in any phase.
+
+use crate::proxy::config::active_config::{ActiveConfig, RouteDecision};
+use crate::proxy::downstream::local_response::LocalResponse;
+use crate::proxy::downstream::open_requests::OpenRequest;
+use crate::proxy::downstream::request::{head_bytes, ClientRequest, RequestContext, RequestHead};
+use crate::proxy::downstream::request_body::read_body;
+use crate::proxy::downstream::response::{self, ClientResponse, ResponseBody};
+use crate::proxy::retry::forwarding::{ForwardError, Forwarding, UpstreamResponse};
+use crate::proxy::shutdown::lifecycle;
+use crate::proxy::state::ProxyState;
+use crate::proxy::streaming::event_stream::{EventStream, StreamGuards};
+use hyper::body::{Body, Incoming};
+use hyper::{Request, StatusCode};
+use quillpulley_http1_client::{ServerConnection, Service};
+use std::future::{poll_fn, Future};
+use std::io;
+use std::pin::pin;
+use std::rc::Rc;
+use std::task::Poll;
+use std::time::Duration;
+use tokio::time::{sleep_until, timeout_at, Instant};
+
+/// When a client may try again if a request with its id is open.
+const DUPLICATE_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// When it may try again if this proxy exits too soon: at once, as others serve it.
+const DRAINING_RETRY_AFTER: Duration = Duration::ZERO;
+/// When it may try again if there is no route for it, and the published state is stale.
+const STALE_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// A stream that is still open so long after its deadline is not being read by its client.
+const UNREAD_MARGIN: Duration = Duration::from_millis(200);
+/// How many received bytes are recorded: one is enough to tell that a request has begun.
+pub const RECORDED_BYTES: usize = 1;
+
+/// The service for clients.
+pub struct ClientService {
+    state: Rc<ProxyState>,
+}
+
+/// A request that was accepted, with what it holds until it has its response.
+struct AcceptedRequest {
+    context: RequestContext,
+    guards: StreamGuards,
+}
+
+/// The head of a request, with what the active configuration decides for it.
+struct RoutedHead {
+    head: RequestHead,
+    decision: RouteDecision,
+    due: Instant,
+}
+
+impl ClientService {
+    /// Creates the service of a proxy.
+    pub fn new(state: Rc<ProxyState>) -> Rc<Self> {
+        Rc::new(ClientService { state })
+    }
+
+    async fn serve(
+        &self,
+        request: Request<Incoming>,
+        connection: &Rc<ServerConnection>,
+    ) -> Result<ClientResponse, LocalResponse> {
+        let socket = connection.socket();
+        let accepted = self.accept(request).await?;
+        let mut closed = pin!(socket.peer_closed());
+        // A client that has gone while its connection waited to be accepted is not sent to a server at all.
+        if poll_fn(|cx| Poll::Ready(closed.as_mut().poll(cx).is_ready())).await {
+            return Err(client_closed());
+        }
+        tokio::select! {
+            biased;
+            response = self.forward(accepted, connection) => response,
+            () = closed => Err(client_closed()),
+        }
+    }
+
+    /// Reads a request and checks it.
+    async fn accept(&self, request: Request<Incoming>) -> Result<AcceptedRequest, LocalResponse> {
+        let arrived = Instant::now();
+        let (head, body) = request.into_parts();
+        let has_body = !body.is_end_stream();
+        // A response that comes before the body was read closes the connection.
+        let before_body = |response: LocalResponse| response.or_closing(has_body);
+        let config = self.state.config.get().ok_or_else(|| before_body(self.starting()))?;
+        let limits = config.limits();
+        if head_bytes(&head) > limits.max_header_bytes as usize {
+            return Err(LocalResponse::closing(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE));
+        }
+        let head = RequestHead::read(head)?;
+        let RoutedHead { head, decision, due } = self.route(&config, head, arrived).map_err(before_body)?;
+        let mut reservation = self.state.upstreams.buffers().reservation();
+        let reading = read_body(body, limits.max_body_bytes as usize, &mut reservation);
+        let body = timeout_at(due, reading).await;
+        let body = body.map_err(|_| LocalResponse::closing(StatusCode::REQUEST_TIMEOUT))??;
+        let open = self.open(&head)?;
+        let request = ClientRequest::new(head, body, arrived, due);
+        let context = RequestContext { request, decision };
+        Ok(AcceptedRequest { context, guards: StreamGuards { open, reservation } })
+    }
+
+    /// Finds the route of a request. Must be decided before its body is read.
+    fn route(
+        &self,
+        config: &ActiveConfig,
+        head: RequestHead,
+        arrived: Instant,
+    ) -> Result<RoutedHead, LocalResponse> {
+        let state = &self.state;
+        let host = head.host.to_str().unwrap_or_default();
+        let decision = config.decide(host, head.target.path()).ok_or_else(|| self.no_route())?;
+        state.home_demand.count(state.now(), config, host, &decision.homes);
+        let due = head.due(arrived, decision.timeout);
+        if !state.lifecycle.accepts(state.since_start(arrived), state.since_start(due)) {
+            return Err(LocalResponse::unavailable(DRAINING_RETRY_AFTER));
+        }
+        Ok(RoutedHead { head, decision, due })
+    }
+
+    /// Opens a request. Ids are new with every request: one that is open already is a duplicate of it.
+    fn open(&self, head: &RequestHead) -> Result<OpenRequest, LocalResponse> {
+        let open = self.state.open_requests.open(&head.id);
+        open.ok_or_else(|| LocalResponse::unavailable(DUPLICATE_RETRY_AFTER))
+    }
+
+    /// Returns the response while no configuration is known.
+    fn starting(&self) -> LocalResponse {
+        LocalResponse::unavailable(lifecycle::retry_after_start(self.state.now()))
+    }
+
+    /// Returns the response to a request without a route. If the published state is stale, another proxy may know a
+    /// route that this one has not heard of.
+    fn no_route(&self) -> LocalResponse {
+        match self.state.is_fresh() {
+            true => LocalResponse::status(StatusCode::NOT_FOUND),
+            false => LocalResponse::unavailable(STALE_RETRY_AFTER),
+        }
+    }
+
+    async fn forward(
+        &self,
+        accepted: AcceptedRequest,
+        connection: &Rc<ServerConnection>,
+    ) -> Result<ClientResponse, LocalResponse> {
+        let AcceptedRequest { context, mut guards } = accepted;
+        let due = context.request.due;
+        let mut forwarding = Box::new(Forwarding::new(self.state.clone(), context));
+        match forwarding.forward().await {
+            Ok(UpstreamResponse::Complete(head, body)) => {
+                Ok(response::from_server(head, ResponseBody::Complete(Some(body))))
+            }
+            Ok(UpstreamResponse::Stream(upstream)) => {
+                guards.open.run_while_open(close_unread(connection.clone(), due));
+                let (head, stream) = EventStream::new(forwarding, *upstream, guards);
+                Ok(response::from_server(head, ResponseBody::Stream(Box::new(stream))))
+            }
+            Err(ForwardError::Local(response)) => Err(response),
+            Err(ForwardError::Truncated) => Err(LocalResponse::status(StatusCode::BAD_GATEWAY)),
+        }
+    }
+}
+
+impl Service for ClientService {
+    type Body = ResponseBody;
+
+    async fn respond(
+        self: Rc<Self>,
+        request: Request<Incoming>,
+        connection: Rc<ServerConnection>,
+        _accepted_at: Option<Instant>,
+    ) -> ClientResponse {
+        let socket = connection.socket();
+        socket.record_input(0);
+        let served = self.serve(request, &connection).await;
+        let mut response = served.unwrap_or_else(|local| response::from_local(&local));
+        if self.state.lifecycle.is_draining() {
+            response::close_connection(&mut response);
+        }
+        socket.record_input(RECORDED_BYTES);
+        response
+    }
+
+    fn accept_failed(&self, error: &io::Error) {
+        log::warn!(error:% = error; "cannot accept clients: raise the limit of open files if this goes on");
+    }
+}
+
+/// Closes the connection of a client that does not read its stream. A stream ends itself at its deadline, but only
+/// while its client reads: otherwise no more of it is asked for.
+async fn close_unread(connection: Rc<ServerConnection>, due: Instant) {
+    sleep_until(due + UNREAD_MARGIN).await;
+    connection.close_now();
+}
+
+/// Returns a response that nobody reads.
+fn client_closed() -> LocalResponse {
+    LocalResponse::closing(StatusCode::BAD_GATEWAY)
+}
--- a/crates/quillpulley/src/proxy/request.rs
+++ b/crates/quillpulley/src/proxy/downstream/request.rs
@@ -1,9 +1,9 @@
-//! A client's request, read whole: what servers get of it, and what the choice of a server goes by.
+//! A client's request: what servers get of it, and what it demands of a server.
 
-use super::answer::OwnAnswer;
-use super::headers::{self, DEADLINE_MS, EXPECT_INSTANCE, LAST_EVENT_ID};
-use super::headers::{PROMPT_PREFIX, REQUEST_ID, TOKEN_COUNT};
-use super::plan::Plan;
+use crate::proxy::config::active_config::RouteDecision;
+use crate::proxy::downstream::local_response::LocalResponse;
+use crate::proxy::headers::{self, DEADLINE_MS, EXPECT_INSTANCE, LAST_EVENT_ID};
+use crate::proxy::headers::{PROMPT_PREFIX, REQUEST_ID, TOKEN_COUNT};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{HeaderMap, HeaderValue, HOST};
@@ -14,35 +14,38 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The longest id of a request: ids are kept while requests are open.
-const MAX_ID: usize = 256;
-/// A client's deadline began before its request came in, and the answer has the way back to go.
+/// The longest id of a request, in bytes: ids are kept while requests are open.
+const MAX_ID_BYTES: usize = 256;
+/// The client's deadline began before its request arrived, and the response has to travel back.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(10);
-/// What a header takes beside its name and value.
+/// The bytes of a header beside its name and value.
 const HEADER_OVERHEAD: usize = ": \r\n".len();
 const HEXADECIMAL: u32 = 16;
 
-/// What the head of a request says.
+/// The head of a request.
 pub struct RequestHead {
-    /// The method, which goes on unchanged.
+    /// The method, which is passed on unchanged.
     pub method: Method,
-    /// Path and query, which go on unchanged.
+    /// Path and query, which are passed on unchanged.
     pub target: PathAndQuery,
     /// The host, as the client names it.
     pub host: HeaderValue,
-    /// The headers that go on.
+    /// The headers that are passed on.
     pub headers: HeaderMap,
     /// `Quillpulley-Request-Id`.
     pub id: HeaderValue,
-    /// How long the client waits, if it says so.
+    /// `Quillpulley-Deadline-Ms`: how long the client waits, if it says so.
     pub deadline: Option<Duration>,
 }
 
 impl RequestHead {
     /// Reads the head of a request.
-    pub fn read(head: Parts) -> Result<RequestHead, OwnAnswer> {
-        let malformed = || OwnAnswer::closing(StatusCode::BAD_REQUEST);
-        let id = headers::single(&head.headers, &REQUEST_ID).filter(|id| usable_id(id)).cloned();
+    ///
+    /// # Errors
+    /// The response to a malformed request.
+    pub fn read(head: Parts) -> Result<RequestHead, LocalResponse> {
+        let malformed = || LocalResponse::closing(StatusCode::BAD_REQUEST);
+        let id = headers::single(&head.headers, &REQUEST_ID).filter(|id| is_valid_id(id)).cloned();
         let id = id.ok_or_else(malformed)?;
         let host = host(&head).ok_or_else(malformed)?;
         let target = head.uri.path_and_query().cloned().ok_or_else(malformed)?;
@@ -52,25 +55,25 @@
         Ok(RequestHead { method: head.method, target, host, headers, id, deadline })
     }
 
-    /// Returns when the answer is due at the latest, on a route with this time-out.
+    /// Returns when the response is due, on a route with a time-out.
     pub fn due(&self, arrived: Instant, timeout: Duration) -> Instant {
-        let patience = self.deadline.map_or(timeout, |deadline| deadline.saturating_sub(DEADLINE_MARGIN));
-        arrived + patience.min(timeout)
+        let client_time = self.deadline.map_or(timeout, |deadline| deadline.saturating_sub(DEADLINE_MARGIN));
+        arrived + client_time.min(timeout)
     }
 }
 
-/// Returns the bytes of a head, but for white space that is not needed.
+/// Returns the size of a head in bytes, without optional white space.
 pub fn head_bytes(head: &Parts) -> usize {
     let line = head.method.as_str().len() + head.uri.path().len() + head.uri.query().map_or(0, str::len);
     let fields = head.headers.iter().map(|(name, value)| name.as_str().len() + value.len() + HEADER_OVERHEAD);
     line + fields.sum::<usize>()
 }
 
-fn usable_id(id: &HeaderValue) -> bool {
-    !id.is_empty() && id.len() <= MAX_ID
+fn is_valid_id(id: &HeaderValue) -> bool {
+    !id.is_empty() && id.len() <= MAX_ID_BYTES
 }
 
-/// Returns the host of the target, or else `Host`.
+/// Returns the host of the request target, or else `Host`.
 fn host(head: &Parts) -> Option<HeaderValue> {
     match head.uri.host() {
         Some(host) => HeaderValue::from_str(host).ok(),
@@ -83,26 +86,26 @@
     Duration::try_from_secs_f64(milliseconds / 1000.0).ok()
 }
 
-/// A request that has been read whole.
+/// A request that has been read completely.
 pub struct ClientRequest {
-    /// Its head.
+    /// The head.
     pub head: RequestHead,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
-    /// When its head came.
+    /// When the head arrived.
     pub arrived: Instant,
-    /// When the answer is due at the latest.
+    /// When the response is due.
     pub due: Instant,
-    /// The parts of its prompt in their order.
+    /// The parts of the prompt, in order.
     pub prefix: Vec<PromptPart>,
-    /// Tokens of its prompt, 0 where it does not say.
+    /// Tokens of the prompt; 0 if unknown.
     pub prompt_tokens: u32,
-    /// The most tokens of its answer, 0 where it does not say.
+    /// The most tokens of the response; 0 if unknown.
     pub output_tokens: u32,
 }
 
 impl ClientRequest {
-    /// With what its head says of the work.
+    /// Creates a request. Its head tells the size of its work.
     pub fn new(head: RequestHead, body: Bytes, arrived: Instant, due: Instant) -> Self {
         let prefix = headers::single_text(&head.headers, &PROMPT_PREFIX).map(read_prefix).unwrap_or_default();
         let counts = headers::single_text(&head.headers, &TOKEN_COUNT).and_then(read_counts);
@@ -110,18 +113,18 @@
         ClientRequest { head, body, arrived, due, prefix, prompt_tokens, output_tokens }
     }
 
-    /// `Last-Event-Id` as the client sent it.
+    /// Returns `Last-Event-Id` as the client sent it.
     pub fn last_event_id(&self) -> Option<Bytes> {
         let id = headers::single(&self.head.headers, &LAST_EVENT_ID)?;
         Some(Bytes::copy_from_slice(id.as_bytes())).filter(|id| !id.is_empty())
     }
 
-    /// Returns the time that is left for an answer.
+    /// Returns the time until the response is due.
     pub fn time_remaining(&self) -> Duration {
         self.due.saturating_duration_since(Instant::now())
     }
 
-    /// Returns the request as a server gets it. `resume_after` is the last event that has been passed on.
+    /// Returns the request as a server gets it. `resume_after` is the last event that was passed on.
     pub fn for_server(&self, instance: &str, resume_after: Option<&[u8]>) -> Option<Request<Full<Bytes>>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.head.method.clone();
@@ -137,34 +140,34 @@
     }
 }
 
-/// A request with what is to be done with it.
-pub struct Job {
+/// A request with its route decision.
+pub struct RequestContext {
     /// The request.
     pub request: ClientRequest,
-    /// What is to be done with it.
-    pub plan: Plan,
+    /// The route decision.
+    pub decision: RouteDecision,
 }
 
-impl Job {
-    /// Returns what it needs of a server now.
+impl RequestContext {
+    /// Returns what the request demands of a server now.
     pub fn demand(&self) -> Demand<'_> {
-        let Job { request, plan } = self;
+        let RequestContext { request, decision } = self;
         Demand {
-            service: &plan.service,
-            homes: &plan.homes,
+            service: &decision.service,
+            homes: &decision.homes,
             prefix: &request.prefix,
             prompt_tokens: request.prompt_tokens,
             output_tokens: request.output_tokens,
             body_bytes: request.body.len(),
-            priority: plan.priority,
-            objective: plan.objective,
+            priority: decision.priority,
+            objective: decision.objective,
             time_remaining: request.time_remaining(),
-            sticky: plan.sticky,
+            sticky: decision.sticky,
         }
     }
 }
 
-/// `5c1e07a2:800,91bd3f06:410`; what cannot be read ends the list.
+/// Parses `5c1e07a2:800,91bd3f06:410`. An invalid part ends the list.
 fn read_prefix(text: &str) -> Vec<PromptPart> {
     let part = |part: &str| {
         let (id, tokens) = part.trim().split_once(':')?;
@@ -176,7 +179,7 @@
     text.split(',').map_while(part).collect()
 }
 
-/// `1460,80`: tokens of the prompt, and the most out.
+/// Parses `1460,80`: tokens of the prompt, and the most tokens of the response.
 fn read_counts(text: &str) -> Option<(u32, u32)> {
     let (prompt, output) = text.split_once(',')?;
     Some((prompt.trim().parse().ok()?, output.trim().parse().ok()?))
--- /dev/null
+++ b/crates/quillpulley/src/proxy/downstream/request_body.rs
@@ -0,0 +1,52 @@
+//! Reads the body of a client's request, within its limit and the memory for bodies.
+
+use crate::proxy::admission::buffer_budget::BufferReservation;
+use crate::proxy::downstream::local_response::LocalResponse;
+use bytes::{Bytes, BytesMut};
+use http_body_util::BodyExt;
+use hyper::body::{Body, Incoming};
+use hyper::StatusCode;
+use std::time::Duration;
+
+/// When a client may try again if the memory for bodies is in use.
+const NO_MEMORY_RETRY_AFTER: Duration = Duration::from_millis(500);
+
+/// Reads a body of up to `max_bytes`.
+///
+/// # Errors
+/// The response to a client whose body is too large, malformed, or cannot be held.
+pub async fn read_body(
+    mut body: Incoming,
+    max_bytes: usize,
+    reservation: &mut BufferReservation,
+) -> Result<Bytes, LocalResponse> {
+    let too_large = LocalResponse::closing(StatusCode::PAYLOAD_TOO_LARGE);
+    let no_memory = LocalResponse::unavailable(NO_MEMORY_RETRY_AFTER).or_closing(true);
+    // The announced length is reserved at once, so that a body that is being read can be read to its end.
+    let announced = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
+    if announced > max_bytes {
+        return Err(too_large);
+    }
+    if !reservation.try_grow_to(announced) {
+        return Err(no_memory);
+    }
+    let mut all = BytesMut::new();
+    while let Some(frame) = body.frame().await {
+        let Ok(frame) = frame else { return Err(LocalResponse::closing(StatusCode::BAD_REQUEST)) };
+        let Ok(data) = frame.into_data() else { continue };
+        if data.len() == announced {
+            return Ok(data);
+        }
+        if all.is_empty() {
+            all.reserve(announced.max(data.len()));
+        }
+        if all.len() + data.len() > max_bytes {
+            return Err(too_large);
+        }
+        if !reservation.try_grow_to(all.len() + data.len()) {
+            return Err(no_memory);
+        }
+        all.extend_from_slice(&data);
+    }
+    Ok(all.freeze())
+}
--- a/crates/quillpulley/src/proxy/headers.rs
+++ b/crates/quillpulley/src/proxy/headers.rs
@@ -15,12 +15,12 @@
 pub const INSTANCE_ID: HeaderName = HeaderName::from_static("quillpulley-instance-id");
 pub const WARMUP_REMAINING_MS: HeaderName = HeaderName::from_static("quillpulley-warmup-remaining-ms");
 pub const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
-/// How the names of the protocol's own headers begin.
-const OF_PROTOCOL: &str = "quillpulley-";
+/// The prefix of the headers of the protocol.
+const PROTOCOL_PREFIX: &str = "quillpulley-";
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Those that concern only one connection, or the way a body is carried on it.
-const OF_ONE_CONNECTION: [HeaderName; 11] = [
+/// Hop-by-hop headers, and those of the framing of a body.
+const HOP_BY_HOP: [HeaderName; 11] = [
     CONNECTION,
     CONTENT_LENGTH,
     EXPECT,
@@ -34,7 +34,7 @@
     UPGRADE,
 ];
 
-/// Takes out what concerns only the connection that a message came on.
+/// Removes the hop-by-hop headers of a message.
 pub fn remove_connection_headers(headers: &mut HeaderMap) {
     if headers.contains_key(CONNECTION) {
         let named: Vec<HeaderName> = named_by_connection(headers).collect();
@@ -42,36 +42,36 @@
             headers.remove(name);
         }
     }
-    for name in OF_ONE_CONNECTION {
+    for name in HOP_BY_HOP {
         headers.remove(name);
     }
 }
 
 /// Returns whether the connection is closed after the message.
-pub fn closes(headers: &HeaderMap) -> bool {
+pub fn closes_connection(headers: &HeaderMap) -> bool {
     headers.contains_key(CONNECTION)
-        && tokens_of_connection(headers).any(|token| token.eq_ignore_ascii_case("close"))
+        && connection_tokens(headers).any(|token| token.eq_ignore_ascii_case("close"))
 }
 
-/// Returns false for headers of the protocol, which are for the other end, whatever `Connection` says of them.
+/// Returns the headers that `Connection` names, without those of the protocol, which are end-to-end.
 fn named_by_connection(headers: &HeaderMap) -> impl Iterator<Item = HeaderName> + '_ {
-    let names = tokens_of_connection(headers).filter_map(|name| name.parse().ok());
-    names.filter(|name: &HeaderName| !name.as_str().starts_with(OF_PROTOCOL) && *name != LAST_EVENT_ID)
+    let names = connection_tokens(headers).filter_map(|name| name.parse().ok());
+    names.filter(|name: &HeaderName| !name.as_str().starts_with(PROTOCOL_PREFIX) && *name != LAST_EVENT_ID)
 }
 
-fn tokens_of_connection(headers: &HeaderMap) -> impl Iterator<Item = &str> {
+fn connection_tokens(headers: &HeaderMap) -> impl Iterator<Item = &str> {
     let values = headers.get_all(CONNECTION).iter().filter_map(|value| value.to_str().ok());
     values.flat_map(|value| value.split(',')).map(str::trim)
 }
 
-/// Returns the value of a header that is there once.
+/// Returns the value of a header that occurs exactly once.
 pub fn single<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a HeaderValue> {
     let mut values = headers.get_all(name).iter();
     let value = values.next()?;
     values.next().is_none().then_some(value)
 }
 
-/// Returns the text of a header that is there once.
+/// Returns the text of a header that occurs exactly once.
 pub fn single_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     single(headers, name)?.to_str().ok().map(str::trim)
 }
--- a/crates/quillpulley/src/proxy/mod.rs
+++ b/crates/quillpulley/src/proxy/mod.rs
@@ -1,47 +1,29 @@
-//! The host of proxies: requests of clients, servers and streams.
+//! The proxy role: serves clients, sends their requests to servers, and passes the responses on.
 //!
-//! A proxy takes clients' requests ([`endpoint`]), chooses a server for each and forwards it ([`forward`]) until it has
-//! an answer to pass on, which it does event by event where it is a stream ([`stream`]). What it must know it gets
-//! from the agent of its machine ([`feed_client`]).
+//! | module | concern |
+//! | --- | --- |
+//! | [`downstream`] | the clients' side: reads and checks requests, writes responses |
+//! | [`config`] | the active configuration, and what it decides for a request |
+//! | [`admission`] | capacity at servers: requests get it at once or wait in a queue |
+//! | [`retry`] | sends a request until a server has answered it, within its retry policy |
+//! | [`upstream`] | the servers' side: choice, connections, calls, health checks |
+//! | [`streaming`] | streamed responses, event by event |
+//! | [`sync`] | the link to the agent of the machine: published state in, usage out |
+//! | [`shutdown`] | when the proxy is ready, and how it drains |
+//! | [`state`] | what all requests share |
 
-mod admission;
-pub mod answer;
-pub mod attempts;
-mod client_service;
-pub mod departure;
-pub mod events;
-mod exchange;
-mod failures;
+pub mod admission;
+pub mod config;
+pub mod downstream;
 mod faults;
-mod feed_client;
-mod forward;
 mod headers;
-mod health;
-pub mod lifecycle;
-mod memory;
-mod plan;
-mod plane;
-mod pool;
-mod published;
-mod ready;
-mod reply;
-mod request;
-mod run;
-mod server;
-mod servers;
-mod stream;
+mod process;
+pub mod retry;
+pub mod shutdown;
+pub mod state;
+pub mod streaming;
+pub mod sync;
+pub mod upstream;
 
 pub use faults::Faults;
-pub use server::{serve, serve_with_faults, Listeners};
-
-use crate::{runtime, signals, HostError, Settings};
-
-/// Serves until the process is told to end.
-pub fn run(settings: Settings) -> Result<(), HostError> {
-    runtime::block_on(async {
-        let commands = signals::subscribe()?;
-        let listeners = Listeners::bind(&settings).await?;
-        serve(settings, listeners, commands).await;
-        Ok(())
-    })
-}
+pub use process::{run, serve, serve_with_faults, Listeners};
--- /dev/null
+++ b/crates/quillpulley/src/proxy/process.rs
@@ -0,0 +1,229 @@
+//! The process of a proxy: starts its tasks, and drains them.
+
+use crate::peer::bind;
+use crate::proxy::admission::buffer_budget::BufferBudget;
+use crate::proxy::downstream::client_service::{ClientService, RECORDED_BYTES};
+use crate::proxy::downstream::readiness::{self, ReadinessService};
+use crate::proxy::faults::Faults;
+use crate::proxy::shutdown::drain_deadline::DrainDeadline;
+use crate::proxy::state::{Components, ProxyState};
+use crate::proxy::sync::sync_client::SyncClient;
+use crate::proxy::upstream::connection_pool::ConnectionPool;
+use crate::proxy::upstream::health_check::check_servers;
+use crate::runtime::block_on;
+use crate::signals::{self, ProcessSignal};
+use crate::{HostError, Settings};
+use quillpulley_http1_client::{ConnectionManager, ConnectionOptions, Linger};
+use quillpulley_load_balancer::{Balancer, Locality, Options, QueueLimits};
+use quillpulley_retry_budget::{Options as BudgetOptions, RetryBudgets};
+use quillpulley_serving_config::Limits;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::sync::mpsc::UnboundedReceiver;
+use tokio::sync::Notify;
+use tokio::task::spawn_local;
+use tokio::time::{interval, sleep_until, timeout_at, MissedTickBehavior};
+
+/// Descriptors of the process that are not sockets.
+const RESERVED_FILES: usize = 200;
+/// Descriptors for listeners, the agent, the runtime and connections that are being accepted.
+const RESERVED_SOCKETS: usize = 40;
+/// The fraction of the descriptors for connections that clients get, whose connections stay open while idle.
+const CLIENT_FRACTION: f64 = 0.6;
+/// The memory of a client's connection with a stream on it, its upstream connection included: 42 KB were measured.
+const CONNECTION_BYTES: usize = 48 * 1024;
+/// The fraction of the process's memory for connections.
+const CONNECTION_FRACTION: f64 = 0.4;
+const MEGABYTE: f64 = 1024.0 * 1024.0;
+/// The most queued requests of a service.
+const MAX_QUEUED_REQUESTS: usize = 512;
+/// The least buffer that hyper accepts, in bytes.
+const MIN_BUFFER: usize = 8 * 1024;
+/// How often idle and slow connections are looked for.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
+
+/// The sockets that a proxy listens on.
+pub struct Listeners {
+    /// Clients.
+    pub clients: TcpListener,
+    /// Readiness checks.
+    pub readiness: TcpListener,
+}
+
+impl Listeners {
+    /// Binds the addresses of the settings.
+    ///
+    /// # Errors
+    /// [`HostError`] if an address is missing or cannot be bound.
+    pub async fn bind(settings: &Settings) -> Result<Listeners, HostError> {
+        let clients = settings.front_address().map_err(HostError::Settings)?;
+        let readiness = settings.ready_address().map_err(HostError::Settings)?;
+        Ok(Listeners { clients: bind(clients).await?, readiness: bind(readiness).await? })
+    }
+}
+
+/// Runs a proxy until the process is signalled to shut down.
+///
+/// # Errors
+/// [`HostError`] if the proxy cannot start.
+pub fn run(settings: Settings) -> Result<(), HostError> {
+    block_on(async {
+        let signals = signals::subscribe()?;
+        let listeners = Listeners::bind(&settings).await?;
+        serve(settings, listeners, signals).await;
+        Ok(())
+    })
+}
+
+/// Serves clients until a shutdown is signalled and the proxy has drained. Must be called on a tokio `LocalSet`.
+pub async fn serve(settings: Settings, listeners: Listeners, signals: UnboundedReceiver<ProcessSignal>) {
+    serve_with_faults(settings, listeners, signals, Faults::default()).await;
+}
+
+/// Serves clients with deliberate faults, for tests. See [`serve`].
+pub async fn serve_with_faults(
+    settings: Settings,
+    listeners: Listeners,
+    mut signals: UnboundedReceiver<ProcessSignal>,
+    faults: Faults,
+) {
+    let proxy = Proxy::start(&settings, listeners, faults);
+    while let Some(signal) = signals.recv().await {
+        match signal {
+            ProcessSignal::Reload => check_settings(),
+            ProcessSignal::Shutdown => break,
+        }
+    }
+    proxy.drain(&settings).await;
+}
+
+/// Checks changed settings. A proxy applies its settings only when it starts.
+fn check_settings() {
+    match Settings::from_environment() {
+        Ok(_) => log::info!("the settings have changed: they apply from the next start"),
+        Err(error) => log::error!(error:% = error; "the changed settings are invalid for the next start"),
+    }
+}
+
+/// A running proxy.
+struct Proxy {
+    state: Rc<ProxyState>,
+    clients: Rc<ConnectionManager>,
+    /// Notified when a report is due at once.
+    urgent_report: Rc<Notify>,
+}
+
+impl Proxy {
+    fn start(settings: &Settings, listeners: Listeners, faults: Faults) -> Proxy {
+        let descriptors = (settings.limits.max_descriptors as usize).saturating_sub(RESERVED_FILES);
+        let descriptors = descriptors.saturating_sub(RESERVED_SOCKETS);
+        let for_clients = (descriptors as f64 * CLIENT_FRACTION) as usize;
+        let for_clients = for_clients.min(connections_for_memory(settings.limits.memory_mb));
+        let buffers = BufferBudget::for_memory(settings.limits.memory_mb);
+        let queue_limits = QueueLimits { requests: MAX_QUEUED_REQUESTS, bytes: buffers.limit() / 2 };
+        let state = ProxyState::new(Components {
+            region: settings.region.clone(),
+            balancer: balancer(settings),
+            budgets: RetryBudgets::new(budget_options(settings)),
+            pool: ConnectionPool::new((descriptors - for_clients).max(1)),
+            buffers,
+            queue_limits,
+            faults,
+        });
+        let clients = ConnectionManager::new(client_options(for_clients.max(1), &Limits::default()));
+        let address = listeners.clients.local_addr().ok().or(settings.listen.front);
+        if let Some(address) = address {
+            log::info!(address:% = address; "listening for clients");
+        }
+        let sync_client = SyncClient::new(state.clone(), settings, address);
+        let urgent_report = sync_client.urgent_report();
+        spawn_local(sync_client.run());
+        spawn_local(state.admission.clone().poll_queues());
+        spawn_local(check_servers(state.clone()));
+        spawn_local(accept_clients(clients.clone(), listeners.clients, state.clone()));
+        spawn_local(accept_checks(listeners.readiness, state.clone()));
+        spawn_local(close_idle(clients.clone(), state.clone(), for_clients.max(1)));
+        Proxy { state, clients, urgent_report }
+    }
+
+    /// Publishes that the proxy drains, serves the clients that still come, and completes open requests.
+    async fn drain(self, settings: &Settings) {
+        let state = &self.state;
+        let now = state.now();
+        let deadline = DrainDeadline::new(now, settings.bounds.grace);
+        log::info!(open_requests = state.open_requests.len(); "draining");
+        state.lifecycle.begin_drain(now, deadline);
+        self.urgent_report.notify_one();
+        sleep_until(state.at(deadline.accepts_all_until())).await;
+        self.clients.set_draining();
+        if timeout_at(state.at(deadline.final_responses_at()), self.clients.all_closed()).await.is_ok() {
+            return;
+        }
+        state.lifecycle.begin_final_responses();
+        if timeout_at(state.at(deadline.exits_at()), self.clients.all_closed()).await.is_err() {
+            log::warn!(open_requests = state.open_requests.len(); "exiting with requests still open");
+        }
+    }
+}
+
+async fn accept_clients(clients: Rc<ConnectionManager>, listener: TcpListener, state: Rc<ProxyState>) {
+    clients.accept(listener, ClientService::new(state)).await;
+}
+
+async fn accept_checks(listener: TcpListener, state: Rc<ProxyState>) {
+    ConnectionManager::new(readiness::OPTIONS).accept(listener, ReadinessService::new(state)).await;
+}
+
+/// Closes idle and slow connections, and applies the active limits to new ones.
+async fn close_idle(clients: Rc<ConnectionManager>, state: Rc<ProxyState>, max_connections: usize) {
+    let mut ticks = interval(SWEEP_INTERVAL);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    loop {
+        ticks.tick().await;
+        state.upstreams.pool().close_expired();
+        if let Some(config) = state.config.get() {
+            let limits = config.limits();
+            clients.set_options(client_options(max_connections, limits));
+            clients.close_slow(limits.idle_timeout, limits.header_timeout);
+        }
+    }
+}
+
+fn client_options(max_connections: usize, limits: &Limits) -> ConnectionOptions {
+    ConnectionOptions {
+        max_connections,
+        max_header_bytes: (limits.max_header_bytes as usize).max(MIN_BUFFER),
+        recorded_bytes: RECORDED_BYTES,
+        header_timeout: None,
+        linger: Linger { time: Duration::from_millis(500), bytes: 256 * 1024 },
+        idle_grace: Duration::from_millis(100),
+        silent_grace: Duration::from_millis(1_000),
+        accept_retry_delay: Duration::from_millis(20),
+    }
+}
+
+/// Returns how many connections of clients the memory is enough for.
+fn connections_for_memory(megabytes: u32) -> usize {
+    (f64::from(megabytes) * MEGABYTE * CONNECTION_FRACTION) as usize / CONNECTION_BYTES
+}
+
+fn balancer(settings: &Settings) -> Balancer {
+    let locality = Locality { zone: settings.zone.clone(), region: settings.region.clone() };
+    let options = Options {
+        name: settings.node_name.clone(),
+        warmup_overshoot: settings.bounds.warmup_overshoot,
+        warmup_slack: settings.bounds.warmup_slack,
+        seed: fastrand::u64(..),
+    };
+    Balancer::new(locality, settings.zones.clone(), options)
+}
+
+fn budget_options(settings: &Settings) -> BudgetOptions {
+    let bounds = &settings.bounds;
+    BudgetOptions {
+        ratio: bounds.retry_budget_ratio,
+        window: bounds.budget_window,
+        slack: bounds.retry_slack,
+    }
+}
--- /dev/null
+++ b/crates/quillpulley/src/proxy/retry/forwarding.rs
@@ -0,0 +1,350 @@
+//! Forwards a request: sends it to servers until there is a response to pass on, or it is clear that there will be none.
+//!
+//! A request passes through these phases, each a method: [`Forwarding::forward`] bounds the time,
+//! `acquire_upstream` gets a server and the right to a retry, `attempt` sends the request there, `exchange` writes it
+//! and waits for the head of the response, and `handle_response` decides what that means.
+
+use crate::proxy::downstream::local_response::LocalResponse;
+use crate::proxy::downstream::request::RequestContext;
+use crate::proxy::headers::{self, REQUEST_ID};
+use crate::proxy::retry::retry_state::{Event, FinalResponse, Phase, RetryPolicy, RetryState, Step};
+use crate::proxy::state::ProxyState;
+use crate::proxy::upstream::connection_pool::{ConnectError, Connected};
+use crate::proxy::upstream::response_head::{self, ResponseVerdict};
+use crate::proxy::upstream::upstream_call::UpstreamCall;
+use bytes::Bytes;
+use hyper::body::Incoming;
+use hyper::http::response::Parts;
+use hyper::{Response, StatusCode};
+use quillpulley_http1_client::{Socket, WriteProgress};
+use quillpulley_load_balancer::{FailureKind, Outcome, ServerKey};
+use std::future::{poll_fn, Future};
+use std::pin::pin;
+use std::rc::Rc;
+use std::task::Poll;
+use std::time::Duration;
+use tokio::time::{sleep_until, Instant};
+
+/// A request waits in a queue for up to this fraction of its latency target, and is rejected then.
+const QUEUE_TIME_DIVISOR: u32 = 4;
+/// When a client may try again if nothing better is known.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
+
+/// The response of a server.
+pub enum UpstreamResponse {
+    /// The response is complete.
+    Complete(Parts, Bytes),
+    /// The body is still to come.
+    Stream(Box<StreamingResponse>),
+}
+
+/// A response whose body is still to come.
+pub struct StreamingResponse {
+    /// The head.
+    pub head: Parts,
+    /// The body.
+    pub body: Incoming,
+    /// The call that it responds to.
+    pub call: UpstreamCall,
+}
+
+/// Why there is no response of a server to pass on.
+pub enum ForwardError {
+    /// The client gets this response of the proxy.
+    Local(LocalResponse),
+    /// The response that was begun has to be truncated.
+    Truncated,
+}
+
+/// Why an attempt has no response.
+struct AttemptError {
+    event: Event,
+    /// What it says about the server.
+    outcome: Outcome,
+}
+
+impl AttemptError {
+    /// Nothing was sent, for a reason that is not the server's.
+    const NOT_SENT: AttemptError = AttemptError { event: Event::NotSent, outcome: Outcome::ClientClosed };
+    /// The server accepts no connection.
+    const CONNECT: AttemptError =
+        AttemptError { event: Event::NotSent, outcome: Outcome::Failed(FailureKind::Connect) };
+    /// The connection broke after a part of the request was written.
+    const RESET: AttemptError = AttemptError {
+        event: Event::ConnectionBroken,
+        outcome: Outcome::Failed(FailureKind::ResetBeforeResponse),
+    };
+}
+
+/// A request on its way to servers.
+pub struct Forwarding {
+    state: Rc<ProxyState>,
+    context: Rc<RequestContext>,
+    retry_state: RetryState,
+    /// The servers that it was sent to.
+    tried: Vec<ServerKey>,
+    /// The error response of the latest server, should there be no other response.
+    error_response: Option<(Parts, Bytes)>,
+    /// The connection of the latest attempt.
+    socket: Option<Rc<Socket>>,
+    /// Until when it may wait in a queue.
+    queue_deadline: Instant,
+    retry_after: Duration,
+}
+
+impl Forwarding {
+    /// Creates a request that was accepted from a client just now.
+    pub fn new(state: Rc<ProxyState>, context: RequestContext) -> Self {
+        let RequestContext { request, decision } = &context;
+        state.retry_budgets.record_request(state.now(), &decision.service);
+        let policy = RetryPolicy {
+            is_idempotent: decision.is_idempotent,
+            max_attempts: decision.max_attempts,
+            retries_after_reset: state.faults.retry_after_reset(),
+        };
+        Forwarding {
+            retry_state: RetryState::new(policy),
+            tried: Vec::new(),
+            error_response: None,
+            socket: None,
+            queue_deadline: request.arrived + decision.objective / QUEUE_TIME_DIVISOR,
+            retry_after: DEFAULT_RETRY_AFTER,
+            state,
+            context: Rc::new(context),
+        }
+    }
+
+    /// Returns the request and its route decision.
+    pub fn context(&self) -> &RequestContext {
+        &self.context
+    }
+
+    /// Sends the request until there is a response to pass on, or its deadline has passed.
+    ///
+    /// # Errors
+    /// [`ForwardError`] if no server has a response.
+    pub async fn forward(&mut self) -> Result<UpstreamResponse, ForwardError> {
+        self.forward_in_time(None).await
+    }
+
+    /// Resumes a stream at another server, after the last event that was passed on.
+    ///
+    /// # Errors
+    /// [`ForwardError`] if no server can resume it.
+    pub async fn resume(&mut self, after: Option<Bytes>) -> Result<UpstreamResponse, ForwardError> {
+        if let Step::Finish(response) = self.retry_state.handle(Event::ConnectionBroken) {
+            return Err(self.forward_error(response));
+        }
+        self.queue_deadline = Instant::now() + self.context.decision.objective / QUEUE_TIME_DIVISOR;
+        self.forward_in_time(after).await
+    }
+
+    /// Records that the head of a response is passed on.
+    pub fn response_begun(&mut self) {
+        self.retry_state.handle(Event::ResponseBegun);
+    }
+
+    async fn forward_in_time(
+        &mut self,
+        resume_after: Option<Bytes>,
+    ) -> Result<UpstreamResponse, ForwardError> {
+        let due = self.context.request.due;
+        let state = self.state.clone();
+        let result = tokio::select! {
+            biased;
+            result = self.attempt_until_done(resume_after.as_deref()) => result,
+            () = sleep_until(due) => Err(self.deadline_reached()),
+            () = state.lifecycle.final_responses() => Err(self.deadline_reached()),
+        };
+        result.map_err(|response| self.forward_error(response))
+    }
+
+    async fn attempt_until_done(
+        &mut self,
+        resume_after: Option<&[u8]>,
+    ) -> Result<UpstreamResponse, FinalResponse> {
+        loop {
+            let event = match self.acquire_upstream().await {
+                Some(call) => match self.attempt(call, resume_after).await {
+                    Ok(response) => return Ok(response),
+                    Err(event) => event,
+                },
+                None => Event::NoCapacity,
+            };
+            // This closes the connection, also while another server is being chosen.
+            self.socket = None;
+            let Step::Finish(response) = self.retry_state.handle(event) else { continue };
+            let error_response = self.error_response.take();
+            return match error_response.filter(|_| response == FinalResponse::UpstreamFailure) {
+                Some((head, body)) => Ok(UpstreamResponse::Complete(head, body)),
+                None => Err(response),
+            };
+        }
+    }
+
+    /// Returns a call to a server. A retry is counted by its budget before it is sent.
+    async fn acquire_upstream(&mut self) -> Option<UpstreamCall> {
+        match self.state.admission.acquire(&self.context, &self.tried, self.queue_deadline).await {
+            Ok(call) if !self.retry_state.is_retry() || self.try_retry() => Some(call),
+            Ok(_) => None,
+            Err(no_capacity) => {
+                self.retry_after = no_capacity.retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
+                None
+            }
+        }
+    }
+
+    fn try_retry(&self) -> bool {
+        self.state.retry_budgets.try_retry(self.state.now(), &self.context.decision.service)
+    }
+
+    /// Sends the request to a server. Returns the response to pass on, or what became of the attempt.
+    async fn attempt(
+        &mut self,
+        mut call: UpstreamCall,
+        resume_after: Option<&[u8]>,
+    ) -> Result<UpstreamResponse, Event> {
+        self.tried.push(call.peer().key);
+        self.retry_state.handle(Event::UpstreamChosen);
+        match self.exchange(&mut call, resume_after).await {
+            Ok(response) => self.handle_response(call, response).await,
+            Err(AttemptError { event, outcome }) => {
+                call.end(outcome);
+                Err(event)
+            }
+        }
+    }
+
+    /// Writes the request and waits for the head of the response.
+    async fn exchange(
+        &mut self,
+        call: &mut UpstreamCall,
+        resume_after: Option<&[u8]>,
+    ) -> Result<Response<Incoming>, AttemptError> {
+        loop {
+            let peer = call.peer().clone();
+            let connected = self.state.upstreams.pool().connect(&peer).await;
+            let Connected { connection, reused } = connected.map_err(|error| match error {
+                ConnectError::NoDescriptor => AttemptError::NOT_SENT,
+                ConnectError::Failed => AttemptError::CONNECT,
+            })?;
+            // Connecting takes a while: a server that has begun to drain meanwhile gets nothing new.
+            if !self.state.upstreams.is_usable(peer.key) {
+                return Err(AttemptError::NOT_SENT);
+            }
+            let request = self.context.request.for_server(&peer.id, resume_after);
+            let request = request.ok_or(AttemptError::NOT_SENT)?;
+            let socket = connection.socket().clone();
+            self.socket = Some(socket.clone());
+            self.retry_state.handle(Event::Connected);
+            match call.attach(connection).send(request).await {
+                Ok(response) => return Ok(response),
+                Err(_) if socket.write_progress() != WriteProgress::NotStarted => {
+                    if reused {
+                        // A server that has closed one idle connection has most likely closed the others.
+                        self.state.upstreams.pool().close_idle_to(peer.key);
+                    }
+                    return Err(AttemptError::RESET);
+                }
+                // An idle connection that broke before a byte was written says nothing about the server.
+                Err(_) if reused => call.detach(),
+                Err(_) => return Err(AttemptError::CONNECT),
+            }
+        }
+    }
+
+    /// Decides what a response means. Its body is read if it must be complete before it is passed on.
+    async fn handle_response(
+        &mut self,
+        call: UpstreamCall,
+        response: Response<Incoming>,
+    ) -> Result<UpstreamResponse, Event> {
+        let (head, body) = response.into_parts();
+        match self.classify(&head) {
+            ResponseVerdict::Success if self.context.decision.streaming => {
+                Ok(UpstreamResponse::Stream(Box::new(StreamingResponse { head, body, call })))
+            }
+            ResponseVerdict::Success => {
+                let (head, body) = read_response(call, head, body, Outcome::Completed).await?;
+                Ok(UpstreamResponse::Complete(head, body))
+            }
+            ResponseVerdict::Failure => {
+                let outcome = match head.status.is_server_error() {
+                    true => Outcome::Failed(FailureKind::ServerError),
+                    false => Outcome::Completed,
+                };
+                self.error_response = Some(read_response(call, head, body, outcome).await?);
+                Err(Event::UpstreamFailed)
+            }
+            ResponseVerdict::NotExecuted { full } => {
+                // If the body has not come with the head, it is not worth waiting for.
+                let mut reading = pin!(read_response(call, head, body, Outcome::NotExecuted { full }));
+                poll_fn(|cx| Poll::Ready(reading.as_mut().poll(cx).is_ready())).await;
+                Err(Event::NotExecuted)
+            }
+            ResponseVerdict::Misdirected => {
+                call.end(Outcome::Misdirected);
+                Err(Event::Misdirected)
+            }
+            ResponseVerdict::UnmarkedRejection => {
+                call.end(Outcome::Failed(FailureKind::ServerError));
+                Err(Event::ConnectionBroken)
+            }
+            ResponseVerdict::Invalid => {
+                call.end(Outcome::Failed(FailureKind::InvalidResponse));
+                Err(Event::ConnectionBroken)
+            }
+        }
+    }
+
+    fn classify(&self, head: &Parts) -> ResponseVerdict {
+        let id = &self.context.request.head.id;
+        let ignores_id = self.state.faults.ignore_response_ids();
+        let expected = headers::single(&head.headers, &REQUEST_ID).filter(|_| ignores_id).unwrap_or(id);
+        response_head::classify(head, expected)
+    }
+
+    /// Handles that the deadline of the request has passed.
+    fn deadline_reached(&mut self) -> FinalResponse {
+        let progress =
+            self.socket.as_ref().map_or(WriteProgress::NotStarted, |socket| socket.write_progress());
+        if self.retry_state.phase() == Phase::Awaiting && progress == WriteProgress::NotStarted {
+            self.retry_state.handle(Event::NotSent);
+        }
+        match self.retry_state.handle(Event::DeadlineReached) {
+            Step::Finish(response) => response,
+            Step::Continue | Step::Retry => FinalResponse::BadGateway,
+        }
+    }
+
+    fn forward_error(&self, response: FinalResponse) -> ForwardError {
+        let local = match response {
+            FinalResponse::Rejected => LocalResponse::unavailable(self.retry_after),
+            FinalResponse::TimedOut => LocalResponse::status(StatusCode::GATEWAY_TIMEOUT),
+            FinalResponse::Truncated => return ForwardError::Truncated,
+            FinalResponse::BadGateway | FinalResponse::UpstreamFailure | FinalResponse::Completed => {
+                LocalResponse::status(StatusCode::BAD_GATEWAY)
+            }
+        };
+        ForwardError::Local(local)
+    }
+}
+
+/// Reads the body of a response and ends the call, whose connection is kept.
+async fn read_response(
+    mut call: UpstreamCall,
+    head: Parts,
+    body: Incoming,
+    outcome: Outcome,
+) -> Result<(Parts, Bytes), Event> {
+    match call.read_body(body).await {
+        Ok(body) => {
+            call.complete(outcome, response_head::keep_alive(&head.headers));
+            Ok((head, body))
+        }
+        Err(_) => {
+            call.end(Outcome::Failed(FailureKind::Truncated));
+            Err(Event::ConnectionBroken)
+        }
+    }
+}
--- a/crates/quillpulley/src/proxy/lifecycle.rs
+++ b/crates/quillpulley/src/proxy/shutdown/lifecycle.rs
@@ -1,15 +1,15 @@
-//! Whether a proxy may take clients: a pure state machine. Times are since the start of the process.
+//! Whether a proxy may serve clients: a pure state machine. Times are since the start of the process.
 
 use quillpulley_protocol::EndpointState;
 use std::time::Duration;
 
-/// How long fresh news are waited for once a configuration is known, as nobody may be there to give any.
-const FRESH_PATIENCE: Duration = Duration::from_millis(2_500);
+/// How long a proxy with a configuration waits for fresh published state, which it may never get.
+const FRESHNESS_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// How long after its start a proxy knows a configuration, also if the core processes start at the same time.
-const STARTING_TIME: Duration = Duration::from_millis(1_600);
-/// How long it is expected to take at least where that time is over. One who comes too early is refused again.
-const LEAST_RETRY_AFTER: Duration = Duration::from_millis(1_000);
+/// How long after its start a proxy knows a configuration, also if the control plane starts at the same time.
+const STARTUP_TIME: Duration = Duration::from_millis(1_600);
+/// The least advice after that time. A client that tries again too early is rejected again.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 
 /// What happens to a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -18,23 +18,23 @@
     ConfigurationKnown,
     /// The published state is fresh.
     Fresh,
-    /// It is told to end.
-    Stop,
+    /// The process is signalled to shut down.
+    Drain,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     /// No configuration is known. The published state may have been fresh already.
     Starting { fresh: bool },
-    /// A configuration is known since then, and may be out of date.
+    /// A configuration is known since this time, and may be out of date.
     Unconfirmed { since: Duration },
-    /// It serves.
+    /// The proxy serves clients.
     Ready,
-    /// It serves those who still come.
-    Leaving,
+    /// The proxy serves the clients that still come.
+    Draining,
 }
 
-/// The stage of life of a proxy.
+/// The lifecycle of a proxy.
 #[derive(Clone, Copy, Debug)]
 pub struct Lifecycle {
     stage: Stage,
@@ -47,10 +47,10 @@
 }
 
 impl Lifecycle {
-    /// Takes an event. Every change of stage happens here.
+    /// Handles an event. Every change of stage happens here.
     pub fn handle(&mut self, now: Duration, event: Event) {
         self.stage = match (self.stage, event) {
-            (Stage::Leaving, _) | (_, Event::Stop) => Stage::Leaving,
+            (Stage::Draining, _) | (_, Event::Drain) => Stage::Draining,
             (Stage::Starting { .. }, Event::Fresh) => Stage::Starting { fresh: true },
             (Stage::Starting { fresh: true }, Event::ConfigurationKnown) => Stage::Ready,
             (Stage::Starting { fresh: false }, Event::ConfigurationKnown) => {
@@ -61,18 +61,18 @@
         };
     }
 
-    /// Returns whether it has been told to end.
-    pub fn is_leaving(&self) -> bool {
-        self.stage == Stage::Leaving
+    /// Returns whether the proxy drains.
+    pub fn is_draining(&self) -> bool {
+        self.stage == Stage::Draining
     }
 
-    /// Returns what others are told.
+    /// Returns the state that is published.
     pub fn endpoint_state(&self, now: Duration) -> EndpointState {
         match self.stage {
             Stage::Ready => EndpointState::Ready,
-            Stage::Unconfirmed { since } if now >= since + FRESH_PATIENCE => EndpointState::Ready,
+            Stage::Unconfirmed { since } if now >= since + FRESHNESS_TIMEOUT => EndpointState::Ready,
             Stage::Starting { .. } | Stage::Unconfirmed { .. } => EndpointState::Starting,
-            Stage::Leaving => EndpointState::Draining,
+            Stage::Draining => EndpointState::Draining,
         }
     }
 
@@ -82,7 +82,7 @@
     }
 }
 
-/// After what time clients may try again at a proxy that has run for `age` and knows no configuration.
+/// Returns when clients may try again at a proxy that has run for `age` and knows no configuration.
 pub fn retry_after_start(age: Duration) -> Duration {
-    STARTING_TIME.saturating_sub(age).max(LEAST_RETRY_AFTER)
+    STARTUP_TIME.saturating_sub(age).max(MIN_RETRY_AFTER)
 }
