--- a/crates/quillpulley/src/proxy/events.rs
+++ b/crates/quillpulley/src/proxy/streaming/event_splitter.rs
@@ -1,43 +1,43 @@
-//! Cuts a stream of events (`text/event-stream`) at the ends of events, so that only whole ones are passed on.
+//! Splits a stream of events (`text/event-stream`), so that only complete events are passed on.
 
 use bytes::{Bytes, BytesMut};
 
-/// The most bytes of one event; a longer one is passed on in pieces, and such a stream cannot be taken up elsewhere.
-const MAX_EVENT: usize = 64 * 1024;
+/// The most bytes of an event. A longer one is passed on in parts, and its stream cannot be resumed.
+const MAX_EVENT_BYTES: usize = 64 * 1024;
 
 /// How far a stream has been passed on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Position {
     /// No event yet.
     Start,
-    /// Up to the event with this id.
+    /// The event with this id was the last.
     After(Bytes),
-    /// To a place that no id names: it cannot be taken up from there.
+    /// The last event has no id: the stream cannot be resumed.
     Unnamed,
 }
 
-/// The events of a stream, which may come in several runs.
+/// The events of a stream, which may come from several servers, one after the other.
 #[derive(Debug)]
 pub struct EventSplitter {
     buffer: BytesMut,
-    /// Up to here the buffer holds no end of an event.
+    /// The length of the prefix of the buffer that holds no end of an event.
     searched: usize,
     position: Position,
 }
 
 impl EventSplitter {
-    /// At the start of an answer to a request that takes a stream up behind the event with an id, if it names one.
+    /// Creates the splitter of a response. A request with `Last-Event-Id` resumes a stream after that event.
     pub fn new(last_event_id: Option<Bytes>) -> Self {
         let position = last_event_id.map_or(Position::Start, Position::After);
         EventSplitter { buffer: BytesMut::new(), searched: 0, position }
     }
 
-    /// Returns how far whole events have been taken out.
+    /// Returns how far the stream has been passed on.
     pub fn position(&self) -> &Position {
         &self.position
     }
 
-    /// Takes bytes as they came, and gives the events that are whole now, if any.
+    /// Adds received bytes and returns the events that are complete now, if any.
     pub fn push(&mut self, data: &[u8]) -> Option<Bytes> {
         self.buffer.extend_from_slice(data);
         let mut events = BytesMut::new();
@@ -48,7 +48,7 @@
                 join(&mut events, event);
             }
         }
-        if events.is_empty() && self.buffer.len() > MAX_EVENT {
+        if events.is_empty() && self.buffer.len() > MAX_EVENT_BYTES {
             self.position = Position::Unnamed;
             self.searched = 0;
             events = self.buffer.split();
@@ -56,23 +56,23 @@
         (!events.is_empty()).then(|| events.freeze())
     }
 
-    /// Returns what is left at the end of the stream.
+    /// Returns the rest of the stream at its end.
     pub fn finish(&mut self) -> Option<Bytes> {
         let rest = self.buffer.split();
         (!rest.is_empty()).then(|| rest.freeze())
     }
 
-    /// Returns the run broke off: forgets the event that is not whole. False if no other run can go on from here.
+    /// Forgets an incomplete event after the connection broke. Returns false if the stream cannot be resumed.
     pub fn restart(&mut self) -> bool {
         self.buffer.clear();
         self.searched = 0;
         self.position != Position::Unnamed
     }
 
-    /// Returns where the next event ends: behind a blank line.
+    /// Returns the end of the next event, which is after a blank line.
     fn next_end(&mut self) -> Option<usize> {
         let from = self.searched;
-        let line_ends = memchr_all(&self.buffer, from);
+        let line_ends = line_feeds(&self.buffer, from);
         for at in line_ends {
             match self.buffer.get(at + 1..) {
                 Some([b'\n', ..]) => return Some(at + 2),
@@ -80,16 +80,16 @@
                 _ => {}
             }
         }
-        // A blank line may have come in part.
+        // A part of a blank line may have come.
         self.searched = self.buffer.len().saturating_sub(2);
         None
     }
 
-    /// Notes the id of a whole event. False if it has been passed on before.
+    /// Records the id of a complete event. Returns false if it has been passed on before.
     fn advance(&mut self, event: &[u8]) -> bool {
         let Some(id) = event_id(event) else {
-            let says_something = event.iter().any(|byte| !matches!(byte, b'\r' | b'\n'));
-            if says_something && !event.starts_with(b":") {
+            let has_content = event.iter().any(|byte| !matches!(byte, b'\r' | b'\n'));
+            if has_content && !event.starts_with(b":") {
                 self.position = Position::Unnamed;
             }
             return true;
@@ -106,7 +106,7 @@
     }
 }
 
-/// Appends, without a copy where there is nothing before.
+/// Appends an event, without a copy if it is the first.
 fn join(events: &mut BytesMut, event: BytesMut) {
     if events.is_empty() {
         *events = event;
@@ -115,8 +115,8 @@
     }
 }
 
-/// Returns the places of line feeds from a place on.
-fn memchr_all(buffer: &[u8], from: usize) -> impl Iterator<Item = usize> + '_ {
+/// Returns the positions of line feeds.
+fn line_feeds(buffer: &[u8], from: usize) -> impl Iterator<Item = usize> + '_ {
     (from..buffer.len()).filter(|at| buffer[*at] == b'\n')
 }
 
--- /dev/null
+++ b/crates/quillpulley/src/proxy/sync/mod.rs
@@ -0,0 +1,4 @@
+//! The link to the agent of the machine: published state comes in, load and usage go out.
+
+pub mod sync_client;
+mod usage;
--- a/crates/quillpulley/src/proxy/feed_client.rs
+++ b/crates/quillpulley/src/proxy/sync/sync_client.rs
@@ -1,10 +1,11 @@
-//! The link to the agent of the machine: takes in published state and reports what this proxy has under way.
+//! The link to the agent of the machine: receives published state, and reports load and usage.
 //!
-//! Without an agent the proxy serves on with what it knows.
+//! Without an agent the proxy serves clients with the state that it has.
 
-use super::plane::Plane;
-use super::published;
 use crate::peer::{LinkId, PeerEvent, Peers};
+use crate::proxy::config::updates;
+use crate::proxy::state::ProxyState;
+use crate::proxy::sync::usage;
 use crate::Settings;
 use quillpulley_protocol::{Body, EndpointState, Hello, NodeId, PeerKind, ProxyEndpoint};
 use quillpulley_state_sync::{Action, Event, LocalReport, Options, SyncNode};
@@ -15,76 +16,76 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, Instant};
 
-/// The time between two attempts to reach the agent.
-const CONNECT_AGAIN: Duration = Duration::from_millis(100);
-/// The time between two looks at what has changed since the last report.
-const REPORT_EVERY: Duration = Duration::from_millis(250);
+/// The time between two attempts to connect to the agent.
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(100);
+/// How often a report is due, if anything has changed.
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The link to the agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AgentLink {
-    /// There is none; another is tried then.
-    Down { again: Instant },
-    /// It is being made.
+    /// There is none. The next attempt is due at this time.
+    Down { retry_at: Instant },
+    /// It is being established.
     Connecting(LinkId),
     /// It is up.
     Up(LinkId),
 }
 
-/// This proxy has no children in the tree.
+/// A proxy has no children in the relay tree.
 type NoChild = u8;
 
-/// The leaf of the relay tree.
-pub struct FeedClient {
-    plane: Rc<Plane>,
+/// A leaf of the relay tree.
+pub struct SyncClient {
+    state: Rc<ProxyState>,
     endpoint: ProxyEndpoint,
     agent: SocketAddr,
     peers: Rc<Peers>,
     events: UnboundedReceiver<PeerEvent>,
     link: AgentLink,
     node: SyncNode<NoChild>,
-    /// What was reported last.
+    /// The latest report.
     reported: LocalReport,
     report_due: Instant,
-    /// Something is to be reported at once.
-    news: Rc<Notify>,
+    /// Notified when a report is due at once.
+    urgent_report: Rc<Notify>,
 }
 
-impl FeedClient {
-    /// For the front that clients reach at this address.
-    pub fn new(plane: Rc<Plane>, settings: &Settings, endpoint: Option<SocketAddr>) -> Self {
+impl SyncClient {
+    /// Creates the link of the proxy that clients reach at an address.
+    pub fn new(state: Rc<ProxyState>, settings: &Settings, endpoint: Option<SocketAddr>) -> Self {
         let (peers, events) = Peers::new(hello(settings));
-        FeedClient {
-            plane,
+        SyncClient {
+            state,
             endpoint: own_endpoint(settings, endpoint),
             agent: SocketAddr::from((Ipv4Addr::LOCALHOST, settings.proxy_port())),
             peers,
             events,
-            link: AgentLink::Down { again: Instant::now() },
+            link: AgentLink::Down { retry_at: Instant::now() },
             node: SyncNode::new(Options::new(&settings.node_name)),
             reported: LocalReport::default(),
             report_due: Instant::now(),
-            news: Rc::default(),
+            urgent_report: Rc::default(),
         }
     }
 
-    /// To be notified when something is to be reported at once.
-    pub fn news(&self) -> Rc<Notify> {
-        self.news.clone()
+    /// Returns what is to be notified when a report is due at once.
+    pub fn urgent_report(&self) -> Rc<Notify> {
+        self.urgent_report.clone()
     }
 
-    /// Runs for as long as it is polled.
+    /// Maintains the link for as long as it is polled.
     pub async fn run(mut self) {
-        let news = self.news.clone();
+        let urgent_report = self.urgent_report.clone();
         loop {
             self.connect_if_due();
             let wake_at = self.next_wake();
             tokio::select! {
                 event = self.events.recv() => match event {
-                    Some(event) => self.take(event),
+                    Some(event) => self.handle_peer(event),
                     None => return,
                 },
-                () = news.notified() => self.report_due = Instant::now(),
+                () = urgent_report.notified() => self.report_due = Instant::now(),
                 () = sleep_until(wake_at) => {}
             }
             self.tick();
@@ -92,23 +93,23 @@
     }
 
     fn next_wake(&self) -> Instant {
-        let now = self.plane.now();
-        let node_due = Instant::now() + self.node.next_tick().saturating_sub(now).min(REPORT_EVERY);
+        let now = self.state.now();
+        let node_due = Instant::now() + self.node.next_tick().saturating_sub(now).min(REPORT_INTERVAL);
         let due = self.report_due.min(node_due);
         match self.link {
-            AgentLink::Down { again } => due.min(again),
+            AgentLink::Down { retry_at } => due.min(retry_at),
             AgentLink::Connecting(_) | AgentLink::Up(_) => due,
         }
     }
 
     fn connect_if_due(&mut self) {
-        if matches!(self.link, AgentLink::Down { again } if again <= Instant::now()) {
+        if matches!(self.link, AgentLink::Down { retry_at } if retry_at <= Instant::now()) {
             let link = self.peers.connect(self.agent);
             self.change_link(AgentLink::Connecting(link));
         }
     }
 
-    fn take(&mut self, event: PeerEvent) {
+    fn handle_peer(&mut self, event: PeerEvent) {
         match event {
             PeerEvent::Opened { link, .. } if self.link == AgentLink::Connecting(link) => {
                 self.change_link(AgentLink::Up(link));
@@ -116,14 +117,14 @@
             PeerEvent::Frame { link, body } if self.link == AgentLink::Up(link) => {
                 self.handle(Event::ParentFrame(body));
             }
-            PeerEvent::Closed { link } | PeerEvent::ConnectFailed { link } if self.is_at(link) => {
-                self.change_link(AgentLink::Down { again: Instant::now() + CONNECT_AGAIN });
+            PeerEvent::Closed { link } | PeerEvent::ConnectFailed { link } if self.is_current(link) => {
+                self.change_link(AgentLink::Down { retry_at: Instant::now() + RECONNECT_INTERVAL });
             }
             _ => {}
         }
     }
 
-    fn is_at(&self, link: LinkId) -> bool {
+    fn is_current(&self, link: LinkId) -> bool {
         matches!(self.link, AgentLink::Connecting(at) | AgentLink::Up(at) if at == link)
     }
 
@@ -133,11 +134,11 @@
         self.link = next;
         match next {
             AgentLink::Up(_) => {
-                log::info!("connected to the agent at {}", self.agent);
+                log::info!(address:% = self.agent; "connected to the agent");
                 self.handle(Event::ParentUp);
             }
             AgentLink::Down { .. } if was_up => {
-                log::warn!("the agent at {} is gone: serving on with what is known", self.agent);
+                log::warn!(address:% = self.agent; "agent disconnected, serving with the last known state");
                 self.handle(Event::ParentDown);
             }
             AgentLink::Down { .. } | AgentLink::Connecting(_) => {}
@@ -145,34 +146,39 @@
     }
 
     fn tick(&mut self) {
-        if self.node.is_fresh(self.plane.now()) {
-            self.plane.set_fresh();
+        if self.node.is_fresh(self.state.now()) {
+            self.state.record_fresh();
         }
-        if self.report_due <= Instant::now() || self.state_changed() {
-            self.report_due = Instant::now() + REPORT_EVERY;
+        if self.report_due <= Instant::now() || self.lifecycle_changed() {
+            self.report_due = Instant::now() + REPORT_INTERVAL;
             self.report();
         }
-        if self.node.next_tick() <= self.plane.now() {
+        if self.node.next_tick() <= self.state.now() {
             self.handle(Event::Tick);
         }
     }
 
-    fn state_changed(&self) -> bool {
-        self.reported.endpoint.as_ref().is_some_and(|endpoint| endpoint.state != self.plane.endpoint_state())
+    fn lifecycle_changed(&self) -> bool {
+        let current = self.endpoint_state();
+        self.reported.endpoint.as_ref().is_some_and(|endpoint| endpoint.state != current)
+    }
+
+    fn endpoint_state(&self) -> EndpointState {
+        self.state.lifecycle.endpoint_state(self.state.now())
     }
 
     fn report(&mut self) {
-        self.plane.update_budgets(self.node.totals());
+        usage::apply_usage(&self.state, self.node.totals());
         let report = LocalReport {
             endpoint: Some(ProxyEndpoint {
-                state: self.plane.endpoint_state(),
-                preferred_regions: self.plane.preferred_regions(),
+                state: self.endpoint_state(),
+                preferred_regions: self.state.home_demand.preferred_regions(),
                 ..self.endpoint.clone()
             }),
             suspects: Vec::new(),
             proxies: 1,
-            services: self.plane.service_counts(),
-            servers: self.plane.own_loads(),
+            services: usage::own_usage(&self.state),
+            servers: self.state.upstreams.own_loads(),
         };
         if report != self.reported {
             self.reported = report.clone();
@@ -182,19 +188,19 @@
 
     fn handle(&mut self, event: Event<NoChild>) {
         let mut actions = Vec::new();
-        self.node.handle(self.plane.now(), event, &mut actions);
+        self.node.handle(self.state.now(), event, &mut actions);
         for action in actions {
-            self.act(action);
+            self.perform(action);
         }
     }
 
-    fn act(&mut self, action: Action<NoChild>) {
+    fn perform(&mut self, action: Action<NoChild>) {
         match action {
             Action::SendParent(body) => self.send(&body),
-            Action::Changed(changes) => published::apply(&self.plane, self.node.store(), &changes),
+            Action::Changed(changes) => updates::apply(&self.state, self.node.store(), &changes),
             Action::TotalsChanged => {
-                self.plane.set_totals(self.node.totals());
-                self.plane.update_budgets(self.node.totals());
+                usage::apply_loads(&self.state, self.node.totals());
+                usage::apply_usage(&self.state, self.node.totals());
             }
             Action::SendChild(..)
             | Action::SendChildren(..)
@@ -234,7 +240,7 @@
     }
 }
 
-/// Later lives of a machine's proxy have higher numbers.
+/// Returns the incarnation of this process: later processes of a machine have higher ones.
 fn incarnation() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since_epoch.as_micros()).unwrap_or(u64::MAX)
--- /dev/null
+++ b/crates/quillpulley/src/proxy/sync/usage.rs
@@ -0,0 +1,49 @@
+//! The load and usage that this proxy exchanges with the others.
+
+use crate::proxy::state::ProxyState;
+use quillpulley_protocol::{ServerLoad, ServiceCounters};
+use quillpulley_retry_budget::ServiceUsage;
+use quillpulley_state_sync::{LoadCounters, RetryCounters, Totals};
+
+/// Applies the loads of all proxies together to the choice of servers.
+pub fn apply_loads(state: &ProxyState, totals: &Totals) {
+    let loads: Vec<ServerLoad> = totals.counts.servers.iter().map(server_load).collect();
+    state.upstreams.set_total_loads(&loads);
+    state.admission.admit_all();
+}
+
+/// Applies the usage of all proxies together to the retry budgets. Due every exchange period.
+pub fn apply_usage(state: &ProxyState, totals: &Totals) {
+    let services: Vec<ServiceUsage> = totals.counts.services.iter().map(service_usage).collect();
+    let proxies = totals.counts.proxies as usize;
+    state.retry_budgets.set_totals(state.now(), &services, proxies, totals.complete);
+}
+
+/// Returns the usage of this proxy in the latest window.
+pub fn own_usage(state: &ProxyState) -> Vec<ServiceCounters> {
+    state.retry_budgets.usage(state.now()).into_iter().map(service_counters).collect()
+}
+
+fn server_load((server, counters): (&u64, &LoadCounters)) -> ServerLoad {
+    ServerLoad {
+        server: *server,
+        running: counters.running,
+        waiting: counters.waiting,
+        prompt_tokens: counters.prompt_tokens,
+        failures: counters.failures,
+    }
+}
+
+fn service_usage((service, counters): (&String, &RetryCounters)) -> ServiceUsage {
+    ServiceUsage {
+        service: service.clone(),
+        requests: counters.requests,
+        retries: counters.retries,
+        rejected_retries: counters.rejected_retries,
+    }
+}
+
+fn service_counters(usage: ServiceUsage) -> ServiceCounters {
+    let ServiceUsage { service, requests, retries, rejected_retries } = usage;
+    ServiceCounters { service, requests, retries, rejected_retries }
+}
--- /dev/null
+++ b/crates/quillpulley/src/proxy/upstream/health_check.rs
@@ -0,0 +1,94 @@
+//! Health checks of servers that outlier detection has ejected. Other servers are not checked: requests show how they
+//! are.
+
+use crate::proxy::headers::{
+    self, EXPECT_INSTANCE, INSTANCE_ID, NOT_EXECUTED, REQUEST_ID, WARMUP_REMAINING_MS,
+};
+use crate::proxy::state::ProxyState;
+use crate::proxy::upstream::connection_pool::UpstreamPeer;
+use crate::proxy::upstream::response_head;
+use crate::proxy::upstream::upstreams::CheckedServer;
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::header::{HeaderMap, HeaderValue, HOST};
+use hyper::{Request, Response, StatusCode};
+use quillpulley_load_balancer::{HealthCheckResult, ServerKey};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::task::spawn_local;
+use tokio::time::{sleep, timeout};
+
+/// How often due checks are looked for.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// How long after a failure checks are looked for: longer than a server stays ejected without a check.
+const CHECKS_AFTER_FAILURE: Duration = Duration::from_secs(12);
+/// A check that takes longer has failed.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Checks servers while some are ejected, for as long as it is polled.
+pub async fn check_servers(state: Rc<ProxyState>) {
+    let upstreams = &state.upstreams;
+    let failures = upstreams.failures();
+    loop {
+        failures.occurred().await;
+        while failures.last_at().is_some_and(|last| last.elapsed() < CHECKS_AFTER_FAILURE) {
+            sleep(POLL_INTERVAL).await;
+            for server in upstreams.due_health_checks() {
+                spawn_local(check(state.clone(), server));
+            }
+        }
+    }
+}
+
+async fn check(state: Rc<ProxyState>, server: ServerKey) {
+    let result = timeout(CHECK_TIMEOUT, probe(&state, server)).await;
+    let result = result.ok().flatten().unwrap_or(HealthCheckResult::Failed);
+    state.upstreams.record_health_check(server, result);
+    if let HealthCheckResult::Passed { .. } = result {
+        state.admission.admit_all();
+    }
+}
+
+/// Sends the check, and returns what the server says of itself; none if there is no response.
+async fn probe(state: &ProxyState, server: ServerKey) -> Option<HealthCheckResult> {
+    let CheckedServer { peer, service } = state.upstreams.checked_server(server)?;
+    let config = state.config.get()?;
+    let service = config.service(&service)?;
+    let pool = state.upstreams.pool();
+    let mut connection = pool.connect(&peer).await.ok()?.connection;
+    let response = connection.exchange(request(&peer, &service.health_path)?).await.ok()?;
+    let result = classify(&response, &peer.id);
+    if let Some(keep_alive) = response_head::keep_alive(response.headers()) {
+        let quota = state.upstreams.connection_quota(service.max_connections);
+        pool.return_idle(server, connection, keep_alive, quota);
+    }
+    Some(result)
+}
+
+fn request(peer: &UpstreamPeer, path: &str) -> Option<Request<Full<Bytes>>> {
+    let request = Request::get(path).header(HOST, peer.address.to_string());
+    request.header(EXPECT_INSTANCE, &peer.id).body(Full::default()).ok()
+}
+
+/// Classifies the response to a check. A server that is too busy for it is healthy; another one at its address is not.
+fn classify(response: &Response<Bytes>, id: &str) -> HealthCheckResult {
+    let headers = response.headers();
+    if headers.get(REQUEST_ID).is_some_and(|id| !id.is_empty()) {
+        // A second response to an earlier request on this connection: checks have no id.
+        return HealthCheckResult::Failed;
+    }
+    let is_expected = headers.get(INSTANCE_ID).is_some_and(|instance| instance == id);
+    match response.status() {
+        StatusCode::OK if is_expected => {
+            HealthCheckResult::Passed { warmup_remaining: warmup_remaining(headers) }
+        }
+        StatusCode::MISDIRECTED_REQUEST => HealthCheckResult::Failed,
+        _ if headers.contains_key(NOT_EXECUTED) => HealthCheckResult::Passed { warmup_remaining: None },
+        _ => HealthCheckResult::Failed,
+    }
+}
+
+fn warmup_remaining(headers: &HeaderMap<HeaderValue>) -> Option<Duration> {
+    let milliseconds: f64 = headers::single_text(headers, &WARMUP_REMAINING_MS)?.parse().ok()?;
+    Duration::try_from_secs_f64(milliseconds / 1000.0).ok()
+}
--- /dev/null
+++ b/crates/quillpulley/src/proxy/upstream/upstream_call.rs
@@ -0,0 +1,134 @@
+//! A call: one send of a request to a server, its connection, and its account with the load balancer.
+
+use super::connection_pool::{AbortGuard, UpstreamPeer};
+use super::upstreams::Upstreams;
+use crate::proxy::downstream::request::RequestContext;
+use bytes::{Bytes, BytesMut};
+use hyper::body::{Body, Incoming};
+use quillpulley_http1_client::{ClientConnection, ResponseError};
+use quillpulley_load_balancer::{Outcome, Ticket};
+use std::future::poll_fn;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use std::time::Duration;
+
+/// The longest response that is read completely before it is passed on, in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
+
+/// A call in flight. Dropped before its end it closes its connection, and so the server stops.
+pub struct UpstreamCall {
+    upstreams: Rc<Upstreams>,
+    context: Rc<RequestContext>,
+    peer: UpstreamPeer,
+    ticket: Option<Ticket>,
+    connection: Option<ClientConnection>,
+    abort_guard: Option<AbortGuard>,
+}
+
+impl UpstreamCall {
+    /// Creates a call without a connection. `ticket` is that of the load balancer.
+    pub fn new(
+        upstreams: Rc<Upstreams>,
+        context: Rc<RequestContext>,
+        peer: UpstreamPeer,
+        ticket: Ticket,
+    ) -> Self {
+        UpstreamCall { upstreams, context, peer, ticket: Some(ticket), connection: None, abort_guard: None }
+    }
+
+    /// Returns the server.
+    pub fn peer(&self) -> &UpstreamPeer {
+        &self.peer
+    }
+
+    /// Attaches a connection. An idempotent request does not wait for a server that is removed.
+    pub fn attach(&mut self, connection: ClientConnection) -> &mut ClientConnection {
+        let socket = self.context.decision.is_idempotent.then(|| connection.socket().clone());
+        self.abort_guard =
+            socket.map(|socket| self.upstreams.pool().abort_when_removed(self.peer.key, socket));
+        self.connection.insert(connection)
+    }
+
+    /// Closes the connection.
+    pub fn detach(&mut self) {
+        self.abort_guard = None;
+        self.connection = None;
+    }
+
+    /// Records that the response has begun.
+    pub fn record_started(&self) {
+        if let Some(ticket) = &self.ticket {
+            self.upstreams.record_started(ticket);
+        }
+    }
+
+    /// Returns the next chunk of the response's body; none once it is complete.
+    pub fn poll_data(
+        &mut self,
+        cx: &mut Context<'_>,
+        body: &mut Incoming,
+    ) -> Poll<Option<Result<Bytes, ResponseError>>> {
+        match &mut self.connection {
+            Some(connection) => connection.poll_data(cx, body),
+            None => Poll::Ready(Some(Err(ResponseError::Broken))),
+        }
+    }
+
+    /// Returns the complete body of the response.
+    ///
+    /// # Errors
+    /// [`ResponseError`] if the connection breaks, or the body is too large for the memory.
+    pub async fn read_body(&mut self, mut body: Incoming) -> Result<Bytes, ResponseError> {
+        if body.size_hint().lower() > MAX_RESPONSE_BYTES as u64 {
+            return Err(ResponseError::TooLarge);
+        }
+        let mut reservation = self.upstreams.buffers().reservation();
+        let mut first: Option<Bytes> = None;
+        let mut all = BytesMut::new();
+        while let Some(data) = poll_fn(|cx| self.poll_data(cx, &mut body)).await {
+            let data = data?;
+            let length = all.len() + first.as_ref().map_or(0, Bytes::len) + data.len();
+            if length > MAX_RESPONSE_BYTES || !reservation.try_grow_to(length) {
+                return Err(ResponseError::TooLarge);
+            }
+            match first.take() {
+                None if all.is_empty() => first = Some(data),
+                earlier => {
+                    all.extend_from_slice(&earlier.unwrap_or_default());
+                    all.extend_from_slice(&data);
+                }
+            }
+        }
+        Ok(first.unwrap_or_else(|| all.freeze()))
+    }
+
+    /// Ends the call with a complete response. The server keeps the connection for `keep_alive`, if at all.
+    pub fn complete(mut self, outcome: Outcome, keep_alive: Option<Duration>) {
+        self.abort_guard = None;
+        if let Some((connection, time)) = self.connection.take().zip(keep_alive) {
+            let quota = self.upstreams.connection_quota(self.context.decision.max_connections);
+            self.upstreams.pool().return_idle(self.peer.key, connection, time, quota);
+        }
+        self.record_end(outcome);
+    }
+
+    /// Ends the call and closes its connection.
+    pub fn end(mut self, outcome: Outcome) {
+        self.detach();
+        self.record_end(outcome);
+    }
+
+    fn record_end(&mut self, outcome: Outcome) {
+        if let Some(ticket) = self.ticket.take() {
+            self.upstreams.record_end(&self.context.decision.service, ticket, outcome);
+        }
+    }
+}
+
+impl Drop for UpstreamCall {
+    fn drop(&mut self) {
+        // The connection first: a server must not see the next attempt of a request while this one looks open.
+        self.detach();
+        self.record_end(Upstreams::outcome_when_dropped(self.context.request.due));
+    }
+}
--- a/crates/quillpulley/tests/proxy/support/mod.rs
+++ b/crates/quillpulley/tests/proxy/support/mod.rs
@@ -83,9 +83,9 @@
         let settings = settings(agent.port(), bounds);
         let bind = || TcpListener::bind("127.0.0.1:0");
         let listeners =
-            Listeners { endpoint: bind().await.expect("front"), ready: bind().await.expect("ready") };
-        let endpoint = listeners.endpoint.local_addr().expect("front");
-        let ready = listeners.ready.local_addr().expect("ready");
+            Listeners { clients: bind().await.expect("front"), readiness: bind().await.expect("ready") };
+        let endpoint = listeners.clients.local_addr().expect("front");
+        let ready = listeners.readiness.local_addr().expect("ready");
         let (commands, receiver) = unbounded_channel();
         let ended = spawn_local(serve_with_faults(settings, listeners, receiver, faults));
         Proxy { endpoint, ready, agent, commands, ended }
--- a/crates/quillpulley/tests/proxy_attempts.rs
+++ b/crates/quillpulley/tests/proxy_attempts.rs
@@ -1,7 +1,7 @@
 //! The attempts of one request, as timelines: what happens to it, and what comes of it.
 
 use quickcheck::{quickcheck, Arbitrary, Gen};
-use quillpulley::proxy::attempts::{Attempts, Ending, Event, Rules, Step};
+use quillpulley::proxy::retry::retry_state::{Event, FinalResponse, RetryPolicy, RetryState, Step};
 
 /// Each line: the rules (`once` or `again`, with the attempts), the events, and how it ends (`-`: not yet).
 const TIMELINES: &str = "
@@ -40,39 +40,39 @@
 
 fn events(word: &str) -> Vec<Event> {
     match word {
-        "choose" => vec![Event::Chosen],
-        "send" => vec![Event::Chosen, Event::Connected],
-        "answer" => vec![Event::Served],
-        "head" => vec![Event::HeadPassed],
-        "unplaced" => vec![Event::Unplaced],
-        "unsent" => vec![Event::Unsent],
-        "declined" => vec![Event::Declined],
+        "choose" => vec![Event::UpstreamChosen],
+        "send" => vec![Event::UpstreamChosen, Event::Connected],
+        "answer" => vec![Event::Completed],
+        "head" => vec![Event::ResponseBegun],
+        "unplaced" => vec![Event::NoCapacity],
+        "unsent" => vec![Event::NotSent],
+        "declined" => vec![Event::NotExecuted],
         "misdirected" => vec![Event::Misdirected],
-        "broken" => vec![Event::Broken],
-        "failed" => vec![Event::Failed],
-        "time-up" => vec![Event::TimeUp],
+        "broken" => vec![Event::ConnectionBroken],
+        "failed" => vec![Event::UpstreamFailed],
+        "time-up" => vec![Event::DeadlineReached],
         _ => panic!("no event: {word}"),
     }
 }
 
-fn name(ending: Option<Ending>) -> &'static str {
+fn name(ending: Option<FinalResponse>) -> &'static str {
     match ending {
         None => "-",
-        Some(Ending::Served) => "served",
-        Some(Ending::ServersFailure) => "servers-failure",
-        Some(Ending::Refused) => "refused",
-        Some(Ending::Failed) => "failed",
-        Some(Ending::TimedOut) => "timed-out",
-        Some(Ending::Cut) => "cut",
+        Some(FinalResponse::Completed) => "served",
+        Some(FinalResponse::UpstreamFailure) => "servers-failure",
+        Some(FinalResponse::Rejected) => "refused",
+        Some(FinalResponse::BadGateway) => "failed",
+        Some(FinalResponse::TimedOut) => "timed-out",
+        Some(FinalResponse::Truncated) => "cut",
     }
 }
 
-fn rules(words: &str) -> Rules {
+fn rules(words: &str) -> RetryPolicy {
     let (kind, attempts) = words.trim().split_once(' ').expect("a kind and a number");
-    Rules {
-        repeatable: kind == "again",
+    RetryPolicy {
+        is_idempotent: kind == "again",
         max_attempts: attempts.trim().parse().expect("a number"),
-        repeats_after_reset: false,
+        retries_after_reset: false,
     }
 }
 
@@ -80,11 +80,11 @@
 fn timelines_end_as_they_should() {
     for line in TIMELINES.lines().filter(|line| !line.trim().is_empty()) {
         let columns: Vec<&str> = line.split('|').map(str::trim).collect();
-        let mut attempts = Attempts::new(rules(columns[0]));
+        let mut attempts = RetryState::new(rules(columns[0]));
         let mut ending = None;
         for event in columns[1].split_whitespace().flat_map(events) {
             assert_eq!(ending, None, "ended early: {line}");
-            if let Step::End(end) = attempts.handle(event) {
+            if let Step::Finish(end) = attempts.handle(event) {
                 ending = Some(end);
             }
         }
@@ -98,25 +98,32 @@
 
 impl Arbitrary for Result {
     fn arbitrary(g: &mut Gen) -> Self {
-        let results =
-            [Event::Unsent, Event::Declined, Event::Misdirected, Event::Broken, Event::Failed, Event::TimeUp];
+        let results = [
+            Event::NotSent,
+            Event::NotExecuted,
+            Event::Misdirected,
+            Event::ConnectionBroken,
+            Event::UpstreamFailed,
+            Event::DeadlineReached,
+        ];
         Result(*g.choose(&results).expect("some"))
     }
 }
 
 /// Whether a request is not sent again once it may have run, nor is said not to have.
-fn runs_once(rules: Rules, results: &[Result]) -> bool {
-    let mut attempts = Attempts::new(rules);
+fn runs_once(rules: RetryPolicy, results: &[Result]) -> bool {
+    let mut attempts = RetryState::new(rules);
     let mut may_have_run = false;
     for Result(event) in results {
-        attempts.handle(Event::Chosen);
+        attempts.handle(Event::UpstreamChosen);
         attempts.handle(Event::Connected);
-        may_have_run |= matches!(event, Event::Broken | Event::Failed | Event::TimeUp);
+        may_have_run |=
+            matches!(event, Event::ConnectionBroken | Event::UpstreamFailed | Event::DeadlineReached);
         match attempts.handle(*event) {
-            Step::Choose if may_have_run => return false,
-            Step::End(Ending::Refused) if may_have_run => return false,
-            Step::End(_) => return true,
-            Step::Choose | Step::Proceed => {}
+            Step::Retry if may_have_run => return false,
+            Step::Finish(FinalResponse::Rejected) if may_have_run => return false,
+            Step::Finish(_) => return true,
+            Step::Retry | Step::Continue => {}
         }
     }
     true
@@ -124,29 +131,29 @@
 
 #[test]
 fn a_policy_that_repeats_after_a_reset_is_caught() {
-    let rules = Rules { repeatable: false, max_attempts: 3, repeats_after_reset: true };
-    assert!(!runs_once(rules, &[Result(Event::Broken), Result(Event::Declined)]));
+    let rules = RetryPolicy { is_idempotent: false, max_attempts: 3, retries_after_reset: true };
+    assert!(!runs_once(rules, &[Result(Event::ConnectionBroken), Result(Event::NotExecuted)]));
 }
 
 quickcheck! {
     /// Whatever happens: what may not be repeated is not sent again once it may have run, and then no answer
     /// promises that it has not.
     fn nothing_runs_twice(results: Vec<Result>, max_attempts: u8) -> bool {
-        let rules = Rules { repeatable: false, max_attempts: u32::from(max_attempts), repeats_after_reset: false };
+        let rules = RetryPolicy { is_idempotent: false, max_attempts: u32::from(max_attempts), retries_after_reset: false };
         runs_once(rules, &results)
     }
 
     /// No more sends than the route allows beside those that reached no server's work, and no more than four.
-    fn sends_are_bounded(results: Vec<Result>, max_attempts: u8, repeatable: bool) -> bool {
+    fn sends_are_bounded(results: Vec<Result>, max_attempts: u8, is_idempotent: bool) -> bool {
         let max_attempts = u32::from(max_attempts).max(1);
-        let mut attempts = Attempts::new(Rules { repeatable, max_attempts, repeats_after_reset: false });
+        let mut attempts = RetryState::new(RetryPolicy { is_idempotent, max_attempts, retries_after_reset: false });
         let (mut sends, mut counted) = (0, 0);
         for Result(event) in results {
-            attempts.handle(Event::Chosen);
+            attempts.handle(Event::UpstreamChosen);
             attempts.handle(Event::Connected);
             sends += 1;
-            counted += u32::from(!matches!(event, Event::Unsent | Event::Misdirected));
-            if let Step::End(_) = attempts.handle(event) {
+            counted += u32::from(!matches!(event, Event::NotSent | Event::Misdirected));
+            if let Step::Finish(_) = attempts.handle(event) {
                 break;
             }
         }
--- a/crates/quillpulley/tests/proxy_departure.rs
+++ b/crates/quillpulley/tests/proxy_departure.rs
@@ -1,7 +1,7 @@
 //! What a proxy that has been told to end still takes, as timelines.
 
 use quickcheck::quickcheck;
-use quillpulley::proxy::departure::Departure;
+use quillpulley::proxy::shutdown::drain_deadline::DrainDeadline;
 use std::time::Duration;
 
 /// A proxy is told to end at 1,000 ms and would be killed 8,000 ms later. A column each: when a request comes, the
@@ -53,20 +53,20 @@
 #[test]
 fn late_requests_are_taken_only_if_they_are_sure_to_end_in_time() {
     for (grace, timeline) in [(8, GRACE_OF_8_S), (4, GRACE_OF_4_S), (1, GRACE_OF_1_S), (0, NO_GRACE)] {
-        let departure = Departure::new(TOLD, Duration::from_secs(grace));
+        let deadline = DrainDeadline::new(TOLD, Duration::from_secs(grace));
         for line in timeline.lines().map(str::trim).filter(|line| !line.is_empty()).skip(1) {
             let columns: Vec<&str> = line.split('|').map(str::trim).collect();
             let (came, timeout) = (milliseconds(columns[0]), milliseconds(columns[1]));
             let due = came + timeout.min(milliseconds(columns[2]));
-            assert_eq!(departure.takes(came, due), columns[3] == "yes", "{grace} s: {line}");
+            assert_eq!(deadline.accepts(came, due), columns[3] == "yes", "{grace} s: {line}");
         }
     }
 }
 
 #[test]
 fn it_ends_half_a_second_before_it_would_be_killed() {
-    let departure = Departure::new(TOLD, Duration::from_secs(8));
-    let times = [departure.takes_all_until(), departure.last_answer_at(), departure.ends_at()];
+    let deadline = DrainDeadline::new(TOLD, Duration::from_secs(8));
+    let times = [deadline.accepts_all_until(), deadline.final_responses_at(), deadline.exits_at()];
     assert_eq!(times.map(|time| time.as_millis()), [3_900, 8_400, 8_500]);
 }
 
@@ -75,18 +75,18 @@
     fn nothing_that_came_late_is_cut(told: u16, grace: u16, came_after: u16, lasts: u16) -> bool {
         let [told, grace, came_after, lasts] =
             [told, grace, came_after, lasts].map(|time| Duration::from_millis(time.into()));
-        let departure = Departure::new(told, grace);
+        let deadline = DrainDeadline::new(told, grace);
         let (came, due) = (told + came_after, told + came_after + lasts);
         let late = came_after > Duration::from_secs(3);
-        !(late && departure.takes(came, due)) || due < departure.ends_at()
+        !(late && deadline.accepts(came, due)) || due < deadline.exits_at()
     }
 
     /// Once a request is refused, none that lasts as long is taken later.
     fn what_is_refused_stays_refused(grace: u16, came_after: u16, later: u16, lasts: u16) -> bool {
         let [grace, came_after, later, lasts] =
             [grace, came_after, later, lasts].map(|time| Duration::from_millis(time.into()));
-        let departure = Departure::new(TOLD, grace);
-        let taken = |after: Duration| departure.takes(TOLD + after, TOLD + after + lasts);
+        let deadline = DrainDeadline::new(TOLD, grace);
+        let taken = |after: Duration| deadline.accepts(TOLD + after, TOLD + after + lasts);
         taken(came_after) || !taken(came_after + later)
     }
 }
--- a/crates/quillpulley/tests/proxy_events.rs
+++ b/crates/quillpulley/tests/proxy_events.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use quickcheck::{quickcheck, Arbitrary, Gen};
-use quillpulley::proxy::events::{EventSplitter, Position};
+use quillpulley::proxy::streaming::event_splitter::{EventSplitter, Position};
 
 /// A stream of some events with rising ids, and places to cut it at.
 #[derive(Clone, Debug)]
--- a/crates/quillpulley/tests/proxy_lifecycle.rs
+++ b/crates/quillpulley/tests/proxy_lifecycle.rs
@@ -1,6 +1,6 @@
 //! When a proxy takes clients, as timelines.
 
-use quillpulley::proxy::lifecycle::{retry_after_start, Event, Lifecycle};
+use quillpulley::proxy::shutdown::lifecycle::{retry_after_start, Event, Lifecycle};
 use quillpulley_protocol::EndpointState;
 use std::time::Duration;
 
@@ -30,7 +30,7 @@
         let state = lifecycle.endpoint_state(milliseconds(columns[1]));
         assert_eq!(name(state), columns[2], "{line}");
         assert_eq!(lifecycle.is_ready(milliseconds(columns[1])), state == EndpointState::Ready, "{line}");
-        assert_eq!(lifecycle.is_leaving(), state == EndpointState::Draining, "{line}");
+        assert_eq!(lifecycle.is_draining(), state == EndpointState::Draining, "{line}");
     }
 }
 
@@ -42,7 +42,7 @@
     match word {
         "configuration" => Event::ConfigurationKnown,
         "fresh" => Event::Fresh,
-        "stop" => Event::Stop,
+        "stop" => Event::Drain,
         _ => panic!("no event: {word}"),
     }
 }
--- a/crates/rate-limiter/src/bin/rate-limiter/clients.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/clients.rs
@@ -12,7 +12,9 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderName, HeaderValue, CONNECTION, CONTENT_TYPE, RETRY_AFTER, TRANSFER_ENCODING};
 use hyper::{Method, Request, Response, StatusCode};
-use quillpulley_http1_client::{Connection, ConnectionOptions, Connections, Service, Socket};
+use quillpulley_http1_client::{
+    ConnectionManager, ConnectionOptions, Linger, ServerConnection, Service, Socket,
+};
 use rate_limiter::{RequestId, Settings};
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -36,7 +38,7 @@
 const BODY_TIME: Duration = Duration::from_secs(2);
 /// After its last answer a connection is read on for so long, and so many bytes, while its client still
 /// sends: closing with bytes unread would reset it and destroy the answer.
-const LINGER: (Duration, usize) = (Duration::from_millis(500), 256 * 1024);
+const LINGER: Linger = Linger { time: Duration::from_millis(500), bytes: 256 * 1024 };
 /// A connection is at rest, and may be closed, after it has been idle for this time: on a new one, the request
 /// that it was opened for is most likely on its way.
 const AT_REST: Duration = Duration::from_millis(100);
@@ -61,7 +63,7 @@
     ready: Cell<bool>,
     /// Since the end has begun: when requests must have been answered at the latest.
     draining: Cell<Option<Instant>>,
-    connections: Rc<Connections>,
+    connections: Rc<ConnectionManager>,
 }
 
 type Reply = Response<Full<Bytes>>;
@@ -77,7 +79,7 @@
             open_ids: RefCell::default(),
             ready: Cell::new(false),
             draining: Cell::new(None),
-            connections: Connections::new(connection_options(budget)),
+            connections: ConnectionManager::new(connection_options(budget)),
         })
     }
 
@@ -104,8 +106,8 @@
 
     async fn answer(&self, request: Request<Incoming>, socket: &Socket, first: Option<Instant>) -> Reply {
         let chunked = request.headers().contains_key(TRANSFER_ENCODING);
-        let raw = if chunked { socket.recorded() } else { Vec::new() };
-        socket.record(0);
+        let raw = if chunked { socket.recorded_input() } else { Vec::new() };
+        socket.record_input(0);
         let mut reply = match self.take(request, raw, socket, first).await {
             Ok(reply) => reply,
             Err(Rejected(status, why)) => {
@@ -117,7 +119,7 @@
                 reply
             }
         };
-        socket.record(MAX_HEAD);
+        socket.record_input(MAX_HEAD);
         // Behind a chunked body nothing is read as a request, whatever another reader would find there.
         if chunked || self.draining.get().is_some() {
             reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -197,7 +199,7 @@
         // hyper sees that a client left only where nothing is unread behind its request. One that left while
         // its connection waited to be accepted is not sent on at all.
         const LEFT: Rejected = Rejected(StatusCode::BAD_GATEWAY, "failed: the client has left\n");
-        let mut left = pin!(socket.peer_left());
+        let mut left = pin!(socket.peer_closed());
         if poll_fn(|cx| Poll::Ready(left.as_mut().poll(cx).is_ready())).await {
             return Err(LEFT);
         }
@@ -238,7 +240,7 @@
     async fn respond(
         self: Rc<Self>,
         request: Request<Incoming>,
-        connection: Rc<Connection>,
+        connection: Rc<ServerConnection>,
         first: Option<Instant>,
     ) -> Reply {
         self.answer(request, connection.socket(), first).await
@@ -251,14 +253,14 @@
 
 fn connection_options(budget: usize) -> ConnectionOptions {
     ConnectionOptions {
-        budget,
-        max_head: MAX_HEAD,
-        record: MAX_HEAD,
-        head_time: Some(HEAD_TIME),
+        max_connections: budget,
+        max_header_bytes: MAX_HEAD,
+        recorded_bytes: MAX_HEAD,
+        header_timeout: Some(HEAD_TIME),
         linger: LINGER,
-        at_rest: AT_REST,
-        never_asked: NEVER_ASKED,
-        accept_pause: ACCEPT_PAUSE,
+        idle_grace: AT_REST,
+        silent_grace: NEVER_ASKED,
+        accept_retry_delay: ACCEPT_PAUSE,
     }
 }
 
--- a/crates/rate-limiter/src/bin/rate-limiter/counter.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/counter.rs
@@ -1,12 +1,12 @@
 //! The counter service: adds to a named number and reads it, on a few kept connections.
 
 use crate::host::Host;
-use crate::limits::LINK;
+use crate::limits::CONNECTION_LIMITS;
 use crate::log;
 use http_body_util::Full;
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
-use quillpulley_http1_client::{Failure, Link};
+use quillpulley_http1_client::{ClientConnection, ResponseError};
 use rate_limiter::{Outcome, Settings};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
 pub struct Counter {
     address: Cell<Option<SocketAddr>>,
     timeout: Duration,
-    idle: RefCell<Vec<Link>>,
+    idle: RefCell<Vec<ClientConnection>>,
     open: Rc<Cell<usize>>,
     /// Calls that wait for their answer.
     out: Cell<usize>,
@@ -79,12 +79,12 @@
         let (counter, host) = (self.clone(), host.clone());
         tokio::task::spawn_local(async move {
             let began = Instant::now();
-            let (outcome, total, link) = counter.run(address, &name, add, lives).await;
+            let (outcome, total, connection) = counter.run(address, &name, add, lives).await;
             counter.out.set(counter.out.get() - 1);
             host.counted(name, outcome, total, began.elapsed());
-            if let Some(mut link) = link {
-                if link.settle().await && counter.address.get() == Some(address) {
-                    counter.idle.borrow_mut().push(link);
+            if let Some(mut connection) = connection {
+                if connection.wait_ready().await && counter.address.get() == Some(address) {
+                    counter.idle.borrow_mut().push(connection);
                 }
             }
         });
@@ -97,46 +97,50 @@
         name: &str,
         add: f64,
         lives: f64,
-    ) -> (Outcome, f64, Option<Link>) {
+    ) -> (Outcome, f64, Option<ClientConnection>) {
         let until = Instant::now() + self.timeout;
         let keep_ms = (lives * 1000.0).clamp(LIFE_MS.0, LIFE_MS.1).round();
         let target = format!("/tally/{name}?n={add}&keep_ms={keep_ms}");
         loop {
-            // One call may find the counter moved between two tries: kept links lead to where it is now.
+            // One call may find the counter moved between two tries: kept connections lead to where it is now.
             let kept = if self.address.get() == Some(address) { self.reuse() } else { None };
             let reused = kept.is_some();
-            let mut link = match kept {
-                Some(link) => link,
-                None => match timeout_at(until, Link::connect(address, &self.open, LINK)).await {
-                    Ok(Ok(link)) => {
-                        self.failed.set(0);
-                        link
-                    }
-                    Ok(Err(_)) => {
-                        // An old address that refuses says nothing of the one that is called now.
-                        if self.address.get() == Some(address) {
-                            self.back_off();
+            let mut connection = match kept {
+                Some(connection) => connection,
+                None => {
+                    match timeout_at(until, ClientConnection::connect(address, &self.open, CONNECTION_LIMITS))
+                        .await
+                    {
+                        Ok(Ok(connection)) => {
+                            self.failed.set(0);
+                            connection
+                        }
+                        Ok(Err(_)) => {
+                            // An old address that refuses says nothing of the one that is called now.
+                            if self.address.get() == Some(address) {
+                                self.back_off();
+                            }
+                            return (Outcome::ConnectFailed, 0.0, None);
                         }
-                        return (Outcome::ConnectFailed, 0.0, None);
+                        Err(_) => return (Outcome::ConnectFailed, 0.0, None),
                     }
-                    Err(_) => return (Outcome::ConnectFailed, 0.0, None),
-                },
+                }
             };
             let request = Request::post(&target).header(HOST, address.to_string()).body(Full::default());
             let Ok(request) = request else { return (Outcome::ConnectFailed, 0.0, None) };
-            let answer = match timeout_at(until, link.exchange(request)).await {
+            let answer = match timeout_at(until, connection.exchange(request)).await {
                 Ok(Ok(answer)) => answer,
-                Ok(Err(Failure::NotSent)) if reused => continue,
-                Ok(Err(Failure::NotSent)) => return (Outcome::ConnectFailed, 0.0, None),
+                Ok(Err(ResponseError::NotSent)) if reused => continue,
+                Ok(Err(ResponseError::NotSent)) => return (Outcome::ConnectFailed, 0.0, None),
                 // It may have been added, or may yet be: to the module that is a call without an answer.
                 // The connection goes with the call, so a late answer finds nobody.
-                Ok(Err(Failure::Broken | Failure::TooLarge)) | Err(_) => {
+                Ok(Err(ResponseError::Broken | ResponseError::TooLarge)) | Err(_) => {
                     return (Outcome::Timeout, 0.0, None)
                 }
             };
             let total = std::str::from_utf8(answer.body()).ok().and_then(|t| t.trim().parse::<f64>().ok());
             return match (answer.status(), total.filter(|t| t.is_finite())) {
-                (StatusCode::OK, Some(total)) => (Outcome::Ok, total, Some(link)),
+                (StatusCode::OK, Some(total)) => (Outcome::Ok, total, Some(connection)),
                 (StatusCode::OK, None) => {
                     self.complain(format_args!("an answer to {name} has no total"));
                     (Outcome::Timeout, 0.0, None)
@@ -145,16 +149,17 @@
                     if status != StatusCode::SERVICE_UNAVAILABLE {
                         self.complain(format_args!("{status} for {target}"));
                     }
-                    (Outcome::Full, 0.0, Some(link))
+                    (Outcome::Full, 0.0, Some(connection))
                 }
             };
         }
     }
 
-    fn reuse(&self) -> Option<Link> {
+    fn reuse(&self) -> Option<ClientConnection> {
         let mut idle = self.idle.borrow_mut();
-        idle.retain(|link| link.used.elapsed() < IDLE);
-        std::iter::from_fn(|| idle.iter().rposition(Link::rested).map(|n| idle.remove(n))).find(Link::usable)
+        idle.retain(|connection| connection.idle_time() < IDLE);
+        std::iter::from_fn(|| idle.iter().rposition(ClientConnection::has_rested).map(|n| idle.remove(n)))
+            .find(ClientConnection::is_usable)
     }
 
     /// Logs the first fault and then ever fewer: a counter that is broken all day must not fill the log.
--- a/crates/rate-limiter/src/bin/rate-limiter/discovery.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/discovery.rs
@@ -1,13 +1,13 @@
 //! Discovery: follows the list of servers on a watch, and takes it up again where it broke.
 
 use crate::host::Host;
-use crate::limits::LINK;
+use crate::limits::CONNECTION_LIMITS;
 use crate::log;
 use bytes::{Buf, BytesMut};
 use http_body_util::{BodyExt, Full};
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
-use quillpulley_http1_client::Link;
+use quillpulley_http1_client::ClientConnection;
 use rate_limiter::{ServerEntry, ServerState, Settings};
 use serde::de::Error;
 use serde::{Deserialize, Deserializer};
@@ -173,18 +173,18 @@
         after: &mut Option<u64>,
     ) -> Result<std::convert::Infallible, String> {
         let opening = async {
-            let link = Link::connect(address, &self.open, LINK).await;
-            let mut link = link.map_err(|e| format!("no connection: {e}"))?;
+            let connection = ClientConnection::connect(address, &self.open, CONNECTION_LIMITS).await;
+            let mut connection = connection.map_err(|e| format!("no connection: {e}"))?;
             let after = after.map(|v| format!("&after={v}")).unwrap_or_default();
             let request = Request::get(format!("/discovery/hosts?watch=1{after}"));
             let request = request.header(HOST, address.to_string()).body(Full::default());
-            let answer = link.open(request.map_err(|e| e.to_string())?).await;
+            let answer = connection.send(request.map_err(|e| e.to_string())?).await;
             let answer = answer.map_err(|_| "the watch broke before its answer".to_string())?;
-            Ok::<_, String>((link, answer))
+            Ok::<_, String>((connection, answer))
         };
         let began = Instant::now();
         let opened = timeout_at(began + self.answer, opening).await;
-        let (mut link, answer) = opened.map_err(|_| "no answer in time".to_string())??;
+        let (mut connection, answer) = opened.map_err(|_| "no answer in time".to_string())??;
         if answer.status() != StatusCode::OK {
             return Err(format!("the watch was answered {}", answer.status()));
         }
@@ -193,7 +193,7 @@
         // The first message comes with the answer, whether or not anything changed.
         let mut until = began + self.answer;
         loop {
-            let frame = timeout_at(until, link.drive(body.frame())).await;
+            let frame = timeout_at(until, connection.drive(body.frame())).await;
             let frame = frame.map_err(|_| "the watch fell silent".to_string())?;
             let frame = frame.ok_or("the watch ended")?.map_err(|e| format!("the watch broke: {e}"))?;
             // Once begun, a message has to end in that time too: blank lines may come within one for ever.
--- a/crates/rate-limiter/src/bin/rate-limiter/servers.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/servers.rs
@@ -1,14 +1,14 @@
 //! The servers: where each listens, the connections kept to it, and one attempt or probe at a time on each.
 
 use crate::host::Host;
-use crate::limits::LINK;
+use crate::limits::CONNECTION_LIMITS;
 use crate::request::read_number;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_TYPE, HOST};
 use hyper::http::uri::PathAndQuery;
 use hyper::{Method, Request, Response, StatusCode, Uri};
-use quillpulley_http1_client::{Failure, Link, Socket, Written};
+use quillpulley_http1_client::{ClientConnection, ResponseError, Socket, WriteProgress};
 use rate_limiter::{LoadReport, Outcome, RequestId, ServerId, ServerState, Settings};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -70,7 +70,7 @@
 struct Server {
     place: Place,
     /// Kept connections, the most recently used last.
-    idle: Vec<Link>,
+    idle: Vec<ClientConnection>,
 }
 
 /// The times that bind an attempt.
@@ -96,14 +96,14 @@
         }
     }
 
-    /// Lets go of the connection: closed with the link that is dropped, or kept for others.
+    /// Lets go of the connection: closed with the connection that is dropped, or kept for others.
     fn release(&self) {
         self.socket.borrow_mut().take();
     }
 
     /// Whether its request may have reached the server whole.
     pub fn sent(&self) -> bool {
-        self.socket.borrow().as_ref().is_some_and(|s| s.written() == Written::Whole)
+        self.socket.borrow().as_ref().is_some_and(|s| s.write_progress() == WriteProgress::Complete)
     }
 }
 
@@ -163,17 +163,18 @@
     }
 
     /// The kept connection that was used last and has rested, past those that are no longer good.
-    fn reuse(&self, id: &ServerId) -> Option<Link> {
+    fn reuse(&self, id: &ServerId) -> Option<ClientConnection> {
         let mut table = self.table.borrow_mut();
         let idle = &mut table.get_mut(id)?.idle;
-        let rested = || idle.iter().rposition(Link::rested).map(|n| idle.remove(n));
-        std::iter::from_fn(rested).find(|link| link.usable() && link.used.elapsed() < self.idle)
+        let rested = || idle.iter().rposition(ClientConnection::has_rested).map(|n| idle.remove(n));
+        std::iter::from_fn(rested)
+            .find(|connection| connection.is_usable() && connection.idle_time() < self.idle)
     }
 
-    fn keep(&self, id: &ServerId, address: SocketAddr, link: Link) {
+    fn keep(&self, id: &ServerId, address: SocketAddr, connection: ClientConnection) {
         if let Some(server) = self.table.borrow_mut().get_mut(id) {
             if server.place.address == address && server.place.state == ServerState::InService {
-                server.idle.push(link);
+                server.idle.push(connection);
             }
         }
     }
@@ -184,17 +185,27 @@
             return true;
         }
         let mut table = self.table.borrow_mut();
-        let oldest = table.values_mut().filter(|s| !s.idle.is_empty()).min_by_key(|s| s.idle[0].used);
+        let oldest =
+            table.values_mut().filter(|s| !s.idle.is_empty()).min_by_key(|s| s.idle[0].last_used_at());
         oldest.map(|server| server.idle.remove(0)).is_some()
     }
 
     /// Connects in the time that the settings give for it, and by `latest`: where that comes first, it is no
     /// failure of the server.
-    async fn connect(&self, address: SocketAddr, latest: Option<Instant>) -> Result<Link, Outcome> {
+    async fn connect(
+        &self,
+        address: SocketAddr,
+        latest: Option<Instant>,
+    ) -> Result<ClientConnection, Outcome> {
         let until = Instant::now() + self.connect;
         let sooner = latest.filter(|latest| *latest < until);
-        match timeout_at(sooner.unwrap_or(until), Link::connect(address, &self.open, LINK)).await {
-            Ok(link) => link.map_err(|_| Outcome::ConnectFailed),
+        match timeout_at(
+            sooner.unwrap_or(until),
+            ClientConnection::connect(address, &self.open, CONNECTION_LIMITS),
+        )
+        .await
+        {
+            Ok(connection) => connection.map_err(|_| Outcome::ConnectFailed),
             Err(_) => Err(if sooner.is_some() { Outcome::Moot } else { Outcome::ConnectFailed }),
         }
     }
@@ -204,7 +215,7 @@
         loop {
             tokio::time::sleep(SWEEP).await;
             for server in self.table.borrow_mut().values_mut() {
-                server.idle.retain(|link| link.used.elapsed() < self.idle && link.usable());
+                server.idle.retain(|connection| connection.idle_time() < self.idle && connection.is_usable());
             }
         }
     }
@@ -228,9 +239,9 @@
         // With this the socket of a failed attempt is closed: the next attempt may start.
         attempt.release();
         host.attempt_ended(id, n, ended);
-        if let Some((address, mut link)) = kept {
-            if link.settle().await {
-                self.keep(&server, address, link);
+        if let Some((address, mut connection)) = kept {
+            if connection.wait_ready().await {
+                self.keep(&server, address, connection);
             }
         }
     }
@@ -242,15 +253,15 @@
         attempt: &Attempt,
         Limits { give_up, latest }: Limits,
         awaited: impl Fn() -> bool,
-    ) -> (Ended, Option<(SocketAddr, Link)>) {
+    ) -> (Ended, Option<(SocketAddr, ClientConnection)>) {
         let failed = |outcome| (Ended::of(outcome), None);
         loop {
             let Some(address) = self.address(id) else { return failed(Outcome::ConnectFailed) };
-            let (mut link, kept) = match self.reuse(id) {
-                Some(link) => (link, true),
+            let (mut connection, kept) = match self.reuse(id) {
+                Some(connection) => (connection, true),
                 None if !self.room() => return failed(Outcome::Moot),
                 None => match self.connect(address, latest).await {
-                    Ok(link) => (link, false),
+                    Ok(connection) => (connection, false),
                     Err(outcome) => return failed(outcome),
                 },
             };
@@ -262,19 +273,19 @@
             if !awaited() || latest.is_some_and(|latest| Instant::now() >= latest) {
                 return failed(Outcome::Moot);
             }
-            *attempt.socket.borrow_mut() = Some(link.socket().clone());
-            let result = link.exchange(forward.request(address, give_up)).await;
-            let unsent = link.socket().written() == Written::Nothing;
+            *attempt.socket.borrow_mut() = Some(connection.socket().clone());
+            let result = connection.exchange(forward.request(address, give_up)).await;
+            let unsent = connection.socket().write_progress() == WriteProgress::NotStarted;
             return match result {
-                Ok(answer) => (judge(answer, self.max_units), Some((address, link))),
+                Ok(answer) => (judge(answer, self.max_units), Some((address, connection))),
                 // A kept connection that broke before a byte was written says nothing of the server.
-                Err(Failure::NotSent) if kept && unsent => {
+                Err(ResponseError::NotSent) if kept && unsent => {
                     attempt.release();
                     continue;
                 }
-                Err(Failure::NotSent) => failed(Outcome::ConnectFailed),
-                Err(Failure::Broken) => failed(Outcome::Reset),
-                Err(Failure::TooLarge) => failed(Outcome::Error),
+                Err(ResponseError::NotSent) => failed(Outcome::ConnectFailed),
+                Err(ResponseError::Broken) => failed(Outcome::Reset),
+                Err(ResponseError::TooLarge) => failed(Outcome::Error),
             };
         }
     }
@@ -283,32 +294,32 @@
     pub async fn probe(self: Rc<Self>, host: Rc<Host>, id: ServerId) {
         let probe = async {
             let address = self.address(&id)?;
-            let mut link = match self.reuse(&id) {
-                Some(link) => link,
+            let mut connection = match self.reuse(&id) {
+                Some(connection) => connection,
                 None if !self.room() => return None,
                 None => self.connect(address, None).await.ok()?,
             };
             self.address(&id).filter(|now| *now == address)?;
             let request = Request::get("/metrics/load").header(HOST, address.to_string());
-            let answer = link.exchange(request.body(Full::default()).ok()?).await.ok()?;
-            Some((answer, address, link))
+            let answer = connection.exchange(request.body(Full::default()).ok()?).await.ok()?;
+            Some((answer, address, connection))
         };
         let (outcome, report, kept) = match timeout(PROBE_TIMEOUT, probe).await {
-            Ok(Some((answer, address, link))) => {
+            Ok(Some((answer, address, connection))) => {
                 let outcome = if answer.status() == StatusCode::OK { Outcome::Ok } else { Outcome::Full };
                 let mut report = load_report(answer.headers());
                 if let Ok(text) = std::str::from_utf8(answer.body()) {
                     read_load(text.trim(), &mut report);
                 }
-                (outcome, report, Some((address, link)))
+                (outcome, report, Some((address, connection)))
             }
             Ok(None) => (Outcome::ConnectFailed, LoadReport::default(), None),
             Err(_) => (Outcome::Timeout, LoadReport::default(), None),
         };
         host.probed(id.clone(), outcome, report);
-        if let Some((address, mut link)) = kept {
-            if link.settle().await {
-                self.keep(&id, address, link);
+        if let Some((address, mut connection)) = kept {
+            if connection.wait_ready().await {
+                self.keep(&id, address, connection);
             }
         }
     }
--- a/crates/replication/src/fault_tolerance.rs
+++ b/crates/replication/src/fault_tolerance.rs
@@ -1,20 +1,11 @@
 //! Failure domains, and which failures a set of nodes survives.
 
-use quillpulley_protocol::NodeId;
+use quillpulley_protocol::{Locality, NodeId};
 use std::collections::BTreeMap;
 use std::fmt;
 
 use crate::view::majority;
 
-/// The failure domains of a machine. An empty name is one that is not known.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Locality {
-    /// The zone, which lies in the region.
-    pub zone: String,
-    /// The region.
-    pub region: String,
-}
-
 /// The failures to survive: the loss of any `machines`, or of any `zones`, or of any `regions` at once, with all
 /// members and witnesses in them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -55,9 +55,10 @@
 
 pub use durability::DurabilityStatus;
 pub use event::{Action, Event, RejectReason, Role, Write, WriteFailed};
-pub use fault_tolerance::{FaultTolerance, Locality, UncoveredFailures};
+pub use fault_tolerance::{FaultTolerance, UncoveredFailures};
 #[doc(hidden)]
 pub use faults::Faults;
 pub use options::{Options, Recovered, StartError};
+pub use quillpulley_protocol::Locality;
 pub use replica::Replica;
 pub use state_machine::{RestoreError, StateMachine};
--- a/crates/serving-config/src/published/key.rs
+++ b/crates/serving-config/src/published/key.rs
@@ -2,15 +2,16 @@
 
 use std::net::Ipv4Addr;
 
-/// The key of the head of the configuration, a `wire::ConfigHead`.
+/// The key of the head of the configuration, a `protocol::ConfigHead`.
 pub const CONFIG_KEY: &str = "config";
-/// What the keys of routes begin with; their values are JSON texts.
+/// The prefix of the keys of routes, whose values are JSON texts.
 pub const ROUTE_PREFIX: &str = "route/";
-const EVACUATED_PREFIX: &str = "evacuated/";
+/// The prefix of the keys of evacuated zones.
+pub const EVACUATED_PREFIX: &str = "evacuated/";
 const SERVER_PREFIX: &str = "server/";
-/// What the keys of machines that serve clients begin with.
+/// The prefix of the keys of proxies.
 pub const ENDPOINT_PREFIX: &str = "front/";
-/// What the keys of core processes begin with.
+/// The prefix of the keys of control processes.
 pub const CONTROL_NODE_PREFIX: &str = "core/";
 
 /// A key, taken apart.
--- a/crates/serving-config/src/published/mod.rs
+++ b/crates/serving-config/src/published/mod.rs
@@ -9,5 +9,5 @@
 pub use items::route_of;
 pub use key::{
     control_node_key, endpoint_key, evacuated_key, route_key, server_key, PublishedKey, CONFIG_KEY,
-    CONTROL_NODE_PREFIX, ENDPOINT_PREFIX, ROUTE_PREFIX,
+    CONTROL_NODE_PREFIX, ENDPOINT_PREFIX, EVACUATED_PREFIX, ROUTE_PREFIX,
 };
