--- a/crates/quillpulley/src/agent/children.rs
+++ b/crates/quillpulley/src/agent/children.rs
@@ -4,43 +4,43 @@
 use quillpulley_protocol::{Hello, PeerKind};
 use std::collections::BTreeMap;
 
-/// Who is at the other end.
+/// The process at the other end of a link.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Child {
     kind: PeerKind,
     name: String,
 }
 
-/// What has become of a link that came.
+/// The result of adding a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Added {
-    /// It is the only one of its child.
+    /// The child had no link.
     New,
-    /// It has taken the place of this one, which is over.
-    InPlaceOf(LinkId),
-    /// The child has a later one.
+    /// The link replaces this one, which must be closed.
+    Replaced(LinkId),
+    /// The child has a later link, and this one must be closed.
     Outdated,
 }
 
-/// The links from other agents and from the proxy.
+/// The links from child agents and from the proxy.
 #[derive(Default)]
 pub struct Children {
     by_link: BTreeMap<LinkId, Child>,
 }
 
 impl Children {
-    /// Adds a link. Links are numbered as their connections came, and the introduction on an older one may come
-    /// last: then that one is over.
+    /// Adds a link. Links are numbered in the order of their connections. The `Hello` of an older link may arrive after
+    /// that of a newer one; then the older one is outdated.
     pub fn add(&mut self, link: LinkId, hello: &Hello) -> Added {
         let child = Child { kind: hello.kind, name: hello.name.clone() };
-        let former = self.by_link.iter().find(|(_, known)| **known == child).map(|(link, _)| *link);
-        match former {
+        let previous = self.by_link.iter().find(|(_, known)| **known == child).map(|(link, _)| *link);
+        match previous {
             Some(later) if later > link => return Added::Outdated,
-            Some(former) => self.remove(former),
+            Some(previous) => self.remove(previous),
             None => {}
         }
         self.by_link.insert(link, child);
-        former.map_or(Added::New, Added::InPlaceOf)
+        previous.map_or(Added::New, Added::Replaced)
     }
 
     /// Removes a link.
--- a/crates/quillpulley/src/agent/host/mod.rs
+++ b/crates/quillpulley/src/agent/host/mod.rs
@@ -1,15 +1,15 @@
-//! The loop of an agent: passes events to the state machines and does what they want.
+//! The event loop of an agent: passes events to the state machines and performs their actions.
 
 mod links;
 mod tree;
 
 use crate::agent::children::Children;
 use crate::agent::datagrams::Datagrams;
-use crate::agent::ending::{self, Ending};
-use crate::agent::local::Local;
-use crate::agent::neighbourhood::Neighbourhood;
+use crate::agent::drain::{self, AgentDrain};
+use crate::agent::local_state::LocalState;
 use crate::agent::parent_links::ParentLinks;
-use crate::agent::search::{self, ParentSearch};
+use crate::agent::parent_search::{self, ParentSearch};
+use crate::agent::peer_directory::PeerDirectory;
 use crate::agent::{AgentSockets, LoadSettings};
 use crate::peer::{LinkId, PeerEvent, PeerOptions, Peers};
 use crate::signals::ProcessSignal;
@@ -18,23 +18,22 @@
 use quillpulley_membership::{self as membership, Monitor, MonitorOptions};
 use quillpulley_protocol::{Hello, NodeId, PeerKind};
 use quillpulley_state_sync::parent_selection::ParentCandidate;
-use quillpulley_state_sync::{self as feed, SyncNode};
+use quillpulley_state_sync::{self as state_sync, SyncNode};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::{sleep_until, Instant};
 
-/// Timers are put off to the next multiple of this, so that several are served by one wake-up.
-const TIMER_GRID: Duration = Duration::from_millis(25);
-/// The settings are read again while no parent has been found for this long, and as often after that: the seeds
-/// may have changed without a signal.
-const SEEDS_AGAIN: Duration = Duration::from_secs(3);
-/// Links from children: those of the tree, and room for some that move.
-const MAXIMUM_CHILDREN: usize = 128;
+/// Timers are rounded up to a multiple of this, so that one wake-up serves several.
+const TIMER_GRANULARITY: Duration = Duration::from_millis(25);
+/// How often the settings are loaded again while there is no parent: the seeds may have changed without a signal.
+const SEEDS_INTERVAL: Duration = Duration::from_secs(3);
+/// The most links of children: those of the tree, and some that move.
+const MAX_CHILDREN: usize = 128;
 
-/// An agent that serves.
+/// A running agent.
 pub struct Host {
-    started: Instant,
+    started_at: Instant,
     settings: Settings,
     load_settings: LoadSettings,
     peers: Rc<Peers>,
@@ -42,110 +41,110 @@
     datagrams: Datagrams,
     node: SyncNode<LinkId>,
     monitor: Monitor,
-    search: ParentSearch,
-    ending: Ending,
+    parent_search: ParentSearch,
+    drain: AgentDrain,
     parents: ParentLinks,
     children: Children,
-    local: Local,
-    neighbourhood: Neighbourhood,
-    /// Whether the neighbourhood has to be read anew.
-    neighbours_changed: bool,
-    /// The failed candidates that the latest list of candidates took account of.
+    local_state: LocalState,
+    peer_directory: PeerDirectory,
+    /// Whether the peer directory has to be refreshed.
+    directory_changed: bool,
+    /// The failed candidates at the latest update of the candidates.
     failed: Vec<ParentCandidate>,
-    /// The parent that was logged last.
+    /// The latest parent that was logged.
     logged_parent: Option<ParentCandidate>,
-    seeds_read: Duration,
+    seeds_read_at: Duration,
 }
 
 impl Host {
-    /// Takes children from now on.
+    /// Starts an agent, which accepts children from now on.
     pub fn start(settings: Settings, sockets: AgentSockets, load_settings: LoadSettings) -> Host {
-        let options = PeerOptions { maximum_incoming: MAXIMUM_CHILDREN, ..PeerOptions::default() };
+        let options = PeerOptions { max_incoming: MAX_CHILDREN, ..PeerOptions::default() };
         let (peers, events) = Peers::with_options(hello(&settings), options);
         peers.listen(sockets.agents);
         peers.listen(sockets.proxy);
-        let mut neighbourhood = Neighbourhood::default();
-        neighbourhood.set_seeds(&settings);
+        let mut peer_directory = PeerDirectory::default();
+        peer_directory.set_seeds(&settings);
         Host {
-            started: Instant::now(),
+            started_at: Instant::now(),
             peers,
             events,
             datagrams: Datagrams::new(sockets.datagrams),
-            node: SyncNode::new(feed::Options::new(&settings.node_name)),
+            node: SyncNode::new(state_sync::Options::new(&settings.node_name)),
             monitor: Monitor::new(MonitorOptions::new(&settings.node_name, fastrand::u64(..))),
-            search: ParentSearch::new(fastrand::u64(..)),
-            ending: Ending::new(settings.bounds.grace),
+            parent_search: ParentSearch::new(fastrand::u64(..)),
+            drain: AgentDrain::new(settings.bounds.grace),
             parents: ParentLinks::default(),
             children: Children::default(),
-            local: Local::default(),
-            neighbourhood,
-            neighbours_changed: true,
+            local_state: LocalState::default(),
+            peer_directory,
+            directory_changed: true,
             failed: Vec::new(),
             logged_parent: None,
-            seeds_read: Duration::ZERO,
+            seeds_read_at: Duration::ZERO,
             settings,
             load_settings,
         }
     }
 
-    /// Serves until a stop has been obeyed.
-    pub async fn serve(mut self, mut commands: UnboundedReceiver<ProcessSignal>) {
+    /// Runs the event loop until the agent has drained.
+    pub async fn serve(mut self, mut signals: UnboundedReceiver<ProcessSignal>) {
         self.tick();
-        while !self.ending.is_over() {
-            let wake_up = self.wake_up();
+        while !self.drain.is_finished() {
+            let next_wake = self.next_wake();
             tokio::select! {
-                Some(event) = self.events.recv() => self.peer_events(event),
+                Some(event) = self.events.recv() => self.handle_peer_events(event),
                 () = self.datagrams.readable() => self.receive_datagrams(),
-                Some(command) = commands.recv() => self.obey(command),
-                () = sleep_until(wake_up) => {}
+                Some(signal) = signals.recv() => self.handle_signal(signal),
+                () = sleep_until(next_wake) => {}
             }
             self.tick();
         }
-        info!("agent ends");
+        info!("agent stopped");
     }
 
     fn now(&self) -> Duration {
-        self.started.elapsed()
+        self.started_at.elapsed()
     }
 
-    /// Returns when a state machine has something to do, on the grid of timers.
-    fn wake_up(&self) -> Instant {
+    /// Returns when a state machine has a timer due.
+    fn next_wake(&self) -> Instant {
         let due = [
             self.node.next_tick(),
             self.monitor.next_tick(),
-            self.search.next_tick(),
-            self.ending.next_tick(),
-            self.now() + SEEDS_AGAIN,
+            self.parent_search.next_tick(),
+            self.drain.next_tick(),
+            self.now() + SEEDS_INTERVAL,
         ];
         let due = due.into_iter().min().unwrap_or_default().max(self.now());
-        let steps = due.as_millis() / TIMER_GRID.as_millis() + 1;
-        self.started + TIMER_GRID * u32::try_from(steps).unwrap_or(u32::MAX)
+        let steps = due.as_millis() / TIMER_GRANULARITY.as_millis() + 1;
+        self.started_at + TIMER_GRANULARITY * u32::try_from(steps).unwrap_or(u32::MAX)
     }
 
-    /// Does what is due.
+    /// Handles the timers that are due.
     fn tick(&mut self) {
         let now = self.now();
         if now >= self.node.next_tick() {
-            self.tell_node(feed::Event::Tick);
+            self.handle_sync(state_sync::Event::Tick);
         }
         if now >= self.monitor.next_tick() {
-            self.tell_monitor(membership::Event::Tick);
+            self.handle_membership(membership::Event::Tick);
         }
-        self.review_neighbourhood();
-        if now >= self.search.next_tick() {
-            self.tell_search(search::Event::Tick);
+        self.refresh_directory();
+        if now >= self.parent_search.next_tick() {
+            self.handle_parent_search(parent_search::Event::Tick);
         }
-        self.read_seeds_again();
-        self.check_ending();
+        self.reload_seeds_if_due();
+        self.update_drain();
     }
 
     fn receive_datagrams(&mut self) {
         while let Some((body, from)) = self.datagrams.receive() {
-            self.tell_monitor(membership::Event::Received(body, from));
+            self.handle_membership(membership::Event::Received(body, from));
         }
     }
 
-    fn tell_monitor(&mut self, event: membership::Event) {
+    fn handle_membership(&mut self, event: membership::Event) {
         let mut actions = Vec::new();
         self.monitor.handle(self.now(), event, &mut actions);
         for action in actions {
@@ -158,64 +157,64 @@
 
     fn report_suspects(&mut self, suspects: Vec<String>) {
         match suspects.is_empty() {
-            true => info!("all monitored peers answer"),
-            false => info!("peers that do not answer: {}", suspects.join(", ")),
+            true => info!("all monitored peers respond"),
+            false => info!(suspects:? = suspects; "monitored peers do not respond"),
         }
-        self.local.set_suspects(suspects);
+        self.local_state.set_suspects(suspects);
         self.report_local();
     }
 
-    fn obey(&mut self, command: ProcessSignal) {
-        match command {
+    fn handle_signal(&mut self, signal: ProcessSignal) {
+        match signal {
             ProcessSignal::Shutdown => {
                 let mut actions = Vec::new();
-                self.ending.stop(self.now(), &mut actions);
-                actions.into_iter().for_each(|action| self.do_for_ending(action));
+                self.drain.begin(self.now(), &mut actions);
+                actions.into_iter().for_each(|action| self.perform_drain(action));
             }
-            ProcessSignal::Reload => self.read_seeds(),
+            ProcessSignal::Reload => self.reload_seeds(),
         }
     }
 
-    fn read_seeds_again(&mut self) {
+    fn reload_seeds_if_due(&mut self) {
         let now = self.now();
-        let Some(since) = self.search.searching_since() else { return };
-        if now >= self.seeds_read.max(since) + SEEDS_AGAIN {
-            warn!("no source of published state for {} s", (now - since).as_secs());
-            self.read_seeds();
+        let Some(since) = self.parent_search.searching_since() else { return };
+        if now >= self.seeds_read_at.max(since) + SEEDS_INTERVAL {
+            warn!(seconds = (now - since).as_secs(); "no parent to receive published state from");
+            self.reload_seeds();
         }
     }
 
-    fn read_seeds(&mut self) {
-        self.seeds_read = self.now();
+    fn reload_seeds(&mut self) {
+        self.seeds_read_at = self.now();
         match (self.load_settings)() {
             Ok(settings) => {
-                self.neighbourhood.set_seeds(&settings);
-                self.neighbours_changed = true;
+                self.peer_directory.set_seeds(&settings);
+                self.directory_changed = true;
             }
-            Err(error) => warn!("the settings stay as they were: {error}"),
+            Err(error) => warn!(error:% = error; "settings not reloaded"),
         }
     }
 
-    fn check_ending(&mut self) {
+    fn update_drain(&mut self) {
         let mut actions = Vec::new();
-        self.ending.check(self.now(), self.children.has_proxy(), &mut actions);
-        actions.into_iter().for_each(|action| self.do_for_ending(action));
+        self.drain.update(self.now(), self.children.has_proxy(), &mut actions);
+        actions.into_iter().for_each(|action| self.perform_drain(action));
     }
 
-    fn do_for_ending(&mut self, action: ending::Action) {
+    fn perform_drain(&mut self, action: drain::Action) {
         match action {
-            ending::Action::StopListening => {
-                info!("told to end");
+            drain::Action::StopListening => {
+                info!("draining");
                 self.peers.stop_listening();
             }
-            ending::Action::CloseAgents => {
+            drain::Action::CloseChildAgents => {
                 for link in self.children.agents() {
                     self.children.remove(link);
                     self.peers.close(link);
-                    self.tell_node(feed::Event::ChildDown(link));
+                    self.handle_sync(state_sync::Event::ChildDown(link));
                 }
             }
-            ending::Action::End => {}
+            drain::Action::Exit => {}
         }
     }
 }
--- a/crates/quillpulley/src/agent/host/tree.rs
+++ b/crates/quillpulley/src/agent/host/tree.rs
@@ -1,63 +1,63 @@
-//! The place in the relay tree: what the node and the search for a parent want done.
+//! The relay tree: performs the actions of the sync node and of the search for a parent.
 
 use super::Host;
-use crate::agent::neighbourhood::Neighbourhood;
-use crate::agent::search;
+use crate::agent::parent_search;
+use crate::agent::peer_directory::PeerDirectory;
 use crate::peer::LinkId;
 use log::{debug, info};
 use quillpulley_membership as membership;
-use quillpulley_state_sync as feed;
+use quillpulley_state_sync as state_sync;
 use quillpulley_state_sync::parent_selection::ParentCandidate;
 use std::net::SocketAddr;
 
 impl Host {
-    pub(super) fn tell_node(&mut self, event: feed::Event<LinkId>) {
+    pub(super) fn handle_sync(&mut self, event: state_sync::Event<LinkId>) {
         let before = self.node.revision();
         let mut actions = Vec::new();
         self.node.handle(self.now(), event, &mut actions);
-        actions.into_iter().for_each(|action| self.do_for_node(action));
+        actions.into_iter().for_each(|action| self.perform_sync(action));
         if self.node.revision() != before {
-            self.tell_search(search::Event::RevisionMoved);
+            self.handle_parent_search(parent_search::Event::RevisionAdvanced);
             self.log_parent();
         }
     }
 
-    fn do_for_node(&mut self, action: feed::Action<LinkId>) {
+    fn perform_sync(&mut self, action: state_sync::Action<LinkId>) {
         match action {
-            feed::Action::SendParent(body) => {
+            state_sync::Action::SendParent(body) => {
                 self.parents.parent().into_iter().for_each(|link| self.peers.send(link, &body));
             }
-            feed::Action::SendChild(child, body) => self.peers.send(child, &body),
-            feed::Action::SendChildren(children, body) => self.peers.send_all(&children, &body),
-            feed::Action::DropChild(child) => {
+            state_sync::Action::SendChild(child, body) => self.peers.send(child, &body),
+            state_sync::Action::SendChildren(children, body) => self.peers.send_all(&children, &body),
+            state_sync::Action::DropChild(child) => {
                 self.forget_child(child);
                 self.peers.close(child);
             }
-            feed::Action::Changed(changed) => {
-                self.neighbours_changed |= Neighbourhood::is_touched_by(&changed);
+            state_sync::Action::Changed(changed) => {
+                self.directory_changed |= PeerDirectory::is_affected_by(&changed);
             }
-            feed::Action::TotalsChanged | feed::Action::EndpointsChanged => {}
+            state_sync::Action::TotalsChanged | state_sync::Action::EndpointsChanged => {}
         }
     }
 
-    pub(super) fn tell_search(&mut self, event: search::Event) {
+    pub(super) fn handle_parent_search(&mut self, event: parent_search::Event) {
         let mut actions = Vec::new();
-        self.search.handle(self.now(), event, &mut actions);
-        actions.into_iter().for_each(|action| self.do_for_search(action));
+        self.parent_search.handle(self.now(), event, &mut actions);
+        actions.into_iter().for_each(|action| self.perform_parent_search(action));
     }
 
-    fn do_for_search(&mut self, action: search::Action) {
+    fn perform_parent_search(&mut self, action: parent_search::Action) {
         match action {
-            search::Action::Connect(candidate) => {
+            parent_search::Action::Connect(candidate) => {
                 let link = self.peers.connect(self.address(candidate));
                 self.parents.add(candidate, link);
             }
-            search::Action::Use(candidate) => {
-                debug!("parent: {}", self.address(candidate));
-                self.parents.use_link(candidate);
-                self.tell_node(feed::Event::ParentUp);
+            parent_search::Action::Use(candidate) => {
+                debug!(address:% = self.address(candidate); "parent chosen");
+                self.parents.set_parent(candidate);
+                self.handle_sync(state_sync::Event::ParentUp);
             }
-            search::Action::Close(candidate) => {
+            parent_search::Action::Close(candidate) => {
                 let link = self.parents.remove(candidate);
                 link.into_iter().for_each(|link| self.peers.close(link));
             }
@@ -72,34 +72,30 @@
     }
 
     fn log_parent(&mut self) {
-        let parent = self.search.parent();
+        let parent = self.parent_search.parent();
         if let Some(candidate) = parent.filter(|_| parent != self.logged_parent) {
+            let revision = self.node.revision();
             info!(
-                "takes published state from {} at {}",
-                self.address(candidate),
-                shown(self.node.revision())
+                parent:% = self.address(candidate), epoch = revision.epoch, tick = revision.tick;
+                "receiving published state"
             );
             self.logged_parent = parent;
         }
     }
 
-    /// Brings candidates and targets up to date where fronts, core processes or failures have changed.
-    pub(super) fn review_neighbourhood(&mut self) {
-        let failed = self.search.failed(self.now());
-        if !self.neighbours_changed && failed == self.failed {
+    /// Updates the candidates and the monitored peers after published processes or failures have changed.
+    pub(super) fn refresh_directory(&mut self) {
+        let failed = self.parent_search.failed(self.now());
+        if !self.directory_changed && failed == self.failed {
             return;
         }
-        if std::mem::take(&mut self.neighbours_changed) {
-            self.neighbourhood.read(self.node.store());
-            let peers = self.neighbourhood.peers(self.settings.agent_port());
-            self.tell_monitor(membership::Event::Peers(peers));
+        if std::mem::take(&mut self.directory_changed) {
+            self.peer_directory.read(self.node.store());
+            let peers = self.peer_directory.peers(self.settings.agent_port());
+            self.handle_membership(membership::Event::Peers(peers));
         }
-        let candidates = self.neighbourhood.candidates(&self.settings, &failed);
+        let candidates = self.peer_directory.candidates(&self.settings, &failed);
         self.failed = failed;
-        self.tell_search(search::Event::Candidates(candidates));
+        self.handle_parent_search(parent_search::Event::Candidates(candidates));
     }
 }
-
-fn shown(revision: quillpulley_protocol::Revision) -> String {
-    format!("{}:{}", revision.epoch, revision.tick)
-}
--- a/crates/quillpulley/src/agent/parent_links.rs
+++ b/crates/quillpulley/src/agent/parent_links.rs
@@ -1,18 +1,18 @@
-//! The links to the parent and to those that may become it.
+//! The links to the parent, and to candidates for it.
 
 use crate::peer::LinkId;
 use quillpulley_state_sync::parent_selection::ParentCandidate;
 use std::collections::BTreeMap;
 
-/// Which link leads to which candidate.
+/// The links to candidates, one of which is the parent.
 #[derive(Default)]
 pub struct ParentLinks {
     links: BTreeMap<ParentCandidate, LinkId>,
-    in_use: Option<LinkId>,
+    parent: Option<LinkId>,
 }
 
 impl ParentLinks {
-    /// A link that was asked for.
+    /// Adds a link that is being established.
     pub fn add(&mut self, candidate: ParentCandidate, link: LinkId) {
         self.links.insert(candidate, link);
     }
@@ -22,22 +22,22 @@
         self.links.iter().find(|(_, known)| **known == link).map(|(candidate, _)| *candidate)
     }
 
-    /// Takes the link to this candidate as the one to the parent.
-    pub fn use_link(&mut self, candidate: ParentCandidate) {
-        self.in_use = self.links.get(&candidate).copied();
+    /// Makes a candidate the parent.
+    pub fn set_parent(&mut self, candidate: ParentCandidate) {
+        self.parent = self.links.get(&candidate).copied();
     }
 
-    /// Forgets the link to a candidate, and returns it.
+    /// Removes the link to a candidate, and returns it.
     pub fn remove(&mut self, candidate: ParentCandidate) -> Option<LinkId> {
         let link = self.links.remove(&candidate)?;
-        if self.in_use == Some(link) {
-            self.in_use = None;
+        if self.parent == Some(link) {
+            self.parent = None;
         }
         Some(link)
     }
 
     /// Returns the link to the parent.
     pub fn parent(&self) -> Option<LinkId> {
-        self.in_use
+        self.parent
     }
 }
--- /dev/null
+++ b/crates/quillpulley/src/agent/parent_search/mod.rs
@@ -0,0 +1,316 @@
+//! Which process an agent receives published state from: a pure state machine.
+//!
+//! Candidates are ordered, best first. The search connects to the best one that works. It looks for another one when the
+//! link closes, or when the revision of the published state stalls; in that case the new link is open before the old one
+//! is closed. While it has a parent, it checks every few seconds whether a better candidate works.
+
+mod penalties;
+
+use penalties::Penalties;
+use quillpulley_state_sync::parent_selection::ParentCandidate;
+use std::time::Duration;
+
+/// How long the revision may stall, by the kind of the parent. Below an agent it is longer, so that the children of an
+/// agent that changes its parent wait for it.
+const CONTROL_NODE_TIMEOUT: Duration = Duration::from_millis(1_000);
+const AGENT_TIMEOUT: Duration = Duration::from_millis(1_300);
+/// The most that is added to these at random, so that siblings do not change their parent together.
+const TIMEOUT_JITTER: Duration = Duration::from_millis(200);
+/// How long a candidate is tried alone, until the next one is tried concurrently.
+const ATTEMPT_STAGGER: Duration = Duration::from_millis(250);
+/// The most candidates that are tried concurrently.
+const MAX_CONCURRENT_ATTEMPTS: usize = 3;
+/// The backoff after a failure, which doubles up to the second figure, with a jitter of a half.
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_millis(400);
+/// How often a better parent is looked for, with a jitter of a quarter.
+const REVIEW_INTERVAL: Duration = Duration::from_secs(3);
+/// A parent whose revision has advanced for this long has no penalties left.
+const PROVEN_AFTER: Duration = Duration::from_secs(10);
+
+/// An event for a [`ParentSearch`].
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Event {
+    /// All candidates, best first.
+    Candidates(Vec<ParentCandidate>),
+    /// The link to a candidate is open.
+    Opened(ParentCandidate),
+    /// The link to a candidate did not open, or closed.
+    Lost(ParentCandidate),
+    /// The revision of the published state has advanced.
+    RevisionAdvanced,
+    /// Time has passed. Due at [`ParentSearch::next_tick`] or a little later.
+    Tick,
+}
+
+/// An action for the host.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Action {
+    /// Begin to connect.
+    Connect(ParentCandidate),
+    /// Receive published state from this candidate, whose link is open, and from no other.
+    Use(ParentCandidate),
+    /// Close the link, or cancel the connection.
+    Close(ParentCandidate),
+}
+
+/// The state of the search.
+#[derive(Copy, Clone, Debug, PartialEq, Eq)]
+enum State {
+    /// There is no parent, or its revision has stalled.
+    Searching { since: Duration, next_connect: Duration },
+    /// There is a parent whose revision advances, or has time left to.
+    Attached { next_review: Duration },
+}
+
+#[derive(Copy, Clone, Debug)]
+struct Parent {
+    candidate: ParentCandidate,
+    since: Duration,
+    stall_timeout: Duration,
+}
+
+/// The search of one agent.
+pub struct ParentSearch {
+    state: State,
+    candidates: Vec<ParentCandidate>,
+    /// Candidates whose links are being established.
+    attempts: Vec<ParentCandidate>,
+    parent: Option<Parent>,
+    revision_advanced: Duration,
+    failures: u32,
+    penalties: Penalties,
+    random: fastrand::Rng,
+}
+
+impl ParentSearch {
+    /// Creates a search without candidates, at the start of the process.
+    pub fn new(seed: u64) -> ParentSearch {
+        ParentSearch {
+            state: State::Searching { since: Duration::ZERO, next_connect: Duration::ZERO },
+            candidates: Vec::new(),
+            attempts: Vec::new(),
+            parent: None,
+            revision_advanced: Duration::ZERO,
+            failures: 0,
+            penalties: Penalties::default(),
+            random: fastrand::Rng::with_seed(seed),
+        }
+    }
+
+    /// Handles an event, and adds the resulting actions. `now` is the time since the start of the process.
+    pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
+        match event {
+            Event::Candidates(candidates) => self.candidates = candidates,
+            Event::Opened(candidate) => self.link_opened(now, candidate, actions),
+            Event::Lost(candidate) => self.link_lost(now, candidate),
+            Event::RevisionAdvanced => self.revision_advanced(now, actions),
+            Event::Tick => {}
+        }
+        self.advance(now, actions);
+    }
+
+    /// Returns when an [`Event::Tick`] is due.
+    pub fn next_tick(&self) -> Duration {
+        match self.state {
+            State::Searching { .. } if self.attempts.len() >= MAX_CONCURRENT_ATTEMPTS => Duration::MAX,
+            State::Searching { next_connect, .. } => next_connect,
+            State::Attached { next_review } => self.deadline().min(next_review),
+        }
+    }
+
+    /// Returns the parent, whose revision may have stalled.
+    pub fn parent(&self) -> Option<ParentCandidate> {
+        self.parent.map(|parent| parent.candidate)
+    }
+
+    /// Returns when the search began, if there is no parent whose revision advances.
+    pub fn searching_since(&self) -> Option<Duration> {
+        match self.state {
+            State::Searching { since, .. } => Some(since),
+            State::Attached { .. } => None,
+        }
+    }
+
+    /// Returns the candidates that have failed lately.
+    pub fn failed(&self, now: Duration) -> Vec<ParentCandidate> {
+        self.penalties.active(now).collect()
+    }
+
+    fn link_opened(&mut self, now: Duration, candidate: ParentCandidate, actions: &mut Vec<Action>) {
+        if !self.take_attempt(candidate) {
+            return;
+        }
+        self.failures = 0;
+        let attached_to = match self.state {
+            State::Attached { .. } => self.parent,
+            State::Searching { .. } => None,
+        };
+        if attached_to.is_some_and(|parent| !self.is_better(candidate, parent.candidate)) {
+            actions.push(Action::Close(candidate));
+            return;
+        }
+        self.switch_to(now, candidate, actions);
+    }
+
+    fn switch_to(&mut self, now: Duration, candidate: ParentCandidate, actions: &mut Vec<Action>) {
+        actions.push(Action::Use(candidate));
+        if let Some(old) = self.parent.take() {
+            actions.push(Action::Close(old.candidate));
+        }
+        self.parent = Some(Parent { candidate, since: now, stall_timeout: self.stall_timeout(candidate) });
+        self.keep_parent(now, actions);
+    }
+
+    fn link_lost(&mut self, now: Duration, candidate: ParentCandidate) {
+        if self.take_attempt(candidate) {
+            self.penalties.add(now, candidate);
+            self.failures = self.failures.saturating_add(1);
+            self.schedule_retry(now);
+        } else if self.parent() == Some(candidate) {
+            self.parent = None;
+            self.penalties.add(now, candidate);
+            let next_connect = now + self.jitter(MIN_BACKOFF);
+            self.start_search(now, next_connect);
+        }
+    }
+
+    fn schedule_retry(&mut self, now: Duration) {
+        let State::Searching { since, next_connect } = self.state else { return };
+        let retry_at = now + self.backoff();
+        let next_connect = if self.attempts.is_empty() { retry_at } else { next_connect.min(retry_at) };
+        self.change(State::Searching { since, next_connect });
+    }
+
+    fn revision_advanced(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        self.revision_advanced = now;
+        let Some(parent) = self.parent else { return };
+        match now.saturating_sub(parent.since) >= PROVEN_AFTER {
+            true => self.penalties.clear(parent.candidate),
+            false => self.penalties.expire(now, parent.candidate),
+        }
+        if let State::Searching { .. } = self.state {
+            self.keep_parent(now, actions);
+        }
+    }
+
+    /// Handles the timers that are due.
+    fn advance(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        if matches!(self.state, State::Attached { .. }) && now >= self.deadline() {
+            let stalled = self.parent.map(|parent| parent.candidate);
+            stalled.into_iter().for_each(|parent| self.penalties.add(now, parent));
+            self.start_search(now, now);
+        }
+        match self.state {
+            State::Searching { since, next_connect } if now >= next_connect => {
+                let next_connect = now + self.try_next(now, actions);
+                self.change(State::Searching { since, next_connect });
+            }
+            State::Attached { next_review } if now >= next_review => {
+                self.try_better(now, actions);
+                let next_review = now + self.around(REVIEW_INTERVAL, 0.25);
+                self.change(State::Attached { next_review });
+            }
+            _ => {}
+        }
+    }
+
+    /// Connects to the best candidate without a penalty, or else to the one whose penalty expires first. Returns the time
+    /// until another one may be tried.
+    fn try_next(&mut self, now: Duration, actions: &mut Vec<Action>) -> Duration {
+        if self.attempts.len() < MAX_CONCURRENT_ATTEMPTS {
+            let untried = self.candidates.iter().copied().filter(|candidate| !self.is_in_use(*candidate));
+            let next = untried.min_by_key(|candidate| self.penalties.remaining(now, *candidate));
+            next.into_iter().for_each(|candidate| self.connect(candidate, actions));
+        }
+        ATTEMPT_STAGGER
+    }
+
+    /// Connects to the best candidate without a penalty, if it is better than the parent.
+    fn try_better(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        let Some(parent) = self.parent else { return };
+        let mut free = self.candidates.iter().filter(|c| self.penalties.remaining(now, **c).is_zero());
+        let Some(best) = free.next().copied() else { return };
+        if self.attempts.is_empty() && self.is_better(best, parent.candidate) {
+            self.connect(best, actions);
+        }
+    }
+
+    fn connect(&mut self, candidate: ParentCandidate, actions: &mut Vec<Action>) {
+        self.attempts.push(candidate);
+        actions.push(Action::Connect(candidate));
+    }
+
+    /// Keeps the parent, and cancels the attempts that would not lead to a better one.
+    fn keep_parent(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        let Some(parent) = self.parent else { return };
+        let attempts = std::mem::take(&mut self.attempts);
+        let (kept, worse) =
+            attempts.into_iter().partition(|attempt| self.is_better(*attempt, parent.candidate));
+        self.attempts = kept;
+        actions.extend(worse.into_iter().map(Action::Close));
+        let next_review = now + self.around(REVIEW_INTERVAL, 0.25);
+        self.change(State::Attached { next_review });
+    }
+
+    fn start_search(&mut self, now: Duration, next_connect: Duration) {
+        let since = self.searching_since().unwrap_or(now);
+        self.change(State::Searching { since, next_connect });
+    }
+
+    /// Changes the state. Every change happens here.
+    fn change(&mut self, next: State) {
+        self.state = next;
+    }
+
+    /// Removes an attempt. Returns whether there was one.
+    fn take_attempt(&mut self, candidate: ParentCandidate) -> bool {
+        let attempts = self.attempts.len();
+        self.attempts.retain(|attempt| *attempt != candidate);
+        self.attempts.len() < attempts
+    }
+
+    fn is_in_use(&self, candidate: ParentCandidate) -> bool {
+        self.parent() == Some(candidate) || self.attempts.contains(&candidate)
+    }
+
+    /// Returns whether a candidate is better than another. One that is no longer a candidate is the worst.
+    fn is_better(&self, candidate: ParentCandidate, other: ParentCandidate) -> bool {
+        self.rank(candidate) < self.rank(other)
+    }
+
+    fn rank(&self, candidate: ParentCandidate) -> usize {
+        let rank = self.candidates.iter().position(|known| *known == candidate);
+        rank.unwrap_or(usize::MAX)
+    }
+
+    /// Returns when the parent counts as stalled, if the revision does not advance.
+    fn deadline(&self) -> Duration {
+        let Some(parent) = self.parent else { return Duration::MAX };
+        self.revision_advanced.max(parent.since) + parent.stall_timeout
+    }
+
+    fn stall_timeout(&mut self, candidate: ParentCandidate) -> Duration {
+        let least = match candidate {
+            ParentCandidate::ControlNode(_) => CONTROL_NODE_TIMEOUT,
+            ParentCandidate::Agent(_) => AGENT_TIMEOUT,
+        };
+        least + self.jitter(TIMEOUT_JITTER)
+    }
+
+    /// Returns the backoff after the latest of several failures.
+    fn backoff(&mut self) -> Duration {
+        let doublings = self.failures.saturating_sub(1).min(8);
+        self.around((MIN_BACKOFF * 2u32.pow(doublings)).min(MAX_BACKOFF), 0.5)
+    }
+
+    /// Returns a random time up to a limit.
+    fn jitter(&mut self, limit: Duration) -> Duration {
+        limit.mul_f64(self.random.f64())
+    }
+
+    /// Returns a random time that differs from this one by up to a fraction of it.
+    fn around(&mut self, time: Duration, fraction: f64) -> Duration {
+        time.mul_f64(1.0 - fraction + 2.0 * fraction * self.random.f64())
+    }
+}
--- a/crates/quillpulley/src/agent/neighbourhood.rs
+++ b/crates/quillpulley/src/agent/peer_directory.rs
@@ -1,5 +1,5 @@
-//! What an agent makes of the published fronts and core processes: whom it may take as its parent, and whom it
-//! may have to monitor.
+//! The published proxies and control processes, as an agent uses them: as candidates for its parent, and as peers to be
+//! monitored.
 
 use crate::Settings;
 use log::warn;
@@ -12,16 +12,16 @@
 use quillpulley_state_sync::{ChangedKey, Store};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// The fronts and core processes as they were published last, and the seeds.
+/// The published proxies and control processes, and the seeds.
 #[derive(Default)]
-pub struct Neighbourhood {
+pub struct PeerDirectory {
     endpoints: Vec<ProxyEndpoint>,
     control_nodes: Vec<ControlNode>,
     seeds: Vec<Ipv4Addr>,
 }
 
-impl Neighbourhood {
-    /// Takes the seeds of these settings.
+impl PeerDirectory {
+    /// Sets the seeds from the settings.
     pub fn set_seeds(&mut self, settings: &Settings) {
         let ipv4 = |seed: &SocketAddr| match seed.ip() {
             IpAddr::V4(ip) => Some(ip),
@@ -30,15 +30,15 @@
         self.seeds = settings.seeds.iter().filter_map(ipv4).collect();
     }
 
-    /// Returns whether any of these items is a front or a core process.
-    pub fn is_touched_by(changed: &[ChangedKey]) -> bool {
+    /// Returns whether any changed item is a proxy or a control process.
+    pub fn is_affected_by(changed: &[ChangedKey]) -> bool {
         let kinds = changed.iter().filter_map(|item| PublishedKey::parse(&item.key));
         kinds
             .into_iter()
             .any(|key| matches!(key, PublishedKey::ProxyEndpoint(_) | PublishedKey::ControlNode(_)))
     }
 
-    /// Reads the published items anew.
+    /// Reads the published items again.
     pub fn read(&mut self, store: &Store) {
         self.endpoints =
             read_all(store, ENDPOINT_PREFIX, decode_value::<ProxyEndpointRef<'_>, ProxyEndpoint>);
@@ -59,18 +59,18 @@
         })
     }
 
-    /// Returns the agents that stay, as peers to be monitored.
+    /// Returns the agents that do not drain, as peers to be monitored.
     pub fn peers(&self, agent_port: u16) -> Vec<Peer> {
-        let staying = self.endpoints.iter().filter(|endpoint| endpoint.state != EndpointState::Draining);
+        let remaining = self.endpoints.iter().filter(|endpoint| endpoint.state != EndpointState::Draining);
         let peer = |endpoint: &ProxyEndpoint| Peer {
             name: endpoint.name.clone(),
             address: SocketAddr::from((Ipv4Addr::from_bits(endpoint.ip), agent_port)),
         };
-        staying.map(peer).collect()
+        remaining.map(peer).collect()
     }
 }
 
-/// Returns the values of all items whose keys begin with a prefix. Those that cannot be read are left out.
+/// Returns the values of all items with a prefix. Invalid ones are skipped.
 fn read_all<'a, T>(
     store: &'a Store,
     prefix: &'a str,
@@ -78,7 +78,7 @@
 ) -> Vec<T> {
     let read = |(key, value)| {
         let decoded = decode(value);
-        decoded.inspect_err(|error| warn!("{key} is published wrongly: {error}")).ok()
+        decoded.inspect_err(|error| warn!(key, error:% = error; "invalid published item")).ok()
     };
     store.with_prefix(prefix).filter_map(read).collect()
 }
--- a/crates/quillpulley/src/command_line/help.rs
+++ b/crates/quillpulley/src/command_line/help.rs
@@ -1,6 +1,6 @@
 //! The texts that `--help` prints.
 
-/// Without a subcommand.
+/// Of the program, without a subcommand.
 pub const PROGRAM: &str = "\
 quillpulley serves language models and applications across regions.
 
--- a/crates/quillpulley/src/command_line/mod.rs
+++ b/crates/quillpulley/src/command_line/mod.rs
@@ -1,4 +1,4 @@
-//! What the program is asked to do.
+//! The command line: parses the arguments, and runs what they ask for.
 
 mod help;
 mod logging;
@@ -18,14 +18,14 @@
 const VERSION: &str = env!("CARGO_PKG_VERSION");
 
 /// What the arguments ask for.
-enum Command {
+enum Invocation {
     Help(&'static str),
     Version,
     Run(Role, LevelFilter),
     Check(Vec<PathBuf>),
 }
 
-/// What a process does in the system.
+/// The role of a process.
 #[derive(Clone, Copy)]
 enum Role {
     Proxy,
@@ -33,7 +33,7 @@
     Control,
 }
 
-/// Why arguments cannot be used.
+/// Why the arguments are invalid.
 #[derive(Debug, Display)]
 enum UsageError {
     /// a subcommand is missing: see quillpulley --help
@@ -48,13 +48,13 @@
     NoFile,
 }
 
-/// Does what the arguments ask for, the program's name aside.
+/// Runs what the arguments ask for. They are those without the name of the program.
 pub fn run(arguments: Vec<OsString>) -> ExitCode {
     match parse(Arguments::from_vec(arguments)) {
-        Ok(Command::Help(text)) => print(text),
-        Ok(Command::Version) => print(&format!("quillpulley {VERSION}\n")),
-        Ok(Command::Check(files)) => check::run(&files),
-        Ok(Command::Run(role, log_level)) => match serve(role, log_level) {
+        Ok(Invocation::Help(text)) => print(text),
+        Ok(Invocation::Version) => print(&format!("quillpulley {VERSION}\n")),
+        Ok(Invocation::Check(files)) => check::run(&files),
+        Ok(Invocation::Run(role, log_level)) => match serve(role, log_level) {
             Ok(()) => ExitCode::SUCCESS,
             Err(error) => cannot_start(&error.to_string()),
         },
@@ -62,7 +62,7 @@
     }
 }
 
-fn parse(mut arguments: Arguments) -> Result<Command, UsageError> {
+fn parse(mut arguments: Arguments) -> Result<Invocation, UsageError> {
     let usage = |error| UsageError::Option(error, "");
     let Some(subcommand) = arguments.subcommand().map_err(usage)? else {
         return parse_without_subcommand(arguments);
@@ -72,48 +72,48 @@
         "agent" => parse_role(Role::Agent, arguments),
         "control" => parse_role(Role::Control, arguments),
         "check" => parse_check(arguments),
-        "help" => Ok(Command::Help(help::PROGRAM)),
+        "help" => Ok(Invocation::Help(help::PROGRAM)),
         _ => Err(UsageError::UnknownSubcommand(subcommand)),
     }
 }
 
-fn parse_without_subcommand(mut arguments: Arguments) -> Result<Command, UsageError> {
+fn parse_without_subcommand(mut arguments: Arguments) -> Result<Invocation, UsageError> {
     if wants_help(&mut arguments) {
-        return Ok(Command::Help(help::PROGRAM));
+        return Ok(Invocation::Help(help::PROGRAM));
     }
     if arguments.contains(["-V", "--version"]) {
-        return Ok(Command::Version);
+        return Ok(Invocation::Version);
     }
     finish(arguments, "")?;
     Err(UsageError::NoSubcommand)
 }
 
-fn parse_role(role: Role, mut arguments: Arguments) -> Result<Command, UsageError> {
+fn parse_role(role: Role, mut arguments: Arguments) -> Result<Invocation, UsageError> {
     if wants_help(&mut arguments) {
-        return Ok(Command::Help(role.help()));
+        return Ok(Invocation::Help(role.help()));
     }
     let usage = |error| UsageError::Option(error, role.name());
     let log_level = arguments.opt_value_from_str("--log").map_err(usage)?.unwrap_or(LevelFilter::Info);
     finish(arguments, role.name())?;
-    Ok(Command::Run(role, log_level))
+    Ok(Invocation::Run(role, log_level))
 }
 
-fn parse_check(mut arguments: Arguments) -> Result<Command, UsageError> {
+fn parse_check(mut arguments: Arguments) -> Result<Invocation, UsageError> {
     if wants_help(&mut arguments) {
-        return Ok(Command::Help(help::CHECK));
+        return Ok(Invocation::Help(help::CHECK));
     }
     let files: Vec<PathBuf> = arguments.finish().into_iter().map(PathBuf::from).collect();
     if files.is_empty() {
         return Err(UsageError::NoFile);
     }
-    Ok(Command::Check(files))
+    Ok(Invocation::Check(files))
 }
 
 fn wants_help(arguments: &mut Arguments) -> bool {
     arguments.contains(["-h", "--help"])
 }
 
-/// Nothing may be left over.
+/// Checks that no argument is left over.
 fn finish(arguments: Arguments, subcommand: &'static str) -> Result<(), UsageError> {
     match arguments.finish().into_iter().next() {
         Some(unexpected) => Err(UsageError::Unexpected(unexpected, subcommand)),
@@ -142,7 +142,7 @@
 fn serve(role: Role, log_level: LevelFilter) -> Result<(), HostError> {
     logging::start(log_level);
     let settings = Settings::from_environment()?;
-    info!("{} {VERSION} starts on {} ({})", role.name(), settings.node_name, settings.ip);
+    info!(version = VERSION, node = settings.node_name, address:% = settings.ip; "{} starting", role.name());
     match role {
         Role::Proxy => proxy::run(settings),
         Role::Agent => agent::run(settings),
@@ -151,7 +151,7 @@
 }
 
 fn print(text: &str) -> ExitCode {
-    // A reader that closes the pipe has seen enough.
+    // A reader may close the pipe early.
     let _ = io::stdout().write_all(text.as_bytes());
     ExitCode::SUCCESS
 }
--- a/crates/quillpulley/src/peer/link.rs
+++ b/crates/quillpulley/src/peer/link.rs
@@ -1,6 +1,6 @@
-//! The task of one link: reads, writes, and nothing in between.
+//! The task of a link: reads and writes frames.
 
-use super::table::SharedOutbound;
+use super::link_table::SharedOutbound;
 use super::{socket, LinkId, Shared};
 use displaydoc::Display;
 use log::{debug, warn};
@@ -18,53 +18,53 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
 
-/// A connection must come up within this time. The first packet to a machine without power is lost, and the
-/// kernel would send it again only after a second.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
-/// The other side's `Hello` must come within this time after that.
-const HELLO_LIMIT: Duration = Duration::from_secs(1);
-/// After a failure to accept (no descriptors left), the next try waits for this time.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
-/// Bytes taken from the socket at once.
+/// A connection must be established within this time. The first packet to a machine without power is lost, and the
+/// kernel retransmits it only after a second.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// The peer's `Hello` must arrive within this time after that.
+const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
+/// The delay after a failure to accept, which most likely means that no descriptors are left.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// The most bytes of one read.
 const READ_SIZE: usize = 16 * 1024;
 
-/// Why a link ended.
+/// Why a link closed.
 #[derive(Debug, Display)]
-enum LinkEnd {
+enum CloseReason {
     /// the peer closed it
-    Peer,
+    ClosedByPeer,
     /// closed here
-    Here,
+    ClosedLocally,
     /// {0}
-    Failed(io::Error),
+    Io(io::Error),
     /// {0}
-    Wire(ProtocolError),
+    Protocol(ProtocolError),
     /// the first message is no hello: check that the peer speaks this protocol
     NoHello,
     /// nothing came in time
-    Silent,
+    TimedOut,
 }
 
-/// Takes connections until its task is ended.
+/// Accepts connections until its task is aborted.
 pub async fn accept(shared: Rc<Shared>, listener: TcpListener) {
     loop {
         match listener.accept().await {
-            Ok((stream, address)) => take(&shared, stream, address),
+            Ok((stream, address)) => accept_stream(&shared, stream, address),
             Err(error) => {
-                warn!("cannot accept a connection ({error}): raise the limit of open files");
-                sleep(ACCEPT_PAUSE).await;
+                warn!(error:% = error; "cannot accept a connection: raise the limit of open files");
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-fn take(shared: &Rc<Shared>, stream: TcpStream, address: SocketAddr) {
-    if shared.incoming.get() >= shared.options.maximum_incoming {
-        debug!("connection from {address} closed: too many");
+fn accept_stream(shared: &Rc<Shared>, stream: TcpStream, address: SocketAddr) {
+    if shared.incoming.get() >= shared.options.max_incoming {
+        debug!(address:% = address; "too many connections, closed one");
         return;
     }
     shared.incoming.set(shared.incoming.get() + 1);
-    let (link, outbound) = shared.table.borrow_mut().add_incoming(address);
+    let (link, outbound) = shared.link_table.borrow_mut().add_incoming(address);
     let shared = shared.clone();
     spawn_local(async move {
         let end = run(&shared, link, outbound, stream).await;
@@ -73,28 +73,28 @@
     });
 }
 
-/// Connects, and serves the link until it ends.
+/// Connects, and serves the link until it closes.
 pub async fn connect(shared: Rc<Shared>, link: LinkId, outbound: SharedOutbound, address: SocketAddr) {
     let connecting = async {
         tokio::select! {
-            connected = TcpStream::connect(address) => connected.map_err(LinkEnd::Failed),
-            () = ended(&outbound) => Err(LinkEnd::Here),
+            connected = TcpStream::connect(address) => connected.map_err(CloseReason::Io),
+            () = ended(&outbound) => Err(CloseReason::ClosedLocally),
         }
     };
-    let end = match timeout(CONNECT_LIMIT, connecting).await {
+    let end = match timeout(CONNECT_TIMEOUT, connecting).await {
         Ok(Ok(stream)) => run(&shared, link, outbound, stream).await,
         Ok(Err(end)) => end,
-        Err(_) => LinkEnd::Silent,
+        Err(_) => CloseReason::TimedOut,
     };
     finish(&shared, link, address, end);
 }
 
-/// Comes back once the link is to close.
+/// Waits until the link is to be closed.
 async fn ended(outbound: &SharedOutbound) {
     poll_fn(|context| {
         let mut outbound = outbound.borrow_mut();
-        outbound.watch(context);
-        if outbound.is_ended() {
+        outbound.register_waker(context);
+        if outbound.is_closing() {
             Poll::Ready(())
         } else {
             Poll::Pending
@@ -103,18 +103,21 @@
     .await;
 }
 
-fn finish(shared: &Shared, link: LinkId, address: SocketAddr, end: LinkEnd) {
+fn finish(shared: &Shared, link: LinkId, address: SocketAddr, end: CloseReason) {
     match end {
-        LinkEnd::Wire(_) | LinkEnd::NoHello => warn!("{link} to {address}: {end}"),
-        _ => debug!("{link} to {address}: {end}"),
+        CloseReason::Protocol(_) | CloseReason::NoHello => {
+            warn!(link:% = link, address:% = address, reason:% = end; "link closed")
+        }
+        _ => debug!(link:% = link, address:% = address, reason:% = end; "link closed"),
     }
-    shared.table.borrow_mut().closed(link);
+    shared.link_table.borrow_mut().closed(link);
 }
 
-async fn run(shared: &Shared, link: LinkId, outbound: SharedOutbound, stream: TcpStream) -> LinkEnd {
+async fn run(shared: &Shared, link: LinkId, outbound: SharedOutbound, stream: TcpStream) -> CloseReason {
     socket::tune(&stream);
     outbound.borrow_mut().prepend(&shared.hello);
-    let connection = Connection { stream, decoder: FrameDecoder::default(), outbound, heard: Instant::now() };
+    let connection =
+        Connection { stream, decoder: FrameDecoder::default(), outbound, last_received_at: Instant::now() };
     match serve(shared, link, connection).await {
         Ok(never) => match never {},
         Err(end) => end,
@@ -125,58 +128,58 @@
     shared: &Shared,
     link: LinkId,
     mut connection: Connection,
-) -> Result<std::convert::Infallible, LinkEnd> {
+) -> Result<std::convert::Infallible, CloseReason> {
     let hello = connection.hello().await?;
-    shared.table.borrow_mut().open(link, hello);
+    shared.link_table.borrow_mut().open(link, hello);
     loop {
-        let body = connection.frame(shared.options.idle_limit).await?;
-        shared.table.borrow_mut().frame(link, body);
+        let body = connection.frame(shared.options.idle_timeout).await?;
+        shared.link_table.borrow_mut().frame(link, body);
     }
 }
 
-/// A socket with what was read of the next message and what waits to be written.
+/// A socket, with the part of the next frame that was read, and the queue of frames to be written.
 struct Connection {
     stream: TcpStream,
     decoder: FrameDecoder,
     outbound: SharedOutbound,
-    /// When something last came.
-    heard: Instant,
+    /// When anything was received last.
+    last_received_at: Instant,
 }
 
 impl Connection {
-    /// Returns the first message.
-    async fn hello(&mut self) -> Result<Hello, LinkEnd> {
+    /// Returns the first frame.
+    async fn hello(&mut self) -> Result<Hello, CloseReason> {
         let first = poll_fn(|context| self.poll_frame(context));
-        match timeout(HELLO_LIMIT, first).await {
+        match timeout(HELLO_TIMEOUT, first).await {
             Ok(Ok(Body::Hello(hello))) => Ok(*hello),
-            Ok(Ok(_)) => Err(LinkEnd::NoHello),
+            Ok(Ok(_)) => Err(CloseReason::NoHello),
             Ok(Err(end)) => Err(end),
-            Err(_) => Err(LinkEnd::Silent),
+            Err(_) => Err(CloseReason::TimedOut),
         }
     }
 
-    /// Returns the next message; an error where nothing at all comes for the idle limit.
-    async fn frame(&mut self, idle_limit: Option<Duration>) -> Result<Body, LinkEnd> {
-        let Some(limit) = idle_limit else {
+    /// Returns the next frame, or an error if nothing at all is received for the idle timeout.
+    async fn frame(&mut self, idle_timeout: Option<Duration>) -> Result<Body, CloseReason> {
+        let Some(limit) = idle_timeout else {
             return poll_fn(|context| self.poll_frame(context)).await;
         };
         loop {
-            let left = limit.saturating_sub(self.heard.elapsed());
-            if left.is_zero() {
-                return Err(LinkEnd::Silent);
+            let remaining = limit.saturating_sub(self.last_received_at.elapsed());
+            if remaining.is_zero() {
+                return Err(CloseReason::TimedOut);
             }
-            if let Ok(outcome) = timeout(left, poll_fn(|context| self.poll_frame(context))).await {
+            if let Ok(outcome) = timeout(remaining, poll_fn(|context| self.poll_frame(context))).await {
                 return outcome;
             }
         }
     }
 
-    /// Writes what waits, and reads until there is a whole message.
-    fn poll_frame(&mut self, context: &mut Context<'_>) -> Poll<Result<Body, LinkEnd>> {
+    /// Writes the queue, and reads until there is a complete frame.
+    fn poll_frame(&mut self, context: &mut Context<'_>) -> Poll<Result<Body, CloseReason>> {
         self.write(context)?;
         loop {
-            let body = self.decoder.next_frame().map_err(LinkEnd::Wire)?;
-            self.count_pieces(context)?;
+            let body = self.decoder.next_frame().map_err(CloseReason::Protocol)?;
+            self.exchange_chunk_credit(context)?;
             if let Some(body) = body {
                 return Poll::Ready(Ok(body));
             }
@@ -184,44 +187,44 @@
         }
     }
 
-    /// Tells the other side of pieces that have come, and goes on where it has told of some.
-    fn count_pieces(&mut self, context: &mut Context<'_>) -> Result<(), LinkEnd> {
+    /// Acknowledges received chunks to the peer, and applies the acknowledgements that it sent.
+    fn exchange_chunk_credit(&mut self, context: &mut Context<'_>) -> Result<(), CloseReason> {
         let (here, there) = (self.decoder.take_received(), self.decoder.take_credited());
         if here == 0 && there == 0 {
             return Ok(());
         }
-        self.outbound.borrow_mut().pieces_came(here, there);
+        self.outbound.borrow_mut().record_chunks(here, there);
         self.write(context)
     }
 
-    /// Writes as much as the socket takes.
-    fn write(&mut self, context: &mut Context<'_>) -> Result<(), LinkEnd> {
+    /// Writes as much as the socket accepts.
+    fn write(&mut self, context: &mut Context<'_>) -> Result<(), CloseReason> {
         let mut outbound = self.outbound.borrow_mut();
-        outbound.watch(context);
+        outbound.register_waker(context);
         loop {
-            let waiting = outbound.waiting();
-            if waiting.is_empty() {
+            let pending = outbound.pending();
+            if pending.is_empty() {
                 break;
             }
-            match Pin::new(&mut self.stream).poll_write(context, waiting) {
-                Poll::Ready(written) => outbound.advance(written.map_err(LinkEnd::Failed)?),
+            match Pin::new(&mut self.stream).poll_write(context, pending) {
+                Poll::Ready(written) => outbound.advance(written.map_err(CloseReason::Io)?),
                 Poll::Pending => break,
             }
         }
-        if outbound.is_ended() {
-            return Err(LinkEnd::Here);
+        if outbound.is_closing() {
+            return Err(CloseReason::ClosedLocally);
         }
         Ok(())
     }
 
-    fn poll_read(&mut self, context: &mut Context<'_>) -> Poll<Result<(), LinkEnd>> {
+    fn poll_read(&mut self, context: &mut Context<'_>) -> Poll<Result<(), CloseReason>> {
         let mut bytes = [MaybeUninit::uninit(); READ_SIZE];
         let mut buffer = ReadBuf::uninit(&mut bytes);
-        ready!(Pin::new(&mut self.stream).poll_read(context, &mut buffer)).map_err(LinkEnd::Failed)?;
+        ready!(Pin::new(&mut self.stream).poll_read(context, &mut buffer)).map_err(CloseReason::Io)?;
         if buffer.filled().is_empty() {
-            return Poll::Ready(Err(LinkEnd::Peer));
+            return Poll::Ready(Err(CloseReason::ClosedByPeer));
         }
-        self.heard = Instant::now();
+        self.last_received_at = Instant::now();
         self.decoder.push(buffer.filled());
         Poll::Ready(Ok(()))
     }
--- a/crates/quillpulley/src/peer/table.rs
+++ b/crates/quillpulley/src/peer/link_table.rs
@@ -1,4 +1,4 @@
-//! The state of every link, changed in one place, where its events arise.
+//! The state of all links. Every change of state, and every event, originates here.
 
 use super::outbound::Outbound;
 use super::{LinkId, PeerEvent};
@@ -10,18 +10,18 @@
 use std::rc::Rc;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// A link's queue, which its task empties.
+/// The queue of a link, shared with its task.
 pub type SharedOutbound = Rc<RefCell<Outbound>>;
 
-/// How far a link is.
+/// The state of a link.
 pub enum LinkState {
-    /// It was asked for, and the other side has not said `Hello`.
+    /// This side connects, and the peer has not sent `Hello`.
     Connecting,
-    /// The other side connected, and has not said `Hello`.
+    /// The peer has connected, and has not sent `Hello`.
     Accepted,
-    /// Both sides may send.
+    /// Both sides may send messages.
     Open,
-    /// It is gone.
+    /// The link is closed.
     Closed,
 }
 
@@ -32,25 +32,25 @@
 }
 
 /// All links that are not closed.
-pub struct Table {
+pub struct LinkTable {
     links: BTreeMap<LinkId, Entry>,
     next: u64,
     events: UnboundedSender<PeerEvent>,
-    maximum_queued: usize,
+    max_queued_bytes: usize,
 }
 
-impl Table {
+impl LinkTable {
     /// No links.
-    pub fn new(events: UnboundedSender<PeerEvent>, maximum_queued: usize) -> Table {
-        Table { links: BTreeMap::new(), next: 1, events, maximum_queued }
+    pub fn new(events: UnboundedSender<PeerEvent>, max_queued_bytes: usize) -> LinkTable {
+        LinkTable { links: BTreeMap::new(), next: 1, events, max_queued_bytes }
     }
 
-    /// Returns a link that this side asks for.
+    /// Adds a link that this side establishes.
     pub fn add_outgoing(&mut self, address: SocketAddr) -> (LinkId, SharedOutbound) {
         self.add(LinkState::Connecting, address)
     }
 
-    /// Returns a link that the other side asks for.
+    /// Adds a link that the peer establishes.
     pub fn add_incoming(&mut self, address: SocketAddr) -> (LinkId, SharedOutbound) {
         self.add(LinkState::Accepted, address)
     }
@@ -63,18 +63,18 @@
         (link, outbound)
     }
 
-    /// The other side has said who it is.
+    /// Handles the `Hello` of the peer.
     pub fn open(&mut self, link: LinkId, hello: Hello) {
-        self.change(link, LinkState::Open, Some(hello));
+        self.change_state(link, LinkState::Open, Some(hello));
     }
 
-    /// The link's task has ended.
+    /// Handles the end of the link's task.
     pub fn closed(&mut self, link: LinkId) {
-        self.change(link, LinkState::Closed, None);
+        self.change_state(link, LinkState::Closed, None);
     }
 
-    /// The one change of a link's state, with the event that it leads to.
-    fn change(&mut self, link: LinkId, next: LinkState, hello: Option<Hello>) {
+    /// Changes the state of a link, and emits the resulting event. Every change happens here.
+    fn change_state(&mut self, link: LinkId, next: LinkState, hello: Option<Hello>) {
         let Some(entry) = self.links.get_mut(&link) else { return };
         let address = entry.address;
         let event = match (&entry.state, &next, hello) {
@@ -93,39 +93,39 @@
             LinkState::Closed => drop(self.links.remove(&link)),
             next => entry.state = next,
         }
-        debug!("{link} to {address}: {}", event.as_ref().map_or("never opened", event_name));
-        event.into_iter().for_each(|event| self.tell(event));
+        debug!(link:% = link, address:% = address; "link {}", event.as_ref().map_or("never opened", event_name));
+        event.into_iter().for_each(|event| self.emit(event));
     }
 
-    /// Passes on a message.
+    /// Emits a received message.
     pub fn frame(&mut self, link: LinkId, body: Body) {
-        self.tell(PeerEvent::Frame { link, body });
+        self.emit(PeerEvent::Frame { link, body });
     }
 
-    /// Queues a message that is encoded already.
+    /// Queues an encoded message.
     pub fn send_message(&mut self, link: LinkId, lane: Lane, message: &[u8]) {
         let Some(entry) = self.links.get(&link) else { return };
         let mut outbound = entry.outbound.borrow_mut();
-        if outbound.push(lane, message, self.maximum_queued).is_err() {
-            warn!("{link} to {}: closed, the peer reads too slowly: check its load", entry.address);
+        if outbound.push(lane, message, self.max_queued_bytes).is_err() {
+            warn!(link:% = link, address:% = entry.address; "link closed, the peer reads too slowly: check its load");
             outbound.end();
         }
     }
 
-    /// Ends a link.
+    /// Closes a link.
     pub fn close(&mut self, link: LinkId) {
         if let Some(entry) = self.links.get(&link) {
             entry.outbound.borrow_mut().end();
         }
     }
 
-    /// Ends all links.
+    /// Closes all links.
     pub fn close_all(&mut self) {
         self.links.values().for_each(|entry| entry.outbound.borrow_mut().end());
     }
 
-    /// A host that no longer reads its events is ending.
-    fn tell(&self, event: PeerEvent) {
+    /// Emits an event. A host that no longer receives events is exiting.
+    fn emit(&self, event: PeerEvent) {
         let _ = self.events.send(event);
     }
 }
--- a/crates/quillpulley/src/peer/outbound.rs
+++ b/crates/quillpulley/src/peer/outbound.rs
@@ -1,9 +1,9 @@
-//! What waits to be written on one link.
+//! The queue of messages to be written on a link.
 
 use quillpulley_protocol::{FrameQueue, Lane, QueueFull};
 use std::task::{Context, Waker};
 
-/// The queue of one link, and who empties it.
+/// The queue of a link, and the waker of the task that writes it.
 #[derive(Default)]
 pub struct Outbound {
     queue: FrameQueue,
@@ -13,52 +13,55 @@
 }
 
 impl Outbound {
-    /// Puts bytes before all that waits; nothing may have been written yet.
+    /// Inserts bytes before the queue. Must be called before anything was written.
     pub fn prepend(&mut self, bytes: &[u8]) {
         self.queue.prepend(bytes);
     }
 
-    /// Adds an encoded message, unless the link has ended.
-    pub fn push(&mut self, lane: Lane, message: &[u8], maximum: usize) -> Result<(), QueueFull> {
+    /// Adds an encoded message, unless the link is closing.
+    ///
+    /// # Errors
+    /// [`QueueFull`] if too many bytes are queued.
+    pub fn push(&mut self, lane: Lane, message: &[u8], max_bytes: usize) -> Result<(), QueueFull> {
         if self.ended {
             return Ok(());
         }
-        self.queue.push(lane, message, maximum)?;
+        self.queue.push(lane, message, max_bytes)?;
         self.wake();
         Ok(())
     }
 
-    /// The link is to close.
+    /// Has the link closed.
     pub fn end(&mut self) {
         self.ended = true;
         self.wake();
     }
 
-    /// Returns whether the link is to close.
-    pub fn is_ended(&self) -> bool {
+    /// Returns whether the link is closing.
+    pub fn is_closing(&self) -> bool {
         self.ended
     }
 
-    /// Returns the next bytes to write.
-    pub fn waiting(&mut self) -> &[u8] {
+    /// Returns the next bytes to be written.
+    pub fn pending(&mut self) -> &[u8] {
         self.queue.pending()
     }
 
-    /// So many bytes were written.
+    /// Records that so many bytes were written.
     pub fn advance(&mut self, written: usize) {
         self.queue.advance(written);
     }
 
-    /// What has come of pieces, and what the other side tells that has come there.
-    pub fn pieces_came(&mut self, here: usize, there: usize) {
+    /// Records the chunks that were received here, and those that the peer has acknowledged.
+    pub fn record_chunks(&mut self, here: usize, there: usize) {
         if here > 0 {
             self.queue.acknowledge_chunks(here);
         }
         self.queue.receive_credit(there);
     }
 
-    /// Who is woken when there is something to do.
-    pub fn watch(&mut self, context: &Context<'_>) {
+    /// Registers the task to be woken when there is something to write.
+    pub fn register_waker(&mut self, context: &Context<'_>) {
         match &mut self.waker {
             Some(waker) => waker.clone_from(context.waker()),
             none => *none = Some(context.waker().clone()),
--- a/crates/quillpulley/src/peer/socket.rs
+++ b/crates/quillpulley/src/peer/socket.rs
@@ -9,18 +9,18 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::time::{sleep, Instant};
 
-/// Bytes that are not acknowledged for this long close a connection: a machine without power says nothing.
+/// A connection closes if bytes stay unacknowledged for this long, as with a machine without power.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// A connection at rest is probed after this time, and then as often.
+/// The time until an idle connection is probed, and between probes.
 const KEEPALIVE: Duration = Duration::from_secs(1);
-/// How long an address that is still in use, by a process that is ending, is waited for.
-const BIND_PATIENCE: Duration = Duration::from_secs(2);
-const BIND_PAUSE: Duration = Duration::from_millis(100);
-/// Connections that the kernel holds until they are accepted.
+/// How long binding is retried while an address is in use by a process that is exiting.
+const BIND_TIMEOUT: Duration = Duration::from_secs(2);
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// The most connections in the kernel's queue.
 const BACKLOG: i32 = 256;
 
-/// Sets the options of a connection between processes of the system. Without them it works, but is slower to
-/// notice that the other machine is gone.
+/// Sets the options of a connection between processes of the system. Without them it takes longer to detect the loss of
+/// the other machine.
 pub fn tune(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new().with_time(KEEPALIVE).with_interval(KEEPALIVE);
@@ -30,29 +30,35 @@
         socket.set_tcp_keepalive(&keepalive),
     ];
     for error in set.into_iter().filter_map(Result::err) {
-        debug!("a connection lacks an option: {error}");
+        debug!(error:% = error; "cannot set a socket option");
     }
 }
 
-/// Listens at an address, waiting for up to two seconds while it is still in use.
+/// Listens at an address. Retries for up to two seconds while it is in use.
+///
+/// # Errors
+/// [`HostError::Listen`].
 pub async fn bind(address: SocketAddr) -> Result<TcpListener, HostError> {
-    patiently(address, || listen(address)).await
+    bind_with_retry(address, || listen(address)).await
 }
 
-/// Takes datagrams at an address, waiting for up to two seconds while it is still in use.
+/// Binds a datagram socket. Retries for up to two seconds while its address is in use.
+///
+/// # Errors
+/// [`HostError::Listen`].
 pub async fn bind_datagrams(address: SocketAddr) -> Result<UdpSocket, HostError> {
-    patiently(address, || open_datagrams(address)).await
+    bind_with_retry(address, || open_datagrams(address)).await
 }
 
-async fn patiently<T>(address: SocketAddr, bind: impl Fn() -> io::Result<T>) -> Result<T, HostError> {
+async fn bind_with_retry<T>(address: SocketAddr, bind: impl Fn() -> io::Result<T>) -> Result<T, HostError> {
     let started = Instant::now();
     loop {
         match bind() {
             Ok(socket) => return Ok(socket),
-            Err(error) if started.elapsed() >= BIND_PATIENCE => {
+            Err(error) if started.elapsed() >= BIND_TIMEOUT => {
                 return Err(HostError::Listen { address, error });
             }
-            Err(_) => sleep(BIND_PAUSE).await,
+            Err(_) => sleep(BIND_RETRY_INTERVAL).await,
         }
     }
 }
--- a/crates/quillpulley/tests/agent_ending.rs
+++ b/crates/quillpulley/tests/agent_drain.rs
@@ -1,19 +1,19 @@
 //! How an agent ends, as timelines: the time in milliseconds, what happens, whether there is a proxy, and what is
 //! done. It would be killed 8 s after it has been told to end.
 
-use quillpulley::agent::ending::{Action, Ending};
+use quillpulley::agent::drain::{Action, AgentDrain};
 use std::time::Duration;
 
 fn shown(action: &Action) -> &'static str {
     match action {
         Action::StopListening => "stop listening",
-        Action::CloseAgents => "close agents",
-        Action::End => "end",
+        Action::CloseChildAgents => "close agents",
+        Action::Exit => "end",
     }
 }
 
 fn play(timeline: &str) {
-    let mut ending = Ending::new(Duration::from_secs(8));
+    let mut drain = AgentDrain::new(Duration::from_secs(8));
     for line in timeline.lines().map(str::trim).filter(|line| !line.is_empty()) {
         let [time, happens, proxy, expected] = line.split('|').map(str::trim).collect::<Vec<_>>()[..] else {
             panic!("four columns: {line}");
@@ -21,9 +21,9 @@
         let now = Duration::from_millis(time.parse().expect("milliseconds"));
         let mut actions = Vec::new();
         if happens == "stop" {
-            ending.stop(now, &mut actions);
+            drain.begin(now, &mut actions);
         }
-        ending.check(now, proxy == "proxy", &mut actions);
+        drain.update(now, proxy == "proxy", &mut actions);
         assert_eq!(actions.iter().map(shown).collect::<Vec<_>>().join(", "), expected, "{line}");
     }
 }
@@ -85,16 +85,16 @@
 
 #[test]
 fn its_next_tick_is_when_something_is_due() {
-    let mut ending = Ending::new(Duration::from_secs(8));
-    assert_eq!(ending.next_tick(), Duration::MAX);
+    let mut drain = AgentDrain::new(Duration::from_secs(8));
+    assert_eq!(drain.next_tick(), Duration::MAX);
     let mut actions = Vec::new();
-    ending.check(Duration::ZERO, true, &mut actions);
-    ending.stop(Duration::from_secs(1), &mut actions);
-    assert!(ending.is_refusing());
-    assert_eq!(ending.next_tick(), Duration::from_millis(1_200));
-    ending.check(ending.next_tick(), true, &mut actions);
-    assert_eq!(ending.next_tick(), Duration::from_secs(8));
-    ending.check(ending.next_tick(), true, &mut actions);
-    assert!(ending.is_over());
-    assert_eq!(ending.next_tick(), Duration::MAX);
+    drain.update(Duration::ZERO, true, &mut actions);
+    drain.begin(Duration::from_secs(1), &mut actions);
+    assert!(drain.rejects_children());
+    assert_eq!(drain.next_tick(), Duration::from_millis(1_200));
+    drain.update(drain.next_tick(), true, &mut actions);
+    assert_eq!(drain.next_tick(), Duration::from_secs(8));
+    drain.update(drain.next_tick(), true, &mut actions);
+    assert!(drain.is_finished());
+    assert_eq!(drain.next_tick(), Duration::MAX);
 }
--- a/crates/quillpulley/tests/parent_search.rs
+++ b/crates/quillpulley/tests/parent_search.rs
@@ -2,7 +2,7 @@
 //! without an event is a tick. `C` are core processes, `A` are agents, in the order in which they are preferred.
 
 use quickcheck::quickcheck;
-use quillpulley::agent::search::{Action, Event, ParentSearch};
+use quillpulley::agent::parent_search::{Action, Event, ParentSearch};
 use quillpulley_state_sync::parent_selection::ParentCandidate;
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -30,7 +30,7 @@
         "candidates" => Event::Candidates(rest.split_whitespace().map(candidate).collect()),
         "opened" => Event::Opened(candidate(rest)),
         "lost" => Event::Lost(candidate(rest)),
-        "moved" => Event::RevisionMoved,
+        "moved" => Event::RevisionAdvanced,
         _ => panic!("{verb} is no event"),
     }
 }
@@ -46,14 +46,14 @@
 /// Plays a timeline with several seeds and compares what is done.
 fn play(timeline: &str) {
     for seed in 0..20 {
-        let mut search = ParentSearch::new(seed);
+        let mut parent_search = ParentSearch::new(seed);
         for line in timeline.lines().map(str::trim).filter(|line| !line.is_empty()) {
             let [time, happens, expected] = line.split('|').map(str::trim).collect::<Vec<_>>()[..] else {
                 panic!("three columns: {line}");
             };
             let now = Duration::from_millis(time.parse().expect("milliseconds"));
             let mut actions = Vec::new();
-            search.handle(now, event(happens), &mut actions);
+            parent_search.handle(now, event(happens), &mut actions);
             let done: Vec<String> = actions.iter().map(shown).collect();
             assert_eq!(done.join(", "), expected, "seed {seed}: {line}");
         }
@@ -222,11 +222,11 @@
 
 #[test]
 fn who_failed_is_told_until_its_penalty_is_over_or_its_stamp_moves_again() {
-    let mut search = ParentSearch::new(1);
+    let mut parent_search = ParentSearch::new(1);
     let mut happens = |milliseconds: u64, text: &str| {
         let now = Duration::from_millis(milliseconds);
-        search.handle(now, event(text), &mut Vec::new());
-        search.failed(now).into_iter().map(name).collect::<Vec<_>>().join(" ")
+        parent_search.handle(now, event(text), &mut Vec::new());
+        parent_search.failed(now).into_iter().map(name).collect::<Vec<_>>().join(" ")
     };
     assert_eq!(happens(0, "candidates A1 C1"), "");
     assert_eq!(happens(10, "lost A1"), "A1");
@@ -242,7 +242,7 @@
     /// that is not connected or connecting.
     fn links_are_accounted_for(seed: u64, steps: Vec<(u8, u8, u8)>) -> bool {
         let names = ["A1", "A2", "C1", "C2", "C3"];
-        let mut search = ParentSearch::new(seed);
+        let mut parent_search = ParentSearch::new(seed);
         let (mut connecting, mut parent) = (Vec::new(), None);
         let mut now = Duration::ZERO;
         let mut actions = Vec::new();
@@ -254,7 +254,7 @@
                 1 => Event::Candidates(vec![candidate("C3"), candidate("A1")]),
                 2 if connecting.contains(&which) => Event::Opened(which),
                 3 if connecting.contains(&which) || parent == Some(which) => Event::Lost(which),
-                4 => Event::RevisionMoved,
+                4 => Event::RevisionAdvanced,
                 _ => Event::Tick,
             };
             let opened = matches!(event, Event::Opened(_)).then_some(which);
@@ -262,7 +262,7 @@
                 connecting.retain(|other| *other != which);
                 parent = parent.filter(|other| *other != which);
             }
-            search.handle(now, event, &mut actions);
+            parent_search.handle(now, event, &mut actions);
             let mut closing = Vec::new();
             for action in actions.drain(..) {
                 match action {
@@ -285,7 +285,7 @@
             }
             assert!(closing.is_empty(), "a former parent stays open");
             assert!(connecting.len() <= 3);
-            assert_eq!(search.parent(), parent);
+            assert_eq!(parent_search.parent(), parent);
         }
         true
     }
--- a/crates/quillpulley/tests/peer.rs
+++ b/crates/quillpulley/tests/peer.rs
@@ -199,7 +199,7 @@
 fn a_slow_reader_loses_its_link_and_holds_nobody_up() {
     run(async {
         let mut control_node =
-            with_options(PeerOptions { maximum_queued: 100_000, ..PeerOptions::default() });
+            with_options(PeerOptions { max_queued_bytes: 100_000, ..PeerOptions::default() });
         let (listener, address) = listener(HERE).await;
         control_node.peers.listen(listener);
         let (mut stream, slow) = bare(&mut control_node, address).await;
@@ -215,7 +215,8 @@
 #[test]
 fn one_frame_may_exceed_the_bound_of_what_waits() {
     run(async {
-        let mut control_node = with_options(PeerOptions { maximum_queued: 1_000, ..PeerOptions::default() });
+        let mut control_node =
+            with_options(PeerOptions { max_queued_bytes: 1_000, ..PeerOptions::default() });
         let (listener, address) = listener(HERE).await;
         control_node.peers.listen(listener);
         let mut agent = Side::new(PeerKind::Agent, "agent");
@@ -242,7 +243,7 @@
 fn state_that_is_sent_again_and_again_closes_no_link_and_lets_heartbeats_pass() {
     run(async {
         let mut control_node =
-            with_options(PeerOptions { maximum_queued: 100_000, ..PeerOptions::default() });
+            with_options(PeerOptions { max_queued_bytes: 100_000, ..PeerOptions::default() });
         let (listener, address) = listener(HERE).await;
         control_node.peers.listen(listener);
         let mut member = Side::new(PeerKind::Control, "member");
@@ -266,8 +267,8 @@
 #[test]
 fn a_silent_link_closes_only_where_that_was_asked_for() {
     run(async {
-        let idle_limit = Some(Duration::from_millis(50));
-        let mut watchful = with_options(PeerOptions { idle_limit, ..PeerOptions::default() });
+        let idle_timeout = Some(Duration::from_millis(50));
+        let mut watchful = with_options(PeerOptions { idle_timeout, ..PeerOptions::default() });
         let (listener, address) = listener(HERE).await;
         watchful.peers.listen(listener);
         let mut agent = Side::new(PeerKind::Agent, "agent");
@@ -282,7 +283,7 @@
 #[test]
 fn connections_beyond_the_bound_are_closed() {
     run(async {
-        let mut control_node = with_options(PeerOptions { maximum_incoming: 1, ..PeerOptions::default() });
+        let mut control_node = with_options(PeerOptions { max_incoming: 1, ..PeerOptions::default() });
         let (listener, address) = listener(HERE).await;
         control_node.peers.listen(listener);
         let (first, link) = bare(&mut control_node, address).await;
