--- a/crates/rate-limiter/src/bin/rate-limiter/clients.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/clients.rs
@@ -161,8 +161,8 @@
             Ok(Err(_)) => return Err(Rejected(StatusCode::BAD_REQUEST, "the body cannot be read\n")),
             Err(_) => return Err(Rejected(StatusCode::REQUEST_TIMEOUT, "the body came too slowly\n")),
         };
-        let most = MOST_OPEN.min(if self.settings.max_open > 0 {
-            self.settings.max_open as usize
+        let most = MOST_OPEN.min(if self.settings.max_open_requests > 0 {
+            self.settings.max_open_requests as usize
         } else {
             MOST_OPEN
         });
@@ -184,8 +184,8 @@
             plan: checked.plan,
             class: checked.class,
             units: checked.units,
-            width: checked.width,
-            repeat: header(REPEAT).is_some_and(|v| v == "1"),
+            customer_limiters: checked.customer_limiters,
+            is_retry: header(REPEAT).is_some_and(|v| v == "1"),
             forward: Forward {
                 method: head.method,
                 target,
@@ -205,7 +205,7 @@
         }
         let (id, answer) = self.host.arrived(arrival);
         // Dropped before the answer has come, this future belongs to a client that left.
-        let _gone = Gone { host: self.host.clone(), id };
+        let _gone = ClientGuard { host: self.host.clone(), id };
         let answer = tokio::select! {
             biased;
             answer = answer => answer,
@@ -304,12 +304,12 @@
 }
 
 /// Tells the host that a client left, unless its request has been answered.
-struct Gone {
+struct ClientGuard {
     host: Rc<Host>,
     id: RequestId,
 }
 
-impl Drop for Gone {
+impl Drop for ClientGuard {
     fn drop(&mut self) {
         self.host.client_gone(self.id);
     }
--- a/crates/rate-limiter/src/bin/rate-limiter/counter.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/counter.rs
@@ -67,19 +67,19 @@
     }
 
     /// Starts a call, or gives why none can be made; nothing is added then.
-    pub fn call(self: &Rc<Self>, host: &Rc<Host>, name: String, add: f64, lives: f64) -> Result<(), Outcome> {
+    pub fn call(self: &Rc<Self>, host: &Rc<Host>, name: String, add: f64, ttl: f64) -> Result<(), Outcome> {
         let address = self.address.get().ok_or(Outcome::ConnectFailed)?;
         if self.quiet_until.get().is_some_and(|until| Instant::now() < until) {
             return Err(Outcome::ConnectFailed);
         }
         if self.out.get() >= CALLS {
-            return Err(Outcome::Full);
+            return Err(Outcome::Rejected);
         }
         self.out.set(self.out.get() + 1);
         let (counter, host) = (self.clone(), host.clone());
         tokio::task::spawn_local(async move {
             let began = Instant::now();
-            let (outcome, total, connection) = counter.run(address, &name, add, lives).await;
+            let (outcome, total, connection) = counter.run(address, &name, add, ttl).await;
             counter.out.set(counter.out.get() - 1);
             host.counted(name, outcome, total, began.elapsed());
             if let Some(mut connection) = connection {
@@ -96,10 +96,10 @@
         address: SocketAddr,
         name: &str,
         add: f64,
-        lives: f64,
+        ttl: f64,
     ) -> (Outcome, f64, Option<ClientConnection>) {
         let until = Instant::now() + self.timeout;
-        let keep_ms = (lives * 1000.0).clamp(LIFE_MS.0, LIFE_MS.1).round();
+        let keep_ms = (ttl * 1000.0).clamp(LIFE_MS.0, LIFE_MS.1).round();
         let target = format!("/tally/{name}?n={add}&keep_ms={keep_ms}");
         loop {
             // One call may find the counter moved between two tries: kept connections lead to where it is now.
@@ -140,7 +140,7 @@
             };
             let total = std::str::from_utf8(answer.body()).ok().and_then(|t| t.trim().parse::<f64>().ok());
             return match (answer.status(), total.filter(|t| t.is_finite())) {
-                (StatusCode::OK, Some(total)) => (Outcome::Ok, total, Some(connection)),
+                (StatusCode::OK, Some(total)) => (Outcome::Completed, total, Some(connection)),
                 (StatusCode::OK, None) => {
                     self.complain(format_args!("an answer to {name} has no total"));
                     (Outcome::Timeout, 0.0, None)
@@ -149,7 +149,7 @@
                     if status != StatusCode::SERVICE_UNAVAILABLE {
                         self.complain(format_args!("{status} for {target}"));
                     }
-                    (Outcome::Full, 0.0, Some(connection))
+                    (Outcome::Rejected, 0.0, Some(connection))
                 }
             };
         }
--- a/crates/rate-limiter/src/bin/rate-limiter/discovery.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/discovery.rs
@@ -92,10 +92,10 @@
                 "in_service" => ServerState::InService,
                 "terminating" => ServerState::Draining,
                 // A state that is not known here is no state to send work to.
-                _ => ServerState::Gone,
+                _ => ServerState::Removed,
             },
             weight: self.weight.unwrap_or(1.0),
-            started: self.started_at_ms.filter(|at| *at > 0.0).map(|at| at / 1000.0),
+            started_at: self.started_at_ms.filter(|at| *at > 0.0).map(|at| at / 1000.0),
         }
     }
 }
--- a/crates/rate-limiter/src/bin/rate-limiter/host.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/host.rs
@@ -10,7 +10,8 @@
 use bytes::Bytes;
 use hyper::Response;
 use rate_limiter::{
-    Action, Event, Limiter, LoadReport, Outcome, Request, RequestId, ServerId, ServerState, Settings,
+    Action, AttemptResult, CounterResponse, Event, Limiter, LoadReport, Outcome, Request, RequestId,
+    ServerId, ServerState, Settings,
 };
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -62,8 +63,8 @@
     pub plan: String,
     pub class: String,
     pub units: f64,
-    pub width: u32,
-    pub repeat: bool,
+    pub customer_limiters: u32,
+    pub is_retry: bool,
     pub forward: Forward,
 }
 
@@ -156,8 +157,8 @@
             plan: arrival.plan.into(),
             class: arrival.class.into(),
             units: arrival.units,
-            width: arrival.width,
-            repeat: arrival.repeat,
+            customer_limiters: arrival.customer_limiters,
+            is_retry: arrival.is_retry,
             due,
         }));
         (id, answer)
@@ -172,14 +173,14 @@
     pub fn client_gone(self: &Rc<Self>, id: RequestId) {
         let waiting = self.requests.borrow_mut().get_mut(&id).is_some_and(|open| open.reply.take().is_some());
         if waiting {
-            self.feed(Event::ClientGone { id });
+            self.feed(Event::ClientClosed { id });
             self.forget(id);
         }
     }
 
     /// An attempt's task has ended, and with it its use of a connection unless that can serve again.
     pub fn attempt_ended(self: &Rc<Self>, id: RequestId, n: u32, ended: Ended) {
-        let (finished, took) = {
+        let (finished, elapsed) = {
             let mut requests = self.requests.borrow_mut();
             let Some(open) = requests.get_mut(&id) else { return };
             let Some((_, running)) = open.running.take_if(|(number, _)| *number == n) else { return };
@@ -190,24 +191,29 @@
             }
             (open.reply.is_none(), running.began.elapsed())
         };
-        self.feed(Event::AttemptEnded {
+        self.feed(Event::AttemptFinished(AttemptResult {
             id,
             attempt: n,
             finished,
             outcome: ended.outcome,
-            took: took.as_secs_f64(),
+            elapsed: elapsed.as_secs_f64(),
             units: ended.units,
             report: ended.report,
-        });
+        }));
         self.forget(id);
     }
 
-    pub fn counted(self: &Rc<Self>, name: String, outcome: Outcome, total: f64, took: Duration) {
-        self.feed(Event::Counted { name, outcome, total, took: took.as_secs_f64() });
+    pub fn counted(self: &Rc<Self>, name: String, outcome: Outcome, total: f64, elapsed: Duration) {
+        self.feed(Event::CounterResponse(CounterResponse {
+            name,
+            outcome,
+            total,
+            elapsed: elapsed.as_secs_f64(),
+        }));
     }
 
     pub fn probed(self: &Rc<Self>, server: ServerId, outcome: Outcome, report: LoadReport) {
-        self.feed(Event::Probed { server, outcome, report });
+        self.feed(Event::ProbeResponse { server, outcome, report });
     }
 
     /// News of the servers. What is out at one that is gone is ended, and what has not been written yet to
@@ -223,13 +229,13 @@
             match entry.state {
                 ServerState::InService => {}
                 ServerState::Draining => draining.push(entry.id.clone()),
-                ServerState::Gone => gone.push(entry.id.clone()),
+                ServerState::Removed => gone.push(entry.id.clone()),
             }
         }
         if update.reset {
             for id in self.servers.ids().into_iter().filter(|id| entries.iter().all(|e| e.id != *id)) {
                 let address = ([0, 0, 0, 0], 0).into();
-                self.servers.place(&id, Place { address, state: ServerState::Gone });
+                self.servers.place(&id, Place { address, state: ServerState::Removed });
                 gone.push(id);
             }
         }
@@ -250,7 +256,7 @@
     }
 
     pub fn discovery_broken(self: &Rc<Self>) {
-        self.feed(Event::DiscoveryBroken);
+        self.feed(Event::DiscoveryFailed);
     }
 
     /// Wakes the module at the times it asked for.
@@ -304,10 +310,10 @@
 
     fn carry_out(self: &Rc<Self>, action: Action) {
         match action {
-            Action::Send { id, server, timeout, latest } => {
-                self.send(id, server, timeout, latest.map(|at| self.clock.instant(at)));
+            Action::Send { id, server, timeout, send_by } => {
+                self.send(id, server, timeout, send_by.map(|at| self.clock.instant(at)));
             }
-            Action::Refuse { id, retry_after } => self.answer(id, Answer::Refused(retry_after)),
+            Action::Reject { id, retry_after } => self.answer(id, Answer::Refused(retry_after)),
             Action::Fail { id } => self.answer(id, Answer::Failed),
             Action::Cancel { id, attempt } => {
                 if self.stop(id, attempt) {
@@ -315,8 +321,8 @@
                     host.attempt_ended(id, attempt, ended);
                 }
             }
-            Action::Count { name, add, lives } => {
-                if let Err(outcome) = self.counter.call(self, name.clone(), add, lives) {
+            Action::AddToCounter { name, amount, ttl } => {
+                if let Err(outcome) = self.counter.call(self, name.clone(), amount, ttl) {
                     self.counted(name, outcome, 0.0, Duration::ZERO);
                 }
             }
@@ -331,11 +337,11 @@
             Action::Probe { server } => {
                 tokio::task::spawn_local(self.servers.clone().probe(self.clone(), server));
             }
-            Action::FollowServers => self.discovery.follow.notify_one(),
+            Action::WatchServers => self.discovery.follow.notify_one(),
         }
     }
 
-    fn send(self: &Rc<Self>, id: RequestId, server: ServerId, timeout: f64, latest: Option<Instant>) {
+    fn send(self: &Rc<Self>, id: RequestId, server: ServerId, timeout: f64, send_by: Option<Instant>) {
         let moot = {
             let mut requests = self.requests.borrow_mut();
             let Some(open) = requests.get_mut(&id) else { return };
@@ -358,22 +364,22 @@
                     (id, n),
                     server.clone(),
                     (open.forward.clone(), attempt.clone()),
-                    Limits { give_up: limit.min(open.forward.due), latest },
+                    Limits { give_up: limit.min(open.forward.due), send_by },
                 ));
                 open.running = Some((n, Running { server, began: now, attempt, task }));
                 None
             }
         };
         if let Some(attempt) = moot {
-            self.feed(Event::AttemptEnded {
+            self.feed(Event::AttemptFinished(AttemptResult {
                 id,
                 attempt,
                 finished: false,
-                outcome: Outcome::Moot,
-                took: 0.0,
+                outcome: Outcome::NotSent,
+                elapsed: 0.0,
                 units: None,
                 report: LoadReport::default(),
-            });
+            }));
         }
     }
 
--- a/crates/rate-limiter/src/bin/rate-limiter/request.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/request.rs
@@ -7,7 +7,7 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::{Method, StatusCode};
-use rate_limiter::{Class, Effect, Settings};
+use rate_limiter::{Class, Idempotency, Settings};
 use std::time::Duration;
 
 const METERING: HeaderName = HeaderName::from_static("x-metering");
@@ -31,7 +31,7 @@
     pub correlation_id: HeaderValue,
     pub time_left: Duration,
     pub units: f64,
-    pub width: u32,
+    pub customer_limiters: u32,
 }
 
 /// `raw` is all that the connection has brought since the request before, the head first.
@@ -68,15 +68,15 @@
     let time_left = text(TIME_LEFT).and_then(|text| read_time_left(text, class));
     let time_left = time_left.ok_or(bad("X-Time-Left is missing or malformed\n"))?;
     let metering = text(METERING).and_then(|text| read_metering(settings, text));
-    let (units, width) = metering.ok_or(bad("X-Metering is missing or malformed\n"))?;
-    let right = if class.effect == Effect::ReadLike { Method::GET } else { Method::POST };
+    let (units, customer_limiters) = metering.ok_or(bad("X-Metering is missing or malformed\n"))?;
+    let right = if class.idempotency == Idempotency::Idempotent { Method::GET } else { Method::POST };
     if *method != right {
         return Err(bad("the method does not fit the class\n"));
     }
-    if class.effect == Effect::ReadLike && !body.is_end_stream() {
+    if class.idempotency == Idempotency::Idempotent && !body.is_end_stream() {
         return Err(bad("a GET carries no body\n"));
     }
-    if class.effect == Effect::Keyed && id(IDEMPOTENCY_KEY).is_none() {
+    if class.idempotency == Idempotency::Keyed && id(IDEMPOTENCY_KEY).is_none() {
         return Err(bad("Idempotency-Key is missing or malformed\n"));
     }
     Ok(Checked {
@@ -86,7 +86,7 @@
         correlation_id: HeaderValue::from_str(correlation_id).map_err(|_| bad("malformed\n"))?,
         time_left,
         units,
-        width,
+        customer_limiters,
     })
 }
 
@@ -133,10 +133,10 @@
             return None;
         }
     }
-    let peers = settings.peers.max(1);
+    let limiter_count = settings.limiter_count.max(1);
     let most = if settings.max_units > 0.0 { settings.max_units } else { f64::MAX };
     let whole = |n: &f64| n.fract() == 0.0;
-    first.filter(|first| whole(first) && *first < f64::from(peers))?;
-    let spread = spread.filter(|s| whole(s) && (1.0..=f64::from(peers)).contains(s))?;
+    first.filter(|first| whole(first) && *first < f64::from(limiter_count))?;
+    let spread = spread.filter(|s| whole(s) && (1.0..=f64::from(limiter_count)).contains(s))?;
     Some((units.filter(|u| *u > 0.0 && *u <= most)?, spread as u32))
 }
--- a/crates/rate-limiter/src/bin/rate-limiter/servers.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/servers.rs
@@ -79,7 +79,7 @@
     /// It ends then.
     pub give_up: Instant,
     /// It is not sent after this time.
-    pub latest: Option<Instant>,
+    pub send_by: Option<Instant>,
 }
 
 /// A handle on a running attempt: what it takes to end it at once.
@@ -124,7 +124,7 @@
         Servers {
             table: RefCell::default(),
             connect: Duration::from_secs_f64(or(settings.connect_timeout, CONNECT_DEFAULT)),
-            idle: Duration::from_secs_f64(IDLE_SHARE * or(settings.idle_close, IDLE_DEFAULT)),
+            idle: Duration::from_secs_f64(IDLE_SHARE * or(settings.server_idle_timeout, IDLE_DEFAULT)),
             open: Rc::default(),
             budget,
             max_units: or(settings.max_units, f64::MAX),
@@ -135,7 +135,7 @@
     /// more work, is closed.
     pub fn place(&self, id: &ServerId, place: Place) {
         let mut table = self.table.borrow_mut();
-        if place.state == ServerState::Gone {
+        if place.state == ServerState::Removed {
             table.remove(id);
             return;
         }
@@ -190,15 +190,15 @@
         oldest.map(|server| server.idle.remove(0)).is_some()
     }
 
-    /// Connects in the time that the settings give for it, and by `latest`: where that comes first, it is no
+    /// Connects in the time that the settings give for it, and by `send_by`: where that comes first, it is no
     /// failure of the server.
     async fn connect(
         &self,
         address: SocketAddr,
-        latest: Option<Instant>,
+        send_by: Option<Instant>,
     ) -> Result<ClientConnection, Outcome> {
         let until = Instant::now() + self.connect;
-        let sooner = latest.filter(|latest| *latest < until);
+        let sooner = send_by.filter(|send_by| *send_by < until);
         match timeout_at(
             sooner.unwrap_or(until),
             ClientConnection::connect(address, &self.open, CONNECTION_LIMITS),
@@ -206,7 +206,7 @@
         .await
         {
             Ok(connection) => connection.map_err(|_| Outcome::ConnectFailed),
-            Err(_) => Err(if sooner.is_some() { Outcome::Moot } else { Outcome::ConnectFailed }),
+            Err(_) => Err(if sooner.is_some() { Outcome::NotSent } else { Outcome::ConnectFailed }),
         }
     }
 
@@ -251,7 +251,7 @@
         id: &ServerId,
         forward: &Forward,
         attempt: &Attempt,
-        Limits { give_up, latest }: Limits,
+        Limits { give_up, send_by }: Limits,
         awaited: impl Fn() -> bool,
     ) -> (Ended, Option<(SocketAddr, ClientConnection)>) {
         let failed = |outcome| (Ended::of(outcome), None);
@@ -259,8 +259,8 @@
             let Some(address) = self.address(id) else { return failed(Outcome::ConnectFailed) };
             let (mut connection, kept) = match self.reuse(id) {
                 Some(connection) => (connection, true),
-                None if !self.room() => return failed(Outcome::Moot),
-                None => match self.connect(address, latest).await {
+                None if !self.room() => return failed(Outcome::NotSent),
+                None => match self.connect(address, send_by).await {
                     Ok(connection) => (connection, false),
                     Err(outcome) => return failed(outcome),
                 },
@@ -270,8 +270,8 @@
             if self.address(id) != Some(address) {
                 return failed(Outcome::ConnectFailed);
             }
-            if !awaited() || latest.is_some_and(|latest| Instant::now() >= latest) {
-                return failed(Outcome::Moot);
+            if !awaited() || send_by.is_some_and(|send_by| Instant::now() >= send_by) {
+                return failed(Outcome::NotSent);
             }
             *attempt.socket.borrow_mut() = Some(connection.socket().clone());
             let result = connection.exchange(forward.request(address, give_up)).await;
@@ -306,7 +306,8 @@
         };
         let (outcome, report, kept) = match timeout(PROBE_TIMEOUT, probe).await {
             Ok(Some((answer, address, connection))) => {
-                let outcome = if answer.status() == StatusCode::OK { Outcome::Ok } else { Outcome::Full };
+                let outcome =
+                    if answer.status() == StatusCode::OK { Outcome::Completed } else { Outcome::Rejected };
                 let mut report = load_report(answer.headers());
                 if let Ok(text) = std::str::from_utf8(answer.body()) {
                     read_load(text.trim(), &mut report);
@@ -347,15 +348,15 @@
     let headers = answer.headers();
     let unprocessed = headers.get(UNPROCESSED).is_some_and(|v| v == "1");
     let outcome = match answer.status() {
-        StatusCode::OK => Outcome::Ok,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => Outcome::Full,
+        StatusCode::OK => Outcome::Completed,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => Outcome::Rejected,
         _ => Outcome::Error,
     };
     // More than a request can count is no figure: taken from a bucket, it would stop a customer for good.
     let units = headers.get(SETTLED).and_then(|v| read_number(v.to_str().ok()?.trim()));
     let units = units.filter(|u| *u > 0.0 && *u <= max_units);
     let report = load_report(headers);
-    Ended { outcome, units, report, answer: (outcome == Outcome::Ok).then_some(answer) }
+    Ended { outcome, units, report, answer: (outcome == Outcome::Completed).then_some(answer) }
 }
 
 fn load_report(headers: &HeaderMap) -> LoadReport {
--- a/crates/rate-limiter/src/lib.rs
+++ b/crates/rate-limiter/src/lib.rs
@@ -1,9 +1,8 @@
-//! The decisions of a quota-keeping gateway ("limiter") in front of a shared API.
+//! The decisions of a rate limiter in front of a shared API.
 //!
-//! A [`Limiter`] is one gateway's decision code. It is pure: no I/O, no clock, no globals. The host
-//! tells it what happened ([`Event`]) and at what time, and carries out what it asks for ([`Action`]).
-//! Several limiters in front of the same servers keep each customer's quota together through a counter
-//! service; each decides every request from what it has itself seen.
+//! A [`Limiter`] is a pure state machine: no I/O, no clock, no globals. Its host passes it events ([`Event`]) and their
+//! time, and performs the resulting actions ([`Action`]). Several limiters in front of the same servers enforce each
+//! customer's quota together, through a counter service.
 //!
 //! ```
 //! use rate_limiter::{Action, Event, Limiter, Settings};
@@ -15,14 +14,14 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-/// The example of the limiter's page, kept compiling.
+/// The example in the documentation, compiled as a test.
 #[cfg(doctest)]
 #[doc = include_str!("../../../docs/LIMITER.md")]
 struct ReadmeExample;
 
 mod interface;
-mod logic;
-mod settings;
+mod limiter;
+mod settings_file;
 
 pub use interface::*;
-pub use logic::Limiter;
+pub use limiter::Limiter;
--- /dev/null
+++ b/crates/rate-limiter/src/limiter/admission.rs
@@ -0,0 +1,86 @@
+//! Admission: a request is sent at once or rejected at once. Its quota decides first, then the load of the servers.
+
+use super::attempts::OpenRequest;
+use super::quota::QuotaExceeded;
+use super::{context, Context, Limiter, Timer};
+use crate::interface::{Action, Request, RequestId};
+
+/// Time scales after which a client may try again if the servers were full, or did not respond: by then much of the queue
+/// is worked off.
+const RETRY_AFTER: f64 = 0.5;
+/// How much more classes of less value for their work are shed.
+const LOW_VALUE_SHED_FACTOR: f64 = 4.0;
+/// How much more requests are shed that are likely beyond their quota.
+const OVER_QUOTA_SHED_FACTOR: f64 = 4.0;
+/// Rounds of events by which a timer is early.
+pub(super) const ROUND_MARGIN: f64 = 2.0;
+
+impl Limiter {
+    /// Admits a request and sends it to a server, or rejects it.
+    pub(super) fn admit(&mut self, request: Request, actions: &mut Vec<Action>) {
+        let class = self.settings.classes.iter().position(|class| *class.name == *request.class);
+        let plan = self.settings.plans.iter().position(|plan| *plan.name == *request.plan);
+        let (Some(class), Some(plan)) = (class, plan) else {
+            return self.reject(request.id, 0.0, actions);
+        };
+        let final_response_at = request.due - ROUND_MARGIN * self.settings.round_interval;
+        if final_response_at <= self.now {
+            // The client does not wait any longer: the request would execute for nothing.
+            return self.reject_overloaded(request.id, actions);
+        }
+        let (units, key) = (request.units.max(0.0), &request.customer);
+        self.retry_budget.record_request();
+        self.quotas.put(context!(self), key, plan, request.customer_limiters, units);
+        let checked = self.quotas.check(context!(self), key, units, request.is_retry, &mut self.rng);
+        if let Err(QuotaExceeded { retry_after }) = checked {
+            if !request.is_retry {
+                // A rejected retry is demand that was counted where it came first.
+                actions.extend(self.quotas.report(context!(self), key, units, false, &mut self.rng));
+            }
+            return self.reject(request.id, retry_after, actions);
+        }
+        let open = OpenRequest::new(&request, class, units);
+        let seed = self.rng.u64(..);
+        let is_shed = self.shed_probability(&request, class, plan) > self.rng.f64();
+        let is_rejected = is_shed || self.quotas.is_at_in_flight_limit(context!(self), key);
+        let server = if is_rejected { None } else { self.servers.choose(context!(self), &open, seed) };
+        let Some(server) = server else { return self.reject_overloaded(request.id, actions) };
+        self.quotas.take(key, units);
+        actions.extend(self.quotas.report(context!(self), key, units, true, &mut self.rng));
+        self.requests.insert(request.id, open);
+        actions.push(Action::SetTimer { at: final_response_at, token: Timer::Due(request.id).token() });
+        self.send(request.id, server, actions);
+    }
+
+    /// Returns the probability with which a request is shed: if the servers are overloaded, those of least value for their
+    /// work, and those that are likely beyond their quota.
+    ///
+    /// The latter are requests of a customer whose demand exceeds its quota, and retries of one without totals, which most
+    /// often were rejected for their quota at another limiter.
+    fn shed_probability(&self, request: &Request, class: usize, plan: usize) -> f64 {
+        let value = |class: usize| self.settings.classes[class].value / self.mean_latency[class].max(1e-6);
+        let best = (0..self.mean_latency.len()).map(value).fold(0.0, f64::max);
+        let value_factor = 1.0 + LOW_VALUE_SHED_FACTOR * (1.0 - value(class) / best.max(1e-9));
+        let rate = self.settings.plans[plan].rate;
+        let totals = self.quotas.get(&request.customer).and_then(|customer| customer.totals);
+        let is_over_quota = rate > 0.0 && totals.map_or(request.is_retry, |totals| totals.demand > rate);
+        let quota_factor = if is_over_quota { OVER_QUOTA_SHED_FACTOR } else { 1.0 };
+        self.servers.load.shed_share() * value_factor * quota_factor
+    }
+
+    /// Rejects a request as the servers are full, or do not respond.
+    pub(super) fn reject_overloaded(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let retry_after = RETRY_AFTER * context!(self).time_scale();
+        self.reject(id, retry_after, actions);
+    }
+
+    /// Rejects a request, which is safe to retry after so many seconds.
+    fn reject(&mut self, id: RequestId, retry_after: f64, actions: &mut Vec<Action>) {
+        let retry_after = match self.settings.may_send_retry_after {
+            true => retry_after.clamp(0.0, self.settings.max_retry_after.max(0.0)),
+            false => 0.0,
+        };
+        actions.push(Action::Reject { id, retry_after });
+        self.finish(id, actions);
+    }
+}
