--- a/crates/protocol/tests/compatibility.rs
+++ b/crates/protocol/tests/compatibility.rs
@@ -212,7 +212,7 @@
     };
     vec![
         ("Server", encode_value(&server)),
-        ("Front", encode_value(&endpoint())),
+        ("Front", encode_value(endpoint())),
         ("Core", encode_value(&control_node)),
         ("ConfigHead", encode_value(&head)),
         (
--- a/crates/quillpulley/src/command_line/logging.rs
+++ b/crates/quillpulley/src/command_line/logging.rs
@@ -7,7 +7,7 @@
 
 /// Logs records of at least this level to standard error from now on.
 pub fn start(level: LevelFilter) {
-    Builder::new().filter_level(level).format(|line, record| write_record(line, record)).init();
+    Builder::new().filter_level(level).format(write_record).init();
 }
 
 fn write_record(line: &mut impl Write, record: &Record<'_>) -> io::Result<()> {
--- /dev/null
+++ b/crates/rate-limiter/src/bin/rate-limiter-sim/protocol.rs
@@ -0,0 +1,259 @@
+//! The simulator's protocol: lines to events and settings, actions to lines.
+
+use super::error::LineError;
+use super::line::Line;
+use rate_limiter::{
+    Action, AttemptResult, CounterResponse, Event, LoadReport, Outcome, Request, ServerEntry, ServerState,
+    Settings,
+};
+use std::io::{self, Write};
+use std::sync::Arc;
+
+/// The words of lines that concern a limiter. Others are ignored.
+const KNOWN_WORDS: [&str; 10] = [
+    "PROVISION",
+    "REGISTRY",
+    "SUBMIT",
+    "FIRST",
+    "ENDED",
+    "DESTROY",
+    "CLIENT_GONE",
+    "TOTAL",
+    "HEALTH_RESULT",
+    "ALARM",
+];
+
+/// The start of a batch.
+pub struct Batch {
+    /// The time of its events, in seconds.
+    pub now: f64,
+    pub number: u64,
+}
+
+/// A process of a limiter, among all with its number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Incarnation {
+    pub instance: u32,
+    /// How many processes with this number ended before.
+    pub incarnation: u32,
+}
+
+/// A line within a batch.
+pub enum Message {
+    /// The batch is complete.
+    End,
+    /// A limiter starts.
+    Start { instance: u32, seed: u64, settings: Box<Settings> },
+    /// A limiter was killed.
+    Stop(u32),
+    /// A list of servers begins.
+    List(PendingList),
+    /// An event for a limiter.
+    Event { instance: u32, event: Event },
+    /// A timer is due that an incarnation set.
+    Timer { target: Incarnation, token: u64 },
+    /// Does not concern a limiter.
+    Ignored,
+}
+
+/// A list of servers of which some entries are missing.
+pub struct PendingList {
+    instance: u32,
+    kind: ListKind,
+    missing: usize,
+    entries: Vec<ServerEntry>,
+}
+
+enum ListKind {
+    Complete,
+    Changes,
+    Failed,
+}
+
+impl PendingList {
+    pub fn is_complete(&self) -> bool {
+        self.missing == 0
+    }
+
+    /// Adds an entry.
+    pub fn push(&mut self, line: &Line) -> Result<(), LineError> {
+        if line.word() != "ITEM" {
+            return Err(line.unexpected(&format!("{} more ITEM lines are due", self.missing)));
+        }
+        let state = match line.text(5, "status")? {
+            "in_service" => ServerState::InService,
+            "terminating" => ServerState::Draining,
+            // Nothing is sent to a server in an unknown state.
+            _ => ServerState::Removed,
+        };
+        self.entries.push(ServerEntry {
+            id: line.text(1, "server")?.into(),
+            zone: line.text(2, "region-part")?.into(),
+            kind: line.text(3, "flavor")?.into(),
+            cell: line.optional(4).map(|_| line.integer(4, "group")).transpose()?.unwrap_or(0),
+            state,
+            weight: line.optional_number(6, "heft")?.unwrap_or(1.0),
+            started_at: line.optional_number(7, "start-time-s")?.filter(|time| *time != 0.0),
+        });
+        self.missing -= 1;
+        Ok(())
+    }
+
+    /// Returns the limiter that the list is for, and the event.
+    pub fn into_event(self) -> (u32, Event) {
+        let event = match self.kind {
+            ListKind::Complete => Event::ServerList(self.entries),
+            ListKind::Changes => Event::ServerChanges(self.entries),
+            ListKind::Failed => Event::DiscoveryFailed,
+        };
+        (self.instance, event)
+    }
+}
+
+/// Parses the line that begins a batch.
+pub fn parse_batch(line: &Line) -> Result<Batch, LineError> {
+    if line.word() != "TURN" {
+        return Err(line.unexpected("TURN is due"));
+    }
+    let number = line.integer(2, "number")?;
+    Ok(Batch { now: line.number(1, "clock")?, number })
+}
+
+/// Parses any other line of a batch but the entries of a list.
+pub fn parse_message(line: &Line) -> Result<Message, LineError> {
+    match line.word() {
+        "OVER_TO_YOU" => return Ok(Message::End),
+        "TURN" | "ITEM" => return Err(line.unexpected("an event or OVER_TO_YOU is due")),
+        "" => return Err(LineError::Empty),
+        word if !KNOWN_WORDS.contains(&word) => return Ok(Message::Ignored),
+        _ => {}
+    }
+    let instance: u32 = line.integer(1, "limiter-id")?;
+    match line.word() {
+        "PROVISION" => parse_start(line, instance),
+        "DESTROY" => Ok(Message::Stop(instance)),
+        "REGISTRY" => parse_list(line, instance),
+        "ALARM" => parse_timer(line, instance),
+        _ => Ok(match parse_event(line)? {
+            Some(event) => Message::Event { instance, event },
+            None => Message::Ignored,
+        }),
+    }
+}
+
+fn parse_start(line: &Line, instance: u32) -> Result<Message, LineError> {
+    let settings = serde_json::from_str(line.rest(3, "config")?);
+    let settings: Settings = settings.map_err(|error| line.invalid("config", error.to_string()))?;
+    Ok(Message::Start { instance, seed: line.integer(2, "rng-seed")?, settings: Box::new(settings) })
+}
+
+fn parse_list(line: &Line, instance: u32) -> Result<Message, LineError> {
+    let kind = match line.text(2, "kind")? {
+        "whole" | "stale_copy" => ListKind::Complete,
+        "patch" => ListKind::Changes,
+        "broken" => ListKind::Failed,
+        other => return Err(line.invalid("kind", format!("unknown: {other:?}"))),
+    };
+    let missing = line.optional(4).map(|_| line.integer(4, "elements")).transpose()?.unwrap_or(0);
+    Ok(Message::List(PendingList { instance, kind, missing, entries: Vec::new() }))
+}
+
+/// Parses a timer. One with a token that this program did not write is ignored.
+fn parse_timer(line: &Line, instance: u32) -> Result<Message, LineError> {
+    let reference = line.text(2, "ref")?;
+    let (token, incarnation) = reference.split_once('.').unwrap_or((reference, "0"));
+    Ok(match (token.parse(), incarnation.parse()) {
+        (Ok(token), Ok(incarnation)) => {
+            Message::Timer { target: Incarnation { instance, incarnation }, token }
+        }
+        _ => Message::Ignored,
+    })
+}
+
+fn parse_event(line: &Line) -> Result<Option<Event>, LineError> {
+    let id = || line.integer::<u64>(2, "handle");
+    Ok(Some(match line.word() {
+        "SUBMIT" => Event::Request(Request {
+            id: id()?,
+            is_retry: line.flag(4, "repeat")?,
+            due: line.number(5, "due-s")?,
+            customer_limiters: line.number(6, "width")?.max(1.0) as u32,
+            units: line.number(7, "weight")?,
+            plan: line.text(9, "contract")?.into(),
+            class: line.text(10, "profile")?.into(),
+            customer: line.text(11, "api-key")?.into(),
+        }),
+        "FIRST" => Event::StreamStarted { id: id()? },
+        "ENDED" => Event::AttemptFinished(AttemptResult {
+            id: id()?,
+            attempt: line.integer(3, "n")?,
+            finished: line.flag(5, "final")?,
+            elapsed: line.number(7, "time-taken-s")?,
+            outcome: parse_outcome(line, 8)?,
+            units: line.optional_number(9, "actual")?.filter(|units| *units > 0.0),
+            report: parse_report(line, 10)?,
+        }),
+        "CLIENT_GONE" => Event::ClientClosed { id: id()? },
+        "TOTAL" => Event::CounterResponse(CounterResponse {
+            outcome: parse_outcome(line, 3)?,
+            total: line.optional_number(2, "level")?.unwrap_or(0.0),
+            elapsed: line.optional_number(4, "time-taken-s")?.unwrap_or(0.0),
+            name: line.text(5, "counter")?.into(),
+        }),
+        "HEALTH_RESULT" => Event::ProbeResponse {
+            server: Arc::from(line.text(2, "server")?),
+            outcome: parse_outcome(line, 4)?,
+            report: parse_report(line, 5)?,
+        },
+        _ => return Ok(None),
+    }))
+}
+
+fn parse_outcome(line: &Line, index: usize) -> Result<Outcome, LineError> {
+    Ok(match line.integer::<u32>(index, "code")? {
+        100 => Outcome::Completed,
+        301 => Outcome::Error,
+        302 => Outcome::Rejected,
+        303 => Outcome::Timeout,
+        304 => Outcome::ConnectFailed,
+        305 => Outcome::Reset,
+        306 => Outcome::Cancelled,
+        307 => Outcome::NotSent,
+        other => return Err(line.invalid("code", format!("unknown: {other}"))),
+    })
+}
+
+fn parse_report(line: &Line, index: usize) -> Result<LoadReport, LineError> {
+    let mut report = LoadReport::default();
+    for pair in line.optional(index).into_iter().flat_map(|text| text.split(',')) {
+        let named = pair.split_once(':');
+        let (name, value) =
+            named.ok_or_else(|| line.invalid("report", format!("not a name:value pair: {pair:?}")))?;
+        report.set(name, line.parse_number(value, "report")?);
+    }
+    Ok(report)
+}
+
+/// Writes an action of an incarnation as a line.
+pub fn write_action(output: &mut impl Write, source: Incarnation, action: &Action) -> io::Result<()> {
+    let Incarnation { instance, incarnation } = source;
+    match action {
+        // The simulator sends at once, so that `send_by` always holds.
+        Action::Send { id, server, timeout, send_by: _ } => {
+            writeln!(output, "ASSIGN {instance} {id} {timeout} {server}")
+        }
+        Action::Reject { id, retry_after } => writeln!(output, "SAY_NO {instance} {id} {retry_after}"),
+        Action::Fail { id } => writeln!(output, "END_FAILED {instance} {id}"),
+        Action::Cancel { id, attempt } => writeln!(output, "STOP_ATTEMPT {instance} {id} {attempt}"),
+        Action::AddToCounter { name, amount, ttl } => {
+            writeln!(output, "INCR {instance} {name} {amount} {ttl}")
+        }
+        Action::SetTimer { at, token } if incarnation == 0 => {
+            writeln!(output, "DEFER {instance} {at} {token}")
+        }
+        // Timers cannot be cancelled: one that is left over must not wake the next incarnation.
+        Action::SetTimer { at, token } => writeln!(output, "DEFER {instance} {at} {token}.{incarnation}"),
+        Action::Probe { server } => writeln!(output, "TEST {instance} {server}"),
+        Action::WatchServers => writeln!(output, "FOLLOW {instance} 1"),
+    }
+}
--- /dev/null
+++ b/crates/rate-limiter/src/bin/rate-limiter/clients/mod.rs
@@ -0,0 +1,280 @@
+//! The clients' side: accepts connections, bounds what each may use, reads requests and writes responses.
+//!
+//! Malformed requests get their responses here, and reach neither the decisions nor a server.
+
+mod guards;
+mod request_head;
+mod response;
+
+use crate::host::{Host, IncomingRequest, SubmittedRequest};
+use crate::log;
+use crate::upstream::headers::IDEMPOTENCY_KEY;
+use crate::upstream::{ForwardedRequest, MAX_BODY};
+use bytes::Bytes;
+use guards::{BodyReservation, ClientGuard, OpenId};
+use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
+use hyper::body::{Body, Incoming};
+use hyper::header::{HeaderName, HeaderValue, CONTENT_TYPE, TRANSFER_ENCODING};
+use hyper::http::request::Parts;
+use hyper::{Method, Request, StatusCode};
+use quillpulley_http1_client::{
+    ConnectionManager, ConnectionOptions, Linger, ServerConnection, Service, Socket,
+};
+use rate_limiter::Settings;
+use request_head::{RequestHead, RETRY_MARK};
+use response::{ClientResponse, ErrorResponse};
+use std::cell::{Cell, RefCell};
+use std::collections::HashSet;
+use std::future::{poll_fn, Future};
+use std::io;
+use std::pin::pin;
+use std::rc::Rc;
+use std::task::Poll;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::time::{timeout_at, Instant};
+
+pub use request_head::parse_number;
+
+/// How much earlier than the client gives up a response is due: it has to travel back, and the client's deadline began
+/// before its request arrived.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(10);
+/// The longest time from connect, or from the last response, to the end of the next head, and to the end of the first
+/// request, however its bytes come. It bounds idle connections too: that of a client which sends nothing more would
+/// otherwise stay open for ever.
+const HEADER_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// The longest time from the head to the end of a later request.
+const BODY_TIMEOUT: Duration = Duration::from_secs(2);
+const LINGER: Linger = Linger { time: Duration::from_millis(500), bytes: 256 * 1024 };
+const IDLE_GRACE: Duration = Duration::from_millis(100);
+const SILENT_GRACE: Duration = Duration::from_millis(30);
+const MAX_HEADER_BYTES: usize = 16 * 1024;
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// The most open requests, whatever the settings say.
+const MAX_OPEN_REQUESTS: usize = 1_000;
+const READINESS_PATH: &str = "/up";
+const CLIENT_CLOSED: ErrorResponse =
+    ErrorResponse::new(StatusCode::BAD_GATEWAY, "failed: the client has left\n");
+
+/// The service for clients.
+pub struct Clients {
+    host: Rc<Host>,
+    settings: Settings,
+    /// The most bytes of the bodies of all requests together, and those reserved now.
+    body_budget: usize,
+    reserved_bodies: Cell<usize>,
+    open_ids: RefCell<HashSet<HeaderValue>>,
+    is_ready: Cell<bool>,
+    /// While draining, when requests must have their responses at the latest.
+    drain_deadline: Cell<Option<Instant>>,
+    connections: Rc<ConnectionManager>,
+}
+
+impl Clients {
+    /// Creates the service for up to `max_connections` connections.
+    pub fn new(host: Rc<Host>, settings: Settings, max_connections: usize, body_budget: usize) -> Rc<Self> {
+        Rc::new(Clients {
+            host,
+            settings,
+            body_budget,
+            reserved_bodies: Cell::new(0),
+            open_ids: RefCell::default(),
+            is_ready: Cell::new(false),
+            drain_deadline: Cell::new(None),
+            connections: ConnectionManager::new(connection_options(max_connections)),
+        })
+    }
+
+    /// Marks the limiter as ready: `GET /up` responds 200 from now on.
+    pub fn set_ready(&self) {
+        self.is_ready.set(true);
+    }
+
+    /// Accepts connections for as long as it is polled.
+    pub async fn accept(self: &Rc<Self>, listener: TcpListener) {
+        self.connections.accept(listener, self.clone()).await;
+    }
+
+    /// Begins to drain: responses carry `Connection: close` and are due by `until`; idle connections are closed.
+    pub fn drain(&self, until: Instant) {
+        self.drain_deadline.set(Some(until));
+        self.connections.drain();
+    }
+
+    /// Closes connections as they become idle, until none is left, nor one in the kernel's queue.
+    pub async fn all_closed(&self) {
+        self.connections.all_closed().await;
+    }
+
+    async fn serve(
+        &self,
+        request: Request<Incoming>,
+        socket: &Socket,
+        accepted_at: Option<Instant>,
+    ) -> ClientResponse {
+        let is_chunked = request.headers().contains_key(TRANSFER_ENCODING);
+        let raw = if is_chunked { socket.recorded_input() } else { Vec::new() };
+        socket.record_input(0);
+        let handled = self.handle(request, raw, socket, accepted_at).await;
+        let mut response = handled.unwrap_or_else(ErrorResponse::into_response);
+        socket.record_input(MAX_HEADER_BYTES);
+        // Nothing behind a chunked body is read as a request, whatever another reader would find there.
+        if is_chunked || self.drain_deadline.get().is_some() {
+            response::close_connection(&mut response);
+        }
+        response
+    }
+
+    async fn handle(
+        &self,
+        request: Request<Incoming>,
+        raw: Vec<u8>,
+        socket: &Socket,
+        accepted_at: Option<Instant>,
+    ) -> Result<ClientResponse, ErrorResponse> {
+        if request.uri().path() == READINESS_PATH {
+            return Err(self.readiness(request.method()));
+        }
+        let (parts, body) = request.into_parts();
+        let head = RequestHead::read(&self.settings, &parts, &body, &raw)?;
+        drop(raw);
+        // Reserved until the response is written.
+        let _reservation = self.reserve_body(&body)?;
+        let body = read_body(body, accepted_at).await?;
+        if self.host.open_requests() >= self.max_open_requests() {
+            let reason = "too many requests are open\n";
+            return Err(ErrorResponse::new(StatusCode::SERVICE_UNAVAILABLE, reason));
+        }
+        // The request was read completely: from here on it gets exactly one response.
+        let due = Instant::now() + head.time_remaining.saturating_sub(RESPONSE_MARGIN);
+        let due = self.drain_deadline.get().map_or(due, |until| due.min(until));
+        // Ids are new with every request. One that is open is a duplicate: passed on, it would be a second attempt of the
+        // same request at the same time.
+        let open_id = OpenId::reserve(&self.open_ids, &head.correlation_id);
+        let _open_id =
+            open_id.ok_or(ErrorResponse::new(StatusCode::CONFLICT, "a request with this id is open\n"))?;
+        self.forward(incoming_request(parts, head, body, due)?, socket).await
+    }
+
+    /// Submits a request, and waits for its final response or the close of its connection.
+    async fn forward(
+        &self,
+        incoming: IncomingRequest,
+        socket: &Socket,
+    ) -> Result<ClientResponse, ErrorResponse> {
+        // hyper notices a close only if nothing is unread behind the request. A client that has gone while its connection
+        // waited to be accepted is not sent on at all.
+        let mut closed = pin!(socket.peer_closed());
+        if poll_fn(|cx| Poll::Ready(closed.as_mut().poll(cx).is_ready())).await {
+            return Err(CLIENT_CLOSED);
+        }
+        let SubmittedRequest { id, response } = self.host.submit(incoming);
+        // If this future is dropped before the response, its client has closed the connection.
+        let _guard = ClientGuard { host: self.host.clone(), id };
+        tokio::select! {
+            biased;
+            response = response => Ok(response.map_or_else(|_| response::failed(), response::from_final)),
+            () = closed => Err(CLIENT_CLOSED),
+        }
+    }
+
+    /// Returns the response to a readiness check.
+    fn readiness(&self, method: &Method) -> ErrorResponse {
+        if method != Method::GET {
+            return ErrorResponse::new(StatusCode::METHOD_NOT_ALLOWED, "only GET\n");
+        }
+        match self.is_ready.get() && self.drain_deadline.get().is_none() {
+            true => ErrorResponse::new(StatusCode::OK, "up\n"),
+            false => ErrorResponse::new(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+        }
+    }
+
+    fn max_open_requests(&self) -> usize {
+        match self.settings.max_open_requests {
+            0 => MAX_OPEN_REQUESTS,
+            max => MAX_OPEN_REQUESTS.min(max as usize),
+        }
+    }
+
+    /// Reserves memory for a body.
+    fn reserve_body(&self, body: &Incoming) -> Result<BodyReservation<'_>, ErrorResponse> {
+        let size = body.size_hint();
+        if size.lower() > MAX_BODY as u64 {
+            return Err(BODY_TOO_LARGE);
+        }
+        let size = size.exact().map_or(MAX_BODY, |size| size as usize);
+        let reservation = BodyReservation::reserve(&self.reserved_bodies, size, self.body_budget);
+        reservation.ok_or(ErrorResponse::new(StatusCode::SERVICE_UNAVAILABLE, "too much is open\n"))
+    }
+}
+
+const BODY_TOO_LARGE: ErrorResponse =
+    ErrorResponse::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n");
+
+/// Reads the body of a request. `accepted_at` is when its connection was accepted, for the first request.
+async fn read_body(body: Incoming, accepted_at: Option<Instant>) -> Result<Bytes, ErrorResponse> {
+    let until = accepted_at.map_or_else(|| Instant::now() + BODY_TIMEOUT, |at| at + HEADER_TIMEOUT);
+    match timeout_at(until, Limited::new(body, MAX_BODY).collect()).await {
+        Ok(Ok(body)) => Ok(body.to_bytes()),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(BODY_TOO_LARGE),
+        Ok(Err(_)) => Err(ErrorResponse::new(StatusCode::BAD_REQUEST, "the body cannot be read\n")),
+        Err(_) => Err(ErrorResponse::new(StatusCode::REQUEST_TIMEOUT, "the body came too slowly\n")),
+    }
+}
+
+fn incoming_request(
+    parts: Parts,
+    head: RequestHead,
+    body: Bytes,
+    due: Instant,
+) -> Result<IncomingRequest, ErrorResponse> {
+    let header = |name: HeaderName| parts.headers.get(name).cloned();
+    let target = parts.uri.path_and_query().cloned();
+    Ok(IncomingRequest {
+        customer: head.customer,
+        plan: head.plan,
+        class: head.class,
+        units: head.units,
+        customer_limiters: head.customer_limiters,
+        is_retry: header(RETRY_MARK).is_some_and(|value| value == "1"),
+        forwarded: ForwardedRequest {
+            target: target.ok_or(ErrorResponse::new(StatusCode::NOT_FOUND, "no path\n"))?,
+            correlation_id: head.correlation_id,
+            idempotency_key: header(IDEMPOTENCY_KEY),
+            content_type: header(CONTENT_TYPE),
+            method: parts.method,
+            body,
+            due,
+        },
+    })
+}
+
+impl Service for Clients {
+    type Body = Full<Bytes>;
+
+    async fn respond(
+        self: Rc<Self>,
+        request: Request<Incoming>,
+        connection: Rc<ServerConnection>,
+        accepted_at: Option<Instant>,
+    ) -> ClientResponse {
+        self.serve(request, connection.socket(), accepted_at).await
+    }
+
+    fn accept_failed(&self, error: &io::Error) {
+        log("clients", format_args!("cannot accept: {error}"));
+    }
+}
+
+fn connection_options(max_connections: usize) -> ConnectionOptions {
+    ConnectionOptions {
+        max_connections,
+        max_header_bytes: MAX_HEADER_BYTES,
+        recorded_bytes: MAX_HEADER_BYTES,
+        header_timeout: Some(HEADER_TIMEOUT),
+        linger: LINGER,
+        idle_grace: IDLE_GRACE,
+        silent_grace: SILENT_GRACE,
+        accept_retry_delay: ACCEPT_RETRY_DELAY,
+    }
+}
--- /dev/null
+++ b/crates/rate-limiter/src/bin/rate-limiter/clients/response.rs
@@ -0,0 +1,78 @@
+//! Responses to clients.
+
+use crate::host::FinalResponse;
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::header::{HeaderValue, CONNECTION, CONTENT_TYPE, RETRY_AFTER};
+use hyper::{Response, StatusCode};
+
+/// A response to a client.
+pub type ClientResponse = Response<Full<Bytes>>;
+
+/// A request that gets a response before the decisions see it.
+pub struct ErrorResponse {
+    pub status: StatusCode,
+    pub reason: &'static str,
+}
+
+impl ErrorResponse {
+    pub const fn new(status: StatusCode, reason: &'static str) -> Self {
+        ErrorResponse { status, reason }
+    }
+
+    /// Returns the response. Its connection is closed unless the request was read completely: the rest of it must not be
+    /// read as the next request.
+    pub fn into_response(self) -> ClientResponse {
+        let mut response = plain(self.status, self.reason);
+        if self.status != StatusCode::OK && self.status != StatusCode::SERVICE_UNAVAILABLE {
+            close_connection(&mut response);
+        }
+        response
+    }
+}
+
+/// Returns a response with a text.
+pub fn plain(status: StatusCode, text: &'static str) -> ClientResponse {
+    let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
+    *response.status_mut() = status;
+    response
+}
+
+/// Has the connection closed after a response.
+pub fn close_connection(response: &mut ClientResponse) {
+    response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+}
+
+/// Returns the final response to a request.
+pub fn from_final(response: FinalResponse) -> ClientResponse {
+    match response {
+        FinalResponse::Completed(upstream) => from_server(upstream),
+        FinalResponse::Rejected(retry_after) => rejected(retry_after),
+        FinalResponse::Failed => failed(),
+    }
+}
+
+/// Returns the response to a request that may have executed.
+pub fn failed() -> ClientResponse {
+    plain(StatusCode::BAD_GATEWAY, "failed\n")
+}
+
+fn from_server(upstream: Response<Bytes>) -> ClientResponse {
+    let (head, body) = upstream.into_parts();
+    let mut response = Response::new(Full::new(body));
+    if let Some(content_type) = head.headers.get(CONTENT_TYPE) {
+        response.headers_mut().insert(CONTENT_TYPE, content_type.clone());
+    }
+    response
+}
+
+/// Returns the response to a request that is safe to retry, after so many seconds; 0 for no advice.
+fn rejected(retry_after: f64) -> ClientResponse {
+    let mut response = plain(StatusCode::TOO_MANY_REQUESTS, "refused: trying again is harmless\n");
+    if retry_after > 0.0 {
+        if let Ok(value) = HeaderValue::try_from(format!("{retry_after:.3}")) {
+            response.headers_mut().insert(RETRY_AFTER, value);
+        }
+    }
+    response
+}
--- /dev/null
+++ b/crates/rate-limiter/src/bin/rate-limiter/config.rs
@@ -0,0 +1,190 @@
+//! The configuration: the environment, and the file that it names.
+
+use crate::discovery::Update;
+use crate::log;
+use rate_limiter::Settings;
+use serde::de::DeserializeOwned;
+use serde::Deserialize;
+use serde_json::Value;
+use std::fmt::{Display, Formatter};
+use std::net::SocketAddr;
+
+const DEFAULT_SOCKETS: usize = 1_024;
+const DEFAULT_MEMORY_MB: f64 = 32.0;
+/// The radix of a seed, and the multiplier that hashes any other text.
+const SEED_RADIX: u32 = 16;
+const SEED_MULTIPLIER: u64 = 31;
+
+/// Why the limiter cannot be configured.
+#[derive(Debug)]
+pub enum ConfigError {
+    /// The environment names no file.
+    NoPath,
+    /// The file cannot be read.
+    Unreadable { path: String, error: std::io::Error },
+    /// The file is no valid configuration.
+    Invalid { path: String, error: serde_json::Error },
+    /// A variable is no address.
+    InvalidAddress { variable: &'static str, text: String },
+    /// Neither a variable nor the file has an address.
+    NoAddress { variable: &'static str, path: String, key: &'static str },
+    /// The file has no settings.
+    NoSettings { path: String },
+    /// The settings lack a list.
+    Empty { path: String, key: &'static str },
+}
+
+impl Display for ConfigError {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
+        match self {
+            ConfigError::NoPath => write!(formatter, "ROUTER_CONFIG is not set"),
+            ConfigError::Unreadable { path, error } => {
+                write!(formatter, "ROUTER_CONFIG: cannot read {path}: {error}")
+            }
+            ConfigError::Invalid { path, error } => write!(formatter, "ROUTER_CONFIG: {path}: {error}"),
+            ConfigError::InvalidAddress { variable, text } => {
+                write!(formatter, "{variable}: not an address: {text:?}")
+            }
+            ConfigError::NoAddress { variable, path, key } => {
+                write!(formatter, "{variable} is not set, and {path} names no {key}")
+            }
+            ConfigError::NoSettings { path } => write!(formatter, "ROUTER_CONFIG: {path}: no settings"),
+            ConfigError::Empty { path, key } => {
+                write!(formatter, "ROUTER_CONFIG: {path}: settings: no {key}")
+            }
+        }
+    }
+}
+
+/// The configuration file.
+#[derive(Deserialize)]
+struct ConfigFile {
+    listen: Option<SocketAddr>,
+    discovery: Option<SocketAddr>,
+    counter: Option<SocketAddr>,
+    #[serde(default)]
+    seed: String,
+    #[serde(default)]
+    limits: ProcessLimits,
+    known: Option<Value>,
+    settings: Option<Settings>,
+}
+
+#[derive(Deserialize, Default)]
+struct ProcessLimits {
+    sockets: Option<usize>,
+    memory_mb: Option<f64>,
+}
+
+/// The part of the file that a reload may change.
+#[derive(Deserialize)]
+pub struct Addresses {
+    /// The address of discovery.
+    pub discovery: Option<SocketAddr>,
+    /// The address of the counter.
+    pub counter: Option<SocketAddr>,
+}
+
+/// What a limiter starts with.
+pub struct Setup {
+    /// The path of the file.
+    pub path: String,
+    /// The address for clients.
+    pub listen: SocketAddr,
+    /// The address of discovery.
+    pub discovery: SocketAddr,
+    /// The address of the counter, if there is one.
+    pub counter: Option<SocketAddr>,
+    /// The settings of the decisions.
+    pub settings: Settings,
+    /// The list of servers that this limiter had last.
+    pub known_servers: Option<Update>,
+    /// The seed of random numbers.
+    pub seed: u64,
+    /// The most sockets of the process.
+    pub max_sockets: usize,
+    /// The memory of the process, in megabytes.
+    pub memory_mb: f64,
+}
+
+impl Setup {
+    /// Reads the environment, and the file that it names. Variables take precedence over the file.
+    ///
+    /// # Errors
+    /// [`ConfigError`] if a limiter cannot start with it.
+    pub fn read() -> Result<Setup, ConfigError> {
+        let path = variable("ROUTER_CONFIG").ok_or(ConfigError::NoPath)?;
+        let file: ConfigFile = read_file(&path)?;
+        let listen = address("ROUTER_LISTEN", "listen", file.listen, &path)?;
+        let discovery = address("ROUTER_DISCOVERY", "discovery", file.discovery, &path)?;
+        let settings = file.settings.ok_or_else(|| ConfigError::NoSettings { path: path.clone() })?;
+        check_settings(&settings, &path)?;
+        Ok(Setup {
+            listen,
+            discovery,
+            counter: file.counter,
+            settings,
+            known_servers: file.known.and_then(|known| read_known_servers(&path, known)),
+            seed: parse_seed(&file.seed),
+            max_sockets: file.limits.sockets.unwrap_or(DEFAULT_SOCKETS),
+            memory_mb: file.limits.memory_mb.filter(|mb| *mb > 0.0).unwrap_or(DEFAULT_MEMORY_MB),
+            path,
+        })
+    }
+}
+
+impl Addresses {
+    /// Reads the addresses from the file again.
+    ///
+    /// # Errors
+    /// [`ConfigError`] if the file cannot be read.
+    pub fn read(path: &str) -> Result<Addresses, ConfigError> {
+        read_file(path)
+    }
+}
+
+fn variable(name: &str) -> Option<String> {
+    std::env::var(name).ok().filter(|value| !value.is_empty())
+}
+
+fn read_file<T: DeserializeOwned>(path: &str) -> Result<T, ConfigError> {
+    let text = std::fs::read_to_string(path)
+        .map_err(|error| ConfigError::Unreadable { path: path.to_string(), error })?;
+    serde_json::from_str(&text).map_err(|error| ConfigError::Invalid { path: path.to_string(), error })
+}
+
+fn address(
+    name: &'static str,
+    key: &'static str,
+    in_file: Option<SocketAddr>,
+    path: &str,
+) -> Result<SocketAddr, ConfigError> {
+    match variable(name) {
+        Some(text) => text.parse().map_err(|_| ConfigError::InvalidAddress { variable: name, text }),
+        None => in_file.ok_or(ConfigError::NoAddress { variable: name, path: path.to_string(), key }),
+    }
+}
+
+fn check_settings(settings: &Settings, path: &str) -> Result<(), ConfigError> {
+    let lists = [("classes", settings.classes.is_empty()), ("tariffs", settings.plans.is_empty())];
+    match lists.into_iter().find(|(_, is_empty)| *is_empty) {
+        Some((key, _)) => Err(ConfigError::Empty { path: path.to_string(), key }),
+        None => Ok(()),
+    }
+}
+
+/// Reads the list that this limiter had last. It only bridges the time until the first update of discovery: an invalid
+/// one keeps no limiter from starting.
+fn read_known_servers(path: &str, known: Value) -> Option<Update> {
+    let update = serde_json::from_value(known);
+    let log_error = |error: &serde_json::Error| {
+        log("rate-limiter", format_args!("ROUTER_CONFIG: {path}: known: {error}; starting without"));
+    };
+    update.inspect_err(log_error).ok()
+}
+
+/// Parses a seed of hexadecimal digits. Any other text is hashed.
+fn parse_seed(text: &str) -> u64 {
+    let hash = |seed: u64, byte: u8| seed.wrapping_mul(SEED_MULTIPLIER) ^ u64::from(byte);
+    u64::from_str_radix(text, SEED_RADIX).unwrap_or_else(|_| text.bytes().fold(0, hash))
+}
--- a/crates/rate-limiter/src/bin/rate-limiter/counter.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/counter.rs
@@ -1,178 +1,221 @@
 //! The counter service: adds to a named number and reads it, on a few kept connections.
 
 use crate::host::Host;
-use crate::limits::CONNECTION_LIMITS;
 use crate::log;
+use crate::upstream::CONNECTION_LIMITS;
 use http_body_util::Full;
 use hyper::header::HOST;
-use hyper::{Request, StatusCode};
+use hyper::{Request, Response, StatusCode};
 use quillpulley_http1_client::{ClientConnection, ResponseError};
 use rate_limiter::{Outcome, Settings};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
+use tokio::task::spawn_local;
 use tokio::time::{timeout_at, Instant};
 
-/// Calls out at once, each on a connection of its own; the counter holds 32 of a limiter. Answers on one
-/// connection come in order, however late: a call of its own can never read another's.
-pub const CALLS: usize = 8;
-/// Kept connections are closed after this time, well before the counter does it (about 10 s or less).
-const IDLE: Duration = Duration::from_secs(4);
-/// Pause after a failed connect, doubled with each further one. Short: the module itself calls sparsely
-/// while the counter is down, and its calls are what finds it back.
-const BACKOFF: (Duration, Duration) = (Duration::from_millis(25), Duration::from_millis(200));
-const TIMEOUT_DEFAULT: f64 = 0.05;
-/// Names are forgotten after this many milliseconds at the latest, and live one at least.
-const LIFE_MS: (f64, f64) = (1.0, 60_000.0);
+/// The most open calls, each on a connection of its own. Responses on a connection come in order, however late: a call can
+/// never read the response to another one.
+pub const MAX_CALLS: usize = 8;
+/// Idle connections are closed after this time, well before the counter closes them (after about 10 s or less).
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// The backoff after a failed connect, which doubles with each further one up to the second figure. It is short, as the
+/// limiter calls seldom while the counter is down, and its calls are what detects that it is back.
+const MIN_BACKOFF: Duration = Duration::from_millis(25);
+const MAX_BACKOFF: Duration = Duration::from_millis(200);
+/// The most doublings that are computed.
+const MAX_DOUBLINGS: u32 = 8;
+/// The time-out of a call in seconds, if the settings do not say it.
+const DEFAULT_TIMEOUT_S: f64 = 0.05;
+/// The bounds of the time until a number is forgotten, in milliseconds.
+const MIN_TTL_MS: f64 = 1.0;
+const MAX_TTL_MS: f64 = 60_000.0;
+const MILLISECONDS_PER_SECOND: f64 = 1000.0;
+
+/// A call to the counter.
+pub struct CounterCall {
+    pub name: String,
+    pub amount: f64,
+    /// Seconds until the number is forgotten.
+    pub ttl: f64,
+}
+
+/// The result of a call, and its connection if it can be reused.
+struct CallResult {
+    outcome: Outcome,
+    total: f64,
+    reusable: Option<ClientConnection>,
+}
+
+impl CallResult {
+    fn failed(outcome: Outcome) -> Self {
+        CallResult { outcome, total: 0.0, reusable: None }
+    }
+}
 
 pub struct Counter {
     address: Cell<Option<SocketAddr>>,
     timeout: Duration,
     idle: RefCell<Vec<ClientConnection>>,
-    open: Rc<Cell<usize>>,
-    /// Calls that wait for their answer.
-    out: Cell<usize>,
-    /// Failed connects in a row, and until when no other is tried.
-    failed: Cell<u32>,
-    quiet_until: Cell<Option<Instant>>,
-    /// Answers so far that were none.
-    faults: Cell<u64>,
+    open_sockets: Rc<Cell<usize>>,
+    /// Calls without a response.
+    open_calls: Cell<usize>,
+    /// Failed connects in a row, and when the next is tried.
+    connect_failures: Cell<u32>,
+    retry_at: Cell<Option<Instant>>,
+    /// Invalid responses so far.
+    invalid_responses: Cell<u64>,
 }
 
 impl Counter {
     pub fn new(address: Option<SocketAddr>, settings: &Settings) -> Self {
-        let limit = settings.counter_timeout;
-        let limit = if limit > 0.0 && limit.is_finite() { limit } else { TIMEOUT_DEFAULT };
+        let timeout = settings.counter_timeout;
+        let timeout = if timeout > 0.0 && timeout.is_finite() { timeout } else { DEFAULT_TIMEOUT_S };
         Counter {
             address: Cell::new(address),
-            timeout: Duration::from_secs_f64(limit),
+            timeout: Duration::from_secs_f64(timeout),
             idle: RefCell::default(),
-            open: Rc::default(),
-            out: Cell::new(0),
-            failed: Cell::new(0),
-            quiet_until: Cell::new(None),
-            faults: Cell::new(0),
+            open_sockets: Rc::default(),
+            open_calls: Cell::new(0),
+            connect_failures: Cell::new(0),
+            retry_at: Cell::new(None),
+            invalid_responses: Cell::new(0),
         }
     }
 
-    /// From now on calls go to another address. Those that are out end where they are; what is kept to the old
-    /// address is closed, since it will close there and a call that crosses that is lost.
-    pub fn move_to(&self, address: SocketAddr) {
+    /// Sets the address of later calls. Open calls end where they are. Idle connections to the old address are closed, as
+    /// a call that crosses their close there is lost.
+    pub fn set_address(&self, address: SocketAddr) {
         if self.address.replace(Some(address)) != Some(address) {
             self.idle.borrow_mut().clear();
-            self.failed.set(0);
-            self.quiet_until.set(None);
+            self.connect_failures.set(0);
+            self.retry_at.set(None);
         }
     }
 
-    /// Starts a call, or gives why none can be made; nothing is added then.
-    pub fn call(self: &Rc<Self>, host: &Rc<Host>, name: String, add: f64, ttl: f64) -> Result<(), Outcome> {
+    /// Starts a call, whose response goes to the host.
+    ///
+    /// # Errors
+    /// The outcome if no call can be made; nothing is added then.
+    pub fn call(self: &Rc<Self>, host: &Rc<Host>, call: CounterCall) -> Result<(), Outcome> {
         let address = self.address.get().ok_or(Outcome::ConnectFailed)?;
-        if self.quiet_until.get().is_some_and(|until| Instant::now() < until) {
+        if self.retry_at.get().is_some_and(|retry_at| Instant::now() < retry_at) {
             return Err(Outcome::ConnectFailed);
         }
-        if self.out.get() >= CALLS {
+        if self.open_calls.get() >= MAX_CALLS {
             return Err(Outcome::Rejected);
         }
-        self.out.set(self.out.get() + 1);
-        let (counter, host) = (self.clone(), host.clone());
-        tokio::task::spawn_local(async move {
-            let began = Instant::now();
-            let (outcome, total, connection) = counter.run(address, &name, add, ttl).await;
-            counter.out.set(counter.out.get() - 1);
-            host.counted(name, outcome, total, began.elapsed());
-            if let Some(mut connection) = connection {
-                if connection.wait_ready().await && counter.address.get() == Some(address) {
-                    counter.idle.borrow_mut().push(connection);
-                }
-            }
-        });
+        self.open_calls.set(self.open_calls.get() + 1);
+        spawn_local(self.clone().run(host.clone(), address, call));
         Ok(())
     }
 
-    async fn run(
-        &self,
-        address: SocketAddr,
-        name: &str,
-        add: f64,
-        ttl: f64,
-    ) -> (Outcome, f64, Option<ClientConnection>) {
+    async fn run(self: Rc<Self>, host: Rc<Host>, address: SocketAddr, call: CounterCall) {
+        let started_at = Instant::now();
+        let CallResult { outcome, total, reusable } = self.exchange(address, &call).await;
+        self.open_calls.set(self.open_calls.get() - 1);
+        host.counter_response(call.name, outcome, total, started_at.elapsed());
+        let Some(mut connection) = reusable else { return };
+        if connection.wait_ready().await && self.address.get() == Some(address) {
+            self.idle.borrow_mut().push(connection);
+        }
+    }
+
+    async fn exchange(&self, address: SocketAddr, call: &CounterCall) -> CallResult {
         let until = Instant::now() + self.timeout;
-        let keep_ms = (ttl * 1000.0).clamp(LIFE_MS.0, LIFE_MS.1).round();
-        let target = format!("/tally/{name}?n={add}&keep_ms={keep_ms}");
+        let CounterCall { name, amount, ttl } = call;
+        let ttl_ms = (ttl * MILLISECONDS_PER_SECOND).clamp(MIN_TTL_MS, MAX_TTL_MS).round();
+        let target = format!("/tally/{name}?n={amount}&keep_ms={ttl_ms}");
         loop {
-            // One call may find the counter moved between two tries: kept connections lead to where it is now.
-            let kept = if self.address.get() == Some(address) { self.reuse() } else { None };
-            let reused = kept.is_some();
-            let mut connection = match kept {
+            // The address may change between two tries: idle connections lead to the current one.
+            let idle = if self.address.get() == Some(address) { self.reuse() } else { None };
+            let is_reused = idle.is_some();
+            let mut connection = match idle {
                 Some(connection) => connection,
-                None => {
-                    match timeout_at(until, ClientConnection::connect(address, &self.open, CONNECTION_LIMITS))
-                        .await
-                    {
-                        Ok(Ok(connection)) => {
-                            self.failed.set(0);
-                            connection
-                        }
-                        Ok(Err(_)) => {
-                            // An old address that refuses says nothing of the one that is called now.
-                            if self.address.get() == Some(address) {
-                                self.back_off();
-                            }
-                            return (Outcome::ConnectFailed, 0.0, None);
-                        }
-                        Err(_) => return (Outcome::ConnectFailed, 0.0, None),
-                    }
-                }
+                None => match self.connect(address, until).await {
+                    Some(connection) => connection,
+                    None => return CallResult::failed(Outcome::ConnectFailed),
+                },
             };
             let request = Request::post(&target).header(HOST, address.to_string()).body(Full::default());
-            let Ok(request) = request else { return (Outcome::ConnectFailed, 0.0, None) };
-            let answer = match timeout_at(until, connection.exchange(request)).await {
-                Ok(Ok(answer)) => answer,
-                Ok(Err(ResponseError::NotSent)) if reused => continue,
-                Ok(Err(ResponseError::NotSent)) => return (Outcome::ConnectFailed, 0.0, None),
-                // It may have been added, or may yet be: to the module that is a call without an answer.
-                // The connection goes with the call, so a late answer finds nobody.
+            let Ok(request) = request else { return CallResult::failed(Outcome::ConnectFailed) };
+            return match timeout_at(until, connection.exchange(request)).await {
+                Ok(Ok(response)) => self.classify(&target, response, connection),
+                Ok(Err(ResponseError::NotSent)) if is_reused => continue,
+                Ok(Err(ResponseError::NotSent)) => CallResult::failed(Outcome::ConnectFailed),
+                // The amount may have been added, or may be later: a call without a response. Its connection is closed,
+                // so that nobody reads a late response.
                 Ok(Err(ResponseError::Broken | ResponseError::TooLarge)) | Err(_) => {
-                    return (Outcome::Timeout, 0.0, None)
+                    CallResult::failed(Outcome::Timeout)
                 }
             };
-            let total = std::str::from_utf8(answer.body()).ok().and_then(|t| t.trim().parse::<f64>().ok());
-            return match (answer.status(), total.filter(|t| t.is_finite())) {
-                (StatusCode::OK, Some(total)) => (Outcome::Completed, total, Some(connection)),
-                (StatusCode::OK, None) => {
-                    self.complain(format_args!("an answer to {name} has no total"));
-                    (Outcome::Timeout, 0.0, None)
+        }
+    }
+
+    async fn connect(&self, address: SocketAddr, until: Instant) -> Option<ClientConnection> {
+        let connecting = ClientConnection::connect(address, &self.open_sockets, CONNECTION_LIMITS);
+        match timeout_at(until, connecting).await {
+            Ok(Ok(connection)) => {
+                self.connect_failures.set(0);
+                Some(connection)
+            }
+            Ok(Err(_)) => {
+                // An old address that refuses says nothing about the current one.
+                if self.address.get() == Some(address) {
+                    self.record_connect_failure();
                 }
-                (status, _) => {
-                    if status != StatusCode::SERVICE_UNAVAILABLE {
-                        self.complain(format_args!("{status} for {target}"));
-                    }
-                    (Outcome::Rejected, 0.0, Some(connection))
+                None
+            }
+            Err(_) => None,
+        }
+    }
+
+    fn classify(
+        &self,
+        target: &str,
+        response: Response<bytes::Bytes>,
+        connection: ClientConnection,
+    ) -> CallResult {
+        let text = std::str::from_utf8(response.body()).ok();
+        let total = text.and_then(|text| text.trim().parse::<f64>().ok()).filter(|total| total.is_finite());
+        match (response.status(), total) {
+            (StatusCode::OK, Some(total)) => {
+                CallResult { outcome: Outcome::Completed, total, reusable: Some(connection) }
+            }
+            (StatusCode::OK, None) => {
+                self.log_invalid(format_args!("a response to {target} has no total"));
+                CallResult::failed(Outcome::Timeout)
+            }
+            (status, _) => {
+                if status != StatusCode::SERVICE_UNAVAILABLE {
+                    self.log_invalid(format_args!("{status} for {target}"));
                 }
-            };
+                CallResult { outcome: Outcome::Rejected, total: 0.0, reusable: Some(connection) }
+            }
         }
     }
 
     fn reuse(&self) -> Option<ClientConnection> {
         let mut idle = self.idle.borrow_mut();
-        idle.retain(|connection| connection.idle_time() < IDLE);
-        std::iter::from_fn(|| idle.iter().rposition(ClientConnection::has_rested).map(|n| idle.remove(n)))
-            .find(ClientConnection::is_usable)
+        idle.retain(|connection| connection.idle_time() < IDLE_TIMEOUT);
+        let rested = || idle.iter().rposition(ClientConnection::has_rested).map(|index| idle.remove(index));
+        std::iter::from_fn(rested).find(ClientConnection::is_usable)
     }
 
-    /// Logs the first fault and then ever fewer: a counter that is broken all day must not fill the log.
-    fn complain(&self, text: std::fmt::Arguments) {
-        let faults = self.faults.replace(self.faults.get() + 1) + 1;
-        if faults.is_power_of_two() {
-            log("counter", format_args!("{text} (fault {faults})"));
+    /// Logs the first invalid response and then fewer and fewer: a counter that is broken all day must not fill the log.
+    fn log_invalid(&self, text: std::fmt::Arguments<'_>) {
+        let count = self.invalid_responses.get() + 1;
+        self.invalid_responses.set(count);
+        if count.is_power_of_two() {
+            log("counter", format_args!("{text} (fault {count})"));
         }
     }
 
-    fn back_off(&self) {
-        let pause = BACKOFF.0 * (1 << self.failed.get().min(8));
-        self.failed.set(self.failed.get() + 1);
-        self.quiet_until.set(Some(Instant::now() + pause.min(BACKOFF.1)));
+    fn record_connect_failure(&self) {
+        let failures = self.connect_failures.get();
+        let backoff = MIN_BACKOFF * (1 << failures.min(MAX_DOUBLINGS));
+        self.connect_failures.set(failures + 1);
+        self.retry_at.set(Some(Instant::now() + backoff.min(MAX_BACKOFF)));
     }
 }
--- /dev/null
+++ b/crates/rate-limiter/src/bin/rate-limiter/host/timers.rs
@@ -0,0 +1,59 @@
+//! The timers of the decisions.
+
+use std::cell::RefCell;
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+use std::future::pending;
+use tokio::sync::Notify;
+use tokio::time::{sleep_until, Instant};
+
+/// Timers in the order of their times.
+#[derive(Default)]
+pub struct Timers {
+    queue: RefCell<BinaryHeap<Reverse<(Instant, u64)>>>,
+    /// Notified when an earlier timer was added.
+    earlier_added: Notify,
+}
+
+impl Timers {
+    /// Adds a timer.
+    pub fn add(&self, at: Instant, token: u64) {
+        let is_first = self.next_due().is_none_or(|next| at < next);
+        self.queue.borrow_mut().push(Reverse((at, token)));
+        if is_first {
+            self.earlier_added.notify_one();
+        }
+    }
+
+    /// Waits until timers are due, and returns their tokens. Timers that are added meanwhile are not among them, so that a
+    /// timer is never due in the round that added it.
+    pub async fn due(&self) -> Vec<u64> {
+        loop {
+            let next = self.next_due();
+            let wait = async {
+                match next {
+                    Some(at) => sleep_until(at).await,
+                    None => pending().await,
+                }
+            };
+            tokio::select! {
+                () = wait => return self.take_due(Instant::now()),
+                () = self.earlier_added.notified() => {}
+            }
+        }
+    }
+
+    fn next_due(&self) -> Option<Instant> {
+        self.queue.borrow().peek().map(|Reverse((at, _))| *at)
+    }
+
+    fn take_due(&self, now: Instant) -> Vec<u64> {
+        let mut queue = self.queue.borrow_mut();
+        let mut due = Vec::new();
+        while let Some(Reverse((_, token))) = queue.peek().filter(|Reverse((at, _))| *at <= now) {
+            due.push(*token);
+            queue.pop();
+        }
+        due
+    }
+}
--- /dev/null
+++ b/crates/rate-limiter/src/bin/rate-limiter/process.rs
@@ -0,0 +1,193 @@
+//! The process: starts the parts, reloads addresses on SIGHUP, and drains on SIGTERM.
+
+use crate::clients::Clients;
+use crate::config::{Addresses, ConfigError, Setup};
+use crate::counter::{Counter, MAX_CALLS};
+use crate::discovery::Discovery;
+use crate::host::Host;
+use crate::log;
+use crate::upstream::Servers;
+use rate_limiter::Settings;
+use std::fmt::{Display, Formatter};
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::runtime::Builder;
+use tokio::signal::unix::{signal, Signal, SignalKind};
+use tokio::task::{spawn_local, LocalSet};
+use tokio::time::{sleep, timeout, Instant};
+
+/// For how long connections are accepted at least after SIGTERM: new ones come for up to 0.4 s.
+const ACCEPT_TIME: Duration = Duration::from_millis(600);
+/// SIGKILL comes 0.7 s after the longest deadline, or after this many seconds if that is longer.
+const MAX_KILL_DELAY_S: f64 = 3.0;
+/// The longest deadline that open requests are waited for, in seconds.
+const MAX_DRAIN_S: f64 = 60.0;
+/// How long open requests are waited for beyond the longest deadline.
+const DRAIN_MARGIN: Duration = Duration::from_millis(50);
+/// How long the first update of discovery is waited for before the limiter is ready.
+const FIRST_UPDATE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Descriptors for the listener, the runtime, discovery and connections that are being accepted.
+const RESERVED_DESCRIPTORS: usize = 24;
+/// The fraction of the memory for bodies of open requests. Responses may take as much again, and each connection has a
+/// buffer of some kilobytes.
+const BODY_MEMORY_FRACTION: f64 = 0.125;
+const MEGABYTE: f64 = 1024.0 * 1024.0;
+/// The exit code after a panic.
+const PANIC_EXIT_CODE: i32 = 101;
+
+/// Why the process failed.
+#[derive(Debug)]
+pub enum ProcessError {
+    /// The configuration is invalid.
+    Config(ConfigError),
+    /// The runtime cannot start.
+    Runtime(io::Error),
+    /// A signal cannot be handled.
+    Signal { name: &'static str, error: io::Error },
+    /// The address for clients cannot be bound.
+    Listen { address: SocketAddr, error: io::Error },
+    /// The address of the listener is unknown.
+    LocalAddress(io::Error),
+    /// Requests were still open at the end.
+    OpenRequests(usize),
+}
+
+impl Display for ProcessError {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
+        match self {
+            ProcessError::Config(error) => write!(formatter, "{error}"),
+            ProcessError::Runtime(error) => write!(formatter, "cannot start the runtime: {error}"),
+            ProcessError::Signal { name, error } => write!(formatter, "cannot handle {name}: {error}"),
+            ProcessError::Listen { address, error } => {
+                write!(formatter, "cannot listen on {address}: {error}")
+            }
+            ProcessError::LocalAddress(error) => write!(formatter, "{error}"),
+            ProcessError::OpenRequests(count) => write!(formatter, "{count} requests were left open"),
+        }
+    }
+}
+
+/// Runs a limiter until it is terminated.
+///
+/// # Errors
+/// [`ProcessError`] if it cannot start, or requests are still open at its end.
+pub fn run(setup: Setup) -> Result<(), ProcessError> {
+    exit_on_panic();
+    let runtime = Builder::new_current_thread().enable_all().build().map_err(ProcessError::Runtime)?;
+    LocalSet::new().block_on(&runtime, serve(setup))
+}
+
+/// Ends the process after a panic: the limiter does not know any more which responses are missing, and is restarted.
+fn exit_on_panic() {
+    let report = std::panic::take_hook();
+    std::panic::set_hook(Box::new(move |info| {
+        report(info);
+        std::process::exit(PANIC_EXIT_CODE);
+    }));
+}
+
+async fn serve(setup: Setup) -> Result<(), ProcessError> {
+    // Both first: a signal without a handler ends the process.
+    let mut terminate = subscribe(SignalKind::terminate(), "SIGTERM")?;
+    let hangup = subscribe(SignalKind::hangup(), "SIGHUP")?;
+    let address = setup.listen;
+    let listener =
+        TcpListener::bind(address).await.map_err(|error| ProcessError::Listen { address, error })?;
+    let bound = listener.local_addr().map_err(ProcessError::LocalAddress)?;
+    let longest_deadline = longest_deadline(&setup.settings);
+    let path = setup.path.clone();
+
+    let (host, clients) = start(setup);
+    spawn_local(reload(hangup, path, host.clone()));
+    let accepting = spawn_local({
+        let clients = clients.clone();
+        async move { clients.accept(listener).await }
+    });
+    log("rate-limiter", format_args!("listening on {bound}"));
+    spawn_local(become_ready(host.clone(), clients.clone()));
+
+    terminate.recv().await;
+    log("rate-limiter", format_args!("SIGTERM: finishing {} requests", host.open_requests()));
+    drain(&clients, longest_deadline).await;
+    accepting.abort();
+    match host.open_requests() {
+        0 => Ok(()),
+        open => Err(ProcessError::OpenRequests(open)),
+    }
+}
+
+fn subscribe(kind: SignalKind, name: &'static str) -> Result<Signal, ProcessError> {
+    signal(kind).map_err(|error| ProcessError::Signal { name, error })
+}
+
+/// Returns the longest deadline of all classes, in seconds.
+fn longest_deadline(settings: &Settings) -> f64 {
+    settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max)
+}
+
+/// Starts the tasks of all parts.
+fn start(setup: Setup) -> (Rc<Host>, Rc<Clients>) {
+    let Setup { discovery, counter, settings, known_servers, seed, max_sockets, memory_mb, .. } = setup;
+    // Each request may have two sockets, one to its client and one to a server.
+    let sockets = max_sockets.saturating_sub(RESERVED_DESCRIPTORS + MAX_CALLS).max(2);
+    let servers = Servers::new(&settings, sockets / 2);
+    let counter = Counter::new(counter, &settings);
+    let discovery = Discovery::new(discovery, &settings);
+    let host = Host::new(settings.clone(), seed, servers, counter, discovery);
+    let body_budget = (memory_mb * BODY_MEMORY_FRACTION * MEGABYTE) as usize;
+    let clients = Clients::new(host.clone(), settings, sockets - sockets / 2, body_budget);
+
+    spawn_local(host.clone().run_timers());
+    spawn_local({
+        let servers = host.servers().clone();
+        async move { servers.close_idle().await }
+    });
+    let version = known_servers.as_ref().map(|known| known.generation);
+    if let Some(mut known) = known_servers {
+        known.reset = true;
+        host.update_servers(&known);
+    }
+    spawn_local(host.discovery().clone().watch(host.clone(), version));
+    (host, clients)
+}
+
+/// Marks the limiter as ready after the first update of discovery, or without it: the known list may be out of date.
+async fn become_ready(host: Rc<Host>, clients: Rc<Clients>) {
+    let _ = timeout(FIRST_UPDATE_TIMEOUT, host.discovery().first_update()).await;
+    clients.set_ready();
+}
+
+/// Reloads the addresses of discovery and counter from the file at each SIGHUP. The environment applies to the start only.
+/// Signals that come meanwhile count as one more.
+async fn reload(mut hangup: Signal, path: String, host: Rc<Host>) {
+    while hangup.recv().await.is_some() {
+        let Addresses { discovery, counter } = match Addresses::read(&path) {
+            Ok(addresses) => addresses,
+            Err(error) => {
+                log("rate-limiter", format_args!("SIGHUP: all stays as it is: {error}"));
+                continue;
+            }
+        };
+        log("rate-limiter", format_args!("SIGHUP: discovery {discovery:?}, counter {counter:?}"));
+        if let Some(address) = discovery {
+            host.discovery().set_address(address);
+        }
+        if let Some(address) = counter {
+            host.counter().set_address(address);
+        }
+    }
+}
+
+/// Completes open requests. `longest_deadline` is in seconds.
+async fn drain(clients: &Clients, longest_deadline: f64) {
+    // Requests that come late must have their responses before SIGKILL too.
+    let respond_by = Duration::from_secs_f64(longest_deadline.clamp(0.0, MAX_KILL_DELAY_S)) + ACCEPT_TIME;
+    clients.drain(Instant::now() + respond_by);
+    sleep(ACCEPT_TIME).await;
+    let drain_time = Duration::from_secs_f64(longest_deadline.clamp(0.0, MAX_DRAIN_S)) + DRAIN_MARGIN;
+    // Connections that are open after that carry no request, or an incomplete one.
+    let _ = timeout(drain_time, clients.all_closed()).await;
+}
--- a/crates/rate-limiter/src/bin/rate-limiter/limits.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/upstream/connection_limits.rs
@@ -1,9 +1,9 @@
-//! What messages and connections may take, on the side of clients and of servers alike.
+//! The limits of messages and outgoing connections.
 
 use quillpulley_http1_client::ConnectionLimits;
 use std::time::Duration;
 
-/// Bodies hold at most this many bytes, in either direction.
+/// The most bytes of a body, in either direction.
 pub const MAX_BODY: usize = 64 * 1024;
 
 /// The limits of outgoing connections: to servers, to the counter and to discovery.
--- a/crates/rate-limiter/src/limiter/outlier_detection.rs
+++ b/crates/rate-limiter/src/limiter/outlier_detection.rs
@@ -73,14 +73,14 @@
 impl ServerSet {
     /// Records a failure of a server. Too many in a row eject it for some time.
     pub(super) fn record_failure(&mut self, context: Context<'_>, id: &str) {
-        let (now, may_eject) = (context.now, self.ejections_left >= 1.0);
+        let (now, may_eject) = (context.now, self.remaining_ejections >= 1.0);
         let Some(server) = self.get_mut(id) else { return };
         server.failures += 1;
         if server.failures >= MAX_FAILURES && server.ejected_until <= now && may_eject {
             let doublings = f64::from(1u32 << server.ejections.min(MAX_DOUBLINGS));
             server.ejected_until = now + EJECTION_TIME * context.time_scale() * doublings;
             server.ejections += 1;
-            self.ejections_left -= 1.0;
+            self.remaining_ejections -= 1.0;
         }
     }
 
--- a/crates/rate-limiter/src/limiter/servers.rs
+++ b/crates/rate-limiter/src/limiter/servers.rs
@@ -92,7 +92,7 @@
     /// How many limiters use a server.
     pub(super) limiters_per_server: f64,
     /// How many more servers may be ejected.
-    pub(super) ejections_left: f64,
+    pub(super) remaining_ejections: f64,
     pub(super) load: FleetLoad,
     /// The sends to warm servers in the latest overload window.
     pub(super) recent_warm_sends: VecDeque<f64>,
@@ -143,7 +143,7 @@
         let in_service = || self.servers.values().filter(|server| server.is_in_service());
         let count = in_service().count() as f64;
         let ejected = in_service().filter(|server| server.ejected_until > now).count() as f64;
-        self.ejections_left = count * MAX_EJECTED - ejected;
+        self.remaining_ejections = count * MAX_EJECTED - ejected;
         self.subset_size =
             (count * LIMITERS_PER_SERVER / limiters).ceil().clamp(MIN_SUBSET.min(count), count);
         self.limiters_per_server = (limiters * self.subset_size / f64::max(count, 1.0)).max(1.0);
--- a/crates/state-sync/src/aggregation.rs
+++ b/crates/state-sync/src/aggregation.rs
@@ -41,8 +41,8 @@
 
     /// Leaves out children that are silent, and drops those that have been for long.
     pub(crate) fn check_idle_children(&mut self, now: Duration, actions: &mut Vec<Action<Child>>) {
-        let (silence_timeout, timeout) = (self.options.silence_timeout, self.options.child_timeout);
-        if now >= self.ticked_at + silence_timeout {
+        let (receive_timeout, timeout) = (self.options.receive_timeout, self.options.child_timeout);
+        if now >= self.ticked_at + receive_timeout {
             // This process itself stood still: what the children sent meanwhile waits to be read.
             self.children.values_mut().for_each(|child| child.heard = now);
         }
@@ -52,7 +52,7 @@
         }
         for child in self
             .children
-            .which(|child| child.suspended_report.is_none() && now >= child.heard + silence_timeout)
+            .which(|child| child.suspended_report.is_none() && now >= child.heard + receive_timeout)
         {
             self.suspended_report(child, actions);
         }
@@ -125,7 +125,7 @@
 
     /// Returns when own totals are due, or the parent's get out of date.
     pub(crate) fn totals_due(&self) -> Duration {
-        match self.totals.outdated_at(self.options.silence_timeout) {
+        match self.totals.outdated_at(self.options.receive_timeout) {
             Some(_) if self.is_root() => Duration::ZERO,
             Some(outdated) => outdated,
             None => {
--- a/crates/state-sync/src/node.rs
+++ b/crates/state-sync/src/node.rs
@@ -194,7 +194,7 @@
     pub fn next_tick(&self) -> Duration {
         let silent = self.children.values().map(|child| match child.suspended_report {
             Some(_) => child.heard + self.options.child_timeout,
-            None => child.heard + self.options.silence_timeout,
+            None => child.heard + self.options.receive_timeout,
         });
         let times = [self.updates_due(), self.report_due(), self.totals_due()];
         times.into_iter().chain(silent).min().unwrap_or(Duration::MAX)
--- a/crates/state-sync/src/options.rs
+++ b/crates/state-sync/src/options.rs
@@ -29,7 +29,7 @@
     /// Reports and totals are sent this often though nothing has changed.
     pub keep_alive: Duration,
     /// Counts of a child that is silent for so long are left out, and totals of a parent are out of date.
-    pub silence_timeout: Duration,
+    pub receive_timeout: Duration,
     /// A child that is silent for so long is dropped.
     pub child_timeout: Duration,
     /// The most servers in one frame of counts, save the first on a connection.
@@ -48,7 +48,7 @@
             resubscribe_after: Duration::from_secs(1),
             report_interval: Duration::from_millis(250),
             keep_alive: Duration::from_millis(500),
-            silence_timeout: Duration::from_millis(1500),
+            receive_timeout: Duration::from_millis(1500),
             child_timeout: Duration::from_secs(5),
             max_servers_per_frame: 48,
         }
--- a/crates/state-sync/src/totals.rs
+++ b/crates/state-sync/src/totals.rs
@@ -65,10 +65,10 @@
     }
 
     /// Returns when the parent's totals get out of date.
-    pub(crate) fn outdated_at(&self, silence_timeout: Duration) -> Option<Duration> {
+    pub(crate) fn outdated_at(&self, receive_timeout: Duration) -> Option<Duration> {
         match self.origin {
             Origin::Own => None,
-            Origin::Parent { heard } => Some(heard + silence_timeout),
+            Origin::Parent { heard } => Some(heard + receive_timeout),
         }
     }
 
