--- a/crates/control-state/src/decision.rs
+++ b/crates/control-state/src/decision.rs
@@ -7,18 +7,18 @@
 pub enum ReplaceDecision {
     /// That very configuration was taken on that very base: acknowledge it, whatever has followed.
     AlreadyApplied,
-    /// It builds on another version than the one in force: refuse it.
+    /// It builds on another version than the one in force: reject it.
     Conflict {
         /// The version in force.
         current: u64,
     },
     /// It builds on a version that is older than all that is remembered: whether it was taken is not known any
-    /// more, so it is neither acknowledged nor refused.
+    /// more, so it is neither acknowledged nor rejected.
     HistoryExpired {
         /// The oldest base for which it would be known.
         oldest: u64,
     },
-    /// It is invalid: refuse it.
+    /// It is invalid: reject it.
     Invalid(ConfigurationError),
     /// Append this payload to the log.
     Propose(Vec<u8>),
--- a/crates/control-state/src/lib.rs
+++ b/crates/control-state/src/lib.rs
@@ -66,7 +66,7 @@
         self.config_index
     }
 
-    /// Returns the configuration in force, read anew.
+    /// Returns the configuration in force, read again.
     pub fn configuration(&self) -> Result<Option<Configuration>, ConfigurationError> {
         self.body().map(Configuration::parse).transpose()
     }
--- a/crates/load-balancer/src/balancer/choice.rs
+++ b/crates/load-balancer/src/balancer/choice.rs
@@ -55,7 +55,7 @@
         with_costs.min_by(|(_, one), (_, other)| one.total_cmp(other)).map(|(key, _)| key)
     }
 
-    /// Of equal ones, one by chance: else all limiters would choose the same.
+    /// Of equal ones, one at random: else all proxies would choose the same.
     fn best_scored(
         &self,
         now: Duration,
--- a/crates/load-balancer/src/balancer/eligibility.rs
+++ b/crates/load-balancer/src/balancer/eligibility.rs
@@ -14,7 +14,7 @@
 /// place when less urgent ones do not.
 const QUEUE_FRACTION: f64 = 0.25;
 /// From this part of its slots on, a server has a place only for what it will have read within these parts of its
-/// objective, for urgent requests and for others: late answers earn little, and make more of them late.
+/// objective, for urgent requests and for others: late responses earn little, and make more of them late.
 const BUSY_FRACTION: f64 = 0.5;
 const URGENT_READ_FRACTION: f64 = 0.9;
 const OTHER_READ_FRACTION: f64 = 0.6;
@@ -22,7 +22,7 @@
 const SPILL_UNTIL: f64 = 0.75;
 /// A server that has this part of the shared tokens to read, or less, has read them.
 const READER_UNREAD: f64 = 0.5;
-/// Limiters get more than their even share of a server's connections, since few need theirs at the same time.
+/// Proxies get more than their even share of a server's connections, since few need theirs at the same time.
 const CONNECTIONS_FACTOR: f64 = 1.5;
 const MIN_CONNECTIONS: f64 = 2.0;
 
@@ -65,7 +65,7 @@
     readable_tokens: f64,
     rate: ServiceRate,
     connections: u32,
-    /// `None` where a cold server gets nothing for want of knowing the other limiters.
+    /// `None` where a cold server gets nothing for want of knowing the other proxies.
     alone: Option<SlowStartShare>,
     knows_proxies: bool,
 }
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Connections of a server that this limiter may use.
+    /// Connections of a server that this proxy may use.
     fn connection_quota(&self, settings: &ServiceSettings) -> u32 {
         if settings.max_connections == 0 {
             return u32::MAX;
@@ -241,7 +241,7 @@
 }
 
 /// Leaves a request with long shared parts to the servers that have read them, if any of these is well: to read
-/// them anew elsewhere would take the time of several requests.
+/// them again elsewhere would take the time of several requests.
 fn restrict_to_cached(candidates: &mut [Candidate]) {
     let has_cached = |candidate: &Candidate| candidate.unread <= READER_UNREAD;
     let is_available =
--- a/crates/load-balancer/src/balancer/in_flight.rs
+++ b/crates/load-balancer/src/balancer/in_flight.rs
@@ -1,4 +1,4 @@
-//! Requests under way, and what their ends tell of servers.
+//! Requests in flight, and what their ends tell of servers.
 
 use super::outlier_detection::{Event, HealthStatus};
 use super::server::Server;
@@ -14,7 +14,7 @@
 /// A server that was not healthy for this long may have been gone, and come back cold.
 const RESTART_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// A request under way at a server; to be given back when it has ended.
+/// A request in flight at a server; to be given back when it has ended.
 #[must_use = "a request that is not ended stays under way"]
 #[derive(Debug)]
 pub struct Ticket {
@@ -29,7 +29,7 @@
     }
 }
 
-/// The answer to a health check.
+/// The response to a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthCheckResult {
     /// The server is well, and stays cold for this long, if it told.
@@ -41,7 +41,7 @@
     Failed,
 }
 
-/// A request under way.
+/// A request in flight.
 pub(super) struct InFlight {
     server: ServerKey,
     begun: Duration,
@@ -67,7 +67,7 @@
         Ticket { request: self.requests.insert(request), server: key }
     }
 
-    /// The answer has begun.
+    /// The response has begun.
     pub fn record_started(&mut self, now: Duration, ticket: &Ticket) {
         let Some(request) = self.requests.get_mut(ticket.request).filter(|request| !request.record_started)
         else {
@@ -128,7 +128,7 @@
         service.is_some_and(|service| server.load.is_unresponsive(now, &service.rate))
     }
 
-    /// Ejected servers for which a health check should be made now. It is taken to be made: its answer has to be
+    /// Ejected servers for which a health check should be made now. It is taken to be made: its response has to be
     /// given to [`Balancer::record_health_check`]. A server whose check fails stays ejected; without checks, requests are sent
     /// as trials.
     pub fn due_health_checks(&mut self, now: Duration) -> Vec<ServerKey> {
--- a/crates/load-balancer/src/balancer/listing.rs
+++ b/crates/load-balancer/src/balancer/listing.rs
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Whether this limiter is among those that send to each server while it is cold.
+    /// Whether this proxy is among those that send to each server while it is cold.
     pub(super) fn choose_slow_start_senders(&mut self) {
         let keys: Vec<ServerKey> = self.servers.keys().collect();
         for key in keys {
--- a/crates/load-balancer/src/balancer/mod.rs
+++ b/crates/load-balancer/src/balancer/mod.rs
@@ -1,4 +1,4 @@
-//! Chooses a server for each request, and keeps what is known of servers: what the list tells, what is under way,
+//! Chooses a server for each request, and keeps what is known of servers: what the list tells, what is in flight,
 //! which fail, are slow or cold, and what they have read.
 
 mod choice;
@@ -55,7 +55,7 @@
 }
 
 impl Balancer {
-    /// Knows no servers and no other limiters. `zones` gives the region of each zone.
+    /// Knows no servers and no other proxies. `zones` gives the region of each zone.
     pub fn new(locality: Locality, zones: BTreeMap<String, String>, options: Options) -> Self {
         Balancer {
             random: fastrand::Rng::with_seed(options.seed),
@@ -83,13 +83,13 @@
         self.choose_slow_start_senders();
     }
 
-    /// The limiters that are live, with this one. Until it is called, cold servers get next to nothing.
+    /// The proxies that are live, with this one. Until it is called, cold servers get next to nothing.
     pub fn set_proxies(&mut self, proxies: Vec<ProxyPeer>) {
         self.proxies = proxies;
         self.choose_slow_start_senders();
     }
 
-    /// The sums over all limiters, with what this one reported last; a server without an entry has nothing under
+    /// The sums over all proxies, with what this one reported last; a server without an entry has nothing under
     /// way.
     pub fn set_totals(&mut self, now: Duration, totals: &[wire::ServerLoad]) {
         let by_hash: HashMap<u64, &wire::ServerLoad> =
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Returns what this limiter has under way, to be told to others. Servers without anything are left out. Requests
+    /// Returns what this proxy has in flight, to be told to others. Servers without anything are left out. Requests
     /// that a server has left without a word for long are told as failures, so that others need not wait for as long.
     pub fn own_loads(&mut self, now: Duration) -> Vec<wire::ServerLoad> {
         let services = &self.services;
--- a/crates/load-balancer/src/balancer/model_cost.rs
+++ b/crates/load-balancer/src/balancer/model_cost.rs
@@ -1,6 +1,6 @@
 //! Choice among servers that run a model.
 //!
-//! Each candidate has a cost, and the least one is chosen. The unit is a token of a prompt that is read anew: it
+//! Each candidate has a cost, and the least one is chosen. The unit is a token of a prompt that is read again: it
 //! takes the server's time, and carries a price where another server has read it.
 
 use super::condition_cost::ConditionCosts;
@@ -33,7 +33,7 @@
 /// that a full fleet does not spend its time on reading prefixes again.
 const OCCUPANCY: f64 = 500.0;
 const OCCUPANCY_CUBED: f64 = 2_000.0;
-/// A server that is cold reads everything anew, and is slow.
+/// A server that is cold reads everything again, and is slow.
 const CONDITION: ConditionCosts = ConditionCosts { slow: 1_500.0, failing: 8_000.0, warming: 1_000.0 };
 
 /// What all candidates of a request have in common.
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Returns the cost of a candidate, where it has read `cached` tokens of the prompt for this limiter.
+    /// Returns the cost of a candidate, where it has read `cached` tokens of the prompt for this proxy.
     pub(super) fn of(&self, candidate: &Candidate, server: &Server, cached: u32) -> f64 {
         let shared = self.reading(candidate, cached);
         shared
--- a/crates/load-balancer/src/balancer/options.rs
+++ b/crates/load-balancer/src/balancer/options.rs
@@ -1,8 +1,8 @@
-//! What a balancer is told of itself and of the other limiters.
+//! What a balancer is told of itself and of the other proxies.
 
 use quillpulley_protocol::Locality;
 
-/// A limiter that may send requests to servers.
+/// A proxy that may send requests to servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProxyPeer {
     /// Its name.
@@ -14,7 +14,7 @@
 /// What a balancer is told of itself, and the bounds that it keeps.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The name of this limiter.
+    /// The name of this proxy.
     pub name: String,
     /// `WarmupOvershoot`: the factor on what a cold server bears.
     pub warmup_overshoot: f64,
--- a/crates/load-balancer/src/balancer/outlier_detection.rs
+++ b/crates/load-balancer/src/balancer/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Health of a server, as the answers to requests show it.
+//! Health of a server, as the responses to requests show it.
 //!
 //! A server that fails several times in a row is ejected for a time that doubles with each ejection. When the time
 //! is over it gets one request as a trial, unless a health check has answered for it before.
@@ -10,7 +10,7 @@
 const FAILURES_IN_ROW: u32 = 2;
 const FIRST_EJECTION: Duration = Duration::from_millis(500);
 const LONGEST_EJECTION: Duration = Duration::from_secs(8);
-/// A check is due so long before an ejection ends, so that its answer is there in time.
+/// A check is due so long before an ejection ends, so that its response is there in time.
 const CHECK_AHEAD: Duration = Duration::from_millis(200);
 /// Urgent requests are a server's trial only so long after its ejection; until then others or a check are.
 const URGENT_PROBATION_DELAY: Duration = Duration::from_millis(300);
@@ -20,7 +20,7 @@
 /// What is believed of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// It answers, but for so many failures since its latest answer.
+    /// It answers, but for so many failures since its latest response.
     Healthy { failures: u32 },
     /// It gets nothing until then, for the `count`th time in a row. `check` is when a health check was begun.
     Ejected { until: Duration, count: u32, check: Option<Duration> },
@@ -74,7 +74,7 @@
         Health { state: State::Healthy { failures: 0 }, since: Duration::ZERO, may_have_restarted: false }
     }
 
-    /// Takes an event. Every change of state happens here. Gives how long the server may have been gone when it is
+    /// Handles an event. Every change of state happens here. Gives how long the server may have been gone when it is
     /// healthy again.
     pub(crate) fn handle(&mut self, now: Duration, event: Event) -> Option<Duration> {
         let next = self.next(now, event);
--- a/crates/load-balancer/src/balancer/prefix_cache.rs
+++ b/crates/load-balancer/src/balancer/prefix_cache.rs
@@ -1,6 +1,6 @@
 //! Which servers have read the shared parts of a prompt.
 //!
-//! Limiters do not tell each other where they sent a prompt. They choose by rendezvous hashing on the shared parts,
+//! Proxies do not tell each other where they sent a prompt. They choose by rendezvous hashing on the shared parts,
 //! and so mostly agree. Besides, each remembers where it sent a part itself.
 
 use super::ServerKey;
@@ -11,9 +11,9 @@
 /// Shared parts that are this long together have one server in the whole system: they cost more to read again in
 /// each region than to cross to another. Shorter ones have one in each region.
 pub(super) const LONG_PREFIX_TOKENS: u32 = 1_500;
-/// A part is taken to be kept for so long after its latest use by this limiter.
+/// A part is taken to be kept for so long after its latest use by this proxy.
 const CACHE_TTL: Duration = Duration::from_secs(30);
-/// More parts than these are not remembered: those not used of late are dropped first.
+/// More parts than these are not remembered: those not used recently are dropped first.
 const MAX_PARTS: usize = 8_192;
 /// Servers that are remembered for a part.
 const MAX_SERVERS_PER_PART: usize = 6;
@@ -65,7 +65,7 @@
     value ^ (value >> 31)
 }
 
-/// Where this limiter sent the parts of prompts.
+/// Where this proxy sent the parts of prompts.
 #[derive(Default)]
 pub(crate) struct PrefixCacheIndex {
     parts: HashMap<u64, Vec<(ServerKey, Duration)>>,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Tokens at the beginning of a prompt that a server has read for this limiter.
+    /// Tokens at the beginning of a prompt that a server has read for this proxy.
     pub(crate) fn read_tokens(&self, now: Duration, server: ServerKey, parts: &[PromptPart]) -> u32 {
         let cached = parts.iter().take_while(|part| self.is_cached(now, server, part.id));
         cached.fold(0, |sum, part| sum.saturating_add(part.tokens))
--- a/crates/load-balancer/src/balancer/server.rs
+++ b/crates/load-balancer/src/balancer/server.rs
@@ -13,7 +13,7 @@
 /// A server that gave no place gets nothing for this long: it has just said that its queue is full.
 const FULL_TIME: Duration = Duration::from_millis(150);
 
-/// A failure that another limiter saw counts so much.
+/// A failure that another proxy saw counts so much.
 const OTHERS_FAILURE: f64 = 0.5;
 /// Requests without failure that every server is taken to have had, so that one failure of few says little.
 const UNSEEN_REQUESTS: f64 = 2.0;
@@ -65,7 +65,7 @@
     }
 }
 
-/// How far a server is from this limiter.
+/// How far a server is from this proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Distance {
     SameZone,
@@ -96,7 +96,7 @@
     pub(crate) evacuated: bool,
     warming_until: Duration,
     full_until: Duration,
-    /// Whether this limiter may send to it while it is cold.
+    /// Whether this proxy may send to it while it is cold.
     pub(crate) is_slow_start_sender: bool,
     pub(crate) sends: Sends,
     pub(crate) load: Load,
@@ -168,7 +168,7 @@
         self.full_until = now + FULL_TIME;
     }
 
-    /// Returns the share of requests that failed of late. What others saw fail counts half.
+    /// Returns the share of requests that failed recently. What others saw fail counts half.
     pub(crate) fn failure_rate(&self, now: Duration) -> f64 {
         let (failures, requests) = self.failures.at(now);
         let of_others = self.load.others(now).failures * OTHERS_FAILURE;
--- a/crates/load-balancer/src/balancer/server_load.rs
+++ b/crates/load-balancer/src/balancer/server_load.rs
@@ -1,4 +1,4 @@
-//! What is under way at a server: the own requests, and those of others as they were last told.
+//! What is in flight at a server: the own requests, and those of others as they were last told.
 
 use super::service_rate::ServiceRate;
 use crate::demand::Demand;
@@ -19,7 +19,7 @@
     pub(crate) waiting: f64,
     /// Tokens of the waiting requests' prompts that the server has yet to read.
     pub(crate) waiting_tokens: f64,
-    /// Failures of late.
+    /// Failures recently.
     pub(crate) failures: f64,
 }
 
@@ -71,14 +71,14 @@
     }
 }
 
-/// What is under way at a server.
+/// What is in flight at a server.
 #[derive(Default)]
 pub(crate) struct Load {
     running: u32,
     waiting: u32,
     waiting_tokens: u64,
     private_tokens: u64,
-    /// Shared parts of requests under way: how many of these have it, and its length.
+    /// Shared parts of requests in flight: how many of these have it, and its length.
     shared: BTreeMap<u64, (u32, u32)>,
     shared_tokens: u64,
     /// Since when nothing has been heard of the server while a request waits.
@@ -104,7 +104,7 @@
         self.unresponsive_since = self.unresponsive_since.or(Some(now));
     }
 
-    /// The answer of a waiting request has begun.
+    /// The response of a waiting request has begun.
     pub(crate) fn start(&mut self, now: Duration, request_cost: &RequestCost) {
         self.stop_waiting(request_cost);
         self.running += 1;
@@ -169,7 +169,7 @@
         0.0
     }
 
-    /// Own requests under way.
+    /// Own requests in flight.
     pub(crate) fn own(&self) -> u32 {
         self.running + self.waiting
     }
@@ -187,20 +187,20 @@
         load
     }
 
-    /// The sum over all limiters; `None` where nobody has anything under way.
+    /// The sum over all proxies; `None` where nobody has anything in flight.
     pub(crate) fn set_total(&mut self, now: Duration, total: Option<&ServerLoad>) {
         let total = total.map(LoadCounts::of).unwrap_or_default();
         self.others = total.without(&self.reported, 1.0);
         self.reported_at = now;
     }
 
-    /// Returns what others have under way.
+    /// Returns what others have in flight.
     pub(crate) fn others(&self, now: Duration) -> LoadCounts {
         let age = now.saturating_sub(self.reported_at).as_secs_f64() / REPORT_TTL.as_secs_f64();
         self.others.without(&LoadCounts::default(), (2.0 - age).clamp(0.0, 1.0))
     }
 
-    /// Returns what all limiters have under way.
+    /// Returns what all proxies have in flight.
     pub(crate) fn total(&self, now: Duration) -> LoadCounts {
         let others = self.others(now);
         LoadCounts {
--- a/crates/load-balancer/src/balancer/service.rs
+++ b/crates/load-balancer/src/balancer/service.rs
@@ -11,7 +11,7 @@
 /// A server fails more often than others from so many times the median share of failures, and this share at least.
 const FAILING_FACTOR: f64 = 3.0;
 const MIN_FAILURE_RATE: f64 = 0.1;
-/// Medians are taken anew after this time.
+/// Medians are taken again after this time.
 const MEDIANS_TTL: Duration = Duration::from_millis(100);
 
 /// A service.
@@ -37,7 +37,7 @@
 }
 
 impl ServiceState {
-    /// Takes the medians anew, if they are old.
+    /// Takes the medians again, if they are old.
     pub(crate) fn refresh_medians(&mut self, now: Duration, servers: &SlotMap<ServerKey, Server>) {
         if self.medians.taken.is_some_and(|taken| now < taken + MEDIANS_TTL) {
             return;
@@ -65,7 +65,7 @@
     pub(crate) max_connections: u32,
     /// How long a server stays cold; zero where servers are not cold.
     pub(crate) warmup: Duration,
-    /// What this limiter may send to a cold server; `None` where it bears any rate.
+    /// What this proxy may send to a cold server; `None` where it bears any rate.
     pub(crate) slow_start_share: Option<SlowStartShare>,
     pub(crate) engine: Option<EngineSettings>,
 }
--- a/crates/load-balancer/src/balancer/service_rate.rs
+++ b/crates/load-balancer/src/balancer/service_rate.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// The weight of one answer in a mean.
+/// The weight of one response in a mean.
 const GAIN: f64 = 0.15;
 /// Answers after which a mean says something.
 const MIN_SAMPLES: u32 = 5;
@@ -53,7 +53,7 @@
 }
 
 impl Speed {
-    /// Returns how many times as long it takes as the service's median, of late.
+    /// Returns how many times as long it takes as the service's median, recently.
     pub(crate) fn slowness(&self, now: Duration, median: Option<f64>) -> f64 {
         let (Some(own), Some(median)) = (self.mean.reliable(), median) else { return 1.0 };
         if median <= 0.0 {
@@ -84,7 +84,7 @@
     token_ms: Mean,
     /// Milliseconds to the first byte.
     first_byte_ms: Mean,
-    /// Milliseconds from the send to the end of the answer.
+    /// Milliseconds from the send to the end of the response.
     duration_ms: Mean,
     /// Tokens that a request alone needs in a server's memory.
     private_tokens: Mean,
@@ -122,7 +122,7 @@
         (mean_time(&self.first_byte_ms) * TIMEOUT_FACTOR).max(MIN_TIMEOUT) + reading * READING_FACTOR
     }
 
-    /// Mean time from the send to the end of the answer.
+    /// Mean time from the send to the end of the response.
     pub(crate) fn mean_duration(&self) -> Duration {
         mean_time(&self.duration_ms)
     }
--- a/crates/load-balancer/src/balancer/slow_start.rs
+++ b/crates/load-balancer/src/balancer/slow_start.rs
@@ -1,9 +1,9 @@
 //! Sends to cold servers.
 //!
-//! The bound on what a cold server gets in any second holds for the sum over all limiters, also where they are
-//! out of touch with each other. So only two limiters send to it, chosen by rendezvous hashing, and each at most
-//! a quarter of the bound: where the limiters are split in two and each side chooses its own two, the bound still
-//! holds. The rest covers a limiter that takes over from one that has just died.
+//! The bound on what a cold server gets in any second holds for the sum over all proxies, also where they are
+//! out of touch with each other. So only two proxies send to it, chosen by rendezvous hashing, and each at most
+//! a quarter of the bound: where the proxies are split in two and each side chooses its own two, the bound still
+//! holds. The rest covers a proxy that takes over from one that has just died.
 
 use super::options::ProxyPeer;
 use quillpulley_membership::rendezvous::Key;
@@ -11,7 +11,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Limiters that send to a cold server.
+/// Proxies that send to a cold server.
 const SENDERS: usize = 2;
 /// Sides of a cut that may choose their own.
 const SIDES: usize = 2;
@@ -22,17 +22,17 @@
 /// Sends that are remembered. A share is never higher.
 const REMEMBERED: usize = 128;
 
-/// What one limiter may send to a cold server.
+/// What one proxy may send to a cold server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SlowStartShare {
     /// Requests in any second.
     pub(crate) per_second: usize,
-    /// Limiters that have it.
+    /// Proxies that have it.
     pub(crate) senders: usize,
 }
 
 impl SlowStartShare {
-    /// Returns the share where all limiters together may send `bound` requests in a second.
+    /// Returns the share where all proxies together may send `bound` requests in a second.
     pub(crate) fn of(bound: f64) -> SlowStartShare {
         let bound = if bound.is_finite() { bound.max(0.0) as usize } else { 0 };
         let shared = bound / (SENDERS * SIDES);
@@ -42,11 +42,11 @@
         SlowStartShare { per_second: shared.min(REMEMBERED), senders: SENDERS }
     }
 
-    /// The share of a limiter that does not know the others.
+    /// The share of a proxy that does not know the others.
     pub(crate) const ALONE: SlowStartShare = SlowStartShare { per_second: 1, senders: 1 };
 }
 
-/// Returns whether the limiter of this name is among those that send to a cold server: those in the server's zone
+/// Returns whether the proxy of this name is among those that send to a cold server: those in the server's zone
 /// come first, then those in its region.
 pub(crate) fn is_sender(
     name: &str,
--- a/crates/load-balancer/src/demand.rs
+++ b/crates/load-balancer/src/demand.rs
@@ -22,13 +22,13 @@
     pub prefix: &'a [PromptPart],
     /// The length of its prompt.
     pub prompt_tokens: u32,
-    /// The most tokens of its answer.
+    /// The most tokens of its response.
     pub output_tokens: u32,
     /// The length of its body.
     pub body_bytes: usize,
     /// Its rank; 0 is the most urgent.
     pub priority: u32,
-    /// The time from its arrival within which an answer earns its full worth.
+    /// The time from its arrival within which a response earns its full value.
     pub objective: Duration,
     /// The time until its client gives it up.
     pub time_remaining: Duration,
--- a/crates/load-balancer/src/home_demand.rs
+++ b/crates/load-balancer/src/home_demand.rs
@@ -1,5 +1,5 @@
-//! Where the requests that come to a limiter may be served: if most of them have their homes in other regions, their
-//! clients are better served by the fronts there, and a cut between the regions does not part them from servers.
+//! Where the requests that come to a proxy may be served: if most of them have their homes in other regions, their
+//! clients are better served by the proxies there, and a cut between the regions does not part them from servers.
 //!
 //! It counts requests of hosts only some of whose requests may be served here: for other hosts the configuration
 //! alone tells (see [`HostHomes`](crate::HostHomes)).
@@ -30,12 +30,12 @@
 }
 
 impl HomeDemand {
-    /// For a limiter in `region`.
+    /// For a proxy in `region`.
     pub fn new(region: String) -> Self {
         HomeDemand { region, ..HomeDemand::default() }
     }
 
-    /// Returns the region of the limiter.
+    /// Returns the region of the proxy.
     pub fn region(&self) -> &str {
         &self.region
     }
@@ -58,7 +58,7 @@
         *self = HomeDemand::new(std::mem::take(&mut self.region));
     }
 
-    /// Returns the regions whose fronts suit the clients here better; empty while the own region does. While too few
+    /// Returns the regions whose proxies suit the clients here better; empty while the own region does. While too few
     /// requests come, the latest decision holds.
     pub fn preferred_regions(&self) -> &[String] {
         &self.preferred
--- a/crates/load-balancer/src/lib.rs
+++ b/crates/load-balancer/src/lib.rs
@@ -1,7 +1,7 @@
 //! Where a request goes: routes, choice of server, load, warm-up and admission, as pure state machines.
 //!
 //! - [`RouteTable`] finds the route of a request.
-//! - [`Balancer`] knows the servers and what is under way at them, and chooses one for each request.
+//! - [`Balancer`] knows the servers and what is in flight at them, and chooses one for each request.
 //! - [`RequestQueue`] holds requests for which no server has a place, for a short time.
 //!
 //! Times are since the start of the process, and are given by the caller. All that is left to chance comes from
--- a/crates/load-balancer/src/request_queue.rs
+++ b/crates/load-balancer/src/request_queue.rs
@@ -26,7 +26,7 @@
 pub struct QueueTerms {
     /// Its rank; 0 is the most urgent.
     pub priority: u32,
-    /// The time within which its answer earns its full worth.
+    /// The time within which its response earns its full value.
     pub objective: Duration,
     /// When its client gives it up.
     pub due: Duration,
@@ -43,7 +43,7 @@
     number: u64,
 }
 
-/// A request that waits now, and those that had to make room for it, which are to be refused.
+/// A request that waits now, and those that had to make room for it, which are to be rejected.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Queued<T> {
     /// Names it.
@@ -118,7 +118,7 @@
         Some(entry.request)
     }
 
-    /// Takes out the requests that have waited too long. They are to be refused.
+    /// Takes out the requests that have waited too long. They are to be rejected.
     pub fn take_expired(&mut self, now: Duration) -> Vec<T> {
         let expired: Vec<QueueKey> = self.requests.keys().filter(|key| now >= key.until).copied().collect();
         expired.into_iter().filter_map(|key| self.remove(key)).collect()
--- a/crates/membership/src/monitor.rs
+++ b/crates/membership/src/monitor.rs
@@ -19,9 +19,9 @@
     pub monitors: usize,
     /// Time between two pings to a target that answers or is suspect, give or take an eighth.
     pub ping_interval: Duration,
-    /// Time after which a ping without an answer is followed by the next.
+    /// Time after which a ping without a response is followed by the next.
     pub retry_interval: Duration,
-    /// So many pings in a row without an answer make a target suspect, once the last has had its time as well.
+    /// So many pings in a row without a response make a target suspect, once the last has had its time as well.
     pub max_unanswered: usize,
     /// Seed of the jitter.
     pub seed: u64,
@@ -29,7 +29,7 @@
 
 impl MonitorOptions {
     /// Creates the usual figures: three monitors, and suspicion 1 to 1.7 s after a peer's death. Even where one
-    /// datagram of twenty is lost, five pings in a row are seldom left without an answer.
+    /// datagram of twenty is lost, five pings in a row are seldom left without a response.
     pub fn new(name: &str, seed: u64) -> Self {
         MonitorOptions {
             name: name.to_string(),
@@ -56,7 +56,7 @@
 pub enum Event {
     /// The nodes that are alive as far as is known, this one among them or not.
     Peers(Vec<Peer>),
-    /// A datagram came. What is no ping and no answer to one is ignored.
+    /// A datagram came. What is no ping and no response to one is ignored.
     Received(Body, SocketAddr),
     /// Time has passed: wanted at [`Monitor::next_tick`], or a little later.
     Tick,
@@ -79,7 +79,7 @@
     suspects: Vec<String>,
     sequence: u64,
     random: fastrand::Rng,
-    /// When anything came from another node, and when an answer came.
+    /// When anything came from another node, and when a response came.
     heard_at: Duration,
     answered_at: Duration,
 }
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Takes an event at a time (since the host's start) and adds what follows from it to `actions`.
+    /// Handles an event at a time (since the host's start) and adds what follows from it to `actions`.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Peers(peers) => self.set_peers(now, &peers),
@@ -186,7 +186,7 @@
         now.saturating_sub(self.next_tick()) > self.options.ping_interval
     }
 
-    /// Works out the suspects anew and tells the host where they changed.
+    /// Works out the suspects again and tells the host where they changed.
     fn review(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let silent = self.targets.iter().filter(|(_, target)| target.is_unresponsive());
         let mut suspects: Vec<String> = silent.map(|(name, _)| name.clone()).collect();
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Returns whether it may rather be this node that is cut off: nobody has answered it of late, or where its only
+    /// Returns whether it may rather be this node that is cut off: nobody has answered it recently, or where its only
     /// target is silent, nobody has sent it anything. This shows sooner than any target becomes suspect.
     fn is_isolated(&self, now: Duration) -> bool {
         let proof = if self.targets.len() > 1 { self.answered_at } else { self.heard_at };
--- a/crates/membership/src/target.rs
+++ b/crates/membership/src/target.rs
@@ -9,7 +9,7 @@
 enum Health {
     /// It answered, or was not asked often enough yet.
     Responsive,
-    /// It left as many pings in a row without an answer as make it suspect.
+    /// It left as many pings in a row without a response as make it suspect.
     Unresponsive,
 }
 
@@ -21,7 +21,7 @@
     pub(crate) due: Duration,
     /// When the next ping is due if the latest is answered.
     due_if_answered: Duration,
-    /// The sequence numbers of pings that were sent since its latest answer.
+    /// The sequence numbers of pings that were sent since its latest response.
     unanswered: Vec<u64>,
     health: Health,
 }
--- a/crates/protocol/src/framing.rs
+++ b/crates/protocol/src/framing.rs
@@ -5,7 +5,7 @@
 use displaydoc::Display;
 use planus::{Builder, ReadAsRoot, WriteAsOffset};
 
-/// The most bytes that one frame may hold, its length prefix aside. A whole configuration and what is
+/// The most bytes that one frame may hold, its length prefix aside. A complete configuration and what is
 /// published beside it fit.
 pub const MAX_FRAME_BYTES: usize = 32 * 1024 * 1024;
 /// The most bytes of a message that go in one piece, where the message is cut.
@@ -38,7 +38,7 @@
     }
 }
 
-/// One message as it goes on a stream, with its length in front.
+/// One message as it goes on a stream, with its length in proxy.
 pub fn encode_frame(body: Body) -> Vec<u8> {
     let mut builder = Builder::new();
     let bytes = builder.finish(Frame { body: Some(body) }, None);
@@ -64,13 +64,13 @@
         self.builder.finish(Frame::builder().body(body), None)
     }
 
-    /// Adds one message to what goes on a stream, with its length in front.
+    /// Adds one message to what goes on a stream, with its length in proxy.
     pub fn append(&mut self, body: &Body, stream: &mut Vec<u8>) {
         frame_message(self.message(body), stream);
     }
 }
 
-/// Adds a message as [`FrameEncoder::message`] gave it to what goes on a stream, with its length in front.
+/// Adds a message as [`FrameEncoder::message`] gave it to what goes on a stream, with its length in proxy.
 pub fn frame_message(message: &[u8], stream: &mut Vec<u8>) {
     stream.reserve(PREFIX + message.len());
     stream.extend_from_slice(&(message.len() as u32).to_le_bytes());
@@ -165,7 +165,7 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Returns the next whole message, if there is one. After an error the stream is of no further use.
+    /// Returns the next complete message, if there is one. After an error the stream is of no further use.
     pub fn next_frame(&mut self) -> Result<Option<Body>, ProtocolError> {
         loop {
             let pending = &self.buffer[self.consumed..];
--- a/crates/protocol/src/queue.rs
+++ b/crates/protocol/src/queue.rs
@@ -8,7 +8,7 @@
 use displaydoc::Display;
 use std::collections::VecDeque;
 
-/// Bytes of pieces that may be under way at a time.
+/// Bytes of pieces that may be in flight at a time.
 pub const CHUNK_WINDOW_BYTES: usize = 512 * 1024;
 /// Written bytes are removed from the buffer once they are so many, and an empty one keeps no more memory than this.
 const RETAINED_BUFFER_BYTES: usize = 64 * 1024;
--- a/crates/quillpulley/src/agent/parent_search/mod.rs
+++ b/crates/quillpulley/src/agent/parent_search/mod.rs
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Returns the candidates that have failed lately.
+    /// Returns the candidates that have failed recently.
     pub fn failed(&self, now: Duration) -> Vec<ParentCandidate> {
         self.penalties.active(now).collect()
     }
--- a/crates/quillpulley/src/control/api/request.rs
+++ b/crates/quillpulley/src/control/api/request.rs
@@ -94,7 +94,7 @@
     Ok(Operation::Execute(Command::Evacuate { zone, active }))
 }
 
-/// Reads a whole body. One that ends before its length is never used.
+/// Reads a complete body. One that ends before its length is never used.
 fn read_body(request: &mut Request) -> Result<Vec<u8>, RequestError> {
     let length = request.body_length();
     if length.is_some_and(|length| length > MAX_BODY_BYTES) {
--- a/crates/quillpulley/src/control/commands.rs
+++ b/crates/quillpulley/src/control/commands.rs
@@ -19,7 +19,7 @@
 /// A command of an operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
-    /// Puts a whole configuration in force.
+    /// Puts a complete configuration in force.
     Replace {
         /// The version that it builds on.
         base: u64,
--- a/crates/quillpulley/src/control/directory/mod.rs
+++ b/crates/quillpulley/src/control/directory/mod.rs
@@ -16,7 +16,7 @@
 use selection::Selection;
 use std::sync::{Arc, PoisonError, RwLock};
 
-/// The most addresses in an answer.
+/// The most addresses in a response.
 const MAX_ADDRESSES: usize = 64;
 
 /// Which endpoints a directory knows.
--- a/crates/quillpulley/src/control/discovery/mod.rs
+++ b/crates/quillpulley/src/control/discovery/mod.rs
@@ -32,7 +32,7 @@
         ServiceDiscovery { reader, fetcher, unreadable_entries: 0 }
     }
 
-    /// Begins anew, since this process has begun to lead.
+    /// Begins again, since this process has begun to lead.
     pub fn reset(&mut self, now: Duration) {
         self.reader.reset(now);
     }
--- a/crates/quillpulley/src/control/discovery/reader.rs
+++ b/crates/quillpulley/src/control/discovery/reader.rs
@@ -1,6 +1,6 @@
 //! When which page of the platform's list is fetched, and which readings are believed. Pure: the host fetches.
 //!
-//! Only the holder of the lease reads. A reading begins anew if its pages do not belong together, and one that lacks more
+//! Only the holder of the lease reads. A reading begins again if its pages do not belong together, and one that lacks more
 //! than half of the published servers has to be confirmed by a second one.
 
 use super::page::{Page, Reading};
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Begins anew, as after an election. A page that is being fetched will not be used.
+    /// Begins again, as after an election. A page that is being fetched will not be used.
     pub fn reset(&mut self, now: Duration) {
         self.unconfirmed_size = None;
         self.state = match self.state {
--- a/crates/quillpulley/src/control/distribution/control_topology.rs
+++ b/crates/quillpulley/src/control/distribution/control_topology.rs
@@ -70,7 +70,7 @@
         self.parent
     }
 
-    /// Chooses the parent: `primary` if one was heard lately and can be reached, else the previous parent while it
+    /// Chooses the parent: `primary` if one was heard recently and can be reached, else the previous parent while it
     /// `is_reachable`. The root has none. `moved_at` is when the published state moved last.
     pub fn choose_parent(
         &mut self,
--- a/crates/quillpulley/src/control/replica_host/peer_table.rs
+++ b/crates/quillpulley/src/control/replica_host/peer_table.rs
@@ -189,7 +189,7 @@
         self.incoming.values().any(|sender| *sender == node)
     }
 
-    /// Returns the links on which messages can be sent, and to whom.
+    /// Returns the links on which messages can be sent, and to which.
     pub fn connected(&self) -> impl Iterator<Item = (L, NodeId)> + '_ {
         self.peers.values().filter_map(|peer| match peer.outgoing {
             Outgoing::Open(link, node) => Some((link, node)),
--- a/crates/quillpulley/src/proxy/upstream/connection_pool.rs
+++ b/crates/quillpulley/src/proxy/upstream/connection_pool.rs
@@ -47,7 +47,7 @@
 pub enum ConnectError {
     /// All descriptors for connections to servers are in use.
     NoDescriptor,
-    /// The server refuses the connection or does not answer.
+    /// The server rejects the connection or does not answer.
     Failed,
 }
 
--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -7,7 +7,7 @@
 
 /// A peer whose replies are never further apart than this counts as responsive without a break.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
-/// The delays before a node that was dropped may come back, by how often that happened lately.
+/// The delays before a node that was dropped may come back, by how often that happened recently.
 const READMISSION_DELAYS: [Duration; 5] = [
     Duration::from_millis(300),
     Duration::from_millis(700),
--- a/crates/replication/src/replica/follower.rs
+++ b/crates/replication/src/replica/follower.rs
@@ -68,7 +68,7 @@
 
     pub(super) fn handle_install(&mut self, from: NodeId, install: Install) {
         let Install { epoch, snapshot_last, snapshot, entries } = install;
-        // A whole state for a disk that does not complete writes would only pile up in memory.
+        // A complete state for a disk that does not complete writes would only pile up in memory.
         if !self.admit_log_message(from, epoch) || !self.writes.is_usable(self.now) {
             return;
         }
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -180,7 +180,7 @@
         self.holds_lease(now).then(|| self.lease_end()).flatten()
     }
 
-    /// Returns whether it may tell a client the newest state. Ask right before the answer is written: the process may
+    /// Returns whether it may tell a client the newest state. Ask right before the response is written: the process may
     /// have been suspended since the request came.
     pub fn can_answer(&self, now: Duration) -> bool {
         let is_unchecked = self.options.faults.answer_without_lease_check() && self.primary.is_some();
--- a/crates/replication/src/replica/view_change.rs
+++ b/crates/replication/src/replica/view_change.rs
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Returns whether a node holds the state with which the view under way begins.
+    /// Returns whether a node holds the state with which the view in flight begins.
     fn has_synced(&self, node: NodeId) -> bool {
         let Some(change) = self.view_change.as_ref().filter(|change| change.phase() == Phase::Sync) else {
             return false;
@@ -139,7 +139,7 @@
         match_index.is_some_and(|index| index >= change.log_end().index)
     }
 
-    /// Returns the nodes that are shutting down and have to be members of the view under way, beside its other targets.
+    /// Returns the nodes that are shutting down and have to be members of the view in flight, beside its other targets.
     pub(super) fn needed_shutting_down(&self) -> BTreeSet<NodeId> {
         let Some(change) = &self.view_change else { return BTreeSet::new() };
         let cluster = self.cluster();
--- a/crates/replication/src/witness.rs
+++ b/crates/replication/src/witness.rs
@@ -41,7 +41,7 @@
 pub(crate) struct Witness {
     record: WitnessRecord,
     lease: Option<Grant>,
-    /// A candidate that got a promise lately. It only delays the pre-votes of others.
+    /// A candidate that got a promise recently. It only delays the pre-votes of others.
     candidate: Option<Grant>,
     /// The last node that gave up an epoch: late messages of that epoch or before are not admitted.
     resigned: Option<(NodeId, u64)>,
--- a/crates/replication/src/write_queue.rs
+++ b/crates/replication/src/write_queue.rs
@@ -44,7 +44,7 @@
     promise: Option<Promised>,
 }
 
-/// An epoch that a record names as promised, and to whom.
+/// An epoch that a record names as promised, and to which.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Promised {
     epoch: u64,
--- a/crates/retry-budget/src/budgets.rs
+++ b/crates/retry-budget/src/budgets.rs
@@ -1,4 +1,4 @@
-//! The budgets of a limiter for all services.
+//! The budgets of a proxy for all services.
 
 use crate::cap;
 use crate::share::{self, Demand};
@@ -6,40 +6,40 @@
 use crate::window_counters::{Slot, WindowCounters};
 use std::time::Duration;
 
-/// A service without requests and repeats for this many windows is forgotten. It is at least two, for which
+/// A service without requests and retries for this many windows is forgotten. It is at least two, for which
 /// the hard cap needs the counts.
 const IDLE_WINDOWS: u32 = 3;
 
 /// The bounds of the budget.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Repeats for each request (`RetryBudgetRatio`).
+    /// Retries for each request (`RetryBudgetRatio`).
     pub ratio: f64,
     /// The window of the budget (`BudgetWindowS`).
     pub window: Duration,
-    /// Repeats that the whole system may send in a window besides (`RetrySlack`).
+    /// Retries that the whole system may send in a window besides (`RetrySlack`).
     pub slack: f64,
 }
 
-/// Counts of a service in the latest window: of one limiter, or summed over all.
+/// Counts of a service in the latest window: of one proxy, or summed over all.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServiceUsage {
     /// Name of the service.
     pub service: String,
     /// Requests taken from clients.
     pub requests: u32,
-    /// Repeats that were sent.
+    /// Retries that were sent.
     pub retries: u32,
-    /// Repeats that were not sent for want of budget.
+    /// Retries that were not sent for want of budget.
     pub rejected_retries: u32,
 }
 
-/// The retry budgets of one limiter. `now` is the time since the start of the process.
+/// The retry budgets of one proxy. `now` is the time since the start of the process.
 pub struct RetryBudgets {
     options: Options,
     /// A deployment has a few services, so they are searched in order.
     services: Vec<Budget>,
-    /// The greatest number of limiters that were known to be live at once.
+    /// The greatest number of proxies that were known to be live at once.
     max_proxies: usize,
 }
 
@@ -52,7 +52,7 @@
 }
 
 impl RetryBudgets {
-    /// No counts, and no knowledge of other limiters.
+    /// No counts, and no knowledge of other proxies.
     pub fn new(options: Options) -> Self {
         RetryBudgets { options, services: Vec::new(), max_proxies: 0 }
     }
@@ -66,7 +66,7 @@
         budget.last_used = now;
     }
 
-    /// Returns whether a repeat may be sent now; counts it as sent, or as refused.
+    /// Returns whether a retry may be sent now; counts it as sent, or as rejected.
     pub fn try_retry(&mut self, now: Duration, service: &str) -> bool {
         let Options { ratio, window, slack } = self.options;
         let share_of_slack = cap::slack_share(slack, self.max_proxies, now, window);
@@ -82,7 +82,7 @@
 
     /// Sets the rate of each service's bucket. To be called every exchange period, with or without totals.
     ///
-    /// `totals` are sums over `proxies` limiters, this one included. Where they are not `complete`, or lack a
+    /// `totals` are sums over `proxies` proxies, this one included. Where they are not `complete`, or lack a
     /// service, its limit comes from the own counts. Also forgets services that are idle.
     pub fn set_totals(&mut self, now: Duration, totals: &[ServiceUsage], proxies: usize, complete: bool) {
         if complete {
@@ -139,7 +139,7 @@
     }
 }
 
-/// Repeats that may be sent in a window. Where totals are missing, the fallback from the own requests.
+/// Retries that may be sent in a window. Where totals are missing, the fallback from the own requests.
 fn limit(ratio: f64, own: Slot, totals: Option<&ServiceUsage>, proxies: usize) -> f64 {
     let Some(totals) = totals else {
         return ratio * f64::from(own.requests);
--- a/crates/retry-budget/src/cap.rs
+++ b/crates/retry-budget/src/cap.rs
@@ -1,42 +1,42 @@
 //! The hard cap, which needs no one else.
 //!
-//! The system as a whole may send, in any window, repeats of `ratio` times the requests of that window, of the
-//! window before or of the window half a window before, whichever holds most, and a slack besides. A limiter
+//! The system as a whole may send, in any window, retries of `ratio` times the requests of that window, of the
+//! window before or of the window half a window before, whichever holds most, and a slack besides. A proxy
 //! keeps, for every window that holds the repeat at hand,
 //!
-//! > repeats in the window <= ratio × (its own requests in these three windows, by fixed weights that add up to
+//! > retries in the window <= ratio × (its own requests in these three windows, by fixed weights that add up to
 //! > one) + its part of the slack
 //!
-//! Because the weights are the same everywhere, the left and the right sides of all limiters add up, and a mean
-//! of three windows is at most the greatest of them. A cap by the greatest of three windows at each limiter would
+//! Because the weights are the same everywhere, the left and the right sides of all proxies add up, and a mean
+//! of three windows is at most the greatest of them. A cap by the greatest of three windows at each proxy would
 //! not add up: it can be another window at each.
 //!
-//! Slots at the edges of a window count in full as repeats and not at all as requests, which also covers that
-//! repeats sent in one window may arrive in one that is shorter by up to a slot.
+//! Slots at the edges of a window count in full as retries and not at all as requests, which also covers that
+//! retries sent in one window may arrive in one that is shorter by up to a slot.
 
 use crate::window_counters::{WindowCounters, SLOTS_PER_WINDOW};
 use std::time::Duration;
 
 /// Weights of the window itself, of the one half a window before, and of the one before. The window before
-/// weighs most: it stays whole when repeats come in one burst, as they do after the loss of a server.
+/// weighs most: it stays complete when retries come in one burst, as they do after the loss of a server.
 const WEIGHTS: [f64; 3] = [0.25, 0.25, 0.5];
 
-/// The part of the slack that all limiters together plan to use; the rest covers delays on the way.
+/// The part of the slack that all proxies together plan to use; the rest covers delays on the way.
 const USABLE_SLACK: f64 = 0.8;
 
-/// Limiters that are planned for: so many times those that were live at once, and at least so many. What is
+/// Proxies that are planned for: so many times those that were live at once, and at least so many. What is
 /// above one is for those that restart, see [`STARTUP_SHARE`].
 const PLANNED_PROXIES_FACTOR: f64 = 1.5;
 const MIN_PLANNED_PROXIES: f64 = 4.0;
 
 /// What a process may use of its part at the end of its first window, having had nothing at its start. The
-/// lives of a limiter that restarts any number of times within a window then use up to 1.5 parts in it: one
+/// lives of a proxy that restarts any number of times within a window then use up to 1.5 parts in it: one
 /// part of the life before, and half a part by all later ones, as their ages add up to at most the window.
 const STARTUP_SHARE: f64 = 0.5;
 
-/// Returns a limiter's part of the slack, in repeats.
+/// Returns a proxy's part of the slack, in retries.
 ///
-/// `proxies` is the greatest number of limiters ever known to be live at once; 0 where it is not known, which
+/// `proxies` is the greatest number of proxies ever known to be live at once; 0 where it is not known, which
 /// gives no part. `age` is the time since the start of the process.
 pub fn slack_share(slack: f64, proxies: usize, age: Duration, window: Duration) -> f64 {
     if proxies == 0 {
--- a/crates/retry-budget/src/lib.rs
+++ b/crates/retry-budget/src/lib.rs
@@ -1,12 +1,12 @@
-//! Retry budgets shared by all limiters: the share of demand, token buckets and a hard cap.
+//! Retry budgets shared by all proxies: the share of demand, token buckets and a hard cap.
 //!
-//! For each service a limiter counts the requests that it takes from clients ("first"), the repeats that it
-//! sends ("allowed") and those that it does not send ("refused"). Limiters exchange these counts; from the
+//! For each service a proxy counts the requests that it takes from clients ("first"), the retries that it
+//! sends ("allowed") and those that it does not send ("rejected"). Proxies exchange these counts; from the
 //! totals each derives its [limit](share::limit), which fills a token bucket. A repeat needs a token and is
 //! counted before it is sent.
 //!
-//! Totals may be stale, or missing where limiters are cut off, so the limits of all limiters may add up to more
-//! than the target. Below them lies a [hard cap](cap) for each limiter alone. The caps of all limiters add up
+//! Totals may be stale, or missing where proxies are cut off, so the limits of all proxies may add up to more
+//! than the target. Below them lies a [hard cap](cap) for each proxy alone. The caps of all proxies add up
 //! to no more than the bound of the whole system, whatever each of them believes about the others.
 
 mod budgets;
--- a/crates/retry-budget/src/share.rs
+++ b/crates/retry-budget/src/share.rs
@@ -1,21 +1,21 @@
-//! The limit of a limiter, by its share of the demand for repeats.
+//! The limit of a proxy, by its share of the demand for retries.
 
 /// What the limit of a service is derived from, all of it counts of the latest window.
 #[derive(Clone, Copy, Debug)]
 pub struct Demand {
-    /// `RetryBudgetRatio` times the requests of all limiters.
+    /// `RetryBudgetRatio` times the requests of all proxies.
     pub target: f64,
-    /// Own repeats, sent and refused.
+    /// Own retries, sent and rejected.
     pub own: f64,
-    /// Repeats of all limiters, sent and refused.
+    /// Retries of all proxies, sent and rejected.
     pub total: f64,
-    /// Repeats that were sent by all limiters.
+    /// Retries that were sent by all proxies.
     pub used: f64,
-    /// Number of limiters.
+    /// Number of proxies.
     pub proxies: usize,
 }
 
-/// Repeats that this limiter may send in a window: the target by its weight, raised towards the fallback by
+/// Retries that this proxy may send in a window: the target by its weight, raised towards the fallback by
 /// what others leave unused.
 pub fn limit(demand: &Demand) -> f64 {
     let fallback = demand.target / demand.proxies.max(1) as f64;
@@ -27,7 +27,7 @@
     fallback.min(weighted + unused)
 }
 
-/// This limiter's part of all repeats. Totals may be older than its own counts, so it is at most one.
+/// This proxy's part of all retries. Totals may be older than its own counts, so it is at most one.
 fn weight(demand: &Demand) -> f64 {
     if demand.total <= 0.0 {
         return 0.0;
--- a/crates/serving-config/src/fields.rs
+++ b/crates/serving-config/src/fields.rs
@@ -100,7 +100,7 @@
         Ok(Some(number.ok_or_else(|| self.wrong_kind(field, A_NUMBER))?))
     }
 
-    /// Returns a whole number; a higher one than fits counts as the highest.
+    /// Returns a complete number; a higher one than fits counts as the highest.
     pub fn count(&self, field: &'static str, default: u32) -> Result<u32, ConfigurationError> {
         let number = self.number(field)?.unwrap_or(f64::from(default));
         if number.fract() == 0.0 {
@@ -109,7 +109,7 @@
         Err(self.wrong_kind(field, AN_INTEGER))
     }
 
-    /// Returns a whole number that must be there, exact up to the highest.
+    /// Returns a complete number that must be there, exact up to the highest.
     pub fn required_integer(&self, field: &'static str) -> Result<u64, ConfigurationError> {
         let value = self.optional(field).ok_or_else(|| self.missing(field))?;
         if let Some(number) = value.as_u64() {
--- a/crates/serving-config/src/lib.rs
+++ b/crates/serving-config/src/lib.rs
@@ -24,7 +24,7 @@
 use simd_json::prelude::*;
 use std::collections::BTreeMap;
 
-/// A whole configuration that is valid, but for its place after another (see [`Configuration::check_follows`]).
+/// A complete configuration that is valid, but for its place after another (see [`Configuration::check_follows`]).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Configuration {
     /// Its number.
--- a/crates/serving-config/src/published/key.rs
+++ b/crates/serving-config/src/published/key.rs
@@ -27,7 +27,7 @@
     Server(&'a str),
     /// A machine that serves clients by its name; its value is a `wire::ProxyEndpoint`.
     ProxyEndpoint(&'a str),
-    /// A core process by its address; its value is a `wire::ControlNode`.
+    /// A control process by its address; its value is a `wire::ControlNode`.
     ControlNode(Ipv4Addr),
 }
 
@@ -70,7 +70,7 @@
     format!("{ENDPOINT_PREFIX}{name}")
 }
 
-/// Returns the key of a core process.
+/// Returns the key of a control process.
 pub fn control_node_key(address: Ipv4Addr) -> String {
     format!("{CONTROL_NODE_PREFIX}{address}")
 }
--- a/crates/serving-config/src/route.rs
+++ b/crates/serving-config/src/route.rs
@@ -23,7 +23,7 @@
     Idempotent,
     /// It may run once at most for each try. A kind that is not known is taken for this one.
     NonIdempotent,
-    /// Its answer is a stream of events; it may run once at most unless it is resumable.
+    /// Its response is a stream of events; it may run once at most unless it is resumable.
     Streaming,
 }
 
@@ -62,7 +62,7 @@
     /// The longest time that a request may be held; above 0.
     #[serde(rename = "TimeoutMs", serialize_with = "written::milliseconds")]
     pub timeout: Duration,
-    /// The time within which an answer earns its full worth; the time-out where it is missing.
+    /// The time within which a response earns its full value; the time-out where it is missing.
     #[serde(rename = "TargetLatencyMs", serialize_with = "written::milliseconds")]
     pub target_latency: Duration,
     /// Its rank; 0 is the highest.
@@ -76,7 +76,7 @@
     pub sticky: bool,
     /// Whether a stream may be taken up at another server.
     pub resumable: bool,
-    /// The longest pause between events that still keeps an answer in time.
+    /// The longest pause between events that still keeps a response in time.
     #[serde(rename = "gap_aim_ms", serialize_with = "written::optional_milliseconds")]
     pub inter_token_target: Option<Duration>,
     /// The only regions in which its requests may be served; none for any.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -115,7 +115,7 @@
         })
     }
 
-    /// Returns the port on which core processes talk to each other and to agents.
+    /// Returns the port on which control processes talk to each other and to agents.
     pub fn control_port(&self) -> u16 {
         self.ports.first
     }
--- a/crates/settings/src/sections.rs
+++ b/crates/settings/src/sections.rs
@@ -136,11 +136,11 @@
     pub rollback_slack: Duration,
     /// `MaxSkewMs`: by which bounds grow while the core is not stable; 6 s.
     pub max_skew: Duration,
-    /// `RetryBudgetRatio`: repeats for each request; 0.2.
+    /// `RetryBudgetRatio`: retries for each request; 0.2.
     pub retry_budget_ratio: f64,
     /// `BudgetWindowS`: the window of the retry budget; 10 s.
     pub budget_window: Duration,
-    /// `RetrySlack`: repeats beyond the ratio in a window; 10.
+    /// `RetrySlack`: retries beyond the ratio in a window; 10.
     pub retry_slack: f64,
     /// `WarmupOvershoot`: the factor on what a cold server bears; 1.5.
     pub warmup_overshoot: f64,
--- a/crates/state-sync/src/aggregate.rs
+++ b/crates/state-sync/src/aggregate.rs
@@ -88,7 +88,7 @@
         self.contributions.get(&source)
     }
 
-    /// Takes in a report. Returns whether the merged fronts or suspicions have changed.
+    /// Applies a report. Returns whether the merged proxies or suspicions have changed.
     pub(crate) fn apply(&mut self, source: Source<Child>, report: Report) -> bool {
         let contribution = self.contributions.entry(source).or_default();
         let dirty = contribution.apply(report);
@@ -100,7 +100,7 @@
         endpoints_changed || suspects_changed
     }
 
-    /// Leaves out what one has reported. Returns whether the merged fronts or suspicions have changed.
+    /// Leaves out what one has reported. Returns whether the merged proxies or suspicions have changed.
     pub(crate) fn remove(&mut self, source: Source<Child>) -> bool {
         let changed = self.apply(source, Report::default());
         self.contributions.remove(&source);
--- a/crates/state-sync/src/aggregation.rs
+++ b/crates/state-sync/src/aggregation.rs
@@ -24,7 +24,7 @@
             return self.drop_child(child, actions);
         }
         let Some(state) = self.children.get_mut(child) else { return };
-        // A second whole report comes from a child that has begun anew: it has forgotten the totals that it was sent.
+        // A second complete report comes from a child that has begun again: it has forgotten the totals that it was sent.
         let begins_anew = !report.delta && std::mem::replace(&mut state.has_reported, true);
         state.has_totals &= !begins_anew;
         if let Some(earlier) = state.suspended_report.take() {
--- a/crates/state-sync/src/children.rs
+++ b/crates/state-sync/src/children.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A subscription that waits for its answer.
+/// A subscription that waits for its response.
 #[derive(Clone, Debug)]
 pub(crate) struct Subscription {
     pub(crate) revision: Revision,
@@ -17,7 +17,7 @@
 pub(crate) enum Phase {
     /// It has not subscribed yet.
     Connected,
-    /// It has subscribed and waits for the answer.
+    /// It has subscribed and waits for the response.
     Subscribed(Subscription),
     /// It was answered and gets every update.
     Following,
@@ -104,7 +104,7 @@
         self.states.iter().filter(|(_, state)| holds(state)).map(|(child, _)| *child).collect()
     }
 
-    /// Returns those that wait for an answer, with what they have subscribed with.
+    /// Returns those that wait for a response, with what they have subscribed with.
     pub(crate) fn subscriptions(&self) -> Vec<(Child, Subscription)> {
         let waiting = self.states.iter().filter_map(|(child, state)| Some((*child, state.subscription()?)));
         waiting.map(|(child, subscription)| (child, subscription.clone())).collect()
--- a/crates/state-sync/src/counters.rs
+++ b/crates/state-sync/src/counters.rs
@@ -14,13 +14,13 @@
 pub struct RetryCounters {
     /// First sends of requests.
     pub requests: u32,
-    /// Repeats that were sent.
+    /// Retries that were sent.
     pub retries: u32,
-    /// Repeats that were refused.
+    /// Retries that were rejected.
     pub rejected_retries: u32,
 }
 
-/// What is under way at a server.
+/// What is in flight at a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadCounters {
     /// Requests that run.
@@ -29,7 +29,7 @@
     pub waiting: u32,
     /// Tokens of prompts of all these.
     pub prompt_tokens: u32,
-    /// Failures of late.
+    /// Failures recently.
     pub failures: u32,
 }
 
--- a/crates/state-sync/src/node.rs
+++ b/crates/state-sync/src/node.rs
@@ -25,9 +25,9 @@
     ChildDown(Child),
     /// A frame came from a child: `Subscribe` or `Report`, others are ignored.
     ChildFrame(Child, Body),
-    /// Root only: changes, which get one new stamp.
+    /// Root only: changes, which get one new revision.
     Publish(Vec<Change>),
-    /// Root only: a new stamp without changes, as a heartbeat. The host does this at least every 200 ms while it
+    /// Root only: a new revision without changes, as a heartbeat. The host does this at least every 200 ms while it
     /// holds the lease.
     Heartbeat,
     /// This process is the root from now on. Children are told nothing before the first `Publish` or `Heartbeat`:
@@ -39,7 +39,7 @@
     },
     /// This process is no root any more.
     LeaveRoot,
-    /// What this process itself reports from now on, whole.
+    /// What this process itself reports from now on, complete.
     LocalReport(LocalReport),
     /// Time has passed: wanted at [`SyncNode::next_tick`], or a little later.
     Tick,
@@ -60,7 +60,7 @@
     Changed(Vec<ChangedKey>),
     /// The totals have changed.
     TotalsChanged,
-    /// The fronts or the suspicions of the subtree have changed.
+    /// The proxies or the suspicions of the subtree have changed.
     EndpointsChanged,
 }
 
@@ -69,13 +69,13 @@
 pub(crate) enum Role {
     /// It publishes.
     Root {
-        /// The last stamp that children may have been told. While it is older than the node's own, the root has
+        /// The last revision that children may have been told. While it is older than the node's own, the root has
         /// not published in its epoch yet.
         announced: Revision,
     },
     /// It has no parent.
     Orphan,
-    /// It has subscribed at its parent at a time and ignores updates until the answer.
+    /// It has subscribed at its parent at a time and ignores updates until the response.
     Subscribing { at: Duration },
     /// It was answered and takes updates.
     Following,
@@ -88,9 +88,9 @@
     pub(crate) role: Role,
     pub(crate) store: Store,
     pub(crate) revision: Revision,
-    /// Whether the store is known not to be what it should be at its stamp.
+    /// Whether the store is known not to be what it should be at its revision.
     pub(crate) damaged: bool,
-    /// When the stamp moved last, and since when it has never stood for too long.
+    /// When the revision moved last, and since when it has never stood for too long.
     pub(crate) moved_at: Option<Duration>,
     pub(crate) fresh_since: Duration,
     pub(crate) children: Children<Child>,
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Takes an event at a time (since the host's start) and adds what follows from it to `actions`.
+    /// Handles an event at a time (since the host's start) and adds what follows from it to `actions`.
     pub fn handle(&mut self, now: Duration, event: Event<Child>, actions: &mut Vec<Action<Child>>) {
         match event {
             Event::ParentUp => self.parent_up(now, actions),
@@ -160,7 +160,7 @@
         matches!(self.role, Role::Root { .. })
     }
 
-    /// Returns whether a new stamp came, or at a root was given, within the last second ([`Options::fresh_for`]).
+    /// Returns whether a new revision came, or at a root was given, within the last second ([`Options::fresh_for`]).
     pub fn is_fresh(&self, now: Duration) -> bool {
         self.moved_at.is_some_and(|moved_at| now.saturating_sub(moved_at) <= self.options.fresh_for)
     }
@@ -170,7 +170,7 @@
         self.is_fresh(now).then_some(self.fresh_since)
     }
 
-    /// Returns when the stamp moved last.
+    /// Returns when the revision moved last.
     pub fn last_moved(&self) -> Option<Duration> {
         self.moved_at
     }
@@ -200,7 +200,7 @@
         times.into_iter().chain(silent).min().unwrap_or(Duration::MAX)
     }
 
-    /// Sets the stamp, which only ever grows.
+    /// Sets the revision, which only ever grows.
     pub(crate) fn advance(&mut self, now: Duration, revision: Revision) {
         if !self.is_fresh(now) {
             self.fresh_since = now;
--- a/crates/state-sync/src/options.rs
+++ b/crates/state-sync/src/options.rs
@@ -6,13 +6,13 @@
 ///
 /// A heartbeat takes 100 bytes, five times a second. A frame of counts takes up to 100 bytes and, for what has
 /// changed, 50 for each service and 24 for each server (at most `max_servers_per_frame`), four times a second and in each
-/// direction; a front takes 150 when it changes. 5 KB/s for a limiter, as at the target size of 900 proxies and
+/// direction; a proxy takes 150 when it changes. 5 KB/s for a proxy, as at the target size of 900 proxies and
 /// 4,700 servers, leave room for some five services and 10 servers a frame. What would not fit there: the numbers of
-/// all servers, which are 113 KB each time. They are sent whole on a new connection; after that each server would get
+/// all servers, which are 113 KB each time. They are sent complete on a new connection; after that each server would get
 /// its turn only every two minutes.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The name of this node: who monitors in its suspicions, and what its own front is called.
+    /// The name of this node: who monitors in its suspicions, and what its own proxy is called.
     pub name: String,
     /// The most children at once; further ones are turned away.
     pub max_children: usize,
@@ -20,9 +20,9 @@
     pub max_concurrent_repairs: usize,
     /// The time after which more subscriptions are answered.
     pub repair_interval: Duration,
-    /// Without a stamp for this long the state is stale.
+    /// Without a revision for this long the state is stale.
     pub fresh_for: Duration,
-    /// A subscription without an answer is repeated after this time.
+    /// A subscription without a response is repeated after this time.
     pub resubscribe_after: Duration,
     /// Least time between two reports to the parent, and between two frames of own totals to children.
     pub report_interval: Duration,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Returns the usual figures of a core process, which takes in the first agents of many zones.
+    /// Returns the usual figures of a control process, which takes in the first agents of many zones.
     pub fn control_node(name: &str) -> Self {
         Options { max_children: 256, ..Options::new(name) }
     }
--- a/crates/state-sync/src/parent_selection.rs
+++ b/crates/state-sync/src/parent_selection.rs
@@ -1,7 +1,7 @@
 //! Where an agent finds its parent in the tree.
 //!
 //! The agents of a zone are ranked by rendezvous hashing and form a heap of bounded fan-out: the first is the
-//! child of a core process, and the parent of the one at position `i` is at `(i - 1) / FAN_OUT`. A parent always has a
+//! child of a control process, and the parent of the one at position `i` is at `(i - 1) / FAN_OUT`. A parent always has a
 //! higher rank than its child, whichever of the agents somebody knows or has given up, so no loops form.
 
 use quillpulley_membership::rendezvous::{ranked, Key};
@@ -15,7 +15,7 @@
 /// A process that may become the parent of an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum ParentCandidate {
-    /// The core process on the machine with this address.
+    /// The control process on the machine with this address.
     ControlNode(Ipv4Addr),
     /// The agent on the machine with this address.
     Agent(Ipv4Addr),
@@ -30,20 +30,20 @@
     pub zone: &'a str,
     /// The region of its machine.
     pub region: &'a str,
-    /// The published fronts: each has an agent. Whether the agent itself is among them makes no difference.
+    /// The published proxies: each has an agent. Whether the agent itself is among them makes no difference.
     pub endpoints: &'a [ProxyEndpoint],
-    /// The published core processes.
+    /// The published control processes.
     pub control_nodes: &'a [ControlNode],
-    /// The addresses of the seeds, which are core processes or were some.
+    /// The addresses of the seeds, which are control processes or were some.
     pub seeds: &'a [Ipv4Addr],
-    /// Candidates that failed lately. The agents among them are left out of the ranking, so that those who have
-    /// lost the same parent meet at the same next one; the core processes among them come last.
+    /// Candidates that failed recently. The agents among them are left out of the ranking, so that those who have
+    /// lost the same parent meet at the same next one; the control processes among them come last.
     pub failed: &'a [ParentCandidate],
 }
 
 /// Returns the candidates for an agent's parent, in the order in which to try them: its place in the heap of its zone
-/// and the places above it, the core processes of its zone, its region and elsewhere, the seeds, and core processes
-/// that failed lately.
+/// and the places above it, the control processes of its zone, its region and elsewhere, the seeds, and control processes
+/// that failed recently.
 pub fn parent_candidates(topology: &TreeTopology) -> Vec<ParentCandidate> {
     let agents = agents_above(topology);
     let control_nodes = control_nodes_by_distance(topology);
@@ -60,7 +60,7 @@
     ordered
 }
 
-/// Returns whether all agents of the zone are children of its core process: there is one that did not fail, and they
+/// Returns whether all agents of the zone are children of its control process: there is one that did not fail, and they
 /// are few.
 fn starts_at_control_node(topology: &TreeTopology) -> bool {
     let mut in_zone = topology.control_nodes.iter().filter(|control_node| control_node.zone == topology.zone);
@@ -101,7 +101,7 @@
     ParentCandidate::ControlNode(Ipv4Addr::from_bits(control_node.ip))
 }
 
-/// Returns the core processes: those of the zone, then of the region, then the others; alike ones by rendezvous
+/// Returns the control processes: those of the zone, then of the region, then the others; alike ones by rendezvous
 /// hashing.
 fn control_nodes_by_distance(topology: &TreeTopology) -> Vec<ParentCandidate> {
     let key = Key::new(topology.name);
--- a/crates/state-sync/src/subtree.rs
+++ b/crates/state-sync/src/subtree.rs
@@ -1,4 +1,4 @@
-//! What is known of a subtree: its fronts, whom their monitors suspect, and the sums of its counts.
+//! What is known of a subtree: its proxies, which their monitors suspect, and the sums of its counts.
 
 use crate::counters::{apply_counters, load_counters, retry_counters, server_load, service_counters};
 use crate::counters::{CounterChange, CounterTable, LoadCounters, RetryCounters};
@@ -8,9 +8,9 @@
 /// What a node knows of itself and of all below it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SubtreeState {
-    /// The fronts by name.
+    /// The proxies by name.
     pub endpoints: BTreeMap<String, ProxyEndpoint>,
-    /// For each front that is suspected the names of its monitors that cannot reach it.
+    /// For each proxy that is suspected the names of its monitors that cannot reach it.
     pub suspicions: BTreeMap<String, BTreeSet<String>>,
     /// The sums.
     pub counts: CounterTable,
@@ -21,15 +21,15 @@
 /// What a process says of itself.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LocalReport {
-    /// The front of its machine: given by the agent there, not by its proxy.
+    /// The proxy of its machine: given by the agent there, not by its proxy.
     pub endpoint: Option<ProxyEndpoint>,
-    /// Names of the fronts that it monitors and cannot reach.
+    /// Names of the proxies that it monitors and cannot reach.
     pub suspects: Vec<String>,
     /// 1 for a proxy, else 0.
     pub proxies: u32,
     /// What it counted by service.
     pub services: Vec<ServiceCounters>,
-    /// What it has under way by server.
+    /// What it has in flight by server.
     pub servers: Vec<ServerLoad>,
 }
 
@@ -61,7 +61,7 @@
 }
 
 impl SubtreeState {
-    /// Takes in a report on this subtree.
+    /// Applies a report on this subtree.
     pub(crate) fn apply(&mut self, report: Report) -> DirtyKeys {
         let mut dirty = DirtyKeys { proxies_before: self.counts.proxies, ..DirtyKeys::default() };
         if !report.delta {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Returns who suspects a front, as a report has it: no monitors where nobody does.
+    /// Returns who suspects a proxy, as a report has it: no monitors where nobody does.
     pub(crate) fn suspicion(&self, suspect: &str) -> Suspicion {
         let monitors = self.suspicions.get(suspect).into_iter().flatten().cloned().collect();
         Suspicion { suspect: suspect.to_string(), monitors }
@@ -124,7 +124,7 @@
     }
 }
 
-/// Of two accounts of a front the one to go by has the higher rank: that of a later life, and of one life the one
+/// Of two accounts of a proxy the one to go by has the higher rank: that of a later life, and of one life the one
 /// that it cannot have come back from.
 pub(crate) fn endpoint_rank(endpoint: &ProxyEndpoint) -> (u64, u8) {
     let progress = match endpoint.state {
--- a/crates/state-sync/src/totals.rs
+++ b/crates/state-sync/src/totals.rs
@@ -36,7 +36,7 @@
     own_id: u64,
     shown: Totals,
     origin: Origin,
-    /// What the parent has told on this connection; `None` before its whole totals have come.
+    /// What the parent has told on this connection; `None` before its complete totals have come.
     parent_counters: Option<CounterTable>,
     /// Whether what is shown is what the parent has told, so that its next delta can be passed on as it is.
     is_in_step: bool,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// A connection to a parent has begun or ended: deltas mean nothing until it sends its whole totals.
+    /// A connection to a parent has begun or ended: deltas mean nothing until it sends its complete totals.
     pub(crate) fn reset_parent(&mut self) {
         self.parent_counters = None;
         self.is_in_step = false;
--- a/crates/state-sync/src/updates.rs
+++ b/crates/state-sync/src/updates.rs
@@ -1,9 +1,9 @@
-//! The way of the state down the tree: subscriptions, their answers, and updates.
+//! The way of the state down the tree: subscriptions, their responses, and updates.
 //!
-//! What makes it sound: a stamp stands for one state of the store, that of the root at that stamp. An update that
-//! lists every key touched between two stamps (`Changes`) therefore fits any state between them. One that lists
+//! What makes it sound: a revision stands for one state of the store, that of the root at that revision. An update that
+//! lists every key touched between two revisions (`Changes`) therefore fits any state between them. One that lists
 //! only the keys that differ between two states (`Difference`) fits the first of these alone: a key may have
-//! changed and changed back between them. While a subscription is out, updates are ignored, so that its answer
+//! changed and changed back between them. While a subscription is out, updates are ignored, so that its response
 //! finds the very state whose digests were sent.
 
 use crate::children::{Phase, Subscription};
@@ -81,7 +81,7 @@
         self.finish_update(now, answer.digest, changed, actions);
     }
 
-    /// Returns the items of an answer, and the removal of all others in its ranges.
+    /// Returns the items of a response, and the removal of all others in its ranges.
     fn changes_of_repair(&self, complete: &[u8], items: Vec<Item>) -> Vec<Change> {
         let present: HashSet<&str> = items.iter().map(|item| item.key.as_str()).collect();
         let gone = self.store.keys_of(complete).filter(|key| !present.contains(key));
@@ -93,7 +93,7 @@
         changes.into_iter().filter_map(|change| self.store.apply(change)).collect()
     }
 
-    /// After an update: checks the store against the digest, subscribes anew where it is wrong, and tells the host.
+    /// After an update: checks the store against the digest, subscribes again where it is wrong, and tells the host.
     fn finish_update(
         &mut self,
         now: Duration,
@@ -204,7 +204,7 @@
         self.serve_subscriptions(actions);
     }
 
-    /// Returns when a subscription is to be repeated or an answer that was put off can be given.
+    /// Returns when a subscription is to be repeated or a response that was put off can be given.
     pub(crate) fn updates_due(&self) -> Duration {
         let is_waiting =
             self.remaining_repairs == 0 && self.children.values().any(|c| c.subscription().is_some());
--- a/crates/storage/src/format/segment.rs
+++ b/crates/storage/src/format/segment.rs
@@ -6,7 +6,7 @@
 //! Record: magic, checksum of what follows, length of the payload, chain, durable length, epoch, index, payload.
 //! The chain is the checksum of the record before; it keeps records apart that were written in different histories.
 //! The durable length is that of the segment when the record was written: all bytes before it had been synced. So
-//! a whole record tells of damage before it whether a loss of power can have done that.
+//! a complete record tells of damage before it whether a loss of power can have done that.
 
 use super::{checksum, Reader, VERSION};
 use quillpulley_protocol::Entry;
@@ -34,7 +34,7 @@
 /// What the beginning of a segment is.
 #[derive(Debug, PartialEq, Eq)]
 pub enum DecodedHeader {
-    /// A whole head.
+    /// A complete head.
     Intact(Header),
     /// None, or a part of one.
     Damaged,
@@ -133,7 +133,7 @@
     scan
 }
 
-/// Returns whether a whole record shows that what is at this offset had been synced.
+/// Returns whether a complete record shows that what is at this offset had been synced.
 pub fn was_synced(bytes: &[u8], offset: u64) -> bool {
     let rest = bytes.get(offset as usize..).unwrap_or_default();
     let starts = (0..rest.len()).filter(|start| rest[*start..].starts_with(&RECORD_MAGIC));
@@ -151,7 +151,7 @@
 }
 
 impl<'a> Record<'a> {
-    /// Reads one record, if it is whole.
+    /// Reads one record, if it is complete.
     fn decode(bytes: &'a [u8]) -> Option<Record<'a>> {
         let mut reader = Reader(bytes.strip_prefix(&RECORD_MAGIC)?);
         let checksum = reader.u32()?;
--- a/crates/storage/src/format/snapshot.rs
+++ b/crates/storage/src/format/snapshot.rs
@@ -12,7 +12,7 @@
 /// What the bytes of a snapshot are.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Decoded {
-    /// A whole snapshot.
+    /// A complete snapshot.
     Intact(Position, Vec<u8>),
     /// None, or a part of one.
     Damaged,
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,4 +1,4 @@
-//! Durable storage of a core process: a segmented log with snapshots and one small record beside it.
+//! Durable storage of a control process: a segmented log with snapshots and one small record beside it.
 //!
 //! What a call has returned from lasts, whatever happens to the process, to the power or to the space on the
 //! disk afterwards. A call that failed may be made again; until a call succeeds, a recovery finds what was there
--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -96,7 +96,7 @@
     Empty,
     /// A part of a record.
     Torn,
-    /// A whole record.
+    /// A complete record.
     Intact(NumberedRecord),
 }
 
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -48,7 +48,7 @@
 /// What was found of snapshots.
 #[derive(Default)]
 struct Snapshots {
-    /// The newest whole one.
+    /// The newest complete one.
     newest: Option<Snapshot>,
     /// The index of the newest damaged one, if it is newer than that.
     damaged: Option<u64>,
--- a/crates/storage/src/segments.rs
+++ b/crates/storage/src/segments.rs
@@ -23,7 +23,7 @@
         self.header.first + self.records.len() as u64 - 1
     }
 
-    /// Returns the length of its whole records, all of them synced.
+    /// Returns the length of its complete records, all of them synced.
     pub fn length(&self) -> u64 {
         self.records.last().map_or(HEADER_BYTES as u64, |record| record.end)
     }
@@ -97,7 +97,7 @@
         self.truncate_to_length(files)
     }
 
-    /// Cuts off what stands behind the last whole record.
+    /// Cuts off what stands behind the last complete record.
     pub fn truncate_to_length(&mut self, files: &F) -> Result<(), StorageError> {
         let Some(segment) = self.segments.last() else { return Ok(()) };
         let (name, length) = (segment.name(), segment.length());
--- a/crates/storage/src/storage.rs
+++ b/crates/storage/src/storage.rs
@@ -218,7 +218,7 @@
         Ok(())
     }
 
-    /// Writes a snapshot beside the others, and gives it its name once it is whole.
+    /// Writes a snapshot beside the others, and gives it its name once it is complete.
     fn write_snapshot(&self, generation: u64, last: Position, state: &[u8]) -> Result<(), StorageError> {
         let name = FileName::Snapshot { generation, index: last.index };
         let temporary = FileName::Temporary;
