--- a/crates/control-state/src/decision.rs
+++ b/crates/control-state/src/decision.rs
@@ -1,21 +1,21 @@
-//! What to do about an order.
+//! Decisions on commands.
 
 use quillpulley_serving_config::ConfigurationError;
 
-/// What to do about a configuration.
+/// The decision on a configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplaceDecision {
-    /// That very configuration was taken on that very base: acknowledge it, whatever has followed.
+    /// The same configuration was applied on the same base: acknowledge it, whatever has followed.
     AlreadyApplied,
-    /// It builds on another version than the one in force: reject it.
+    /// It builds on another version than the active one: reject it.
     Conflict {
-        /// The version in force.
+        /// The active version.
         current: u64,
     },
-    /// It builds on a version that is older than all that is remembered: whether it was taken is not known any
-    /// more, so it is neither acknowledged nor rejected.
+    /// It builds on a version that is older than the history: whether it was applied is unknown, so that it is
+    /// neither acknowledged nor rejected.
     HistoryExpired {
-        /// The oldest base for which it would be known.
+        /// The oldest base in the history.
         oldest: u64,
     },
     /// It is invalid: reject it.
@@ -24,10 +24,10 @@
     Propose(Vec<u8>),
 }
 
-/// What to do about an order to evacuate a zone, or to take it back.
+/// The decision on a command to evacuate or restore a zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EvacuationDecision {
-    /// The zone is as the order wants it: acknowledge it.
+    /// The zone is in the requested state: acknowledge the command.
     AlreadyInEffect,
     /// Append this payload to the log.
     Propose(Vec<u8>),
--- a/crates/control-state/src/history.rs
+++ b/crates/control-state/src/history.rs
@@ -1,26 +1,26 @@
-//! The configurations that were taken, so that one that is sent again is known.
+//! The history of applied configurations, by which one that is sent again is recognized.
 
 use quillpulley_protocol::AppliedConfig;
 use std::collections::VecDeque;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// As many configurations are remembered; the oldest ones are forgotten. At 17,000 changes a day these are the
+/// The most configurations in the history; the oldest ones are forgotten. At 17,000 changes a day these are the
 /// changes of the last 46 hours.
 pub const HISTORY_LENGTH: usize = 32_768;
 
-/// What is remembered about a configuration on some base.
+/// What the history tells about a configuration on a base.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DedupLookup {
-    /// It was taken.
+    /// It was applied.
     Applied,
-    /// It was not taken.
+    /// It was not applied.
     NotApplied,
-    /// What was taken on its base is forgotten; the changes on this base and later ones are remembered.
+    /// Its base is older than the history, which begins at this base.
     Expired { oldest: u64 },
 }
 
-/// The configurations that were taken, oldest first. Each builds on the version of the one before it, so their
-/// bases rise, and there is one at most for each base.
+/// The applied configurations, the oldest first. Each builds on the version of the one before it, so that bases
+/// increase, and there is at most one per base.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct History {
     applied: VecDeque<AppliedConfig>,
@@ -34,8 +34,7 @@
         self.applied.push_back(applied);
     }
 
-    /// Returns what became of a configuration with this content on this base. Only what is older than all that is
-    /// remembered can be forgotten.
+    /// Returns what the history tells about a configuration with a content on a base.
     pub fn look_up(&self, base: u64, content_hash: u64) -> DedupLookup {
         match self.applied.front() {
             Some(first) if base < first.base => DedupLookup::Expired { oldest: first.base },
@@ -44,7 +43,7 @@
         }
     }
 
-    /// Returns the content of the configuration that was taken on a base.
+    /// Returns the content hash of the configuration that was applied on a base.
     fn applied_on(&self, base: u64) -> Option<u64> {
         let index = self.applied.binary_search_by_key(&base, |applied| applied.base).ok()?;
         self.applied.get(index).map(|applied| applied.content_hash)
@@ -61,8 +60,8 @@
     }
 }
 
-/// Returns what stands for the content of a configuration. That two different ones on one base have the same hash by
-/// chance has a probability of 2^-64.
+/// Returns the hash of the content of a configuration. Two different ones on the same base collide with a probability
+/// of 2^-64.
 pub(super) fn content_hash(body: &[u8]) -> u64 {
     xxh3_64(body)
 }
--- a/crates/control-state/src/lib.rs
+++ b/crates/control-state/src/lib.rs
@@ -1,12 +1,12 @@
-//! The replicated control state: the configuration in force, those taken before, and the evacuated zones.
+//! The replicated control state: the active configuration, the history of configurations, and the evacuated zones.
 //!
-//! An order is decided on ([`ControlState::decide_replace`], [`ControlState::decide_evacuation`]), appended to
-//! the log, and applied. Orders that are on their way through the log are not seen by a decision, so two of them
-//! may build on one version; the one that is applied second is then ignored. What became of an order is known
-//! by deciding on it once more after it was applied: `AlreadyApplied` or `AlreadySo` if it is in force or was.
+//! A command is decided ([`ControlState::decide_replace`], [`ControlState::decide_evacuation`]), appended to the log,
+//! and applied. A decision does not see commands in the log that are not applied, so that two of them may build on
+//! one version; the second one is ignored when it is applied. The result of a command is known by deciding it again
+//! after it was applied: `AlreadyApplied` or `AlreadySo` if it is or was active.
 //!
-//! A configuration that is sent again is known by its base and the hash of its content. Two operators that send
-//! the same bytes on the same base are therefore one order, and both are told that it was taken.
+//! A configuration that is sent again is recognized by its base and the hash of its content. Two operators that send
+//! the same bytes on the same base are therefore one command, and both are acknowledged.
 
 #![forbid(unsafe_code)]
 
@@ -34,54 +34,54 @@
 /// The replicated control state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ControlState {
-    /// The version in force; 0 before the first.
+    /// The active version; 0 before the first.
     version: u64,
-    /// The configuration in force, as it was sent; empty before the first. Answers that wait to be written share it.
+    /// The active configuration, as it was sent; empty before the first. Queued responses share it.
     body: Arc<[u8]>,
-    /// The index of the log entry that brought it.
+    /// The index of its log entry.
     config_index: u64,
     history: History,
-    /// The evacuated zones, with the index of the log entry that began it.
+    /// The evacuated zones, with the indices of the log entries that evacuated them.
     evacuated: BTreeMap<String, u64>,
 }
 
 impl ControlState {
-    /// Returns the version in force; 0 before the first configuration.
+    /// Returns the active version; 0 before the first configuration.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Returns the configuration in force, exactly as it was sent.
+    /// Returns the active configuration, exactly as it was sent.
     pub fn body(&self) -> Option<&[u8]> {
         (self.version != NO_VERSION).then_some(&self.body)
     }
 
-    /// Returns the same, to be kept while other configurations follow, without a copy.
+    /// Returns the active configuration without a copy, to be kept while others follow.
     pub fn shared_body(&self) -> Option<Arc<[u8]>> {
         (self.version != NO_VERSION).then(|| self.body.clone())
     }
 
-    /// Returns the index of the log entry that brought the configuration in force; 0 before the first.
+    /// Returns the index of the log entry of the active configuration; 0 before the first.
     pub fn config_index(&self) -> u64 {
         self.config_index
     }
 
-    /// Returns the configuration in force, read again.
+    /// Parses the active configuration.
     pub fn configuration(&self) -> Result<Option<Configuration>, ConfigurationError> {
         self.body().map(Configuration::parse).transpose()
     }
 
-    /// Returns whether nothing more may be sent to a zone.
+    /// Returns whether a zone is evacuated: nothing may be sent to it.
     pub fn is_evacuated(&self, zone: &str) -> bool {
         self.evacuated.contains_key(zone)
     }
 
-    /// Returns the zones to which nothing more may be sent.
+    /// Returns the evacuated zones.
     pub fn evacuated_zones(&self) -> impl Iterator<Item = &str> {
         self.evacuated.keys().map(String::as_str)
     }
 
-    /// Returns what to do about a configuration that is to follow version `base`.
+    /// Decides a configuration that builds on version `base`.
     pub fn decide_replace(&self, base: u64, body: &[u8]) -> ReplaceDecision {
         let content_hash = history::content_hash(body);
         match self.history.look_up(base, content_hash) {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Returns what to do about an order to evacuate a zone, or to take it back.
+    /// Decides a command to evacuate or restore a zone.
     pub fn decide_evacuation(&self, zone: &str, active: bool) -> EvacuationDecision {
         if self.is_evacuated(zone) == active {
             return EvacuationDecision::AlreadyInEffect;
@@ -110,14 +110,14 @@
         EvacuationDecision::Propose(encode_command(LogCommandBody::Evacuation(Box::new(command))))
     }
 
-    /// Returns the version of a configuration that may follow the one in force.
+    /// Returns the version of a configuration that may follow the active one.
     fn validate(&self, body: &[u8]) -> Result<u64, ConfigurationError> {
         let configuration = Configuration::parse(body)?;
         configuration.check_follows(self.version)?;
         Ok(configuration.version)
     }
 
-    /// Takes a configuration if it builds on the one in force.
+    /// Applies a configuration, if it builds on the active one.
     fn apply_replacement(&mut self, command: ReplaceConfig, index: u64) {
         if command.base != self.version || command.version <= self.version {
             return;
--- a/crates/control-state/src/published.rs
+++ b/crates/control-state/src/published.rs
@@ -4,12 +4,12 @@
 use quillpulley_serving_config::published::evacuated_key;
 use std::collections::BTreeMap;
 
-/// Returns all items that a control state is published as: the configuration and the evacuated zones.
+/// Returns all published items of a control state: the configuration and the evacuated zones.
 pub fn published_items(state: &ControlState) -> BTreeMap<String, Vec<u8>> {
     let mut items = match state.configuration() {
         Ok(Some(configuration)) => configuration.to_items(),
         Ok(None) => BTreeMap::new(),
-        // Nothing invalid gets into the state, unless by a version of this program with other rules.
+        // The state holds nothing invalid, unless from a version of this program with other rules.
         Err(error) => {
             log::error!("configuration {} cannot be published: {error}", state.version());
             BTreeMap::new()
--- a/crates/load-balancer/src/balancer/choice.rs
+++ b/crates/load-balancer/src/balancer/choice.rs
@@ -9,10 +9,10 @@
 use std::cmp::Ordering;
 use std::time::Duration;
 
-/// A client that found no place should come again after half a mean request, within these bounds.
+/// A client that found no capacity should try again after half of a mean request time, within these bounds.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
-/// Chance spreads the times at which clients come again between these parts of it.
+/// That time is multiplied by a random factor between these.
 const RETRY_SPREAD: (f64, f64) = (0.75, 1.25);
 
 impl Balancer {
@@ -55,7 +55,7 @@
         with_costs.min_by(|(_, one), (_, other)| one.total_cmp(other)).map(|(key, _)| key)
     }
 
-    /// Of equal ones, one at random: else all proxies would choose the same.
+    /// Chooses at random among equal candidates: otherwise all proxies would choose the same.
     fn best_scored(
         &self,
         now: Duration,
--- a/crates/load-balancer/src/balancer/condition_cost.rs
+++ b/crates/load-balancer/src/balancer/condition_cost.rs
@@ -1,4 +1,4 @@
-//! What a server's condition adds to the cost of choosing it: slow, failing or cold.
+//! The cost of a server's condition: slow, failing or cold.
 
 use super::server::Server;
 use super::service::Medians;
@@ -7,13 +7,13 @@
 /// A server counts as slow if it takes more than this many times the median of its service.
 const SLOW_FROM: f64 = 2.0;
 
-/// The costs of each condition, in the unit of the choice that uses them.
+/// The cost of each condition, in the unit of the scorer that uses it.
 pub(super) struct ConditionCosts {
-    /// For each time that a slow server takes longer than the median of its service.
+    /// Of a slow server, per multiple of the median of its service.
     pub(super) slow: f64,
-    /// For a server that fails more often than others.
+    /// Of a server that fails more often than others.
     pub(super) failing: f64,
-    /// For a server that is cold.
+    /// Of a cold server.
     pub(super) warming: f64,
 }
 
--- a/crates/load-balancer/src/balancer/eligibility.rs
+++ b/crates/load-balancer/src/balancer/eligibility.rs
@@ -1,4 +1,4 @@
-//! Which servers may get a request now.
+//! Which servers are eligible for a request now.
 
 use super::outlier_detection::HealthStatus;
 use super::prefix_cache::{PrefixKey, LONG_PREFIX_TOKENS};
@@ -10,68 +10,70 @@
 use crate::demand::Demand;
 use std::time::Duration;
 
-/// Beyond its slots a server takes this part of them into its queue, from urgent requests alone: so they find a
-/// place when less urgent ones do not.
+/// The fraction of its slots that a server queues beyond them, for urgent requests only: they find capacity when
+/// others do not.
 const QUEUE_FRACTION: f64 = 0.25;
-/// From this part of its slots on, a server has a place only for what it will have read within these parts of its
-/// objective, for urgent requests and for others: late responses earn little, and make more of them late.
+/// From this fraction of busy slots on, a server has capacity only for requests whose prompts it will have read
+/// within these fractions of their target latency, for urgent requests and for others: late responses are worth
+/// little, and delay others.
 const BUSY_FRACTION: f64 = 0.5;
 const URGENT_READ_FRACTION: f64 = 0.9;
 const OTHER_READ_FRACTION: f64 = 0.6;
-/// While more of the slots are taken, requests with long shared parts wait for a server that has read them.
+/// While more than this fraction of all slots is busy, requests with long shared parts wait for a server that has
+/// cached them.
 const SPILL_UNTIL: f64 = 0.75;
-/// A server that has this part of the shared tokens to read, or less, has read them.
+/// A server that has to read at most this fraction of the shared tokens counts as having cached them.
 const READER_UNREAD: f64 = 0.5;
-/// Proxies get more than their even share of a server's connections, since few need theirs at the same time.
+/// A proxy may use more than its even share of a server's connections, as few proxies need theirs at the same time.
 const CONNECTIONS_FACTOR: f64 = 1.5;
 const MIN_CONNECTIONS: f64 = 2.0;
 
-/// Whether a server may get a request, the best first.
+/// The eligibility of a server, the best first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Eligibility {
-    /// It has a place.
+    /// It has capacity.
     Eligible,
-    /// It has a place, but may be dead.
+    /// It has capacity, but may be dead.
     Suspect,
-    /// It has a place, but fails.
+    /// It has capacity, but fails often.
     Ejected,
-    /// It is well, but has no place.
+    /// It is healthy, but full.
     Full,
-    /// It must get nothing now.
+    /// It must not get anything now.
     Ineligible,
 }
 
 impl Eligibility {
-    /// Returns whether a request may be sent there.
+    /// Returns whether a request may be sent to the server.
     pub(super) fn is_open(self) -> bool {
         self < Eligibility::Full
     }
 }
 
-/// A server that the request may go to, as far as routes and the list are concerned.
+/// A server that routes and the list allow for a request.
 pub(super) struct Candidate {
     pub(super) key: ServerKey,
     pub(super) eligibility: Eligibility,
-    /// The part of the request's shared tokens that it is taken to have to read.
+    /// The fraction of the request's shared tokens that the server is expected to have to read.
     pub(super) unread: f64,
 }
 
-/// What candidates are judged by.
+/// The criteria of eligibility.
 struct EligibilityPolicy<'a> {
     now: Duration,
     settings: &'a ServiceSettings,
     urgent: bool,
-    /// The tokens that a server may have to read until the request's first byte, where it is busy.
+    /// The most tokens that a busy server may have to read before the request's first byte.
     readable_tokens: f64,
     rate: ServiceRate,
     connections: u32,
-    /// `None` where a cold server gets nothing for want of knowing the other proxies.
+    /// The share of cold servers; none if a cold server gets nothing as the other proxies are unknown.
     alone: Option<SlowStartShare>,
     knows_proxies: bool,
 }
 
 impl Balancer {
-    /// Returns all servers that a request may go to, but for those that are excluded, with their standing.
+    /// Returns all candidates for a request but those that are excluded, with their eligibility.
     pub(super) fn candidates(
         &self,
         now: Duration,
@@ -95,7 +97,7 @@
         candidates
     }
 
-    /// Tokens of a request's prompt that a server is taken to have to read.
+    /// Returns the tokens of a request's prompt that a server is expected to have to read.
     pub(super) fn unread_tokens(&self, now: Duration, key: ServerKey, demand: &Demand<'_>) -> u32 {
         let cached = self.cached.read_tokens(now, key, demand.prefix);
         let by_own_sends = demand.prompt_tokens.saturating_sub(cached);
@@ -107,7 +109,7 @@
         by_own_sends.min(demand.prompt_tokens.saturating_sub(read))
     }
 
-    /// Servers that may be used, in regions where the request may be served.
+    /// Returns the usable servers in the regions where the request may be served.
     fn allowed(&self, service: &ServiceState, demand: &Demand<'_>) -> Vec<(ServerKey, &Server)> {
         let servers = service.servers.iter().filter_map(|key| Some((*key, self.servers.get(*key)?)));
         let is_allowed =
@@ -138,7 +140,7 @@
         }
     }
 
-    /// Connections of a server that this proxy may use.
+    /// Returns the connections of a server that this proxy may use.
     fn connection_quota(&self, settings: &ServiceSettings) -> u32 {
         if settings.max_connections == 0 {
             return u32::MAX;
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Returns the part of all slots that is taken.
+    /// Returns the fraction of all slots that is busy.
     fn occupancy_of(&self, servers: &[(ServerKey, &Server)]) -> f64 {
         let requests: f64 = servers.iter().map(|(_, server)| server.load.total(self.now).requests()).sum();
         let slots: f64 = servers.iter().map(|(_, server)| self.settings.slots(&server.info)).sum();
@@ -195,7 +197,8 @@
     }
 }
 
-/// Candidates with the part of the shared tokens that each has to read, by their ranks for the request's prefix.
+/// Returns candidates with the fraction of the shared tokens that each has to read, by their ranks for the request's
+/// prefix.
 fn ranked(allowed: &[(ServerKey, &Server)], demand: &Demand<'_>) -> Vec<Candidate> {
     let candidate = |key| Candidate { key, eligibility: Eligibility::Ineligible, unread: 1.0 };
     let mut candidates: Vec<Candidate> = allowed.iter().map(|(key, _)| candidate(*key)).collect();
@@ -212,7 +215,7 @@
     candidates
 }
 
-/// Returns how many were counted in a region so far.
+/// Returns the count of a region so far, and increments it.
 fn next_rank<'a>(in_regions: &mut Vec<(&'a str, usize)>, region: &'a str) -> usize {
     match in_regions.iter_mut().find(|(known, _)| *known == region) {
         Some((_, count)) => {
@@ -226,8 +229,8 @@
     }
 }
 
-/// Where more than half fail, the fault may be on this side, and they are used where nothing else is left.
-/// Where fewer fail, the others must do.
+/// If more than half of the servers fail, the fault may be on this side, and they are used if no other is left. If
+/// fewer fail, they are not used.
 fn readmit_ejected(candidates: &mut [Candidate]) {
     let ejected = candidates.iter().filter(|candidate| candidate.eligibility == Eligibility::Ejected).count();
     if ejected * 2 > candidates.len() {
@@ -240,7 +243,7 @@
     }
 }
 
-/// Leaves a request with long shared parts to the servers that have read them, if any of these is well: to read
+/// Keeps a request with long shared parts at the servers that have cached them, if any of these is healthy: reading
 /// them again elsewhere would take the time of several requests.
 fn restrict_to_cached(candidates: &mut [Candidate]) {
     let has_cached = |candidate: &Candidate| candidate.unread <= READER_UNREAD;
--- a/crates/load-balancer/src/balancer/in_flight.rs
+++ b/crates/load-balancer/src/balancer/in_flight.rs
@@ -1,4 +1,4 @@
-//! Requests in flight, and what their ends tell of servers.
+//! Requests in flight, and what their outcomes tell about servers.
 
 use super::outlier_detection::{Event, HealthStatus};
 use super::server::Server;
@@ -11,10 +11,10 @@
     pub(super) struct RequestKey;
 }
 
-/// A server that was not healthy for this long may have been gone, and come back cold.
+/// A server that was unhealthy for this long may have restarted, and be cold.
 const RESTART_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// A request in flight at a server; to be given back when it has ended.
+/// A request in flight at a server. Must be passed to [`Balancer::end`] when it has ended.
 #[must_use = "a request that is not ended stays under way"]
 #[derive(Debug)]
 pub struct Ticket {
@@ -29,15 +29,15 @@
     }
 }
 
-/// The response to a health check.
+/// The result of a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthCheckResult {
-    /// The server is well, and stays cold for this long, if it told.
+    /// The server is healthy.
     Passed {
-        /// For how long it stays cold; zero for a warm one.
+        /// For how long it stays cold, if it says so; zero for a warm one.
         warmup_remaining: Option<Duration>,
     },
-    /// It is not well, or did not answer.
+    /// The server is unhealthy, or did not respond.
     Failed,
 }
 
@@ -48,7 +48,7 @@
     record_started: bool,
     is_probation: bool,
     request_cost: RequestCost,
-    /// Tokens that the server had to read before, when the request was sent.
+    /// Tokens that the server had to read before it, when it was sent.
     ahead: f64,
 }
 
@@ -67,7 +67,7 @@
         Ticket { request: self.requests.insert(request), server: key }
     }
 
-    /// The response has begun.
+    /// Records that the response has begun.
     pub fn record_started(&mut self, now: Duration, ticket: &Ticket) {
         let Some(request) = self.requests.get_mut(ticket.request).filter(|request| !request.record_started)
         else {
@@ -85,7 +85,7 @@
         self.record_response(now, ticket.server);
     }
 
-    /// A request has ended.
+    /// Records the outcome of a request.
     pub fn end(&mut self, now: Duration, ticket: Ticket, outcome: Outcome) {
         let Some(request) = self.requests.remove(ticket.request) else { return };
         if !request.record_started && outcome != Outcome::Completed {
@@ -120,17 +120,17 @@
         }
     }
 
-    /// Returns whether a server leaves requests without a word for longer than what it has to do explains. It may be
-    /// dead: what may run again need not wait for it.
+    /// Returns whether a server has not responded for longer than its load explains. It may be dead: idempotent
+    /// requests need not wait for it.
     pub fn is_unresponsive(&self, now: Duration, key: ServerKey) -> bool {
         let Some(server) = self.servers.get(key) else { return false };
         let service = self.services.get(&server.info.service);
         service.is_some_and(|service| server.load.is_unresponsive(now, &service.rate))
     }
 
-    /// Ejected servers for which a health check should be made now. It is taken to be made: its response has to be
-    /// given to [`Balancer::record_health_check`]. A server whose check fails stays ejected; without checks, requests are sent
-    /// as trials.
+    /// Returns the ejected servers for which a health check is due. Its result must be passed to
+    /// [`Balancer::record_health_check`]. A server whose check fails stays ejected; without checks, requests are sent
+    /// as probes.
     pub fn due_health_checks(&mut self, now: Duration) -> Vec<ServerKey> {
         let is_due = |server: &Server| server.is_usable() && server.health.check_due(now);
         let due = self.servers.iter_mut().filter(|(_, server)| is_due(server));
@@ -141,7 +141,7 @@
         due.map(begin).collect()
     }
 
-    /// A health check was answered, or failed.
+    /// Records the result of a health check.
     pub fn record_health_check(&mut self, now: Duration, key: ServerKey, answer: HealthCheckResult) {
         match answer {
             HealthCheckResult::Failed => {
@@ -158,7 +158,7 @@
         }
     }
 
-    /// A server has answered. One that was away for long may be back cold.
+    /// Records that a server has responded. One that was unhealthy for long may have restarted, and be cold.
     fn record_response(&mut self, now: Duration, key: ServerKey) {
         let Some(server) = self.servers.get_mut(key) else { return };
         let away = server.health.handle(now, Event::Answered);
@@ -170,7 +170,8 @@
 }
 
 impl Server {
-    /// Takes a request; gives the tokens that it has to read before, and whether the request is its trial.
+    /// Adds a request. Returns the tokens that the server has to read before it, and whether the request is its
+    /// probe.
     fn begin(&mut self, now: Duration, request_cost: &RequestCost) -> (f64, bool) {
         let ahead = self.load.total(now).waiting_tokens;
         let is_probation = self.health.status(now, false) == HealthStatus::Probation;
@@ -183,7 +184,7 @@
     }
 }
 
-/// Returns whether the server has said something.
+/// Returns whether an outcome proves that the server has responded.
 fn is_response(outcome: Outcome) -> bool {
     match outcome {
         Outcome::Completed | Outcome::NotExecuted { .. } | Outcome::Misdirected => true,
--- a/crates/load-balancer/src/balancer/listing.rs
+++ b/crates/load-balancer/src/balancer/listing.rs
@@ -1,4 +1,4 @@
-//! What the list and the configuration tell of servers.
+//! The listed servers and the configured services.
 
 use super::server::{Distance, Server, ServerInfo};
 use super::slow_start;
@@ -9,8 +9,7 @@
 use std::time::Duration;
 
 impl Balancer {
-    /// Handles that a server is listed, or its entry has changed. `None` where its address cannot be read; it is not used
-    /// then.
+    /// Adds a listed server, or updates its entry. Returns none if its address is invalid; it is not used then.
     pub fn put_server(&mut self, now: Duration, entry: &wire::Server) -> Option<ServerKey> {
         let info = self.info(entry)?;
         let distance = Distance::between(&self.locality, &info.locality);
@@ -29,7 +28,7 @@
         Some(key)
     }
 
-    /// Handles that a server is not listed any more.
+    /// Removes a server that is not listed any more.
     pub fn remove_server(&mut self, _now: Duration, id: &str) -> Option<ServerKey> {
         let key = self.by_id.remove(id)?;
         self.leave_service(key);
@@ -37,8 +36,8 @@
         Some(key)
     }
 
-    /// The zones whose servers get nothing. Servers of a zone that is taken back are taken to be cold, as far as
-    /// their service knows cold servers.
+    /// Sets the evacuated zones, whose servers get nothing. Servers of a zone that is restored count as cold if their
+    /// service has a warm-up.
     pub fn set_evacuated(&mut self, now: Duration, zones: &BTreeSet<String>) {
         self.evacuated.clone_from(zones);
         for server in self.servers.values_mut() {
@@ -76,7 +75,7 @@
         }
     }
 
-    /// Whether this proxy is among those that send to each server while it is cold.
+    /// Updates whether this proxy may send to each cold server.
     pub(super) fn choose_slow_start_senders(&mut self) {
         let keys: Vec<ServerKey> = self.servers.keys().collect();
         for key in keys {
--- a/crates/load-balancer/src/balancer/mod.rs
+++ b/crates/load-balancer/src/balancer/mod.rs
@@ -1,5 +1,5 @@
-//! Chooses a server for each request, and keeps what is known of servers: what the list tells, what is in flight,
-//! which fail, are slow or cold, and what they have read.
+//! The choice of a server for each request, and what it is based on: listed entries, load, health, speed, warm-up,
+//! and cached prompt prefixes.
 
 mod choice;
 mod condition_cost;
@@ -35,7 +35,7 @@
 use std::time::Duration;
 
 slotmap::new_key_type! {
-    /// Names a server for as long as it is listed.
+    /// The key of a server, valid for as long as it is listed.
     pub struct ServerKey;
 }
 
@@ -55,7 +55,7 @@
 }
 
 impl Balancer {
-    /// Knows no servers and no other proxies. `zones` gives the region of each zone.
+    /// Creates a balancer without servers and other proxies. `zones` maps zones to their regions.
     pub fn new(locality: Locality, zones: BTreeMap<String, String>, options: Options) -> Self {
         Balancer {
             random: fastrand::Rng::with_seed(options.seed),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The services of the configuration in force.
+    /// Sets the services of the active configuration.
     pub fn set_services<'a>(&mut self, services: impl IntoIterator<Item = &'a Service>) {
         self.services.values_mut().for_each(|service| service.settings = ServiceSettings::default());
         let Options { warmup_overshoot, warmup_slack, .. } = self.options;
@@ -83,14 +83,14 @@
         self.choose_slow_start_senders();
     }
 
-    /// The proxies that are live, with this one. Until it is called, cold servers get next to nothing.
+    /// Sets the live proxies, this one included. Until it is called, cold servers get next to nothing.
     pub fn set_proxies(&mut self, proxies: Vec<ProxyPeer>) {
         self.proxies = proxies;
         self.choose_slow_start_senders();
     }
 
-    /// The sums over all proxies, with what this one reported last; a server without an entry has nothing under
-    /// way.
+    /// Sets the loads of all servers, summed over all proxies, this one included. A server without an entry has no
+    /// load.
     pub fn set_totals(&mut self, now: Duration, totals: &[wire::ServerLoad]) {
         let by_hash: HashMap<u64, &wire::ServerLoad> =
             totals.iter().map(|load| (load.server, load)).collect();
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Returns what this proxy has in flight, to be told to others. Servers without anything are left out. Requests
-    /// that a server has left without a word for long are told as failures, so that others need not wait for as long.
+    /// Returns the loads of this proxy, to be reported to the others, without servers that have none. Requests that a
+    /// server has not responded to for long are reported as failures, so that others need not wait for as long.
     pub fn own_loads(&mut self, now: Duration) -> Vec<wire::ServerLoad> {
         let services = &self.services;
         let report = |server: &mut Server| {
@@ -113,18 +113,18 @@
         loads.filter(|load| load.running > 0 || load.waiting > 0 || load.failures > 0).collect()
     }
 
-    /// Returns where a server listens, and what else the list says; `None` once it is not listed any more.
+    /// Returns the listed entry of a server; none if it is not listed any more.
     pub fn server(&self, key: ServerKey) -> Option<&ServerInfo> {
         Some(&self.servers.get(key)?.info)
     }
 
-    /// Returns whether anything may be sent to a server that was chosen before: it may be draining or evacuated
-    /// since.
+    /// Returns whether a server that was chosen before is still usable: it may have begun to drain, or been
+    /// evacuated.
     pub fn is_usable(&self, key: ServerKey) -> bool {
         self.servers.get(key).is_some_and(Server::is_usable)
     }
 
-    /// A server has told for how long it stays cold.
+    /// Sets for how long a server stays cold, as it reports.
     pub fn set_warmup_remaining(&mut self, now: Duration, key: ServerKey, remaining: Duration) {
         if let Some(server) = self.servers.get_mut(key) {
             server.set_warming(now, remaining);
--- a/crates/load-balancer/src/balancer/model_cost.rs
+++ b/crates/load-balancer/src/balancer/model_cost.rs
@@ -1,7 +1,7 @@
-//! Choice among servers that run a model.
+//! The scorer of servers that run a model.
 //!
-//! Each candidate has a cost, and the least one is chosen. The unit is a token of a prompt that is read again: it
-//! takes the server's time, and carries a price where another server has read it.
+//! The candidate of least cost is chosen. The unit of cost is a prompt token that is read again: it takes the
+//! server's time, and has a price if another server has cached it.
 
 use super::condition_cost::ConditionCosts;
 use super::eligibility::Candidate;
@@ -10,33 +10,34 @@
 use crate::demand::Demand;
 use std::time::Duration;
 
-/// A token that waits to be read before the request costs little: what is read elsewhere instead takes as long.
+/// The cost of a token that is queued before the request. It is low: the time to read the prompt elsewhere would be
+/// as long.
 const WAITING_TOKEN: f64 = 0.05;
-/// A first byte that is expected after the objective; less from the given part of the objective on.
+/// The cost of a first byte after the target latency; less from this fraction of it on.
 const LATE: f64 = 4_000.0;
 const LATE_FROM: f64 = 0.5;
-/// A prompt that is read for long holds up the streams that run at the server: for each of them, tokens beyond the
-/// given number cost this part of a token.
+/// A long prompt pauses the streams at the server. For each stream, tokens beyond this number cost this fraction of a
+/// token.
 const PAUSING: f64 = 0.3;
 const PAUSING_FROM: f64 = 8_000.0;
-/// Crossing to another region: the way there and back, and the price of its bytes. A body of 18 kB crosses for
-/// what about 1,300 tokens cost to read, so prompts with longer shared parts cross to where these were read.
+/// The cost of another region: the round trip and the price of its bytes. A body of 18 kB costs as much as reading
+/// about 1,300 tokens, so that prompts with longer shared parts are sent to the region that has cached them.
 const FAR: f64 = 500.0;
 const FAR_BYTES_PER_TOKEN: f64 = 24.0;
-/// Crossing to another zone of the region.
+/// The cost of another zone of the region.
 const NEAR: f64 = 100.0;
 const NEAR_BYTES_PER_TOKEN: f64 = 32.0;
-/// Bytes of a stream for each token of it.
+/// The bytes of a stream per token.
 const BYTES_PER_OUTPUT_TOKEN: f64 = 12.0;
-/// A server with many requests takes longer for each of their tokens: a little at first, more when it is nearly
-/// full, where a request would also wait for a slot or for memory. Less than what a long prefix costs to read, so
-/// that a full fleet does not spend its time on reading prefixes again.
+/// The cost of load: a server with many requests is slower for each token, a little at first and more when it is
+/// nearly full. It is less than reading a long prefix, so that a full fleet does not spend its time on reading
+/// prefixes again.
 const OCCUPANCY: f64 = 500.0;
 const OCCUPANCY_CUBED: f64 = 2_000.0;
-/// A server that is cold reads everything again, and is slow.
+/// The cost of a cold server, which has cached nothing and is slow.
 const CONDITION: ConditionCosts = ConditionCosts { slow: 1_500.0, failing: 8_000.0, warming: 1_000.0 };
 
-/// What all candidates of a request have in common.
+/// What the candidates of a request have in common.
 pub(super) struct EngineCosts<'a> {
     now: Duration,
     demand: &'a Demand<'a>,
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Returns the cost of a candidate, where it has read `cached` tokens of the prompt for this proxy.
+    /// Returns the cost of a candidate that has cached `cached` tokens of the prompt for this proxy.
     pub(super) fn of(&self, candidate: &Candidate, server: &Server, cached: u32) -> f64 {
         let shared = self.reading(candidate, cached);
         shared
@@ -79,7 +80,7 @@
         by_rank.min((self.shared_tokens - f64::from(cached)).max(0.0))
     }
 
-    /// Returns the cost of time, which is little until the first byte may come too late.
+    /// Returns the cost of the time to the first byte, which is low until that may be late.
     fn waiting(&self, server: &Server, read_here: f64) -> f64 {
         let tokens = server.load.total(self.now).waiting_tokens;
         let objective_ms = (self.demand.objective.as_secs_f64() * 1e3).max(1.0);
@@ -88,7 +89,7 @@
         tokens * WAITING_TOKEN + late * LATE
     }
 
-    /// While a long prompt is read, the streams that run there pause.
+    /// Returns the cost of the streams that pause while a long prompt is read.
     fn disturbance(&self, server: &Server, read_here: f64) -> f64 {
         let disturbing = (read_here - PAUSING_FROM).max(0.0);
         server.load.total(self.now).running * disturbing * PAUSING
--- a/crates/load-balancer/src/balancer/options.rs
+++ b/crates/load-balancer/src/balancer/options.rs
@@ -1,4 +1,4 @@
-//! What a balancer is told of itself and of the other proxies.
+//! The options of a balancer, and the other proxies.
 
 use quillpulley_protocol::Locality;
 
@@ -7,11 +7,11 @@
 pub struct ProxyPeer {
     /// Its name.
     pub name: String,
-    /// Where it is.
+    /// The locality.
     pub locality: Locality,
 }
 
-/// What a balancer is told of itself, and the bounds that it keeps.
+/// The options of a balancer.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// The name of this proxy.
@@ -20,6 +20,6 @@
     pub warmup_overshoot: f64,
     /// `WarmupSlack`: requests a second beyond that.
     pub warmup_slack: f64,
-    /// All that is left to chance follows from it.
+    /// The seed of random numbers.
     pub seed: u64,
 }
--- a/crates/load-balancer/src/balancer/outlier_detection.rs
+++ b/crates/load-balancer/src/balancer/outlier_detection.rs
@@ -1,40 +1,40 @@
-//! Health of a server, as the responses to requests show it.
+//! Outlier detection: the health of a server, as the outcomes of requests show it.
 //!
-//! A server that fails several times in a row is ejected for a time that doubles with each ejection. When the time
-//! is over it gets one request as a trial, unless a health check has answered for it before.
+//! A server that fails several times in a row is ejected for a time that doubles with each ejection. After that it
+//! gets one request as a probe, unless a health check has passed before.
 
 use super::FailureKind;
 use std::time::Duration;
 
-/// Failures in a row that eject a server, where each of them alone says little.
+/// The failures in a row that eject a server, if a single one says little.
 const FAILURES_IN_ROW: u32 = 2;
 const FIRST_EJECTION: Duration = Duration::from_millis(500);
 const LONGEST_EJECTION: Duration = Duration::from_secs(8);
-/// A check is due so long before an ejection ends, so that its response is there in time.
+/// How long before the end of an ejection a health check is due, so that its result is known in time.
 const CHECK_AHEAD: Duration = Duration::from_millis(200);
-/// Urgent requests are a server's trial only so long after its ejection; until then others or a check are.
+/// How long after the end of an ejection urgent requests are used as probes; until then others are, or a check.
 const URGENT_PROBATION_DELAY: Duration = Duration::from_millis(300);
-/// A check that has no end by then is forgotten.
+/// A check without a result by then is forgotten.
 const CHECK_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What is believed of a server.
+/// The health of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// It answers, but for so many failures since its latest response.
+    /// It responds, with so many failures since its latest response.
     Healthy { failures: u32 },
-    /// It gets nothing until then, for the `count`th time in a row. `check` is when a health check was begun.
+    /// It is ejected until a time, for the `count`th time in a row. `check` is when a health check was begun.
     Ejected { until: Duration, count: u32, check: Option<Duration> },
-    /// It has one request, whose end decides.
+    /// It has one request as a probe, whose outcome decides.
     Probation { count: u32 },
 }
 
-/// What happened at a server.
+/// An event of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Event {
     Failed(FailureKind),
     Answered,
     ProbationBegun,
-    /// The trial ended without a verdict.
+    /// The probe ended without a result.
     ProbationAbandoned,
     CheckBegun,
     CheckFailed,
@@ -50,11 +50,11 @@
     }
 }
 
-/// Whether a server should get a request.
+/// Whether a server may get a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HealthStatus {
     Healthy,
-    /// The request will be its trial.
+    /// The request will be its probe.
     Probation,
     Ejected,
 }
@@ -63,9 +63,9 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Health {
     state: State,
-    /// Since when it has not been healthy.
+    /// When it became unhealthy.
     since: Duration,
-    /// Whether it may have been gone meanwhile: a server that answers with a failure of its own has not.
+    /// Whether it may have restarted meanwhile. A server that responds with an error of its own has not.
     may_have_restarted: bool,
 }
 
@@ -74,8 +74,8 @@
         Health { state: State::Healthy { failures: 0 }, since: Duration::ZERO, may_have_restarted: false }
     }
 
-    /// Handles an event. Every change of state happens here. Gives how long the server may have been gone when it is
-    /// healthy again.
+    /// Handles an event. Every change of state happens here. Returns for how long the server may have been away when
+    /// it becomes healthy again.
     pub(crate) fn handle(&mut self, now: Duration, event: Event) -> Option<Duration> {
         let next = self.next(now, event);
         let was_healthy = self.is_healthy();
@@ -112,7 +112,7 @@
             (State::Ejected { until, count, .. }, Event::CheckBegun) => {
                 State::Ejected { until, count, check: Some(now) }
             }
-            // Others fail that were sent before the ejection, and say nothing new.
+            // Requests that were sent before the ejection fail too, and say nothing new.
             (state, _) => state,
         }
     }
@@ -121,7 +121,7 @@
         matches!(self.state, State::Healthy { .. })
     }
 
-    /// Returns whether it should get a request now.
+    /// Returns whether the server may get a request now.
     pub(crate) fn status(&self, now: Duration, urgent: bool) -> HealthStatus {
         let delay = if urgent { URGENT_PROBATION_DELAY } else { Duration::ZERO };
         match self.state {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Returns whether it is time for a health check.
+    /// Returns whether a health check is due.
     pub(crate) fn check_due(&self, now: Duration) -> bool {
         let State::Ejected { until, check, .. } = self.state else { return false };
         now + CHECK_AHEAD >= until && !is_open(check, now)
@@ -150,7 +150,7 @@
     State::Ejected { until: now + time, count, check: None }
 }
 
-/// Failures and all requests of a server, where each counts half as much after a while.
+/// The failure rate of a server, with exponential decay.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FailureRate {
     failures: f64,
@@ -158,7 +158,7 @@
     updated: Duration,
 }
 
-/// The time after which a request counts half.
+/// The half-life of a request.
 const HALVING_SECONDS: f64 = 5.0;
 
 impl FailureRate {
@@ -169,7 +169,7 @@
         self.updated = now;
     }
 
-    /// Failures and requests as they count now.
+    /// Returns the decayed counts.
     pub(crate) fn at(&self, now: Duration) -> (f64, f64) {
         let age = now.saturating_sub(self.updated).as_secs_f64();
         let remaining = 0.5_f64.powf(age / HALVING_SECONDS);
--- a/crates/load-balancer/src/balancer/plain_score.rs
+++ b/crates/load-balancer/src/balancer/plain_score.rs
@@ -1,4 +1,4 @@
-//! Choice among servers that run no model: the least occupied one that is near.
+//! The scorer of servers that run no model: the nearest server that is not too full.
 
 use super::condition_cost::ConditionCosts;
 use super::server::{Distance, Server};
@@ -6,15 +6,15 @@
 use std::cmp::Ordering;
 use std::time::Duration;
 
-/// A server that is near is used until it is this full; then all are compared.
+/// The utilization up to which the nearest server is used. Beyond it all servers are compared.
 const NEAR_UNTIL: f64 = 0.7;
-/// What makes a server look fuller than it is.
+/// Conditions that count as utilization.
 const CONDITION: ConditionCosts = ConditionCosts { slow: 0.2, failing: 0.5, warming: 0.2 };
 
-/// How good a server is, the least the best.
+/// The score of a server; the lowest is the best.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Score {
-    /// How far it is, for one that is not full; the same for all others.
+    /// The distance, if it is not full; the same for all others.
     tier: u8,
     occupancy: f64,
     distance: Distance,
@@ -27,7 +27,7 @@
     }
 }
 
-/// What all candidates of a request have in common.
+/// What the candidates of a request have in common.
 pub(super) struct Scorer {
     settings: ServiceSettings,
     now: Duration,
--- a/crates/load-balancer/src/balancer/prefix_cache.rs
+++ b/crates/load-balancer/src/balancer/prefix_cache.rs
@@ -1,27 +1,27 @@
-//! Which servers have read the shared parts of a prompt.
+//! Which servers have cached the shared parts of a prompt.
 //!
-//! Proxies do not tell each other where they sent a prompt. They choose by rendezvous hashing on the shared parts,
-//! and so mostly agree. Besides, each remembers where it sent a part itself.
+//! Proxies do not exchange where they sent a prompt. They choose by rendezvous hashing on the shared parts, and so
+//! mostly agree. In addition, each remembers where it sent a part itself.
 
 use super::ServerKey;
 use crate::demand::{Demand, PromptPart};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Shared parts that are this long together have one server in the whole system: they cost more to read again in
-/// each region than to cross to another. Shorter ones have one in each region.
+/// Shared parts of at least this many tokens have one server in the whole system: reading them again in each region
+/// costs more than another region. Shorter ones have one server per region.
 pub(super) const LONG_PREFIX_TOKENS: u32 = 1_500;
-/// A part is taken to be kept for so long after its latest use by this proxy.
+/// How long a part is expected to stay cached after its latest use by this proxy.
 const CACHE_TTL: Duration = Duration::from_secs(30);
-/// More parts than these are not remembered: those not used recently are dropped first.
+/// The most parts that are remembered. Those not used recently are dropped first.
 const MAX_PARTS: usize = 8_192;
 /// Servers that are remembered for a part.
 const MAX_SERVERS_PER_PART: usize = 6;
-/// The part of the shared tokens that is taken to be unread at servers after the first, so that those who cannot
-/// use the first agree on the next. Ranks in the whole system, and within the server's region.
+/// The fraction of the shared tokens that is expected to be uncached at each server by its rank, so that proxies that
+/// cannot use the first server agree on the next. Ranks are in the whole system, and within the server's region.
 const UNREAD_IN_SYSTEM: [f64; 3] = [0.0, 0.85, 0.95];
 const UNREAD_IN_REGION: [f64; 2] = [0.75, 0.95];
-/// The same where each region has a server of its own.
+/// The same if each region has a server of its own.
 const UNREAD_AT_HOME: [f64; 3] = [0.0, 0.85, 0.95];
 
 /// The shared parts of a prompt, hashed.
@@ -32,7 +32,7 @@
 }
 
 impl PrefixKey {
-    /// `None` where nothing is shared.
+    /// Creates the shared parts of a prompt; none if nothing is shared.
     pub(crate) fn of(demand: &Demand<'_>) -> Option<PrefixKey> {
         let shared = demand.shared();
         if shared.is_empty() {
@@ -46,8 +46,8 @@
         mix(self.hash ^ server_hash)
     }
 
-    /// Returns the part of the shared tokens that a server is taken to have to read, by its ranks among all servers
-    /// that may serve the request and among those of its region.
+    /// Returns the fraction of the shared tokens that a server is expected to have to read, by its ranks among all
+    /// candidates and among those of its region.
     pub(crate) fn unread(self, rank: usize, rank_in_region: usize) -> f64 {
         let part = |table: &[f64], rank: usize| table.get(rank).copied().unwrap_or(1.0);
         if self.long {
@@ -57,7 +57,7 @@
     }
 }
 
-/// Applies the finaliser of SplitMix64, which spreads every bit over all.
+/// Applies the finalizer of SplitMix64, which mixes all bits.
 fn mix(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -65,14 +65,14 @@
     value ^ (value >> 31)
 }
 
-/// Where this proxy sent the parts of prompts.
+/// The servers that this proxy sent prompt parts to.
 #[derive(Default)]
 pub(crate) struct PrefixCacheIndex {
     parts: HashMap<u64, Vec<(ServerKey, Duration)>>,
 }
 
 impl PrefixCacheIndex {
-    /// Notes that a server reads these parts.
+    /// Records that a server reads parts.
     pub(crate) fn note(&mut self, now: Duration, server: ServerKey, parts: &[PromptPart]) {
         if self.parts.len() >= MAX_PARTS {
             self.forget_old(now);
@@ -87,7 +87,7 @@
         }
     }
 
-    /// A request did not run at a server after all.
+    /// Removes parts after a request did not execute at a server.
     pub(crate) fn forget(&mut self, server: ServerKey, ids: impl Iterator<Item = u64>) {
         for id in ids {
             if let Some(servers) = self.parts.get_mut(&id) {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Tokens at the beginning of a prompt that a server has read for this proxy.
+    /// Returns the tokens of the prefix of a prompt that a server has read for this proxy.
     pub(crate) fn read_tokens(&self, now: Duration, server: ServerKey, parts: &[PromptPart]) -> u32 {
         let cached = parts.iter().take_while(|part| self.is_cached(now, server, part.id));
         cached.fold(0, |sum, part| sum.saturating_add(part.tokens))
@@ -107,7 +107,7 @@
         servers.iter().any(|(known, at)| *known == server && now.saturating_sub(*at) < CACHE_TTL)
     }
 
-    /// Drops parts that are not kept any more; all of them where that does not help.
+    /// Drops expired parts, or all if none is.
     fn forget_old(&mut self, now: Duration) {
         self.parts.retain(|_, servers| servers.iter().any(|(_, at)| now.saturating_sub(*at) < CACHE_TTL));
         if self.parts.len() >= MAX_PARTS {
--- a/crates/load-balancer/src/balancer/server.rs
+++ b/crates/load-balancer/src/balancer/server.rs
@@ -1,4 +1,4 @@
-//! A server as a balancer knows it.
+//! The state of a server.
 
 use super::outlier_detection::{FailureRate, Health};
 use super::server_load::Load;
@@ -10,15 +10,15 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A server that gave no place gets nothing for this long: it has just said that its queue is full.
+/// How long a server gets nothing after it has rejected a request as full.
 const FULL_TIME: Duration = Duration::from_millis(150);
 
-/// A failure that another proxy saw counts so much.
+/// The weight of a failure that another proxy reported.
 const OTHERS_FAILURE: f64 = 0.5;
-/// Requests without failure that every server is taken to have had, so that one failure of few says little.
+/// The prior of successful requests, so that one failure of few requests says little.
 const UNSEEN_REQUESTS: f64 = 2.0;
 
-/// Returns the hash by which the loads of a server are told to others.
+/// Returns the hash that identifies a server in load reports.
 pub fn server_hash(id: &str) -> u64 {
     xxh3_64(id.as_bytes())
 }
@@ -26,29 +26,29 @@
 /// A server that is listed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerInfo {
-    /// Its id: every start of a server has a new one.
+    /// The id. Every start of a server has a new one.
     pub id: String,
-    /// Where it listens.
+    /// The address.
     pub address: SocketAddr,
-    /// The service that it belongs to.
+    /// The service.
     pub service: String,
-    /// Where it is.
+    /// The locality.
     pub locality: Locality,
-    /// Requests that it works on at the same time.
+    /// The requests that it executes at the same time.
     pub slots: u32,
 }
 
-/// What the list says of a server.
+/// The listed state of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Listing {
     Ready,
-    /// It is leaving, or will be taken away at short notice.
+    /// It drains, or will be removed at short notice.
     Draining,
-    /// Another one answered at its address.
+    /// Another server responded at its address.
     Misdirected,
 }
 
-/// What is learnt of a server's place in the list.
+/// The result of updating a listed entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ListingEvent {
     Listed { leaving: bool },
@@ -65,7 +65,7 @@
     }
 }
 
-/// How far a server is from this proxy.
+/// The distance of a server from this proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Distance {
     SameZone,
@@ -85,12 +85,12 @@
     }
 }
 
-/// A server that is listed, and what is known of it.
+/// A listed server and its state.
 pub(crate) struct Server {
     pub(crate) info: ServerInfo,
     pub(crate) hash: u64,
     pub(crate) distance: Distance,
-    /// The entry as it was last told.
+    /// The latest entry.
     entry: wire::Server,
     listing: Listing,
     pub(crate) evacuated: bool,
@@ -127,7 +127,7 @@
         server
     }
 
-    /// Takes a new entry of the list. One that was told before, as after a repair, brings nothing new.
+    /// Applies an entry of the list. An unchanged one, as after a repair, has no effect.
     pub(crate) fn update(
         &mut self,
         now: Duration,
@@ -150,12 +150,12 @@
         self.set_warming(now, Duration::from_millis(u64::from(entry.warmup_remaining_ms)));
     }
 
-    /// It has told, or the list has, for how long it stays cold.
+    /// Sets for how long it stays cold.
     pub(crate) fn set_warming(&mut self, now: Duration, remaining: Duration) {
         self.warming_until = now + remaining;
     }
 
-    /// It may have become cold.
+    /// Marks it as possibly cold.
     pub(crate) fn presume_warming(&mut self, now: Duration, remaining: Duration) {
         self.warming_until = self.warming_until.max(now + remaining);
     }
@@ -168,14 +168,14 @@
         self.full_until = now + FULL_TIME;
     }
 
-    /// Returns the share of requests that failed recently. What others saw fail counts half.
+    /// Returns the recent failure rate. Failures at other proxies count half.
     pub(crate) fn failure_rate(&self, now: Duration) -> f64 {
         let (failures, requests) = self.failures.at(now);
         let of_others = self.load.others(now).failures * OTHERS_FAILURE;
         (failures + of_others) / (requests + of_others + UNSEEN_REQUESTS)
     }
 
-    /// Returns whether anything may be sent to it.
+    /// Returns whether requests may be sent to it.
     pub(crate) fn is_usable(&self) -> bool {
         self.listing == Listing::Ready && !self.evacuated
     }
--- a/crates/load-balancer/src/balancer/server_load.rs
+++ b/crates/load-balancer/src/balancer/server_load.rs
@@ -1,4 +1,4 @@
-//! What is in flight at a server: the own requests, and those of others as they were last told.
+//! The load of a server: the requests of this proxy, and those of others as they were reported.
 
 use super::service_rate::ServiceRate;
 use crate::demand::Demand;
@@ -6,18 +6,18 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What others told is taken as it is for this long, and fades until it is twice as old. Without news a server
-/// would else stay avoided, or sought, for what is long over.
+/// For how long the reported load of others is used as it is. It fades until it is twice as old, so that a server is
+/// not avoided or preferred for a load that has long ended.
 const REPORT_TTL: Duration = Duration::from_secs(2);
 
-/// Numbers of requests, and what they wait for.
+/// Counts of requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct LoadCounts {
-    /// Requests whose answer has begun.
+    /// Requests whose response has begun.
     pub(crate) running: f64,
-    /// Requests whose answer has not begun.
+    /// Requests whose response has not begun.
     pub(crate) waiting: f64,
-    /// Tokens of the waiting requests' prompts that the server has yet to read.
+    /// Prompt tokens of the waiting requests.
     pub(crate) waiting_tokens: f64,
     /// Failures recently.
     pub(crate) failures: f64,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Returns what is left without a part, none of it below zero, faded.
+    /// Returns the difference, at least zero, multiplied by a factor.
     fn without(&self, part: &LoadCounts, factor: f64) -> LoadCounts {
         let remaining = |all: f64, part: f64| (all - part).max(0.0) * factor;
         LoadCounts {
@@ -49,14 +49,14 @@
     }
 }
 
-/// What a request adds to a server's load.
+/// The load of a request.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestCost {
-    /// Tokens of its prompt that the server has to read.
+    /// Prompt tokens that the server has to read.
     pub(crate) unread: u32,
-    /// Tokens that it alone needs in the server's memory.
+    /// Tokens of the server's memory that it alone needs.
     private: u32,
-    /// The parts that it shares with others, and their lengths.
+    /// The shared parts and their lengths.
     shared: Box<[(u64, u32)]>,
 }
 
@@ -71,19 +71,19 @@
     }
 }
 
-/// What is in flight at a server.
+/// The load of a server.
 #[derive(Default)]
 pub(crate) struct Load {
     running: u32,
     waiting: u32,
     waiting_tokens: u64,
     private_tokens: u64,
-    /// Shared parts of requests in flight: how many of these have it, and its length.
+    /// The shared parts of requests in flight: the number of requests, and the length.
     shared: BTreeMap<u64, (u32, u32)>,
     shared_tokens: u64,
-    /// Since when nothing has been heard of the server while a request waits.
+    /// When the server responded last, while a request waits.
     unresponsive_since: Option<Duration>,
-    /// The own tally as others were last told.
+    /// The counts that were reported last.
     reported: LoadCounts,
     others: LoadCounts,
     reported_at: Duration,
@@ -104,14 +104,14 @@
         self.unresponsive_since = self.unresponsive_since.or(Some(now));
     }
 
-    /// The response of a waiting request has begun.
+    /// Records that the response of a waiting request has begun.
     pub(crate) fn start(&mut self, now: Duration, request_cost: &RequestCost) {
         self.stop_waiting(request_cost);
         self.running += 1;
         self.record_response_time(now);
     }
 
-    /// A request has ended; `is_response`: the server has said something.
+    /// Records the end of a request. `is_response` tells whether the server has responded.
     pub(crate) fn end(
         &mut self,
         now: Duration,
@@ -151,17 +151,17 @@
         self.unresponsive_since = (self.waiting > 0).then_some(now);
     }
 
-    /// Returns for how long requests have waited without a word of the server.
+    /// Returns for how long requests have waited without a response of the server.
     fn response_timeout(&self, now: Duration) -> Duration {
         self.unresponsive_since.map_or(Duration::ZERO, |since| now.saturating_sub(since))
     }
 
-    /// Returns whether requests have waited for longer than the service's pace explains.
+    /// Returns whether requests have waited for longer than the service's usual speed explains.
     pub(crate) fn is_unresponsive(&self, now: Duration, rate: &ServiceRate) -> bool {
         self.response_timeout(now) > rate.response_timeout(self.total(now).waiting_tokens)
     }
 
-    /// Requests that wait for a server which has said nothing for longer than it may.
+    /// Returns the requests that wait for an unresponsive server.
     pub(crate) fn unanswered(&self, now: Duration, rate: &ServiceRate) -> f64 {
         if self.is_unresponsive(now, rate) {
             return f64::from(self.waiting);
@@ -169,12 +169,12 @@
         0.0
     }
 
-    /// Own requests in flight.
+    /// Returns the requests of this proxy in flight.
     pub(crate) fn own(&self) -> u32 {
         self.running + self.waiting
     }
 
-    /// Returns what is to be told to others, which is remembered.
+    /// Returns the counts to be reported, and remembers them.
     pub(crate) fn report(&mut self, server: u64, failures: f64) -> ServerLoad {
         let load = ServerLoad {
             server,
@@ -187,20 +187,20 @@
         load
     }
 
-    /// The sum over all proxies; `None` where nobody has anything in flight.
+    /// Sets the sum over all proxies; none if there is no load.
     pub(crate) fn set_total(&mut self, now: Duration, total: Option<&ServerLoad>) {
         let total = total.map(LoadCounts::of).unwrap_or_default();
         self.others = total.without(&self.reported, 1.0);
         self.reported_at = now;
     }
 
-    /// Returns what others have in flight.
+    /// Returns the load of other proxies.
     pub(crate) fn others(&self, now: Duration) -> LoadCounts {
         let age = now.saturating_sub(self.reported_at).as_secs_f64() / REPORT_TTL.as_secs_f64();
         self.others.without(&LoadCounts::default(), (2.0 - age).clamp(0.0, 1.0))
     }
 
-    /// Returns what all proxies have in flight.
+    /// Returns the load of all proxies.
     pub(crate) fn total(&self, now: Duration) -> LoadCounts {
         let others = self.others(now);
         LoadCounts {
@@ -211,7 +211,8 @@
         }
     }
 
-    /// Tokens in the server's memory that cannot give way, where each request of others needs as much as given.
+    /// Returns the tokens in the server's memory that cannot be evicted, if each request of others needs
+    /// `per_request`.
     pub(crate) fn memory(&self, now: Duration, mean_private_tokens: f64) -> f64 {
         let others = self.others(now).requests() * mean_private_tokens;
         self.private_tokens as f64 + self.shared_tokens as f64 + others
--- a/crates/load-balancer/src/balancer/service.rs
+++ b/crates/load-balancer/src/balancer/service.rs
@@ -1,4 +1,4 @@
-//! A service as a balancer knows it.
+//! The state of a service.
 
 use super::server::{Server, ServerInfo};
 use super::service_rate::{median, ServiceRate};
@@ -8,36 +8,36 @@
 use slotmap::SlotMap;
 use std::time::Duration;
 
-/// A server fails more often than others from so many times the median share of failures, and this share at least.
+/// The multiple of the median failure rate, and the least failure rate, from which a server counts as failing.
 const FAILING_FACTOR: f64 = 3.0;
 const MIN_FAILURE_RATE: f64 = 0.1;
-/// Medians are taken again after this time.
+/// How long medians are cached.
 const MEDIANS_TTL: Duration = Duration::from_millis(100);
 
 /// A service.
 #[derive(Default)]
 pub(crate) struct ServiceState {
     pub(crate) settings: ServiceSettings,
-    /// Its servers.
+    /// The servers.
     pub(crate) servers: Vec<ServerKey>,
     pub(crate) rate: ServiceRate,
     pub(crate) medians: Medians,
-    /// The most urgent rank that was seen.
+    /// The highest priority that was seen.
     pub(crate) most_urgent: Option<u32>,
 }
 
-/// What servers are compared with. It changes slowly, and so is kept for a moment.
+/// The medians that servers are compared with. They change slowly and are cached.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Medians {
     pub(crate) taken: Option<Duration>,
-    /// The time that the median server takes for a token of work, in milliseconds.
+    /// The median time per token of work, in milliseconds.
     pub(crate) token_ms: Option<f64>,
-    /// The share of failures from which a server counts as failing.
+    /// The failure rate from which a server counts as failing.
     pub(crate) failing_from: f64,
 }
 
 impl ServiceState {
-    /// Takes the medians again, if they are old.
+    /// Computes the medians, unless they are cached.
     pub(crate) fn refresh_medians(&mut self, now: Duration, servers: &SlotMap<ServerKey, Server>) {
         if self.medians.taken.is_some_and(|taken| now < taken + MEDIANS_TTL) {
             return;
@@ -51,35 +51,35 @@
         };
     }
 
-    /// A request of this rank has come.
+    /// Records the priority of a request.
     pub(crate) fn note_priority(&mut self, priority: u32) {
         let most = self.most_urgent.unwrap_or(priority);
         self.most_urgent = Some(most.min(priority));
     }
 }
 
-/// What the configuration says of a service.
+/// The configuration of a service.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ServiceSettings {
-    /// Connections that a server takes from all; 0 where it is not known.
+    /// The connections that a server accepts from all proxies; 0 if unknown.
     pub(crate) max_connections: u32,
-    /// How long a server stays cold; zero where servers are not cold.
+    /// The warm-up time; zero if there is none.
     pub(crate) warmup: Duration,
-    /// What this proxy may send to a cold server; `None` where it bears any rate.
+    /// The share of this proxy at a cold server; none if there is no limit.
     pub(crate) slow_start_share: Option<SlowStartShare>,
     pub(crate) engine: Option<EngineSettings>,
 }
 
-/// The engine of a service's servers.
+/// The inference engine of a service's servers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EngineSettings {
-    /// Requests that a server runs at once, where the list does not say it.
+    /// The requests that a server executes at once, if the list does not say it.
     slots: u32,
     memory_tokens: Option<u32>,
 }
 
 impl ServiceSettings {
-    /// `overshoot` and `slack` are the bounds on requests to cold servers.
+    /// Creates the parameters of a service. `overshoot` and `slack` bound the requests to cold servers.
     pub(crate) fn of(service: &Service, overshoot: f64, slack: f64) -> Self {
         let bears_any = service.warmup.is_zero() && service.warmup_per_s <= 0.0;
         let bound = service.warmup_per_s * overshoot + slack;
@@ -94,12 +94,12 @@
             engine,
         }
     }
-    /// Tokens that a server's memory holds; `None` where it is not known.
+    /// Returns the tokens that a server's memory holds; none if unknown.
     pub(crate) fn memory_tokens(&self) -> Option<u32> {
         self.engine?.memory_tokens
     }
 
-    /// Requests that a server works on at the same time.
+    /// Returns the requests that a server executes at the same time.
     pub(crate) fn slots(&self, server: &ServerInfo) -> f64 {
         let of_engine = || self.engine.map_or(1, |engine| engine.slots);
         let listed = Some(server.slots).filter(|slots| *slots > 0);
--- a/crates/load-balancer/src/balancer/service_rate.rs
+++ b/crates/load-balancer/src/balancer/service_rate.rs
@@ -1,27 +1,27 @@
-//! How fast servers answer, as the times to the first byte show it.
+//! The speed of servers, from the times to the first byte.
 
 use std::time::Duration;
 
 /// The weight of one response in a mean.
 const GAIN: f64 = 0.15;
-/// Answers after which a mean says something.
+/// The least number of responses for a mean.
 const MIN_SAMPLES: u32 = 5;
-/// Slowness without news counts half after this time: what was slow is tried again.
+/// The half-life of slowness, so that a slow server is tried again.
 const HALVING_SECONDS: f64 = 10.0;
-/// The work of a request that is not reading its prompt, in tokens.
+/// The work of a request besides its prompt, in tokens.
 const BASE_TOKENS: f64 = 400.0;
-/// The time for a token before any is known, in milliseconds.
+/// The initial time per token, in milliseconds.
 const FIRST_TOKEN_MS: f64 = 0.05;
-/// A server that has said nothing for so many mean times to the first byte, and at least this time, while a
-/// request waits for it, may be dead.
+/// A server may be dead if it has not responded to a waiting request for this multiple of the mean time to the first
+/// byte, and for at least this time.
 const TIMEOUT_FACTOR: u32 = 4;
 const MIN_TIMEOUT: Duration = Duration::from_millis(250);
-/// While it reads long prompts it may say nothing for so many times as long as these should take.
+/// The same, in multiples of the time to read the queued prompts.
 const READING_FACTOR: u32 = 2;
-/// The time of a request before any is known.
+/// The initial time of a request.
 const FIRST_ANSWER: Duration = Duration::from_millis(300);
 
-/// A mean that follows its samples.
+/// An exponentially weighted mean.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Mean {
     value: f64,
@@ -31,7 +31,7 @@
 impl Mean {
     pub(crate) fn add(&mut self, sample: f64) {
         self.samples = self.samples.saturating_add(1);
-        // The first samples count alike.
+        // The first samples have equal weights.
         let gain = GAIN.max(1.0 / f64::from(self.samples));
         self.value += (sample - self.value) * gain;
     }
@@ -45,7 +45,7 @@
     }
 }
 
-/// Milliseconds that a server takes for a token of work until its first byte.
+/// The time per token of work at a server, in milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Speed {
     mean: Mean,
@@ -53,7 +53,7 @@
 }
 
 impl Speed {
-    /// Returns how many times as long it takes as the service's median, recently.
+    /// Returns the ratio to the service's median.
     pub(crate) fn slowness(&self, now: Duration, median: Option<f64>) -> f64 {
         let (Some(own), Some(median)) = (self.mean.reliable(), median) else { return 1.0 };
         if median <= 0.0 {
@@ -63,7 +63,7 @@
         1.0 + (own / median - 1.0) * 0.5_f64.powf(age / HALVING_SECONDS)
     }
 
-    /// Returns the mean, once it says something.
+    /// Returns the mean, once there are enough samples.
     pub(crate) fn reliable(&self) -> Option<f64> {
         self.mean.reliable()
     }
@@ -74,24 +74,23 @@
     }
 }
 
-/// How long the requests of a service take.
+/// The times of the requests of a service.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ServiceRate {
-    /// The least time to the first byte by distance, in milliseconds: what the way adds is told by their
-    /// differences.
+    /// The least time to the first byte by distance, in milliseconds. Their differences are the network latencies.
     floors: [Option<f64>; 3],
-    /// Milliseconds for a token of work.
+    /// Milliseconds per token of work.
     token_ms: Mean,
     /// Milliseconds to the first byte.
     first_byte_ms: Mean,
     /// Milliseconds from the send to the end of the response.
     duration_ms: Mean,
-    /// Tokens that a request alone needs in a server's memory.
+    /// Tokens of a server's memory that a request alone needs.
     private_tokens: Mean,
 }
 
 impl ServiceRate {
-    /// Takes the time to a first byte; gives the milliseconds for each token of work, without the way.
+    /// Records the time to a first byte. Returns the milliseconds per token of work, without the network latency.
     pub(crate) fn first_byte(&mut self, time: Duration, distance: usize, work_tokens: f64) -> f64 {
         let milliseconds = time.as_secs_f64() * 1e3;
         let floor = self.floors[distance].get_or_insert(milliseconds);
@@ -111,23 +110,23 @@
         self.private_tokens.add(f64::from(private_tokens));
     }
 
-    /// Milliseconds for a token of work.
+    /// Milliseconds per token of work.
     pub(crate) fn token_ms(&self) -> f64 {
         self.token_ms.get().unwrap_or(FIRST_TOKEN_MS)
     }
 
-    /// Returns how long a server may say nothing while a request waits for it, where so many tokens wait to be read.
+    /// Returns how long a server may not respond while a request waits, with so many tokens queued.
     pub(crate) fn response_timeout(&self, waiting_tokens: f64) -> Duration {
         let reading = Duration::from_secs_f64(waiting_tokens * self.token_ms() / 1e3);
         (mean_time(&self.first_byte_ms) * TIMEOUT_FACTOR).max(MIN_TIMEOUT) + reading * READING_FACTOR
     }
 
-    /// Mean time from the send to the end of the response.
+    /// Returns the mean time from the send to the end of the response.
     pub(crate) fn mean_duration(&self) -> Duration {
         mean_time(&self.duration_ms)
     }
 
-    /// Mean tokens that a request alone needs.
+    /// Returns the mean tokens that a request alone needs.
     pub(crate) fn private_tokens(&self) -> f64 {
         self.private_tokens.get().unwrap_or(0.0)
     }
--- a/crates/load-balancer/src/balancer/slow_start.rs
+++ b/crates/load-balancer/src/balancer/slow_start.rs
@@ -1,9 +1,9 @@
-//! Sends to cold servers.
+//! Slow start: the requests that a cold server gets.
 //!
-//! The bound on what a cold server gets in any second holds for the sum over all proxies, also where they are
-//! out of touch with each other. So only two proxies send to it, chosen by rendezvous hashing, and each at most
-//! a quarter of the bound: where the proxies are split in two and each side chooses its own two, the bound still
-//! holds. The rest covers a proxy that takes over from one that has just died.
+//! The bound on the requests that a cold server gets in any second applies to the sum over all proxies, also during a
+//! partition between them. So only two proxies send to it, chosen by rendezvous hashing, and each sends at most a
+//! quarter of the bound: if the proxies are partitioned in two and each side chooses its own two, the bound still
+//! holds. The rest covers a proxy that takes over from one that has just failed.
 
 use super::options::ProxyPeer;
 use quillpulley_membership::rendezvous::Key;
@@ -11,28 +11,28 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Proxies that send to a cold server.
+/// The proxies that send to a cold server.
 const SENDERS: usize = 2;
-/// Sides of a cut that may choose their own.
+/// The sides of a partition that may choose their own.
 const SIDES: usize = 2;
-/// Requests that are sent within a second may arrive within less.
+/// The margin for requests that are sent within a second and arrive within less.
 const WINDOW: Duration = Duration::from_millis(1_200);
-/// Sends are spread: they are at least this part of an even spacing apart.
+/// The least time between sends, as a fraction of an even spacing.
 const SPACING: f64 = 0.5;
-/// Sends that are remembered. A share is never higher.
+/// The sends that are remembered. A share is never higher.
 const REMEMBERED: usize = 128;
 
-/// What one proxy may send to a cold server.
+/// The share of a proxy at a cold server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SlowStartShare {
     /// Requests in any second.
     pub(crate) per_second: usize,
-    /// Proxies that have it.
+    /// The number of proxies with this share.
     pub(crate) senders: usize,
 }
 
 impl SlowStartShare {
-    /// Returns the share where all proxies together may send `bound` requests in a second.
+    /// Creates the share if all proxies together may send `bound` requests per second.
     pub(crate) fn of(bound: f64) -> SlowStartShare {
         let bound = if bound.is_finite() { bound.max(0.0) as usize } else { 0 };
         let shared = bound / (SENDERS * SIDES);
@@ -42,12 +42,12 @@
         SlowStartShare { per_second: shared.min(REMEMBERED), senders: SENDERS }
     }
 
-    /// The share of a proxy that does not know the others.
+    /// Returns the share of a proxy that does not know the others.
     pub(crate) const ALONE: SlowStartShare = SlowStartShare { per_second: 1, senders: 1 };
 }
 
-/// Returns whether the proxy of this name is among those that send to a cold server: those in the server's zone
-/// come first, then those in its region.
+/// Returns whether a proxy is among those that send to a cold server. Those in the server's zone come first, then
+/// those in its region.
 pub(crate) fn is_sender(
     name: &str,
     proxies: &[ProxyPeer],
@@ -75,7 +75,7 @@
     }
 }
 
-/// The latest sends to a server, cold or not.
+/// The latest sends to a server.
 #[derive(Default)]
 pub(crate) struct Sends {
     times: VecDeque<Duration>,
@@ -90,7 +90,7 @@
         self.times.push_back(now);
     }
 
-    /// Returns whether one more is within the share.
+    /// Returns whether one more send is within the share.
     pub(crate) fn allow(&self, now: Duration, share: SlowStartShare) -> bool {
         let recent = self.times.iter().rev().take_while(|time| now.saturating_sub(**time) < WINDOW).count();
         let latest = self.times.back().map(|time| now.saturating_sub(*time));
--- a/crates/load-balancer/src/demand.rs
+++ b/crates/load-balancer/src/demand.rs
@@ -1,38 +1,38 @@
-//! What a request needs of a server.
+//! The demand of a request on a server.
 
 use std::time::Duration;
 
 /// A part of a prompt. Requests whose prompts begin with the same parts can share what a server has read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Names the part.
+    /// The id of the part.
     pub id: u64,
-    /// How long it is.
+    /// The length in tokens.
     pub tokens: u32,
 }
 
-/// What a request needs of a server.
+/// The demand of a request on a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Demand<'a> {
-    /// The service that it is for.
+    /// The service of the request.
     pub service: &'a str,
-    /// The only regions in which it may be served; none for any.
+    /// The only regions in which the request may be served; none for any.
     pub homes: &'a [String],
-    /// The parts of its prompt in order, the last of which is its own or its session's.
+    /// The parts of the prompt in order. The last one belongs to the request or its session alone.
     pub prefix: &'a [PromptPart],
-    /// The length of its prompt.
+    /// The length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// The most tokens of its response.
+    /// The most tokens of the response.
     pub output_tokens: u32,
-    /// The length of its body.
+    /// The length of the body in bytes.
     pub body_bytes: usize,
-    /// Its rank; 0 is the most urgent.
+    /// The priority; 0 is the highest.
     pub priority: u32,
-    /// The time from its arrival within which a response earns its full value.
+    /// The target latency of the response.
     pub objective: Duration,
-    /// The time until its client gives it up.
+    /// The time until the client gives up.
     pub time_remaining: Duration,
-    /// Whether its route asks for affinity.
+    /// Whether the route asks for affinity.
     pub sticky: bool,
 }
 
@@ -45,17 +45,17 @@
         }
     }
 
-    /// Tokens of the parts that other requests share.
+    /// Returns the tokens of the parts that other requests share.
     pub(crate) fn shared_tokens(&self) -> u32 {
         self.shared().iter().fold(0, |sum, part| sum.saturating_add(part.tokens))
     }
 
-    /// Tokens that a server holds for this request alone while it runs.
+    /// Returns the tokens that a server holds for this request alone while it executes.
     pub(crate) fn private_tokens(&self) -> u32 {
         self.prompt_tokens.saturating_sub(self.shared_tokens()).saturating_add(self.output_tokens)
     }
 
-    /// Returns whether it may be served in a region.
+    /// Returns whether the request may be served in a region.
     pub(crate) fn may_go_to(&self, region: &str) -> bool {
         self.homes.is_empty() || self.homes.iter().any(|home| home == region)
     }
--- a/crates/load-balancer/src/home_demand.rs
+++ b/crates/load-balancer/src/home_demand.rs
@@ -1,24 +1,25 @@
-//! Where the requests that come to a proxy may be served: if most of them have their homes in other regions, their
-//! clients are better served by the proxies there, and a cut between the regions does not part them from servers.
+//! Where the requests that arrive at a proxy may be served. If most of them have their home regions elsewhere, their
+//! clients are served better by the proxies there, also during a partition between the regions.
 //!
-//! It counts requests of hosts only some of whose requests may be served here: for other hosts the configuration
-//! alone tells (see [`HostHomes`](crate::HostHomes)).
+//! It counts requests of hosts only some of whose requests may be served here. For other hosts the configuration
+//! alone decides (see [`HostHomes`](crate::HostHomes)).
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Counts lose half of their weight in this time.
+/// The half-life of counts.
 const HALVING_TIME: Duration = Duration::from_secs(5);
-/// So many requests say something.
+/// The least number of requests for a decision.
 const ENOUGH_REQUESTS: f64 = 20.0;
-/// Above this share of requests that may not be served here, other regions are preferred; below the second one, this
-/// region is again.
+/// Above this share of requests that may not be served here, other regions are preferred; below the second share,
+/// this region is preferred again.
 const PREFER_OTHERS_FROM: f64 = 0.55;
 const PREFER_OWN_FROM: f64 = 0.35;
-/// A region is preferred if it is a home of so large a part of the requests that may not be served here.
+/// A region is preferred if it is a home of this share of the requests that may not be served here.
 const COMMON_HOME: f64 = 0.5;
 
-/// Counts of requests by whether they may be served in the own region, and the regions to prefer over it.
+/// Counts of requests by whether they may be served in the proxy's region, and the regions that are preferred over
+/// it.
 #[derive(Debug, Default)]
 pub struct HomeDemand {
     region: String,
@@ -30,7 +31,7 @@
 }
 
 impl HomeDemand {
-    /// For a proxy in `region`.
+    /// Creates the counts of a proxy in a region.
     pub fn new(region: String) -> Self {
         HomeDemand { region, ..HomeDemand::default() }
     }
@@ -53,13 +54,13 @@
         self.decide();
     }
 
-    /// The homes of requests have changed: what was decided is open again.
+    /// Forgets the counts and the decision after the homes of requests have changed.
     pub fn reset(&mut self) {
         *self = HomeDemand::new(std::mem::take(&mut self.region));
     }
 
-    /// Returns the regions whose proxies suit the clients here better; empty while the own region does. While too few
-    /// requests come, the latest decision holds.
+    /// Returns the regions whose proxies would serve the clients better; empty if this region does. While there are
+    /// too few requests, the latest decision holds.
     pub fn preferred_regions(&self) -> &[String] {
         &self.preferred
     }
--- a/crates/load-balancer/src/host_homes.rs
+++ b/crates/load-balancer/src/host_homes.rs
@@ -1,4 +1,4 @@
-//! Where the requests of a host may be served, as the routes in force say.
+//! Where the requests of a host may be served, according to the active routes.
 
 use crate::route_table::host_key;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,19 +17,19 @@
 /// The home regions of the routes of a host.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HostHomes {
-    /// The homes of each route that has some; equal ones once.
+    /// The distinct sets of homes of the routes that have any.
     bound: BTreeSet<BTreeSet<String>>,
     /// Whether there is a route without homes.
     has_free_routes: bool,
 }
 
 impl HostHomes {
-    /// For a host of which nothing is known: no region is a home for sure.
+    /// Creates the homes of an unknown host: no region is certainly a home.
     pub fn unknown() -> Self {
         HostHomes { bound: BTreeSet::from([BTreeSet::new()]), has_free_routes: true }
     }
 
-    /// Adds a route with these homes; it may be served anywhere if there are none.
+    /// Adds a route with its homes. Without any it may be served anywhere.
     pub fn add(&mut self, homes: &[String]) {
         if homes.is_empty() {
             self.has_free_routes = true;
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Returns whether the region is a home of every route that has homes: only there no request lands outside its
-    /// homes, whatever clients ask for.
+    /// Returns whether a region is a home of every route that has homes. Only there every request arrives at one of
+    /// its homes.
     pub fn is_common_home(&self, region: &str) -> bool {
         self.bound.iter().all(|homes| homes.contains(region))
     }
@@ -60,19 +60,19 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HomeTable {
     hosts: BTreeMap<String, HostHomes>,
-    /// Those of all hosts together. They count for hosts that no route names, which may be about to get one.
+    /// The homes of all hosts together. They apply to hosts without a route, which may be about to get one.
     others: HostHomes,
 }
 
 impl Default for HomeTable {
-    /// While no configuration is known.
+    /// Creates an empty table, for a proxy without a configuration.
     fn default() -> Self {
         HomeTable { hosts: BTreeMap::new(), others: HostHomes::unknown() }
     }
 }
 
 impl HomeTable {
-    /// From the host and the homes of each route.
+    /// Creates a table from the host and the homes of each route.
     pub fn new<'a>(routes: impl IntoIterator<Item = (&'a str, &'a [String])>) -> Self {
         let mut table = HomeTable { hosts: BTreeMap::new(), others: HostHomes::default() };
         for (host, homes) in routes {
--- a/crates/load-balancer/src/lib.rs
+++ b/crates/load-balancer/src/lib.rs
@@ -1,11 +1,10 @@
-//! Where a request goes: routes, choice of server, load, warm-up and admission, as pure state machines.
+//! Load balancing: routes, the choice of a server, load, slow start and queues, as pure state machines.
 //!
 //! - [`RouteTable`] finds the route of a request.
-//! - [`Balancer`] knows the servers and what is in flight at them, and chooses one for each request.
-//! - [`RequestQueue`] holds requests for which no server has a place, for a short time.
+//! - [`Balancer`] tracks the servers and the requests in flight, and chooses a server for each request.
+//! - [`RequestQueue`] queues requests for which no server has capacity, for a short time.
 //!
-//! Times are since the start of the process, and are given by the caller. All that is left to chance comes from
-//! a seed.
+//! Times are since the start of the process, and are passed by the caller. Random numbers come from a seed.
 #![forbid(unsafe_code)]
 
 pub mod balancer;
--- a/crates/load-balancer/src/request_queue.rs
+++ b/crates/load-balancer/src/request_queue.rs
@@ -1,41 +1,41 @@
-//! Requests that wait for a place at a server.
+//! The queue of requests that wait for capacity at a server.
 //!
-//! A request waits for a part of its objective only: a client that is told early to come again still earns
-//! something, and what is held longer for nothing carries a price.
+//! A request waits for a part of its target latency only: a client that is rejected early can still be served in time
+//! elsewhere.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The part of its objective for which a request waits.
+/// The fraction of its target latency for which a request waits.
 const QUEUE_TIME_DIVISOR: u32 = 4;
 
-/// So many requests are looked at for a free place: whether one fits costs time, and most want the same.
+/// The most requests that are tried for free capacity: trying one costs time, and most have the same demand.
 const MAX_EXAMINED: usize = 8;
 
-/// What may wait.
+/// The limits of a queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueLimits {
     /// Requests.
     pub requests: usize,
-    /// Bytes that they hold together.
+    /// The most bytes of all requests together.
     pub bytes: usize,
 }
 
-/// How a request waits.
+/// The terms on which a request waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueTerms {
-    /// Its rank; 0 is the most urgent.
+    /// The priority; 0 is the highest.
     pub priority: u32,
-    /// The time within which its response earns its full value.
+    /// The target latency of the response.
     pub objective: Duration,
-    /// When its client gives it up.
+    /// When the client gives up.
     pub due: Duration,
-    /// Bytes that it holds.
+    /// The bytes that it holds.
     pub bytes: usize,
 }
 
-/// Names a request that waits. They are ordered as they will be served: the most urgent first, among these the one
-/// that can wait least.
+/// The key of a queued request. Keys are ordered as the requests are served: the highest priority first, and among
+/// these the one with the earliest deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueKey {
     priority: u32,
@@ -43,16 +43,16 @@
     number: u64,
 }
 
-/// A request that waits now, and those that had to make room for it, which are to be rejected.
+/// A request that was queued, and those that were displaced by it, which must be rejected.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Queued<T> {
-    /// Names it.
+    /// The key of the request.
     pub key: QueueKey,
-    /// Less urgent ones that do not wait any more.
+    /// Displaced requests of lower priority.
     pub displaced: Vec<T>,
 }
 
-/// Requests that wait for a place at a server of one service.
+/// The queue of a service.
 pub struct RequestQueue<T> {
     limits: QueueLimits,
     requests: BTreeMap<QueueKey, Entry<T>>,
@@ -66,13 +66,12 @@
 }
 
 impl<T> RequestQueue<T> {
-    /// Nothing waits.
+    /// Creates an empty queue.
     pub fn new(limits: QueueLimits) -> Self {
         RequestQueue { limits, requests: BTreeMap::new(), bytes: 0, next_number: 0 }
     }
 
-    /// Lets a request wait from now on; it comes back where there is no room for it even without those that are
-    /// less urgent.
+    /// Queues a request. It is returned if there is no room for it even without those of lower priority.
     pub fn push(&mut self, now: Duration, terms: QueueTerms, request: T) -> Result<Queued<T>, T> {
         let until = (now + terms.objective / QUEUE_TIME_DIVISOR).min(terms.due);
         let key = QueueKey { priority: terms.priority, until, number: self.next_number };
@@ -104,21 +103,21 @@
         displaced
     }
 
-    /// Returns the first request that fits a free place, among the first ones that have not waited too long.
+    /// Removes and returns the first request that fits free capacity, among those that have not waited too long.
     pub fn next(&mut self, now: Duration, mut fits: impl FnMut(&T) -> bool) -> Option<T> {
         let mut patient = self.requests.iter().filter(|(key, _)| now < key.until).take(MAX_EXAMINED);
         let key = *patient.find(|(_, entry)| fits(&entry.request))?.0;
         self.remove(key)
     }
 
-    /// Takes out a request, as when its client has left.
+    /// Removes a request, for example after its client has closed its connection.
     pub fn remove(&mut self, key: QueueKey) -> Option<T> {
         let entry = self.requests.remove(&key)?;
         self.bytes -= entry.bytes;
         Some(entry.request)
     }
 
-    /// Takes out the requests that have waited too long. They are to be rejected.
+    /// Removes the requests that have waited too long. They must be rejected.
     pub fn take_expired(&mut self, now: Duration) -> Vec<T> {
         let expired: Vec<QueueKey> = self.requests.keys().filter(|key| now >= key.until).copied().collect();
         expired.into_iter().filter_map(|key| self.remove(key)).collect()
@@ -129,12 +128,12 @@
         self.requests.keys().map(|key| key.until).min()
     }
 
-    /// Returns how many wait.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Returns whether none waits.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
--- a/crates/load-balancer/src/route_table.rs
+++ b/crates/load-balancer/src/route_table.rs
@@ -15,16 +15,16 @@
 /// The routes of a host, as indices.
 #[derive(Default)]
 struct HostRoutes {
-    /// Prefixes that end with a slash, as they should: a path is cut at its slashes and looked up.
+    /// Prefixes that end with a slash. A path is split at its slashes and looked up.
     at_slashes: HashMap<String, usize>,
-    /// The length of the longest of them.
+    /// The length of the longest prefix.
     longest: usize,
-    /// All others, the longest first.
+    /// All other prefixes, the longest first.
     others: Vec<usize>,
 }
 
 impl RouteTable {
-    /// Creates the routes of a configuration.
+    /// Indexes the routes of a configuration.
     pub fn new(configuration: &Configuration) -> Self {
         let mut table = RouteTable { routes: configuration.routes.clone(), hosts: HashMap::new() };
         for (index, route) in table.routes.iter().enumerate() {
@@ -36,8 +36,7 @@
         table
     }
 
-    /// Returns the route with the longest prefix that begins the path, among those of the host. `host` may carry a
-    /// port, and `path` a query.
+    /// Returns the route of a host with the longest prefix of the path. `host` may carry a port, and `path` a query.
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         let routes = self.hosts.get(&*host_key(host))?;
         let path = path.split(['?', '#']).next().unwrap_or(path);
@@ -69,7 +68,7 @@
     }
 }
 
-/// One of the services of a route, by their weights. `random` is evenly spread between 0 and 1.
+/// Picks one of the services of a route by their weights. `random` is uniform between 0 and 1.
 pub fn pick_service(route: &Route, random: f64) -> Option<&str> {
     let total: f64 = route.split.iter().map(|share| share.weight).sum();
     let mut remaining = random.clamp(0.0, 1.0) * total;
@@ -81,7 +80,7 @@
     picked.or_else(weighted).map(|share| share.service.as_str())
 }
 
-/// Returns what a host is looked up by: without its port and in lower case.
+/// Returns the key of a host: without its port, in lower case.
 pub(crate) fn host_key(host: &str) -> Cow<'_, str> {
     lower_case(without_port(host))
 }
--- a/crates/retry-budget/src/budgets.rs
+++ b/crates/retry-budget/src/budgets.rs
@@ -1,4 +1,4 @@
-//! The budgets of a proxy for all services.
+//! The retry budgets of a proxy for all services.
 
 use crate::cap;
 use crate::share::{self, Demand};
@@ -6,22 +6,22 @@
 use crate::window_counters::{Slot, WindowCounters};
 use std::time::Duration;
 
-/// A service without requests and retries for this many windows is forgotten. It is at least two, for which
-/// the hard cap needs the counts.
+/// A service without requests and retries for this many windows is forgotten. At least two, as the hard cap needs
+/// their counts.
 const IDLE_WINDOWS: u32 = 3;
 
-/// The bounds of the budget.
+/// The limits of the budget.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
     /// Retries for each request (`RetryBudgetRatio`).
     pub ratio: f64,
     /// The window of the budget (`BudgetWindowS`).
     pub window: Duration,
-    /// Retries that the whole system may send in a window besides (`RetrySlack`).
+    /// Additional retries of the whole system in a window (`RetrySlack`).
     pub slack: f64,
 }
 
-/// Counts of a service in the latest window: of one proxy, or summed over all.
+/// The counters of a service in the latest window, of one proxy or summed over all.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServiceUsage {
     /// Name of the service.
@@ -30,7 +30,7 @@
     pub requests: u32,
     /// Retries that were sent.
     pub retries: u32,
-    /// Retries that were not sent for want of budget.
+    /// Retries that were rejected for lack of budget.
     pub rejected_retries: u32,
 }
 
@@ -52,12 +52,12 @@
 }
 
 impl RetryBudgets {
-    /// No counts, and no knowledge of other proxies.
+    /// Creates budgets without counts, and without other proxies.
     pub fn new(options: Options) -> Self {
         RetryBudgets { options, services: Vec::new(), max_proxies: 0 }
     }
 
-    /// Counts a request that was taken from a client for a service.
+    /// Counts a client's request to a service.
     pub fn record_request(&mut self, now: Duration, service: &str) {
         let budget = self.budget(now, service);
         budget.counts.advance(now);
@@ -66,7 +66,7 @@
         budget.last_used = now;
     }
 
-    /// Returns whether a retry may be sent now; counts it as sent, or as rejected.
+    /// Returns whether a retry may be sent now, and counts it as sent or as rejected.
     pub fn try_retry(&mut self, now: Duration, service: &str) -> bool {
         let Options { ratio, window, slack } = self.options;
         let share_of_slack = cap::slack_share(slack, self.max_proxies, now, window);
@@ -80,10 +80,10 @@
         retries
     }
 
-    /// Sets the rate of each service's bucket. To be called every exchange period, with or without totals.
+    /// Sets the rate of each service's bucket. Due every exchange period, with or without totals.
     ///
-    /// `totals` are sums over `proxies` proxies, this one included. Where they are not `complete`, or lack a
-    /// service, its limit comes from the own counts. Also forgets services that are idle.
+    /// `totals` are sums over `proxies` proxies, this one included. If they are not `complete`, or lack a service,
+    /// its limit is derived from the own counts. Idle services are forgotten.
     pub fn set_totals(&mut self, now: Duration, totals: &[ServiceUsage], proxies: usize, complete: bool) {
         if complete {
             self.max_proxies = self.max_proxies.max(proxies);
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Own counts of the latest window, for the exchange.
+    /// Returns the own counts of the latest window, for the exchange.
     pub fn counts(&self, now: Duration) -> Vec<ServiceUsage> {
         let counts = self.services.iter().map(|budget| {
             let Slot { requests, retries, rejected_retries } = budget.counts.latest_window(now);
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Takes a token if the hard cap allows it.
+    /// Takes a token, if the hard cap allows it.
     fn take(&mut self, now: Duration, newest: u64, ratio: f64, share_of_slack: f64) -> bool {
         if !cap::allows_one_more(&self.counts, newest, ratio, share_of_slack) {
             return false;
@@ -139,7 +139,7 @@
     }
 }
 
-/// Retries that may be sent in a window. Where totals are missing, the fallback from the own requests.
+/// Returns the retries that may be sent in a window. Without totals, it is derived from the own requests.
 fn limit(ratio: f64, own: Slot, totals: Option<&ServiceUsage>, proxies: usize) -> f64 {
     let Some(totals) = totals else {
         return ratio * f64::from(own.requests);
--- a/crates/retry-budget/src/cap.rs
+++ b/crates/retry-budget/src/cap.rs
@@ -1,18 +1,18 @@
-//! The hard cap, which needs no one else.
+//! The hard cap, which does not depend on other proxies.
 //!
-//! The system as a whole may send, in any window, retries of `ratio` times the requests of that window, of the
-//! window before or of the window half a window before, whichever holds most, and a slack besides. A proxy
-//! keeps, for every window that holds the repeat at hand,
+//! In any window the whole system may send `ratio` times the requests of that window, of the window before, or of the
+//! window half a window before, whichever has the most, and the slack. A proxy enforces, for every window that holds
+//! the current retry,
 //!
 //! > retries in the window <= ratio × (its own requests in these three windows, by fixed weights that add up to
 //! > one) + its part of the slack
 //!
-//! Because the weights are the same everywhere, the left and the right sides of all proxies add up, and a mean
-//! of three windows is at most the greatest of them. A cap by the greatest of three windows at each proxy would
-//! not add up: it can be another window at each.
+//! As the weights are the same everywhere, both sides add up over all proxies, and a mean of three windows is at most
+//! their maximum. A cap by the maximum of three windows at each proxy would not add up: it can be another window at
+//! each.
 //!
-//! Slots at the edges of a window count in full as retries and not at all as requests, which also covers that
-//! retries sent in one window may arrive in one that is shorter by up to a slot.
+//! Slots at the edges of a window count fully as retries and not at all as requests. This also covers retries that
+//! arrive in a window that is shorter by up to a slot.
 
 use crate::window_counters::{WindowCounters, SLOTS_PER_WINDOW};
 use std::time::Duration;
@@ -21,23 +21,23 @@
 /// weighs most: it stays complete when retries come in one burst, as they do after the loss of a server.
 const WEIGHTS: [f64; 3] = [0.25, 0.25, 0.5];
 
-/// The part of the slack that all proxies together plan to use; the rest covers delays on the way.
+/// The fraction of the slack that all proxies together use; the rest covers network delays.
 const USABLE_SLACK: f64 = 0.8;
 
-/// Proxies that are planned for: so many times those that were live at once, and at least so many. What is
-/// above one is for those that restart, see [`STARTUP_SHARE`].
+/// The number of proxies that share the slack: this multiple of those that were live at once, and at least this many.
+/// The part above one is for restarts, see [`STARTUP_SHARE`].
 const PLANNED_PROXIES_FACTOR: f64 = 1.5;
 const MIN_PLANNED_PROXIES: f64 = 4.0;
 
-/// What a process may use of its part at the end of its first window, having had nothing at its start. The
-/// lives of a proxy that restarts any number of times within a window then use up to 1.5 parts in it: one
-/// part of the life before, and half a part by all later ones, as their ages add up to at most the window.
+/// The fraction of its part that a process may use at the end of its first window; it begins with nothing. A proxy
+/// that restarts any number of times within a window then uses up to 1.5 parts in it: one part by the process before,
+/// and half a part by all later ones, as their ages add up to at most the window.
 const STARTUP_SHARE: f64 = 0.5;
 
 /// Returns a proxy's part of the slack, in retries.
 ///
-/// `proxies` is the greatest number of proxies ever known to be live at once; 0 where it is not known, which
-/// gives no part. `age` is the time since the start of the process.
+/// `proxies` is the greatest number of proxies ever known to be live at once; 0 if unknown, which gives no part.
+/// `age` is the time since the start of the process.
 pub fn slack_share(slack: f64, proxies: usize, age: Duration, window: Duration) -> f64 {
     if proxies == 0 {
         return 0.0;
@@ -50,7 +50,7 @@
     share_of_slack * STARTUP_SHARE * age.as_secs_f64() / window.as_secs_f64()
 }
 
-/// Returns whether one more repeat, sent in the newest slot, keeps every window that it is in within the cap.
+/// Returns whether one more retry in the newest slot keeps every window that contains it within the cap.
 pub(crate) fn allows_one_more(counts: &WindowCounters, newest: u64, ratio: f64, share_of_slack: f64) -> bool {
     let window = SLOTS_PER_WINDOW as i64;
     let newest = newest as i64;
@@ -60,7 +60,7 @@
     })
 }
 
-/// Requests in the three windows for the one that ends in slot `end`, weighted.
+/// Returns the weighted requests of the three windows for the window that ends in slot `end`.
 fn requests(counts: &WindowCounters, end: i64) -> f64 {
     let window = SLOTS_PER_WINDOW as i64;
     let requests = |slot| counts.slot(slot).requests;
--- a/crates/retry-budget/src/share.rs
+++ b/crates/retry-budget/src/share.rs
@@ -1,6 +1,6 @@
-//! The limit of a proxy, by its share of the demand for retries.
+//! The limit of a proxy, from its share of the demand for retries.
 
-/// What the limit of a service is derived from, all of it counts of the latest window.
+/// The counts of the latest window from which the limit of a service is derived.
 #[derive(Clone, Copy, Debug)]
 pub struct Demand {
     /// `RetryBudgetRatio` times the requests of all proxies.
@@ -15,8 +15,8 @@
     pub proxies: usize,
 }
 
-/// Retries that this proxy may send in a window: the target by its weight, raised towards the fallback by
-/// what others leave unused.
+/// Returns the retries that this proxy may send in a window: the target times its weight, raised towards the fallback
+/// by what others leave unused.
 pub fn limit(demand: &Demand) -> f64 {
     let fallback = demand.target / demand.proxies.max(1) as f64;
     let weighted = demand.target * weight(demand);
@@ -27,7 +27,7 @@
     fallback.min(weighted + unused)
 }
 
-/// This proxy's part of all retries. Totals may be older than its own counts, so it is at most one.
+/// Returns this proxy's fraction of all retries, which is at most one, as totals may be older than its own counts.
 fn weight(demand: &Demand) -> f64 {
     if demand.total <= 0.0 {
         return 0.0;
--- a/crates/retry-budget/src/token_bucket.rs
+++ b/crates/retry-budget/src/token_bucket.rs
@@ -2,16 +2,16 @@
 
 use std::time::Duration;
 
-/// A bucket holds this many seconds of its limit.
+/// The capacity of a bucket, in seconds of its limit.
 const DEPTH_SECONDS: f64 = 5.0;
 
-/// A bucket never holds less than one request.
+/// The least capacity of a bucket, in retries.
 const MIN_DEPTH: f64 = 1.0;
 
 /// A token bucket, which starts full and keeps its tokens when its rate changes.
 pub(crate) struct TokenBucket {
     tokens: f64,
-    /// Tokens a second.
+    /// Tokens per second.
     rate: f64,
     filled: Duration,
 }
@@ -36,7 +36,7 @@
         true
     }
 
-    /// Adds what has come since the call before. Tokens above a lowered depth stay.
+    /// Adds the tokens since the last call. Tokens above a lowered capacity are kept.
     fn fill(&mut self, now: Duration) {
         let passed = now.saturating_sub(self.filled).as_secs_f64();
         self.filled = self.filled.max(now);
--- a/crates/retry-budget/src/window_counters.rs
+++ b/crates/retry-budget/src/window_counters.rs
@@ -1,14 +1,14 @@
-//! Counts of a service in a ring of short slots.
+//! The counters of a service, in a ring of short slots.
 
 use std::time::Duration;
 
-/// Slots in one budget window.
+/// The slots in a budget window.
 pub(crate) const SLOTS_PER_WINDOW: u64 = 20;
 
-/// Slots that are kept: two windows and the present slot, rounded up to a power of two.
+/// The slots that are kept: two windows and the current slot, rounded up to a power of two.
 const RING: usize = 64;
 
-/// What was counted in one slot.
+/// The counters of a slot.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Slot {
     pub(crate) requests: u32,
@@ -16,11 +16,11 @@
     pub(crate) rejected_retries: u32,
 }
 
-/// A ring of slots, which begins at the start of the process.
+/// A ring of slots since the start of the process.
 pub(crate) struct WindowCounters {
     slot_length: Duration,
     slots: [Slot; RING],
-    /// Number of the newest slot.
+    /// The number of the newest slot.
     newest: u64,
 }
 
@@ -36,7 +36,7 @@
         (now.as_nanos() / self.slot_length.as_nanos()) as u64
     }
 
-    /// Number of the slot of `now`; clears the slots that have passed since the call before.
+    /// Advances to the slot of `now`, and clears the slots since the last call. Returns its number.
     pub(crate) fn advance(&mut self, now: Duration) -> u64 {
         let number = self.number(now);
         let passed = number.saturating_sub(self.newest).min(RING as u64);
@@ -52,7 +52,7 @@
         &mut self.slots[(self.newest % RING as u64) as usize]
     }
 
-    /// Returns the slot of the given number; empty where it has not begun or is not kept any more.
+    /// Returns a slot by its number; empty if it has not begun or is not kept any more.
     pub(crate) fn slot(&self, number: i64) -> Slot {
         let newest = self.newest as i64;
         if number < 0 || number > newest || number <= newest - RING as i64 {
@@ -61,7 +61,7 @@
         self.slots[(number % RING as i64) as usize]
     }
 
-    /// Sums over the latest window, as seen at `now`.
+    /// Returns the sums over the latest window at `now`.
     pub(crate) fn latest_window(&self, now: Duration) -> Slot {
         let number = self.number(now).max(self.newest) as i64;
         let mut sum = Slot::default();
--- a/crates/state-sync/src/aggregate.rs
+++ b/crates/state-sync/src/aggregate.rs
@@ -1,4 +1,4 @@
-//! The merge of what a node's own process and its children report, kept up to date with each report.
+//! The merged reports of a node's own process and its children, updated with each report.
 
 use crate::counters::{server_load, service_counters, set_counters, CounterChange, Counters};
 use crate::subtree::{endpoint_rank, DirtyKeys, SubtreeState};
@@ -6,21 +6,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-/// Who reports.
+/// The source of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Source<Child> {
     Own,
     Child(Child),
 }
 
-/// The merged reports, and what of them the parent and the children are still to be told.
+/// The merged reports, and the changes that were not sent to the parent and the children yet.
 #[derive(Debug)]
 pub(crate) struct Aggregate<Child> {
     contributions: BTreeMap<Source<Child>, SubtreeState>,
     merged: SubtreeState,
-    /// What the parent has not been told.
+    /// Changes that were not sent to the parent.
     pub(crate) upward: Pending,
-    /// What the children have not been told while the totals are this node's own sums.
+    /// Changes that were not sent to the children, while the totals are this node's own sums.
     pub(crate) downward: Pending,
 }
 
@@ -32,7 +32,7 @@
     proxies: bool,
     services: BTreeSet<String>,
     servers: BTreeSet<u64>,
-    /// The last server that was sent: the next frame goes on behind it, so that each gets its turn.
+    /// The last server that was sent. The next frame continues after it, so that all servers take turns.
     cursor: u64,
 }
 
@@ -55,7 +55,7 @@
         self.servers.extend(dirty.servers.iter().map(|change| change.key));
     }
 
-    /// Takes out at most `limit` servers.
+    /// Removes and returns up to `limit` servers.
     fn take_servers(&mut self, limit: usize) -> Vec<u64> {
         let behind = self.servers.range((Bound::Excluded(self.cursor), Bound::Unbounded));
         let from_start = self.servers.range(..=self.cursor);
@@ -78,12 +78,12 @@
         }
     }
 
-    /// Returns what is known of the whole subtree.
+    /// Returns the merged state of the subtree.
     pub(crate) fn merged(&self) -> &SubtreeState {
         &self.merged
     }
 
-    /// Returns what one has reported.
+    /// Returns the report of a source.
     pub(crate) fn contribution(&self, source: Source<Child>) -> Option<&SubtreeState> {
         self.contributions.get(&source)
     }
@@ -100,7 +100,7 @@
         endpoints_changed || suspects_changed
     }
 
-    /// Leaves out what one has reported. Returns whether the merged proxies or suspicions have changed.
+    /// Removes the report of a source. Returns whether the merged proxies or suspicions have changed.
     pub(crate) fn remove(&mut self, source: Source<Child>) -> bool {
         let changed = self.apply(source, Report::default());
         self.contributions.remove(&source);
--- a/crates/state-sync/src/aggregation.rs
+++ b/crates/state-sync/src/aggregation.rs
@@ -1,4 +1,4 @@
-//! The way of reports up the tree and of totals down it.
+//! Aggregation: reports go up the tree, totals go down.
 
 use crate::aggregate::Source;
 use crate::node::{Action, Role, SyncNode};
@@ -8,7 +8,7 @@
 use std::hash::Hash;
 use std::time::Duration;
 
-/// A subtree of so many levels has a loop: no tree is so deep.
+/// The levels from which a subtree must have a loop.
 const MAX_DEPTH: u8 = 12;
 
 impl<Child: Copy + Eq + Hash + Ord> SyncNode<Child> {
@@ -24,7 +24,7 @@
             return self.drop_child(child, actions);
         }
         let Some(state) = self.children.get_mut(child) else { return };
-        // A second complete report comes from a child that has begun again: it has forgotten the totals that it was sent.
+        // A second complete report means that the child has started again: it has no totals.
         let begins_anew = !report.delta && std::mem::replace(&mut state.has_reported, true);
         state.has_totals &= !begins_anew;
         if let Some(earlier) = state.suspended_report.take() {
@@ -39,11 +39,11 @@
         }
     }
 
-    /// Leaves out children that are silent, and drops those that have been for long.
+    /// Suspends the reports of children that send nothing, and drops those that have sent nothing for long.
     pub(crate) fn check_idle_children(&mut self, now: Duration, actions: &mut Vec<Action<Child>>) {
         let (receive_timeout, timeout) = (self.options.receive_timeout, self.options.child_timeout);
         if now >= self.ticked_at + receive_timeout {
-            // This process itself stood still: what the children sent meanwhile waits to be read.
+            // This process was stalled: the frames of the children have not been read yet.
             self.children.values_mut().for_each(|child| child.heard = now);
         }
         self.ticked_at = now;
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Sends own sums where they are the totals, or where the parent's are out of date.
+    /// Sends this node's own sums if they are the totals, or the parent's are out of date.
     pub(crate) fn tick_totals(&mut self, now: Duration, actions: &mut Vec<Action<Child>>) {
         if now < self.totals_due() {
             return;
@@ -123,7 +123,7 @@
         self.spread_totals(now, delta, actions);
     }
 
-    /// Returns when own totals are due, or the parent's get out of date.
+    /// Returns when own totals are due, or the parent's totals expire.
     pub(crate) fn totals_due(&self) -> Duration {
         match self.totals.outdated_at(self.options.receive_timeout) {
             Some(_) if self.is_root() => Duration::ZERO,
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Sends what is new in the totals to the children, and all of them to those who have none yet.
+    /// Sends the changes of the totals to the children, and all totals to those that have none yet.
     fn spread_totals(&mut self, now: Duration, delta: wire::Totals, actions: &mut Vec<Action<Child>>) {
         self.totals_sent_at = now;
         let informed = self.children.which(|child| child.has_totals);
--- a/crates/state-sync/src/children.rs
+++ b/crates/state-sync/src/children.rs
@@ -1,35 +1,35 @@
-//! The children of a node and how far each is with its subscription.
+//! The children of a node, and the state of their subscriptions.
 
 use crate::store::Digests;
 use quillpulley_protocol::{Report, Revision, Subscribe};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A subscription that waits for its response.
+/// A subscription that has no response yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Subscription {
     pub(crate) revision: Revision,
     pub(crate) digests: Box<Digests>,
 }
 
-/// How far a child is.
+/// The state of a child.
 #[derive(Debug)]
 pub(crate) enum Phase {
-    /// It has not subscribed yet.
+    /// The child has not subscribed.
     Connected,
-    /// It has subscribed and waits for the response.
+    /// The child has subscribed and has no response yet.
     Subscribed(Subscription),
-    /// It was answered and gets every update.
+    /// The child has its response and gets every update.
     Following,
 }
 
-/// One child.
+/// A child.
 #[derive(Debug)]
 pub(crate) struct ChildState {
     phase: Phase,
-    /// When anything came from it.
+    /// When anything was received from it.
     pub(crate) heard: Duration,
-    /// Its reports so far, while it is silent and not counted.
+    /// Its merged reports, while they are suspended as it sends nothing.
     pub(crate) suspended_report: Option<Report>,
     /// Whether it has reported.
     pub(crate) has_reported: bool,
@@ -99,12 +99,12 @@
         self.states.values_mut()
     }
 
-    /// Returns those for which something holds.
+    /// Returns the children with a property.
     pub(crate) fn which(&self, mut holds: impl FnMut(&ChildState) -> bool) -> Vec<Child> {
         self.states.iter().filter(|(_, state)| holds(state)).map(|(child, _)| *child).collect()
     }
 
-    /// Returns those that wait for a response, with what they have subscribed with.
+    /// Returns the children that wait for a response, with their subscriptions.
     pub(crate) fn subscriptions(&self) -> Vec<(Child, Subscription)> {
         let waiting = self.states.iter().filter_map(|(child, state)| Some((*child, state.subscription()?)));
         waiting.map(|(child, subscription)| (child, subscription.clone())).collect()
@@ -112,7 +112,7 @@
 }
 
 impl Subscription {
-    /// Returns what a child has sent, if it has a digest for each range.
+    /// Returns a subscription, if it has a digest for each range.
     pub(crate) fn read(subscribe: Subscribe) -> Option<Self> {
         let digests: Box<Digests> = subscribe.digests.into_boxed_slice().try_into().ok()?;
         Some(Subscription { revision: subscribe.revision, digests })
--- a/crates/state-sync/src/counters.rs
+++ b/crates/state-sync/src/counters.rs
@@ -1,15 +1,15 @@
-//! Numbers that are summed over proxies: by service, and by server.
+//! Counters that are summed over proxies, by service and by server.
 
 use quillpulley_protocol::{ServerLoad, ServiceCounters};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Returns the key by which counts name a server: the hash of its id.
+/// Returns the key of a server in counters: the hash of its id.
 pub fn server_key(id: &str) -> u64 {
     xxh3_64(id.as_bytes())
 }
 
-/// What was counted for a service in the latest budget window.
+/// The counters of a service in the latest budget window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RetryCounters {
     /// First sends of requests.
@@ -20,14 +20,14 @@
     pub rejected_retries: u32,
 }
 
-/// What is in flight at a server.
+/// The load of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadCounters {
-    /// Requests that run.
+    /// Requests whose response has begun.
     pub running: u32,
-    /// Requests that were sent and do not run yet.
+    /// Requests whose response has not begun.
     pub waiting: u32,
-    /// Tokens of prompts of all these.
+    /// Prompt tokens of these requests.
     pub prompt_tokens: u32,
     /// Failures recently.
     pub failures: u32,
@@ -36,15 +36,15 @@
 /// The sums over some proxies. Services and servers for which all numbers are zero are left out.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CounterTable {
-    /// How many proxies were counted.
+    /// The number of proxies.
     pub proxies: u32,
-    /// By the name of the service.
+    /// By service name.
     pub services: BTreeMap<String, RetryCounters>,
     /// By [`server_key`].
     pub servers: BTreeMap<u64, LoadCounters>,
 }
 
-/// Numbers that can be added and subtracted. Both wrap, so that sums stay exact whatever comes and goes.
+/// Counters that can be added and subtracted. Both wrap, so that sums stay exact.
 pub(crate) trait Counters: Copy + Default + Eq {
     fn plus(self, other: Self) -> Self;
     fn minus(self, other: Self) -> Self;
@@ -96,13 +96,13 @@
     pub(crate) new: T,
 }
 
-/// Sets an entry, where zero removes it. Returns what it was.
+/// Sets an entry; zero removes it. Returns the former value.
 pub(crate) fn set_counters<K: Ord, T: Counters>(table: &mut BTreeMap<K, T>, key: K, counters: T) -> T {
     let old = if counters == T::default() { table.remove(&key) } else { table.insert(key, counters) };
     old.unwrap_or_default()
 }
 
-/// Sets the entries of a frame; where the frame is no delta, all others are removed. Returns the changes.
+/// Sets the entries of a frame. Unless the frame is a delta, all others are removed. Returns the changes.
 pub(crate) fn apply_counters<K: Ord + Clone, T: Counters>(
     table: &mut BTreeMap<K, T>,
     entries: impl IntoIterator<Item = (K, T)>,
--- a/crates/state-sync/src/lib.rs
+++ b/crates/state-sync/src/lib.rs
@@ -1,15 +1,15 @@
-//! Distribution of published state down a tree and of counts up it, as pure state machines.
+//! Distribution of published state down a relay tree, and of counters up the tree, as pure state machines.
 //!
-//! A [`SyncNode`] is one node of the tree: the root (the primary), a relay (other control processes, agents) or a leaf
-//! (proxies). It holds a [`Store`] of the published items as they were at a revision. What a host tells it are
-//! [`Event`]s with the time since the host's start; what it wants done are [`Action`]s. It never goes back: a
-//! frame whose revision is not newer than its own changes nothing.
+//! A [`SyncNode`] is one node of the tree: the root (the primary), a relay (other control processes, agents) or a
+//! leaf (proxies). It holds a [`Store`] of the published items at a revision. Its host passes [`Event`]s with the
+//! time since the start of the process, and performs the resulting [`Action`]s. Invariant: the revision never
+//! decreases; a frame whose revision is not newer changes nothing.
 //!
 //! Connections must keep frames in order. A host whose queue to a child is full may leave out `Update` frames (the
-//! child notices by the gap and subscribes again), but for a `Report` or `Totals` that it cannot send it has to
-//! close the connection.
+//! child notices by the gap and subscribes again), but if it cannot send a `Report` or `Totals` it has to close the
+//! connection.
 //!
-//! [`parent_selection`] works out where an agent finds its parent.
+//! [`parent_selection`] ranks the candidates for an agent's parent.
 
 mod aggregate;
 mod aggregation;
--- a/crates/state-sync/src/node.rs
+++ b/crates/state-sync/src/node.rs
@@ -1,4 +1,4 @@
-//! One node of the tree: its state, the events it takes and what it wants done.
+//! A node of the relay tree: its state, events and actions.
 
 use crate::aggregate::{Aggregate, Source};
 use crate::children::{ChildState, Children};
@@ -10,53 +10,52 @@
 use std::hash::Hash;
 use std::time::Duration;
 
-/// What happens to a node.
+/// An event of a node.
 #[derive(Clone, Debug)]
 pub enum Event<Child> {
-    /// A connection to a parent is up; an earlier one is over.
+    /// A link to a parent is open, and replaces an earlier one.
     ParentUp,
-    /// The connection to the parent is gone.
+    /// The link to the parent is closed.
     ParentDown,
-    /// A frame came from the parent: `Update` or `Totals`, others are ignored.
+    /// A frame of the parent: `Update` or `Totals`; others are ignored.
     ParentFrame(Body),
-    /// A connection from a child is up; an earlier one of the same name is over.
+    /// A link of a child is open, and replaces an earlier one of the same name.
     ChildUp(Child),
-    /// The connection from a child is gone.
+    /// The link of a child is closed.
     ChildDown(Child),
-    /// A frame came from a child: `Subscribe` or `Report`, others are ignored.
+    /// A frame of a child: `Subscribe` or `Report`; others are ignored.
     ChildFrame(Child, Body),
-    /// Root only: changes, which get one new revision.
+    /// Root only: publish changes at a new revision.
     Publish(Vec<Change>),
-    /// Root only: a new revision without changes, as a heartbeat. The host does this at least every 200 ms while it
+    /// Root only: publish a new revision without changes, as a heartbeat. Due at least every 200 ms while the host
     /// holds the lease.
     Heartbeat,
-    /// This process is the root from now on. Children are told nothing before the first `Publish` or `Heartbeat`:
-    /// a root whose store lacks what it is to publish has until then to fill it (see [`Store::changes_to`]).
-    /// Ignored if the node has seen a later epoch.
+    /// This process becomes the root. Nothing is sent to children before the first `Publish` or `Heartbeat`: until
+    /// then the root can fill its store (see [`Store::changes_to`]). Ignored if the node has seen a later epoch.
     BecomeRoot {
-        /// The epoch, which no other node and no earlier life of this process has published in.
+        /// The epoch, in which no other node and no earlier incarnation of this process has published.
         epoch: u64,
     },
-    /// This process is no root any more.
+    /// This process is not the root any more.
     LeaveRoot,
-    /// What this process itself reports from now on, complete.
+    /// The complete report of this process itself.
     LocalReport(LocalReport),
-    /// Time has passed: wanted at [`SyncNode::next_tick`], or a little later.
+    /// Time has passed. Due at [`SyncNode::next_tick`] or a little later.
     Tick,
 }
 
-/// What the host is to do.
+/// An action for the host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action<Child> {
     /// Send a frame to the parent.
     SendParent(Body),
     /// Send a frame to a child.
     SendChild(Child, Body),
-    /// Send a frame to several children: it needs to be written only once.
+    /// Send a frame to several children, which needs to be encoded only once.
     SendChildren(Vec<Child>, Body),
-    /// Close the connection from a child, which the node has forgotten already.
+    /// Close the link of a child that the node has removed.
     DropChild(Child),
-    /// These items have changed, all at once.
+    /// These items have changed, at one revision.
     Changed(Vec<ChangedKey>),
     /// The totals have changed.
     TotalsChanged,
@@ -64,41 +63,41 @@
     EndpointsChanged,
 }
 
-/// Where a node gets its state from.
+/// Where a node receives its state from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Role {
-    /// It publishes.
+    /// The node publishes.
     Root {
-        /// The last revision that children may have been told. While it is older than the node's own, the root has
-        /// not published in its epoch yet.
+        /// The last revision that children may have. While it is older than the node's own, the root has not
+        /// published in its epoch yet.
         announced: Revision,
     },
-    /// It has no parent.
+    /// The node has no parent.
     Orphan,
-    /// It has subscribed at its parent at a time and ignores updates until the response.
+    /// The node has subscribed at its parent, and ignores updates until the response.
     Subscribing { at: Duration },
-    /// It was answered and takes updates.
+    /// The node has its response and applies updates.
     Following,
 }
 
-/// One node of the tree: root, relay or leaf. `Child` is the host's name for a connection from a child.
+/// One node of the tree: root, relay or leaf. `Child` identifies the link of a child.
 #[derive(Debug)]
 pub struct SyncNode<Child> {
     pub(crate) options: Options,
     pub(crate) role: Role,
     pub(crate) store: Store,
     pub(crate) revision: Revision,
-    /// Whether the store is known not to be what it should be at its revision.
+    /// Whether the store is known to be wrong at its revision.
     pub(crate) damaged: bool,
-    /// When the revision moved last, and since when it has never stood for too long.
+    /// When the revision advanced last, and since when it has never stalled.
     pub(crate) moved_at: Option<Duration>,
     pub(crate) fresh_since: Duration,
     pub(crate) children: Children<Child>,
-    /// Answers with items that may still be given, and since when it has been counted.
+    /// Responses with items that may still be sent, and since when they are counted.
     pub(crate) remaining_repairs: usize,
     pub(crate) repair_interval_began_at: Duration,
     pub(crate) aggregate: Aggregate<Child>,
-    /// When the last report was sent, totals were sent, and the node was ticked.
+    /// When the last report was sent, the last totals were sent, and the last tick was.
     pub(crate) reported_at: Duration,
     pub(crate) totals: TotalsState,
     pub(crate) totals_sent_at: Duration,
@@ -106,7 +105,7 @@
 }
 
 impl<Child: Copy + Eq + Hash + Ord> SyncNode<Child> {
-    /// Creates a node that knows nothing and has no parent.
+    /// Creates a node without state and parent.
     pub fn new(options: Options) -> Self {
         SyncNode {
             totals: TotalsState::new(&options.name),
@@ -127,7 +126,7 @@
         }
     }
 
-    /// Handles an event at a time (since the host's start) and adds what follows from it to `actions`.
+    /// Handles an event, and adds the resulting actions. `now` is the time since the start of the process.
     pub fn handle(&mut self, now: Duration, event: Event<Child>, actions: &mut Vec<Action<Child>>) {
         match event {
             Event::ParentUp => self.parent_up(now, actions),
@@ -145,12 +144,12 @@
         }
     }
 
-    /// Returns the published items as they were at [`SyncNode::revision`].
+    /// Returns the published items at [`SyncNode::revision`].
     pub fn store(&self) -> &Store {
         &self.store
     }
 
-    /// Returns how far the state is; 0:0 while nothing is known.
+    /// Returns the revision of the state; 0:0 if there is none.
     pub fn revision(&self) -> Revision {
         self.revision
     }
@@ -160,37 +159,37 @@
         matches!(self.role, Role::Root { .. })
     }
 
-    /// Returns whether a new revision came, or at a root was given, within the last second ([`Options::fresh_for`]).
+    /// Returns whether the revision has advanced within the last second ([`Options::fresh_for`]).
     pub fn is_fresh(&self, now: Duration) -> bool {
         self.moved_at.is_some_and(|moved_at| now.saturating_sub(moved_at) <= self.options.fresh_for)
     }
 
-    /// Since when the state has been fresh without a break, if it is.
+    /// Returns since when the state has been fresh without interruption, if it is.
     pub fn fresh_since(&self, now: Duration) -> Option<Duration> {
         self.is_fresh(now).then_some(self.fresh_since)
     }
 
-    /// Returns when the revision moved last.
+    /// Returns when the revision advanced last.
     pub fn last_moved(&self) -> Option<Duration> {
         self.moved_at
     }
 
-    /// Returns the totals: the root's, or else the sums of what is below this node.
+    /// Returns the totals of the root, or else the sums of this subtree.
     pub fn totals(&self) -> &Totals {
         self.totals.shown()
     }
 
-    /// Returns the merged reports of this process and of all below it.
+    /// Returns the merged reports of this process and its subtree.
     pub fn subtree(&self) -> &SubtreeState {
         self.aggregate.merged()
     }
 
-    /// Returns what one child has reported of its subtree; `None` while it is silent.
+    /// Returns the report of a child on its subtree; none while it is suspended.
     pub fn child_subtree(&self, child: Child) -> Option<&SubtreeState> {
         self.aggregate.contribution(Source::Child(child))
     }
 
-    /// Returns when an [`Event::Tick`] has something to do next.
+    /// Returns when an [`Event::Tick`] is due.
     pub fn next_tick(&self) -> Duration {
         let silent = self.children.values().map(|child| match child.suspended_report {
             Some(_) => child.heard + self.options.child_timeout,
@@ -200,7 +199,7 @@
         times.into_iter().chain(silent).min().unwrap_or(Duration::MAX)
     }
 
-    /// Sets the revision, which only ever grows.
+    /// Sets the revision, which never decreases.
     pub(crate) fn advance(&mut self, now: Duration, revision: Revision) {
         if !self.is_fresh(now) {
             self.fresh_since = now;
@@ -254,7 +253,7 @@
         }
     }
 
-    /// Closes the connection from a child and forgets it.
+    /// Closes the link of a child and removes it.
     pub(crate) fn drop_child(&mut self, child: Child, actions: &mut Vec<Action<Child>>) {
         self.forget_child(child, actions);
         actions.push(Action::DropChild(child));
--- a/crates/state-sync/src/options.rs
+++ b/crates/state-sync/src/options.rs
@@ -1,8 +1,8 @@
-//! The figures of a node.
+//! The options of a node.
 
 use std::time::Duration;
 
-/// The figures of a [`SyncNode`](crate::FeedNode).
+/// The options of a [`SyncNode`](crate::SyncNode).
 ///
 /// A heartbeat takes 100 bytes, five times a second. A frame of counts takes up to 100 bytes and, for what has
 /// changed, 50 for each service and 24 for each server (at most `max_servers_per_frame`), four times a second and in each
@@ -12,32 +12,32 @@
 /// its turn only every two minutes.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The name of this node: who monitors in its suspicions, and what its own proxy is called.
+    /// The name of this node: the monitor in its suspicions, and the name of its machine's proxy.
     pub name: String,
-    /// The most children at once; further ones are turned away.
+    /// The most children at once; further ones are rejected.
     pub max_children: usize,
-    /// The most subscriptions that are answered with items at a time; others wait for `repair_interval`.
+    /// The most subscriptions that get items at a time; others wait for `repair_interval`.
     pub max_concurrent_repairs: usize,
-    /// The time after which more subscriptions are answered.
+    /// The time after which more subscriptions get items.
     pub repair_interval: Duration,
-    /// Without a revision for this long the state is stale.
+    /// The state is stale if the revision does not advance for this long.
     pub fresh_for: Duration,
-    /// A subscription without a response is repeated after this time.
+    /// A subscription without a response is sent again after this time.
     pub resubscribe_after: Duration,
     /// Least time between two reports to the parent, and between two frames of own totals to children.
     pub report_interval: Duration,
-    /// Reports and totals are sent this often though nothing has changed.
+    /// How often reports and totals are sent if nothing has changed.
     pub keep_alive: Duration,
-    /// Counts of a child that is silent for so long are left out, and totals of a parent are out of date.
+    /// The reports of a child that sends nothing for this long are suspended, and totals of a parent expire.
     pub receive_timeout: Duration,
-    /// A child that is silent for so long is dropped.
+    /// A child that sends nothing for this long is dropped.
     pub child_timeout: Duration,
     /// The most servers in one frame of counts, save the first on a connection.
     pub max_servers_per_frame: usize,
 }
 
 impl Options {
-    /// Creates the usual figures, for an agent or a proxy.
+    /// Creates the default options of an agent or a proxy.
     pub fn new(name: &str) -> Self {
         Options {
             name: name.to_string(),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Returns the usual figures of a control process, which takes in the first agents of many zones.
+    /// Returns the default options of a control process, which accepts the first agents of many zones.
     pub fn control_node(name: &str) -> Self {
         Options { max_children: 256, ..Options::new(name) }
     }
--- a/crates/state-sync/src/parent_selection.rs
+++ b/crates/state-sync/src/parent_selection.rs
@@ -1,15 +1,15 @@
-//! Where an agent finds its parent in the tree.
+//! The candidates for an agent's parent in the relay tree.
 //!
-//! The agents of a zone are ranked by rendezvous hashing and form a heap of bounded fan-out: the first is the
-//! child of a control process, and the parent of the one at position `i` is at `(i - 1) / FAN_OUT`. A parent always has a
-//! higher rank than its child, whichever of the agents somebody knows or has given up, so no loops form.
+//! The agents of a zone are ranked by rendezvous hashing and form a heap of bounded fan-out: the first is the child
+//! of a control process, and the parent of the one at position `i` is at `(i - 1) / FAN_OUT`. A parent always has a
+//! higher rank than its child, whichever agents are known or have failed, so that no loops form.
 
 use quillpulley_membership::rendezvous::{ranked, Key};
 use quillpulley_protocol::{ControlNode, EndpointState, ProxyEndpoint};
 use std::collections::HashSet;
 use std::net::Ipv4Addr;
 
-/// The most children that an agent has by its rank. It may have more for a while when others fail.
+/// The most children of an agent by its rank. It may have more for some time when others fail.
 pub const FAN_OUT: usize = 16;
 
 /// A process that may become the parent of an agent.
@@ -21,29 +21,28 @@
     Agent(Ipv4Addr),
 }
 
-/// What an agent knows of the places in the tree.
+/// What an agent knows about the tree.
 #[derive(Clone, Copy, Debug)]
 pub struct TreeTopology<'a> {
-    /// Its own name, zone and region.
+    /// The name of the agent.
     pub name: &'a str,
     /// The zone of its machine.
     pub zone: &'a str,
     /// The region of its machine.
     pub region: &'a str,
-    /// The published proxies: each has an agent. Whether the agent itself is among them makes no difference.
+    /// The published proxies: each has an agent. It does not matter whether the agent itself is among them.
     pub endpoints: &'a [ProxyEndpoint],
     /// The published control processes.
     pub control_nodes: &'a [ControlNode],
-    /// The addresses of the seeds, which are control processes or were some.
+    /// The addresses of the seeds, which are or were control processes.
     pub seeds: &'a [Ipv4Addr],
-    /// Candidates that failed recently. The agents among them are left out of the ranking, so that those who have
-    /// lost the same parent meet at the same next one; the control processes among them come last.
+    /// Candidates that failed recently. The agents among them are not ranked, so that agents that have lost the same
+    /// parent choose the same next one; the control processes among them come last.
     pub failed: &'a [ParentCandidate],
 }
 
-/// Returns the candidates for an agent's parent, in the order in which to try them: its place in the heap of its zone
-/// and the places above it, the control processes of its zone, its region and elsewhere, the seeds, and control processes
-/// that failed recently.
+/// Returns the candidates for an agent's parent, the best first: the agents above it in the heap of its zone, the
+/// control processes of its zone, its region and elsewhere, the seeds, and control processes that failed recently.
 pub fn parent_candidates(topology: &TreeTopology) -> Vec<ParentCandidate> {
     let agents = agents_above(topology);
     let control_nodes = control_nodes_by_distance(topology);
@@ -60,8 +59,8 @@
     ordered
 }
 
-/// Returns whether all agents of the zone are children of its control process: there is one that did not fail, and they
-/// are few.
+/// Returns whether all agents of the zone are children of its control process: there is one that has not failed, and
+/// there are few agents.
 fn starts_at_control_node(topology: &TreeTopology) -> bool {
     let mut in_zone = topology.control_nodes.iter().filter(|control_node| control_node.zone == topology.zone);
     let has_control_node =
@@ -69,7 +68,7 @@
     has_control_node && zone_agents(topology).count() < FAN_OUT
 }
 
-/// Returns the other agents of the zone that stay.
+/// Returns the other agents of the zone that do not drain.
 fn zone_agents<'a>(topology: &TreeTopology<'a>) -> impl Iterator<Item = &'a ProxyEndpoint> + use<'a> {
     let (name, zone) = (topology.name, topology.zone);
     let in_zone =
@@ -77,7 +76,7 @@
     in_zone.filter(|endpoint| endpoint.state != EndpointState::Draining)
 }
 
-/// Returns the agents on the way from this one to the top of the heap, nearest first.
+/// Returns the agents on the path from this one to the top of the heap, the nearest first.
 fn agents_above(topology: &TreeTopology) -> Vec<ParentCandidate> {
     let key = Key::new(topology.zone);
     let own_rank = key.rank(topology.name);
@@ -101,7 +100,7 @@
     ParentCandidate::ControlNode(Ipv4Addr::from_bits(control_node.ip))
 }
 
-/// Returns the control processes: those of the zone, then of the region, then the others; alike ones by rendezvous
+/// Returns the control processes: those of the zone, then of the region, then the others; equal ones by rendezvous
 /// hashing.
 fn control_nodes_by_distance(topology: &TreeTopology) -> Vec<ParentCandidate> {
     let key = Key::new(topology.name);
--- a/crates/state-sync/src/publishing.rs
+++ b/crates/state-sync/src/publishing.rs
@@ -1,4 +1,4 @@
-//! The root: revisions and publishes.
+//! The root: assigns revisions and publishes changes.
 
 use crate::node::{Action, Role, SyncNode};
 use crate::store::{item, Change, ChangedKey};
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Applies changes at a new revision and tells the children.
+    /// Applies changes at a new revision, and sends them to the children.
     pub(crate) fn publish(&mut self, now: Duration, changes: Vec<Change>, actions: &mut Vec<Action<Child>>) {
         let Role::Root { announced } = self.role else { return };
         let changed: Vec<ChangedKey> =
@@ -40,14 +40,14 @@
         self.serve_subscriptions(actions);
     }
 
-    /// Returns an update from a revision to this node's own.
+    /// Returns the update from a revision to this node's.
     pub(crate) fn update(&self, kind: UpdateKind, base: Revision, items: Vec<Item>) -> Update {
         let digest = self.store.digest();
         Update { kind, base, revision: self.revision, digest, complete: Vec::new(), items }
     }
 }
 
-/// Changed items as a frame has them.
+/// Returns changed items in the form of a frame.
 pub(crate) fn items_of(changed: &[ChangedKey]) -> Vec<Item> {
     changed.iter().map(|changed| item(&changed.key, changed.new.as_ref())).collect()
 }
--- a/crates/state-sync/src/store.rs
+++ b/crates/state-sync/src/store.rs
@@ -16,7 +16,7 @@
 pub struct Change {
     /// The item's key.
     pub key: String,
-    /// What it holds from now on, or `None` where it is removed.
+    /// The new value; none if it is removed.
     pub value: Option<Vec<u8>>,
 }
 
@@ -25,9 +25,9 @@
 pub struct ChangedKey {
     /// The item's key.
     pub key: String,
-    /// What it held before, if it was there.
+    /// The former value, if there was one.
     pub old: Option<Arc<[u8]>>,
-    /// What it holds now, if it is there.
+    /// The new value, if there is one.
     pub new: Option<Arc<[u8]>>,
 }
 
@@ -41,8 +41,8 @@
     hash: u64,
 }
 
-/// Items ordered by key. Each range of key hashes has a digest, the wrapping sum of the hashes of its items,
-/// which is kept up to date with each change.
+/// Items ordered by key. Each range of key hashes has a digest, the wrapping sum of the hashes of its items, which is
+/// updated with each change.
 #[derive(Clone, Debug)]
 pub struct Store {
     entries: BTreeMap<String, Entry>,
@@ -74,7 +74,7 @@
             .map(|(key, entry)| (key.as_str(), &*entry.value))
     }
 
-    /// Returns how many items there are.
+    /// Returns the number of items.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
@@ -94,7 +94,7 @@
         self.digests.iter().fold(0, |sum, digest| sum.wrapping_add(*digest))
     }
 
-    /// Returns the changes that turn this store into one with exactly these items; of use to a new root.
+    /// Returns the changes that turn this store into one with exactly these items; for a new root.
     pub fn changes_to(&self, items: &BTreeMap<String, Vec<u8>>) -> Vec<Change> {
         let gone = self.entries.keys().filter(|key| !items.contains_key(*key));
         let gone = gone.map(|key| Change { key: key.clone(), value: None });
@@ -103,7 +103,7 @@
         gone.chain(differing).collect()
     }
 
-    /// Sets or removes an item. Returns what has changed, `None` where it was so before.
+    /// Sets or removes an item. Returns the change; none if there is none.
     pub(crate) fn apply(&mut self, change: Change) -> Option<ChangedKey> {
         if self.get(&change.key) == change.value.as_deref() {
             return None;
@@ -116,19 +116,19 @@
         Some(ChangedKey { key: change.key, old, new })
     }
 
-    /// Returns the items of some ranges, as a frame has them.
+    /// Returns the items of ranges in the form of a frame.
     pub(crate) fn items_of(&self, ranges: &[u8]) -> Vec<Item> {
         let entries = self.entries.iter().filter(|(_, entry)| ranges.contains(&entry.range));
         entries.map(|(key, entry)| item(key, Some(&entry.value))).collect()
     }
 
-    /// Returns the keys of some ranges.
+    /// Returns the keys of ranges.
     pub(crate) fn keys_of<'a>(&'a self, ranges: &'a [u8]) -> impl Iterator<Item = &'a str> {
         let entries = self.entries.iter().filter(|(_, entry)| ranges.contains(&entry.range));
         entries.map(|(key, _)| key.as_str())
     }
 
-    /// Returns the ranges whose digests differ from others'.
+    /// Returns the ranges whose digests differ.
     pub(crate) fn ranges_differing_from(&self, digests: &Digests) -> Vec<u8> {
         (0u8..)
             .zip(self.digests.iter().zip(digests))
@@ -153,7 +153,7 @@
     }
 }
 
-/// Returns an item as a frame has it.
+/// Returns an item in the form of a frame.
 pub(crate) fn item(key: &str, value: Option<&Arc<[u8]>>) -> Item {
     Item {
         key: key.to_string(),
@@ -162,7 +162,7 @@
     }
 }
 
-/// Returns the change that an item of a frame stands for.
+/// Returns the change of an item of a frame.
 pub(crate) fn change(item: Item) -> Change {
     Change { key: item.key, value: (!item.removed).then_some(item.value) }
 }
--- a/crates/state-sync/src/subtree.rs
+++ b/crates/state-sync/src/subtree.rs
@@ -1,39 +1,39 @@
-//! What is known of a subtree: its proxies, which their monitors suspect, and the sums of its counts.
+//! The state of a subtree: its proxies, the suspicions of their monitors, and the sums of its counters.
 
 use crate::counters::{apply_counters, load_counters, retry_counters, server_load, service_counters};
 use crate::counters::{CounterChange, CounterTable, LoadCounters, RetryCounters};
 use quillpulley_protocol::{EndpointState, ProxyEndpoint, Report, ServerLoad, ServiceCounters, Suspicion};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a node knows of itself and of all below it.
+/// The merged state of a node and its subtree.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SubtreeState {
     /// The proxies by name.
     pub endpoints: BTreeMap<String, ProxyEndpoint>,
-    /// For each proxy that is suspected the names of its monitors that cannot reach it.
+    /// For each suspected proxy the names of the monitors that cannot reach it.
     pub suspicions: BTreeMap<String, BTreeSet<String>>,
     /// The sums.
     pub counts: CounterTable,
-    /// The number of its levels.
+    /// The number of levels.
     pub depth: u8,
 }
 
-/// What a process says of itself.
+/// The report of a process on itself.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LocalReport {
-    /// The proxy of its machine: given by the agent there, not by its proxy.
+    /// The endpoint of the machine's proxy. The agent reports it, not the proxy.
     pub endpoint: Option<ProxyEndpoint>,
-    /// Names of the proxies that it monitors and cannot reach.
+    /// The names of the proxies that it monitors and cannot reach.
     pub suspects: Vec<String>,
     /// 1 for a proxy, else 0.
     pub proxies: u32,
-    /// What it counted by service.
+    /// Its counters by service.
     pub services: Vec<ServiceCounters>,
-    /// What it has in flight by server.
+    /// Its load by server.
     pub servers: Vec<ServerLoad>,
 }
 
-/// The entries that a report has touched.
+/// The entries that a report has changed.
 #[derive(Debug, Default)]
 pub(crate) struct DirtyKeys {
     pub(crate) endpoints: BTreeSet<String>,
@@ -44,7 +44,7 @@
 }
 
 impl LocalReport {
-    /// Returns the same as a complete report of the node with this name.
+    /// Returns the complete report of a node with a name.
     pub(crate) fn into_report(self, name: &str) -> Report {
         let suspicion = |suspect| Suspicion { suspect, monitors: vec![name.to_string()] };
         Report {
@@ -61,7 +61,7 @@
 }
 
 impl SubtreeState {
-    /// Applies a report on this subtree.
+    /// Applies a report.
     pub(crate) fn apply(&mut self, report: Report) -> DirtyKeys {
         let mut dirty = DirtyKeys { proxies_before: self.counts.proxies, ..DirtyKeys::default() };
         if !report.delta {
@@ -79,7 +79,7 @@
         dirty
     }
 
-    /// Returns a complete report on this subtree.
+    /// Returns a complete report.
     pub(crate) fn to_report(&self) -> Report {
         let services = self.counts.services.clone().into_iter().map(service_counters);
         let servers = self.counts.servers.clone().into_iter().map(server_load);
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Returns who suspects a proxy, as a report has it: no monitors where nobody does.
+    /// Returns the monitors that suspect a proxy, in the form of a report.
     pub(crate) fn suspicion(&self, suspect: &str) -> Suspicion {
         let monitors = self.suspicions.get(suspect).into_iter().flatten().cloned().collect();
         Suspicion { suspect: suspect.to_string(), monitors }
@@ -124,8 +124,8 @@
     }
 }
 
-/// Of two accounts of a proxy the one to go by has the higher rank: that of a later life, and of one life the one
-/// that it cannot have come back from.
+/// Returns the rank of an endpoint. Of two reports of a proxy the one with the higher rank is valid: that of the
+/// later incarnation, and of the same incarnation the state that is never left.
 pub(crate) fn endpoint_rank(endpoint: &ProxyEndpoint) -> (u64, u8) {
     let progress = match endpoint.state {
         EndpointState::Starting => 0,
--- a/crates/state-sync/src/totals.rs
+++ b/crates/state-sync/src/totals.rs
@@ -1,4 +1,4 @@
-//! The totals that a node shows to its own process and to its children: its parent's, or else its own sums.
+//! The totals of a node for its own process and its children: the parent's, or else its own sums.
 
 use crate::counters::CounterTable;
 use crate::counters::{
@@ -8,10 +8,10 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Totals that were passed on by so many nodes go round in a loop: no tree is so deep.
+/// The hops from which totals must be in a loop.
 const MAX_HOPS: u8 = 12;
 
-/// Sums over the whole system, or over the part that is reached.
+/// Sums over the whole system, or over the reachable part.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
     /// Whether they come from the root.
@@ -20,27 +20,27 @@
     pub counts: CounterTable,
 }
 
-/// Whose sums the totals are.
+/// The origin of totals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Origin {
-    /// This node's.
+    /// The sums of this node.
     Own,
-    /// The parent's, heard of at this time.
+    /// The totals of the parent, received at this time.
     Parent { heard: Duration },
 }
 
-/// The totals of a node. What is shown is always what the children were told.
+/// The totals of a node. Invariant: they equal what was sent to the children.
 #[derive(Debug)]
 pub(crate) struct TotalsState {
     /// The hash of this node's name.
     own_id: u64,
     shown: Totals,
     origin: Origin,
-    /// What the parent has told on this connection; `None` before its complete totals have come.
+    /// The parent's totals on this link; none before the complete ones were received.
     parent_counters: Option<CounterTable>,
-    /// Whether what is shown is what the parent has told, so that its next delta can be passed on as it is.
+    /// Whether the totals are the parent's, so that its next delta can be passed on unchanged.
     is_in_step: bool,
-    /// Whether what is shown has changed since [`TotalsState::take_changed`].
+    /// Whether the totals have changed since [`TotalsState::take_changed`].
     has_changed: bool,
 }
 
@@ -64,7 +64,7 @@
         self.origin == Origin::Own
     }
 
-    /// Returns when the parent's totals get out of date.
+    /// Returns when the parent's totals expire.
     pub(crate) fn outdated_at(&self, receive_timeout: Duration) -> Option<Duration> {
         match self.origin {
             Origin::Own => None,
@@ -72,14 +72,13 @@
         }
     }
 
-    /// A connection to a parent has begun or ended: deltas mean nothing until it sends its complete totals.
+    /// Handles that a link to a parent was opened or closed: deltas are invalid until it sends its complete totals.
     pub(crate) fn reset_parent(&mut self) {
         self.parent_counters = None;
         self.is_in_step = false;
     }
 
-    /// Takes the parent's totals. Returns what to tell the children, `None` for a frame that means nothing or that
-    /// goes round in a loop of the tree.
+    /// Applies the parent's totals. Returns the frame for the children; none if the frame is invalid or in a loop.
     pub(crate) fn handle_parent(&mut self, now: Duration, mut frame: wire::Totals) -> Option<wire::Totals> {
         if frame.delta && self.parent_counters.is_none() {
             return None;
@@ -101,7 +100,7 @@
         Some(frame)
     }
 
-    /// Goes over to own sums. Returns the delta for the children.
+    /// Switches to the node's own sums. Returns the delta for the children.
     pub(crate) fn switch_to_own(&mut self, complete: bool, sums: &CounterTable) -> wire::Totals {
         self.origin = Origin::Own;
         self.is_in_step = false;
@@ -111,7 +110,7 @@
         delta
     }
 
-    /// Shows a delta of this node's own sums. Returns it as the children are to be told it.
+    /// Applies a delta of the node's own sums. Returns the delta for the children.
     pub(crate) fn show_own(&mut self, mut delta: wire::Totals) -> wire::Totals {
         delta.origin = self.own_id;
         self.show(delta.clone());
@@ -126,18 +125,18 @@
         apply(&mut self.shown.counts, delta);
     }
 
-    /// Returns whether the totals have changed since this was asked last.
+    /// Returns whether the totals have changed since the last call.
     pub(crate) fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.has_changed)
     }
 
-    /// Returns the whole totals, for a child that was told none: as the frame for the others, but complete.
+    /// Returns the complete totals, for a child that has none.
     pub(crate) fn complete_totals(&self, delta: &wire::Totals) -> wire::Totals {
         difference(&CounterTable::default(), &self.shown.counts, Header { delta: false, ..Header::of(delta) })
     }
 }
 
-/// What a frame of totals says besides the sums.
+/// The header of a frame of totals.
 struct Header {
     complete: bool,
     delta: bool,
@@ -157,7 +156,7 @@
     apply_counters(&mut counts.servers, frame.servers.into_iter().map(load_counters), frame.delta);
 }
 
-/// Returns the frame that turns some sums into others.
+/// Returns the frame with the difference of two sums.
 fn difference(from: &CounterTable, to: &CounterTable, header: Header) -> wire::Totals {
     let services = counters_between(&from.services, &to.services);
     let servers = counters_between(&from.servers, &to.servers);
--- a/crates/state-sync/src/updates.rs
+++ b/crates/state-sync/src/updates.rs
@@ -1,10 +1,10 @@
-//! The way of the state down the tree: subscriptions, their responses, and updates.
+//! The published state goes down the tree: subscriptions, their responses, and updates.
 //!
-//! What makes it sound: a revision stands for one state of the store, that of the root at that revision. An update that
-//! lists every key touched between two revisions (`Changes`) therefore fits any state between them. One that lists
-//! only the keys that differ between two states (`Difference`) fits the first of these alone: a key may have
-//! changed and changed back between them. While a subscription is out, updates are ignored, so that its response
-//! finds the very state whose digests were sent.
+//! Invariant: a revision identifies one state of the store, that of the root at that revision. An update that lists
+//! every key changed between two revisions (`Changes`) therefore applies to any state between them. One that lists
+//! only the keys that differ between two states (`Difference`) applies to the first of them only: a key may have
+//! changed and changed back between them. While a subscription is open, updates are ignored, so that its response
+//! applies to the state whose digests were sent.
 
 use crate::children::{Phase, Subscription};
 use crate::node::{Action, Role, SyncNode};
@@ -15,11 +15,11 @@
 use std::hash::Hash;
 use std::time::Duration;
 
-/// What a node can say to a subscription.
+/// The response of a node to a subscription.
 enum RepairDecision {
-    /// Nothing yet: it is behind the child, or does not know its own state.
+    /// None yet: the node is behind the child, or its state is unsound.
     Wait,
-    /// The child is as far as this node or further, in the same epoch: the updates to come will do.
+    /// The child is at the node's revision or later, in the same epoch: later updates are enough.
     UpToDate,
     /// All items of these ranges.
     Send(Vec<u8>),
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Returns whether an update that is newer than this node's state can be applied to it.
+    /// Returns whether an update that is newer than the node's state can be applied to it.
     fn fits(&self, update: &Update) -> bool {
         let epoch = self.revision.epoch;
         let is_between =
@@ -81,7 +81,7 @@
         self.finish_update(now, answer.digest, changed, actions);
     }
 
-    /// Returns the items of a response, and the removal of all others in its ranges.
+    /// Returns the items of a response, and the removals of all others in its ranges.
     fn changes_of_repair(&self, complete: &[u8], items: Vec<Item>) -> Vec<Change> {
         let present: HashSet<&str> = items.iter().map(|item| item.key.as_str()).collect();
         let gone = self.store.keys_of(complete).filter(|key| !present.contains(key));
@@ -93,7 +93,8 @@
         changes.into_iter().filter_map(|change| self.store.apply(change)).collect()
     }
 
-    /// After an update: checks the store against the digest, subscribes again where it is wrong, and tells the host.
+    /// Handles that an update was applied: checks the store against the digest, subscribes again if it is wrong, and
+    /// notifies the host.
     fn finish_update(
         &mut self,
         now: Duration,
@@ -111,7 +112,7 @@
         self.serve_subscriptions(actions);
     }
 
-    /// Sends an update to the children that follow.
+    /// Sends an update to the children that are subscribed.
     pub(crate) fn forward(&self, update: Update, actions: &mut Vec<Action<Child>>) {
         let followers = self.children.which(|child| child.is_following());
         if !followers.is_empty() {
@@ -134,7 +135,7 @@
         self.serve_subscriptions(actions);
     }
 
-    /// Answers the subscriptions that can be answered, as many as the bound allows.
+    /// Responds to the subscriptions that can get a response, as many as the limit allows.
     pub(crate) fn serve_subscriptions(&mut self, actions: &mut Vec<Action<Child>>) {
         for (child, subscription) in self.children.subscriptions() {
             let ranges = match self.decide_repair(&subscription) {
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Returns whether the state can be passed on: there is one, it is sound, and a new root has published.
+    /// Returns whether the state can be sent to children: it is sound, and a new root has published.
     fn knows_own_state(&self) -> bool {
         let is_announced = match self.role {
             Role::Root { announced } => announced == self.revision,
@@ -204,7 +205,7 @@
         self.serve_subscriptions(actions);
     }
 
-    /// Returns when a subscription is to be repeated or a response that was put off can be given.
+    /// Returns when a subscription has to be sent again, or a delayed response can be sent.
     pub(crate) fn updates_due(&self) -> Duration {
         let is_waiting =
             self.remaining_repairs == 0 && self.children.values().any(|c| c.subscription().is_some());
