--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -2,6 +2,7 @@
 //!
 //! Nothing here opens sockets or reads clocks: a host passes in datagrams, the time since its start and the list
 //! of peers, and does what the [`Action`]s say.
+#![forbid(unsafe_code)]
 
 mod monitor;
 pub mod rendezvous;
--- a/crates/replication/src/event.rs
+++ b/crates/replication/src/event.rs
@@ -7,18 +7,38 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// Another control node, which identified itself with a `Hello`, has sent a message.
-    Message { from: NodeId, body: Body },
+    Message {
+        /// The sender.
+        from: NodeId,
+        /// The message.
+        body: Body,
+    },
     /// The failure domains of a node, as its `Hello` told. Comes before [`Event::Connected`].
-    LocalityLearned { node: NodeId, locality: Locality },
+    LocalityLearned {
+        /// The node.
+        node: NodeId,
+        /// Its failure domains.
+        locality: Locality,
+    },
     /// Messages can be sent to the node from now on.
     Connected(NodeId),
     /// Messages to the node are lost from now on.
     Disconnected(NodeId),
     /// A write is durable, or has failed.
-    WriteCompleted { ticket: u64, result: Result<(), WriteFailed> },
+    WriteCompleted {
+        /// The number of the write.
+        ticket: u64,
+        /// Whether it is durable.
+        result: Result<(), WriteFailed>,
+    },
     /// A payload to append to the log; must not be empty. Its outcome is reported by [`Action::Committed`] or
     /// [`Action::Rejected`] with the same number.
-    Propose { proposal: u64, payload: Vec<u8> },
+    Propose {
+        /// The number of the proposal.
+        proposal: u64,
+        /// The payload.
+        payload: Vec<u8>,
+    },
     /// Time has passed. Due every 50 ms.
     Tick,
     /// The process is about to shut down: a primary hands over, and the node stands for no election any more.
@@ -29,15 +49,36 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a message. It may get lost.
-    Send { to: NodeId, body: Body },
+    Send {
+        /// The recipient.
+        to: NodeId,
+        /// The message.
+        body: Body,
+    },
     /// Make a write durable and report it with [`Event::WriteCompleted`]. There is one write at a time.
-    Store { ticket: u64, write: Write },
+    Store {
+        /// The number of the write.
+        ticket: u64,
+        /// The write.
+        write: Write,
+    },
     /// The entry is committed and applied to the state. Not reported for entries that a snapshot covers.
-    Applied { index: u64 },
+    Applied {
+        /// The index of the entry.
+        index: u64,
+    },
     /// The proposal is committed, and the replica held its lease when it saw that.
-    Committed { proposal: u64 },
+    Committed {
+        /// The number of the proposal.
+        proposal: u64,
+    },
     /// The proposal is not acknowledged.
-    Rejected { proposal: u64, reason: RejectReason },
+    Rejected {
+        /// The number of the proposal.
+        proposal: u64,
+        /// Why it is rejected.
+        reason: RejectReason,
+    },
     /// The role has changed.
     RoleChanged(Role),
 }
@@ -50,9 +91,21 @@
     /// Append entries, after truncating the stored log from the index of the first one on.
     Append(Vec<Entry>),
     /// Replace the whole log by a snapshot and the entries after it, atomically.
-    Install { last: Position, snapshot: Vec<u8>, entries: Vec<Entry> },
+    Install {
+        /// The last entry that the snapshot covers.
+        last: Position,
+        /// The snapshot.
+        snapshot: Vec<u8>,
+        /// The entries after the snapshot.
+        entries: Vec<Entry>,
+    },
     /// Replace the entries up to `last` by a snapshot, atomically.
-    Compact { last: Position, snapshot: Vec<u8> },
+    Compact {
+        /// The last entry that the snapshot covers.
+        last: Position,
+        /// The snapshot.
+        snapshot: Vec<u8>,
+    },
 }
 
 impl Write {
@@ -80,7 +133,10 @@
 pub enum RejectReason {
     /// The replica holds no lease. The proposal was not appended and never will be. `hint` is the primary that the
     /// replica has heard within the lease.
-    NotPrimary { hint: Option<NodeId> },
+    NotPrimary {
+        /// The primary, if it is known.
+        hint: Option<NodeId>,
+    },
     /// The proposal was appended, and the replica lost its lease before it was committed: it may take effect or not.
     OutcomeUnknown,
 }
@@ -89,11 +145,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// It follows the primary that it has heard within the lease, if there is one.
-    Follower { primary: Option<NodeId> },
+    Follower {
+        /// The primary.
+        primary: Option<NodeId>,
+    },
     /// It stands for election.
     Candidate,
     /// It is the primary of an epoch. Without the lease it must not act as one.
-    Primary { epoch: u64, holds_lease: bool },
+    Primary {
+        /// The epoch.
+        epoch: u64,
+        /// Whether it holds the lease.
+        holds_lease: bool,
+    },
     /// It has been told to shut down.
     ShuttingDown,
 }
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -42,7 +42,7 @@
 
 /// A control node: a witness, and a member of the view once a primary has added it.
 ///
-/// All state changes in [`Replica::handle`]. A node with a [`PrimaryState`] is the primary; else one with a view change
+/// All state changes in [`Replica::handle`]. A node with a `PrimaryState` is the primary; else one with a view change
 /// in progress is a candidate; else it follows.
 #[derive(Clone, Debug)]
 pub struct Replica<S> {
--- a/crates/retry-budget/src/lib.rs
+++ b/crates/retry-budget/src/lib.rs
@@ -7,6 +7,7 @@
 //! Totals may be stale, or missing during a partition, so that the limits of all proxies may add up to more than the
 //! target. In addition there is a [hard cap](cap) for each proxy alone. The caps of all proxies add up to no more
 //! than the bound of the whole system, whatever each of them believes about the others.
+#![forbid(unsafe_code)]
 
 mod budgets;
 pub mod cap;
--- a/crates/state-sync/src/lib.rs
+++ b/crates/state-sync/src/lib.rs
@@ -10,6 +10,7 @@
 //! connection.
 //!
 //! [`parent_selection`] ranks the candidates for an agent's parent.
+#![forbid(unsafe_code)]
 
 mod aggregate;
 mod aggregation;
