--- a/crates/control-state/src/lib.rs
+++ b/crates/control-state/src/lib.rs
@@ -67,6 +67,9 @@
     }
 
     /// Parses the active configuration.
+    ///
+    /// # Errors
+    /// [`ConfigurationError`].
     pub fn configuration(&self) -> Result<Option<Configuration>, ConfigurationError> {
         self.body().map(Configuration::parse).transpose()
     }
--- a/crates/load-balancer/src/request_queue.rs
+++ b/crates/load-balancer/src/request_queue.rs
@@ -72,6 +72,9 @@
     }
 
     /// Queues a request. It is returned if there is no room for it even without those of lower priority.
+    ///
+    /// # Errors
+    /// The request, if there is no room for it.
     pub fn push(&mut self, now: Duration, terms: QueueTerms, request: T) -> Result<Queued<T>, T> {
         let until = (now + terms.objective / QUEUE_TIME_DIVISOR).min(terms.due);
         let key = QueueKey { priority: terms.priority, until, number: self.next_number };
--- a/crates/protocol/src/framing.rs
+++ b/crates/protocol/src/framing.rs
@@ -78,6 +78,9 @@
 }
 
 /// Reads one message, without its length: a datagram, or what a [`FrameDecoder`] has cut out.
+///
+/// # Errors
+/// [`ProtocolError`].
 pub fn decode_frame(bytes: &[u8]) -> Result<Body, ProtocolError> {
     let frame = FrameRef::read_as_root(bytes)?;
     let body = frame.body()?.ok_or_else(|| ProtocolError::Malformed("an empty frame".to_string()))?;
@@ -90,6 +93,9 @@
 }
 
 /// Reads a table that stands on its own: `decode_value::<ServerRef, Server>(bytes)`.
+///
+/// # Errors
+/// [`ProtocolError`].
 pub fn decode_value<'a, R, T>(bytes: &'a [u8]) -> Result<T, ProtocolError>
 where
     R: ReadAsRoot<'a>,
@@ -166,6 +172,9 @@
     }
 
     /// Returns the next complete message, if there is one. After an error the stream is of no further use.
+    ///
+    /// # Errors
+    /// [`ProtocolError`].
     pub fn next_frame(&mut self) -> Result<Option<Body>, ProtocolError> {
         loop {
             let pending = &self.buffer[self.consumed..];
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -7,6 +7,7 @@
 
 #[rustfmt::skip]
 #[allow(clippy::all, missing_docs)]
+#[allow(clippy::missing_errors_doc)]
 mod generated;
 
 mod framing;
--- a/crates/protocol/src/queue.rs
+++ b/crates/protocol/src/queue.rs
@@ -53,6 +53,9 @@
 
     /// Adds an encoded message. On the lane for state it takes the place of one that has not been begun; on the
     /// others it is refused if more bytes than `maximum` would wait, unless nothing waits before it.
+    ///
+    /// # Errors
+    /// [`QueueFull`].
     pub fn push(&mut self, lane: Lane, message: &[u8], maximum: usize) -> Result<(), QueueFull> {
         if lane == Lane::State {
             self.states.retain(|pending| pending.sent > 0);
--- a/crates/quillpulley/src/proxy/upstream/connection_pool.rs
+++ b/crates/quillpulley/src/proxy/upstream/connection_pool.rs
@@ -103,6 +103,9 @@
     }
 
     /// Returns an idle connection if there is one that can be reused, else a new one.
+    ///
+    /// # Errors
+    /// [`ConnectError`].
     pub async fn connect(&self, peer: &UpstreamPeer) -> Result<Connected, ConnectError> {
         if let Some(connection) = poll_fn(|cx| Poll::Ready(self.reuse(peer.key, cx))).await {
             return Ok(Connected { connection, reused: true });
--- a/crates/serving-config/src/lib.rs
+++ b/crates/serving-config/src/lib.rs
@@ -39,6 +39,9 @@
 
 impl Configuration {
     /// Reads what the operator sent.
+    ///
+    /// # Errors
+    /// [`ConfigurationError`].
     pub fn parse(body: &[u8]) -> Result<Configuration, ConfigurationError> {
         json::read(body, |value| {
             let fields = Fields::of(value, "the configuration")?;
@@ -69,6 +72,9 @@
     }
 
     /// Checks that its version is above the current one.
+    ///
+    /// # Errors
+    /// [`ConfigurationError`].
     pub fn check_follows(&self, current: u64) -> Result<(), ConfigurationError> {
         if self.version > current {
             return Ok(());
--- a/crates/serving-config/src/published/items.rs
+++ b/crates/serving-config/src/published/items.rs
@@ -33,6 +33,9 @@
 
     /// Reads a published configuration: the value of [`CONFIG_KEY`] and those of all keys that begin with
     /// [`ROUTE_PREFIX`](super::ROUTE_PREFIX).
+    ///
+    /// # Errors
+    /// [`ConfigurationError`].
     pub fn from_items<'a>(
         head: &[u8],
         routes: impl Iterator<Item = &'a [u8]>,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -72,12 +72,18 @@
 
 impl Settings {
     /// Reads the file that [`PATH_VARIABLE`] names.
+    ///
+    /// # Errors
+    /// [`SettingsError`].
     pub fn from_environment() -> Result<Settings, SettingsError> {
         let path = env::var_os(PATH_VARIABLE).ok_or(SettingsError::NoPath)?;
         Settings::load(Path::new(&path))
     }
 
     /// Reads a settings file.
+    ///
+    /// # Errors
+    /// [`SettingsError`].
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let unreadable =
             |error| SettingsError::Unreadable { path: path.to_path_buf(), error: Box::new(error) };
@@ -85,6 +91,9 @@
     }
 
     /// Reads the text of a settings file.
+    ///
+    /// # Errors
+    /// [`SettingsError`].
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
         let table = text.parse().map_err(|error| reader::not_toml(text, &error))?;
         let root = Section::root(&table);
@@ -136,26 +145,41 @@
     }
 
     /// `Listen.Front`, or an error that asks for it.
+    ///
+    /// # Errors
+    /// [`SettingsError`].
     pub fn front_address(&self) -> Result<SocketAddr, SettingsError> {
         required_address("Listen.Front", self.listen.front)
     }
 
     /// `Listen.Ready`, or an error that asks for it.
+    ///
+    /// # Errors
+    /// [`SettingsError`].
     pub fn ready_address(&self) -> Result<SocketAddr, SettingsError> {
         required_address("Listen.Ready", self.listen.ready)
     }
 
     /// `Listen.Control`, or an error that asks for it.
+    ///
+    /// # Errors
+    /// [`SettingsError`].
     pub fn control_address(&self) -> Result<SocketAddr, SettingsError> {
         required_address("Listen.Control", self.listen.control)
     }
 
     /// `Listen.Directory`, or an error that asks for it.
+    ///
+    /// # Errors
+    /// [`SettingsError`].
     pub fn directory_address(&self) -> Result<SocketAddr, SettingsError> {
         required_address("Listen.Directory", self.listen.directory)
     }
 
     /// `DataDir`, or an error that asks for it.
+    ///
+    /// # Errors
+    /// [`SettingsError`].
     pub fn required_data_folder(&self) -> Result<&Path, SettingsError> {
         let missing = || SettingsError::missing("DataDir", reader::A_FOLDER);
         self.data_folder.as_deref().ok_or_else(missing)
--- a/crates/storage/src/files/folder.rs
+++ b/crates/storage/src/files/folder.rs
@@ -13,6 +13,9 @@
 
 impl Folder {
     /// Creates a folder, which is made if it is missing.
+    ///
+    /// # Errors
+    /// Those of the file system.
     pub fn open(path: &Path) -> io::Result<Folder> {
         fs::create_dir_all(path)?;
         Ok(Folder { path: path.to_path_buf() })
--- a/crates/storage/src/storage.rs
+++ b/crates/storage/src/storage.rs
@@ -56,6 +56,9 @@
 
 impl<F: Files> Storage<F> {
     /// Opens the storage in some other kind of folder.
+    ///
+    /// # Errors
+    /// [`StorageError`].
     pub fn open_in(files: F, options: Options) -> Result<(Storage<F>, Recovered), StorageError> {
         // Names that a killed process made or removed count only once they are sure to last.
         files.sync_names().map_err(StorageError::io("sync", "the folder"))?;
@@ -96,6 +99,9 @@
     }
 
     /// Replaces the record.
+    ///
+    /// # Errors
+    /// [`StorageError`].
     pub fn save_record(&mut self, bytes: &[u8]) -> Result<(), StorageError> {
         self.record.save(&self.files, bytes)
     }
@@ -103,6 +109,9 @@
     /// Appends entries, whose indexes follow each other, so that the log ends with the last of them. The first one
     /// may stand anywhere behind the snapshot; entries that are stored already are kept, others are replaced.
     /// After an error the log may end before the first entry that was to be replaced.
+    ///
+    /// # Errors
+    /// [`StorageError`].
     pub fn append(&mut self, entries: &[Entry]) -> Result<(), StorageError> {
         let Some(last) = entries.last().map(|entry| entry.index) else { return Ok(()) };
         self.check_sequence(entries)?;
@@ -124,6 +133,9 @@
 
     /// Replaces all but the record, as a whole: by a snapshot, the last entry that it covers, and the entries
     /// behind it.
+    ///
+    /// # Errors
+    /// [`StorageError`].
     pub fn install(
         &mut self,
         last: Position,
@@ -136,6 +148,9 @@
 
     /// Stores a snapshot, and drops the entries that it covers. One that covers no more than the present one is
     /// passed over.
+    ///
+    /// # Errors
+    /// [`StorageError`].
     pub fn compact(&mut self, last: Position, snapshot: &[u8]) -> Result<(), StorageError> {
         if last.index <= self.snapshot_index() {
             return Ok(());
