--- a/crates/quillpulley/src/agent/host/mod.rs
+++ b/crates/quillpulley/src/agent/host/mod.rs
@@ -204,7 +204,7 @@
     fn perform_drain(&mut self, action: drain::Action) {
         match action {
             drain::Action::StopListening => {
-                info!("draining");
+                info!("SIGTERM received, draining");
                 self.peers.stop_listening();
             }
             drain::Action::CloseChildAgents => {
--- a/crates/quillpulley/src/agent/host/tree.rs
+++ b/crates/quillpulley/src/agent/host/tree.rs
@@ -77,7 +77,7 @@
             let revision = self.node.revision();
             info!(
                 parent:% = self.address(candidate), epoch = revision.epoch, tick = revision.tick;
-                "receiving published state"
+                "subscribed to parent"
             );
             self.logged_parent = parent;
         }
--- a/crates/quillpulley/src/proxy/process.rs
+++ b/crates/quillpulley/src/proxy/process.rs
@@ -152,7 +152,7 @@
         let state = &self.state;
         let now = state.now();
         let deadline = DrainDeadline::new(now, settings.bounds.grace);
-        log::info!(open_requests = state.open_requests.len(); "draining");
+        log::info!(open_requests = state.open_requests.len(); "SIGTERM received, draining");
         state.lifecycle.begin_drain(now, deadline);
         self.urgent_report.notify_one();
         sleep_until(state.at(deadline.accepts_all_until())).await;
--- a/crates/rate-limiter/src/bin/rate-limiter-sim/protocol.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter-sim/protocol.rs
@@ -177,11 +177,11 @@
             id: id()?,
             is_retry: line.flag(4, "repeat")?,
             due: line.number(5, "due-s")?,
-            customer_limiters: line.number(6, "width")?.max(1.0) as u32,
+            tenant_limiters: line.number(6, "width")?.max(1.0) as u32,
             units: line.number(7, "weight")?,
             plan: line.text(9, "contract")?.into(),
             class: line.text(10, "profile")?.into(),
-            customer: line.text(11, "api-key")?.into(),
+            tenant: line.text(11, "api-key")?.into(),
         }),
         "FIRST" => Event::StreamStarted { id: id()? },
         "ENDED" => Event::AttemptFinished(AttemptResult {
--- a/crates/rate-limiter/src/bin/rate-limiter/clients/mod.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/clients/mod.rs
@@ -231,11 +231,11 @@
     let header = |name: HeaderName| parts.headers.get(name).cloned();
     let target = parts.uri.path_and_query().cloned();
     Ok(IncomingRequest {
-        customer: head.customer,
+        tenant: head.tenant,
         plan: head.plan,
         class: head.class,
         units: head.units,
-        customer_limiters: head.customer_limiters,
+        tenant_limiters: head.tenant_limiters,
         is_retry: header(RETRY_MARK).is_some_and(|value| value == "1"),
         forwarded: ForwardedRequest {
             target: target.ok_or(ErrorResponse::new(StatusCode::NOT_FOUND, "no path\n"))?,
--- a/crates/rate-limiter/src/bin/rate-limiter/clients/request_head.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/clients/request_head.rs
@@ -1,6 +1,6 @@
 //! Reads and checks the head of a client's request: everything that the decisions or a server rely on.
 //!
-//! A request that is rejected here reaches neither the decisions, whose totals go by customer, nor a server. This must
+//! A request that is rejected here reaches neither the decisions, whose totals go by tenant, nor a server. This must
 //! stay cheap: nothing is kept or logged, since the same malformed request may come again at full speed.
 
 use super::response::ErrorResponse;
@@ -21,9 +21,9 @@
 const MAX_ID_BYTES: usize = 128;
 /// The most headers that hyper reads of a request.
 const MAX_HEADERS: usize = 100;
-/// Numbers of customers are below this, and written in so many hexadecimal digits.
-const MAX_CUSTOMER: u64 = 1 << 33;
-const CUSTOMER_DIGITS: usize = 16;
+/// Numbers of tenants are below this, and written in so many hexadecimal digits.
+const MAX_TENANT: u64 = 1 << 33;
+const TENANT_DIGITS: usize = 16;
 const HEXADECIMAL: u32 = 16;
 /// The most characters of a number.
 const MAX_NUMBER_LENGTH: usize = 20;
@@ -33,19 +33,19 @@
 /// The checked head of a request.
 pub struct RequestHead {
     pub class: String,
-    pub customer: String,
+    pub tenant: String,
     pub plan: String,
     pub correlation_id: HeaderValue,
     /// How long the client waits.
     pub time_remaining: Duration,
     pub units: f64,
-    pub customer_limiters: u32,
+    pub tenant_limiters: u32,
 }
 
-/// The units of a request, and the number of limiters that its customer can come through.
+/// The units of a request, and the number of limiters that its tenant can come through.
 struct Metering {
     units: f64,
-    customer_limiters: u32,
+    tenant_limiters: u32,
 }
 
 fn bad_request(reason: &'static str) -> ErrorResponse {
@@ -70,15 +70,15 @@
         let headers = &parts.headers;
         // The path comes first: an unknown one is not found, whatever the headers say.
         let path = parts.uri.path().strip_prefix('/').and_then(|path| path.split_once('/'));
-        let (class_name, customer) = path.ok_or_else(not_found)?;
+        let (class_name, tenant) = path.ok_or_else(not_found)?;
         let class = settings.classes.iter().find(|class| class.name == class_name).ok_or_else(not_found)?;
-        if customer.contains('/') {
+        if tenant.contains('/') {
             return Err(not_found());
         }
         if headers.contains_key(TRANSFER_ENCODING) && !is_only_chunked(raw) {
             return Err(bad_request("Transfer-Encoding beside Content-Length\n"));
         }
-        let customer = parse_customer(customer).ok_or(bad_request("the customer is malformed\n"))?;
+        let tenant = parse_tenant(tenant).ok_or(bad_request("the customer is malformed\n"))?;
         let correlation_id = single_id(headers, CORRELATION_ID);
         let correlation_id =
             correlation_id.ok_or(bad_request("X-Correlation-Id is missing or malformed\n"))?;
@@ -93,12 +93,12 @@
         check_class(class, &parts.method, headers, body)?;
         Ok(RequestHead {
             class: class.name.clone(),
-            customer,
+            tenant,
             plan: plan.to_string(),
             correlation_id: HeaderValue::from_str(correlation_id).map_err(|_| bad_request("malformed\n"))?,
             time_remaining,
             units: metering.units,
-            customer_limiters: metering.customer_limiters,
+            tenant_limiters: metering.tenant_limiters,
         })
     }
 }
@@ -136,11 +136,11 @@
     single_text(headers, name).filter(|id| id.len() <= MAX_ID_BYTES)
 }
 
-/// Parses the number of a customer, and returns it in its canonical form.
-fn parse_customer(text: &str) -> Option<String> {
-    let is_hexadecimal = text.len() == CUSTOMER_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+/// Parses the number of a tenant, and returns it in its canonical form.
+fn parse_tenant(text: &str) -> Option<String> {
+    let is_hexadecimal = text.len() == TENANT_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
     let number = u64::from_str_radix(text, HEXADECIMAL).ok().filter(|_| is_hexadecimal)?;
-    (number < MAX_CUSTOMER).then(|| format!("{number:016x}"))
+    (number < MAX_TENANT).then(|| format!("{number:016x}"))
 }
 
 /// Returns whether a chunked request came without a length. hyper removes the length if both are present, and a peer that
@@ -174,7 +174,7 @@
     Duration::try_from_secs_f64((parse_number(number)? * scale).min(max)).ok()
 }
 
-/// Parses `units=2,spread=3,first=1`: the units, the number of limiters of the customer, and the first of them.
+/// Parses `units=2,spread=3,first=1`: the units, the number of limiters of the tenant, and the first of them.
 fn parse_metering(settings: &Settings, text: &str) -> Option<Metering> {
     let (mut units, mut spread, mut first) = (None, None, None);
     for pair in text.split(',') {
@@ -196,5 +196,5 @@
     first.filter(|first| is_whole(first) && *first < limiters)?;
     let spread = spread.filter(|spread| is_whole(spread) && (1.0..=limiters).contains(spread))?;
     let units = units.filter(|units| *units > 0.0 && *units <= max_units)?;
-    Some(Metering { units, customer_limiters: spread as u32 })
+    Some(Metering { units, tenant_limiters: spread as u32 })
 }
--- a/crates/rate-limiter/src/bin/rate-limiter/host/mod.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/host/mod.rs
@@ -104,11 +104,11 @@
         self.requests.borrow_mut().insert(id, OpenRequest::new(incoming.forwarded, sender));
         self.dispatch(Event::Request(Request {
             id,
-            customer: incoming.customer.into(),
+            tenant: incoming.tenant.into(),
             plan: incoming.plan.into(),
             class: incoming.class.into(),
             units: incoming.units,
-            customer_limiters: incoming.customer_limiters,
+            tenant_limiters: incoming.tenant_limiters,
             is_retry: incoming.is_retry,
             due,
         }));
--- a/crates/rate-limiter/src/bin/rate-limiter/host/open_request.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/host/open_request.rs
@@ -22,11 +22,11 @@
 
 /// A client's request, as the decisions see it, and as servers get it.
 pub struct IncomingRequest {
-    pub customer: String,
+    pub tenant: String,
     pub plan: String,
     pub class: String,
     pub units: f64,
-    pub customer_limiters: u32,
+    pub tenant_limiters: u32,
     pub is_retry: bool,
     pub forwarded: ForwardedRequest,
 }
--- a/crates/rate-limiter/src/bin/rate-limiter/upstream/response.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/upstream/response.rs
@@ -21,7 +21,7 @@
         _ => Outcome::Error,
     };
     let units = headers.get(ACTUAL_UNITS).and_then(|value| parse_number(value.to_str().ok()?.trim()));
-    // More units than a request can have are invalid: taken from a bucket, they would block a customer for good.
+    // More units than a request can have are invalid: taken from a bucket, they would block a tenant for good.
     let units = units.filter(|units| *units > 0.0 && *units <= max_units);
     let report = load_report(headers);
     let response = (outcome == Outcome::Completed).then_some(response);
--- a/crates/rate-limiter/src/interface/event.rs
+++ b/crates/rate-limiter/src/interface/event.rs
@@ -46,16 +46,16 @@
 pub struct Request {
     /// The number of the request.
     pub id: RequestId,
-    /// The customer.
-    pub customer: Arc<str>,
-    /// The name of the customer's plan.
+    /// The tenant.
+    pub tenant: Arc<str>,
+    /// The name of the tenant's plan.
     pub plan: Arc<str>,
     /// The name of the class.
     pub class: Arc<str>,
     /// The units, or an estimate of them.
     pub units: f64,
-    /// The number of limiters that the customer can come through.
-    pub customer_limiters: u32,
+    /// The number of limiters that the tenant can come through.
+    pub tenant_limiters: u32,
     /// Whether the client marked it as a retry.
     pub is_retry: bool,
     /// When the client gives up.
--- a/crates/rate-limiter/src/interface/settings.rs
+++ b/crates/rate-limiter/src/interface/settings.rs
@@ -47,7 +47,7 @@
     pub streaming: bool,
 }
 
-/// A plan. Its quotas apply per customer, over all limiters together.
+/// A plan. Its quotas apply per tenant, over all limiters together.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
     /// The name, as requests give it.
@@ -58,11 +58,11 @@
     pub burst: f64,
     /// The attempts that may be in flight at once; 0 for no limit.
     pub max_in_flight: f64,
-    /// The hard ceiling in units per second; 0 for none.
+    /// The hard rate limit in units per second; 0 for none.
     pub hard_rate: f64,
-    /// The burst of the hard ceiling in units.
+    /// The burst of the hard rate limit in units.
     pub hard_burst: f64,
-    /// Units by which the burst of the hard ceiling may be overdrawn.
+    /// Units by which the burst of the hard rate limit may be overdrawn.
     pub hard_slack: f64,
     /// A multiplier of the value.
     pub price: f64,
--- a/crates/rate-limiter/src/lib.rs
+++ b/crates/rate-limiter/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A [`Limiter`] is a pure state machine: no I/O, no clock, no globals. Its host passes it events ([`Event`]) and their
 //! time, and performs the resulting actions ([`Action`]). Several limiters in front of the same servers enforce each
-//! customer's quota together, through a counter service.
+//! tenant's quota together, through a counter service.
 //!
 //! ```
 //! use rate_limiter::{Action, Event, Limiter, Settings};
--- a/crates/rate-limiter/src/limiter/admission.rs
+++ b/crates/rate-limiter/src/limiter/admission.rs
@@ -28,9 +28,9 @@
             // The client does not wait any longer: the request would execute for nothing.
             return self.reject_overloaded(request.id, actions);
         }
-        let (units, key) = (request.units.max(0.0), &request.customer);
+        let (units, key) = (request.units.max(0.0), &request.tenant);
         self.retry_budget.record_request();
-        self.quotas.put(context!(self), key, plan, request.customer_limiters, units);
+        self.quotas.put(context!(self), key, plan, request.tenant_limiters, units);
         let checked = self.quotas.check(context!(self), key, units, request.is_retry, &mut self.rng);
         if let Err(QuotaExceeded { retry_after }) = checked {
             if !request.is_retry {
@@ -55,14 +55,14 @@
     /// Returns the probability with which a request is shed: if the servers are overloaded, those of least value for their
     /// work, and those that are likely beyond their quota.
     ///
-    /// The latter are requests of a customer whose demand exceeds its quota, and retries of one without totals, which most
+    /// The latter are requests of a tenant whose demand exceeds its quota, and retries of one without totals, which most
     /// often were rejected for their quota at another limiter.
     fn shed_probability(&self, request: &Request, class: usize, plan: usize) -> f64 {
         let value = |class: usize| self.settings.classes[class].value / self.mean_latency[class].max(1e-6);
         let best = (0..self.mean_latency.len()).map(value).fold(0.0, f64::max);
         let value_factor = 1.0 + LOW_VALUE_SHED_FACTOR * (1.0 - value(class) / best.max(1e-9));
         let rate = self.settings.plans[plan].rate;
-        let totals = self.quotas.get(&request.customer).and_then(|customer| customer.totals);
+        let totals = self.quotas.get(&request.tenant).and_then(|tenant| tenant.totals);
         let is_over_quota = rate > 0.0 && totals.map_or(request.is_retry, |totals| totals.demand > rate);
         let quota_factor = if is_over_quota { OVER_QUOTA_SHED_FACTOR } else { 1.0 };
         self.servers.load.shed_share() * value_factor * quota_factor
--- a/crates/rate-limiter/src/limiter/attempts.rs
+++ b/crates/rate-limiter/src/limiter/attempts.rs
@@ -41,7 +41,7 @@
 
 /// A request that was admitted.
 pub(super) struct OpenRequest {
-    customer: Arc<str>,
+    tenant: Arc<str>,
     /// The index of the class.
     pub(super) class: usize,
     units: f64,
@@ -55,7 +55,7 @@
 impl OpenRequest {
     pub(super) fn new(request: &Request, class: usize, units: f64) -> Self {
         OpenRequest {
-            customer: request.customer.clone(),
+            tenant: request.tenant.clone(),
             class,
             units,
             due: request.due,
@@ -106,8 +106,8 @@
             may_have_executed: true,
         });
         self.servers.record_send(context!(self), &server);
-        if let Some(customer) = self.quotas.get_mut(&request.customer) {
-            customer.in_flight += 1;
+        if let Some(tenant) = self.quotas.get_mut(&request.tenant) {
+            tenant.in_flight += 1;
         }
         let target_latency = self.settings.classes[request.class].target_latency;
         let usual = SLOW_FACTOR * self.mean_latency[request.class] * request.units.max(1.0);
@@ -220,9 +220,9 @@
             !matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent);
         let server = attempt.server.clone();
         let (class, units, was_done) = (request.class, request.units, request.done);
-        let customer = request.customer.clone();
+        let tenant = request.tenant.clone();
         self.uncount(id, number);
-        self.settle_units(&customer, units, result);
+        self.settle_units(&tenant, units, result);
         match outcome {
             Outcome::Completed => self.record_response(&server, class, units, result),
             Outcome::Rejected => {
@@ -243,17 +243,17 @@
         }
     }
 
-    /// Corrects the units of a customer by those that a response tells, if they were an estimate.
-    fn settle_units(&mut self, customer: &str, estimate: f64, result: &AttemptResult) {
+    /// Corrects the units of a tenant by those that a response tells, if they were an estimate.
+    fn settle_units(&mut self, tenant: &str, estimate: f64, result: &AttemptResult) {
         let now = self.now;
         let actual = result.units.unwrap_or(0.0);
         let is_settled = result.outcome == Outcome::Completed && actual > 0.0 && self.settings.post_paid;
-        let Some(customer) = self.quotas.get_mut(customer) else { return };
-        customer.in_flight = customer.in_flight.saturating_sub(1);
+        let Some(tenant) = self.quotas.get_mut(tenant) else { return };
+        tenant.in_flight = tenant.in_flight.saturating_sub(1);
         if is_settled {
-            customer.tokens -= actual - estimate;
-            let correction = if now < customer.next_report { actual - estimate } else { 0.0 };
-            customer.unreported_used = (customer.unreported_used + correction).max(0.0);
+            tenant.tokens -= actual - estimate;
+            let correction = if now < tenant.next_report { actual - estimate } else { 0.0 };
+            tenant.unreported_used = (tenant.unreported_used + correction).max(0.0);
         }
     }
 
--- a/crates/rate-limiter/src/limiter/counter_sync.rs
+++ b/crates/rate-limiter/src/limiter/counter_sync.rs
@@ -1,16 +1,16 @@
-//! The exchange of customers' demand with the other limiters, through numbers on the counter service.
+//! The exchange of tenants' demand with the other limiters, through numbers on the counter service.
 //!
-//! Each limiter adds the units that it has admitted and rejected to one number per customer and window, off the request
+//! Each limiter adds the units that it has admitted and rejected to one number per tenant and window, off the request
 //! path, and reads the total back. Both parts are packed into one number, in steps, so that it stays within the digits
 //! that the counter holds exactly.
 
-use super::quota::{counter_name, is_scattered, mean_rate, CounterState, Customer, Totals};
+use super::quota::{counter_name, is_scattered, mean_rate, CounterState, Tenant, Totals};
 use super::{moving_average, Context};
 use crate::interface::{Action, CounterResponse, Outcome, Plan, Settings};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The least seconds between two reports of a customer.
+/// The least seconds between two reports of a tenant.
 pub(super) const REPORT_INTERVAL: f64 = 0.5;
 /// The jitter of that interval.
 const REPORT_JITTER: f64 = 0.2;
@@ -45,14 +45,14 @@
 
 /// A report to the counter that has no response yet.
 pub(super) struct Report {
-    pub(super) customer: Arc<str>,
+    pub(super) tenant: Arc<str>,
     window: i64,
     /// The steps that were added.
     used: f64,
     rejected: f64,
 }
 
-/// The demand of a customer over all limiters, as its totals tell it.
+/// The demand of a tenant over all limiters, as its totals tell it.
 pub(super) struct CountedDemand {
     pub(super) units: f64,
     pub(super) seconds: f64,
@@ -93,50 +93,50 @@
         &mut self,
         context: Context<'_>,
         key: &Arc<str>,
-        customer: &mut Customer,
+        tenant: &mut Tenant,
         units: f64,
         admitted: bool,
         rng: &mut fastrand::Rng,
     ) -> Option<Action> {
         let Context { settings, now } = context;
-        let plan = &settings.plans[customer.plan];
+        let plan = &settings.plans[tenant.plan];
         if !settings.has_counter || plan.rate <= 0.0 {
             return None;
         }
         let chance = if admitted { self.call_share } else { (2.0 * self.call_share).min(1.0) };
         let must_wait =
-            customer.is_reporting || now < customer.next_report || (!self.is_up() && now < self.retry_at);
+            tenant.is_reporting || now < tenant.next_report || (!self.is_up() && now < self.retry_at);
         if !must_wait && rng.f64() >= chance {
             return None;
         }
         let accumulated =
-            if admitted { &mut customer.unreported_used } else { &mut customer.unreported_rejected };
+            if admitted { &mut tenant.unreported_used } else { &mut tenant.unreported_rejected };
         *accumulated += if must_wait { units } else { units / chance };
         if must_wait {
             return None;
         }
         // One call per interval tells whether a counter that is down is back.
         self.retry_at = now + REPORT_INTERVAL;
-        Some(self.call(key, customer, plan, now, rng.f64()))
+        Some(self.call(key, tenant, plan, now, rng.f64()))
     }
 
     /// Calls the counter with all accumulated units. `draw` is a random number from 0 to 1.
-    fn call(&mut self, key: &Arc<str>, customer: &mut Customer, plan: &Plan, now: f64, draw: f64) -> Action {
+    fn call(&mut self, key: &Arc<str>, tenant: &mut Tenant, plan: &Plan, now: f64, draw: f64) -> Action {
         let window = (now / COUNTER_WINDOW).floor() as i64;
-        let counted = customer.counted.in_window(window);
+        let counted = tenant.counted.in_window(window);
         let step = step_units(plan);
         let steps = |units: f64, counted: f64, max: f64| {
             let rounding = if units % step == 0.0 { 0.0 } else { draw };
-            (units / step + rounding).floor().clamp(0.0, max_added_steps(counted, max, customer.limiters))
+            (units / step + rounding).floor().clamp(0.0, max_added_steps(counted, max, tenant.limiters))
         };
-        let used = steps(customer.unreported_used, counted.used, PACKING_BASE - 1.0);
-        let rejected = steps(customer.unreported_rejected, counted.rejected, MAX_REJECTED_STEPS);
-        customer.unreported_used = 0.0;
-        customer.unreported_rejected = 0.0;
-        customer.is_reporting = true;
-        customer.next_report = now + REPORT_INTERVAL * (1.0 - REPORT_JITTER / 2.0 + REPORT_JITTER * draw);
+        let used = steps(tenant.unreported_used, counted.used, PACKING_BASE - 1.0);
+        let rejected = steps(tenant.unreported_rejected, counted.rejected, MAX_REJECTED_STEPS);
+        tenant.unreported_used = 0.0;
+        tenant.unreported_rejected = 0.0;
+        tenant.is_reporting = true;
+        tenant.next_report = now + REPORT_INTERVAL * (1.0 - REPORT_JITTER / 2.0 + REPORT_JITTER * draw);
         let name = counter_name(key, window);
-        self.reports.insert(name.clone(), Report { customer: key.clone(), window, used, rejected });
+        self.reports.insert(name.clone(), Report { tenant: key.clone(), window, used, rejected });
         Action::AddToCounter {
             name,
             amount: used + rejected * PACKING_BASE,
@@ -178,8 +178,8 @@
     (max / 2.0 / limiters).floor().max(1.0)
 }
 
-impl Customer {
-    /// Applies the response to a report, and returns the demand of the customer if it tells it.
+impl Tenant {
+    /// Applies the response to a report, and returns the demand of the tenant if it tells it.
     pub(super) fn apply_response(
         &mut self,
         plan: &Plan,
@@ -217,7 +217,7 @@
         self.report_interval = moving_average(self.report_interval, own_span, REPORT_INTERVAL_GAIN);
         let averaging_time = (AVERAGING_REPORTS * self.report_interval)
             .clamp(AVERAGING_REPORTS * REPORT_INTERVAL, MAX_AVERAGING_WINDOWS * COUNTER_WINDOW);
-        // A customer that is met seldom is judged by its first totals: those are not averaged with the nothing before
+        // A tenant that is met seldom is judged by its first totals: those are not averaged with the nothing before
         // them, but over a short time.
         let is_first = last.is_none() && is_scattered(plan, self.limiters);
         let fade = if is_first { AVERAGING_REPORTS * REPORT_INTERVAL } else { averaging_time };
--- a/crates/rate-limiter/src/limiter/heavy_hitters.rs
+++ b/crates/rate-limiter/src/limiter/heavy_hitters.rs
@@ -1,7 +1,7 @@
-//! Customers whose demand is far beyond their quota, as the limiters list them for each other on the counter.
+//! Tenants whose demand is far beyond their quota, as the limiters list them for each other on the counter.
 //!
-//! If hundreds of limiters share a customer, most of its requests meet a limiter that has no totals of it, and whose
-//! bucket holds one request all the same: each admits one, and all together far more than the quota. The few customers
+//! If hundreds of limiters share a tenant, most of its requests meet a limiter that has no totals of it, and whose
+//! bucket holds one request all the same: each admits one, and all together far more than the quota. The few tenants
 //! that cause most of that are listed by the first limiter that learns it from its totals.
 //!
 //! The list is a row of numbers on the counter, read off the request path. Every limiter reads each entry once, and then
@@ -26,22 +26,22 @@
 const READ_INTERVAL: f64 = 0.05;
 /// Reads after which an invalid entry is skipped: two limiters wrote it at once, or a call that was to undo it is lost.
 const MAX_INVALID_READS: u32 = 4;
-/// A customer is listed if its demand exceeds its burst by this multiple of its quota ...
+/// A tenant is listed if its demand exceeds its burst by this multiple of its quota ...
 const MIN_EXCESS: f64 = 1.2;
 /// ... and its excess costs at least this share of what the costliest plan's quota is worth.
 const MIN_EXCESS_COST: f64 = 0.2;
-/// A listed customer is listed again if its demand has grown by this factor.
+/// A listed tenant is listed again if its demand has grown by this factor.
 const RELIST_FACTOR: f64 = 2.0;
-/// The part of a customer's quota that the listed share allows: limiters that know the customer, or have not read the
+/// The part of a tenant's quota that the listed share allows: limiters that know the tenant, or have not read the
 /// entry yet, admit requests too.
 pub(super) const LISTED_SHARE: f64 = 0.7;
 
-/// An entry is a number that the counter holds exactly (seven digits). It consists of a part of the customer's hash, a
+/// An entry is a number that the counter holds exactly (seven digits). It consists of a part of the tenant's hash, a
 /// level of its share, and a check digit, so that the sum of two entries is not an entry.
 mod entry {
     use super::hash;
 
-    const CUSTOMERS: u64 = 40_009;
+    const TENANTS: u64 = 40_009;
     const LEVELS: u64 = 16;
     /// The ratio of the shares of two neighbouring levels.
     const LEVEL_RATIO: f64 = 0.75;
@@ -50,25 +50,25 @@
     /// What an entry says.
     #[derive(Clone, Copy, Debug, PartialEq)]
     pub struct Entry {
-        /// The customer, by a part of its hash.
-        pub customer: u64,
+        /// The tenant, by a part of its hash.
+        pub tenant: u64,
         /// The share of its requests to be admitted.
         pub share: f64,
     }
 
-    /// Returns the part of the hash of a customer that entries hold.
-    pub fn customer_of(key: &str) -> u64 {
-        hash(key) % CUSTOMERS
+    /// Returns the part of the hash of a tenant that entries hold.
+    pub fn tenant_of(key: &str) -> u64 {
+        hash(key) % TENANTS
     }
 
     fn check_digit(body: u64) -> u64 {
         (body / CHECK + body) % CHECK
     }
 
-    /// Encodes the entry of a customer.
+    /// Encodes the entry of a tenant.
     pub fn encode(key: &str, share: f64) -> u64 {
         let level = (share.ln() / LEVEL_RATIO.ln()).round().clamp(0.0, LEVELS as f64 - 1.0) as u64;
-        let body = customer_of(key) * LEVELS + level;
+        let body = tenant_of(key) * LEVELS + level;
         body * CHECK + check_digit(body) + 1
     }
 
@@ -76,9 +76,9 @@
     pub fn decode(number: f64) -> Option<Entry> {
         let number = (number >= 1.0 && number.fract() == 0.0).then(|| number as u64 - 1)?;
         let (body, check) = (number / CHECK, number % CHECK);
-        let is_valid = check == check_digit(body) && body / LEVELS < CUSTOMERS;
+        let is_valid = check == check_digit(body) && body / LEVELS < TENANTS;
         let share = || LEVEL_RATIO.powi((body % LEVELS) as i32);
-        is_valid.then(|| Entry { customer: body / LEVELS, share: share() })
+        is_valid.then(|| Entry { tenant: body / LEVELS, share: share() })
     }
 }
 use entry::Entry;
@@ -98,7 +98,7 @@
 
 /// The list, as far as this limiter has read it.
 pub(super) struct HeavyHitters {
-    /// What the costliest plan's quota is worth beyond the quota. If that is nothing, no customer is listed.
+    /// What the costliest plan's quota is worth beyond the quota. If that is nothing, no tenant is listed.
     max_quota_cost: f64,
     list: i64,
     list_began: f64,
@@ -107,7 +107,7 @@
     invalid_reads: u32,
     next_call: f64,
     open_call: Option<OpenCall>,
-    /// The shares of customers in this list, and in the previous one.
+    /// The shares of tenants in this list, and in the previous one.
     shares: BTreeMap<u64, f64>,
     previous_shares: BTreeMap<u64, f64>,
     candidate: Option<Candidate>,
@@ -137,21 +137,21 @@
         }
     }
 
-    /// Returns the share of a customer's requests to be admitted, if it is listed.
+    /// Returns the share of a tenant's requests to be admitted, if it is listed.
     pub(super) fn share(&self, key: &str, now: f64) -> Option<f64> {
-        let customer = entry::customer_of(key);
+        let tenant = entry::tenant_of(key);
         let age = now - self.list_began;
-        let previous = self.previous_shares.get(&customer).filter(|_| age < OVERLAP);
-        let current = self.shares.get(&customer).filter(|_| age < LIST_TIME + OVERLAP);
+        let previous = self.previous_shares.get(&tenant).filter(|_| age < OVERLAP);
+        let current = self.shares.get(&tenant).filter(|_| age < LIST_TIME + OVERLAP);
         current.or(previous).copied()
     }
 
-    /// Records the demand of a customer, as its totals tell it.
+    /// Records the demand of a tenant, as its totals tell it.
     pub(super) fn record_demand(&mut self, key: &str, plan: &Plan, demand: &CountedDemand) {
         let CountedDemand { units, seconds } = *demand;
         let cost = (units / seconds - plan.rate) * excess_cost(plan);
         let share = LISTED_SHARE * plan.rate * seconds / units;
-        let listed_share = self.shares.get(&entry::customer_of(key));
+        let listed_share = self.shares.get(&entry::tenant_of(key));
         let is_over_quota = units > plan.burst + MIN_EXCESS * plan.rate * seconds;
         let is_new = listed_share.is_none_or(|listed| *listed >= RELIST_FACTOR * share);
         let min_cost = MIN_EXCESS_COST * self.max_quota_cost;
@@ -231,11 +231,11 @@
         None
     }
 
-    /// Adds an entry that was read. This limiter does not list the same customer again.
+    /// Adds an entry that was read. This limiter does not list the same tenant again.
     fn add(&mut self, entry: Entry) {
-        self.shares.insert(entry.customer, entry.share);
+        self.shares.insert(entry.tenant, entry.share);
         let is_other = |candidate: &Candidate| {
-            entry::decode(candidate.entry as f64).is_some_and(|own| own.customer != entry.customer)
+            entry::decode(candidate.entry as f64).is_some_and(|own| own.tenant != entry.tenant)
         };
         self.candidate = self.candidate.filter(is_other);
     }
--- a/crates/rate-limiter/src/limiter/mod.rs
+++ b/crates/rate-limiter/src/limiter/mod.rs
@@ -3,9 +3,9 @@
 //! | module | concern |
 //! | --- | --- |
 //! | [`admission`] | accepts or rejects a request: quota first, then the load of the servers |
-//! | [`quota`] | token buckets per customer, and this limiter's share of each quota |
-//! | [`counter_sync`] | exchanges the demand of customers with the other limiters, through the counter |
-//! | [`heavy_hitters`] | customers far beyond their quota, as all limiters list them for each other |
+//! | [`quota`] | token buckets per tenant, and this limiter's share of each quota |
+//! | [`counter_sync`] | exchanges the demand of tenants with the other limiters, through the counter |
+//! | [`heavy_hitters`] | tenants far beyond their quota, as all limiters list them for each other |
 //! | [`attempts`] | the attempts of a request: sends, time-outs, retries, the final response |
 //! | [`retry_budget`] | how many retries may be sent |
 //! | [`servers`] | the listed servers, and the subset that this limiter uses |
@@ -123,7 +123,7 @@
 use context;
 
 impl Limiter {
-    /// Creates a limiter that knows no server and no customer.
+    /// Creates a limiter that knows no server and no tenant.
     pub fn new(settings: Settings, seed: u64, now: f64) -> Self {
         let mean_latency = settings.classes.iter().map(|class| class.target_latency * INITIAL_MEAN_LATENCY);
         Limiter {
@@ -200,7 +200,7 @@
         if self.now - self.last_tick > STALL_TIME {
             self.stalled_until = self.now;
         }
-        self.quotas.forget_idle_customers(context!(self), self.last_tick);
+        self.quotas.forget_idle_tenants(context!(self), self.last_tick);
         self.last_tick = self.now;
         self.servers.refresh(context!(self));
         actions.extend(self.quotas.read_heavy_hitters(context!(self), &mut self.rng));
--- a/crates/rate-limiter/src/limiter/quota.rs
+++ b/crates/rate-limiter/src/limiter/quota.rs
@@ -1,6 +1,6 @@
-//! The quotas of customers: token buckets, each filled by this limiter's share of the quota.
+//! The quotas of tenants: token buckets, each filled by this limiter's share of the quota.
 //!
-//! The share of the quota is this limiter's share of the customer's demand, as the counter tells it. Without recent
+//! The share of the quota is this limiter's share of the tenant's demand, as the counter tells it. Without recent
 //! totals it is an even share.
 
 use super::counter_sync::CounterSync;
@@ -16,16 +16,16 @@
 const PRIOR_REQUESTS: f64 = 2.0;
 /// Counter windows after which totals count as missing while the counter responds.
 const STALE_WINDOWS: f64 = 2.0;
-/// Seconds without a request after which a customer whose bucket is full may be forgotten, and between checks for them.
+/// Seconds without a request after which a tenant whose bucket is full may be forgotten, and between checks for them.
 const IDLE_TIME: f64 = 60.0;
 /// As far as the quota is idle, the share of the plan's burst that a bucket of less than one request may borrow.
-const SMALL_BUCKET_LOAN: f64 = 0.7;
+const SMALL_BUCKET_BORROWED_BURST: f64 = 0.7;
 /// As far as the quota is idle, the share of its own burst that any other bucket may borrow.
-const LOAN: f64 = 0.3;
+const BORROWED_BURST: f64 = 0.3;
 /// Divisors are at least this.
 const EPSILON: f64 = 1e-9;
 
-/// The totals of a customer over all limiters, as this limiter last learned them. Rates are in units per second.
+/// The totals of a tenant over all limiters, as this limiter last learned them. Rates are in units per second.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Totals {
     pub(super) own_demand: f64,
@@ -36,17 +36,17 @@
     pub(super) averaging_time: f64,
 }
 
-/// A customer at this limiter.
+/// A tenant at this limiter.
 #[derive(Default)]
-pub(super) struct Customer {
+pub(super) struct Tenant {
     /// The index of the plan.
     pub(super) plan: usize,
-    /// Limiters that the customer can come through.
+    /// Limiters that the tenant can come through.
     pub(super) limiters: f64,
     pub(super) tokens: f64,
     /// When the bucket was refilled last.
     refilled_at: f64,
-    /// Tokens of the hard ceiling.
+    /// Tokens of the hard rate limit.
     hard_tokens: f64,
     pub(super) in_flight: u32,
     /// Units to be reported to the counter: admitted, and rejected.
@@ -92,7 +92,7 @@
     /// This limiter's share of the quota, in units per second.
     rate: f64,
     /// Units that the bucket may borrow.
-    loan: f64,
+    borrowed_burst: f64,
 }
 
 /// A request that its quota rejects.
@@ -114,27 +114,27 @@
     weighted.max(even_share.min(weighted + (quota - totals.used).max(0.0)))
 }
 
-/// Returns whether a plan's burst, spread over a customer's limiters, is less than the smallest request at each. Nearly
+/// Returns whether a plan's burst, spread over a tenant's limiters, is less than the smallest request at each. Nearly
 /// every request then finds a bucket that holds one request all the same, and no totals.
 pub(super) fn is_scattered(plan: &Plan, limiters: f64) -> bool {
     plan.rate > 0.0 && plan.burst / limiters < 1.0
 }
 
-impl Customer {
+impl Tenant {
     fn new(context: Context<'_>, plan_index: usize, limiters: f64, units: f64, started_at: f64) -> Self {
         let plan = &context.settings.plans[plan_index];
         let age = context.now - started_at;
-        Customer {
+        Tenant {
             plan: plan_index,
             limiters,
             tokens: (plan.burst / limiters).max(units),
             refilled_at: context.now,
-            // A restart must not draw the ceiling's burst again: the share is empty when the limiter starts.
+            // A restart must not draw the hard rate limit's burst again: the share is empty when the limiter starts.
             hard_tokens: (plan.hard_rate / limiters * age).min(plan.hard_burst / limiters),
             next_report: context.now,
             last_report: started_at,
             report_interval: super::counter_sync::REPORT_INTERVAL,
-            ..Customer::default()
+            ..Tenant::default()
         }
     }
 
@@ -144,7 +144,7 @@
         self.totals.as_ref().filter(|totals| counter_is_up && is_recent(totals))
     }
 
-    /// Refills the bucket, and the share of the hard ceiling. Tokens above a lowered burst are kept.
+    /// Refills the bucket, and the share of the hard rate limit. Tokens above a lowered burst are kept.
     fn refill(&mut self, plan: &Plan, units: f64, counter_is_up: bool, now: f64) -> Refilled {
         let known = self.known_totals(counter_is_up, now).copied();
         let rate = quota_share(plan.rate, self.limiters, units, known.as_ref());
@@ -158,11 +158,12 @@
         // load that moves here, a restart, and lost calls. If many limiters lend the same idle units within a report
         // interval, the quota is exceeded.
         let idle = known.map_or(0.0, |totals| (1.0 - totals.used / plan.rate.max(EPSILON)).max(0.0));
-        let max_loan = if burst < units { SMALL_BUCKET_LOAN * plan.burst } else { LOAN * burst };
-        Refilled { rate, loan: max_loan * idle }
+        let max_borrowed_burst =
+            if burst < units { SMALL_BUCKET_BORROWED_BURST * plan.burst } else { BORROWED_BURST * burst };
+        Refilled { rate, borrowed_burst: max_borrowed_burst * idle }
     }
 
-    /// Returns whether the customer may be forgotten: its bucket and its ceiling would be full.
+    /// Returns whether the tenant may be forgotten: its bucket and its hard rate limit would be full.
     fn can_be_forgotten(&self, context: Context<'_>) -> bool {
         let plan = &context.settings.plans[self.plan];
         let idle_time = context.now - self.refilled_at;
@@ -175,10 +176,10 @@
     }
 }
 
-/// The quotas of all customers at this limiter.
+/// The quotas of all tenants at this limiter.
 pub(super) struct Quotas {
     started_at: f64,
-    customers: BTreeMap<Arc<str>, Customer>,
+    tenants: BTreeMap<Arc<str>, Tenant>,
     counter: CounterSync,
     heavy_hitters: HeavyHitters,
 }
@@ -187,21 +188,21 @@
     pub(super) fn new(settings: &Settings, now: f64) -> Self {
         Quotas {
             started_at: now,
-            customers: BTreeMap::new(),
+            tenants: BTreeMap::new(),
             counter: CounterSync::new(now),
             heavy_hitters: HeavyHitters::new(settings),
         }
     }
 
-    pub(super) fn get(&self, key: &str) -> Option<&Customer> {
-        self.customers.get(key)
+    pub(super) fn get(&self, key: &str) -> Option<&Tenant> {
+        self.tenants.get(key)
     }
 
-    pub(super) fn get_mut(&mut self, key: &str) -> Option<&mut Customer> {
-        self.customers.get_mut(key)
+    pub(super) fn get_mut(&mut self, key: &str) -> Option<&mut Tenant> {
+        self.tenants.get_mut(key)
     }
 
-    /// Adds a customer that is not known, and sets how many limiters it can come through.
+    /// Adds a tenant that is not known, and sets how many limiters it can come through.
     pub(super) fn put(
         &mut self,
         context: Context<'_>,
@@ -212,9 +213,9 @@
     ) {
         let limiters = f64::from(limiters.clamp(1, context.settings.limiter_count.max(1)));
         let started_at = self.started_at;
-        let customer = self.customers.entry(key.clone());
-        let customer = customer.or_insert_with(|| Customer::new(context, plan, limiters, units, started_at));
-        customer.limiters = limiters;
+        let tenant = self.tenants.entry(key.clone());
+        let tenant = tenant.or_insert_with(|| Tenant::new(context, plan, limiters, units, started_at));
+        tenant.limiters = limiters;
     }
 
     /// Decides whether the quota allows a request. Must be followed by [`Quotas::take`] if it is sent.
@@ -231,54 +232,54 @@
     ) -> Result<(), QuotaExceeded> {
         let counter_is_up = self.counter.is_up();
         let exceeded = |retry_after| Err(QuotaExceeded { retry_after });
-        let Some(customer) = self.customers.get_mut(key) else { return exceeded(0.0) };
-        let plan = &context.settings.plans[customer.plan];
-        let scattered = is_scattered(plan, customer.limiters);
-        if is_retry && customer.totals.is_none() && scattered {
+        let Some(tenant) = self.tenants.get_mut(key) else { return exceeded(0.0) };
+        let plan = &context.settings.plans[tenant.plan];
+        let scattered = is_scattered(plan, tenant.limiters);
+        if is_retry && tenant.totals.is_none() && scattered {
             // Rejected by a limiter that knew more, or while the servers were full: each of hundreds of limiters would
             // admit it once. By then the quota itself has grown by as much.
             return exceeded(units / plan.rate);
         }
         // By its share of the quota each limiter would admit that share of what it sees: one that sees little admits by
         // chance.
-        let over_quota = customer.known_totals(counter_is_up, context.now);
+        let over_quota = tenant.known_totals(counter_is_up, context.now);
         let over_quota = over_quota.filter(|totals| totals.demand > plan.rate);
         let own_share = over_quota.map(|totals| LISTED_SHARE * plan.rate / totals.demand);
         let share = self.heavy_hitters.share(key, context.now).or(own_share).filter(|_| scattered);
         if share.is_some_and(|share| rng.f64() >= share) {
             return exceeded(units / plan.rate);
         }
-        let Refilled { rate, loan } = customer.refill(plan, units, counter_is_up, context.now);
-        if plan.rate > 0.0 && customer.tokens + loan < units {
+        let Refilled { rate, borrowed_burst } = tenant.refill(plan, units, counter_is_up, context.now);
+        if plan.rate > 0.0 && tenant.tokens + borrowed_burst < units {
             // If the quota is idle, the next totals matter more than the time until the bucket is refilled.
-            let refill_time = (units - customer.tokens - loan) / rate.max(1e-3);
-            let next_totals = (customer.next_report - context.now).max(0.0);
-            return exceeded(if loan > 0.0 { refill_time.min(next_totals) } else { refill_time });
+            let refill_time = (units - tenant.tokens - borrowed_burst) / rate.max(1e-3);
+            let next_totals = (tenant.next_report - context.now).max(0.0);
+            return exceeded(if borrowed_burst > 0.0 { refill_time.min(next_totals) } else { refill_time });
         }
-        if plan.hard_rate > 0.0 && customer.hard_tokens < units {
-            return exceeded((units - customer.hard_tokens) / (plan.hard_rate / customer.limiters));
+        if plan.hard_rate > 0.0 && tenant.hard_tokens < units {
+            return exceeded((units - tenant.hard_tokens) / (plan.hard_rate / tenant.limiters));
         }
         Ok(())
     }
 
     /// Takes the units of a request that is sent.
     pub(super) fn take(&mut self, key: &str, units: f64) {
-        if let Some(customer) = self.customers.get_mut(key) {
-            customer.tokens -= units;
-            customer.hard_tokens -= units;
+        if let Some(tenant) = self.tenants.get_mut(key) {
+            tenant.tokens -= units;
+            tenant.hard_tokens -= units;
         }
     }
 
-    /// Returns whether a customer has its share of the plan's limit in flight from here; the share is one attempt at
+    /// Returns whether a tenant has its share of the plan's limit in flight from here; the share is one attempt at
     /// least.
     pub(super) fn is_at_in_flight_limit(&self, context: Context<'_>, key: &str) -> bool {
-        let Some(customer) = self.customers.get(key) else { return true };
-        let even_share = 1.0 / customer.limiters;
-        let max_in_flight = context.settings.plans[customer.plan].max_in_flight;
-        let totals = customer.totals.filter(|totals| totals.demand > 0.0);
+        let Some(tenant) = self.tenants.get(key) else { return true };
+        let even_share = 1.0 / tenant.limiters;
+        let max_in_flight = context.settings.plans[tenant.plan].max_in_flight;
+        let totals = tenant.totals.filter(|totals| totals.demand > 0.0);
         let share = totals.map_or(even_share, |totals| totals.own_demand / totals.demand);
         max_in_flight > 0.0
-            && f64::from(customer.in_flight) >= (max_in_flight * share.max(even_share)).round().max(1.0)
+            && f64::from(tenant.in_flight) >= (max_in_flight * share.max(even_share)).round().max(1.0)
     }
 
     /// Reports the units of a request to the counter, now or with a later request.
@@ -290,8 +291,8 @@
         admitted: bool,
         rng: &mut fastrand::Rng,
     ) -> Option<Action> {
-        let customer = self.customers.get_mut(key)?;
-        self.counter.report(context, key, customer, units, admitted, rng)
+        let tenant = self.tenants.get_mut(key)?;
+        self.counter.report(context, key, tenant, units, admitted, rng)
     }
 
     /// Handles a response of the counter, and returns a further call that follows from it.
@@ -307,11 +308,11 @@
             let call_share = self.counter.call_share();
             return self.heavy_hitters.counter_response(&response.name, total, context.now, call_share, rng);
         };
-        let customer = self.customers.get_mut(&report.customer)?;
-        let plan = &context.settings.plans[customer.plan];
-        let learned = customer.apply_response(plan, context.now, &report, response);
-        if let Some(demand) = learned.filter(|_| is_scattered(plan, customer.limiters)) {
-            self.heavy_hitters.record_demand(&report.customer, plan, &demand);
+        let tenant = self.tenants.get_mut(&report.tenant)?;
+        let plan = &context.settings.plans[tenant.plan];
+        let learned = tenant.apply_response(plan, context.now, &report, response);
+        if let Some(demand) = learned.filter(|_| is_scattered(plan, tenant.limiters)) {
+            self.heavy_hitters.record_demand(&report.tenant, plan, &demand);
         }
         None
     }
@@ -325,16 +326,16 @@
         self.counter.is_up().then(|| self.heavy_hitters.tick(context.now, rng)).flatten()
     }
 
-    /// Forgets customers without a request for long, whose bucket and ceiling would be full: forgotten sooner, each
+    /// Forgets tenants without a request for long, whose bucket and hard rate limit would be full: forgotten sooner, each
     /// would get them full again. Does nothing unless a check is due since the last tick.
-    pub(super) fn forget_idle_customers(&mut self, context: Context<'_>, last_tick: f64) {
+    pub(super) fn forget_idle_tenants(&mut self, context: Context<'_>, last_tick: f64) {
         if (context.now / IDLE_TIME).floor() > (last_tick / IDLE_TIME).floor() {
-            self.customers.retain(|_, customer| !customer.can_be_forgotten(context));
+            self.tenants.retain(|_, tenant| !tenant.can_be_forgotten(context));
         }
     }
 }
 
-/// Returns the name of a customer's number on the counter in a window.
+/// Returns the name of a tenant's number on the counter in a window.
 pub(super) fn counter_name(key: &str, window: i64) -> String {
     format!("{:016x}.{window}", hash(key))
 }
--- a/crates/rate-limiter/tests/common/mod.rs
+++ b/crates/rate-limiter/tests/common/mod.rs
@@ -72,7 +72,7 @@
     pub now: f64,
     /// Counter calls made and not answered yet.
     pub calls: Vec<(String, f64)>,
-    pub customer_limiters: u32,
+    pub tenant_limiters: u32,
     next: u64,
 }
 
@@ -87,7 +87,7 @@
         let list =
             vec![server(A, "east", up, None), server(B, "east", up, None), server(C, "west", up, None)];
         let limiter = Limiter::new(settings, seed, 100.0);
-        let mut host = Host { limiter, now: 100.0, calls: Vec::new(), customer_limiters: 2, next: 0 };
+        let mut host = Host { limiter, now: 100.0, calls: Vec::new(), tenant_limiters: 2, next: 0 };
         host.event(Event::ServerList(list));
         host
     }
@@ -103,13 +103,13 @@
         out
     }
 
-    pub fn ask(&mut self, customer: &str, plan: &str, class: &str, units: f64) -> (u64, Vec<Action>) {
-        self.ask_marked(customer, plan, class, units, false)
+    pub fn ask(&mut self, tenant: &str, plan: &str, class: &str, units: f64) -> (u64, Vec<Action>) {
+        self.ask_marked(tenant, plan, class, units, false)
     }
 
     pub fn ask_marked(
         &mut self,
-        customer: &str,
+        tenant: &str,
         plan: &str,
         class: &str,
         units: f64,
@@ -118,11 +118,11 @@
         self.next += 1;
         let request = Request {
             id: self.next,
-            customer: customer.into(),
+            tenant: tenant.into(),
             plan: plan.into(),
             class: class.into(),
             units,
-            customer_limiters: self.customer_limiters,
+            tenant_limiters: self.tenant_limiters,
             is_retry,
             due: self.now + 4.0,
         };
@@ -144,8 +144,8 @@
     }
 
     /// Admits and serves at once; true if it was sent.
-    pub fn served(&mut self, customer: &str, plan: &str, units: f64) -> bool {
-        let (id, out) = self.ask(customer, plan, "read", units);
+    pub fn served(&mut self, tenant: &str, plan: &str, units: f64) -> bool {
+        let (id, out) = self.ask(tenant, plan, "read", units);
         let sent = sent_to(&out).is_some();
         if sent {
             self.end(id, 0, Outcome::Completed, None);
@@ -154,8 +154,8 @@
     }
 
     /// Units served in one go, one at a time, until the first refusal.
-    pub fn burst(&mut self, customer: &str, plan: &str) -> u32 {
-        (0..200).take_while(|_| self.served(customer, plan, 1.0)).count() as u32
+    pub fn burst(&mut self, tenant: &str, plan: &str) -> u32 {
+        (0..200).take_while(|_| self.served(tenant, plan, 1.0)).count() as u32
     }
 
     /// Answers each counter call that is out, quickly; gives their number.
--- a/crates/rate-limiter/tests/heavy.rs
+++ b/crates/rate-limiter/tests/heavy.rs
@@ -24,7 +24,7 @@
             let mut set = Settings { limiter_index: n as u32, limiter_count: LIMITERS as u32, ..settings() };
             set.plans.iter_mut().for_each(|plan| plan.excess_cost = 0.5);
             let mut host = Host::seeded(set, n as u64);
-            host.customer_limiters = LIMITERS as u32;
+            host.tenant_limiters = LIMITERS as u32;
             host
         });
         let hosts: Vec<Host> = hosts.collect();
--- a/crates/rate-limiter/tests/load.rs
+++ b/crates/rate-limiter/tests/load.rs
@@ -133,7 +133,7 @@
                 plan: "plain".into(),
                 class: "read".into(),
                 units: 1.0,
-                customer_limiters: 2,
+                tenant_limiters: 2,
                 is_retry,
                 due,
             }));
--- a/crates/rate-limiter/tests/quota.rs
+++ b/crates/rate-limiter/tests/quota.rs
@@ -177,9 +177,9 @@
 fn no_demand_runs_from_one_packed_number_into_the_other() {
     // Three hundred limiters' worth of one customer's calls, each with mass retries: no step of the refused
     // may show as used, nor the sum pass its seven digits.
-    let customer_limiters = 300;
-    let mut h = Host::new(Settings { limiter_count: customer_limiters, ..settings() }).warm();
-    h.customer_limiters = customer_limiters;
+    let tenant_limiters = 300;
+    let mut h = Host::new(Settings { limiter_count: tenant_limiters, ..settings() }).warm();
+    h.tenant_limiters = tenant_limiters;
     let (mut used, mut refused, mut name_now) = (0.0, 0.0, String::new());
     for _ in 0..3000 {
         h.now += 0.05;
@@ -190,8 +190,8 @@
             if name != name_now {
                 (used, refused, name_now) = (0.0, 0.0, name.clone());
             }
-            used += add % PACK * f64::from(customer_limiters);
-            refused += (add / PACK).floor() * f64::from(customer_limiters);
+            used += add % PACK * f64::from(tenant_limiters);
+            refused += (add / PACK).floor() * f64::from(tenant_limiters);
             assert!(used < PACK && refused + 1.0 < 10_000_000.0 / PACK, "{used} used, {refused} refused");
             let total = used + refused * PACK;
             h.event(Event::CounterResponse(CounterResponse {
@@ -208,7 +208,7 @@
 fn an_idle_customer_is_forgotten_only_when_its_bucket_would_be_full() {
     // A request in two minutes is the fallback here: forgetting it sooner would give a full bucket anew.
     let mut h = Host::new(Settings { limiter_count: 1200, ..settings() });
-    h.customer_limiters = 1200;
+    h.tenant_limiters = 1200;
     assert!(h.served("c", "plain", 1.0));
     assert!(!h.served("c", "plain", 1.0));
     for _ in 0..1600 {
@@ -227,13 +227,13 @@
 fn an_idle_quota_lends_to_a_bucket_of_under_one_request() {
     // The third objection: the bucket holds a tenth of a request, and the quota is known to be idle.
     let mut h = Host::new(Settings { limiter_count: 200, ..settings() }).warm();
-    h.customer_limiters = 200;
+    h.tenant_limiters = 200;
     assert!(h.served("c", "plain", 2.0));
     h.count(|add| (Outcome::Completed, add));
     h.now += 1.0;
     assert!(h.served("c", "plain", 2.0), "idle: lent");
     let mut h = Host::new(Settings { limiter_count: 200, ..settings() }).warm();
-    h.customer_limiters = 200;
+    h.tenant_limiters = 200;
     h.now = 210.0;
     assert!(h.served("c", "plain", 2.0));
     h.count(|add| (Outcome::Completed, add + 400.0));
@@ -299,11 +299,11 @@
     let mut h = Host::new(settings());
     let request = Request {
         id: 1,
-        customer: "c".into(),
+        tenant: "c".into(),
         plan: "plain".into(),
         class: "read".into(),
         units: 9.0,
-        customer_limiters: 50,
+        tenant_limiters: 50,
         is_retry: false,
         due: h.now + 1.0,
     };
@@ -350,7 +350,7 @@
 /// A host among three hundred limiters, all of which a customer can come through.
 fn among_hundreds() -> Host {
     let mut h = Host::new(Settings { limiter_count: 300, ..settings() }).warm();
-    h.customer_limiters = 300;
+    h.tenant_limiters = 300;
     h
 }
 
@@ -366,7 +366,7 @@
     });
     assert!(sent_to(&out).is_none() && advice > Some(0.0), "{out:?}");
     // Where a few share it, the bucket of each holds its part of the burst.
-    h.customer_limiters = 2;
+    h.tenant_limiters = 2;
     assert!(sent_to(&ask(&mut h, "c", true)).is_some());
 }
 
