--- a/crates/quillpulley/src/control/api/mod.rs
+++ b/crates/quillpulley/src/control/api/mod.rs
@@ -53,24 +53,12 @@
     }
 }
 
-/// Deliberate faults of tests; see the feature `fault-injection`.
-#[doc(hidden)]
-#[derive(Clone, Copy, Debug, Default)]
-pub struct Faults {
-    /// Responses are written without checking whether the lease has ended.
-    #[cfg(feature = "fault-injection")]
-    pub skip_lease_check: bool,
-}
-
-impl Faults {
-    #[cfg(feature = "fault-injection")]
-    fn skip_lease_check(self) -> bool {
-        self.skip_lease_check
-    }
-
-    #[cfg(not(feature = "fault-injection"))]
-    const fn skip_lease_check(self) -> bool {
-        false
+quillpulley_fault_injection::define_faults! {
+    /// The faults of the API.
+    #[doc(hidden)]
+    Faults {
+        /// Responses are written without checking whether the lease has ended.
+        skip_lease_check,
     }
 }
 
--- a/crates/rate-limiter/tests/load.rs
+++ b/crates/rate-limiter/tests/load.rs
@@ -129,7 +129,7 @@
             let (id, due) = (10_000 + u64::from(n), h.now + 4.0);
             let out = h.event(Event::Request(Request {
                 id,
-                customer: format!("other{n}").as_str().into(),
+                tenant: format!("other{n}").as_str().into(),
                 plan: "plain".into(),
                 class: "read".into(),
                 units: 1.0,
--- a/crates/replication/src/faults.rs
+++ b/crates/replication/src/faults.rs
@@ -1,57 +1,27 @@
-//! Deliberate faults, with which tests prove that they would notice a mistake in the protocol.
-//!
-//! Without the feature `fault-injection` no fault can be switched on: [`Faults`] has no fields, and each of its
-//! methods is constant.
+//! The deliberate faults of a replica.
 
-macro_rules! faults {
-    ($($(#[$doc:meta])* $name:ident,)*) => {
-        /// The faults of a replica.
-        #[derive(Clone, Copy, Debug, Default)]
-        pub struct Faults {
-            $(
-                $(#[$doc])*
-                #[cfg(feature = "fault-injection")]
-                pub $name: bool,
-            )*
-        }
-
-        impl Faults {
-            $(
-                $(#[$doc])*
-                #[cfg(feature = "fault-injection")]
-                pub(crate) fn $name(self) -> bool {
-                    self.$name
-                }
-
-                $(#[$doc])*
-                #[cfg(not(feature = "fault-injection"))]
-                pub(crate) const fn $name(self) -> bool {
-                    false
-                }
-            )*
-        }
-    };
-}
-
-faults! {
-    /// The primary commits once a majority of members has stored an entry, not every one.
-    acknowledge_by_majority,
-    /// The primary acts as if it held a lease without end.
-    ignore_own_lease,
-    /// A witness promises although a lease that it granted to another node still runs.
-    promise_under_lease,
-    /// A witness answers before its record is durable.
-    answer_before_sync,
-    /// A learner counts as a member before it holds the data.
-    count_learner_early,
-    /// A primary lets the new set of witnesses decide alone, without a majority of the old one.
-    change_witnesses_in_one_step,
-    /// All members of a view become its witnesses at once, without a majority of the old set.
-    replace_all_witnesses,
-    /// A witness that is no member of the newest view leads with the state that it has, and fetches none.
-    elect_from_stale_snapshot,
-    /// A primary states what is in force without checking its lease at that moment.
-    answer_without_lease_check,
-    /// A member confirms an installed state before all of it is durable.
-    install_before_complete,
+quillpulley_fault_injection::define_faults! {
+    /// The faults of a replica.
+    Faults {
+        /// The primary commits once a majority of members has stored an entry, not every one.
+        acknowledge_by_majority,
+        /// The primary acts as if it held a lease without end.
+        ignore_own_lease,
+        /// A witness promises although a lease that it granted to another node still runs.
+        promise_under_lease,
+        /// A witness answers before its record is durable.
+        answer_before_sync,
+        /// A learner counts as a member before it holds the data.
+        count_learner_early,
+        /// A primary lets the new set of witnesses decide alone, without a majority of the old one.
+        change_witnesses_in_one_step,
+        /// All members of a view become its witnesses at once, without a majority of the old set.
+        replace_all_witnesses,
+        /// A witness that is no member of the newest view leads with the state that it has, and fetches none.
+        elect_from_stale_snapshot,
+        /// A primary states what is in force without checking its lease at that moment.
+        answer_without_lease_check,
+        /// A member confirms an installed state before all of it is durable.
+        install_before_complete,
+    }
 }
