--- a/crates/load-balancer/src/balancer/listing.rs
+++ b/crates/load-balancer/src/balancer/listing.rs
@@ -3,14 +3,14 @@
 use super::server::{Distance, Server, ServerInfo};
 use super::slow_start;
 use super::{Balancer, ServerKey};
-use quillpulley_protocol as wire;
+use quillpulley_protocol as protocol;
 use quillpulley_protocol::Locality;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 impl Balancer {
     /// Adds a listed server, or updates its entry. Returns none if its address is invalid; it is not used then.
-    pub fn put_server(&mut self, now: Duration, entry: &wire::Server) -> Option<ServerKey> {
+    pub fn put_server(&mut self, now: Duration, entry: &protocol::Server) -> Option<ServerKey> {
         let info = self.info(entry)?;
         let distance = Distance::between(&self.locality, &info.locality);
         let key = match self.by_id.get(&entry.id) {
@@ -50,7 +50,7 @@
         }
     }
 
-    fn info(&self, entry: &wire::Server) -> Option<ServerInfo> {
+    fn info(&self, entry: &protocol::Server) -> Option<ServerInfo> {
         let region = self.zones.get(&entry.zone).cloned().unwrap_or_default();
         Some(ServerInfo {
             id: entry.id.clone(),
--- a/crates/load-balancer/src/balancer/mod.rs
+++ b/crates/load-balancer/src/balancer/mod.rs
@@ -26,7 +26,7 @@
 
 use in_flight::{InFlight, RequestKey};
 use prefix_cache::PrefixCacheIndex;
-use quillpulley_protocol as wire;
+use quillpulley_protocol as protocol;
 use quillpulley_serving_config::Service;
 use server::Server;
 use service::{ServiceSettings, ServiceState};
@@ -91,8 +91,8 @@
 
     /// Sets the loads of all servers, summed over all proxies, this one included. A server without an entry has no
     /// load.
-    pub fn set_totals(&mut self, now: Duration, totals: &[wire::ServerLoad]) {
-        let by_hash: HashMap<u64, &wire::ServerLoad> =
+    pub fn set_totals(&mut self, now: Duration, totals: &[protocol::ServerLoad]) {
+        let by_hash: HashMap<u64, &protocol::ServerLoad> =
             totals.iter().map(|load| (load.server, load)).collect();
         for server in self.servers.values_mut() {
             server.load.set_total(now, by_hash.get(&server.hash).copied());
@@ -101,7 +101,7 @@
 
     /// Returns the loads of this proxy, to be reported to the others, without servers that have none. Requests that a
     /// server has not responded to for long are reported as failures, so that others need not wait for as long.
-    pub fn own_loads(&mut self, now: Duration) -> Vec<wire::ServerLoad> {
+    pub fn own_loads(&mut self, now: Duration) -> Vec<protocol::ServerLoad> {
         let services = &self.services;
         let report = |server: &mut Server| {
             let (failed, _) = server.failures.at(now);
--- a/crates/load-balancer/src/balancer/server.rs
+++ b/crates/load-balancer/src/balancer/server.rs
@@ -4,7 +4,7 @@
 use super::server_load::Load;
 use super::service_rate::Speed;
 use super::slow_start::Sends;
-use quillpulley_protocol as wire;
+use quillpulley_protocol as protocol;
 use quillpulley_protocol::Locality;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -51,15 +51,15 @@
 /// The result of updating a listed entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ListingEvent {
-    Listed { leaving: bool },
+    Listed { is_leaving: bool },
     Misdirected,
 }
 
 impl Listing {
     fn after(self, event: ListingEvent) -> Listing {
         match (self, event) {
-            (_, ListingEvent::Listed { leaving: true }) => Listing::Draining,
-            (_, ListingEvent::Listed { leaving: false }) => Listing::Ready,
+            (_, ListingEvent::Listed { is_leaving: true }) => Listing::Draining,
+            (_, ListingEvent::Listed { is_leaving: false }) => Listing::Ready,
             (_, ListingEvent::Misdirected) => Listing::Misdirected,
         }
     }
@@ -91,7 +91,7 @@
     pub(crate) hash: u64,
     pub(crate) distance: Distance,
     /// The latest entry.
-    entry: wire::Server,
+    entry: protocol::Server,
     listing: Listing,
     pub(crate) evacuated: bool,
     warming_until: Duration,
@@ -106,7 +106,7 @@
 }
 
 impl Server {
-    pub(crate) fn new(now: Duration, info: ServerInfo, distance: Distance, entry: &wire::Server) -> Self {
+    pub(crate) fn new(now: Duration, info: ServerInfo, distance: Distance, entry: &protocol::Server) -> Self {
         let mut server = Server {
             hash: server_hash(&info.id),
             info,
@@ -123,7 +123,7 @@
             failures: FailureRate::default(),
             speed: Speed::default(),
         };
-        server.take_entry(now, entry);
+        server.apply_entry(now, entry);
         server
     }
 
@@ -133,20 +133,20 @@
         now: Duration,
         info: ServerInfo,
         distance: Distance,
-        entry: &wire::Server,
+        entry: &protocol::Server,
     ) {
         if *entry == self.entry {
             return;
         }
         self.info = info;
         self.distance = distance;
-        self.take_entry(now, entry);
+        self.apply_entry(now, entry);
         self.entry = entry.clone();
     }
 
-    fn take_entry(&mut self, now: Duration, entry: &wire::Server) {
-        let leaving = entry.state == wire::ServerState::Draining || entry.has_time_remaining;
-        self.listing = self.listing.after(ListingEvent::Listed { leaving });
+    fn apply_entry(&mut self, now: Duration, entry: &protocol::Server) {
+        let is_leaving = entry.state == protocol::ServerState::Draining || entry.has_time_remaining;
+        self.listing = self.listing.after(ListingEvent::Listed { is_leaving });
         self.set_warming(now, Duration::from_millis(u64::from(entry.warmup_remaining_ms)));
     }
 
--- a/crates/load-balancer/src/balancer/service.rs
+++ b/crates/load-balancer/src/balancer/service.rs
@@ -29,7 +29,7 @@
 /// The medians that servers are compared with. They change slowly and are cached.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Medians {
-    pub(crate) taken: Option<Duration>,
+    pub(crate) updated_at: Option<Duration>,
     /// The median time per token of work, in milliseconds.
     pub(crate) token_ms: Option<f64>,
     /// The failure rate from which a server counts as failing.
@@ -39,13 +39,13 @@
 impl ServiceState {
     /// Computes the medians, unless they are cached.
     pub(crate) fn refresh_medians(&mut self, now: Duration, servers: &SlotMap<ServerKey, Server>) {
-        if self.medians.taken.is_some_and(|taken| now < taken + MEDIANS_TTL) {
+        if self.medians.updated_at.is_some_and(|updated_at| now < updated_at + MEDIANS_TTL) {
             return;
         }
         let servers = || self.servers.iter().filter_map(|key| servers.get(*key));
         let share = median(servers().map(|server| server.failure_rate(now))).unwrap_or(0.0);
         self.medians = Medians {
-            taken: Some(now),
+            updated_at: Some(now),
             token_ms: median(servers().filter_map(|server| server.speed.reliable())),
             failing_from: (share * FAILING_FACTOR).max(MIN_FAILURE_RATE),
         };
--- a/crates/load-balancer/tests/common/mod.rs
+++ b/crates/load-balancer/tests/common/mod.rs
@@ -4,7 +4,7 @@
 pub mod fleet;
 
 use quillpulley_load_balancer::{Balancer, Demand, Locality, Options, PromptPart, ProxyPeer};
-use quillpulley_protocol as wire;
+use quillpulley_protocol as protocol;
 use quillpulley_serving_config::Configuration;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -61,25 +61,25 @@
     balancer("l1", "a1", &[limiter("l1", "a1")])
 }
 
-pub fn server(id: &str, service: &str, zone: &str, slots: u32) -> wire::Server {
-    wire::Server {
+pub fn server(id: &str, service: &str, zone: &str, slots: u32) -> protocol::Server {
+    protocol::Server {
         id: id.to_owned(),
         service: service.to_owned(),
         address: "10.0.0.1:80".to_owned(),
         zone: zone.to_owned(),
         slots,
-        state: wire::ServerState::Ready,
+        state: protocol::ServerState::Ready,
         warmup_remaining_ms: 0,
         time_remaining_ms: 0,
         has_time_remaining: false,
     }
 }
 
-pub fn engine(id: &str, zone: &str) -> wire::Server {
+pub fn engine(id: &str, zone: &str) -> protocol::Server {
     server(id, ENGINE, zone, 64)
 }
 
-pub fn plain(id: &str, zone: &str) -> wire::Server {
+pub fn plain(id: &str, zone: &str) -> protocol::Server {
     server(id, PLAIN, zone, 6)
 }
 
--- a/crates/membership/src/monitor.rs
+++ b/crates/membership/src/monitor.rs
@@ -17,7 +17,7 @@
     pub name: String,
     /// How many others monitor a peer.
     pub monitors: usize,
-    /// Time between two pings to a target that answers or is suspect, give or take an eighth.
+    /// The time between two pings to a target that responds or is suspected, with a jitter of an eighth.
     pub ping_interval: Duration,
     /// Time after which a ping without a response is followed by the next.
     pub retry_interval: Duration,
@@ -28,8 +28,8 @@
 }
 
 impl MonitorOptions {
-    /// Creates the usual figures: three monitors, and suspicion 1 to 1.7 s after a peer's death. Even where one
-    /// datagram of twenty is lost, five pings in a row are seldom left without a response.
+    /// Creates the default options: three monitors, and a suspicion 1 to 1.7 s after a peer's failure. Even if one
+    /// datagram of twenty is lost, five pings in a row are seldom unacknowledged.
     pub fn new(name: &str, seed: u64) -> Self {
         MonitorOptions {
             name: name.to_string(),
@@ -47,7 +47,7 @@
 pub struct Peer {
     /// Its name, unique in the system.
     pub name: String,
-    /// Where it takes datagrams.
+    /// The address for datagrams.
     pub address: SocketAddr,
 }
 
@@ -56,7 +56,7 @@
 pub enum Event {
     /// The nodes that are alive as far as is known, this one among them or not.
     Peers(Vec<Peer>),
-    /// A datagram came. What is no ping and no response to one is ignored.
+    /// A datagram was received. Anything but pings and acknowledgements is ignored.
     Received(Body, SocketAddr),
     /// Time has passed: wanted at [`Monitor::next_tick`], or a little later.
     Tick,
@@ -79,7 +79,7 @@
     suspects: Vec<String>,
     sequence: u64,
     random: fastrand::Rng,
-    /// When anything came from another node, and when a response came.
+    /// When anything was received from another node, and when an acknowledgement was.
     heard_at: Duration,
     answered_at: Duration,
 }
@@ -139,7 +139,7 @@
     }
 
     /// Returns whether this node is among those with the highest scores for a peer. Stops at the first few that score
-    /// higher, so that the whole takes far less than a score for each pair.
+    /// higher, so that this takes far less time than a score for each pair.
     fn is_monitor_of(&self, peer: &str, peers: &[Peer]) -> bool {
         let own_name = self.options.name.as_str();
         if peer == own_name {
@@ -181,12 +181,12 @@
         }
     }
 
-    /// Returns whether this node itself did nothing for a while: it was frozen or starved, and answers wait unread.
+    /// Returns whether this node itself was stalled, so that acknowledgements may be unread.
     fn was_suspended(&self, now: Duration) -> bool {
         now.saturating_sub(self.next_tick()) > self.options.ping_interval
     }
 
-    /// Works out the suspects again and tells the host where they changed.
+    /// Determines the suspects, and notifies the host if they have changed.
     fn review(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let silent = self.targets.iter().filter(|(_, target)| target.is_unresponsive());
         let mut suspects: Vec<String> = silent.map(|(name, _)| name.clone()).collect();
@@ -199,8 +199,8 @@
         }
     }
 
-    /// Returns whether it may rather be this node that is cut off: nobody has answered it recently, or where its only
-    /// target is silent, nobody has sent it anything. This shows sooner than any target becomes suspect.
+    /// Returns whether this node itself may be partitioned: it has received no acknowledgement recently, or nothing
+    /// at all if its only target does not respond. This is detected before any target becomes suspected.
     fn is_isolated(&self, now: Duration) -> bool {
         let proof = if self.targets.len() > 1 { self.answered_at } else { self.heard_at };
         now.saturating_sub(proof) > 2 * self.options.ping_interval
@@ -212,7 +212,7 @@
     }
 }
 
-/// Returns a time, give or take an eighth.
+/// Returns a time with a jitter of an eighth.
 fn jittered(time: Duration, random: &mut fastrand::Rng) -> Duration {
     time.mul_f64(0.875 + random.f64() / 4.0)
 }
--- a/crates/membership/src/target.rs
+++ b/crates/membership/src/target.rs
@@ -4,22 +4,22 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Whether a target answers.
+/// The state of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Health {
-    /// It answered, or was not asked often enough yet.
+    /// It has acknowledged a ping, or not enough pings were sent yet.
     Responsive,
-    /// It left as many pings in a row without a response as make it suspect.
+    /// It has not acknowledged so many pings in a row that it is suspected.
     Unresponsive,
 }
 
-/// A peer that this node pings, and how it answers.
+/// A peer that this node pings.
 #[derive(Debug)]
 pub(crate) struct Target {
     pub(crate) address: SocketAddr,
     /// When the next ping is due.
     pub(crate) due: Duration,
-    /// When the next ping is due if the latest is answered.
+    /// When the next ping is due if the latest is acknowledged.
     due_if_answered: Duration,
     /// The sequence numbers of pings that were sent since its latest response.
     unanswered: Vec<u64>,
@@ -36,7 +36,7 @@
     }
 
     /// A ping is due: those before it have had their time. `interval` is the time to the one after it if it is
-    /// answered; if not, the next follows sooner, until there have been enough to tell.
+    /// acknowledged; if not, the next follows sooner, until there were enough for a suspicion.
     pub(crate) fn ping(
         &mut self,
         now: Duration,
@@ -53,7 +53,7 @@
         self.due = now + if self.is_unresponsive() { interval } else { options.retry_interval };
     }
 
-    /// It answered a ping. Answers to none of the latest pings prove nothing about now.
+    /// Records an acknowledgement. One of an older ping proves nothing about the current state.
     pub(crate) fn acknowledge(&mut self, sequence: u64) {
         if self.unanswered.contains(&sequence) {
             self.due = self.due_if_answered;
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Forgets the pings that were not answered.
+    /// Forgets the pings that were not acknowledged.
     pub(crate) fn reset(&mut self) {
         self.unanswered.clear();
         self.set_health(Health::Responsive);
--- a/crates/protocol/src/framing.rs
+++ b/crates/protocol/src/framing.rs
@@ -8,15 +8,14 @@
 /// The most bytes that one frame may hold, its length prefix aside. A complete configuration and what is
 /// published beside it fit.
 pub const MAX_FRAME_BYTES: usize = 32 * 1024 * 1024;
-/// The most bytes of a message that go in one piece, where the message is cut.
+/// The most bytes of a chunk.
 pub const MAX_CHUNK_BYTES: usize = 64 * 1024;
 pub(crate) const PREFIX: usize = 4;
-/// The length takes the low bits of a prefix. The kind of the frame and, for pieces, the lane stand above.
+/// The length has the low bits of a prefix. The kind of the frame and, for chunks, the lane are in the bits above.
 const LENGTH_BITS: u32 = 26;
 const LANE_SHIFT: u32 = LENGTH_BITS;
 const KIND_SHIFT: u32 = LANE_SHIFT + 2;
-/// Bytes that have been consumed are removed from the buffer once they are so many; an idle buffer keeps no
-/// more memory than this.
+/// Consumed bytes are removed from the buffer in units of this size; an idle buffer keeps no more memory than this.
 const COMPACT_AT: usize = 64 * 1024;
 /// An encoder that has written a longer message than this gives its memory back.
 const RETAINED_BUILDER_BYTES: usize = 64 * 1024;
@@ -87,12 +86,12 @@
     Ok(Body::try_from(body)?)
 }
 
-/// Writes a table that stands on its own, such as the value of an item.
+/// Encodes a table on its own, such as the value of an item.
 pub fn encode_value<T>(value: impl WriteAsOffset<T>) -> Vec<u8> {
     Builder::new().finish(value, None).to_vec()
 }
 
-/// Reads a table that stands on its own: `decode_value::<ServerRef, Server>(bytes)`.
+/// Decodes a table on its own: `decode_value::<ServerRef, Server>(bytes)`.
 ///
 /// # Errors
 /// [`ProtocolError`].
@@ -109,11 +108,11 @@
 pub(crate) enum FrameKind {
     /// A message.
     Complete,
-    /// A piece of a message. More follow on the same lane, with other frames between them.
+    /// A chunk of a message. More follow on the same lane, with other frames between them.
     Chunk,
-    /// The last piece of a message.
+    /// The last chunk of a message.
     LastChunk,
-    /// How many bytes of pieces have come at the other side, as four bytes.
+    /// An acknowledgement of chunks: their bytes, as four bytes.
     Credit,
 }
 
@@ -149,19 +148,19 @@
     }
 }
 
-/// Cuts a byte stream into messages, and puts messages together that come in pieces.
+/// Splits a byte stream into messages, and joins messages that come in chunks.
 #[derive(Default)]
 pub struct FrameDecoder {
     buffer: Vec<u8>,
     consumed: usize,
-    /// What has come of a message on each lane.
+    /// The received part of a message on each lane.
     unfinished: [Vec<u8>; LANES],
     received: usize,
     receive_credit: usize,
 }
 
 impl FrameDecoder {
-    /// Takes bytes as they came.
+    /// Adds received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         if self.consumed > COMPACT_AT || self.consumed == self.buffer.len() {
             self.buffer.drain(..self.consumed);
@@ -200,12 +199,12 @@
         }
     }
 
-    /// Returns how many bytes of pieces have come since the last call. The sender waits to be told.
+    /// Returns the bytes of chunks that were received since the last call, which must be acknowledged.
     pub fn take_received(&mut self) -> usize {
         std::mem::take(&mut self.received)
     }
 
-    /// Returns how many bytes of pieces the other side has told of since the last call.
+    /// Returns the bytes of chunks that the peer has acknowledged since the last call.
     pub fn take_credited(&mut self) -> usize {
         std::mem::take(&mut self.receive_credit)
     }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,9 +1,9 @@
 //! The internal protocol of quillpulley: typed messages (generated from `protocol.fbs`) and their framing.
 //!
-//! A frame on a stream is its length as four bytes, least significant first, and then one flatbuffer of the
-//! type [`Frame`]. The bits above the length tell pieces of long messages from complete ones ([`FrameQueue`] cuts them,
-//! [`FrameDecoder`] puts them together). Published values and log entries are flatbuffers of their own, read and written by
-//! [`encode_value`] and [`decode_value`].
+//! A frame on a stream is its length as four bytes, least significant first, and then one flatbuffer of the type
+//! [`Frame`]. The bits above the length distinguish chunks of long messages from complete ones ([`FrameQueue`] splits
+//! them, [`FrameDecoder`] joins them). Published values and log entries are flatbuffers of their own, read and
+//! written by [`encode_value`] and [`decode_value`].
 
 #[rustfmt::skip]
 #[allow(clippy::all, missing_docs)]
--- a/crates/protocol/src/queue.rs
+++ b/crates/protocol/src/queue.rs
@@ -1,16 +1,17 @@
 //! What waits to be sent on one link.
 //!
-//! Long messages are cut into pieces, and go only as fast as the other side tells that pieces have come. So there is
-//! never much of them between the two processes, and a heartbeat that is sent behind them is not held up.
+//! Long messages are split into chunks, and are sent only as fast as the peer acknowledges chunks. So there is never
+//! much of them between the two processes, and a heartbeat that is sent behind them is not held up.
 
 use crate::framing::{frame_message, FrameKind, Prefix, MAX_CHUNK_BYTES};
 use crate::lane::Lane;
 use displaydoc::Display;
 use std::collections::VecDeque;
 
-/// Bytes of pieces that may be in flight at a time.
+/// The most bytes of chunks that are not acknowledged.
 pub const CHUNK_WINDOW_BYTES: usize = 512 * 1024;
-/// Written bytes are removed from the buffer once they are so many, and an empty one keeps no more memory than this.
+/// Written bytes are removed from the buffer in units of this size, and an empty buffer keeps no more memory than
+/// this.
 const RETAINED_BUFFER_BYTES: usize = 64 * 1024;
 
 /// more bytes wait than the bound allows: check the load of the peer
@@ -35,13 +36,13 @@
     /// Frames in the order in which they go out.
     ready: Vec<u8>,
     written: usize,
-    /// Messages that are sent in pieces.
+    /// Messages that are sent in chunks.
     ordered: VecDeque<Message>,
     /// Of these one may be sent in part, and one may wait behind it.
     states: VecDeque<Message>,
     /// The lane whose turn it is.
     states_next: bool,
-    /// Bytes of pieces that the other side has not told of.
+    /// Bytes of chunks that the peer has not acknowledged.
     in_flight: usize,
 }
 
@@ -51,8 +52,8 @@
         self.ready.splice(..0, bytes.iter().copied());
     }
 
-    /// Adds an encoded message. On the lane for state it takes the place of one that has not been begun; on the
-    /// others it is refused if more bytes than `maximum` would wait, unless nothing waits before it.
+    /// Adds an encoded message. On the lane for state it replaces one that has not been begun; on the others it is
+    /// refused if more bytes than `maximum` would wait, unless nothing waits before it.
     ///
     /// # Errors
     /// [`QueueFull`].
@@ -83,7 +84,7 @@
         Ok(())
     }
 
-    /// Returns the next bytes to write; empty where nothing may be sent now.
+    /// Returns the next bytes to write; empty if nothing may be sent now.
     pub fn pending(&mut self) -> &[u8] {
         while self.ready_bytes() < MAX_CHUNK_BYTES && self.in_flight < CHUNK_WINDOW_BYTES {
             let Some(message) = self.next_message() else { break };
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Tells the other side that so many bytes of its pieces have come.
+    /// Acknowledges so many bytes of the peer's chunks.
     pub fn acknowledge_chunks(&mut self, bytes: usize) {
         let credit = (bytes as u32).to_le_bytes();
         let prefix = Prefix { kind: FrameKind::Credit, lane: Lane::Control, length: credit.len() };
@@ -113,7 +114,7 @@
         self.ready.extend_from_slice(&credit);
     }
 
-    /// The other side has told that so many bytes of pieces have come.
+    /// Handles that the peer has acknowledged so many bytes of chunks.
     pub fn receive_credit(&mut self, bytes: usize) {
         self.in_flight = self.in_flight.saturating_sub(bytes);
     }
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Makes the next piece of a message ready, and puts back what is left.
+    /// Prepares the next chunk of a message, and keeps the rest of the message.
     fn take_chunk(&mut self, mut message: Message) {
         let length = message.remaining().min(MAX_CHUNK_BYTES);
         let kind = if length == message.remaining() { FrameKind::LastChunk } else { FrameKind::Chunk };
--- a/crates/quillpulley/src/control/commands.rs
+++ b/crates/quillpulley/src/control/commands.rs
@@ -19,7 +19,7 @@
 /// A command of an operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
-    /// Puts a complete configuration in force.
+    /// Activates a complete configuration.
     Replace {
         /// The version that it builds on.
         base: u64,
@@ -74,7 +74,7 @@
 struct InFlight<R> {
     number: u64,
     command: Command,
-    /// None once the caller has been told that the outcome is unknown.
+    /// None once the caller has the response that the outcome is unknown.
     responder: Option<R>,
     expires_at: Duration,
 }
@@ -94,7 +94,7 @@
 }
 
 impl<R> CommandQueue<R> {
-    /// Queues a command that came at `now`.
+    /// Queues a command that was received at `now`.
     pub fn push(&mut self, now: Duration, command: Command, responder: R) {
         let queued: usize = self.queued.iter().map(|queued| queued.command.bytes()).sum();
         if queued + command.bytes() > MAX_QUEUED_BYTES {
@@ -114,8 +114,8 @@
         self.next_proposal(replica.state())
     }
 
-    /// Decides queued commands against the committed `state` up to the first that has to be replicated, and returns that.
-    /// Must be called only where [`CommandQueue::next_for`] would.
+    /// Decides queued commands against the committed `state` up to the first that has to be replicated, and returns
+    /// that. Must be called only if [`CommandQueue::next_for`] would.
     pub fn next_proposal(&mut self, state: &ControlState) -> Option<Proposal> {
         while self.in_flight.is_none() {
             let queued = self.queued.pop_front()?;
--- a/crates/quillpulley/src/control/directory/builder.rs
+++ b/crates/quillpulley/src/control/directory/builder.rs
@@ -19,7 +19,7 @@
 /// How long a process that has just started waits for more endpoints once it knows any, unless the published state is
 /// fresh.
 const INITIAL_WAIT: Duration = Duration::from_millis(1500);
-/// How long published endpoints count after the published state has moved last. An election takes less.
+/// How long published endpoints count after the revision has advanced last. An election takes less.
 pub const OUT_OF_TOUCH_AFTER: Duration = Duration::from_secs(3);
 /// How long after the start or an election some endpoints may not have been reported to the primary yet.
 pub const SETTLING_TIME: Duration = Duration::from_secs(3);
--- a/crates/quillpulley/src/control/discovery/reader.rs
+++ b/crates/quillpulley/src/control/discovery/reader.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The primary uses at most one part in so many of the platform's rate.
+/// The divisor of the platform's rate that the primary uses at most.
 const RATE_DIVISOR: f64 = 4.0;
 /// How soon an implausible reading is repeated.
 const CONFIRM_AFTER: Duration = Duration::from_millis(100);
--- a/crates/quillpulley/src/control/replica_host/host.rs
+++ b/crates/quillpulley/src/control/replica_host/host.rs
@@ -1,4 +1,4 @@
-//! The main thread of a control node: it owns all state, and everything that happens comes to it as an event.
+//! The event loop of a control node: it owns all state, and handles all events.
 //!
 //! After each event `ControlHost::advance` brings everything in line with the new state: the leadership, the position in
 //! the relay tree, what is published, commands and responses, the directory, and the links.
--- a/crates/quillpulley/src/control/replica_host/process.rs
+++ b/crates/quillpulley/src/control/replica_host/process.rs
@@ -18,7 +18,7 @@
 use tokio::sync::mpsc::{channel, unbounded_channel, Receiver, UnboundedReceiver, UnboundedSender};
 use tokio::time::{interval, sleep_until, Instant, MissedTickBehavior};
 
-/// How often the host is told that time has passed.
+/// How often the host handles that time has passed.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// How long a process handles events after SIGTERM at least, to hand over and to send what is queued.
 const MIN_SHUTDOWN_TIME: Duration = Duration::from_millis(400);
--- a/crates/quillpulley/src/control/response.rs
+++ b/crates/quillpulley/src/control/response.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What the caller of the operator's API is told.
+/// A response of the operator's API.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Response {
     /// The command is in effect, and survives the failures that the deployment tolerates.
@@ -19,9 +19,9 @@
     Status(Vec<u8>),
     /// There is no configuration yet.
     NoConfiguration,
-    /// The configuration builds on another version than the one in force.
+    /// The configuration builds on another version than the active one.
     Conflict {
-        /// The version in force.
+        /// The active version.
         current: u64,
     },
     /// Whether the configuration was applied is not known any more: it builds on a version older than the history.
@@ -65,7 +65,7 @@
         self.expires_at
     }
 
-    /// Returns what may be told at `now`: [`Response::Unavailable`] once the lease has ended.
+    /// Returns the response at `now`: [`Response::Unavailable`] once the lease has ended.
     pub fn at(self, now: Duration) -> Response {
         if now < self.expires_at {
             self.response
--- a/crates/quillpulley/src/proxy/admission/mod.rs
+++ b/crates/quillpulley/src/proxy/admission/mod.rs
@@ -90,7 +90,7 @@
             });
             let Some((waiter, server)) = waiter.zip(chosen) else { return };
             if let Some(call) = self.begin(waiter.context, server) {
-                // A call that nobody takes any more ends by itself.
+                // A call whose receiver has gone ends by itself.
                 let _ = waiter.admitted.send(call);
             }
         }
--- a/crates/quillpulley/src/proxy/mod.rs
+++ b/crates/quillpulley/src/proxy/mod.rs
@@ -5,7 +5,7 @@
 //! | [`downstream`] | the clients' side: reads and checks requests, writes responses |
 //! | [`config`] | the active configuration, and what it decides for a request |
 //! | [`admission`] | capacity at servers: requests get it at once or wait in a queue |
-//! | [`retry`] | sends a request until a server has answered it, within its retry policy |
+//! | [`retry`] | sends a request until there is a response, within its retry policy |
 //! | [`upstream`] | the servers' side: choice, connections, calls, health checks |
 //! | [`streaming`] | streamed responses, event by event |
 //! | [`sync`] | the link to the agent of the machine: published state in, usage out |
--- a/crates/quillpulley/src/proxy/retry/mod.rs
+++ b/crates/quillpulley/src/proxy/retry/mod.rs
@@ -1,4 +1,4 @@
-//! Sends a request until a server has answered it: the policy, the budgets, and the sends themselves.
+//! Sends a request until there is a response: the policy, the budgets, and the sends themselves.
 
 pub mod budgets;
 pub mod forwarding;
--- a/crates/quillpulley/tests/proxy/support/script.rs
+++ b/crates/quillpulley/tests/proxy/support/script.rs
@@ -18,7 +18,7 @@
 
 use super::message::Message;
 use super::server::entry;
-use quillpulley_protocol as wire;
+use quillpulley_protocol as protocol;
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -89,7 +89,7 @@
 /// Three servers of the service `one` that share scripts, a connection a script, in the order of connections.
 pub struct ScriptedServers {
     pub seen: Rc<Seen>,
-    pub entries: Vec<wire::Server>,
+    pub entries: Vec<protocol::Server>,
 }
 
 impl ScriptedServers {
--- a/crates/quillpulley/tests/proxy/support/server.rs
+++ b/crates/quillpulley/tests/proxy/support/server.rs
@@ -1,7 +1,7 @@
 //! A server, whose answers the test writes.
 
 use super::message::Message;
-use quillpulley_protocol as wire;
+use quillpulley_protocol as protocol;
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -47,7 +47,7 @@
     }
 
     /// Its entry in the published list.
-    pub fn entry(&self) -> wire::Server {
+    pub fn entry(&self) -> protocol::Server {
         entry(&self.id, &self.service, self.address)
     }
 
@@ -63,14 +63,14 @@
 }
 
 /// The entry of a server with many slots.
-pub fn entry(id: &str, service: &str, address: SocketAddr) -> wire::Server {
-    wire::Server {
+pub fn entry(id: &str, service: &str, address: SocketAddr) -> protocol::Server {
+    protocol::Server {
         id: id.to_string(),
         service: service.to_string(),
         address: address.to_string(),
         zone: "a".to_string(),
         slots: 64,
-        state: wire::ServerState::Ready,
+        state: protocol::ServerState::Ready,
         warmup_remaining_ms: 0,
         time_remaining_ms: 0,
         has_time_remaining: false,
--- a/crates/replication/src/durability.rs
+++ b/crates/replication/src/durability.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// What the view of a primary is judged by.
+/// The inputs of the durability of a primary's view.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DurabilityInputs {
     pub status: DurabilityStatus,
--- a/crates/replication/src/election_timer.rs
+++ b/crates/replication/src/election_timer.rs
@@ -1,4 +1,4 @@
-//! When a node stands for election, with jitter.
+//! When a node campaigns, with jitter.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 const NON_MEMBER_DELAY: Duration = Duration::from_millis(200);
 /// The longest backoff of a candidate that has failed.
 const BACKOFF_MS: u64 = 300;
-/// The longest time after which followers stand for election once a primary has resigned.
+/// The longest time after which followers campaign once a primary has resigned.
 const HANDOVER_JITTER_MS: u64 = 150;
 
 /// The time of the next election, and the source of its jitter.
--- a/crates/replication/src/event.rs
+++ b/crates/replication/src/event.rs
@@ -149,7 +149,7 @@
         /// The primary.
         primary: Option<NodeId>,
     },
-    /// It stands for election.
+    /// It campaigns.
     Candidate,
     /// It is the primary of an epoch. Without the lease it must not act as one.
     Primary {
@@ -158,6 +158,6 @@
         /// Whether it holds the lease.
         holds_lease: bool,
     },
-    /// It has been told to shut down.
+    /// It is shutting down.
     ShuttingDown,
 }
--- a/crates/replication/src/lease.rs
+++ b/crates/replication/src/lease.rs
@@ -1,4 +1,4 @@
-//! The lease as its holder sees it: the rounds of requests, and which witnesses granted them.
+//! The lease of a primary: the rounds of requests, and which witnesses granted them.
 //!
 //! Invariant: the holder counts a lease from before it sent the request, a witness from when it received it. So the
 //! holder's lease ends first, as long as no clock runs faster than another by more than the safety margin.
--- a/crates/replication/src/membership/cluster_state.rs
+++ b/crates/replication/src/membership/cluster_state.rs
@@ -79,7 +79,7 @@
         nodes
     }
 
-    /// Returns for how long a node has been silent, counted from `start` at the earliest.
+    /// Returns the time since a node's last message, counted from `start` at the earliest.
     pub fn time_since_reply(&self, node: NodeId, start: Duration) -> Duration {
         self.peers.time_since_reply(self.now, node, start)
     }
--- a/crates/replication/src/membership/witness_set.rs
+++ b/crates/replication/src/membership/witness_set.rs
@@ -6,7 +6,7 @@
 
 use super::Planner;
 
-/// A witness that has been silent for so long is replaced by another node.
+/// A witness without messages for this long is replaced by another node.
 const REPLACE_AFTER: Duration = Duration::from_secs(1);
 /// Two witnesses that have been silent for so long are removed, one after the other, from a set that is larger than the
 /// tolerated failures need.
--- a/crates/replication/src/options.rs
+++ b/crates/replication/src/options.rs
@@ -21,7 +21,7 @@
     pub lease: Duration,
     /// The interval at which a primary renews its lease.
     pub heartbeat: Duration,
-    /// How long a member may stay silent before the primary drops it from the view.
+    /// How long a member may send nothing before the primary drops it from the view.
     pub drop_after: Duration,
     /// Seeds the jitter of elections. Replicas should get different seeds.
     pub seed: u64,
--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -150,7 +150,7 @@
         self.get(node).map(|peer| peer.last).unwrap_or_default()
     }
 
-    /// Returns for how long a node has been silent, counted from `start` at the earliest.
+    /// Returns the time since a node's last message, counted from `start` at the earliest.
     pub fn time_since_reply(&self, now: Duration, node: NodeId, start: Duration) -> Duration {
         let heard_at = self.get(node).and_then(|peer| peer.heard_at).unwrap_or_default();
         now.saturating_sub(heard_at.max(start))
--- a/crates/replication/src/proposals.rs
+++ b/crates/replication/src/proposals.rs
@@ -16,7 +16,7 @@
     index: u64,
 }
 
-/// Proposals in the order in which they came.
+/// Proposals in the order of their arrival.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Proposals {
     /// In the log, and not known to be committed.
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -27,7 +27,7 @@
         self.election.postpone(self.now, self.options.lease, is_member);
     }
 
-    /// Stands for election if no primary was heard for long enough.
+    /// Campaigns if no primary was heard for long enough.
     pub(super) fn maybe_campaign(&mut self) {
         let is_idle = self.primary.is_none() && self.view_change.is_none() && !self.shutdown.has_begun();
         if !is_idle || !self.election.is_due(self.now) || !self.writes.is_usable(self.now) {
--- a/crates/replication/src/view.rs
+++ b/crates/replication/src/view.rs
@@ -1,11 +1,11 @@
-//! Queries of a [`View`]: its members and witnesses, and which answers make a quorum.
+//! Queries of a [`View`]: its members and witnesses, and which responses are a quorum.
 
 use quillpulley_protocol::{NodeId, View};
 
-/// The epoch of the view that stands for the first set of witnesses, before any primary.
+/// The epoch of the view with the first set of witnesses, before any primary.
 pub(crate) const BOOTSTRAP_EPOCH: u64 = 0;
 
-/// Creates the view that stands for the first set of witnesses. It has no members.
+/// Creates the view with the first set of witnesses. It has no members.
 pub(crate) fn bootstrap_view(witnesses: Vec<NodeId>) -> View {
     View {
         epoch: BOOTSTRAP_EPOCH,
--- a/crates/replication/src/view_change.rs
+++ b/crates/replication/src/view_change.rs
@@ -60,7 +60,7 @@
     desired_view: Option<DesiredView>,
     /// The nodes that may become members.
     targets: BTreeSet<NodeId>,
-    /// The targets for which it is worth to wait a little.
+    /// The targets that are waited for.
     awaited: BTreeSet<NodeId>,
     /// The end of the log that every member has to reach: the entry that marks the begin of the epoch.
     log_end: Position,
--- a/crates/serving-config/src/fields.rs
+++ b/crates/serving-config/src/fields.rs
@@ -50,7 +50,7 @@
         self.each_if_any(field, read)
     }
 
-    /// Returns the elements of a list; none where it is missing.
+    /// Returns the elements of a list; none if it is missing.
     pub fn each_if_any<T>(
         &self,
         field: &'static str,
@@ -71,7 +71,7 @@
         self.text(field)?.ok_or_else(|| self.missing(field))
     }
 
-    /// Returns a text, or the default where there is anything else.
+    /// Returns a text, or the default if it is anything else.
     pub fn text_or(&self, field: &str, default: &str) -> String {
         let text = self.optional(field).and_then(Value::into_string);
         text.unwrap_or(default).to_string()
--- a/crates/serving-config/src/lib.rs
+++ b/crates/serving-config/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operator's configurations: what requests go where, and how.
+//! The operator's configurations: routes, services and limits.
 //!
 //! A configuration is checked for what makes it invalid, and for nothing else: fields and kinds that are not
 //! known are passed over, and what is missing gets a default wherever one makes sense.
--- a/crates/serving-config/src/published/key.rs
+++ b/crates/serving-config/src/published/key.rs
@@ -25,7 +25,7 @@
     Evacuated(&'a str),
     /// A server by its id; its value is a `wire::Server`.
     Server(&'a str),
-    /// A machine that serves clients by its name; its value is a `wire::ProxyEndpoint`.
+    /// A machine that serves clients by its name; its value is a `protocol::ProxyEndpoint`.
     ProxyEndpoint(&'a str),
     /// A control process by its address; its value is a `wire::ControlNode`.
     ControlNode(Ipv4Addr),
--- a/crates/serving-config/src/route.rs
+++ b/crates/serving-config/src/route.rs
@@ -62,7 +62,7 @@
     /// The longest time that a request may be held; above 0.
     #[serde(rename = "TimeoutMs", serialize_with = "written::milliseconds")]
     pub timeout: Duration,
-    /// The time within which a response earns its full value; the time-out where it is missing.
+    /// The time within which a response earns its full value; the time-out if it is missing.
     #[serde(rename = "TargetLatencyMs", serialize_with = "written::milliseconds")]
     pub target_latency: Duration,
     /// Its rank; 0 is the highest.
--- a/crates/serving-config/src/service.rs
+++ b/crates/serving-config/src/service.rs
@@ -17,18 +17,18 @@
 pub struct Service {
     /// Its name.
     pub name: String,
-    /// The path of a server's health check; `/health` where it is missing.
+    /// The path of a server's health check; `/health` if it is missing.
     pub health_path: String,
-    /// The connections that a server takes from all callers together; 64 where it is missing, 1 at least.
+    /// The connections that a server accepts from all callers together; 64 if it is missing, 1 at least.
     pub max_connections: u32,
-    /// The protocol of its servers; `h1` where it is missing.
+    /// The protocol of its servers; `h1` if it is missing.
     pub protocol: String,
     /// Whether its servers want TLS.
     pub tls: bool,
-    /// How long a server stays cold after a start during traffic; 0 where it is missing.
+    /// How long a server stays cold after a start during traffic; 0 if it is missing.
     #[serde(rename = "WarmupS", serialize_with = "written::seconds")]
     pub warmup: Duration,
-    /// The requests a second that a cold server bears; 0 where it is missing.
+    /// The requests a second that a cold server bears; 0 if it is missing.
     pub warmup_per_s: f64,
     /// The engine of its servers, if it serves a model.
     pub engine: Option<Engine>,
--- a/crates/state-sync/src/aggregation.rs
+++ b/crates/state-sync/src/aggregation.rs
@@ -3,7 +3,7 @@
 use crate::aggregate::Source;
 use crate::node::{Action, Role, SyncNode};
 use crate::subtree::LocalReport;
-use quillpulley_protocol as wire;
+use quillpulley_protocol as protocol;
 use quillpulley_protocol::{Body, Report};
 use std::hash::Hash;
 use std::time::Duration;
@@ -99,7 +99,7 @@
     pub(crate) fn handle_totals(
         &mut self,
         now: Duration,
-        frame: wire::Totals,
+        frame: protocol::Totals,
         actions: &mut Vec<Action<Child>>,
     ) {
         if let Some(delta) = self.totals.handle_parent(now, frame) {
@@ -137,7 +137,7 @@
     }
 
     /// Sends the changes of the totals to the children, and all totals to those that have none yet.
-    fn spread_totals(&mut self, now: Duration, delta: wire::Totals, actions: &mut Vec<Action<Child>>) {
+    fn spread_totals(&mut self, now: Duration, delta: protocol::Totals, actions: &mut Vec<Action<Child>>) {
         self.totals_sent_at = now;
         let informed = self.children.which(|child| child.has_totals);
         let uninformed = self.children.which(|child| !child.has_totals);
--- a/crates/state-sync/src/totals.rs
+++ b/crates/state-sync/src/totals.rs
@@ -4,7 +4,7 @@
 use crate::counters::{
     apply_counters, counters_between, load_counters, retry_counters, server_load, service_counters,
 };
-use quillpulley_protocol as wire;
+use quillpulley_protocol as protocol;
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -79,7 +79,11 @@
     }
 
     /// Applies the parent's totals. Returns the frame for the children; none if the frame is invalid or in a loop.
-    pub(crate) fn handle_parent(&mut self, now: Duration, mut frame: wire::Totals) -> Option<wire::Totals> {
+    pub(crate) fn handle_parent(
+        &mut self,
+        now: Duration,
+        mut frame: protocol::Totals,
+    ) -> Option<protocol::Totals> {
         if frame.delta && self.parent_counters.is_none() {
             return None;
         }
@@ -101,7 +105,7 @@
     }
 
     /// Switches to the node's own sums. Returns the delta for the children.
-    pub(crate) fn switch_to_own(&mut self, complete: bool, sums: &CounterTable) -> wire::Totals {
+    pub(crate) fn switch_to_own(&mut self, complete: bool, sums: &CounterTable) -> protocol::Totals {
         self.origin = Origin::Own;
         self.is_in_step = false;
         let header = Header { complete, delta: true, hops: 0, origin: self.own_id };
@@ -111,13 +115,13 @@
     }
 
     /// Applies a delta of the node's own sums. Returns the delta for the children.
-    pub(crate) fn show_own(&mut self, mut delta: wire::Totals) -> wire::Totals {
+    pub(crate) fn show_own(&mut self, mut delta: protocol::Totals) -> protocol::Totals {
         delta.origin = self.own_id;
         self.show(delta.clone());
         delta
     }
 
-    fn show(&mut self, delta: wire::Totals) {
+    fn show(&mut self, delta: protocol::Totals) {
         self.has_changed |= self.shown.complete != delta.complete;
         self.has_changed |= self.shown.counts.proxies != delta.proxies;
         self.has_changed |= !delta.services.is_empty() || !delta.servers.is_empty();
@@ -131,7 +135,7 @@
     }
 
     /// Returns the complete totals, for a child that has none.
-    pub(crate) fn complete_totals(&self, delta: &wire::Totals) -> wire::Totals {
+    pub(crate) fn complete_totals(&self, delta: &protocol::Totals) -> protocol::Totals {
         difference(&CounterTable::default(), &self.shown.counts, Header { delta: false, ..Header::of(delta) })
     }
 }
@@ -145,22 +149,22 @@
 }
 
 impl Header {
-    fn of(frame: &wire::Totals) -> Self {
+    fn of(frame: &protocol::Totals) -> Self {
         Header { complete: frame.complete, delta: frame.delta, hops: frame.hops, origin: frame.origin }
     }
 }
 
-fn apply(counts: &mut CounterTable, frame: wire::Totals) {
+fn apply(counts: &mut CounterTable, frame: protocol::Totals) {
     counts.proxies = frame.proxies;
     apply_counters(&mut counts.services, frame.services.into_iter().map(retry_counters), frame.delta);
     apply_counters(&mut counts.servers, frame.servers.into_iter().map(load_counters), frame.delta);
 }
 
 /// Returns the frame with the difference of two sums.
-fn difference(from: &CounterTable, to: &CounterTable, header: Header) -> wire::Totals {
+fn difference(from: &CounterTable, to: &CounterTable, header: Header) -> protocol::Totals {
     let services = counters_between(&from.services, &to.services);
     let servers = counters_between(&from.servers, &to.servers);
-    wire::Totals {
+    protocol::Totals {
         complete: header.complete,
         delta: header.delta,
         hops: header.hops,
