--- a/crates/state-sync/src/aggregate.rs
+++ b/crates/state-sync/src/aggregate.rs
@@ -120,7 +120,7 @@
         let servers = self.upward.take_servers(servers_max);
         let pending = &mut self.upward;
         pending.proxies = false;
-        let (present, gone): (Vec<_>, Vec<_>) = std::mem::take(&mut pending.endpoints)
+        let (present, removed): (Vec<_>, Vec<_>) = std::mem::take(&mut pending.endpoints)
             .into_iter()
             .partition(|name| merged.endpoints.contains_key(name));
         let services = std::mem::take(&mut pending.services);
@@ -129,7 +129,7 @@
             delta: true,
             depth: merged.depth,
             endpoints: present.iter().filter_map(|name| merged.endpoints.get(name)).cloned().collect(),
-            removed_endpoints: gone,
+            removed_endpoints: removed,
             suspicions: suspects.iter().map(|suspect| merged.suspicion(suspect)).collect(),
             proxies: merged.counts.proxies,
             services: pick(&merged.counts.services, services).map(service_counters).collect(),
--- a/crates/state-sync/src/aggregation.rs
+++ b/crates/state-sync/src/aggregation.rs
@@ -44,16 +44,15 @@
         let (receive_timeout, timeout) = (self.options.receive_timeout, self.options.child_timeout);
         if now >= self.ticked_at + receive_timeout {
             // This process was stalled: the frames of the children have not been read yet.
-            self.children.values_mut().for_each(|child| child.heard = now);
+            self.children.values_mut().for_each(|child| child.received_at = now);
         }
         self.ticked_at = now;
-        for child in self.children.which(|child| now >= child.heard + timeout) {
+        for child in self.children.children_where(|child| now >= child.received_at + timeout) {
             self.drop_child(child, actions);
         }
-        for child in self
-            .children
-            .which(|child| child.suspended_report.is_none() && now >= child.heard + receive_timeout)
-        {
+        for child in self.children.children_where(|child| {
+            child.suspended_report.is_none() && now >= child.received_at + receive_timeout
+        }) {
             self.suspended_report(child, actions);
         }
     }
@@ -139,8 +138,8 @@
     /// Sends the changes of the totals to the children, and all totals to those that have none yet.
     fn spread_totals(&mut self, now: Duration, delta: protocol::Totals, actions: &mut Vec<Action<Child>>) {
         self.totals_sent_at = now;
-        let informed = self.children.which(|child| child.has_totals);
-        let uninformed = self.children.which(|child| !child.has_totals);
+        let informed = self.children.children_where(|child| child.has_totals);
+        let uninformed = self.children.children_where(|child| !child.has_totals);
         if !uninformed.is_empty() {
             let complete_totals = self.totals.complete_totals(&delta);
             actions.push(Action::SendChildren(uninformed.clone(), Body::Totals(Box::new(complete_totals))));
--- a/crates/state-sync/src/children.rs
+++ b/crates/state-sync/src/children.rs
@@ -28,7 +28,7 @@
 pub(crate) struct ChildState {
     phase: Phase,
     /// When anything was received from it.
-    pub(crate) heard: Duration,
+    pub(crate) received_at: Duration,
     /// Its merged reports, while they are suspended as it sends nothing.
     pub(crate) suspended_report: Option<Report>,
     /// Whether it has reported.
@@ -41,7 +41,7 @@
     pub(crate) fn new(now: Duration) -> Self {
         ChildState {
             phase: Phase::Connected,
-            heard: now,
+            received_at: now,
             suspended_report: None,
             has_reported: false,
             has_totals: false,
@@ -100,7 +100,7 @@
     }
 
     /// Returns the children with a property.
-    pub(crate) fn which(&self, mut holds: impl FnMut(&ChildState) -> bool) -> Vec<Child> {
+    pub(crate) fn children_where(&self, mut holds: impl FnMut(&ChildState) -> bool) -> Vec<Child> {
         self.states.iter().filter(|(_, state)| holds(state)).map(|(child, _)| *child).collect()
     }
 
--- a/crates/state-sync/src/counters.rs
+++ b/crates/state-sync/src/counters.rs
@@ -128,9 +128,9 @@
     from: &BTreeMap<K, T>,
     to: &BTreeMap<K, T>,
 ) -> Vec<(K, T)> {
-    let gone = from.keys().filter(|key| !to.contains_key(*key)).map(|key| (key.clone(), T::default()));
+    let removed = from.keys().filter(|key| !to.contains_key(*key)).map(|key| (key.clone(), T::default()));
     let differing = to.iter().filter(|(key, counters)| from.get(*key) != Some(*counters));
-    gone.chain(differing.map(|(key, counters)| (key.clone(), *counters))).collect()
+    removed.chain(differing.map(|(key, counters)| (key.clone(), *counters))).collect()
 }
 
 /// Returns an entry for a service as a frame has it.
--- a/crates/state-sync/src/node.rs
+++ b/crates/state-sync/src/node.rs
@@ -192,8 +192,8 @@
     /// Returns when an [`Event::Tick`] is due.
     pub fn next_tick(&self) -> Duration {
         let silent = self.children.values().map(|child| match child.suspended_report {
-            Some(_) => child.heard + self.options.child_timeout,
-            None => child.heard + self.options.receive_timeout,
+            Some(_) => child.received_at + self.options.child_timeout,
+            None => child.received_at + self.options.receive_timeout,
         });
         let times = [self.updates_due(), self.report_due(), self.totals_due()];
         times.into_iter().chain(silent).min().unwrap_or(Duration::MAX)
@@ -245,7 +245,7 @@
 
     fn child_frame(&mut self, now: Duration, child: Child, body: Body, actions: &mut Vec<Action<Child>>) {
         let Some(state) = self.children.get_mut(child) else { return };
-        state.heard = now;
+        state.received_at = now;
         match body {
             Body::Subscribe(subscribe) => self.handle_subscription(child, *subscribe, actions),
             Body::Report(report) => self.handle_report(child, *report, actions),
--- a/crates/state-sync/src/store.rs
+++ b/crates/state-sync/src/store.rs
@@ -96,11 +96,11 @@
 
     /// Returns the changes that turn this store into one with exactly these items; for a new root.
     pub fn changes_to(&self, items: &BTreeMap<String, Vec<u8>>) -> Vec<Change> {
-        let gone = self.entries.keys().filter(|key| !items.contains_key(*key));
-        let gone = gone.map(|key| Change { key: key.clone(), value: None });
+        let removed = self.entries.keys().filter(|key| !items.contains_key(*key));
+        let removed = removed.map(|key| Change { key: key.clone(), value: None });
         let differing = items.iter().filter(|(key, value)| self.get(key) != Some(value));
         let differing = differing.map(|(key, value)| Change { key: key.clone(), value: Some(value.clone()) });
-        gone.chain(differing).collect()
+        removed.chain(differing).collect()
     }
 
     /// Sets or removes an item. Returns the change; none if there is none.
--- a/crates/state-sync/src/subtree.rs
+++ b/crates/state-sync/src/subtree.rs
@@ -101,8 +101,13 @@
         Suspicion { suspect: suspect.to_string(), monitors }
     }
 
-    fn apply_endpoints(&mut self, endpoints: Vec<ProxyEndpoint>, gone: Vec<String>, dirty: &mut DirtyKeys) {
-        for name in gone {
+    fn apply_endpoints(
+        &mut self,
+        endpoints: Vec<ProxyEndpoint>,
+        removed: Vec<String>,
+        dirty: &mut DirtyKeys,
+    ) {
+        for name in removed {
             self.endpoints.remove(&name);
             dirty.endpoints.insert(name);
         }
--- a/crates/state-sync/src/totals.rs
+++ b/crates/state-sync/src/totals.rs
@@ -26,7 +26,7 @@
     /// The sums of this node.
     Own,
     /// The totals of the parent, received at this time.
-    Parent { heard: Duration },
+    Parent { received_at: Duration },
 }
 
 /// The totals of a node. Invariant: they equal what was sent to the children.
@@ -68,7 +68,7 @@
     pub(crate) fn outdated_at(&self, receive_timeout: Duration) -> Option<Duration> {
         match self.origin {
             Origin::Own => None,
-            Origin::Parent { heard } => Some(heard + receive_timeout),
+            Origin::Parent { received_at } => Some(received_at + receive_timeout),
         }
     }
 
@@ -93,7 +93,7 @@
         if frame.origin == self.own_id || frame.hops >= MAX_HOPS {
             return None;
         }
-        self.origin = Origin::Parent { heard: now };
+        self.origin = Origin::Parent { received_at: now };
         self.is_in_step = true;
         frame.hops += 1;
         if !is_step {
--- a/crates/state-sync/src/updates.rs
+++ b/crates/state-sync/src/updates.rs
@@ -84,9 +84,9 @@
     /// Returns the items of a response, and the removals of all others in its ranges.
     fn changes_of_repair(&self, complete: &[u8], items: Vec<Item>) -> Vec<Change> {
         let present: HashSet<&str> = items.iter().map(|item| item.key.as_str()).collect();
-        let gone = self.store.keys_of(complete).filter(|key| !present.contains(key));
-        let gone: Vec<Change> = gone.map(|key| Change { key: key.to_string(), value: None }).collect();
-        gone.into_iter().chain(items.into_iter().map(change)).collect()
+        let removed = self.store.keys_of(complete).filter(|key| !present.contains(key));
+        let removed: Vec<Change> = removed.map(|key| Change { key: key.to_string(), value: None }).collect();
+        removed.into_iter().chain(items.into_iter().map(change)).collect()
     }
 
     fn apply_all(&mut self, changes: Vec<Change>) -> Vec<ChangedKey> {
@@ -114,7 +114,7 @@
 
     /// Sends an update to the children that are subscribed.
     pub(crate) fn forward(&self, update: Update, actions: &mut Vec<Action<Child>>) {
-        let followers = self.children.which(|child| child.is_following());
+        let followers = self.children.children_where(|child| child.is_following());
         if !followers.is_empty() {
             actions.push(Action::SendChildren(followers, Body::Update(Box::new(update))));
         }
