--- a/crates/control-state/tests/control_state.rs
+++ b/crates/control-state/tests/control_state.rs
@@ -136,7 +136,7 @@
 //    1, taken      | 32,767        | already taken
 //    1, loser      | 32,767        | conflict
 #[test]
-fn the_history_is_long_but_bounded_and_what_it_forgot_is_not_refused() {
+fn the_history_is_long_but_bounded_and_what_it_forgot_is_not_rejected() {
     let mut replica = Replica::default();
     for version in 1..=HISTORY_LENGTH as u64 + 1 {
         replica.take(version - 1, &small(version, "a"));
@@ -165,7 +165,7 @@
 //    6 (again)  | 3    | 6'              | conflict
 //    5 (again)  | 3    | 6'              | already taken
 #[test]
-fn the_number_of_a_loser_may_be_used_anew() {
+fn the_number_of_a_loser_may_be_used_again() {
     let mut replica = Replica::default();
     replica.take(0, &valid(3, 1, 1000));
     replica.take(3, &valid(5, 1, 1000));
@@ -242,7 +242,7 @@
 /// Each kind is refused before a valid change, while one is on its way, and after it, also by a replica that was
 /// restored; and nothing of it reaches the log.
 #[test]
-fn what_is_invalid_is_refused_at_every_moment() {
+fn what_is_invalid_is_rejected_at_every_moment() {
     for (kind, base, bad) in refused_kinds() {
         let mut replica = Replica::default();
         replica.take(0, &valid(3, 1, 1000));
--- a/crates/load-balancer/tests/engine_choice.rs
+++ b/crates/load-balancer/tests/engine_choice.rs
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn limiters_agree_on_the_next_server_where_the_first_is_tried() {
+fn proxies_agree_on_the_next_server_where_the_first_is_tried() {
     let mut balancers = ["a1", "b1", "c1"].map(fleet);
     for thing in 0..50 {
         let request_parts = long(thing);
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn requests_without_a_prefix_go_where_the_least_is_under_way() {
+fn requests_without_a_prefix_go_where_the_least_is_in_flight() {
     let mut balancer = fleet("a1");
     let mut counts: BTreeMap<ServerKey, usize> = BTreeMap::new();
     for _ in 0..40 {
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn nothing_is_refused_while_half_of_the_slots_are_free() {
+fn nothing_is_rejected_while_half_of_the_slots_are_free() {
     let mut balancer = fleet("a1");
     let request_parts = long(1);
     let demand = Demand { objective: ms(1), ..request(&request_parts) };
--- a/crates/load-balancer/tests/health.rs
+++ b/crates/load-balancer/tests/health.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn after_a_trial_that_succeeds_all_begins_anew() {
+fn after_a_trial_that_succeeds_all_begins_again() {
     player().check(
         "FSSSSSFSSSSS", //
         "sxxxxssxxxxs",
--- a/crates/load-balancer/tests/plain_choice.rs
+++ b/crates/load-balancer/tests/plain_choice.rs
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn what_others_have_under_way_counts() {
+fn what_others_have_in_flight_counts() {
     let mut fleet = Fleet::new();
     fleet.tell("a1", 5);
     assert_eq!(fleet.send(&demand(PLAIN)), Some(1));
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_limiter_keeps_to_its_part_of_the_connections() {
+fn a_proxy_keeps_to_its_part_of_the_connections() {
     let proxies: Vec<_> = (0..50).map(|number| limiter(&format!("l{number}"), "a1")).collect();
     let mut balancer = balancer("l0", "a1", &proxies);
     balancer.put_server(NOW, &server("s", PLAIN, "a1", 1_000));
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn nothing_stays_under_way_that_has_ended() {
+fn nothing_stays_in_flight_that_has_ended() {
     let mut fleet = Fleet::new();
     fleet.send_all(8, &demand(PLAIN));
     for (number, ticket) in fleet.under_way.drain(..).enumerate() {
--- a/crates/load-balancer/tests/warmup.rs
+++ b/crates/load-balancer/tests/warmup.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_quarter_of_the_bound_goes_from_one_limiter_evenly_spread() {
+fn a_quarter_of_the_bound_goes_from_one_proxy_evenly_spread() {
     let mut balancer = lone_balancer();
     let server = put(&mut balancer, &cold("s", "a1"));
     let sent = sends_to(&mut balancer, server, NOW, ms(2_900));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn two_limiters_of_many_send_and_those_near_the_server_first() {
+fn two_proxies_of_many_send_and_those_near_the_server_first() {
     let zones = ["a1", "a1", "a1", "a2", "b1", "b1", "c1", "c2"];
     let all = proxies(&zones);
     for (server_zone, expected) in [("a1", "a1"), ("b1", "b1")] {
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn limiters_of_the_region_send_where_the_zone_has_too_few() {
+fn proxies_of_the_region_send_where_the_zone_has_too_few() {
     let all = proxies(&["a1", "a2", "a2", "b1", "b1"]);
     let senders = all.iter().filter(|own| sends(&own.name, &own.locality.zone, &all, "a1"));
     let zones: Vec<&str> = senders.map(|sender| sender.locality.zone.as_str()).collect();
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_limiter_that_knows_no_others_sends_one_a_second_where_nothing_else_is_there() {
+fn a_proxy_that_knows_no_others_sends_one_a_second_where_nothing_else_is_there() {
     let mut balancer = balancer("l0", "a1", &[]);
     let server = put(&mut balancer, &cold("s", "a1"));
     assert_eq!(most_in_a_second(&sends_to(&mut balancer, server, NOW, ms(2_500))), 1);
--- a/crates/protocol/tests/sizes.rs
+++ b/crates/protocol/tests/sizes.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_front_takes_136_bytes() {
+fn a_proxy_takes_136_bytes() {
     let endpoint = ProxyEndpoint {
         name: NAME.to_string(),
         ip: 0x0a01_000d,
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_lease_request_grows_by_32_bytes_for_each_core_process() {
+fn a_lease_request_grows_by_32_bytes_for_each_control_node() {
     assert_eq!((lease_request(3), lease_request(21)), (244, 820));
 }
 
--- a/crates/quillpulley/tests/agent.rs
+++ b/crates/quillpulley/tests/agent.rs
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn state_goes_down_to_the_proxy_and_its_front_up_to_the_core() {
+fn state_goes_down_to_the_proxy_and_its_proxy_up_to_the_core() {
     run(async {
         let machines = Machines::new();
         let (port, [listener]) = same_ports([machines.control_node(1)]).await;
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn a_parent_whose_stamp_stands_still_is_left_for_one_whose_stamp_moves() {
+fn a_parent_whose_revision_stands_still_is_left_for_one_whose_revision_moves() {
     run(async {
         let machines = Machines::new();
         let seeds = [machines.control_node(1), machines.control_node(2)];
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn a_front_that_does_not_answer_is_suspected() {
+fn a_proxy_that_does_not_answer_is_suspected() {
     run(async {
         let machines = Machines::new();
         let (port, [listener]) = same_ports([machines.control_node(1)]).await;
--- a/crates/quillpulley/tests/agent_drain.rs
+++ b/crates/quillpulley/tests/agent_drain.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn an_agent_that_is_not_told_to_end_serves_on() {
+fn an_agent_that_is_not_signalled_to_shut_down_serves_on() {
     play(
         "
                0 |  |       |
--- a/crates/quillpulley/tests/control/api.rs
+++ b/crates/quillpulley/tests/control/api.rs
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn other_paths_and_methods_are_refused() {
+fn other_paths_and_methods_are_rejected() {
     let (address, calls) = start();
     assert_eq!(send(address, &call("GET", "/v1/Config.Put")).status, 404);
     assert_eq!(send(address, &call("GET", "/v2/Config.Get")).status, 404);
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn a_body_that_is_too_long_is_refused() {
+fn a_body_that_is_too_long_is_rejected() {
     let (address, calls) = start();
     let head = "POST /v1/Config.Replace HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\
                 Quillpulley-If-Config-Version: 1\r\n";
--- a/crates/quillpulley/tests/control/directory.rs
+++ b/crates/quillpulley/tests/control/directory.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn the_nearest_ready_fronts_are_told() {
+fn the_nearest_ready_proxies_are_told() {
     let known = directory(&[
         "f1 a west ready",
         "f2 a west ready",
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn clients_go_to_the_regions_that_most_fronts_of_theirs_prefer() {
+fn clients_go_to_the_regions_that_most_proxies_of_theirs_prefer() {
     let prefers =
         |text: &str| ProxyEndpoint { preferred_regions: vec!["west".to_string()], ..endpoint(text) };
     let ready = ["f1 a west ready", "f2 b north ready"].map(endpoint);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn an_answer_is_never_empty_if_any_front_is_known() {
+fn an_answer_is_never_empty_if_any_proxy_is_known() {
     let endpoints = directory(&["f1 a west starting", "f2 b east leaving"]);
     let known = Directory { homes: homes("h:"), ..endpoints.clone() };
     assert_eq!(chosen(&known, "a", "west"), "f1 f2");
@@ -158,7 +158,7 @@
 
 /// All fronts of a region are restarted at the same time: its clients are sent to a home, and not anywhere.
 #[test]
-fn a_region_all_of_whose_fronts_leave_sends_home_bound_clients_to_other_homes() {
+fn a_region_all_of_whose_proxies_leave_sends_home_bound_clients_to_other_homes() {
     let mut known = directory(&["e a east leaving", "f a east leaving", "w b west ready", "n c north ready"]);
     known.homes = homes("h:east+west g: i:east");
     assert_eq!(chosen_of(&known, "h", "a", "east"), "w");
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn before_all_fronts_can_be_known_nobody_is_sent_to_a_region_that_is_no_home() {
+fn before_all_proxies_can_be_known_nobody_is_sent_to_a_region_that_is_no_home() {
     let known =
         |coverage| Directory { coverage, homes: homes("h:east g:"), ..directory(&["n c north ready"]) };
     assert_eq!(chosen(&known(Coverage::Settling), "a", "east"), "");
@@ -284,7 +284,7 @@
 }
 
 #[test]
-fn once_all_fronts_are_known_somebody_is_told() {
+fn once_all_proxies_are_known_somebody_is_told() {
     fn holds(any: AnyDirectory) -> bool {
         let is_due = any.directory.coverage == Coverage::All && !any.directory.endpoints.is_empty();
         let clients = HOSTS.iter().flat_map(|host| REGIONS.map(|region| (*host, region)));
--- a/crates/quillpulley/tests/control/directory_days.rs
+++ b/crates/quillpulley/tests/control/directory_days.rs
@@ -20,21 +20,21 @@
 }
 
 #[test]
-fn a_killed_front_is_told_for_a_second() {
+fn a_killed_proxy_is_told_for_a_second() {
     let mut system = System::settled();
     system.fail(agent(3), State::Ended);
     assert_within(system.time_until_untold(&[3], &ALL), 900, 1_100);
 }
 
 #[test]
-fn a_frozen_front_without_monitors_is_told_for_two_and_a_half_seconds() {
+fn a_frozen_proxy_without_monitors_is_told_for_two_and_a_half_seconds() {
     let mut system = System::settled();
     system.fail(agent(3), State::Silent);
     assert_within(system.time_until_untold(&[3], &ALL), 1_800, 2_700);
 }
 
 #[test]
-fn the_fronts_of_a_lost_region_are_told_for_two_and_a_half_seconds() {
+fn the_proxies_of_a_lost_region_are_told_for_two_and_a_half_seconds() {
     let mut system = System::settled();
     [1, agent(2), agent(3)].into_iter().for_each(|node| system.fail(node, State::Silent));
     assert_within(system.time_until_untold(&[2, 3], &[0, 2]), 1_800, 2_700);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn fronts_lost_with_the_primary_are_told_until_three_seconds_after_the_election() {
+fn proxies_lost_with_the_primary_are_told_until_three_seconds_after_the_election() {
     let mut system = System::settled();
     [0, agent(0), agent(1)].into_iter().for_each(|node| system.fail(node, State::Silent));
     system.run(ms(2_000));
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn without_a_primary_fronts_elsewhere_are_told_for_three_seconds() {
+fn without_a_primary_proxies_elsewhere_are_told_for_three_seconds() {
     let mut system = System::settled();
     system.cut = Some(2);
     assert_within(system.time_until_untold(&[0, 1, 2, 3], &[2]), 2_800, 3_100);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_front_that_dies_in_a_region_that_is_cut_off_is_told_there_for_three_and_a_half_seconds() {
+fn a_proxy_that_dies_in_a_region_that_is_cut_off_is_told_there_for_three_and_a_half_seconds() {
     for (state, from, to) in [(State::Ended, 1_800, 2_200), (State::Silent, 2_800, 3_700)] {
         let mut system = System::settled();
         system.cut = Some(2);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn core_processes_that_were_all_killed_tell_no_front_that_died_with_them() {
+fn control_nodes_that_were_all_killed_tell_no_proxy_that_died_with_them() {
     let mut system = System::settled();
     ALL.into_iter().for_each(|control_node| system.fail(control_node, State::Ended));
     system.nodes[0].publisher = None;
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_front_whose_agent_is_gone_comes_back_with_it() {
+fn a_proxy_whose_agent_is_gone_comes_back_with_it() {
     let mut system = System::settled();
     system.fail(agent(3), State::Ended);
     system.run(ms(2_000));
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_front_that_is_told_to_end_is_known_to_leave_within_two_reports() {
+fn a_proxy_that_is_signalled_to_shut_down_is_known_to_leave_within_two_reports() {
     for cut in [None, Some(1)] {
         let mut system = System::settled();
         system.cut = cut;
@@ -166,6 +166,6 @@
 }
 
 #[test]
-fn whatever_happens_a_front_that_is_gone_is_soon_untold() {
+fn whatever_happens_a_proxy_that_is_gone_is_soon_untold() {
     quickcheck::QuickCheck::new().quickcheck(play_random as fn(Vec<(u8, u8, u8)>) -> bool);
 }
--- a/crates/quillpulley/tests/control/directory_view.rs
+++ b/crates/quillpulley/tests/control/directory_view.rs
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn published_fronts_count_while_they_are_fresh() {
+fn published_proxies_count_while_they_are_fresh() {
     let mut view = DirectoryBuilder::default();
     assert_eq!(announced(&mut view, 0, true, "f:r1 g:r1", "f:l1 h:r1"), "f:r1 g:r1");
 }
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_new_process_waits_for_fresh_state_or_a_while_after_it_knows_a_front() {
+fn a_new_process_waits_for_fresh_state_or_a_while_after_it_knows_a_proxy() {
     let mut view = DirectoryBuilder::default();
     assert_eq!(announced(&mut view, 0, true, "", ""), "()");
     assert_eq!(announced(&mut view, 1000, false, "", "f:r1"), "(f:r1)");
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_front_that_dies_while_its_directory_is_out_of_touch_is_told_two_seconds_more() {
+fn a_proxy_that_dies_while_its_directory_is_out_of_touch_is_told_two_seconds_more() {
     play(
         "
            0 | 0 | fresh | f:r1 g:r1 | f:r1 g:r1 | f:r1 g:r1
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_front_that_two_monitors_cannot_reach_is_not_told_without_news_either() {
+fn a_proxy_that_two_monitors_cannot_reach_is_not_told_without_news_either() {
     play(
         "
            0 | 0 | fresh | f:r1 g:r1 | f:r1 g:r1          | f:r1 g:r1
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_front_that_leaves_is_told_as_leaving_at_once_in_touch_or_not() {
+fn a_proxy_that_leaves_is_told_as_leaving_at_once_in_touch_or_not() {
     play(
         "
            0 | 0 | fresh | f:r1 g:r1 | f:r1 g:r1 | f:r1 g:r1
--- a/crates/quillpulley/tests/control/endpoint_registry.rs
+++ b/crates/quillpulley/tests/control/endpoint_registry.rs
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_front_that_comes_back_within_a_second_is_never_gone() {
+fn a_proxy_that_comes_back_within_a_second_is_never_gone() {
     play(
         EndpointRegistry::default(),
         "
--- a/crates/quillpulley/tests/control/late_answers.rs
+++ b/crates/quillpulley/tests/control/late_answers.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn what_is_in_force_is_stated_while_the_lease_runs() {
+fn what_is_active_is_stated_while_the_lease_runs() {
     for (status, answer) in statements() {
         assert_eq!(written_at(LEASE_END_MS - 1, Faults::default(), answer).status, status);
     }
--- a/crates/quillpulley/tests/control/orders.rs
+++ b/crates/quillpulley/tests/control/orders.rs
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn what_is_invalid_or_out_of_date_is_refused() {
+fn what_is_invalid_or_out_of_date_is_rejected() {
     play(
         "
            0 | 0>5     |          | proposed 1
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn a_deposed_primary_gives_no_clear_answer_to_what_is_under_way() {
+fn a_deposed_primary_gives_no_clear_answer_to_what_is_in_flight() {
     play(
         "
            0 | 0>5 +a |         | proposed 1
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn callers_wait_three_seconds_and_the_order_under_way_keeps_its_place() {
+fn callers_wait_three_seconds_and_the_order_in_flight_keeps_its_place() {
     play(
         "
            0 | 0>5 |          | proposed 1
--- a/crates/quillpulley/tests/control/processes.rs
+++ b/crates/quillpulley/tests/control/processes.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn one_process_takes_orders_and_keeps_them() {
+fn one_process_takes_commands_and_keeps_them() {
     let mut cluster = Cluster::start(1, None);
     assert_eq!(cluster.order(&Operation::get()).status, 404);
     assert_eq!(replace(&mut cluster, 0, "5"), 200);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_primary_that_is_told_to_end_hands_over_at_once() {
+fn a_primary_that_is_signalled_to_shut_down_hands_over_at_once() {
     let mut cluster = Cluster::start(3, None);
     assert_eq!(replace(&mut cluster, 0, "5"), 200);
     let first = cluster.primary();
@@ -170,14 +170,14 @@
 }
 
 #[test]
-fn seeds_are_read_anew_on_a_signal() {
+fn seeds_are_read_again_on_a_signal() {
     let (mut cluster, isolated) = with_isolated_machine();
     cluster.signal(isolated, "-HUP");
     wait_for_redirect(&mut cluster, isolated);
 }
 
 #[test]
-fn a_machine_that_knows_nobody_reads_its_seeds_anew_by_itself() {
+fn a_machine_that_knows_nobody_reads_its_seeds_again_by_itself() {
     let (mut cluster, isolated) = with_isolated_machine();
     wait_for_redirect(&mut cluster, isolated);
 }
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn a_process_that_is_told_to_end_stays_until_another_has_its_data() {
+fn a_process_that_is_signalled_to_shut_down_stays_until_another_has_its_data() {
     let mut cluster = Cluster::start(3, None);
     assert_eq!(replace(&mut cluster, 0, "5"), 200);
     let primary = cluster.primary();
--- a/crates/quillpulley/tests/control/publisher.rs
+++ b/crates/quillpulley/tests/control/publisher.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn core_processes_are_published_and_removed() {
+fn control_nodes_are_published_and_removed() {
     let control_node = |number: u8| ControlNode {
         ip: Ipv4Addr::new(10, 0, 0, number).to_bits(),
         zone: "a".to_string(),
--- a/crates/quillpulley/tests/control/reader.rs
+++ b/crates/quillpulley/tests/control/reader.rs
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn failures_back_off_and_begin_anew() {
+fn failures_back_off_and_begin_again() {
     play(
         44.0,
         "
--- a/crates/quillpulley/tests/control/relay.rs
+++ b/crates/quillpulley/tests/control/relay.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_parent_that_brings_nothing_new_is_asked_anew_every_second() {
+fn a_parent_that_brings_nothing_new_is_asked_again_every_second() {
     let mut relay = ControlTopology::default();
     let mut choose = |now, moved| relay.choose_parent(at(now), Some(node(1)), Some(at(moved)), |_| true);
     assert_eq!(choose(100, 0), Some(ParentChange::Up));
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_root_that_resigns_has_no_core_process_as_a_child() {
+fn a_root_that_resigns_has_no_control_node_as_a_child() {
     let mut relay = ControlTopology::default();
     relay.become_root();
     relay.handle_child_message(node(2), subscription());
--- a/crates/quillpulley/tests/control/servers.rs
+++ b/crates/quillpulley/tests/control/servers.rs
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_new_primary_publishes_what_differs_and_starts_count_downs_anew() {
+fn a_new_primary_publishes_what_differs_and_starts_count_downs_again() {
     let inherited = ["x", "y/w3000", "z", "u/*/t900"]
         .map(|text| (server_key(&server(text).id), encode_value(server(text))));
     let items = inherited.iter().map(|(key, value)| (key.as_str(), value.as_slice()));
--- a/crates/quillpulley/tests/control/tree.rs
+++ b/crates/quillpulley/tests/control/tree.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn agents_learn_all_that_is_published_from_any_core_process() {
+fn agents_learn_all_that_is_published_from_any_control_node() {
     let platform = Platform::start(&["i-1 ready", "i-2 ready", "i-3 ready"]);
     let mut cluster = Cluster::start(3, Some(platform.address));
     assert_eq!(cluster.order(&Operation::replace(0, configuration("5"))).status, 200);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn the_directory_tells_the_fronts_of_all_agents() {
+fn the_directory_tells_the_proxies_of_all_agents() {
     let mut cluster = Cluster::start(3, None);
     let mut agents = Agents::connect("zone-0", (0..2).map(|index| cluster.link(index)));
     let is_known = |feed: &SyncNode<()>, name: &str| feed.store().get(&endpoint_key(name)).is_some();
--- a/crates/quillpulley/tests/operators/broken.rs
+++ b/crates/quillpulley/tests/operators/broken.rs
@@ -19,19 +19,19 @@
 }
 
 #[test]
-fn orders_decided_without_the_lease_are_caught() {
+fn commands_decided_without_the_lease_are_caught() {
     let expected = ["is older than", "older than", "is refused", "came into force"];
     assert!(first_failure(Fault::NoLease, &expected).is_some());
 }
 
 #[test]
-fn orders_decided_beside_open_ones_are_caught() {
+fn commands_decided_beside_open_ones_are_caught() {
     let expected = ["after a later order was answered", "changed without an order"];
     assert!(first_failure(Fault::OpenOrders, &expected).is_some());
 }
 
 #[test]
-fn orders_that_overlap_are_caught() {
+fn commands_that_overlap_are_caught() {
     assert!(first_failure(Fault::Overlapping, &["are acknowledged", "not in force"]).is_some());
 }
 
--- a/crates/quillpulley/tests/operators/scenarios.rs
+++ b/crates/quillpulley/tests/operators/scenarios.rs
@@ -74,7 +74,7 @@
 //    other    | 7b on 5, to a backup    |        |           | again: the other is refused
 //    leader   |                         | killed |           |
 #[test]
-fn of_two_orders_at_two_machines_one_wins_when_the_leader_is_killed() {
+fn of_two_commands_at_two_machines_one_wins_when_the_leader_is_killed() {
     for moment in MOMENTS {
         let (mut world, leader) = with_version_5(moment);
         let (one, other) = (Wish::valid(5, 7, "a"), Wish::valid(5, 7, "b"));
@@ -121,7 +121,7 @@
 //    operator | 7 on 5 |         |           |        | again: done, as a new order or the old one
 //    leader   |        | cut off |           | joined |
 #[test]
-fn an_entry_that_is_cut_off_may_be_taken_anew() {
+fn an_entry_that_is_cut_off_may_be_taken_again() {
     for moment in MOMENTS {
         let (mut world, leader) = with_version_5(moment);
         let order = Wish::valid(5, 7, "a");
@@ -158,7 +158,7 @@
 
 /// Snapshots are made after 8 entries, so most of these orders are known from one.
 #[test]
-fn orders_are_known_after_all_have_restarted_from_their_disks() {
+fn commands_are_known_after_all_have_restarted_from_their_disks() {
     let (mut world, _) = with_version_5(1);
     let orders: Vec<Wish> = (5..35).map(|base| Wish::valid(base, base + 1, "a")).collect();
     for order in &orders {
@@ -178,7 +178,7 @@
 //    operator | +z | -z | +z (late) |        | again: done, and in force
 //    leader   |    |    |           | killed |
 #[test]
-fn an_evacuation_again_is_acknowledged_and_in_force_across_a_failover() {
+fn an_evacuation_again_is_acknowledged_and_active_across_a_failover() {
     let evacuate = |active| Wish::Evacuate { zone: "z".to_string(), active };
     for moment in MOMENTS {
         let (mut world, mut leader) = with_version_5(moment);
--- a/crates/quillpulley/tests/parent_search.rs
+++ b/crates/quillpulley/tests/parent_search.rs
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_parent_whose_stamp_stands_still_is_kept_until_another_is_up() {
+fn a_parent_whose_revision_stands_still_is_kept_until_another_is_up() {
     play(
         "
             0 | candidates C1 C2 | connect C1
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_parent_whose_stamp_moves_again_is_kept() {
+fn a_parent_whose_revision_moves_again_is_kept() {
     play(
         "
             0 | candidates C1 C2 C3 | connect C1
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn who_failed_is_told_until_its_penalty_is_over_or_its_stamp_moves_again() {
+fn who_failed_is_told_until_its_penalty_is_over_or_its_revision_moves_again() {
     let mut parent_search = ParentSearch::new(1);
     let mut happens = |milliseconds: u64, text: &str| {
         let now = Duration::from_millis(milliseconds);
--- a/crates/quillpulley/tests/proxy/incarnation.rs
+++ b/crates/quillpulley/tests/proxy/incarnation.rs
@@ -6,7 +6,7 @@
 use quillpulley_protocol::EndpointState;
 
 #[test]
-fn it_is_ready_once_a_configuration_is_in_force() {
+fn it_is_ready_once_a_configuration_is_active() {
     run(async {
         let proxy = Proxy::start_unready("").await;
         proxy.agent.until_endpoint(EndpointState::Starting).await;
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn told_to_end_it_serves_who_still_comes_and_finishes() {
+fn signalled_to_shut_down_it_serves_who_still_comes_and_finishes() {
     run(async {
         let mut one = FakeServer::start("i-1", "one").await;
         let configuration = configuration(1, &[&route("a", "idempotent", "")]);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn told_to_end_it_takes_only_what_is_sure_to_end_in_time() {
+fn signalled_to_shut_down_it_takes_only_what_is_sure_to_end_in_time() {
     run(async {
         let mut one = FakeServer::start("i-1", "one").await;
         let configuration = configuration(1, &[&route("a", "non_idempotent", "")]);
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn a_configuration_cuts_nothing_that_is_under_way() {
+fn a_configuration_cuts_nothing_that_is_in_flight() {
     run(async {
         let mut one = FakeServer::start("i-1", "one").await;
         let long = "\"TimeoutMs\":15000";
--- a/crates/quillpulley/tests/proxy/limits.rs
+++ b/crates/quillpulley/tests/proxy/limits.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_copy_of_a_request_that_is_open_is_refused() {
+fn a_copy_of_a_request_that_is_open_is_rejected() {
     run(async {
         let (proxy, mut one) = start().await;
         let mut client = proxy.client().await;
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn requests_before_any_configuration_are_refused() {
+fn requests_before_any_configuration_are_rejected() {
     run(async {
         let proxy = Proxy::start_unready("").await;
         let answer = proxy.client().await.ask(&request("GET /a/b", "id-1", "", "")).await;
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn what_finds_no_place_in_time_is_refused_and_told_when_to_come_again() {
+fn what_finds_no_place_in_time_is_rejected_and_told_when_to_come_again() {
     run(async {
         let mut one = FakeServer::start("i-1", "one").await;
         let proxy = Proxy::start(&configuration(1, &[&route("a", "idempotent", "")]), &[]).await;
--- a/crates/quillpulley/tests/proxy/main.rs
+++ b/crates/quillpulley/tests/proxy/main.rs
@@ -5,7 +5,7 @@
 mod homes;
 mod incarnation;
 mod limits;
-mod repeats;
+mod retries;
 mod routing;
 mod sends;
 mod streams;
--- a/crates/quillpulley/tests/proxy/streams.rs
+++ b/crates/quillpulley/tests/proxy/streams.rs
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_resumable_stream_without_an_event_begins_anew() {
+fn a_resumable_stream_without_an_event_begins_again() {
     run(async {
         let (proxy, mut one, mut two) = start().await;
         let mut client = asked(&proxy, "/r/x", "").await;
--- a/crates/quillpulley/tests/proxy/timelines.rs
+++ b/crates/quillpulley/tests/proxy/timelines.rs
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn a_proxy_that_repeats_after_a_reset_is_caught() {
+fn a_proxy_that_retries_after_a_reset_is_caught() {
     run(async {
         let faults = Faults { retry_after_reset: true, ..Faults::default() };
         let case = Case::parse("once=502 | request reset ; request ok");
--- a/crates/quillpulley/tests/proxy_attempts.rs
+++ b/crates/quillpulley/tests/proxy_attempts.rs
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_policy_that_repeats_after_a_reset_is_caught() {
+fn a_policy_that_retries_after_a_reset_is_caught() {
     let rules = RetryPolicy { is_idempotent: false, max_attempts: 3, retries_after_reset: true };
     assert!(!runs_once(rules, &[Result(Event::ConnectionBroken), Result(Event::NotExecuted)]));
 }
--- a/crates/quillpulley/tests/system/main.rs
+++ b/crates/quillpulley/tests/system/main.rs
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_new_configuration_reaches_the_proxy_also_after_the_loss_of_core_processes() {
+fn a_new_configuration_reaches_the_proxy_also_after_the_loss_of_control_nodes() {
     let mut system = System::start("failover");
     system.configure(0, &configuration(1, &[]));
     system.until_served("/cards/1");
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn the_proxy_serves_on_without_any_core_process_and_without_its_agent() {
+fn the_proxy_serves_on_without_any_control_node_and_without_its_agent() {
     let mut system = System::start("alone");
     system.configure(0, &configuration(1, &[]));
     system.until_served("/cards/1");
--- a/crates/replication/tests/replication/model/mod.rs
+++ b/crates/replication/tests/replication/model/mod.rs
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn from_the_moments_of_a_failover_with_orders_that_are_sent_again() {
+fn from_the_moments_of_a_failover_with_commands_that_are_sent_again() {
     let mut cluster = settled(3, Faults::default(), COMPACT_LATE);
     let frozen = cluster.leaders()[0];
     cluster.take(Step::Propose(frozen));
--- a/crates/replication/tests/replication/scenarios/leaving.rs
+++ b/crates/replication/tests/replication/scenarios/leaving.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn of_two_that_are_told_to_end_one_stays_until_the_other_is_back() {
+fn of_two_that_are_signalled_to_shut_down_one_stays_until_the_other_is_back() {
     for seed in 0..SEEDS {
         for (one, other) in [(1, 2), (0, 1)] {
             let mut settled = Settled::new(seed, 1, ["P", "B", "C"]);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn all_that_are_told_to_end_at_once_end_at_once() {
+fn all_that_are_signalled_to_shut_down_at_once_end_at_once() {
     for seed in 0..SEEDS {
         let mut settled = Settled::new(seed, 1, ["P", "B", "C"]);
         let world = &mut settled.world;
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_member_told_to_end_at_any_moment_of_letting_a_node_in_loses_nothing() {
+fn a_member_signalled_to_shut_down_at_any_moment_of_letting_a_node_in_loses_nothing() {
     for delay in (0..1500).step_by(25) {
         for leaving in [0, 2] {
             let mut settled = Settled::new(delay, 1, ["P", "B", "C"]);
--- a/crates/replication/tests/replication/scenarios/operators.rs
+++ b/crates/replication/tests/replication/scenarios/operators.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn of_two_orders_on_one_base_one_wins_also_when_they_are_sent_again() {
+fn of_two_commands_on_one_base_one_wins_also_when_they_are_sent_again() {
     three(
         "time | P                           | B | C | *
             0 | order=1 order=2             |   |   |
--- a/crates/replication/tests/replication/scenarios/partitions_and_disks.rs
+++ b/crates/replication/tests/replication/scenarios/partitions_and_disks.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_primary_frozen_with_an_order_under_way_does_not_acknowledge_it() {
+fn a_primary_frozen_with_an_order_in_flight_does_not_acknowledge_it() {
     three(
         "time | P              | B | C | *
             0 | order=1 freeze |   |   |
--- a/crates/replication/tests/replication/scenarios/restarts.rs
+++ b/crates/replication/tests/replication/scenarios/restarts.rs
@@ -4,7 +4,7 @@
 use crate::harness::World;
 
 #[test]
-fn orders_are_acknowledged_and_one_wins_on_each_base() {
+fn commands_are_acknowledged_and_one_wins_on_each_base() {
     three(
         "time | P                | B              | C
             0 | order=1 order=2  | order=3        |
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_killed_backup_holds_orders_up_only_shortly() {
+fn a_killed_backup_holds_commands_up_only_shortly() {
     three(
         "time | P       | B            | C
             0 |         | kill         |
--- a/crates/replication/tests/replication/scenarios/second_loss.rs
+++ b/crates/replication/tests/replication/scenarios/second_loss.rs
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn another_loss_at_any_moment_after_a_member_is_told_to_end() {
+fn another_loss_at_any_moment_after_a_member_is_signalled_to_shut_down() {
     for delay in (0..900).step_by(15) {
         for lost in [0, 1, 3] {
             let mut settled = with_a_fourth(delay);
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn a_joiner_counted_before_it_holds_the_log_is_caught() {
+fn a_learner_counted_before_it_holds_the_log_is_caught() {
     let faults = Faults { count_learner_early: true, ..Faults::default() };
     assert!(is_caught(faults, hand_over_while_a_wiped_node_returns));
 }
--- a/crates/retry-budget/tests/budgets.rs
+++ b/crates/retry-budget/tests/budgets.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn repeats_are_counted_before_they_are_sent() {
+fn retries_are_counted_before_they_are_sent() {
     let mut limiter = Limiter::new(totals(0, 0, 0), 4);
     limiter.check("tffRr");
     assert_eq!(limiter.budgets.counts(limiter.now), vec![totals(2, 1, 1)]);
--- a/crates/retry-budget/tests/share.rs
+++ b/crates/retry-budget/tests/share.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_limiter_gets_the_target_by_its_weight() {
+fn a_proxy_gets_the_target_by_its_weight() {
     assert_eq!(limit(&demand(30.0, 100.0, 100.0)), 30.0);
 }
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_service_without_repeats_gets_the_fallback() {
+fn a_service_without_retries_gets_the_fallback() {
     assert_eq!(limit(&demand(0.0, 0.0, 0.0)), 10.0);
 }
 
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn an_unknown_number_of_limiters_counts_as_one() {
+fn an_unknown_number_of_proxies_counts_as_one() {
     let lone = Demand { proxies: 0, ..demand(0.0, 0.0, 0.0) };
     assert_eq!(limit(&lone), TARGET);
 }
--- a/crates/serving-config/tests/configuration.rs
+++ b/crates/serving-config/tests/configuration.rs
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn deep_nesting_is_read_or_refused() {
+fn deep_nesting_is_read_or_rejected() {
     let depth = 1_000_000;
     let nested = format!("{}{}", "[".repeat(depth), "]".repeat(depth));
     let text = format!("{{\"Version\":1,\"Routes\":[],\"Services\":[],\"Fresh\":{nested}}}");
--- a/crates/state-sync/tests/begin_anew.rs
+++ b/crates/state-sync/tests/begin_anew.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_child_that_subscribes_anew_is_sent_the_whole_totals_again() {
+fn a_child_that_subscribes_again_is_sent_the_whole_totals_again() {
     let mut pair = Pair::new();
     pair.at_child(Event::LocalReport(LocalReport { proxies: 2, ..LocalReport::default() }));
     pair.at_child(Event::ParentUp);
--- a/crates/state-sync/tests/frame_sizes.rs
+++ b/crates/state-sync/tests/frame_sizes.rs
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_front_takes_150_bytes_at_most() {
+fn a_proxy_takes_150_bytes_at_most() {
     let endpoint = ProxyEndpoint {
         name: "front-zona-10-1".to_string(),
         ip: 0x0a01_000d,
--- a/crates/state-sync/tests/relay.rs
+++ b/crates/state-sync/tests/relay.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_small_zone_with_a_core_process_hangs_on_it() {
+fn a_small_zone_with_a_control_node_hangs_on_it() {
     let parents = first_parents(
         &endpoints(16, "a1"),
         &[control_node(1, "b1"), control_node(2, "a1"), control_node(3, "a2")],
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_zone_without_a_core_process_has_one_crossing_to_its_own_region() {
+fn a_zone_without_a_control_node_has_one_crossing_to_its_own_region() {
     let parents = first_parents(
         &endpoints(16, "a1"),
         &[control_node(1, "b1"), control_node(2, "a2"), control_node(3, "c1")],
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_core_process_that_failed_comes_last_and_its_zone_builds_a_heap() {
+fn a_control_node_that_failed_comes_last_and_its_zone_builds_a_heap() {
     let endpoints = endpoints(3, "a1");
     let control_nodes = [control_node(2, "a1"), control_node(1, "b1")];
     let failed = [control_node_candidate(2)];
--- a/crates/state-sync/tests/timelines_counts.rs
+++ b/crates/state-sync/tests/timelines_counts.rs
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn fronts_and_suspicions_reach_the_root() {
+fn proxies_and_suspicions_reach_the_root() {
     play(
         "
           | root              | x             | y               | z
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn of_two_lives_of_a_front_the_later_counts() {
+fn of_two_lives_of_a_proxy_the_later_counts() {
     let timeline = play(
         "
           | root       | x       | y       | z
