--- a/crates/rate-limiter/src/bin/rate-limiter/upstream/mod.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/upstream/mod.rs
@@ -168,10 +168,6 @@
         }
     }
 
-    fn open_sockets(&self) -> &Rc<Cell<usize>> {
-        &self.open
-    }
-
     /// Returns whether there is a descriptor for one more connection. If necessary, the connection that has been idle
     /// longest is closed.
     fn ensure_descriptor(&self) -> bool {
--- a/crates/rate-limiter/src/limiter/outlier_detection.rs
+++ b/crates/rate-limiter/src/limiter/outlier_detection.rs
@@ -35,16 +35,20 @@
 }
 
 impl Server {
+    /// Returns the part of the recorded slowness that has not faded.
+    fn slowness_fade(&self, context: Context<'_>) -> f64 {
+        (-(context.now - self.slowness_at) / (SLOWNESS_FADE * context.time_scale())).exp()
+    }
+
     /// Returns the remaining slowness after it has faded.
-    fn faded_slowness(&self, context: Context<'_>) -> f64 {
-        let fade = (-(context.now - self.slowness_at) / (SLOWNESS_FADE * context.time_scale())).exp();
+    fn faded_slowness(&self, fade: f64) -> f64 {
         1.0 + (self.slowness - 1.0) * fade
     }
 
     /// Returns the factor by which the server is expected to be slower than usual for a class of requests. `zone_factor`
     /// is that of its zone.
     pub(super) fn expected_slowness(&self, context: Context<'_>, class: usize, zone_factor: f64) -> f64 {
-        self.faded_slowness(context) * zone_factor * self.late_factor(context, class)
+        self.faded_slowness(self.slowness_fade(context)) * zone_factor * self.late_factor(context, class)
     }
 
     /// Returns the factor of late attempts of a class. A server may serve other classes as usual.
@@ -96,9 +100,9 @@
         let now = context.now;
         let Some(server) = self.get_mut(id) else { return };
         // What has faded weighs less against a new ratio: a server that is used seldom is judged by its last responses.
-        let fade = (-(now - server.slowness_at) / (SLOWNESS_FADE * context.time_scale())).exp();
+        let fade = server.slowness_fade(context);
         let gain = SLOWNESS_GAIN.max(SLOWNESS_GAIN_AFTER_FADE * (1.0 - fade));
-        let faded = server.faded_slowness(context);
+        let faded = server.faded_slowness(fade);
         server.slowness = moving_average(faded, ratio.clamp(MIN_RATIO, MAX_RATIO), gain);
         server.slowness_at = now;
         let none = LateAttempts { count: 0, last: now };
--- a/crates/state-sync/src/node.rs
+++ b/crates/state-sync/src/node.rs
@@ -184,11 +184,6 @@
         self.aggregate.merged()
     }
 
-    /// Returns the report of a child on its subtree; none while it is suspended.
-    pub fn child_subtree(&self, child: Child) -> Option<&SubtreeState> {
-        self.aggregate.contribution(Source::Child(child))
-    }
-
     /// Returns when an [`Event::Tick`] is due.
     pub fn next_tick(&self) -> Duration {
         let silent = self.children.values().map(|child| match child.suspended_report {
