--- a/crates/quillpulley/tests/control/cluster.rs
+++ b/crates/quillpulley/tests/control/cluster.rs
@@ -214,16 +214,27 @@
         self.past_lines.extend(self.lines.try_iter());
     }
 
-    /// Waits until a primary has let a machine in as a member since it was started last.
+    /// Returns the node that the running process of a machine is: its address and the incarnation of its disk.
+    fn node(&mut self, index: usize) -> String {
+        let started =
+            format!("core-{index}: INFO control::replica_host::process: control node started node=");
+        self.until("a process that has started", |cluster| {
+            let lines = &cluster.past_lines[cluster.machines[index].started_at_line..];
+            let node = lines.iter().find_map(|line| line.strip_prefix(started.as_str()))?;
+            node.split(' ').next().map(str::to_string)
+        })
+    }
+
+    /// Waits until a primary has added the running process of a machine as a member. A view that only names a former
+    /// incarnation of the machine does not count.
     pub fn wait_for_member(&mut self, index: usize) {
-        let address = self.address(index).to_string();
-        self.wait_for_view(index, "backups=[", |backups| backups.contains(&address.as_str()));
+        let node = self.node(index);
+        self.wait_for_view(index, "backups=[", |backups| backups.contains(&node.as_str()));
     }
 
-    /// Waits until these machines are the witnesses, since the last of them was started last.
+    /// Waits until the running processes of these machines are the witnesses.
     pub fn wait_for_witnesses(&mut self, machines: &[usize]) {
-        let mut expected: Vec<String> =
-            machines.iter().map(|index| self.address(*index).to_string()).collect();
+        let mut expected: Vec<String> = machines.iter().map(|index| self.node(*index)).collect();
         expected.sort();
         let newest = machines.iter().copied().max_by_key(|index| self.machines[*index].started_at_line);
         self.wait_for_view(newest.expect("machines"), "witnesses=[", |witnesses| {
@@ -239,7 +250,7 @@
             let list = line.split_once(intro).and_then(|(_, rest)| rest.split_once(']'));
             list.is_some_and(|(nodes, _)| is_wanted(&nodes.split(", ").collect::<Vec<_>>()))
         };
-        self.until("a view as it is wanted", |cluster| {
+        self.until("the expected view", |cluster| {
             let lines = &cluster.past_lines[cluster.machines[index].started_at_line..];
             lines.iter().any(shows_it).then_some(())
         });
--- a/crates/quillpulley/tests/control/processes.rs
+++ b/crates/quillpulley/tests/control/processes.rs
@@ -123,8 +123,9 @@
     cluster.run(first);
     let second = cluster.primary();
     assert_eq!(replace(&mut cluster, 5, "6"), 200);
-    // Once it is a member again, the two machines that held the state before may go.
+    // Once it is a member and a witness under its new identity, one of the machines that held the state may go.
     cluster.wait_for_member(first);
+    cluster.wait_for_witnesses(&[0, 1, 2]);
     cluster.kill(second);
     assert_eq!(cluster.order(&Operation::get()).body, configuration("6"));
     assert_eq!(replace(&mut cluster, 6, "7"), 200);
--- a/crates/replication/src/event.rs
+++ b/crates/replication/src/event.rs
@@ -1,5 +1,7 @@
 //! The events that a replica takes and the actions that it returns.
 
+use std::fmt;
+
 use crate::Locality;
 use quillpulley_protocol::{Body, Entry, NodeId, Position, WitnessRecord};
 
@@ -161,3 +163,20 @@
     /// It is shutting down.
     ShuttingDown,
 }
+
+impl fmt::Display for Role {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Role::Follower { primary: Some(primary) } => write!(formatter, "follower of {primary}"),
+            Role::Follower { primary: None } => write!(formatter, "follower without a primary"),
+            Role::Candidate => write!(formatter, "candidate"),
+            Role::Primary { epoch, holds_lease: true } => {
+                write!(formatter, "primary of epoch {epoch} with the lease")
+            }
+            Role::Primary { epoch, holds_lease: false } => {
+                write!(formatter, "primary of epoch {epoch} without the lease")
+            }
+            Role::ShuttingDown => write!(formatter, "shutting down"),
+        }
+    }
+}
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -247,7 +247,7 @@
         }
         let role = self.role(self.now);
         if role != self.reported_role {
-            info!(node:% = self.options.me, zone = self.options.locality.zone.as_str(), role:? = role; "role changed");
+            info!(node:% = self.options.me, zone = self.options.locality.zone.as_str(), role:% = role; "role changed");
             self.reported_role = role;
             self.outbox.push(Action::RoleChanged(role));
         }
--- a/crates/replication/src/replica/primary.rs
+++ b/crates/replication/src/replica/primary.rs
@@ -2,7 +2,6 @@
 
 use log::info;
 use quillpulley_protocol::{Body, LeaseGrant, LeaseRequest, NodeId, View};
-use std::net::Ipv4Addr;
 use std::time::Duration;
 
 use super::Replica;
@@ -10,7 +9,7 @@
 use crate::membership::DesiredView;
 use crate::primary::{PrimaryState, ResignReason};
 use crate::proposals::QueuedProposal;
-use crate::view::{majority, members};
+use crate::view::{majority, members, NodeList};
 use crate::view_change::{Phase, ViewChange, ViewChangeOutcome};
 use crate::StateMachine;
 
@@ -20,8 +19,8 @@
         let Some(outcome) = self.view_change.take().and_then(ViewChange::into_outcome) else { return };
         let ViewChangeOutcome { view, desired_view, log_end } = outcome;
         info!(
-            node:% = self.options.me, epoch = view.epoch, backups:? = addresses(&view.backups),
-            witnesses:? = addresses(&view.witnesses);
+            node:% = self.options.me, epoch = view.epoch, backups:% = NodeList(&view.backups),
+            witnesses:% = NodeList(&view.witnesses);
             "became primary"
         );
         if self.witness.learn(&view) {
@@ -258,7 +257,3 @@
         }
     }
 }
-
-fn addresses(nodes: &[NodeId]) -> Vec<Ipv4Addr> {
-    nodes.iter().map(NodeId::address).collect()
-}
--- a/crates/replication/src/view.rs
+++ b/crates/replication/src/view.rs
@@ -1,5 +1,7 @@
 //! Queries of a [`View`]: its members and witnesses, and which responses are a quorum.
 
+use std::fmt;
+
 use quillpulley_protocol::{NodeId, View};
 
 /// The epoch of the view with the first set of witnesses, before any primary.
@@ -17,6 +19,16 @@
     }
 }
 
+/// Shows nodes in a log line, each with its incarnation: `[10.0.0.1#0, 10.0.0.2#5f]`.
+pub(crate) struct NodeList<'a>(pub(crate) &'a [NodeId]);
+
+impl fmt::Display for NodeList<'_> {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let nodes: Vec<String> = self.0.iter().map(NodeId::to_string).collect();
+        write!(formatter, "[{}]", nodes.join(", "))
+    }
+}
+
 /// Returns the primary and the backups.
 pub(crate) fn members(view: &View) -> Vec<NodeId> {
     if view.epoch == BOOTSTRAP_EPOCH {
