--- a/crates/replication/tests/replication/harness/checker.rs
+++ b/crates/replication/tests/replication/harness/checker.rs
@@ -1,16 +1,16 @@
 //! The invariants, stated once.
 //!
-//! - The states that replicas have at an index are the same, and no state goes back within a life.
-//! - An order that was acknowledged is in the state of everyone who holds the lease from then on.
-//! - One order is taken on a base, and an order is taken once, however often it is sent.
-//! - An order that was taken is not refused when it is sent again; one that was refused is never taken.
+//! - The states that replicas have at an index are the same, and no state goes back while its process runs.
+//! - A command that was acknowledged is in the state of everyone who holds the lease from then on.
+//! - One command is accepted on a base, and a command is accepted once, however often it is sent.
+//! - A command that was accepted is not rejected when it is sent again; one that was rejected is never accepted.
 //! - At most one replica holds the lease, and an epoch has one holder.
-//! - What is in force is stated only under the lease.
+//! - Reads are served only under the lease.
 
 use quillpulley_protocol::Position;
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::ledger::{Applied, Ledger};
+use super::command_history::{Applied, CommandHistory};
 
 /// What all replicas together have shown so far.
 #[derive(Clone, Debug, Default)]
@@ -19,89 +19,95 @@
     applied: BTreeMap<u64, Applied>,
     /// The digest of any state that has so many entries.
     digests: BTreeMap<usize, u64>,
-    /// Orders that were acknowledged.
+    /// Commands that were acknowledged.
     pub acknowledged: BTreeSet<u64>,
     /// The same in their sequence.
     in_sequence: Vec<u64>,
     /// The positions of their entries, by index.
     pub positions: Vec<Position>,
-    /// Messages whose fate was told.
-    settled: BTreeSet<u64>,
-    /// Messages that were not appended and are never to be applied.
+    /// Proposals whose outcome was reported.
+    resolved: BTreeSet<u64>,
+    /// Proposals that were not appended and are never to be applied.
     not_appended: BTreeSet<u64>,
-    /// Orders that were refused, since another is on their base.
-    refused: BTreeSet<u64>,
-    /// For each base, the order that was taken on it.
-    taken_on: BTreeMap<u64, u64>,
-    /// For each order that was taken, where.
-    taken_at: BTreeMap<u64, Position>,
+    /// Commands that were rejected, since another is on their base.
+    rejected: BTreeSet<u64>,
+    /// For each base, the command that was accepted on it.
+    accepted_on: BTreeMap<u64, u64>,
+    /// For each command that was accepted, where.
+    accepted_at: BTreeMap<u64, Position>,
     /// The epochs of leases, by holder.
     holders: BTreeMap<u64, String>,
 }
 
 impl Checker {
     /// The state is a prefix of what any state has, and holds no less than it did when it had `seen` entries.
-    pub fn check_state(&mut self, ledger: &Ledger, seen: usize) {
-        let length = ledger.history.len();
+    pub fn check_state(&mut self, history: &CommandHistory, seen: usize) {
+        let length = history.entries.len();
         assert!(length >= seen, "a state goes back from {seen} entries to {length}");
-        for applied in &ledger.history[seen..] {
+        for applied in &history.entries[seen..] {
             let known = self.applied.entry(applied.position.index).or_insert(*applied);
             assert_eq!(known, applied, "two states differ at an index");
-            assert!(!self.not_appended.contains(&applied.message), "a refused order is applied");
-            self.check_taken(applied);
+            assert!(!self.not_appended.contains(&applied.proposal), "a rejected command is applied");
+            self.check_accepted(applied);
         }
-        let digest = *self.digests.entry(length).or_insert(ledger.digest);
-        assert_eq!(digest, ledger.digest, "two states differ before index {length}");
+        let digest = *self.digests.entry(length).or_insert(history.digest);
+        assert_eq!(digest, history.digest, "two states differ before index {length}");
     }
 
-    fn check_taken(&mut self, applied: &Applied) {
-        let Some(base) = applied.taken_on else { return };
-        let order = applied.order;
-        let winner = *self.taken_on.entry(base).or_insert(order);
-        assert_eq!(winner, order, "two orders on one base were taken");
-        let place = *self.taken_at.entry(order).or_insert(applied.position);
-        assert_eq!(place, applied.position, "order {order} takes effect in two places");
-        assert!(!self.refused.contains(&order), "order {order} is taken after two answers that differ");
+    fn check_accepted(&mut self, applied: &Applied) {
+        let Some(base) = applied.accepted_on else { return };
+        let command = applied.command;
+        let winner = *self.accepted_on.entry(base).or_insert(command);
+        assert_eq!(winner, command, "two commands on one base were accepted");
+        let position = *self.accepted_at.entry(command).or_insert(applied.position);
+        assert_eq!(position, applied.position, "command {command} takes effect in two places");
+        assert!(
+            !self.rejected.contains(&command),
+            "command {command} is accepted after two answers that differ"
+        );
     }
 
-    /// A message with an order is committed, and the order is in the state of who says so. It was taken then or
-    /// before, or else is refused.
-    pub fn acknowledge(&mut self, message: u64, order: u64, ledger: &Ledger) {
-        self.settle(message);
-        assert!(ledger.find(order).is_some(), "an acknowledged order is in the state");
-        let Some(taken) = ledger.find_taken(order) else {
-            let is_taken = self.taken_at.contains_key(&order);
-            assert!(!is_taken, "order {order} was taken, and is refused when it comes again: answers differ");
-            self.refused.insert(order);
+    /// A proposal of a command is committed, and the command is in the state of who says so. It was accepted then or
+    /// before, or else is rejected.
+    pub fn acknowledge(&mut self, proposal: u64, command: u64, history: &CommandHistory) {
+        self.resolve(proposal);
+        assert!(history.find(command).is_some(), "an acknowledged command is in the state");
+        let Some(accepted) = history.find_accepted(command) else {
+            let is_accepted = self.accepted_at.contains_key(&command);
+            assert!(
+                !is_accepted,
+                "command {command} was accepted, and is rejected when it comes again: answers differ"
+            );
+            self.rejected.insert(command);
             return;
         };
-        if self.acknowledged.insert(order) {
-            self.in_sequence.push(order);
-            let place = self.positions.partition_point(|other| other.index < taken.position.index);
-            self.positions.insert(place, taken.position);
+        if self.acknowledged.insert(command) {
+            self.in_sequence.push(command);
+            let position = self.positions.partition_point(|other| other.index < accepted.position.index);
+            self.positions.insert(position, accepted.position);
         }
     }
 
-    /// A message is not acknowledged. One that is `final` has not been appended.
-    pub fn reject(&mut self, message: u64, is_final: bool) {
-        self.settle(message);
+    /// A proposal is not acknowledged. One that is `final` has not been appended.
+    pub fn reject(&mut self, proposal: u64, is_final: bool) {
+        self.resolve(proposal);
         if is_final {
-            self.not_appended.insert(message);
+            self.not_appended.insert(proposal);
         }
     }
 
-    fn settle(&mut self, message: u64) {
-        assert!(self.settled.insert(message), "the fate of message {message} is told twice");
+    fn resolve(&mut self, proposal: u64) {
+        assert!(self.resolved.insert(proposal), "the outcome of proposal {proposal} is reported twice");
     }
 
-    /// Whether the fate of a message was told.
-    pub fn is_settled(&self, message: u64) -> bool {
-        self.settled.contains(&message)
+    /// Returns whether the outcome of a proposal was reported.
+    pub fn is_resolved(&self, proposal: u64) -> bool {
+        self.resolved.contains(&proposal)
     }
 
-    /// Whether an order was refused for good.
-    pub fn is_refused(&self, order: u64) -> bool {
-        self.refused.contains(&order)
+    /// Returns whether a command was rejected for good.
+    pub fn is_rejected(&self, command: u64) -> bool {
+        self.rejected.contains(&command)
     }
 
     /// At most one replica holds the lease at a time, and an epoch has one holder only.
@@ -113,21 +119,21 @@
         }
     }
 
-    /// Nothing acknowledged is missing from the state of whoever holds the lease. The first `checked` orders are
+    /// Nothing acknowledged is missing from the state of whoever holds the lease. The first `checked` commands are
     /// known to be there. Returns how many are known from now on.
-    pub fn check_nothing_lost(&self, ledger: &Ledger, checked: usize) -> usize {
-        for order in &self.in_sequence[checked..] {
-            assert!(ledger.has_taken(*order), "the acknowledged order {order} is lost");
+    pub fn check_nothing_lost(&self, history: &CommandHistory, checked: usize) -> usize {
+        for command in &self.in_sequence[checked..] {
+            assert!(history.has_accepted(*command), "the acknowledged command {command} is lost");
         }
         self.in_sequence.len()
     }
 
-    /// What is in force is stated by someone who holds the lease, and from a state with all that was acknowledged.
-    pub fn check_answer(&self, ledger: &Ledger, has_lease: bool) {
-        for order in self.in_sequence.iter().rev() {
-            assert!(ledger.has_taken(*order), "an answer lacks the acknowledged order {order}");
+    /// A read is served by the holder of the lease, from a state with all that was acknowledged.
+    pub fn check_read(&self, history: &CommandHistory, has_lease: bool) {
+        for command in self.in_sequence.iter().rev() {
+            assert!(history.has_accepted(*command), "an answer lacks the acknowledged command {command}");
         }
-        assert!(has_lease, "an answer about what is in force without the lease");
+        assert!(has_lease, "an answer about the active configuration without the lease");
     }
 
     /// How many epochs had a holder of the lease.
--- a/crates/replication/tests/replication/harness/clients.rs
+++ b/crates/replication/tests/replication/harness/clients.rs
@@ -1,80 +1,80 @@
-//! What operators do: send orders, also again and two on one base, and ask what is in force.
+//! What operators do: send commands, also again and two on one base, and read the active configuration.
 
 use quillpulley_replication::{Event, Role};
 
-use super::ledger::Order;
-use super::world::{Happening, World};
+use super::command_history::Command;
+use super::world::{ScheduledEvent, World};
 
-/// Orders are longer than they have to be by up to so many bytes.
+/// Commands are longer than they have to be by up to so many bytes.
 const PADDING: usize = 300;
-/// How long it takes at most from a question to its answer, if the process does not stand still in between.
-const ANSWER_MS: u64 = 5;
+/// The longest time from a read to its response, unless the process is frozen in between.
+const MAX_READ_MS: u64 = 5;
 
 impl World {
-    /// Sends a new order to a machine, built on its state; returns the order's number.
+    /// Sends a new command to a machine, built on its state; returns the command's number.
     pub fn propose(&mut self, machine: usize) -> u64 {
         let base = self.machines[machine].replica.as_ref().map_or(0, |replica| replica.state().version());
-        let number = self.orders.len() as u64 + 1;
-        let order = Order { number, base };
-        self.orders.push(order);
-        self.send_order(machine, order);
+        let number = self.commands.len() as u64 + 1;
+        let command = Command { number, base };
+        self.commands.push(command);
+        self.send_command(machine, command);
         number
     }
 
-    /// Sends an order again, with the same base, whatever became of it.
+    /// Sends a command again, with the same base, whatever became of it.
     pub fn propose_again(&mut self, machine: usize, number: u64) {
-        if let Some(order) = self.orders.get(number as usize - 1).copied() {
-            self.send_order(machine, order);
+        if let Some(command) = self.commands.get(number as usize - 1).copied() {
+            self.send_command(machine, command);
         }
     }
 
-    /// How many orders there have been.
-    pub fn order_count(&self) -> u64 {
-        self.orders.len() as u64
+    /// How many commands there have been.
+    pub fn command_count(&self) -> u64 {
+        self.commands.len() as u64
     }
 
-    fn send_order(&mut self, machine: usize, order: Order) {
-        self.messages.push(order);
-        let message = self.messages.len() as u64;
-        let mut payload = order.payload(message);
+    fn send_command(&mut self, machine: usize, command: Command) {
+        self.proposals.push(command);
+        let proposal = self.proposals.len() as u64;
+        let mut payload = command.payload(proposal);
         payload.resize(payload.len() + self.random.usize(0..=PADDING), 0);
-        self.proposed.push((message, machine, self.machines[machine].life));
-        self.note(machine, &format!("gets order {} on {}", order.number, order.base));
-        self.handle(machine, Event::Propose { proposal: message, payload });
+        self.proposed.push((proposal, machine, self.machines[machine].process));
+        self.note(machine, &format!("gets command {} on {}", command.number, command.base));
+        self.handle(machine, Event::Propose { proposal, payload });
     }
 
-    /// The number of the order that a message has.
-    pub(super) fn order_in(&self, message: u64) -> u64 {
-        self.messages[message as usize - 1].number
+    /// The number of the command that a proposal has.
+    pub(super) fn command_of(&self, proposal: u64) -> u64 {
+        self.proposals[proposal as usize - 1].number
     }
 
-    /// Asks a machine what is in force. The answer comes a little later.
-    pub fn ask(&mut self, machine: usize) {
-        let delay = self.random.u64(0..=ANSWER_MS);
-        let life = self.machines[machine].life;
-        self.note(machine, "is asked");
-        self.plan(delay, Happening::Answer { machine, life });
+    /// Sends a read to a machine, which is served a little later.
+    pub fn read(&mut self, machine: usize) {
+        let delay = self.random.u64(0..=MAX_READ_MS);
+        let process = self.machines[machine].process;
+        self.note(machine, "gets a read");
+        self.schedule(delay, ScheduledEvent::Read { machine, process });
     }
 
-    pub(super) fn answer_due(&mut self, machine: usize, life: u64) {
-        if !self.lives(machine, life) {
+    pub(super) fn complete_read(&mut self, machine: usize, process: u64) {
+        if !self.runs_process(machine, process) {
             return;
         }
         if self.machines[machine].frozen {
-            self.machines[machine].held_questions += 1;
+            self.machines[machine].buffered_reads += 1;
         } else {
-            self.answer(machine);
+            self.serve_read(machine);
         }
     }
 
-    /// Answers what is in force, if the replica says that it may.
-    pub(super) fn answer(&mut self, machine: usize) {
+    /// Serves a read, if the replica allows it.
+    pub(super) fn serve_read(&mut self, machine: usize) {
         let now = self.local(machine);
         let has_lease = matches!(self.role(machine), Some(Role::Primary { holds_lease: true, .. }));
         let Some(replica) = &self.machines[machine].replica else { return };
         if replica.can_answer(now) {
-            self.answers += 1;
-            self.checker.check_answer(replica.state(), has_lease);
+            self.reads += 1;
+            self.checker.check_read(replica.state(), has_lease);
         }
     }
 }
--- a/crates/replication/tests/replication/harness/disk.rs
+++ b/crates/replication/tests/replication/harness/disk.rs
@@ -1,4 +1,4 @@
-//! A disk that keeps exactly what was synced, and of a write under way any part.
+//! A disk that keeps exactly what was synced, and any part of a write in flight.
 
 use quillpulley_protocol::{Entry, Position, WitnessRecord};
 use quillpulley_replication::{Recovered, Write};
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DiskMode {
     #[default]
-    Good,
+    Healthy,
     /// Writes take many times longer.
     Slow,
     /// Writes wait until the disk is good again.
--- a/crates/replication/tests/replication/harness/durability.rs
+++ b/crates/replication/tests/replication/harness/durability.rs
@@ -70,7 +70,7 @@
         return Some(format!("all members of a view that may be the newest are lost: {view:?}"));
     }
     members.into_iter().find_map(|member| {
-        // The positions are in the order of their index, and what a snapshot covers is there.
+        // The positions are sorted by their index, and what a snapshot covers is there.
         let covered = member.covered();
         let beyond = acknowledged.iter().rev().take_while(|position| position.index > covered);
         let missing = beyond.filter(|position| !member.holds(**position)).last()?;
@@ -85,19 +85,19 @@
     let knows =
         |other: &View, view: &View| other.epoch > view.epoch || other.epoch == view.epoch && other.activated;
     let holders = |view: &View| views.iter().filter(|other| knows(other, view)).count();
-    let is_settled = |view: &&&View| view.activated && holders(view) > view.witnesses.len() / 2 + lost;
-    let settled = views.iter().filter(is_settled).map(|view| view.epoch).max().unwrap_or(0);
-    views.into_iter().filter(|view| view.epoch >= settled).collect()
+    let is_decided = |view: &&&View| view.activated && holders(view) > view.witnesses.len() / 2 + lost;
+    let decided = views.iter().filter(is_decided).map(|view| view.epoch).max().unwrap_or(0);
+    views.into_iter().filter(|view| view.epoch >= decided).collect()
 }
 
 /// Whether a view names a node as a member or a witness.
-pub fn names(view: &View, node: NodeId) -> bool {
+pub fn includes(view: &View, node: NodeId) -> bool {
     let sets = [&view.backups, &view.witnesses, &view.previous_witnesses];
     view.primary == node || sets.iter().any(|set| set.contains(&node))
 }
 
 /// Whether a view has enough witnesses for the losses to tolerate.
-pub fn is_whole(view: &View, tolerated: usize) -> bool {
+pub fn has_enough_witnesses(view: &View, tolerated: usize) -> bool {
     let fewest = if view.activated { &view.witnesses } else { &view.previous_witnesses };
     view.epoch > 0 && fewest.len() > 2 * tolerated
 }
--- a/crates/replication/tests/replication/harness/faults.rs
+++ b/crates/replication/tests/replication/harness/faults.rs
@@ -1,15 +1,16 @@
-//! What is done to machines: starts, ends and troubles.
+//! What is done to machines: starts, ends and faults.
 
 use quillpulley_protocol::NodeId;
 use quillpulley_replication::{Event, FaultTolerance, Options, Replica, Role};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
+use super::command_history::CommandHistory;
 use super::disk::{DiskImage, DiskMode};
-use super::ledger::Ledger;
 use super::network::NetworkOptions;
 use super::world::{
-    address, Happening, Machine, World, WorldOptions, COMPACT_BYTES, CONNECT_MS, DISK_MS, NOTICE_MS, ZONES,
+    address, Machine, ScheduledEvent, World, WorldOptions, COMPACT_BYTES, CONNECT_MS, DETECTION_MS, DISK_MS,
+    ZONES,
 };
 
 /// A letter, and from the 27th machine on a number.
@@ -44,19 +45,19 @@
             id,
             bootstrap,
             disk: DiskImage::default(),
-            mode: DiskMode::Good,
+            mode: DiskMode::Healthy,
             replica: None,
-            life: 0,
+            process: 0,
             started_at: 0,
             clock_rate: 1000,
             frozen: false,
             removed: false,
-            held: VecDeque::new(),
+            buffered: VecDeque::new(),
             write: None,
             connections: BTreeMap::new(),
             seen: 0,
-            held_orders: 0,
-            held_questions: 0,
+            verified_commands: 0,
+            buffered_reads: 0,
             writes: 0,
             zone: number % ZONES,
         });
@@ -81,7 +82,7 @@
         let now = self.now;
         let options = Options {
             me: self.machines[machine].id,
-            locality: self.place_of(machine),
+            locality: self.locality_of(machine),
             bootstrap: self.machines[machine].bootstrap.clone(),
             fault_tolerance: FaultTolerance {
                 machines: self.options.tolerated,
@@ -100,20 +101,20 @@
         slot.clock_rate = clock_rate;
         assert!(slot.replica.is_none(), "{} runs already", slot.name);
         let recovered = slot.disk.recovered();
-        let replica =
-            Replica::new(options, recovered, Ledger::default(), Duration::ZERO).expect("a sound disk");
-        slot.life += 1;
+        let replica = Replica::new(options, recovered, CommandHistory::default(), Duration::ZERO)
+            .expect("a sound disk");
+        slot.process += 1;
         slot.started_at = now;
         slot.replica = Some(replica);
         slot.frozen = false;
         slot.seen = 0;
-        slot.held_orders = 0;
-        slot.held_questions = 0;
+        slot.verified_commands = 0;
+        slot.buffered_reads = 0;
         slot.writes = 0;
-        let life = slot.life;
+        let process = slot.process;
         self.note(machine, "starts");
         self.check_state(machine);
-        self.plan(1, Happening::Tick { machine, life });
+        self.schedule(1, ScheduledEvent::Tick { machine, process });
         self.reconnect(machine);
     }
 
@@ -131,10 +132,10 @@
             }
         }
         slot.connections.clear();
-        slot.held.clear();
-        let notice = if power { NOTICE_MS } else { CONNECT_MS };
+        slot.buffered.clear();
+        let detection = if power { DETECTION_MS } else { CONNECT_MS };
         for other in 0..self.machines.len() {
-            self.plan_notice(other, machine, notice);
+            self.schedule_disconnect(other, machine, detection);
         }
     }
 
@@ -146,7 +147,7 @@
         let slot = &mut self.machines[machine];
         assert!(slot.replica.is_none());
         slot.disk = DiskImage::default();
-        slot.mode = DiskMode::Good;
+        slot.mode = DiskMode::Healthy;
         if !self.options.keeps_identity {
             slot.id.incarnation = incarnation;
         }
@@ -161,20 +162,20 @@
         self.machines[machine].removed = true;
     }
 
-    /// Ends all troubles: every machine runs and reaches every other.
-    pub fn calm(&mut self) {
+    /// Ends all faults: every machine runs and reaches every other.
+    pub fn heal(&mut self) {
         self.trace.push(format!("{:>7} calm", self.now));
-        self.network.join_all();
+        self.network.heal_all();
         self.network.options = NetworkOptions::default();
         for machine in 0..self.machines.len() {
             if self.machines[machine].removed {
                 continue;
             }
-            if self.machines[machine].mode != DiskMode::Good {
-                self.set_disk(machine, DiskMode::Good);
+            if self.machines[machine].mode != DiskMode::Healthy {
+                self.set_disk(machine, DiskMode::Healthy);
             }
             if self.machines[machine].frozen {
-                self.wake(machine);
+                self.resume(machine);
             }
             if self.role(machine) == Some(Role::ShuttingDown) {
                 self.kill(machine, false);
@@ -190,14 +191,14 @@
         self.machines[machine].frozen = true;
     }
 
-    pub fn wake(&mut self, machine: usize) {
-        self.note(machine, "wakes");
+    pub fn resume(&mut self, machine: usize) {
+        self.note(machine, "resumes");
         self.machines[machine].frozen = false;
         // What was about to be written before the process stood still goes first.
-        for _ in 0..std::mem::take(&mut self.machines[machine].held_questions) {
-            self.answer(machine);
+        for _ in 0..std::mem::take(&mut self.machines[machine].buffered_reads) {
+            self.serve_read(machine);
         }
-        while let Some(event) = self.machines[machine].held.pop_front() {
+        while let Some(event) = self.machines[machine].buffered.pop_front() {
             self.handle(machine, event);
         }
     }
@@ -207,14 +208,14 @@
         let slot = &mut self.machines[machine];
         slot.mode = mode;
         if let (Some((ticket, _)), true) = (&slot.write, mode != DiskMode::Hangs) {
-            let done = Happening::StoreDone { machine, life: slot.life, ticket: *ticket };
-            self.plan(DISK_MS, done);
+            let done = ScheduledEvent::WriteDone { machine, process: slot.process, ticket: *ticket };
+            self.schedule(DISK_MS, done);
         }
     }
 
-    /// Tells the process to end, and kills it a little later.
-    pub fn stop(&mut self, machine: usize) {
-        self.note(machine, "is told to stop");
+    /// Signals the process to shut down.
+    pub fn shut_down(&mut self, machine: usize) {
+        self.note(machine, "is signalled to shut down");
         self.handle(machine, Event::Shutdown);
     }
 
@@ -222,28 +223,28 @@
     pub(super) fn reconnect(&mut self, machine: usize) {
         for other in (0..self.machines.len()).filter(|other| *other != machine) {
             for (one, two) in [(machine, other), (other, machine)] {
-                let life = self.machines[one].life;
-                self.plan(CONNECT_MS, Happening::Connect { machine: one, life, other: two });
+                let process = self.machines[one].process;
+                self.schedule(CONNECT_MS, ScheduledEvent::Connect { machine: one, process, other: two });
             }
         }
     }
 
     /// Has every machine notice connections that do not pass any more.
-    pub fn notice_cuts(&mut self) {
+    pub fn detect_partitions(&mut self) {
         for one in 0..self.machines.len() {
             for other in 0..self.machines.len() {
                 if one != other && !self.network.is_open(one, other) {
-                    self.plan_notice(one, other, NOTICE_MS);
+                    self.schedule_disconnect(one, other, DETECTION_MS);
                 }
             }
         }
     }
 
-    pub(super) fn plan_notice(&mut self, machine: usize, other: usize, delay: u64) {
+    pub(super) fn schedule_disconnect(&mut self, machine: usize, other: usize, delay: u64) {
         let slot = &self.machines[machine];
         if let Some(id) = slot.connections.get(&other).copied() {
-            let notice = Happening::Notice { machine, life: slot.life, other, id };
-            self.plan(delay, notice);
+            let disconnect = ScheduledEvent::Disconnect { machine, process: slot.process, other, id };
+            self.schedule(delay, disconnect);
         }
     }
 }
--- a/crates/replication/tests/replication/harness/inspect.rs
+++ b/crates/replication/tests/replication/harness/inspect.rs
@@ -19,12 +19,13 @@
         let disks: Vec<&DiskImage> = present.map(|machine| &machine.disk).collect();
         let newest = durability::newest_views(&disks, self.lost.len());
         let counts = |(node, at): &&(NodeId, u64)| {
-            self.now < at + CATCH_UP_MS || newest.iter().any(|view| durability::names(view, *node))
+            self.now < at + CATCH_UP_MS || newest.iter().any(|view| durability::includes(view, *node))
         };
         let lost = self.lost.iter().filter(counts).count() + 1;
         let tolerated = self.options.tolerated;
-        let are_whole = newest.iter().all(|view| durability::is_whole(view, tolerated));
-        !self.machines[machine].removed && lost <= tolerated && are_whole
+        let have_enough_witnesses =
+            newest.iter().all(|view| durability::has_enough_witnesses(view, tolerated));
+        !self.machines[machine].removed && lost <= tolerated && have_enough_witnesses
     }
 
     /// The machines that are not gone for good.
@@ -32,31 +33,31 @@
         (0..self.machines.len()).filter(|machine| !self.machines[*machine].removed).collect()
     }
 
-    /// Messages with orders whose fate was not told by the processes that got them, and that still run.
-    pub fn open_orders(&self) -> Vec<u64> {
-        let is_open = |(message, machine, life): &&(u64, usize, u64)| {
-            self.lives(*machine, *life) && !self.checker.is_settled(*message)
+    /// Proposals whose outcome was not reported by the processes that got them, and that still run.
+    pub fn unresolved_proposals(&self) -> Vec<u64> {
+        let is_open = |(proposal, machine, process): &&(u64, usize, u64)| {
+            self.runs_process(*machine, *process) && !self.checker.is_resolved(*proposal)
         };
-        self.proposed.iter().filter(is_open).map(|(message, ..)| *message).collect()
+        self.proposed.iter().filter(is_open).map(|(proposal, ..)| *proposal).collect()
     }
 
     /// Where a machine stands.
-    pub fn place_of(&self, machine: usize) -> Locality {
-        if self.options.tells_zones {
+    pub fn locality_of(&self, machine: usize) -> Locality {
+        if self.options.announces_zones {
             let zone = self.machines[machine].zone;
             return Locality { zone: format!("zone-{zone}"), region: format!("region-{}", REGION_OF[zone]) };
         }
-        let (zone, region) = self.options.places.get(machine).copied().unwrap_or_default();
+        let (zone, region) = self.options.localities.get(machine).copied().unwrap_or_default();
         Locality { zone: zone.into(), region: region.into() }
     }
 
     /// The tolerated losses that the view of the leader does not survive.
-    pub fn exposure(&self) -> Option<DurabilityStatus> {
+    pub fn durability(&self) -> Option<DurabilityStatus> {
         self.leader().and_then(|leader| self.machines[leader].replica.as_ref()).and_then(Replica::durability)
     }
 
-    /// Whether a process that was told to stop may end.
-    pub fn may_end(&self, machine: usize) -> bool {
+    /// Returns whether a process that is shutting down may exit.
+    pub fn can_exit(&self, machine: usize) -> bool {
         self.machines[machine].replica.as_ref().is_some_and(Replica::can_exit)
     }
 
@@ -85,7 +86,7 @@
     }
 
     /// The machine that a machine names as the primary to its callers.
-    pub fn named(&self, machine: usize) -> Option<usize> {
+    pub fn hinted_primary(&self, machine: usize) -> Option<usize> {
         let now = self.local(machine);
         let replica = self.machines[machine].replica.as_ref()?;
         let primary = replica.primary_hint(now)?;
@@ -96,7 +97,7 @@
     /// or the named one names itself.
     pub fn redirects(&self, machine: usize) -> Vec<usize> {
         let mut passed = vec![machine];
-        while let Some(next) = self.named(passed[passed.len() - 1]) {
+        while let Some(next) = self.hinted_primary(passed[passed.len() - 1]) {
             let is_there = next == passed[passed.len() - 1];
             let is_loop = passed.contains(&next);
             if !is_there {
@@ -110,8 +111,8 @@
     }
 
     /// Which of its processes runs on a machine, or ran last.
-    pub fn life(&self, machine: usize) -> u64 {
-        self.machines[machine].life
+    pub fn process(&self, machine: usize) -> u64 {
+        self.machines[machine].process
     }
 
     /// The time as a machine's own clock shows it.
@@ -138,8 +139,8 @@
         (0..self.machines.len()).filter(is_witness).collect()
     }
 
-    pub fn is_acknowledged(&self, order: u64) -> bool {
-        self.checker.acknowledged.contains(&order)
+    pub fn is_acknowledged(&self, command: u64) -> bool {
+        self.checker.acknowledged.contains(&command)
     }
 
     /// How far the state of a machine is; 0 if it does not run.
@@ -157,17 +158,17 @@
         self.lost.len() as u64
     }
 
-    pub(super) fn lives(&self, machine: usize, life: u64) -> bool {
-        self.machines[machine].replica.is_some() && self.machines[machine].life == life
+    pub(super) fn runs_process(&self, machine: usize, process: u64) -> bool {
+        self.machines[machine].replica.is_some() && self.machines[machine].process == process
     }
 
     pub(super) fn check_state(&mut self, machine: usize) {
         let slot = &mut self.machines[machine];
         let Some(replica) = &slot.replica else { return };
-        let ledger = replica.state();
-        if ledger.history.len() != slot.seen {
-            self.checker.check_state(ledger, slot.seen);
-            slot.seen = ledger.history.len();
+        let history = replica.state();
+        if history.entries.len() != slot.seen {
+            self.checker.check_state(history, slot.seen);
+            slot.seen = history.entries.len();
         }
     }
 
@@ -187,7 +188,8 @@
                 let slot = &mut self.machines[machine];
                 holders.push((slot.name.clone(), epoch));
                 if let Some(replica) = &slot.replica {
-                    slot.held_orders = self.checker.check_nothing_lost(replica.state(), slot.held_orders);
+                    slot.verified_commands =
+                        self.checker.check_nothing_lost(replica.state(), slot.verified_commands);
                 }
             }
         }
--- a/crates/replication/tests/replication/harness/mod.rs
+++ b/crates/replication/tests/replication/harness/mod.rs
@@ -2,11 +2,11 @@
 
 pub mod checker;
 mod clients;
+pub mod command_history;
 pub mod disk;
 pub mod durability;
 mod faults;
 mod inspect;
-pub mod ledger;
 pub mod network;
 pub mod timeline;
 pub mod world;
--- a/crates/replication/tests/replication/harness/network.rs
+++ b/crates/replication/tests/replication/harness/network.rs
@@ -10,14 +10,14 @@
     /// Messages lost of a thousand.
     pub lost: u32,
     /// Messages that arrive twice of a thousand.
-    pub doubled: u32,
+    pub duplicated: u32,
     /// Messages that take up to a second of a thousand.
-    pub late: u32,
+    pub delayed: u32,
 }
 
 impl Default for NetworkOptions {
     fn default() -> Self {
-        NetworkOptions { min_delay: 5, max_delay: 25, lost: 0, doubled: 0, late: 0 }
+        NetworkOptions { min_delay: 5, max_delay: 25, lost: 0, duplicated: 0, delayed: 0 }
     }
 }
 
@@ -25,29 +25,29 @@
 #[derive(Clone, Debug)]
 pub struct Network {
     pub options: NetworkOptions,
-    cuts: BTreeSet<(usize, usize)>,
+    partitions: BTreeSet<(usize, usize)>,
 }
 
 impl Network {
     pub fn new(options: NetworkOptions) -> Self {
-        Network { options, cuts: BTreeSet::new() }
+        Network { options, partitions: BTreeSet::new() }
     }
 
     /// Cuts one direction.
-    pub fn cut(&mut self, from: usize, to: usize) {
-        self.cuts.insert((from, to));
+    pub fn partition(&mut self, from: usize, to: usize) {
+        self.partitions.insert((from, to));
     }
 
-    pub fn join(&mut self, from: usize, to: usize) {
-        self.cuts.remove(&(from, to));
+    pub fn heal(&mut self, from: usize, to: usize) {
+        self.partitions.remove(&(from, to));
     }
 
-    pub fn join_all(&mut self) {
-        self.cuts.clear();
+    pub fn heal_all(&mut self) {
+        self.partitions.clear();
     }
 
     pub fn passes(&self, from: usize, to: usize) -> bool {
-        !self.cuts.contains(&(from, to))
+        !self.partitions.contains(&(from, to))
     }
 
     pub fn is_open(&self, one: usize, other: usize) -> bool {
@@ -60,9 +60,9 @@
         if !self.passes(from, to) || random.u32(0..1000) < options.lost {
             return Vec::new();
         }
-        let copies = if random.u32(0..1000) < options.doubled { 2 } else { 1 };
+        let copies = if random.u32(0..1000) < options.duplicated { 2 } else { 1 };
         let mut delay = || {
-            let late = if random.u32(0..1000) < options.late { random.u64(0..1000) } else { 0 };
+            let late = if random.u32(0..1000) < options.delayed { random.u64(0..1000) } else { 0 };
             late + random.u64(options.min_delay..=options.max_delay)
         };
         (0..copies).map(|_| delay()).collect()
--- a/crates/replication/tests/replication/harness/timeline.rs
+++ b/crates/replication/tests/replication/harness/timeline.rs
@@ -2,17 +2,29 @@
 //!
 //! ```text
 //! time | P       | B      | C
-//!  100 | order=1 |        |
+//!  100 | propose=1 |        |
 //!  200 | kill    |        |
 //! 2500 |         |        | acked=1
 //! ```
 //!
-//! Times are milliseconds from the begin of the timeline. A cell holds deeds (`start kill power wipe stop freeze
-//! wake hang slow full good cut join cut-in cut-out cut:B join:B order=N`) and claims (`leads follows member out witness
-//! no-witness
-//! no-lease deposed names:B names-none acked=N open=N refused=N`), which must hold at that time. `order=N` proposes an order here, `again=N` sends
-//! the same order once more, and `acked=N`, `refused=N` and `open=N` say what became of it. `ask` asks what is in
-//! force. A column `*` stands for the machine that leads at the time.
+//! Times are milliseconds from the begin of the timeline. A cell holds operations and claims.
+//!
+//! | operations | effect |
+//! | --- | --- |
+//! | `start` `kill` `power-loss` `shutdown` `freeze` `resume` | of the machine's process |
+//! | `wipe` `hang` `slow` `full` `repair` | of its disk |
+//! | `partition` `partition-in` `partition-out` `partition:B` `heal` `heal:B` | of its links, all of them or those to one machine |
+//! | `propose=N` `resend=N` | proposes command N, or sends the same command once more |
+//! | `read` | reads the active configuration |
+//!
+//! | claims, which must hold at that time | meaning |
+//! | --- | --- |
+//! | `leads` `follows` `deposed` `no-lease` | role of the machine |
+//! | `member` `no-member` `witness` `no-witness` | its part in the leader's view |
+//! | `hints:B` `no-hint` | the primary to which it redirects |
+//! | `acked=N` `rejected=N` `unresolved=N` | outcome of command N |
+//!
+//! A column `*` stands for the machine that leads at the time.
 
 use super::disk::DiskMode;
 use super::world::World;
@@ -33,7 +45,7 @@
     let machines: Vec<Option<usize>> =
         header[1..].iter().map(|name| (*name != LEADER).then(|| machine_of(name))).collect();
     let begin = world.now;
-    let mut player = Player { world, machine_of: &machine_of, orders: BTreeMap::new() };
+    let mut player = Player { world, machine_of: &machine_of, commands: BTreeMap::new() };
     for line in lines {
         let row = cells(line);
         let time: u64 = row[0].parse().expect("a time in milliseconds");
@@ -56,14 +68,14 @@
 struct Player<'a> {
     world: &'a mut World,
     machine_of: &'a dyn Fn(&str) -> usize,
-    /// The numbers that the world has given to the timeline's orders.
-    orders: BTreeMap<u64, u64>,
+    /// The numbers that the world has given to the timeline's commands.
+    commands: BTreeMap<u64, u64>,
 }
 
 impl Player<'_> {
     fn play(&mut self, machine: usize, word: &str, line: &str) {
         let (verb, argument) = word.split_once(['=', ':']).unwrap_or((word, ""));
-        if !self.act(machine, verb, argument) {
+        if !self.perform(machine, verb, argument) {
             let holds = self.holds(machine, verb, argument);
             assert!(holds, "`{word}` does not hold in `{line}`\n{}", self.trace());
         }
@@ -73,37 +85,37 @@
         self.world.trace.join("\n")
     }
 
-    /// Does a deed; says whether the word is one.
-    fn act(&mut self, machine: usize, verb: &str, argument: &str) -> bool {
+    /// Performs an operation. Returns whether the verb is one.
+    fn perform(&mut self, machine: usize, verb: &str, argument: &str) -> bool {
         let world = &mut *self.world;
         match verb {
             "start" => world.start(machine),
             "kill" => world.kill(machine, false),
-            "power" => world.kill(machine, true),
+            "power-loss" => world.kill(machine, true),
             "wipe" => world.wipe(machine),
-            "stop" => world.stop(machine),
+            "shutdown" => world.shut_down(machine),
             "freeze" => world.freeze(machine),
-            "wake" => world.wake(machine),
+            "resume" => world.resume(machine),
             "hang" => world.set_disk(machine, DiskMode::Hangs),
             "slow" => world.set_disk(machine, DiskMode::Slow),
             "full" => world.set_disk(machine, DiskMode::Full),
-            "good" => world.set_disk(machine, DiskMode::Good),
-            "cut" | "cut-in" | "cut-out" | "join" => {
+            "repair" => world.set_disk(machine, DiskMode::Healthy),
+            "partition" | "partition-in" | "partition-out" | "heal" => {
                 let others: Vec<usize> = match argument {
                     "" => (0..world.machines.len()).filter(|other| *other != machine).collect(),
                     name => vec![(self.machine_of)(name)],
                 };
                 self.change_links(machine, verb, &others);
             }
-            "order" => {
+            "propose" => {
                 let number = world.propose(machine);
-                self.orders.insert(argument.parse().expect("a number"), number);
+                self.commands.insert(argument.parse().expect("a number"), number);
             }
-            "again" => {
-                let number = self.orders[&argument.parse().expect("a number")];
+            "resend" => {
+                let number = self.commands[&argument.parse().expect("a number")];
                 world.propose_again(machine, number);
             }
-            "ask" => world.ask(machine),
+            "read" => world.read(machine),
             _ => return false,
         }
         true
@@ -112,23 +124,23 @@
     fn change_links(&mut self, machine: usize, verb: &str, others: &[usize]) {
         let network = &mut self.world.network;
         for other in others {
-            if matches!(verb, "cut" | "cut-in") {
-                network.cut(*other, machine);
+            if matches!(verb, "partition" | "partition-in") {
+                network.partition(*other, machine);
             }
-            if matches!(verb, "cut" | "cut-out") {
-                network.cut(machine, *other);
+            if matches!(verb, "partition" | "partition-out") {
+                network.partition(machine, *other);
             }
-            if verb == "join" {
-                network.join(machine, *other);
-                network.join(*other, machine);
+            if verb == "heal" {
+                network.heal(machine, *other);
+                network.heal(*other, machine);
             }
         }
-        self.world.notice_cuts();
+        self.world.detect_partitions();
     }
 
     fn holds(&self, machine: usize, verb: &str, argument: &str) -> bool {
         let world = &*self.world;
-        let acknowledged = || world.is_acknowledged(self.orders[&argument.parse().expect("a number")]);
+        let acknowledged = || world.is_acknowledged(self.commands[&argument.parse().expect("a number")]);
         match verb {
             "leads" => world.leader() == Some(machine),
             "follows" => {
@@ -136,17 +148,17 @@
                     if Some(primary) == world.leader().map(|leader| world.machines[leader].id))
             }
             "deposed" => !matches!(world.role(machine), Some(Role::Primary { .. })),
-            "names" => world.named(machine) == Some((self.machine_of)(argument)),
-            "names-none" => world.named(machine).is_none(),
+            "hints" => world.hinted_primary(machine) == Some((self.machine_of)(argument)),
+            "no-hint" => world.hinted_primary(machine).is_none(),
             "no-lease" => !matches!(world.role(machine), Some(Role::Primary { holds_lease: true, .. })),
             "member" => world.members().contains(&machine),
-            "out" => !world.members().contains(&machine),
+            "no-member" => !world.members().contains(&machine),
             "witness" => world.witnesses().contains(&machine),
             "no-witness" => !world.witnesses().contains(&machine),
             "acked" => acknowledged(),
-            "refused" => world.checker.is_refused(self.orders[&argument.parse().expect("a number")]),
-            "open" => !acknowledged(),
-            _ => panic!("`{verb}` is neither a deed nor a claim"),
+            "rejected" => world.checker.is_rejected(self.commands[&argument.parse().expect("a number")]),
+            "unresolved" => !acknowledged(),
+            _ => panic!("`{verb}` is neither an operation nor a claim"),
         }
     }
 }
--- a/crates/replication/tests/replication/harness/world.rs
+++ b/crates/replication/tests/replication/harness/world.rs
@@ -7,8 +7,8 @@
 use std::net::Ipv4Addr;
 
 use super::checker::Checker;
+use super::command_history::{Command, CommandHistory};
 use super::disk::{DiskImage, DiskMode};
-use super::ledger::{Ledger, Order};
 use super::network::{Network, NetworkOptions};
 
 /// Machines stand in so many zones in turn.
@@ -17,7 +17,7 @@
 pub const REGION_OF: [usize; ZONES] = [0, 0, 1, 1, 2];
 pub(super) const TICK_MS: u64 = 50;
 /// How long a process takes to notice that a connection is dead, and to make a new one.
-pub(super) const NOTICE_MS: u64 = 1000;
+pub(super) const DETECTION_MS: u64 = 1000;
 pub(super) const CONNECT_MS: u64 = 40;
 pub(super) const DISK_MS: u64 = 2;
 /// How many times longer a slow disk takes.
@@ -31,9 +31,9 @@
     pub tolerated_zones: usize,
     pub tolerated_regions: usize,
     /// The zone and the region of each machine, by its number; those beyond stand in none.
-    pub places: Vec<(&'static str, &'static str)>,
-    /// Machines tell the zone and region in which they stand, see `REGION_OF`.
-    pub tells_zones: bool,
+    pub localities: Vec<(&'static str, &'static str)>,
+    /// Machines announce their zone and region, see `REGION_OF`.
+    pub announces_zones: bool,
     pub network: NetworkOptions,
     pub faults: Faults,
     pub compact_entries: usize,
@@ -51,8 +51,8 @@
             tolerated: 1,
             tolerated_zones: 0,
             tolerated_regions: 0,
-            places: Vec::new(),
-            tells_zones: false,
+            localities: Vec::new(),
+            announces_zones: false,
             network,
             faults: Faults::default(),
             compact_entries: 8,
@@ -69,27 +69,27 @@
     pub(super) bootstrap: Option<Vec<NodeId>>,
     pub disk: DiskImage,
     pub mode: DiskMode,
-    pub replica: Option<Replica<Ledger>>,
+    pub replica: Option<Replica<CommandHistory>>,
     /// Counts the processes that have run here.
-    pub(super) life: u64,
+    pub(super) process: u64,
     pub(super) started_at: u64,
     /// How far its clock comes in a second, in milliseconds.
     pub(super) clock_rate: u64,
     pub frozen: bool,
     /// It is gone for good.
     pub removed: bool,
-    /// What comes while the process is frozen.
-    pub(super) held: VecDeque<Event>,
-    /// The write under way.
+    /// Events that came while the process was frozen.
+    pub(super) buffered: VecDeque<Event>,
+    /// The write in flight.
     pub(super) write: Option<(u64, Write)>,
     /// The nodes that the process has a connection to.
     pub(super) connections: BTreeMap<usize, NodeId>,
     /// How much of the state has been checked.
     pub(super) seen: usize,
-    /// How many acknowledged orders the state is known to hold.
-    pub(super) held_orders: usize,
-    /// Questions that came while the process was frozen.
-    pub(super) held_questions: usize,
+    /// How many acknowledged commands the state is known to hold.
+    pub(super) verified_commands: usize,
+    /// Reads that came while the process was frozen.
+    pub(super) buffered_reads: usize,
     /// How many writes its process has begun.
     pub(super) writes: u64,
     /// Its zone, of `ZONES`.
@@ -97,13 +97,13 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Happening {
+pub(super) enum ScheduledEvent {
     Deliver { to: usize, id: NodeId, from: NodeId, body: Body },
-    StoreDone { machine: usize, life: u64, ticket: u64 },
-    Tick { machine: usize, life: u64 },
-    Connect { machine: usize, life: u64, other: usize },
-    Notice { machine: usize, life: u64, other: usize, id: NodeId },
-    Answer { machine: usize, life: u64 },
+    WriteDone { machine: usize, process: u64, ticket: u64 },
+    Tick { machine: usize, process: u64 },
+    Connect { machine: usize, process: u64, other: usize },
+    Disconnect { machine: usize, process: u64, other: usize, id: NodeId },
+    Read { machine: usize, process: u64 },
 }
 
 pub struct World {
@@ -113,17 +113,17 @@
     pub network: Network,
     pub checker: Checker,
     pub random: fastrand::Rng,
-    /// The orders so far: that of number `n` stands at `n - 1`.
-    pub(super) orders: Vec<Order>,
-    /// For each message with an order, the order.
-    pub(super) messages: Vec<Order>,
-    /// Messages with orders, and the machine and the process that got them.
+    /// The commands so far: that of number `n` stands at `n - 1`.
+    pub(super) commands: Vec<Command>,
+    /// The command of each proposal.
+    pub(super) proposals: Vec<Command>,
+    /// Proposals, and the machine and the process that got them.
     pub(super) proposed: Vec<(u64, usize, u64)>,
-    /// How many times it was stated what is in force.
-    pub answers: u64,
+    /// How many reads were served.
+    pub reads: u64,
     /// Nodes that will never come back, and since when.
     pub(super) lost: Vec<(NodeId, u64)>,
-    pub(super) queue: BinaryHeap<Reverse<(u64, u64, Happening)>>,
+    pub(super) queue: BinaryHeap<Reverse<(u64, u64, ScheduledEvent)>>,
     pub(super) sequence: u64,
     /// What happened, for the message of a failed test.
     pub trace: Vec<String>,
@@ -142,10 +142,10 @@
             network,
             checker: Checker::default(),
             random: fastrand::Rng::with_seed(options.seed),
-            orders: Vec::new(),
-            messages: Vec::new(),
+            commands: Vec::new(),
+            proposals: Vec::new(),
             proposed: Vec::new(),
-            answers: 0,
+            reads: 0,
             lost: Vec::new(),
             queue: BinaryHeap::new(),
             sequence: 0,
@@ -158,7 +158,7 @@
         self.run_until(milliseconds, |_| false);
     }
 
-    /// Runs until something holds, at most for some time; says whether it came to hold.
+    /// Runs until a condition holds, at most for `milliseconds`. Returns whether it holds.
     pub fn run_until(&mut self, milliseconds: u64, holds: impl Fn(&World) -> bool) -> bool {
         let end = self.now + milliseconds;
         while !holds(self) {
@@ -169,40 +169,44 @@
                     return holds(self);
                 }
             }
-            let Some(Reverse((at, _, happening))) = self.queue.pop() else { continue };
+            let Some(Reverse((at, _, scheduled))) = self.queue.pop() else { continue };
             self.now = at;
-            self.happen(happening);
+            self.dispatch(scheduled);
         }
         true
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Deliver { to, id, from, body } => {
+    fn dispatch(&mut self, scheduled: ScheduledEvent) {
+        match scheduled {
+            ScheduledEvent::Deliver { to, id, from, body } => {
                 if self.machines[to].id == id {
                     self.handle(to, Event::Message { from, body });
                 }
             }
-            Happening::StoreDone { machine, life, ticket } => self.store_done(machine, life, ticket),
-            Happening::Answer { machine, life } => self.answer_due(machine, life),
-            Happening::Tick { machine, life } => {
-                if self.lives(machine, life) {
+            ScheduledEvent::WriteDone { machine, process, ticket } => {
+                self.write_done(machine, process, ticket)
+            }
+            ScheduledEvent::Read { machine, process } => self.complete_read(machine, process),
+            ScheduledEvent::Tick { machine, process } => {
+                if self.runs_process(machine, process) {
                     if !self.machines[machine].frozen {
                         self.handle(machine, Event::Tick);
                     }
-                    self.plan(TICK_MS, Happening::Tick { machine, life });
+                    self.schedule(TICK_MS, ScheduledEvent::Tick { machine, process });
                 }
             }
-            Happening::Connect { machine, life, other } => {
-                if self.lives(machine, life) {
+            ScheduledEvent::Connect { machine, process, other } => {
+                if self.runs_process(machine, process) {
                     self.connect(machine, other);
                 }
             }
-            Happening::Notice { machine, life, other, id } => {
-                if self.lives(machine, life) && self.machines[machine].connections.get(&other) == Some(&id) {
+            ScheduledEvent::Disconnect { machine, process, other, id } => {
+                if self.runs_process(machine, process)
+                    && self.machines[machine].connections.get(&other) == Some(&id)
+                {
                     self.machines[machine].connections.remove(&other);
                     self.handle(machine, Event::Disconnected(id));
-                    self.plan(CONNECT_MS, Happening::Connect { machine, life, other });
+                    self.schedule(CONNECT_MS, ScheduledEvent::Connect { machine, process, other });
                 }
             }
         }
@@ -213,9 +217,9 @@
         let id = self.machines[other].id;
         let is_there = self.is_running(other) && self.network.is_open(machine, other);
         if !is_there {
-            let life = self.machines[machine].life;
-            if self.machines[other].replica.is_some() || self.machines[other].life == 0 {
-                self.plan(CONNECT_MS * 2, Happening::Connect { machine, life, other });
+            let process = self.machines[machine].process;
+            if self.machines[other].replica.is_some() || self.machines[other].process == 0 {
+                self.schedule(CONNECT_MS * 2, ScheduledEvent::Connect { machine, process, other });
             }
             return;
         }
@@ -226,13 +230,13 @@
         if let Some(gone) = before {
             self.handle(machine, Event::Disconnected(gone));
         }
-        let place = self.place_of(other);
-        self.handle(machine, Event::LocalityLearned { node: id, locality: place });
+        let locality = self.locality_of(other);
+        self.handle(machine, Event::LocalityLearned { node: id, locality });
         self.handle(machine, Event::Connected(id));
     }
 
-    fn store_done(&mut self, machine: usize, life: u64, ticket: u64) {
-        let is_due = self.lives(machine, life)
+    fn write_done(&mut self, machine: usize, process: u64, ticket: u64) {
+        let is_due = self.runs_process(machine, process)
             && self.machines[machine].write.as_ref().is_some_and(|(current, _)| *current == ticket)
             && self.machines[machine].mode != DiskMode::Hangs;
         if !is_due {
@@ -255,7 +259,7 @@
         let slot = &mut self.machines[machine];
         let Some(replica) = &mut slot.replica else { return };
         if slot.frozen {
-            slot.held.push_back(event);
+            slot.buffered.push_back(event);
             return;
         }
         let mut actions = Vec::new();
@@ -275,23 +279,23 @@
                 assert!(slot.write.is_none(), "a write before the last one was answered");
                 slot.write = Some((ticket, write));
                 slot.writes += 1;
-                let done = Happening::StoreDone { machine, life: slot.life, ticket };
+                let done = ScheduledEvent::WriteDone { machine, process: slot.process, ticket };
                 let slowness = if slot.mode == DiskMode::Slow { SLOW_DISK } else { 1 };
                 let delay = (DISK_MS + self.random.u64(0..4)) * slowness;
-                self.plan(delay, done);
+                self.schedule(delay, done);
             }
-            Action::Committed { proposal: message } => {
-                let order = self.order_in(message);
-                self.note(machine, &format!("acknowledges order {order}"));
+            Action::Committed { proposal } => {
+                let command = self.command_of(proposal);
+                self.note(machine, &format!("acknowledges command {command}"));
                 if let Some(replica) = &self.machines[machine].replica {
-                    self.checker.acknowledge(message, order, replica.state());
+                    self.checker.acknowledge(proposal, command, replica.state());
                 }
                 self.check_disks();
             }
-            Action::Rejected { proposal: message, reason } => {
-                let order = self.order_in(message);
-                self.note(machine, &format!("rejects order {order}: {reason:?}"));
-                self.checker.reject(message, matches!(reason, RejectReason::NotPrimary { .. }));
+            Action::Rejected { proposal, reason } => {
+                let command = self.command_of(proposal);
+                self.note(machine, &format!("rejects command {command}: {reason:?}"));
+                self.checker.reject(proposal, matches!(reason, RejectReason::NotPrimary { .. }));
             }
             Action::RoleChanged(role) => self.note(machine, &format!("{role:?}")),
             Action::Applied { .. } => {}
@@ -303,17 +307,17 @@
         let Some(target) = self.machines.iter().position(|other| other.id == to) else { return };
         for delay in self.network.deliveries(machine, target, &mut self.random) {
             let body = body.clone();
-            self.plan(delay, Happening::Deliver { to: target, id: to, from, body });
+            self.schedule(delay, ScheduledEvent::Deliver { to: target, id: to, from, body });
         }
     }
 
-    pub(super) fn plan(&mut self, delay: u64, happening: Happening) {
+    pub(super) fn schedule(&mut self, delay: u64, scheduled: ScheduledEvent) {
         self.sequence += 1;
-        self.queue.push(Reverse((self.now + delay, self.sequence, happening)));
+        self.queue.push(Reverse((self.now + delay, self.sequence, scheduled)));
     }
 }
 
-/// Whether what happens is to be printed: if `TRACE` is set.
+/// Returns whether events are printed: if `TRACE` is set.
 pub(super) fn traces() -> bool {
     std::env::var_os("TRACE").is_some()
 }
--- a/crates/replication/tests/replication/broken.rs
+++ b/crates/replication/tests/replication/injected_faults.rs
@@ -5,7 +5,7 @@
 
 use crate::harness::{DiskMode, World, WorldOptions};
 use crate::random::{check, Schedule};
-use crate::scenarios::{operators, Settled};
+use crate::scenarios::{operators, StableCluster};
 use crate::seeded;
 
 /// How many schedules are played at most.
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_primary_that_does_not_look_at_its_lease_is_caught() {
+fn a_primary_that_does_not_check_its_lease_is_caught() {
     let options = with_faults(Faults { ignore_own_lease: true, ..Faults::default() });
     assert!(first_failure(&options).is_some());
 }
@@ -69,8 +69,8 @@
     let (backup, away) = ((primary + 1) % 3, (primary + 2) % 3);
     world.kill(away, false);
     for _ in 0..30 {
-        let order = world.propose(primary);
-        assert!(world.run_until(3000, |world| world.is_acknowledged(order)));
+        let command = world.propose(primary);
+        assert!(world.run_until(3000, |world| world.is_acknowledged(command)));
     }
     world.kill(primary, false);
     world.kill(backup, false);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_joining_member_that_is_counted_early_is_caught() {
+fn a_learner_that_is_counted_early_is_caught() {
     let faults = Faults { count_learner_early: true, ..Faults::default() };
     assert!(first_failure_of_a_long_run(faults).is_some_and(|message| message.contains("lost")));
 }
@@ -134,12 +134,13 @@
 }
 
 #[test]
-fn an_answer_without_a_look_at_the_lease_is_caught() {
+fn an_answer_without_a_lease_check_is_caught() {
     let faults = Faults { answer_without_lease_check: true, ..Faults::default() };
     let message = first_failure_of_a_long_run(faults);
     assert!(message.is_some_and(|message| message.contains("an answer")));
-    let stands_still = || Settled::with(with_faults(faults), ["P", "B", "C"]).play(operators::STANDS_STILL);
+    let stands_still =
+        || StableCluster::with(with_faults(faults), ["P", "B", "C"]).play(operators::STANDS_STILL);
     let panic = catch_unwind(stands_still).expect_err("an answer from the past");
     let message = panic.downcast_ref::<String>().cloned().unwrap_or_default();
-    assert!(message.contains("an answer lacks the acknowledged order"), "{message}");
+    assert!(message.contains("an answer lacks the acknowledged command"), "{message}");
 }
--- a/crates/replication/tests/replication/main.rs
+++ b/crates/replication/tests/replication/main.rs
@@ -1,9 +1,9 @@
 //! Tests of the replication in virtual time.
 
-mod broken;
-mod deeds;
 mod harness;
+mod injected_faults;
 mod model;
+mod operations;
 mod random;
 mod reads;
 mod scenarios;
--- a/crates/replication/tests/replication/model/cluster.rs
+++ b/crates/replication/tests/replication/model/cluster.rs
@@ -1,4 +1,4 @@
-//! Some nodes and what is under way between them.
+//! A few nodes and the messages in flight between them.
 
 use quillpulley_protocol::{Body, NodeId, Position};
 use quillpulley_replication::{Action, Event, FaultTolerance, Faults, Options, Replica, Role};
@@ -8,8 +8,8 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
+use crate::harness::command_history::{Command, CommandHistory};
 use crate::harness::disk::DiskImage;
-use crate::harness::ledger::{Ledger, Order};
 
 /// How many nodes are the first witnesses.
 const SEEDS: usize = 3;
@@ -17,21 +17,21 @@
 pub(super) const TOLERATED: usize = 1;
 const TICK_MS: u64 = 50;
 /// Long enough for every lease and timer to run out.
-const LEAP_MS: u64 = 1200;
-/// Messages under way on a link; others are lost.
+const TIME_JUMP_MS: u64 = 1200;
+/// Messages in flight on a link; others are lost.
 const LINK_CAPACITY: usize = 4;
 
 #[derive(Clone)]
 pub struct Node {
     pub(super) id: NodeId,
-    pub(super) replica: Replica<Ledger>,
+    pub(super) replica: Replica<CommandHistory>,
     pub(super) disk: DiskImage,
     /// What happens to the process at its next write.
     crash: Option<Crash>,
     /// It is gone for good.
-    pub(super) gone: bool,
-    /// A hash of all that the replica is.
-    print: u64,
+    pub(super) is_removed: bool,
+    /// A hash of the replica's whole state.
+    fingerprint: u64,
 }
 
 /// The process dies in a write, which was not yet durable, or just was.
@@ -43,27 +43,27 @@
 
 pub type Link = (usize, usize);
 
-/// Some nodes and what is under way between them.
+/// A few nodes and the messages in flight between them.
 #[derive(Clone)]
 pub struct Cluster {
     pub now: u64,
     pub nodes: Vec<Node>,
     pub links: BTreeMap<Link, VecDeque<(NodeId, Body)>>,
     pub faults: u8,
-    /// The orders so far: that of number `n` stands at `n - 1`.
-    pub orders: Vec<Order>,
-    /// For each message with an order, the order's number.
-    pub(super) messages: Vec<u64>,
+    /// The commands so far: that of number `n` stands at `n - 1`.
+    pub commands: Vec<Command>,
+    /// The number of the command of each proposal.
+    pub(super) proposals: Vec<u64>,
     /// Nodes whose disks are lost.
     pub(super) lost: Vec<NodeId>,
-    /// Orders that were acknowledged, and where they are, by index.
+    /// Commands that were acknowledged, and where they are, by index.
     pub acknowledged: Vec<(Position, u64)>,
-    /// Orders that were refused.
-    pub(super) refused: BTreeSet<u64>,
-    /// For each base, the order that was acknowledged on it.
-    pub taken_on: BTreeMap<u64, u64>,
-    /// The epochs of the views that came into force.
-    pub epochs_in_force: BTreeSet<u64>,
+    /// Commands that were rejected.
+    pub(super) rejected: BTreeSet<u64>,
+    /// For each base, the command that was acknowledged on it.
+    pub accepted_on: BTreeMap<u64, u64>,
+    /// The epochs of the views that were activated.
+    pub activated_epochs: BTreeSet<u64>,
     pub faulty: Faults,
     compact_entries: usize,
     /// An invariant that was broken in a step.
@@ -72,9 +72,9 @@
 
 impl Cluster {
     fn key(&self) -> impl Hash + PartialEq + '_ {
-        let nodes: Vec<_> = self.nodes.iter().map(|node| (node.print, node.crash)).collect();
-        let told = (&self.acknowledged, &self.refused);
-        (self.now, nodes, &self.links, self.faults, &self.messages, told, &self.broken)
+        let nodes: Vec<_> = self.nodes.iter().map(|node| (node.fingerprint, node.crash)).collect();
+        let outcomes = (&self.acknowledged, &self.rejected);
+        (self.now, nodes, &self.links, self.faults, &self.proposals, outcomes, &self.broken)
     }
 }
 
@@ -106,18 +106,18 @@
     Lose(Link),
     Tick(usize),
     /// Time passes, and nothing happens.
-    Leap,
+    AdvanceTime,
     Restart(usize),
     Wipe(usize),
     Propose(usize),
-    /// The latest order is sent again.
-    SendAgain(usize),
+    /// The latest command is sent again.
+    Resend(usize),
     /// The process dies in its next write and starts again.
     CrashInWrite(usize, Crash),
 }
 
 impl Cluster {
-    /// So many nodes that start for the first time. A log is compacted once it has more than `compact_entries`.
+    /// Creates `count` nodes that start for the first time. A log is compacted once it has more than `compact_entries`.
     pub fn new(count: usize, faulty: Faults, compact_entries: usize) -> Self {
         let ids: Vec<NodeId> = (0..count).map(|node| NodeId::new(address(node), 0)).collect();
         let mut cluster = Cluster {
@@ -125,20 +125,20 @@
             nodes: Vec::new(),
             links: BTreeMap::new(),
             faults: 0,
-            orders: Vec::new(),
-            messages: Vec::new(),
+            commands: Vec::new(),
+            proposals: Vec::new(),
             lost: Vec::new(),
             acknowledged: Vec::new(),
-            refused: BTreeSet::new(),
-            taken_on: BTreeMap::new(),
-            epochs_in_force: BTreeSet::new(),
+            rejected: BTreeSet::new(),
+            accepted_on: BTreeMap::new(),
+            activated_epochs: BTreeSet::new(),
             faulty,
             compact_entries,
             broken: None,
         };
         for id in &ids {
             let seeds = ids[..SEEDS].to_vec();
-            cluster.nodes.push(cluster.started(*id, DiskImage::default(), Some(seeds)));
+            cluster.nodes.push(cluster.start_node(*id, DiskImage::default(), Some(seeds)));
         }
         for node in 0..count {
             cluster.connect(node);
@@ -146,7 +146,7 @@
         cluster
     }
 
-    fn started(&self, id: NodeId, disk: DiskImage, bootstrap: Option<Vec<NodeId>>) -> Node {
+    fn start_node(&self, id: NodeId, disk: DiskImage, bootstrap: Option<Vec<NodeId>>) -> Node {
         let options = Options {
             me: id,
             bootstrap,
@@ -156,16 +156,16 @@
             compact_entries: self.compact_entries,
             ..Options::default()
         };
-        let replica =
-            Replica::new(options, disk.recovered(), Ledger::default(), self.time()).expect("a sound disk");
-        let mut node = Node { id, replica, disk, crash: None, gone: false, print: 0 };
-        node.renew_print();
+        let replica = Replica::new(options, disk.recovered(), CommandHistory::default(), self.time())
+            .expect("a sound disk");
+        let mut node = Node { id, replica, disk, crash: None, is_removed: false, fingerprint: 0 };
+        node.update_fingerprint();
         node
     }
 
     /// The nodes that are not gone for good.
     pub fn present(&self) -> Vec<usize> {
-        (0..self.nodes.len()).filter(|node| !self.nodes[*node].gone).collect()
+        (0..self.nodes.len()).filter(|node| !self.nodes[*node].is_removed).collect()
     }
 
     pub(super) fn time(&self) -> Duration {
@@ -198,7 +198,7 @@
                 events.extend(self.act(node, action));
             }
         }
-        self.nodes[node].renew_print();
+        self.nodes[node].update_fingerprint();
     }
 
     /// Does what a replica asks for; a write is durable at once.
@@ -222,7 +222,7 @@
                 None
             }
             Action::RoleChanged(Role::Primary { epoch, .. }) => {
-                self.epochs_in_force.insert(epoch);
+                self.activated_epochs.insert(epoch);
                 None
             }
             _ => None,
@@ -237,7 +237,7 @@
         self.restart(node);
     }
 
-    pub fn take(&mut self, step: Step) {
+    pub fn perform(&mut self, step: Step) {
         match step {
             Step::Deliver(link) => self.deliver(link),
             Step::Lose(link) => {
@@ -245,9 +245,9 @@
                 self.links.entry(link).or_default().pop_front();
             }
             Step::Tick(node) => self.handle(node, Event::Tick),
-            Step::Leap => {
+            Step::AdvanceTime => {
                 self.faults += 1;
-                self.now += LEAP_MS;
+                self.now += TIME_JUMP_MS;
             }
             Step::Restart(node) => {
                 self.faults += 1;
@@ -261,9 +261,9 @@
                 self.restart(node);
             }
             Step::Propose(node) => self.propose(node),
-            Step::SendAgain(node) => {
-                if let Some(order) = self.orders.last().copied() {
-                    self.send_order(node, order);
+            Step::Resend(node) => {
+                if let Some(command) = self.commands.last().copied() {
+                    self.send_command(node, command);
                 }
             }
             Step::CrashInWrite(node, crash) => {
@@ -285,7 +285,7 @@
 
     fn restart(&mut self, node: usize) {
         let Node { id, disk, .. } = self.nodes[node].clone();
-        self.nodes[node] = self.started(id, disk, None);
+        self.nodes[node] = self.start_node(id, disk, None);
         self.connect(node);
     }
 
@@ -294,7 +294,7 @@
         self.remove(node);
         let number = self.nodes.len();
         let id = NodeId::new(address(number), 1);
-        self.nodes.push(self.started(id, DiskImage::default(), None));
+        self.nodes.push(self.start_node(id, DiskImage::default(), None));
         self.connect(number);
         number
     }
@@ -303,7 +303,7 @@
     pub fn remove(&mut self, node: usize) {
         let id = self.nodes[node].id;
         self.lost.push(id);
-        self.nodes[node].gone = true;
+        self.nodes[node].is_removed = true;
         self.nodes[node].disk = DiskImage::default();
         self.links.retain(|link, _| link.0 != node && link.1 != node);
         for other in self.present() {
@@ -313,20 +313,20 @@
 
     fn propose(&mut self, node: usize) {
         let base = self.nodes[node].replica.state().version();
-        let order = Order { number: self.orders.len() as u64 + 1, base };
-        self.orders.push(order);
-        self.send_order(node, order);
+        let command = Command { number: self.commands.len() as u64 + 1, base };
+        self.commands.push(command);
+        self.send_command(node, command);
     }
 
-    fn send_order(&mut self, node: usize, order: Order) {
-        self.messages.push(order.number);
-        let message = self.messages.len() as u64;
-        self.handle(node, Event::Propose { proposal: message, payload: order.payload(message) });
+    fn send_command(&mut self, node: usize, command: Command) {
+        self.proposals.push(command.number);
+        let proposal = self.proposals.len() as u64;
+        self.handle(node, Event::Propose { proposal, payload: command.payload(proposal) });
     }
 
-    /// How many messages with orders there were.
-    pub fn message_count(&self) -> usize {
-        self.messages.len()
+    /// How many proposals there were.
+    pub fn proposal_count(&self) -> usize {
+        self.proposals.len()
     }
 
     pub fn pending(&self) -> Option<Link> {
@@ -343,13 +343,13 @@
             let is_awake = |link: &Link| !frozen.contains(&link.0) && !frozen.contains(&link.1);
             let next = self.links.iter().find(|(link, queue)| is_awake(link) && !queue.is_empty());
             if let Some(link) = next.map(|(link, _)| *link) {
-                self.take(Step::Deliver(link));
+                self.perform(Step::Deliver(link));
                 passed.push(self.clone());
                 continue;
             }
             self.now += TICK_MS;
             for node in self.present().into_iter().filter(|node| !frozen.contains(node)) {
-                self.take(Step::Tick(node));
+                self.perform(Step::Tick(node));
             }
             passed.push(self.clone());
         }
@@ -358,18 +358,18 @@
 }
 
 impl Node {
-    fn renew_print(&mut self) {
-        let mut print = Print(DefaultHasher::new());
-        // A print cannot fail to be written.
-        let _ = write!(print, "{:?}", self.replica);
-        self.print = print.0.finish();
+    fn update_fingerprint(&mut self) {
+        let mut fingerprint = Fingerprint(DefaultHasher::new());
+        // A fingerprint cannot fail to be written.
+        let _ = write!(fingerprint, "{:?}", self.replica);
+        self.fingerprint = fingerprint.0.finish();
     }
 }
 
 /// Hashes what is written to it.
-struct Print(DefaultHasher);
+struct Fingerprint(DefaultHasher);
 
-impl fmt::Write for Print {
+impl fmt::Write for Fingerprint {
     fn write_str(&mut self, text: &str) -> fmt::Result {
         self.0.write(text.as_bytes());
         Ok(())
--- a/crates/replication/tests/replication/model/inspect.rs
+++ b/crates/replication/tests/replication/model/inspect.rs
@@ -6,7 +6,7 @@
 
 use super::cluster::{Cluster, Node, TOLERATED};
 use crate::harness::disk::DiskImage;
-use crate::harness::durability::{is_whole, names, newest_views, violation, Survivor};
+use crate::harness::durability::{has_enough_witnesses, includes, newest_views, violation, Survivor};
 
 impl Cluster {
     pub fn leaders(&self) -> Vec<usize> {
@@ -16,54 +16,56 @@
         self.present().into_iter().filter(leads).collect()
     }
 
-    /// A message with an order is acknowledged: the order was taken, now or before, or else is refused.
-    pub(super) fn acknowledge(&mut self, node: usize, message: u64) {
-        let order = self.messages[message as usize - 1];
+    /// A proposal is acknowledged: its command was accepted, now or before, or else is rejected.
+    pub(super) fn acknowledge(&mut self, node: usize, proposal: u64) {
+        let command = self.proposals[proposal as usize - 1];
         let state = self.nodes[node].replica.state();
-        if state.find(order).is_none() {
-            self.broken = Some(format!("order {order} is acknowledged and not applied"));
+        if state.find(command).is_none() {
+            self.broken = Some(format!("command {command} is acknowledged and not applied"));
             return;
         }
-        let known = self.acknowledged.iter().find(|(_, other)| *other == order).map(|(place, _)| *place);
-        let Some(taken) = state.find_taken(order).copied() else {
-            self.refused.insert(order);
+        let known =
+            self.acknowledged.iter().find(|(_, other)| *other == command).map(|(position, _)| *position);
+        let Some(accepted) = state.find_accepted(command).copied() else {
+            self.rejected.insert(command);
             if known.is_some() {
-                self.broken = Some(format!("order {order} was taken, and is refused when it comes again"));
+                self.broken =
+                    Some(format!("command {command} was accepted, and is rejected when it comes again"));
             }
             return;
         };
-        if self.refused.contains(&order) || known.is_some_and(|place| place != taken.position) {
-            self.broken = Some(format!("order {order} takes effect twice, or after it was refused"));
+        if self.rejected.contains(&command) || known.is_some_and(|position| position != accepted.position) {
+            self.broken = Some(format!("command {command} takes effect twice, or after it was rejected"));
         }
-        let base = taken.taken_on.unwrap_or_default();
-        if *self.taken_on.entry(base).or_insert(order) != order {
-            self.broken = Some(format!("two orders on {base} are acknowledged"));
+        let base = accepted.accepted_on.unwrap_or_default();
+        if *self.accepted_on.entry(base).or_insert(command) != command {
+            self.broken = Some(format!("two commands on {base} are acknowledged"));
         }
         if known.is_none() {
-            self.acknowledged.push((taken.position, order));
-            self.acknowledged.sort_unstable_by_key(|(place, _)| place.index);
+            self.acknowledged.push((accepted.position, command));
+            self.acknowledged.sort_unstable_by_key(|(position, _)| position.index);
         }
     }
 
-    /// What may go on without something that was acknowledged, or states what is in force without it.
+    /// What may go on without something that was acknowledged, or states the active configuration without it.
     pub fn violation(&self) -> Option<String> {
         let present = self.present();
         let survivors: Vec<Survivor> = present
             .iter()
             .map(|node| Survivor { id: self.nodes[*node].id, disk: &self.nodes[*node].disk })
             .collect();
-        let positions: Vec<Position> = self.acknowledged.iter().map(|(place, _)| *place).collect();
+        let positions: Vec<Position> = self.acknowledged.iter().map(|(position, _)| *position).collect();
         let on_disk = || violation(&survivors, &positions, TOLERATED);
         self.broken.clone().or_else(on_disk).or_else(|| self.outdated_answer())
     }
 
     fn outdated_answer(&self) -> Option<String> {
-        let may_answer = |node: &&Node| !node.gone && node.replica.can_answer(self.time());
+        let may_answer = |node: &&Node| !node.is_removed && node.replica.can_answer(self.time());
         self.nodes.iter().filter(may_answer).find_map(|node| {
             let state = node.replica.state();
-            let lacks = |(_, order): &&(Position, u64)| !state.has_taken(*order);
-            let (_, order) = self.acknowledged.iter().find(lacks)?;
-            Some(format!("{} may answer without the acknowledged order {order}", node.id))
+            let lacks = |(_, command): &&(Position, u64)| !state.has_accepted(*command);
+            let (_, command) = self.acknowledged.iter().find(lacks)?;
+            Some(format!("{} may answer without the acknowledged command {command}", node.id))
         })
     }
 
@@ -71,9 +73,9 @@
     pub fn tolerates_loss(&self) -> bool {
         let disks: Vec<&DiskImage> = self.present().iter().map(|node| &self.nodes[*node].disk).collect();
         let newest = newest_views(&disks, self.lost.len());
-        let is_named = |node: &&NodeId| newest.iter().any(|view| names(view, **node));
-        let lost = self.lost.iter().filter(is_named).count() + 1;
-        lost <= TOLERATED && newest.iter().all(|view| is_whole(view, TOLERATED))
+        let is_included = |node: &&NodeId| newest.iter().any(|view| includes(view, **node));
+        let lost = self.lost.iter().filter(is_included).count() + 1;
+        lost <= TOLERATED && newest.iter().all(|view| has_enough_witnesses(view, TOLERATED))
     }
 
     /// How many nodes that exist are members of the leader's view.
@@ -85,8 +87,8 @@
     }
 
     /// Whether all present nodes, and no others, are members and witnesses of the leader's view, and nothing but
-    /// heartbeats is under way.
-    pub fn is_whole(&self) -> bool {
+    /// heartbeats is in flight.
+    pub fn is_complete(&self) -> bool {
         let Some(leader) = self.leaders().first().copied() else { return false };
         let Some(view) = self.nodes[leader].replica.view() else { return false };
         let present: BTreeSet<NodeId> = self.present().iter().map(|node| self.nodes[*node].id).collect();
@@ -95,7 +97,7 @@
         members == present && witnesses == present && view.activated && !self.is_changing()
     }
 
-    /// Whether more than heartbeats is under way.
+    /// Returns whether more than heartbeats is in flight.
     pub fn is_changing(&self) -> bool {
         let is_heartbeat = |body: &Body| matches!(body, Body::LeaseRequest(_) | Body::LeaseGrant(_));
         self.links.values().flatten().any(|(_, body)| !is_heartbeat(body))
--- a/crates/replication/tests/replication/random.rs
+++ b/crates/replication/tests/replication/random.rs
@@ -1,59 +1,59 @@
-//! Random schedules of troubles against the invariants, and liveness once they are over.
+//! Random schedules of operations against the invariants, and liveness once the faults are over.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
-use crate::deeds::{act, Deed};
 use crate::harness::{NetworkOptions, World, WorldOptions};
+use crate::operations::{perform, Operation};
 
-/// How soon after the last trouble there is a primary that acknowledges.
-const CALM_MS: u64 = 3000;
+/// How soon after the last fault there is a primary that acknowledges.
+const RECOVERY_MS: u64 = 3000;
 const ACKNOWLEDGE_MS: u64 = 1000;
 /// How soon all machines are members and witnesses again.
-const LET_IN_MS: u64 = 8000;
+const JOIN_MS: u64 = 8000;
 const STEPS: usize = 40;
 
 /// The rarer ones stand once, the others several times.
-const DEEDS: [Deed; 34] = [
-    Deed::Propose,
-    Deed::Propose,
-    Deed::Propose,
-    Deed::Propose,
-    Deed::Propose,
-    Deed::Propose,
-    Deed::ProposeAnywhere,
-    Deed::Kill,
-    Deed::Kill,
-    Deed::PowerLoss,
-    Deed::Wipe,
-    Deed::Wipe,
-    Deed::Wipe,
-    Deed::Replace,
-    Deed::Start,
-    Deed::Start,
-    Deed::Start,
-    Deed::StartAll,
-    Deed::StartAll,
-    Deed::Stop,
-    Deed::Freeze,
-    Deed::Wake,
-    Deed::Wake,
-    Deed::Hang,
-    Deed::Full,
-    Deed::Good,
-    Deed::Good,
-    Deed::CutOff,
-    Deed::CutOneWay,
-    Deed::CutPair,
-    Deed::CutPair,
-    Deed::Join,
-    Deed::Join,
-    Deed::KillAll,
+const OPERATIONS: [Operation; 34] = [
+    Operation::Propose,
+    Operation::Propose,
+    Operation::Propose,
+    Operation::Propose,
+    Operation::Propose,
+    Operation::Propose,
+    Operation::ProposeAnywhere,
+    Operation::Kill,
+    Operation::Kill,
+    Operation::PowerLoss,
+    Operation::Wipe,
+    Operation::Wipe,
+    Operation::Wipe,
+    Operation::Replace,
+    Operation::Start,
+    Operation::Start,
+    Operation::Start,
+    Operation::StartAll,
+    Operation::StartAll,
+    Operation::ShutDown,
+    Operation::Freeze,
+    Operation::Resume,
+    Operation::Resume,
+    Operation::HangDisk,
+    Operation::FillDisk,
+    Operation::RepairDisk,
+    Operation::RepairDisk,
+    Operation::Isolate,
+    Operation::IsolateOutbound,
+    Operation::PartitionPair,
+    Operation::PartitionPair,
+    Operation::HealPartitions,
+    Operation::HealPartitions,
+    Operation::KillAll,
 ];
 
 #[derive(Clone, Copy, Debug)]
 struct Step {
     pause: u64,
-    deed: Deed,
+    operation: Operation,
     machine: usize,
 }
 
@@ -69,7 +69,7 @@
         let longest = [20, 150, 400, 400, 1000, 2500][random.usize(0..6)];
         Step {
             pause: random.u64(0..longest),
-            deed: DEEDS[random.usize(0..DEEDS.len())],
+            operation: OPERATIONS[random.usize(0..OPERATIONS.len())],
             machine: random.usize(0..60),
         }
     }
@@ -105,7 +105,7 @@
 
 fn run(schedule: &Schedule, count: usize, options: WorldOptions) -> World {
     let network = if schedule.lossy {
-        NetworkOptions { min_delay: 1, max_delay: 60, lost: 20, doubled: 30, late: 20 }
+        NetworkOptions { min_delay: 1, max_delay: 60, lost: 20, duplicated: 30, delayed: 20 }
     } else {
         NetworkOptions::default()
     };
@@ -115,29 +115,29 @@
         world.run_for(step.pause);
         let present = world.present();
         let machine = present[step.machine % present.len()];
-        act(&mut world, step.deed, machine);
+        perform(&mut world, step.operation, machine);
     }
     world
 }
 
-/// After the troubles: an order is acknowledged soon, nothing is lost, and everyone is let in.
+/// After the faults: a command is acknowledged soon, nothing is lost, and everyone is added.
 fn check_recovery(world: &mut World) {
-    world.calm();
-    world.run_for(CALM_MS);
-    let leader = world.leader().expect("a primary after a calm time");
-    let order = world.propose(leader);
-    let acknowledged = world.run_until(ACKNOWLEDGE_MS, |world| world.is_acknowledged(order));
-    assert!(acknowledged, "order {order} is not acknowledged in a calm time");
-    let all_in = |world: &World| {
+    world.heal();
+    world.run_for(RECOVERY_MS);
+    let leader = world.leader().expect("a primary after a fault-free period");
+    let command = world.propose(leader);
+    let acknowledged = world.run_until(ACKNOWLEDGE_MS, |world| world.is_acknowledged(command));
+    assert!(acknowledged, "command {command} is not acknowledged in a fault-free period");
+    let all_joined = |world: &World| {
         world.members() == world.present() && {
             let witnesses = world.witnesses();
             world.present().iter().all(|machine| witnesses.contains(machine))
         }
     };
-    let is_whole = world.run_until(LET_IN_MS, all_in);
-    let open = world.open_orders();
-    assert!(open.is_empty(), "the fate of orders {open:?} is not told");
-    assert!(is_whole, "members are {:?}, witnesses {:?}", world.members(), world.witnesses());
+    let is_complete = world.run_until(JOIN_MS, all_joined);
+    let unresolved = world.unresolved_proposals();
+    assert!(unresolved.is_empty(), "the outcome of commands {unresolved:?} is not reported");
+    assert!(is_complete, "members are {:?}, witnesses {:?}", world.members(), world.witnesses());
 }
 
 /// Plays a schedule; panics if an invariant does not hold.
--- a/crates/replication/tests/replication/reads.rs
+++ b/crates/replication/tests/replication/reads.rs
@@ -1,7 +1,7 @@
 //! Answers to callers as the host gives them: decided by one thread under the lease, written by another later. Random
 //! cuts, freezes and ends of processes fall between the two.
 //!
-//! An answer about what is in force has everything that any *other* process had acknowledged when it was written.
+//! An answer about the active configuration has everything that any *other* process had acknowledged when it was written.
 //! Nobody who follows redirects ever comes back to where it was.
 
 use std::collections::BTreeMap;
@@ -14,53 +14,53 @@
 /// The longest time between the decision and the writing while the process runs, in milliseconds.
 const LONGEST_WAIT_MS: u64 = 30;
 
-/// How the message of a failure begins.
+/// How the message of a failure initial_states.
 const PAST: &str = "an answer from the past";
 
 /// What is done at a step.
 #[derive(Clone, Copy)]
-enum Deed {
+enum Operation {
     Propose,
     Read,
     /// Some ask, and the machine stands still before it has answered.
     ReadAndFreeze,
     Freeze,
-    Wake,
-    CutOff,
-    CutIn,
-    CutOut,
-    CutPair,
-    Join,
+    Resume,
+    Isolate,
+    IsolateInbound,
+    IsolateOutbound,
+    PartitionPair,
+    HealPartitions,
     Kill,
     Start,
-    Stop,
+    ShutDown,
 }
 
-const DEEDS: [Deed; 24] = [
-    Deed::Propose,
-    Deed::Propose,
-    Deed::Propose,
-    Deed::Propose,
-    Deed::Propose,
-    Deed::Read,
-    Deed::Read,
-    Deed::Read,
-    Deed::Read,
-    Deed::ReadAndFreeze,
-    Deed::ReadAndFreeze,
-    Deed::Freeze,
-    Deed::Wake,
-    Deed::Wake,
-    Deed::Wake,
-    Deed::CutOff,
-    Deed::CutIn,
-    Deed::CutOut,
-    Deed::CutPair,
-    Deed::Join,
-    Deed::Join,
-    Deed::Kill,
-    Deed::Start,
-    Deed::Stop,
+const OPERATIONS: [Operation; 24] = [
+    Operation::Propose,
+    Operation::Propose,
+    Operation::Propose,
+    Operation::Propose,
+    Operation::Propose,
+    Operation::Read,
+    Operation::Read,
+    Operation::Read,
+    Operation::Read,
+    Operation::ReadAndFreeze,
+    Operation::ReadAndFreeze,
+    Operation::Freeze,
+    Operation::Resume,
+    Operation::Resume,
+    Operation::Resume,
+    Operation::Isolate,
+    Operation::IsolateInbound,
+    Operation::IsolateOutbound,
+    Operation::PartitionPair,
+    Operation::HealPartitions,
+    Operation::HealPartitions,
+    Operation::Kill,
+    Operation::Start,
+    Operation::ShutDown,
 ];
 
 /// An answer that waits to be written.
@@ -70,8 +70,8 @@
     due: u64,
     /// The end of the lease, by the machine's own clock.
     valid_until: Duration,
-    /// The orders in the state that it tells.
-    taken: Vec<u64>,
+    /// The commands in the state that it reports.
+    accepted: Vec<u64>,
 }
 
 /// What a run has shown.
@@ -90,15 +90,15 @@
     world: World,
     random: fastrand::Rng,
     /// Writers look at the clock.
-    looks_at_clock: bool,
+    checks_clock: bool,
     waiting: Vec<Waiting>,
     proposers: BTreeMap<u64, usize>,
     counts: Counts,
 }
 
 impl Callers {
-    fn new(seed: u64, count: usize, looks_at_clock: bool) -> Self {
-        let lossy = NetworkOptions { min_delay: 1, max_delay: 60, lost: 20, doubled: 30, late: 20 };
+    fn new(seed: u64, count: usize, checks_clock: bool) -> Self {
+        let lossy = NetworkOptions { min_delay: 1, max_delay: 60, lost: 20, duplicated: 30, delayed: 20 };
         let network = if seed.is_multiple_of(2) { NetworkOptions::default() } else { lossy };
         let options = WorldOptions { seed, tolerated: count / 2, network, ..WorldOptions::default() };
         let mut world = World::first_start(options, count, 3);
@@ -106,7 +106,7 @@
         Callers {
             world,
             random: fastrand::Rng::with_seed(seed),
-            looks_at_clock,
+            checks_clock,
             waiting: Vec::new(),
             proposers: BTreeMap::new(),
             counts: Counts::default(),
@@ -118,9 +118,9 @@
             let longest = [20, 150, 400, 1000, 2500][self.random.usize(0..5)];
             let pause = self.random.u64(0..longest);
             self.run_for(pause);
-            let deed = DEEDS[self.random.usize(0..DEEDS.len())];
+            let operation = OPERATIONS[self.random.usize(0..OPERATIONS.len())];
             let machine = self.random.usize(0..self.world.machines.len());
-            self.act(deed, machine);
+            self.act(operation, machine);
         }
         self.counts
     }
@@ -136,46 +136,46 @@
         }
     }
 
-    fn act(&mut self, deed: Deed, machine: usize) {
+    fn act(&mut self, operation: Operation, machine: usize) {
         let world = &mut self.world;
         let runs = world.is_running(machine);
-        match deed {
-            Deed::Propose => {
+        match operation {
+            Operation::Propose => {
                 if let Some(leader) = world.leader() {
-                    let order = world.propose(leader);
-                    self.proposers.insert(order, leader);
+                    let command = world.propose(leader);
+                    self.proposers.insert(command, leader);
                 }
             }
-            Deed::Read => (0..world.machines.len()).for_each(|machine| self.decide(machine)),
-            Deed::ReadAndFreeze => {
+            Operation::Read => (0..world.machines.len()).for_each(|machine| self.decide(machine)),
+            Operation::ReadAndFreeze => {
                 let machine = world.leader().unwrap_or(machine);
                 self.decide(machine);
                 if self.world.is_running(machine) {
                     self.world.freeze(machine);
                 }
             }
-            Deed::Freeze if runs => world.freeze(machine),
-            Deed::Wake => (0..world.machines.len()).for_each(|machine| self.wake(machine)),
-            Deed::CutOff => self.cut(machine, true, true),
-            Deed::CutIn => self.cut(machine, true, false),
-            Deed::CutOut => self.cut(machine, false, true),
-            Deed::CutPair => {
+            Operation::Freeze if runs => world.freeze(machine),
+            Operation::Resume => (0..world.machines.len()).for_each(|machine| self.resume(machine)),
+            Operation::Isolate => self.isolate(machine, true, true),
+            Operation::IsolateInbound => self.isolate(machine, true, false),
+            Operation::IsolateOutbound => self.isolate(machine, false, true),
+            Operation::PartitionPair => {
                 let other = (machine + 1) % world.machines.len();
-                world.network.cut(machine, other);
-                world.network.cut(other, machine);
-                world.notice_cuts();
+                world.network.partition(machine, other);
+                world.network.partition(other, machine);
+                world.detect_partitions();
             }
-            Deed::Join => world.network.join_all(),
-            Deed::Kill => world.kill(machine, false),
-            Deed::Start => {
+            Operation::HealPartitions => world.network.heal_all(),
+            Operation::Kill => world.kill(machine, false),
+            Operation::Start => {
                 for machine in 0..world.machines.len() {
                     if !world.is_running(machine) {
                         world.start(machine);
                     }
                 }
             }
-            Deed::Stop if runs => {
-                world.stop(machine);
+            Operation::ShutDown if runs => {
+                world.shut_down(machine);
                 world.run_for(300);
                 world.kill(machine, false);
             }
@@ -183,19 +183,19 @@
         }
     }
 
-    fn cut(&mut self, machine: usize, hears_nothing: bool, is_not_heard: bool) {
+    fn isolate(&mut self, machine: usize, hears_nothing: bool, is_not_heard: bool) {
         for other in (0..self.world.machines.len()).filter(|other| *other != machine) {
             if hears_nothing {
-                self.world.network.cut(other, machine);
+                self.world.network.partition(other, machine);
             }
             if is_not_heard {
-                self.world.network.cut(machine, other);
+                self.world.network.partition(machine, other);
             }
         }
-        self.world.notice_cuts();
+        self.world.detect_partitions();
     }
 
-    /// A caller asks a machine for what is in force.
+    /// A caller asks a machine for the active configuration.
     fn decide(&mut self, machine: usize) {
         if self.world.machines[machine].frozen {
             return;
@@ -204,25 +204,25 @@
         let slot = &self.world.machines[machine];
         let Some(replica) = &slot.replica else { return };
         let Some(valid_until) = replica.lease_until(now) else { return };
-        let ledger = replica.state();
-        let taken = ledger.history.iter().filter(|applied| applied.taken_on.is_some());
+        let history = replica.state();
+        let accepted = history.entries.iter().filter(|applied| applied.accepted_on.is_some());
         let waiting = Waiting {
             machine,
-            incarnation: self.world.life(machine),
+            incarnation: self.world.process(machine),
             due: self.world.now + self.random.u64(0..LONGEST_WAIT_MS),
             valid_until,
-            taken: taken.map(|applied| applied.order).collect(),
+            accepted: accepted.map(|applied| applied.command).collect(),
         };
         self.counts.decided += 1;
         self.waiting.push(waiting);
     }
 
-    /// A process wakes: its writers may come to run before its main thread.
-    fn wake(&mut self, machine: usize) {
+    /// A process resumes: its writers may come to run before its main thread.
+    fn resume(&mut self, machine: usize) {
         if self.world.is_running(machine) && self.world.machines[machine].frozen {
             self.world.machines[machine].frozen = false;
             self.write_due();
-            self.world.wake(machine);
+            self.world.resume(machine);
         }
     }
 
@@ -230,7 +230,7 @@
         let waiting = std::mem::take(&mut self.waiting);
         for answer in waiting {
             let runs = self.world.is_running(answer.machine);
-            if !runs || self.world.life(answer.machine) != answer.incarnation {
+            if !runs || self.world.process(answer.machine) != answer.incarnation {
                 continue;
             }
             if self.world.machines[answer.machine].frozen || answer.due > self.world.now {
@@ -242,16 +242,16 @@
     }
 
     fn write(&mut self, answer: &Waiting) {
-        if self.looks_at_clock && self.world.clock(answer.machine) >= answer.valid_until {
+        if self.checks_clock && self.world.clock(answer.machine) >= answer.valid_until {
             self.counts.too_late += 1;
             return;
         }
         self.counts.written += 1;
-        for order in &self.world.checker.acknowledged {
-            let own = self.proposers.get(order) == Some(&answer.machine);
+        for command in &self.world.checker.acknowledged {
+            let own = self.proposers.get(command) == Some(&answer.machine);
             assert!(
-                own || answer.taken.contains(order),
-                "{PAST} lacks order {order}\n{}",
+                own || answer.accepted.contains(command),
+                "{PAST} lacks command {command}\n{}",
                 self.world.trace.join("\n")
             );
         }
@@ -268,8 +268,8 @@
     }
 }
 
-fn play(seed: u64, count: usize, looks_at_clock: bool) -> Counts {
-    Callers::new(seed, count, looks_at_clock).play()
+fn play(seed: u64, count: usize, checks_clock: bool) -> Counts {
+    Callers::new(seed, count, checks_clock).play()
 }
 
 fn play_all(count: usize) -> Counts {
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn a_read_without_a_look_at_the_lease_when_it_is_written_is_caught() {
+fn a_read_without_a_lease_check_when_it_is_written_is_caught() {
     let is_caught = |seed| {
         let Err(panic) = std::panic::catch_unwind(|| play(seed, 3, false)) else { return false };
         panic.downcast_ref::<String>().is_some_and(|message| message.starts_with(PAST))
--- a/crates/replication/tests/replication/scenarios/cut_off.rs
+++ b/crates/replication/tests/replication/scenarios/cut_off.rs
@@ -1,7 +1,7 @@
-//! A machine that is cut off for twenty seconds: when it stops saying what is in force, when another is elected, and
+//! A machine that is cut off for twenty seconds: when it stops saying the active configuration, when another is elected, and
 //! what happens once the cut is over. Times count from the cut or from its end.
 
-use super::{three, Settled, SEEDS};
+use super::{three, StableCluster, SEEDS};
 use crate::harness::World;
 
 const CUT_MS: u64 = 20_000;
@@ -12,7 +12,7 @@
 
 /// The ways in which a machine can be cut off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Cut {
+enum Partition {
     Both,
     /// It hears nothing.
     In,
@@ -20,16 +20,16 @@
     Out,
 }
 
-fn cut(world: &mut World, machine: usize, cut: Cut) {
+fn isolate(world: &mut World, machine: usize, partition: Partition) {
     for other in (0..world.machines.len()).filter(|other| *other != machine) {
-        if cut != Cut::Out {
-            world.network.cut(other, machine);
+        if partition != Partition::Out {
+            world.network.partition(other, machine);
         }
-        if cut != Cut::In {
-            world.network.cut(machine, other);
+        if partition != Partition::In {
+            world.network.partition(machine, other);
         }
     }
-    world.notice_cuts();
+    world.detect_partitions();
 }
 
 /// The time until something holds.
@@ -41,12 +41,12 @@
 }
 
 /// Cuts the primary off and returns the longest time over all seeds until another leads.
-fn longest_time_to_another(how: Cut) -> u64 {
+fn longest_time_to_another(how: Partition) -> u64 {
     let times = (0..SEEDS).map(|seed| {
-        let mut settled = Settled::new(seed, 1, ["P", "B", "C"]);
-        let primary = settled.names[0].1;
-        let world = &mut settled.world;
-        cut(world, primary, how);
+        let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
+        let primary = cluster.names[0].1;
+        let world = &mut cluster.world;
+        isolate(world, primary, how);
         let elsewhere = |world: &World| world.leader().is_some_and(|leader| leader != primary);
         time_until(world, 5000, "another primary", elsewhere)
     });
@@ -56,41 +56,41 @@
 #[test]
 fn a_primary_that_is_cut_off_stops_in_the_time_of_its_lease() {
     three(
-        "time | P                 | B          | C          | *
-            0 | cut               |            |            |
-          700 | order=1           |            |            |
-          810 | no-lease          |            |            |
-          925 | names-none        | names-none | names-none |
-         1310 | deposed           |            |            |
-        20000 | open=1 names-none |            |            |",
+        "time | P                    | B       | C       | *
+            0 | partition            |         |         |
+          700 | propose=1            |         |         |
+          810 | no-lease             |         |         |
+          925 | no-hint              | no-hint | no-hint |
+         1310 | deposed              |         |         |
+        20000 | unresolved=1 no-hint |         |         |",
     );
 }
 
 #[test]
 fn a_primary_that_hears_nothing_stops_in_the_time_of_its_lease() {
     three(
-        "time | P          | B | C | *
-            0 | cut-in     |   |   |
-          810 | no-lease names-none | | |
-         1310 | deposed    |   |   |
-        20000 | names-none |   |   |",
+        "time | P                | B | C | *
+            0 | partition-in     |   |   |
+          810 | no-lease no-hint |   |   |
+         1310 | deposed          |   |   |
+        20000 | no-hint          |   |   |",
     );
 }
 
 #[test]
 fn a_primary_that_nobody_hears_stops_in_the_time_of_its_lease() {
     three(
-        "time | P        | B | C | *
-            0 | cut-out  |   |   |
-          810 | no-lease |   |   |
-         1310 | deposed  |   |   |
-        20000 | deposed  |   |   |",
+        "time | P             | B | C | *
+            0 | partition-out |   |   |
+          810 | no-lease      |   |   |
+         1310 | deposed       |   |   |
+        20000 | deposed       |   |   |",
     );
 }
 
 #[test]
 fn another_primary_is_elected_after_a_cut_of_any_kind() {
-    let longest = [Cut::Both, Cut::In, Cut::Out].map(longest_time_to_another);
+    let longest = [Partition::Both, Partition::In, Partition::Out].map(longest_time_to_another);
     println!(
         "the longest times to another primary, cut off, hearing nothing, heard by nobody: {longest:?} ms"
     );
@@ -101,10 +101,10 @@
 fn heartbeats_without_the_lease_do_not_prevent_an_election() {
     // The others hear the primary all the time, and yet they elect another, who is then left alone.
     for seed in 0..SEEDS {
-        let mut settled = Settled::new(seed, 1, ["P", "B", "C"]);
-        let primary = settled.names[0].1;
-        let world = &mut settled.world;
-        cut(world, primary, Cut::In);
+        let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
+        let primary = cluster.names[0].1;
+        let world = &mut cluster.world;
+        isolate(world, primary, Partition::In);
         let elsewhere = |world: &World| world.leader().is_some_and(|leader| leader != primary);
         time_until(world, 2500, "another primary", elsewhere);
         let leader = world.leader();
@@ -115,16 +115,16 @@
 
 #[test]
 fn a_backup_that_is_cut_off_names_no_primary_once_it_has_heard_none_for_a_lease() {
-    for how in ["cut", "cut-in"] {
+    for how in ["partition", "partition-in"] {
         three(&format!(
-            "time | P             | B          | C       | *
-                0 |               | {how}      |         |
-              800 | leads         |            | names:P |
-              925 | leads         | names-none | names:P |
-            10000 | leads order=1 | names-none | names:P |
-            10200 | leads acked=1 | names-none | names:P |
-            20000 | leads         | join       | names:P |
-            22000 | leads         | names:P member | names:P |"
+            "time | P               | B              | C       | *
+                0 |                 | {how}          |         |
+              800 | leads           |                | hints:P |
+              925 | leads           | no-hint        | hints:P |
+            10000 | leads propose=1 | no-hint        | hints:P |
+            10200 | leads acked=1   | no-hint        | hints:P |
+            20000 | leads           | heal           | hints:P |
+            22000 | leads           | hints:P member | hints:P |"
         ));
     }
 }
@@ -133,31 +133,32 @@
 fn a_backup_that_nobody_hears_names_the_primary_while_the_connection_from_that_one_stands() {
     // Without acknowledgements the primary gives the connection up after a second.
     three(
-        "time | P             | B           | C       | *
-            0 |               | cut-out     |         |
-          800 | leads         | names:P     | names:P |
-         2000 | leads order=1 | names-none out | names:P |
-         2200 | leads acked=1 | names-none  | names:P |
-         2200 |               | join        |         |
-         5000 | leads         | names:P member | names:P |",
+        "time | P               | B                 | C       | *
+            0 |                 | partition-out     |         |
+          800 | leads           | hints:P           | hints:P |
+         2000 | leads propose=1 | no-hint no-member | hints:P |
+         2200 | leads acked=1   | no-hint           | hints:P |
+         2200 |                 | heal              |         |
+         5000 | leads           | hints:P member    | hints:P |",
     );
 }
 
 /// Cuts a machine off for twenty seconds and joins it again; returns the longest time until it names the primary, and
 /// checks that meanwhile and for long after nobody deposes that one.
-fn longest_time_to_return(who: usize, how: Cut) -> u64 {
+fn longest_time_to_return(who: usize, how: Partition) -> u64 {
     let times = (0..SEEDS).map(|seed| {
-        let mut settled = Settled::new(seed, 1, ["P", "B", "C"]);
-        let machine = settled.names[who].1;
-        let world = &mut settled.world;
-        cut(world, machine, how);
+        let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
+        let machine = cluster.names[who].1;
+        let world = &mut cluster.world;
+        isolate(world, machine, how);
         world.run_for(CUT_MS);
         let leader = world.leader().expect("a primary beside the cut");
-        world.network.join_all();
-        let time = time_until(world, 3000, "it names the primary", |w| w.named(machine) == Some(leader));
+        world.network.heal_all();
+        let time =
+            time_until(world, 3000, "it names the primary", |w| w.hinted_primary(machine) == Some(leader));
         world.run_until(10_000, |world| world.leader() != Some(leader));
         assert_eq!(world.leader(), Some(leader), "deposed\n{}", world.trace.join("\n"));
-        assert!(world.members().contains(&machine), "not let in again\n{}", world.trace.join("\n"));
+        assert!(world.members().contains(&machine), "not added again\n{}", world.trace.join("\n"));
         time
     });
     times.max().unwrap_or_default()
@@ -166,7 +167,8 @@
 #[test]
 fn who_returns_from_a_cut_names_the_primary_soon_and_deposes_nobody() {
     for (who, name) in [(0, "the old primary"), (1, "a backup")] {
-        let longest = [Cut::Both, Cut::In, Cut::Out].map(|how| longest_time_to_return(who, how));
+        let longest =
+            [Partition::Both, Partition::In, Partition::Out].map(|how| longest_time_to_return(who, how));
         println!("{name} names the primary after at most {longest:?} ms");
         assert!(longest.into_iter().all(|time| time <= 400), "{name}: {longest:?}");
     }
@@ -174,17 +176,17 @@
 
 #[test]
 fn a_round_that_began_before_a_freeze_gives_no_lease_after_it() {
-    // Both directions stand still for longer than the lease: what was under way is taken, and counts from before.
+    // Both directions stand still for longer than the lease: what was in flight is accepted, and counts from before.
     for seed in 0..SEEDS {
-        let mut settled = Settled::new(seed, 1, ["P", "B", "C"]);
-        let primary = settled.names[0].1;
-        let world = &mut settled.world;
+        let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
+        let primary = cluster.names[0].1;
+        let world = &mut cluster.world;
         let time = 1 + seed * 13 % 150;
         world.run_for(time);
         world.freeze(primary);
         world.run_for(USED_LEASE_MS + LONGEST_DELAY_MS);
-        world.wake(primary);
+        world.resume(primary);
         assert_ne!(world.leader(), Some(primary), "{}", world.trace.join("\n"));
-        assert_ne!(world.named(primary), Some(primary));
+        assert_ne!(world.hinted_primary(primary), Some(primary));
     }
 }
--- a/crates/replication/tests/replication/scenarios/places.rs
+++ b/crates/replication/tests/replication/scenarios/failure_domains.rs
@@ -1,4 +1,4 @@
-//! Zones and regions: which losses a view survives, and what is done while its members stand in too few places.
+//! Failure domains: which losses a view survives, and what is done while its members are in too few zones or regions.
 
 use quickcheck::{quickcheck, TestResult};
 use quillpulley_protocol::{NodeId, View, WitnessRecord};
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 use super::SEEDS;
-use crate::harness::ledger::Ledger;
+use crate::harness::command_history::CommandHistory;
 use crate::harness::{DiskMode, World, WorldOptions};
 
-/// Within which an order has to be acknowledged (`AckMs`).
+/// Within which a command has to be acknowledged (`AckMs`).
 const ACKNOWLEDGED_WITHIN_MS: u64 = 5000;
 
 const A: (&str, &str) = ("zone-a", "east");
@@ -20,43 +20,43 @@
 const B2: (&str, &str) = ("zone-b2", "west");
 const C: (&str, &str) = ("zone-c", "north");
 
-/// Machines at those places, of which one, or one zone, or one region may be lost.
-fn world(seed: u64, places: &[(&'static str, &'static str)]) -> World {
+/// Machines in these zones and regions, of which one, or one zone, or one region may be lost.
+fn world(seed: u64, localities: &[(&'static str, &'static str)]) -> World {
     let options = WorldOptions {
         seed,
         tolerated_zones: 1,
         tolerated_regions: 1,
-        places: places.to_vec(),
+        localities: localities.to_vec(),
         ..WorldOptions::default()
     };
-    let mut world = World::first_start(options, places.len(), 3);
-    let is_whole = |world: &World| world.members().len() == places.len();
-    assert!(world.run_until(6000, is_whole), "{}", world.trace.join("\n"));
+    let mut world = World::first_start(options, localities.len(), 3);
+    let is_complete = |world: &World| world.members().len() == localities.len();
+    assert!(world.run_until(6000, is_complete), "{}", world.trace.join("\n"));
     world.run_for(2000 + seed * 37 % 150);
     world
 }
 
 fn acknowledged(world: &mut World, within: u64) -> bool {
     let Some(leader) = world.leader() else { return false };
-    let order = world.propose(leader);
-    world.run_until(within, |world| world.is_acknowledged(order))
+    let command = world.propose(leader);
+    world.run_until(within, |world| world.is_acknowledged(command))
 }
 
-fn serves_again(world: &mut World) {
+fn assert_serves_again(world: &mut World) {
     let is_led = world.run_until(4000, |world| world.leader().is_some());
     assert!(is_led, "no one leads\n{}", world.trace.join("\n"));
     assert!(acknowledged(world, 3000), "{}", world.trace.join("\n"));
 }
 
 #[test]
-fn an_order_waits_for_a_node_elsewhere_that_is_about_to_come_in() {
+fn a_command_waits_for_a_node_elsewhere_that_is_about_to_join() {
     for seed in 0..SEEDS {
         let mut world = world(seed, &[A, A2, B]);
         world.kill(2, false);
         world.run_for(2500);
-        let exposure = world.exposure().expect("a view");
-        assert!(exposure.members.regions && !exposure.members.zones && !exposure.members.machines);
-        assert!(acknowledged(&mut world, 200), "nobody elsewhere could come in: degraded");
+        let durability = world.durability().expect("a view");
+        assert!(durability.members.regions && !durability.members.zones && !durability.members.machines);
+        assert!(acknowledged(&mut world, 200), "nobody elsewhere could join: degraded");
 
         world.start(2);
         let leader = world.leader().expect("a primary");
@@ -67,16 +67,16 @@
         };
         assert!(world.run_until(1000, knows));
         world.run_for(250);
-        assert!(!world.members().contains(&2), "it is not let in yet");
-        let order = world.propose(leader);
-        assert!(world.run_until(ACKNOWLEDGED_WITHIN_MS, |world| world.is_acknowledged(order)));
+        assert!(!world.members().contains(&2), "it is not added yet");
+        let command = world.propose(leader);
+        assert!(world.run_until(ACKNOWLEDGED_WITHIN_MS, |world| world.is_acknowledged(command)));
         assert!(world.members().contains(&2), "acknowledged in one region only\n{}", world.trace.join("\n"));
-        assert!(world.exposure().is_some_and(|exposure| exposure.members.is_empty()));
+        assert!(world.durability().is_some_and(|durability| durability.members.is_empty()));
     }
 }
 
 #[test]
-fn an_order_does_not_wait_for_long_for_a_node_that_cannot_come_in() {
+fn a_command_does_not_wait_for_long_for_a_node_that_cannot_join() {
     for seed in 0..SEEDS {
         let mut world = world(seed, &[A, A2, B]);
         world.set_disk(2, DiskMode::Full);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn an_order_waits_only_shortly_for_a_node_that_answers_and_cannot_store() {
+fn a_command_waits_only_shortly_for_a_node_that_answers_and_cannot_store() {
     for seed in 0..SEEDS {
         let mut world = world(seed, &[A, A2, B]);
         world.kill(2, false);
@@ -111,7 +111,7 @@
         let begin = world.now;
         assert!(acknowledged(&mut world, ACKNOWLEDGED_WITHIN_MS - 2000), "{}", world.trace.join("\n"));
         assert!(world.now > begin + 500, "it did not wait");
-        // The wait is not repeated for every order.
+        // The wait is not repeated for every command.
         for _ in 0..5 {
             assert!(acknowledged(&mut world, 200), "{}", world.trace.join("\n"));
         }
@@ -123,9 +123,9 @@
     for seed in 0..SEEDS {
         let mut world = world(seed, &[A, A, A]);
         assert!(acknowledged(&mut world, 200));
-        let exposure = world.exposure().expect("a view");
-        assert!(exposure.members.zones && exposure.members.regions && !exposure.members.machines);
-        assert!(exposure.witnesses.zones && exposure.witnesses.regions);
+        let durability = world.durability().expect("a view");
+        assert!(durability.members.zones && durability.members.regions && !durability.members.machines);
+        assert!(durability.witnesses.zones && durability.witnesses.regions);
     }
 }
 
@@ -133,11 +133,15 @@
 fn a_region_with_two_of_four_machines_may_be_lost() {
     for seed in 0..SEEDS {
         let mut world = world(seed, &[A, B, C, A2]);
-        assert!(world.exposure().is_some_and(|exposure| exposure.is_covered()), "{}", world.trace.join("\n"));
+        assert!(
+            world.durability().is_some_and(|durability| durability.is_covered()),
+            "{}",
+            world.trace.join("\n")
+        );
         assert!(acknowledged(&mut world, 500));
         world.remove(0);
         world.remove(3);
-        serves_again(&mut world);
+        assert_serves_again(&mut world);
     }
 }
 
@@ -145,37 +149,41 @@
 fn witnesses_are_spread_over_regions_as_machines_come() {
     for seed in 0..SEEDS {
         let mut world = world(seed, &[A, A2, B, C]);
-        assert!(world.exposure().is_some_and(|exposure| exposure.is_covered()), "{}", world.trace.join("\n"));
+        assert!(
+            world.durability().is_some_and(|durability| durability.is_covered()),
+            "{}",
+            world.trace.join("\n")
+        );
         assert!(acknowledged(&mut world, 500));
         world.kill(0, true);
         world.kill(1, true);
         world.wipe(0);
         world.wipe(1);
-        serves_again(&mut world);
+        assert_serves_again(&mut world);
     }
 }
 
-/// How long it takes until a machine that is told to stop may end.
-fn time_to_end(world: &mut World, machine: usize) -> u64 {
-    let told_at = world.now;
-    world.stop(machine);
-    assert!(world.run_until(7000, |world| world.may_end(machine)), "{}", world.trace.join("\n"));
-    world.now - told_at
+/// Returns how long a machine takes from the signal until it may exit.
+fn time_to_exit(world: &mut World, machine: usize) -> u64 {
+    let signalled_at = world.now;
+    world.shut_down(machine);
+    assert!(world.run_until(7000, |world| world.can_exit(machine)), "{}", world.trace.join("\n"));
+    world.now - signalled_at
 }
 
-/// The only member of a region is told to end, so long after a machine of its region was started. It may end only when
+/// The only member of a region is signalled to shut down, `delay` after a machine of its region was started. It may exit only when
 /// that machine is a member.
-fn ends_once_its_successor_has_come_in(seed: u64, delay: u64) {
+fn exits_once_its_successor_has_joined(seed: u64, delay: u64) {
     let mut world = world(seed, &[A, A2, B]);
-    let order = world.propose(world.leader().expect("a primary"));
-    world.options.places.push(B2);
+    let command = world.propose(world.leader().expect("a primary"));
+    world.options.localities.push(B2);
     let successor = world.add_spare();
     world.run_for(200 + delay);
-    time_to_end(&mut world, 2);
+    time_to_exit(&mut world, 2);
     world.remove(2);
-    assert!(world.is_acknowledged(order), "{}", world.trace.join("\n"));
+    assert!(world.is_acknowledged(command), "{}", world.trace.join("\n"));
     // Both machines of the other region lose their disks now: the successor has what was acknowledged.
-    // A primary that has just taken over may have no lease yet.
+    // A primary that has just accepted over may have no lease yet.
     let leads = |machine: &usize| matches!(world.role(*machine), Some(Role::Primary { .. }));
     let leaders = (0..world.machines.len()).filter(leads);
     let views = leaders.filter_map(|machine| world.machines[machine].replica.as_ref()?.view());
@@ -186,19 +194,19 @@
 }
 
 #[test]
-fn the_only_member_of_a_region_ends_once_its_successor_has_come_in() {
+fn the_only_member_of_a_region_ends_once_its_successor_has_joined() {
     for seed in 0..SEEDS {
         for delay in (0..900).step_by(60) {
-            ends_once_its_successor_has_come_in(seed, delay);
+            exits_once_its_successor_has_joined(seed, delay);
         }
     }
 }
 
 #[test]
-fn the_only_member_of_a_region_stays_at_any_moment_of_letting_its_successor_in() {
+fn the_only_member_of_a_region_stays_at_any_moment_of_adding_its_successor() {
     for seed in 40..46 {
         for delay in (0..600).step_by(5) {
-            ends_once_its_successor_has_come_in(seed, delay);
+            exits_once_its_successor_has_joined(seed, delay);
         }
     }
 }
@@ -207,7 +215,7 @@
 fn the_only_member_of_a_region_ends_soon_where_it_has_no_successor() {
     for seed in 0..SEEDS {
         let mut world = world(seed, &[A, A2, B]);
-        let time = time_to_end(&mut world, 2);
+        let time = time_to_exit(&mut world, 2);
         assert!(time < 1000, "{time} ms\n{}", world.trace.join("\n"));
         world.kill(2, false);
         world.run_for(500);
@@ -215,11 +223,11 @@
     }
 }
 
-/// What a replica says of a view whose nodes stand at these places, as (machines, zones, regions) of the members
+/// Returns what a replica reports of a view whose nodes are in these zones and regions, as (machines, zones, regions) of the members
 /// and of the witnesses.
-fn exposure_of(places: &[(u8, u8)], tolerated: (usize, usize, usize)) -> [[bool; 3]; 2] {
+fn uncovered_failures(localities: &[(u8, u8)], tolerated: (usize, usize, usize)) -> [[bool; 3]; 2] {
     let nodes: Vec<NodeId> =
-        (0..places.len()).map(|index| NodeId::new(Ipv4Addr::new(10, 0, 0, 1 + index as u8), 0)).collect();
+        (0..localities.len()).map(|index| NodeId::new(Ipv4Addr::new(10, 0, 0, 1 + index as u8), 0)).collect();
     let view = View {
         epoch: 5,
         primary: nodes[0],
@@ -233,24 +241,22 @@
     let options = Options {
         me: nodes[0],
         locality: Locality {
-            zone: format!("zone-{}", places[0].0),
-            region: format!("region-{}", places[0].1),
+            zone: format!("zone-{}", localities[0].0),
+            region: format!("region-{}", localities[0].1),
         },
         fault_tolerance: FaultTolerance { machines: tolerated.0, zones: tolerated.1, regions: tolerated.2 },
         ..Options::default()
     };
     let recovered = Recovered { record: Some(record), ..Recovered::default() };
-    let mut replica = Replica::new(options, recovered, Ledger::default(), Duration::ZERO).expect("a replica");
-    for (node, (zone, region)) in nodes.iter().zip(places) {
-        let place = Locality { zone: format!("zone-{zone}"), region: format!("region-{region}") };
-        replica.handle(
-            Duration::ZERO,
-            Event::LocalityLearned { node: *node, locality: place },
-            &mut Vec::new(),
-        );
+    let mut replica =
+        Replica::new(options, recovered, CommandHistory::default(), Duration::ZERO).expect("a replica");
+    for (node, (zone, region)) in nodes.iter().zip(localities) {
+        let locality = Locality { zone: format!("zone-{zone}"), region: format!("region-{region}") };
+        replica.handle(Duration::ZERO, Event::LocalityLearned { node: *node, locality }, &mut Vec::new());
     }
-    let exposure = replica.durability().expect("a view");
-    [exposure.members, exposure.witnesses].map(|exposed| [exposed.machines, exposed.zones, exposed.regions])
+    let durability = replica.durability().expect("a view");
+    [durability.members, durability.witnesses]
+        .map(|uncovered| [uncovered.machines, uncovered.zones, uncovered.regions])
 }
 
 /// Whether after the loss of some `count` of the groups fewer than `needed` nodes are left, tried one by one.
@@ -266,17 +272,17 @@
 
 #[test]
 fn the_losses_that_a_view_does_not_survive_are_those_found_by_trying() {
-    fn holds(places: Vec<(u8, u8)>, machines: u8, zones: u8, regions: u8) -> TestResult {
-        if places.is_empty() {
+    fn holds(localities: Vec<(u8, u8)>, machines: u8, zones: u8, regions: u8) -> TestResult {
+        if localities.is_empty() {
             return TestResult::discard();
         }
-        let places: Vec<(u8, u8)> =
-            places.iter().take(7).map(|(zone, region)| (zone % 5, region % 3)).collect();
+        let localities: Vec<(u8, u8)> =
+            localities.iter().take(7).map(|(zone, region)| (zone % 5, region % 3)).collect();
         let tolerated = (usize::from(machines % 4), usize::from(zones % 3), usize::from(regions % 3));
-        let nodes: Vec<u8> = (0..places.len() as u8).collect();
-        let zones: Vec<u8> = places.iter().map(|place| place.0).collect();
-        let regions: Vec<u8> = places.iter().map(|place| place.1).collect();
-        let expected = [1, places.len() / 2 + 1].map(|needed| {
+        let nodes: Vec<u8> = (0..localities.len() as u8).collect();
+        let zones: Vec<u8> = localities.iter().map(|locality| locality.0).collect();
+        let regions: Vec<u8> = localities.iter().map(|locality| locality.1).collect();
+        let expected = [1, localities.len() / 2 + 1].map(|needed| {
             let machines = nodes.len() < needed || some_loss_leaves_fewer(&nodes, tolerated.0, needed);
             [
                 machines,
@@ -284,7 +290,7 @@
                 some_loss_leaves_fewer(&regions, tolerated.2, needed),
             ]
         });
-        TestResult::from_bool(exposure_of(&places, tolerated) == expected)
+        TestResult::from_bool(uncovered_failures(&localities, tolerated) == expected)
     }
     quickcheck(holds as fn(Vec<(u8, u8)>, u8, u8, u8) -> TestResult);
 }
--- a/crates/replication/tests/replication/scenarios/installs.rs
+++ b/crates/replication/tests/replication/scenarios/installs.rs
@@ -1,36 +1,36 @@
 //! A member that gets the whole state and dies in any of the writes that this takes.
 
-use super::Settled;
+use super::StableCluster;
 
-/// Enough orders that logs have been compacted and the state goes as a snapshot.
-const ORDERS: usize = 30;
+/// Enough commands that logs have been compacted and the state goes as a snapshot.
+const COMMANDS: usize = 30;
 /// So many writes there are until it is a member and a witness again.
 const WRITES: u64 = 7;
 
 /// The member dies in the write, then the primary loses power as well; both come back.
 fn play(seed: u64, write: u64, power: bool) {
-    let mut settled = Settled::new(seed, 1, ["P", "B", "C"]);
-    for _ in 0..ORDERS {
-        let leader = settled.world.leader().expect("a primary");
-        settled.world.propose(leader);
-        settled.world.run_for(60);
+    let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
+    for _ in 0..COMMANDS {
+        let leader = cluster.world.leader().expect("a primary");
+        cluster.world.propose(leader);
+        cluster.world.run_for(60);
     }
-    settled.play("time | B\n 0 | power wipe\n 100 | start");
-    let member = settled.names[1].1;
+    cluster.play("time | B\n 0 | power-loss wipe\n 100 | start");
+    let member = cluster.names[1].1;
     let is_writing = |world: &crate::harness::World| world.write_count(member) >= write;
-    assert!(settled.world.run_until(5000, is_writing), "there is no write {write}");
-    let end = if power { "power" } else { "kill" };
-    settled.play(&format!(
-        "time | P     | B     | C | *
-            0 |       | {end} |   |
-           10 | power |       |   |
-          200 | start | start |   |
-         3200 |       |       |   | order=1
-         4200 |       |       |   | acked=1
+    assert!(cluster.world.run_until(5000, is_writing), "there is no write {write}");
+    let end = if power { "power-loss" } else { "kill" };
+    cluster.play(&format!(
+        "time | P              | B              | C              | *
+            0 |                | {end}          |                |
+           10 | power-loss     |                |                |
+          200 | start          | start          |                |
+         3200 |                |                |                | propose=1
+         4200 |                |                |                | acked=1
          8000 | member witness | member witness | member witness |"
     ));
-    let end = settled.world.applied_index(settled.world.leader().expect("a primary"));
-    assert!((0..3).all(|machine| settled.world.applied_index(machine) >= end));
+    let end = cluster.world.applied_index(cluster.world.leader().expect("a primary"));
+    assert!((0..3).all(|machine| cluster.world.applied_index(machine) >= end));
 }
 
 #[test]
--- a/crates/replication/tests/replication/scenarios/lost_machines.rs
+++ b/crates/replication/tests/replication/scenarios/lost_machines.rs
@@ -1,19 +1,19 @@
-//! Disks that are lost, machines that are replaced, and nodes that are let in.
+//! Disks that are lost, machines that are replaced, and nodes that are added.
 
-use super::{five, play, three, three_and_a_spare, Settled, SEEDS};
+use super::{five, play, three, three_and_a_spare, StableCluster, SEEDS};
 use crate::harness::{World, WorldOptions};
 
 #[test]
-fn an_order_outlives_a_lost_disk_and_a_loss_of_power_of_all() {
+fn a_command_outlives_a_lost_disk_and_a_loss_of_power_of_all() {
     for column in ["P", "B", "C"] {
-        let cell = |name: &str| if name == column { "power wipe" } else { "power" };
+        let cell = |name: &str| if name == column { "power-loss wipe" } else { "power-loss" };
         three(&format!(
-            "time | P       | B     | C     | *
-                0 | order=1 |       |       |
-              150 | acked=1 {}  | {} | {} |
-             1000 | start   | start | start |
-             3000 |         |       |       | leads order=2
-             4500 |         |       |       | acked=2
+            "time | P              | B              | C              | *
+                0 | propose=1      |                |                |
+              150 | acked=1 {}     | {}             | {}             |
+             1000 | start          | start          | start          |
+             3000 |                |                |                | leads propose=2
+             4500 |                |                |                | acked=2
              7000 | member witness | member witness | member witness |",
             cell("P"),
             cell("B"),
@@ -23,16 +23,16 @@
 }
 
 #[test]
-fn an_order_outlives_two_lost_disks_of_five() {
+fn a_command_outlives_two_lost_disks_of_five() {
     for columns in [["P", "B"], ["P", "E"], ["C", "D"]] {
-        let cell = |name: &str| if columns.contains(&name) { "power wipe" } else { "power" };
+        let cell = |name: &str| if columns.contains(&name) { "power-loss wipe" } else { "power-loss" };
         five(&format!(
-            "time | P       | B     | C     | D     | E     | *
-                0 | order=1 |       |       |       |       |
-              150 | acked=1 {}  | {} | {} | {} | {} |
-             1000 | start   | start | start | start | start |
-             3000 |         |       |       |       |       | leads order=2
-             4500 |         |       |       |       |       | acked=2
+            "time | P              | B              | C              | D              | E              | *
+                0 | propose=1      |                |                |                |                |
+              150 | acked=1 {}     | {}             | {}             | {}             | {}             |
+             1000 | start          | start          | start          | start          | start          |
+             3000 |                |                |                |                |                | leads propose=2
+             4500 |                |                |                |                |                | acked=2
              9000 | member witness | member witness | member witness | member witness | member witness |",
             cell("P"),
             cell("B"),
@@ -46,63 +46,63 @@
 #[test]
 fn a_wiped_backup_comes_back_as_another_node() {
     three(
-        "time | P       | B          | C | *
-            0 | order=1 | power wipe |   |
-          200 |         | start      |   |
-         1500 | acked=1 | member     |   |
-         3000 |         | witness    |   |
-         3000 |         |            | power wipe |
-         3500 |         |            | start |
-         6500 |         |            | member witness | order=2
-         6700 |         |            |   | acked=2",
+        "time | P         | B               | C               | *
+            0 | propose=1 | power-loss wipe |                 |
+          200 |           | start           |                 |
+         1500 | acked=1   | member          |                 |
+         3000 |           | witness         |                 |
+         3000 |           |                 | power-loss wipe |
+         3500 |           |                 | start           |
+         6500 |           |                 | member witness  | propose=2
+         6700 |           |                 |                 | acked=2",
     );
 }
 
 #[test]
 fn a_machine_is_replaced_by_one_that_comes_first() {
     three_and_a_spare(
-        "time | P       | B          | C | S      | *
-         1500 |         |            |   | member witness |
-         1500 | stop    |            |   |        |
-         1600 | kill    |            |   |        |
-         3500 |         |            |   |        | order=1
-         3700 |         |            |   |        | acked=1
-         6500 | out no-witness | witness | witness | witness |
-         6500 |         | power wipe |   |        |
-         9000 |         |            |   |        | order=2 acked=1
-         9200 |         |            |   |        | acked=2",
+        "time | P                    | B               | C       | S              | *
+         1500 |                      |                 |         | member witness |
+         1500 | shutdown             |                 |         |                |
+         1600 | kill                 |                 |         |                |
+         3500 |                      |                 |         |                | propose=1
+         3700 |                      |                 |         |                | acked=1
+         6500 | no-member no-witness | witness         | witness | witness        |
+         6500 |                      | power-loss wipe |         |                |
+         9000 |                      |                 |         |                | propose=2 acked=1
+         9200 |                      |                 |         |                | acked=2",
     );
 }
 
 #[test]
 fn a_machine_that_is_gone_is_replaced_later() {
     for seed in 0..SEEDS {
-        let mut settled = Settled::new(seed, 1, ["P", "B", "C"]);
-        settled.play(
-            "time | P     | B | C | *
-                0 | power |   |   |
-             2500 |       |   |   | order=1
-             2700 |       |   |   | acked=1",
+        let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
+        cluster.play(
+            "time | P          | B | C | *
+                0 | power-loss |   |   |
+             2500 |            |   |   | propose=1
+             2700 |            |   |   | acked=1",
         );
-        settled.names.push(("S", settled.world.add_spare()));
-        settled.play(
-            "time | P   | B | C          | S | *
-             1500 |     |   |            | member |
-             4000 | out no-witness | |   | witness |
-             4000 |     |   | power wipe |   |
-             6500 |     |   |            |   | order=2
-             7500 |     |   |            |   | acked=2",
+        cluster.names.push(("S", cluster.world.add_spare()));
+        cluster.play(
+            "time | P                    | B | C               | S       | *
+             1500 |                      |   |                 | member  |
+             4000 | no-member no-witness |   |                 | witness |
+             4000 |                      |   | power-loss wipe |         |
+             6500 |                      |   |                 |         | propose=2
+             7500 |                      |   |                 |         | acked=2",
         );
     }
 }
 
 #[test]
-fn all_of_nine_machines_are_let_in() {
+fn all_of_nine_machines_are_added() {
     for seed in 0..SEEDS {
         let options = WorldOptions { seed, tolerated: 2, ..WorldOptions::default() };
         let mut world = World::first_start(options, 9, 3);
-        let is_whole = |world: &World| world.members().len() == 9 && world.witnesses().len() == 9;
-        assert!(world.run_until(5000, is_whole), "{}", world.trace.join("\n"));
+        let is_complete = |world: &World| world.members().len() == 9 && world.witnesses().len() == 9;
+        assert!(world.run_until(5000, is_complete), "{}", world.trace.join("\n"));
     }
 }
 
@@ -115,27 +115,27 @@
         play(
             &mut world,
             &names,
-            "time | B      | C      | D      | *
-             1500 |        |        |        | order=1
-             2000 |        |        |        | acked=1
+            "time | B              | C              | D              | *
+             1500 |                |                |                | propose=1
+             2000 |                |                |                | acked=1
              6000 | member witness | member witness | member witness |",
         );
     }
 }
 
 #[test]
-fn a_primary_killed_at_any_moment_of_letting_a_node_in() {
+fn a_primary_killed_at_any_moment_of_adding_a_node() {
     for delay in (0..1500).step_by(20) {
-        let mut settled = Settled::new(delay, 1, ["P", "B", "C"]);
-        settled.names.push(("S", settled.world.add_spare()));
-        settled.world.run_for(delay);
-        settled.play(
-            "time | P       | B | C | S | *
-                0 | order=1 |   |   |   |
-               30 | kill    |   |   |   |
-             2600 |         |   |   |   | order=2
-             3600 |         |   |   |   | acked=2
-             3600 | start   |   |   |   |
+        let mut cluster = StableCluster::new(delay, 1, ["P", "B", "C"]);
+        cluster.names.push(("S", cluster.world.add_spare()));
+        cluster.world.run_for(delay);
+        cluster.play(
+            "time | P              | B              | C              | S              | *
+                0 | propose=1      |                |                |                |
+               30 | kill           |                |                |                |
+             2600 |                |                |                |                | propose=2
+             3600 |                |                |                |                | acked=2
+             3600 | start          |                |                |                |
              6600 | member witness | member witness | member witness | member witness |",
         );
     }
@@ -144,15 +144,15 @@
 #[test]
 fn a_primary_killed_at_any_moment_of_dropping_a_node() {
     for delay in (300..1200).step_by(15) {
-        let mut settled = Settled::new(delay, 1, ["P", "B", "C"]);
-        settled.play("time | B\n 0 | kill");
-        settled.world.run_for(delay);
-        settled.play(
-            "time | P       | B     | C | *
-                0 | power   | start |   |
-             3000 |         |       |   | order=1
-             4000 |         |       |   | acked=1
-             4000 | start   |       |   |
+        let mut cluster = StableCluster::new(delay, 1, ["P", "B", "C"]);
+        cluster.play("time | B\n 0 | kill");
+        cluster.world.run_for(delay);
+        cluster.play(
+            "time | P              | B              | C              | *
+                0 | power-loss     | start          |                |
+             3000 |                |                |                | propose=1
+             4000 |                |                |                | acked=1
+             4000 | start          |                |                |
              7000 | member witness | member witness | member witness |",
         );
     }
@@ -163,18 +163,18 @@
 #[test]
 fn two_disks_are_lost_after_two_machines_were_replaced_fast() {
     for seed in 0..SEEDS {
-        let mut settled = Settled::new(seed, 2, ["P", "B", "C", "D", "E"]);
-        settled.names.push(("S", settled.world.add_spare()));
-        settled.names.push(("T", settled.world.add_spare()));
-        settled.play(
-            "time | P | B | C     | D     | E | S              | T              | *
-             2500 |   |   |       |       |   | member witness | member witness |
-             2500 |   |   | power | power |   |                |                | order=1
-             3500 |   |   |       |       |   |                |                | acked=1
-             9000 |   |   | out no-witness | out no-witness | | |               |
-             9000 | power wipe | power wipe | | | |             |                |
-            12000 |   |   |       |       |   |                |                | order=2
-            13500 |   |   |       |       |   |                |                | acked=1 acked=2",
+        let mut cluster = StableCluster::new(seed, 2, ["P", "B", "C", "D", "E"]);
+        cluster.names.push(("S", cluster.world.add_spare()));
+        cluster.names.push(("T", cluster.world.add_spare()));
+        cluster.play(
+            "time | P               | B               | C                    | D                    | E | S              | T              | *
+             2500 |                 |                 |                      |                      |   | member witness | member witness |
+             2500 |                 |                 | power-loss           | power-loss           |   |                |                | propose=1
+             3500 |                 |                 |                      |                      |   |                |                | acked=1
+             9000 |                 |                 | no-member no-witness | no-member no-witness |   |                |                |
+             9000 | power-loss wipe | power-loss wipe |                      |                      |   |                |                |
+            12000 |                 |                 |                      |                      |   |                |                | propose=2
+            13500 |                 |                 |                      |                      |   |                |                | acked=1 acked=2",
         );
     }
 }
--- a/crates/replication/tests/replication/scenarios/restarts.rs
+++ b/crates/replication/tests/replication/scenarios/restarts.rs
@@ -1,83 +1,83 @@
-//! Processes that are killed, told to end, and started again.
+//! Processes that are killed, signalled to shut down, and started again.
 
-use super::{three, Settled, SEEDS};
+use super::{three, StableCluster, SEEDS};
 use crate::harness::World;
 
 #[test]
 fn commands_are_acknowledged_and_one_wins_on_each_base() {
     three(
-        "time | P                | B              | C
-            0 | order=1 order=2  | order=3        |
-          150 | acked=1 open=2   | follows open=3 | follows
-          150 | order=4          |                |
-          300 | acked=4 leads    |                |",
+        "time | P                    | B                    | C
+            0 | propose=1 propose=2  | propose=3            |
+          150 | acked=1 unresolved=2 | follows unresolved=3 | follows
+          150 | propose=4            |                      |
+          300 | acked=4 leads        |                      |",
     );
 }
 
 #[test]
 fn a_killed_primary_is_replaced() {
     three(
-        "time | P       | B | C | *
-            0 | order=1 |   |   |
-          200 | kill    |   |   | 
-         1900 |         |   |   | acked=1 order=2
-         2900 |         |   |   | acked=2
-         3000 | start   |   |   |
-         4500 | member follows witness | | | order=3
-         4700 |         |   |   | acked=3",
+        "time | P                      | B | C | *
+            0 | propose=1              |   |   |
+          200 | kill                   |   |   |
+         1900 |                        |   |   | acked=1 propose=2
+         2900 |                        |   |   | acked=2
+         3000 | start                  |   |   |
+         4500 | member follows witness |   |   | propose=3
+         4700 |                        |   |   | acked=3",
     );
 }
 
 #[test]
-fn a_primary_that_is_told_to_stop_hands_over_at_once() {
+fn a_primary_that_is_signalled_to_shut_down_hands_over_at_once() {
     three(
-        "time | P          | B | C | *
-            0 | stop       |   |   |
-          700 |            |   |   | order=1
-          750 | kill       |   |   |
-         2000 |            |   |   | acked=1
-         2000 | start      |   |   |
-         3500 | member     |   |   |",
+        "time | P        | B | C | *
+            0 | shutdown |   |   |
+          700 |          |   |   | propose=1
+          750 | kill     |   |   |
+         2000 |          |   |   | acked=1
+         2000 | start    |   |   |
+         3500 | member   |   |   |",
     );
 }
 
 #[test]
-fn a_backup_that_is_told_to_stop_holds_no_order_up() {
+fn a_backup_that_is_signalled_to_shut_down_holds_no_command_up() {
     three(
-        "time | P       | B    | C
-            0 |         | stop |
-          250 |         | out kill |
-          300 | order=1 |      |
-          450 | acked=1 |      |",
+        "time | P         | B              | C
+            0 |           | shutdown       |
+          250 |           | no-member kill |
+          300 | propose=1 |                |
+          450 | acked=1   |                |",
     );
 }
 
 #[test]
 fn a_killed_backup_holds_commands_up_only_shortly() {
     three(
-        "time | P       | B            | C
-            0 |         | kill         |
-           10 | order=1 |              |
-         1200 | acked=1 leads | out    | follows
-         1200 | order=2 |              |
-         1350 | acked=2 |              |
-         2000 |         | start        |
-         3500 | leads   | member follows | member
-         3500 | order=3 |              |
-         3650 | acked=3 |              |",
+        "time | P             | B              | C
+            0 |               | kill           |
+           10 | propose=1     |                |
+         1200 | acked=1 leads | no-member      | follows
+         1200 | propose=2     |                |
+         1350 | acked=2       |                |
+         2000 |               | start          |
+         3500 | leads         | member follows | member
+         3500 | propose=3     |                |
+         3650 | acked=3       |                |",
     );
 }
 
 #[test]
 fn after_a_kill_of_all_the_old_primary_leads_without_waiting_for_its_own_lease() {
-    for deed in ["kill", "power"] {
+    for operation in ["kill", "power-loss"] {
         three(&format!(
-            "time | P                | B      | C      | *
-                0 | order=1          |        |        |
-              150 | acked=1 {deed}   | {deed} | {deed} |
-              400 | start            | start  | start  |
-              700 | leads order=2    |        |        |
-              900 | acked=2          | member | member |",
+            "time | P                   | B           | C           | *
+                0 | propose=1           |             |             |
+              150 | acked=1 {operation} | {operation} | {operation} |
+              400 | start               | start       | start       |
+              700 | leads propose=2     |             |             |
+              900 | acked=2             | member      | member      |",
         ));
     }
 }
@@ -85,69 +85,69 @@
 #[test]
 fn after_a_kill_of_all_without_the_old_primary_its_lease_is_waited_for() {
     three(
-        "time | P                | B     | C     | *
-            0 | order=1          |       |       |
-          150 | acked=1 kill     | kill  | kill  |
-          160 |                  | start | start |
-          800 |                  | no-lease | no-lease |
-         2300 |                  |       |       | order=2
-         2500 |                  |       |       | acked=2",
+        "time | P            | B        | C        | *
+            0 | propose=1    |          |          |
+          150 | acked=1 kill | kill     | kill     |
+          160 |              | start    | start    |
+          800 |              | no-lease | no-lease |
+         2300 |              |          |          | propose=2
+         2500 |              |          |          | acked=2",
     );
 }
 
 #[test]
 fn a_primary_that_is_killed_and_comes_back_within_its_lease_leads_on() {
     three(
-        "time | P       | B | C | *
-            0 | kill    |   |   |
-          200 | start   |   |   |
-          500 | leads order=1 | | |
-          700 | acked=1 |   |   |",
+        "time | P               | B | C | *
+            0 | kill            |   |   |
+          200 | start           |   |   |
+          500 | leads propose=1 |   |   |
+          700 | acked=1         |   |   |",
     );
 }
 
 #[test]
 fn a_witness_that_restarts_keeps_to_the_lease_that_it_granted() {
     three(
-        "time | P     | B | C     | *
-            0 | cut:B |   |       |
-           50 |       |   | kill  |
-           60 |       |   | start |
-          500 | leads |   |       |
-         3000 |       |   |       | order=1
-         3200 |       |   |       | acked=1",
+        "time | P           | B | C     | *
+            0 | partition:B |   |       |
+           50 |             |   | kill  |
+           60 |             |   | start |
+          500 | leads       |   |       |
+         3000 |             |   |       | propose=1
+         3200 |             |   |       | acked=1",
     );
 }
 
 #[test]
 fn all_killed_at_once_again_and_again() {
     three(
-        "time | P       | B     | C     | *
-            0 | order=1 |       |       |
-          200 | power   | power | power |
-         1000 | start   | start | start |
-         3000 |         |       |       | acked=1 order=2
-         3200 | kill    | kill  | kill  | 
-         3300 | start   | start | start |
-         3900 | kill    | kill  | kill  |
-         4000 | start   | start | start |
-         4700 | power   | power | power |
-         4750 | start   | start | start |
-         6750 |         |       |       | order=3
-         7500 |         |       |       | acked=3",
+        "time | P          | B          | C          | *
+            0 | propose=1  |            |            |
+          200 | power-loss | power-loss | power-loss |
+         1000 | start      | start      | start      |
+         3000 |            |            |            | acked=1 propose=2
+         3200 | kill       | kill       | kill       |
+         3300 | start      | start      | start      |
+         3900 | kill       | kill       | kill       |
+         4000 | start      | start      | start      |
+         4700 | power-loss | power-loss | power-loss |
+         4750 | start      | start      | start      |
+         6750 |            |            |            | propose=3
+         7500 |            |            |            | acked=3",
     );
 }
 
-//    P |         |        | nothing is ordered
+//    P |         |        | nothing is proposed
 //    B | killed  | starts | has the state of P
 #[test]
-fn a_backup_that_restarts_has_the_newest_state_without_a_new_order() {
+fn a_backup_that_restarts_has_the_newest_state_without_a_new_command() {
     for seed in 0..SEEDS {
         for pause in [1, 20, 50, 100, 200, 350] {
-            let mut settled = Settled::new(seed, 1, ["P", "B", "C"]);
-            settled.play("time | P\n 0 | order=1\n 300 | acked=1");
-            let (primary, backup) = (settled.names[0].1, settled.names[1].1);
-            let world = &mut settled.world;
+            let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
+            cluster.play("time | P\n 0 | propose=1\n 300 | acked=1");
+            let (primary, backup) = (cluster.names[0].1, cluster.names[1].1);
+            let world = &mut cluster.world;
             world.kill(backup, false);
             world.run_for(pause);
             world.start(backup);
@@ -162,11 +162,11 @@
 
 /// With the seeds that are listed, two candidates gave way to each other, and both then waited for a whole lease.
 #[test]
-fn two_candidates_that_give_way_to_each_other_try_again_soon() {
+fn two_candidates_that_yield_to_each_other_try_again_soon() {
     for seed in (0..200).chain([307, 1983, 2495, 2585, 2776, 3020]) {
-        let mut settled = Settled::new(seed, 1, ["P", "B", "C"]);
-        settled.play("time | P\n 0 | stop");
-        let has_leader = settled.world.run_until(700, |world| world.leader().is_some());
-        assert!(has_leader, "seed {seed}\n{}", settled.world.trace.join("\n"));
+        let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
+        cluster.play("time | P\n 0 | shutdown");
+        let has_leader = cluster.world.run_until(700, |world| world.leader().is_some());
+        assert!(has_leader, "seed {seed}\n{}", cluster.world.trace.join("\n"));
     }
 }
--- a/crates/replication/tests/replication/scenarios/second_loss.rs
+++ b/crates/replication/tests/replication/scenarios/second_loss.rs
@@ -3,40 +3,40 @@
 use quillpulley_replication::Faults;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-use super::{three_and_a_spare, Settled, SEEDS};
+use super::{three_and_a_spare, StableCluster, SEEDS};
 use crate::harness::{World, WorldOptions};
 
 /// Stops a machine, and takes it away for good as soon as it may end.
-fn retire(world: &mut World, machine: usize) {
-    world.stop(machine);
-    let may_end = world.run_until(3000, |world| world.may_end(machine));
-    assert!(may_end, "{} never may end\n{}", world.machines[machine].name, world.trace.join("\n"));
+fn shut_down_and_remove(world: &mut World, machine: usize) {
+    world.shut_down(machine);
+    let can_exit = world.run_until(3000, |world| world.can_exit(machine));
+    assert!(can_exit, "{} may never exit\n{}", world.machines[machine].name, world.trace.join("\n"));
     world.remove(machine);
 }
 
-fn serves_again(world: &mut World) {
+fn assert_serves_again(world: &mut World) {
     let is_led = world.run_until(4000, |world| world.leader().is_some());
     assert!(is_led, "no one leads\n{}", world.trace.join("\n"));
     // Whoever led when the loss came may not know of it yet.
-    let is_taken = (0..4).any(|_| {
+    let is_accepted = (0..4).any(|_| {
         let Some(leader) = world.leader() else {
             world.run_for(1000);
             return false;
         };
-        let order = world.propose(leader);
-        world.run_until(1500, |world| world.is_acknowledged(order))
+        let command = world.propose(leader);
+        world.run_until(1500, |world| world.is_acknowledged(command))
     });
-    assert!(is_taken, "orders are not taken again\n{}", world.trace.join("\n"));
+    assert!(is_accepted, "commands are not accepted again\n{}", world.trace.join("\n"));
 }
 
-/// Three machines and a fourth that has come in as member and witness.
-fn with_a_fourth(seed: u64) -> Settled<3> {
-    let mut settled = Settled::new(seed, 1, ["P", "B", "C"]);
-    settled.names.push(("S", settled.world.add_spare()));
-    let is_in = |world: &World| world.members().len() == 4 && world.witnesses().len() == 4;
-    assert!(settled.world.run_until(4000, is_in), "{}", settled.world.trace.join("\n"));
-    settled.world.run_for(300 + seed * 37 % 150);
-    settled
+/// Three machines and a fourth that has joined as member and witness.
+fn with_a_fourth(seed: u64) -> StableCluster<3> {
+    let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
+    cluster.names.push(("S", cluster.world.add_spare()));
+    let has_joined = |world: &World| world.members().len() == 4 && world.witnesses().len() == 4;
+    assert!(cluster.world.run_until(4000, has_joined), "{}", cluster.world.trace.join("\n"));
+    cluster.world.run_for(300 + seed * 37 % 150);
+    cluster
 }
 
 #[test]
@@ -44,15 +44,15 @@
     for seed in 0..SEEDS {
         for retired in 0..3 {
             for lost in (0..4).filter(|lost| *lost != retired) {
-                let mut settled = with_a_fourth(seed);
-                let (retired, lost) = (settled.names[retired].1, settled.names[lost].1);
-                let world = &mut settled.world;
+                let mut cluster = with_a_fourth(seed);
+                let (retired, lost) = (cluster.names[retired].1, cluster.names[lost].1);
+                let world = &mut cluster.world;
                 let leader = world.leader().expect("a primary");
-                let order = world.propose(leader);
-                assert!(world.run_until(500, |world| world.is_acknowledged(order)));
-                retire(world, retired);
+                let command = world.propose(leader);
+                assert!(world.run_until(500, |world| world.is_acknowledged(command)));
+                shut_down_and_remove(world, retired);
                 world.remove(lost);
-                serves_again(world);
+                assert_serves_again(world);
             }
         }
     }
@@ -61,74 +61,74 @@
 #[test]
 fn a_lost_witness_is_replaced_within_two_seconds_by_a_machine_that_comes_at_once() {
     three_and_a_spare(
-        "time | P | B     | C     | S      | *
-            0 |   |       | power |        |
-         1800 |   |       |       | member witness | order=1
-         1900 |   | power |       |        | acked=1
-         5000 |   |       |       |        | order=2
-         5500 |   |       |       |        | acked=2",
+        "time | P | B          | C          | S              | *
+            0 |   |            | power-loss |                |
+         1800 |   |            |            | member witness | propose=1
+         1900 |   | power-loss |            |                | acked=1
+         5000 |   |            |            |                | propose=2
+         5500 |   |            |            |                | acked=2",
     );
 }
 
 #[test]
-fn a_silent_witness_leaves_a_set_of_four_before_the_next_is_lost() {
+fn an_unresponsive_witness_leaves_a_set_of_four_before_the_next_is_lost() {
     for seed in 0..SEEDS {
         with_a_fourth(seed).play(
-            "time | P | B     | C     | S | *
-                0 |   |       | power |   |
-             1500 |   |       | no-witness |  | order=1
-             1700 |   | power |       |   | acked=1
-             5500 |   |       |       |   | order=2
-             6000 |   |       |       |   | acked=2",
+            "time | P | B          | C          | S | *
+                0 |   |            | power-loss |   |
+             1500 |   |            | no-witness |   | propose=1
+             1700 |   | power-loss |            |   | acked=1
+             5500 |   |            |            |   | propose=2
+             6000 |   |            |            |   | acked=2",
         );
     }
 }
 
 /// What happens at some moment of a change, to whom, and what has to hold afterwards.
-fn strike_while_a_node_comes_in(strike: impl Fn(&mut World, usize, usize)) {
+fn disturb_while_a_node_joins(disturb: impl Fn(&mut World, usize, usize)) {
     for delay in (0..1500).step_by(25) {
-        let mut settled = Settled::new(delay, 1, ["P", "B", "C"]);
-        settled.names.push(("S", settled.world.add_spare()));
-        let (backup, spare) = (settled.names[1].1, settled.names[3].1);
-        let world = &mut settled.world;
+        let mut cluster = StableCluster::new(delay, 1, ["P", "B", "C"]);
+        cluster.names.push(("S", cluster.world.add_spare()));
+        let (backup, spare) = (cluster.names[1].1, cluster.names[3].1);
+        let world = &mut cluster.world;
         let leader = world.leader().expect("a primary");
-        let order = world.propose(leader);
+        let command = world.propose(leader);
         world.run_for(delay);
-        strike(world, backup, spare);
+        disturb(world, backup, spare);
         world.run_for(1500);
-        serves_again(world);
-        assert!(world.is_acknowledged(order) || delay < 100, "{}", world.trace.join("\n"));
-        world.calm();
-        let is_whole = |world: &World| world.members().len() == world.present().len();
-        assert!(world.run_until(6000, is_whole), "{}", world.trace.join("\n"));
-        serves_again(world);
+        assert_serves_again(world);
+        assert!(world.is_acknowledged(command) || delay < 100, "{}", world.trace.join("\n"));
+        world.heal();
+        let is_complete = |world: &World| world.members().len() == world.present().len();
+        assert!(world.run_until(6000, is_complete), "{}", world.trace.join("\n"));
+        assert_serves_again(world);
     }
 }
 
 #[test]
-fn a_backup_loses_its_disk_at_any_moment_of_letting_a_node_in() {
-    strike_while_a_node_comes_in(|world, backup, _| {
+fn a_backup_loses_its_disk_at_any_moment_of_adding_a_node() {
+    disturb_while_a_node_joins(|world, backup, _| {
         world.kill(backup, true);
         world.wipe(backup);
     });
 }
 
 #[test]
-fn a_backup_is_gone_for_good_at_any_moment_of_letting_a_node_in() {
-    strike_while_a_node_comes_in(|world, backup, _| world.remove(backup));
+fn a_backup_is_gone_for_good_at_any_moment_of_adding_a_node() {
+    disturb_while_a_node_joins(|world, backup, _| world.remove(backup));
 }
 
 #[test]
-fn the_node_that_comes_in_loses_its_disk_at_any_moment() {
-    strike_while_a_node_comes_in(|world, _, spare| {
+fn the_node_that_joins_loses_its_disk_at_any_moment() {
+    disturb_while_a_node_joins(|world, _, spare| {
         world.kill(spare, true);
         world.wipe(spare);
     });
 }
 
 #[test]
-fn the_primary_loses_its_disk_at_any_moment_of_letting_a_node_in() {
-    strike_while_a_node_comes_in(|world, _, _| {
+fn the_primary_loses_its_disk_at_any_moment_of_adding_a_node() {
+    disturb_while_a_node_joins(|world, _, _| {
         let Some(leader) = world.leader() else { return };
         world.kill(leader, true);
         world.wipe(leader);
@@ -139,30 +139,30 @@
 fn another_loss_at_any_moment_after_a_member_is_signalled_to_shut_down() {
     for delay in (0..900).step_by(15) {
         for lost in [0, 1, 3] {
-            let mut settled = with_a_fourth(delay);
-            let (leaving, lost) = (settled.names[2].1, settled.names[lost].1);
-            let world = &mut settled.world;
-            world.stop(leaving);
+            let mut cluster = with_a_fourth(delay);
+            let (shutting_down, lost) = (cluster.names[2].1, cluster.names[lost].1);
+            let world = &mut cluster.world;
+            world.shut_down(shutting_down);
             let end = world.now + delay;
-            if world.run_until(delay, |world| world.may_end(leaving)) {
-                world.remove(leaving);
+            if world.run_until(delay, |world| world.can_exit(shutting_down)) {
+                world.remove(shutting_down);
                 world.run_for(end.saturating_sub(world.now));
             }
             world.remove(lost);
-            if world.is_running(leaving) {
-                let may_end = world.run_until(7000, |world| world.may_end(leaving));
-                assert!(may_end, "{}", world.trace.join("\n"));
-                world.remove(leaving);
+            if world.is_running(shutting_down) {
+                let can_exit = world.run_until(7000, |world| world.can_exit(shutting_down));
+                assert!(can_exit, "{}", world.trace.join("\n"));
+                world.remove(shutting_down);
             }
-            serves_again(world);
+            assert_serves_again(world);
         }
     }
 }
 
 fn started(faults: Faults, seed: u64) -> World {
     let mut world = World::first_start(WorldOptions { seed, faults, ..WorldOptions::default() }, 3, 3);
-    let is_whole = |world: &World| world.members().len() == 3;
-    assert!(world.run_until(6000, is_whole), "{}", world.trace.join("\n"));
+    let is_complete = |world: &World| world.members().len() == 3;
+    assert!(world.run_until(6000, is_complete), "{}", world.trace.join("\n"));
     world.run_for(500);
     world
 }
@@ -181,9 +181,9 @@
     world.run_for(1500);
     world.start(backup);
     world.run_for(delay);
-    world.stop(leader);
+    world.shut_down(leader);
     world.run_for(2000);
-    serves_again(&mut world);
+    assert_serves_again(&mut world);
 }
 
 /// A lost witness is replaced, and in the middle of it the other backup is cut off together with the lost one, which
@@ -198,10 +198,10 @@
     world.run_for(300 + delay);
     for other in [leader, spare] {
         for (from, to) in [(backup, other), (other, backup), (lost, other), (other, lost)] {
-            world.network.cut(from, to);
+            world.network.partition(from, to);
         }
     }
-    world.notice_cuts();
+    world.detect_partitions();
     world.start(lost);
     for _ in 0..30 {
         for machine in [leader, backup] {
@@ -211,9 +211,9 @@
         }
         world.run_for(100);
     }
-    world.calm();
+    world.heal();
     world.run_for(4000);
-    serves_again(&mut world);
+    assert_serves_again(&mut world);
 }
 
 /// Whether an invariant is broken, and not only the service late, with some delay.
--- a/crates/replication/tests/replication/seeded.rs
+++ b/crates/replication/tests/replication/seeded.rs
@@ -1,6 +1,6 @@
 //! Long runs: five machines in five zones and three regions, of which any two may be lost with their disks, and
 //! machines that come in the place of others. The invariants are checked after every event, and every now and then
-//! the troubles end for a while: then an order is acknowledged soon, every machine is let in, and all of them reach
+//! the faults end for a while: then a command is acknowledged soon, every machine is added, and all of them reach
 //! the end of the log.
 //!
 //! The test plays [`RUNS`] runs of [`STEPS`] steps. `SEEDED_RUNS`, `SEEDED_FIRST` and `SEEDED_STEPS` set other
@@ -16,8 +16,8 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::thread;
 
-use crate::deeds::{act, Deed};
 use crate::harness::{NetworkOptions, World, WorldOptions};
+use crate::operations::{perform, Operation};
 
 const RUNS: u64 = 24;
 const STEPS: u64 = 3000;
@@ -27,46 +27,46 @@
 const TOLERATED: usize = 2;
 /// Clocks run up to so many thousandths too fast or too slow.
 const CLOCK_DRIFT: u64 = 30;
-/// How many steps there are between two calm times.
-const STEPS_TO_CALM: u64 = 100;
-/// How soon after the last trouble there is a primary.
-const CALM_MS: u64 = 3000;
-/// How soon it acknowledges an order.
+/// How many steps there are between two fault-free periods.
+const STEPS_TO_RECOVERY: u64 = 100;
+/// How soon after the last fault there is a primary.
+const RECOVERY_MS: u64 = 3000;
+/// How soon it acknowledges a command.
 const ACKNOWLEDGE_MS: u64 = 1000;
 /// How soon after that all machines are members and witnesses.
-const LET_IN_MS: u64 = 8000;
+const JOIN_MS: u64 = 8000;
 /// How soon after that all have applied all that is acknowledged.
 const CATCH_UP_MS: u64 = 1000;
 
-/// How often each deed comes, in shares.
-const DEEDS: [(Deed, u32); 27] = [
-    (Deed::Propose, 20),
-    (Deed::ProposeTwo, 8),
-    (Deed::ProposeAnywhere, 4),
-    (Deed::ProposeAgain, 12),
-    (Deed::Ask, 14),
-    (Deed::Kill, 4),
-    (Deed::PowerLoss, 3),
-    (Deed::Wipe, 4),
-    (Deed::Replace, 2),
-    (Deed::ReplaceLeaving, 2),
-    (Deed::Start, 12),
-    (Deed::StartAll, 3),
-    (Deed::Stop, 2),
-    (Deed::Freeze, 4),
-    (Deed::Wake, 8),
-    (Deed::Slow, 3),
-    (Deed::Hang, 2),
-    (Deed::Full, 2),
-    (Deed::Good, 7),
-    (Deed::CutOff, 3),
-    (Deed::CutOneWay, 3),
-    (Deed::CutPair, 3),
-    (Deed::CutRegion, 2),
-    (Deed::Join, 8),
-    (Deed::RegionPowerLoss, 1),
-    (Deed::WipeRegion, 1),
-    (Deed::KillAll, 1),
+/// How often each operation comes, in shares.
+const OPERATIONS: [(Operation, u32); 27] = [
+    (Operation::Propose, 20),
+    (Operation::ProposeConflicting, 8),
+    (Operation::ProposeAnywhere, 4),
+    (Operation::ProposeAgain, 12),
+    (Operation::Read, 14),
+    (Operation::Kill, 4),
+    (Operation::PowerLoss, 3),
+    (Operation::Wipe, 4),
+    (Operation::Replace, 2),
+    (Operation::ShutDownAndReplace, 2),
+    (Operation::Start, 12),
+    (Operation::StartAll, 3),
+    (Operation::ShutDown, 2),
+    (Operation::Freeze, 4),
+    (Operation::Resume, 8),
+    (Operation::SlowDisk, 3),
+    (Operation::HangDisk, 2),
+    (Operation::FillDisk, 2),
+    (Operation::RepairDisk, 7),
+    (Operation::Isolate, 3),
+    (Operation::IsolateOutbound, 3),
+    (Operation::PartitionPair, 3),
+    (Operation::PartitionRegion, 2),
+    (Operation::HealPartitions, 8),
+    (Operation::RegionPowerLoss, 1),
+    (Operation::WipeRegion, 1),
+    (Operation::KillAll, 1),
 ];
 
 /// What runs have covered.
@@ -75,12 +75,12 @@
     runs: u64,
     steps: u64,
     seconds: u64,
-    orders: u64,
+    commands: u64,
     acknowledged: u64,
-    answers: u64,
+    reads: u64,
     primaries: u64,
     lost_disks: u64,
-    calm_times: u64,
+    recoveries: u64,
 }
 
 impl AddAssign for Coverage {
@@ -88,30 +88,30 @@
         self.runs += other.runs;
         self.steps += other.steps;
         self.seconds += other.seconds;
-        self.orders += other.orders;
+        self.commands += other.commands;
         self.acknowledged += other.acknowledged;
-        self.answers += other.answers;
+        self.reads += other.reads;
         self.primaries += other.primaries;
         self.lost_disks += other.lost_disks;
-        self.calm_times += other.calm_times;
+        self.recoveries += other.recoveries;
     }
 }
 
-fn pick(random: &mut fastrand::Rng) -> Deed {
-    let total: u32 = DEEDS.iter().map(|(_, share)| share).sum();
+fn pick(random: &mut fastrand::Rng) -> Operation {
+    let total: u32 = OPERATIONS.iter().map(|(_, share)| share).sum();
     let mut left = random.u32(0..total);
-    for (deed, share) in DEEDS {
+    for (operation, share) in OPERATIONS {
         if left < share {
-            return deed;
+            return operation;
         }
         left -= share;
     }
-    Deed::Ask
+    Operation::Read
 }
 
 fn start(seed: u64, options: &WorldOptions) -> World {
     let network = if seed.is_multiple_of(2) {
-        NetworkOptions { min_delay: 1, max_delay: 60, lost: 20, doubled: 30, late: 20 }
+        NetworkOptions { min_delay: 1, max_delay: 60, lost: 20, duplicated: 30, delayed: 20 }
     } else {
         NetworkOptions::default()
     };
@@ -121,7 +121,7 @@
         tolerated: TOLERATED,
         tolerated_zones: 1,
         tolerated_regions: 1,
-        tells_zones: true,
+        announces_zones: true,
         clock_drift: CLOCK_DRIFT,
         ..options.clone()
     };
@@ -133,52 +133,52 @@
     let mut random = fastrand::Rng::with_seed(seed);
     let mut world = start(seed, options);
     let network = world.network.options;
-    let mut calm_times = 0;
+    let mut recoveries = 0;
     for step in 1..=steps {
         let longest = [10, 40, 100, 100, 300, 1000][random.usize(0..6)];
         world.run_for(random.u64(0..longest));
         let present = world.present();
         let machine = present[random.usize(0..present.len())];
-        let deed = pick(&mut random);
-        act(&mut world, deed, machine);
-        if step % STEPS_TO_CALM == 0 {
-            check_calm(&mut world);
+        let operation = pick(&mut random);
+        perform(&mut world, operation, machine);
+        if step % STEPS_TO_RECOVERY == 0 {
+            check_recovery(&mut world);
             world.network.options = network;
-            calm_times += 1;
+            recoveries += 1;
         }
     }
     Coverage {
         runs: 1,
         steps,
         seconds: world.now / 1000,
-        orders: world.order_count(),
+        commands: world.command_count(),
         acknowledged: world.checker.acknowledged.len() as u64,
-        answers: world.answers,
+        reads: world.reads,
         primaries: world.checker.epochs() as u64,
         lost_disks: world.lost_count(),
-        calm_times,
+        recoveries,
     }
 }
 
-/// The troubles end: an order is acknowledged soon, everyone is let in, and everyone reaches the log's end.
-fn check_calm(world: &mut World) {
-    world.calm();
-    world.run_for(CALM_MS);
-    let leader = world.leader().expect("a primary after a calm time");
-    let order = world.propose(leader);
-    let acknowledged = world.run_until(ACKNOWLEDGE_MS, |world| world.is_acknowledged(order));
-    assert!(acknowledged, "order {order} is not acknowledged in a calm time");
-    let is_whole = world.run_until(LET_IN_MS, |world| {
+/// The faults end: a command is acknowledged soon, everyone is added, and everyone reaches the log's end.
+fn check_recovery(world: &mut World) {
+    world.heal();
+    world.run_for(RECOVERY_MS);
+    let leader = world.leader().expect("a primary after a fault-free period");
+    let command = world.propose(leader);
+    let acknowledged = world.run_until(ACKNOWLEDGE_MS, |world| world.is_acknowledged(command));
+    assert!(acknowledged, "command {command} is not acknowledged in a fault-free period");
+    let is_complete = world.run_until(JOIN_MS, |world| {
         world.members() == world.present() && world.witnesses() == world.present()
     });
-    assert!(is_whole, "members are {:?}, witnesses {:?}", world.members(), world.witnesses());
-    let leader = world.leader().expect("a primary in a calm time");
+    assert!(is_complete, "members are {:?}, witnesses {:?}", world.members(), world.witnesses());
+    let leader = world.leader().expect("a primary in a fault-free period");
     let end = world.applied_index(leader);
     let all_there =
         |world: &World| world.present().into_iter().all(|machine| world.applied_index(machine) >= end);
     assert!(world.run_until(CATCH_UP_MS, all_there), "a machine does not reach the end of the log");
-    let open = world.open_orders();
-    assert!(open.is_empty(), "the fate of messages {open:?} is not told");
+    let unresolved = world.unresolved_proposals();
+    assert!(unresolved.is_empty(), "the outcome of proposals {unresolved:?} is not reported");
 }
 
 /// What a run says that breaks an invariant.
