--- a/crates/quillpulley/tests/operators/checker.rs
+++ b/crates/quillpulley/tests/operators/checker.rs
@@ -1,33 +1,33 @@
-//! What must hold of all answers, stated once.
+//! What must hold of all responses, stated once.
 
-use super::node::CallId;
-use super::orders::Wish;
+use super::node::RequestId;
+use super::requests::Request;
 use quillpulley::control::response::Response;
 use quillpulley_control_state::ControlState;
 use quillpulley_protocol::Entry;
 use quillpulley_replication::StateMachine;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A call as it was sent.
+/// A request as it was sent.
 #[derive(Clone, Debug)]
-pub struct Operation {
-    pub wish: Wish,
+pub struct SentRequest {
+    pub request: Request,
     pub sent_at: u64,
     /// The newest version that was acknowledged to anybody when it was sent.
     newest: u64,
-    /// Whether a process may still act on it.
+    /// Returns whether a process may still act on it.
     pub open: bool,
 }
 
 /// What is known of a configuration.
 #[derive(Clone, Debug, Default)]
-struct Fate {
+struct Outcome {
     acknowledged: bool,
-    refused: bool,
-    /// It has no open call, and was never answered clearly: the time of the last unclear end.
-    given_up: Option<u64>,
-    /// Another order was answered since, so it must not come into force any more.
-    dead: bool,
+    rejected: bool,
+    /// It has no open request, and got no definite response: when the last one ended.
+    abandoned_at: Option<u64>,
+    /// Another command was answered since, so it must not come into force any more.
+    superseded: bool,
 }
 
 type Change = (u64, Vec<u8>);
@@ -43,47 +43,47 @@
     chain: BTreeMap<u64, Vec<u8>>,
     /// The texts of versions that came into force.
     versions: BTreeMap<u64, Vec<u8>>,
-    fates: BTreeMap<Change, Fate>,
+    outcomes: BTreeMap<Change, Outcome>,
     acknowledged_on: BTreeMap<u64, Vec<u8>>,
     newest_acknowledged: u64,
-    pub calls: Vec<Operation>,
-    /// What the only operator of a zone was told last, with no order of its own under way.
-    promised: BTreeMap<String, bool>,
-    pub answers: BTreeMap<&'static str, usize>,
+    pub sent_requests: Vec<SentRequest>,
+    /// What the only operator of a zone was told last, with no command of its own in flight.
+    confirmed_evacuations: BTreeMap<String, bool>,
+    pub responses: BTreeMap<&'static str, usize>,
 }
 
 impl Checker {
-    pub fn sent(&mut self, now: u64, wish: &Wish) -> CallId {
-        if let Wish::Replace { base, body, .. } = wish {
-            let fate = self.fates.entry((*base, body.clone())).or_default();
-            (fate.given_up, fate.dead) = (None, false);
+    pub fn record_sent(&mut self, now: u64, request: &Request) -> RequestId {
+        if let Request::Replace { base, body, .. } = request {
+            let outcome = self.outcomes.entry((*base, body.clone())).or_default();
+            (outcome.abandoned_at, outcome.superseded) = (None, false);
         }
-        if let Wish::Evacuate { zone, .. } = wish {
-            self.promised.remove(zone);
+        if let Request::Evacuate { zone, .. } = request {
+            self.confirmed_evacuations.remove(zone);
         }
         let newest = self.newest_acknowledged;
-        self.calls.push(Operation { wish: wish.clone(), sent_at: now, newest, open: true });
-        self.calls.len() - 1
+        self.sent_requests.push(SentRequest { request: request.clone(), sent_at: now, newest, open: true });
+        self.sent_requests.len() - 1
     }
 
-    /// Whether a process may still act on an order for the zone.
+    /// Returns whether a process may still act on a command for the zone.
     pub fn has_open_evacuation(&self, wanted: &str) -> bool {
-        let is_open = |call: &Operation| {
-            call.open && matches!(&call.wish, Wish::Evacuate { zone, .. } if zone == wanted)
+        let is_open = |sent: &SentRequest| {
+            sent.open && matches!(&sent.request, Request::Evacuate { zone, .. } if zone == wanted)
         };
-        self.calls.iter().any(is_open)
+        self.sent_requests.iter().any(is_open)
     }
 
-    /// The operator of a zone knows that its order holds.
-    pub fn promise(&mut self, zone: &str, active: bool) {
+    /// The operator of a zone knows that its command holds.
+    pub fn confirm_evacuation(&mut self, zone: &str, active: bool) {
         if !self.has_open_evacuation(zone) {
-            self.promised.insert(zone.to_string(), active);
+            self.confirmed_evacuations.insert(zone.to_string(), active);
             self.check_zones();
         }
     }
 
     /// An entry was applied by some process.
-    pub fn applied(&mut self, index: u64, entry: Option<Entry>) {
+    pub fn record_applied(&mut self, index: u64, entry: Option<Entry>) {
         if index <= self.applied {
             return;
         }
@@ -91,114 +91,121 @@
         self.state.apply(&entry.expect("whoever commits an entry has it on its disk"));
         self.applied = index;
         if self.state.version() != before {
-            self.in_force(before);
+            self.check_activated(before);
         }
         self.check_zones();
     }
 
-    fn in_force(&mut self, base: u64) {
+    fn check_activated(&mut self, base: u64) {
         let version = self.state.version();
         assert!(version > base, "the version goes back");
         let body = self.state.body().expect("a configuration").to_vec();
-        let fate = self.fates.get(&(base, body.clone())).expect("only what was sent comes into force");
-        assert!(!fate.refused, "a refused configuration on {base} came into force");
-        assert!(!fate.dead, "a configuration on {base} came into force after a later order was answered");
+        let outcome = self.outcomes.get(&(base, body.clone())).expect("only what was sent comes into force");
+        assert!(!outcome.rejected, "a rejected configuration on {base} came into force");
+        assert!(
+            !outcome.superseded,
+            "a configuration on {base} came into force after a later command was answered"
+        );
         self.chain.insert(base, body.clone());
         self.versions.insert(version, body);
     }
 
     /// A process shows a state.
-    pub fn shown(&self, state: &ControlState) {
+    pub fn check_shown(&self, state: &ControlState) {
         let known = self.versions.get(&state.version()).map(Vec::as_slice);
-        assert_eq!(known, state.body(), "a state has a version that was never in force");
+        assert_eq!(known, state.body(), "a state has a version that was never active");
     }
 
     /// A call was answered, or its process has ended.
-    pub fn ended(&mut self, now: u64, call: CallId, answer: Option<&Response>) {
-        assert!(std::mem::replace(&mut self.calls[call].open, false), "a call is answered twice");
-        let Operation { wish, newest, sent_at, .. } = self.calls[call].clone();
-        if let Some(answer) = answer {
-            *self.answers.entry(name(answer)).or_default() += 1;
-            self.check_answer(&wish, newest, answer);
-            if !matches!(answer, Response::Unavailable | Response::Redirect(_)) && wish != Wish::Read {
-                self.bury(sent_at);
+    pub fn record_response(&mut self, now: u64, id: RequestId, response: Option<&Response>) {
+        assert!(std::mem::replace(&mut self.sent_requests[id].open, false), "a request is answered twice");
+        let SentRequest { request, newest, sent_at, .. } = self.sent_requests[id].clone();
+        if let Some(response) = response {
+            *self.responses.entry(name(response)).or_default() += 1;
+            self.check_response(&request, newest, response);
+            if !matches!(response, Response::Unavailable | Response::Redirect(_)) && request != Request::Read
+            {
+                self.supersede_abandoned(sent_at);
             }
         }
-        if let Wish::Replace { base, body, .. } = &wish {
-            self.note_end(now, &wish, (*base, body.clone()));
+        if let Request::Replace { base, body, .. } = &request {
+            self.record_end(now, &request, (*base, body.clone()));
         }
     }
 
-    fn check_answer(&mut self, wish: &Wish, newest: u64, answer: &Response) {
-        match (wish, answer) {
+    fn check_response(&mut self, request: &Request, newest: u64, response: &Response) {
+        match (request, response) {
             (_, Response::Unavailable | Response::Redirect(_)) => {}
-            (Wish::Replace { base, version, body, valid }, Response::Acknowledged) => {
+            (Request::Replace { base, version, body, valid }, Response::Acknowledged) => {
                 assert!(*valid, "an invalid configuration on {base} is acknowledged");
                 self.acknowledge(*base, *version, body);
             }
-            (Wish::Replace { base, body, .. }, Response::Conflict { current }) => {
-                assert!(*current >= newest, "refused for version {current}, older than {newest}");
-                self.refuse(*base, body);
+            (Request::Replace { base, body, .. }, Response::Conflict { current }) => {
+                assert!(*current >= newest, "rejected for version {current}, older than {newest}");
+                self.reject(*base, body);
             }
-            (Wish::Replace { base, body, valid, .. }, Response::Invalid(why)) => {
-                assert!(!valid, "a valid configuration on {base} is refused: {why}");
-                self.refuse(*base, body);
+            (Request::Replace { base, body, valid, .. }, Response::Invalid(why)) => {
+                assert!(!valid, "a valid configuration on {base} is rejected: {why}");
+                self.reject(*base, body);
             }
-            (Wish::Evacuate { zone, active }, Response::Acknowledged) => {
-                assert_eq!(self.state.is_evacuated(zone), *active, "an evacuation of {zone} is not in force");
+            (Request::Evacuate { zone, active }, Response::Acknowledged) => {
+                assert_eq!(self.state.is_evacuated(zone), *active, "an evacuation of {zone} is not active");
             }
-            (Wish::Read, Response::NoConfiguration) => {
+            (Request::Read, Response::NoConfiguration) => {
                 assert_eq!(newest, 0, "a read misses version {newest}")
             }
-            (Wish::Read, Response::Configuration(body)) => {
+            (Request::Read, Response::Configuration(body)) => {
                 let found = self.versions.iter().rev().find(|(_, known)| known[..] == body[..]);
-                let (version, _) = found.expect("what is read was in force");
+                let (version, _) = found.expect("what is read was active");
                 assert!(*version >= newest, "a read of version {version} is older than {newest}");
             }
-            (_, answer) => panic!("{answer:?} is no answer to what was asked"),
+            (_, response) => panic!("{response:?} is no response to what was asked"),
         }
     }
 
     fn acknowledge(&mut self, base: u64, version: u64, body: &[u8]) {
         let winner = self.acknowledged_on.entry(base).or_insert_with(|| body.to_vec());
         assert_eq!(winner, body, "two configurations on {base} are acknowledged");
-        assert!(self.chain.get(&base).is_some_and(|taken| taken == body), "not in force, but acknowledged");
-        let fate = self.fates.entry((base, body.to_vec())).or_default();
-        assert!(!fate.refused, "a refused configuration on {base} is acknowledged");
-        fate.acknowledged = true;
+        assert!(
+            self.chain.get(&base).is_some_and(|accepted| accepted == body),
+            "not active, but acknowledged"
+        );
+        let outcome = self.outcomes.entry((base, body.to_vec())).or_default();
+        assert!(!outcome.rejected, "a rejected configuration on {base} is acknowledged");
+        outcome.acknowledged = true;
         self.newest_acknowledged = self.newest_acknowledged.max(version);
     }
 
-    fn refuse(&mut self, base: u64, body: &[u8]) {
-        let taken = self.chain.get(&base).is_some_and(|taken| taken == body);
-        assert!(!taken, "a configuration on {base} that was taken is refused");
-        self.fates.entry((base, body.to_vec())).or_default().refused = true;
+    fn reject(&mut self, base: u64, body: &[u8]) {
+        let accepted = self.chain.get(&base).is_some_and(|accepted| accepted == body);
+        assert!(!accepted, "a configuration on {base} that was accepted is rejected");
+        self.outcomes.entry((base, body.to_vec())).or_default().rejected = true;
     }
 
-    /// A configuration that got no clear answer, and of which no call is under way, counts as given up.
-    fn note_end(&mut self, now: u64, wish: &Wish, change: Change) {
-        if self.calls.iter().any(|call| call.open && call.wish == *wish) {
+    /// A configuration that got no definite response, and of which no request is in flight, counts as abandoned.
+    fn record_end(&mut self, now: u64, request: &Request, change: Change) {
+        if self.sent_requests.iter().any(|sent| sent.open && sent.request == *request) {
             return;
         }
-        let fate = self.fates.entry(change).or_default();
-        if !fate.acknowledged && !fate.refused {
-            fate.given_up = Some(now);
+        let outcome = self.outcomes.entry(change).or_default();
+        if !outcome.acknowledged && !outcome.rejected {
+            outcome.abandoned_at = Some(now);
         }
     }
 
-    /// An order that was sent at `sent_at` was answered: what was given up before that, and is not in force, must
+    /// A command that was sent at `sent_at` was answered: what was abandoned before that, and is not active, must
     /// not come into force any more unless it is sent again.
-    fn bury(&mut self, sent_at: u64) {
-        for ((base, body), fate) in &mut self.fates {
-            let in_force = self.chain.get(base).is_some_and(|taken| taken == body);
-            fate.dead = !in_force && fate.given_up.is_some_and(|at| at < sent_at);
+    fn supersede_abandoned(&mut self, sent_at: u64) {
+        for ((base, body), outcome) in &mut self.outcomes {
+            let is_active = self.chain.get(base).is_some_and(|accepted| accepted == body);
+            outcome.superseded = !is_active && outcome.abandoned_at.is_some_and(|at| at < sent_at);
         }
     }
 
     fn check_zones(&self) {
-        for (zone, active) in &self.promised {
+        for (zone, active) in &self.confirmed_evacuations {
             let is = self.state.is_evacuated(zone);
-            assert_eq!(is, *active, "the evacuation of {zone} changed without an order");
+            assert_eq!(is, *active, "the evacuation of {zone} changed without a command");
         }
     }
 
@@ -219,14 +226,14 @@
     }
 }
 
-fn name(answer: &Response) -> &'static str {
-    match answer {
-        Response::Acknowledged => "done",
+fn name(response: &Response) -> &'static str {
+    match response {
+        Response::Acknowledged => "acknowledged",
         Response::Conflict { .. } => "conflict",
         Response::Invalid(_) => "invalid",
         Response::Redirect(_) => "redirect",
-        Response::Unavailable => "unclear",
-        Response::HistoryExpired { .. } => "forgotten",
+        Response::Unavailable => "unavailable",
+        Response::HistoryExpired { .. } => "expired",
         Response::Configuration(_) | Response::NoConfiguration | Response::Status(_) => "read",
     }
 }
--- a/crates/quillpulley/tests/operators/faults.rs
+++ b/crates/quillpulley/tests/operators/faults.rs
@@ -3,7 +3,7 @@
 use super::disk::{DiskImage, DiskMode};
 use super::network::NetworkOptions;
 use super::node::{Input, Node};
-use super::world::{address, zone, Happening, World};
+use super::world::{address, zone, ScheduledEvent, World};
 use quillpulley_protocol::NodeId;
 use quillpulley_replication::{Event, FaultTolerance, Locality, Options, Role};
 
@@ -27,14 +27,14 @@
             ..Options::default()
         };
         slot.node = Some(Node::new(options, slot.disk.recovered(), self.fault));
-        slot.life += 1;
+        slot.process += 1;
         slot.started_at = self.now;
         slot.frozen = false;
-        let life = slot.life;
-        self.plan(1, Happening::Tick { machine, life });
+        let process = slot.process;
+        self.schedule(1, ScheduledEvent::Tick { machine, process });
     }
 
-    /// Ends the process, with any part of the write under way on its disk.
+    /// Ends the process, with any part of the write in flight on its disk.
     pub fn kill(&mut self, machine: usize) {
         let torn = self.random.usize(0..4);
         let slot = &mut self.machines[machine];
@@ -46,10 +46,10 @@
         }
         slot.connections.clear();
         slot.broken_since.clear();
-        slot.held.clear();
-        for call in 0..self.handle_request.len() {
-            if self.handle_request[call] == machine && self.checker.calls[call].open {
-                self.end_call(call, None);
+        slot.buffered.clear();
+        for id in 0..self.target_machines.len() {
+            if self.target_machines[id] == machine && self.checker.sent_requests[id].open {
+                self.complete_request(id, None);
             }
         }
     }
@@ -60,7 +60,7 @@
         let incarnation = self.random.u64(1..);
         let slot = &mut self.machines[machine];
         slot.disk = DiskImage::default();
-        slot.mode = DiskMode::Good;
+        slot.mode = DiskMode::Healthy;
         slot.id.incarnation = incarnation;
         slot.bootstrap = false;
     }
@@ -69,33 +69,33 @@
         self.machines[machine].frozen = true;
     }
 
-    pub fn wake(&mut self, machine: usize) {
+    pub fn resume(&mut self, machine: usize) {
         self.machines[machine].frozen = false;
-        while let Some(input) = self.machines[machine].held.pop_front() {
+        while let Some(input) = self.machines[machine].buffered.pop_front() {
             self.handle(machine, input);
         }
     }
 
-    pub fn stop(&mut self, machine: usize) {
+    pub fn shut_down(&mut self, machine: usize) {
         self.handle(machine, Input::Event(Event::Shutdown));
     }
 
     pub fn set_disk(&mut self, machine: usize, mode: DiskMode) {
         let slot = &mut self.machines[machine];
         slot.mode = mode;
-        let life = slot.life;
+        let process = slot.process;
         let waiting = slot.write.as_ref().map(|(ticket, _)| *ticket);
         if let (Some(ticket), true) = (waiting, mode != DiskMode::Hangs) {
-            self.plan(2, Happening::WriteCompletion { machine, life, ticket });
+            self.schedule(2, ScheduledEvent::WriteDone { machine, process, ticket });
         }
     }
 
     /// Cuts a machine off from all others; one-way, only what it sends is lost.
-    pub fn cut_off(&mut self, machine: usize, both: bool) {
+    pub fn isolate(&mut self, machine: usize, both: bool) {
         for other in (0..self.machines.len()).filter(|other| *other != machine) {
-            self.network.cut(machine, other);
+            self.network.partition(machine, other);
             if both {
-                self.network.cut(other, machine);
+                self.network.partition(other, machine);
             }
         }
     }
@@ -111,27 +111,27 @@
         (0..self.machines.len()).find(is_leader)
     }
 
-    /// Whether every machine runs, is a member and a witness, so that one may lose its disk.
-    pub fn is_whole(&self) -> bool {
+    /// Returns whether every machine runs, is a member and a witness, so that one may lose its disk.
+    pub fn is_complete(&self) -> bool {
         let Some(node) = self.leader().and_then(|leader| self.machines[leader].node.as_ref()) else {
             return false;
         };
         let Some(view) = node.replica.view() else { return false };
-        let is_in =
+        let is_included =
             |id: &NodeId| (view.primary == *id || view.backups.contains(id)) && view.witnesses.contains(id);
-        let all = self.machines.iter().all(|machine| machine.node.is_some() && is_in(&machine.id));
+        let all = self.machines.iter().all(|machine| machine.node.is_some() && is_included(&machine.id));
         all && view.activated && view.witnesses.len() == self.machines.len()
     }
 
-    /// Ends all troubles.
-    pub fn calm(&mut self) {
-        self.network.join_all();
+    /// Ends all faults.
+    pub fn heal(&mut self) {
+        self.network.heal_all();
         self.network.options = NetworkOptions::default();
-        self.lost_answers = 0;
+        self.lost_responses = 0;
         for machine in 0..self.machines.len() {
-            self.set_disk(machine, DiskMode::Good);
+            self.set_disk(machine, DiskMode::Healthy);
             if self.machines[machine].frozen {
-                self.wake(machine);
+                self.resume(machine);
             }
             let now = self.local(machine);
             let role = self.machines[machine].node.as_ref().map(|node| node.replica.role(now));
--- a/crates/quillpulley/tests/operators/broken.rs
+++ b/crates/quillpulley/tests/operators/injected_faults.rs
@@ -4,38 +4,38 @@
 use super::random::play;
 use std::panic::catch_unwind;
 
-const DAYS: u64 = 1500;
+const RUNS: u64 = 1500;
 
-/// What the first day that breaks a claim about answers says.
+/// What the first run that breaks a claim about responses says.
 fn first_failure(fault: Fault, expected: &[&str]) -> Option<String> {
-    (0..DAYS).find_map(|seed| {
+    (0..RUNS).find_map(|seed| {
         let panic = catch_unwind(|| drop(play(seed, 3, fault))).err()?;
         let text = panic.downcast_ref::<String>().cloned();
         let message =
             text.unwrap_or_else(|| panic.downcast_ref::<&str>().copied().unwrap_or_default().into());
-        println!("{fault:?}, day {seed}: {message}");
+        println!("{fault:?}, run {seed}: {message}");
         expected.iter().any(|words| message.contains(words)).then_some(message)
     })
 }
 
 #[test]
 fn commands_decided_without_the_lease_are_caught() {
-    let expected = ["is older than", "older than", "is refused", "came into force"];
+    let expected = ["is older than", "older than", "is rejected", "came into force"];
     assert!(first_failure(Fault::NoLease, &expected).is_some());
 }
 
 #[test]
 fn commands_decided_beside_open_ones_are_caught() {
-    let expected = ["after a later order was answered", "changed without an order"];
-    assert!(first_failure(Fault::OpenOrders, &expected).is_some());
+    let expected = ["after a later command was answered", "changed without a command"];
+    assert!(first_failure(Fault::BesideUnresolved, &expected).is_some());
 }
 
 #[test]
 fn commands_that_overlap_are_caught() {
-    assert!(first_failure(Fault::Overlapping, &["are acknowledged", "not in force"]).is_some());
+    assert!(first_failure(Fault::Overlapping, &["are acknowledged", "not active"]).is_some());
 }
 
 #[test]
 fn snapshots_without_the_history_are_caught() {
-    assert!(first_failure(Fault::NoHistory, &["that was taken is refused"]).is_some());
+    assert!(first_failure(Fault::NoHistory, &["that was accepted is rejected"]).is_some());
 }
--- a/crates/quillpulley/tests/operators/main.rs
+++ b/crates/quillpulley/tests/operators/main.rs
@@ -1,7 +1,7 @@
 //! Operators against core processes in virtual time.
 //!
-//! Replicas of the control state, each with the queue of orders that the host gives it, on simulated disks and a
-//! simulated network. Several operators race for the same versions, lose answers and send again. After every step
+//! Replicas of the control state, each with the queue of commands that the host gives it, on simulated disks and a
+//! simulated network. Several operators race for the same versions, lose responses and send again. After every step
 //! it is checked that nobody was told what does not hold.
 
 #[path = "../../../replication/tests/replication/harness/disk.rs"]
@@ -11,12 +11,12 @@
 #[allow(dead_code)]
 mod network;
 
-mod broken;
 mod checker;
 mod faults;
+mod injected_faults;
 mod node;
 mod operator;
-mod orders;
 mod random;
+mod requests;
 mod scenarios;
 mod world;
--- a/crates/quillpulley/tests/operators/node.rs
+++ b/crates/quillpulley/tests/operators/node.rs
@@ -1,4 +1,4 @@
-//! One core process: a replica and the orders of operators, put together as the host does it.
+//! One core process: a replica and the commands of operators, put together as the host does it.
 
 use quillpulley::control::commands::{Command, CommandQueue};
 use quillpulley::control::response::Response;
@@ -11,20 +11,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-pub type CallId = usize;
+pub type RequestId = usize;
 
 /// Deliberate faults, each of which the checks have to catch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
     #[default]
     None,
-    /// Orders are decided and read answered without a look at the lease.
+    /// Commands are decided and read answered without a lease check.
     NoLease,
-    /// Orders are decided although the log has some that are not applied.
-    OpenOrders,
-    /// An order is decided while another is under way, and acknowledged once its entry is committed.
+    /// Commands are decided although the log has some that are not applied.
+    BesideUnresolved,
+    /// A command is decided while another is in flight, and acknowledged once its entry is committed.
     Overlapping,
-    /// The configurations taken before are not in snapshots.
+    /// The configurations accepted before are not in snapshots.
     NoHistory,
 }
 
@@ -32,8 +32,8 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     Event(Event),
-    Command(CallId, Command),
-    Read(CallId),
+    Command(RequestId, Command),
+    Read(RequestId),
 }
 
 /// What a process does.
@@ -46,21 +46,21 @@
         index: u64,
         entry: Option<Entry>,
     },
-    Response(CallId, Response),
+    Response(RequestId, Response),
 }
 
 pub struct Node {
     me: NodeId,
     fault: Fault,
     pub replica: Replica<ControlState>,
-    orders: CommandQueue<CallId>,
+    commands: CommandQueue<RequestId>,
     is_leader: bool,
-    /// Whether it was the primary, with the lease or without, when that was last looked at.
+    /// Returns whether it was the primary, with the lease or without, when that was last looked at.
     was_primary: bool,
-    /// The entries that it has taken, by index.
+    /// The entries that it has accepted, by index.
     log: BTreeMap<u64, Entry>,
-    /// Orders under way where they overlap.
-    overlapping: BTreeMap<u64, CallId>,
+    /// Commands in flight where they overlap.
+    overlapping: BTreeMap<u64, RequestId>,
     outputs: Vec<Output>,
 }
 
@@ -73,7 +73,7 @@
             me,
             fault,
             replica: replica.expect("a sound disk"),
-            orders: CommandQueue::default(),
+            commands: CommandQueue::default(),
             is_leader: false,
             was_primary: false,
             log,
@@ -89,17 +89,17 @@
                 self.replicate(now, event);
                 if ticks {
                     self.update_leadership(now);
-                    self.orders.expire(now);
+                    self.commands.expire(now);
                 }
             }
-            Input::Command(call, order) => self.ordered(now, call, order),
-            Input::Read(call) => {
+            Input::Command(id, command) => self.handle_command(now, id, command),
+            Input::Read(id) => {
                 self.update_leadership(now);
-                let answer = if self.is_leader { self.configuration() } else { self.redirect(now) };
-                self.outputs.push(Output::Response(call, answer));
+                let response = if self.is_leader { self.configuration() } else { self.redirect(now) };
+                self.outputs.push(Output::Response(id, response));
             }
         }
-        self.settle(now);
+        self.advance(now);
         std::mem::take(&mut self.outputs)
     }
 
@@ -107,15 +107,15 @@
         self.replica.holds_lease(now)
     }
 
-    fn ordered(&mut self, now: Duration, call: CallId, order: Command) {
+    fn handle_command(&mut self, now: Duration, id: RequestId, command: Command) {
         self.update_leadership(now);
         if !self.is_leader {
-            let answer = self.redirect(now);
-            self.outputs.push(Output::Response(call, answer));
+            let response = self.redirect(now);
+            self.outputs.push(Output::Response(id, response));
         } else if self.fault == Fault::Overlapping {
-            self.decide_at_once(now, call, &order);
+            self.decide_at_once(now, id, &command);
         } else {
-            self.orders.push(now, order, call);
+            self.commands.push(now, command, id);
         }
     }
 
@@ -139,27 +139,29 @@
             self.holds_lease(now)
         };
         if self.is_leader && !is_leader {
-            let answer = self.redirect(now);
-            self.orders.abandon(&answer);
+            let response = self.redirect(now);
+            self.commands.abandon(&response);
         }
         self.is_leader = is_leader;
     }
 
-    fn settle(&mut self, now: Duration) {
+    fn advance(&mut self, now: Duration) {
         self.update_leadership(now);
         while let Some(proposal) = self.next_proposal(now) {
             self.replicate(now, Event::Propose { proposal: proposal.number, payload: proposal.payload });
         }
-        let answers = self.orders.take_responses();
-        self.outputs.extend(answers.into_iter().map(|(call, answer)| Output::Response(call, answer)));
+        let responses = self.commands.take_responses();
+        self.outputs.extend(responses.into_iter().map(|(id, response)| Output::Response(id, response)));
     }
 
     fn next_proposal(&mut self, now: Duration) -> Option<quillpulley::control::commands::Proposal> {
         match self.fault {
-            Fault::NoLease if self.is_leader => self.orders.next_proposal(self.replica.state()),
-            Fault::OpenOrders if self.holds_lease(now) => self.orders.next_proposal(self.replica.state()),
-            Fault::NoLease | Fault::OpenOrders => None,
-            _ if self.holds_lease(now) => self.orders.next_for(&self.replica),
+            Fault::NoLease if self.is_leader => self.commands.next_proposal(self.replica.state()),
+            Fault::BesideUnresolved if self.holds_lease(now) => {
+                self.commands.next_proposal(self.replica.state())
+            }
+            Fault::NoLease | Fault::BesideUnresolved => None,
+            _ if self.holds_lease(now) => self.commands.next_for(&self.replica),
             _ => None,
         }
     }
@@ -174,10 +176,10 @@
 
     fn perform(&mut self, now: Duration, action: Action) {
         match action {
-            Action::Send { to, body } => self.outputs.push(Output::Send(to, self.spoil_body(body))),
+            Action::Send { to, body } => self.outputs.push(Output::Send(to, self.corrupt_body(body))),
             Action::Store { ticket, write } => {
-                self.note_entries(&write);
-                let write = self.spoil_write(write);
+                self.record_entries(&write);
+                let write = self.corrupt_write(write);
                 self.outputs.push(Output::Store(ticket, write));
             }
             Action::Applied { index } => {
@@ -186,21 +188,21 @@
             }
             Action::Committed { proposal } => {
                 let holds_lease = self.holds_lease(now);
-                self.orders.committed(proposal, self.replica.state(), holds_lease);
+                self.commands.committed(proposal, self.replica.state(), holds_lease);
                 let overlapping = self.overlapping.remove(&proposal);
-                self.outputs.extend(overlapping.map(|call| Output::Response(call, Response::Acknowledged)));
+                self.outputs.extend(overlapping.map(|id| Output::Response(id, Response::Acknowledged)));
             }
             Action::Rejected { proposal, .. } => {
-                self.orders.failed(proposal);
+                self.commands.failed(proposal);
                 let overlapping = self.overlapping.remove(&proposal);
-                self.outputs.extend(overlapping.map(|call| Output::Response(call, Response::Unavailable)));
+                self.outputs.extend(overlapping.map(|id| Output::Response(id, Response::Unavailable)));
             }
             Action::RoleChanged(_) => {}
         }
     }
 
     /// Keeps the entries, which are named by their index only when they are applied.
-    fn note_entries(&mut self, write: &Write) {
+    fn record_entries(&mut self, write: &Write) {
         let (Write::Append(entries) | Write::Install { entries, .. }) = write else { return };
         self.log.extend(entries.iter().map(|entry| (entry.index, entry.clone())));
     }
@@ -217,10 +219,10 @@
         })
     }
 
-    /// What the fault with overlapping orders does with one.
-    fn decide_at_once(&mut self, now: Duration, call: CallId, order: &Command) {
+    /// What the fault with overlapping commands does with one.
+    fn decide_at_once(&mut self, now: Duration, id: RequestId, command: &Command) {
         let state = self.replica.state();
-        let decision = match order {
+        let decision = match command {
             Command::Replace { base, body } => match state.decide_replace(*base, body) {
                 ReplaceDecision::Propose(payload) => Err(payload),
                 ReplaceDecision::AlreadyApplied => Ok(Response::Acknowledged),
@@ -234,40 +236,40 @@
             },
         };
         match decision {
-            Ok(answer) => self.outputs.push(Output::Response(call, answer)),
+            Ok(response) => self.outputs.push(Output::Response(id, response)),
             Err(payload) => {
-                let name = call as u64 + 1;
-                self.overlapping.insert(name, call);
+                let name = id as u64 + 1;
+                self.overlapping.insert(name, id);
                 self.replicate(now, Event::Propose { proposal: name, payload });
             }
         }
     }
 
-    fn spoil_write(&self, write: Write) -> Write {
+    fn corrupt_write(&self, write: Write) -> Write {
         match write {
             Write::Install { last, snapshot, entries } => {
-                Write::Install { last, snapshot: self.spoil(snapshot), entries }
+                Write::Install { last, snapshot: self.corrupt(snapshot), entries }
             }
-            Write::Compact { last, snapshot } => Write::Compact { last, snapshot: self.spoil(snapshot) },
+            Write::Compact { last, snapshot } => Write::Compact { last, snapshot: self.corrupt(snapshot) },
             other => other,
         }
     }
 
-    fn spoil_body(&self, body: Body) -> Body {
+    fn corrupt_body(&self, body: Body) -> Body {
         match body {
             Body::Install(mut install) => {
-                install.snapshot = self.spoil(install.snapshot);
+                install.snapshot = self.corrupt(install.snapshot);
                 Body::Install(install)
             }
             Body::StateTransfer(mut transfer) => {
-                transfer.snapshot = self.spoil(transfer.snapshot);
+                transfer.snapshot = self.corrupt(transfer.snapshot);
                 Body::StateTransfer(transfer)
             }
             other => other,
         }
     }
 
-    fn spoil(&self, snapshot: Vec<u8>) -> Vec<u8> {
+    fn corrupt(&self, snapshot: Vec<u8>) -> Vec<u8> {
         if self.fault != Fault::NoHistory {
             return snapshot;
         }
--- a/crates/quillpulley/tests/operators/operator.rs
+++ b/crates/quillpulley/tests/operators/operator.rs
@@ -1,23 +1,23 @@
-//! An operator: sends one order after the other, each unchanged until it has a clear answer or is given up.
+//! An operator: sends one command after the other, each unchanged until it has a definite response or is abandoned.
 
-use super::node::CallId;
-use super::orders::{Wish, INVALID_KINDS};
+use super::node::RequestId;
+use super::requests::{Request, INVALID_KINDS};
 use super::world::{address, World};
 use quillpulley::control::response::Response;
 use std::net::IpAddr;
 
-/// How long an operator waits for an answer before it sends again.
-const PATIENCE_MS: u64 = 1000;
-const LONGEST_PAUSE_MS: u64 = 200;
-const MOST_REDIRECTS: usize = 2;
-/// Orders are given up after so many sends, one in so many times.
-const SENDS_BEFORE_GIVING_UP: usize = 3;
+/// How long an operator waits for a response before it sends again.
+const RESPONSE_TIMEOUT_MS: u64 = 1000;
+const MAX_BACKOFF_MS: u64 = 200;
+const MAX_REDIRECTS: usize = 2;
+/// Commands may be abandoned after so many sends.
+const SENDS_BEFORE_ABANDONING: usize = 3;
 
-/// An order that an operator tries to get through.
+/// A command that an operator tries to get through.
 #[derive(Clone, Debug)]
-struct Work {
-    wish: Wish,
-    call: Option<(CallId, u64)>,
+struct PendingRequest {
+    request: Request,
+    sent: Option<(RequestId, u64)>,
     redirects: usize,
     sends: usize,
     next_at: u64,
@@ -25,131 +25,140 @@
 
 pub struct Operator {
     number: usize,
-    work: Option<Work>,
-    /// The version that it believes in force.
-    known: u64,
+    pending: Option<PendingRequest>,
+    /// The version that it believes active.
+    known_version: u64,
     /// Its zone, and whether it wants it evacuated next.
     evacuates_next: bool,
-    /// Orders that it may send again at any time.
-    past: Vec<Wish>,
-    pub ended: usize,
+    /// Commands that it may send again at any time.
+    past: Vec<Request>,
+    pub completed: usize,
     /// It begins nothing new.
-    pub retired: bool,
+    pub is_stopped: bool,
 }
 
 impl Operator {
     pub fn new(number: usize) -> Self {
         Operator {
             number,
-            work: None,
-            known: 0,
+            pending: None,
+            known_version: 0,
             evacuates_next: true,
             past: Vec::new(),
-            ended: 0,
-            retired: false,
+            completed: 0,
+            is_stopped: false,
         }
     }
 
     pub fn is_idle(&self) -> bool {
-        self.work.is_none()
+        self.pending.is_none()
     }
 
     pub fn poll(&mut self, world: &mut World) {
-        let Some(mut work) = self.work.take().or_else(|| self.begin(world)) else { return };
-        if let Some((call, sent_at)) = work.call {
-            match world.answer(call).cloned() {
-                Some(answer) => {
-                    work.call = None;
-                    if self.take_answer(world, &mut work, answer) {
+        let Some(mut pending) = self.pending.take().or_else(|| self.begin(world)) else { return };
+        if let Some((id, sent_at)) = pending.sent {
+            match world.response_to(id).cloned() {
+                Some(response) => {
+                    pending.sent = None;
+                    if self.handle_response(world, &mut pending, response) {
                         return;
                     }
                 }
-                None if world.now > sent_at + PATIENCE_MS => work.call = None,
+                None if world.now > sent_at + RESPONSE_TIMEOUT_MS => pending.sent = None,
                 None => {}
             }
-            work.next_at = work.next_at.max(world.now);
-        } else if world.now >= work.next_at {
-            if work.sends > SENDS_BEFORE_GIVING_UP && !self.retired && world.random.usize(0..4) == 0 {
-                self.ended += 1;
+            pending.next_at = pending.next_at.max(world.now);
+        } else if world.now >= pending.next_at {
+            if pending.sends > SENDS_BEFORE_ABANDONING && !self.is_stopped && world.random.usize(0..4) == 0 {
+                self.completed += 1;
                 return;
             }
             let machine = world.random.usize(0..world.machines.len());
-            send(world, &mut work, machine);
+            send(world, &mut pending, machine);
         }
-        self.work = Some(work);
+        self.pending = Some(pending);
     }
 
-    /// Handles an answer; says whether the work is done.
-    fn take_answer(&mut self, world: &mut World, work: &mut Work, answer: Option<Response>) -> bool {
-        match answer {
-            Some(Response::Redirect(to)) if work.redirects < MOST_REDIRECTS => {
-                work.redirects += 1;
+    /// Handles a response; returns whether the request is complete.
+    fn handle_response(
+        &mut self,
+        world: &mut World,
+        pending: &mut PendingRequest,
+        response: Option<Response>,
+    ) -> bool {
+        match response {
+            Some(Response::Redirect(to)) if pending.redirects < MAX_REDIRECTS => {
+                pending.redirects += 1;
                 let found =
                     (0..world.machines.len()).find(|machine| IpAddr::V4(address(*machine)) == to.ip());
-                send(world, work, found.expect("a redirect to a machine that there is"));
+                send(world, pending, found.expect("a redirect to a machine that there is"));
                 false
             }
             None | Some(Response::Redirect(_) | Response::Unavailable | Response::HistoryExpired { .. }) => {
-                work.redirects = 0;
-                work.next_at = world.now + world.random.u64(1..LONGEST_PAUSE_MS);
+                pending.redirects = 0;
+                pending.next_at = world.now + world.random.u64(1..MAX_BACKOFF_MS);
                 false
             }
-            Some(answer) => {
-                self.learn(world, &work.wish, &answer);
-                self.ended += 1;
+            Some(response) => {
+                self.learn(world, &pending.request, &response);
+                self.completed += 1;
                 true
             }
         }
     }
 
-    fn learn(&mut self, world: &mut World, wish: &Wish, answer: &Response) {
-        match (wish, answer) {
-            (Wish::Replace { version, .. }, Response::Acknowledged) => self.known = self.known.max(*version),
-            (_, Response::Conflict { current }) => self.known = *current,
-            (Wish::Evacuate { zone, active }, Response::Acknowledged) => world.checker.promise(zone, *active),
-            (Wish::Read, Response::Configuration(_)) => {
-                self.known = world.checker.recent_versions().last().copied().unwrap_or(0);
+    fn learn(&mut self, world: &mut World, request: &Request, response: &Response) {
+        match (request, response) {
+            (Request::Replace { version, .. }, Response::Acknowledged) => {
+                self.known_version = self.known_version.max(*version)
+            }
+            (_, Response::Conflict { current }) => self.known_version = *current,
+            (Request::Evacuate { zone, active }, Response::Acknowledged) => {
+                world.checker.confirm_evacuation(zone, *active)
+            }
+            (Request::Read, Response::Configuration(_)) => {
+                self.known_version = world.checker.recent_versions().last().copied().unwrap_or(0);
             }
             _ => {}
         }
-        if *wish != Wish::Read && !matches!(wish, Wish::Evacuate { .. }) {
-            self.past.push(wish.clone());
+        if *request != Request::Read && !matches!(request, Request::Evacuate { .. }) {
+            self.past.push(request.clone());
         }
     }
 
     /// What to do next. Few marks and versions are in use, so that operators often meet.
-    fn begin(&mut self, world: &mut World) -> Option<Work> {
-        if self.retired || world.random.usize(0..4) == 0 {
+    fn begin(&mut self, world: &mut World) -> Option<PendingRequest> {
+        if self.is_stopped || world.random.usize(0..4) == 0 {
             return None;
         }
-        let wish = match world.random.usize(0..20) {
+        let request = match world.random.usize(0..20) {
             0..=9 => {
                 let mark = ["a", "b", "c"][world.random.usize(0..3)];
-                Wish::valid(self.known, self.known + world.random.u64(1..3), mark)
+                Request::valid(self.known_version, self.known_version + world.random.u64(1..3), mark)
             }
-            10 => Wish::invalid(self.known, world.random.usize(0..INVALID_KINDS)),
-            11 => Wish::valid(self.known.saturating_sub(1), self.known + 1, "late"),
+            10 => Request::invalid(self.known_version, world.random.usize(0..INVALID_KINDS)),
+            11 => Request::valid(self.known_version.saturating_sub(1), self.known_version + 1, "late"),
             12..=14 => self.past.get(world.random.usize(0..self.past.len().max(1))).cloned()?,
             15..=16 => self.evacuation(world)?,
-            _ => Wish::Read,
+            _ => Request::Read,
         };
-        Some(Work { wish, call: None, redirects: 0, sends: 0, next_at: world.now })
+        Some(PendingRequest { request, sent: None, redirects: 0, sends: 0, next_at: world.now })
     }
 
-    /// Its own zone, evacuated and taken back in turn; nothing while an older order for it may still arrive.
-    fn evacuation(&mut self, world: &World) -> Option<Wish> {
+    /// Its own zone, evacuated and restored in turn; nothing while an older command for it may still arrive.
+    fn evacuation(&mut self, world: &World) -> Option<Request> {
         let zone = format!("z{}", self.number);
         if world.checker.has_open_evacuation(&zone) {
             return None;
         }
         let active = self.evacuates_next;
         self.evacuates_next = !active;
-        Some(Wish::Evacuate { zone, active })
+        Some(Request::Evacuate { zone, active })
     }
 }
 
-fn send(world: &mut World, work: &mut Work, machine: usize) {
-    work.sends += 1;
-    let call = world.call(machine, &work.wish);
-    work.call = Some((call, world.now));
+fn send(world: &mut World, pending: &mut PendingRequest, machine: usize) {
+    pending.sends += 1;
+    let id = world.send_request(machine, &pending.request);
+    pending.sent = Some((id, world.now));
 }
--- a/crates/quillpulley/tests/operators/random.rs
+++ b/crates/quillpulley/tests/operators/random.rs
@@ -1,4 +1,4 @@
-//! Random days: operators at work while machines are killed, frozen, cut off, wiped, and their disks fail.
+//! Random runs: operators at work while machines are killed, frozen, cut off, wiped, and their disks fail.
 
 use super::disk::DiskMode;
 use super::network::NetworkOptions;
@@ -8,40 +8,40 @@
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 
-const DEEDS: usize = 40;
+const OPERATIONS: usize = 40;
 const OPERATORS: usize = 4;
-/// How soon after the last trouble all orders are answered.
-const CALM_MS: u64 = 8000;
+/// How soon after the last fault all commands are answered.
+const RECOVERY_MS: u64 = 8000;
 
-/// What all days of a test came to.
+/// What all runs of a test came to.
 #[derive(Default)]
-pub struct Tally {
-    pub days: usize,
+pub struct Totals {
+    pub runs: usize,
     pub changes: usize,
-    pub answers: BTreeMap<&'static str, usize>,
+    pub responses: BTreeMap<&'static str, usize>,
 }
 
-/// Plays a day; panics if anything does not hold.
+/// Plays a run; panics if anything does not hold.
 pub fn play(seed: u64, count: usize, fault: Fault) -> World {
     let mut random = fastrand::Rng::with_seed(seed);
     let network = if random.bool() {
-        NetworkOptions { min_delay: 1, max_delay: 60, lost: 20, doubled: 30, late: 20 }
+        NetworkOptions { min_delay: 1, max_delay: 60, lost: 20, duplicated: 30, delayed: 20 }
     } else {
         NetworkOptions::default()
     };
     let mut world = World::new(seed, count, network, fault);
     world.run_for(1500);
     (0..OPERATORS).for_each(|_| world.add_operator());
-    for _ in 0..DEEDS {
+    for _ in 0..OPERATIONS {
         let longest = [20, 150, 400, 400, 1000, 1500][random.usize(0..6)];
         world.run_for(random.u64(0..longest));
-        act(&mut world, &mut random);
+        perform_random_operation(&mut world, &mut random);
     }
-    end(&mut world);
+    check_recovery(&mut world);
     world
 }
 
-fn act(world: &mut World, random: &mut fastrand::Rng) {
+fn perform_random_operation(world: &mut World, random: &mut fastrand::Rng) {
     let any = random.usize(0..world.machines.len());
     let leader = world.leader().unwrap_or(any);
     match random.usize(0..30) {
@@ -50,18 +50,18 @@
         3..=6 => (0..world.machines.len()).for_each(|machine| world.start(machine)),
         7..=8 => world.freeze(leader),
         9 => world.freeze(any),
-        10..=13 => wake_all(world),
-        14..=15 => world.cut_off(leader, true),
-        16 => world.cut_off(leader, false),
-        17 => world.cut_off(any, true),
-        18..=21 => world.network.join_all(),
-        22 => world.lost_answers = 50,
-        23 => world.lost_answers = 0,
+        10..=13 => resume_all(world),
+        14..=15 => world.isolate(leader, true),
+        16 => world.isolate(leader, false),
+        17 => world.isolate(any, true),
+        18..=21 => world.network.heal_all(),
+        22 => world.lost_responses = 50,
+        23 => world.lost_responses = 0,
         24 => world.set_disk(any, [DiskMode::Hangs, DiskMode::Full][random.usize(0..2)]),
-        25 => (0..world.machines.len()).for_each(|machine| world.set_disk(machine, DiskMode::Good)),
+        25 => (0..world.machines.len()).for_each(|machine| world.set_disk(machine, DiskMode::Healthy)),
         26 => (0..world.machines.len()).for_each(|machine| world.kill(machine)),
-        27 => world.stop(leader),
-        _ if world.is_whole() => {
+        27 => world.shut_down(leader),
+        _ if world.is_complete() => {
             world.wipe(any);
             world.start(any);
         }
@@ -69,25 +69,25 @@
     }
 }
 
-fn wake_all(world: &mut World) {
+fn resume_all(world: &mut World) {
     for machine in 0..world.machines.len() {
         if world.machines[machine].frozen {
-            world.wake(machine);
+            world.resume(machine);
         }
     }
 }
 
-/// After the troubles every operator gets its answer, and all states become the same.
-fn end(world: &mut World) {
-    world.calm();
-    world.operators.iter_mut().for_each(|operator| operator.retired = true);
+/// After the faults every operator gets its response, and all states become the same.
+fn check_recovery(world: &mut World) {
+    world.heal();
+    world.operators.iter_mut().for_each(|operator| operator.is_stopped = true);
     let all_idle = |world: &World| world.operators.iter().all(|operator| operator.is_idle());
-    assert!(world.run_until(CALM_MS, all_idle), "an operator gets no answer in a calm time");
+    assert!(world.run_until(RECOVERY_MS, all_idle), "an operator gets no response in a fault-free period");
     let all_same = |world: &World| {
         let states = world.machines.iter().filter_map(|machine| machine.node.as_ref());
         states.into_iter().all(|node| *node.replica.state() == world.checker.state)
     };
-    assert!(world.run_until(CALM_MS, all_same), "not all states become the newest one");
+    assert!(world.run_until(RECOVERY_MS, all_same), "not all states become the newest one");
 }
 
 fn check_random(property: fn(u64) -> bool, tests: u64) {
@@ -95,25 +95,25 @@
     QuickCheck::new().tests(tests).quickcheck(property);
 }
 
-fn add_to(tally: &Mutex<Tally>, world: &World) {
-    let mut tally = tally.lock().expect("a tally");
-    tally.days += 1;
-    tally.changes += world.checker.changes();
-    for (name, count) in &world.checker.answers {
-        *tally.answers.entry(name).or_default() += count;
+fn add_to(totals: &Mutex<Totals>, world: &World) {
+    let mut totals = totals.lock().expect("the totals");
+    totals.runs += 1;
+    totals.changes += world.checker.changes();
+    for (name, count) in &world.checker.responses {
+        *totals.responses.entry(name).or_default() += count;
     }
 }
 
-fn print(what: &str, tally: &Mutex<Tally>) {
-    let tally = tally.lock().expect("a tally");
-    println!("{what}: {} days, {} changes, answers {:?}", tally.days, tally.changes, tally.answers);
+fn print(what: &str, totals: &Mutex<Totals>) {
+    let totals = totals.lock().expect("the totals");
+    println!("{what}: {} runs, {} changes, responses {:?}", totals.runs, totals.changes, totals.responses);
 }
 
-static THREE: Mutex<Tally> = Mutex::new(Tally { days: 0, changes: 0, answers: BTreeMap::new() });
-static FIVE: Mutex<Tally> = Mutex::new(Tally { days: 0, changes: 0, answers: BTreeMap::new() });
+static THREE: Mutex<Totals> = Mutex::new(Totals { runs: 0, changes: 0, responses: BTreeMap::new() });
+static FIVE: Mutex<Totals> = Mutex::new(Totals { runs: 0, changes: 0, responses: BTreeMap::new() });
 
 #[test]
-fn operators_of_three_machines_are_told_what_holds() {
+fn operators_of_three_machines_get_correct_responses() {
     fn property(seed: u64) -> bool {
         add_to(&THREE, &play(seed, 3, Fault::None));
         true
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn operators_of_five_machines_are_told_what_holds() {
+fn operators_of_five_machines_get_correct_responses() {
     fn property(seed: u64) -> bool {
         add_to(&FIVE, &play(seed, 5, Fault::None));
         true
--- a/crates/quillpulley/tests/operators/orders.rs
+++ b/crates/quillpulley/tests/operators/requests.rs
@@ -4,24 +4,24 @@
 
 /// What an operator asks for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Wish {
-    /// A configuration: its base, its version, its text, and whether it could ever be taken.
+pub enum Request {
+    /// A configuration: its base, its version, its text, and whether it could ever be accepted.
     Replace { base: u64, version: u64, body: Vec<u8>, valid: bool },
-    /// A zone evacuated or taken back.
+    /// A zone is evacuated or restored.
     Evacuate { zone: String, active: bool },
     /// The newest configuration.
     Read,
 }
 
-impl Wish {
+impl Request {
     /// A valid configuration; the mark tells apart those of one version.
-    pub fn valid(base: u64, version: u64, mark: &str) -> Wish {
+    pub fn valid(base: u64, version: u64, mark: &str) -> Request {
         let body = text(version, &route("/a/", r#","Service":"s""#), mark);
-        Wish::Replace { base, version, body, valid: true }
+        Request::Replace { base, version, body, valid: true }
     }
 
-    /// A configuration that is never to be in force, of one of the kinds.
-    pub fn invalid(base: u64, kind: usize) -> Wish {
+    /// A configuration that is never to be active, of one of the kinds.
+    pub fn invalid(base: u64, kind: usize) -> Request {
         let next = base + 1;
         let service = r#","Service":"s""#;
         let body = match kind % INVALID_KINDS {
@@ -36,17 +36,17 @@
             5 => text(base.saturating_sub(1), &route("/a/", service), "x"),
             _ => text(base, &route("/a/", service), "x"),
         };
-        Wish::Replace { base, version: next, body, valid: false }
+        Request::Replace { base, version: next, body, valid: false }
     }
 
-    /// The order that it is for the processes; none for a read.
-    pub fn order(&self) -> Option<Command> {
+    /// The command that it is for the processes; none for a read.
+    pub fn command(&self) -> Option<Command> {
         match self {
-            Wish::Replace { base, body, .. } => Some(Command::Replace { base: *base, body: body.clone() }),
-            Wish::Evacuate { zone, active } => {
+            Request::Replace { base, body, .. } => Some(Command::Replace { base: *base, body: body.clone() }),
+            Request::Evacuate { zone, active } => {
                 Some(Command::Evacuate { zone: zone.clone(), active: *active })
             }
-            Wish::Read => None,
+            Request::Read => None,
         }
     }
 }
--- a/crates/quillpulley/tests/operators/world.rs
+++ b/crates/quillpulley/tests/operators/world.rs
@@ -1,11 +1,11 @@
-//! The machines, the time, and what is under way between them.
+//! The machines, the time, and what is in flight between them.
 
 use super::checker::Checker;
 use super::disk::{DiskImage, DiskMode};
 use super::network::{Network, NetworkOptions};
-use super::node::{CallId, Fault, Input, Node, Output};
+use super::node::{Fault, Input, Node, Output, RequestId};
 use super::operator::Operator;
-use super::orders::Wish;
+use super::requests::Request;
 use quillpulley::control::response::Response;
 use quillpulley_protocol::{Body, NodeId};
 use quillpulley_replication::{Event, Locality, Write, WriteFailed};
@@ -18,7 +18,7 @@
 const POLL_MS: u64 = 10;
 const DISK_MS: u64 = 2;
 /// How long a process takes to notice that a connection is dead.
-const NOTICE_MS: u64 = 300;
+const DETECTION_MS: u64 = 300;
 
 /// A machine: an address, a disk, and a process if one runs.
 pub struct Machine {
@@ -27,23 +27,23 @@
     pub mode: DiskMode,
     pub bootstrap: bool,
     pub node: Option<Node>,
-    pub life: u64,
+    pub process: u64,
     pub started_at: u64,
     pub frozen: bool,
     /// What comes while the process is frozen.
-    pub held: VecDeque<Input>,
+    pub buffered: VecDeque<Input>,
     pub write: Option<(u64, Write)>,
-    /// The lives that the process has a connection to, and since when none could be made.
+    /// The processes that this one has a connection to, and since when none could be made.
     pub connections: BTreeMap<usize, (NodeId, u64)>,
     pub broken_since: BTreeMap<usize, u64>,
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Happening {
+pub enum ScheduledEvent {
     Deliver { to: usize, id: NodeId, from: NodeId, body: Body },
-    WriteCompletion { machine: usize, life: u64, ticket: u64 },
-    Tick { machine: usize, life: u64 },
-    Operation { machine: usize, call: CallId },
+    WriteDone { machine: usize, process: u64, ticket: u64 },
+    Tick { machine: usize, process: u64 },
+    DeliverRequest { machine: usize, id: RequestId },
     Poll { operator: usize },
 }
 
@@ -56,13 +56,13 @@
     pub checker: Checker,
     pub operators: Vec<Operator>,
     /// Answers, or the ends of connections, by the time from which their callers can see them.
-    pub announced: BTreeMap<CallId, (u64, Option<Response>)>,
-    /// Answers lost of a hundred.
-    pub lost_answers: u32,
+    pub responses: BTreeMap<RequestId, (u64, Option<Response>)>,
+    /// Responses lost of a hundred.
+    pub lost_responses: u32,
     pub random: fastrand::Rng,
     /// The machine that each call was sent to.
-    pub(super) handle_request: Vec<usize>,
-    queue: BinaryHeap<Reverse<(u64, u64, Happening)>>,
+    pub(super) target_machines: Vec<usize>,
+    queue: BinaryHeap<Reverse<(u64, u64, ScheduledEvent)>>,
     sequence: u64,
 }
 
@@ -77,10 +77,10 @@
             network: Network::new(network),
             checker: Checker::default(),
             operators: Vec::new(),
-            announced: BTreeMap::new(),
-            lost_answers: 0,
+            responses: BTreeMap::new(),
+            lost_responses: 0,
             random: fastrand::Rng::with_seed(seed),
-            handle_request: Vec::new(),
+            target_machines: Vec::new(),
             queue: BinaryHeap::new(),
             sequence: 0,
         };
@@ -94,105 +94,105 @@
     pub fn add_operator(&mut self) {
         let operator = self.operators.len();
         self.operators.push(Operator::new(operator));
-        self.plan(POLL_MS, Happening::Poll { operator });
+        self.schedule(POLL_MS, ScheduledEvent::Poll { operator });
     }
 
-    /// Sends a call to a machine.
-    pub fn call(&mut self, machine: usize, wish: &Wish) -> CallId {
-        let call = self.checker.sent(self.now, wish);
-        self.handle_request.push(machine);
+    /// Sends a request to a machine.
+    pub fn send_request(&mut self, machine: usize, request: &Request) -> RequestId {
+        let id = self.checker.record_sent(self.now, request);
+        self.target_machines.push(machine);
         let delay = self.random.u64(1..20);
-        self.plan(delay, Happening::Operation { machine, call });
-        call
+        self.schedule(delay, ScheduledEvent::DeliverRequest { machine, id });
+        id
     }
 
-    /// What the caller of a call sees by now: an answer, the end of its connection, or nothing.
-    pub fn answer(&self, call: CallId) -> Option<&Option<Response>> {
-        self.announced.get(&call).filter(|(at, _)| *at <= self.now).map(|(_, answer)| answer)
+    /// Returns what the caller sees by now: a response, the end of its connection, or nothing.
+    pub fn response_to(&self, id: RequestId) -> Option<&Option<Response>> {
+        self.responses.get(&id).filter(|(at, _)| *at <= self.now).map(|(_, response)| response)
     }
 
     pub fn run_for(&mut self, milliseconds: u64) {
         self.run_until(milliseconds, |_| false);
     }
 
-    /// Runs until something holds, at most for some time; says whether it came to hold.
+    /// Runs until a condition holds, at most for `milliseconds`. Returns whether it holds.
     pub fn run_until(&mut self, milliseconds: u64, holds: impl Fn(&World) -> bool) -> bool {
         let end = self.now + milliseconds;
         while !holds(self) {
             let is_due = self.queue.peek().is_some_and(|Reverse((at, ..))| *at <= end);
-            let Some(Reverse((at, _, happening))) = is_due.then(|| self.queue.pop()).flatten() else {
+            let Some(Reverse((at, _, scheduled))) = is_due.then(|| self.queue.pop()).flatten() else {
                 self.now = end;
                 return holds(self);
             };
             self.now = at;
-            self.happen(happening);
+            self.dispatch(scheduled);
         }
         true
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Deliver { to, id, from, body } => {
+    fn dispatch(&mut self, scheduled: ScheduledEvent) {
+        match scheduled {
+            ScheduledEvent::Deliver { to, id, from, body } => {
                 if self.machines[to].id == id {
                     self.handle(to, Input::Event(Event::Message { from, body }));
                 }
             }
-            Happening::WriteCompletion { machine, life, ticket } => {
-                self.handle_write_completed(machine, life, ticket)
+            ScheduledEvent::WriteDone { machine, process, ticket } => {
+                self.handle_write_completed(machine, process, ticket)
             }
-            Happening::Tick { machine, life } => {
-                if self.lives(machine, life) {
+            ScheduledEvent::Tick { machine, process } => {
+                if self.runs_process(machine, process) {
                     self.check_connections(machine);
                     if !self.machines[machine].frozen {
                         self.handle(machine, Input::Event(Event::Tick));
                     }
-                    self.plan(TICK_MS, Happening::Tick { machine, life });
+                    self.schedule(TICK_MS, ScheduledEvent::Tick { machine, process });
                 }
             }
-            Happening::Operation { machine, call } => self.deliver_call(machine, call),
-            Happening::Poll { operator } => {
+            ScheduledEvent::DeliverRequest { machine, id } => self.deliver_request(machine, id),
+            ScheduledEvent::Poll { operator } => {
                 self.poll(operator);
                 let pause = POLL_MS + self.random.u64(0..POLL_MS);
-                self.plan(pause, Happening::Poll { operator });
+                self.schedule(pause, ScheduledEvent::Poll { operator });
             }
         }
     }
 
     fn poll(&mut self, operator: usize) {
-        let mut taken = std::mem::replace(&mut self.operators[operator], Operator::new(operator));
-        taken.poll(self);
-        self.operators[operator] = taken;
+        let mut accepted = std::mem::replace(&mut self.operators[operator], Operator::new(operator));
+        accepted.poll(self);
+        self.operators[operator] = accepted;
     }
 
-    fn deliver_call(&mut self, machine: usize, call: CallId) {
-        if !self.checker.calls[call].open {
+    fn deliver_request(&mut self, machine: usize, id: RequestId) {
+        if !self.checker.sent_requests[id].open {
             // The machine was killed meanwhile.
             return;
         }
         if self.machines[machine].node.is_none() {
-            return self.end_call(call, None);
+            return self.complete_request(id, None);
         }
-        let input = match self.checker.calls[call].wish.order() {
-            Some(order) => Input::Command(call, order),
-            None => Input::Read(call),
+        let input = match self.checker.sent_requests[id].request.command() {
+            Some(command) => Input::Command(id, command),
+            None => Input::Read(id),
         };
         self.handle(machine, input);
     }
 
     /// A call is answered, or its process has gone.
-    pub(super) fn end_call(&mut self, call: CallId, answer: Option<Response>) {
-        self.checker.ended(self.now, call, answer.as_ref());
-        let is_lost = answer.is_some() && self.random.u32(0..100) < self.lost_answers;
+    pub(super) fn complete_request(&mut self, id: RequestId, response: Option<Response>) {
+        self.checker.record_response(self.now, id, response.as_ref());
+        let is_lost = response.is_some() && self.random.u32(0..100) < self.lost_responses;
         if !is_lost {
             let at = self.now + self.random.u64(1..20);
-            self.announced.insert(call, (at, answer));
+            self.responses.insert(id, (at, response));
         }
     }
 
-    fn handle_write_completed(&mut self, machine: usize, life: u64, ticket: u64) {
+    fn handle_write_completed(&mut self, machine: usize, process: u64, ticket: u64) {
         let slot = &mut self.machines[machine];
         let is_current = slot.write.as_ref().is_some_and(|(current, _)| *current == ticket);
-        if slot.node.is_none() || slot.life != life || !is_current || slot.mode == DiskMode::Hangs {
+        if slot.node.is_none() || slot.process != process || !is_current || slot.mode == DiskMode::Hangs {
             return;
         }
         let Some((_, write)) = slot.write.take() else { return };
@@ -210,7 +210,7 @@
         for other in (0..self.machines.len()).filter(|other| *other != machine) {
             let target = &self.machines[other];
             let is_open = target.node.is_some() && self.network.is_open(machine, other);
-            let wanted = is_open.then_some((target.id, target.life));
+            let wanted = is_open.then_some((target.id, target.process));
             let slot = &mut self.machines[machine];
             let current = slot.connections.get(&other).copied();
             if current == wanted {
@@ -219,14 +219,14 @@
             }
             let since = *slot.broken_since.entry(other).or_insert(self.now);
             if let Some((id, _)) = current {
-                if self.now >= since + NOTICE_MS {
+                if self.now >= since + DETECTION_MS {
                     slot.connections.remove(&other);
                     self.handle(machine, Input::Event(Event::Disconnected(id)));
                 }
-            } else if let Some((id, life)) = wanted {
-                slot.connections.insert(other, (id, life));
-                let place = Locality { zone: zone(other), region: "region".to_string() };
-                self.handle(machine, Input::Event(Event::LocalityLearned { node: id, locality: place }));
+            } else if let Some((id, process)) = wanted {
+                slot.connections.insert(other, (id, process));
+                let locality = Locality { zone: zone(other), region: "region".to_string() };
+                self.handle(machine, Input::Event(Event::LocalityLearned { node: id, locality }));
                 self.handle(machine, Input::Event(Event::Connected(id)));
             }
         }
@@ -237,7 +237,7 @@
         let slot = &mut self.machines[machine];
         let Some(node) = &mut slot.node else { return };
         if slot.frozen {
-            slot.held.push_back(input);
+            slot.buffered.push_back(input);
             return;
         }
         for output in node.handle(now, input) {
@@ -250,13 +250,13 @@
         match output {
             Output::Send(to, body) => self.send(machine, to, body),
             Output::Store(ticket, write) => {
-                let life = self.machines[machine].life;
+                let process = self.machines[machine].process;
                 self.machines[machine].write = Some((ticket, write));
                 let delay = DISK_MS + self.random.u64(0..4);
-                self.plan(delay, Happening::WriteCompletion { machine, life, ticket });
+                self.schedule(delay, ScheduledEvent::WriteDone { machine, process, ticket });
             }
-            Output::Applied { index, entry } => self.checker.applied(index, entry),
-            Output::Response(call, answer) => self.end_call(call, Some(answer)),
+            Output::Applied { index, entry } => self.checker.record_applied(index, entry),
+            Output::Response(id, response) => self.complete_request(id, Some(response)),
         }
     }
 
@@ -265,7 +265,7 @@
         let Some(node) = &self.machines[machine].node else { return };
         let state = node.replica.state();
         if state.version() > 0 {
-            self.checker.shown(state);
+            self.checker.check_shown(state);
         }
         if node.holds_lease(now) {
             self.checker.check_leader(state);
@@ -277,21 +277,21 @@
         let Some(target) = self.machines.iter().position(|other| other.id == to) else { return };
         for delay in self.network.deliveries(machine, target, &mut self.random) {
             let body = body.clone();
-            self.plan(delay, Happening::Deliver { to: target, id: to, from, body });
+            self.schedule(delay, ScheduledEvent::Deliver { to: target, id: to, from, body });
         }
     }
 
-    pub(super) fn lives(&self, machine: usize, life: u64) -> bool {
-        self.machines[machine].node.is_some() && self.machines[machine].life == life
+    pub(super) fn runs_process(&self, machine: usize, process: u64) -> bool {
+        self.machines[machine].node.is_some() && self.machines[machine].process == process
     }
 
     pub(super) fn local(&self, machine: usize) -> Duration {
         Duration::from_millis(self.now - self.machines[machine].started_at)
     }
 
-    pub(super) fn plan(&mut self, delay: u64, happening: Happening) {
+    pub(super) fn schedule(&mut self, delay: u64, scheduled: ScheduledEvent) {
         self.sequence += 1;
-        self.queue.push(Reverse((self.now + delay, self.sequence, happening)));
+        self.queue.push(Reverse((self.now + delay, self.sequence, scheduled)));
     }
 }
 
@@ -300,13 +300,13 @@
         Machine {
             id,
             disk: DiskImage::default(),
-            mode: DiskMode::Good,
+            mode: DiskMode::Healthy,
             bootstrap: true,
             node: None,
-            life: 0,
+            process: 0,
             started_at: 0,
             frozen: false,
-            held: VecDeque::new(),
+            buffered: VecDeque::new(),
             write: None,
             connections: BTreeMap::new(),
             broken_since: BTreeMap::new(),
