--- a/crates/quillpulley/tests/control/agent.rs
+++ b/crates/quillpulley/tests/control/agent.rs
@@ -1,6 +1,6 @@
 //! Agents as core processes see them: nodes of the relay tree, each on a link of its own.
 
-use crate::cluster::PATIENCE;
+use crate::cluster::TIMEOUT;
 use quillpulley::peer::{LinkId, PeerEvent, Peers};
 use quillpulley_protocol::{EndpointState, Hello, NodeId, PeerKind, ProxyEndpoint};
 use quillpulley_state_sync::{Action, Event, LocalReport, Options, SyncNode};
@@ -28,7 +28,7 @@
     events: UnboundedReceiver<PeerEvent>,
     address: SocketAddr,
     parent: LinkId,
-    feed: SyncNode<()>,
+    sync_node: SyncNode<()>,
 }
 
 impl Agents {
@@ -44,8 +44,8 @@
     /// Waits until all agents know what the test wants.
     pub fn until(&mut self, what: &str, wanted: impl Fn(&SyncNode<()>) -> bool) {
         let waiting = Instant::now();
-        while !self.agents.iter().all(|agent| wanted(&agent.feed)) {
-            assert!(waiting.elapsed() < PATIENCE, "not in time: {what}");
+        while !self.agents.iter().all(|agent| wanted(&agent.sync_node)) {
+            assert!(waiting.elapsed() < TIMEOUT, "not in time: {what}");
             self.step();
         }
     }
@@ -65,7 +65,7 @@
 
     /// The epoch up to which the first agent's state goes.
     pub fn epoch(&self) -> u64 {
-        self.agents[0].feed.revision().epoch
+        self.agents[0].sync_node.revision().epoch
     }
 
     fn step(&mut self) {
@@ -105,8 +105,8 @@
             preferred_regions: Vec::new(),
         };
         let (address, parent) = (parent, peers.connect(parent));
-        let feed = SyncNode::new(Options::new(name));
-        let mut agent = Agent { peers, events, address, parent, feed };
+        let sync_node = SyncNode::new(Options::new(name));
+        let mut agent = Agent { peers, events, address, parent, sync_node };
         let report = LocalReport { endpoint: Some(endpoint), ..LocalReport::default() };
         agent.handle(Duration::ZERO, Event::LocalReport(report));
         agent
@@ -125,7 +125,7 @@
 
     fn handle(&mut self, now: Duration, event: Event<()>) {
         let mut actions = Vec::new();
-        self.feed.handle(now, event, &mut actions);
+        self.sync_node.handle(now, event, &mut actions);
         for action in actions {
             if let Action::SendParent(body) = action {
                 self.peers.send(self.parent, &body);
--- a/crates/quillpulley/tests/control/api.rs
+++ b/crates/quillpulley/tests/control/api.rs
@@ -10,43 +10,43 @@
 use std::sync::mpsc::{self, Receiver};
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// An API whose calls the test takes and answers.
 fn start() -> (SocketAddr, Receiver<Box<ApiRequest>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a socket");
     let address = listener.local_addr().expect("an address");
-    let (send, calls) = mpsc::channel();
-    let deliver = move |call| send.send(call).map_err(|refused| refused.0);
+    let (send, requests) = mpsc::channel();
+    let deliver = move |call| send.send(call).map_err(|rejected| rejected.0);
     api::serve(listener, Clock::start(), deliver).expect("a server");
-    (address, calls)
+    (address, requests)
 }
 
-pub struct Told {
+pub struct HttpResponse {
     pub status: u16,
     pub headers: String,
     pub body: String,
 }
 
 /// Sends raw bytes and reads the answer up to the end of the connection.
-pub fn send(address: SocketAddr, request: &str) -> Told {
+pub fn send(address: SocketAddr, request: &str) -> HttpResponse {
     parse(&send_raw(address, request))
 }
 
 /// The same, as it came.
 pub fn send_raw(address: SocketAddr, request: &str) -> String {
     let mut stream = TcpStream::connect(address).expect("a connection");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
     stream.write_all(request.as_bytes()).expect("a request sent");
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("an answer");
     answer
 }
 
-fn parse(answer: &str) -> Told {
+fn parse(answer: &str) -> HttpResponse {
     let (head, body) = answer.split_once("\r\n\r\n").expect("a head");
     let status = head.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status");
-    Told { status, headers: head.to_ascii_lowercase(), body: body.to_string() }
+    HttpResponse { status, headers: head.to_ascii_lowercase(), body: body.to_string() }
 }
 
 pub fn replace(base: &str, body: &str) -> String {
@@ -62,12 +62,12 @@
 }
 
 /// Sends a request, expects it as a call, and has it answered.
-fn exchange(request: String, expected: Operation, answer: Response) -> Told {
-    let (address, calls) = start();
+fn exchange(request: String, expected: Operation, answer: Response) -> HttpResponse {
+    let (address, requests) = start();
     let client = std::thread::spawn(move || send(address, &request));
-    let taken = calls.recv_timeout(PATIENCE).expect("a call");
-    assert_eq!(taken.operation, expected);
-    taken.responder.send(TimedResponse::without_expiry(answer));
+    let request = requests.recv_timeout(TIMEOUT).expect("a call");
+    assert_eq!(request.operation, expected);
+    request.responder.send(TimedResponse::without_expiry(answer));
     client.join().expect("an answer")
 }
 
@@ -81,24 +81,24 @@
 
 #[test]
 fn calls_are_read_and_answers_written() {
-    let announced = exchange(replace("5", "{}"), replacement(5, "{}"), Response::Acknowledged);
-    assert_eq!(announced.status, 200);
+    let response = exchange(replace("5", "{}"), replacement(5, "{}"), Response::Acknowledged);
+    assert_eq!(response.status, 200);
 
-    let announced = exchange(replace(" 0 ", "{}"), replacement(0, "{}"), Response::Conflict { current: 7 });
-    assert_eq!(announced.status, 412);
-    assert!(announced.body.contains("version 7"), "{}", announced.body);
+    let response = exchange(replace(" 0 ", "{}"), replacement(0, "{}"), Response::Conflict { current: 7 });
+    assert_eq!(response.status, 412);
+    assert!(response.body.contains("version 7"), "{}", response.body);
 
     let why = "a \"quoted\" reason".to_string();
-    let announced = exchange(replace("5", "{}"), replacement(5, "{}"), Response::Invalid(why));
-    assert_eq!(announced.status, 400);
-    assert_eq!(announced.body, r#"{"Error":"a \"quoted\" reason"}"#);
+    let response = exchange(replace("5", "{}"), replacement(5, "{}"), Response::Invalid(why));
+    assert_eq!(response.status, 400);
+    assert_eq!(response.body, r#"{"Error":"a \"quoted\" reason"}"#);
 
-    let announced =
+    let response =
         exchange(call("POST", "/v1/Evacuate.Start/a-1"), evacuation("a-1", true), Response::Acknowledged);
-    assert_eq!(announced.status, 200);
-    let announced =
+    assert_eq!(response.status, 200);
+    let response =
         exchange(call("POST", "/v1/Evacuate.End/a%201"), evacuation("a 1", false), Response::Acknowledged);
-    assert_eq!(announced.status, 200);
+    assert_eq!(response.status, 200);
 }
 
 /// The bytes that the program at commit 0b0971f wrote.
@@ -150,11 +150,11 @@
         ),
     ];
     for (answer, expected) in cases {
-        let (address, calls) = start();
+        let (address, requests) = start();
         let request = call("POST", "/v1/Evacuate.Start/a");
         let client = std::thread::spawn(move || send_raw(address, &request));
-        calls
-            .recv_timeout(PATIENCE)
+        requests
+            .recv_timeout(TIMEOUT)
             .expect("a call")
             .responder
             .send(TimedResponse::without_expiry(answer.clone()));
@@ -166,57 +166,56 @@
 fn the_configuration_comes_as_it_was_sent() {
     let body = format!("{{\"Version\":7,\"x\":\"{}\"}}", "y".repeat(100_000));
     let answer = Response::Configuration(body.clone().into_bytes().into());
-    let announced = exchange(call("GET", "/v1/Config.Get"), Operation::ReadConfiguration, answer);
-    assert_eq!(announced.status, 200);
-    assert!(announced.headers.contains("content-type: application/json"), "{}", announced.headers);
-    assert!(announced.headers.contains(&format!("content-length: {}", body.len())), "{}", announced.headers);
-    assert_eq!(announced.body, body);
+    let response = exchange(call("GET", "/v1/Config.Get"), Operation::ReadConfiguration, answer);
+    assert_eq!(response.status, 200);
+    assert!(response.headers.contains("content-type: application/json"), "{}", response.headers);
+    assert!(response.headers.contains(&format!("content-length: {}", body.len())), "{}", response.headers);
+    assert_eq!(response.body, body);
 
-    let announced =
+    let response =
         exchange(call("GET", "/v1/Config.Get"), Operation::ReadConfiguration, Response::NoConfiguration);
-    assert_eq!(announced.status, 404);
+    assert_eq!(response.status, 404);
 
     let status = Response::Status(br#"{"Role":"follower"}"#.to_vec());
-    let announced = exchange(call("GET", "/v1/Control.Status"), Operation::ReadStatus, status);
-    assert_eq!((announced.status, announced.body.as_str()), (200, r#"{"Role":"follower"}"#));
+    let response = exchange(call("GET", "/v1/Control.Status"), Operation::ReadStatus, status);
+    assert_eq!((response.status, response.body.as_str()), (200, r#"{"Role":"follower"}"#));
 }
 
 #[test]
 fn callers_are_sent_to_the_primary_or_told_to_come_back() {
     let primary: SocketAddr = "10.0.0.4:8080".parse().expect("an address");
     let path = "/v1/Evacuate.Start/a";
-    let announced = exchange(call("POST", path), evacuation("a", true), Response::Redirect(primary));
-    assert_eq!(announced.status, 307);
+    let response = exchange(call("POST", path), evacuation("a", true), Response::Redirect(primary));
+    assert_eq!(response.status, 307);
     assert!(
-        announced.headers.contains("location: http://10.0.0.4:8080/v1/evacuate.start/a"),
+        response.headers.contains("location: http://10.0.0.4:8080/v1/evacuate.start/a"),
         "{}",
-        announced.headers
+        response.headers
     );
 
-    let announced = exchange(call("POST", path), evacuation("a", true), Response::Unavailable);
-    assert_eq!(announced.status, 503);
-    assert!(announced.headers.contains("retry-after: 0.2"), "{}", announced.headers);
+    let response = exchange(call("POST", path), evacuation("a", true), Response::Unavailable);
+    assert_eq!(response.status, 503);
+    assert!(response.headers.contains("retry-after: 0.2"), "{}", response.headers);
 }
 
 #[test]
 fn what_is_forgotten_has_no_clear_answer_that_names_the_bound() {
-    let announced =
-        exchange(replace("5", "{}"), replacement(5, "{}"), Response::HistoryExpired { oldest: 9 });
-    assert_eq!(announced.status, 503);
-    assert!(announced.body.contains("below 9 is forgotten"), "{}", announced.body);
-    assert!(announced.headers.contains("retry-after: 0.2"), "{}", announced.headers);
+    let response = exchange(replace("5", "{}"), replacement(5, "{}"), Response::HistoryExpired { oldest: 9 });
+    assert_eq!(response.status, 503);
+    assert!(response.body.contains("below 9 is forgotten"), "{}", response.body);
+    assert!(response.headers.contains("retry-after: 0.2"), "{}", response.headers);
 }
 
 #[test]
 fn a_call_that_nobody_takes_has_no_clear_answer() {
-    let (address, calls) = start();
-    drop(calls);
+    let (address, requests) = start();
+    drop(requests);
     assert_eq!(send(address, &call("POST", "/v1/Evacuate.Start/a")).status, 503);
 }
 
 #[test]
 fn other_paths_and_methods_are_rejected() {
-    let (address, calls) = start();
+    let (address, requests) = start();
     assert_eq!(send(address, &call("GET", "/v1/Config.Put")).status, 404);
     assert_eq!(send(address, &call("GET", "/v2/Config.Get")).status, 404);
     assert_eq!(send(address, &call("GET", "/v1/Config.Replace")).status, 405);
@@ -224,34 +223,34 @@
     assert_eq!(send(address, &call("GET", "/v1/Evacuate.Start/a")).status, 405);
     assert_eq!(send(address, &call("POST", "/v1/Evacuate.Start/")).status, 400);
     assert_eq!(send(address, &replace("new", "{}")).status, 400);
-    assert!(calls.try_recv().is_err());
+    assert!(requests.try_recv().is_err());
 }
 
 #[test]
 fn a_body_that_is_too_long_is_rejected() {
-    let (address, calls) = start();
+    let (address, requests) = start();
     let head = "POST /v1/Config.Replace HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\
                 Quillpulley-If-Config-Version: 1\r\n";
-    let announced = send(address, &format!("{head}Content-Length: 4500001\r\n\r\n{}", "x".repeat(4_500_001)));
-    assert_eq!(announced.status, 413);
-    assert!(calls.try_recv().is_err());
+    let response = send(address, &format!("{head}Content-Length: 4500001\r\n\r\n{}", "x".repeat(4_500_001)));
+    assert_eq!(response.status, 413);
+    assert!(requests.try_recv().is_err());
 }
 
 #[test]
-fn a_body_that_comes_in_chunks_is_taken_whole() {
+fn a_body_that_comes_in_chunks_is_accepted_complete() {
     let request = "POST /v1/Config.Replace HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\
                    Quillpulley-If-Config-Version: 1\r\nTransfer-Encoding: chunked\r\n\r\n\
                    3\r\n{\"a\r\n4\r\n\":1}\r\n0\r\n\r\n";
-    let announced = exchange(request.to_string(), replacement(1, "{\"a\":1}"), Response::Acknowledged);
-    assert_eq!(announced.status, 200);
+    let response = exchange(request.to_string(), replacement(1, "{\"a\":1}"), Response::Acknowledged);
+    assert_eq!(response.status, 200);
 }
 
 #[test]
-fn a_body_that_ends_before_its_length_is_never_taken() {
-    let (address, calls) = start();
+fn a_body_that_ends_before_its_length_is_never_accepted() {
+    let (address, requests) = start();
     for (length, body) in [(3000, "{}".to_string()), (500, "{}".to_string()), (3000, "x".repeat(2999))] {
         let mut stream = TcpStream::connect(address).expect("a connection");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
         let request = replace("1", "").replace("Content-Length: 0", &format!("Content-Length: {length}"));
         stream.write_all(format!("{request}{body}").as_bytes()).expect("a request sent");
         stream.shutdown(std::net::Shutdown::Write).expect("an end");
@@ -260,22 +259,22 @@
         let answer = String::from_utf8_lossy(&answer);
         assert!(!answer.starts_with("HTTP/1.1 2") && !answer.starts_with("HTTP/1.1 4"), "{answer}");
     }
-    assert!(calls.try_recv().is_err());
+    assert!(requests.try_recv().is_err());
 }
 
 #[test]
 fn a_caller_that_stalls_holds_up_nobody() {
-    let (address, calls) = start();
+    let (address, requests) = start();
     let mut stalled = TcpStream::connect(address).expect("a connection");
     stalled
         .write_all(b"POST /v1/Config.Replace HTTP/1.1\r\nHost: x\r\nContent-Length: 9000\r\n\r\n{")
         .expect("sent");
     let waiting = std::thread::spawn(move || send(address, &call("POST", "/v1/Evacuate.Start/a")));
-    let first = calls.recv_timeout(PATIENCE).expect("a call");
+    let first = requests.recv_timeout(TIMEOUT).expect("a call");
     // The first call has no answer yet when the second is answered.
     let second = std::thread::spawn(move || send(address, &call("POST", "/v1/Evacuate.Start/b")));
-    calls
-        .recv_timeout(PATIENCE)
+    requests
+        .recv_timeout(TIMEOUT)
         .expect("a call")
         .responder
         .send(TimedResponse::without_expiry(Response::Acknowledged));
--- a/crates/quillpulley/tests/control/cluster.rs
+++ b/crates/quillpulley/tests/control/cluster.rs
@@ -1,4 +1,4 @@
-//! Core processes as real processes on loopback addresses of their own, with an operator that calls them.
+//! Control nodes as real processes on loopback addresses of their own, with an operator that calls them.
 
 use std::io::{BufRead, BufReader};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -9,19 +9,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Within which all that is awaited has to happen.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// How long a test waits for anything.
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 /// Within which a call has to be answered; a process keeps a call for up to 3 s.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Callers without a clear answer try again when a process logs something, or after this time.
-const PACE: Duration = Duration::from_millis(50);
+/// Callers without a definite response try again when a process logs something, or after this time.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 const LINK_PORT: u16 = 7720;
 const CONTROL_PORT: u16 = 8166;
 const DIRECTORY_PORT: u16 = 8164;
 
 static CLUSTERS: AtomicU8 = AtomicU8::new(1);
 
-/// A machine of the core: its disk, and its process if it runs.
+/// A control machine: its disk, and its process if it runs.
 struct Machine {
     process: Option<Child>,
     program: PathBuf,
@@ -32,7 +32,7 @@
     seeds: Vec<SocketAddr>,
 }
 
-/// Some machines of the core. Dropping it kills the processes and removes their disks.
+/// Some control machines. Dropping it kills the processes and removes their disks.
 pub struct Cluster {
     machines: Vec<Machine>,
     network: [u8; 2],
@@ -43,9 +43,9 @@
     folder: PathBuf,
 }
 
-/// What a caller is told.
+/// The response to a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Told {
+pub struct HttpResponse {
     /// The status.
     pub status: u16,
     /// The `Location` header.
@@ -55,7 +55,7 @@
 }
 
 impl Cluster {
-    /// Starts so many machines for the first time, all of them seeds.
+    /// Starts `count` machines for the first time, all of them seeds.
     pub fn start(count: usize, platform: Option<SocketAddr>) -> Self {
         let mut cluster = Cluster::prepare(count, platform);
         for index in 0..count {
@@ -91,7 +91,7 @@
         index
     }
 
-    /// Has the next process of a machine run another build of the program.
+    /// Sets the build of the program that the next process of a machine runs.
     pub fn set_program(&mut self, index: usize, program: &Path) {
         self.machines[index].program = program.to_path_buf();
     }
@@ -256,39 +256,39 @@
         });
     }
 
-    /// Tries again and again until there is a result.
+    /// Retries until there is a result.
     pub fn until<T>(&mut self, what: &str, mut attempt: impl FnMut(&Self) -> Option<T>) -> T {
         let started = Instant::now();
         loop {
             if let Some(result) = attempt(self) {
                 return result;
             }
-            if started.elapsed() > PATIENCE {
+            if started.elapsed() > TIMEOUT {
                 self.take_lines();
                 panic!("not in time: {what}\n{}", self.past_lines.join("\n"));
             }
-            self.past_lines.extend(self.lines.recv_timeout(PACE));
+            self.past_lines.extend(self.lines.recv_timeout(RETRY_INTERVAL));
         }
     }
 
     /// Calls one machine once.
-    pub fn call(&self, index: usize, call: &Operation) -> Option<Told> {
-        call.send(self.control(index))
+    pub fn call(&self, index: usize, operation: &Operation) -> Option<HttpResponse> {
+        operation.send(self.control(index))
     }
 
-    /// Calls the machines until one gives a clear answer, as the operator does.
-    pub fn order(&mut self, call: &Operation) -> Told {
+    /// Calls the machines until one gives a definite response, as the operator does.
+    pub fn call_until_definite(&mut self, operation: &Operation) -> HttpResponse {
         let running: Vec<usize> =
             (0..self.machines.len()).filter(|index| self.machines[*index].process.is_some()).collect();
-        let mut turn = 0;
-        self.until("a clear answer", |cluster| {
-            turn += 1;
-            let announced = call.send(cluster.control(running[turn % running.len()]))?;
-            let announced = match announced.location {
-                Some(location) => call.send_to(&location)?,
-                None => announced,
+        let mut attempt = 0;
+        self.until("a definite response", |cluster| {
+            attempt += 1;
+            let response = operation.send(cluster.control(running[attempt % running.len()]))?;
+            let response = match response.location {
+                Some(location) => operation.send_to(&location)?,
+                None => response,
             };
-            (announced.status < 500 && announced.status != 307).then_some(announced)
+            (response.status < 500 && response.status != 307).then_some(response)
         })
     }
 
@@ -296,18 +296,18 @@
     pub fn primary(&mut self) -> usize {
         self.until("a primary", |cluster| {
             let answers = |index: &usize| {
-                let announced = cluster.machines[*index]
+                let response = cluster.machines[*index]
                     .process
                     .as_ref()
                     .and_then(|_| cluster.call(*index, &Operation::get()));
-                announced.is_some_and(|announced| announced.status == 200 || announced.status == 404)
+                response.is_some_and(|response| response.status == 200 || response.status == 404)
             };
             (0..cluster.machines.len()).find(answers)
         })
     }
 
-    /// What a directory tells: the status and the body.
-    pub fn resolve(&self, index: usize, zone: &str) -> Option<Told> {
+    /// Asks a directory for proxies.
+    pub fn resolve(&self, index: usize, zone: &str) -> Option<HttpResponse> {
         let address = SocketAddr::from((self.address(index), DIRECTORY_PORT));
         let path = format!("/v1/resolve?Name=x&Region=none&Zone={zone}");
         Operation { method: "GET", path, base: None, body: Vec::new() }.send(address)
@@ -350,22 +350,22 @@
     }
 
     /// Evacuates a zone.
-    pub fn evacuate(zone: &str) -> Self {
+    pub fn start_evacuation(zone: &str) -> Self {
         Operation { method: "POST", path: format!("/v1/Evacuate.Start/{zone}"), base: None, body: Vec::new() }
     }
 
-    /// Takes an evacuation back.
-    pub fn take_back(zone: &str) -> Self {
+    /// Ends the evacuation of a zone.
+    pub fn end_evacuation(zone: &str) -> Self {
         Operation { method: "POST", path: format!("/v1/Evacuate.End/{zone}"), base: None, body: Vec::new() }
     }
 
-    /// Sends it to one process; none if there is no answer.
-    pub fn send(&self, address: SocketAddr) -> Option<Told> {
+    /// Sends it to one process; returns nothing if there is no response.
+    pub fn send(&self, address: SocketAddr) -> Option<HttpResponse> {
         self.send_to(&format!("http://{address}{}", self.path))
     }
 
-    /// None if there is no answer.
-    fn send_to(&self, url: &str) -> Option<Told> {
+    /// Returns nothing if there is no response.
+    fn send_to(&self, url: &str) -> Option<HttpResponse> {
         let config = ureq::Agent::config_builder()
             .http_status_as_error(false)
             .max_redirects(0)
@@ -383,7 +383,7 @@
             }
         };
         let location = response.headers().get("Location").and_then(|value| value.to_str().ok());
-        Some(Told {
+        Some(HttpResponse {
             status: response.status().as_u16(),
             location: location.map(str::to_string),
             body: response.body_mut().read_to_vec().ok()?,
--- a/crates/quillpulley/tests/control/compatibility.rs
+++ b/crates/quillpulley/tests/control/compatibility.rs
@@ -4,7 +4,7 @@
 //! process of a new system: 280 configurations and 62 evacuations or ends of one. The files in `fixtures/answers` are
 //! what it then answered.
 
-use crate::cluster::PATIENCE;
+use crate::cluster::TIMEOUT;
 use quillpulley::control::replica_host::storage_thread::StorageThread;
 use quillpulley_control_state::ControlState;
 use quillpulley_protocol::encode_value;
@@ -97,7 +97,7 @@
 /// The whole answer to a call; none while nobody listens.
 fn exchange(port: u16, request: &str) -> Option<String> {
     let mut stream = TcpStream::connect(SocketAddr::from((ADDRESS, port))).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
     stream.write_all(request.as_bytes()).expect("a request sent");
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("an answer");
@@ -120,7 +120,7 @@
 #[test]
 fn a_folder_of_an_earlier_release_holds_the_same_state() {
     let folder = DataFolder::copy("state");
-    let handle_write_completed = folder.contents();
+    let before = folder.contents();
     let (_disk, recovered) = StorageThread::open(folder.0.clone(), drop).expect("a readable folder");
     let record = recovered.record.expect("a witness record");
     assert_eq!((record.incarnation, record.promised, record.promised_to.address()), (0, 1, ADDRESS));
@@ -140,7 +140,7 @@
     let slots = std::fs::read(folder.0.join("record.slots")).expect("the record");
     let is_written_so = slots.windows(record.len()).any(|window| window == record);
     assert!(is_written_so, "a witness record is written with the same bytes");
-    assert_eq!(folder.contents(), handle_write_completed, "opening a sound folder changes nothing");
+    assert_eq!(folder.contents(), before, "opening a sound folder changes nothing");
 }
 
 /// The zones whose evacuation was begun and not ended.
@@ -156,7 +156,7 @@
             Some(answer) => break answer,
             None => std::thread::sleep(RETRY_INTERVAL),
         }
-        assert!(started.elapsed() < PATIENCE, "the process does not answer");
+        assert!(started.elapsed() < TIMEOUT, "the process does not answer");
     };
     assert_eq!(first, stored_answer("config-get.http"));
     let cases = [
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_folder_that_cannot_be_read_is_named_with_the_remedy_and_left_as_it_was() {
+fn a_folder_that_cannot_be_read_is_named_with_the_remedy_and_not_changed() {
     let folder = DataFolder::copy("damaged");
     let segment = folder.0.join("log-000000-000000000001.segment");
     let mut bytes = std::fs::read(&segment).expect("the segment");
--- a/crates/quillpulley/tests/control/directory.rs
+++ b/crates/quillpulley/tests/control/directory.rs
@@ -49,16 +49,16 @@
 }
 
 fn chosen(directory: &Directory, zone: &str, region: &str) -> String {
-    chosen_of(directory, "h", zone, region)
+    chosen_for(directory, "h", zone, region)
 }
 
-fn chosen_of(directory: &Directory, host: &str, zone: &str, region: &str) -> String {
-    let place = Locality { zone: zone.to_string(), region: region.to_string() };
-    directory.choose(host, &place).join(" ")
+fn chosen_for(directory: &Directory, host: &str, zone: &str, region: &str) -> String {
+    let locality = Locality { zone: zone.to_string(), region: region.to_string() };
+    directory.choose(host, &locality).join(" ")
 }
 
 #[test]
-fn the_nearest_ready_proxies_are_told() {
+fn the_nearest_ready_proxies_are_listed() {
     let known = directory(&[
         "f1 a west ready",
         "f2 a west ready",
@@ -106,19 +106,19 @@
 }
 
 #[test]
-fn a_process_that_knows_too_little_tells_nothing() {
+fn a_process_that_knows_too_little_lists_nothing() {
     let known = Directory { coverage: Coverage::TooFew, ..directory(&["f1 a west ready"]) };
     assert_eq!(chosen(&known, "a", "west"), "");
 }
 
 #[test]
-fn at_most_64_addresses_are_told() {
+fn at_most_64_addresses_are_listed() {
     let endpoints: Vec<String> = (0..100).map(|number| format!("f{number} a west ready")).collect();
     let known = directory(&endpoints.iter().map(String::as_str).collect::<Vec<_>>());
-    let mut announced = known.choose("h", &Locality { zone: "a".to_string(), region: "west".to_string() });
-    announced.sort();
-    announced.dedup();
-    assert_eq!(announced.len(), 64);
+    let mut addresses = known.choose("h", &Locality { zone: "a".to_string(), region: "west".to_string() });
+    addresses.sort();
+    addresses.dedup();
+    assert_eq!(addresses.len(), 64);
 }
 
 const THREE_REGIONS: [&str; 4] = ["e a east ready", "w b west ready", "x b west ready", "n c north ready"];
@@ -158,17 +158,17 @@
 
 /// All fronts of a region are restarted at the same time: its clients are sent to a home, and not anywhere.
 #[test]
-fn a_region_all_of_whose_proxies_leave_sends_home_bound_clients_to_other_homes() {
+fn a_region_all_of_whose_proxies_drain_sends_home_bound_clients_to_other_homes() {
     let mut known = directory(&["e a east leaving", "f a east leaving", "w b west ready", "n c north ready"]);
     known.homes = homes("h:east+west g: i:east");
-    assert_eq!(chosen_of(&known, "h", "a", "east"), "w");
-    assert_eq!(chosen_of(&known, "g", "a", "east"), "w n");
-    assert_eq!(chosen_of(&known, "i", "a", "east"), "e f", "there is no other home");
+    assert_eq!(chosen_for(&known, "h", "a", "east"), "w");
+    assert_eq!(chosen_for(&known, "g", "a", "east"), "w n");
+    assert_eq!(chosen_for(&known, "i", "a", "east"), "e f", "there is no other home");
 
     known.endpoints[2] = endpoint("w b west starting");
-    assert_eq!(chosen_of(&known, "h", "a", "east"), "e f w");
+    assert_eq!(chosen_for(&known, "h", "a", "east"), "e f w");
     known.endpoints.retain(|endpoint| endpoint.region == "north");
-    assert_eq!(chosen_of(&known, "h", "a", "east"), "n", "no front is left in any home");
+    assert_eq!(chosen_for(&known, "h", "a", "east"), "n", "no front is left in any home");
 }
 
 #[test]
@@ -185,22 +185,22 @@
     let known =
         |coverage| Directory { coverage, homes: homes("h:east g:"), ..directory(&["n c north ready"]) };
     assert_eq!(chosen(&known(Coverage::Settling), "a", "east"), "");
-    assert_eq!(chosen_of(&known(Coverage::Settling), "g", "a", "east"), "n");
+    assert_eq!(chosen_for(&known(Coverage::Settling), "g", "a", "east"), "n");
     assert_eq!(chosen(&known(Coverage::All), "a", "east"), "n");
 }
 
 /// The fronts of a region that is cut off cannot reach the servers elsewhere either.
 #[test]
-fn out_of_touch_clients_who_are_served_better_elsewhere_are_told_to_ask_elsewhere() {
+fn disconnected_clients_who_are_served_better_elsewhere_are_sent_elsewhere() {
     let mut known = Directory { homes: homes("h:west g:east i:west i:"), ..directory(&["e a east ready"]) };
     known.coverage = Coverage::OwnReports;
-    assert_eq!(chosen_of(&known, "h", "a", "east"), "");
-    assert_eq!(chosen_of(&known, "g", "a", "east"), "e");
-    assert_eq!(chosen_of(&known, "i", "a", "east"), "e");
+    assert_eq!(chosen_for(&known, "h", "a", "east"), "");
+    assert_eq!(chosen_for(&known, "g", "a", "east"), "e");
+    assert_eq!(chosen_for(&known, "i", "a", "east"), "e");
     known.endpoints[0].preferred_regions = vec!["west".to_string()];
-    assert_eq!(chosen_of(&known, "i", "a", "east"), "");
+    assert_eq!(chosen_for(&known, "i", "a", "east"), "");
     known.coverage = Coverage::All;
-    assert_eq!(chosen_of(&known, "h", "a", "east"), "e", "all fronts of the homes are lost");
+    assert_eq!(chosen_for(&known, "h", "a", "east"), "e", "all fronts of the homes are lost");
 }
 
 /// Any fronts, routes of a few hosts, and what the directory knows.
@@ -243,14 +243,14 @@
 
 impl AnyDirectory {
     /// The regions of the fronts that a client is told.
-    fn told_regions(&self, host: &str, region: &str) -> Vec<String> {
-        let place = Locality { zone: format!("{region}-a"), region: region.to_string() };
-        let announced = self.directory.choose(host, &place);
+    fn listed_regions(&self, host: &str, region: &str) -> Vec<String> {
+        let locality = Locality { zone: format!("{region}-a"), region: region.to_string() };
+        let addresses = self.directory.choose(host, &locality);
         let region_of = |address: &String| {
             let endpoint = self.directory.endpoints.iter().find(|endpoint| endpoint.address == *address);
             endpoint.expect("a known front").region.clone()
         };
-        announced.iter().map(region_of).collect()
+        addresses.iter().map(region_of).collect()
     }
 
     /// Whether a front is known in the client's region or in a home of all routes of the host that have homes.
@@ -272,11 +272,10 @@
         let clients = HOSTS[..2].iter().flat_map(|host| REGIONS.map(|region| (*host, region)));
         clients.into_iter().all(|(host, region)| {
             let bound = any.directory.coverage != Coverage::All || any.has_endpoints_for(host, region);
-            let announced = any.told_regions(host, region);
+            let listed = any.listed_regions(host, region);
             let routes = any.routes.iter().filter(|(of, homes)| of == host && !homes.is_empty());
-            let third = |homes: &[String]| {
-                announced.iter().any(|announced| announced != region && !homes.contains(announced))
-            };
+            let third =
+                |homes: &[String]| listed.iter().any(|listed| listed != region && !homes.contains(listed));
             !bound || routes.into_iter().all(|(_, homes)| !third(homes))
         })
     }
@@ -284,28 +283,28 @@
 }
 
 #[test]
-fn once_all_proxies_are_known_somebody_is_told() {
+fn once_all_proxies_are_known_somebody_is_listed() {
     fn holds(any: AnyDirectory) -> bool {
         let is_due = any.directory.coverage == Coverage::All && !any.directory.endpoints.is_empty();
         let clients = HOSTS.iter().flat_map(|host| REGIONS.map(|region| (*host, region)));
-        !is_due || clients.into_iter().all(|(host, region)| !any.told_regions(host, region).is_empty())
+        !is_due || clients.into_iter().all(|(host, region)| !any.listed_regions(host, region).is_empty())
     }
     quickcheck::QuickCheck::new().tests(5_000).quickcheck(holds as fn(AnyDirectory) -> bool);
 }
 
-struct Told {
+struct HttpResponse {
     status: u16,
     retry_after: Option<String>,
     body: Vec<u8>,
 }
 
-fn ask(address: SocketAddr, path: &str) -> Told {
+fn ask(address: SocketAddr, path: &str) -> HttpResponse {
     let config = ureq::Agent::config_builder().http_status_as_error(false);
     let config = config.timeout_global(Some(Duration::from_secs(10))).build();
     let agent = ureq::Agent::new_with_config(config);
     let mut response = agent.get(format!("http://{address}{path}")).call().expect("an answer");
     let retry_after = response.headers().get("Retry-After").and_then(|value| value.to_str().ok());
-    Told {
+    HttpResponse {
         status: response.status().as_u16(),
         retry_after: retry_after.map(str::to_string),
         body: response.body_mut().read_to_vec().expect("a body"),
@@ -331,9 +330,9 @@
         coverage: Coverage::All,
         homes: Arc::default(),
     });
-    let mut announced = ask(address, "/v1/resolve?Name=x&Region=west&Zone=a%20b");
-    assert_eq!(announced.status, 200);
-    let answer = simd_json::to_owned_value(&mut announced.body).expect("JSON");
+    let mut response = ask(address, "/v1/resolve?Name=x&Region=west&Zone=a%20b");
+    assert_eq!(response.status, 200);
+    let answer = simd_json::to_owned_value(&mut response.body).expect("JSON");
     let addresses: Vec<&str> =
         answer.get_array("Addresses").expect("addresses").iter().filter_map(|value| value.as_str()).collect();
     assert_eq!(addresses, ["f1", "f2"]);
--- a/crates/quillpulley/tests/control/directory_days.rs
+++ b/crates/quillpulley/tests/control/directory_days.rs
@@ -20,66 +20,66 @@
 }
 
 #[test]
-fn a_killed_proxy_is_told_for_a_second() {
-    let mut system = System::settled();
+fn a_killed_proxy_is_listed_for_a_second() {
+    let mut system = System::stable();
     system.fail(agent(3), State::Ended);
-    assert_within(system.time_until_untold(&[3], &ALL), 900, 1_100);
+    assert_within(system.time_until_delisted(&[3], &ALL), 900, 1_100);
 }
 
 #[test]
-fn a_frozen_proxy_without_monitors_is_told_for_two_and_a_half_seconds() {
-    let mut system = System::settled();
-    system.fail(agent(3), State::Silent);
-    assert_within(system.time_until_untold(&[3], &ALL), 1_800, 2_700);
+fn a_frozen_proxy_without_monitors_is_listed_for_two_and_a_half_seconds() {
+    let mut system = System::stable();
+    system.fail(agent(3), State::Unresponsive);
+    assert_within(system.time_until_delisted(&[3], &ALL), 1_800, 2_700);
 }
 
 #[test]
-fn the_proxies_of_a_lost_region_are_told_for_two_and_a_half_seconds() {
-    let mut system = System::settled();
-    [1, agent(2), agent(3)].into_iter().for_each(|node| system.fail(node, State::Silent));
-    assert_within(system.time_until_untold(&[2, 3], &[0, 2]), 1_800, 2_700);
-    assert_eq!(system.announced(0).len(), AGENTS - 2);
+fn the_proxies_of_a_lost_region_are_listed_for_two_and_a_half_seconds() {
+    let mut system = System::stable();
+    [1, agent(2), agent(3)].into_iter().for_each(|node| system.fail(node, State::Unresponsive));
+    assert_within(system.time_until_delisted(&[2, 3], &[0, 2]), 1_800, 2_700);
+    assert_eq!(system.listed(0).len(), AGENTS - 2);
 }
 
 #[test]
-fn proxies_lost_with_the_primary_are_told_until_three_seconds_after_the_election() {
-    let mut system = System::settled();
-    [0, agent(0), agent(1)].into_iter().for_each(|node| system.fail(node, State::Silent));
+fn proxies_lost_with_the_primary_are_listed_until_three_seconds_after_the_election() {
+    let mut system = System::stable();
+    [0, agent(0), agent(1)].into_iter().for_each(|node| system.fail(node, State::Unresponsive));
     system.run(ms(2_000));
     system.elect(1);
-    assert_within(system.time_until_untold(&[0, 1], &[1, 2]), 2_800, 3_100);
-    assert_eq!(system.announced(2).len(), AGENTS - 2);
+    assert_within(system.time_until_delisted(&[0, 1], &[1, 2]), 2_800, 3_100);
+    assert_eq!(system.listed(2).len(), AGENTS - 2);
 }
 
 #[test]
-fn without_a_primary_proxies_elsewhere_are_told_for_three_seconds() {
-    let mut system = System::settled();
-    system.cut = Some(2);
-    assert_within(system.time_until_untold(&[0, 1, 2, 3], &[2]), 2_800, 3_100);
-    assert_eq!(system.announced(2), ["front-4", "front-5"], "it goes on with those that report to it");
-    assert_eq!(system.announced(0).len(), AGENTS - 2, "which the others do not tell any more");
+fn without_a_primary_proxies_elsewhere_are_listed_for_three_seconds() {
+    let mut system = System::stable();
+    system.partitioned_region = Some(2);
+    assert_within(system.time_until_delisted(&[0, 1, 2, 3], &[2]), 2_800, 3_100);
+    assert_eq!(system.listed(2), ["front-4", "front-5"], "it goes on with those that report to it");
+    assert_eq!(system.listed(0).len(), AGENTS - 2, "which the others do not tell any more");
     system.heal();
     system.run(ms(4_000));
-    assert!(ALL.iter().all(|control_node| system.announced(*control_node).len() == AGENTS));
+    assert!(ALL.iter().all(|control_node| system.listed(*control_node).len() == AGENTS));
 }
 
 #[test]
-fn a_proxy_that_dies_in_a_region_that_is_cut_off_is_told_there_for_three_and_a_half_seconds() {
-    for (state, from, to) in [(State::Ended, 1_800, 2_200), (State::Silent, 2_800, 3_700)] {
-        let mut system = System::settled();
-        system.cut = Some(2);
+fn a_proxy_that_dies_in_a_region_that_is_cut_off_is_listed_there_for_three_and_a_half_seconds() {
+    for (state, from, to) in [(State::Ended, 1_800, 2_200), (State::Unresponsive, 2_800, 3_700)] {
+        let mut system = System::stable();
+        system.partitioned_region = Some(2);
         system.run(ms(10_000));
         system.fail(agent(4), state);
-        assert_within(system.time_until_untold(&[4], &[2]), from, to);
+        assert_within(system.time_until_delisted(&[4], &[2]), from, to);
         system.fail(agent(5), state);
-        system.time_until_untold(&[5], &[2]);
-        assert!(system.announced(2).is_empty(), "nobody reports: 503");
+        system.time_until_delisted(&[5], &[2]);
+        assert!(system.listed(2).is_empty(), "nobody reports: 503");
     }
 }
 
 #[test]
 fn control_nodes_that_were_all_killed_tell_no_proxy_that_died_with_them() {
-    let mut system = System::settled();
+    let mut system = System::stable();
     ALL.into_iter().for_each(|control_node| system.fail(control_node, State::Ended));
     system.nodes[0].publisher = None;
     system.fail(agent(3), State::Ended);
@@ -87,77 +87,78 @@
     ALL.into_iter().for_each(|control_node| system.restart(control_node));
     system.run(ms(2_000));
     system.elect(1);
-    assert_eq!(system.time_until_untold(&[3], &ALL), 0);
-    assert!(ALL.iter().all(|control_node| system.announced(*control_node).len() == AGENTS - 1));
+    assert_eq!(system.time_until_delisted(&[3], &ALL), 0);
+    assert!(ALL.iter().all(|control_node| system.listed(*control_node).len() == AGENTS - 1));
 }
 
 #[test]
 fn a_proxy_whose_agent_is_gone_comes_back_with_it() {
-    let mut system = System::settled();
+    let mut system = System::stable();
     system.fail(agent(3), State::Ended);
     system.run(ms(2_000));
-    assert!(!system.is_told_by(3, &ALL));
+    assert!(!system.is_listed_by(3, &ALL));
     system.restart(agent(3));
     system.run(REPORTED);
-    assert!(ALL.iter().all(|control_node| system.is_told_by(3, &[*control_node])));
+    assert!(ALL.iter().all(|control_node| system.is_listed_by(3, &[*control_node])));
 }
 
 #[test]
-fn a_proxy_that_is_signalled_to_shut_down_is_known_to_leave_within_two_reports() {
-    for cut in [None, Some(1)] {
-        let mut system = System::settled();
-        system.cut = cut;
+fn a_proxy_that_is_signalled_to_shut_down_is_known_to_drain_within_two_reports() {
+    for partitioned_region in [None, Some(1)] {
+        let mut system = System::stable();
+        system.partitioned_region = partitioned_region;
         system.run(ms(5_000));
         system.report(3, EndpointState::Draining, 1);
         system.run(REPORTED);
-        assert!(system.announced(1).contains(&"(front-3)".to_string()));
-        assert!(!system.is_told_by(3, &ALL));
+        assert!(system.listed(1).contains(&"(front-3)".to_string()));
+        assert!(!system.is_listed_by(3, &ALL));
     }
 }
 
 /// The longest times for which a front that is gone may be told, and after an election or the beginning of a cut.
 const BOUND: Duration = Duration::from_millis(3_700);
-const AFTER_ELECTION_OR_CUT: Duration = Duration::from_millis(3_200);
+const AFTER_ELECTION_OR_PARTITION: Duration = Duration::from_millis(3_200);
 
 /// What happens in a random run at most.
-const MOST_STEPS: usize = 30;
+const MAX_STEPS: usize = 30;
 
 /// Steps of a number for what happens, one for whom, and one for the time until the next.
 fn play_random(steps: Vec<(u8, u8, u8)>) -> bool {
-    let mut system = System::settled();
-    let mut gone_since: [Option<Duration>; AGENTS] = [None; AGENTS];
+    let mut system = System::stable();
+    let mut lost_since: [Option<Duration>; AGENTS] = [None; AGENTS];
     let mut disturbed = Duration::ZERO;
-    for (what, whom, time) in steps.into_iter().take(MOST_STEPS) {
+    for (what, whom, time) in steps.into_iter().take(MAX_STEPS) {
         let number = whom as usize % AGENTS;
         match what % 6 {
             0 => system.fail(agent(number), State::Ended),
-            1 => system.fail(agent(number), State::Silent),
+            1 => system.fail(agent(number), State::Unresponsive),
             2 | 3 => system.restart(agent(number)),
-            4 if system.cut.is_some() => system.heal(),
+            4 if system.partitioned_region.is_some() => system.heal(),
             4 => {
-                system.cut = Some(whom as usize % CONTROL_NODES);
+                system.partitioned_region = Some(whom as usize % CONTROL_NODES);
                 disturbed = system.now;
             }
             _ => {
                 let control_node = (0..CONTROL_NODES).find(|control_node| {
-                    Some(*control_node) != system.cut && Some(*control_node) != system.primary()
+                    Some(*control_node) != system.partitioned_region
+                        && Some(*control_node) != system.primary()
                 });
                 system.elect(control_node.unwrap_or(0));
                 disturbed = system.now;
             }
         }
-        for (number, since) in gone_since.iter_mut().enumerate() {
-            let is_gone = system.nodes[agent(number)].state != State::Running;
-            *since = is_gone.then(|| since.unwrap_or(system.now));
+        for (number, since) in lost_since.iter_mut().enumerate() {
+            let is_lost = system.nodes[agent(number)].state != State::Running;
+            *since = is_lost.then(|| since.unwrap_or(system.now));
         }
         for _ in 0..time as usize % 60 {
             system.run(TICK);
-            let settled = system.now > disturbed + AFTER_ELECTION_OR_CUT;
-            let is_over = |since: &Duration| settled && system.now > *since + BOUND;
-            let told_too_long = gone_since.iter().enumerate().any(|(number, since)| {
-                since.as_ref().is_some_and(is_over) && system.is_told_by(number, &ALL)
+            let is_stable = system.now > disturbed + AFTER_ELECTION_OR_PARTITION;
+            let is_over = |since: &Duration| is_stable && system.now > *since + BOUND;
+            let listed_too_long = lost_since.iter().enumerate().any(|(number, since)| {
+                since.as_ref().is_some_and(is_over) && system.is_listed_by(number, &ALL)
             });
-            if told_too_long {
+            if listed_too_long {
                 return false;
             }
         }
@@ -166,6 +167,6 @@
 }
 
 #[test]
-fn whatever_happens_a_proxy_that_is_gone_is_soon_untold() {
+fn whatever_happens_a_proxy_that_is_gone_is_soon_delisted() {
     quickcheck::QuickCheck::new().quickcheck(play_random as fn(Vec<(u8, u8, u8)>) -> bool);
 }
--- a/crates/quillpulley/tests/control/directory_days/system.rs
+++ b/crates/quillpulley/tests/control/directory_days/system.rs
@@ -32,13 +32,13 @@
 pub(super) enum State {
     Running,
     /// Frozen or without power: its links say nothing.
-    Silent,
+    Unresponsive,
     /// Killed: its links are closed.
     Ended,
 }
 
 pub(super) struct Node {
-    pub(super) feed: SyncNode<usize>,
+    pub(super) sync_node: SyncNode<usize>,
     pub(super) state: State,
     pub(super) region: usize,
     pub(super) parent: Option<usize>,
@@ -49,7 +49,7 @@
     pub(super) dirty: bool,
     pub(super) reports_dirty: bool,
     pub(super) publisher: Option<EndpointRegistry>,
-    pub(super) stamped: Duration,
+    pub(super) heartbeat_at: Duration,
 }
 
 impl Node {
@@ -59,7 +59,7 @@
             Some(agent) => (agent / 2, Options::new(&name(agent))),
         };
         Node {
-            feed: SyncNode::new(options),
+            sync_node: SyncNode::new(options),
             state: State::Running,
             region,
             parent: None,
@@ -69,7 +69,7 @@
             dirty: true,
             reports_dirty: true,
             publisher: None,
-            stamped: now,
+            heartbeat_at: now,
         }
     }
 }
@@ -78,29 +78,29 @@
     pub(super) now: Duration,
     pub(super) nodes: Vec<Node>,
     pub(super) queue: VecDeque<(usize, Event<usize>)>,
-    pub(super) cut: Option<usize>,
+    pub(super) partitioned_region: Option<usize>,
     pub(super) epoch: u64,
 }
 
 impl System {
     /// All are up and known everywhere; the primary is the core process of region 0.
-    pub(super) fn settled() -> Self {
+    pub(super) fn stable() -> Self {
         let now = Duration::ZERO;
         let nodes = (0..CONTROL_NODES + AGENTS).map(|number| Node::new(number, now)).collect();
-        let mut system = System { now, nodes, queue: VecDeque::new(), cut: None, epoch: 0 };
+        let mut system = System { now, nodes, queue: VecDeque::new(), partitioned_region: None, epoch: 0 };
         system.elect(0);
         (0..AGENTS).for_each(|number| system.report(number, EndpointState::Ready, 1));
         system.run(ms(10_000));
-        let announced: Vec<Vec<String>> =
-            (0..CONTROL_NODES).map(|control_node| system.announced(control_node)).collect();
-        assert!(announced.iter().all(|announced| announced.len() == AGENTS), "all are known: {announced:?}");
+        let listed: Vec<Vec<String>> =
+            (0..CONTROL_NODES).map(|control_node| system.listed(control_node)).collect();
+        assert!(listed.iter().all(|listed| listed.len() == AGENTS), "all are known: {listed:?}");
         system
     }
 
     pub(super) fn reaches(&self, one: usize, other: usize) -> bool {
-        let is_cut = |node: usize| Some(self.nodes[node].region) == self.cut;
+        let is_partitioned = |node: usize| Some(self.nodes[node].region) == self.partitioned_region;
         let run = [one, other].iter().all(|node| self.nodes[*node].state == State::Running);
-        run && is_cut(one) == is_cut(other)
+        run && is_partitioned(one) == is_partitioned(other)
     }
 
     pub(super) fn report(&mut self, number: usize, state: EndpointState, incarnation: u64) {
@@ -128,7 +128,7 @@
         }
         self.epoch += 1;
         let node = &mut self.nodes[control_node];
-        node.publisher = Some(EndpointRegistry::inherit(self.now, node.feed.store().iter()));
+        node.publisher = Some(EndpointRegistry::inherit(self.now, node.sync_node.store().iter()));
         node.reports_dirty = true;
         node.parent = None;
         self.event(control_node, Event::BecomeRoot { epoch: self.epoch });
@@ -154,7 +154,7 @@
 
     /// What a cut held up is lost: the links across it are made anew.
     pub(super) fn heal(&mut self) {
-        let Some(region) = self.cut else { return };
+        let Some(region) = self.partitioned_region else { return };
         for node in 0..self.nodes.len() {
             let across = |parent: &usize| {
                 (self.nodes[node].region == region) != (self.nodes[*parent].region == region)
@@ -165,7 +165,7 @@
                 self.event(node, Event::ParentDown);
             }
         }
-        self.cut = None;
+        self.partitioned_region = None;
     }
 
     /// A process starts anew and knows nothing.
@@ -184,7 +184,7 @@
                 continue;
             }
             let mut actions = Vec::new();
-            self.nodes[node].feed.handle(self.now, event, &mut actions);
+            self.nodes[node].sync_node.handle(self.now, event, &mut actions);
             actions.into_iter().for_each(|action| self.perform(node, action));
         }
     }
@@ -245,9 +245,9 @@
     pub(super) fn find_parent(&mut self, node: usize) {
         let current = self.nodes[node].parent;
         let lately = self.now < self.nodes[node].parent_since + SEARCH_AFTER;
-        let fresh = self.nodes[node].feed.is_fresh(self.now);
+        let fresh = self.nodes[node].sync_node.is_fresh(self.now);
         let candidate = if node < CONTROL_NODES {
-            self.primary().filter(|primary| *primary != node && !self.nodes[node].feed.is_root())
+            self.primary().filter(|primary| *primary != node && !self.nodes[node].sync_node.is_root())
         } else if current.is_some() && (fresh || lately) {
             current
         } else {
@@ -276,14 +276,14 @@
         let node = &mut self.nodes[control_node];
         let Some(publisher) = &mut node.publisher else { return };
         let changes = if std::mem::take(&mut node.reports_dirty) {
-            publisher.update(now, node.feed.subtree())
+            publisher.update(now, node.sync_node.subtree())
         } else {
             publisher.tick(now)
         };
         if !changes.is_empty() {
             self.event(control_node, Event::Publish(changes));
-        } else if now >= node.stamped + HEARTBEAT_INTERVAL {
-            node.stamped = now;
+        } else if now >= node.heartbeat_at + HEARTBEAT_INTERVAL {
+            node.heartbeat_at = now;
             self.event(control_node, Event::Heartbeat);
         }
     }
@@ -291,14 +291,14 @@
     pub(super) fn show(&mut self, control_node: usize) {
         let now = self.now;
         let node = &mut self.nodes[control_node];
-        let waiting = node.view.depends_on_time(node.feed.is_fresh(now));
+        let waiting = node.view.depends_on_time(node.sync_node.is_fresh(now));
         if node.state == State::Running && (std::mem::take(&mut node.dirty) || waiting) {
-            node.directory = node.view.build(now, &DirectoryInputs::at(now, &node.feed));
+            node.directory = node.view.build(now, &DirectoryInputs::at(now, &node.sync_node));
         }
     }
 
     /// The fronts that the directory of a core process may tell, with those that leave in brackets.
-    pub(super) fn announced(&self, control_node: usize) -> Vec<String> {
+    pub(super) fn listed(&self, control_node: usize) -> Vec<String> {
         let directory = &self.nodes[control_node].directory;
         if self.nodes[control_node].state != State::Running || directory.coverage == Coverage::TooFew {
             return Vec::new();
@@ -310,16 +310,16 @@
         shown.collect()
     }
 
-    pub(super) fn is_told_by(&self, number: usize, control_nodes: &[usize]) -> bool {
-        control_nodes.iter().any(|control_node| self.announced(*control_node).contains(&name(number)))
+    pub(super) fn is_listed_by(&self, number: usize, control_nodes: &[usize]) -> bool {
+        control_nodes.iter().any(|control_node| self.listed(*control_node).contains(&name(number)))
     }
 
     /// How long these directories go on telling any of these fronts.
-    pub(super) fn time_until_untold(&mut self, numbers: &[usize], control_nodes: &[usize]) -> u128 {
+    pub(super) fn time_until_delisted(&mut self, numbers: &[usize], control_nodes: &[usize]) -> u128 {
         let (start, mut last) = (self.now, self.now);
         for _ in 0..400 {
             self.run(TICK);
-            if numbers.iter().any(|number| self.is_told_by(*number, control_nodes)) {
+            if numbers.iter().any(|number| self.is_listed_by(*number, control_nodes)) {
                 last = self.now;
             }
         }
--- a/crates/quillpulley/tests/control/directory_view.rs
+++ b/crates/quillpulley/tests/control/directory_view.rs
@@ -36,7 +36,7 @@
     format!("{}:{state}{}", endpoint.name, endpoint.incarnation)
 }
 
-/// What a view tells with these fronts published, the latest stamp of which came at `moved`, and these reported.
+/// What a view reports with these fronts published, the latest stamp of which came at `moved`, and these reported.
 /// Reports are written as fronts, and as `!f:m,n` where `m` and `n` cannot reach `f`.
 struct Moment<'a> {
     now: u64,
@@ -84,7 +84,7 @@
 }
 
 /// What is told at a time; in brackets if it may not be all.
-fn announced(view: &mut DirectoryBuilder, now: u64, fresh: bool, published: &str, reported: &str) -> String {
+fn listed(view: &mut DirectoryBuilder, now: u64, fresh: bool, published: &str, reported: &str) -> String {
     let moved = if fresh { now } else { 0 };
     let directory = directory(view, &Moment { now, moved, fresh, epoch: 1, published, reported });
     if directory.coverage == Coverage::TooFew {
@@ -97,35 +97,35 @@
 #[test]
 fn published_proxies_count_while_they_are_fresh() {
     let mut view = DirectoryBuilder::default();
-    assert_eq!(announced(&mut view, 0, true, "f:r1 g:r1", "f:l1 h:r1"), "f:r1 g:r1");
+    assert_eq!(listed(&mut view, 0, true, "f:r1 g:r1", "f:l1 h:r1"), "f:r1 g:r1");
 }
 
 #[test]
 fn out_of_date_state_is_joined_with_the_own_reports() {
     let mut view = DirectoryBuilder::default();
-    announced(&mut view, 0, true, "f:r1", "");
-    assert_eq!(announced(&mut view, 10, false, "f:r1 g:r2", "f:l1 g:s1 h:r1"), "f:l1 g:r2 h:r1");
+    listed(&mut view, 0, true, "f:r1", "");
+    assert_eq!(listed(&mut view, 10, false, "f:r1 g:r2", "f:l1 g:s1 h:r1"), "f:l1 g:r2 h:r1");
 }
 
 #[test]
 fn a_new_process_waits_for_fresh_state_or_a_while_after_it_knows_a_proxy() {
     let mut view = DirectoryBuilder::default();
-    assert_eq!(announced(&mut view, 0, true, "", ""), "()");
-    assert_eq!(announced(&mut view, 1000, false, "", "f:r1"), "(f:r1)");
-    assert_eq!(announced(&mut view, 2499, false, "", "f:r1"), "(f:r1)");
-    assert_eq!(announced(&mut view, 2500, false, "", "f:r1"), "f:r1");
+    assert_eq!(listed(&mut view, 0, true, "", ""), "()");
+    assert_eq!(listed(&mut view, 1000, false, "", "f:r1"), "(f:r1)");
+    assert_eq!(listed(&mut view, 2499, false, "", "f:r1"), "(f:r1)");
+    assert_eq!(listed(&mut view, 2500, false, "", "f:r1"), "f:r1");
     // A front whose agent may be changing its parent counts for two seconds more.
-    assert_eq!(announced(&mut view, 4499, false, "", ""), "f:r1");
+    assert_eq!(listed(&mut view, 4499, false, "", ""), "f:r1");
     // Once it knew enough it does not doubt any more.
-    assert_eq!(announced(&mut view, 4500, false, "", ""), "");
+    assert_eq!(listed(&mut view, 4500, false, "", ""), "");
 
     let mut view = DirectoryBuilder::default();
-    assert_eq!(announced(&mut view, 10, false, "f:r1", ""), "(f:r1)");
-    assert_eq!(announced(&mut view, 20, true, "f:r1", ""), "f:r1");
+    assert_eq!(listed(&mut view, 10, false, "f:r1", ""), "(f:r1)");
+    assert_eq!(listed(&mut view, 20, true, "f:r1", ""), "f:r1");
 }
 
 /// Lines are a time in ms, when the latest stamp came, `fresh` or `stale`, what is published, what is reported, and
-/// what the directory tells, with `own` before it if these are the own reports alone.
+/// what the directory reports, with `own` before it if these are the own reports alone.
 fn play(timeline: &str) {
     let mut view = DirectoryBuilder::default();
     for line in timeline.lines().map(str::trim).filter(|line| !line.is_empty()) {
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn three_seconds_after_the_latest_news_only_the_own_reports_count() {
+fn three_seconds_after_the_latest_update_only_the_own_reports_count() {
     play(
         "
            0 |   0 | fresh | f:r1 g:r1 | f:r1      | f:r1 g:r1
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_proxy_that_dies_while_its_directory_is_out_of_touch_is_told_two_seconds_more() {
+fn a_proxy_that_dies_while_its_directory_is_disconnected_is_listed_two_seconds_more() {
     play(
         "
            0 | 0 | fresh | f:r1 g:r1 | f:r1 g:r1 | f:r1 g:r1
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn an_agent_that_changes_its_parent_is_not_missed_out_of_touch() {
+fn an_agent_that_changes_its_parent_stays_listed_while_the_directory_is_disconnected() {
     play(
         "
            0 | 0 | fresh | f:r1 | f:r1 | f:r1
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_proxy_that_two_monitors_cannot_reach_is_not_told_without_news_either() {
+fn a_proxy_that_two_monitors_cannot_reach_is_not_listed_without_updates_either() {
     play(
         "
            0 | 0 | fresh | f:r1 g:r1 | f:r1 g:r1          | f:r1 g:r1
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_proxy_that_leaves_is_told_as_leaving_at_once_in_touch_or_not() {
+fn a_proxy_that_drains_is_listed_as_draining_at_once_in_touch_or_not() {
     play(
         "
            0 | 0 | fresh | f:r1 g:r1 | f:r1 g:r1 | f:r1 g:r1
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn time_alone_changes_what_is_told_only_while_something_is_open() {
+fn time_alone_changes_what_is_listed_only_while_something_is_open() {
     let mut view = DirectoryBuilder::default();
     let mut is_waiting_after = |now, moved, fresh| {
         directory(&mut view, &Moment { now, moved, fresh, epoch: 1, published: "f:r1", reported: "" });
--- a/crates/quillpulley/tests/control/disk.rs
+++ b/crates/quillpulley/tests/control/disk.rs
@@ -1,6 +1,6 @@
 //! The thread that owns the disk: what it stores, and that a failure is told and not fatal.
 
-use crate::cluster::PATIENCE;
+use crate::cluster::TIMEOUT;
 use quillpulley::control::replica_host::storage_thread::{StorageThread, WriteCompletion};
 use quillpulley::HostError;
 use quillpulley_protocol::{Entry, NodeId, Position, WitnessRecord};
@@ -27,7 +27,7 @@
 
 fn open(folder: &TestFolder) -> (StorageThread, Recovered, Receiver<WriteCompletion>) {
     let (send, outcomes) = mpsc::channel();
-    let deliver = move |handle_write_completed| drop(send.send(handle_write_completed));
+    let deliver = move |completion| drop(send.send(completion));
     let (disk, recovered) = StorageThread::open(folder.0.clone(), deliver).expect("a disk");
     (disk, recovered, outcomes)
 }
@@ -59,7 +59,7 @@
         disk.store(ticket, write);
     }
     for ticket in 1..=4 {
-        assert_eq!(outcomes.recv_timeout(PATIENCE), Ok(WriteCompletion { ticket, result: Ok(()) }));
+        assert_eq!(outcomes.recv_timeout(TIMEOUT), Ok(WriteCompletion { ticket, result: Ok(()) }));
     }
     drop(disk);
 
@@ -69,23 +69,23 @@
     assert_eq!(recovered.entries, [entry(2)]);
     let install = Write::Install { last: position(9), snapshot: b"nine".to_vec(), entries: vec![entry(10)] };
     disk.store(1, install);
-    assert_eq!(outcomes.recv_timeout(PATIENCE), Ok(WriteCompletion { ticket: 1, result: Ok(()) }));
+    assert_eq!(outcomes.recv_timeout(TIMEOUT), Ok(WriteCompletion { ticket: 1, result: Ok(()) }));
     let (_, recovered, _) = open(&folder);
     assert_eq!(recovered.snapshot, Some((position(9), b"nine".to_vec())));
     assert_eq!(recovered.entries, [entry(10)]);
 }
 
 #[test]
-fn a_write_that_fails_is_told_and_later_ones_may_succeed() {
+fn a_write_that_fails_is_reported_and_later_ones_may_succeed() {
     let folder = TestFolder::new("failure");
     let (disk, _, outcomes) = open(&folder);
     std::fs::remove_dir_all(&folder.0).expect("a folder that is gone");
     let install = |index| Write::Install { last: position(index), snapshot: Vec::new(), entries: Vec::new() };
     disk.store(1, install(1));
-    assert_eq!(outcomes.recv_timeout(PATIENCE), Ok(WriteCompletion { ticket: 1, result: Err(WriteFailed) }));
+    assert_eq!(outcomes.recv_timeout(TIMEOUT), Ok(WriteCompletion { ticket: 1, result: Err(WriteFailed) }));
     std::fs::create_dir_all(&folder.0).expect("a folder");
     disk.store(2, install(2));
-    assert_eq!(outcomes.recv_timeout(PATIENCE), Ok(WriteCompletion { ticket: 2, result: Ok(()) }));
+    assert_eq!(outcomes.recv_timeout(TIMEOUT), Ok(WriteCompletion { ticket: 2, result: Ok(()) }));
 }
 
 #[test]
--- a/crates/quillpulley/tests/control/frozen_host.rs
+++ b/crates/quillpulley/tests/control/frozen_host.rs
@@ -1,7 +1,7 @@
 //! A whole host, alone in its system, that stands still at every point between a call and its answer. Its clock is
 //! the test's; its sockets, disk and threads are real.
 
-use crate::api::{call, replace, send, Told};
+use crate::api::{call, replace, send, HttpResponse};
 use crate::configuration;
 use quillpulley::control::api::{self, ApiRequest, Faults};
 use quillpulley::control::clock::Clock;
@@ -22,7 +22,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 /// Longer than any lease.
 const FREEZE_MS: u64 = 20_000;
 const TICK_MS: u64 = 50;
@@ -30,19 +30,19 @@
 
 static FOLDERS: AtomicU64 = AtomicU64::new(0);
 
-struct Bench {
+struct Harness {
     host: ControlHost,
     /// The clock of the main thread, in milliseconds.
     now: Arc<AtomicU64>,
     /// How much later the writers of answers come to look at the clock.
     writers_late: Arc<AtomicU64>,
     api: SocketAddr,
-    calls: Receiver<Box<ApiRequest>>,
-    handle_write_completed: Receiver<WriteCompletion>,
+    requests: Receiver<Box<ApiRequest>>,
+    completions: Receiver<WriteCompletion>,
     folder: PathBuf,
 }
 
-impl Bench {
+impl Harness {
     /// A host that leads, with version 5 in force.
     fn start(faults: Faults) -> Self {
         let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
@@ -52,12 +52,12 @@
 
         let listener = TcpListener::bind((IP, 0)).expect("a socket");
         let api = listener.local_addr().expect("an address");
-        let (deliver, calls) = mpsc::channel();
-        let deliver = move |call| deliver.send(call).map_err(|refused| refused.0);
+        let (deliver, requests) = mpsc::channel();
+        let deliver = move |call| deliver.send(call).map_err(|rejected| rejected.0);
         api::serve_with_faults(listener, clock.clone(), faults, deliver).expect("a server");
 
-        let (store, handle_write_completed) = mpsc::channel();
-        let deliver = move |fate| drop(store.send(fate));
+        let (store, completions) = mpsc::channel();
+        let deliver = move |completion| drop(store.send(completion));
         let (disk, recovered) = StorageThread::open(folder.clone(), deliver).expect("a disk");
         let me = NodeId::new(IP, 0);
         let options = Options {
@@ -77,7 +77,7 @@
         };
         // Alone it dials nobody, and so its links need no runtime.
         let (peers, _) = Peers::new(hello);
-        let parts = Components {
+        let components = Components {
             clock,
             me,
             peers,
@@ -86,11 +86,11 @@
             fetcher: None,
             directory: DirectoryHandle::default(),
         };
-        let host = ControlHost::new(settings(api, &folder), parts);
-        let mut bench = Bench { host, now, writers_late, api, calls, handle_write_completed, folder };
-        let announced = bench.run_until_clear(&replace("0", &text("5")));
-        assert_eq!(announced.status, 200);
-        bench
+        let host = ControlHost::new(settings(api, &folder), components);
+        let mut harness = Harness { host, now, writers_late, api, requests, completions, folder };
+        let response = harness.request_until_definite(&replace("0", &text("5")));
+        assert_eq!(response.status, 200);
+        harness
     }
 
     /// Lets time pass and takes what the disk reports.
@@ -98,40 +98,38 @@
         self.now.fetch_add(TICK_MS, Ordering::SeqCst);
         self.host.tick();
         // A write takes less than this by far; one that does not is taken at the next step.
-        while let Ok(handle_write_completed) =
-            self.handle_write_completed.recv_timeout(Duration::from_millis(20))
-        {
-            self.host.handle_write_completed(handle_write_completed);
+        while let Ok(completion) = self.completions.recv_timeout(Duration::from_millis(20)) {
+            self.host.handle_write_completed(completion);
         }
     }
 
     /// Calls, and gives the call to the main thread once it has come.
-    fn ask(&mut self, request: &str) -> JoinHandle<Told> {
-        let (caller, taken) = self.queue(request);
-        self.host.handle_request(*taken);
+    fn request(&mut self, request: &str) -> JoinHandle<HttpResponse> {
+        let (caller, request) = self.queue(request);
+        self.host.handle_request(*request);
         caller
     }
 
     /// Calls, and keeps the call in the queue of the main thread.
-    fn queue(&mut self, request: &str) -> (JoinHandle<Told>, Box<ApiRequest>) {
+    fn queue(&mut self, request: &str) -> (JoinHandle<HttpResponse>, Box<ApiRequest>) {
         let (api, request) = (self.api, request.to_string());
         let caller = thread::spawn(move || send(api, &request));
-        (caller, self.calls.recv_timeout(PATIENCE).expect("a call"))
+        (caller, self.requests.recv_timeout(TIMEOUT).expect("a call"))
     }
 
     /// Calls until there is a clear answer.
-    fn run_until_clear(&mut self, request: &str) -> Told {
+    fn request_until_definite(&mut self, request: &str) -> HttpResponse {
         for _ in 0..400 {
-            let caller = self.ask(request);
+            let caller = self.request(request);
             while !caller.is_finished() {
                 self.step();
             }
-            let announced = caller.join().expect("an answer");
-            if announced.status != 503 {
-                return announced;
+            let response = caller.join().expect("an answer");
+            if response.status != 503 {
+                return response;
             }
         }
-        panic!("no clear answer to {request}");
+        panic!("no definite response to {request}");
     }
 
     fn freeze(&self) {
@@ -139,7 +137,7 @@
     }
 }
 
-impl Drop for Bench {
+impl Drop for Harness {
     fn drop(&mut self) {
         std::fs::remove_dir_all(&self.folder).ok();
     }
@@ -171,7 +169,7 @@
     call("GET", "/v1/Config.Get")
 }
 
-/// Calls whose answers say what is in force: a read, an order that is in force, one on a wrong base, an invalid one.
+/// Calls whose answers say what is in force: a read, a command that is in force, one on a wrong base, an invalid one.
 fn statements() -> Vec<(String, u16)> {
     vec![
         (get(), 200),
@@ -183,62 +181,60 @@
 
 #[test]
 fn a_primary_answers_while_its_lease_runs() {
-    let mut bench = Bench::start(Faults::default());
+    let mut harness = Harness::start(Faults::default());
     for (request, status) in statements() {
-        assert_eq!(bench.run_until_clear(&request).status, status, "{request}");
+        assert_eq!(harness.request_until_definite(&request).status, status, "{request}");
     }
 }
 
 #[test]
-fn calls_that_waited_while_the_process_stood_still_get_nothing_clear() {
-    for (request, _) in statements() {
-        let mut bench = Bench::start(Faults::default());
-        let (caller, taken) = bench.queue(&request);
-        bench.freeze();
-        bench.host.handle_request(*taken);
-        assert_eq!(caller.join().expect("an answer").status, 503, "{request}");
+fn calls_that_waited_while_the_process_was_frozen_get_no_definite_response() {
+    for (text, _) in statements() {
+        let mut harness = Harness::start(Faults::default());
+        let (caller, request) = harness.queue(&text);
+        harness.freeze();
+        harness.host.handle_request(*request);
+        assert_eq!(caller.join().expect("an answer").status, 503, "{text}");
     }
 }
 
 #[test]
-fn a_write_that_ended_while_the_process_stood_still_is_not_acknowledged() {
-    let mut bench = Bench::start(Faults::default());
+fn a_write_that_completed_while_the_process_was_frozen_is_not_acknowledged() {
+    let mut harness = Harness::start(Faults::default());
     // Nothing else is with the disk when the order comes.
-    bench.step();
-    let caller = bench.ask(&replace("5", &text("7")));
-    let handle_write_completed = bench.handle_write_completed.recv_timeout(PATIENCE).expect("a write");
-    bench.freeze();
-    bench.host.handle_write_completed(handle_write_completed);
+    harness.step();
+    let caller = harness.request(&replace("5", &text("7")));
+    let completion = harness.completions.recv_timeout(TIMEOUT).expect("a write");
+    harness.freeze();
+    harness.host.handle_write_completed(completion);
     while !caller.is_finished() {
-        if let Ok(handle_write_completed) =
-            bench.handle_write_completed.recv_timeout(Duration::from_millis(20))
-        {
-            bench.host.handle_write_completed(handle_write_completed);
+        if let Ok(completion) = harness.completions.recv_timeout(Duration::from_millis(20)) {
+            harness.host.handle_write_completed(completion);
         }
     }
     assert_eq!(caller.join().expect("an answer").status, 503);
     // The order may be in force all the same: sent again it is acknowledged.
-    assert_eq!(bench.run_until_clear(&replace("5", &text("7"))).status, 200);
+    assert_eq!(harness.request_until_definite(&replace("5", &text("7"))).status, 200);
 }
 
-/// The statuses that get out though the process stood still between the decision and the writing.
+/// The statuses that get out though the process was frozen between the decision and the writing.
 fn statements_of_late_writers(faults: Faults) -> Vec<u16> {
     let statuses = statements().into_iter().map(|(request, _)| {
-        let mut bench = Bench::start(faults);
+        let mut harness = Harness::start(faults);
         // The lease has just been renewed.
-        bench.step();
-        bench.writers_late.store(FREEZE_MS, Ordering::SeqCst);
-        bench.ask(&request).join().expect("an answer").status
+        harness.step();
+        harness.writers_late.store(FREEZE_MS, Ordering::SeqCst);
+        harness.request(&request).join().expect("an answer").status
     });
     statuses.filter(|status| *status != 503).collect()
 }
 
 #[test]
-fn answers_that_are_written_after_the_process_stood_still_say_nothing_clear() {
+fn responses_that_are_written_after_a_freeze_are_not_definite() {
     assert_eq!(statements_of_late_writers(Faults::default()), Vec::<u16>::new());
 }
 
 #[test]
-fn a_host_whose_writers_do_not_look_at_the_lease_is_caught() {
+fn a_host_whose_writers_do_not_check_the_lease_is_caught() {
     assert_eq!(statements_of_late_writers(Faults { skip_lease_check: true }), [200, 200, 412, 400]);
 }
--- a/crates/quillpulley/tests/control/late_answers.rs
+++ b/crates/quillpulley/tests/control/late_answers.rs
@@ -1,6 +1,6 @@
 //! Answers whose process stood still between the decision and the writing.
 
-use crate::api::{call, send, Told};
+use crate::api::{call, send, HttpResponse};
 use quillpulley::control::api::{self, Faults};
 use quillpulley::control::clock::Clock;
 use quillpulley::control::response::Response;
@@ -10,26 +10,26 @@
 use std::sync::{mpsc, Arc};
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 /// The end of the lease under which all answers here are decided, in milliseconds.
 const LEASE_END_MS: u64 = 810;
 
 /// What a caller gets whose answer was decided at 0 and is written at `written_at_ms`.
-fn written_at(written_at_ms: u64, faults: Faults, answer: Response) -> Told {
+fn written_at(written_at_ms: u64, faults: Faults, answer: Response) -> HttpResponse {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a socket");
     let address = listener.local_addr().expect("an address");
     let milliseconds = Arc::new(AtomicU64::new(0));
     let shown = milliseconds.clone();
     let clock = Clock::reading(move || Duration::from_millis(shown.load(Ordering::SeqCst)));
-    let (deliver, calls) = mpsc::channel();
-    let deliver = move |call| deliver.send(call).map_err(|refused| refused.0);
+    let (deliver, requests) = mpsc::channel();
+    let deliver = move |call| deliver.send(call).map_err(|rejected| rejected.0);
     api::serve_with_faults(listener, clock, faults, deliver).expect("a server");
     let caller = std::thread::spawn(move || send(address, &call("GET", "/v1/Config.Get")));
-    let taken = calls.recv_timeout(PATIENCE).expect("a call");
+    let request = requests.recv_timeout(TIMEOUT).expect("a call");
     let decided = TimedResponse::until(Duration::from_millis(LEASE_END_MS), answer);
-    // Here the process stands still.
+    // Here the process freezes.
     milliseconds.store(written_at_ms, Ordering::SeqCst);
-    taken.responder.send(decided);
+    request.responder.send(decided);
     caller.join().expect("an answer")
 }
 
@@ -50,8 +50,8 @@
 fn statements_after_the_lease(faults: Faults) -> Vec<u16> {
     let times = [LEASE_END_MS, 20_000];
     let cases = times.into_iter().flat_map(|time| statements().into_iter().map(move |case| (time, case)));
-    let announced = cases.map(|(time, (_, answer))| written_at(time, faults, answer));
-    announced.filter(|announced| announced.status != 503).map(|announced| announced.status).collect()
+    let response = cases.map(|(time, (_, answer))| written_at(time, faults, answer));
+    response.filter(|response| response.status != 503).map(|response| response.status).collect()
 }
 
 #[test]
@@ -64,20 +64,20 @@
 #[test]
 fn nothing_is_stated_once_the_lease_has_ended() {
     assert_eq!(statements_after_the_lease(Faults::default()), Vec::<u16>::new());
-    let announced =
+    let response =
         written_at(20_000, Faults::default(), Response::Configuration(b"{\"Version\":5}".as_slice().into()));
-    assert!(announced.headers.contains("retry-after: 0.2"), "{}", announced.headers);
-    assert!(!announced.body.contains("Version"), "{}", announced.body);
+    assert!(response.headers.contains("retry-after: 0.2"), "{}", response.headers);
+    assert!(!response.body.contains("Version"), "{}", response.body);
 }
 
 #[test]
-fn a_writer_that_does_not_look_at_the_clock_is_caught() {
+fn a_writer_that_does_not_check_the_clock_is_caught() {
     let faults = Faults { skip_lease_check: true };
     assert!(!statements_after_the_lease(faults).is_empty());
 }
 
 #[test]
-fn what_rests_on_no_lease_is_written_at_any_time() {
+fn responses_without_expiry_are_written_at_any_time() {
     let without_expiry = TimedResponse::without_expiry(Response::Invalid("no number".to_string()));
     assert_eq!(without_expiry.at(Duration::from_secs(86_400)), Response::Invalid("no number".to_string()));
 }
--- a/crates/quillpulley/tests/control/main.rs
+++ b/crates/quillpulley/tests/control/main.rs
@@ -3,6 +3,7 @@
 mod agent;
 mod api;
 mod cluster;
+mod commands;
 mod compatibility;
 mod directory;
 mod directory_days;
@@ -12,7 +13,7 @@
 mod frozen_host;
 mod late_answers;
 mod mixed_releases;
-mod orders;
+
 mod peer_table;
 mod platform;
 mod processes;
--- a/crates/quillpulley/tests/control/mixed_releases.rs
+++ b/crates/quillpulley/tests/control/mixed_releases.rs
@@ -12,11 +12,11 @@
 fn change(cluster: &mut Cluster, version: &mut u64) {
     for _ in 0..5 {
         let next = configuration(&(*version + 1).to_string());
-        assert_eq!(cluster.order(&Operation::replace(*version, next)).status, 200);
+        assert_eq!(cluster.call_until_definite(&Operation::replace(*version, next)).status, 200);
         *version += 1;
     }
-    assert_eq!(cluster.order(&Operation::evacuate("a")).status, 200);
-    assert_eq!(cluster.order(&Operation::take_back("a")).status, 200);
+    assert_eq!(cluster.call_until_definite(&Operation::start_evacuation("a")).status, 200);
+    assert_eq!(cluster.call_until_definite(&Operation::end_evacuation("a")).status, 200);
 }
 
 /// The epoch of a view that has all machines as members and survives every tolerated loss.
@@ -41,7 +41,7 @@
     cluster.until("a complete view again", |cluster| complete_view(cluster).filter(|epoch| *epoch > before));
     change(cluster, version);
     let newest = configuration(&version.to_string());
-    assert_eq!(cluster.order(&Operation::get()).body, newest);
+    assert_eq!(cluster.call_until_definite(&Operation::get()).body, newest);
 }
 
 #[test]
--- a/crates/quillpulley/tests/control/peer_table.rs
+++ b/crates/quillpulley/tests/control/peer_table.rs
@@ -65,11 +65,11 @@
 fn failures_to_connect_back_off_up_to_a_second() {
     let mut peer_table = dialling();
     let mut now = 0;
-    for pause in [100, 200, 400, 800, 1000, 1000] {
+    for delay in [100, 200, 400, 800, 1000, 1000] {
         assert_eq!(peer_table.closed(at(now), 1, NO_JITTER), None);
-        assert!(peer_table.due(at(now + pause - 1)).is_empty(), "{pause}");
-        now += pause;
-        assert_eq!(peer_table.due(at(now)), [OTHER], "{pause}");
+        assert!(peer_table.due(at(now + delay - 1)).is_empty(), "{delay}");
+        now += delay;
+        assert_eq!(peer_table.due(at(now)), [OTHER], "{delay}");
         peer_table.connecting(OTHER, 1);
     }
     peer_table.opened(1, hello(NodeId::new(OTHER, 7)));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn jitter_makes_the_pause_half_as_long_again_at_most() {
+fn jitter_makes_the_delay_half_as_long_again_at_most() {
     let mut peer_table = dialling();
     peer_table.closed(at(0), 1, 1.0);
     assert!(peer_table.due(at(149)).is_empty());
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_peer_that_connects_is_dialled_again_at_once_where_an_attempt_hangs_or_a_pause_runs() {
+fn a_peer_that_connects_is_dialled_again_at_once_where_an_attempt_hangs_or_a_delay_runs() {
     // It was dialled before it had power: the attempt may hang.
     let mut peer_table = dialling();
     let node = NodeId::new(OTHER, 7);
@@ -128,7 +128,7 @@
     assert_eq!(peer_table.opened(2, hello(node)), Some(PeerChange::Connected(node)));
     assert_eq!(peer_table.accepted(at(40), 11, node), [10]);
     assert_eq!(peer_table.link_to(node), Some(2));
-    // A pause after a failure ends.
+    // A delay after a failure ends.
     peer_table.closed(at(50), 2, NO_JITTER);
     assert!(peer_table.due(at(60)).is_empty());
     peer_table.accepted(at(60), 12, node);
--- a/crates/quillpulley/tests/control/platform.rs
+++ b/crates/quillpulley/tests/control/platform.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tiny_http::{Response, Server};
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 const PAGE: &str = r#"{"Instances":[
     {"Service":"chat","Address":"10.0.0.9:80","Zone":"a","Version":"v1","Slots":64,"State":"ready",
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_broken_entry_is_told_and_skipped() {
+fn a_broken_entry_is_reported_and_skipped() {
     let page = r#"{"Instances":[{"Id":"i-1","Service":"chat"},7,
         {"Id":"i-2","Service":"chat","Address":"10.0.0.8:80","Zone":"b","State":"ready"}],"NextToken":null}"#;
     let page = parse_page(&mut page.as_bytes().to_vec()).expect("a page");
@@ -53,7 +53,7 @@
     assert!(matches!(token, Err(PageError::Missing(_))));
 }
 
-/// A platform that gives one answer after the other and tells the paths it was asked for.
+/// A platform that gives one answer after the other and reports the paths it was asked for.
 fn platform(answers: Vec<(u16, String)>) -> (SocketAddr, Receiver<String>) {
     let server = Server::http("127.0.0.1:0").expect("a server");
     let address = server.server_addr().to_ip().expect("an address");
@@ -78,8 +78,8 @@
     let fetcher = fetcher.expect("a thread");
     let fetch = |token: Option<&str>| {
         fetcher.fetch(Fetch { token: token.map(str::to_string) });
-        let outcome = outcomes.recv_timeout(PATIENCE).expect("an outcome");
-        (outcome, paths.recv_timeout(PATIENCE).expect("a call"))
+        let outcome = outcomes.recv_timeout(TIMEOUT).expect("an outcome");
+        (outcome, paths.recv_timeout(TIMEOUT).expect("a call"))
     };
     let (page, path) = fetch(None);
     assert_eq!((page.map(|page| page.servers.len()), path.as_str()), (Ok(2), "/instances"));
@@ -98,5 +98,5 @@
     let (send, outcomes) = mpsc::channel();
     let fetcher = Fetcher::start(address, move |outcome| send.send(outcome).expect("the test listens"));
     fetcher.expect("a thread").fetch(Fetch { token: None });
-    assert!(matches!(outcomes.recv_timeout(PATIENCE), Ok(Err(FetchError::Failed(_)))));
+    assert!(matches!(outcomes.recv_timeout(TIMEOUT), Ok(Err(FetchError::Failed(_)))));
 }
--- a/crates/quillpulley/tests/control/processes.rs
+++ b/crates/quillpulley/tests/control/processes.rs
@@ -4,32 +4,32 @@
 use crate::configuration;
 
 fn replace(cluster: &mut Cluster, base: u64, version: &str) -> u16 {
-    cluster.order(&Operation::replace(base, configuration(version))).status
+    cluster.call_until_definite(&Operation::replace(base, configuration(version))).status
 }
 
 #[test]
-fn one_process_takes_commands_and_keeps_them() {
+fn one_process_accepts_commands_and_keeps_them() {
     let mut cluster = Cluster::start(1, None);
-    assert_eq!(cluster.order(&Operation::get()).status, 404);
+    assert_eq!(cluster.call_until_definite(&Operation::get()).status, 404);
     assert_eq!(replace(&mut cluster, 0, "5"), 200);
     assert_eq!(replace(&mut cluster, 0, "5"), 200);
     assert_eq!(replace(&mut cluster, 0, "6"), 412);
     assert_eq!(replace(&mut cluster, 5, "4"), 400);
-    assert_eq!(cluster.order(&Operation::replace(5, b"{\"Version\":".to_vec())).status, 400);
-    assert_eq!(cluster.order(&Operation::evacuate("a")).status, 200);
-    assert_eq!(cluster.order(&Operation::evacuate("a")).status, 200);
-    assert_eq!(cluster.order(&Operation::take_back("a")).status, 200);
+    assert_eq!(cluster.call_until_definite(&Operation::replace(5, b"{\"Version\":".to_vec())).status, 400);
+    assert_eq!(cluster.call_until_definite(&Operation::start_evacuation("a")).status, 200);
+    assert_eq!(cluster.call_until_definite(&Operation::start_evacuation("a")).status, 200);
+    assert_eq!(cluster.call_until_definite(&Operation::end_evacuation("a")).status, 200);
     assert_eq!(replace(&mut cluster, 5, "7"), 200);
-    assert_eq!(cluster.order(&Operation::get()).body, configuration("7"));
+    assert_eq!(cluster.call_until_definite(&Operation::get()).body, configuration("7"));
 
     cluster.kill(0);
     cluster.run(0);
-    assert_eq!(cluster.order(&Operation::get()).body, configuration("7"));
-    assert_eq!(replace(&mut cluster, 0, "5"), 200, "an old order again");
+    assert_eq!(cluster.call_until_definite(&Operation::get()).body, configuration("7"));
+    assert_eq!(replace(&mut cluster, 0, "5"), 200, "an old command again");
     assert_eq!(replace(&mut cluster, 5, "8"), 412);
     assert!(cluster.terminate(0).success());
     cluster.run(0);
-    assert_eq!(cluster.order(&Operation::get()).body, configuration("7"));
+    assert_eq!(cluster.call_until_definite(&Operation::get()).body, configuration("7"));
 }
 
 #[test]
@@ -38,7 +38,7 @@
     assert_eq!(replace(&mut cluster, 0, "5"), 200);
     let first = cluster.primary();
     cluster.kill(first);
-    assert_eq!(cluster.order(&Operation::get()).body, configuration("5"));
+    assert_eq!(cluster.call_until_definite(&Operation::get()).body, configuration("5"));
     assert_eq!(replace(&mut cluster, 0, "5"), 200);
     assert_eq!(replace(&mut cluster, 5, "6"), 200);
     let second = cluster.primary();
@@ -48,15 +48,15 @@
     cluster.run(first);
     let expected = format!("http://{}/v1/Config.Get", cluster.control(second));
     cluster.until("a redirect", |cluster| {
-        let announced = cluster.call(first, &Operation::get())?;
-        (announced.status == 307 && announced.location.as_ref() == Some(&expected)).then_some(())
+        let response = cluster.call(first, &Operation::get())?;
+        (response.status == 307 && response.location.as_ref() == Some(&expected)).then_some(())
     });
     // It has caught up when the third one may go.
     let third = 3 - first - second;
     cluster.wait_for_member(first);
     cluster.kill(third);
     assert_eq!(replace(&mut cluster, 6, "9"), 200);
-    assert_eq!(cluster.order(&Operation::get()).body, configuration("9"));
+    assert_eq!(cluster.call_until_definite(&Operation::get()).body, configuration("9"));
 }
 
 #[test]
@@ -66,7 +66,7 @@
     let first = cluster.primary();
     assert!(cluster.terminate(first).success());
     assert_eq!(replace(&mut cluster, 5, "6"), 200);
-    assert_eq!(cluster.order(&Operation::get()).body, configuration("6"));
+    assert_eq!(cluster.call_until_definite(&Operation::get()).body, configuration("6"));
 }
 
 #[test]
@@ -86,30 +86,29 @@
     let next = Operation::replace(5, configuration("6"));
     cluster.until("another primary that takes the next one", |cluster| {
         let others = (0..3).filter(|index| *index != first);
-        let statuses =
-            others.filter_map(|index| cluster.call(index, &next).map(|announced| announced.status));
+        let statuses = others.filter_map(|index| cluster.call(index, &next).map(|response| response.status));
         statuses.into_iter().any(|status| status == 200).then_some(())
     });
     cluster.signal(first, "-CONT");
     for call in waiting {
-        let announced = call.join().expect("a call");
-        assert!(announced.is_none_or(|announced| announced.status == 307 || announced.status == 503));
+        let response = call.join().expect("a call");
+        assert!(response.is_none_or(|response| response.status == 307 || response.status == 503));
     }
-    assert_eq!(cluster.order(&Operation::get()).body, configuration("6"));
+    assert_eq!(cluster.call_until_definite(&Operation::get()).body, configuration("6"));
 }
 
 #[test]
 fn all_processes_may_be_killed_at_once() {
     let mut cluster = Cluster::start(3, None);
     assert_eq!(replace(&mut cluster, 0, "5"), 200);
-    assert_eq!(cluster.order(&Operation::evacuate("a")).status, 200);
+    assert_eq!(cluster.call_until_definite(&Operation::start_evacuation("a")).status, 200);
     for index in 0..3 {
         cluster.kill(index);
     }
     for index in 0..3 {
         cluster.run(index);
     }
-    assert_eq!(cluster.order(&Operation::get()).body, configuration("5"));
+    assert_eq!(cluster.call_until_definite(&Operation::get()).body, configuration("5"));
     assert_eq!(replace(&mut cluster, 5, "6"), 200);
 }
 
@@ -127,7 +126,7 @@
     cluster.wait_for_member(first);
     cluster.wait_for_witnesses(&[0, 1, 2]);
     cluster.kill(second);
-    assert_eq!(cluster.order(&Operation::get()).body, configuration("6"));
+    assert_eq!(cluster.call_until_definite(&Operation::get()).body, configuration("6"));
     assert_eq!(replace(&mut cluster, 6, "7"), 200);
 }
 
@@ -145,7 +144,7 @@
     cluster.wait_for_witnesses(&[others[0], others[1], new]);
     // With the new one, one of the old ones is enough.
     cluster.kill(others[0]);
-    assert_eq!(cluster.order(&Operation::get()).body, configuration("5"));
+    assert_eq!(cluster.call_until_definite(&Operation::get()).body, configuration("5"));
     assert_eq!(replace(&mut cluster, 5, "6"), 200);
 }
 
@@ -157,7 +156,7 @@
     let isolated = cluster.add(false, nowhere);
     cluster.run(isolated);
     cluster.until("an answer", |cluster| {
-        cluster.call(isolated, &Operation::get()).filter(|announced| announced.status == 503)
+        cluster.call(isolated, &Operation::get()).filter(|response| response.status == 503)
     });
     let seeds = vec![cluster.control(0)];
     cluster.set_seeds(isolated, seeds);
@@ -166,7 +165,7 @@
 
 fn wait_for_redirect(cluster: &mut Cluster, index: usize) {
     cluster.until("a redirect", |cluster| {
-        cluster.call(index, &Operation::get()).filter(|announced| announced.status == 307)
+        cluster.call(index, &Operation::get()).filter(|response| response.status == 307)
     });
 }
 
@@ -204,26 +203,26 @@
     assert_eq!(replace(&mut cluster, 5, "6"), 200);
     cluster.signal(leaving, "-TERM");
     cluster.until("a status that says so", |cluster| {
-        let announced = cluster.call(leaving, &Operation::status())?;
-        String::from_utf8_lossy(&announced.body).contains(r#""Role":"leaving""#).then_some(())
+        let response = cluster.call(leaving, &Operation::status())?;
+        String::from_utf8_lossy(&response.body).contains(r#""Role":"leaving""#).then_some(())
     });
-    // Of the three disks only two have the configuration: an order is still taken by both.
+    // Of the three disks only two have the configuration: a command is still taken by both.
     assert_eq!(replace(&mut cluster, 6, "7"), 200);
     cluster.run(wiped);
     cluster.wait_for_member(wiped);
     assert!(cluster.wait(leaving).success());
     cluster.kill(primary);
     cluster.run(primary);
-    assert_eq!(cluster.order(&Operation::get()).body, configuration("7"));
+    assert_eq!(cluster.call_until_definite(&Operation::get()).body, configuration("7"));
 }
 
 #[test]
-fn every_process_tells_its_status() {
+fn every_process_reports_its_status() {
     let mut cluster = Cluster::start(3, None);
     let primary = cluster.primary();
     let is_covered = |cluster: &Cluster| {
-        let announced = cluster.call(primary, &Operation::status())?;
-        let text = String::from_utf8(announced.body).ok()?;
+        let response = cluster.call(primary, &Operation::status())?;
+        let text = String::from_utf8(response.body).ok()?;
         text.contains(r#""Covered":true"#).then_some(text)
     };
     let text = cluster.until("every loss covered", is_covered);
@@ -231,14 +230,14 @@
     for index in 0..3 {
         let place = format!(r#"{{"Address":"{}","Zone":"zone-{index}""#, cluster.address(index));
         assert!(text.contains(&place), "{text}");
-        let announced = cluster.call(index, &Operation::status()).expect("an answer");
-        assert_eq!(announced.status, 200);
+        let response = cluster.call(index, &Operation::status()).expect("an answer");
+        assert_eq!(response.status, 200);
     }
     cluster.kill((primary + 1) % 3);
     cluster.kill((primary + 2) % 3);
     // Without the lease it still answers, and names no primary.
     cluster.until("a status without a primary", |cluster| {
-        let announced = cluster.call(primary, &Operation::status())?;
-        String::from_utf8_lossy(&announced.body).contains(r#""Primary":null"#).then_some(())
+        let response = cluster.call(primary, &Operation::status())?;
+        String::from_utf8_lossy(&response.body).contains(r#""Primary":null"#).then_some(())
     });
 }
--- a/crates/quillpulley/tests/control/reader.rs
+++ b/crates/quillpulley/tests/control/reader.rs
@@ -13,7 +13,7 @@
 use quillpulley_protocol::{Server, ServerState};
 use std::time::Duration;
 
-struct Bench {
+struct Harness {
     reader: ListReader,
     published: usize,
 }
@@ -45,7 +45,7 @@
     Page { servers: (0..count).map(server).collect(), unreadable: Vec::new(), next_token: next }
 }
 
-impl Bench {
+impl Harness {
     fn handle_page(&mut self, now: Duration, leading: bool, outcome: Result<Page, FetchError>) -> String {
         match self.reader.handle_page(now, leading, self.published, outcome) {
             Outcome::Nothing => "-".to_string(),
@@ -56,7 +56,7 @@
         }
     }
 
-    fn happen(&mut self, now: Duration, event: &str) -> String {
+    fn handle_event(&mut self, now: Duration, event: &str) -> String {
         let (kind, rest) = event.split_once(' ').unwrap_or((event, ""));
         match kind {
             "tick" => self.reader.tick(now, true).map_or("-".to_string(), |fetch| show(&fetch)),
@@ -87,13 +87,13 @@
 }
 
 fn play(rate_per_s: f64, timeline: &str) {
-    let mut bench = Bench { reader: ListReader::new(options(rate_per_s)), published: 0 };
+    let mut harness = Harness { reader: ListReader::new(options(rate_per_s)), published: 0 };
     for line in timeline.lines().map(str::trim).filter(|line| !line.is_empty()) {
         let mut columns = line.split('|').map(str::trim);
         let mut column = || columns.next().expect("three columns");
         let (time, event, expected) = (column(), column(), column());
         let now = Duration::from_millis(time.parse().expect("a time"));
-        assert_eq!(bench.happen(now, event), expected, "{line}");
+        assert_eq!(harness.handle_event(now, event), expected, "{line}");
     }
 }
 
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_chain_of_pages_that_runs_in_a_circle_is_given_up() {
+fn a_chain_of_pages_that_runs_in_a_circle_is_abandoned() {
     play(
         44.0,
         "
--- a/crates/quillpulley/tests/control/relay.rs
+++ b/crates/quillpulley/tests/control/relay.rs
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn reports_without_their_beginning_are_not_kept() {
+fn reports_without_their_beginning_are_dropped() {
     let mut relay = ControlTopology::default();
     relay.handle_child_message(node(2), report(true, 1));
     relay.handle_child_message(node(2), subscription());
--- a/crates/quillpulley/tests/control/servers.rs
+++ b/crates/quillpulley/tests/control/servers.rs
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn the_time_left_is_published_when_it_appears_and_when_it_drops() {
+fn the_remaining_time_is_published_when_it_appears_and_when_it_drops() {
     play(
         PublishedServers::default(),
         "
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_leaves_what_was_published() {
+fn an_entry_that_cannot_be_read_keeps_what_was_published() {
     play(
         PublishedServers::default(),
         "
--- a/crates/quillpulley/tests/control/tree.rs
+++ b/crates/quillpulley/tests/control/tree.rs
@@ -49,13 +49,14 @@
     }
 }
 
-fn version(feed: &SyncNode<()>) -> Option<u64> {
-    let head: ConfigHead = decode_value::<ConfigHeadRef, ConfigHead>(feed.store().get(CONFIG_KEY)?).ok()?;
+fn version(sync_node: &SyncNode<()>) -> Option<u64> {
+    let head: ConfigHead =
+        decode_value::<ConfigHeadRef, ConfigHead>(sync_node.store().get(CONFIG_KEY)?).ok()?;
     Some(head.version)
 }
 
-fn server_state(feed: &SyncNode<()>, id: &str) -> Option<ServerState> {
-    let server: Server = decode_value::<ServerRef, Server>(feed.store().get(&server_key(id))?).ok()?;
+fn server_state(sync_node: &SyncNode<()>, id: &str) -> Option<ServerState> {
+    let server: Server = decode_value::<ServerRef, Server>(sync_node.store().get(&server_key(id))?).ok()?;
     Some(server.state)
 }
 
@@ -63,52 +64,59 @@
 fn agents_learn_all_that_is_published_from_any_control_node() {
     let platform = Platform::start(&["i-1 ready", "i-2 ready", "i-3 ready"]);
     let mut cluster = Cluster::start(3, Some(platform.address));
-    assert_eq!(cluster.order(&Operation::replace(0, configuration("5"))).status, 200);
+    assert_eq!(cluster.call_until_definite(&Operation::replace(0, configuration("5"))).status, 200);
     let primary = cluster.primary();
     let control_nodes: Vec<String> = (0..3).map(|index| control_node_key(cluster.address(index))).collect();
     let mut agents = Agents::connect("zone-0", (0..3).map(|index| cluster.link(index)));
-    agents.until("the configuration", |feed| version(feed) == Some(5));
-    agents.until("the servers", |feed| server_state(feed, "i-3") == Some(ServerState::Ready));
-    agents.until("the core", |feed| {
-        control_nodes.iter().all(|control_node| feed.store().get(control_node).is_some())
+    agents.until("the configuration", |sync_node| version(sync_node) == Some(5));
+    agents.until("the servers", |sync_node| server_state(sync_node, "i-3") == Some(ServerState::Ready));
+    agents.until("the core", |sync_node| {
+        control_nodes.iter().all(|control_node| sync_node.store().get(control_node).is_some())
     });
 
     platform.set(&["i-1 draining", "i-2 ready"]);
-    assert_eq!(cluster.order(&Operation::evacuate("zone-0")).status, 200);
-    agents.until("a server that drains", |feed| server_state(feed, "i-1") == Some(ServerState::Draining));
-    agents.until("a server that is gone", |feed| server_state(feed, "i-3").is_none());
-    agents.until("an evacuation", |feed| feed.store().get(&evacuated_key("zone-0")).is_some());
+    assert_eq!(cluster.call_until_definite(&Operation::start_evacuation("zone-0")).status, 200);
+    agents.until("a server that drains", |sync_node| {
+        server_state(sync_node, "i-1") == Some(ServerState::Draining)
+    });
+    agents.until("a server that is gone", |sync_node| server_state(sync_node, "i-3").is_none());
+    agents.until("an evacuation", |sync_node| sync_node.store().get(&evacuated_key("zone-0")).is_some());
 
     // Another primary publishes on from where the first one was.
     agents.keep((primary + 1) % 3);
     let epoch = agents.epoch();
     cluster.kill(primary);
-    assert_eq!(cluster.order(&Operation::replace(5, configuration("6"))).status, 200);
-    agents.until("the next configuration", |feed| version(feed) == Some(6) && feed.revision().epoch > epoch);
-    agents.until("the servers still", |feed| server_state(feed, "i-2") == Some(ServerState::Ready));
+    assert_eq!(cluster.call_until_definite(&Operation::replace(5, configuration("6"))).status, 200);
+    agents.until("the next configuration", |sync_node| {
+        version(sync_node) == Some(6) && sync_node.revision().epoch > epoch
+    });
+    agents.until("the servers still", |sync_node| server_state(sync_node, "i-2") == Some(ServerState::Ready));
 }
 
 #[test]
-fn the_directory_tells_the_proxies_of_all_agents() {
+fn the_directory_lists_the_proxies_of_all_agents() {
     let mut cluster = Cluster::start(3, None);
     let mut agents = Agents::connect("zone-0", (0..2).map(|index| cluster.link(index)));
-    let is_known = |feed: &SyncNode<()>, name: &str| feed.store().get(&endpoint_key(name)).is_some();
-    agents.until("both fronts", |feed| is_known(feed, "front-0") && is_known(feed, "front-1"));
-    let announced = |cluster: &Cluster, index| {
-        let announced = cluster.resolve(index, "zone-0")?;
-        (announced.status == 200).then(|| String::from_utf8(announced.body).expect("text"))
+    let is_known =
+        |sync_node: &SyncNode<()>, name: &str| sync_node.store().get(&endpoint_key(name)).is_some();
+    agents.until("both fronts", |sync_node| is_known(sync_node, "front-0") && is_known(sync_node, "front-1"));
+    let resolved_addresses = |cluster: &Cluster, index| {
+        let response = cluster.resolve(index, "zone-0")?;
+        (response.status == 200).then(|| String::from_utf8(response.body).expect("text"))
     };
     for index in 0..3 {
         cluster.until("both fronts in the directory", |cluster| {
-            let body = announced(cluster, index)?;
+            let body = resolved_addresses(cluster, index)?;
             (body.contains("front-0:80") && body.contains("front-1:80")).then_some(())
         });
     }
     agents.lose(1);
-    agents.until("a front that is gone", |feed| is_known(feed, "front-0") && !is_known(feed, "front-1"));
+    agents.until("a front that is gone", |sync_node| {
+        is_known(sync_node, "front-0") && !is_known(sync_node, "front-1")
+    });
     for index in 0..3 {
         cluster.until("one front in the directory", |cluster| {
-            let body = announced(cluster, index)?;
+            let body = resolved_addresses(cluster, index)?;
             (body.contains("front-0:80") && !body.contains("front-1:80")).then_some(())
         });
     }
