--- a/crates/control-state/tests/control_state.rs
+++ b/crates/control-state/tests/control_state.rs
@@ -80,7 +80,7 @@
 //    {       | 5     | 5               | invalid: unreadable
 //    {       | 4     | 5               | conflict
 #[test]
-fn each_change_is_taken_once_and_known_afterwards() {
+fn each_change_is_accepted_once_and_known_afterwards() {
     let (three, other_three) = (valid(3, 1, 1000), valid(3, 1, 2000));
     let (five, other_five) = (valid(5, 1, 1000), valid(5, 1, 2000));
     let mut replica = Replica::default();
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_zone_is_evacuated_and_taken_back() {
+fn a_zone_is_evacuated_and_restored() {
     let mut replica = Replica::default();
     assert_eq!(replica.evacuate("a", false), EvacuationDecision::AlreadyInEffect);
     assert!(matches!(replica.evacuate("a", true), EvacuationDecision::Propose(_)));
@@ -188,7 +188,7 @@
 //    operator one   | 5 on 3: taken |                       | again: already taken
 //    operator two   |               | the same bytes on 3: already taken
 #[test]
-fn the_same_bytes_of_two_operators_are_one_order() {
+fn the_same_bytes_of_two_operators_are_one_command() {
     let mut replica = Replica::default();
     replica.take(0, &valid(3, 1, 1000));
     let both = valid(5, 1, 1000);
@@ -201,7 +201,7 @@
 
 //    +a taken, -a taken, +a again (late, or wanted anew: they look the same): taken once more
 #[test]
-fn a_late_evacuation_is_taken_as_a_new_one() {
+fn a_late_evacuation_counts_as_a_new_one() {
     let mut replica = Replica::default();
     for active in [true, false, true, false] {
         assert!(matches!(replica.evacuate("a", active), EvacuationDecision::Propose(_)));
@@ -332,7 +332,7 @@
         other == replica.state
     }
 
-    fn versions_only_rise_and_taken_changes_stay_known(attempts: Vec<Attempt>) -> bool {
+    fn versions_only_rise_and_accepted_changes_stay_known(attempts: Vec<Attempt>) -> bool {
         let mut replica = Replica::default();
         let mut taken: Vec<(u64, Vec<u8>)> = Vec::new();
         for order in &attempts {
@@ -349,7 +349,7 @@
         taken.iter().all(|(base, body)| replica.state.decide_replace(*base, body) == ReplaceDecision::AlreadyApplied)
     }
 
-    fn any_snapshot_is_read_or_refused(bytes: Vec<u8>) -> bool {
+    fn any_snapshot_is_read_or_rejected(bytes: Vec<u8>) -> bool {
         let mut state = ControlState::default();
         let _ = state.restore(&bytes);
         let _ = state.configuration();
@@ -358,7 +358,7 @@
 }
 
 #[test]
-fn those_who_keep_the_configuration_share_it_until_another_follows() {
+fn readers_of_the_configuration_share_it_until_another_follows() {
     let mut replica = Replica::default();
     assert_eq!(replica.state.shared_body(), None);
     let first = valid(1, 0, 0);
--- a/crates/control-state/tests/published.rs
+++ b/crates/control-state/tests/published.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_state_is_published_whole() {
+fn a_state_is_published_completely() {
     let mut state = ControlState::default();
     assert_eq!(published_items(&state), BTreeMap::new());
     let orders = [state.decide_replace(0, &valid(3, 2, 1000))];
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn keys_are_taken_apart() {
+fn keys_are_parsed() {
     let address = Ipv4Addr::new(10, 0, 0, 1);
     let keys = [
         (CONFIG_KEY.to_string(), PublishedKey::Config),
@@ -102,7 +102,7 @@
 }
 
 quickcheck! {
-    fn different_places_have_different_keys(one: Place, other: Place) -> bool {
+    fn different_addresses_have_different_keys(one: Place, other: Place) -> bool {
         let same_key = route_key(&one.0, &one.1) == route_key(&other.0, &other.1);
         same_key == ((one.0, one.1) == (other.0, other.1))
     }
@@ -126,7 +126,7 @@
         read_back(&configuration.to_items()) == Ok(configuration)
     }
 
-    fn any_items_are_read_or_refused(head: Vec<u8>, routes: Vec<Vec<u8>>) -> bool {
+    fn any_items_are_read_or_rejected(head: Vec<u8>, routes: Vec<Vec<u8>>) -> bool {
         let _ = Configuration::from_items(&head, routes.iter().map(Vec::as_slice));
         true
     }
--- a/crates/http1-client/tests/client_connection/answers.rs
+++ b/crates/http1-client/tests/client_connection/answers.rs
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_kept_connection_whose_server_forgot_it_says_nothing_of_what_was_read() {
+fn a_stale_reused_connection_does_not_prove_what_was_read() {
     run(async {
         let (address, _) = start(&["request ok head reset"]).await;
         let mut connection = connect(address).await;
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn an_early_answer_leaves_the_rest_of_the_body_in_its_place() {
+fn after_an_early_response_the_rest_of_the_body_is_still_sent() {
     run(async {
         let (address, shared) = start(&["head ok wait body tell request ok"]).await;
         let mut connection = connect(address).await;
--- a/crates/load-balancer/tests/engine_choice.rs
+++ b/crates/load-balancer/tests/engine_choice.rs
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_server_with_long_prompts_before_it_is_left_for_another() {
+fn a_server_with_long_prompts_queued_is_avoided() {
     let mut balancer = fleet("a1");
     let home = chosen(&mut balancer, &request(&short(1)));
     let id = balancer.server(home).expect("it is listed").id.clone();
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn slots_are_kept_to_and_urgent_requests_use_a_part_of_the_queues() {
+fn slots_are_respected_and_urgent_requests_use_a_part_of_the_queues() {
     let mut balancer = fleet("a1");
     let urgent = Demand { objective: Duration::from_secs(60), ..demand(ENGINE) };
     let less_urgent = Demand { priority: 1, ..urgent };
--- a/crates/load-balancer/tests/engine_days.rs
+++ b/crates/load-balancer/tests/engine_days.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn in_an_overload_servers_do_not_spend_their_time_on_reading_again() {
+fn in_an_overload_servers_do_not_spend_their_time_on_repeated_prefill() {
     let figures = play(&ZONES, kinds(5.0, 1.0));
     assert!(figures.refused * 2 < figures.requests);
     assert!(figures.read_again < figures.shared / 2);
--- a/crates/load-balancer/tests/health.rs
+++ b/crates/load-balancer/tests/health.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn after_a_trial_that_succeeds_all_begins_again() {
+fn after_a_successful_probe_the_server_is_healthy() {
     player().check(
         "FSSSSSFSSSSS", //
         "sxxxxssxxxxs",
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_trial_whose_client_leaves_is_followed_by_another() {
+fn a_probe_whose_client_disconnects_is_followed_by_another() {
     player().check(
         "F....LLS", //
         "s....sss",
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_server_that_is_silent_gets_nothing_while_others_are_there() {
+fn an_unresponsive_server_gets_nothing_while_others_are_available() {
     let mut player = player();
     let silent = player.balancer.begin(START, player.server, &demand(PLAIN));
     let choices = |balancer: &mut Balancer, now| {
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn others_are_told_of_a_silent_server() {
+fn an_unresponsive_server_is_reported_to_others() {
     let mut player = player();
     let _silent = player.balancer.begin(START, player.server, &demand(PLAIN));
     let failures = |balancer: &mut Balancer, now| -> Vec<u32> {
--- a/crates/load-balancer/tests/home_demand.rs
+++ b/crates/load-balancer/tests/home_demand.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn other_homes_open_the_question_again() {
+fn other_homes_reopen_the_decision() {
     let mut limiter = ProxyPeer::new();
     assert_eq!(limiter.requests(60, &[&["west"]]), "west");
     limiter.demand.reset();
--- a/crates/load-balancer/tests/listing.rs
+++ b/crates/load-balancer/tests/listing.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_server_is_chosen_from_when_it_is_listed_until_it_is_gone() {
+fn a_server_is_chosen_from_its_listing_until_its_removal() {
     let mut balancer = lone_balancer();
     assert_eq!(balancer.choose(NOW, &demand(PLAIN), &[]), Choice::NoServer);
     let key = put(&mut balancer, &plain("s", "a1"));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_server_that_is_taken_away_at_short_notice_gets_nothing_more() {
+fn a_server_removed_at_short_notice_gets_no_more_requests() {
     let mut balancer = lone_balancer();
     put(&mut balancer, &plain("s", "a1"));
     put(&mut balancer, &Server { has_time_remaining: true, time_remaining_ms: 2_000, ..plain("s", "a1") });
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_misdirected_server_is_forgotten_until_the_list_tells_something_new() {
+fn a_misdirected_server_is_removed_until_the_list_changes() {
     let mut balancer = lone_balancer();
     let key = put(&mut balancer, &plain("s", "a1"));
     let ticket = balancer.begin(NOW, key, &demand(PLAIN));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_server_that_moves_to_another_service_leaves_the_first() {
+fn a_server_that_moves_to_another_service_is_removed_from_the_first() {
     let mut balancer = lone_balancer();
     put(&mut balancer, &server("s", PLAIN, "a1", 6));
     let key = put(&mut balancer, &server("s", ENGINE, "a1", 6));
--- a/crates/load-balancer/tests/plain_choice.rs
+++ b/crates/load-balancer/tests/plain_choice.rs
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn what_others_told_fades_without_news() {
+fn reported_load_fades_without_updates() {
     let mut fleet = Fleet::new();
     fleet.tell("a1", 6);
     let later = NOW + Duration::from_secs(5);
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_server_that_says_it_is_full_is_left_alone_for_a_moment() {
+fn a_server_that_reports_overload_is_paused_briefly() {
     let mut fleet = Fleet::new();
     fleet.send(&demand(PLAIN));
     let ticket = fleet.under_way.pop().expect("a request is under way");
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_request_at_a_server_that_is_gone_ends_without_a_trace() {
+fn a_request_at_a_removed_server_ends_without_a_trace() {
     let mut fleet = Fleet::new();
     fleet.send(&demand(PLAIN));
     fleet.balancer.remove_server(NOW, "a1");
--- a/crates/load-balancer/tests/request_queue.rs
+++ b/crates/load-balancer/tests/request_queue.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn equal_ones_are_served_in_their_order() {
+fn equal_priorities_are_served_first_in_first_out() {
     let mut waiting = waiting();
     push(&mut waiting, 0, terms(0, 800), "first");
     push(&mut waiting, 0, terms(0, 800), "second");
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_full_queue_takes_only_what_is_more_urgent() {
+fn a_full_queue_accepts_only_more_urgent_requests() {
     let mut waiting = waiting();
     push(&mut waiting, 0, terms(1, 800), "one");
     push(&mut waiting, 0, terms(2, 800), "two");
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_makes_room() {
+fn a_client_that_disconnects_frees_capacity() {
     let mut waiting = waiting();
     let key = push(&mut waiting, 0, QueueTerms { bytes: 1_000, ..terms(0, 800) }, "one");
     assert_eq!(waiting.remove(key), Some("one"));
--- a/crates/load-balancer/tests/route_table.rs
+++ b/crates/load-balancer/tests/route_table.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn paths_beyond_ascii_are_cut_at_their_slashes() {
+fn paths_beyond_ascii_are_split_at_their_slashes() {
     assert_eq!(found("two.example", "/a/ü/").as_deref(), Some("/a/"));
     assert_eq!(found("one.example", "/ü/a").as_deref(), Some("/"));
 }
--- a/crates/load-balancer/tests/warmup.rs
+++ b/crates/load-balancer/tests/warmup.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn sends_before_it_became_cold_count() {
+fn sends_before_the_slow_start_count() {
     let mut balancer = lone_balancer();
     let server = put(&mut balancer, &engine("s", "a1"));
     sends_to(&mut balancer, server, NOW, ms(500));
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn servers_of_a_zone_that_is_taken_back_are_taken_to_be_cold() {
+fn servers_of_a_zone_whose_evacuation_ended_are_assumed_cold() {
     let mut balancer = lone_balancer();
     let server = put(&mut balancer, &engine("s", "a1"));
     balancer.set_evacuated(NOW, &BTreeSet::from(["a1".to_owned()]));
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_service_without_cold_servers_knows_none() {
+fn a_service_without_warming_servers_reports_none() {
     let mut balancer = lone_balancer();
     let server = balancer.put_server(NOW, &Server { warmup_remaining_ms: 3_000, ..plain("s", "a1") });
     for _ in 0..100 {
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_server_that_was_away_for_long_is_taken_to_be_cold_unless_it_tells_otherwise() {
+fn a_server_that_was_away_for_long_is_assumed_cold_unless_it_reports_otherwise() {
     for (told, most) in [(None, WARMUP_BOUND / 4), (Some(Duration::ZERO), 1_000)] {
         let mut balancer = lone_balancer();
         let server = put(&mut balancer, &engine("s", "a1"));
@@ -202,7 +202,7 @@
 }
 
 quickcheck! {
-    fn the_bound_holds_under_a_cut(cut: Cut) -> bool {
+    fn the_bound_holds_under_a_partition(cut: Cut) -> bool {
         most_in_a_second(&play(&cut)) <= WARMUP_BOUND
     }
 }
--- a/crates/membership/tests/monitoring.rs
+++ b/crates/membership/tests/monitoring.rs
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn one_that_is_cut_off_suspects_nobody() {
+fn a_partitioned_node_suspects_nobody() {
     let mut network = Network::new(20, 0.0);
     network.run(milliseconds(5_000));
     network.beyond[4] = true;
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn two_nodes_cannot_tell_which_is_cut_off_but_three_can() {
+fn two_nodes_cannot_decide_which_is_partitioned_but_three_can() {
     // Nothing comes from anybody: the one left cannot tell which of them is cut off, and says nothing.
     let mut pair = Network::new(2, 0.0);
     pair.run(milliseconds(5_000));
--- a/crates/protocol/tests/framing.rs
+++ b/crates/protocol/tests/framing.rs
@@ -20,7 +20,7 @@
 }
 
 quickcheck! {
-    fn frames_survive_any_cut(payloads: Vec<Vec<u8>>, cuts: Vec<u8>) -> bool {
+    fn frames_survive_any_split(payloads: Vec<Vec<u8>>, cuts: Vec<u8>) -> bool {
         let sent: Vec<Body> = payloads.iter().map(|p| append(std::slice::from_ref(p))).collect();
         let stream: Vec<u8> = sent.iter().cloned().flat_map(encode_frame).collect();
         let mut decoder = FrameDecoder::default();
--- a/crates/protocol/tests/queue.rs
+++ b/crates/protocol/tests/queue.rs
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn no_more_pieces_go_than_the_window_until_the_other_side_tells_of_them() {
+fn no_more_chunks_are_sent_than_the_window_until_they_are_acknowledged() {
     let mut ends = Ends::default();
     ends.send(&install(9_000_000));
     let mut sent = 0;
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_message_with_state_takes_the_place_of_one_that_was_not_begun() {
+fn a_message_with_state_replaces_one_that_was_not_begun() {
     let mut ends = Ends::default();
     ends.send(&install(5_000_000));
     ends.pass(100_000);
--- a/crates/quillpulley/tests/agent.rs
+++ b/crates/quillpulley/tests/agent.rs
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn state_goes_down_to_the_proxy_and_its_proxy_up_to_the_core() {
+fn state_goes_down_to_the_proxy_and_its_endpoint_up_to_the_control_node() {
     run(async {
         let machines = Machines::new();
         let (port, [listener]) = same_ports([machines.control_node(1)]).await;
@@ -118,20 +118,20 @@
         control_node.publish("route/x", b"first".to_vec());
         let agent = Agent::start(machines.settings(1, port, &[machines.control_node(1)])).await;
         let mut proxy = Node::proxy(agent.proxy, machines.report(1));
-        proxy.until("the first state", |shown| shown.holds("route/x", b"first")).await;
+        proxy.until("the first state", |state| state.holds("route/x", b"first")).await;
         control_node.publish("route/x", b"second".to_vec());
-        proxy.until("the second state", |shown| shown.holds("route/x", b"second")).await;
+        proxy.until("the second state", |state| state.holds("route/x", b"second")).await;
         control_node
-            .until("the front", |shown| shown.endpoints.contains_key("front-1") && shown.proxies == 1)
+            .until("the front", |state| state.endpoints.contains_key("front-1") && state.proxies == 1)
             .await;
         drop(proxy);
-        control_node.until("no front", |shown| shown.endpoints.is_empty() && shown.proxies == 0).await;
-        assert!(control_node.shown().children.contains("front-1"), "the agent stays");
+        control_node.until("no front", |state| state.endpoints.is_empty() && state.proxies == 0).await;
+        assert!(control_node.state().children.contains("front-1"), "the agent stays");
     });
 }
 
 #[test]
-fn a_childs_older_connection_does_not_take_the_place_of_its_later_one() {
+fn an_older_connection_of_a_child_does_not_replace_its_later_one() {
     run(async {
         let machines = Machines::new();
         let (port, [listener]) = same_ports([machines.control_node(1)]).await;
@@ -141,18 +141,18 @@
         // Its introduction comes late.
         let mut older = TcpStream::connect(agent.proxy).await.expect("a connection");
         let mut proxy = Node::proxy(agent.proxy, machines.report(1));
-        proxy.until("the first state", |shown| shown.holds("route/x", b"first")).await;
+        proxy.until("the first state", |state| state.holds("route/x", b"first")).await;
         let introduction = Body::Hello(Box::new(hello(PeerKind::Proxy, "front-1")));
         older.write_all(&encode_frame(introduction)).await.expect("a hello");
         expect("the end of the older one", read_to_end(&mut older)).await;
         control_node.publish("route/x", b"second".to_vec());
-        proxy.until("the second state", |shown| shown.holds("route/x", b"second")).await;
-        assert_eq!(proxy.shown().parents_lost, 0);
+        proxy.until("the second state", |state| state.holds("route/x", b"second")).await;
+        assert_eq!(proxy.state().parents_lost, 0);
     });
 }
 
 #[test]
-fn when_the_parent_dies_the_next_seed_is_taken() {
+fn when_the_parent_dies_the_next_seed_becomes_the_parent() {
     run(async {
         let machines = Machines::new();
         let seeds = [machines.control_node(1), machines.control_node(2)];
@@ -160,18 +160,18 @@
         let (control_a, control_b) = (Node::control_node(listener_a, 1), Node::control_node(listener_b, 2));
         let agent = Agent::start(machines.settings(1, port, &seeds)).await;
         let mut proxy = Node::proxy(agent.proxy, machines.report(1));
-        proxy.until("fresh state", |shown| shown.fresh).await;
-        let is_below_a = control_a.shown().children.contains("front-1");
+        proxy.until("fresh state", |state| state.fresh).await;
+        let is_below_a = control_a.state().children.contains("front-1");
         let (dies, mut stays) = if is_below_a { (control_a, control_b) } else { (control_b, control_a) };
         drop(dies);
-        stays.until("the agent", |shown| shown.children.contains("front-1")).await;
-        stays.until("the front", |shown| shown.endpoints.contains_key("front-1")).await;
-        assert_eq!(proxy.shown().parents_lost, 0);
+        stays.until("the agent", |state| state.children.contains("front-1")).await;
+        stays.until("the front", |state| state.endpoints.contains_key("front-1")).await;
+        assert_eq!(proxy.state().parents_lost, 0);
     });
 }
 
 #[test]
-fn a_parent_whose_revision_stands_still_is_left_for_one_whose_revision_moves() {
+fn a_parent_with_a_stalled_revision_is_replaced_by_one_whose_revision_advances() {
     run(async {
         let machines = Machines::new();
         let seeds = [machines.control_node(1), machines.control_node(2)];
@@ -179,20 +179,20 @@
         let mut control_a = Node::control_node(listener_a, 1);
         let agent = Agent::start(machines.settings(1, port, &seeds)).await;
         let mut proxy = Node::proxy(agent.proxy, machines.report(1));
-        control_a.until("the agent", |shown| shown.children.contains("front-1")).await;
-        proxy.until("fresh state", |shown| shown.fresh).await;
+        control_a.until("the agent", |state| state.children.contains("front-1")).await;
+        proxy.until("fresh state", |state| state.fresh).await;
         control_a.stop_heartbeats();
         let mut control_b = Node::control_node(listener_b, 2);
         control_b.publish("route/x", b"newer".to_vec());
-        proxy.until("newer state", |shown| shown.holds("route/x", b"newer")).await;
-        control_b.until("the front", |shown| shown.endpoints.contains_key("front-1")).await;
-        control_a.until("no agent", |shown| shown.children.is_empty()).await;
-        assert_eq!(proxy.shown().parents_lost, 0);
+        proxy.until("newer state", |state| state.holds("route/x", b"newer")).await;
+        control_b.until("the front", |state| state.endpoints.contains_key("front-1")).await;
+        control_a.until("no agent", |state| state.children.is_empty()).await;
+        assert_eq!(proxy.state().parents_lost, 0);
     });
 }
 
 #[test]
-fn an_agent_takes_state_from_the_agent_above_it() {
+fn an_agent_receives_state_from_its_parent_agent() {
     run(async {
         let machines = Machines::new();
         let (port, [listener]) = same_ports([machines.control_node(1)]).await;
@@ -210,31 +210,31 @@
             agents.push(Agent::start(machines.settings(number, port, &[machines.control_node(1)])).await);
             proxies.push(Node::proxy(agents[agents.len() - 1].proxy, machines.report(number)));
         }
-        control_node.until("both agents", |shown| shown.children.len() == 2).await;
-        let shown = control_node.until("one agent below the other", |shown| shown.children.len() == 1).await;
-        control_node.until("both fronts", |shown| shown.endpoints.len() == 2 && shown.proxies == 2).await;
+        control_node.until("both agents", |state| state.children.len() == 2).await;
+        let state = control_node.until("one agent below the other", |state| state.children.len() == 1).await;
+        control_node.until("both fronts", |state| state.endpoints.len() == 2 && state.proxies == 2).await;
         control_node.publish("route/x", b"down the tree".to_vec());
         for proxy in &mut proxies {
-            proxy.until("the state", |shown| shown.holds("route/x", b"down the tree")).await;
+            proxy.until("the state", |state| state.holds("route/x", b"down the tree")).await;
         }
-        let (top, other) = if shown.children.contains("front-1") { (0, "front-2") } else { (1, "front-1") };
+        let (top, other) = if state.children.contains("front-1") { (0, "front-2") } else { (1, "front-1") };
         agents[top].command(ProcessSignal::Shutdown);
-        control_node.until("the other agent", |shown| shown.children.contains(other)).await;
+        control_node.until("the other agent", |state| state.children.contains(other)).await;
     });
 }
 
 #[test]
-fn an_agent_that_ends_serves_its_proxy_until_that_has_ended() {
+fn a_draining_agent_serves_its_proxy_until_that_has_exited() {
     run(async {
         let machines = Machines::new();
         let (port, [listener]) = same_ports([machines.control_node(1)]).await;
         let control_node = Node::control_node(listener, 1);
         let mut agent = Agent::start(machines.settings(1, port, &[machines.control_node(1)])).await;
         let mut proxy = Node::proxy(agent.proxy, machines.report(1));
-        proxy.until("fresh state", |shown| shown.fresh).await;
+        proxy.until("fresh state", |state| state.fresh).await;
         agent.command(ProcessSignal::Shutdown);
         control_node.publish("route/x", b"late".to_vec());
-        proxy.until("late state", |shown| shown.holds("route/x", b"late")).await;
+        proxy.until("late state", |state| state.holds("route/x", b"late")).await;
         assert!(!agent.task.is_finished());
         drop(proxy);
         expect("the end", &mut agent.task).await.expect("no panic");
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn new_seeds_are_taken_with_the_settings() {
+fn new_seeds_apply_when_settings_are_reloaded() {
     run(async {
         let machines = Machines::new();
         let (port, [listener]) = same_ports([machines.control_node(1)]).await;
@@ -261,19 +261,19 @@
         let agent = Agent::start(machines.settings(1, port, &[machines.control_node(2)])).await;
         *agent.settings.borrow_mut() = machines.settings(1, port, &[machines.control_node(1)]);
         agent.command(ProcessSignal::Reload);
-        control_node.until("the agent", |shown| shown.children.contains("front-1")).await;
+        control_node.until("the agent", |state| state.children.contains("front-1")).await;
     });
 }
 
 #[test]
-fn new_seeds_are_found_without_being_told() {
+fn new_seeds_are_found_without_a_signal() {
     run(async {
         let machines = Machines::new();
         let (port, [listener]) = same_ports([machines.control_node(1)]).await;
         let mut control_node = Node::control_node(listener, 1);
         let agent = Agent::start(machines.settings(1, port, &[machines.control_node(2)])).await;
         *agent.settings.borrow_mut() = machines.settings(1, port, &[machines.control_node(1)]);
-        control_node.until("the agent", |shown| shown.children.contains("front-1")).await;
+        control_node.until("the agent", |state| state.children.contains("front-1")).await;
     });
 }
 
@@ -288,7 +288,7 @@
         }
         let _first = Agent::start(machines.settings(1, port, &[machines.control_node(1)])).await;
         let _third = Agent::start(machines.settings(3, port, &[machines.control_node(1)])).await;
-        control_node.until("the suspicion", |shown| shown.suspects.contains("front-2")).await;
-        assert!(!control_node.shown().suspects.contains("front-3"));
+        control_node.until("the suspicion", |state| state.suspects.contains("front-2")).await;
+        assert!(!control_node.state().suspects.contains("front-3"));
     });
 }
--- a/crates/quillpulley/tests/agent_drain.rs
+++ b/crates/quillpulley/tests/agent_drain.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_proxy_that_stays_is_left_a_second_before_the_end() {
+fn an_agent_exits_a_second_before_the_end_while_its_proxy_stays() {
     play(
         "
                0 |      | proxy |
--- a/crates/quillpulley/tests/catch_up/disk.rs
+++ b/crates/quillpulley/tests/catch_up/disk.rs
@@ -14,7 +14,7 @@
 #[derive(Default)]
 struct Shared {
     files: RefCell<BTreeMap<String, Contents>>,
-    room: Cell<usize>,
+    capacity: Cell<usize>,
     peak: Cell<usize>,
     written: Cell<usize>,
     syncs: Cell<u64>,
@@ -25,7 +25,7 @@
         self.files.borrow().values().map(|file| file.borrow().len()).sum()
     }
 
-    fn note_peak(&self) {
+    fn record_peak(&self) {
         self.peak.set(self.peak.get().max(self.used()));
     }
 }
@@ -80,7 +80,7 @@
     fn write(&self, offset: u64, bytes: &[u8]) -> io::Result<()> {
         let end = offset as usize + bytes.len();
         let grows_by = end.saturating_sub(self.1.borrow().len());
-        if self.0.used() + grows_by > self.0.room.get() {
+        if self.0.used() + grows_by > self.0.capacity.get() {
             return Err(io::ErrorKind::StorageFull.into());
         }
         let mut contents = self.1.borrow_mut();
@@ -89,7 +89,7 @@
         contents[offset as usize..end].copy_from_slice(bytes);
         drop(contents);
         self.0.written.set(self.0.written.get() + bytes.len());
-        self.0.note_peak();
+        self.0.record_peak();
         Ok(())
     }
 
@@ -128,7 +128,7 @@
 impl Disk {
     pub fn new() -> Self {
         let folder = MemoryFolder::default();
-        folder.0.room.set(DISK_BYTES);
+        folder.0.capacity.set(DISK_BYTES);
         Disk { folder, storage: None, speed: USUAL }
     }
 
@@ -162,7 +162,7 @@
     /// Whether it takes no more bytes than it has.
     pub fn set_full(&mut self, full: bool) {
         let shared = &self.folder.0;
-        shared.room.set(if full { 0 } else { DISK_BYTES });
+        shared.capacity.set(if full { 0 } else { DISK_BYTES });
     }
 
     /// The most bytes that it ever held.
--- a/crates/quillpulley/tests/catch_up/main.rs
+++ b/crates/quillpulley/tests/catch_up/main.rs
@@ -1,4 +1,4 @@
-//! Members that were away, on links of 86 Mbit/s and disks of 128 MB: they catch up, and hold up nobody meanwhile.
+//! Members that were away, on links of 86 Mbit/s and disks of 128 MB: they catch up, and delay nobody meanwhile.
 
 mod disk;
 mod world;
@@ -12,11 +12,11 @@
 const LARGEST_CHANGES: usize = 100;
 /// Within which a member that comes back has to be a member again (`CatchUpS`).
 const CATCH_UP_MS: u64 = 4_000;
-/// The same for five machines, each of which sends the largest orders to four others meanwhile.
+/// The same for five machines, each of which sends the largest commands to four others meanwhile.
 const LARGE_SYSTEM_MS: u64 = 6_000;
 /// What a heartbeat may take: the pieces before it, and its way.
 const HEARTBEAT_US: u64 = 300_000;
-/// What a core process may have on disk, and in its log and on its links.
+/// What a control node may have on disk, and in its log and on its links.
 const DISK_BOUND: usize = 44_000_000;
 const MEMORY_BOUND: usize = 64_000_000;
 
@@ -30,27 +30,27 @@
     for machine in &world.machines {
         assert!(machine.disk.peak() < DISK_BOUND, "{} bytes on disk", machine.disk.peak());
     }
-    assert!(world.most_held < MEMORY_BOUND, "{} bytes in memory", world.most_held);
+    assert!(world.peak_memory < MEMORY_BOUND, "{} bytes in memory", world.peak_memory);
 }
 
-/// Runs until a machine is a member, with orders each 100 ms after the one before; gives how long that took.
-fn catches_up(world: &mut World, machine: usize, order_bytes: usize) -> u64 {
+/// Runs until a machine is a member, with commands each 100 ms after the one before; gives how long that time.
+fn time_to_catch_up(world: &mut World, machine: usize, command_bytes: usize) -> u64 {
     let started = world.now;
     let is_member = |world: &World| world.members().contains(&machine);
     while !is_member(world) {
         assert!(world.now < started + 60_000_000, "not caught up after a minute");
         world.run_until(100, is_member);
         if world.is_idle() {
-            world.propose(order_bytes);
+            world.propose(command_bytes);
         }
         world.run_until(5_000, |world| world.is_idle() || is_member(world));
     }
-    let took = (world.now - started) / 1_000;
+    let time = (world.now - started) / 1_000;
     world.run_until(5_000, World::is_idle);
     world.run_for(500);
     let leader = world.leader().expect("a primary");
-    assert_eq!(world.count(machine), world.count(leader), "it has all orders");
-    took
+    assert_eq!(world.count(machine), world.count(leader), "it has all commands");
+    time
 }
 
 #[test]
@@ -61,10 +61,10 @@
         check_bounds(&world);
     }
     println!(
-        "disk {:?}, memory {}, slowest order {} ms, heartbeat {} ms",
+        "disk {:?}, memory {}, slowest command {} ms, heartbeat {} ms",
         world.machines.iter().map(|machine| machine.disk.peak()).collect::<Vec<_>>(),
-        world.most_held,
-        world.slowest_order / 1_000,
+        world.peak_memory,
+        world.slowest_command / 1_000,
         world.slowest_heartbeat / 1_000
     );
     assert_eq!(world.members().len(), 3);
@@ -81,32 +81,32 @@
     world.change(4, LARGEST);
     prepare(&mut world, away);
     world.start(away);
-    world.slowest_order = 0;
+    world.slowest_command = 0;
     world.slowest_heartbeat = 0;
     (world, away)
 }
 
-fn report(world: &World, took: u64) {
+fn report(world: &World, time: u64) {
     println!(
-        "caught up in {took} ms, slowest order {} ms, heartbeat {} ms, {} bytes in memory",
-        world.slowest_order / 1_000,
+        "caught up in {time} ms, slowest command {} ms, heartbeat {} ms, {} bytes in memory",
+        world.slowest_command / 1_000,
         world.slowest_heartbeat / 1_000,
-        world.most_held
+        world.peak_memory
     );
 }
 
 #[test]
 fn a_member_that_was_away_for_300_changes_catches_up_in_time() {
     for count in [3, 5] {
-        for order_bytes in [2_000, LARGEST] {
+        for command_bytes in [2_000, LARGEST] {
             let (mut world, away) = after_300_changes(count, |_, _| {});
-            let took = catches_up(&mut world, away, order_bytes);
-            report(&world, took);
-            let limit = if count == 5 && order_bytes == LARGEST { LARGE_SYSTEM_MS } else { CATCH_UP_MS };
-            assert!(took < limit, "{took} ms");
+            let time = time_to_catch_up(&mut world, away, command_bytes);
+            report(&world, time);
+            let limit = if count == 5 && command_bytes == LARGEST { LARGE_SYSTEM_MS } else { CATCH_UP_MS };
+            assert!(time < limit, "{time} ms");
             assert!(world.slowest_heartbeat < HEARTBEAT_US, "{} us", world.slowest_heartbeat);
-            let patience = if order_bytes == LARGEST { 3_000_000 } else { 1_000_000 };
-            assert!(world.slowest_order < patience, "{} us", world.slowest_order);
+            let limit = if command_bytes == LARGEST { 3_000_000 } else { 1_000_000 };
+            assert!(world.slowest_command < limit, "{} us", world.slowest_command);
             check_bounds(&world);
         }
     }
@@ -115,26 +115,26 @@
 #[test]
 fn a_member_with_a_slow_disk_catches_up_in_time() {
     let (mut world, away) = after_300_changes(3, |world, away| world.machines[away].disk.speed = SLOW);
-    let took = catches_up(&mut world, away, 2_000);
-    report(&world, took);
-    assert!(took < CATCH_UP_MS, "{took} ms");
+    let time = time_to_catch_up(&mut world, away, 2_000);
+    report(&world, time);
+    assert!(time < CATCH_UP_MS, "{time} ms");
     let epoch = world.view_epoch();
     world.change(200, 2_000);
     assert_eq!((world.view_epoch(), world.members().len()), (epoch, 3), "it stays a member");
     // Each entry takes its disk more than a second.
-    world.slowest_order = 0;
+    world.slowest_command = 0;
     let started = world.now;
     world.change(40, LARGEST);
     let view_changes = world.view_epoch() - epoch;
     println!(
-        "{view_changes} view changes in {} s, slowest order {} ms",
+        "{view_changes} view changes in {} s, slowest command {} ms",
         (world.now - started) / 1_000_000,
-        world.slowest_order / 1_000
+        world.slowest_command / 1_000
     );
     assert!(view_changes <= 12, "{view_changes} view changes");
-    assert!(world.slowest_order < 5_000_000, "{} us", world.slowest_order);
-    let took = catches_up(&mut world, away, 2_000);
-    assert!(took < 2 * CATCH_UP_MS, "{took} ms");
+    assert!(world.slowest_command < 5_000_000, "{} us", world.slowest_command);
+    let time = time_to_catch_up(&mut world, away, 2_000);
+    assert!(time < 2 * CATCH_UP_MS, "{time} ms");
     check_bounds(&world);
 }
 
@@ -148,19 +148,19 @@
     world.change(100, 2_000);
     world.change(10, LARGEST);
     world.run_for(20_000);
-    assert_eq!(world.members().len(), 2, "orders go on without it");
+    assert_eq!(world.members().len(), 2, "commands go on without it");
     assert!(world.view_epoch() <= epoch + 2, "epoch {} after {epoch}", world.view_epoch());
-    assert!(world.slowest_order < 3_000_000, "{} us", world.slowest_order);
+    assert!(world.slowest_command < 3_000_000, "{} us", world.slowest_command);
     world.machines[full].disk.set_full(false);
-    let took = catches_up(&mut world, full, 2_000);
-    report(&world, took);
-    assert!(took < CATCH_UP_MS, "{took} ms");
+    let time = time_to_catch_up(&mut world, full, 2_000);
+    report(&world, time);
+    assert!(time < CATCH_UP_MS, "{time} ms");
     check_bounds(&world);
 }
 
-// One second with room on the disk, two without, for a minute: every return costs the orders a pause.
+// One second with room on the disk, two without, for a minute: every return costs the commands a pause.
 #[test]
-fn a_member_whose_disk_is_full_again_and_again_is_let_in_less_and_less_often() {
+fn a_member_whose_disk_is_full_again_and_again_is_added_less_and_less_often() {
     let mut world = World::new(3);
     world.change(3, LARGEST);
     let full = backup(&world);
@@ -176,8 +176,8 @@
         }
     }
     let changes = world.view_epoch() - epoch;
-    println!("{changes} view changes in a minute, {} orders", world.acknowledged);
+    println!("{changes} view changes in a minute, {} commands", world.acknowledged);
     assert!(changes <= 26, "{changes} view changes in a minute");
-    assert!(world.acknowledged > 450, "{} orders in a minute", world.acknowledged);
-    assert!(world.slowest_order < 1_500_000, "{} us", world.slowest_order);
+    assert!(world.acknowledged > 450, "{} commands in a minute", world.acknowledged);
+    assert!(world.slowest_command < 1_500_000, "{} us", world.slowest_command);
 }
--- a/crates/quillpulley/tests/catch_up/world.rs
+++ b/crates/quillpulley/tests/catch_up/world.rs
@@ -1,4 +1,4 @@
-//! Core processes in virtual time on links of limited bandwidth, with the storage and the queues that are in use.
+//! Control nodes in virtual time on links of limited bandwidth, with the storage and the queues that are in use.
 
 use super::disk::Disk;
 use quillpulley_protocol::{Body, Entry, FrameDecoder, FrameEncoder, FrameQueue, Lane, NodeId};
@@ -17,10 +17,10 @@
 /// What the kernel takes of a connection before it is sent.
 const SOCKET_BUFFER: usize = 2 * 1024 * 1024;
 const PACKET: usize = 16 * 1024;
-const MAXIMUM_QUEUED: usize = 8 * 1024 * 1024;
+const MAX_QUEUED_BYTES: usize = 8 * 1024 * 1024;
 const CONNECT_US: u64 = 50_000;
 
-/// How many bodies there were, and the latest of the longest: a state that stays large under short orders.
+/// How many bodies there were, and the latest of the longest: a state that stays large under short commands.
 #[derive(Clone, Debug, Default)]
 pub struct Counter {
     pub count: u64,
@@ -67,11 +67,11 @@
     incarnation: u64,
     started_at: u64,
     sending: bool,
-    turn: usize,
+    next_target: usize,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Happening {
+enum ScheduledEvent {
     Arrive { from: usize, to: usize, connection: u64, bytes: Vec<u8> },
     Stored { machine: usize, incarnation: u64, ticket: u64, result: Result<(), ()> },
     Tick { machine: usize, incarnation: u64 },
@@ -83,21 +83,21 @@
     pub now: u64,
     pub machines: Vec<Machine>,
     pipes: BTreeMap<(usize, usize), Pipe>,
-    queue: BinaryHeap<Reverse<(u64, u64, Happening)>>,
+    queue: BinaryHeap<Reverse<(u64, u64, ScheduledEvent)>>,
     sequence: u64,
     encoder: FrameEncoder,
     witnesses: Vec<NodeId>,
     faults: Faults,
-    /// Orders that were acknowledged, and those that may be in force or not.
+    /// Commands that were acknowledged, and those that may be active or not.
     pub acknowledged: u64,
-    pub unclear: u64,
-    next_order: u64,
-    under_way: Option<(u64, u64)>,
-    /// The longest that an order and a heartbeat took, in microseconds.
-    pub slowest_order: u64,
+    pub unknown_outcomes: u64,
+    next_command: u64,
+    in_flight: Option<(u64, u64)>,
+    /// The longest that a command and a heartbeat time, in microseconds.
+    pub slowest_command: u64,
     pub slowest_heartbeat: u64,
     /// The most bytes that one machine's links and log held.
-    pub most_held: usize,
+    pub peak_memory: usize,
 }
 
 impl World {
@@ -111,7 +111,7 @@
             incarnation: 0,
             started_at: 0,
             sending: false,
-            turn: 0,
+            next_target: 0,
         };
         let mut world = World {
             now: 0,
@@ -123,12 +123,12 @@
             witnesses,
             faults: Faults::default(),
             acknowledged: 0,
-            unclear: 0,
-            next_order: 1,
-            under_way: None,
-            slowest_order: 0,
+            unknown_outcomes: 0,
+            next_command: 1,
+            in_flight: None,
+            slowest_command: 0,
             slowest_heartbeat: 0,
-            most_held: 0,
+            peak_memory: 0,
         };
         (0..count).for_each(|machine| world.start(machine));
         assert!(world.run_until(5_000, |world| world.members().len() == count), "a first view");
@@ -151,9 +151,9 @@
         let recovered = slot.disk.open();
         slot.replica =
             Some(Replica::new(options, recovered, Counter::default(), Duration::ZERO).expect("a start"));
-        self.plan(TICK_US, Happening::Tick { machine, incarnation });
+        self.schedule(TICK_US, ScheduledEvent::Tick { machine, incarnation });
         for other in 0..self.machines.len() {
-            self.plan(CONNECT_US, Happening::Connect { one: machine, other });
+            self.schedule(CONNECT_US, ScheduledEvent::Connect { one: machine, other });
         }
     }
 
@@ -194,7 +194,7 @@
         self.run_until(milliseconds, |_| false);
     }
 
-    /// Runs until something holds, at most for some time; says whether it came to hold.
+    /// Runs until a condition holds, at most for `milliseconds`. Returns whether it holds.
     pub fn run_until(&mut self, milliseconds: u64, holds: impl Fn(&World) -> bool) -> bool {
         let end = self.now + milliseconds * 1_000;
         while !holds(self) {
@@ -205,32 +205,36 @@
                     return holds(self);
                 }
             }
-            let Some(Reverse((at, _, happening))) = self.queue.pop() else { continue };
+            let Some(Reverse((at, _, scheduled))) = self.queue.pop() else { continue };
             self.now = at;
-            self.happen(happening);
+            self.dispatch(scheduled);
         }
         true
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Arrive { from, to, connection, bytes } => self.arrive(from, to, connection, &bytes),
-            Happening::Stored { machine, incarnation, ticket, result }
+    fn dispatch(&mut self, scheduled: ScheduledEvent) {
+        match scheduled {
+            ScheduledEvent::Arrive { from, to, connection, bytes } => {
+                self.arrive(from, to, connection, &bytes)
+            }
+            ScheduledEvent::Stored { machine, incarnation, ticket, result }
                 if self.machines[machine].incarnation == incarnation =>
             {
                 let result = result.map_err(|()| WriteFailed);
                 self.handle(machine, Event::WriteCompleted { ticket, result });
             }
-            Happening::Tick { machine, incarnation } if self.machines[machine].incarnation == incarnation => {
+            ScheduledEvent::Tick { machine, incarnation }
+                if self.machines[machine].incarnation == incarnation =>
+            {
                 self.handle(machine, Event::Tick);
-                self.plan(TICK_US, Happening::Tick { machine, incarnation });
+                self.schedule(TICK_US, ScheduledEvent::Tick { machine, incarnation });
             }
-            Happening::Sent { machine } => {
+            ScheduledEvent::Sent { machine } => {
                 self.machines[machine].sending = false;
                 self.send_packet(machine);
             }
-            Happening::Connect { one, other } => self.connect(one, other),
-            Happening::Stored { .. } | Happening::Tick { .. } => {}
+            ScheduledEvent::Connect { one, other } => self.connect(one, other),
+            ScheduledEvent::Stored { .. } | ScheduledEvent::Tick { .. } => {}
         }
     }
 
@@ -268,8 +272,8 @@
         }
         let count = self.machines.len();
         for _ in 0..count {
-            let to = self.machines[machine].turn;
-            self.machines[machine].turn = (to + 1) % count;
+            let to = self.machines[machine].next_target;
+            self.machines[machine].next_target = (to + 1) % count;
             let Some(pipe) = self.pipes.get_mut(&(machine, to)) else { continue };
             while pipe.socket.len() < SOCKET_BUFFER / PACKET {
                 let waiting = pipe.queue.pending();
@@ -285,8 +289,8 @@
             let connection = pipe.connection;
             let busy = (length as f64 / BYTES_PER_US) as u64;
             self.machines[machine].sending = true;
-            self.plan(busy, Happening::Sent { machine });
-            self.plan(busy + LATENCY_US, Happening::Arrive { from: machine, to, connection, bytes });
+            self.schedule(busy, ScheduledEvent::Sent { machine });
+            self.schedule(busy + LATENCY_US, ScheduledEvent::Arrive { from: machine, to, connection, bytes });
             return;
         }
     }
@@ -301,7 +305,7 @@
         }
         let queued = self.pipes.range((machine, 0)..(machine + 1, 0)).map(|(_, pipe)| pipe.queue.bytes());
         let log = self.machines[machine].replica.as_ref().map_or(0, Replica::log_bytes);
-        self.most_held = self.most_held.max(log + queued.sum::<usize>());
+        self.peak_memory = self.peak_memory.max(log + queued.sum::<usize>());
     }
 
     fn act(&mut self, machine: usize, action: Action) {
@@ -311,24 +315,25 @@
                 let slot = &mut self.machines[machine];
                 let (result, time) = slot.disk.write(write);
                 let result = result.map_err(|_| ());
-                let stored = Happening::Stored { machine, incarnation: slot.incarnation, ticket, result };
-                self.plan(time, stored);
+                let stored =
+                    ScheduledEvent::Stored { machine, incarnation: slot.incarnation, ticket, result };
+                self.schedule(time, stored);
             }
             Action::Committed { proposal } => {
                 self.acknowledged += 1;
-                self.settled(proposal);
+                self.resolved(proposal);
             }
             Action::Rejected { proposal, reason } => {
-                self.unclear += u64::from(reason == RejectReason::OutcomeUnknown);
-                self.settled(proposal);
+                self.unknown_outcomes += u64::from(reason == RejectReason::OutcomeUnknown);
+                self.resolved(proposal);
             }
             Action::Applied { .. } | Action::RoleChanged(_) => {}
         }
     }
 
-    fn settled(&mut self, order: u64) {
-        if let Some((_, at)) = self.under_way.take_if(|(under_way, _)| *under_way == order) {
-            self.slowest_order = self.slowest_order.max(self.now - at);
+    fn resolved(&mut self, command: u64) {
+        if let Some((_, at)) = self.in_flight.take_if(|(in_flight, _)| *in_flight == command) {
+            self.slowest_command = self.slowest_command.max(self.now - at);
         }
     }
 
@@ -340,42 +345,42 @@
             pipe.heartbeats.push_back(now);
         }
         let message = self.encoder.message(body);
-        pipe.queue.push(Lane::of(body), message, MAXIMUM_QUEUED).expect("the link stays open");
+        pipe.queue.push(Lane::of(body), message, MAX_QUEUED_BYTES).expect("the link stays open");
         self.send_packet(machine);
     }
 
-    fn plan(&mut self, delay: u64, happening: Happening) {
+    fn schedule(&mut self, delay: u64, scheduled: ScheduledEvent) {
         self.sequence += 1;
-        self.queue.push(Reverse((self.now + delay, self.sequence, happening)));
+        self.queue.push(Reverse((self.now + delay, self.sequence, scheduled)));
     }
 
-    /// Sends an order of so many bytes to the primary; says whether there was one.
+    /// Sends a command of so many bytes to the primary; says whether there was one.
     pub fn propose(&mut self, bytes: usize) -> bool {
         let Some(leader) = self.leader() else { return false };
-        let order = self.next_order;
-        self.next_order += 1;
-        self.under_way = Some((order, self.now));
-        self.handle(leader, Event::Propose { proposal: order, payload: vec![order as u8; bytes] });
+        let command = self.next_command;
+        self.next_command += 1;
+        self.in_flight = Some((command, self.now));
+        self.handle(leader, Event::Propose { proposal: command, payload: vec![command as u8; bytes] });
         true
     }
 
-    /// Sends orders one after the other, until so many more are acknowledged.
+    /// Sends commands one after the other, until so many more are acknowledged.
     pub fn change(&mut self, count: u64, bytes: usize) {
         let goal = self.acknowledged + count;
         let end = self.now + 600_000_000;
         while self.acknowledged < goal {
             assert!(self.now < end, "{} of {goal} changes in ten minutes", self.acknowledged);
-            if self.under_way.is_none() && !self.propose(bytes) {
+            if self.in_flight.is_none() && !self.propose(bytes) {
                 self.run_for(10);
                 continue;
             }
-            self.run_until(20_000, |world| world.under_way.is_none());
+            self.run_until(20_000, |world| world.in_flight.is_none());
         }
     }
 
-    /// Whether no order is under way.
+    /// Whether no command is under way.
     pub fn is_idle(&self) -> bool {
-        self.under_way.is_none()
+        self.in_flight.is_none()
     }
 
     pub fn leader(&self) -> Option<usize> {
@@ -407,7 +412,7 @@
         replica.and_then(Replica::view).map_or(0, |view| view.epoch)
     }
 
-    /// How many orders a machine has applied.
+    /// How many commands a machine has applied.
     pub fn count(&self, machine: usize) -> u64 {
         self.machines[machine].replica.as_ref().map_or(0, |replica| replica.state().count)
     }
--- a/crates/quillpulley/tests/command_line.rs
+++ b/crates/quillpulley/tests/command_line.rs
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_role_without_settings_ends_with_code_2_and_says_what_to_set() {
+fn a_role_without_settings_exits_with_code_2_and_names_the_variable() {
     for role in ["proxy", "agent", "control"] {
         let output = quillpulley(&[role]);
         assert_eq!(output.status.code(), Some(2), "{role}");
--- a/crates/quillpulley/tests/common/mod.rs
+++ b/crates/quillpulley/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the hosts share: a runtime, guarded waits, and made-up processes.
+//! What the tests of the hosts share: a runtime, guarded waits, and stand-ins for processes.
 #![allow(dead_code)]
 
 pub mod tree;
@@ -15,7 +15,7 @@
 use tokio::task::LocalSet;
 
 /// A wait that takes longer than this has failed.
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Runs a test on one thread, as the hosts do.
 pub fn run<T>(test: impl Future<Output = T>) -> T {
@@ -28,7 +28,7 @@
 
 /// Waits for what must come.
 pub async fn expect<T>(what: &str, awaited: impl Future<Output = T>) -> T {
-    match tokio::time::timeout(PATIENCE, awaited).await {
+    match tokio::time::timeout(TIMEOUT, awaited).await {
         Ok(value) => value,
         Err(_) => panic!("{what} did not come"),
     }
@@ -41,7 +41,7 @@
     (listener, address)
 }
 
-/// How a made-up process introduces itself.
+/// The introduction of a stand-in.
 pub fn hello(kind: PeerKind, name: &str) -> Hello {
     Hello {
         kind,
--- a/crates/quillpulley/tests/common/tree.rs
+++ b/crates/quillpulley/tests/common/tree.rs
@@ -1,4 +1,4 @@
-//! Made-up ends of the relay tree: a core process that publishes, and a proxy.
+//! Stand-ins for ends of the relay tree: a control node that publishes, and a proxy.
 
 use super::{expect, hello};
 use quillpulley::peer::{LinkId, PeerEvent, Peers};
@@ -16,9 +16,9 @@
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a node shows.
+/// The state of a node.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Shown {
+pub struct NodeState {
     /// The published items.
     pub items: BTreeMap<String, Vec<u8>>,
     /// The names of the fronts that were reported, with their states.
@@ -29,20 +29,20 @@
     pub proxies: u32,
     /// The names of the children.
     pub children: BTreeSet<String>,
-    /// Whether the stamp moves.
+    /// Whether the revision moves.
     pub fresh: bool,
     /// How many links to a parent were lost.
     pub parents_lost: u32,
 }
 
-impl Shown {
+impl NodeState {
     /// Whether an item has this value.
     pub fn holds(&self, key: &str, value: &[u8]) -> bool {
         self.items.get(key).is_some_and(|held| held == value)
     }
 }
 
-enum Order {
+enum Instruction {
     Publish(Vec<Change>),
     Report(LocalReport),
     StopHeartbeats,
@@ -50,8 +50,8 @@
 
 /// A node that runs beside the test; dropping it closes its links.
 pub struct Node {
-    orders: UnboundedSender<Order>,
-    shown: watch::Receiver<Shown>,
+    instructions: UnboundedSender<Instruction>,
+    state: watch::Receiver<NodeState>,
     task: AbortHandle,
 }
 
@@ -62,7 +62,7 @@
 }
 
 impl Node {
-    /// A core process that publishes in this epoch.
+    /// A control node that publishes in this epoch.
     pub fn control_node(listener: TcpListener, epoch: u64) -> Node {
         let (peers, events) = Peers::new(hello(PeerKind::Control, "core"));
         peers.listen(listener);
@@ -81,43 +81,43 @@
     }
 
     fn start(mut running: Running, epoch: Option<u64>) -> Node {
-        let (orders, receiver) = unbounded_channel();
-        let shown = running.shown.subscribe();
+        let (instructions, receiver) = unbounded_channel();
+        let state = running.state.subscribe();
         if let Some(epoch) = epoch {
-            running.tell(Event::BecomeRoot { epoch });
+            running.handle(Event::BecomeRoot { epoch });
         }
         let task = spawn_local(running.run(receiver, epoch.is_some())).abort_handle();
-        Node { orders, shown, task }
+        Node { instructions, state, task }
     }
 
     /// Publishes an item.
     pub fn publish(&self, key: &str, value: Vec<u8>) {
-        self.order(Order::Publish(vec![Change { key: key.to_string(), value: Some(value) }]));
+        self.instruct(Instruction::Publish(vec![Change { key: key.to_string(), value: Some(value) }]));
     }
 
     /// Reports from now on.
     pub fn report(&self, report: LocalReport) {
-        self.order(Order::Report(report));
+        self.instruct(Instruction::Report(report));
     }
 
-    /// Gives no stamps any more, as a primary that has lost its lease.
+    /// Publishes no more revisions, like a primary that has lost its lease.
     pub fn stop_heartbeats(&self) {
-        self.order(Order::StopHeartbeats);
+        self.instruct(Instruction::StopHeartbeats);
     }
 
-    /// Waits until it shows what is awaited.
-    pub async fn until(&mut self, what: &str, mut holds: impl FnMut(&Shown) -> bool) -> Shown {
-        let shown = expect(what, self.shown.wait_for(|shown| holds(shown))).await;
-        shown.expect("the node runs").clone()
+    /// Waits until its state is as the test expects.
+    pub async fn until(&mut self, what: &str, mut holds: impl FnMut(&NodeState) -> bool) -> NodeState {
+        let state = expect(what, self.state.wait_for(|state| holds(state))).await;
+        state.expect("the node runs").clone()
     }
 
-    /// What it shows now.
-    pub fn shown(&self) -> Shown {
-        self.shown.borrow().clone()
+    /// Returns its present state.
+    pub fn state(&self) -> NodeState {
+        self.state.borrow().clone()
     }
 
-    fn order(&self, order: Order) {
-        assert!(self.orders.send(order).is_ok(), "the node runs");
+    fn instruct(&self, instruction: Instruction) {
+        assert!(self.instructions.send(instruction).is_ok(), "the node runs");
     }
 }
 
@@ -143,7 +143,7 @@
     parent: Option<LinkId>,
     children: BTreeMap<LinkId, String>,
     parents_lost: u32,
-    shown: watch::Sender<Shown>,
+    state: watch::Sender<NodeState>,
 }
 
 impl Running {
@@ -153,32 +153,32 @@
         node: SyncNode<LinkId>,
         parent: Option<LinkId>,
     ) -> Running {
-        let shown = watch::Sender::new(Shown::default());
+        let state = watch::Sender::new(NodeState::default());
         let children = BTreeMap::new();
-        Running { started: Instant::now(), peers, events, node, parent, children, parents_lost: 0, shown }
+        Running { started: Instant::now(), peers, events, node, parent, children, parents_lost: 0, state }
     }
 
-    async fn run(mut self, mut orders: UnboundedReceiver<Order>, mut revisions: bool) {
+    async fn run(mut self, mut instructions: UnboundedReceiver<Instruction>, mut revisions: bool) {
         let mut ticks = interval(HEARTBEAT_INTERVAL);
         loop {
             tokio::select! {
                 Some(event) = self.events.recv() => self.peer_event(event),
-                Some(order) = orders.recv() => match order {
-                    Order::Publish(changes) => self.tell(Event::Publish(changes)),
-                    Order::Report(report) => self.tell(Event::LocalReport(report)),
-                    Order::StopHeartbeats => revisions = false,
+                Some(instruction) = instructions.recv() => match instruction {
+                    Instruction::Publish(changes) => self.handle(Event::Publish(changes)),
+                    Instruction::Report(report) => self.handle(Event::LocalReport(report)),
+                    Instruction::StopHeartbeats => revisions = false,
                 },
                 _ = ticks.tick() => {
-                    self.tell(Event::Tick);
+                    self.handle(Event::Tick);
                     if revisions {
-                        self.tell(Event::Heartbeat);
+                        self.handle(Event::Heartbeat);
                     }
                 }
             }
-            let now_shown = self.look();
-            self.shown.send_if_modified(|shown| {
-                let changed = *shown != now_shown;
-                *shown = now_shown;
+            let new_state = self.current_state();
+            self.state.send_if_modified(|state| {
+                let changed = *state != new_state;
+                *state = new_state;
                 changed
             });
         }
@@ -186,15 +186,15 @@
 
     fn peer_event(&mut self, event: PeerEvent) {
         match event {
-            PeerEvent::Opened { incoming: false, .. } => self.tell(Event::ParentUp),
+            PeerEvent::Opened { incoming: false, .. } => self.handle(Event::ParentUp),
             PeerEvent::Opened { link, hello, .. } => {
                 self.children.insert(link, hello.name);
-                self.tell(Event::ChildUp(link));
+                self.handle(Event::ChildUp(link));
             }
             PeerEvent::Frame { link, body } if self.parent == Some(link) => {
-                self.tell(Event::ParentFrame(body))
+                self.handle(Event::ParentFrame(body))
             }
-            PeerEvent::Frame { link, body } => self.tell(Event::ChildFrame(link, body)),
+            PeerEvent::Frame { link, body } => self.handle(Event::ChildFrame(link, body)),
             PeerEvent::Closed { link } | PeerEvent::ConnectFailed { link } => self.closed(link),
         }
     }
@@ -203,13 +203,13 @@
         if self.parent == Some(link) {
             self.parent = None;
             self.parents_lost += 1;
-            self.tell(Event::ParentDown);
+            self.handle(Event::ParentDown);
         } else if self.children.remove(&link).is_some() {
-            self.tell(Event::ChildDown(link));
+            self.handle(Event::ChildDown(link));
         }
     }
 
-    fn tell(&mut self, event: Event<LinkId>) {
+    fn handle(&mut self, event: Event<LinkId>) {
         let mut actions = Vec::new();
         self.node.handle(self.started.elapsed(), event, &mut actions);
         for action in actions {
@@ -227,11 +227,11 @@
         self.peers.send_all(links, body);
     }
 
-    fn look(&self) -> Shown {
+    fn current_state(&self) -> NodeState {
         let subtree = self.node.subtree();
         let items = self.node.store().iter().map(|(key, value)| (key.to_string(), value.to_vec()));
         let endpoints = subtree.endpoints.iter().map(|(name, endpoint)| (name.clone(), endpoint.state));
-        Shown {
+        NodeState {
             items: items.collect(),
             endpoints: endpoints.collect(),
             suspects: subtree.suspicions.keys().cloned().collect(),
--- a/crates/quillpulley/tests/parent_search.rs
+++ b/crates/quillpulley/tests/parent_search.rs
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_parent_whose_revision_stands_still_is_kept_until_another_is_up() {
+fn a_parent_with_a_stalled_revision_is_kept_until_another_is_connected() {
     play(
         "
             0 | candidates C1 C2 | connect C1
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_parent_whose_revision_moves_again_is_kept() {
+fn a_parent_whose_revision_advances_again_is_kept() {
     play(
         "
             0 | candidates C1 C2 C3 | connect C1
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn below_an_agent_more_patience_is_shown() {
+fn below_an_agent_the_timeout_is_longer() {
     play(
         "
             0 | candidates A1 C1 | connect A1
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn while_nothing_moves_all_are_tried_in_turn() {
+fn while_no_revision_advances_all_are_tried_in_turn() {
     play(
         "
             0 | candidates C1 C2 | connect C1
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_better_place_is_taken_once_it_works() {
+fn a_better_candidate_becomes_the_parent_once_it_works() {
     play(
         "
             0 | candidates C1 C2       | connect C1
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn a_better_place_that_fails_changes_nothing_and_is_left_alone_for_a_while() {
+fn a_better_candidate_that_fails_changes_nothing_and_gets_a_penalty() {
     play(
         "
             0 | candidates C1       | connect C1
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn what_is_not_known_changes_nothing() {
+fn events_of_unknown_candidates_change_nothing() {
     play(
         "
             0 | candidates C1 | connect C1
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn who_failed_is_told_until_its_penalty_is_over_or_its_revision_moves_again() {
+fn a_failed_candidate_is_reported_until_its_penalty_is_over_or_its_revision_moves_again() {
     let mut parent_search = ParentSearch::new(1);
     let mut happens = |milliseconds: u64, text: &str| {
         let now = Duration::from_millis(milliseconds);
--- a/crates/quillpulley/tests/peer.rs
+++ b/crates/quillpulley/tests/peer.rs
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn nobody_there_is_told_at_once() {
+fn a_missing_peer_is_reported_at_once() {
     run(async {
         let (listener, address) = listener(HERE).await;
         drop(listener);
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_peer_that_says_nothing_is_no_connection() {
+fn a_peer_without_a_hello_is_no_connection() {
     run(async {
         let (_silent, address) = listener(HERE).await;
         let mut agent = Side::new(PeerKind::Agent, "agent");
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn half_a_hello_is_cut_off_and_not_told_of() {
+fn half_a_hello_is_closed_and_not_reported() {
     run(async {
         let (mut control_node, address) = listening("core").await;
         let mut stream = TcpStream::connect(address).await.expect("a connection");
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_first_message_that_is_no_hello_is_cut_off() {
+fn a_first_message_that_is_no_hello_closes_the_link() {
     run(async {
         let (mut control_node, address) = listening("core").await;
         let mut stream = TcpStream::connect(address).await.expect("a connection");
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn a_slow_reader_loses_its_link_and_holds_nobody_up() {
+fn a_slow_reader_loses_its_link_and_delays_nobody() {
     run(async {
         let mut control_node =
             with_options(PeerOptions { max_queued_bytes: 100_000, ..PeerOptions::default() });
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn a_silent_link_closes_only_where_that_was_asked_for() {
+fn an_idle_link_closes_only_where_a_timeout_is_set() {
     run(async {
         let idle_timeout = Some(Duration::from_millis(50));
         let mut watchful = with_options(PeerOptions { idle_timeout, ..PeerOptions::default() });
--- a/crates/quillpulley/tests/proxy/limits.rs
+++ b/crates/quillpulley/tests/proxy/limits.rs
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn what_finds_no_place_in_time_is_rejected_and_told_when_to_come_again() {
+fn requests_without_capacity_in_time_are_rejected_with_retry_after() {
     run(async {
         let mut one = FakeServer::start("i-1", "one").await;
         let proxy = Proxy::start(&configuration(1, &[&route("a", "idempotent", "")]), &[]).await;
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn one_that_waits_for_a_place_and_leaves_reaches_no_server() {
+fn a_queued_request_whose_client_disconnects_reaches_no_server() {
     run(async {
         let mut one = FakeServer::start("i-1", "one").await;
         let proxy = Proxy::start(&configuration(1, &[&route("a", "idempotent", "")]), &[]).await;
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn one_that_leaves_while_its_body_comes_reaches_no_server() {
+fn a_client_that_disconnects_within_its_body_reaches_no_server() {
     run(async {
         let (proxy, mut one) = start().await;
         let mut leaving = proxy.client().await;
--- a/crates/quillpulley/tests/proxy/main.rs
+++ b/crates/quillpulley/tests/proxy/main.rs
@@ -3,8 +3,8 @@
 mod support;
 
 mod homes;
-mod incarnation;
 mod limits;
+mod process_lifecycle;
 mod retries;
 mod routing;
 mod sends;
--- a/crates/quillpulley/tests/proxy/incarnation.rs
+++ b/crates/quillpulley/tests/proxy/process_lifecycle.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_later_configuration_takes_the_place_of_an_earlier_one_and_never_the_reverse() {
+fn a_later_configuration_replaces_an_earlier_one_and_never_the_reverse() {
     run(async {
         let mut one = FakeServer::start("i-1", "one").await;
         let mut two = FakeServer::start("i-2", "two").await;
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn signalled_to_shut_down_it_serves_who_still_comes_and_finishes() {
+fn a_draining_proxy_serves_late_clients_and_finishes_open_requests() {
     run(async {
         let mut one = FakeServer::start("i-1", "one").await;
         let configuration = configuration(1, &[&route("a", "idempotent", "")]);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn settings_that_change_disturb_no_request() {
+fn changed_settings_disturb_no_request() {
     run(async {
         let mut one = FakeServer::start("i-1", "one").await;
         let proxy = Proxy::start(&configuration(1, &[&route("a", "idempotent", "")]), &[&one]).await;
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn signalled_to_shut_down_it_takes_only_what_is_sure_to_end_in_time() {
+fn a_draining_proxy_accepts_only_requests_that_are_sure_to_end_in_time() {
     run(async {
         let mut one = FakeServer::start("i-1", "one").await;
         let configuration = configuration(1, &[&route("a", "non_idempotent", "")]);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn what_is_unanswered_when_it_ends_gets_an_answer() {
+fn open_requests_get_a_response_when_the_proxy_exits() {
     run(async {
         let mut one = FakeServer::start("i-1", "one").await;
         let configuration = configuration(1, &[&route("a", "non_idempotent", "\"TimeoutMs\":60000")]);
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn without_fresh_news_it_says_of_no_route_that_it_does_not_exist() {
+fn without_fresh_state_no_unknown_route_gets_a_404() {
     run(async {
         let mut one = FakeServer::start("i-1", "one").await;
         let proxy = Proxy::start(&configuration(1, &[&route("a", "idempotent", "")]), &[&one]).await;
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn a_configuration_cuts_nothing_that_is_in_flight() {
+fn a_configuration_change_aborts_nothing_in_flight() {
     run(async {
         let mut one = FakeServer::start("i-1", "one").await;
         let long = "\"TimeoutMs\":15000";
--- a/crates/quillpulley/tests/proxy/retries.rs
+++ b/crates/quillpulley/tests/proxy/retries.rs
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_sent_again_only_if_it_may_run_twice() {
+fn what_may_have_run_is_retried_only_if_it_is_idempotent() {
     run(async {
         for breaking in [Call::reset, Call::close] {
             let mut scene = Scene::start().await;
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn answers_that_are_not_whole_or_sealed_are_not_passed_on() {
+fn incomplete_or_unsealed_responses_are_not_forwarded() {
     run(async {
         let mut scene = Scene::start().await;
         for (rest, end) in [
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn a_servers_promise_that_it_does_not_keep_is_not_passed_on() {
+fn a_broken_promise_of_a_server_is_not_forwarded() {
     run(async {
         let mut scene = Scene::start().await;
         for status in ["503 Service Unavailable", "429 Too Many Requests", "408 Request Timeout"] {
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn a_silent_server_has_the_whole_time_of_the_request() {
+fn an_unresponsive_server_has_the_complete_request_timeout() {
     run(async {
         let mut scene = Scene::start().await;
         scene.ask_with("/once/x", "Quillpulley-Deadline-Ms: 150\r\n").await;
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn a_server_that_is_gone_ends_what_may_run_again() {
+fn a_removed_server_aborts_idempotent_requests() {
     run(async {
         let mut scene = Scene::start().await;
         scene.ask("/again/x").await;
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn a_server_that_fails_gets_requests_again_once_it_is_well() {
+fn a_failing_server_gets_requests_again_once_it_is_healthy() {
     run(async {
         let mut scene = Scene::start().await;
         scene.proxy.agent.remove_server("i-2");
--- a/crates/quillpulley/tests/proxy/routing.rs
+++ b/crates/quillpulley/tests/proxy/routing.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_request_goes_on_as_it_came_but_for_what_concerns_one_connection() {
+fn a_request_is_forwarded_unchanged_but_for_hop_by_hop_headers() {
     run(async {
         let mut one = FakeServer::start("i-1", "one").await;
         let proxy = Proxy::start(&configuration(1, &[&route("a", "idempotent", "")]), &[&one]).await;
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_body_in_chunks_goes_on_whole() {
+fn a_chunked_body_is_forwarded_completely() {
     run(async {
         let mut one = FakeServer::start("i-1", "one").await;
         let proxy = Proxy::start(&configuration(1, &[&route("a", "idempotent", "")]), &[&one]).await;
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn connections_to_clients_and_servers_are_used_again() {
+fn connections_to_clients_and_servers_are_reused() {
     run(async {
         let mut one = FakeServer::start("i-1", "one").await;
         let proxy = Proxy::start(&configuration(1, &[&route("a", "idempotent", "")]), &[&one]).await;
--- a/crates/quillpulley/tests/proxy/sends.rs
+++ b/crates/quillpulley/tests/proxy/sends.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn every_send_has_the_time_that_is_left() {
+fn every_attempt_carries_the_remaining_time() {
     run(async {
         let clients = format!("Quillpulley-Deadline-Ms: {CLIENTS_DEADLINE}\r\n");
         let twice = format!("{clients}{clients}");
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn what_the_request_says_of_the_model_goes_on_as_it_came() {
+fn model_headers_are_forwarded_unchanged() {
     run(async {
         let headers = "QUILLPULLEY-Model-name:   My Model; v=\"1\"\t \r\n\
                        quillpulley-token-count: 1460 , 80\r\n\
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn a_stream_with_homes_is_taken_up_in_these_only() {
+fn a_stream_with_homes_is_resumed_in_these_only() {
     run(async {
         let first = "request last".to_string();
         let cut = "request stream event:1 until:1 reset".to_string();
--- a/crates/quillpulley/tests/proxy/streams.rs
+++ b/crates/quillpulley/tests/proxy/streams.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_ends_the_work_at_the_server() {
+fn a_client_that_disconnects_cancels_the_work_at_the_server() {
     run(async {
         let (proxy, mut one, mut two) = start().await;
         for path in ["/s/x", "/r/x"] {
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_resumable_stream_without_an_event_begins_again() {
+fn a_resumable_stream_without_an_event_restarts() {
     run(async {
         let (proxy, mut one, mut two) = start().await;
         let mut client = asked(&proxy, "/r/x", "").await;
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_while_its_stream_is_taken_up_ends_that_too() {
+fn a_client_that_disconnects_during_a_resumption_cancels_it() {
     run(async {
         let (proxy, mut one, mut two) = start().await;
         let mut client = asked(&proxy, "/r/x", "").await;
--- a/crates/quillpulley/tests/proxy/support/mod.rs
+++ b/crates/quillpulley/tests/proxy/support/mod.rs
@@ -24,15 +24,15 @@
 use tokio::time::timeout;
 
 /// The longest that anything is waited for.
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Bounds that no test comes to.
-const ANY_REPEATS: &str = "RetrySlack = 1000000\nRetryBudgetRatio = 1000000";
+const UNLIMITED_RETRIES: &str = "RetrySlack = 1000000\nRetryBudgetRatio = 1000000";
 
 /// Runs a test on a runtime of its own.
 pub fn run(test: impl Future<Output = ()>) {
     let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let test = async { timeout(PATIENCE, test).await.expect("the test ends in time") };
+    let test = async { timeout(TIMEOUT, test).await.expect("the test ends in time") };
     LocalSet::new().block_on(&runtime, test);
 }
 
@@ -64,7 +64,7 @@
         servers: &[Server],
         faults: Faults,
     ) -> Proxy {
-        let proxy = Proxy::start_process(&format!("{ANY_REPEATS}\n{bounds}"), faults).await;
+        let proxy = Proxy::start_process(&format!("{UNLIMITED_RETRIES}\n{bounds}"), faults).await;
         // What comes later on the same link is taken in later.
         proxy.agent.until_totals().await;
         proxy.agent.publish_configuration(configuration);
--- a/crates/quillpulley/tests/proxy/timelines.rs
+++ b/crates/quillpulley/tests/proxy/timelines.rs
@@ -196,7 +196,7 @@
     played
 }
 
-fn all_come_out(table: &'static str) {
+fn assert_outcomes(table: &'static str) {
     run(async move {
         for (case, result) in play_all(cases(table), Faults::default()).await {
             let expected: Vec<&str> =
@@ -209,22 +209,22 @@
 
 #[test]
 fn plain_answers() {
-    all_come_out(PLAIN);
+    assert_outcomes(PLAIN);
 }
 
 #[test]
-fn kept_connections() {
-    all_come_out(KEPT);
+fn reused_connections() {
+    assert_outcomes(KEPT);
 }
 
 #[test]
 fn early_answers() {
-    all_come_out(EARLY);
+    assert_outcomes(EARLY);
 }
 
 #[test]
 fn streams() {
-    all_come_out(STREAMS);
+    assert_outcomes(STREAMS);
 }
 
 #[test]
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn a_proxy_that_takes_another_requests_answer_is_caught() {
+fn a_proxy_that_accepts_another_requests_response_is_caught() {
     run(async {
         let faults = Faults { ignore_response_ids: true, ..Faults::default() };
         let case = Case::parse("once=502 | request other");
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn whatever_servers_do_what_must_hold_holds() {
+fn invariants_hold_whatever_servers_do() {
     fn holds(cases: Vec<AnyCase>) -> bool {
         let cases: Vec<Case> = cases.into_iter().map(|AnyCase(case)| case).collect();
         let failed = Rc::new(std::cell::Cell::new(false));
--- a/crates/quillpulley/tests/proxy_departure.rs
+++ b/crates/quillpulley/tests/proxy_drain_deadline.rs
@@ -51,7 +51,7 @@
 const TOLD: Duration = Duration::from_millis(1_000);
 
 #[test]
-fn late_requests_are_taken_only_if_they_are_sure_to_end_in_time() {
+fn late_requests_are_accepted_only_if_they_are_sure_to_end_in_time() {
     for (grace, timeline) in [(8, GRACE_OF_8_S), (4, GRACE_OF_4_S), (1, GRACE_OF_1_S), (0, NO_GRACE)] {
         let deadline = DrainDeadline::new(TOLD, Duration::from_secs(grace));
         for line in timeline.lines().map(str::trim).filter(|line| !line.is_empty()).skip(1) {
@@ -72,7 +72,7 @@
 
 quickcheck! {
     /// What came later than 3 s after the order to end is over before the process ends, for any grace.
-    fn nothing_that_came_late_is_cut(told: u16, grace: u16, came_after: u16, lasts: u16) -> bool {
+    fn late_requests_are_not_aborted(told: u16, grace: u16, came_after: u16, lasts: u16) -> bool {
         let [told, grace, came_after, lasts] =
             [told, grace, came_after, lasts].map(|time| Duration::from_millis(time.into()));
         let deadline = DrainDeadline::new(told, grace);
@@ -82,7 +82,7 @@
     }
 
     /// Once a request is refused, none that lasts as long is taken later.
-    fn what_is_refused_stays_refused(grace: u16, came_after: u16, later: u16, lasts: u16) -> bool {
+    fn a_rejected_request_stays_rejected(grace: u16, came_after: u16, later: u16, lasts: u16) -> bool {
         let [grace, came_after, later, lasts] =
             [grace, came_after, later, lasts].map(|time| Duration::from_millis(time.into()));
         let deadline = DrainDeadline::new(TOLD, grace);
--- a/crates/quillpulley/tests/proxy_events.rs
+++ b/crates/quillpulley/tests/proxy_event_splitter.rs
@@ -47,7 +47,7 @@
 
 quickcheck! {
     /// However the bytes come, all of them are passed on, and only whole events before the end.
-    fn pieces_give_whole_events(cuts: Cuts) -> bool {
+    fn chunks_give_complete_events(cuts: Cuts) -> bool {
         let mut splitter = EventSplitter::new(None);
         let mut passed = String::new();
         for piece in cuts.pieces() {
@@ -62,7 +62,7 @@
     }
 
     /// Cut anywhere and taken up behind the last whole event, each event is passed on once.
-    fn a_stream_goes_on_behind_the_last_whole_event(cuts: Cuts) -> bool {
+    fn a_stream_resumes_after_the_last_complete_event(cuts: Cuts) -> bool {
         cuts.places.iter().all(|place| {
             let mut splitter = EventSplitter::new(None);
             let mut passed = text(splitter.push(&cuts.text().as_bytes()[..*place]));
@@ -81,14 +81,14 @@
 }
 
 #[test]
-fn what_was_passed_on_before_is_left_out() {
+fn events_that_were_forwarded_before_are_skipped() {
     let mut splitter = EventSplitter::new(Some(Bytes::from_static(b"7")));
     let passed = splitter.push(b"id: 6\ndata: a\n\nid: 7\ndata: b\n\nid: 8\ndata: c\n\n");
     assert_eq!(text(passed), "id: 8\ndata: c\n\n");
 }
 
 #[test]
-fn a_stream_without_ids_cannot_be_taken_up() {
+fn a_stream_without_ids_cannot_be_resumed() {
     let mut splitter = EventSplitter::new(None);
     assert_eq!(text(splitter.push(b"data: a\n\n")), "data: a\n\n");
     assert!(!splitter.restart());
--- a/crates/quillpulley/tests/system/main.rs
+++ b/crates/quillpulley/tests/system/main.rs
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn all_processes_end_when_told_to() {
+fn all_processes_exit_on_sigterm() {
     let mut system = System::start("ends");
     system.configure(0, &configuration(1, &[]));
     system.until_served("/cards/1");
--- a/crates/quillpulley/tests/system/processes.rs
+++ b/crates/quillpulley/tests/system/processes.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 /// A wait that takes longer than this has failed.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 /// What is awaited is looked for after each line that a process logs, and at least this often.
 const LOOK_EVERY: Duration = Duration::from_millis(50);
 
@@ -44,7 +44,7 @@
             if let Some(found) = look() {
                 return found;
             }
-            assert!(started.elapsed() < PATIENCE, "{what} did not come");
+            assert!(started.elapsed() < TIMEOUT, "{what} did not come");
             self.next_line();
         }
     }
@@ -76,7 +76,7 @@
             if let Some(status) = self.child.try_wait().expect("its status") {
                 return status.code();
             }
-            assert!(started.elapsed() < PATIENCE, "{} does not end", self.role);
+            assert!(started.elapsed() < TIMEOUT, "{} does not end", self.role);
             self.next_line();
         }
     }
--- a/crates/rate-limiter/tests/answers.rs
+++ b/crates/rate-limiter/tests/answers.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_connection_rests_before_it_is_used_again() {
+fn a_connection_rests_before_it_is_reused() {
     // Longer than the latest second answer that was ever seen to come. A slow machine only shows it less often.
     for _ in 0..5 {
         let server = Fake::new(|_| ok("served"));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn an_informational_answer_ahead_is_skipped_however_long_the_answer_takes() {
+fn an_informational_response_is_skipped_however_long_the_final_one_takes() {
     let server = Fake::new(|_| {
         Reply::Pieces(vec![
             (Duration::ZERO, "HTTP/1.1 102 Processing\r\n\r\n".into()),
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_figure_that_no_request_can_have_stops_no_customer() {
+fn an_impossible_figure_blocks_no_tenant() {
     for figure in ["-5", "99999", "1e9", "NaN", "inf", "much"] {
         let headers = format!("X-Settled: {figure}\r\nX-Backend-Load: util={figure},queue=-1\r\n");
         let server = Fake::new(move |_| Reply::Raw(raw("200 OK", &headers, "served")));
--- a/crates/rate-limiter/tests/clients.rs
+++ b/crates/rate-limiter/tests/clients.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_client_that_leaves_ends_its_attempt() {
+fn a_client_that_disconnects_cancels_its_attempt() {
     let server = Fake::new(|_| Reply::Silence);
     let limiter = Limiter::over(&[&server]);
     let mut client = limiter.client();
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn bytes_behind_a_request_do_not_hide_that_its_client_left() {
+fn bytes_after_a_request_do_not_hide_that_its_client_disconnected() {
     let server = Fake::new(|_| Reply::Silence);
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let mut settings = settings();
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_while_its_attempt_waits_for_a_connection_is_not_sent_on() {
+fn a_client_that_disconnects_while_its_attempt_waits_for_a_connection_is_not_forwarded() {
     // Whether or not the settings let the module call attempts off: this one has not been sent yet.
     for cancel in [true, false] {
         for behind in ["", "GET /more"] {
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_client_that_left_before_it_was_accepted_is_not_sent_on() {
+fn a_client_that_disconnected_before_it_was_accepted_is_not_forwarded() {
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     // Room for some twenty clients, all taken by those whose body does not come.
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_request_without_time_left_is_refused_and_not_sent_on() {
+fn a_request_past_its_deadline_is_rejected_and_not_forwarded() {
     let server = Fake::new(|_| ok("served"));
     let limiter = Limiter::over(&[&server]);
     for left_ms in [0, 1, 10] {
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_new_client_takes_the_place_of_the_one_that_is_idle_longest() {
+fn a_new_client_replaces_the_one_that_is_idle_longest() {
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     // So few descriptors leave room for some twenty clients.
@@ -320,7 +320,7 @@
 
 /// Connections that never bring a whole request, and what one of them goes on sending.
 #[test]
-fn whoever_brings_no_whole_request_is_let_go_in_time() {
+fn clients_without_a_complete_request_are_disconnected_in_time() {
     let server = Fake::new(|_| ok("served"));
     let limiter = Limiter::over(&[&server]);
     let whole = post("bind", "12345678");
@@ -374,7 +374,7 @@
 }
 
 #[test]
-fn a_client_that_never_asks_again_gives_its_place_back() {
+fn an_idle_client_frees_its_slot() {
     let server = Fake::new(|_| ok("served"));
     let limiter = Limiter::over(&[&server]);
     let mut client = limiter.client();
--- a/crates/rate-limiter/tests/heavy.rs
+++ b/crates/rate-limiter/tests/heavy.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_customer_far_beyond_its_quota_is_held_to_it_by_limiters_that_meet_it_for_the_first_time() {
+fn a_tenant_far_beyond_its_quota_is_limited_by_limiters_that_meet_it_for_the_first_time() {
     let mut fleet = Fleet::new();
     let (mut hot, mut modest, mut asked) = (0, 0, 0);
     let steps = |seconds: f64| (seconds / STEP) as u32;
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_hides_no_other_and_holds_nobody() {
+fn an_unreadable_entry_hides_no_other_and_blocks_nobody() {
     let mut fleet = Fleet::new();
     // What is left where two wrote at once and the call that took one back was lost.
     let (first, second) = ("heavy.5.0".to_string(), "heavy.5.1".to_string());
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn while_the_counter_is_down_nobody_is_held_by_what_it_told_long_ago() {
+fn while_the_counter_is_down_its_old_totals_limit_nobody() {
     let mut fleet = Fleet::new();
     for _ in 0..100 {
         fleet.step();
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_customer_beyond_its_quota_is_refused_with_advice() {
+fn a_tenant_beyond_its_quota_is_rejected_with_retry_after() {
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let mut settings = settings();
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_refused_connection_never_ran_and_another_server_gets_the_request() {
+fn a_refused_connection_executed_nothing_and_another_server_gets_the_request() {
     for request in [quote("roomy", 9000), post("bind", "x"), post("once", "x")] {
         let good = Fake::new(|_| ok("served"));
         let (one, other) = (nobody(), nobody());
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_request_turned_away_unseen_is_sent_again_whatever_its_class() {
+fn a_request_rejected_unseen_is_retried_whatever_its_class() {
     for status in ["503 Service Unavailable", "504 Gateway Timeout"] {
         for request in [quote("roomy", 9000), post("bind", "x"), post("once", "x")] {
             let (answer, seen) = after(move || Reply::Raw(raw(status, UNPROCESSED, "")), &request);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_sent_again_only_if_its_class_permits() {
+fn what_may_have_run_is_retried_only_if_its_class_permits() {
     let faults: [fn() -> Reply; 6] = [
         || Reply::Raw(raw("500 Internal Server Error", "", "oops")),
         // Without its mark, a 503 does not say that the request never ran.
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_repeat_that_still_waits_for_its_connection_when_its_window_ends_is_not_sent() {
+fn a_retry_that_still_waits_for_its_connection_when_its_window_ends_is_not_sent() {
     let hung = Fake::new(|_| Reply::Silence);
     let (listener, stuck, filled) = never_up();
     let discovery = discovery(vec![instance("s-0", hung.address, "in_service")]);
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn a_kept_connection_that_its_server_closed_costs_no_request() {
+fn a_reused_connection_that_its_server_closed_costs_no_request() {
     // Every answer is followed by a close that no header announces.
     let server = Fake::new(|_| Reply::Last(raw("200 OK", "", "bye")));
     let limiter = Limiter::over(&[&server]);
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn servers_that_were_left_out_for_failing_count_again_later() {
+fn ejected_servers_return_later() {
     let (failing, go) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicBool::new(true)));
     let servers: Vec<Fake> = (0..4)
         .map(|_| {
@@ -332,7 +332,7 @@
 }
 
 #[test]
-fn a_server_told_gone_loses_what_is_out_at_it() {
+fn a_removed_server_loses_its_requests_in_flight() {
     let (hung, good) = (Fake::new(|_| Reply::Silence), Fake::new(|_| ok("served")));
     let discovery = discovery(vec![instance("s-0", hung.address, "in_service")]);
     // One late answer alone never makes the module call an attempt off: only the news can end this one.
@@ -364,7 +364,7 @@
 }
 
 #[test]
-fn a_broken_watch_is_taken_up_where_it_ended() {
+fn a_broken_watch_resumes_where_it_ended() {
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let limiter = Limiter::start(settings(), &discovery, counter().address);
@@ -401,7 +401,7 @@
 }
 
 #[test]
-fn a_silent_watch_is_broken() {
+fn an_idle_watch_times_out() {
     // A peer that is cut off never errs.
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
@@ -413,7 +413,7 @@
 // ----- the counter -----
 
 #[test]
-fn the_counter_is_told_what_was_sent_on() {
+fn the_counter_gets_the_forwarded_units() {
     let (server, counter) = (Fake::new(|_| ok("served")), counter());
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let limiter = Limiter::start(settings(), &discovery, counter.address);
@@ -432,7 +432,7 @@
 }
 
 #[test]
-fn a_silent_or_senseless_counter_holds_no_request_up() {
+fn an_unresponsive_or_malformed_counter_delays_no_request() {
     let late = || {
         std::thread::sleep(Duration::from_millis(300));
         ok("999999")
@@ -456,7 +456,7 @@
 }
 
 #[test]
-fn a_counter_that_refuses_connections_is_found_again() {
+fn a_counter_that_refuses_connections_is_retried() {
     let server = Fake::new(|_| ok("served"));
     let (counter, address) = nobody();
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
--- a/crates/rate-limiter/tests/quota.rs
+++ b/crates/rate-limiter/tests/quota.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn new_customers_have_a_full_bucket_of_the_fallback() {
+fn new_tenants_have_a_full_bucket_of_the_fallback() {
     let mut h = Host::new(settings());
     // Quota 10, depth 20, two limiters: fallback 5, bucket 10.
     assert_eq!(h.burst("c", "plain"), 10);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn limit_is_the_share_of_demand_when_the_quota_is_used() {
+fn the_limit_is_proportional_to_demand_when_the_quota_is_used() {
     let mut h = Host::new(settings()).warm();
     settle(&mut h, "c", 4.0, 4.0);
     // All used, a quarter of the demand: 10 / 4, no boost.
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn unused_quota_raises_a_low_share_to_the_fallback_at_most() {
+fn unused_quota_raises_a_low_limit_to_the_fallback_at_most() {
     let mut h = Host::new(settings()).warm();
     settle(&mut h, "c", 4.0, 0.2);
     assert!((4..=5).contains(&rate(&mut h, "c")));
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_silent_counter_is_called_rarely_and_leaves_the_fallback() {
+fn an_unresponsive_counter_is_called_rarely_and_the_fallback_applies() {
     let mut h = Host::new(settings()).warm();
     for n in 0..50 {
         h.served(&format!("c{n}"), "plain", 1.0);
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_slow_counter_is_called_for_few_of_the_tries_and_more_again_when_quick() {
+fn a_slow_counter_is_called_for_few_attempts_and_more_again_when_fast() {
     // Guards against a counter crowded by hundreds of limiters, each with many rare customers.
     let mut h = Host::new(settings()).warm();
     let calls = |h: &mut Host, from: u32, elapsed: f64| {
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn an_idle_customer_is_forgotten_only_when_its_bucket_would_be_full() {
+fn an_idle_tenant_is_forgotten_only_when_its_bucket_would_be_full() {
     // A request in two minutes is the fallback here: forgetting it sooner would give a full bucket anew.
     let mut h = Host::new(Settings { limiter_count: 1200, ..settings() });
     h.tenant_limiters = 1200;
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn totals_of_an_unknown_customer_are_ignored() {
+fn totals_of_an_unknown_tenant_are_ignored() {
     let mut h = Host::new(settings());
     let name = "0123456789abcdef.10".to_string();
     assert!(h
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn the_ceiling_holds_over_all_limiters_and_a_restart() {
+fn the_rate_limit_holds_over_all_limiters_and_a_restart() {
     // Two limiters; one restarts after five seconds. Ceiling: 4 a second, burst 8, slack 1.
     let mut hosts = [Host::new(settings()), Host::new(settings())];
     let (mut store, mut lowest) = (8.0f64, f64::MAX);
@@ -355,7 +355,7 @@
 }
 
 #[test]
-fn of_hundreds_of_limiters_none_that_knows_nothing_lets_a_repeat_in() {
+fn of_hundreds_of_limiters_none_without_totals_permits_a_retry() {
     let ask = |h: &mut Host, customer, is_retry| h.ask_marked(customer, "plain", "read", 1.0, is_retry).1;
     let mut h = among_hundreds();
     assert!(sent_to(&ask(&mut h, "a", false)).is_some(), "a new customer finds a full bucket");
@@ -371,7 +371,7 @@
 }
 
 #[test]
-fn the_first_totals_of_a_customer_met_seldom_are_taken_as_they_are() {
+fn the_first_totals_of_a_rare_tenant_are_used_unchanged() {
     // Its totals say that others use more than the quota: with a mean that begins at nothing, a part of that
     // would seem idle and would be lent.
     let mut h = among_hundreds();
--- a/crates/rate-limiter/tests/requests.rs
+++ b/crates/rate-limiter/tests/requests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn nothing_to_send_to_is_refused_once() {
+fn requests_without_any_server_are_rejected_once() {
     let mut h = Host::new(settings());
     h.event(Event::ServerList(Vec::new()));
     let (_, out) = h.ask("c", "plain", "unsafe", 1.0);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn unknown_class_or_plan_is_refused_once() {
+fn unknown_class_or_plan_is_rejected_once() {
     let mut h = Host::new(settings());
     assert_eq!(refused(&h.ask("c", "no such plan", "read", 1.0).1), 1);
     assert_eq!(refused(&h.ask("c", "plain", "no such class", 1.0).1), 1);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn client_gone_ends_all_duty() {
+fn a_client_that_disconnects_cancels_all_attempts() {
     let mut h = Host::new(settings());
     let (id, _) = h.ask("c", "plain", "read", 1.0);
     let out = h.event(Event::ClientClosed { id });
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn unsafe_work_goes_out_again_only_if_it_never_ran() {
+fn non_idempotent_requests_are_retried_only_if_they_never_ran() {
     for outcome in [Outcome::Rejected, Outcome::ConnectFailed] {
         let mut h = Host::new(settings());
         let (id, _) = h.ask("c", "plain", "unsafe", 1.0);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn reads_go_out_again_after_any_failure_until_attempts_run_out() {
+fn reads_are_retried_after_any_failure_until_attempts_run_out() {
     for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Rejected] {
         let mut h = Host::new(settings());
         let (id, out) = h.ask("c", "plain", "read", 1.0);
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn repeats_without_marks_take_nothing_from_other_customers() {
+fn retries_without_marks_take_nothing_from_other_tenants() {
     // One customer's clients repeat each refused try many times at once, without a mark.
     let served = |abuse: bool| {
         let mut h = Host::new(settings());
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn whoever_is_refused_is_told_when_to_come_back() {
+fn every_rejection_has_a_retry_after() {
     let advice = |out: &[Action]| {
         out.iter().find_map(|a| match a {
             Action::Reject { retry_after, .. } => Some(*retry_after),
--- a/crates/rate-limiter/tests/servers.rs
+++ b/crates/rate-limiter/tests/servers.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_cold_server_gets_a_budget_in_any_window() {
+fn a_warming_server_gets_a_budget_in_any_window() {
     let mut h = Host::new(settings());
     let up = ServerState::InService;
     h.event(Event::ServerList(vec![server(A, "east", up, None), server(B, "east", up, Some(100.0))]));
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn hundreds_of_limiters_together_keep_a_cold_servers_budget() {
+fn hundreds_of_limiters_together_respect_a_slow_start_budget() {
     // Guards against one send from each of them being too much; no warm server shows what it can take.
     for limiter_count in [2u32, 300] {
         let mut sent = 0;
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn a_hundred_limiters_whose_lists_broke_at_once_ask_again_ever_less_and_not_in_step() {
+fn a_hundred_limiters_whose_lists_failed_at_once_back_off_with_jitter() {
     // Guards against calls in step at a discovery that is full: none of them would ever be answered.
     let set =
         Settings { discovery_on_request: true, discovery_deadline: 10.0, limiter_count: 100, ..settings() };
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn a_list_that_comes_by_itself_is_asked_for_again_and_again_without_a_long_pause() {
+fn a_watched_list_is_requested_repeatedly_without_long_backoff() {
     // What discovery tells when it is back counts at once: a pause on top of a call in vain must leave time.
     let mut limiter = Limiter::new(settings(), 7, 100.0);
     let mut now = 100.0;
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn news_of_the_list_end_the_pauses() {
+fn updates_of_the_list_reset_the_backoff() {
     let mut limiter = Limiter::new(settings(), 7, 100.0);
     let mut ask = |now: f64, event: Event| {
         let mut out = Vec::new();
--- a/crates/rate-limiter/tests/signals.rs
+++ b/crates/rate-limiter/tests/signals.rs
@@ -68,7 +68,7 @@
 // ----- SIGTERM -----
 
 #[test]
-fn sigterm_finishes_what_is_open_and_takes_what_still_comes() {
+fn sigterm_finishes_open_requests_and_still_accepts_new_ones() {
     let go = Arc::new(AtomicBool::new(false));
     let gate = go.clone();
     let server = Fake::new(move |m| {
--- a/crates/rate-limiter/tests/wire.rs
+++ b/crates/rate-limiter/tests/wire.rs
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn an_instance_that_starts_anew_has_nothing_of_the_one_before() {
+fn a_restarted_server_inherits_no_state() {
     let config = CONFIG.replace('\n', "");
     let list = "REGISTRY 0 stale_copy 1 1\nITEM s:1 a std 0 in_service 1 -\n";
     let submit = |id: u32| format!("SUBMIT 0 {id} 0 0 14.5 2 1 0 plain read key:a\n");
--- a/crates/retry-budget/tests/budgets.rs
+++ b/crates/retry-budget/tests/budgets.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn missing_totals_leave_a_part_of_the_own_requests() {
+fn without_totals_a_part_of_the_own_requests_is_the_limit() {
     let mut limiter = Limiter::new(totals(1000, 0, 0), 4);
     limiter.tell_totals();
     limiter.play(&"f".repeat(90));
--- a/crates/serving-config/tests/configuration.rs
+++ b/crates/serving-config/tests/configuration.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_whole_is_invalid() {
+fn a_configuration_that_cannot_be_parsed_is_invalid() {
     for end in 0..WHOLE.len() {
         assert!(Configuration::parse(&WHOLE.as_bytes()[..end]).is_err(), "cut at {end}");
     }
@@ -214,12 +214,12 @@
 }
 
 quickcheck! {
-    fn any_bytes_are_read_or_refused(bytes: Vec<u8>) -> bool {
+    fn any_bytes_are_read_or_rejected(bytes: Vec<u8>) -> bool {
         let _ = Configuration::parse(&bytes);
         true
     }
 
-    fn any_damage_is_read_or_refused(damage: Vec<(u16, u8)>) -> bool {
+    fn any_damage_is_read_or_rejected(damage: Vec<(u16, u8)>) -> bool {
         let mut text = WHOLE.as_bytes().to_vec();
         for (location, byte) in damage {
             let location = usize::from(location) % text.len();
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn a_time_beyond_all_measure_is_cut() {
+fn an_excessive_duration_is_clamped() {
     let settings = parse(&format!("{LEAST}[Bounds]\nDrainMs = 1e300\n"));
     assert_eq!(settings.bounds.drain, Duration::from_secs(365 * 24 * 3600));
 }
@@ -201,7 +201,7 @@
 }
 
 quickcheck! {
-    fn any_text_is_read_or_refused(text: String) -> bool {
+    fn any_text_is_read_or_rejected(text: String) -> bool {
         let _ = Settings::parse(&text);
         true
     }
--- a/crates/state-sync/tests/timelines_counts.rs
+++ b/crates/state-sync/tests/timelines_counts.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_silent_child_is_left_out_and_counted_again() {
+fn an_unresponsive_child_is_excluded_and_counted_again() {
     play(
         "
           | root      | x         | p         | q
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_relay_that_was_frozen_does_not_leave_its_children_out() {
+fn a_relay_that_was_frozen_does_not_exclude_its_children() {
     play(
         "
           | root      | x         | p             | q
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn of_two_lives_of_a_proxy_the_later_counts() {
+fn of_two_incarnations_of_a_proxy_the_later_counts() {
     let timeline = play(
         "
           | root       | x       | y       | z
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn nothing_new_is_said_seldom() {
+fn unchanged_state_is_reported_rarely() {
     let timeline = play(
         "
           | root    | x       | p
--- a/crates/state-sync/tests/timelines_state.rs
+++ b/crates/state-sync/tests/timelines_state.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_silent_parent_is_left_and_takes_the_child_back() {
+fn an_unresponsive_parent_is_replaced_and_accepts_the_child_again() {
     play(
         "
           | root     | x         | y         | leaf
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_parent_that_is_behind_takes_nothing_back() {
+fn a_parent_that_is_behind_reverts_nothing() {
     play(
         "
           | root      | x         | y             | leaf
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn a_lost_answer_is_asked_for_again() {
+fn a_lost_response_is_requested_again() {
     play(
         "
           | root     | x
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn children_beyond_the_bound_are_turned_away() {
+fn children_beyond_the_bound_are_rejected() {
     fn two_children(name: &str) -> Options {
         Options { max_children: 2, ..Options::new(name) }
     }
--- a/crates/storage/tests/crashes.rs
+++ b/crates/storage/tests/crashes.rs
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn every_crash_in_one_operation_leaves_the_state_before_or_after() {
+fn every_crash_in_one_operation_keeps_the_state_before_or_after() {
     let operations = [
         Operation::SaveRecord,
         Operation::Append { back: 0, known: 0, new: 3 },
@@ -345,7 +345,7 @@
 }
 
 quickcheck! {
-    fn a_call_that_failed_may_be_made_again(seed: u64, fault: bool, after: usize) -> bool {
+    fn a_failed_call_may_be_retried(seed: u64, fault: bool, after: usize) -> bool {
         let disk = Disk::new(seed);
         let (mut storage, _) = open(&disk);
         storage.append(&entries(1, 1, 9)).expect("appended");
@@ -375,7 +375,7 @@
 //    install 30          | a newer one comes, and fails as well at any step
 //    killed or powerless | one of the three states counts, whole
 #[test]
-fn an_installation_that_follows_an_incomplete_one_counts_as_a_whole_or_not_at_all() {
+fn an_installation_after_an_incomplete_one_is_complete_or_void() {
     let faults = [Fault::PowerOut, Fault::Error, Fault::Full, Fault::NoSpace];
     for (first, second) in faults.iter().flat_map(|first| faults.map(|second| (*first, second))) {
         for (after, then) in (0..10).flat_map(|after| (0..10).map(move |then| (after, then))) {
--- a/crates/storage/tests/damage.rs
+++ b/crates/storage/tests/damage.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_torn_tail_is_cut_off_and_written_over() {
+fn a_torn_tail_is_truncated_and_overwritten() {
     let disk = filled();
     let last = segments(&disk).pop().expect("segments");
     disk.damage(&last, |bytes| bytes.extend_from_slice(&[9; 500]));
@@ -174,7 +174,7 @@
         }
     }
 
-    fn any_file_is_read_or_refused(bytes: Vec<u8>, kind: u8) -> bool {
+    fn any_file_is_read_or_rejected(bytes: Vec<u8>, kind: u8) -> bool {
         use quillpulley_storage::files::{DataFile, Files};
         let names = ["log-000000-000000000001.segment", "snapshot-000000-000000000001.snapshot", "record.slots",
             "snapshot.temporary", "log-x-1.segment"];
--- a/crates/storage/tests/storage.rs
+++ b/crates/storage/tests/storage.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn an_empty_folder_holds_nothing() {
+fn an_empty_folder_recovers_nothing() {
     let disk = Disk::new(1);
     let (storage, found) = open(&disk);
     assert_eq!(found, Recovered::default());
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_snapshot_takes_the_place_of_the_entries_it_covers() {
+fn a_snapshot_replaces_the_entries_it_covers() {
     let disk = Disk::new(1);
     let (mut storage, _) = open(&disk);
     for index in 1..=20 {
