--- a/crates/quillpulley/src/command_line/logging.rs
+++ b/crates/logging/src/lib.rs
@@ -1,11 +1,20 @@
-//! The log format: a line for each record, with level, module, message, and key-value fields.
+//! The log format of all programs: a line for each record, `LEVEL module: message key=value ...`, on standard error.
+//!
+//! A line that cannot be written is lost: a closed standard error ends no process.
+#![forbid(unsafe_code)]
 
 use env_logger::Builder;
 use log::kv::{Error, Key, Value, VisitSource};
 use log::{LevelFilter, Record};
 use std::io::{self, Write};
 
-/// Logs records of at least this level to standard error from now on.
+/// The prefixes of modules that a line does not show.
+const HIDDEN_PREFIXES: [&str; 3] = ["quillpulley::", "quillpulley_", "rate_limiter::"];
+
+/// Logs records of at least this level from now on.
+///
+/// # Panics
+/// If the logger was started before.
 pub fn start(level: LevelFilter) {
     Builder::new().filter_level(level).format(write_record).init();
 }
@@ -28,8 +37,8 @@
     }
 }
 
-/// Returns the module that logs, without the prefix that all modules have in common.
+/// Returns the module that logs, without its hidden prefix.
 fn module<'a>(record: &'a Record<'_>) -> &'a str {
     let target = record.target();
-    target.strip_prefix("quillpulley::").or(target.strip_prefix("quillpulley_")).unwrap_or(target)
+    HIDDEN_PREFIXES.iter().find_map(|prefix| target.strip_prefix(prefix)).unwrap_or(target)
 }
--- a/crates/quillpulley/src/command_line/mod.rs
+++ b/crates/quillpulley/src/command_line/mod.rs
@@ -1,7 +1,6 @@
 //! The command line: parses the arguments, and runs what they ask for.
 
 mod help;
-mod logging;
 
 use crate::check;
 use displaydoc::Display;
@@ -140,7 +139,7 @@
 }
 
 fn serve(role: Role, log_level: LevelFilter) -> Result<(), HostError> {
-    logging::start(log_level);
+    quillpulley_logging::start(log_level);
     let settings = Settings::from_environment()?;
     info!(version = VERSION, node = settings.node_name, address:% = settings.ip; "{} starting", role.name());
     match role {
--- a/crates/rate-limiter/src/bin/rate-limiter-sim/error.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter-sim/error.rs
@@ -1,57 +1,32 @@
 //! Why the simulator's input cannot be processed.
 
-use std::fmt::{Display, Formatter};
+use displaydoc::Display;
 use std::io;
 
 /// An error in a line.
-#[derive(Debug)]
+#[derive(Debug, Display)]
 pub enum LineError {
-    /// A field is missing.
+    /// {word}: {field}: missing
     Missing { word: String, field: &'static str },
-    /// A field is invalid.
+    /// {word}: {field}: {problem}
     Invalid { word: String, field: &'static str, problem: String },
-    /// Another line is due.
+    /// {word:?} where {expected}
     Unexpected { word: String, expected: String },
-    /// A line within a batch is empty.
+    /// empty line within a batch
     Empty,
-    /// The line is not valid UTF-8.
+    /// not valid UTF-8
     Encoding,
 }
 
-impl Display for LineError {
-    fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
-        match self {
-            LineError::Missing { word, field } => write!(formatter, "{word}: {field}: missing"),
-            LineError::Invalid { word, field, problem } => write!(formatter, "{word}: {field}: {problem}"),
-            LineError::Unexpected { word, expected } => write!(formatter, "{word:?} where {expected}"),
-            LineError::Empty => write!(formatter, "empty line within a batch"),
-            LineError::Encoding => write!(formatter, "not valid UTF-8"),
-        }
-    }
-}
-
 /// Why the program ends.
-#[derive(Debug)]
+#[derive(Debug, Display)]
 pub enum SimError {
-    /// The input cannot be read.
+    /// cannot read: {0}
     Read(io::Error),
-    /// The output cannot be written.
+    /// cannot write: {0}
     Write(io::Error),
-    /// A line of the input is invalid.
+    /// line {number}: {error}
     Line { number: usize, error: LineError },
-    /// The input ended within a batch.
+    /// line {number}: input ended within a batch
     Truncated { number: usize },
 }
-
-impl Display for SimError {
-    fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
-        match self {
-            SimError::Read(error) => write!(formatter, "cannot read: {error}"),
-            SimError::Write(error) => write!(formatter, "cannot write: {error}"),
-            SimError::Line { number, error } => write!(formatter, "line {number}: {error}"),
-            SimError::Truncated { number } => {
-                write!(formatter, "line {number}: input ended within a batch")
-            }
-        }
-    }
-}
--- a/crates/rate-limiter/src/bin/rate-limiter/clients/mod.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/clients/mod.rs
@@ -7,7 +7,6 @@
 mod response;
 
 use crate::host::{Host, IncomingRequest, SubmittedRequest};
-use crate::log;
 use crate::upstream::headers::IDEMPOTENCY_KEY;
 use crate::upstream::{ForwardedRequest, MAX_BODY};
 use bytes::Bytes;
@@ -17,6 +16,7 @@
 use hyper::header::{HeaderName, HeaderValue, CONTENT_TYPE, TRANSFER_ENCODING};
 use hyper::http::request::Parts;
 use hyper::{Method, Request, StatusCode};
+use log::warn;
 use quillpulley_http1_client::{
     ConnectionManager, ConnectionOptions, Linger, ServerConnection, Service, Socket,
 };
@@ -262,7 +262,7 @@
     }
 
     fn accept_failed(&self, error: &io::Error) {
-        log("clients", format_args!("cannot accept: {error}"));
+        warn!(error:%; "cannot accept a connection: raise the limit of open files");
     }
 }
 
--- a/crates/rate-limiter/src/bin/rate-limiter/config.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/config.rs
@@ -1,12 +1,12 @@
 //! The configuration: the environment, and the file that it names.
 
 use crate::discovery::Update;
-use crate::log;
+use displaydoc::Display;
+use log::warn;
 use rate_limiter::Settings;
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 use serde_json::Value;
-use std::fmt::{Display, Formatter};
 use std::net::SocketAddr;
 
 const DEFAULT_SOCKETS: usize = 1_024;
@@ -16,46 +16,24 @@
 const SEED_MULTIPLIER: u64 = 31;
 
 /// Why the limiter cannot be configured.
-#[derive(Debug)]
+#[derive(Debug, Display)]
 pub enum ConfigError {
-    /// The environment names no file.
+    /// ROUTER_CONFIG is not set
     NoPath,
-    /// The file cannot be read.
+    /// ROUTER_CONFIG: cannot read {path}: {error}
     Unreadable { path: String, error: std::io::Error },
-    /// The file is no valid configuration.
+    /// ROUTER_CONFIG: {path}: {error}
     Invalid { path: String, error: serde_json::Error },
-    /// A variable is no address.
+    /// {variable}: not an address: {text:?}
     InvalidAddress { variable: &'static str, text: String },
-    /// Neither a variable nor the file has an address.
+    /// {variable} is not set, and {path} names no {key}
     NoAddress { variable: &'static str, path: String, key: &'static str },
-    /// The file has no settings.
+    /// ROUTER_CONFIG: {path}: no settings
     NoSettings { path: String },
-    /// The settings lack a list.
+    /// ROUTER_CONFIG: {path}: settings: no {key}
     Empty { path: String, key: &'static str },
 }
 
-impl Display for ConfigError {
-    fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
-        match self {
-            ConfigError::NoPath => write!(formatter, "ROUTER_CONFIG is not set"),
-            ConfigError::Unreadable { path, error } => {
-                write!(formatter, "ROUTER_CONFIG: cannot read {path}: {error}")
-            }
-            ConfigError::Invalid { path, error } => write!(formatter, "ROUTER_CONFIG: {path}: {error}"),
-            ConfigError::InvalidAddress { variable, text } => {
-                write!(formatter, "{variable}: not an address: {text:?}")
-            }
-            ConfigError::NoAddress { variable, path, key } => {
-                write!(formatter, "{variable} is not set, and {path} names no {key}")
-            }
-            ConfigError::NoSettings { path } => write!(formatter, "ROUTER_CONFIG: {path}: no settings"),
-            ConfigError::Empty { path, key } => {
-                write!(formatter, "ROUTER_CONFIG: {path}: settings: no {key}")
-            }
-        }
-    }
-}
-
 /// The configuration file.
 #[derive(Deserialize)]
 struct ConfigFile {
@@ -178,7 +156,7 @@
 fn read_known_servers(path: &str, known: Value) -> Option<Update> {
     let update = serde_json::from_value(known);
     let log_error = |error: &serde_json::Error| {
-        log("rate-limiter", format_args!("ROUTER_CONFIG: {path}: known: {error}; starting without"));
+        warn!(path, error:%; "ROUTER_CONFIG: the known list of servers cannot be read, starting without it");
     };
     update.inspect_err(log_error).ok()
 }
--- a/crates/rate-limiter/src/bin/rate-limiter/counter.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/counter.rs
@@ -1,11 +1,11 @@
 //! The counter service: adds to a named number and reads it, on a few kept connections.
 
 use crate::host::Host;
-use crate::log;
 use crate::upstream::CONNECTION_LIMITS;
 use http_body_util::Full;
 use hyper::header::HOST;
 use hyper::{Request, Response, StatusCode};
+use log::warn;
 use quillpulley_http1_client::{ClientConnection, ResponseError};
 use rate_limiter::{Outcome, Settings};
 use std::cell::{Cell, RefCell};
@@ -208,7 +208,7 @@
         let count = self.invalid_responses.get() + 1;
         self.invalid_responses.set(count);
         if count.is_power_of_two() {
-            log("counter", format_args!("{text} (fault {count})"));
+            warn!(count; "{text}");
         }
     }
 
--- a/crates/rate-limiter/src/bin/rate-limiter/discovery/message_decoder.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/discovery/message_decoder.rs
@@ -3,29 +3,20 @@
 
 use super::update::Update;
 use bytes::{Buf, BytesMut};
-use std::fmt::{Display, Formatter};
+use displaydoc::Display;
 
 /// The most bytes of a message. A list of about ten thousand servers fits.
 const MAX_MESSAGE: usize = 4 << 20;
 
 /// Why a message cannot be decoded.
-#[derive(Debug)]
+#[derive(Debug, Display)]
 pub enum DecodeError {
-    /// The message is invalid.
+    /// a message cannot be read: {0}
     Invalid(serde_json::Error),
-    /// The message is too long.
+    /// a message is too long
     TooLong,
 }
 
-impl Display for DecodeError {
-    fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
-        match self {
-            DecodeError::Invalid(error) => write!(formatter, "a message cannot be read: {error}"),
-            DecodeError::TooLong => write!(formatter, "a message is too long"),
-        }
-    }
-}
-
 /// Decodes messages.
 #[derive(Default)]
 pub struct MessageDecoder {
--- a/crates/rate-limiter/src/bin/rate-limiter/discovery/mod.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/discovery/mod.rs
@@ -4,19 +4,19 @@
 mod update;
 
 use crate::host::Host;
-use crate::log;
 use crate::upstream::CONNECTION_LIMITS;
 use bytes::Bytes;
+use displaydoc::Display;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::header::HOST;
 use hyper::{Request, Response, StatusCode};
+use log::{info, warn};
 use message_decoder::{DecodeError, MessageDecoder};
 use quillpulley_http1_client::ClientConnection;
 use rate_limiter::Settings;
 use std::cell::Cell;
 use std::convert::Infallible;
-use std::fmt::{Display, Formatter};
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -39,44 +39,28 @@
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(60);
 
 /// Why a watch ended.
-#[derive(Debug)]
+#[derive(Debug, Display)]
 enum WatchError {
-    /// No connection was established.
+    /// no connection: {0}
     Connect(io::Error),
-    /// The request cannot be built.
+    /// the request cannot be built: {0}
     Request(hyper::http::Error),
-    /// The connection broke before the response.
+    /// the connection broke before the response
     NoResponse,
-    /// The response did not come in time.
+    /// no response in time
     ResponseTimeout,
-    /// The response has another status.
+    /// the response has status {0}
     Status(StatusCode),
-    /// Nothing came in time.
-    Silent,
-    /// Discovery ended the watch.
+    /// the watch was idle for too long
+    Idle,
+    /// the service ended the watch
     Ended,
-    /// The connection broke.
+    /// the watch broke: {0}
     Broken(hyper::Error),
-    /// A message is invalid.
+    /// {0}
     Decode(DecodeError),
 }
 
-impl Display for WatchError {
-    fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
-        match self {
-            WatchError::Connect(error) => write!(formatter, "no connection: {error}"),
-            WatchError::Request(error) => write!(formatter, "{error}"),
-            WatchError::NoResponse => write!(formatter, "the watch broke before its answer"),
-            WatchError::ResponseTimeout => write!(formatter, "no answer in time"),
-            WatchError::Status(status) => write!(formatter, "the watch was answered {status}"),
-            WatchError::Silent => write!(formatter, "the watch fell silent"),
-            WatchError::Ended => write!(formatter, "the watch ended"),
-            WatchError::Broken(error) => write!(formatter, "the watch broke: {error}"),
-            WatchError::Decode(error) => write!(formatter, "{error}"),
-        }
-    }
-}
-
 /// A watch that was accepted.
 struct OpenWatch {
     connection: ClientConnection,
@@ -153,7 +137,7 @@
         let failures = self.failures.get() + 1;
         self.failures.set(failures);
         if failures.is_power_of_two() {
-            log("discovery", format_args!("{error} (failure {failures} in a row)"));
+            warn!(error:%, failures; "watching the list of servers failed");
         }
     }
 
@@ -162,7 +146,7 @@
         self.updated.notify_one();
         let failures = self.failures.replace(0);
         if failures > 0 {
-            log("discovery", format_args!("the watch is back (after {failures} failures)"));
+            info!(failures; "watching the list of servers again");
         }
     }
 
@@ -191,7 +175,7 @@
         let mut decoder = MessageDecoder::default();
         loop {
             let frame = timeout_at(until, connection.drive(body.frame())).await;
-            let frame = frame.map_err(|_| WatchError::Silent)?.ok_or(WatchError::Ended)?;
+            let frame = frame.map_err(|_| WatchError::Idle)?.ok_or(WatchError::Ended)?;
             let frame = frame.map_err(WatchError::Broken)?;
             let begins_message = !decoder.has_partial_message();
             decoder.push(frame.data_ref().map_or(&[][..], |data| data));
--- a/crates/rate-limiter/src/bin/rate-limiter/discovery/update.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/discovery/update.rs
@@ -1,6 +1,6 @@
 //! A message of discovery.
 
-use crate::log;
+use log::warn;
 use rate_limiter::{ServerEntry, ServerState};
 use serde::de::Error;
 use serde::{Deserialize, Deserializer};
@@ -30,7 +30,7 @@
     for entry in entries {
         match Instance::deserialize(entry) {
             Ok(instance) => instances.push(instance),
-            Err(error) => log("discovery", format_args!("an entry cannot be read: {error}")),
+            Err(error) => warn!(error:%; "an entry of the list of servers is skipped"),
         }
     }
     if instances.is_empty() && count > 0 {
--- a/crates/rate-limiter/src/bin/rate-limiter/main.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/main.rs
@@ -19,23 +19,17 @@
 mod process;
 mod upstream;
 
-use std::fmt::Display;
-use std::io::Write;
+use log::{error, LevelFilter};
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
+    quillpulley_logging::start(LevelFilter::Info);
     let result = config::Setup::read().map_err(process::ProcessError::Config).and_then(process::run);
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            log("rate-limiter", &error);
+            error!(error:%; "the limiter ended");
             ExitCode::FAILURE
         }
     }
 }
-
-/// Writes a line to the log, which is standard error. A line that cannot be written is lost: a closed log must not end the
-/// limiter, as `eprintln!` would.
-fn log(part: &str, text: impl Display) {
-    let _ = writeln!(std::io::stderr(), "{part}: {text}");
-}
--- a/crates/rate-limiter/src/bin/rate-limiter/process.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/process.rs
@@ -5,10 +5,10 @@
 use crate::counter::{Counter, MAX_CALLS};
 use crate::discovery::Discovery;
 use crate::host::Host;
-use crate::log;
 use crate::upstream::Servers;
+use displaydoc::Display;
+use log::{info, warn};
 use rate_limiter::Settings;
-use std::fmt::{Display, Formatter};
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -39,37 +39,22 @@
 const PANIC_EXIT_CODE: i32 = 101;
 
 /// Why the process failed.
-#[derive(Debug)]
+#[derive(Debug, Display)]
 pub enum ProcessError {
-    /// The configuration is invalid.
+    /// {0}
     Config(ConfigError),
-    /// The runtime cannot start.
+    /// cannot start the runtime: {0}
     Runtime(io::Error),
-    /// A signal cannot be handled.
+    /// cannot handle {name}: {error}
     Signal { name: &'static str, error: io::Error },
-    /// The address for clients cannot be bound.
+    /// cannot listen on {address}: {error}
     Listen { address: SocketAddr, error: io::Error },
-    /// The address of the listener is unknown.
+    /// the address of the listener is unknown: {0}
     LocalAddress(io::Error),
-    /// Requests were still open at the end.
+    /// {0} requests were left open
     OpenRequests(usize),
 }
 
-impl Display for ProcessError {
-    fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
-        match self {
-            ProcessError::Config(error) => write!(formatter, "{error}"),
-            ProcessError::Runtime(error) => write!(formatter, "cannot start the runtime: {error}"),
-            ProcessError::Signal { name, error } => write!(formatter, "cannot handle {name}: {error}"),
-            ProcessError::Listen { address, error } => {
-                write!(formatter, "cannot listen on {address}: {error}")
-            }
-            ProcessError::LocalAddress(error) => write!(formatter, "{error}"),
-            ProcessError::OpenRequests(count) => write!(formatter, "{count} requests were left open"),
-        }
-    }
-}
-
 /// Runs a limiter until it is terminated.
 ///
 /// # Errors
@@ -106,11 +91,11 @@
         let clients = clients.clone();
         async move { clients.accept(listener).await }
     });
-    log("rate-limiter", format_args!("listening on {bound}"));
+    info!(address:% = bound; "listening for clients");
     spawn_local(become_ready(host.clone(), clients.clone()));
 
     terminate.recv().await;
-    log("rate-limiter", format_args!("SIGTERM: finishing {} requests", host.open_requests()));
+    info!(open_requests = host.open_requests(); "SIGTERM received, draining");
     drain(&clients, longest_deadline).await;
     accepting.abort();
     match host.open_requests() {
@@ -167,11 +152,11 @@
         let Addresses { discovery, counter } = match Addresses::read(&path) {
             Ok(addresses) => addresses,
             Err(error) => {
-                log("rate-limiter", format_args!("SIGHUP: all stays as it is: {error}"));
+                warn!(path, error:%; "SIGHUP received, settings not reloaded");
                 continue;
             }
         };
-        log("rate-limiter", format_args!("SIGHUP: discovery {discovery:?}, counter {counter:?}"));
+        info!(discovery:?, counter:?; "SIGHUP received, addresses reloaded");
         if let Some(address) = discovery {
             host.discovery().set_address(address);
         }
--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -310,7 +310,7 @@
         let address = loop {
             let line = lines.next().expect("it listens").expect("utf-8");
             early += &(line.clone() + "\n");
-            if let Some(address) = line.strip_prefix("rate-limiter: listening on ") {
+            if let Some((_, address)) = line.split_once("listening for clients address=") {
                 break address.parse().expect("an address");
             }
         };
