--- a/crates/http1-client/src/connection_manager.rs
+++ b/crates/http1-client/src/connection_manager.rs
@@ -44,7 +44,7 @@
     /// is most likely on its way.
     pub idle_grace: Duration,
     /// The same for a connection that has never brought a complete request, when it has to make room.
-    pub silent_grace: Duration,
+    pub first_request_grace: Duration,
     /// The time until accepting is tried again: after a failure, which most likely means that descriptors ran out, and
     /// when all connections are busy.
     pub accept_retry_delay: Duration,
@@ -157,7 +157,7 @@
         self.connections.borrow_mut().insert(number, connection.clone());
         socket.record_input(options.recorded_bytes);
         if connection.serve(&options, &service, &self.draining).await == ServeEnd::Linger {
-            connection.set_silent();
+            connection.forget_requests();
             tokio::select! {
                 () = socket.linger(options.linger.time, options.linger.bytes) => {}
                 () = connection.close_requested() => {}
--- a/crates/http1-client/src/server_connection.rs
+++ b/crates/http1-client/src/server_connection.rs
@@ -123,8 +123,9 @@
         self.has_requested.get()
     }
 
-    /// Forgets the requests of the connection, which has had its last response: it gives way like a silent one.
-    pub(crate) fn set_silent(&self) {
+    /// Forgets the requests of the connection, which has had its last response: it may be closed like one that never had a
+    /// request.
+    pub(crate) fn forget_requests(&self) {
         self.has_requested.set(false);
         self.since.set(Instant::now());
     }
@@ -134,12 +135,12 @@
         !self.busy.get() && self.since.get().elapsed() > idle_grace
     }
 
-    /// Returns the rank of the connection if it may be closed to make room. Silent connections come first, so that they
-    /// crowd out no client.
+    /// Returns the rank of the connection if it may be closed to make room. Connections without a request come first, so
+    /// that they crowd out no client.
     pub(crate) fn close_rank(&self, options: &ConnectionOptions) -> Option<CloseRank> {
-        let is_silent = !self.has_requested.get() && self.is_idle(options.silent_grace);
+        let is_unused = !self.has_requested.get() && self.is_idle(options.first_request_grace);
         let rank = CloseRank { has_requested: self.has_requested.get(), idle_since: self.since.get() };
-        (is_silent || self.is_idle(options.idle_grace)).then_some(rank)
+        (is_unused || self.is_idle(options.idle_grace)).then_some(rank)
     }
 
     /// Returns whether the connection has been idle for too long, or the head of its next request takes too long.
--- a/crates/load-balancer/src/balancer/choice.rs
+++ b/crates/load-balancer/src/balancer/choice.rs
@@ -1,7 +1,7 @@
 //! The choice of a server for a request.
 
 use super::eligibility::Candidate;
-use super::model_cost::EngineCosts;
+use super::engine_cost::EngineCosts;
 use super::plain_score::{Score, Scorer};
 use super::service::ServiceState;
 use super::{Balancer, Choice, ServerKey};
@@ -48,7 +48,7 @@
     ) -> Option<ServerKey> {
         let costs = EngineCosts::new(now, service, demand);
         let cost = |candidate: &Candidate| {
-            let cached = self.cached.read_tokens(now, candidate.key, demand.prefix);
+            let cached = self.cached.cached_tokens(now, candidate.key, demand.segments);
             costs.of(candidate, &self.servers[candidate.key], cached)
         };
         let with_costs = candidates.iter().map(|candidate| (candidate.key, cost(candidate)));
--- a/crates/load-balancer/src/balancer/eligibility.rs
+++ b/crates/load-balancer/src/balancer/eligibility.rs
@@ -13,17 +13,17 @@
 /// The fraction of its slots that a server queues beyond them, for urgent requests only: they find capacity when
 /// others do not.
 const QUEUE_FRACTION: f64 = 0.25;
-/// From this fraction of busy slots on, a server has capacity only for requests whose prompts it will have read
+/// From this fraction of busy slots on, a server has capacity only for requests whose prompts it will have prefilled
 /// within these fractions of their target latency, for urgent requests and for others: late responses are worth
 /// little, and delay others.
 const BUSY_FRACTION: f64 = 0.5;
-const URGENT_READ_FRACTION: f64 = 0.9;
-const OTHER_READ_FRACTION: f64 = 0.6;
-/// While more than this fraction of all slots is busy, requests with long shared parts wait for a server that has
+const URGENT_PREFILL_FRACTION: f64 = 0.9;
+const OTHER_PREFILL_FRACTION: f64 = 0.6;
+/// While more than this fraction of all slots is busy, requests with long shared segments wait for a server that has
 /// cached them.
 const SPILL_UNTIL: f64 = 0.75;
-/// A server that has to read at most this fraction of the shared tokens counts as having cached them.
-const READER_UNREAD: f64 = 0.5;
+/// A server that has to prefill at most this fraction of the shared tokens counts as having cached them.
+const MAX_UNCACHED_FRACTION: f64 = 0.5;
 /// A proxy may use more than its even share of a server's connections, as few proxies need theirs at the same time.
 const CONNECTIONS_FACTOR: f64 = 1.5;
 const MIN_CONNECTIONS: f64 = 2.0;
@@ -54,8 +54,8 @@
 pub(super) struct Candidate {
     pub(super) key: ServerKey,
     pub(super) eligibility: Eligibility,
-    /// The fraction of the request's shared tokens that the server is expected to have to read.
-    pub(super) unread: f64,
+    /// The fraction of the request's shared tokens that the server is expected to have to prefill.
+    pub(super) uncached_fraction: f64,
 }
 
 /// The criteria of eligibility.
@@ -63,8 +63,8 @@
     now: Duration,
     settings: &'a ServiceSettings,
     urgent: bool,
-    /// The most tokens that a busy server may have to read before the request's first byte.
-    readable_tokens: f64,
+    /// The most tokens that a busy server may have to prefill before the request's first byte.
+    max_prefill_tokens: f64,
     rate: ServiceRate,
     connections: u32,
     /// The share of cold servers; none if a cold server gets nothing as the other proxies are unknown.
@@ -97,16 +97,16 @@
         candidates
     }
 
-    /// Returns the tokens of a request's prompt that a server is expected to have to read.
-    pub(super) fn unread_tokens(&self, now: Duration, key: ServerKey, demand: &Demand<'_>) -> u32 {
-        let cached = self.cached.read_tokens(now, key, demand.prefix);
-        let by_own_sends = demand.prompt_tokens.saturating_sub(cached);
-        let Some(service) = self.services.get(demand.service) else { return by_own_sends };
+    /// Returns the tokens of a request's prompt that a server is expected to have to prefill.
+    pub(super) fn prefill_tokens(&self, now: Duration, key: ServerKey, demand: &Demand<'_>) -> u32 {
+        let cached = self.cached.cached_tokens(now, key, demand.segments);
+        let by_own_requests = demand.prompt_tokens.saturating_sub(cached);
+        let Some(service) = self.services.get(demand.service) else { return by_own_requests };
         let candidates = ranked(&self.allowed(service, demand), demand);
         let candidate = candidates.iter().find(|candidate| candidate.key == key);
-        let read_part = candidate.map_or(0.0, |candidate| 1.0 - candidate.unread);
-        let read = (f64::from(demand.shared_tokens()) * read_part) as u32;
-        by_own_sends.min(demand.prompt_tokens.saturating_sub(read))
+        let cached_fraction = candidate.map_or(0.0, |candidate| 1.0 - candidate.uncached_fraction);
+        let cached_by_rank = (f64::from(demand.shared_tokens()) * cached_fraction) as u32;
+        by_own_requests.min(demand.prompt_tokens.saturating_sub(cached_by_rank))
     }
 
     /// Returns the usable servers in the regions where the request may be served.
@@ -125,18 +125,18 @@
         allowed: &[(ServerKey, &Server)],
     ) -> EligibilityPolicy<'a> {
         let urgent = service.most_urgent.is_none_or(|most| demand.priority <= most);
-        let read_part = if urgent { URGENT_READ_FRACTION } else { OTHER_READ_FRACTION };
-        let readable_ms = demand.objective.as_secs_f64() * 1e3 * read_part;
+        let prefill_fraction = if urgent { URGENT_PREFILL_FRACTION } else { OTHER_PREFILL_FRACTION };
+        let max_prefill_ms = demand.objective.as_secs_f64() * 1e3 * prefill_fraction;
         let any_warm = allowed.iter().any(|(_, server)| !server.is_warming(now));
         EligibilityPolicy {
             now,
             settings: &service.settings,
             urgent,
-            readable_tokens: readable_ms / service.rate.token_ms(),
+            max_prefill_tokens: max_prefill_ms / service.rate.token_ms(),
             rate: service.rate,
             connections: self.connection_quota(&service.settings),
             alone: (!any_warm).then_some(SlowStartShare::ALONE),
-            knows_proxies: self.proxies.iter().any(|limiter| limiter.name == self.options.name),
+            knows_proxies: self.proxies.iter().any(|proxy| proxy.name == self.options.name),
         }
     }
 
@@ -181,7 +181,8 @@
         let slots = self.settings.slots(&server.info);
         let queue = if self.urgent { (slots * QUEUE_FRACTION).ceil() } else { 0.0 };
         let load = server.load.total(self.now);
-        let in_time = load.requests() < slots * BUSY_FRACTION || load.waiting_tokens < self.readable_tokens;
+        let in_time =
+            load.requests() < slots * BUSY_FRACTION || load.waiting_tokens < self.max_prefill_tokens;
         let free = load.requests() < slots + queue && server.load.own() < self.connections;
         free && in_time && !server.reports_full(self.now)
     }
@@ -197,10 +198,10 @@
     }
 }
 
-/// Returns candidates with the fraction of the shared tokens that each has to read, by their ranks for the request's
+/// Returns candidates with the fraction of the shared tokens that each has to prefill, by their ranks for the request's
 /// prefix.
 fn ranked(allowed: &[(ServerKey, &Server)], demand: &Demand<'_>) -> Vec<Candidate> {
-    let candidate = |key| Candidate { key, eligibility: Eligibility::Ineligible, unread: 1.0 };
+    let candidate = |key| Candidate { key, eligibility: Eligibility::Ineligible, uncached_fraction: 1.0 };
     let mut candidates: Vec<Candidate> = allowed.iter().map(|(key, _)| candidate(*key)).collect();
     let Some(prefix) = PrefixKey::of(demand).filter(|_| demand.sticky) else { return candidates };
     let score = |index: &usize| std::cmp::Reverse(prefix.score(allowed[*index].1.hash));
@@ -210,7 +211,7 @@
     for (rank, index) in order.into_iter().enumerate() {
         let region = &allowed[index].1.info.locality.region;
         let rank_in_region = next_rank(&mut in_regions, region);
-        candidates[index].unread = prefix.unread(rank, rank_in_region);
+        candidates[index].uncached_fraction = prefix.uncached_fraction(rank, rank_in_region);
     }
     candidates
 }
@@ -243,10 +244,10 @@
     }
 }
 
-/// Keeps a request with long shared parts at the servers that have cached them, if any of these is healthy: reading
+/// Keeps a request with long shared segments at the servers that have cached them, if any of these is healthy: prefilling
 /// them again elsewhere would take the time of several requests.
 fn restrict_to_cached(candidates: &mut [Candidate]) {
-    let has_cached = |candidate: &Candidate| candidate.unread <= READER_UNREAD;
+    let has_cached = |candidate: &Candidate| candidate.uncached_fraction <= MAX_UNCACHED_FRACTION;
     let is_available =
         |candidate: &Candidate| matches!(candidate.eligibility, Eligibility::Eligible | Eligibility::Full);
     if !candidates.iter().any(|candidate| has_cached(candidate) && is_available(candidate)) {
--- a/crates/load-balancer/src/balancer/model_cost.rs
+++ b/crates/load-balancer/src/balancer/engine_cost.rs
@@ -1,6 +1,6 @@
 //! The scorer of servers that run a model.
 //!
-//! The candidate of least cost is chosen. The unit of cost is a prompt token that is read again: it takes the
+//! The candidate of least cost is chosen. The unit of cost is a prompt token that is prefilled again: it takes the
 //! server's time, and has a price if another server has cached it.
 
 use super::condition_cost::ConditionCosts;
@@ -10,30 +10,30 @@
 use crate::demand::Demand;
 use std::time::Duration;
 
-/// The cost of a token that is queued before the request. It is low: the time to read the prompt elsewhere would be
+/// The cost of a token that is queued before the request. It is low: the time to prefill the prompt elsewhere would be
 /// as long.
-const WAITING_TOKEN: f64 = 0.05;
+const QUEUED_TOKEN_COST: f64 = 0.05;
 /// The cost of a first byte after the target latency; less from this fraction of it on.
-const LATE: f64 = 4_000.0;
+const LATE_COST: f64 = 4_000.0;
 const LATE_FROM: f64 = 0.5;
 /// A long prompt pauses the streams at the server. For each stream, tokens beyond this number cost this fraction of a
 /// token.
-const PAUSING: f64 = 0.3;
-const PAUSING_FROM: f64 = 8_000.0;
-/// The cost of another region: the round trip and the price of its bytes. A body of 18 kB costs as much as reading
-/// about 1,300 tokens, so that prompts with longer shared parts are sent to the region that has cached them.
-const FAR: f64 = 500.0;
-const FAR_BYTES_PER_TOKEN: f64 = 24.0;
+const INTERFERENCE: f64 = 0.3;
+const INTERFERENCE_FROM: f64 = 8_000.0;
+/// The cost of another region: the round trip and the price of its bytes. A body of 18 kB costs as much as prefilling
+/// about 1,300 tokens, so that prompts with longer shared segments are sent to the region that has cached them.
+const OTHER_REGION_COST: f64 = 500.0;
+const OTHER_REGION_BYTES_PER_TOKEN: f64 = 24.0;
 /// The cost of another zone of the region.
-const NEAR: f64 = 100.0;
-const NEAR_BYTES_PER_TOKEN: f64 = 32.0;
+const OTHER_ZONE_COST: f64 = 100.0;
+const OTHER_ZONE_BYTES_PER_TOKEN: f64 = 32.0;
 /// The bytes of a stream per token.
 const BYTES_PER_OUTPUT_TOKEN: f64 = 12.0;
 /// The cost of load: a server with many requests is slower for each token, a little at first and more when it is
-/// nearly full. It is less than reading a long prefix, so that a full fleet does not spend its time on reading
+/// nearly full. It is less than prefilling a long prefix, so that a full fleet does not spend its time on prefilling
 /// prefixes again.
-const OCCUPANCY: f64 = 500.0;
-const OCCUPANCY_CUBED: f64 = 2_000.0;
+const OCCUPANCY_COST: f64 = 500.0;
+const OCCUPANCY_CUBED_COST: f64 = 2_000.0;
 /// The cost of a cold server, which has cached nothing and is slow.
 const CONDITION: ConditionCosts = ConditionCosts { slow: 1_500.0, failing: 8_000.0, warming: 1_000.0 };
 
@@ -66,51 +66,51 @@
 
     /// Returns the cost of a candidate that has cached `cached` tokens of the prompt for this proxy.
     pub(super) fn of(&self, candidate: &Candidate, server: &Server, cached: u32) -> f64 {
-        let shared = self.reading(candidate, cached);
+        let shared = self.prefill_cost(candidate, cached);
         shared
-            + self.waiting(server, shared + self.own_tokens)
-            + self.disturbance(server, shared + self.own_tokens)
-            + self.crossing(server)
-            + self.occupancy(server)
+            + self.queueing_cost(server, shared + self.own_tokens)
+            + self.interference_cost(server, shared + self.own_tokens)
+            + self.network_cost(server)
+            + self.occupancy_cost(server)
             + CONDITION.of(server, &self.medians, self.now)
     }
 
-    fn reading(&self, candidate: &Candidate, cached: u32) -> f64 {
-        let by_rank = candidate.unread * self.shared_tokens;
+    fn prefill_cost(&self, candidate: &Candidate, cached: u32) -> f64 {
+        let by_rank = candidate.uncached_fraction * self.shared_tokens;
         by_rank.min((self.shared_tokens - f64::from(cached)).max(0.0))
     }
 
     /// Returns the cost of the time to the first byte, which is low until that may be late.
-    fn waiting(&self, server: &Server, read_here: f64) -> f64 {
+    fn queueing_cost(&self, server: &Server, prefilled_here: f64) -> f64 {
         let tokens = server.load.total(self.now).waiting_tokens;
         let objective_ms = (self.demand.objective.as_secs_f64() * 1e3).max(1.0);
-        let part = (tokens + read_here) * self.token_ms / objective_ms;
+        let part = (tokens + prefilled_here) * self.token_ms / objective_ms;
         let late = ((part - LATE_FROM) / (1.0 - LATE_FROM)).clamp(0.0, 1.0);
-        tokens * WAITING_TOKEN + late * LATE
+        tokens * QUEUED_TOKEN_COST + late * LATE_COST
     }
 
-    /// Returns the cost of the streams that pause while a long prompt is read.
-    fn disturbance(&self, server: &Server, read_here: f64) -> f64 {
-        let disturbing = (read_here - PAUSING_FROM).max(0.0);
-        server.load.total(self.now).running * disturbing * PAUSING
+    /// Returns the cost of the streams that pause while a long prompt is prefilled.
+    fn interference_cost(&self, server: &Server, prefilled_here: f64) -> f64 {
+        let interfering = (prefilled_here - INTERFERENCE_FROM).max(0.0);
+        server.load.total(self.now).running * interfering * INTERFERENCE
     }
 
-    fn crossing(&self, server: &Server) -> f64 {
+    fn network_cost(&self, server: &Server) -> f64 {
         let output = f64::from(self.demand.output_tokens) * BYTES_PER_OUTPUT_TOKEN;
         let bytes = self.demand.body_bytes as f64 + output;
         match server.distance {
             Distance::SameZone => 0.0,
-            Distance::SameRegion => NEAR + bytes / NEAR_BYTES_PER_TOKEN,
-            Distance::Far => FAR + bytes / FAR_BYTES_PER_TOKEN,
+            Distance::SameRegion => OTHER_ZONE_COST + bytes / OTHER_ZONE_BYTES_PER_TOKEN,
+            Distance::Far => OTHER_REGION_COST + bytes / OTHER_REGION_BYTES_PER_TOKEN,
         }
     }
 
-    fn occupancy(&self, server: &Server) -> f64 {
+    fn occupancy_cost(&self, server: &Server) -> f64 {
         let requests = server.load.total(self.now).requests();
         let slots = requests / self.settings.slots(&server.info);
         let used = server.load.memory(self.now, self.private_tokens);
         let memory = self.settings.memory_tokens().map_or(0.0, |tokens| used / f64::from(tokens));
         let occupancy = slots.max(memory);
-        OCCUPANCY * occupancy + OCCUPANCY_CUBED * occupancy.powi(3)
+        OCCUPANCY_COST * occupancy + OCCUPANCY_CUBED_COST * occupancy.powi(3)
     }
 }
--- a/crates/load-balancer/src/balancer/in_flight.rs
+++ b/crates/load-balancer/src/balancer/in_flight.rs
@@ -15,7 +15,7 @@
 const RESTART_THRESHOLD: Duration = Duration::from_secs(1);
 
 /// A request in flight at a server. Must be passed to [`Balancer::end`] when it has ended.
-#[must_use = "a request that is not ended stays under way"]
+#[must_use = "a request that is not ended stays in flight"]
 #[derive(Debug)]
 pub struct Ticket {
     request: RequestKey,
@@ -44,42 +44,49 @@
 /// A request in flight.
 pub(super) struct InFlight {
     server: ServerKey,
-    begun: Duration,
-    record_started: bool,
+    started_at: Duration,
+    has_started: bool,
     is_probation: bool,
     request_cost: RequestCost,
-    /// Tokens that the server had to read before it, when it was sent.
-    ahead: f64,
+    /// Tokens that the server had to prefill before it, when it was sent.
+    queued_tokens: f64,
 }
 
 impl Balancer {
     /// Records that a request is about to be sent to a server.
     pub fn begin(&mut self, now: Duration, key: ServerKey, demand: &Demand<'_>) -> Ticket {
-        let request_cost = RequestCost::new(demand, self.unread_tokens(now, key, demand));
-        self.cached.note(now, key, demand.prefix);
+        let request_cost = RequestCost::new(demand, self.prefill_tokens(now, key, demand));
+        self.cached.record(now, key, demand.segments);
         if let Some(service) = self.services.get_mut(demand.service) {
-            service.rate.begun(demand.private_tokens());
+            service.rate.record_begin(demand.private_tokens());
         }
         let server = self.servers.get_mut(key);
-        let (ahead, is_probation) = server.map_or((0.0, false), |server| server.begin(now, &request_cost));
-        let request =
-            InFlight { server: key, begun: now, record_started: false, is_probation, request_cost, ahead };
+        let (queued_tokens, is_probation) =
+            server.map_or((0.0, false), |server| server.begin(now, &request_cost));
+        let request = InFlight {
+            server: key,
+            started_at: now,
+            has_started: false,
+            is_probation,
+            request_cost,
+            queued_tokens,
+        };
         Ticket { request: self.requests.insert(request), server: key }
     }
 
     /// Records that the response has begun.
     pub fn record_started(&mut self, now: Duration, ticket: &Ticket) {
-        let Some(request) = self.requests.get_mut(ticket.request).filter(|request| !request.record_started)
+        let Some(request) = self.requests.get_mut(ticket.request).filter(|request| !request.has_started)
         else {
             return;
         };
-        request.record_started = true;
+        request.has_started = true;
         let Some(server) = self.servers.get_mut(request.server) else { return };
         server.load.start(now, &request.request_cost);
-        let time = now.saturating_sub(request.begun);
-        let work = f64::from(request.request_cost.unread) + request.ahead;
+        let time = now.saturating_sub(request.started_at);
+        let work = f64::from(request.request_cost.prefill_tokens) + request.queued_tokens;
         if let Some(service) = self.services.get_mut(&server.info.service) {
-            let per_token = service.rate.first_byte(time, server.distance as usize, work);
+            let per_token = service.rate.record_first_byte(time, server.distance as usize, work);
             server.speed.add(now, per_token);
         }
         self.record_response(now, ticket.server);
@@ -88,17 +95,17 @@
     /// Records the outcome of a request.
     pub fn end(&mut self, now: Duration, ticket: Ticket, outcome: Outcome) {
         let Some(request) = self.requests.remove(ticket.request) else { return };
-        if !request.record_started && outcome != Outcome::Completed {
+        if !request.has_started && outcome != Outcome::Completed {
             self.cached.forget(request.server, request.request_cost.shared_ids());
         }
         let Some(server) = self.servers.get_mut(request.server) else { return };
-        server.load.end(now, &request.request_cost, request.record_started, is_response(outcome));
+        server.load.end(now, &request.request_cost, request.has_started, is_response(outcome));
         match outcome {
             Outcome::Completed => {
                 server.failures.count(now, false);
-                let time = now.saturating_sub(request.begun);
+                let time = now.saturating_sub(request.started_at);
                 if let Some(service) = self.services.get_mut(&server.info.service) {
-                    service.rate.ended(time);
+                    service.rate.record_end(time);
                 }
                 self.record_response(now, ticket.server);
             }
@@ -135,15 +142,15 @@
         let is_due = |server: &Server| server.is_usable() && server.health.check_due(now);
         let due = self.servers.iter_mut().filter(|(_, server)| is_due(server));
         let begin = |(key, server): (ServerKey, &mut Server)| {
-            server.health.handle(now, Event::CheckBegun);
+            server.health.handle(now, Event::CheckStarted);
             key
         };
         due.map(begin).collect()
     }
 
     /// Records the result of a health check.
-    pub fn record_health_check(&mut self, now: Duration, key: ServerKey, answer: HealthCheckResult) {
-        match answer {
+    pub fn record_health_check(&mut self, now: Duration, key: ServerKey, result: HealthCheckResult) {
+        match result {
             HealthCheckResult::Failed => {
                 if let Some(server) = self.servers.get_mut(key) {
                     server.health.handle(now, Event::CheckFailed);
@@ -161,7 +168,7 @@
     /// Records that a server has responded. One that was unhealthy for long may have restarted, and be cold.
     fn record_response(&mut self, now: Duration, key: ServerKey) {
         let Some(server) = self.servers.get_mut(key) else { return };
-        let away = server.health.handle(now, Event::Answered);
+        let away = server.health.handle(now, Event::Responded);
         if away.is_some_and(|away| away >= RESTART_THRESHOLD) {
             let warmup = self.services.get(&server.info.service).map(|service| service.settings.warmup);
             server.presume_warming(now, warmup.unwrap_or_default());
@@ -170,17 +177,17 @@
 }
 
 impl Server {
-    /// Adds a request. Returns the tokens that the server has to read before it, and whether the request is its
+    /// Adds a request. Returns the tokens that the server has to prefill before it, and whether the request is its
     /// probe.
     fn begin(&mut self, now: Duration, request_cost: &RequestCost) -> (f64, bool) {
-        let ahead = self.load.total(now).waiting_tokens;
+        let queued_tokens = self.load.total(now).waiting_tokens;
         let is_probation = self.health.status(now, false) == HealthStatus::Probation;
         if is_probation {
-            self.health.handle(now, Event::ProbationBegun);
+            self.health.handle(now, Event::ProbationStarted);
         }
         self.load.begin(now, request_cost);
         self.sends.count(now);
-        (ahead, is_probation)
+        (queued_tokens, is_probation)
     }
 }
 
--- a/crates/load-balancer/src/balancer/mod.rs
+++ b/crates/load-balancer/src/balancer/mod.rs
@@ -4,9 +4,9 @@
 mod choice;
 mod condition_cost;
 mod eligibility;
+mod engine_cost;
 mod in_flight;
 mod listing;
-mod model_cost;
 mod options;
 mod outcome;
 mod outlier_detection;
--- a/crates/load-balancer/src/balancer/outlier_detection.rs
+++ b/crates/load-balancer/src/balancer/outlier_detection.rs
@@ -32,11 +32,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Event {
     Failed(FailureKind),
-    Answered,
-    ProbationBegun,
+    Responded,
+    ProbationStarted,
     /// The probe ended without a result.
     ProbationAbandoned,
-    CheckBegun,
+    CheckStarted,
     CheckFailed,
 }
 
@@ -45,7 +45,9 @@
         match self {
             Event::Failed(FailureKind::ServerError | FailureKind::InvalidResponse) => false,
             Event::Failed(_) | Event::CheckFailed => true,
-            Event::Answered | Event::ProbationBegun | Event::ProbationAbandoned | Event::CheckBegun => false,
+            Event::Responded | Event::ProbationStarted | Event::ProbationAbandoned | Event::CheckStarted => {
+                false
+            }
         }
     }
 }
@@ -97,7 +99,7 @@
 
     fn next(&self, now: Duration, event: Event) -> State {
         match (self.state, event) {
-            (_, Event::Answered) => State::Healthy { failures: 0 },
+            (_, Event::Responded) => State::Healthy { failures: 0 },
             (State::Healthy { .. }, Event::Failed(FailureKind::Connect)) => ejected(now, 1),
             (State::Healthy { failures }, Event::Failed(_)) if failures + 1 >= FAILURES_IN_ROW => {
                 ejected(now, 1)
@@ -108,8 +110,8 @@
                 State::Ejected { until: now, count, check: None }
             }
             (State::Ejected { count, check: Some(_), .. }, Event::CheckFailed) => ejected(now, count + 1),
-            (State::Ejected { count, .. }, Event::ProbationBegun) => State::Probation { count },
-            (State::Ejected { until, count, .. }, Event::CheckBegun) => {
+            (State::Ejected { count, .. }, Event::ProbationStarted) => State::Probation { count },
+            (State::Ejected { until, count, .. }, Event::CheckStarted) => {
                 State::Ejected { until, count, check: Some(now) }
             }
             // Requests that were sent before the ejection fail too, and say nothing new.
--- a/crates/load-balancer/src/balancer/server_load.rs
+++ b/crates/load-balancer/src/balancer/server_load.rs
@@ -52,18 +52,18 @@
 /// The load of a request.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestCost {
-    /// Prompt tokens that the server has to read.
-    pub(crate) unread: u32,
+    /// Prompt tokens that the server has to prefill.
+    pub(crate) prefill_tokens: u32,
     /// Tokens of the server's memory that it alone needs.
     private: u32,
-    /// The shared parts and their lengths.
+    /// The shared segments and their lengths.
     shared: Box<[(u64, u32)]>,
 }
 
 impl RequestCost {
-    pub(crate) fn new(demand: &Demand<'_>, unread: u32) -> Self {
-        let shared = demand.shared().iter().map(|part| (part.id, part.tokens)).collect();
-        RequestCost { unread, private: demand.private_tokens(), shared }
+    pub(crate) fn new(demand: &Demand<'_>, prefill_tokens: u32) -> Self {
+        let shared = demand.shared().iter().map(|segment| (segment.id, segment.tokens)).collect();
+        RequestCost { prefill_tokens, private: demand.private_tokens(), shared }
     }
 
     pub(crate) fn shared_ids(&self) -> impl Iterator<Item = u64> + '_ {
@@ -78,7 +78,7 @@
     waiting: u32,
     waiting_tokens: u64,
     private_tokens: u64,
-    /// The shared parts of requests in flight: the number of requests, and the length.
+    /// The shared segments of requests in flight: the number of requests, and the length.
     shared: BTreeMap<u64, (u32, u32)>,
     shared_tokens: u64,
     /// When the server responded last, while a request waits.
@@ -92,7 +92,7 @@
 impl Load {
     pub(crate) fn begin(&mut self, now: Duration, request_cost: &RequestCost) {
         self.waiting += 1;
-        self.waiting_tokens += u64::from(request_cost.unread);
+        self.waiting_tokens += u64::from(request_cost.prefill_tokens);
         self.private_tokens += u64::from(request_cost.private);
         for (id, tokens) in request_cost.shared.iter().copied() {
             let (users, _) = self.shared.entry(id).or_insert((0, tokens));
@@ -116,10 +116,10 @@
         &mut self,
         now: Duration,
         request_cost: &RequestCost,
-        record_started: bool,
+        has_started: bool,
         is_response: bool,
     ) {
-        if record_started {
+        if has_started {
             self.running = self.running.saturating_sub(1);
         } else {
             self.stop_waiting(request_cost);
@@ -135,7 +135,7 @@
 
     fn stop_waiting(&mut self, request_cost: &RequestCost) {
         self.waiting = self.waiting.saturating_sub(1);
-        self.waiting_tokens = self.waiting_tokens.saturating_sub(u64::from(request_cost.unread));
+        self.waiting_tokens = self.waiting_tokens.saturating_sub(u64::from(request_cost.prefill_tokens));
     }
 
     fn release(&mut self, id: u64) {
@@ -152,13 +152,13 @@
     }
 
     /// Returns for how long requests have waited without a response of the server.
-    fn response_timeout(&self, now: Duration) -> Duration {
+    fn time_without_response(&self, now: Duration) -> Duration {
         self.unresponsive_since.map_or(Duration::ZERO, |since| now.saturating_sub(since))
     }
 
     /// Returns whether requests have waited for longer than the service's usual speed explains.
     pub(crate) fn is_unresponsive(&self, now: Duration, rate: &ServiceRate) -> bool {
-        self.response_timeout(now) > rate.response_timeout(self.total(now).waiting_tokens)
+        self.time_without_response(now) > rate.response_timeout(self.total(now).waiting_tokens)
     }
 
     /// Returns the requests that wait for an unresponsive server.
--- a/crates/load-balancer/src/balancer/service_rate.rs
+++ b/crates/load-balancer/src/balancer/service_rate.rs
@@ -11,15 +11,15 @@
 /// The work of a request besides its prompt, in tokens.
 const BASE_TOKENS: f64 = 400.0;
 /// The initial time per token, in milliseconds.
-const FIRST_TOKEN_MS: f64 = 0.05;
+const INITIAL_TOKEN_MS: f64 = 0.05;
 /// A server may be dead if it has not responded to a waiting request for this multiple of the mean time to the first
 /// byte, and for at least this time.
 const TIMEOUT_FACTOR: u32 = 4;
 const MIN_TIMEOUT: Duration = Duration::from_millis(250);
-/// The same, in multiples of the time to read the queued prompts.
-const READING_FACTOR: u32 = 2;
+/// The same, in multiples of the time to prefill the queued prompts.
+const PREFILL_FACTOR: u32 = 2;
 /// The initial time of a request.
-const FIRST_ANSWER: Duration = Duration::from_millis(300);
+const INITIAL_DURATION: Duration = Duration::from_millis(300);
 
 /// An exponentially weighted mean.
 #[derive(Clone, Copy, Debug, Default)]
@@ -91,7 +91,7 @@
 
 impl ServiceRate {
     /// Records the time to a first byte. Returns the milliseconds per token of work, without the network latency.
-    pub(crate) fn first_byte(&mut self, time: Duration, distance: usize, work_tokens: f64) -> f64 {
+    pub(crate) fn record_first_byte(&mut self, time: Duration, distance: usize, work_tokens: f64) -> f64 {
         let milliseconds = time.as_secs_f64() * 1e3;
         let floor = self.floors[distance].get_or_insert(milliseconds);
         *floor = floor.min(milliseconds);
@@ -102,23 +102,23 @@
         per_token
     }
 
-    pub(crate) fn ended(&mut self, time: Duration) {
+    pub(crate) fn record_end(&mut self, time: Duration) {
         self.duration_ms.add(time.as_secs_f64() * 1e3);
     }
 
-    pub(crate) fn begun(&mut self, private_tokens: u32) {
+    pub(crate) fn record_begin(&mut self, private_tokens: u32) {
         self.private_tokens.add(f64::from(private_tokens));
     }
 
     /// Milliseconds per token of work.
     pub(crate) fn token_ms(&self) -> f64 {
-        self.token_ms.get().unwrap_or(FIRST_TOKEN_MS)
+        self.token_ms.get().unwrap_or(INITIAL_TOKEN_MS)
     }
 
     /// Returns how long a server may not respond while a request waits, with so many tokens queued.
     pub(crate) fn response_timeout(&self, waiting_tokens: f64) -> Duration {
         let reading = Duration::from_secs_f64(waiting_tokens * self.token_ms() / 1e3);
-        (mean_time(&self.first_byte_ms) * TIMEOUT_FACTOR).max(MIN_TIMEOUT) + reading * READING_FACTOR
+        (mean_time(&self.first_byte_ms) * TIMEOUT_FACTOR).max(MIN_TIMEOUT) + reading * PREFILL_FACTOR
     }
 
     /// Returns the mean time from the send to the end of the response.
@@ -133,7 +133,7 @@
 }
 
 fn mean_time(milliseconds: &Mean) -> Duration {
-    milliseconds.get().map_or(FIRST_ANSWER, |mean| Duration::from_secs_f64(mean.max(0.0) / 1e3))
+    milliseconds.get().map_or(INITIAL_DURATION, |mean| Duration::from_secs_f64(mean.max(0.0) / 1e3))
 }
 
 /// Returns the median, the lower one of two in the middle.
--- a/crates/load-balancer/src/balancer/slow_start.rs
+++ b/crates/load-balancer/src/balancer/slow_start.rs
@@ -56,8 +56,8 @@
     senders: usize,
 ) -> bool {
     let key = Key::new(server_id);
-    let rank = |limiter: &ProxyPeer| (distance(&limiter.locality, server_locality), key.score(&limiter.name));
-    let Some(own) = proxies.iter().find(|limiter| limiter.name == name) else { return false };
+    let rank = |proxy: &ProxyPeer| (distance(&proxy.locality, server_locality), key.score(&proxy.name));
+    let Some(own) = proxies.iter().find(|proxy| proxy.name == name) else { return false };
     let (own_distance, own_score) = rank(own);
     let is_before = |other: &&ProxyPeer| {
         let (distance, score) = rank(other);
--- a/crates/load-balancer/src/demand.rs
+++ b/crates/load-balancer/src/demand.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-/// A part of a prompt. Requests whose prompts begin with the same parts can share what a server has read.
+/// A segment of a prompt. Requests whose prompts begin with the same segments can share what a server has cached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PromptPart {
-    /// The id of the part.
+pub struct PromptSegment {
+    /// The id of the segment.
     pub id: u64,
     /// The length in tokens.
     pub tokens: u32,
@@ -18,8 +18,8 @@
     pub service: &'a str,
     /// The only regions in which the request may be served; none for any.
     pub homes: &'a [String],
-    /// The parts of the prompt in order. The last one belongs to the request or its session alone.
-    pub prefix: &'a [PromptPart],
+    /// The segments of the prompt in order. The last one belongs to the request or its session alone.
+    pub segments: &'a [PromptSegment],
     /// The length of the prompt in tokens.
     pub prompt_tokens: u32,
     /// The most tokens of the response.
@@ -37,17 +37,17 @@
 }
 
 impl<'a> Demand<'a> {
-    /// Returns the parts that other requests share.
-    pub(crate) fn shared(&self) -> &'a [PromptPart] {
-        match self.prefix.split_last() {
+    /// Returns the segments that other requests share.
+    pub(crate) fn shared(&self) -> &'a [PromptSegment] {
+        match self.segments.split_last() {
             Some((_own, shared)) => shared,
             None => &[],
         }
     }
 
-    /// Returns the tokens of the parts that other requests share.
+    /// Returns the tokens of the segments that other requests share.
     pub(crate) fn shared_tokens(&self) -> u32 {
-        self.shared().iter().fold(0, |sum, part| sum.saturating_add(part.tokens))
+        self.shared().iter().fold(0, |sum, segment| sum.saturating_add(segment.tokens))
     }
 
     /// Returns the tokens that a server holds for this request alone while it executes.
--- a/crates/load-balancer/src/lib.rs
+++ b/crates/load-balancer/src/lib.rs
@@ -18,7 +18,7 @@
     server_hash, Balancer, Choice, FailureKind, HealthCheckResult, Locality, Options, Outcome, ProxyPeer,
     ServerInfo, ServerKey, Ticket,
 };
-pub use demand::{Demand, PromptPart};
+pub use demand::{Demand, PromptSegment};
 pub use home_demand::HomeDemand;
 pub use host_homes::{HomeTable, HostHomes, ServedIn};
 pub use request_queue::{QueueKey, QueueLimits, QueueTerms, Queued, RequestQueue};
--- a/crates/load-balancer/tests/common/fleet.rs
+++ b/crates/load-balancer/tests/common/fleet.rs
@@ -1,9 +1,9 @@
-//! A small model of servers that run a model, of limiters before them and of their clients.
+//! A small model of servers that run a model, of proxies before them and of their clients.
 #![allow(dead_code)]
 
-use super::{balancer, engine, limiter, ms, place, ENGINE};
+use super::{balancer, engine, locality, ms, proxy_peer, ENGINE};
 use quillpulley_load_balancer::{
-    Balancer, Choice, Demand, Outcome, PromptPart, ProxyPeer, ServerKey, Ticket,
+    Balancer, Choice, Demand, Outcome, PromptSegment, ProxyPeer, ServerKey, Ticket,
 };
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
@@ -11,24 +11,24 @@
 const STEP_MS: f64 = 5.23;
 const TOKENS_PER_MS: f64 = 38.4;
 const CHUNK: u32 = 2_048;
-/// Reading a token takes longer the more stand before it.
+/// Prefilling a token takes longer the longer its context.
 const MS_PER_MILLION_PAIRS: f64 = 0.647;
 /// An event of a stream holds so many tokens, and should come within this time.
 const EVENT_TOKENS: u32 = 5;
-const LONGEST_PAUSE: Duration = Duration::from_millis(400);
+const MAX_EVENT_GAP: Duration = Duration::from_millis(400);
 /// No length is more times its mean.
-const LONGEST_FACTOR: f64 = 14.0;
+const MAX_LENGTH_FACTOR: f64 = 14.0;
 const MEMORY: u64 = 225_711;
 /// Counts are exchanged so often, and are so old when they arrive.
 const EXCHANGE: Duration = Duration::from_millis(500);
 const EXCHANGE_LAG: Duration = Duration::from_millis(300);
-/// A part should not be read again so soon after its latest use.
-const AGAIN: Duration = Duration::from_secs(10);
+/// A segment should not be prefilled again so soon after its latest use.
+const REUSE_WINDOW: Duration = Duration::from_secs(10);
 
 /// A kind of request.
 pub struct Kind {
     pub per_s: f64,
-    /// Numbers and lengths of the shared parts.
+    /// Numbers and lengths of the shared segments.
     pub chain: [(u64, u32); 2],
     pub own_tokens: u32,
     pub output_tokens: u32,
@@ -40,7 +40,7 @@
 
 pub struct Options {
     pub server_zones: Vec<&'static str>,
-    pub limiter_zones: Vec<&'static str>,
+    pub proxy_zones: Vec<&'static str>,
     pub kinds: Vec<Kind>,
     pub seed: u64,
     pub length: Duration,
@@ -49,31 +49,31 @@
 #[derive(Default, Debug)]
 pub struct Figures {
     pub requests: usize,
-    pub refused: usize,
-    /// Requests whose first token came after their objective, though their prompt takes less than half of it to read.
+    pub rejected: usize,
+    /// Requests whose first token came after their objective, though the prefill takes less than half of it.
     pub late: usize,
     /// Requests whose stream paused for too long.
     pub paused: usize,
-    /// Shared tokens of all requests, and those of them that a server read although one had read them of late.
+    /// Shared tokens of all requests, and those of them that a server prefilled although one had cached them recently.
     pub shared: u64,
-    pub read_again: u64,
+    pub prefilled_again: u64,
     /// Requests that went to another region.
-    pub far: usize,
-    pub far_bytes: u64,
+    pub other_region: usize,
+    pub other_region_bytes: u64,
     pub most_running: usize,
 }
 
 struct Running {
-    limiter: usize,
+    proxy: usize,
     objective: Duration,
     ticket: Option<Ticket>,
     sent: Duration,
-    unread: u32,
-    /// What was unread when it came to its turn.
-    to_read: u32,
-    parts: Vec<PromptPart>,
-    output_left: u32,
-    record_started: bool,
+    remaining_prefill: u32,
+    /// The tokens to prefill when its prefill began.
+    prefill_tokens: u32,
+    segments: Vec<PromptSegment>,
+    remaining_output: u32,
+    has_started: bool,
     /// Tokens since the latest event of its stream, and when that was; whether one came too late.
     tokens: u32,
     event: Duration,
@@ -85,8 +85,8 @@
 struct Engine {
     queue: VecDeque<Running>,
     running: Vec<Running>,
-    /// Parts that are kept, and when they were last used.
-    kept: HashMap<u64, (u32, Duration)>,
+    /// Segments that are cached, and when they were last used.
+    cached: HashMap<u64, (u32, Duration)>,
     busy_until: Duration,
 }
 
@@ -106,8 +106,8 @@
 
 impl Fleet {
     pub fn new(options: Options) -> Self {
-        let zones = options.limiter_zones.iter().enumerate();
-        let proxies: Vec<ProxyPeer> = zones.map(|(n, zone)| limiter(&format!("l{n}"), zone)).collect();
+        let zones = options.proxy_zones.iter().enumerate();
+        let proxies: Vec<ProxyPeer> = zones.map(|(n, zone)| proxy_peer(&format!("l{n}"), zone)).collect();
         let mut balancers: Vec<Balancer> =
             proxies.iter().map(|own| balancer(&own.name, &own.locality.zone, &proxies)).collect();
         let mut engines = BTreeMap::new();
@@ -199,7 +199,7 @@
         let radius = (-2.0 * (1.0 - self.random.f64()).ln()).sqrt();
         let normal = radius * (std::f64::consts::TAU * self.random.f64()).cos();
         let factor = (sigma * normal - sigma * sigma / 2.0).exp();
-        (f64::from(mean) * factor.min(LONGEST_FACTOR)) as u32 + 1
+        (f64::from(mean) * factor.min(MAX_LENGTH_FACTOR)) as u32 + 1
     }
 
     fn arrive(&mut self, now: Duration) {
@@ -211,39 +211,38 @@
             index += 1;
         }
         let zone = ["a1", "b1", "c1"][self.random.usize(..3)];
-        let near: Vec<usize> = (0..self.proxies.len())
-            .filter(|limiter| self.proxies[*limiter].locality == place(zone))
-            .collect();
-        let limiter = near[self.random.usize(..near.len())];
+        let near: Vec<usize> =
+            (0..self.proxies.len()).filter(|proxy| self.proxies[*proxy].locality == locality(zone)).collect();
+        let proxy = near[self.random.usize(..near.len())];
         let [first, second] = self.options.kinds[index].chain;
         let thing = self.random.u64(..second.0);
         let base = (index as u64 + 1) << 40;
         let (one, two) = (base + thing % first.0, base + (1 << 32) + thing);
         let own = self.random.u64(..) | 1 << 63;
         let own_tokens = self.spread(self.options.kinds[index].own_tokens, 1.0);
-        let parts = vec![
-            PromptPart { id: one, tokens: self.length(one, first.1) },
-            PromptPart { id: two, tokens: self.length(two, second.1) },
-            PromptPart { id: own, tokens: own_tokens },
+        let segments = vec![
+            PromptSegment { id: one, tokens: self.length(one, first.1) },
+            PromptSegment { id: two, tokens: self.length(two, second.1) },
+            PromptSegment { id: own, tokens: own_tokens },
         ];
         let output_tokens = self.spread(self.options.kinds[index].output_tokens, 0.7);
-        self.send(now, limiter, index, parts, output_tokens);
+        self.send(now, proxy, index, segments, output_tokens);
     }
 
     fn send(
         &mut self,
         now: Duration,
-        limiter: usize,
+        proxy: usize,
         kind: usize,
-        parts: Vec<PromptPart>,
+        segments: Vec<PromptSegment>,
         output_tokens: u32,
     ) {
         let kind = &self.options.kinds[kind];
         let demand = Demand {
             service: ENGINE,
             homes: &kind.homes,
-            prefix: &parts,
-            prompt_tokens: parts.iter().map(|part| part.tokens).sum(),
+            segments: &segments,
+            prompt_tokens: segments.iter().map(|segment| segment.tokens).sum(),
             output_tokens,
             body_bytes: kind.body_bytes,
             priority: kind.priority,
@@ -252,37 +251,37 @@
             sticky: true,
         };
         self.figures.requests += 1;
-        let Choice::Send(key) = self.balancers[limiter].choose(now, &demand, &[]) else {
-            self.figures.refused += 1;
+        let Choice::Send(key) = self.balancers[proxy].choose(now, &demand, &[]) else {
+            self.figures.rejected += 1;
             return;
         };
-        let ticket = self.balancers[limiter].begin(now, key, &demand);
-        let (from, to) = (&self.proxies[limiter].locality, place(self.zones[&key]));
+        let ticket = self.balancers[proxy].begin(now, key, &demand);
+        let (from, to) = (&self.proxies[proxy].locality, locality(self.zones[&key]));
         if from.region != to.region {
-            self.figures.far += 1;
-            self.figures.far_bytes += kind.body_bytes as u64 + u64::from(output_tokens) * 12;
+            self.figures.other_region += 1;
+            self.figures.other_region_bytes += kind.body_bytes as u64 + u64::from(output_tokens) * 12;
         }
         let memory = u64::from(demand.prompt_tokens + demand.output_tokens);
         let request = Running {
-            limiter,
+            proxy,
             objective: kind.objective,
             ticket: Some(ticket),
             sent: now,
-            unread: 0,
-            to_read: 0,
-            output_left: output_tokens,
-            record_started: false,
+            remaining_prefill: 0,
+            prefill_tokens: 0,
+            remaining_output: output_tokens,
+            has_started: false,
             tokens: 0,
             event: now,
             paused: false,
             memory,
-            parts,
+            segments,
         };
         let engine = self.engines.get_mut(&key).expect("it is known");
         engine.queue.push_back(request);
     }
 
-    /// One step of an engine: the requests that run get a token each, and a piece of a prompt is read.
+    /// One step of an engine: the requests that run get a token each, and a chunk of a prompt is prefilled.
     fn step(&mut self, now: Duration, key: ServerKey) {
         let Some(engine) = self.engines.get_mut(&key) else { return };
         if now < engine.busy_until {
@@ -290,87 +289,91 @@
         }
         while engine.running.len() < 64 {
             let Some(mut request) = engine.queue.pop_front() else { break };
-            let shared = &request.parts[..request.parts.len() - 1];
-            let mut kept = true;
-            for part in shared {
-                self.figures.shared += u64::from(part.tokens);
-                kept = kept && engine.kept.contains_key(&part.id);
-                if !kept {
-                    request.unread += part.tokens;
-                    if self.last_use.get(&part.id).is_some_and(|at| now.saturating_sub(*at) < AGAIN) {
-                        self.figures.read_again += u64::from(part.tokens);
+            let shared = &request.segments[..request.segments.len() - 1];
+            let mut is_cached = true;
+            for segment in shared {
+                self.figures.shared += u64::from(segment.tokens);
+                is_cached = is_cached && engine.cached.contains_key(&segment.id);
+                if !is_cached {
+                    request.remaining_prefill += segment.tokens;
+                    if self.last_use.get(&segment.id).is_some_and(|at| now.saturating_sub(*at) < REUSE_WINDOW)
+                    {
+                        self.figures.prefilled_again += u64::from(segment.tokens);
                     }
                 }
-                engine.kept.insert(part.id, (part.tokens, now));
-                self.last_use.insert(part.id, now);
+                engine.cached.insert(segment.id, (segment.tokens, now));
+                self.last_use.insert(segment.id, now);
             }
-            request.unread += request.parts[request.parts.len() - 1].tokens;
-            request.to_read = request.unread;
+            request.remaining_prefill += request.segments[request.segments.len() - 1].tokens;
+            request.prefill_tokens = request.remaining_prefill;
             engine.running.push(request);
         }
         engine.evict();
         self.figures.most_running = self.figures.most_running.max(engine.running.len());
-        let mut chunk = CHUNK;
-        let mut read = 0;
+        let mut remaining_chunk = CHUNK;
+        let mut prefilled = 0;
         let mut attention = 0.0;
         let mut ended = Vec::new();
         for (index, request) in engine.running.iter_mut().enumerate() {
-            if request.unread > 0 {
-                let piece = request.unread.min(chunk);
-                request.unread -= piece;
-                chunk -= piece;
-                read += piece;
-                let context = request.memory.saturating_sub(u64::from(request.unread));
-                attention += f64::from(piece) * context as f64 / 1e6 * MS_PER_MILLION_PAIRS;
+            if request.remaining_prefill > 0 {
+                let chunk = request.remaining_prefill.min(remaining_chunk);
+                request.remaining_prefill -= chunk;
+                remaining_chunk -= chunk;
+                prefilled += chunk;
+                let context = request.memory.saturating_sub(u64::from(request.remaining_prefill));
+                attention += f64::from(chunk) * context as f64 / 1e6 * MS_PER_MILLION_PAIRS;
                 continue;
             }
-            if !request.record_started {
-                request.record_started = true;
+            if !request.has_started {
+                request.has_started = true;
                 request.event = now;
                 if let Some(ticket) = &request.ticket {
-                    self.balancers[request.limiter].record_started(now, ticket);
+                    self.balancers[request.proxy].record_started(now, ticket);
                 }
-                let reading = Duration::from_secs_f64(f64::from(request.to_read) / TOKENS_PER_MS / 1e3);
-                if now - request.sent > request.objective && reading < request.objective / 2 {
+                let prefill_time =
+                    Duration::from_secs_f64(f64::from(request.prefill_tokens) / TOKENS_PER_MS / 1e3);
+                if now - request.sent > request.objective && prefill_time < request.objective / 2 {
                     self.figures.late += 1;
                 }
             }
             request.tokens += 1;
-            if request.tokens == EVENT_TOKENS || request.output_left <= 1 {
-                self.figures.paused += usize::from(!request.paused && now - request.event > LONGEST_PAUSE);
-                request.paused |= now - request.event > LONGEST_PAUSE;
+            if request.tokens == EVENT_TOKENS || request.remaining_output <= 1 {
+                self.figures.paused += usize::from(!request.paused && now - request.event > MAX_EVENT_GAP);
+                request.paused |= now - request.event > MAX_EVENT_GAP;
                 request.tokens = 0;
                 request.event = now;
             }
-            request.output_left = request.output_left.saturating_sub(1);
-            if request.output_left == 0 {
+            request.remaining_output = request.remaining_output.saturating_sub(1);
+            if request.remaining_output == 0 {
                 ended.push(index);
             }
         }
-        let length =
-            STEP_MS + f64::from(read) / TOKENS_PER_MS + attention + 0.00367 * engine.running.len() as f64;
+        let length = STEP_MS
+            + f64::from(prefilled) / TOKENS_PER_MS
+            + attention
+            + 0.00367 * engine.running.len() as f64;
         if !engine.running.is_empty() {
             engine.busy_until = now + Duration::from_secs_f64(length / 1e3);
         }
         for index in ended.into_iter().rev() {
             let mut request = engine.running.remove(index);
             if let Some(ticket) = request.ticket.take() {
-                self.balancers[request.limiter].end(now, ticket, Outcome::Completed);
+                self.balancers[request.proxy].end(now, ticket, Outcome::Completed);
             }
         }
     }
 }
 
 impl Engine {
-    /// Parts unused for longest give way.
+    /// Evicts the segments that were unused for longest.
     fn evict(&mut self) {
         let running: u64 = self.running.iter().map(|request| request.memory).sum();
-        let mut used = running + self.kept.values().map(|(tokens, _)| u64::from(*tokens)).sum::<u64>();
+        let mut used = running + self.cached.values().map(|(tokens, _)| u64::from(*tokens)).sum::<u64>();
         while used > MEMORY {
-            let Some((id, (tokens, _))) = self.kept.iter().min_by_key(|(_, (_, at))| *at) else { return };
+            let Some((id, (tokens, _))) = self.cached.iter().min_by_key(|(_, (_, at))| *at) else { return };
             let (id, tokens) = (*id, *tokens);
             used -= u64::from(tokens);
-            self.kept.remove(&id);
+            self.cached.remove(&id);
         }
     }
 }
--- a/crates/load-balancer/tests/common/mod.rs
+++ b/crates/load-balancer/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 pub mod fleet;
 
-use quillpulley_load_balancer::{Balancer, Demand, Locality, Options, PromptPart, ProxyPeer};
+use quillpulley_load_balancer::{Balancer, Demand, Locality, Options, PromptSegment, ProxyPeer};
 use quillpulley_protocol as protocol;
 use quillpulley_serving_config::Configuration;
 use std::collections::BTreeMap;
@@ -22,12 +22,12 @@
 }
 
 /// Zone `a1` is in region `a`, and so on.
-pub fn place(zone: &str) -> Locality {
+pub fn locality(zone: &str) -> Locality {
     Locality { zone: zone.to_owned(), region: zone[..1].to_owned() }
 }
 
 pub fn zones() -> BTreeMap<String, String> {
-    ["a1", "a2", "b1", "b2", "c1", "c2"].map(|zone| (zone.to_owned(), place(zone).region)).into()
+    ["a1", "a2", "b1", "b2", "c1", "c2"].map(|zone| (zone.to_owned(), locality(zone).region)).into()
 }
 
 pub fn configuration() -> Configuration {
@@ -42,13 +42,13 @@
     Options { name: name.to_owned(), warmup_overshoot: 1.5, warmup_slack: 5.0, seed: 7 }
 }
 
-pub fn limiter(name: &str, zone: &str) -> ProxyPeer {
-    ProxyPeer { name: name.to_owned(), locality: place(zone) }
+pub fn proxy_peer(name: &str, zone: &str) -> ProxyPeer {
+    ProxyPeer { name: name.to_owned(), locality: locality(zone) }
 }
 
 /// A balancer that knows the configuration and no servers.
 pub fn balancer(name: &str, zone: &str, proxies: &[ProxyPeer]) -> Balancer {
-    let mut balancer = Balancer::new(place(zone), zones(), options(name));
+    let mut balancer = Balancer::new(locality(zone), zones(), options(name));
     balancer.set_services(configuration().services.values());
     if !proxies.is_empty() {
         balancer.set_proxies(proxies.to_vec());
@@ -58,7 +58,7 @@
 
 /// A balancer in zone `a1` with nobody else.
 pub fn lone_balancer() -> Balancer {
-    balancer("l1", "a1", &[limiter("l1", "a1")])
+    balancer("l1", "a1", &[proxy_peer("l1", "a1")])
 }
 
 pub fn server(id: &str, service: &str, zone: &str, slots: u32) -> protocol::Server {
@@ -88,7 +88,7 @@
     Demand {
         service,
         homes: &[],
-        prefix: &[],
+        segments: &[],
         prompt_tokens: 0,
         output_tokens: 0,
         body_bytes: 600,
@@ -99,8 +99,8 @@
     }
 }
 
-/// A demand with a prompt of these parts.
-pub fn prompt<'a>(service: &'a str, prefix: &'a [PromptPart]) -> Demand<'a> {
-    let prompt_tokens = prefix.iter().map(|part| part.tokens).sum();
-    Demand { prefix, prompt_tokens, output_tokens: 50, sticky: true, ..demand(service) }
+/// A demand with a prompt of these segments.
+pub fn prompt<'a>(service: &'a str, segments: &'a [PromptSegment]) -> Demand<'a> {
+    let prompt_tokens = segments.iter().map(|segment| segment.tokens).sum();
+    Demand { segments, prompt_tokens, output_tokens: 50, sticky: true, ..demand(service) }
 }
--- a/crates/load-balancer/tests/engine_choice.rs
+++ b/crates/load-balancer/tests/engine_choice.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use quillpulley_load_balancer::{server_hash, Balancer, Choice, Demand, Outcome, PromptPart, ServerKey};
+use quillpulley_load_balancer::{server_hash, Balancer, Choice, Demand, Outcome, PromptSegment, ServerKey};
 use quillpulley_protocol::ServerLoad;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,7 +13,7 @@
 
 /// A balancer that knows nine servers, whose ids are `s0` and so on.
 fn fleet(zone: &str) -> Balancer {
-    let proxies = ["a1", "b1", "c1"].map(|zone| limiter(zone, zone));
+    let proxies = ["a1", "b1", "c1"].map(|zone| proxy_peer(zone, zone));
     let mut balancer = balancer(zone, zone, &proxies);
     for (number, zone) in ZONES.iter().enumerate() {
         balancer.put_server(NOW, &engine(&format!("s{number}"), zone));
@@ -21,26 +21,26 @@
     balancer
 }
 
-/// Two shared parts and one of its own.
-fn parts(guide: u64, guide_tokens: u32, thing: u64, thing_tokens: u32) -> [PromptPart; 3] {
+/// Two shared segments and one of its own.
+fn segments(guide: u64, guide_tokens: u32, thing: u64, thing_tokens: u32) -> [PromptSegment; 3] {
     [
-        PromptPart { id: guide, tokens: guide_tokens },
-        PromptPart { id: 1_000 + thing, tokens: thing_tokens },
-        PromptPart { id: 1_000_000 + thing, tokens: 500 },
+        PromptSegment { id: guide, tokens: guide_tokens },
+        PromptSegment { id: 1_000 + thing, tokens: thing_tokens },
+        PromptSegment { id: 1_000_000 + thing, tokens: 500 },
     ]
 }
 
-fn long(thing: u64) -> [PromptPart; 3] {
-    parts(thing % 4, 2_500, thing, 3_800)
+fn long(thing: u64) -> [PromptSegment; 3] {
+    segments(thing % 4, 2_500, thing, 3_800)
 }
 
-fn short(thing: u64) -> [PromptPart; 3] {
-    parts(thing % 4, 120, thing, 80)
+fn short(thing: u64) -> [PromptSegment; 3] {
+    segments(thing % 4, 120, thing, 80)
 }
 
 /// Requests whose body is as long as half of their prompt in characters, about.
-fn request<'a>(parts: &'a [PromptPart]) -> Demand<'a> {
-    Demand { body_bytes: 9_000, ..prompt(ENGINE, parts) }
+fn request<'a>(segments: &'a [PromptSegment]) -> Demand<'a> {
+    Demand { body_bytes: 9_000, ..prompt(ENGINE, segments) }
 }
 
 fn chosen(balancer: &mut Balancer, demand: &Demand<'_>) -> ServerKey {
@@ -116,18 +116,18 @@
 #[test]
 fn a_session_returns_to_where_it_was() {
     let mut balancer = fleet("a1");
-    let session = [PromptPart { id: 7, tokens: 3_000 }];
+    let session = [PromptSegment { id: 7, tokens: 3_000 }];
     let first = chosen(&mut balancer, &request(&session));
     let ticket = balancer.begin(NOW, first, &request(&session));
     balancer.record_started(NOW, &ticket);
     balancer.end(NOW, ticket, Outcome::Completed);
     for other in 100..120 {
-        let own = [PromptPart { id: other, tokens: 100 }];
+        let own = [PromptSegment { id: other, tokens: 100 }];
         let key = chosen(&mut balancer, &request(&own));
         let _ticket = balancer.begin(NOW, key, &request(&own));
     }
-    let longer = [session[0], PromptPart { id: 8, tokens: 50 }];
-    let demand = Demand { prefix: &longer, ..request(&session) };
+    let longer = [session[0], PromptSegment { id: 8, tokens: 50 }];
+    let demand = Demand { segments: &longer, ..request(&session) };
     assert_eq!(chosen(&mut balancer, &demand), first);
 }
 
@@ -199,7 +199,7 @@
     let request_parts = long(1);
     let demand = Demand { objective: ms(1), ..request(&request_parts) };
     for _ in 0..(9 * 32) {
-        let Choice::Send(key) = balancer.choose(NOW, &demand, &[]) else { panic!("refused") };
+        let Choice::Send(key) = balancer.choose(NOW, &demand, &[]) else { panic!("rejected") };
         let _ticket = balancer.begin(NOW, key, &demand);
     }
 }
--- a/crates/load-balancer/tests/engine_days.rs
+++ b/crates/load-balancer/tests/fleet_scenarios.rs
@@ -1,4 +1,4 @@
-//! Some time with a fleet of engines: how often shared parts are read again, how many requests are late or refused.
+//! Some time with a fleet of engines: how often shared segments are prefilled again, how many requests are late or rejected.
 //! The bounds leave room around what the constants of the choice give, so that a mistake in them shows.
 
 mod common;
@@ -37,7 +37,7 @@
 fn play(server_zones: &[&'static str], kinds: Vec<Kind>) -> Figures {
     let options = Options {
         server_zones: server_zones.to_vec(),
-        limiter_zones: vec!["a1", "a1", "a1", "b1", "b1", "b1", "c1", "c1"],
+        proxy_zones: vec!["a1", "a1", "a1", "b1", "b1", "b1", "c1", "c1"],
         kinds,
         seed: 3,
         length: LENGTH,
@@ -48,33 +48,33 @@
 }
 
 #[test]
-fn in_ordinary_traffic_parts_are_read_about_once() {
+fn in_ordinary_traffic_segments_are_prefilled_about_once() {
     let figures = play(&ZONES, kinds(1.0, 1.0));
-    assert_eq!(figures.refused, 0);
+    assert_eq!(figures.rejected, 0);
     assert!(figures.late * 100 <= figures.requests);
     assert!(figures.paused * 100 <= figures.requests);
-    assert!(figures.read_again < figures.shared / 8);
+    assert!(figures.prefilled_again < figures.shared / 8);
 }
 
 #[test]
 fn a_burst_is_served_in_time() {
     let figures = play(&ZONES, kinds(1.0, 2.5));
-    assert_eq!(figures.refused, 0);
+    assert_eq!(figures.rejected, 0);
     assert!(figures.late * 100 <= figures.requests);
     assert!(figures.paused * 100 <= figures.requests);
-    assert!(figures.read_again < figures.shared / 5);
+    assert!(figures.prefilled_again < figures.shared / 5);
 }
 
 #[test]
 fn without_a_region_the_rest_serves() {
     let figures = play(&ZONES[4..], kinds(1.0, 1.0));
-    assert_eq!(figures.refused, 0);
+    assert_eq!(figures.rejected, 0);
     assert!(figures.late * 50 <= figures.requests);
 }
 
 #[test]
 fn in_an_overload_servers_do_not_spend_their_time_on_repeated_prefill() {
     let figures = play(&ZONES, kinds(5.0, 1.0));
-    assert!(figures.refused * 2 < figures.requests);
-    assert!(figures.read_again < figures.shared / 2);
+    assert!(figures.rejected * 2 < figures.requests);
+    assert!(figures.prefilled_again < figures.shared / 2);
 }
--- a/crates/load-balancer/tests/home_demand.rs
+++ b/crates/load-balancer/tests/home_demand.rs
@@ -1,4 +1,4 @@
-//! Which regions a limiter prefers over its own for the clients that come to it.
+//! Which regions a proxy prefers over its own for the clients that come to it.
 
 use quillpulley_load_balancer::HomeDemand;
 use std::time::Duration;
--- a/crates/load-balancer/tests/plain_choice.rs
+++ b/crates/load-balancer/tests/plain_choice.rs
@@ -130,14 +130,14 @@
 
 #[test]
 fn a_proxy_keeps_to_its_part_of_the_connections() {
-    let proxies: Vec<_> = (0..50).map(|number| limiter(&format!("l{number}"), "a1")).collect();
+    let proxies: Vec<_> = (0..50).map(|number| proxy_peer(&format!("l{number}"), "a1")).collect();
     let mut balancer = balancer("l0", "a1", &proxies);
     balancer.put_server(NOW, &server("s", PLAIN, "a1", 1_000));
     let mut sent = Vec::new();
     while let Choice::Send(key) = balancer.choose(NOW, &demand(PLAIN), &[]) {
         sent.push(balancer.begin(NOW, key, &demand(PLAIN)));
     }
-    // 100 connections over 50 limiters, and half more.
+    // 100 connections over 50 proxies, and half more.
     assert_eq!(sent.len(), 3);
 }
 
--- a/crates/load-balancer/tests/request_queue.rs
+++ b/crates/load-balancer/tests/request_queue.rs
@@ -94,7 +94,7 @@
     push(&mut waiting, 0, terms(1, 800), "one");
     push(&mut waiting, 0, terms(2, 800), "two");
     push(&mut waiting, 0, terms(2, 400), "three");
-    assert_eq!(waiting.push(ms(0), terms(2, 100), "refused"), Err("refused"));
+    assert_eq!(waiting.push(ms(0), terms(2, 100), "rejected"), Err("rejected"));
     let queued = waiting.push(ms(0), terms(0, 800), "urgent").expect("it is more urgent");
     assert_eq!(queued.displaced, ["two"]);
     assert_eq!(waiting.len(), 3);
@@ -105,12 +105,12 @@
     let mut waiting = waiting();
     push(&mut waiting, 0, QueueTerms { bytes: 600, ..terms(1, 800) }, "one");
     let large = QueueTerms { bytes: 500, ..terms(1, 800) };
-    assert_eq!(waiting.push(ms(0), large, "refused"), Err("refused"));
+    assert_eq!(waiting.push(ms(0), large, "rejected"), Err("rejected"));
     let queued =
         waiting.push(ms(0), QueueTerms { priority: 0, ..large }, "urgent").expect("it is more urgent");
     assert_eq!(queued.displaced, ["one"]);
     let too_large = QueueTerms { bytes: 1_001, ..terms(0, 800) };
-    assert_eq!(waiting.push(ms(0), too_large, "refused"), Err("refused"));
+    assert_eq!(waiting.push(ms(0), too_large, "rejected"), Err("rejected"));
 }
 
 #[test]
@@ -153,7 +153,7 @@
                 Step::Push { priority, objective, bytes } => {
                     let terms = QueueTerms { bytes, ..terms(priority, objective) };
                     held.push((number, bytes));
-                    waiting.push(now, terms, (number, bytes)).map_or_else(|refused| vec![refused], |queued| queued.displaced)
+                    waiting.push(now, terms, (number, bytes)).map_or_else(|rejected| vec![rejected], |queued| queued.displaced)
                 }
                 Step::Next => waiting.next(now, |_| true).into_iter().collect(),
                 Step::Expire => waiting.take_expired(now),
--- a/crates/load-balancer/tests/warmup.rs
+++ b/crates/load-balancer/tests/warmup.rs
@@ -1,4 +1,4 @@
-//! What cold servers get, from one limiter and from all.
+//! What cold servers get, from one proxy and from all.
 
 mod common;
 
@@ -37,7 +37,7 @@
 }
 
 fn proxies(zones: &[&str]) -> Vec<ProxyPeer> {
-    zones.iter().enumerate().map(|(number, zone)| limiter(&format!("l{number}"), zone)).collect()
+    zones.iter().enumerate().map(|(number, zone)| proxy_peer(&format!("l{number}"), zone)).collect()
 }
 
 fn most_in_a_second(sent: &[Duration]) -> usize {
@@ -131,14 +131,14 @@
 
 #[test]
 fn a_server_that_was_away_for_long_is_assumed_cold_unless_it_reports_otherwise() {
-    for (told, most) in [(None, WARMUP_BOUND / 4), (Some(Duration::ZERO), 1_000)] {
+    for (reported, most) in [(None, WARMUP_BOUND / 4), (Some(Duration::ZERO), 1_000)] {
         let mut balancer = lone_balancer();
         let server = put(&mut balancer, &engine("s", "a1"));
         let ticket = balancer.begin(NOW, server, &demand(ENGINE));
         balancer.end(NOW, ticket, Outcome::Failed(quillpulley_load_balancer::FailureKind::Connect));
         let back = NOW + ms(4_000);
         assert_eq!(balancer.due_health_checks(back), [server]);
-        balancer.record_health_check(back, server, HealthCheckResult::Passed { warmup_remaining: told });
+        balancer.record_health_check(back, server, HealthCheckResult::Passed { warmup_remaining: reported });
         let sent = sends_to(&mut balancer, server, back, ms(1_000));
         assert_eq!(most_in_a_second(&sent), most);
     }
@@ -147,12 +147,12 @@
 /// Limiters on either side of a cut, what they know of each other, and when each has requests.
 #[derive(Clone, Debug)]
 struct Cut {
-    /// For each limiter: its zone, and its side.
+    /// For each proxy: its zone, and its side of the partition.
     proxies: Vec<(usize, bool)>,
     server_zone: usize,
-    /// When each limiter learns of the cut, in milliseconds; before, it knows all.
+    /// When each proxy learns of the partition, in milliseconds; before, it knows all.
     learns: Vec<u16>,
-    /// Milliseconds between the requests of each limiter.
+    /// Milliseconds between the requests of each proxy.
     gaps: Vec<u8>,
 }
 
@@ -171,7 +171,7 @@
     }
 }
 
-/// Sends of all limiters to the one server, which is cold.
+/// Sends of all proxies to the one server, which is cold.
 fn play(cut: &Cut) -> Vec<Duration> {
     let zones: Vec<&str> = cut.proxies.iter().map(|(zone, _)| ZONES[*zone]).collect();
     let all = proxies(&zones);
@@ -182,7 +182,7 @@
         put(&mut balancer, &entry);
         let side = cut.proxies[number].1;
         let reached = all.iter().zip(&cut.proxies).filter(|(_, (_, other))| *other == side);
-        let reached: Vec<ProxyPeer> = reached.map(|(limiter, _)| limiter.clone()).collect();
+        let reached: Vec<ProxyPeer> = reached.map(|(proxy, _)| proxy.clone()).collect();
         let learns = NOW + ms(u64::from(cut.learns[number]));
         let mut now = NOW;
         while now < NOW + ms(5_000) {
--- a/crates/quillpulley/src/proxy/downstream/readiness.rs
+++ b/crates/quillpulley/src/proxy/downstream/readiness.rs
@@ -21,7 +21,7 @@
     header_timeout: Some(Duration::from_secs(10)),
     linger: Linger { time: Duration::ZERO, bytes: 0 },
     idle_grace: Duration::from_millis(100),
-    silent_grace: Duration::from_millis(100),
+    first_request_grace: Duration::from_millis(100),
     accept_retry_delay: Duration::from_millis(100),
 };
 
--- a/crates/quillpulley/src/proxy/downstream/request.rs
+++ b/crates/quillpulley/src/proxy/downstream/request.rs
@@ -10,7 +10,7 @@
 use hyper::http::request::Parts;
 use hyper::http::uri::PathAndQuery;
 use hyper::{Method, Request, StatusCode, Uri};
-use quillpulley_load_balancer::{Demand, PromptPart};
+use quillpulley_load_balancer::{Demand, PromptSegment};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -96,8 +96,8 @@
     pub arrived: Instant,
     /// When the response is due.
     pub due: Instant,
-    /// The parts of the prompt, in order.
-    pub prefix: Vec<PromptPart>,
+    /// The segments of the prompt, in order.
+    pub segments: Vec<PromptSegment>,
     /// Tokens of the prompt; 0 if unknown.
     pub prompt_tokens: u32,
     /// The most tokens of the response; 0 if unknown.
@@ -107,10 +107,11 @@
 impl ClientRequest {
     /// Creates a request. Its head tells the size of its work.
     pub fn new(head: RequestHead, body: Bytes, arrived: Instant, due: Instant) -> Self {
-        let prefix = headers::single_text(&head.headers, &PROMPT_PREFIX).map(read_prefix).unwrap_or_default();
-        let counts = headers::single_text(&head.headers, &TOKEN_COUNT).and_then(read_counts);
+        let segments =
+            headers::single_text(&head.headers, &PROMPT_PREFIX).map(parse_segments).unwrap_or_default();
+        let counts = headers::single_text(&head.headers, &TOKEN_COUNT).and_then(parse_token_counts);
         let (prompt_tokens, output_tokens) = counts.unwrap_or_default();
-        ClientRequest { head, body, arrived, due, prefix, prompt_tokens, output_tokens }
+        ClientRequest { head, body, arrived, due, segments, prompt_tokens, output_tokens }
     }
 
     /// Returns `Last-Event-Id` as the client sent it.
@@ -155,7 +156,7 @@
         Demand {
             service: &decision.service,
             homes: &decision.homes,
-            prefix: &request.prefix,
+            segments: &request.segments,
             prompt_tokens: request.prompt_tokens,
             output_tokens: request.output_tokens,
             body_bytes: request.body.len(),
@@ -167,20 +168,20 @@
     }
 }
 
-/// Parses `5c1e07a2:800,91bd3f06:410`. An invalid part ends the list.
-fn read_prefix(text: &str) -> Vec<PromptPart> {
-    let part = |part: &str| {
-        let (id, tokens) = part.trim().split_once(':')?;
-        Some(PromptPart {
+/// Parses `5c1e07a2:800,91bd3f06:410`. An invalid segment ends the list.
+fn parse_segments(text: &str) -> Vec<PromptSegment> {
+    let segment = |text: &str| {
+        let (id, tokens) = text.trim().split_once(':')?;
+        Some(PromptSegment {
             id: u64::from_str_radix(id.trim(), HEXADECIMAL).ok()?,
             tokens: tokens.trim().parse().ok()?,
         })
     };
-    text.split(',').map_while(part).collect()
+    text.split(',').map_while(segment).collect()
 }
 
 /// Parses `1460,80`: tokens of the prompt, and the most tokens of the response.
-fn read_counts(text: &str) -> Option<(u32, u32)> {
+fn parse_token_counts(text: &str) -> Option<(u32, u32)> {
     let (prompt, output) = text.split_once(',')?;
     Some((prompt.trim().parse().ok()?, output.trim().parse().ok()?))
 }
--- a/crates/quillpulley/src/proxy/process.rs
+++ b/crates/quillpulley/src/proxy/process.rs
@@ -198,7 +198,7 @@
         header_timeout: None,
         linger: Linger { time: Duration::from_millis(500), bytes: 256 * 1024 },
         idle_grace: Duration::from_millis(100),
-        silent_grace: Duration::from_millis(1_000),
+        first_request_grace: Duration::from_millis(1_000),
         accept_retry_delay: Duration::from_millis(20),
     }
 }
--- a/crates/rate-limiter/src/bin/rate-limiter/clients/mod.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/clients/mod.rs
@@ -47,7 +47,7 @@
 const BODY_TIMEOUT: Duration = Duration::from_secs(2);
 const LINGER: Linger = Linger { time: Duration::from_millis(500), bytes: 256 * 1024 };
 const IDLE_GRACE: Duration = Duration::from_millis(100);
-const SILENT_GRACE: Duration = Duration::from_millis(30);
+const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(30);
 const MAX_HEADER_BYTES: usize = 16 * 1024;
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 /// The most open requests, whatever the settings say.
@@ -274,7 +274,7 @@
         header_timeout: Some(HEADER_TIMEOUT),
         linger: LINGER,
         idle_grace: IDLE_GRACE,
-        silent_grace: SILENT_GRACE,
+        first_request_grace: FIRST_REQUEST_GRACE,
         accept_retry_delay: ACCEPT_RETRY_DELAY,
     }
 }
--- a/crates/rate-limiter/src/bin/rate-limiter/counter.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/counter.rs
@@ -34,7 +34,7 @@
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
 /// A call to the counter.
-pub struct CounterCall {
+pub struct CounterRequest {
     pub name: String,
     pub amount: f64,
     /// Seconds until the number is forgotten.
@@ -42,15 +42,15 @@
 }
 
 /// The result of a call, and its connection if it can be reused.
-struct CallResult {
+struct CounterResult {
     outcome: Outcome,
     total: f64,
     reusable: Option<ClientConnection>,
 }
 
-impl CallResult {
+impl CounterResult {
     fn failed(outcome: Outcome) -> Self {
-        CallResult { outcome, total: 0.0, reusable: None }
+        CounterResult { outcome, total: 0.0, reusable: None }
     }
 }
 
@@ -98,7 +98,7 @@
     ///
     /// # Errors
     /// The outcome if no call can be made; nothing is added then.
-    pub fn call(self: &Rc<Self>, host: &Rc<Host>, call: CounterCall) -> Result<(), Outcome> {
+    pub fn call(self: &Rc<Self>, host: &Rc<Host>, call: CounterRequest) -> Result<(), Outcome> {
         let address = self.address.get().ok_or(Outcome::ConnectFailed)?;
         if self.retry_at.get().is_some_and(|retry_at| Instant::now() < retry_at) {
             return Err(Outcome::ConnectFailed);
@@ -111,9 +111,9 @@
         Ok(())
     }
 
-    async fn run(self: Rc<Self>, host: Rc<Host>, address: SocketAddr, call: CounterCall) {
+    async fn run(self: Rc<Self>, host: Rc<Host>, address: SocketAddr, call: CounterRequest) {
         let started_at = Instant::now();
-        let CallResult { outcome, total, reusable } = self.exchange(address, &call).await;
+        let CounterResult { outcome, total, reusable } = self.exchange(address, &call).await;
         self.open_calls.set(self.open_calls.get() - 1);
         host.counter_response(call.name, outcome, total, started_at.elapsed());
         let Some(mut connection) = reusable else { return };
@@ -122,9 +122,9 @@
         }
     }
 
-    async fn exchange(&self, address: SocketAddr, call: &CounterCall) -> CallResult {
+    async fn exchange(&self, address: SocketAddr, call: &CounterRequest) -> CounterResult {
         let until = Instant::now() + self.timeout;
-        let CounterCall { name, amount, ttl } = call;
+        let CounterRequest { name, amount, ttl } = call;
         let ttl_ms = (ttl * MILLISECONDS_PER_SECOND).clamp(MIN_TTL_MS, MAX_TTL_MS).round();
         let target = format!("/tally/{name}?n={amount}&keep_ms={ttl_ms}");
         loop {
@@ -135,19 +135,19 @@
                 Some(connection) => connection,
                 None => match self.connect(address, until).await {
                     Some(connection) => connection,
-                    None => return CallResult::failed(Outcome::ConnectFailed),
+                    None => return CounterResult::failed(Outcome::ConnectFailed),
                 },
             };
             let request = Request::post(&target).header(HOST, address.to_string()).body(Full::default());
-            let Ok(request) = request else { return CallResult::failed(Outcome::ConnectFailed) };
+            let Ok(request) = request else { return CounterResult::failed(Outcome::ConnectFailed) };
             return match timeout_at(until, connection.exchange(request)).await {
                 Ok(Ok(response)) => self.classify(&target, response, connection),
                 Ok(Err(ResponseError::NotSent)) if is_reused => continue,
-                Ok(Err(ResponseError::NotSent)) => CallResult::failed(Outcome::ConnectFailed),
+                Ok(Err(ResponseError::NotSent)) => CounterResult::failed(Outcome::ConnectFailed),
                 // The amount may have been added, or may be later: a call without a response. Its connection is closed,
                 // so that nobody reads a late response.
                 Ok(Err(ResponseError::Broken | ResponseError::TooLarge)) | Err(_) => {
-                    CallResult::failed(Outcome::Timeout)
+                    CounterResult::failed(Outcome::Timeout)
                 }
             };
         }
@@ -176,22 +176,22 @@
         target: &str,
         response: Response<bytes::Bytes>,
         connection: ClientConnection,
-    ) -> CallResult {
+    ) -> CounterResult {
         let text = std::str::from_utf8(response.body()).ok();
         let total = text.and_then(|text| text.trim().parse::<f64>().ok()).filter(|total| total.is_finite());
         match (response.status(), total) {
             (StatusCode::OK, Some(total)) => {
-                CallResult { outcome: Outcome::Completed, total, reusable: Some(connection) }
+                CounterResult { outcome: Outcome::Completed, total, reusable: Some(connection) }
             }
             (StatusCode::OK, None) => {
                 self.log_invalid(format_args!("a response to {target} has no total"));
-                CallResult::failed(Outcome::Timeout)
+                CounterResult::failed(Outcome::Timeout)
             }
             (status, _) => {
                 if status != StatusCode::SERVICE_UNAVAILABLE {
                     self.log_invalid(format_args!("{status} for {target}"));
                 }
-                CallResult { outcome: Outcome::Rejected, total: 0.0, reusable: Some(connection) }
+                CounterResult { outcome: Outcome::Rejected, total: 0.0, reusable: Some(connection) }
             }
         }
     }
--- a/crates/rate-limiter/src/bin/rate-limiter/host/mod.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/host/mod.rs
@@ -8,7 +8,7 @@
 mod open_request;
 mod timers;
 
-use crate::counter::{Counter, CounterCall};
+use crate::counter::{Counter, CounterRequest};
 use crate::discovery::{Discovery, Update};
 use crate::upstream::{AttemptDeadlines, AttemptHandle, AttemptId, AttemptOutcome, ListedServer, Servers};
 use clock::Clock;
@@ -263,7 +263,7 @@
                 }
             }
             Action::AddToCounter { name, amount, ttl } => {
-                let call = CounterCall { name: name.clone(), amount, ttl };
+                let call = CounterRequest { name: name.clone(), amount, ttl };
                 if let Err(outcome) = self.counter.call(self, call) {
                     self.counter_response(name, outcome, 0.0, Duration::ZERO);
                 }
--- a/crates/rate-limiter/src/limiter/admission.rs
+++ b/crates/rate-limiter/src/limiter/admission.rs
@@ -65,7 +65,7 @@
         let totals = self.quotas.get(&request.tenant).and_then(|tenant| tenant.totals);
         let is_over_quota = rate > 0.0 && totals.map_or(request.is_retry, |totals| totals.demand > rate);
         let quota_factor = if is_over_quota { OVER_QUOTA_SHED_FACTOR } else { 1.0 };
-        self.servers.load.shed_share() * value_factor * quota_factor
+        self.servers.load.shed_fraction() * value_factor * quota_factor
     }
 
     /// Rejects a request as the servers are full, or do not respond.
--- a/crates/rate-limiter/src/limiter/attempts.rs
+++ b/crates/rate-limiter/src/limiter/attempts.rs
@@ -13,12 +13,12 @@
 
 /// An attempt is slow after this multiple of the usual latency, ...
 const SLOW_FACTOR: f64 = 6.0;
-/// ... but not before this share of the target latency, ...
-const MIN_SLOW_SHARE: f64 = 0.5;
-/// ... and after this share of it at the latest.
-const MAX_SLOW_SHARE: f64 = 0.8;
-/// The share of the deduplication window in which a keyed request may be sent again.
-const DEDUPLICATION_SHARE: f64 = 0.9;
+/// ... but not before this fraction of the target latency, ...
+const MIN_SLOW_FRACTION: f64 = 0.5;
+/// ... and after this fraction of it at the latest.
+const MAX_SLOW_FRACTION: f64 = 0.8;
+/// The fraction of the deduplication window in which a keyed request may be sent again.
+const DEDUPLICATION_FRACTION: f64 = 0.9;
 /// The slowness that a server shows by rejecting a request. It responds at once, and would otherwise look like the least
 /// loaded.
 const REJECTION_SLOWNESS: f64 = 10.0;
@@ -84,7 +84,7 @@
         let class = &context.settings.classes[self.class];
         let first = self.first_possible_execution().filter(|_| class.idempotency == Idempotency::Keyed)?;
         let margin = context.settings.round_interval * ROUND_MARGIN;
-        Some(first.sent_at + class.deduplication_window * DEDUPLICATION_SHARE - margin)
+        Some(first.sent_at + class.deduplication_window * DEDUPLICATION_FRACTION - margin)
     }
 }
 
@@ -111,7 +111,7 @@
         }
         let target_latency = self.settings.classes[request.class].target_latency;
         let usual = SLOW_FACTOR * self.mean_latency[request.class] * request.units.max(1.0);
-        let slow_after = usual.clamp(MIN_SLOW_SHARE * target_latency, MAX_SLOW_SHARE * target_latency);
+        let slow_after = usual.clamp(MIN_SLOW_FRACTION * target_latency, MAX_SLOW_FRACTION * target_latency);
         if now + slow_after < request.due {
             actions.push(Action::SetTimer { at: now + slow_after, token: Timer::SlowAttempt(id).token() });
         }
@@ -164,7 +164,7 @@
         let usual = self.mean_latency[class] * request.units.max(1.0);
         let round = self.settings.round_interval;
         let was_stalled = self.now <= self.stalled_until + round && sent_at < self.stalled_until;
-        if elapsed < MIN_SLOW_SHARE * target_latency {
+        if elapsed < MIN_SLOW_FRACTION * target_latency {
             return;
         }
         if elapsed >= target_latency {
--- a/crates/rate-limiter/src/limiter/counter_sync.rs
+++ b/crates/rate-limiter/src/limiter/counter_sync.rs
@@ -21,21 +21,21 @@
 const MAX_COUNTER_TTL: f64 = 60.0;
 /// Rates are averaged over this many mean report intervals ...
 const AVERAGING_REPORTS: f64 = 4.0;
-/// ... but over this share of a window at most.
+/// ... but over this fraction of a window at most.
 const MAX_AVERAGING_WINDOWS: f64 = 0.5;
 /// The weight of one report interval in their mean.
 const REPORT_INTERVAL_GAIN: f64 = 0.3;
 /// Failed calls in a row after which the counter counts as down.
 const MAX_COUNTER_FAILURES: u32 = 3;
-/// The share of requests that call the counter, at first.
-const INITIAL_CALL_SHARE: f64 = 0.5;
-/// The least share of requests that call the counter.
-const MIN_CALL_SHARE: f64 = 0.03;
-/// What a quick response adds to that share.
-const CALL_SHARE_INCREASE: f64 = 0.02;
-/// What a slow or missing response leaves of it.
-const CALL_SHARE_DECREASE: f64 = 0.85;
-/// The share of the counter's time-out within which a response is quick. The network alone may take half of it.
+/// The fraction of requests that call the counter, at first.
+const INITIAL_SAMPLING_RATE: f64 = 0.5;
+/// The least fraction of requests that call the counter.
+const MIN_SAMPLING_RATE: f64 = 0.03;
+/// What a quick response adds to the sampling rate.
+const SAMPLING_RATE_INCREASE: f64 = 0.02;
+/// The factor by which a slow or missing response lowers it.
+const SAMPLING_RATE_DECREASE: f64 = 0.85;
+/// The fraction of the counter's time-out within which a response is quick. The network alone may take half of it.
 const QUICK_RESPONSE: f64 = 0.7;
 /// Steps of a total below this are units admitted, those above units rejected (seven digits are exact).
 const PACKING_BASE: f64 = 2_000.0;
@@ -65,13 +65,18 @@
     failures: u32,
     /// When a counter that is down may be called next.
     retry_at: f64,
-    /// The share of requests that call the counter.
-    call_share: f64,
+    /// The fraction of requests that call the counter.
+    sampling_rate: f64,
 }
 
 impl CounterSync {
     pub(super) fn new(now: f64) -> Self {
-        CounterSync { reports: BTreeMap::new(), failures: 0, retry_at: now, call_share: INITIAL_CALL_SHARE }
+        CounterSync {
+            reports: BTreeMap::new(),
+            failures: 0,
+            retry_at: now,
+            sampling_rate: INITIAL_SAMPLING_RATE,
+        }
     }
 
     /// Returns whether the counter responds.
@@ -79,14 +84,14 @@
         self.failures < MAX_COUNTER_FAILURES
     }
 
-    /// Returns the share of requests that call the counter.
-    pub(super) fn call_share(&self) -> f64 {
-        self.call_share
+    /// Returns the fraction of requests that call the counter.
+    pub(super) fn sampling_rate(&self) -> f64 {
+        self.sampling_rate
     }
 
     /// Reports the units of a request.
     ///
-    /// A share of the requests calls the counter and stands for all, so that the counter can bear hundreds of limiters.
+    /// A sample of the requests calls the counter and stands for all, so that the counter can bear hundreds of limiters.
     /// For an interval after a call all units are accumulated. Rejected requests are more likely to call: the response
     /// decides the client's next try.
     pub(super) fn report(
@@ -103,7 +108,7 @@
         if !settings.has_counter || plan.rate <= 0.0 {
             return None;
         }
-        let chance = if admitted { self.call_share } else { (2.0 * self.call_share).min(1.0) };
+        let chance = if admitted { self.sampling_rate } else { (2.0 * self.sampling_rate).min(1.0) };
         let must_wait =
             tenant.is_reporting || now < tenant.next_report || (!self.is_up() && now < self.retry_at);
         if !must_wait && rng.f64() >= chance {
@@ -148,11 +153,11 @@
     pub(super) fn record_response(&mut self, settings: &Settings, response: &CounterResponse) {
         let completed = response.outcome == Outcome::Completed;
         let is_quick = completed && response.elapsed <= QUICK_RESPONSE * settings.counter_timeout;
-        self.call_share = match is_quick {
-            true => self.call_share + CALL_SHARE_INCREASE,
-            false => self.call_share * CALL_SHARE_DECREASE,
+        self.sampling_rate = match is_quick {
+            true => self.sampling_rate + SAMPLING_RATE_INCREASE,
+            false => self.sampling_rate * SAMPLING_RATE_DECREASE,
         };
-        self.call_share = self.call_share.clamp(MIN_CALL_SHARE, 1.0);
+        self.sampling_rate = self.sampling_rate.clamp(MIN_SAMPLING_RATE, 1.0);
         if response.outcome != Outcome::Rejected {
             self.failures = if completed { 0 } else { self.failures.saturating_add(1) };
         }
--- a/crates/rate-limiter/src/limiter/fleet_load.rs
+++ b/crates/rate-limiter/src/limiter/fleet_load.rs
@@ -61,8 +61,8 @@
         })
     }
 
-    /// Returns the share of the requests that the servers cannot serve, by the queues at them.
-    pub(super) fn shed_share(&self) -> f64 {
+    /// Returns the fraction of the requests that the servers cannot serve, by the queues at them.
+    pub(super) fn shed_fraction(&self) -> f64 {
         ((self.queue - OVERLOAD_QUEUE) / FULL_SHED_QUEUE).clamp(0.0, MAX_SHED)
     }
 }
--- a/crates/rate-limiter/src/limiter/heavy_hitters.rs
+++ b/crates/rate-limiter/src/limiter/heavy_hitters.rs
@@ -28,22 +28,22 @@
 const MAX_INVALID_READS: u32 = 4;
 /// A tenant is listed if its demand exceeds its burst by this multiple of its quota ...
 const MIN_EXCESS: f64 = 1.2;
-/// ... and its excess costs at least this share of what the costliest plan's quota is worth.
+/// ... and its excess costs at least this fraction of what the costliest plan's quota is worth.
 const MIN_EXCESS_COST: f64 = 0.2;
 /// A listed tenant is listed again if its demand has grown by this factor.
 const RELIST_FACTOR: f64 = 2.0;
-/// The part of a tenant's quota that the listed share allows: limiters that know the tenant, or have not read the
+/// The part of a tenant's quota that the listed fraction allows: limiters that know the tenant, or have not read the
 /// entry yet, admit requests too.
-pub(super) const LISTED_SHARE: f64 = 0.7;
+pub(super) const LISTED_FRACTION: f64 = 0.7;
 
 /// An entry is a number that the counter holds exactly (seven digits). It consists of a part of the tenant's hash, a
-/// level of its share, and a check digit, so that the sum of two entries is not an entry.
+/// level of its admitted fraction, and a check digit, so that the sum of two entries is not an entry.
 mod entry {
     use super::hash;
 
     const TENANTS: u64 = 40_009;
     const LEVELS: u64 = 16;
-    /// The ratio of the shares of two neighbouring levels.
+    /// The ratio of the fractions of two neighbouring levels.
     const LEVEL_RATIO: f64 = 0.75;
     const CHECK: u64 = 13;
 
@@ -52,8 +52,8 @@
     pub struct Entry {
         /// The tenant, by a part of its hash.
         pub tenant: u64,
-        /// The share of its requests to be admitted.
-        pub share: f64,
+        /// The fraction of its requests to be admitted.
+        pub admitted_fraction: f64,
     }
 
     /// Returns the part of the hash of a tenant that entries hold.
@@ -66,8 +66,9 @@
     }
 
     /// Encodes the entry of a tenant.
-    pub fn encode(key: &str, share: f64) -> u64 {
-        let level = (share.ln() / LEVEL_RATIO.ln()).round().clamp(0.0, LEVELS as f64 - 1.0) as u64;
+    pub fn encode(key: &str, admitted_fraction: f64) -> u64 {
+        let level =
+            (admitted_fraction.ln() / LEVEL_RATIO.ln()).round().clamp(0.0, LEVELS as f64 - 1.0) as u64;
         let body = tenant_of(key) * LEVELS + level;
         body * CHECK + check_digit(body) + 1
     }
@@ -77,14 +78,14 @@
         let number = (number >= 1.0 && number.fract() == 0.0).then(|| number as u64 - 1)?;
         let (body, check) = (number / CHECK, number % CHECK);
         let is_valid = check == check_digit(body) && body / LEVELS < TENANTS;
-        let share = || LEVEL_RATIO.powi((body % LEVELS) as i32);
-        is_valid.then(|| Entry { tenant: body / LEVELS, share: share() })
+        let admitted_fraction = || LEVEL_RATIO.powi((body % LEVELS) as i32);
+        is_valid.then(|| Entry { tenant: body / LEVELS, admitted_fraction: admitted_fraction() })
     }
 }
 use entry::Entry;
 
 /// A call to the counter that has no response yet.
-struct OpenCall {
+struct CounterRead {
     name: String,
     amount: f64,
 }
@@ -105,11 +106,11 @@
     /// The first entry that is not read yet, and the reads of it that were invalid.
     next_entry: u32,
     invalid_reads: u32,
-    next_call: f64,
-    open_call: Option<OpenCall>,
-    /// The shares of tenants in this list, and in the previous one.
-    shares: BTreeMap<u64, f64>,
-    previous_shares: BTreeMap<u64, f64>,
+    next_read: f64,
+    open_read: Option<CounterRead>,
+    /// The admitted fractions of tenants in this list, and in the previous one.
+    fractions: BTreeMap<u64, f64>,
+    previous_fractions: BTreeMap<u64, f64>,
     candidate: Option<Candidate>,
 }
 
@@ -129,20 +130,20 @@
             list_began: f64::MIN,
             next_entry: 0,
             invalid_reads: 0,
-            next_call: f64::MIN,
-            open_call: None,
-            shares: BTreeMap::new(),
-            previous_shares: BTreeMap::new(),
+            next_read: f64::MIN,
+            open_read: None,
+            fractions: BTreeMap::new(),
+            previous_fractions: BTreeMap::new(),
             candidate: None,
         }
     }
 
-    /// Returns the share of a tenant's requests to be admitted, if it is listed.
-    pub(super) fn share(&self, key: &str, now: f64) -> Option<f64> {
+    /// Returns the fraction of a tenant's requests to be admitted, if it is listed.
+    pub(super) fn admitted_fraction(&self, key: &str, now: f64) -> Option<f64> {
         let tenant = entry::tenant_of(key);
         let age = now - self.list_began;
-        let previous = self.previous_shares.get(&tenant).filter(|_| age < OVERLAP);
-        let current = self.shares.get(&tenant).filter(|_| age < LIST_TIME + OVERLAP);
+        let previous = self.previous_fractions.get(&tenant).filter(|_| age < OVERLAP);
+        let current = self.fractions.get(&tenant).filter(|_| age < LIST_TIME + OVERLAP);
         current.or(previous).copied()
     }
 
@@ -150,14 +151,15 @@
     pub(super) fn record_demand(&mut self, key: &str, plan: &Plan, demand: &CountedDemand) {
         let CountedDemand { units, seconds } = *demand;
         let cost = (units / seconds - plan.rate) * excess_cost(plan);
-        let share = LISTED_SHARE * plan.rate * seconds / units;
-        let listed_share = self.shares.get(&entry::tenant_of(key));
+        let admitted_fraction = LISTED_FRACTION * plan.rate * seconds / units;
+        let listed_fraction = self.fractions.get(&entry::tenant_of(key));
         let is_over_quota = units > plan.burst + MIN_EXCESS * plan.rate * seconds;
-        let is_new = listed_share.is_none_or(|listed| *listed >= RELIST_FACTOR * share);
+        let is_new = listed_fraction.is_none_or(|listed| *listed >= RELIST_FACTOR * admitted_fraction);
         let min_cost = MIN_EXCESS_COST * self.max_quota_cost;
         let cost_to_beat = self.candidate.map_or(min_cost, |candidate| candidate.excess_cost);
         if self.max_quota_cost > 0.0 && is_over_quota && is_new && cost > cost_to_beat {
-            self.candidate = Some(Candidate { entry: entry::encode(key, share), excess_cost: cost });
+            self.candidate =
+                Some(Candidate { entry: entry::encode(key, admitted_fraction), excess_cost: cost });
         }
     }
 
@@ -168,49 +170,49 @@
             self.begin_list(list, now + rng.f64() * POLL_INTERVAL);
         }
         let must_wait = self.max_quota_cost <= 0.0
-            || self.open_call.is_some()
+            || self.open_read.is_some()
             || self.next_entry >= MAX_ENTRIES
-            || now < self.next_call;
+            || now < self.next_read;
         (!must_wait).then(|| self.call(0.0))
     }
 
-    fn begin_list(&mut self, list: i64, next_call: f64) {
-        self.previous_shares = std::mem::take(&mut self.shares);
+    fn begin_list(&mut self, list: i64, next_read: f64) {
+        self.previous_fractions = std::mem::take(&mut self.fractions);
         self.list = list;
         self.list_began = (list as f64 - 0.5) * LIST_TIME;
         self.next_entry = 0;
         self.invalid_reads = 0;
-        self.next_call = next_call;
-        self.open_call = None;
+        self.next_read = next_read;
+        self.open_read = None;
         self.candidate = None;
     }
 
     /// Adds to the next entry, and reads it.
     fn call(&mut self, amount: f64) -> Action {
         let name = format!("heavy.{}.{}", self.list, self.next_entry);
-        self.open_call = Some(OpenCall { name: name.clone(), amount });
+        self.open_read = Some(CounterRead { name: name.clone(), amount });
         Action::AddToCounter { name, amount, ttl: LIST_TIME * 2.0 }
     }
 
     /// Handles the response to a call, with the total if the counter told it, and returns a call that is due at once.
-    /// `call_share` is the share of requests for which the counter bears a call.
+    /// `sampling_rate` is the fraction of requests for which the counter bears a call.
     pub(super) fn counter_response(
         &mut self,
         name: &str,
         total: Option<f64>,
         now: f64,
-        call_share: f64,
+        sampling_rate: f64,
         rng: &mut fastrand::Rng,
     ) -> Option<Action> {
-        let OpenCall { amount, .. } = self.open_call.take_if(|call| call.name == name)?;
-        self.next_call = now + READ_INTERVAL / call_share;
+        let CounterRead { amount, .. } = self.open_read.take_if(|call| call.name == name)?;
+        self.next_read = now + READ_INTERVAL / sampling_rate;
         let Some(total) = total else {
-            self.next_call = now + POLL_INTERVAL;
+            self.next_read = now + POLL_INTERVAL;
             return None;
         };
         if total == 0.0 {
             // The end of the list. A call that undoes an entry leaves zero too.
-            self.next_call = now + POLL_INTERVAL * (0.5 + rng.f64());
+            self.next_read = now + POLL_INTERVAL * (0.5 + rng.f64());
             let candidate = self.candidate.filter(|_| amount == 0.0);
             return candidate.map(|candidate| self.call(candidate.entry as f64));
         }
@@ -233,7 +235,7 @@
 
     /// Adds an entry that was read. This limiter does not list the same tenant again.
     fn add(&mut self, entry: Entry) {
-        self.shares.insert(entry.tenant, entry.share);
+        self.fractions.insert(entry.tenant, entry.admitted_fraction);
         let is_other = |candidate: &Candidate| {
             entry::decode(candidate.entry as f64).is_some_and(|own| own.tenant != entry.tenant)
         };
--- a/crates/rate-limiter/src/limiter/load_balancing.rs
+++ b/crates/rate-limiter/src/limiter/load_balancing.rs
@@ -45,7 +45,7 @@
         let mut candidates = Vec::new();
         let mut least_ejected: Option<LeastEjected<'_>> = None;
         let mut considered = 0.0;
-        let in_service = self.in_order(context).filter(|(_, server)| server.is_in_service());
+        let in_service = self.in_ring_order(context).filter(|(_, server)| server.is_in_service());
         for (id, server) in in_service.filter(|(_, server)| request.allows_server(context, server)) {
             if server.ejected_until > context.now {
                 let is_first = least_ejected.is_none_or(|least| server.ejected_until < least.until);
@@ -78,7 +78,7 @@
             true => 1.0,
             false => by_capacity.max(MIN_IN_FLIGHT_LIMIT),
         };
-        f64::from(server.in_flight) + 1.0 <= limit && self.allows_cold_send(context, id, server)
+        f64::from(server.in_flight) + 1.0 <= limit && self.allows_slow_start_send(context, id, server)
     }
 
     fn candidate<'a>(
--- a/crates/rate-limiter/src/limiter/quota.rs
+++ b/crates/rate-limiter/src/limiter/quota.rs
@@ -4,7 +4,7 @@
 //! totals it is an even share.
 
 use super::counter_sync::CounterSync;
-use super::heavy_hitters::{HeavyHitters, LISTED_SHARE};
+use super::heavy_hitters::{HeavyHitters, LISTED_FRACTION};
 use super::{hash, moving_average, Context};
 use crate::interface::{Action, CounterResponse, Outcome, Plan, Settings};
 use std::collections::BTreeMap;
@@ -18,9 +18,9 @@
 const STALE_WINDOWS: f64 = 2.0;
 /// Seconds without a request after which a tenant whose bucket is full may be forgotten, and between checks for them.
 const IDLE_TIME: f64 = 60.0;
-/// As far as the quota is idle, the share of the plan's burst that a bucket of less than one request may borrow.
+/// As far as the quota is idle, the fraction of the plan's burst that a bucket of less than one request may borrow.
 const SMALL_BUCKET_BORROWED_BURST: f64 = 0.7;
-/// As far as the quota is idle, the share of its own burst that any other bucket may borrow.
+/// As far as the quota is idle, the fraction of its own burst that any other bucket may borrow.
 const BORROWED_BURST: f64 = 0.3;
 /// Divisors are at least this.
 const EPSILON: f64 = 1e-9;
@@ -244,9 +244,10 @@
         // chance.
         let over_quota = tenant.known_totals(counter_is_up, context.now);
         let over_quota = over_quota.filter(|totals| totals.demand > plan.rate);
-        let own_share = over_quota.map(|totals| LISTED_SHARE * plan.rate / totals.demand);
-        let share = self.heavy_hitters.share(key, context.now).or(own_share).filter(|_| scattered);
-        if share.is_some_and(|share| rng.f64() >= share) {
+        let own_fraction = over_quota.map(|totals| LISTED_FRACTION * plan.rate / totals.demand);
+        let admitted_fraction =
+            self.heavy_hitters.admitted_fraction(key, context.now).or(own_fraction).filter(|_| scattered);
+        if admitted_fraction.is_some_and(|fraction| rng.f64() >= fraction) {
             return exceeded(units / plan.rate);
         }
         let Refilled { rate, borrowed_burst } = tenant.refill(plan, units, counter_is_up, context.now);
@@ -305,8 +306,14 @@
         self.counter.record_response(context.settings, response);
         let Some(report) = self.counter.take_report(&response.name) else {
             let total = (response.outcome == Outcome::Completed).then_some(response.total);
-            let call_share = self.counter.call_share();
-            return self.heavy_hitters.counter_response(&response.name, total, context.now, call_share, rng);
+            let sampling_rate = self.counter.sampling_rate();
+            return self.heavy_hitters.counter_response(
+                &response.name,
+                total,
+                context.now,
+                sampling_rate,
+                rng,
+            );
         };
         let tenant = self.tenants.get_mut(&report.tenant)?;
         let plan = &context.settings.plans[tenant.plan];
--- a/crates/rate-limiter/src/limiter/servers.rs
+++ b/crates/rate-limiter/src/limiter/servers.rs
@@ -14,7 +14,7 @@
 const LIMITERS_PER_SERVER: f64 = 12.0;
 /// The fewest servers that a limiter uses.
 const MIN_SUBSET: f64 = 6.0;
-/// The share of all servers that may be ejected (half may be partitioned).
+/// The fraction of all servers that may be ejected (half may be partitioned).
 const MAX_EJECTED: f64 = 0.6;
 /// The fractional part of the golden ratio, whose multiples spread evenly.
 const GOLDEN_RATIO: f64 = 0.618_033_988_75;
@@ -147,7 +147,7 @@
         self.subset_size =
             (count * LIMITERS_PER_SERVER / limiters).ceil().clamp(MIN_SUBSET.min(count), count);
         self.limiters_per_server = (limiters * self.subset_size / f64::max(count, 1.0)).max(1.0);
-        let used = self.in_order(context).take(self.subset_size as usize);
+        let used = self.in_ring_order(context).take(self.subset_size as usize);
         let warm = used.filter(|(_, server)| server.warmth(context) >= 1.0);
         self.warm_weight = warm.map(|(_, server)| server.weight).sum();
         self.recent_warm_sends.retain(|sent_at| now - sent_at <= settings.overload_window);
@@ -162,7 +162,7 @@
     }
 
     /// Returns the servers in this limiter's order. The limiters start evenly spread over the ring.
-    pub(super) fn in_order(&self, context: Context<'_>) -> impl Iterator<Item = (&ServerId, &Server)> {
+    pub(super) fn in_ring_order(&self, context: Context<'_>) -> impl Iterator<Item = (&ServerId, &Server)> {
         let offset = (f64::from(context.settings.limiter_index) * GOLDEN_RATIO).fract();
         let start = ((offset * self.ring.len() as f64) as usize).min(self.ring.len());
         let ids = self.ring[start..].iter().chain(&self.ring[..start]);
--- a/crates/rate-limiter/src/limiter/slow_start.rs
+++ b/crates/rate-limiter/src/limiter/slow_start.rs
@@ -7,10 +7,10 @@
 use super::{hash, Context};
 use crate::interface::ServerId;
 
-/// The part of what a cold server can bear that is used.
-const COLD_SHARE: f64 = 0.6;
+/// The fraction of what a cold server can bear that is used.
+const SLOW_START_FRACTION: f64 = 0.6;
 /// The sends of all limiters together in an overload window that a cold server always gets.
-const MIN_COLD_SENDS: f64 = 4.0;
+const MIN_SLOW_START_SENDS: f64 = 4.0;
 
 impl Server {
     /// Returns the least share of its full capacity that a server has, by its age.
@@ -27,7 +27,12 @@
     ///
     /// If its share is less than one send in a window, it gets one in that share of the windows, which differ between
     /// limiters.
-    pub(super) fn allows_cold_send(&self, context: Context<'_>, id: &ServerId, server: &Server) -> bool {
+    pub(super) fn allows_slow_start_send(
+        &self,
+        context: Context<'_>,
+        id: &ServerId,
+        server: &Server,
+    ) -> bool {
         let warmth = server.warmth(context);
         if warmth >= 1.0 {
             return true;
@@ -37,8 +42,8 @@
             true => self.recent_warm_sends.len() as f64 / self.warm_weight * server.weight * warmth,
             false => 0.0,
         };
-        let allowed = (like_warm * settings.overload_factor * COLD_SHARE)
-            .max(MIN_COLD_SENDS / self.limiters_per_server);
+        let allowed = (like_warm * settings.overload_factor * SLOW_START_FRACTION)
+            .max(MIN_SLOW_START_SENDS / self.limiters_per_server);
         let window = settings.overload_window.max(settings.round_interval);
         let recent = server.recent_sends.iter().filter(|sent_at| now - **sent_at <= window).count() as f64;
         if recent + 1.0 <= allowed {
