--- a/crates/control-state/tests/control_state.rs
+++ b/crates/control-state/tests/control_state.rs
@@ -178,7 +178,7 @@
     assert!(matches!(replica.replace(6, &loser), ReplaceDecision::Invalid(_)));
 }
 
-/// Whether a payload, appended and applied, changes what is in force.
+/// Whether a payload, appended and applied, changes the active state.
 fn changes(state: &ControlState, payload: Vec<u8>) -> bool {
     let mut after = state.clone();
     after.apply(&Entry { epoch: 9, index: 1_000_000, payload });
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,7 +1,7 @@
 //! Deliberate faults, with which tests prove that they would notice a mistake.
 //!
-//! A crate that uses [`define_faults`] needs a feature `fault-injection`, which its own tests enable. Without it no fault can
-//! be switched on: the type has no fields, and each of its methods is constant.
+//! A crate that uses [`define_faults`] needs a feature `fault-injection`, which its own tests enable. Without it no
+//! fault can be switched on: the type has no fields, and each of its methods is constant.
 #![forbid(unsafe_code)]
 
 /// Defines a type `Faults` with a public switch, and a method within the crate, for each fault.
--- a/crates/http1-client/src/client_connection.rs
+++ b/crates/http1-client/src/client_connection.rs
@@ -1,7 +1,8 @@
 //! An outgoing HTTP/1.1 connection, driven by its owner: no background task, no pool, no retries.
 //!
-//! Dropping a [`ClientConnection`] closes its socket at once, and nothing is ever sent twice. The socket records whether
-//! a request has been handed to the kernel completely, because that decides whether the server may have executed it.
+//! Dropping a [`ClientConnection`] closes its socket at once, and nothing is ever sent twice. The socket records
+//! whether a request has been handed to the kernel completely, because that decides whether the server may have
+//! executed it.
 
 use crate::socket::{Socket, Tracked, WriteProgress};
 use bytes::Bytes;
--- a/crates/http1-client/src/connection_manager.rs
+++ b/crates/http1-client/src/connection_manager.rs
@@ -29,7 +29,7 @@
 /// The limits of incoming connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionOptions {
-    /// The most connections. The one that has been idle longest gives way to a new one.
+    /// The most connections. The one that has been idle longest is replaced by a new one.
     pub max_connections: usize,
     /// The most bytes of a head, and of what hyper buffers of a response.
     pub max_header_bytes: usize,
--- a/crates/http1-client/src/server_connection.rs
+++ b/crates/http1-client/src/server_connection.rs
@@ -123,8 +123,8 @@
         self.has_requested.get()
     }
 
-    /// Forgets the requests of the connection, which has had its last response: it may be closed like one that never had a
-    /// request.
+    /// Forgets the requests of the connection, which has had its last response: it may be closed like one that never
+    /// had a request.
     pub(crate) fn forget_requests(&self) {
         self.has_requested.set(false);
         self.since.set(Instant::now());
@@ -135,8 +135,8 @@
         !self.busy.get() && self.since.get().elapsed() > idle_grace
     }
 
-    /// Returns the rank of the connection if it may be closed to make room. Connections without a request come first, so
-    /// that they crowd out no client.
+    /// Returns the rank of the connection if it may be closed to make room. Connections without a request come first,
+    /// so that they crowd out no client.
     pub(crate) fn close_rank(&self, options: &ConnectionOptions) -> Option<CloseRank> {
         let is_unused = !self.has_requested.get() && self.is_idle(options.first_request_grace);
         let rank = CloseRank { has_requested: self.has_requested.get(), idle_since: self.since.get() };
--- a/crates/http1-client/src/socket.rs
+++ b/crates/http1-client/src/socket.rs
@@ -82,9 +82,9 @@
         self.response_started.get()
     }
 
-    /// Closes the connection at once, before its owner is dropped: a server must never see the next attempt of a request
-    /// while this one still looks open. Later reads fail, so that the end of the input does not look like an orderly
-    /// close by the peer.
+    /// Closes the connection at once, before its owner is dropped: a server must never see the next attempt of a
+    /// request while this one still looks open. Later reads fail, so that the end of the input does not look like an
+    /// orderly close by the peer.
     pub fn abort(&self) {
         self.aborted.set(true);
         let _ = SockRef::from(self.stream()).shutdown(Shutdown::Both);
--- a/crates/load-balancer/src/balancer/eligibility.rs
+++ b/crates/load-balancer/src/balancer/eligibility.rs
@@ -244,8 +244,8 @@
     }
 }
 
-/// Keeps a request with long shared segments at the servers that have cached them, if any of these is healthy: prefilling
-/// them again elsewhere would take the time of several requests.
+/// Keeps a request with long shared segments at the servers that have cached them, if any of these is healthy:
+/// prefilling them again elsewhere would take the time of several requests.
 fn restrict_to_cached(candidates: &mut [Candidate]) {
     let has_cached = |candidate: &Candidate| candidate.uncached_fraction <= MAX_UNCACHED_FRACTION;
     let is_available =
--- a/crates/load-balancer/src/balancer/outcome.rs
+++ b/crates/load-balancer/src/balancer/outcome.rs
@@ -41,7 +41,7 @@
     Completed,
     /// The request failed.
     Failed(FailureKind),
-    /// The server says that it did not execute the request.
+    /// The server reports that it did not execute the request.
     NotExecuted {
         /// Whether that is because the server is full.
         full: bool,
--- a/crates/load-balancer/src/balancer/outlier_detection.rs
+++ b/crates/load-balancer/src/balancer/outlier_detection.rs
@@ -20,7 +20,7 @@
 /// The health of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// It responds, with so many failures since its latest response.
+    /// It responds, with this many failures since its latest response.
     Healthy { failures: u32 },
     /// It is ejected until a time, for the `count`th time in a row. `check` is when a health check was begun.
     Ejected { until: Duration, count: u32, check: Option<Duration> },
--- a/crates/load-balancer/src/balancer/prefix_cache.rs
+++ b/crates/load-balancer/src/balancer/prefix_cache.rs
@@ -8,8 +8,8 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Shared segments of at least this many tokens have one server in the whole system: prefilling them again in each region
-/// costs more than another region. Shorter ones have one server per region.
+/// Shared segments of at least this many tokens have one server in the whole system: prefilling them again in each
+/// region costs more than another region. Shorter ones have one server per region.
 pub(super) const LONG_PREFIX_TOKENS: u32 = 1_500;
 /// How long a segment is expected to stay cached after its latest use by this proxy.
 const CACHE_TTL: Duration = Duration::from_secs(30);
--- a/crates/load-balancer/src/balancer/server_load.rs
+++ b/crates/load-balancer/src/balancer/server_load.rs
@@ -111,7 +111,7 @@
         self.record_response_time(now);
     }
 
-    /// Records the end of a request. `is_response` tells whether the server has responded.
+    /// Records the end of a request. `is_response` is whether the server has responded.
     pub(crate) fn end(
         &mut self,
         now: Duration,
--- a/crates/load-balancer/src/balancer/service_rate.rs
+++ b/crates/load-balancer/src/balancer/service_rate.rs
@@ -115,7 +115,7 @@
         self.token_ms.get().unwrap_or(INITIAL_TOKEN_MS)
     }
 
-    /// Returns how long a server may not respond while a request waits, with so many tokens queued.
+    /// Returns how long a server may not respond while a request waits, with this many tokens queued.
     pub(crate) fn response_timeout(&self, waiting_tokens: f64) -> Duration {
         let reading = Duration::from_secs_f64(waiting_tokens * self.token_ms() / 1e3);
         (mean_time(&self.first_byte_ms) * TIMEOUT_FACTOR).max(MIN_TIMEOUT) + reading * PREFILL_FACTOR
--- a/crates/load-balancer/tests/common/fleet.rs
+++ b/crates/load-balancer/tests/common/fleet.rs
@@ -13,7 +13,7 @@
 const CHUNK: u32 = 2_048;
 /// Prefilling a token takes longer the longer its context.
 const MS_PER_MILLION_PAIRS: f64 = 0.647;
-/// An event of a stream holds so many tokens, and should come within this time.
+/// An event of a stream holds this many tokens, and should come within this time.
 const EVENT_TOKENS: u32 = 5;
 const MAX_EVENT_GAP: Duration = Duration::from_millis(400);
 /// No length is more times its mean.
--- a/crates/load-balancer/tests/fleet_scenarios.rs
+++ b/crates/load-balancer/tests/fleet_scenarios.rs
@@ -1,5 +1,5 @@
-//! Some time with a fleet of engines: how often shared segments are prefilled again, how many requests are late or rejected.
-//! The bounds leave room around what the constants of the choice give, so that a mistake in them shows.
+//! Some time with a fleet of engines: how often shared segments are prefilled again, how many requests are late or
+//! rejected. The bounds leave room around what the constants of the choice give, so that a mistake in them shows.
 
 mod common;
 
--- a/crates/load-balancer/tests/home_demand.rs
+++ b/crates/load-balancer/tests/home_demand.rs
@@ -3,14 +3,14 @@
 use quillpulley_load_balancer::HomeDemand;
 use std::time::Duration;
 
-struct ProxyPeer {
+struct Proxy {
     demand: HomeDemand,
     now: Duration,
 }
 
-impl ProxyPeer {
+impl Proxy {
     fn new() -> Self {
-        ProxyPeer { demand: HomeDemand::new("east".to_string()), now: Duration::ZERO }
+        Proxy { demand: HomeDemand::new("east".to_string()), now: Duration::ZERO }
     }
 
     /// So many requests, 50 ms apart, each with these homes in turn; gives the preferred regions.
@@ -26,44 +26,44 @@
 
 #[test]
 fn the_homes_of_most_requests_are_preferred() {
-    let mut limiter = ProxyPeer::new();
-    assert_eq!(limiter.requests(60, &[&["north", "west"], &["north", "west"], &[]]), "north west");
+    let mut proxy = Proxy::new();
+    assert_eq!(proxy.requests(60, &[&["north", "west"], &["north", "west"], &[]]), "north west");
 }
 
 #[test]
 fn a_few_requests_say_nothing() {
-    let mut limiter = ProxyPeer::new();
-    assert_eq!(limiter.requests(15, &[&["west"]]), "");
+    let mut proxy = Proxy::new();
+    assert_eq!(proxy.requests(15, &[&["west"]]), "");
 }
 
 #[test]
 fn the_own_region_serves_if_half_may_be_served_there() {
-    let mut limiter = ProxyPeer::new();
-    assert_eq!(limiter.requests(60, &[&["west"], &["east"]]), "");
-    assert_eq!(limiter.requests(60, &[&["west"], &[]]), "");
+    let mut proxy = Proxy::new();
+    assert_eq!(proxy.requests(60, &[&["west"], &["east"]]), "");
+    assert_eq!(proxy.requests(60, &[&["west"], &[]]), "");
 }
 
 #[test]
 fn a_home_of_few_requests_is_not_preferred() {
-    let mut limiter = ProxyPeer::new();
-    assert_eq!(limiter.requests(80, &[&["west"], &["west"], &["west"], &["north", "west"]]), "west");
+    let mut proxy = Proxy::new();
+    assert_eq!(proxy.requests(80, &[&["west"], &["west"], &["west"], &["north", "west"]]), "west");
 }
 
 #[test]
 fn a_decision_holds_without_requests_and_between_the_bounds() {
-    let mut limiter = ProxyPeer::new();
-    assert_eq!(limiter.requests(60, &[&["west"]]), "west");
-    assert_eq!(limiter.requests(200, &[&["west"], &[], &["west"], &[], &[]]), "west");
-    limiter.now += Duration::from_secs(60);
-    assert_eq!(limiter.requests(5, &[&[]]), "west");
-    assert_eq!(limiter.requests(200, &[&["west"], &[], &[], &[], &[]]), "");
+    let mut proxy = Proxy::new();
+    assert_eq!(proxy.requests(60, &[&["west"]]), "west");
+    assert_eq!(proxy.requests(200, &[&["west"], &[], &["west"], &[], &[]]), "west");
+    proxy.now += Duration::from_secs(60);
+    assert_eq!(proxy.requests(5, &[&[]]), "west");
+    assert_eq!(proxy.requests(200, &[&["west"], &[], &[], &[], &[]]), "");
 }
 
 #[test]
 fn other_homes_reopen_the_decision() {
-    let mut limiter = ProxyPeer::new();
-    assert_eq!(limiter.requests(60, &[&["west"]]), "west");
-    limiter.demand.reset();
-    assert_eq!(limiter.requests(5, &[&[]]), "");
-    assert_eq!(limiter.requests(60, &[&["west"]]), "west");
+    let mut proxy = Proxy::new();
+    assert_eq!(proxy.requests(60, &[&["west"]]), "west");
+    proxy.demand.reset();
+    assert_eq!(proxy.requests(5, &[&[]]), "");
+    assert_eq!(proxy.requests(60, &[&["west"]]), "west");
 }
--- a/crates/membership/src/target.rs
+++ b/crates/membership/src/target.rs
@@ -9,7 +9,7 @@
 enum Health {
     /// It has acknowledged a ping, or not enough pings were sent yet.
     Responsive,
-    /// It has not acknowledged so many pings in a row that it is suspected.
+    /// It is suspected, as it has not acknowledged several pings in a row.
     Unresponsive,
 }
 
--- a/crates/protocol/src/framing.rs
+++ b/crates/protocol/src/framing.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// One message as it goes on a stream, with its length in proxy.
+/// One message as it goes on a stream, with its length in front.
 pub fn encode_frame(body: Body) -> Vec<u8> {
     let mut builder = Builder::new();
     let bytes = builder.finish(Frame { body: Some(body) }, None);
@@ -63,13 +63,13 @@
         self.builder.finish(Frame::builder().body(body), None)
     }
 
-    /// Adds one message to what goes on a stream, with its length in proxy.
+    /// Adds one message to what goes on a stream, with its length in front.
     pub fn append(&mut self, body: &Body, stream: &mut Vec<u8>) {
         frame_message(self.message(body), stream);
     }
 }
 
-/// Adds a message as [`FrameEncoder::message`] gave it to what goes on a stream, with its length in proxy.
+/// Adds a message as [`FrameEncoder::message`] gave it to what goes on a stream, with its length in front.
 pub fn frame_message(message: &[u8], stream: &mut Vec<u8>) {
     stream.reserve(PREFIX + message.len());
     stream.extend_from_slice(&(message.len() as u32).to_le_bytes());
--- a/crates/protocol/src/queue.rs
+++ b/crates/protocol/src/queue.rs
@@ -40,7 +40,7 @@
     ordered: VecDeque<Message>,
     /// Of these one may be sent in part, and one may wait behind it.
     states: VecDeque<Message>,
-    /// The lane whose turn it is.
+    /// The lane that is next.
     states_next: bool,
     /// Bytes of chunks that the peer has not acknowledged.
     in_flight: usize,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Acknowledges so many bytes of the peer's chunks.
+    /// Acknowledges this many bytes of the peer's chunks.
     pub fn acknowledge_chunks(&mut self, bytes: usize) {
         let credit = (bytes as u32).to_le_bytes();
         let prefix = Prefix { kind: FrameKind::Credit, lane: Lane::Control, length: credit.len() };
@@ -114,7 +114,7 @@
         self.ready.extend_from_slice(&credit);
     }
 
-    /// Handles that the peer has acknowledged so many bytes of chunks.
+    /// Handles that the peer has acknowledged this many bytes of chunks.
     pub fn receive_credit(&mut self, bytes: usize) {
         self.in_flight = self.in_flight.saturating_sub(bytes);
     }
@@ -132,7 +132,7 @@
         self.ready_bytes() + self.ordered.iter().map(Message::remaining).sum::<usize>()
     }
 
-    /// Takes the message whose turn it is out of its lane.
+    /// Takes the message that is next out of its lane.
     fn next_message(&mut self) -> Option<Message> {
         self.states_next = !self.states_next;
         if self.states_next {
--- a/crates/protocol/tests/queue.rs
+++ b/crates/protocol/tests/queue.rs
@@ -46,7 +46,7 @@
         self.queue.push(Lane::of(body), self.encoder.message(body), MAXIMUM).expect("room");
     }
 
-    /// Passes on at most so many bytes; says how many there were.
+    /// Passes on at most this many bytes; says how many there were.
     fn pass(&mut self, most: usize) -> usize {
         let bytes = self.queue.pending();
         let count = bytes.len().min(most);
--- a/crates/quillpulley/src/agent/drain.rs
+++ b/crates/quillpulley/src/agent/drain.rs
@@ -1,7 +1,7 @@
 //! The drain of an agent: a pure state machine.
 //!
-//! A draining agent rejects new children at once, closes the links of its child agents a little later, so that they find
-//! other parents, and relays to its proxy for as long as that serves clients.
+//! A draining agent rejects new children at once, closes the links of its child agents a little later, so that they
+//! find other parents, and relays to its proxy for as long as that serves clients.
 
 use std::time::Duration;
 
--- a/crates/quillpulley/src/agent/mod.rs
+++ b/crates/quillpulley/src/agent/mod.rs
@@ -1,8 +1,8 @@
 //! The agent role: a node of the relay tree, which connects the proxy of its machine with the control plane.
 //!
 //! An agent receives published state from its parent, a control process or another agent that [`parent_search`] finds,
-//! and relays it to its children: other agents, and the proxy of its machine. Reports go the other way. With a few peers
-//! it exchanges pings as datagrams, and it reports those that do not respond.
+//! and relays it to its children: other agents, and the proxy of its machine. Reports go the other way. With a few
+//! peers it exchanges pings as datagrams, and it reports those that do not respond.
 //!
 //! | module | concern |
 //! | --- | --- |
@@ -74,7 +74,8 @@
     })
 }
 
-/// Relays published state until a shutdown is signalled and the agent has drained. Must be awaited on a tokio `LocalSet`.
+/// Relays published state until a shutdown is signalled and the agent has drained. Must be awaited on a tokio
+/// `LocalSet`.
 pub async fn serve(
     settings: Settings,
     sockets: AgentSockets,
--- a/crates/quillpulley/src/agent/parent_search/mod.rs
+++ b/crates/quillpulley/src/agent/parent_search/mod.rs
@@ -1,8 +1,8 @@
 //! Which process an agent receives published state from: a pure state machine.
 //!
-//! Candidates are ordered, best first. The search connects to the best one that works. It looks for another one when the
-//! link closes, or when the revision of the published state stalls; in that case the new link is open before the old one
-//! is closed. While it has a parent, it checks every few seconds whether a better candidate works.
+//! Candidates are ordered, best first. The search connects to the best one that works. It looks for another one when
+//! the link closes, or when the revision of the published state stalls; in that case the new link is open before the
+//! old one is closed. While it has a parent, it checks every few seconds whether a better candidate works.
 
 mod penalties;
 
@@ -215,8 +215,8 @@
         }
     }
 
-    /// Connects to the best candidate without a penalty, or else to the one whose penalty expires first. Returns the time
-    /// until another one may be tried.
+    /// Connects to the best candidate without a penalty, or else to the one whose penalty expires first. Returns the
+    /// time until another one may be tried.
     fn try_next(&mut self, now: Duration, actions: &mut Vec<Action>) -> Duration {
         if self.attempts.len() < MAX_CONCURRENT_ATTEMPTS {
             let untried = self.candidates.iter().copied().filter(|candidate| !self.is_in_use(*candidate));
--- a/crates/quillpulley/src/control/api/http.rs
+++ b/crates/quillpulley/src/control/api/http.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tiny_http::{Request, Server, StatusCode};
 
-/// A connection whose peer acknowledges nothing for so long is reset.
+/// A connection whose peer acknowledges nothing for this long is reset.
 const USER_TIMEOUT: Duration = Duration::from_secs(10);
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(10);
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(3);
--- a/crates/quillpulley/src/control/api/mod.rs
+++ b/crates/quillpulley/src/control/api/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A few threads read requests; none of them waits for a response. The main thread decides, and a few other threads
 //! write, so that neither a slow caller nor a command in flight holds up the rest. Right before a response is written
-//! the writer checks the clock: once the lease on which the response relies has ended, the caller is told to retry.
+//! the writer checks the clock: once the lease on which the response relies has ended, the caller is asked to retry.
 
 pub mod http;
 mod render;
--- a/crates/quillpulley/src/control/commands.rs
+++ b/crates/quillpulley/src/control/commands.rs
@@ -1,8 +1,8 @@
 //! Commands of operators: decided one after the other against the committed state, and then replicated.
 //!
-//! Invariant: there is one command in flight at a time, and the next one is decided on a state that has every command of
-//! the log. So of two configurations with one base exactly one is applied, and a command without a clear outcome takes
-//! effect before the next one is answered, or never.
+//! Invariant: there is one command in flight at a time, and the next one is decided on a state that has every command
+//! of the log. So of two configurations with one base exactly one is applied, and a command without a clear outcome
+//! takes effect before the next one is answered, or never.
 
 use crate::control::response::Response;
 use quillpulley_control_state::{ControlState, EvacuationDecision, ReplaceDecision};
@@ -13,7 +13,7 @@
 
 /// How long a command may wait for its response.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
-/// The bytes of queued configurations beyond which callers are told to retry.
+/// The bytes of queued configurations beyond which callers are asked to retry.
 const MAX_QUEUED_BYTES: usize = 32 * 1024 * 1024;
 
 /// A command of an operator.
@@ -104,9 +104,9 @@
         self.queued.push_back(QueuedCommand { command, responder, expires_at: now + RESPONSE_TIMEOUT });
     }
 
-    /// Decides queued commands up to the first that has to be replicated, and returns that. Decides none while the log of
-    /// the replica has a command that its state lacks, also one whose caller got no clear outcome. Must be called only
-    /// while the lease is held.
+    /// Decides queued commands up to the first that has to be replicated, and returns that. Decides none while the log
+    /// of the replica has a command that its state lacks, also one whose caller got no clear outcome. Must be called
+    /// only while the lease is held.
     pub fn next_for(&mut self, replica: &Replica<ControlState>) -> Option<Proposal> {
         if replica.has_unresolved_proposals() {
             return None;
@@ -140,8 +140,8 @@
         Proposal { number, payload }
     }
 
-    /// Handles that a proposal is committed and applied to `state`. Its command is acknowledged if it is in effect now: an
-    /// entry of an earlier epoch may have come before it. Without the lease the outcome is not clear.
+    /// Handles that a proposal is committed and applied to `state`. Its command is acknowledged if it is in effect now:
+    /// an entry of an earlier epoch may have come before it. Without the lease the outcome is not clear.
     pub fn committed(&mut self, number: u64, state: &ControlState, holds_lease: bool) {
         let Some(command) = self.in_flight.take_if(|command| command.number == number) else { return };
         let is_in_effect =
@@ -171,8 +171,8 @@
         }
     }
 
-    /// Handles that this process is no longer the primary: responds to the queued commands with `response`, and to the one
-    /// in flight that its outcome is unknown.
+    /// Handles that this process is no longer the primary: responds to the queued commands with `response`, and to the
+    /// one in flight that its outcome is unknown.
     pub fn abandon(&mut self, response: &Response) {
         if let Some(command) = self.in_flight.take() {
             let responder = command.responder;
--- a/crates/quillpulley/src/control/directory/builder.rs
+++ b/crates/quillpulley/src/control/directory/builder.rs
@@ -1,8 +1,8 @@
 //! Builds the directory from the published proxy endpoints and those that report to this process.
 //!
-//! While the published state is fresh it alone counts: the primary hears of all endpoints. Once it has not moved for a
-//! second, the endpoints that report to this process itself are added, and after [`OUT_OF_TOUCH_AFTER`] only these count:
-//! whether others still run is not known.
+//! While the published state is fresh it alone counts: all endpoints are reported to the primary. Once it has not moved
+//! for a second, the endpoints that report to this process itself are added, and after [`OUT_OF_TOUCH_AFTER`] only
+//! these count: whether others still run is not known.
 
 use super::reported_endpoints::ReportedEndpoints;
 use super::{Coverage, Directory};
@@ -114,7 +114,7 @@
         routes_changed || has(ENDPOINT_PREFIX)
     }
 
-    /// Returns whether time alone may change the directory. `is_fresh` tells whether the published state is fresh.
+    /// Returns whether time alone may change the directory. `is_fresh` is whether the published state is fresh.
     pub fn depends_on_time(&self, is_fresh: bool) -> bool {
         !(self.coverage == Coverage::All && self.was_fresh && is_fresh)
     }
--- a/crates/quillpulley/src/control/directory/selection.rs
+++ b/crates/quillpulley/src/control/directory/selection.rs
@@ -11,9 +11,9 @@
 
 /// The endpoints among which is chosen for a client.
 ///
-/// Requests with homes are kept out of regions that are neither a home nor the client's own: a client is sent to another
-/// region only if that is a home of every route of its host that has homes, or if no endpoint is known in such a region
-/// or in its own.
+/// Requests with homes are kept out of regions that are neither a home nor the client's own: a client is sent to
+/// another region only if that is a home of every route of its host that has homes, or if no endpoint is known in such
+/// a region or in its own.
 pub(super) struct Selection<'a> {
     directory: &'a Directory,
     homes: &'a HostHomes,
--- a/crates/quillpulley/src/control/directory/server.rs
+++ b/crates/quillpulley/src/control/directory/server.rs
@@ -15,7 +15,8 @@
 const RETRY_AFTER_S: &str = "0.2";
 const THREADS: usize = 2;
 
-/// Serves the directory on `listener`. `max_time_to_live_s` is the longest that clients may keep a response, in seconds.
+/// Serves the directory on `listener`. `max_time_to_live_s` is the longest that clients may keep a response, in
+/// seconds.
 ///
 /// # Errors
 /// [`HostError::Runtime`] if the threads cannot be started.
--- a/crates/quillpulley/src/control/discovery/mod.rs
+++ b/crates/quillpulley/src/control/discovery/mod.rs
@@ -1,7 +1,8 @@
 //! Service discovery: the servers on the platform's list.
 //!
-//! [`ListReader`] decides when which page is fetched and which readings are believed, [`Fetcher`] fetches in a thread of
-//! its own, [`page`] parses, and [`PublishedServers`](published_servers::PublishedServers) finds out what has changed.
+//! [`ListReader`] decides when which page is fetched and which readings are believed, [`Fetcher`] fetches in a thread
+//! of its own, [`page`] parses, and [`PublishedServers`](published_servers::PublishedServers) finds out what has
+//! changed.
 
 pub mod fetcher;
 pub mod page;
@@ -45,8 +46,8 @@
         }
     }
 
-    /// Handles a page, or the failure to get one. Returns a complete reading. `published` is the number of servers that are
-    /// published.
+    /// Handles a page, or the failure to get one. Returns a complete reading. `published` is the number of servers that
+    /// are published.
     pub fn handle_page(
         &mut self,
         now: Duration,
--- a/crates/quillpulley/src/control/discovery/published_servers.rs
+++ b/crates/quillpulley/src/control/discovery/published_servers.rs
@@ -87,7 +87,8 @@
             && known.state == listed.state
     }
 
-    /// Compares the warm-ups. The end of one is published too, so that a proxy that starts later does not count it again.
+    /// Compares the warm-ups. The end of one is published too, so that a proxy that starts later does not count it
+    /// again.
     fn same_warmup(&self, now: Duration, listed: &Server) -> bool {
         match (self.server.warmup_remaining_ms, listed.warmup_remaining_ms) {
             (0, 0) => true,
--- a/crates/quillpulley/src/control/discovery/reader.rs
+++ b/crates/quillpulley/src/control/discovery/reader.rs
@@ -1,7 +1,7 @@
 //! When which page of the platform's list is fetched, and which readings are believed. Pure: the host fetches.
 //!
-//! Only the holder of the lease reads. A reading begins again if its pages do not belong together, and one that lacks more
-//! than half of the published servers has to be confirmed by a second one.
+//! Only the holder of the lease reads. A reading begins again if its pages do not belong together, and one that lacks
+//! more than half of the published servers has to be confirmed by a second one.
 
 use super::page::{Page, Reading};
 use displaydoc::Display;
@@ -94,7 +94,7 @@
         };
     }
 
-    /// Returns the page to fetch at `now`, if a reading is due. `is_leader` tells whether the lease is held.
+    /// Returns the page to fetch at `now`, if a reading is due. `is_leader` is whether the lease is held.
     pub fn tick(&mut self, now: Duration, is_leader: bool) -> Option<Fetch> {
         match self.state {
             State::RequestQueue(at) if is_leader && at <= now => {
@@ -165,7 +165,7 @@
         Outcome::Complete(partial.reading)
     }
 
-    /// Returns the interval in which reading so many pages stays within the allowed rate.
+    /// Returns the interval in which reading this many pages stays within the allowed rate.
     fn interval_for(&self, pages: usize) -> Duration {
         if self.options.rate_per_s <= 0.0 {
             return self.options.interval;
--- a/crates/quillpulley/src/control/distribution/control_topology.rs
+++ b/crates/quillpulley/src/control/distribution/control_topology.rs
@@ -1,14 +1,14 @@
 //! The position of this process among the control nodes of the relay tree: its parent, and its children.
 //!
 //! Only the root has control nodes as children: two that each took the other for their parent would count each other's
-//! reports. A node that hears of a new primary may subscribe before that primary knows of its own election; its messages
-//! are kept until then.
+//! reports. A node that learns of a new primary may subscribe before that primary knows of its own election; its
+//! messages are kept until then.
 
 use quillpulley_protocol::{Body, NodeId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A parent whose published state does not move for so long is subscribed to again.
+/// A parent whose published state does not move for this long is subscribed to again.
 const RESUBSCRIBE_AFTER: Duration = Duration::from_secs(1);
 /// The most reports that are kept of a pending child.
 const MAX_PENDING_REPORTS: usize = 64;
@@ -70,7 +70,8 @@
         self.parent
     }
 
-    /// Chooses the parent: `primary` if one was heard recently and can be reached, else the previous parent while it
+    /// Chooses the parent: `primary` if one has sent a heartbeat recently and can be reached, else the previous parent
+    /// while it
     /// `is_reachable`. The root has none. `moved_at` is when the published state moved last.
     pub fn choose_parent(
         &mut self,
@@ -114,8 +115,8 @@
         ChildMessage::Pending
     }
 
-    /// Makes children of the pending nodes that can be reached, and returns them with their messages. Only the root does
-    /// so.
+    /// Makes children of the pending nodes that can be reached, and returns them with their messages. Only the root
+    /// does so.
     pub fn admit_pending(&mut self, is_reachable: impl Fn(NodeId) -> bool) -> Vec<(NodeId, Vec<Body>)> {
         let ready = |(node, child): (&NodeId, &PendingChild)| {
             (child.is_complete() && is_reachable(*node)).then_some(*node)
--- a/crates/quillpulley/src/control/distribution/endpoint_registry.rs
+++ b/crates/quillpulley/src/control/distribution/endpoint_registry.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// An endpoint that is no longer reported stays published for so long: its agent may be changing its parent.
+/// An endpoint that is no longer reported stays published for this long: its agent may be changing its parent.
 pub const ABSENCE_TIMEOUT: Duration = Duration::from_secs(1);
 /// The same after an election, when all agents change their parents.
 pub const ABSENCE_TIMEOUT_AFTER_ELECTION: Duration = Duration::from_secs(3);
--- a/crates/quillpulley/src/control/distribution/leader_publisher.rs
+++ b/crates/quillpulley/src/control/distribution/leader_publisher.rs
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Begins a term. Its first revision is published together with all that the previous root has left out.
+    /// Begins a term. Its first revision is published together with all that the previous root has omitted.
     fn begin_term(&mut self, now: Duration, epoch: u64, before: Option<Term>, relay: &mut RelayNode) {
         let published = match before {
             Some(before) => before.published,
--- a/crates/quillpulley/src/control/distribution/relay_node.rs
+++ b/crates/quillpulley/src/control/distribution/relay_node.rs
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Handles that a control node cannot be reached, or heard, any more.
+    /// Handles that a control node can no longer be reached, or no longer sends anything.
     pub fn control_node_lost(&mut self, node: NodeId, links: &mut Links) {
         if self.topology.remove(node) {
             self.handle(Event::ChildDown(Child::ControlNode(node)), links);
--- a/crates/quillpulley/src/control/replica_host/host.rs
+++ b/crates/quillpulley/src/control/replica_host/host.rs
@@ -1,7 +1,7 @@
 //! The event loop of a control node: it owns all state, and handles all events.
 //!
-//! After each event `ControlHost::advance` brings everything in line with the new state: the leadership, the position in
-//! the relay tree, what is published, commands and responses, the directory, and the links.
+//! After each event `ControlHost::advance` brings everything in line with the new state: the leadership, the position
+//! in the relay tree, what is published, commands and responses, the directory, and the links.
 
 use super::components::Components;
 use super::links::{LinkEvent, Links};
--- a/crates/quillpulley/src/control/replica_host/links.rs
+++ b/crates/quillpulley/src/control/replica_host/links.rs
@@ -1,6 +1,7 @@
 //! The links of a control node: which other control nodes and agents are connected, and what they send.
 //!
-//! What happens is reported as [`LinkEvent`]s. What that means for the replica and the relay tree is the host's to decide.
+//! What happens is reported as [`LinkEvent`]s. What that means for the replica and the relay tree is the host's to
+//! decide.
 
 use super::peer_table::{PeerChange, PeerTable};
 use crate::peer::{LinkId, PeerEvent, Peers};
--- a/crates/quillpulley/src/control/replica_host/peer_table.rs
+++ b/crates/quillpulley/src/control/replica_host/peer_table.rs
@@ -12,7 +12,7 @@
 const FIRST_BACKOFF: Duration = Duration::from_millis(100);
 /// The longest backoff.
 const LONGEST_BACKOFF: Duration = Duration::from_secs(1);
-/// An address that is unreachable for so long, and belongs to no view, is forgotten.
+/// An address that is unreachable for this long, and belongs to no view, is forgotten.
 const FORGET_AFTER: Duration = Duration::from_secs(30);
 
 /// The link that this process opened to a peer.
@@ -104,9 +104,9 @@
     }
 
     /// Records that another control node has opened a link. Returns the links to be closed: an older one of the same
-    /// machine, and a connection to it that is still being made. That one may have been begun before the process ran, and
-    /// then it hangs; another one is due at once. Links are numbered as their connections came, and the `Hello` on an older
-    /// one may come last: then that link is the one to be closed, and nothing on it is read.
+    /// machine, and a connection to it that is still being made. That one may have been begun before the process ran,
+    /// and then it hangs; another one is due at once. Links are numbered as their connections came, and the `Hello` on
+    /// an older one may come last: then that link is the one to be closed, and nothing on it is read.
     pub fn accepted(&mut self, now: Duration, link: L, node: NodeId) -> Vec<L> {
         let is_same_machine = |other: &NodeId| other.ip == node.ip;
         let known = self.incoming.iter().find(|(_, other)| is_same_machine(other)).map(|(link, _)| *link);
--- a/crates/quillpulley/src/control/replica_host/status.rs
+++ b/crates/quillpulley/src/control/replica_host/status.rs
@@ -1,7 +1,7 @@
 //! `GET /v1/Control.Status`: what a control node knows of the view.
 //!
-//! Only a primary surely knows the failure domains of all members. Another node counts one whose domains it has not heard
-//! as lost with any zone or region.
+//! Only a primary surely knows the failure domains of all members. Another node counts one whose domains it has not
+//! received as lost with any zone or region.
 
 use super::status_snapshot::StatusSnapshot;
 use crate::control::response::{Response, TimedResponse};
--- a/crates/quillpulley/src/control/replica_host/storage_thread.rs
+++ b/crates/quillpulley/src/control/replica_host/storage_thread.rs
@@ -1,4 +1,4 @@
-//! The thread that owns the disk. A disk in trouble hangs for seconds: no other thread waits for it.
+//! The thread that owns the disk. A faulty disk hangs for seconds: no other thread waits for it.
 
 use crate::HostError;
 use quillpulley_protocol::{decode_value, encode_value, WitnessRecord, WitnessRecordRef};
@@ -28,12 +28,12 @@
 }
 
 impl StorageThread {
-    /// Starts the thread, which opens the storage in `folder`, and waits for what that holds. `deliver` is called with the
-    /// outcome of each write.
+    /// Starts the thread, which opens the storage in `folder`, and waits for what that holds. `deliver` is called with
+    /// the outcome of each write.
     ///
     /// # Errors
-    /// [`HostError::Storage`] or [`HostError::WitnessRecord`] if the folder cannot be read, [`HostError::Runtime`] if the
-    /// thread cannot be started.
+    /// [`HostError::Storage`] or [`HostError::WitnessRecord`] if the folder cannot be read, [`HostError::Runtime`] if
+    /// the thread cannot be started.
     pub fn open<D>(folder: PathBuf, deliver: D) -> Result<(StorageThread, Recovered), HostError>
     where
         D: Fn(WriteCompletion) + Send + 'static,
--- a/crates/quillpulley/src/lib.rs
+++ b/crates/quillpulley/src/lib.rs
@@ -1,7 +1,7 @@
 //! The programs of quillpulley: the only code with sockets, timers, threads and files.
 //!
-//! Each role of the deploy file has a module with a `run` function, which serves until the process is signalled to shut down:
-//! [`control`], [`agent`] and [`proxy`]. They share the links between processes ([`peer`]).
+//! Each role of the deploy file has a module with a `run` function, which serves until the process is signalled to shut
+//! down: [`control`], [`agent`] and [`proxy`]. They share the links between processes ([`peer`]).
 #![forbid(unsafe_code)]
 
 pub mod agent;
--- a/crates/quillpulley/src/peer/mod.rs
+++ b/crates/quillpulley/src/peer/mod.rs
@@ -1,8 +1,8 @@
 //! Links between the processes of the system: framed messages over TCP, on one thread.
 //!
-//! Both sides of a link first send a `Hello`. After that either side sends messages at any time. Messages arrive complete,
-//! and in order with those of their [`Lane`], or the link closes. Of queued messages with log entries or state, a later
-//! one replaces an earlier one that was not begun. The host receives [`PeerEvent`]s on one channel.
+//! Both sides of a link first send a `Hello`. After that either side sends messages at any time. Messages arrive
+//! complete, and in order with those of their [`Lane`], or the link closes. Of queued messages with log entries or
+//! state, a later one replaces an earlier one that was not begun. The host receives [`PeerEvent`]s on one channel.
 //!
 //! Functions that start a task (listen, connect) must be called on a tokio `LocalSet`.
 
@@ -36,8 +36,8 @@
 
 /// An event of a link.
 ///
-/// Each call of [`Peers::connect`] leads to exactly one of `Opened` and `ConnectFailed`, and each `Opened` is followed by
-/// exactly one `Closed`, also if this side closed the link. An incoming connection without a `Hello` has no event.
+/// Each call of [`Peers::connect`] leads to exactly one of `Opened` and `ConnectFailed`, and each `Opened` is followed
+/// by exactly one `Closed`, also if this side closed the link. An incoming connection without a `Hello` has no event.
 #[derive(Debug)]
 pub enum PeerEvent {
     /// The link is open, and the peer has introduced itself.
@@ -144,7 +144,8 @@
         link
     }
 
-    /// Queues a message, without blocking. If too many bytes are queued the link closes. On a closed link it does nothing.
+    /// Queues a message, without blocking. If too many bytes are queued the link closes. On a closed link it does
+    /// nothing.
     pub fn send(&self, link: LinkId, body: &Body) {
         self.send_all(&[link], body);
     }
--- a/crates/quillpulley/src/peer/outbound.rs
+++ b/crates/quillpulley/src/peer/outbound.rs
@@ -47,7 +47,7 @@
         self.queue.pending()
     }
 
-    /// Records that so many bytes were written.
+    /// Records that this many bytes were written.
     pub fn advance(&mut self, written: usize) {
         self.queue.advance(written);
     }
--- a/crates/quillpulley/src/proxy/admission/buffer_budget.rs
+++ b/crates/quillpulley/src/proxy/admission/buffer_budget.rs
@@ -16,7 +16,7 @@
     reserved: Cell<usize>,
 }
 
-/// Bytes that are reserved, for as long as this lives.
+/// Bytes that are reserved, for as long as this exists.
 pub struct BufferReservation {
     budget: BufferBudget,
     bytes: usize,
@@ -28,7 +28,7 @@
         BufferBudget::new((f64::from(megabytes) * MEMORY_FRACTION * MEGABYTE) as usize)
     }
 
-    /// Creates a budget of so many bytes.
+    /// Creates a budget of this many bytes.
     pub fn new(limit: usize) -> Self {
         BufferBudget(Rc::new(Budget { limit, reserved: Cell::new(0) }))
     }
@@ -45,7 +45,7 @@
 }
 
 impl BufferReservation {
-    /// Grows the reservation to so many bytes. Returns false if the budget does not allow it.
+    /// Grows the reservation to this many bytes. Returns false if the budget does not allow it.
     pub fn try_grow_to(&mut self, bytes: usize) -> bool {
         let Budget { limit, reserved } = &*self.budget.0;
         let more = bytes.saturating_sub(self.bytes);
--- a/crates/quillpulley/src/proxy/admission/mod.rs
+++ b/crates/quillpulley/src/proxy/admission/mod.rs
@@ -165,7 +165,7 @@
     }
 }
 
-/// The place of a request in a queue, for as long as this lives.
+/// The place of a request in a queue, for as long as this exists.
 struct QueueEntry<'a> {
     admission: &'a Admission,
     service: &'a str,
--- a/crates/quillpulley/src/proxy/downstream/client_service.rs
+++ b/crates/quillpulley/src/proxy/downstream/client_service.rs
@@ -1,7 +1,8 @@
 //! Serves clients: each request is accepted, forwarded, and answered.
 //!
-//! A request passes through these phases, each a method: `accept` reads and checks it, `forward` has it sent to servers,
-//! and `respond` (of [`Service`]) writes the response. A client that closes its connection ends its request in any phase.
+//! A request passes through these phases, each a method: `accept` reads and checks it, `forward` has it sent to
+//! servers, and `respond` (of [`Service`]) writes the response. A client that closes its connection ends its request in
+//! any phase.
 
 use crate::proxy::config::active_config::{ActiveConfig, RouteDecision};
 use crate::proxy::downstream::local_response::LocalResponse;
@@ -132,7 +133,7 @@
     }
 
     /// Returns the response to a request without a route. If the published state is stale, another proxy may know a
-    /// route that this one has not heard of.
+    /// route that this one does not know.
     fn no_route(&self) -> LocalResponse {
         match self.state.is_fresh() {
             true => LocalResponse::status(StatusCode::NOT_FOUND),
--- a/crates/quillpulley/src/proxy/downstream/open_requests.rs
+++ b/crates/quillpulley/src/proxy/downstream/open_requests.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// A request that is open, for as long as this lives.
+/// A request that is open, for as long as this exists.
 pub struct OpenRequest {
     requests: Rc<OpenRequests>,
     id: HeaderValue,
--- a/crates/quillpulley/src/proxy/downstream/request.rs
+++ b/crates/quillpulley/src/proxy/downstream/request.rs
@@ -24,13 +24,13 @@
 
 /// The head of a request.
 pub struct RequestHead {
-    /// The method, which is passed on unchanged.
+    /// The method, which is forwarded unchanged.
     pub method: Method,
-    /// Path and query, which are passed on unchanged.
+    /// Path and query, which are forwarded unchanged.
     pub target: PathAndQuery,
     /// The host, as the client names it.
     pub host: HeaderValue,
-    /// The headers that are passed on.
+    /// The headers that are forwarded.
     pub headers: HeaderMap,
     /// `Quillpulley-Request-Id`.
     pub id: HeaderValue,
@@ -125,7 +125,7 @@
         self.due.saturating_duration_since(Instant::now())
     }
 
-    /// Returns the request as a server gets it. `resume_after` is the last event that was passed on.
+    /// Returns the request as a server gets it. `resume_after` is the last event that was forwarded.
     pub fn for_server(&self, instance: &str, resume_after: Option<&[u8]>) -> Option<Request<Full<Bytes>>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.head.method.clone();
--- a/crates/quillpulley/src/proxy/retry/forwarding.rs
+++ b/crates/quillpulley/src/proxy/retry/forwarding.rs
@@ -1,4 +1,5 @@
-//! Forwards a request: sends it to servers until there is a response to pass on, or it is clear that there will be none.
+//! Forwards a request: sends it to servers until there is a response to forward, or it is clear that there will be
+//! none.
 //!
 //! A request passes through these phases, each a method: [`Forwarding::forward`] bounds the time,
 //! `acquire_upstream` gets a server and the right to a retry, `attempt` sends the request there, `exchange` writes it
@@ -48,7 +49,7 @@
     pub call: UpstreamCall,
 }
 
-/// Why there is no response of a server to pass on.
+/// Why there is no response of a server to forward.
 pub enum ForwardError {
     /// The client gets this response of the proxy.
     Local(LocalResponse),
@@ -119,7 +120,7 @@
         &self.context
     }
 
-    /// Sends the request until there is a response to pass on, or its deadline has passed.
+    /// Sends the request until there is a response to forward, or its deadline has passed.
     ///
     /// # Errors
     /// [`ForwardError`] if no server has a response.
@@ -127,7 +128,7 @@
         self.forward_in_time(None).await
     }
 
-    /// Resumes a stream at another server, after the last event that was passed on.
+    /// Resumes a stream at another server, after the last event that was forwarded.
     ///
     /// # Errors
     /// [`ForwardError`] if no server can resume it.
@@ -139,7 +140,7 @@
         self.forward_in_time(after).await
     }
 
-    /// Records that the head of a response is passed on.
+    /// Records that the head of a response is forwarded.
     pub fn response_begun(&mut self) {
         self.retry_state.handle(Event::ResponseBegun);
     }
@@ -198,7 +199,7 @@
         self.state.retry_budgets.try_retry(self.state.now(), &self.context.decision.service)
     }
 
-    /// Sends the request to a server. Returns the response to pass on, or what became of the attempt.
+    /// Sends the request to a server. Returns the response to forward, or what became of the attempt.
     async fn attempt(
         &mut self,
         mut call: UpstreamCall,
@@ -253,7 +254,7 @@
         }
     }
 
-    /// Decides what a response means. Its body is read if it must be complete before it is passed on.
+    /// Decides what a response means. Its body is read if it must be complete before it is forwarded.
     async fn handle_response(
         &mut self,
         call: UpstreamCall,
--- a/crates/quillpulley/src/proxy/retry/retry_state.rs
+++ b/crates/quillpulley/src/proxy/retry/retry_state.rs
@@ -2,7 +2,7 @@
 //!
 //! Invariants:
 //! - A request that is not idempotent executes at most once. It is sent again only if nothing of it was written, or the
-//!   server says that it did not execute it.
+//!   server reports that it did not execute it.
 //! - Once the request may have executed, no response to the client promises that it has not.
 
 /// The most sends of a request. Sends that reach no server (no connection, the wrong instance) do not count as attempts
@@ -29,7 +29,7 @@
     Connecting,
     /// The request is written, or being written, and the response has not begun.
     Awaiting,
-    /// The head of the response has been passed on, and its body follows.
+    /// The head of the response has been forwarded, and its body follows.
     Responding,
     /// The request has its final response.
     Ended,
@@ -46,7 +46,7 @@
     Connected,
     /// No connection was established, or it broke before anything was written.
     NotSent,
-    /// The server says that it did not execute the request.
+    /// The server reports that it did not execute the request.
     NotExecuted,
     /// Another server listens at the address, and did not execute the request.
     Misdirected,
@@ -54,9 +54,9 @@
     ConnectionBroken,
     /// The server responded with an error of its own: the request has executed.
     UpstreamFailed,
-    /// The head of a response is passed on.
+    /// The head of a response is forwarded.
     ResponseBegun,
-    /// The complete response has been passed on.
+    /// The complete response has been forwarded.
     Completed,
     /// The deadline of the request has passed.
     DeadlineReached,
--- a/crates/quillpulley/src/proxy/shutdown/drain_deadline.rs
+++ b/crates/quillpulley/src/proxy/shutdown/drain_deadline.rs
@@ -1,9 +1,9 @@
 //! Which requests a draining proxy still accepts, and when it exits: a pure function of time.
 //!
-//! Clients keep coming for some seconds, as they cache the answers of the directory. At first all requests are accepted.
-//! After that only those are accepted that are sure to have a response before the process exits: the time-out of the
-//! route or the deadline of the client ends them by then. Others are rejected before they are sent to a server, so that
-//! the client can go to another proxy at once.
+//! Clients keep coming for some seconds, as they cache the answers of the directory. At first all requests are
+//! accepted. After that only those are accepted that are sure to have a response before the process exits: the time-out
+//! of the route or the deadline of the client ends them by then. Others are rejected before they are sent to a server,
+//! so that the client can go to another proxy at once.
 
 use std::time::Duration;
 
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Returns whether a request is accepted whose head arrived at `arrived`, and whose response is due at `due`: at the
-    /// time-out of its route or the deadline of its client, whichever is first.
+    /// Returns whether a request is accepted whose head arrived at `arrived`, and whose response is due at `due`: at
+    /// the time-out of its route or the deadline of its client, whichever is first.
     pub fn accepts(&self, arrived: Duration, due: Duration) -> bool {
         arrived <= self.accepts_all_until || due <= self.final_responses_at()
     }
--- a/crates/quillpulley/src/proxy/state.rs
+++ b/crates/quillpulley/src/proxy/state.rs
@@ -112,7 +112,7 @@
         self.lifecycle.handle(self.now(), Event::ConfigurationKnown);
     }
 
-    /// Returns whether the published state is fresh. If not, there may be routes that this proxy has not heard of.
+    /// Returns whether the published state is fresh. If not, there may be routes that this proxy does not know.
     pub fn is_fresh(&self) -> bool {
         self.fresh_at.get().is_some_and(|fresh_at| self.now().saturating_sub(fresh_at) < STALE_AFTER)
     }
--- a/crates/quillpulley/src/proxy/streaming/event_splitter.rs
+++ b/crates/quillpulley/src/proxy/streaming/event_splitter.rs
@@ -1,11 +1,11 @@
-//! Splits a stream of events (`text/event-stream`), so that only complete events are passed on.
+//! Splits a stream of events (`text/event-stream`), so that only complete events are forwarded.
 
 use bytes::{Bytes, BytesMut};
 
-/// The most bytes of an event. A longer one is passed on in parts, and its stream cannot be resumed.
+/// The most bytes of an event. A longer one is forwarded in parts, and its stream cannot be resumed.
 const MAX_EVENT_BYTES: usize = 64 * 1024;
 
-/// How far a stream has been passed on.
+/// How far a stream has been forwarded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Position {
     /// No event yet.
@@ -32,7 +32,7 @@
         EventSplitter { buffer: BytesMut::new(), searched: 0, position }
     }
 
-    /// Returns how far the stream has been passed on.
+    /// Returns how far the stream has been forwarded.
     pub fn position(&self) -> &Position {
         &self.position
     }
@@ -85,7 +85,7 @@
         None
     }
 
-    /// Records the id of a complete event. Returns false if it has been passed on before.
+    /// Records the id of a complete event. Returns false if it has been forwarded before.
     fn advance(&mut self, event: &[u8]) -> bool {
         let Some(id) = event_id(event) else {
             let has_content = event.iter().any(|byte| !matches!(byte, b'\r' | b'\n'));
--- a/crates/quillpulley/src/proxy/streaming/event_stream.rs
+++ b/crates/quillpulley/src/proxy/streaming/event_stream.rs
@@ -1,8 +1,8 @@
 //! The body of a streamed response: passes events on as they come, and resumes a broken stream at another server where
 //! the route allows it.
 //!
-//! Nothing is read from the server that the client's connection has not asked for, which asks as far as its buffer goes.
-//! Dropped before its end (the client has closed its connection), it closes the connection to the server.
+//! Nothing is read from the server that the client's connection has not asked for, which asks as far as its buffer
+//! goes. Dropped before its end (the client has closed its connection), it closes the connection to the server.
 
 use crate::proxy::admission::buffer_budget::BufferReservation;
 use crate::proxy::downstream::open_requests::OpenRequest;
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Adds a chunk of the stream, and returns what can be passed on now.
+    /// Adds a chunk of the stream, and returns what can be forwarded now.
     fn push(&mut self, data: Bytes) -> Option<Bytes> {
         if !self.has_begun {
             self.has_begun = true;
--- a/crates/quillpulley/src/proxy/upstream/connection_pool.rs
+++ b/crates/quillpulley/src/proxy/upstream/connection_pool.rs
@@ -13,10 +13,10 @@
 
 /// The longest round trip between regions, three times over, and a little more.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// A server that acknowledges nothing for so long is dead.
+/// A server that acknowledges nothing for this long is dead.
 const USER_TIMEOUT: Duration = Duration::from_secs(3);
-/// An idle connection is closed after this fraction of the time after which the server closes it. A request that crosses
-/// the server's close would end as a reset, and nobody knows whether it executed.
+/// An idle connection is closed after this fraction of the time after which the server closes it. A request that
+/// crosses the server's close would end as a reset, and nobody knows whether it executed.
 const IDLE_DIVISOR: u32 = 2;
 /// Idle connections that are kept to a server, whatever its quota is.
 const MIN_IDLE: usize = 2;
@@ -78,7 +78,7 @@
     next_guard: Cell<u64>,
 }
 
-/// Has a connection aborted when its server is removed, for as long as this lives.
+/// Has a connection aborted when its server is removed, for as long as this exists.
 pub struct AbortGuard {
     pool: Rc<ConnectionPool>,
     number: u64,
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Has a connection aborted when its server is removed, for as long as the guard lives.
+    /// Has a connection aborted when its server is removed, for as long as the guard exists.
     pub fn abort_when_removed(self: &Rc<Self>, server: ServerKey, socket: Rc<Socket>) -> AbortGuard {
         let number = self.next_guard.replace(self.next_guard.get() + 1);
         self.guarded.borrow_mut().insert(number, (server, socket));
--- a/crates/quillpulley/src/proxy/upstream/health_check.rs
+++ b/crates/quillpulley/src/proxy/upstream/health_check.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// Sends the check, and returns what the server says of itself; none if there is no response.
+/// Sends the check, and returns what the server reports about itself; none if there is no response.
 async fn probe(state: &ProxyState, server: ServerKey) -> Option<HealthCheckResult> {
     let CheckedServer { peer, service } = state.upstreams.checked_server(server)?;
     let config = state.config.get()?;
--- a/crates/quillpulley/src/proxy/upstream/response_head.rs
+++ b/crates/quillpulley/src/proxy/upstream/response_head.rs
@@ -13,9 +13,9 @@
 /// What the head of a server's response means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseVerdict {
-    /// A success that can be passed on.
+    /// A success that can be forwarded.
     Success,
-    /// An error of the server that can be passed on: the request has executed.
+    /// An error of the server that can be forwarded: the request has executed.
     Failure,
     /// An error with a status that promises what the server does not: the request may have executed.
     UnmarkedRejection,
--- a/crates/quillpulley/src/proxy/upstream/upstream_call.rs
+++ b/crates/quillpulley/src/proxy/upstream/upstream_call.rs
@@ -12,7 +12,7 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// The longest response that is read completely before it is passed on, in bytes.
+/// The longest response that is read completely before it is forwarded, in bytes.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 /// A call in flight. Dropped before its end it closes its connection, and so the server stops.
--- a/crates/quillpulley/tests/catch_up/world.rs
+++ b/crates/quillpulley/tests/catch_up/world.rs
@@ -56,7 +56,7 @@
     /// Packets that the kernel holds.
     socket: VecDeque<Vec<u8>>,
     decoder: FrameDecoder,
-    /// When the heartbeats that are under way were sent.
+    /// When the heartbeats that are in flight were sent.
     heartbeats: VecDeque<u64>,
 }
 
@@ -354,7 +354,7 @@
         self.queue.push(Reverse((self.now + delay, self.sequence, scheduled)));
     }
 
-    /// Sends a command of so many bytes to the primary; says whether there was one.
+    /// Sends a command of this many bytes to the primary; says whether there was one.
     pub fn propose(&mut self, bytes: usize) -> bool {
         let Some(leader) = self.leader() else { return false };
         let command = self.next_command;
@@ -378,7 +378,7 @@
         }
     }
 
-    /// Whether no command is under way.
+    /// Whether no command is in flight.
     pub fn is_idle(&self) -> bool {
         self.in_flight.is_none()
     }
--- a/crates/quillpulley/tests/control/directory_days/system.rs
+++ b/crates/quillpulley/tests/control/directory_days/system.rs
@@ -13,7 +13,7 @@
 /// How often processes look at what time has changed.
 pub(super) const TICK: Duration = Duration::from_millis(50);
 pub(super) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
-/// An agent without news for so long tries another parent.
+/// An agent without news for this long tries another parent.
 pub(super) const SEARCH_AFTER: Duration = Duration::from_secs(1);
 
 pub(super) fn ms(time: u64) -> Duration {
--- a/crates/quillpulley/tests/control/frozen_host.rs
+++ b/crates/quillpulley/tests/control/frozen_host.rs
@@ -169,7 +169,7 @@
     call("GET", "/v1/Config.Get")
 }
 
-/// Calls whose answers say what is in force: a read, a command that is in force, one on a wrong base, an invalid one.
+/// Calls whose answers state the active state: a read, a command that is in force, one on a wrong base, an invalid one.
 fn statements() -> Vec<(String, u16)> {
     vec![
         (get(), 200),
--- a/crates/quillpulley/tests/control/late_answers.rs
+++ b/crates/quillpulley/tests/control/late_answers.rs
@@ -33,7 +33,7 @@
     caller.join().expect("an answer")
 }
 
-/// Every answer that states what is in force, or where that is known.
+/// Every answer that states the active state, or where that is known.
 fn statements() -> Vec<(u16, Response)> {
     let primary = "10.0.0.4:8080".parse().expect("an address");
     vec![
--- a/crates/quillpulley/tests/operators/operator.rs
+++ b/crates/quillpulley/tests/operators/operator.rs
@@ -10,7 +10,7 @@
 const RESPONSE_TIMEOUT_MS: u64 = 1000;
 const MAX_BACKOFF_MS: u64 = 200;
 const MAX_REDIRECTS: usize = 2;
-/// Commands may be abandoned after so many sends.
+/// Commands may be abandoned after this many sends.
 const SENDS_BEFORE_ABANDONING: usize = 3;
 
 /// A command that an operator tries to get through.
--- a/crates/quillpulley/tests/proxy/process_lifecycle.rs
+++ b/crates/quillpulley/tests/proxy/process_lifecycle.rs
@@ -121,7 +121,7 @@
         proxy.commands.send(ProcessSignal::Shutdown).expect("the proxy runs");
         proxy.agent.until_endpoint(EndpointState::Draining).await;
 
-        // The time-out of its route is after the end of the process: it is not passed on.
+        // The time-out of its route is after the end of the process: it is not forwarded.
         let mut client = proxy.client().await;
         let answer = client.ask(&request("POST /a/b", "long", "", "work")).await;
         assert_eq!(answer.status(), 503);
--- a/crates/quillpulley/tests/proxy_event_splitter.rs
+++ b/crates/quillpulley/tests/proxy_event_splitter.rs
@@ -46,7 +46,7 @@
 }
 
 quickcheck! {
-    /// However the bytes come, all of them are passed on, and only whole events before the end.
+    /// However the bytes come, all of them are forwarded, and only whole events before the end.
     fn chunks_give_complete_events(cuts: Cuts) -> bool {
         let mut splitter = EventSplitter::new(None);
         let mut passed = String::new();
@@ -61,7 +61,7 @@
         passed == cuts.text()
     }
 
-    /// Cut anywhere and taken up behind the last whole event, each event is passed on once.
+    /// Cut anywhere and taken up behind the last whole event, each event is forwarded once.
     fn a_stream_resumes_after_the_last_complete_event(cuts: Cuts) -> bool {
         cuts.places.iter().all(|place| {
             let mut splitter = EventSplitter::new(None);
--- a/crates/rate-limiter/src/bin/rate-limiter-sim/main.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter-sim/main.rs
@@ -1,5 +1,5 @@
-//! Hosts limiters in the simulator: reads batches of events from standard input, and writes a reply for each to standard
-//! output. It parses, routes and formats; it decides nothing.
+//! Hosts limiters in the simulator: reads batches of events from standard input, and writes a reply for each to
+//! standard output. It parses, routes and formats; it decides nothing.
 #![forbid(unsafe_code)]
 
 mod error;
--- a/crates/rate-limiter/src/bin/rate-limiter-sim/reply.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter-sim/reply.rs
@@ -28,8 +28,8 @@
         written
     }
 
-    /// Removes the lines of a limiter that ended within the batch: actions take effect after all events of the batch, and
-    /// would be those of a limiter that has ended, or of the next one, which knows nothing of them.
+    /// Removes the lines of a limiter that ended within the batch: actions take effect after all events of the batch,
+    /// and would be those of a limiter that has ended, or of the next one, which knows nothing of them.
     pub fn remove(&mut self, instance: u32) {
         let mut kept = Reply::default();
         let mut start = 0;
--- a/crates/rate-limiter/src/bin/rate-limiter/clients/mod.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/clients/mod.rs
@@ -148,8 +148,8 @@
         // The request was read completely: from here on it gets exactly one response.
         let due = Instant::now() + head.time_remaining.saturating_sub(RESPONSE_MARGIN);
         let due = self.drain_deadline.get().map_or(due, |until| due.min(until));
-        // Ids are new with every request. One that is open is a duplicate: passed on, it would be a second attempt of the
-        // same request at the same time.
+        // Ids are new with every request. One that is open is a duplicate: forwarded, it would be a second attempt of
+        // the same request at the same time.
         let open_id = OpenId::reserve(&self.open_ids, &head.correlation_id);
         let _open_id =
             open_id.ok_or(ErrorResponse::new(StatusCode::CONFLICT, "a request with this id is open\n"))?;
@@ -162,8 +162,8 @@
         incoming: IncomingRequest,
         socket: &Socket,
     ) -> Result<ClientResponse, ErrorResponse> {
-        // hyper notices a close only if nothing is unread behind the request. A client that has gone while its connection
-        // waited to be accepted is not sent on at all.
+        // hyper notices a close only if nothing is unread behind the request. A client that has gone while its
+        // connection waited to be accepted is not forwarded at all.
         let mut closed = pin!(socket.peer_closed());
         if poll_fn(|cx| Poll::Ready(closed.as_mut().poll(cx).is_ready())).await {
             return Err(CLIENT_CLOSED);
--- a/crates/rate-limiter/src/bin/rate-limiter/clients/request_head.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/clients/request_head.rs
@@ -17,11 +17,11 @@
 /// Marks a retry of the client.
 pub const RETRY_MARK: HeaderName = HeaderName::from_static("x-repeat");
 
-/// The longest id of a request or key, in bytes: ids are kept while requests are open, and are passed on to servers.
+/// The longest id of a request or key, in bytes: ids are kept while requests are open, and are forwarded to servers.
 const MAX_ID_BYTES: usize = 128;
 /// The most headers that hyper reads of a request.
 const MAX_HEADERS: usize = 100;
-/// Numbers of tenants are below this, and written in so many hexadecimal digits.
+/// Numbers of tenants are below this, and written in this many hexadecimal digits.
 const MAX_TENANT: u64 = 1 << 33;
 const TENANT_DIGITS: usize = 16;
 const HEXADECIMAL: u32 = 16;
@@ -57,7 +57,8 @@
 }
 
 impl RequestHead {
-    /// Reads the head of a request. `raw` is all that the connection has brought since the last request, the head first.
+    /// Reads the head of a request. `raw` is all that the connection has brought since the last request, the head
+    /// first.
     ///
     /// # Errors
     /// The response to a malformed request.
@@ -143,8 +144,8 @@
     (number < MAX_TENANT).then(|| format!("{number:016x}"))
 }
 
-/// Returns whether a chunked request came without a length. hyper removes the length if both are present, and a peer that
-/// goes by it would find another request in the body: so the head is parsed once more as it came.
+/// Returns whether a chunked request came without a length. hyper removes the length if both are present, and a peer
+/// that goes by it would find another request in the body: so the head is parsed once more as it came.
 fn is_only_chunked(raw: &[u8]) -> bool {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
--- a/crates/rate-limiter/src/bin/rate-limiter/clients/response.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/clients/response.rs
@@ -20,8 +20,8 @@
         ErrorResponse { status, reason }
     }
 
-    /// Returns the response. Its connection is closed unless the request was read completely: the rest of it must not be
-    /// read as the next request.
+    /// Returns the response. Its connection is closed unless the request was read completely: the rest of it must not
+    /// be read as the next request.
     pub fn into_response(self) -> ClientResponse {
         let mut response = plain(self.status, self.reason);
         if self.status != StatusCode::OK && self.status != StatusCode::SERVICE_UNAVAILABLE {
@@ -66,7 +66,7 @@
     response
 }
 
-/// Returns the response to a request that is safe to retry, after so many seconds; 0 for no advice.
+/// Returns the response to a request that is safe to retry, after this many seconds; 0 for no advice.
 fn rejected(retry_after: f64) -> ClientResponse {
     let mut response = plain(StatusCode::TOO_MANY_REQUESTS, "refused: trying again is harmless\n");
     if retry_after > 0.0 {
--- a/crates/rate-limiter/src/bin/rate-limiter/counter.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/counter.rs
@@ -15,8 +15,8 @@
 use tokio::task::spawn_local;
 use tokio::time::{timeout_at, Instant};
 
-/// The most open calls, each on a connection of its own. Responses on a connection come in order, however late: a call can
-/// never read the response to another one.
+/// The most open calls, each on a connection of its own. Responses on a connection come in order, however late: a call
+/// can never read the response to another one.
 pub const MAX_CALLS: usize = 8;
 /// Idle connections are closed after this time, well before the counter closes them (after about 10 s or less).
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Sets the address of later calls. Open calls end where they are. Idle connections to the old address are closed, as
-    /// a call that crosses their close there is lost.
+    /// Sets the address of later calls. Open calls end where they are. Idle connections to the old address are closed,
+    /// as a call that crosses their close there is lost.
     pub fn set_address(&self, address: SocketAddr) {
         if self.address.replace(Some(address)) != Some(address) {
             self.idle.borrow_mut().clear();
@@ -203,7 +203,8 @@
         std::iter::from_fn(rested).find(ClientConnection::is_usable)
     }
 
-    /// Logs the first invalid response and then fewer and fewer: a counter that is broken all day must not fill the log.
+    /// Logs the first invalid response and then fewer and fewer: a counter that is broken all day must not fill the
+    /// log.
     fn log_invalid(&self, text: std::fmt::Arguments<'_>) {
         let count = self.invalid_responses.get() + 1;
         self.invalid_responses.set(count);
--- a/crates/rate-limiter/src/bin/rate-limiter/discovery/message_decoder.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/discovery/message_decoder.rs
@@ -1,5 +1,5 @@
-//! The messages of a watch: one JSON value after the other, with any white space between and within them, in chunks of any
-//! size.
+//! The messages of a watch: one JSON value after the other, with any white space between and within them, in chunks of
+//! any size.
 
 use super::update::Update;
 use bytes::{Buf, BytesMut};
--- a/crates/rate-limiter/src/bin/rate-limiter/discovery/mod.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/discovery/mod.rs
@@ -26,12 +26,12 @@
 
 pub use update::Update;
 
-/// How long a watch may be silent. An empty line comes every 2 s while nothing changes. A peer behind a partition shows no
-/// error, only silence. What discovery publishes applies 6 s after the silence began, or 4 s after a move, whether or not
-/// it arrived: this, two calls without a response and the backoffs between them stay below that.
+/// How long a watch may be idle. An empty line comes every 2 s while nothing changes. A peer behind a partition shows
+/// no error, and simply sends nothing. What discovery publishes applies 6 s after the watch went idle, or 4 s after a
+/// move, whether or not it arrived: this, two calls without a response and the backoffs between them stay below that.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How long a call may take to its first message if the list is pushed: the agent of this machine responds at once or not
-/// at all.
+/// How long a call may take to its first message if the list is pushed: the agent of this machine responds at once or
+/// not at all.
 const PUSHED_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// The same if the list comes on request: one discovery serves all limiters in turn.
 const POLLED_RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
--- a/crates/rate-limiter/src/bin/rate-limiter/host/mod.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/host/mod.rs
@@ -1,8 +1,8 @@
 //! The host of the decisions: passes events and the time to them, and performs their actions.
 //!
 //! It owns the [`Limiter`], the clock, the timers and the table of requests; nothing else calls the limiter. Everything
-//! runs on one thread. Events are queued and handled one after the other, so that an action whose outcome is known at once
-//! never re-enters the limiter.
+//! runs on one thread. Events are queued and handled one after the other, so that an action whose outcome is known at
+//! once never re-enters the limiter.
 
 mod clock;
 mod open_request;
@@ -312,8 +312,8 @@
         request.open_attempt(OpenAttempt { number, server, started_at: now, handle, task });
     }
 
-    /// Aborts an attempt: its connection is closed when this returns, and its task does not continue. Returns whether it
-    /// was open.
+    /// Aborts an attempt: its connection is closed when this returns, and its task does not continue. Returns whether
+    /// it was open.
     fn abort(&self, attempt: AttemptId) -> bool {
         let requests = self.requests.borrow();
         let open = requests.get(&attempt.request).and_then(OpenRequest::attempt);
--- a/crates/rate-limiter/src/bin/rate-limiter/host/open_request.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/host/open_request.rs
@@ -14,7 +14,7 @@
 pub enum FinalResponse {
     /// The complete response of a server.
     Completed(Response<Bytes>),
-    /// Rejected: safe to retry, after so many seconds; 0 for no advice.
+    /// Rejected: safe to retry, after this many seconds; 0 for no advice.
     Rejected(f64),
     /// Failed: the request may have executed.
     Failed,
@@ -92,7 +92,8 @@
         number
     }
 
-    /// Returns whether an attempt may be started: the request has no final response, no open attempt, and attempts left.
+    /// Returns whether an attempt may be started: the request has no final response, no open attempt, and attempts
+    /// left.
     pub fn may_start(&self, number: u32, max_attempts: u32) -> bool {
         self.awaits_response() && self.attempt.is_none() && number < max_attempts
     }
--- a/crates/rate-limiter/src/bin/rate-limiter/host/timers.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/host/timers.rs
@@ -25,8 +25,8 @@
         }
     }
 
-    /// Waits until timers are due, and returns their tokens. Timers that are added meanwhile are not among them, so that a
-    /// timer is never due in the round that added it.
+    /// Waits until timers are due, and returns their tokens. Timers that are added meanwhile are not among them, so
+    /// that a timer is never due in the round that added it.
     pub async fn due(&self) -> Vec<u64> {
         loop {
             let next = self.next_due();
--- a/crates/rate-limiter/src/bin/rate-limiter/process.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/process.rs
@@ -145,8 +145,8 @@
     clients.set_ready();
 }
 
-/// Reloads the addresses of discovery and counter from the file at each SIGHUP. The environment applies to the start only.
-/// Signals that come meanwhile count as one more.
+/// Reloads the addresses of discovery and counter from the file at each SIGHUP. The environment applies to the start
+/// only. Signals that come meanwhile count as one more.
 async fn reload(mut hangup: Signal, path: String, host: Rc<Host>) {
     while hangup.recv().await.is_some() {
         let Addresses { discovery, counter } = match Addresses::read(&path) {
--- a/crates/rate-limiter/src/bin/rate-limiter/upstream/attempt.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/upstream/attempt.rs
@@ -135,8 +135,8 @@
                     Err(outcome) => return failed(outcome),
                 },
             };
-            // Connecting takes a while: a server that has begun to drain meanwhile gets nothing new, and nothing is sent
-            // for a client that has left or has its response, nor after the time for it.
+            // Connecting takes a while: a server that has begun to drain meanwhile gets nothing new, and nothing is
+            // sent for a client that has left or has its response, nor after the time for it.
             if self.address(server) != Some(address) {
                 return failed(Outcome::ConnectFailed);
             }
--- a/crates/rate-limiter/src/bin/rate-limiter/upstream/forwarded_request.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/upstream/forwarded_request.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
-/// The part of a client's request that is passed on unchanged.
+/// The part of a client's request that is forwarded unchanged.
 pub struct ForwardedRequest {
     pub method: Method,
     pub target: PathAndQuery,
@@ -22,7 +22,7 @@
 }
 
 impl ForwardedRequest {
-    /// Returns the request for a server, which is told how long it is waited for.
+    /// Returns the request for a server, with the time for which its response is awaited.
     pub fn for_server(&self, address: SocketAddr, give_up_at: Instant) -> Request<Full<Bytes>> {
         let remaining = give_up_at.saturating_duration_since(Instant::now()).as_micros();
         let mut request = Request::new(Full::new(self.body.clone()));
--- a/crates/rate-limiter/src/bin/rate-limiter/upstream/mod.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/upstream/mod.rs
@@ -25,8 +25,8 @@
 pub use connection_limits::{CONNECTION_LIMITS, MAX_BODY};
 pub use forwarded_request::ForwardedRequest;
 
-/// An idle connection is closed after this fraction of the time after which the server closes it. A request that crosses
-/// the server's close would end as a reset, and nobody knows whether it executed.
+/// An idle connection is closed after this fraction of the time after which the server closes it. A request that
+/// crosses the server's close would end as a reset, and nobody knows whether it executed.
 const IDLE_FRACTION: f64 = 0.5;
 /// The server's idle time-out in seconds, if the settings do not say it.
 const DEFAULT_IDLE_S: f64 = 10.0;
@@ -101,7 +101,8 @@
         self.servers.borrow().keys().cloned().collect()
     }
 
-    /// Closes connections that have been idle for too long or were closed by their servers, for as long as it is polled.
+    /// Closes connections that have been idle for too long or were closed by their servers, for as long as it is
+    /// polled.
     pub async fn close_idle(&self) {
         loop {
             sleep(SWEEP_INTERVAL).await;
--- a/crates/rate-limiter/src/limiter/admission.rs
+++ b/crates/rate-limiter/src/limiter/admission.rs
@@ -5,8 +5,8 @@
 use super::{context, Context, Limiter, Timer};
 use crate::interface::{Action, Request, RequestId};
 
-/// Time scales after which a client may try again if the servers were full, or did not respond: by then much of the queue
-/// is worked off.
+/// Time scales after which a client may try again if the servers were full, or did not respond: by then much of the
+/// queue is worked off.
 const RETRY_AFTER: f64 = 0.5;
 /// How much more classes of less value for their work are shed.
 const LOW_VALUE_SHED_FACTOR: f64 = 4.0;
@@ -52,11 +52,11 @@
         self.send(request.id, server, actions);
     }
 
-    /// Returns the probability with which a request is shed: if the servers are overloaded, those of least value for their
-    /// work, and those that are likely beyond their quota.
+    /// Returns the probability with which a request is shed: if the servers are overloaded, those of least value for
+    /// their work, and those that are likely beyond their quota.
     ///
-    /// The latter are requests of a tenant whose demand exceeds its quota, and retries of one without totals, which most
-    /// often were rejected for their quota at another limiter.
+    /// The latter are requests of a tenant whose demand exceeds its quota, and retries of one without totals, which
+    /// most often were rejected for their quota at another limiter.
     fn shed_probability(&self, request: &Request, class: usize, plan: usize) -> f64 {
         let value = |class: usize| self.settings.classes[class].value / self.mean_latency[class].max(1e-6);
         let best = (0..self.mean_latency.len()).map(value).fold(0.0, f64::max);
@@ -74,7 +74,7 @@
         self.reject(id, retry_after, actions);
     }
 
-    /// Rejects a request, which is safe to retry after so many seconds.
+    /// Rejects a request, which is safe to retry after this many seconds.
     fn reject(&mut self, id: RequestId, retry_after: f64, actions: &mut Vec<Action>) {
         let retry_after = match self.settings.may_send_retry_after {
             true => retry_after.clamp(0.0, self.settings.max_retry_after.max(0.0)),
--- a/crates/rate-limiter/src/limiter/attempts.rs
+++ b/crates/rate-limiter/src/limiter/attempts.rs
@@ -19,8 +19,8 @@
 const MAX_SLOW_FRACTION: f64 = 0.8;
 /// The fraction of the deduplication window in which a keyed request may be sent again.
 const DEDUPLICATION_FRACTION: f64 = 0.9;
-/// The slowness that a server shows by rejecting a request. It responds at once, and would otherwise look like the least
-/// loaded.
+/// The slowness that a server shows by rejecting a request. It responds at once, and would otherwise look like the
+/// least loaded.
 const REJECTION_SLOWNESS: f64 = 10.0;
 /// The least usual latency in seconds.
 const MIN_LATENCY: f64 = 1e-6;
@@ -148,8 +148,8 @@
         true
     }
 
-    /// Handles an attempt that may take too long: it counts against the server, and is cancelled in favour of a retry if
-    /// the server seems not to respond.
+    /// Handles an attempt that may take too long: it counts against the server, and is cancelled in favour of a retry
+    /// if the server seems not to respond.
     pub(super) fn check_slow_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.done && !request.streaming)
         else {
--- a/crates/rate-limiter/src/limiter/counter_sync.rs
+++ b/crates/rate-limiter/src/limiter/counter_sync.rs
@@ -91,9 +91,9 @@
 
     /// Reports the units of a request.
     ///
-    /// A sample of the requests calls the counter and stands for all, so that the counter can bear hundreds of limiters.
-    /// For an interval after a call all units are accumulated. Rejected requests are more likely to call: the response
-    /// decides the client's next try.
+    /// A sample of the requests calls the counter and stands for all, so that the counter can bear hundreds of
+    /// limiters. For an interval after a call all units are accumulated. Rejected requests are more likely to call: the
+    /// response decides the client's next try.
     pub(super) fn report(
         &mut self,
         context: Context<'_>,
@@ -210,12 +210,12 @@
         self.counted = total;
         let (used, rejected) = (total.used - before.used, total.rejected - before.rejected);
         if response.total < 0.0 || used < report.used || rejected < report.rejected {
-            // Less than this limiter's own part: the counter has lost its numbers. The totals are missing until the next
-            // difference.
+            // Less than this limiter's own part: the counter has lost its numbers. The totals are missing until the
+            // next difference.
             return None;
         }
-        // Own demand is spread over all the time since the last report, a part of which lies before the window: otherwise
-        // a rare request looks like a large share at the start of a window.
+        // Own demand is spread over all the time since the last report, a part of which lies before the window:
+        // otherwise a rare request looks like a large share at the start of a window.
         let span = (now - since).max(REPORT_INTERVAL / 4.0);
         let own_span = (now - self.last_report).max(REPORT_INTERVAL / 4.0);
         self.last_report = now;
--- a/crates/rate-limiter/src/limiter/discovery_backoff.rs
+++ b/crates/rate-limiter/src/limiter/discovery_backoff.rs
@@ -1,7 +1,7 @@
 //! When the list of servers is asked for again after its watch failed: exponential backoff with jitter.
 //!
-//! Discovery serves all limiters. If the watches of all fail at once, calls that come back in step keep it busy with those
-//! that it must reject, and none ever gets a response.
+//! Discovery serves all limiters. If the watches of all fail at once, calls that come back in step keep it busy with
+//! those that it must reject, and none ever gets a response.
 
 use crate::interface::Settings;
 
--- a/crates/rate-limiter/src/limiter/fleet_load.rs
+++ b/crates/rate-limiter/src/limiter/fleet_load.rs
@@ -12,7 +12,8 @@
 const MEAN_FADE: f64 = 1.0;
 /// The most weight of one report in that mean: one server is not the fleet.
 const MAX_REPORT_WEIGHT: f64 = 0.3;
-/// Queued requests per unit of capacity from which the fleet is overloaded. Requests queue only when all slots are in use.
+/// Queued requests per unit of capacity from which the fleet is overloaded. Requests queue only when all slots are in
+/// use.
 const OVERLOAD_QUEUE: f64 = 0.3;
 /// Further queued requests per unit of capacity for which all requests would be shed.
 const FULL_SHED_QUEUE: f64 = 2.0;
--- a/crates/rate-limiter/src/limiter/heavy_hitters.rs
+++ b/crates/rate-limiter/src/limiter/heavy_hitters.rs
@@ -4,18 +4,18 @@
 //! bucket holds one request all the same: each admits one, and all together far more than the quota. The few tenants
 //! that cause most of that are listed by the first limiter that learns it from its totals.
 //!
-//! The list is a row of numbers on the counter, read off the request path. Every limiter reads each entry once, and then
-//! polls the end of the list.
+//! The list is a row of numbers on the counter, read off the request path. Every limiter reads each entry once, and
+//! then polls the end of the list.
 
 use super::counter_sync::CountedDemand;
 use super::{hash, Action, Settings};
 use crate::interface::Plan;
 use std::collections::BTreeMap;
 
-/// Seconds for which a list is valid. The next one begins empty. Shorter, and all limiters would read it again more often.
-/// It changes in the middle of a counter window, where totals are the best to decide what to list.
+/// Seconds for which a list is valid. The next one begins empty. Shorter, and all limiters would read it again more
+/// often. It changes in the middle of a counter window, where totals are the best to decide what to list.
 const LIST_TIME: f64 = 20.0;
-/// The previous list stays valid until so many seconds into the next, by when what still applies is listed again.
+/// The previous list stays valid until this many seconds into the next, by when what still applies is listed again.
 const OVERLAP: f64 = 5.0;
 /// The most entries of a list. Each costs one call of every limiter.
 const MAX_ENTRIES: u32 = 60;
--- a/crates/rate-limiter/src/limiter/load_balancing.rs
+++ b/crates/rate-limiter/src/limiter/load_balancing.rs
@@ -10,8 +10,8 @@
 const MAX_IN_FLIGHT: f64 = 5.0;
 /// The least limit of one limiter, as few of many limiters meet at a server.
 const MIN_IN_FLIGHT_LIMIT: f64 = 2.0;
-/// The servers that are compared for a request, in subsets per limiter that shares a server. The more limiters share the
-/// servers, the more all would choose the same one: then many choose the better of two random ones.
+/// The servers that are compared for a request, in subsets per limiter that shares a server. The more limiters share
+/// the servers, the more all would choose the same one: then many choose the better of two random ones.
 const COMPARED_SUBSETS: f64 = 4.0;
 /// The least number of servers that are compared.
 const MIN_COMPARED: f64 = 2.0;
@@ -114,8 +114,8 @@
 }
 
 impl OpenRequest {
-    /// Returns whether a server may get the request. A keyed request stays with the servers that deduplicate it together
-    /// with the first one that may have executed it.
+    /// Returns whether a server may get the request. A keyed request stays with the servers that deduplicate it
+    /// together with the first one that may have executed it.
     fn allows_server(&self, context: Context<'_>, server: &Server) -> bool {
         let class = &context.settings.classes[self.class];
         if class.idempotency != Idempotency::Keyed {
--- a/crates/rate-limiter/src/limiter/outlier_detection.rs
+++ b/crates/rate-limiter/src/limiter/outlier_detection.rs
@@ -45,8 +45,8 @@
         1.0 + (self.slowness - 1.0) * fade
     }
 
-    /// Returns the factor by which the server is expected to be slower than usual for a class of requests. `zone_factor`
-    /// is that of its zone.
+    /// Returns the factor by which the server is expected to be slower than usual for a class of requests.
+    /// `zone_factor` is that of its zone.
     pub(super) fn expected_slowness(&self, context: Context<'_>, class: usize, zone_factor: f64) -> f64 {
         self.faded_slowness(self.slowness_fade(context)) * zone_factor * self.late_factor(context, class)
     }
--- a/crates/rate-limiter/src/limiter/quota.rs
+++ b/crates/rate-limiter/src/limiter/quota.rs
@@ -333,8 +333,8 @@
         self.counter.is_up().then(|| self.heavy_hitters.tick(context.now, rng)).flatten()
     }
 
-    /// Forgets tenants without a request for long, whose bucket and hard rate limit would be full: forgotten sooner, each
-    /// would get them full again. Does nothing unless a check is due since the last tick.
+    /// Forgets tenants without a request for long, whose bucket and hard rate limit would be full: forgotten sooner,
+    /// each would get them full again. Does nothing unless a check is due since the last tick.
     pub(super) fn forget_idle_tenants(&mut self, context: Context<'_>, last_tick: f64) {
         if (context.now / IDLE_TIME).floor() > (last_tick / IDLE_TIME).floor() {
             self.tenants.retain(|_, tenant| !tenant.can_be_forgotten(context));
--- a/crates/rate-limiter/src/limiter/slow_start.rs
+++ b/crates/rate-limiter/src/limiter/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: a server that started recently has a part of its capacity, and gets requests accordingly.
 //!
-//! A cold server that gets more than a multiple of its capacity for some time fails. Warm servers show what the load per
-//! unit of capacity is; a cold server gets the same, by its warmth.
+//! A cold server that gets more than a multiple of its capacity for some time fails. Warm servers show what the load
+//! per unit of capacity is; a cold server gets the same, by its warmth.
 
 use super::servers::{Server, ServerSet};
 use super::{hash, Context};
--- a/crates/rate-limiter/tests/discovery.rs
+++ b/crates/rate-limiter/tests/discovery.rs
@@ -61,7 +61,7 @@
 
 #[test]
 fn updates_arrive_in_time_when_two_watches_in_a_row_time_out() {
-    // What discovery tells counts as told 6 s after the silence began. The watch falls silent, the call that
+    // What discovery publishes counts as known 6 s after the watch went idle. The watch goes idle, the call that
     // replaces it is never answered, and the third brings the news: from the silence on, calls take so long.
     let (old, new) = (Fake::new(|_| ok("old")), Fake::new(|_| ok("new")));
     let (before, after) = (
--- a/crates/replication/src/durability.rs
+++ b/crates/replication/src/durability.rs
@@ -1,7 +1,7 @@
 //! When commits of a view are acknowledged, given which failures the view survives.
 //!
 //! A view with no more members than machines may be lost acknowledges nothing. One whose members are enough, but in too
-//! few zones or regions, waits a little for nodes that would mend that, and then acknowledges in a degraded state:
+//! few zones or regions, waits a little for nodes that would improve that, and then acknowledges in a degraded state:
 //! otherwise the loss of a region, which is tolerated, would stop all commits.
 
 use log::{info, warn};
@@ -61,7 +61,7 @@
 
 impl DurabilityMonitor {
     /// Returns whether what all members have stored survives the tolerated failures, or is as safe as it can be made at
-    /// the moment. `could_survive_more` tells whether connected nodes could cover more failures of zones or regions.
+    /// the moment. `could_survive_more` is whether connected nodes could cover more failures of zones or regions.
     pub fn can_acknowledge(
         &self,
         now: Duration,
--- a/crates/replication/src/event.rs
+++ b/crates/replication/src/event.rs
@@ -15,7 +15,7 @@
         /// The message.
         body: Body,
     },
-    /// The failure domains of a node, as its `Hello` told. Comes before [`Event::Connected`].
+    /// The failure domains of a node, as its `Hello` states. Comes before [`Event::Connected`].
     LocalityLearned {
         /// The node.
         node: NodeId,
@@ -43,7 +43,7 @@
     },
     /// Time has passed. Due every 50 ms.
     Tick,
-    /// The process is about to shut down: a primary hands over, and the node stands for no election any more.
+    /// The process is about to shut down: a primary hands over, and the node does not campaign any more.
     Shutdown,
 }
 
@@ -134,7 +134,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
     /// The replica holds no lease. The proposal was not appended and never will be. `hint` is the primary that the
-    /// replica has heard within the lease.
+    /// replica has received a heartbeat from within the lease.
     NotPrimary {
         /// The primary, if it is known.
         hint: Option<NodeId>,
@@ -146,7 +146,7 @@
 /// The role of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It follows the primary that it has heard within the lease, if there is one.
+    /// It follows the primary whose heartbeat it has received within the lease, if there is one.
     Follower {
         /// The primary.
         primary: Option<NodeId>,
--- a/crates/replication/src/faults.rs
+++ b/crates/replication/src/faults.rs
@@ -19,7 +19,7 @@
         replace_all_witnesses,
         /// A witness that is no member of the newest view leads with the state that it has, and fetches none.
         elect_from_stale_snapshot,
-        /// A primary states what is in force without checking its lease at that moment.
+        /// A primary states the active state without checking its lease at that moment.
         answer_without_lease_check,
         /// A member confirms an installed state before all of it is durable.
         install_before_complete,
--- a/crates/replication/src/log.rs
+++ b/crates/replication/src/log.rs
@@ -108,8 +108,9 @@
         self.last()
     }
 
-    /// Appends entries that follow `previous` in the log of a primary, if this log holds `previous`. Conflicting entries
-    /// are truncated, but never one up to `committed`. Returns the entries that are new, which have to be stored.
+    /// Appends entries that follow `previous` in the log of a primary, if this log holds `previous`. Conflicting
+    /// entries are truncated, but never one up to `committed`. Returns the entries that are new, which have to be
+    /// stored.
     ///
     /// # Errors
     /// [`AppendError`]; the log is then unchanged.
--- a/crates/replication/src/membership/planner.rs
+++ b/crates/replication/src/membership/planner.rs
@@ -94,8 +94,8 @@
         desired_view.members.iter().chain(&desired_view.witnesses).any(rejects)
     }
 
-    /// Returns the members that are shutting down and are kept beside those that stay: as many as are needed for the loss
-    /// of machines, and those whose failure domain is needed until a connected node takes their place.
+    /// Returns the members that are shutting down and are kept beside those that stay: as many as are needed for the
+    /// loss of machines, and those whose failure domain is needed until a connected node takes their place.
     fn shutting_down_to_keep(
         &self,
         present: &BTreeSet<NodeId>,
--- a/crates/replication/src/membership/witness_set.rs
+++ b/crates/replication/src/membership/witness_set.rs
@@ -8,8 +8,8 @@
 
 /// A witness without messages for this long is replaced by another node.
 const REPLACE_AFTER: Duration = Duration::from_secs(1);
-/// Two witnesses that have been silent for so long are removed, one after the other, from a set that is larger than the
-/// tolerated failures need.
+/// Two witnesses that have been unresponsive for this long are removed, one after the other, from a set that is larger
+/// than the tolerated failures need.
 const REMOVE_SPARE_AFTER: Duration = Duration::from_secs(3);
 
 /// The next set of witnesses.
@@ -70,7 +70,7 @@
         members.iter().copied().filter(|node| !witnesses.contains(node) && is_available(*node)).collect()
     }
 
-    /// Replaces a witness by a candidate: one with the same address, else one that is shutting down or silent.
+    /// Replaces a witness by a candidate: one with the same address, else one that is shutting down or unresponsive.
     fn replace_one(&self, present: &[NodeId], candidates: &[NodeId]) -> Option<WitnessChange> {
         let successor = candidates.iter().find_map(|node| {
             let index = present.iter().position(|other| other.ip == node.ip)?;
@@ -84,8 +84,8 @@
         replacements.min_by_key(|change| self.count_uncovered_by(change))
     }
 
-    /// Removes an unavailable witness from a set of even size: that makes the majority smaller, and so the others survive
-    /// one loss more. From a set of odd size one is removed if two are unavailable that it does not need.
+    /// Removes an unavailable witness from a set of even size: that makes the majority smaller, and so the others
+    /// survive one loss more. From a set of odd size one is removed if two are unavailable that it does not need.
     fn remove_one(&self, present: &[NodeId]) -> Option<WitnessChange> {
         let time_since_reply = match present.len().is_multiple_of(2) {
             true => self.cluster.options.drop_after,
@@ -95,8 +95,8 @@
         self.unavailable(present, time_since_reply).map(|index| WitnessChange::remove(present, index))
     }
 
-    /// Returns whether two witnesses are unavailable without which the set would still be large enough. They would count
-    /// against the next losses.
+    /// Returns whether two witnesses are unavailable without which the set would still be large enough. They would
+    /// count against the next losses.
     fn has_two_to_spare(&self, present: &[NodeId]) -> bool {
         let is_large = present.len() > 2 * self.cluster.options.fault_tolerance.machines + 1;
         let unavailable =
@@ -104,7 +104,8 @@
         is_large && unavailable >= 2
     }
 
-    /// Replaces or removes a witness if the set then survives failures of zones or regions that it does not survive now.
+    /// Replaces or removes a witness if the set then survives failures of zones or regions that it does not survive
+    /// now.
     fn spread(&self, present: &[NodeId], candidates: &[NodeId]) -> Option<WitnessChange> {
         let uncovered = self.cluster.uncovered_by_witnesses(present);
         let is_known = present.iter().all(|node| self.cluster.locality_of(*node).is_some());
@@ -142,7 +143,7 @@
         self.cluster.uncovered_by_witnesses(&change.witnesses).count()
     }
 
-    /// Returns the index of a witness that is shutting down, or has been silent for longer than `time`.
+    /// Returns the index of a witness that is shutting down, or has been unresponsive for longer than `time`.
     fn unavailable(&self, witnesses: &[NodeId], time: Duration) -> Option<usize> {
         witnesses.iter().position(|node| self.is_unavailable(*node, time))
     }
--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, Default)]
 struct Peer {
     is_connected: bool,
-    /// Its failure domains, if its `Hello` was heard since the start of this process.
+    /// Its failure domains, if its `Hello` was received since the start of this process.
     locality: Option<Locality>,
     heard_at: Option<Duration>,
     responsive_since: Option<Duration>,
@@ -156,7 +156,7 @@
         now.saturating_sub(heard_at.max(start))
     }
 
-    /// Returns the failure domains of a node's machine, whichever incarnation told them.
+    /// Returns the failure domains of a node's machine, whichever incarnation reported them.
     pub fn locality_of(&self, node: NodeId) -> Option<&Locality> {
         let own = self.get(node).and_then(|peer| peer.locality.as_ref());
         let is_same_machine = |(other, _): &(&NodeId, &Peer)| other.ip == node.ip;
--- a/crates/replication/src/primary.rs
+++ b/crates/replication/src/primary.rs
@@ -85,8 +85,8 @@
         self.lease.record_grant(witness, round, epoch);
     }
 
-    /// Returns when the lease ends, if it was ever granted. While a view is being `activated`, its witnesses have to have
-    /// granted as well: a candidate may know already that they alone decide.
+    /// Returns when the lease ends, if it was ever granted. While a view is being `activated`, its witnesses have to
+    /// have granted as well: a candidate may know already that they alone decide.
     pub fn lease_end(&self, activated: Option<&View>) -> Option<Duration> {
         let mut sets = witness_sets(&self.view);
         if let Some(view) = activated {
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -40,7 +40,7 @@
     in_flight: Option<InFlight>,
     /// Nothing is sent to it before that time, since it has rejected a message.
     paused_until: Duration,
-    /// It may have restarted: then it holds its log, but applies it only once it is told again what is committed.
+    /// It may have restarted: then it holds its log, but applies it only once it receives the commit index again.
     needs_commit_index: bool,
     /// Since when it has made no progress although it lacks entries.
     behind_since: Option<Duration>,
--- a/crates/replication/src/replica/acceptor.rs
+++ b/crates/replication/src/replica/acceptor.rs
@@ -51,8 +51,8 @@
         self.send(from, promise);
     }
 
-    /// Gives up a candidacy in favour of one of a higher identity. Two candidates that stand at the same time would keep
-    /// each other from a majority; the other one tries again with a higher epoch.
+    /// Gives up a candidacy in favour of one of a higher identity. Two candidates that stand at the same time would
+    /// keep each other from a majority; the other one tries again with a higher epoch.
     fn yield_to_rival(&mut self, rival: NodeId) {
         let is_contested = self.view_change.as_ref().is_some_and(ViewChange::is_contested);
         if self.primary.is_none() && is_contested && rival > self.options.me {
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Follows the primary of an epoch that is not outdated. Without its lease it keeps no one from standing for election.
+    /// Follows the primary of an epoch that is not outdated. Without its lease it keeps no one from campaigning.
     fn follow(&mut self, primary: NodeId, epoch: u64, holds_lease: bool) {
         if primary == self.options.me {
             return;
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Gives way to the leadership or candidacy of another node.
+    /// Yields to the leadership or candidacy of another node.
     pub(super) fn defer_to(&mut self, node: NodeId) {
         if node == self.options.me {
             return;
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -27,7 +27,7 @@
         self.election.postpone(self.now, self.options.lease, is_member);
     }
 
-    /// Campaigns if no primary was heard for long enough.
+    /// Campaigns if no primary has sent a heartbeat for long enough.
     pub(super) fn maybe_campaign(&mut self) {
         let is_idle = self.primary.is_none() && self.view_change.is_none() && !self.shutdown.has_begun();
         if !is_idle || !self.election.is_due(self.now) || !self.writes.is_usable(self.now) {
@@ -118,8 +118,8 @@
         }
     }
 
-    /// Returns whether a newer view has come up that does not include this node, or, if it is an active primary, that has
-    /// another primary.
+    /// Returns whether a newer view has come up that does not include this node, or, if it is an active primary, that
+    /// has another primary.
     fn is_excluded(&self) -> bool {
         let Some(change) = &self.view_change else { return false };
         let newest = change.newest_view();
@@ -205,7 +205,7 @@
         let Some(change) = self.view_change.take() else { return };
         self.tracker = None;
         self.election.back_off(self.now, RETRY_INTERVAL);
-        // Before its claim is durable no other node has heard of the epoch, and this one may claim it again.
+        // Before its claim is durable no other node knows of the epoch, and this one may claim it again.
         if change.is_public() {
             info!(node:% = self.options.me, epoch = change.epoch(), phase:? = change.phase(); "election failed");
             self.resign(change.epoch());
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Replica`] owns the parts and is the only one that connects them. Its methods stand in one file for each role:
 //! `acceptor` (a witness asked by others), `follower` (a member or learner that receives the log), `election` (a
-//! candidate up to the state), `view_change` (from the state to a view in force), `replication` (sending the log),
+//! candidate up to the state), `view_change` (from the state to an active view), `replication` (sending the log),
 //! `primary` (lease, proposals, commits) and `shutdown`.
 
 mod acceptor;
@@ -33,7 +33,7 @@
 use crate::write_queue::{Completion, WriteQueue};
 use crate::{DurabilityStatus, Locality, StateMachine};
 
-/// The primary that was heard last while it held its lease.
+/// The primary whose heartbeat came last while it held its lease.
 #[derive(Clone, Copy, Debug)]
 struct PrimaryContact {
     node: NodeId,
@@ -187,8 +187,8 @@
         is_unchecked || self.holds_lease(now)
     }
 
-    /// Returns whether there are proposals, in the log or queued, that are not applied to the state: they may take effect
-    /// without being proposed again.
+    /// Returns whether there are proposals, in the log or queued, that are not applied to the state: they may take
+    /// effect without being proposed again.
     pub fn has_unresolved_proposals(&self) -> bool {
         let has_queued = self.primary.as_ref().is_some_and(|primary| primary.proposals.has_queued());
         has_queued || self.member.has_unapplied_payload()
@@ -210,12 +210,13 @@
         nodes
     }
 
-    /// Returns the primary, if this node is it or has heard it within the lease.
+    /// Returns the primary, if this node is it, or has received its heartbeat within the lease.
     pub fn primary_hint(&self, now: Duration) -> Option<NodeId> {
         self.primary_until(now).map(|(primary, _)| primary)
     }
 
-    /// Returns the primary, if this node is it or has heard it within the lease, and until when it may be named.
+    /// Returns the primary, if this node is it, or has received its heartbeat within the lease, and until when it may
+    /// be named.
     pub fn primary_until(&self, now: Duration) -> Option<(NodeId, Duration)> {
         if let Some(end) = self.lease_until(now) {
             return Some((self.options.me, end));
--- a/crates/replication/src/replica/primary.rs
+++ b/crates/replication/src/replica/primary.rs
@@ -14,7 +14,7 @@
 use crate::StateMachine;
 
 impl<S: StateMachine> Replica<S> {
-    /// Becomes the primary of the proposed view, which is in force.
+    /// Becomes the primary of the proposed view, which is active.
     pub(super) fn become_primary(&mut self) {
         let Some(outcome) = self.view_change.take().and_then(ViewChange::into_outcome) else { return };
         let ViewChangeOutcome { view, desired_view, log_end } = outcome;
@@ -108,7 +108,7 @@
         self.primary.as_ref()?.lease_end(activating.and_then(ViewChange::proposed_view))
     }
 
-    /// Requests the lease from all nodes and tells them the view and what is committed.
+    /// Requests the lease from all nodes and sends them the view and what is committed.
     fn send_heartbeat(&mut self) {
         let holds_lease = self.holds_lease(self.now);
         let Some(primary) = &mut self.primary else { return };
@@ -135,7 +135,7 @@
             primary.record_lease_grant(from, grant.round, grant.epoch);
         }
         if !held_lease && self.holds_lease(self.now) {
-            // The others follow only a primary that says that it holds the lease.
+            // The others follow only a primary that claims the lease.
             self.send_heartbeat();
         }
     }
--- a/crates/replication/src/replica/replication.rs
+++ b/crates/replication/src/replica/replication.rs
@@ -91,8 +91,8 @@
         self.view_change.as_ref().map_or(self.primary.is_some(), ViewChange::is_replicating)
     }
 
-    /// Begins to add a learner as soon as it holds the log, if proposals are queued that would follow. Otherwise the next
-    /// tick does.
+    /// Begins to add a learner as soon as it holds the log, if proposals are queued that would follow. Otherwise the
+    /// next tick does.
     fn maybe_add_learner(&mut self, node: NodeId) {
         let can_add = self.planner().is_some_and(|planner| planner.can_add_at_once(node));
         if can_add && self.view_change.is_none() {
--- a/crates/replication/src/replica/shutdown.rs
+++ b/crates/replication/src/replica/shutdown.rs
@@ -37,11 +37,11 @@
         self.send(to, Body::Reject(Box::new(reject)));
     }
 
-    /// Returns whether a process that was told to shut down may exit. Until then it should go on for as long as it is
-    /// given.
+    /// Returns whether a process that was signalled to shut down may exit. Until then it should go on for as long as it
+    /// is given.
     ///
-    /// It may exit once its data is safe elsewhere. It may also exit if nobody could take the data, since all other nodes
-    /// are shutting down too or there are none: waiting would only delay the next start.
+    /// It may exit once its data is safe elsewhere. It may also exit if nobody could take the data, since all other
+    /// nodes are shutting down too or there are none: waiting would only delay the next start.
     pub fn can_exit(&self) -> bool {
         let is_data_safe = self.shutdown.is_data_safe(self.witness.promised());
         self.shutdown.has_begun() && (is_data_safe || !self.has_successor())
--- a/crates/replication/src/replica/view_change.rs
+++ b/crates/replication/src/replica/view_change.rs
@@ -1,4 +1,4 @@
-//! From the state to a view in force: the members are brought to the state, then witnesses accept the view.
+//! From the state to an active view: the members are brought to the state, then witnesses accept the view.
 
 use quillpulley_protocol::{Accept, Accepted, Body, NodeId, View};
 use std::collections::BTreeSet;
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Begins to replicate the state to the nodes that are to be members. An entry marks the begin of the epoch in every
-    /// log, and supersedes what other logs hold beyond this one.
+    /// Begins to replicate the state to the nodes that are to be members. An entry marks the begin of the epoch in
+    /// every log, and supersedes what other logs hold beyond this one.
     pub(super) fn begin_sync(&mut self) {
         let me = self.options.me;
         let Some(change) = &mut self.view_change else { return };
@@ -220,8 +220,8 @@
         self.request_acceptance();
     }
 
-    /// Returns the view with these members. Its witnesses differ from those of the newest view only if that is the active
-    /// view of this primary, and by one node at most.
+    /// Returns the view with these members. Its witnesses differ from those of the newest view only if that is the
+    /// active view of this primary, and by one node at most.
     fn next_view(&self, change: &ViewChange, members: BTreeSet<NodeId>) -> View {
         let me = self.options.me;
         let newest = change.newest_view();
--- a/crates/replication/src/shutdown.rs
+++ b/crates/replication/src/shutdown.rs
@@ -13,7 +13,7 @@
 pub(crate) struct GracefulShutdown {
     has_begun: bool,
     announce_at: Duration,
-    /// The epoch of the newest view in force that this node has heard of from its primary, if that view does not need
+    /// The epoch of the newest active view that this node has heard of from its primary, if that view does not need
     /// this node.
     dispensable_in: Option<u64>,
 }
--- a/crates/replication/src/view_change.rs
+++ b/crates/replication/src/view_change.rs
@@ -1,7 +1,7 @@
 //! A view change in progress: the state that elections and reconfigurations share.
 //!
 //! `PreVote` (elections only) → `Claim` → `Prepare` → `Fetch` (if this node is no member) → `Sync` → `Accept` →
-//! `Activate` (if the set of witnesses changes) → the view is in force.
+//! `Activate` (if the set of witnesses changes) → the view is active.
 
 use quillpulley_protocol::{NodeId, Position, View};
 use std::collections::BTreeSet;
--- a/crates/replication/src/witness.rs
+++ b/crates/replication/src/witness.rs
@@ -1,7 +1,7 @@
 //! The durable state of a witness, and the leases that it has granted.
 //!
 //! Invariants: the promised epoch never goes back; a promise of a higher epoch is not granted while a lease that was
-//! granted to another node runs. Callers make the record durable before anyone hears of a vote.
+//! granted to another node runs. Callers make the record durable before anyone learns of a vote.
 
 use quillpulley_protocol::{NodeId, View, WitnessRecord};
 use std::time::Duration;
@@ -111,8 +111,8 @@
         self.consider(now, epoch, candidate)
     }
 
-    /// Promises an epoch to a candidate, unless it is outdated or a lease of another node runs. For `hold` it delays the
-    /// pre-votes of other candidates.
+    /// Promises an epoch to a candidate, unless it is outdated or a lease of another node runs. For `hold` it delays
+    /// the pre-votes of other candidates.
     pub fn vote(&mut self, now: Duration, epoch: u64, candidate: NodeId, hold: Duration) -> Vote {
         let vote = self.consider(now, epoch, candidate);
         if vote == Vote::Granted {
@@ -141,7 +141,7 @@
         is_admitted
     }
 
-    /// Records a view that is in force or accepted. Returns whether it is newer than the known one.
+    /// Records a view that is active or accepted. Returns whether it is newer than the known one.
     pub fn learn(&mut self, view: &View) -> bool {
         let is_new = is_newer(view, self.view());
         if is_new {
--- a/crates/replication/src/write_queue.rs
+++ b/crates/replication/src/write_queue.rs
@@ -9,7 +9,7 @@
 
 use crate::event::Write;
 
-/// A disk that does not complete a write for so long counts as broken.
+/// A disk that does not complete a write for this long counts as broken.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(600);
 /// The additional time for each megabyte of a write.
 const WRITE_TIMEOUT_PER_MB: Duration = Duration::from_millis(250);
--- a/crates/replication/tests/replication/harness/clients.rs
+++ b/crates/replication/tests/replication/harness/clients.rs
@@ -5,7 +5,7 @@
 use super::command_history::Command;
 use super::world::{ScheduledEvent, World};
 
-/// Commands are longer than they have to be by up to so many bytes.
+/// Commands are longer than they have to be by up to this many bytes.
 const PADDING: usize = 300;
 /// The longest time from a read to its response, unless the process is frozen in between.
 const MAX_READ_MS: u64 = 5;
--- a/crates/replication/tests/replication/harness/durability.rs
+++ b/crates/replication/tests/replication/harness/durability.rs
@@ -78,7 +78,7 @@
     })
 }
 
-/// The views from which the nodes with these disks may go on, after so many nodes were lost.
+/// The views from which the nodes with these disks may go on, after this many nodes were lost.
 pub fn newest_views<'a>(disks: &[&'a DiskImage], lost: usize) -> Vec<&'a View> {
     let records = disks.iter().filter_map(|disk| disk.record.as_ref());
     let views: Vec<&View> = records.filter_map(|record| record.accepted.as_deref()).collect();
--- a/crates/replication/tests/replication/model/mod.rs
+++ b/crates/replication/tests/replication/model/mod.rs
@@ -1,9 +1,9 @@
 //! Exhaustive model checking of small worlds: from the moments of a failover, of a replacement, of the removal of a
 //! witness, and of an install, all ways in which the next few things can happen, with faults among them.
 //!
-//! A write is durable at once here, unless the process dies in it. A frozen machine is one to which nothing happens
-//! for a while. The initial states are every second moment, in the longer stories of those at which more than heartbeats
-//! is in flight.
+//! A write is durable at once here, unless the process dies in it. A frozen machine is one to which nothing happens for
+//! a while. The initial states are every second moment, in the longer stories of those at which more than heartbeats is
+//! in flight.
 //!
 //! `MODEL_DEPTH` sets how many states a path has, and then every moment is an initial state. Each test prints how many
 //! states it has seen:
--- a/crates/replication/tests/replication/reads.rs
+++ b/crates/replication/tests/replication/reads.rs
@@ -1,8 +1,8 @@
 //! Answers to callers as the host gives them: decided by one thread under the lease, written by another later. Random
 //! cuts, freezes and ends of processes fall between the two.
 //!
-//! An answer about the active configuration has everything that any *other* process had acknowledged when it was written.
-//! Nobody who follows redirects ever comes back to where it was.
+//! An answer about the active configuration has everything that any *other* process had acknowledged when it was
+//! written. Nobody who follows redirects ever comes back to where it was.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/replication/tests/replication/scenarios/failure_domains.rs
+++ b/crates/replication/tests/replication/scenarios/failure_domains.rs
@@ -171,8 +171,8 @@
     world.now - signalled_at
 }
 
-/// The only member of a region is signalled to shut down, `delay` after a machine of its region was started. It may exit only when
-/// that machine is a member.
+/// The only member of a region is signalled to shut down, `delay` after a machine of its region was started. It may
+/// exit only when that machine is a member.
 fn exits_once_its_successor_has_joined(seed: u64, delay: u64) {
     let mut world = world(seed, &[A, A2, B]);
     let command = world.propose(world.leader().expect("a primary"));
@@ -223,8 +223,8 @@
     }
 }
 
-/// Returns what a replica reports of a view whose nodes are in these zones and regions, as (machines, zones, regions) of the members
-/// and of the witnesses.
+/// Returns what a replica reports of a view whose nodes are in these zones and regions, as (machines, zones, regions)
+/// of the members and of the witnesses.
 fn uncovered_failures(localities: &[(u8, u8)], tolerated: (usize, usize, usize)) -> [[bool; 3]; 2] {
     let nodes: Vec<NodeId> =
         (0..localities.len()).map(|index| NodeId::new(Ipv4Addr::new(10, 0, 0, 1 + index as u8), 0)).collect();
--- a/crates/serving-config/src/error.rs
+++ b/crates/serving-config/src/error.rs
@@ -60,7 +60,7 @@
     VersionNotAbove {
         /// The version of the configuration.
         version: u64,
-        /// The version in force.
+        /// The active version.
         current: u64,
     },
     /// {found} of {expected} routes of the published configuration are there: wait for the rest
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -54,7 +54,7 @@
     pub data_folder: Option<PathBuf>,
     /// `HeartbeatMs`; a second where it is missing.
     pub heartbeat: Duration,
-    /// `Contracts`: the parts of the rules that are in force.
+    /// `Contracts`: the parts of the rules that are active.
     pub contracts: Vec<String>,
     /// `Zones`: the region of each zone.
     pub zones: BTreeMap<String, String>,
--- a/crates/settings/src/sections.rs
+++ b/crates/settings/src/sections.rs
@@ -118,7 +118,7 @@
     pub seed_lag: Duration,
     /// `ReuseAfterS`: when the address of a server that has ended may be given to another; 2 s.
     pub reuse_after: Duration,
-    /// `ContactMs`: how long calm must have lasted; 4 s.
+    /// `ContactMs`: how long a fault-free period must have lasted; 4 s.
     pub contact: Duration,
     /// `AckMs`: within which an order is to be acknowledged; 5 s.
     pub acknowledge: Duration,
@@ -130,7 +130,7 @@
     pub grace: Duration,
     /// `LossSlackMs`: after which a request that was read must be answered; 0.2 s.
     pub loss_slack: Duration,
-    /// `ConfigMs`: within which a configuration must be in force everywhere; 2.5 s.
+    /// `ConfigMs`: within which a configuration must be active everywhere; 2.5 s.
     pub configuration: Duration,
     /// `RollbackSlackMs`: after which nobody may go back to an older configuration; 0.25 s.
     pub rollback_slack: Duration,
@@ -146,11 +146,11 @@
     pub warmup_overshoot: f64,
     /// `WarmupSlack`: requests a second beyond that; 5.
     pub warmup_slack: f64,
-    /// `EvacMs`: within which an evacuation must be in force everywhere; 5 s.
+    /// `EvacMs`: within which an evacuation must be active everywhere; 5 s.
     pub evacuation: Duration,
     /// `RecoveryS`: within which the system must serve again after the whole of it was lost; 12 s.
     pub recovery: Duration,
-    /// `pass_ms`: within which an event must be passed on; 0.25 s.
+    /// `pass_ms`: within which an event must be forwarded; 0.25 s.
     pub pass: Duration,
     /// `again_s`: within which a part of a prompt should not be read again; 10 s.
     pub again: Duration,
--- a/crates/state-sync/src/counters.rs
+++ b/crates/state-sync/src/counters.rs
@@ -33,7 +33,7 @@
     pub failures: u32,
 }
 
-/// The sums over some proxies. Services and servers for which all numbers are zero are left out.
+/// The sums over some proxies. Services and servers for which all numbers are zero are omitted.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CounterTable {
     /// The number of proxies.
--- a/crates/state-sync/src/options.rs
+++ b/crates/state-sync/src/options.rs
@@ -4,11 +4,11 @@
 
 /// The options of a [`SyncNode`](crate::SyncNode).
 ///
-/// A heartbeat takes 100 bytes, five times a second. A frame of counts takes up to 100 bytes and, for what has
-/// changed, 50 for each service and 24 for each server (at most `max_servers_per_frame`), four times a second and in each
-/// direction; a proxy takes 150 when it changes. 5 KB/s for a proxy, as at the target size of 900 proxies and
-/// 4,700 servers, leave room for some five services and 10 servers a frame. What would not fit there: the numbers of
-/// all servers, which are 113 KB each time. They are sent complete on a new connection; after that each server would get
+/// A heartbeat takes 100 bytes, five times a second. A frame of counts takes up to 100 bytes and, for what has changed,
+/// 50 for each service and 24 for each server (at most `max_servers_per_frame`), four times a second and in each
+/// direction; a proxy takes 150 when it changes. 5 KB/s for a proxy, as at the target size of 900 proxies and 4,700
+/// servers, leave room for some five services and 10 servers a frame. What would not fit there: the numbers of all
+/// servers, which are 113 KB each time. They are sent complete on a new connection; after that each server would get
 /// its turn only every two minutes.
 #[derive(Clone, Debug)]
 pub struct Options {
--- a/crates/state-sync/src/totals.rs
+++ b/crates/state-sync/src/totals.rs
@@ -38,7 +38,7 @@
     origin: Origin,
     /// The parent's totals on this link; none before the complete ones were received.
     parent_counters: Option<CounterTable>,
-    /// Whether the totals are the parent's, so that its next delta can be passed on unchanged.
+    /// Whether the totals are the parent's, so that its next delta can be forwarded unchanged.
     is_in_step: bool,
     /// Whether the totals have changed since [`TotalsState::take_changed`].
     has_changed: bool,
--- a/crates/storage/src/storage.rs
+++ b/crates/storage/src/storage.rs
@@ -30,7 +30,7 @@
 pub struct Storage<F: Files = Folder> {
     files: F,
     options: Options,
-    /// The generation in force.
+    /// The active generation.
     generation: u64,
     /// One that no file had so far.
     next_generation: u64,
