--- a/crates/protocol/tests/queue.rs
+++ b/crates/protocol/tests/queue.rs
@@ -58,7 +58,7 @@
         count
     }
 
-    fn tell_back(&mut self) {
+    fn acknowledge_back(&mut self) {
         let arrived = self.decoder.take_received();
         if arrived > 0 {
             self.back.acknowledge_chunks(arrived);
@@ -72,7 +72,7 @@
 
     fn pass_all(&mut self) {
         while self.pass(10_000) > 0 {
-            self.tell_back();
+            self.acknowledge_back();
         }
     }
 }
@@ -87,7 +87,7 @@
     let mut between = 0;
     while ends.came.is_empty() {
         between += ends.pass(1_000);
-        ends.tell_back();
+        ends.acknowledge_back();
     }
     assert_eq!(ends.came, [grant(1)]);
     assert!(between <= 2 * MAX_CHUNK_BYTES + 1_000, "{between} bytes went first");
@@ -110,7 +110,7 @@
     ends.send(&grant(2));
     ends.pass(1_000);
     assert_eq!(ends.came, [grant(2)], "a full window does not hold up control messages");
-    ends.tell_back();
+    ends.acknowledge_back();
     assert!(ends.pass(50_000) > 0);
 }
 
@@ -124,7 +124,7 @@
     let mut passed = 0;
     while ends.came.len() < 2 {
         passed += ends.pass(10_000);
-        ends.tell_back();
+        ends.acknowledge_back();
     }
     assert_eq!(ends.came, [update(1, 200_000), update(2, 10)], "in their order");
     assert!(passed < 800_000, "{passed}");
@@ -165,7 +165,7 @@
     let mut left = 1_000_000;
     while left > 0 {
         left -= ends.pass(left.min(10_000));
-        ends.tell_back();
+        ends.acknowledge_back();
         assert!(ends.came.is_empty());
     }
     ends.pass_all();
@@ -198,7 +198,7 @@
             ends.send(&body);
             sent.push(body);
             ends.pass(usize::from(*cuts.next().unwrap_or(&9)));
-            ends.tell_back();
+            ends.acknowledge_back();
         }
         ends.pass_all();
         let lane = |bodies: &[Body], lane| -> Vec<Body> {
--- a/crates/quillpulley/tests/control/api.rs
+++ b/crates/quillpulley/tests/control/api.rs
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn callers_are_sent_to_the_primary_or_told_to_come_back() {
+fn callers_are_redirected_to_the_primary_or_get_retry_after() {
     let primary: SocketAddr = "10.0.0.4:8080".parse().expect("an address");
     let path = "/v1/Evacuate.Start/a";
     let response = exchange(call("POST", path), evacuation("a", true), Response::Redirect(primary));
--- a/crates/quillpulley/tests/control/commands.rs
+++ b/crates/quillpulley/tests/control/commands.rs
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn the_same_order_again_is_acknowledged_without_an_entry() {
+fn the_same_command_again_is_acknowledged_without_an_entry() {
     play(
         "
            0 | 0>5     |          | proposed 1
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn the_next_order_is_decided_when_the_one_before_has_failed() {
+fn the_next_command_is_decided_when_the_one_before_has_failed() {
     play(
         "
            0 | 0>5 0>6 |          | proposed 1
--- a/crates/quillpulley/tests/control/directory_days.rs
+++ b/crates/quillpulley/tests/control/directory_days.rs
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn control_nodes_that_were_all_killed_tell_no_proxy_that_died_with_them() {
+fn control_nodes_that_were_all_killed_list_no_proxy_that_died_with_them() {
     let mut system = System::stable();
     ALL.into_iter().for_each(|control_node| system.fail(control_node, State::Ended));
     system.nodes[0].publisher = None;
--- a/crates/quillpulley/tests/control/directory_view.rs
+++ b/crates/quillpulley/tests/control/directory_view.rs
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_proxy_that_drains_is_listed_as_draining_at_once_in_touch_or_not() {
+fn a_proxy_that_drains_is_listed_as_draining_at_once_connected_or_not() {
     play(
         "
            0 | 0 | fresh | f:r1 g:r1 | f:r1 g:r1 | f:r1 g:r1
--- a/crates/quillpulley/tests/proxy/sends.rs
+++ b/crates/quillpulley/tests/proxy/sends.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 /// So long must pass between two sends for the second one's deadline to be seen to be shorter.
-const PAUSE: Duration = Duration::from_millis(20);
+const IDLE_TIME: Duration = Duration::from_millis(20);
 const CLIENTS_DEADLINE: u64 = 3000;
 const ROUTES_TIMEOUT: u64 = 5000;
 
@@ -42,7 +42,7 @@
 async fn pause(proxy: &Proxy) {
     let mut client = proxy.client().await;
     let begun = Instant::now();
-    while begun.elapsed() < PAUSE {
+    while begun.elapsed() < IDLE_TIME {
         client.ask(&request("GET /nothing/", "id-pause", "", "")).await;
     }
 }
@@ -90,7 +90,7 @@
             ] {
                 let [first, second] = two_sends(path, headers).await.map(|sent| deadline(&sent));
                 assert!(first <= most, "{path} {headers}: {first}");
-                let passed = PAUSE.as_millis() as u64;
+                let passed = IDLE_TIME.as_millis() as u64;
                 assert!(second + passed <= first + 1, "{path} {headers}: {first}, then {second}");
             }
         }
--- a/crates/quillpulley/tests/proxy/tables.rs
+++ b/crates/quillpulley/tests/proxy/tables.rs
@@ -54,7 +54,7 @@
 ";
 
 /// Second requests on connections that were kept.
-pub const KEPT: &str = "
+pub const REUSED: &str = "
     once=ok rest once=ok        | request ok request ok
     once=ok rest once=502       | request ok forget
     once=ok rest once=502       | request ok request reset
--- a/crates/quillpulley/tests/proxy/timelines.rs
+++ b/crates/quillpulley/tests/proxy/timelines.rs
@@ -4,7 +4,7 @@
 use crate::support::message::Message;
 use crate::support::script::{ScriptedServers, Seen};
 use crate::support::{configuration, route, run, Client, Proxy};
-use crate::tables::{EARLY, KEPT, PLAIN, STREAMS};
+use crate::tables::{EARLY, PLAIN, REUSED, STREAMS};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use quillpulley::proxy::Faults;
 use std::rc::Rc;
@@ -214,7 +214,7 @@
 
 #[test]
 fn reused_connections() {
-    assert_outcomes(KEPT);
+    assert_outcomes(REUSED);
 }
 
 #[test]
--- a/crates/quillpulley/tests/proxy_drain_deadline.rs
+++ b/crates/quillpulley/tests/proxy_drain_deadline.rs
@@ -48,12 +48,12 @@
     1001 |    15000 |        1 | no
 ";
 
-const TOLD: Duration = Duration::from_millis(1_000);
+const SIGNALLED: Duration = Duration::from_millis(1_000);
 
 #[test]
 fn late_requests_are_accepted_only_if_they_are_sure_to_end_in_time() {
     for (grace, timeline) in [(8, GRACE_OF_8_S), (4, GRACE_OF_4_S), (1, GRACE_OF_1_S), (0, NO_GRACE)] {
-        let deadline = DrainDeadline::new(TOLD, Duration::from_secs(grace));
+        let deadline = DrainDeadline::new(SIGNALLED, Duration::from_secs(grace));
         for line in timeline.lines().map(str::trim).filter(|line| !line.is_empty()).skip(1) {
             let columns: Vec<&str> = line.split('|').map(str::trim).collect();
             let (came, timeout) = (milliseconds(columns[0]), milliseconds(columns[1]));
@@ -65,7 +65,7 @@
 
 #[test]
 fn it_ends_half_a_second_before_it_would_be_killed() {
-    let deadline = DrainDeadline::new(TOLD, Duration::from_secs(8));
+    let deadline = DrainDeadline::new(SIGNALLED, Duration::from_secs(8));
     let times = [deadline.accepts_all_until(), deadline.final_responses_at(), deadline.exits_at()];
     assert_eq!(times.map(|time| time.as_millis()), [3_900, 8_400, 8_500]);
 }
@@ -85,8 +85,8 @@
     fn a_rejected_request_stays_rejected(grace: u16, came_after: u16, later: u16, lasts: u16) -> bool {
         let [grace, came_after, later, lasts] =
             [grace, came_after, later, lasts].map(|time| Duration::from_millis(time.into()));
-        let deadline = DrainDeadline::new(TOLD, grace);
-        let taken = |after: Duration| deadline.accepts(TOLD + after, TOLD + after + lasts);
+        let deadline = DrainDeadline::new(SIGNALLED, grace);
+        let taken = |after: Duration| deadline.accepts(SIGNALLED + after, SIGNALLED + after + lasts);
         taken(came_after) || !taken(came_after + later)
     }
 }
--- a/crates/rate-limiter/tests/clients.rs
+++ b/crates/rate-limiter/tests/clients.rs
@@ -49,12 +49,12 @@
     // Whether or not the settings let the module call attempts off: this one has not been sent yet.
     for cancel in [true, false] {
         for behind in ["", "GET /more"] {
-            leaves_while_connecting(cancel, behind);
+            disconnects_while_connecting(cancel, behind);
         }
     }
 }
 
-fn leaves_while_connecting(cancel: bool, behind: &str) {
+fn disconnects_while_connecting(cancel: bool, behind: &str) {
     let (listener, stuck, filled) = never_up();
     let discovery = discovery(vec![instance("s-0", stuck, "in_service")]);
     let mut settings = settings();
@@ -229,7 +229,7 @@
     let go = Arc::new(AtomicBool::new(false));
     let gate = go.clone();
     let server = Fake::new(move |_| {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TIMEOUT;
         while !gate.load(Ordering::SeqCst) && Instant::now() < end {
             std::thread::sleep(Duration::from_millis(1));
         }
@@ -277,7 +277,7 @@
     let go = Arc::new(AtomicBool::new(false));
     let gate = go.clone();
     let server = Fake::new(move |_| {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TIMEOUT;
         while !gate.load(Ordering::SeqCst) && Instant::now() < end {
             std::thread::sleep(Duration::from_millis(1));
         }
@@ -337,8 +337,8 @@
             let (mut client, began, more) = (limiter.client(), Instant::now(), more.to_string());
             client.send(start);
             std::thread::spawn(move || {
-                client.patience(Duration::from_millis(100));
-                while began.elapsed() < PATIENCE && !client.has_been_told() {
+                client.timeout(Duration::from_millis(100));
+                while began.elapsed() < TIMEOUT && !client.has_received() {
                     client.send_quietly(more.as_bytes());
                 }
                 began.elapsed()
@@ -354,7 +354,7 @@
 }
 
 #[test]
-fn silent_connections_crowd_out_no_client() {
+fn connections_without_a_request_crowd_out_no_client() {
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     // Room for some twenty clients.
--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -9,10 +9,10 @@
 use std::time::{Duration, Instant};
 
 /// The longest that any condition is waited for.
-pub const PATIENCE: Duration = Duration::from_secs(15);
+pub const TIMEOUT: Duration = Duration::from_secs(15);
 
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TIMEOUT;
     while !condition() {
         assert!(Instant::now() < end, "waited in vain until {what}");
         thread::sleep(Duration::from_millis(2));
@@ -338,7 +338,7 @@
 
     pub fn client(&self) -> Client {
         let stream = TcpStream::connect(self.address).expect("connect");
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("set");
         Client { reader: BufReader::new(stream.try_clone().expect("clone")), stream }
     }
 
@@ -363,7 +363,7 @@
     }
 
     pub fn wait(&mut self) -> ExitStatus {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().expect("wait") {
                 return status;
@@ -413,12 +413,12 @@
         let _ = self.stream.write_all(bytes);
     }
 
-    pub fn patience(&self, time: Duration) {
+    pub fn timeout(&self, time: Duration) {
         self.stream.set_read_timeout(Some(time)).expect("set");
     }
 
     /// Whether an answer has begun or the connection has been closed.
-    pub fn has_been_told(&mut self) -> bool {
+    pub fn has_received(&mut self) -> bool {
         match self.stream.peek(&mut [0]) {
             Ok(_) => true,
             Err(e) => !matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut),
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -255,7 +255,7 @@
         .map(|_| {
             let (failing, gate) = (failing.clone(), go.clone());
             Fake::new(move |_| {
-                let end = Instant::now() + PATIENCE;
+                let end = Instant::now() + TIMEOUT;
                 while !gate.load(Ordering::SeqCst) && Instant::now() < end {
                     std::thread::sleep(Duration::from_millis(1));
                 }
--- a/crates/rate-limiter/tests/quota.rs
+++ b/crates/rate-limiter/tests/quota.rs
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn an_unanswered_call_is_not_added_again_and_a_rejected_one_is() {
+fn an_unanswered_report_is_not_added_again_and_a_rejected_one_is() {
     for (outcome, again) in [(Outcome::Timeout, 0.0), (Outcome::Rejected, 1.0)] {
         let mut h = Host::new(settings()).warm();
         h.served("c", "plain", 1.0);
--- a/crates/rate-limiter/tests/requests.rs
+++ b/crates/rate-limiter/tests/requests.rs
@@ -129,7 +129,7 @@
 fn one_open_attempt_is_called_off_only_after_two_late_ones_in_a_row() {
     // Guards against the ejection spiral and against rare evidence read as silence: one late answer is slow.
     let late = |h: &mut Host, id: u64, out: &[Action]| {
-        let (at, token) = timer_of(out, id, 2).expect("patience");
+        let (at, token) = timer_of(out, id, 2).expect("timeout");
         h.now = h.now.max(at);
         h.event(Event::Timer { token }).iter().any(|a| matches!(a, Action::Cancel { .. }))
     };
@@ -156,7 +156,7 @@
         let mut cancels = 0;
         for n in 0..2 {
             let (id, out) = h.ask(&format!("c{n}"), "plain", "read", 1.0);
-            let (at, token) = timer_of(&out, id, 2).expect("patience");
+            let (at, token) = timer_of(&out, id, 2).expect("timeout");
             for step in 1..=10 {
                 if !stalled {
                     h.now = h.now.max(at - 0.5 + f64::from(step) * 0.05);
--- a/crates/rate-limiter/tests/servers.rs
+++ b/crates/rate-limiter/tests/servers.rs
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn an_attempt_that_hangs_fills_its_window_for_an_aim_at_most() {
+fn an_attempt_that_hangs_fills_its_window_for_a_target_latency_at_most() {
     // Guards against hung attempts (incident ief87c6): each would close a small window until its client left.
     let mut h = Host::new(Settings { limiter_count: 4, ..settings() });
     h.event(Event::ServerList(vec![server(A, "east", ServerState::InService, None)]));
--- a/crates/replication/tests/replication/scenarios/partitions_and_disks.rs
+++ b/crates/replication/tests/replication/scenarios/partitions_and_disks.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn five_cut_into_two_and_three_go_on_with_the_three() {
+fn of_five_partitioned_into_two_and_three_the_three_continue() {
     five(
         "time | P                                   | B                                   | C      | D      | E      | *
             0 | partition:C partition:D partition:E | partition:C partition:D partition:E |        |        |        |
--- a/crates/retry-budget/tests/budgets.rs
+++ b/crates/retry-budget/tests/budgets.rs
@@ -22,7 +22,7 @@
         Limiter { budgets: RetryBudgets::new(OPTIONS), now: WINDOW * 2, totals, proxies }
     }
 
-    fn tell_totals(&mut self) {
+    fn send_totals(&mut self) {
         let totals = std::slice::from_ref(&self.totals);
         self.budgets.set_totals(self.now, totals, self.proxies, true);
     }
@@ -36,7 +36,7 @@
         self.now += STEP;
         match event {
             'f' => self.budgets.record_request(self.now, SERVICE),
-            't' => self.tell_totals(),
+            't' => self.send_totals(),
             'R' | 'r' => return if self.budgets.try_retry(self.now, SERVICE) { 'R' } else { 'r' },
             _ => {}
         }
@@ -76,7 +76,7 @@
 #[test]
 fn without_totals_a_part_of_the_own_requests_is_the_limit() {
     let mut limiter = Limiter::new(totals(1000, 0, 0), 4);
-    limiter.tell_totals();
+    limiter.send_totals();
     limiter.play(&"f".repeat(90));
     limiter.budgets.set_totals(limiter.now, &[], 0, false);
     // 90 requests in the window allow 18 repeats in 10 s.
--- a/crates/serving-config/tests/configuration.rs
+++ b/crates/serving-config/tests/configuration.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn only_idempotent_routes_and_resumable_streams_are_repeatable() {
+fn only_idempotent_routes_and_resumable_streams_are_retried() {
     let is_idempotent = |fields| one_route(&format!(",\"Service\":\"s\"{fields}")).is_idempotent();
     assert!(is_idempotent(r#","Kind":"idempotent""#));
     assert!(is_idempotent(r#","Kind":"streaming","Resumable":true"#));
--- a/crates/state-sync/tests/relay.rs
+++ b/crates/state-sync/tests/relay.rs
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn leaving_agents_are_no_parents() {
+fn draining_agents_are_no_parents() {
     let mut endpoints = endpoints(10, "a1");
     let control_nodes = [control_node(1, "b1")];
     let parents = first_parents(&endpoints, &control_nodes, &[]);
--- a/crates/state-sync/tests/timelines_state.rs
+++ b/crates/state-sync/tests/timelines_state.rs
@@ -281,7 +281,7 @@
 }
 
 #[test]
-fn a_loop_brings_nothing_new_and_ends_in_silence() {
+fn a_loop_brings_nothing_new_and_times_out() {
     play(
         "
           | root     | x         | y         | z
--- a/crates/storage/tests/crashes.rs
+++ b/crates/storage/tests/crashes.rs
@@ -173,7 +173,7 @@
         match self.storage.save_record(&record) {
             Ok(()) => self.possible_records = vec![Some(record)],
             Err(error) => {
-                expect_trouble(&error);
+                expect_failures(&error);
                 self.possible_records.push(Some(record));
             }
         }
@@ -227,7 +227,7 @@
                 self.state = after;
             }
             Err(error) => {
-                expect_trouble(&error);
+                expect_failures(&error);
                 self.possible.extend(outcomes);
                 self.state = self.state.cut(self.storage.last_index());
             }
@@ -257,7 +257,7 @@
             match opened {
                 Ok((storage, found)) if !power => return self.go_on(storage, found),
                 Ok((_, found)) => self.expect_possible(&found),
-                Err(error) => expect_trouble(&error),
+                Err(error) => expect_failures(&error),
             }
         }
     }
@@ -279,7 +279,7 @@
 }
 
 /// Only what was planned may fail.
-fn expect_trouble(error: &StorageError) {
+fn expect_failures(error: &StorageError) {
     assert!(matches!(error, StorageError::Io { .. }), "{error}");
 }
 
--- a/crates/storage/tests/storage.rs
+++ b/crates/storage/tests/storage.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn the_record_is_replaced_as_a_whole() {
+fn the_record_is_replaced_atomically() {
     let disk = Disk::new(1);
     let (mut storage, _) = open(&disk);
     for number in 0..5 {
