--- a/crates/control-state/tests/control_state.rs
+++ b/crates/control-state/tests/control_state.rs
@@ -68,7 +68,7 @@
     assert_eq!(configuration, parse(&body));
 }
 
-//    order   | base  | in force before | decision
+//    order   | base  | active before | decision
 //    3       | 0     | -               | take
 //    3       | 0     | 3               | already taken
 //    3'      | 0     | 3               | conflict
@@ -159,7 +159,7 @@
     format!("{{\"Version\":{version},\"Routes\":[],\"Services\":[],\"Mark\":\"{mark}\"}}").into_bytes()
 }
 
-//    order      | base | in force before | decision
+//    order      | base | active before | decision
 //    6 (loser)  | 3    | 5               | conflict
 //    6' (anew)  | 5    | 5               | take: the number was never used
 //    6 (again)  | 3    | 6'              | conflict
@@ -214,7 +214,7 @@
     }
 }
 
-/// A configuration of each kind that must never be in force, on the version 5 and after it.
+/// A configuration of each kind that must never be active, on the version 5 and after it.
 fn refused_kinds() -> Vec<(&'static str, u64, Vec<u8>)> {
     let with = |fields: &str| body(7, &[&route("/a/", fields)]);
     let whole = valid(7, 2, 1000);
@@ -277,7 +277,7 @@
     other
 }
 
-/// An order of some operator; some build on a version that is not in force, some are invalid.
+/// An order of some operator; some build on a version that is not active, some are invalid.
 #[derive(Clone, Debug)]
 enum Attempt {
     Replace { base: u8, version: u8, variant: u8 },
--- a/crates/http1-client/tests/client_connection/answers.rs
+++ b/crates/http1-client/tests/client_connection/answers.rs
@@ -42,8 +42,8 @@
     Request::post("/x").header("host", "h.example").body(Full::new(Bytes::from(body))).expect("a request")
 }
 
-async fn told(shared: &Shared) {
-    shared.told.acquire().await.expect("the server tells").forget();
+async fn wait_for_signal(shared: &Shared) {
+    shared.signals.acquire().await.expect("the server signals").forget();
 }
 
 fn outcome(result: Result<Response<Bytes>, ResponseError>) -> String {
@@ -65,27 +65,27 @@
 }
 
 /// Each line: what the server does, what comes of the request, how far it was written, and whether the connection
-/// can be used again. `tell` stands where the server has nothing more to send.
+/// can be used again. `signal` stands where the server has nothing more to send.
 const TIMELINES: &[(&str, &str, WriteProgress, bool)] = &[
-    ("request ok tell", "200 done", WriteProgress::Complete, true),
-    ("request chunked tell", "200 done", WriteProgress::Complete, true),
-    ("request empty tell", "204 ", WriteProgress::Complete, true),
-    ("request hint ok tell", "200 done", WriteProgress::Complete, true),
-    ("request bare tell close", "200 done", WriteProgress::Complete, false),
-    ("request bare tell reset", "Broken", WriteProgress::Complete, false),
-    ("request ok ok tell", "200 done", WriteProgress::Complete, false),
-    ("request ok hint tell", "200 done", WriteProgress::Complete, false),
-    ("request half-head tell close", "Broken", WriteProgress::Complete, false),
-    ("request half-head tell reset", "Broken", WriteProgress::Complete, false),
-    ("request half-body tell close", "Broken", WriteProgress::Complete, false),
-    ("request half-body tell reset", "Broken", WriteProgress::Complete, false),
-    ("request half-chunk tell close", "Broken", WriteProgress::Complete, false),
-    ("request half-chunk tell reset", "Broken", WriteProgress::Complete, false),
-    ("request noise tell", "Broken", WriteProgress::Complete, false),
-    ("request tell close", "Broken", WriteProgress::Complete, false),
-    ("request tell reset", "Broken", WriteProgress::Complete, false),
+    ("request ok signal", "200 done", WriteProgress::Complete, true),
+    ("request chunked signal", "200 done", WriteProgress::Complete, true),
+    ("request empty signal", "204 ", WriteProgress::Complete, true),
+    ("request hint ok signal", "200 done", WriteProgress::Complete, true),
+    ("request bare signal close", "200 done", WriteProgress::Complete, false),
+    ("request bare signal reset", "Broken", WriteProgress::Complete, false),
+    ("request ok ok signal", "200 done", WriteProgress::Complete, false),
+    ("request ok hint signal", "200 done", WriteProgress::Complete, false),
+    ("request half-head signal close", "Broken", WriteProgress::Complete, false),
+    ("request half-head signal reset", "Broken", WriteProgress::Complete, false),
+    ("request half-body signal close", "Broken", WriteProgress::Complete, false),
+    ("request half-body signal reset", "Broken", WriteProgress::Complete, false),
+    ("request half-chunk signal close", "Broken", WriteProgress::Complete, false),
+    ("request half-chunk signal reset", "Broken", WriteProgress::Complete, false),
+    ("request noise signal", "Broken", WriteProgress::Complete, false),
+    ("request signal close", "Broken", WriteProgress::Complete, false),
+    ("request signal reset", "Broken", WriteProgress::Complete, false),
     // Read or not: what was handed to the kernel may have been.
-    ("head tell reset", "Broken", WriteProgress::Complete, false),
+    ("head signal reset", "Broken", WriteProgress::Complete, false),
 ];
 
 #[test]
@@ -95,7 +95,7 @@
             let (address, shared) = start(std::slice::from_ref(script)).await;
             let mut connection = connect(address).await;
             let result = outcome(connection.exchange(request(b"work".to_vec())).await);
-            told(&shared).await;
+            wait_for_signal(&shared).await;
             let found =
                 (result.as_str(), connection.socket().write_progress(), is_usable(&mut connection).await);
             assert_eq!(found, (*expected, *write_progress, *again), "{script}");
@@ -140,7 +140,7 @@
 #[test]
 fn after_an_early_response_the_rest_of_the_body_is_still_sent() {
     run(async {
-        let (address, shared) = start(&["head ok wait body tell request ok"]).await;
+        let (address, shared) = start(&["head ok wait body signal request ok"]).await;
         let mut connection = connect(address).await;
         assert_eq!(outcome(connection.exchange(request(vec![b'w'; LONG_BODY])).await), "200 done");
         assert_eq!(connection.socket().write_progress(), WriteProgress::Partial);
@@ -149,7 +149,7 @@
         shared.go_on.add_permits(1);
         // The server reads on, and gets that body and nothing else.
         let read = async {
-            told(&shared).await;
+            wait_for_signal(&shared).await;
         };
         connection.drive(read).await;
         assert!(shared.bodies.borrow()[0].iter().all(|byte| *byte == b'w'));
@@ -163,10 +163,10 @@
 #[test]
 fn a_body_that_was_written_in_part_broke_with_its_connection() {
     run(async {
-        let (address, shared) = start(&["head tell reset"]).await;
+        let (address, shared) = start(&["head signal reset"]).await;
         let mut connection = connect(address).await;
         let result = outcome(connection.exchange(request(vec![b'w'; LONG_BODY])).await);
-        told(&shared).await;
+        wait_for_signal(&shared).await;
         assert_eq!(
             (result.as_str(), connection.socket().write_progress()),
             ("NotSent", WriteProgress::Partial)
@@ -177,10 +177,10 @@
 #[test]
 fn an_end_of_ones_own_does_not_pass_for_the_servers() {
     run(async {
-        let (address, shared) = start(&["request bare tell"]).await;
+        let (address, shared) = start(&["request bare signal"]).await;
         let mut connection = connect(address).await;
         let response = connection.send(request(b"work".to_vec())).await.expect("a head");
-        told(&shared).await;
+        wait_for_signal(&shared).await;
         let (_, mut body) = response.into_parts();
         let first = poll_fn(|cx| connection.poll_data(cx, &mut body)).await;
         assert_eq!(first, Some(Ok(Bytes::from_static(b"done"))));
@@ -193,11 +193,11 @@
 #[test]
 fn answers_on_different_connections_may_pass_each_other() {
     run(async {
-        let (address, shared) = start(&["request tell wait ok", "request bare close"]).await;
+        let (address, shared) = start(&["request signal wait ok", "request bare close"]).await;
         let (mut first, mut second) = (connect(address).await, connect(address).await);
         let is_slow = first.exchange(request(b"slow".to_vec()));
         let fast = async {
-            told(&shared).await;
+            wait_for_signal(&shared).await;
             let body_timeout = outcome(second.exchange(request(b"fast".to_vec())).await);
             shared.go_on.add_permits(1);
             body_timeout
--- a/crates/http1-client/tests/client_connection/server.rs
+++ b/crates/http1-client/tests/client_connection/server.rs
@@ -6,7 +6,7 @@
 //! | `ok`, `chunked`, `bare`, `empty` | answers: with a length, in chunks, with no length, with 204 |
 //! | `half-head`, `half-body`, `half-chunk` | begins an answer |
 //! | `hint`, `noise` | an answer before the answer, no HTTP |
-//! | `tell`, `wait` | tells the test that it got so far, waits until the test says so |
+//! | `signal`, `wait` | tells the test that it got so far, waits until the test says so |
 //! | `reset`, `close` | ends the connection |
 
 use socket2::SockRef;
@@ -19,10 +19,10 @@
 use tokio::sync::Semaphore;
 use tokio::task::spawn_local;
 
-/// What the test and the server tell each other, and what the server got.
+/// What the test and the server signal each other, and what the server got.
 pub struct Shared {
-    /// As often as the server told.
-    pub told: Semaphore,
+    /// A permit for each `signal` of the script.
+    pub signals: Semaphore,
     /// As often as the server may go on.
     pub go_on: Semaphore,
     /// The first lines of the requests.
@@ -36,7 +36,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
     let address = listener.local_addr().expect("address");
     let shared = Rc::new(Shared {
-        told: Semaphore::new(0),
+        signals: Semaphore::new(0),
         go_on: Semaphore::new(0),
         requests: RefCell::default(),
         bodies: RefCell::default(),
@@ -62,7 +62,7 @@
                 let length = read_head(&mut stream, &shared).await;
                 read_body(&mut stream, length, &shared).await;
             }
-            "tell" => shared.told.add_permits(1),
+            "signal" => shared.signals.add_permits(1),
             "wait" => shared.go_on.acquire().await.expect("the test goes on").forget(),
             "reset" => {
                 SockRef::from(stream.get_ref()).set_linger(Some(Duration::ZERO)).expect("linger");
--- a/crates/load-balancer/tests/health.rs
+++ b/crates/load-balancer/tests/health.rs
@@ -1,5 +1,5 @@
 //! Failing servers. A timeline has one column for each 100 ms. Above, what is tried: `F` a request that fails to
-//! connect, `e` one with a server error, `b` one that breaks off, `.` nothing is sent; `S` one that is served,
+//! connect, `e` one with a server error, `b` one that is truncated, `.` nothing is sent; `S` one that is served,
 //! `L` one whose client leaves. Below, what the balancer does: `s` sends it, `x` sends nothing.
 
 mod common;
--- a/crates/load-balancer/tests/host_homes.rs
+++ b/crates/load-balancer/tests/host_homes.rs
@@ -1,4 +1,4 @@
-//! Where the requests of a host may be served, as the routes in force say.
+//! Where the requests of a host may be served, as the routes active say.
 
 use quillpulley_load_balancer::{HomeTable, ServedIn};
 
--- a/crates/quillpulley/tests/agent.rs
+++ b/crates/quillpulley/tests/agent.rs
@@ -1,4 +1,4 @@
-//! Agents between core processes and proxies, on loopback. Each machine of a test has an address of its own.
+//! Agents between control nodes and proxies, on loopback. Each machine of a test has an address of its own.
 
 mod common;
 
@@ -42,7 +42,7 @@
         endpoint(&format!("front-{number}"), self.endpoint(number), "zone-a")
     }
 
-    /// The value of a published front.
+    /// The value of a published proxy.
     fn published(&self, number: u8) -> Vec<u8> {
         encode_value::<ProxyEndpoint>(&self.report(number))
     }
--- a/crates/quillpulley/tests/agent_drain.rs
+++ b/crates/quillpulley/tests/agent_drain.rs
@@ -1,5 +1,5 @@
 //! How an agent ends, as timelines: the time in milliseconds, what happens, whether there is a proxy, and what is
-//! done. It would be killed 8 s after it has been told to end.
+//! done. It would be killed 8 s after SIGTERM.
 
 use quillpulley::agent::drain::{Action, AgentDrain};
 use std::time::Duration;
--- a/crates/quillpulley/tests/common/tree.rs
+++ b/crates/quillpulley/tests/common/tree.rs
@@ -21,9 +21,9 @@
 pub struct NodeState {
     /// The published items.
     pub items: BTreeMap<String, Vec<u8>>,
-    /// The names of the fronts that were reported, with their states.
+    /// The names of the proxies that were reported, with their states.
     pub endpoints: BTreeMap<String, EndpointState>,
-    /// The fronts that are suspected.
+    /// The proxies that are suspected.
     pub suspects: BTreeSet<String>,
     /// The proxies that were reported.
     pub proxies: u32,
@@ -70,7 +70,7 @@
         Node::start(Running::new(peers, events, node, None), Some(epoch))
     }
 
-    /// A proxy of the agent at this address, with its front.
+    /// A proxy of the agent at this address, with its endpoint.
     pub fn proxy(agent: SocketAddr, endpoint: ProxyEndpoint) -> Node {
         let (peers, events) = Peers::new(hello(PeerKind::Proxy, &endpoint.name));
         let parent = peers.connect(agent);
@@ -121,7 +121,7 @@
     }
 }
 
-/// A front of a machine of the tests.
+/// A proxy of a machine of the tests.
 pub fn endpoint(name: &str, ip: Ipv4Addr, zone: &str) -> ProxyEndpoint {
     ProxyEndpoint {
         name: name.to_string(),
--- a/crates/quillpulley/tests/control/agent.rs
+++ b/crates/quillpulley/tests/control/agent.rs
@@ -1,4 +1,4 @@
-//! Agents as core processes see them: nodes of the relay tree, each on a link of its own.
+//! Agents as control nodes see them: nodes of the relay tree, each on a link of its own.
 
 use crate::cluster::TIMEOUT;
 use quillpulley::peer::{LinkId, PeerEvent, Peers};
@@ -32,7 +32,7 @@
 }
 
 impl Agents {
-    /// Connects an agent to each of these core processes; the first one's front is `endpoint-0`.
+    /// Connects an agent to each of these control nodes; the first one's proxy is `endpoint-0`.
     pub fn connect(zone: &str, parents: impl Iterator<Item = SocketAddr>) -> Self {
         let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
         let tasks = LocalSet::new();
--- a/crates/quillpulley/tests/control/api.rs
+++ b/crates/quillpulley/tests/control/api.rs
@@ -1,4 +1,4 @@
-//! The operator's API over HTTP, with a main thread that answers as the test says.
+//! The operator's API over HTTP, with a main thread that responds as the test says.
 
 use quillpulley::control::api::{self, ApiRequest, Operation};
 use quillpulley::control::clock::Clock;
--- a/crates/quillpulley/tests/control/directory.rs
+++ b/crates/quillpulley/tests/control/directory.rs
@@ -1,4 +1,4 @@
-//! The directory: which addresses a client is told.
+//! The directory: which addresses a client gets.
 
 use crate::api::send_raw;
 use quickcheck::{Arbitrary, Gen};
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A front as `name zone region state`.
+/// A proxy as `name zone region state`.
 fn endpoint(text: &str) -> ProxyEndpoint {
     let [name, zone, region, state] = text.split(' ').collect::<Vec<_>>()[..] else {
         panic!("four words: {text}")
@@ -123,7 +123,7 @@
 
 const THREE_REGIONS: [&str; 4] = ["e a east ready", "w b west ready", "x b west ready", "n c north ready"];
 
-/// Where a client of east is sent, by the routes of its host and whether its fronts prefer west.
+/// Where a client of east is sent, by the routes of its host and whether its proxies prefer west.
 #[test]
 fn clients_are_led_only_to_common_homes_of_the_routes_of_their_host() {
     let table = [
@@ -135,7 +135,7 @@
         // No region is a home of all.
         ("h:west h:north", "west", "e"),
         ("h:west h:north h:", "west north", "e"),
-        // Some of its requests may be served here: the fronts count, within the common homes.
+        // Some of its requests may be served here: the proxies count, within the common homes.
         ("h:west h:", "", "e"),
         ("h:west h:", "west", "w x"),
         ("h:west h:", "north", "e"),
@@ -156,7 +156,7 @@
     }
 }
 
-/// All fronts of a region are restarted at the same time: its clients are sent to a home, and not anywhere.
+/// All proxies of a region are restarted at the same time: its clients are sent to a home, and not anywhere.
 #[test]
 fn a_region_all_of_whose_proxies_drain_sends_home_bound_clients_to_other_homes() {
     let mut known = directory(&["e a east leaving", "f a east leaving", "w b west ready", "n c north ready"]);
@@ -189,7 +189,7 @@
     assert_eq!(chosen(&known(Coverage::All), "a", "east"), "n");
 }
 
-/// The fronts of a region that is cut off cannot reach the servers elsewhere either.
+/// The proxies of a region that is cut off cannot reach the servers elsewhere either.
 #[test]
 fn disconnected_clients_who_are_served_better_elsewhere_are_sent_elsewhere() {
     let mut known = Directory { homes: homes("h:west g:east i:west i:"), ..directory(&["e a east ready"]) };
@@ -203,7 +203,7 @@
     assert_eq!(chosen_for(&known, "h", "a", "east"), "e", "all fronts of the homes are lost");
 }
 
-/// Any fronts, routes of a few hosts, and what the directory knows.
+/// Any proxies, routes of a few hosts, and what the directory knows.
 #[derive(Clone, Debug)]
 struct AnyDirectory {
     directory: Directory,
@@ -242,7 +242,7 @@
 }
 
 impl AnyDirectory {
-    /// The regions of the fronts that a client is told.
+    /// The regions of the proxies that a client gets.
     fn listed_regions(&self, host: &str, region: &str) -> Vec<String> {
         let locality = Locality { zone: format!("{region}-a"), region: region.to_string() };
         let addresses = self.directory.choose(host, &locality);
@@ -253,7 +253,7 @@
         addresses.iter().map(region_of).collect()
     }
 
-    /// Whether a front is known in the client's region or in a home of all routes of the host that have homes.
+    /// Whether a proxy is known in the client's region or in a home of all routes of the host that have homes.
     fn has_endpoints_for(&self, host: &str, region: &str) -> bool {
         let routes = self.routes.iter().filter(|(of, homes)| of == host && !homes.is_empty());
         let homes: Vec<_> = routes.map(|(_, homes)| homes).collect();
@@ -265,7 +265,7 @@
 }
 
 /// However the demand is spread over routes and regions, none of it that has homes lands in a third region, as long
-/// as a front is known in the client's region or in a common home, or not all fronts can be known yet.
+/// as a proxy is known in the client's region or in a common home, or not all proxies can be known yet.
 #[test]
 fn no_request_with_homes_is_led_to_a_third_region() {
     fn holds(any: AnyDirectory) -> bool {
--- a/crates/quillpulley/tests/control/directory_days.rs
+++ b/crates/quillpulley/tests/control/directory_days.rs
@@ -1,6 +1,6 @@
-//! How long a front that is gone is still told by directories, in virtual time: three core processes in three
+//! How long a proxy that is gone is still listed by directories, in virtual time: three control nodes in three
 //! regions, each with two agents, the real relay tree, publisher and view, and no monitors at all. What takes a
-//! front out of the answers here is silence alone; monitors only make it sooner.
+//! proxy out of the answers here is silence alone; monitors only make it sooner.
 
 #[path = "directory_days/system.rs"]
 mod system;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use system::{agent, ms, State, System, AGENTS, CONTROL_NODES, TICK};
 
-/// The time for reports of an agent and of its core process to reach the primary.
+/// The time for reports of an agent and of its control node to reach the primary.
 const REPORTED: Duration = Duration::from_millis(650);
 
 const ALL: [usize; CONTROL_NODES] = [0, 1, 2];
@@ -115,7 +115,8 @@
     }
 }
 
-/// The longest times for which a front that is gone may be told, and after an election or the beginning of a cut.
+/// The longest times for which a proxy that is gone may be listed, and after an election or the beginning of a
+/// partition.
 const BOUND: Duration = Duration::from_millis(3_700);
 const AFTER_ELECTION_OR_PARTITION: Duration = Duration::from_millis(3_200);
 
--- a/crates/quillpulley/tests/control/directory_days/system.rs
+++ b/crates/quillpulley/tests/control/directory_days/system.rs
@@ -1,4 +1,4 @@
-//! Three core processes with their directories and six agents, in virtual time.
+//! Three control nodes with their directories and six agents, in virtual time.
 
 use quillpulley::control::directory::builder::{DirectoryBuilder, DirectoryInputs};
 use quillpulley::control::directory::{Coverage, Directory};
@@ -43,7 +43,7 @@
     pub(super) region: usize,
     pub(super) parent: Option<usize>,
     pub(super) parent_since: Duration,
-    /// Of core processes.
+    /// Of control nodes.
     pub(super) view: DirectoryBuilder,
     pub(super) directory: Directory,
     pub(super) dirty: bool,
@@ -83,7 +83,7 @@
 }
 
 impl System {
-    /// All are up and known everywhere; the primary is the core process of region 0.
+    /// All are up and known everywhere; the primary is the control node of region 0.
     pub(super) fn stable() -> Self {
         let now = Duration::ZERO;
         let nodes = (0..CONTROL_NODES + AGENTS).map(|number| Node::new(number, now)).collect();
@@ -241,7 +241,7 @@
         }
     }
 
-    /// Core processes follow the primary; agents the core process of their region, or in turn the others.
+    /// Control nodes follow the primary; agents the control node of their region, or in turn the others.
     pub(super) fn find_parent(&mut self, node: usize) {
         let current = self.nodes[node].parent;
         let lately = self.now < self.nodes[node].parent_since + SEARCH_AFTER;
@@ -297,7 +297,7 @@
         }
     }
 
-    /// The fronts that the directory of a core process may tell, with those that leave in brackets.
+    /// The proxies that the directory of a control node may tell, with those that leave in brackets.
     pub(super) fn listed(&self, control_node: usize) -> Vec<String> {
         let directory = &self.nodes[control_node].directory;
         if self.nodes[control_node].state != State::Running || directory.coverage == Coverage::TooFew {
@@ -314,7 +314,7 @@
         control_nodes.iter().any(|control_node| self.listed(*control_node).contains(&name(number)))
     }
 
-    /// How long these directories go on telling any of these fronts.
+    /// How long these directories go on telling any of these proxies.
     pub(super) fn time_until_delisted(&mut self, numbers: &[usize], control_nodes: &[usize]) -> u128 {
         let (start, mut last) = (self.now, self.now);
         for _ in 0..400 {
--- a/crates/quillpulley/tests/control/directory_view.rs
+++ b/crates/quillpulley/tests/control/directory_view.rs
@@ -1,4 +1,4 @@
-//! What the directory is told of the published state and of the reports to a core process.
+//! What the directory makes of the published state and of the reports to a control node.
 
 use quillpulley::control::directory::builder::{DirectoryBuilder, DirectoryInputs};
 use quillpulley::control::directory::{Coverage, Directory};
@@ -7,7 +7,7 @@
 use quillpulley_state_sync::{Change, Event, Options, SubtreeState, SyncNode};
 use std::time::Duration;
 
-/// A front as its name, its state and its life: `f:r1`.
+/// A proxy as its name, its state and its incarnation: `f:r1`.
 fn endpoint(text: &str) -> ProxyEndpoint {
     let (name, rest) = text.split_once(':').expect("a state");
     let (state, incarnation) = rest.split_at(1);
@@ -36,8 +36,8 @@
     format!("{}:{state}{}", endpoint.name, endpoint.incarnation)
 }
 
-/// What a view reports with these fronts published, the latest stamp of which came at `moved`, and these reported.
-/// Reports are written as fronts, and as `!f:m,n` where `m` and `n` cannot reach `f`.
+/// What a view reports with these proxies published, the latest revision of which came at `moved`, and these reported.
+/// Reports are written as proxies, and as `!f:m,n` where `m` and `n` cannot reach `f`.
 struct Moment<'a> {
     now: u64,
     moved: u64,
@@ -83,7 +83,7 @@
     shown.join(" ")
 }
 
-/// What is told at a time; in brackets if it may not be all.
+/// What is listed at a time; in brackets if it may not be all.
 fn listed(view: &mut DirectoryBuilder, now: u64, fresh: bool, published: &str, reported: &str) -> String {
     let moved = if fresh { now } else { 0 };
     let directory = directory(view, &Moment { now, moved, fresh, epoch: 1, published, reported });
@@ -114,7 +114,7 @@
     assert_eq!(listed(&mut view, 1000, false, "", "f:r1"), "(f:r1)");
     assert_eq!(listed(&mut view, 2499, false, "", "f:r1"), "(f:r1)");
     assert_eq!(listed(&mut view, 2500, false, "", "f:r1"), "f:r1");
-    // A front whose agent may be changing its parent counts for two seconds more.
+    // A proxy whose agent may be changing its parent counts for two seconds more.
     assert_eq!(listed(&mut view, 4499, false, "", ""), "f:r1");
     // Once it knew enough it does not doubt any more.
     assert_eq!(listed(&mut view, 4500, false, "", ""), "");
@@ -124,7 +124,7 @@
     assert_eq!(listed(&mut view, 20, true, "f:r1", ""), "f:r1");
 }
 
-/// Lines are a time in ms, when the latest stamp came, `fresh` or `stale`, what is published, what is reported, and
+/// Lines are a time in ms, when the latest revision came, `fresh` or `stale`, what is published, what is reported, and
 /// what the directory reports, with `own` before it if these are the own reports alone.
 fn play(timeline: &str) {
     let mut view = DirectoryBuilder::default();
--- a/crates/quillpulley/tests/control/disk.rs
+++ b/crates/quillpulley/tests/control/disk.rs
@@ -1,4 +1,4 @@
-//! The thread that owns the disk: what it stores, and that a failure is told and not fatal.
+//! The thread that owns the disk: what it stores, and that a failure is reported and not fatal.
 
 use crate::cluster::TIMEOUT;
 use quillpulley::control::replica_host::storage_thread::{StorageThread, WriteCompletion};
--- a/crates/quillpulley/tests/control/endpoint_registry.rs
+++ b/crates/quillpulley/tests/control/endpoint_registry.rs
@@ -1,7 +1,7 @@
-//! Which fronts the primary publishes.
+//! Which proxies the primary publishes.
 //!
 //! Timelines have a line for each moment: the time in ms, what the tree reports, and what is published. A
-//! front is written as its name with its state, `s`tarting, `r`eady or `l`eaving, and its life where it is
+//! proxy is written as its name with its state, `s`tarting, `r`eady or `l`eaving, and its incarnation where it is
 //! not 1: `f:r`, `f:r2`. `!f:m` is a suspicion of the monitor `m`, and of others after commas. Published is
 //! shown likewise, `-f` for gone. A line without a report (`.`) only lets time pass.
 
--- a/crates/quillpulley/tests/control/frozen_host.rs
+++ b/crates/quillpulley/tests/control/frozen_host.rs
@@ -1,4 +1,4 @@
-//! A whole host, alone in its system, that stands still at every point between a call and its answer. Its clock is
+//! A whole host, alone in its system, that freezes at every point between a call and its answer. Its clock is
 //! the test's; its sockets, disk and threads are real.
 
 use crate::api::{call, replace, send, HttpResponse};
@@ -43,7 +43,7 @@
 }
 
 impl Harness {
-    /// A host that leads, with version 5 in force.
+    /// A host that leads, with version 5 active.
     fn start(faults: Faults) -> Self {
         let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("quillpulley-frozen-{}-{number}", std::process::id()));
@@ -169,7 +169,7 @@
     call("GET", "/v1/Config.Get")
 }
 
-/// Calls whose answers state the active state: a read, a command that is in force, one on a wrong base, an invalid one.
+/// Calls whose answers state the active state: a read, a command that is active, one on a wrong base, an invalid one.
 fn statements() -> Vec<(String, u16)> {
     vec![
         (get(), 200),
@@ -213,7 +213,7 @@
         }
     }
     assert_eq!(caller.join().expect("an answer").status, 503);
-    // The order may be in force all the same: sent again it is acknowledged.
+    // The order may be active all the same: sent again it is acknowledged.
     assert_eq!(harness.request_until_definite(&replace("5", &text("7"))).status, 200);
 }
 
--- a/crates/quillpulley/tests/control/main.rs
+++ b/crates/quillpulley/tests/control/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the host of core processes.
+//! Tests of the host of control nodes.
 
 mod agent;
 mod api;
--- a/crates/quillpulley/tests/control/peer_table.rs
+++ b/crates/quillpulley/tests/control/peer_table.rs
@@ -1,4 +1,4 @@
-//! The links between core processes: who is dialled when, and who is forgotten.
+//! The links between control nodes: who is dialled when, and who is forgotten.
 
 use quillpulley::control::replica_host::peer_table::{PeerChange, PeerTable};
 use quillpulley_protocol::{Hello, NodeId, PeerKind};
--- a/crates/quillpulley/tests/control/processes.rs
+++ b/crates/quillpulley/tests/control/processes.rs
@@ -1,4 +1,4 @@
-//! Whole core processes: what the operator is told, and what survives their ends.
+//! Control nodes as processes: what operators get, and what survives their ends.
 
 use crate::cluster::{Cluster, Operation};
 use crate::configuration;
--- a/crates/quillpulley/tests/control/relay.rs
+++ b/crates/quillpulley/tests/control/relay.rs
@@ -1,4 +1,4 @@
-//! Who is whose parent among the core processes.
+//! Who is whose parent among the control nodes.
 
 use quillpulley::control::distribution::control_topology::{ChildMessage, ControlTopology, ParentChange};
 use quillpulley_protocol::{Body, NodeId, Report, Revision, Subscribe};
--- a/crates/quillpulley/tests/control/tree.rs
+++ b/crates/quillpulley/tests/control/tree.rs
@@ -1,4 +1,4 @@
-//! Core processes as the top of the relay tree, with a platform, agents and clients that look for a proxy.
+//! Control nodes as the top of the relay tree, with a platform, agents and clients that look for a proxy.
 
 use crate::agent::Agents;
 use crate::cluster::{Cluster, Operation};
--- a/crates/quillpulley/tests/operators/checker.rs
+++ b/crates/quillpulley/tests/operators/checker.rs
@@ -47,7 +47,7 @@
     acknowledged_on: BTreeMap<u64, Vec<u8>>,
     newest_acknowledged: u64,
     pub sent_requests: Vec<SentRequest>,
-    /// What the only operator of a zone was told last, with no command of its own in flight.
+    /// The last definite response to the only operator of a zone, with no command of its own in flight.
     confirmed_evacuations: BTreeMap<String, bool>,
     pub responses: BTreeMap<&'static str, usize>,
 }
--- a/crates/quillpulley/tests/operators/main.rs
+++ b/crates/quillpulley/tests/operators/main.rs
@@ -1,8 +1,8 @@
-//! Operators against core processes in virtual time.
+//! Operators against control nodes in virtual time.
 //!
 //! Replicas of the control state, each with the queue of commands that the host gives it, on simulated disks and a
 //! simulated network. Several operators race for the same versions, lose responses and send again. After every step
-//! it is checked that nobody was told what does not hold.
+//! it is checked that no response was wrong.
 
 #[path = "../../../replication/tests/replication/harness/disk.rs"]
 #[allow(dead_code)]
--- a/crates/quillpulley/tests/operators/node.rs
+++ b/crates/quillpulley/tests/operators/node.rs
@@ -1,4 +1,4 @@
-//! One core process: a replica and the commands of operators, put together as the host does it.
+//! One control node: a replica and the commands of operators, put together as the host does it.
 
 use quillpulley::control::commands::{Command, CommandQueue};
 use quillpulley::control::response::Response;
--- a/crates/quillpulley/tests/parent_search.rs
+++ b/crates/quillpulley/tests/parent_search.rs
@@ -1,5 +1,5 @@
 //! How an agent finds its parent, as timelines: the time in milliseconds, what happens, what is done. A line
-//! without an event is a tick. `C` are core processes, `A` are agents, in the order in which they are preferred.
+//! without an event is a tick. `C` are control nodes, `A` are agents, in the order in which they are preferred.
 
 use quickcheck::quickcheck;
 use quillpulley::agent::parent_search::{Action, Event, ParentSearch};
--- a/crates/quillpulley/tests/peer.rs
+++ b/crates/quillpulley/tests/peer.rs
@@ -1,4 +1,4 @@
-//! Links between processes: what is told of them, and what ends them.
+//! Links between processes: which events are reported, and what closes them.
 
 mod common;
 
--- a/crates/quillpulley/tests/proxy/limits.rs
+++ b/crates/quillpulley/tests/proxy/limits.rs
@@ -81,7 +81,7 @@
         let proxy = Proxy::start_unready("").await;
         let answer = proxy.client().await.ask(&request("GET /a/b", "id-1", "", "")).await;
         assert_eq!(answer.status(), 503);
-        // Which time it is for which age is told by the test of the life of a proxy.
+        // Which time it is for which age is checked by the test of the proxy's lifecycle.
         let retry_after: f64 = answer.header("retry-after").expect("advice").parse().expect("a number");
         assert!((1.0..=1.6).contains(&retry_after), "{retry_after} s");
         assert_eq!(proxy.ready_status().await, 503);
--- a/crates/quillpulley/tests/proxy/retries.rs
+++ b/crates/quillpulley/tests/proxy/retries.rs
@@ -1,4 +1,4 @@
-//! What is sent again, what is not, and what the client is told.
+//! What is retried, what is not, and what the client gets.
 
 use crate::support::client::request;
 use crate::support::server::entry;
--- a/crates/quillpulley/tests/proxy/support/agent.rs
+++ b/crates/quillpulley/tests/proxy/support/agent.rs
@@ -29,7 +29,7 @@
     peers: Rc<Peers>,
     node: RefCell<SyncNode<LinkId>>,
     routes: RefCell<Vec<String>>,
-    /// Whether the proxy was told that it is the only one.
+    /// Whether the proxy was sent totals.
     totals_sent: Cell<bool>,
     changed: Notify,
 }
@@ -90,12 +90,12 @@
         self.shared.handle(Event::Publish(vec![Change { key: server_key(id), value: None }]));
     }
 
-    /// What the proxy reports of its front.
+    /// What the proxy reports of its endpoint.
     pub fn endpoint(&self) -> Option<ProxyEndpoint> {
         self.shared.node.borrow().subtree().endpoints.values().next().cloned()
     }
 
-    /// Waits until the proxy has reported a front like this.
+    /// Waits until the proxy has reported an endpoint like this.
     pub async fn until(&self, is_wanted: impl Fn(&ProxyEndpoint) -> bool) {
         while !self.endpoint().is_some_and(|endpoint| is_wanted(&endpoint)) {
             self.shared.changed.notified().await;
--- a/crates/quillpulley/tests/proxy/support/client.rs
+++ b/crates/quillpulley/tests/proxy/support/client.rs
@@ -46,19 +46,19 @@
         body
     }
 
-    /// The next chunk of an answer, `Some(None)` at its proper end, and none where it breaks off.
+    /// The next chunk of an answer, `Some(None)` at its proper end, and none where it is truncated.
     pub async fn try_chunk(&mut self) -> Option<Option<String>> {
         let chunk = read_chunk(&mut self.reader).await?;
         Some(chunk.map(|chunk| String::from_utf8_lossy(&chunk).into_owned()))
     }
 
-    /// The next chunk of an answer, or none at its proper end. Panics where it breaks off.
+    /// The next chunk of an answer, or none at its proper end. Panics where it is truncated.
     pub async fn chunk(&mut self) -> Option<String> {
         let chunk = read_chunk(&mut self.reader).await.expect("a chunk or the end");
         chunk.map(|chunk| String::from_utf8_lossy(&chunk).into_owned())
     }
 
-    /// Whether the answer breaks off here.
+    /// Whether the answer is truncated here.
     pub async fn breaks_off(&mut self) -> bool {
         read_chunk(&mut self.reader).await.is_none()
     }
--- a/crates/quillpulley/tests/proxy/tables.rs
+++ b/crates/quillpulley/tests/proxy/tables.rs
@@ -2,7 +2,7 @@
 //!
 //! A line holds what the client asks for and gets, one request after the other on one connection, and what servers
 //! do, a connection a script (see `support/script.rs`). `once` may not be repeated, `again` may, `stream` may not,
-//! `resume` may be taken up. `+long` sends a long body, `rest` waits until a connection to a server has rested,
+//! `resume` may be resumed. `+long` sends a long body, `rest` waits until a connection to a server has rested,
 //! `over` until all scripts are over.
 
 /// Answers that are whole, cut, or none.
@@ -84,7 +84,7 @@
     stream+long=1,2 rest once=ok over   | head stream event:1 event:2 end mute ; request ok
 ";
 
-/// Streams, and streams that are taken up.
+/// Streams, and streams that are resumed.
 pub const STREAMS: &str = "
     stream=1,2                  | request stream event:1 event:2 end
     stream=1,2                  | request bare-stream raw:1 raw:2 close
--- a/crates/quillpulley/tests/proxy_drain_deadline.rs
+++ b/crates/quillpulley/tests/proxy_drain_deadline.rs
@@ -1,13 +1,13 @@
-//! What a proxy that has been told to end still takes, as timelines.
+//! What a proxy that has received SIGTERM still accepts, as timelines.
 
 use quickcheck::quickcheck;
 use quillpulley::proxy::shutdown::drain_deadline::DrainDeadline;
 use std::time::Duration;
 
-/// A proxy is told to end at 1,000 ms and would be killed 8,000 ms later. A column each: when a request comes, the
+/// A proxy receives SIGTERM at 1,000 ms and would be killed 8,000 ms later. A column each: when a request comes, the
 /// time-out of its route, the deadline of its client, and whether it is taken.
 const GRACE_OF_8_S: &str = "
-    came | time-out | deadline | taken
+    came | time-out | deadline | accepted
     1000 |    15000 |    15000 | yes
     3900 |    15000 |    15000 | yes
     3901 |    15000 |    15000 | no
@@ -26,7 +26,7 @@
 
 /// The same where it would be killed 4,000 ms later.
 const GRACE_OF_4_S: &str = "
-    came | time-out | deadline | taken
+    came | time-out | deadline | accepted
     2000 |    15000 |    15000 | yes
     2001 |    15000 |    15000 | no
     2001 |     2399 |    15000 | yes
@@ -35,7 +35,7 @@
 
 /// The same where it would be killed 1,000 ms later.
 const GRACE_OF_1_S: &str = "
-    came | time-out | deadline | taken
+    came | time-out | deadline | accepted
     1000 |    15000 |    15000 | yes
     1001 |    15000 |    15000 | no
     1001 |      399 |    15000 | yes
@@ -44,7 +44,7 @@
 
 /// The same where it is killed at once.
 const NO_GRACE: &str = "
-    came | time-out | deadline | taken
+    came | time-out | deadline | accepted
     1001 |    15000 |        1 | no
 ";
 
@@ -72,11 +72,11 @@
 
 quickcheck! {
     /// What came later than 3 s after the order to end is over before the process ends, for any grace.
-    fn late_requests_are_not_aborted(told: u16, grace: u16, came_after: u16, lasts: u16) -> bool {
-        let [told, grace, came_after, lasts] =
-            [told, grace, came_after, lasts].map(|time| Duration::from_millis(time.into()));
-        let deadline = DrainDeadline::new(told, grace);
-        let (came, due) = (told + came_after, told + came_after + lasts);
+    fn late_requests_are_not_aborted(signalled: u16, grace: u16, came_after: u16, lasts: u16) -> bool {
+        let [signalled, grace, came_after, lasts] =
+            [signalled, grace, came_after, lasts].map(|time| Duration::from_millis(time.into()));
+        let deadline = DrainDeadline::new(signalled, grace);
+        let (came, due) = (signalled + came_after, signalled + came_after + lasts);
         let late = came_after > Duration::from_secs(3);
         !(late && deadline.accepts(came, due)) || due < deadline.exits_at()
     }
--- a/crates/quillpulley/tests/proxy_event_splitter.rs
+++ b/crates/quillpulley/tests/proxy_event_splitter.rs
@@ -61,7 +61,7 @@
         passed == cuts.text()
     }
 
-    /// Cut anywhere and taken up behind the last whole event, each event is forwarded once.
+    /// Cut anywhere and resumed after the last whole event, each event is forwarded once.
     fn a_stream_resumes_after_the_last_complete_event(cuts: Cuts) -> bool {
         cuts.places.iter().all(|place| {
             let mut splitter = EventSplitter::new(None);
--- a/crates/quillpulley/tests/system/machines.rs
+++ b/crates/quillpulley/tests/system/machines.rs
@@ -49,7 +49,7 @@
         self.address(1, 1, 17)
     }
 
-    /// Where the operator finds the core processes.
+    /// Where the operator finds the control nodes.
     pub fn controls(&self) -> Vec<SocketAddr> {
         CORES.map(|number| self.address(0, number, 16)).collect()
     }
@@ -59,7 +59,7 @@
         CORES.map(|number| self.address(0, number, 17)).collect()
     }
 
-    /// The settings file of a core process.
+    /// The settings file of a control node.
     pub fn core_settings(&self, number: u8) -> PathBuf {
         let disk = self.folder.join(format!("disk-{number}"));
         fs::create_dir_all(&disk).expect("a folder");
--- a/crates/quillpulley/tests/system/main.rs
+++ b/crates/quillpulley/tests/system/main.rs
@@ -1,5 +1,5 @@
-//! The whole system as real processes on loopback: three core processes, an agent and a proxy, with a made-up
-//! platform, made-up servers, an operator and a client. Each machine has an address of its own.
+//! The whole system as real processes on loopback: three control nodes, an agent and a proxy, with a stand-in
+//! platform, stand-in servers, an operator and a client. Each machine has an address of its own.
 
 mod http;
 mod machines;
@@ -72,7 +72,7 @@
         System { machines, cores, agent, proxy, cards, writers, platform }
     }
 
-    /// Sends a configuration to one core process after the other until one takes it.
+    /// Sends a configuration to one control node after the other until one takes it.
     fn configure(&mut self, base: u64, body: &str) {
         let controls = self.machines.controls();
         let mut order = Request::post("/v1/Config.Replace", body);
--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -465,7 +465,7 @@
     )
 }
 
-/// An address at which nobody listens, until the socket is told to. It is held, so that no other test gets it.
+/// An address at which nobody listens, until the socket listens. It is held, so that no other test gets it.
 pub fn nobody() -> (socket2::Socket, SocketAddr) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("socket");
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("bind");
--- a/crates/rate-limiter/tests/requests.rs
+++ b/crates/rate-limiter/tests/requests.rs
@@ -220,7 +220,7 @@
         })
     };
     for may_send_retry_after in [true, false] {
-        let told = |advice: Option<f64>| advice.is_some_and(|a| (a > 0.0) == may_send_retry_after);
+        let is_as_allowed = |advice: Option<f64>| advice.is_some_and(|a| (a > 0.0) == may_send_retry_after);
         let set = Settings { may_send_retry_after, max_retry_after: 2.0, ..settings() };
         // All its attempts were turned away.
         let mut h = Host::new(set.clone());
@@ -231,14 +231,14 @@
             }
             out = h.end(id, n, Outcome::Rejected, None);
         }
-        assert!(told(advice(&out)), "given up: {out:?}");
+        assert!(is_as_allowed(advice(&out)), "given up: {out:?}");
         // No server takes anything.
         h.event(Event::ServerList(Vec::new()));
         let (_, out) = h.ask("b", "plain", "read", 1.0);
-        assert!(told(advice(&out)), "no server: {out:?}");
+        assert!(is_as_allowed(advice(&out)), "no server: {out:?}");
         // The bucket is spent, and no totals are known.
         let mut h = Host::new(set);
         let out = (0..200).map(|_| h.ask("c", "plain", "read", 4.0).1).find(|out| refused(out) > 0);
-        assert!(told(out.and_then(|out| advice(&out))), "beyond the bucket");
+        assert!(is_as_allowed(out.and_then(|out| advice(&out))), "beyond the bucket");
     }
 }
--- a/crates/replication/tests/replication/harness/faults.rs
+++ b/crates/replication/tests/replication/harness/faults.rs
@@ -194,7 +194,7 @@
     pub fn resume(&mut self, machine: usize) {
         self.note(machine, "resumes");
         self.machines[machine].frozen = false;
-        // What was about to be written before the process stood still goes first.
+        // What was about to be written before the process was frozen goes first.
         for _ in 0..std::mem::take(&mut self.machines[machine].buffered_reads) {
             self.serve_read(machine);
         }
--- a/crates/replication/tests/replication/injected_faults.rs
+++ b/crates/replication/tests/replication/injected_faults.rs
@@ -60,7 +60,7 @@
     assert!(first_failure(&options).is_some());
 }
 
-//    C was away for so long that it gets the whole state, in an election. Its disk stands still before it has that.
+//    C was away for so long that it gets the whole state, in an election. Its disk freezes before it has that.
 //    B, which has the state, comes up only now. The new view may be P and C only once C has stored all.
 fn election_with_an_installation(seed: u64, faults: Faults) {
     let mut world = World::first_start(WorldOptions { seed, faults, ..WorldOptions::default() }, 3, 3);
--- a/crates/replication/tests/replication/reads.rs
+++ b/crates/replication/tests/replication/reads.rs
@@ -22,7 +22,7 @@
 enum Operation {
     Propose,
     Read,
-    /// Some ask, and the machine stands still before it has answered.
+    /// Some ask, and the machine freezes before it has answered.
     ReadAndFreeze,
     Freeze,
     Resume,
--- a/crates/replication/tests/replication/scenarios/operators.rs
+++ b/crates/replication/tests/replication/scenarios/operators.rs
@@ -76,7 +76,7 @@
     three(STANDS_STILL);
 }
 
-/// A read comes, the process stands still, and another takes over before it resumes.
+/// A read comes, the process freezes, and another takes over before it resumes.
 pub const STANDS_STILL: &str = "time | P           | B | C | *
                                    0 | read freeze |   |   |
                                 2000 |             |   |   | propose=1
--- a/crates/state-sync/tests/network/mod.rs
+++ b/crates/state-sync/tests/network/mod.rs
@@ -20,7 +20,7 @@
     pub down: VecDeque<Body>,
 }
 
-/// What a node's host was told.
+/// The changes that were reported to a node's host.
 #[derive(Default)]
 pub struct Seen {
     pub frames_sent: usize,
@@ -36,9 +36,9 @@
     pub links: BTreeMap<LinkId, Link>,
     /// The connection of each node to its parent.
     pub parent_links: Vec<Option<LinkId>>,
-    /// The copies of the stores that hosts keep from what they are told has changed.
+    /// The copies of the stores that hosts keep by the reported changes.
     pub mirrors: Vec<Items>,
-    /// What roots had at each stamp.
+    /// What roots had at each revision.
     pub published: BTreeMap<Revision, Items>,
     pub frozen: Vec<bool>,
     next_link: LinkId,
@@ -75,8 +75,8 @@
         self.check(node, before);
     }
 
-    /// What holds after every event: the stamp never goes back, the store is what a root had at that stamp, and
-    /// the host was told of every change.
+    /// What holds after every event: the revision never goes back, the store is what a root had at that revision, and
+    /// every change was reported to the host.
     fn check(&mut self, node: usize, before: Revision) {
         let revision = self.nodes[node].revision();
         assert!(revision >= before, "node {node} went back from {before:?} to {revision:?}");
@@ -148,7 +148,7 @@
         }
     }
 
-    /// The child finds its connection broken; the parent is not told and sends into the void.
+    /// The child finds its connection broken; the parent does not learn of it and keeps sending.
     pub fn break_at_child(&mut self, child: usize) {
         if let Some(id) = self.parent_links[child] {
             self.break_link(id, false);
--- a/crates/state-sync/tests/network/timeline.rs
+++ b/crates/state-sync/tests/network/timeline.rs
@@ -12,10 +12,10 @@
 //! | `lose` | the next update on its way to the node is left out |
 //! | `freeze`, `thaw` | the node does nothing for a while |
 //! | `endpoint 1 Ready`, `count 7`, `suspect x` | what its own process reports |
-//! | `= 1:3 a=1` | it is at stamp 1:3 with just these items |
-//! | `= fresh`, `= stale` | whether its stamps keep coming |
+//! | `= 1:3 a=1` | it is at revision 1:3 with just these items |
+//! | `= fresh`, `= stale` | whether its revision keeps moving |
 //! | `= total 7`, `= partial 7`, `= proxies 2` | the totals that it shows, complete or not |
-//! | `= endpoints x,y`, `= suspects x*2` | its subtree's fronts, and how many suspect which |
+//! | `= endpoints x,y`, `= suspects x*2` | its subtree's proxies, and how many suspect which |
 
 use super::{Items, Network};
 use quillpulley_protocol::{EndpointState, ProxyEndpoint, ServiceCounters};
@@ -168,7 +168,7 @@
         assert_eq!(found, expected, "{} in the row {row:?}", self.names[node]);
     }
 
-    /// The stamp and the items of a node as a cell has them.
+    /// The revision and the items of a node as a cell has them.
     fn position(&self, node: usize) -> String {
         let revision = self.network.nodes[node].revision();
         let items: Items = self.network.items(node);
--- a/crates/state-sync/tests/random_trees.rs
+++ b/crates/state-sync/tests/random_trees.rs
@@ -1,5 +1,5 @@
 //! Random trees with cuts, lost updates, several roots and new parents: nothing goes back, every store is what a
-//! root had at its stamp, and after a calm time all agree.
+//! root had at its revision, and after a calm time all agree.
 
 mod network;
 
--- a/crates/state-sync/tests/resubscription.rs
+++ b/crates/state-sync/tests/resubscription.rs
@@ -68,7 +68,7 @@
     pair.go_on(Duration::from_secs(2));
     assert!(pair.child.totals().complete, "the totals come from the root");
     assert_eq!(pair.child.totals().counts.proxies, 2);
-    // The root stood still for a while, and the child asked anew on the same connection.
+    // The root was frozen for a while, and the child asked anew on the same connection.
     pair.now += Duration::from_secs(2);
     pair.at_child(Event::ParentUp);
     pair.go_on(Duration::from_secs(4));
--- a/crates/state-sync/tests/timelines_counts.rs
+++ b/crates/state-sync/tests/timelines_counts.rs
@@ -1,4 +1,4 @@
-//! The way of counts, fronts and suspicions up the tree and of totals down it, as timelines.
+//! The way of counts, proxies and suspicions up the tree and of totals down it, as timelines.
 
 mod network;
 
--- a/crates/storage/tests/storage.rs
+++ b/crates/storage/tests/storage.rs
@@ -1,4 +1,4 @@
-//! What each operation stores, on a simulated disk without trouble and on a real one.
+//! What each operation stores, on a simulated disk without faults and on a real one.
 
 mod common;
 
