--- a/crates/control-state/src/history.rs
+++ b/crates/control-state/src/history.rs
@@ -8,7 +8,7 @@
 /// changes of the last 46 hours.
 pub const HISTORY_LENGTH: usize = 32_768;
 
-/// What the history tells about a configuration on a base.
+/// The result of looking up a configuration on a base.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DedupLookup {
     /// It was applied.
@@ -34,7 +34,7 @@
         self.applied.push_back(applied);
     }
 
-    /// Returns what the history tells about a configuration with a content on a base.
+    /// Looks up a configuration by its base and the hash of its content.
     pub fn look_up(&self, base: u64, content_hash: u64) -> DedupLookup {
         match self.applied.front() {
             Some(first) if base < first.base => DedupLookup::Expired { oldest: first.base },
--- a/crates/control-state/src/lib.rs
+++ b/crates/control-state/src/lib.rs
@@ -3,7 +3,8 @@
 //! A command is decided ([`ControlState::decide_replace`], [`ControlState::decide_evacuation`]), appended to the log,
 //! and applied. A decision does not see commands in the log that are not applied, so that two of them may build on
 //! one version; the second one is ignored when it is applied. The result of a command is known by deciding it again
-//! after it was applied: `AlreadyApplied` or `AlreadySo` if it is or was active.
+//! after it was applied: [`ReplaceDecision::AlreadyApplied`] or [`EvacuationDecision::AlreadyInEffect`] if it took
+//! effect.
 //!
 //! A configuration that is sent again is recognized by its base and the hash of its content. Two operators that send
 //! the same bytes on the same base are therefore one command, and both are acknowledged.
@@ -56,7 +57,7 @@
         (self.version != NO_VERSION).then_some(&self.body)
     }
 
-    /// Returns the active configuration without a copy, to be kept while others follow.
+    /// Returns the active configuration without a copy. It stays valid when another one follows.
     pub fn shared_body(&self) -> Option<Arc<[u8]>> {
         (self.version != NO_VERSION).then(|| self.body.clone())
     }
@@ -145,7 +146,9 @@
     fn apply(&mut self, entry: &Entry) {
         let command: LogCommand = match decode_value::<LogCommandRef<'_>, _>(&entry.payload) {
             Ok(command) => command,
-            Err(error) => return log::error!("log entry {} is passed over: {error}", entry.index),
+            Err(error) => {
+                return log::error!(index = entry.index, error:%; "a log entry cannot be read and is ignored")
+            }
         };
         match command.body {
             Some(LogCommandBody::ReplaceConfig(command)) => self.apply_replacement(*command, entry.index),
--- a/crates/control-state/src/published.rs
+++ b/crates/control-state/src/published.rs
@@ -11,7 +11,7 @@
         Ok(None) => BTreeMap::new(),
         // The state holds nothing invalid, unless from a version of this program with other rules.
         Err(error) => {
-            log::error!("configuration {} cannot be published: {error}", state.version());
+            log::error!(version = state.version(), error:%; "the configuration cannot be published");
             BTreeMap::new()
         }
     };
--- a/crates/quillpulley/src/agent/mod.rs
+++ b/crates/quillpulley/src/agent/mod.rs
@@ -1,6 +1,6 @@
 //! The agent role: a node of the relay tree, which connects the proxy of its machine with the control plane.
 //!
-//! An agent receives published state from its parent, a control process or another agent that [`parent_search`] finds,
+//! An agent receives published state from its parent, a control node or another agent that [`parent_search`] finds,
 //! and relays it to its children: other agents, and the proxy of its machine. Reports go the other way. With a few
 //! peers it exchanges pings as datagrams, and it reports those that do not respond.
 //!
--- a/crates/quillpulley/src/agent/peer_directory.rs
+++ b/crates/quillpulley/src/agent/peer_directory.rs
@@ -1,4 +1,4 @@
-//! The published proxies and control processes, as an agent uses them: as candidates for its parent, and as peers to be
+//! The published proxies and control nodes, as an agent uses them: as candidates for its parent, and as peers to be
 //! monitored.
 
 use crate::Settings;
@@ -12,7 +12,7 @@
 use quillpulley_state_sync::{ChangedKey, Store};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// The published proxies and control processes, and the seeds.
+/// The published proxies and control nodes, and the seeds.
 #[derive(Default)]
 pub struct PeerDirectory {
     endpoints: Vec<ProxyEndpoint>,
@@ -30,7 +30,7 @@
         self.seeds = settings.seeds.iter().filter_map(ipv4).collect();
     }
 
-    /// Returns whether any changed item is a proxy or a control process.
+    /// Returns whether any changed item is a proxy or a control node.
     pub fn is_affected_by(changed: &[ChangedKey]) -> bool {
         let kinds = changed.iter().filter_map(|item| PublishedKey::parse(&item.key));
         kinds
--- a/crates/quillpulley/src/control/clock.rs
+++ b/crates/quillpulley/src/control/clock.rs
@@ -1,4 +1,4 @@
-//! The monotonic clock that all threads of a control process share.
+//! The monotonic clock that all threads of a control node share.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/crates/quillpulley/src/control/replica_host/process.rs
+++ b/crates/quillpulley/src/control/replica_host/process.rs
@@ -1,4 +1,4 @@
-//! The start of a control process, and the loop that feeds events to its host.
+//! The start of a control node, and the loop that feeds events to its host.
 
 use super::components::Components;
 use super::host::ControlHost;
@@ -43,7 +43,7 @@
     signals: UnboundedReceiver<ProcessSignal>,
 }
 
-/// Runs a control process until it has shut down.
+/// Runs a control node until it has shut down.
 ///
 /// # Errors
 /// [`HostError`] if it cannot start.
--- a/crates/serving-config/src/json.rs
+++ b/crates/serving-config/src/json.rs
@@ -1,4 +1,4 @@
-//! JSON in and out.
+//! Reading and writing JSON.
 
 use super::ConfigurationError;
 use serde::Serialize;
@@ -15,7 +15,7 @@
     read(tape.as_value())
 }
 
-/// Writes a part of a configuration. Equal parts give equal texts.
+/// Serializes a part of a configuration. Equal parts give equal texts.
 pub(crate) fn write(part: &impl Serialize) -> Vec<u8> {
     simd_json::to_vec(part).expect("texts, numbers and lists of them have a JSON form")
 }
--- a/crates/serving-config/src/lib.rs
+++ b/crates/serving-config/src/lib.rs
@@ -1,7 +1,7 @@
 //! The operator's configurations: routes, services and limits.
 //!
-//! A configuration is checked for what makes it invalid, and for nothing else: fields and kinds that are not
-//! known are passed over, and what is missing gets a default wherever one makes sense.
+//! Only what makes a configuration invalid is checked: unknown fields and kinds are ignored, and missing ones get a
+//! default wherever there is a sensible one.
 
 #![forbid(unsafe_code)]
 
@@ -24,10 +24,10 @@
 use simd_json::prelude::*;
 use std::collections::BTreeMap;
 
-/// A complete configuration that is valid, but for its place after another (see [`Configuration::check_follows`]).
+/// A complete and valid configuration. Whether it may follow another is checked by [`Configuration::check_follows`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Configuration {
-    /// Its number.
+    /// Its version.
     pub version: u64,
     /// Its routes, ordered by host and prefix.
     pub routes: Vec<Route>,
@@ -38,7 +38,7 @@
 }
 
 impl Configuration {
-    /// Reads what the operator sent.
+    /// Parses a configuration as the operator sent it.
     ///
     /// # Errors
     /// [`ConfigurationError`].
@@ -55,8 +55,7 @@
         })
     }
 
-    /// Puts together the parts of a configuration and checks it as a whole. Of two services with one name the
-    /// later one counts.
+    /// Assembles a configuration and checks it. Of two services with one name the later one counts.
     pub(crate) fn new(
         version: u64,
         mut routes: Vec<Route>,
@@ -94,7 +93,7 @@
         Ok(())
     }
 
-    /// Equal places are neighbours, as the routes are ordered by them.
+    /// Checks that no two routes have the same host and prefix. Such routes are neighbours, as routes are sorted.
     fn check_unique(&self) -> Result<(), ConfigurationError> {
         let pairs = self.routes.iter().zip(self.routes.iter().skip(1));
         for (one, other) in pairs {
--- a/crates/serving-config/src/published/key.rs
+++ b/crates/serving-config/src/published/key.rs
@@ -11,28 +11,28 @@
 const SERVER_PREFIX: &str = "server/";
 /// The prefix of the keys of proxies.
 pub const ENDPOINT_PREFIX: &str = "front/";
-/// The prefix of the keys of control processes.
+/// The prefix of the keys of control nodes.
 pub const CONTROL_NODE_PREFIX: &str = "core/";
 
-/// A key, taken apart.
+/// A parsed key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PublishedKey<'a> {
     /// The head of the configuration.
     Config,
-    /// A route, by what [`route_key`] makes of its host and prefix.
+    /// A route, by its host and prefix as [`route_key`] encodes them.
     Route(&'a str),
     /// A zone that is evacuated; its value is empty.
     Evacuated(&'a str),
-    /// A server by its id; its value is a `wire::Server`.
+    /// A server by its id; its value is a `Server` of the protocol.
     Server(&'a str),
     /// A machine that serves clients by its name; its value is a `protocol::ProxyEndpoint`.
     ProxyEndpoint(&'a str),
-    /// A control process by its address; its value is a `wire::ControlNode`.
+    /// A control node by its address; its value is a `ControlNode` of the protocol.
     ControlNode(Ipv4Addr),
 }
 
 impl<'a> PublishedKey<'a> {
-    /// Takes a key apart; none for a key of a kind that is not known.
+    /// Parses a key. Returns none for an unknown kind.
     pub fn parse(key: &'a str) -> Option<PublishedKey<'a>> {
         if key == CONFIG_KEY {
             return Some(PublishedKey::Config);
@@ -70,7 +70,7 @@
     format!("{ENDPOINT_PREFIX}{name}")
 }
 
-/// Returns the key of a control process.
+/// Returns the key of a control node.
 pub fn control_node_key(address: Ipv4Addr) -> String {
     format!("{CONTROL_NODE_PREFIX}{address}")
 }
--- a/crates/serving-config/src/route.rs
+++ b/crates/serving-config/src/route.rs
@@ -12,18 +12,18 @@
 const DEFAULT_PRIORITY: u32 = 5;
 const DEFAULT_ATTEMPTS: u32 = 1;
 const DEFAULT_WEIGHT: f64 = 1.0;
-/// Weights are cut here, so that their sum stays finite.
+/// The highest weight, so that sums stay finite.
 const HIGHEST_WEIGHT: f64 = 1e12;
 
-/// How far a request of a route may be repeated.
+/// How often a request of a route may execute.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteKind {
-    /// It may run more than once.
+    /// It may execute more than once.
     Idempotent,
-    /// It may run once at most for each try. A kind that is not known is taken for this one.
+    /// It may execute once at most for each attempt of a client. Unknown kinds count as this one.
     NonIdempotent,
-    /// Its response is a stream of events; it may run once at most unless it is resumable.
+    /// Its response is a stream of events; it may execute once at most unless it is resumable.
     Streaming,
 }
 
@@ -37,13 +37,13 @@
     }
 }
 
-/// A service's share of the requests of a route.
+/// A service of a route, with its weight.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct WeightedService {
     /// The name of the service.
     pub service: String,
-    /// Its weight: its share is this over the sum of the route's weights.
+    /// Its weight: it gets this fraction of the sum of the route's weights.
     pub weight: f64,
 }
 
@@ -55,9 +55,9 @@
     pub name: String,
     /// The host, in lower case.
     pub host: String,
-    /// The beginning of the paths that it is for.
+    /// The prefix of the paths that it matches.
     pub path_prefix: String,
-    /// How far its requests may be repeated.
+    /// How often its requests may execute.
     pub kind: RouteKind,
     /// The longest time that a request may be held; above 0.
     #[serde(rename = "TimeoutMs", serialize_with = "written::milliseconds")]
@@ -70,11 +70,11 @@
     /// The services that it goes to, whose weights add up to more than 0.
     #[serde(rename = "TrafficSplit")]
     pub split: Vec<WeightedService>,
-    /// The most servers to which one try may be sent; 1 at least.
+    /// The most servers to which one attempt of a client may be sent; 1 at least.
     pub max_attempts: u32,
-    /// Whether its requests name the parts of their prompts.
+    /// Whether its requests name the segments of their prompts.
     pub sticky: bool,
-    /// Whether a stream may be taken up at another server.
+    /// Whether a stream may be resumed at another server.
     pub resumable: bool,
     /// The longest pause between events that still keeps a response in time.
     #[serde(rename = "gap_aim_ms", serialize_with = "written::optional_milliseconds")]
@@ -86,7 +86,7 @@
 }
 
 impl Route {
-    /// Returns whether a request may run more than once.
+    /// Returns whether a request may execute more than once.
     pub fn is_idempotent(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
--- a/crates/serving-config/src/service.rs
+++ b/crates/serving-config/src/service.rs
@@ -25,7 +25,7 @@
     pub protocol: String,
     /// Whether its servers want TLS.
     pub tls: bool,
-    /// How long a server stays cold after a start during traffic; 0 if it is missing.
+    /// How long a server warms up after a start during traffic; 0 if it is missing.
     #[serde(rename = "WarmupS", serialize_with = "written::seconds")]
     pub warmup: Duration,
     /// The requests a second that a cold server bears; 0 if it is missing.
@@ -80,7 +80,7 @@
     }
 }
 
-/// Returns what is no object counts as no engine.
+/// Returns the engine of a service. Anything but an object counts as none.
 fn read_engine(service: &Fields<'_, '_>) -> Result<Option<Engine>, ConfigurationError> {
     let Some(value) = service.optional("Engine").filter(Value::is_object) else { return Ok(None) };
     let fields = Fields::of(value, &format!("the engine of {}", service.location))?;
@@ -94,7 +94,7 @@
     }))
 }
 
-/// Models that have a name; what is none is passed over.
+/// Returns the models that have a name, and ignores others.
 fn read_models(engine: &Fields<'_, '_>) -> Vec<Model> {
     let Some(models) = engine.optional("Models").and_then(|models| models.as_array()) else {
         return Vec::new();
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -50,7 +50,7 @@
     pub bootstrap: bool,
     /// `CountsForQuorum`: whether the machine is one of those that `FaultTolerance.Machines` counts.
     pub counts_for_quorum: bool,
-    /// `DataDir`: the folder for what must last, on machines with a disk.
+    /// `DataDir`: the folder for durable data, on machines with a disk.
     pub data_folder: Option<PathBuf>,
     /// `HeartbeatMs`; a second where it is missing.
     pub heartbeat: Duration,
@@ -124,7 +124,7 @@
         })
     }
 
-    /// Returns the port on which control processes talk to each other and to agents.
+    /// Returns the port on which control nodes talk to each other and to agents.
     pub fn control_port(&self) -> u16 {
         self.ports.first
     }
--- a/crates/state-sync/src/lib.rs
+++ b/crates/state-sync/src/lib.rs
@@ -1,6 +1,6 @@
 //! Distribution of published state down a relay tree, and of counters up the tree, as pure state machines.
 //!
-//! A [`SyncNode`] is one node of the tree: the root (the primary), a relay (other control processes, agents) or a
+//! A [`SyncNode`] is one node of the tree: the root (the primary), a relay (other control nodes, agents) or a
 //! leaf (proxies). It holds a [`Store`] of the published items at a revision. Its host passes [`Event`]s with the
 //! time since the start of the process, and performs the resulting [`Action`]s. Invariant: the revision never
 //! decreases; a frame whose revision is not newer changes nothing.
--- a/crates/state-sync/src/options.rs
+++ b/crates/state-sync/src/options.rs
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Returns the default options of a control process, which accepts the first agents of many zones.
+    /// Returns the default options of a control node, which accepts the first agents of many zones.
     pub fn control_node(name: &str) -> Self {
         Options { max_children: 256, ..Options::new(name) }
     }
--- a/crates/state-sync/src/parent_selection.rs
+++ b/crates/state-sync/src/parent_selection.rs
@@ -1,7 +1,7 @@
 //! The candidates for an agent's parent in the relay tree.
 //!
 //! The agents of a zone are ranked by rendezvous hashing and form a heap of bounded fan-out: the first is the child
-//! of a control process, and the parent of the one at position `i` is at `(i - 1) / FAN_OUT`. A parent always has a
+//! of a control node, and the parent of the one at position `i` is at `(i - 1) / FAN_OUT`. A parent always has a
 //! higher rank than its child, whichever agents are known or have failed, so that no loops form.
 
 use quillpulley_membership::rendezvous::{ranked, Key};
@@ -15,7 +15,7 @@
 /// A process that may become the parent of an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum ParentCandidate {
-    /// The control process on the machine with this address.
+    /// The control node on the machine with this address.
     ControlNode(Ipv4Addr),
     /// The agent on the machine with this address.
     Agent(Ipv4Addr),
@@ -32,17 +32,17 @@
     pub region: &'a str,
     /// The published proxies: each has an agent. It does not matter whether the agent itself is among them.
     pub endpoints: &'a [ProxyEndpoint],
-    /// The published control processes.
+    /// The published control nodes.
     pub control_nodes: &'a [ControlNode],
-    /// The addresses of the seeds, which are or were control processes.
+    /// The addresses of the seeds, which are or were control nodes.
     pub seeds: &'a [Ipv4Addr],
     /// Candidates that failed recently. The agents among them are not ranked, so that agents that have lost the same
-    /// parent choose the same next one; the control processes among them come last.
+    /// parent choose the same next one; the control nodes among them come last.
     pub failed: &'a [ParentCandidate],
 }
 
 /// Returns the candidates for an agent's parent, the best first: the agents above it in the heap of its zone, the
-/// control processes of its zone, its region and elsewhere, the seeds, and control processes that failed recently.
+/// control nodes of its zone, its region and elsewhere, the seeds, and control nodes that failed recently.
 pub fn parent_candidates(topology: &TreeTopology) -> Vec<ParentCandidate> {
     let agents = agents_above(topology);
     let control_nodes = control_nodes_by_distance(topology);
@@ -59,7 +59,7 @@
     ordered
 }
 
-/// Returns whether all agents of the zone are children of its control process: there is one that has not failed, and
+/// Returns whether all agents of the zone are children of its control node: there is one that has not failed, and
 /// there are few agents.
 fn starts_at_control_node(topology: &TreeTopology) -> bool {
     let mut in_zone = topology.control_nodes.iter().filter(|control_node| control_node.zone == topology.zone);
@@ -100,7 +100,7 @@
     ParentCandidate::ControlNode(Ipv4Addr::from_bits(control_node.ip))
 }
 
-/// Returns the control processes: those of the zone, then of the region, then the others; equal ones by rendezvous
+/// Returns the control nodes: those of the zone, then of the region, then the others; equal ones by rendezvous
 /// hashing.
 fn control_nodes_by_distance(topology: &TreeTopology) -> Vec<ParentCandidate> {
     let key = Key::new(topology.name);
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,9 +1,9 @@
-//! Why storage cannot do what it is asked for.
+//! The errors of storage.
 
 use displaydoc::Display;
 use std::io;
 
-/// Why storage cannot do what it is asked for, and what to do about it.
+/// An error of storage, with the remedy.
 #[derive(Debug, Display)]
 pub enum StorageError {
     /// cannot {action} {file} ({error}): check the disk's space and state and try again
@@ -12,7 +12,7 @@
         action: &'static str,
         /// The file it was tried on.
         file: String,
-        /// What the system said.
+        /// The error of the operating system.
         error: io::Error,
     },
     /// {file} is damaged at byte {offset}: empty the data folder, so that this machine joins anew
@@ -43,9 +43,9 @@
     },
     /// entry {found} cannot stand where the log goes on with {expected}: send the entries from there
     OutOfOrder {
-        /// The index that was given.
+        /// The index of the entry.
         found: u64,
-        /// The highest index that could be given.
+        /// The highest index that it may have.
         expected: u64,
     },
 }
--- a/crates/storage/src/files/mod.rs
+++ b/crates/storage/src/files/mod.rs
@@ -1,4 +1,4 @@
-//! Files as storage sees them, so that tests can put others in the place of the real ones.
+//! The file system as storage uses it, so that tests can replace it.
 
 mod folder;
 
@@ -8,7 +8,7 @@
 
 /// The files of one folder.
 ///
-/// The contents of a file last once it is synced, names once [`Files::sync_names`] has returned.
+/// The contents of a file are durable once it is synced, names once [`Files::sync_names`] has returned.
 pub trait Files {
     /// A file that is open for reading and writing.
     type File: DataFile;
@@ -19,19 +19,19 @@
     /// Those of the file system.
     fn names(&self) -> io::Result<Vec<String>>;
 
-    /// Makes an empty file; one that is there is emptied.
+    /// Creates an empty file, or truncates an existing one.
     ///
     /// # Errors
     /// Those of the file system.
     fn create(&self, name: &str) -> io::Result<Self::File>;
 
-    /// Opens a file that is there.
+    /// Opens an existing file.
     ///
     /// # Errors
     /// Those of the file system.
     fn open(&self, name: &str) -> io::Result<Self::File>;
 
-    /// Gives a file another name, which no other has.
+    /// Renames a file. No other file has the new name.
     ///
     /// # Errors
     /// Those of the file system.
@@ -43,7 +43,7 @@
     /// Those of the file system.
     fn remove(&self, name: &str) -> io::Result<()>;
 
-    /// Waits until all names that were made, changed or removed will last.
+    /// Waits until all names that were created, changed or removed are durable.
     ///
     /// # Errors
     /// Those of the file system.
@@ -52,7 +52,7 @@
 
 /// The contents of a file.
 pub trait DataFile {
-    /// Returns all of it.
+    /// Returns the contents.
     ///
     /// # Errors
     /// Those of the file system.
@@ -64,13 +64,13 @@
     /// Those of the file system.
     fn write(&self, offset: u64, bytes: &[u8]) -> io::Result<()>;
 
-    /// Cuts the file off.
+    /// Sets the length of the file.
     ///
     /// # Errors
     /// Those of the file system.
     fn set_length(&self, length: u64) -> io::Result<()>;
 
-    /// Waits until contents and length will last.
+    /// Waits until contents and length are durable.
     ///
     /// # Errors
     /// Those of the file system.
--- a/crates/storage/src/format/segment.rs
+++ b/crates/storage/src/format/segment.rs
@@ -1,12 +1,12 @@
-//! The bytes of a segment: a head of fixed length, and then records, one for each entry.
+//! The format of a segment: a header of fixed length, and then one record for each entry.
 //!
-//! Head: magic, version, generation, index of the first entry, the checksum of the record before it (the *chain*),
+//! Header: magic, version, generation, index of the first entry, the checksum of the record before it (the *chain*),
 //! checksum of all that.
 //!
 //! Record: magic, checksum of what follows, length of the payload, chain, durable length, epoch, index, payload.
-//! The chain is the checksum of the record before; it keeps records apart that were written in different histories.
-//! The durable length is that of the segment when the record was written: all bytes before it had been synced. So
-//! a complete record tells of damage before it whether a loss of power can have done that.
+//! The chain is the checksum of the previous record; it distinguishes records of different histories.
+//! The durable length is that of the segment when the record was written: all bytes before it had been synced. So a
+//! complete record shows whether damage before it can be due to a loss of power.
 
 use super::{checksum, Reader, VERSION};
 use quillpulley_protocol::Entry;
@@ -14,13 +14,13 @@
 const HEADER_MAGIC: u32 = u32::from_le_bytes(*b"QPsg");
 const RECORD_MAGIC: [u8; 4] = *b"QPen";
 const HEADER_CHECKED: usize = 28;
-/// Bytes of a head.
+/// The bytes of a header.
 pub const HEADER_BYTES: usize = HEADER_CHECKED + 4;
 const RECORD_HEADER_BYTES: usize = 40;
 /// What the checksum of a record does not cover: the magic and itself.
 const RECORD_UNCHECKED: usize = 8;
 
-/// The head of a segment.
+/// The header of a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
     /// The generation that it belongs to.
@@ -31,34 +31,34 @@
     pub chain: u32,
 }
 
-/// What the beginning of a segment is.
+/// The decoded beginning of a segment.
 #[derive(Debug, PartialEq, Eq)]
 pub enum DecodedHeader {
-    /// A complete head.
+    /// A complete header.
     Intact(Header),
-    /// None, or a part of one.
+    /// No header, or a part of one.
     Damaged,
-    /// One that another version has written.
+    /// A header that another version has written.
     OtherVersion,
 }
 
-/// Where a record is and what it is known by.
+/// The location and identity of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordLocation {
     /// The epoch of its entry.
     pub epoch: u64,
-    /// The offset of what follows it.
+    /// The offset of the end of the record.
     pub end: u64,
-    /// Its checksum, the chain of what follows it.
+    /// Its checksum, which is the chain of the next record.
     pub checksum: u32,
 }
 
-/// The whole records at the beginning of a segment.
+/// The complete records at the beginning of a segment.
 #[derive(Debug, Default)]
 pub struct Scan {
     /// Their entries.
     pub entries: Vec<Entry>,
-    /// Their places.
+    /// Their locations.
     pub records: Vec<RecordLocation>,
 }
 
@@ -98,7 +98,7 @@
     }
 }
 
-/// Appends the record of an entry to a buffer and gives its checksum.
+/// Appends the record of an entry to a buffer, and returns its checksum.
 pub fn encode_record(entry: &Entry, chain: u32, durable: u64, buffer: &mut Vec<u8>) -> u32 {
     let start = buffer.len();
     buffer.extend_from_slice(&RECORD_MAGIC);
@@ -114,7 +114,7 @@
     checksum
 }
 
-/// Reads the records that follow each other without a gap from the head on.
+/// Reads the consecutive records after the header.
 pub fn scan(bytes: &[u8], header: &Header) -> Scan {
     let mut scan = Scan::default();
     let mut chain = header.chain;
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,8 +1,8 @@
-//! Durable storage of a control process: a segmented log with snapshots and one small record beside it.
+//! Durable storage of a control node: a segmented log with snapshots, and one small record beside it.
 //!
-//! What a call has returned from lasts, whatever happens to the process, to the power or to the space on the
-//! disk afterwards. A call that failed may be made again; until a call succeeds, a recovery finds what was there
-//! before or a part of what was asked for, but never a mixture.
+//! Once a call has succeeded, its effect is durable: it survives the end of the process, a loss of power and a full
+//! disk. A failed call may be retried. Until one succeeds, recovery finds the state before it, or a prefix of the
+//! entries that were to be appended, but never a mixture.
 //!
 //! | file | holds |
 //! | --- | --- |
@@ -10,8 +10,8 @@
 //! | `snapshot-<generation>-<index>.snapshot` | the state up to an entry |
 //! | `record.slots` | the record, in two slots that are written by turns |
 //!
-//! A [generation](Storage::install) is a history of its own: the newest one that has a snapshot counts, and files
-//! of others are remains.
+//! A [generation](Storage::install) is a history of its own. The newest one that has a snapshot is active; files of
+//! others are left over and removed.
 #![forbid(unsafe_code)]
 
 mod error;
--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -1,7 +1,7 @@
-//! The record: a few bytes that are replaced as a whole, on a full disk too.
+//! The record: a few bytes that are replaced atomically, also on a full disk.
 //!
-//! Its file has two slots of fixed length, whose space is taken when the folder is new. A record is written over
-//! the older of the two, with a number that is higher by one, and synced; the other slot stays as it is.
+//! Its file has two slots of fixed length, which are allocated when the folder is created. A record overwrites the
+//! older of the two, with the next number, and is synced; the other slot stays as it is.
 
 use crate::files::{DataFile, Files};
 use crate::format::{checksum, Reader};
@@ -21,17 +21,18 @@
 
 /// The file of the record.
 pub(crate) struct RecordFile<F: Files> {
-    /// None while it could not be made.
+    /// None while it could not be created.
     file: Option<F::File>,
     /// The number of the last record that was synced; 0 before the first.
     number: u64,
-    /// Whether the slot of the next record holds a part of one that a crash has torn. It must be gone before
-    /// anything else is written there: two torn writes could make up the older record.
+    /// Whether the slot of the next record holds a torn record. It must be cleared before anything else is written
+    /// there: two torn writes could combine into the older record.
     next_is_torn: bool,
 }
 
 impl<F: Files> RecordFile<F> {
-    /// Opens the file and gives the record, if there is one. Without a file one is made, if the disk lets it.
+    /// Opens the file, and returns it with the record, if there is one. Without a file one is created, if the disk
+    /// allows it.
     pub fn open(files: &F, exists: bool) -> Result<(RecordFile<F>, Option<Vec<u8>>), StorageError> {
         if !exists {
             let file = create(files).ok();
@@ -40,7 +41,7 @@
         let file = files.open(&name()).map_err(StorageError::io("open", FileName::Record))?;
         let bytes = file.read().map_err(StorageError::io("read", FileName::Record))?;
         let Slots { newest, other_is_torn } = Slots::read(&bytes)?;
-        // What a process wrote that was killed before it synced counts only from here on.
+        // A record that a killed process wrote and did not sync counts only from here on.
         file.sync().map_err(StorageError::io("sync", FileName::Record))?;
         let (number, record) = newest.map_or((0, None), |slot| (slot.number, Some(slot.record)));
         let usable = bytes.len() == SLOTS * SLOT_BYTES || number > 0;
@@ -90,7 +91,7 @@
     (number % SLOTS as u64) as usize
 }
 
-/// What is in a slot.
+/// The contents of a slot.
 enum Slot {
     /// Nothing was ever written to it, or a torn record was cleared.
     Empty,
@@ -105,11 +106,11 @@
     record: Vec<u8>,
 }
 
-/// What is in both slots.
+/// The contents of both slots.
 struct Slots {
-    /// The newer one of the whole records.
+    /// The newer one of the complete records.
     newest: Option<NumberedRecord>,
-    /// Whether the slot where it is not has a part of a record.
+    /// Whether the other slot holds a torn record.
     other_is_torn: bool,
 }
 
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -1,4 +1,4 @@
-//! What a process finds of what another one has stored.
+//! Recovery: reads what an earlier process has stored.
 
 use crate::files::{DataFile, Files};
 use crate::format::segment::{scan, was_synced, DecodedHeader, Header, Scan};
@@ -15,11 +15,11 @@
     pub record: Option<Vec<u8>>,
     /// The snapshot, and the position of the last entry that it covers.
     pub snapshot: Option<(Position, Vec<u8>)>,
-    /// The entries behind the snapshot, without a gap.
+    /// The entries after the snapshot, without a gap.
     pub entries: Vec<Entry>,
 }
 
-/// The control state that was found, and what it takes to go on from there.
+/// The recovered control state, and the segments to which later entries are appended.
 pub(crate) struct RecoveredState {
     pub generation: u64,
     pub snapshot: Option<(Position, Vec<u8>)>,
@@ -33,10 +33,10 @@
     let generation = snapshots.filter_map(FileName::generation).max().unwrap_or(0);
     let Snapshots { newest, damaged } = read_snapshots(files, names, generation)?;
     let base = newest.as_ref().map_or(0, |(last, _)| last.index);
-    let log = read_log(files, segments_behind(names, generation, base)?, base)?;
+    let log = read_log(files, segments_after(names, generation, base)?, base)?;
     let last = log.segments.last().map_or(base, Segment::last);
     if let Some(index) = damaged.filter(|index| *index > last) {
-        // What the damaged snapshot covered is nowhere else.
+        // The entries that the damaged snapshot covered are stored nowhere else.
         return Err(StorageError::damaged(FileName::Snapshot { generation, index }, 0));
     }
     let entries = log.entries.into_iter().filter(|entry| entry.index > base).collect();
@@ -45,7 +45,7 @@
 
 type Snapshot = (Position, Vec<u8>);
 
-/// What was found of snapshots.
+/// The snapshots of a generation.
 #[derive(Default)]
 struct Snapshots {
     /// The newest complete one.
@@ -82,8 +82,8 @@
     }
 }
 
-/// Returns the segments that may hold entries behind a base, in their order.
-fn segments_behind(names: &[FileName], generation: u64, base: u64) -> Result<Vec<FileName>, StorageError> {
+/// Returns the segments that may hold entries after a base, in order.
+fn segments_after(names: &[FileName], generation: u64, base: u64) -> Result<Vec<FileName>, StorageError> {
     let firsts = numbers(names, generation, segment_first);
     let Some(lowest) = firsts.first() else { return Ok(Vec::new()) };
     let Some(start) = firsts.iter().rposition(|first| *first <= base + 1) else {
@@ -98,8 +98,8 @@
     entries: Vec<Entry>,
 }
 
-/// Reads segments that follow each other. Only the last one may end with what is no record: the remains of a
-/// write that was not synced.
+/// Reads consecutive segments. Only the last one may end with an incomplete record: the left-over of a write that was
+/// not synced.
 fn read_log<F: Files>(files: &F, names: Vec<FileName>, base: u64) -> Result<Log, StorageError> {
     let mut log = Log::default();
     for (offset, name) in names.iter().enumerate() {
@@ -114,7 +114,7 @@
 }
 
 impl Log {
-    /// Takes a segment in, if it goes on where the log ends.
+    /// Appends a segment, if it begins where the log ends.
     fn push(&mut self, name: FileName, header: Header, scan: Scan) -> Result<(), StorageError> {
         if let Some(before) = self.segments.last() {
             let chain = before.records.last().map(|record| record.checksum);
@@ -128,8 +128,8 @@
     }
 }
 
-/// Returns the records of a segment. `next` is the first index of the segment behind it. None for a last segment that
-/// holds no record: the remains of one that was being made.
+/// Returns the records of a segment. `next` is the first index of the segment after it. None for a last segment without
+/// a record: the left-over of one that was being created.
 fn read_segment(
     name: FileName,
     bytes: &[u8],
@@ -146,7 +146,7 @@
     let following = header.first + found.records.len() as u64;
     let is_damaged = match next {
         Some(next) => following < next,
-        // What a snapshot covers had been synced, too.
+        // Entries that a snapshot covers had been synced, too.
         None => was_synced(bytes, end) || (following <= base && end < bytes.len() as u64),
     };
     if is_damaged {
@@ -167,7 +167,7 @@
     file.read().map_err(StorageError::io("read", name))
 }
 
-/// Returns the numbers of the files of a kind and a generation, in their order.
+/// Returns the numbers of the files of a kind and a generation, in order.
 fn numbers(names: &[FileName], generation: u64, number: fn(&FileName) -> Option<u64>) -> Vec<u64> {
     let own = names.iter().filter(|name| name.generation() == Some(generation));
     let mut numbers: Vec<u64> = own.filter_map(number).collect();
--- a/crates/storage/src/segments.rs
+++ b/crates/storage/src/segments.rs
@@ -1,4 +1,4 @@
-//! The segments of the log, as they are on the disk.
+//! The segments of the log on disk.
 
 use crate::files::{DataFile, Files};
 use crate::format::segment::{encode_record, Header, RecordLocation, HEADER_BYTES};
@@ -40,11 +40,11 @@
 
 /// The segments of a generation, one after the other, without those that a snapshot covers.
 ///
-/// After an error the last segment may be longer on the disk than it should be, and there may be files that should
-/// not be there; `truncate_to_length` and a sweep of the folder make that good.
+/// After an error the last segment may be too long on disk, and there may be unused files; `truncate_to_length` and
+/// the removal of unused files correct that.
 pub(crate) struct Segments<F: Files> {
     segments: Vec<Segment>,
-    /// The last segment's file, once it was used.
+    /// The file of the last segment, once it was opened.
     file: Option<F::File>,
 }
 
@@ -64,7 +64,7 @@
         segment.epoch_of(index)
     }
 
-    /// Returns bytes of all segments.
+    /// Returns the bytes of all segments.
     pub fn bytes(&self) -> u64 {
         self.segments.iter().map(Segment::length).sum()
     }
@@ -73,16 +73,15 @@
         self.segments.iter().any(|segment| segment.name() == *name)
     }
 
-    /// Forgets segments that a snapshot covers, but for the last one, to which the next entries go.
-    pub fn forget_up_to(&mut self, index: u64) {
+    /// Drops segments that a snapshot covers, except the last one, to which the next entries are appended.
+    pub fn drop_covered(&mut self, index: u64) {
         let all_but_last = self.segments.len().saturating_sub(1);
         let covered =
             self.segments[..all_but_last].iter().take_while(|segment| segment.last() <= index).count();
         self.segments.drain(..covered);
     }
 
-    /// Removes all entries behind an index. They are gone for good before this returns; whatever follows cannot
-    /// stand beside them.
+    /// Removes all entries after an index, durably: later entries can never be mixed with them.
     pub fn truncate(&mut self, files: &F, last: u64) -> Result<(), StorageError> {
         while let Some(segment) = self.segments.pop_if(|segment| segment.header.first > last) {
             self.file = None;
@@ -97,16 +96,16 @@
         self.truncate_to_length(files)
     }
 
-    /// Cuts off what stands behind the last complete record.
+    /// Truncates the last segment after its last complete record.
     pub fn truncate_to_length(&mut self, files: &F) -> Result<(), StorageError> {
         let Some(segment) = self.segments.last() else { return Ok(()) };
         let (name, length) = (segment.name(), segment.length());
         let file = self.last_file(files, name)?;
-        file.set_length(length).map_err(StorageError::io("cut off", name))?;
+        file.set_length(length).map_err(StorageError::io("truncate", name))?;
         file.sync().map_err(StorageError::io("sync", name))
     }
 
-    /// Makes sure that what was read of the last segment lasts: a killed process may not have synced it.
+    /// Syncs the last segment: a killed process may not have synced what was read of it.
     pub fn sync_last(&mut self, files: &F) -> Result<(), StorageError> {
         let Some(name) = self.segments.last().map(Segment::name) else { return Ok(()) };
         self.last_file(files, name)?.sync().map_err(StorageError::io("sync", name))
@@ -159,7 +158,7 @@
     }
 }
 
-/// Makes a segment of these entries, durable with its name.
+/// Creates a segment of these entries, durable with its name.
 pub(crate) fn create<F: Files>(
     files: &F,
     header: Header,
@@ -177,7 +176,7 @@
     Ok((segment, file))
 }
 
-/// Appends the records of entries to a buffer. The first one goes to the offset `start`.
+/// Appends the records of entries to a buffer. The first one will be at the offset `start` of its segment.
 fn encode_records(
     entries: &[Entry],
     mut chain: u32,
--- a/crates/storage/src/storage.rs
+++ b/crates/storage/src/storage.rs
@@ -1,4 +1,4 @@
-//! The storage of a process: what it may do, and in which order that reaches the disk.
+//! The storage of a process: its operations, and the order in which they reach the disk.
 
 use crate::files::{DataFile, Files, Folder};
 use crate::format::segment::Header;
@@ -32,22 +32,21 @@
     options: Options,
     /// The active generation.
     generation: u64,
-    /// One that no file had so far.
+    /// A generation that no file has had so far.
     next_generation: u64,
-    /// What the snapshot covers.
+    /// The last entry that the snapshot covers.
     snapshot: Option<Position>,
     segments: Segments<F>,
     record: RecordFile<F>,
-    /// Whether the folder may hold what should not be there: the remains of a call that failed.
+    /// Whether the folder may hold the left-overs of a call that failed.
     needs_repair: bool,
 }
 
 impl Storage {
-    /// Opens the storage in a folder and gives what was stored there.
+    /// Opens the storage in a folder, and returns it with what was stored there.
     ///
     /// # Errors
-    ///
-    /// [`StorageError::Io`], after which it may be tried again; else the folder has lost what had been synced.
+    /// [`StorageError::Io`], which may be retried; any other error means that the folder has lost synced data.
     pub fn open(folder: &Path, options: Options) -> Result<(Storage, Recovered), StorageError> {
         let files = Folder::open(folder).map_err(StorageError::io("open the folder", folder.display()))?;
         Storage::open_in(files, options)
@@ -60,7 +59,7 @@
     /// # Errors
     /// [`StorageError`].
     pub fn open_in(files: F, options: Options) -> Result<(Storage<F>, Recovered), StorageError> {
-        // Names that a killed process made or removed count only once they are sure to last.
+        // Names that a killed process created or removed count only once they are durable.
         files.sync_names().map_err(StorageError::io("sync", "the folder"))?;
         let names = names(&files)?;
         let state = recover(&files, &names)?;
@@ -78,7 +77,7 @@
         };
         storage.segments.sync_last(&storage.files)?;
         if let Err(error) = storage.repair() {
-            log::warn!("the remains of an earlier process stay for now: {error}");
+            log::warn!(error:%; "left-over files of an earlier process were not removed");
         }
         Ok((storage, Recovered { record: saved, snapshot: state.snapshot, entries: state.entries }))
     }
@@ -88,12 +87,12 @@
         self.segments.last_index().unwrap_or(self.snapshot_index())
     }
 
-    /// Returns what the snapshot covers, if there is one.
+    /// Returns the last entry that the snapshot covers, if there is one.
     pub fn snapshot_position(&self) -> Option<Position> {
         self.snapshot
     }
 
-    /// Returns bytes of the log on the disk, for a decision on when to compact it.
+    /// Returns the bytes of the log on disk, by which callers decide when to compact it.
     pub fn log_bytes(&self) -> u64 {
         self.segments.bytes()
     }
@@ -106,9 +105,9 @@
         self.record.save(&self.files, bytes)
     }
 
-    /// Appends entries, whose indexes follow each other, so that the log ends with the last of them. The first one
-    /// may stand anywhere behind the snapshot; entries that are stored already are kept, others are replaced.
-    /// After an error the log may end before the first entry that was to be replaced.
+    /// Appends entries with consecutive indices, so that the log ends with the last of them. The first one may have any
+    /// index after the snapshot: entries that are stored already are kept, conflicting ones are truncated. After an
+    /// error the log may end before the first entry that was to be truncated.
     ///
     /// # Errors
     /// [`StorageError`].
@@ -131,8 +130,8 @@
         })
     }
 
-    /// Replaces all but the record, as a whole: by a snapshot, the last entry that it covers, and the entries
-    /// behind it.
+    /// Replaces everything but the record, atomically, by a snapshot, the position of the last entry that it covers,
+    /// and the entries after it, in a new generation.
     ///
     /// # Errors
     /// [`StorageError`].
@@ -146,8 +145,8 @@
         self.change(|storage| storage.install_generation(last, snapshot, entries))
     }
 
-    /// Stores a snapshot, and drops the entries that it covers. One that covers no more than the present one is
-    /// passed over.
+    /// Stores a snapshot, and drops the entries that it covers. A snapshot that covers no more than the present one is
+    /// ignored.
     ///
     /// # Errors
     /// [`StorageError`].
@@ -161,10 +160,10 @@
         self.change(|storage| {
             storage.write_snapshot(storage.generation, last, snapshot)?;
             storage.snapshot = Some(last);
-            storage.segments.forget_up_to(last.index);
+            storage.segments.drop_covered(last.index);
             Ok(())
         })?;
-        self.sweep_if_possible();
+        self.try_remove_unused_files();
         Ok(())
     }
 
@@ -172,7 +171,7 @@
         self.snapshot.map_or(0, |last| last.index)
     }
 
-    /// Returns the first index that entries may have is that behind the snapshot, the last one that behind the log.
+    /// Checks that the entries are consecutive, and begin after the snapshot and at the end of the log at the latest.
     fn check_sequence(&self, entries: &[Entry]) -> Result<(), StorageError> {
         let first = entries.first().map_or(0, |entry| entry.index);
         let expected = self.last_index() + 1;
@@ -182,12 +181,12 @@
         check_consecutive(first, entries)
     }
 
-    /// Returns whether this very entry is stored: an index and an epoch stand for one entry.
+    /// Returns whether an entry is stored: index and epoch identify it.
     fn contains(&self, entry: &Entry) -> bool {
         self.segments.epoch_of(entry.index) == Some(entry.epoch)
     }
 
-    /// Makes a change. What remains of one that fails is removed before the next.
+    /// Performs a change. The left-overs of one that fails are removed before the next.
     fn change(
         &mut self,
         change: impl FnOnce(&mut Self) -> Result<(), StorageError>,
@@ -201,17 +200,17 @@
         Ok(())
     }
 
-    /// Brings the folder to what it should hold, durably.
+    /// Removes left-overs from the folder, durably.
     fn repair(&mut self) -> Result<(), StorageError> {
         self.revoke_newer_generations()?;
-        self.sweep()?;
+        self.remove_unused_files()?;
         self.sync_names()?;
         self.segments.truncate_to_length(&self.files)?;
         self.needs_repair = false;
         Ok(())
     }
 
-    /// Makes a new generation. It counts from when its snapshot has its name.
+    /// Creates a new generation. It becomes active when its snapshot gets its name.
     fn install_generation(
         &mut self,
         last: Position,
@@ -229,11 +228,11 @@
         self.generation = generation;
         self.snapshot = Some(last);
         self.segments = Segments::new(segments);
-        self.sweep_if_possible();
+        self.try_remove_unused_files();
         Ok(())
     }
 
-    /// Writes a snapshot beside the others, and gives it its name once it is complete.
+    /// Writes a snapshot to a temporary file, and renames that once it is complete.
     fn write_snapshot(&self, generation: u64, last: Position, state: &[u8]) -> Result<(), StorageError> {
         let name = FileName::Snapshot { generation, index: last.index };
         let temporary = FileName::Temporary;
@@ -248,19 +247,19 @@
         self.files.sync_names().map_err(StorageError::io("sync the folder of", name))
     }
 
-    /// Removes files that are out of use. What stays, or comes back after a loss of power, does no harm.
-    fn sweep_if_possible(&self) {
-        if let Err(error) = self.sweep() {
-            log::warn!("files out of use stay for now: {error}");
+    /// Removes unused files. Those that stay, or come back after a loss of power, do no harm.
+    fn try_remove_unused_files(&self) {
+        if let Err(error) = self.remove_unused_files() {
+            log::warn!(error:%; "unused files were not removed");
         }
     }
 
-    fn sweep(&self) -> Result<(), StorageError> {
+    fn remove_unused_files(&self) -> Result<(), StorageError> {
         names(&self.files)?.iter().filter(|name| !self.is_in_use(name)).try_for_each(|name| self.remove(name))
     }
 
-    /// Removes the snapshot of an installation that failed at its end, for good and before its segments: a part of
-    /// an installation must not count.
+    /// Removes the snapshots of installations that failed at their end, durably and before their segments: a part of an
+    /// installation must not become active.
     fn revoke_newer_generations(&self) -> Result<(), StorageError> {
         let is_newer = |name: &&FileName| match name {
             FileName::Snapshot { generation, .. } => *generation > self.generation,
