--- a/crates/load-balancer/src/lib.rs
+++ b/crates/load-balancer/src/lib.rs
@@ -21,5 +21,5 @@
 pub use demand::{Demand, PromptSegment};
 pub use home_demand::HomeDemand;
 pub use host_homes::{HomeTable, HostHomes, ServedIn};
-pub use request_queue::{QueueKey, QueueLimits, QueueTerms, Queued, RequestQueue};
+pub use request_queue::{queue_time, QueueKey, QueueLimits, QueueTerms, Queued, RequestQueue};
 pub use route_table::{pick_service, RouteTable};
--- a/crates/load-balancer/src/request_queue.rs
+++ b/crates/load-balancer/src/request_queue.rs
@@ -6,12 +6,17 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The fraction of its target latency for which a request waits.
+/// A request waits for its target latency divided by this.
 const QUEUE_TIME_DIVISOR: u32 = 4;
 
 /// The most requests that are tried for free capacity: trying one costs time, and most have the same demand.
 const MAX_EXAMINED: usize = 8;
 
+/// Returns for how long a request with this target latency may wait in a queue.
+pub fn queue_time(objective: Duration) -> Duration {
+    objective / QUEUE_TIME_DIVISOR
+}
+
 /// The limits of a queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueLimits {
@@ -71,12 +76,12 @@
         RequestQueue { limits, requests: BTreeMap::new(), bytes: 0, next_number: 0 }
     }
 
-    /// Queues a request. It is returned if there is no room for it even without those of lower priority.
+    /// Queues a request, and displaces those of lower priority if the limits require it.
     ///
     /// # Errors
-    /// The request, if there is no room for it.
+    /// The request, if it exceeds the limits even without those of lower priority.
     pub fn push(&mut self, now: Duration, terms: QueueTerms, request: T) -> Result<Queued<T>, T> {
-        let until = (now + terms.objective / QUEUE_TIME_DIVISOR).min(terms.due);
+        let until = (now + queue_time(terms.objective)).min(terms.due);
         let key = QueueKey { priority: terms.priority, until, number: self.next_number };
         if !self.fits_among_urgent(terms) {
             return Err(request);
@@ -89,9 +94,9 @@
     }
 
     fn fits_among_urgent(&self, terms: QueueTerms) -> bool {
-        let is_cached = |key: &QueueKey| key.priority <= terms.priority;
-        let cached = self.requests.iter().take_while(|(key, _)| is_cached(key));
-        let (requests, bytes) = cached
+        let is_as_urgent = |key: &QueueKey| key.priority <= terms.priority;
+        let urgent = self.requests.iter().take_while(|(key, _)| is_as_urgent(key));
+        let (requests, bytes) = urgent
             .fold((1, terms.bytes), |(requests, bytes), (_, entry)| (requests + 1, bytes + entry.bytes));
         requests <= self.limits.requests && bytes <= self.limits.bytes
     }
@@ -108,29 +113,18 @@
 
     /// Removes and returns the first request that fits free capacity, among those that have not waited too long.
     pub fn next(&mut self, now: Duration, mut fits: impl FnMut(&T) -> bool) -> Option<T> {
-        let mut patient = self.requests.iter().filter(|(key, _)| now < key.until).take(MAX_EXAMINED);
-        let key = *patient.find(|(_, entry)| fits(&entry.request))?.0;
+        let mut unexpired = self.requests.iter().filter(|(key, _)| now < key.until).take(MAX_EXAMINED);
+        let key = *unexpired.find(|(_, entry)| fits(&entry.request))?.0;
         self.remove(key)
     }
 
-    /// Removes a request, for example after its client has closed its connection.
+    /// Removes a request that has waited too long, or whose client has closed its connection.
     pub fn remove(&mut self, key: QueueKey) -> Option<T> {
         let entry = self.requests.remove(&key)?;
         self.bytes -= entry.bytes;
         Some(entry.request)
     }
 
-    /// Removes the requests that have waited too long. They must be rejected.
-    pub fn take_expired(&mut self, now: Duration) -> Vec<T> {
-        let expired: Vec<QueueKey> = self.requests.keys().filter(|key| now >= key.until).copied().collect();
-        expired.into_iter().filter_map(|key| self.remove(key)).collect()
-    }
-
-    /// Returns when the next request will have waited too long.
-    pub fn next_expiry(&self) -> Option<Duration> {
-        self.requests.keys().map(|key| key.until).min()
-    }
-
     /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
         self.requests.len()
--- a/crates/load-balancer/tests/request_queue.rs
+++ b/crates/load-balancer/tests/request_queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a place.
+//! The queue of requests that wait for capacity.
 
 use quickcheck::{quickcheck, Arbitrary, Gen};
 use quillpulley_load_balancer::{QueueKey, QueueLimits, QueueTerms, RequestQueue};
@@ -74,10 +74,8 @@
 fn a_quarter_of_the_objective_is_waited() {
     let mut waiting = waiting();
     push(&mut waiting, 100, terms(0, 800), "one");
-    assert_eq!(waiting.next_expiry(), Some(ms(300)));
-    assert!(waiting.take_expired(ms(299)).is_empty());
     assert_eq!(waiting.next(ms(300), |_| true), None);
-    assert_eq!(waiting.take_expired(ms(300)), ["one"]);
+    assert_eq!(waiting.next(ms(299), |_| true), Some("one"));
     assert!(waiting.is_empty());
 }
 
@@ -85,7 +83,8 @@
 fn nobody_waits_beyond_what_the_client_does() {
     let mut waiting = waiting();
     push(&mut waiting, 0, QueueTerms { due: ms(50), ..terms(0, 800) }, "one");
-    assert_eq!(waiting.next_expiry(), Some(ms(50)));
+    assert_eq!(waiting.next(ms(50), |_| true), None);
+    assert_eq!(waiting.next(ms(49), |_| true), Some("one"));
 }
 
 #[test]
@@ -124,16 +123,21 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Push { priority: u32, objective: u64, bytes: usize },
+    Push {
+        priority: u32,
+        objective: u64,
+        bytes: usize,
+    },
     Next,
-    Expire,
+    /// The client of the request that was queued at this position disconnects, or it has waited too long.
+    Remove(usize),
 }
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
         match u8::arbitrary(g) % 6 {
             0 => Step::Next,
-            1 => Step::Expire,
+            1 => Step::Remove(usize::arbitrary(g)),
             _ => Step::Push {
                 priority: u32::arbitrary(g) % 3,
                 objective: u64::arbitrary(g) % 2_000,
@@ -147,16 +151,24 @@
     fn limits_hold_and_no_request_is_lost(steps: Vec<Step>) -> bool {
         let mut waiting: RequestQueue<(usize, usize)> = RequestQueue::new(LIMITS);
         let mut held: Vec<(usize, usize)> = Vec::new();
+        let mut keys: Vec<QueueKey> = Vec::new();
         for (number, step) in steps.iter().enumerate() {
             let now = ms(number as u64 * 20);
             let gone = match *step {
                 Step::Push { priority, objective, bytes } => {
                     let terms = QueueTerms { bytes, ..terms(priority, objective) };
                     held.push((number, bytes));
-                    waiting.push(now, terms, (number, bytes)).map_or_else(|rejected| vec![rejected], |queued| queued.displaced)
+                    match waiting.push(now, terms, (number, bytes)) {
+                        Ok(queued) => {
+                            keys.push(queued.key);
+                            queued.displaced
+                        }
+                        Err(rejected) => vec![rejected],
+                    }
                 }
                 Step::Next => waiting.next(now, |_| true).into_iter().collect(),
-                Step::Expire => waiting.take_expired(now),
+                Step::Remove(_) if keys.is_empty() => Vec::new(),
+                Step::Remove(position) => waiting.remove(keys[position % keys.len()]).into_iter().collect(),
             };
             held.retain(|request| !gone.contains(request));
             let bytes: usize = held.iter().map(|(_, bytes)| bytes).sum();
--- a/crates/quillpulley/src/proxy/retry/forwarding.rs
+++ b/crates/quillpulley/src/proxy/retry/forwarding.rs
@@ -18,7 +18,7 @@
 use hyper::http::response::Parts;
 use hyper::{Response, StatusCode};
 use quillpulley_http1_client::{Socket, WriteProgress};
-use quillpulley_load_balancer::{FailureKind, Outcome, ServerKey};
+use quillpulley_load_balancer::{queue_time, FailureKind, Outcome, ServerKey};
 use std::future::{poll_fn, Future};
 use std::pin::pin;
 use std::rc::Rc;
@@ -26,8 +26,6 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
-/// A request waits in a queue for up to this fraction of its latency target, and is rejected then.
-const QUEUE_TIME_DIVISOR: u32 = 4;
 /// When a client may try again if nothing better is known.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
@@ -108,7 +106,7 @@
             tried: Vec::new(),
             error_response: None,
             socket: None,
-            queue_deadline: request.arrived + decision.objective / QUEUE_TIME_DIVISOR,
+            queue_deadline: request.arrived + queue_time(decision.objective),
             retry_after: DEFAULT_RETRY_AFTER,
             state,
             context: Rc::new(context),
@@ -136,7 +134,7 @@
         if let Step::Finish(response) = self.retry_state.handle(Event::ConnectionBroken) {
             return Err(self.forward_error(response));
         }
-        self.queue_deadline = Instant::now() + self.context.decision.objective / QUEUE_TIME_DIVISOR;
+        self.queue_deadline = Instant::now() + queue_time(self.context.decision.objective);
         self.forward_in_time(after).await
     }
 
