--- a/crates/membership/src/monitor.rs
+++ b/crates/membership/src/monitor.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The figures of a [`Monitor`].
+/// The settings of a [`Monitor`].
 #[derive(Clone, Debug)]
 pub struct MonitorOptions {
     /// The name of this node.
@@ -21,8 +21,9 @@
     pub ping_interval: Duration,
     /// Time after which a ping without a response is followed by the next.
     pub retry_interval: Duration,
-    /// So many pings in a row without a response make a target suspect, once the last has had its time as well.
-    pub max_unanswered: usize,
+    /// Number of consecutive pings without a response after which a target is suspected. The last one is given
+    /// `retry_interval` as well.
+    pub max_unacknowledged: usize,
     /// Seed of the jitter.
     pub seed: u64,
 }
@@ -36,7 +37,7 @@
             monitors: 3,
             ping_interval: Duration::from_millis(400),
             retry_interval: Duration::from_millis(200),
-            max_unanswered: 5,
+            max_unacknowledged: 5,
             seed,
         }
     }
@@ -79,9 +80,10 @@
     suspects: Vec<String>,
     sequence: u64,
     random: fastrand::Rng,
-    /// When anything was received from another node, and when an acknowledgement was.
-    heard_at: Duration,
-    answered_at: Duration,
+    /// When a ping or an acknowledgement was last received.
+    received_at: Duration,
+    /// When an acknowledgement of a target was last received.
+    acknowledged_at: Duration,
 }
 
 impl Monitor {
@@ -94,8 +96,8 @@
             suspects: Vec::new(),
             sequence: 0,
             random,
-            heard_at: Duration::ZERO,
-            answered_at: Duration::ZERO,
+            received_at: Duration::ZERO,
+            acknowledged_at: Duration::ZERO,
         }
     }
 
@@ -103,12 +105,12 @@
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Peers(peers) => self.set_peers(now, &peers),
-            Event::Received(Body::Ping(ping), from) => self.answer(now, &ping, from, actions),
-            Event::Received(Body::PingAck(ack), _) => self.acknowledge(now, &ack),
+            Event::Received(Body::Ping(ping), from) => self.acknowledge_ping(now, &ping, from, actions),
+            Event::Received(Body::PingAck(ack), _) => self.record_ack(now, &ack),
             Event::Received(..) => {}
             Event::Tick => self.tick(now, actions),
         }
-        self.review(now, actions);
+        self.update_suspects(now, actions);
     }
 
     /// Returns when a [`Event::Tick`] has something to do.
@@ -152,24 +154,24 @@
         ahead.take(self.options.monitors).count() < self.options.monitors
     }
 
-    fn answer(&mut self, now: Duration, ping: &Ping, from: SocketAddr, actions: &mut Vec<Action>) {
-        self.heard_at = now;
+    fn acknowledge_ping(&mut self, now: Duration, ping: &Ping, from: SocketAddr, actions: &mut Vec<Action>) {
+        self.received_at = now;
         let ack = PingAck { name: self.options.name.clone(), sequence: ping.sequence };
         actions.push(Action::Send(from, Body::PingAck(Box::new(ack))));
     }
 
-    fn acknowledge(&mut self, now: Duration, ack: &PingAck) {
-        self.heard_at = now;
+    fn record_ack(&mut self, now: Duration, ack: &PingAck) {
+        self.received_at = now;
         if let Some(target) = self.targets.get_mut(&ack.name) {
             target.acknowledge(ack.sequence);
-            self.answered_at = now;
+            self.acknowledged_at = now;
         }
     }
 
     fn tick(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if self.was_suspended(now) {
-            self.heard_at = now;
-            self.answered_at = now;
+            self.received_at = now;
+            self.acknowledged_at = now;
             self.targets.values_mut().for_each(Target::reset);
         }
         for target in self.targets.values_mut().filter(|target| target.due <= now) {
@@ -187,9 +189,9 @@
     }
 
     /// Determines the suspects, and notifies the host if they have changed.
-    fn review(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        let silent = self.targets.iter().filter(|(_, target)| target.is_unresponsive());
-        let mut suspects: Vec<String> = silent.map(|(name, _)| name.clone()).collect();
+    fn update_suspects(&mut self, now: Duration, actions: &mut Vec<Action>) {
+        let unresponsive = self.targets.iter().filter(|(_, target)| target.is_unresponsive());
+        let mut suspects: Vec<String> = unresponsive.map(|(name, _)| name.clone()).collect();
         if self.is_isolated(now) {
             suspects.clear();
         }
@@ -202,8 +204,8 @@
     /// Returns whether this node itself may be partitioned: it has received no acknowledgement recently, or nothing
     /// at all if its only target does not respond. This is detected before any target becomes suspected.
     fn is_isolated(&self, now: Duration) -> bool {
-        let proof = if self.targets.len() > 1 { self.answered_at } else { self.heard_at };
-        now.saturating_sub(proof) > 2 * self.options.ping_interval
+        let responsive_at = if self.targets.len() > 1 { self.acknowledged_at } else { self.received_at };
+        now.saturating_sub(responsive_at) > 2 * self.options.ping_interval
     }
 
     /// Returns a part of the time between pings, so that targets that became known together are spread over it.
--- a/crates/membership/src/target.rs
+++ b/crates/membership/src/target.rs
@@ -20,15 +20,21 @@
     /// When the next ping is due.
     pub(crate) due: Duration,
     /// When the next ping is due if the latest is acknowledged.
-    due_if_answered: Duration,
+    due_if_acknowledged: Duration,
     /// The sequence numbers of pings that were sent since its latest response.
-    unanswered: Vec<u64>,
+    unacknowledged: Vec<u64>,
     health: Health,
 }
 
 impl Target {
     pub(crate) fn new(address: SocketAddr, due: Duration) -> Self {
-        Target { address, due, due_if_answered: due, unanswered: Vec::new(), health: Health::Responsive }
+        Target {
+            address,
+            due,
+            due_if_acknowledged: due,
+            unacknowledged: Vec::new(),
+            health: Health::Responsive,
+        }
     }
 
     pub(crate) fn is_unresponsive(&self) -> bool {
@@ -44,26 +50,26 @@
         interval: Duration,
         options: &MonitorOptions,
     ) {
-        if self.unanswered.len() >= options.max_unanswered {
+        if self.unacknowledged.len() >= options.max_unacknowledged {
             self.set_health(Health::Unresponsive);
-            self.unanswered.remove(0);
+            self.unacknowledged.remove(0);
         }
-        self.unanswered.push(sequence);
-        self.due_if_answered = now + interval;
+        self.unacknowledged.push(sequence);
+        self.due_if_acknowledged = now + interval;
         self.due = now + if self.is_unresponsive() { interval } else { options.retry_interval };
     }
 
     /// Records an acknowledgement. One of an older ping proves nothing about the current state.
     pub(crate) fn acknowledge(&mut self, sequence: u64) {
-        if self.unanswered.contains(&sequence) {
-            self.due = self.due_if_answered;
+        if self.unacknowledged.contains(&sequence) {
+            self.due = self.due_if_acknowledged;
             self.reset();
         }
     }
 
     /// Forgets the pings that were not acknowledged.
     pub(crate) fn reset(&mut self) {
-        self.unanswered.clear();
+        self.unacknowledged.clear();
         self.set_health(Health::Responsive);
     }
 
--- a/crates/quillpulley/src/proxy/admission/mod.rs
+++ b/crates/quillpulley/src/proxy/admission/mod.rs
@@ -5,7 +5,7 @@
 pub mod buffer_budget;
 
 use crate::proxy::downstream::request::RequestContext;
-use crate::proxy::upstream::upstream_call::UpstreamCall;
+use crate::proxy::upstream::upstream_request::UpstreamRequest;
 use crate::proxy::upstream::upstreams::{CapacityListener, Upstreams};
 use quillpulley_load_balancer::{Choice, QueueKey, QueueLimits, QueueTerms, RequestQueue, ServerKey};
 use std::cell::RefCell;
@@ -31,7 +31,7 @@
     context: Rc<RequestContext>,
     /// The servers that it was sent to.
     tried: Vec<ServerKey>,
-    admitted: oneshot::Sender<UpstreamCall>,
+    admitted: oneshot::Sender<UpstreamRequest>,
 }
 
 /// Admits requests to servers, and queues those for which there is no capacity.
@@ -53,7 +53,7 @@
         admission
     }
 
-    /// Returns a call to a server, other than those that were tried, at once or until then.
+    /// Returns an upstream request to a server, other than those that were tried, at once or until then.
     ///
     /// # Errors
     /// [`NoCapacity`] if no server had capacity by then.
@@ -62,7 +62,7 @@
         context: &Rc<RequestContext>,
         tried: &[ServerKey],
         until: Instant,
-    ) -> Result<UpstreamCall, NoCapacity> {
+    ) -> Result<UpstreamRequest, NoCapacity> {
         let retry_after = match self.upstreams.choose(&context.demand(), tried) {
             Choice::Send(server) => {
                 return self.begin(context.clone(), server).ok_or(NoCapacity { retry_after: None })
@@ -70,12 +70,12 @@
             Choice::Full { retry_after } => Some(retry_after),
             Choice::NoServer => return Err(NoCapacity { retry_after: None }),
         };
-        let (admitted, call) = oneshot::channel();
+        let (admitted, upstream_request) = oneshot::channel();
         let waiter = Waiter { context: context.clone(), tried: tried.to_vec(), admitted };
         let key = self.enqueue(self.queue_terms(context, until), waiter).ok_or(NoCapacity { retry_after })?;
         let _entry = QueueEntry { admission: self, service: &context.decision.service, key };
-        match timeout_at(until, call).await {
-            Ok(Ok(call)) => Ok(call),
+        match timeout_at(until, upstream_request).await {
+            Ok(Ok(upstream_request)) => Ok(upstream_request),
             Ok(Err(_)) | Err(_) => Err(NoCapacity { retry_after }),
         }
     }
@@ -89,9 +89,9 @@
                 chosen.is_some()
             });
             let Some((waiter, server)) = waiter.zip(chosen) else { return };
-            if let Some(call) = self.begin(waiter.context, server) {
-                // A call whose receiver has gone ends by itself.
-                let _ = waiter.admitted.send(call);
+            if let Some(upstream_request) = self.begin(waiter.context, server) {
+                // A request whose receiver has gone ends by itself.
+                let _ = waiter.admitted.send(upstream_request);
             }
         }
     }
@@ -144,9 +144,9 @@
         }
     }
 
-    fn begin(&self, context: Rc<RequestContext>, server: ServerKey) -> Option<UpstreamCall> {
-        let (peer, ticket) = self.upstreams.begin_call(server, &context.demand())?;
-        Some(UpstreamCall::new(self.upstreams.clone(), context, peer, ticket))
+    fn begin(&self, context: Rc<RequestContext>, server: ServerKey) -> Option<UpstreamRequest> {
+        let (peer, ticket) = self.upstreams.begin_request(server, &context.demand())?;
+        Some(UpstreamRequest::new(self.upstreams.clone(), context, peer, ticket))
     }
 
     fn queue_terms(&self, context: &RequestContext, until: Instant) -> QueueTerms {
--- a/crates/quillpulley/src/proxy/mod.rs
+++ b/crates/quillpulley/src/proxy/mod.rs
@@ -6,7 +6,7 @@
 //! | [`config`] | the active configuration, and what it decides for a request |
 //! | [`admission`] | capacity at servers: requests get it at once or wait in a queue |
 //! | [`retry`] | sends a request until there is a response, within its retry policy |
-//! | [`upstream`] | the servers' side: choice, connections, calls, health checks |
+//! | [`upstream`] | the servers' side: choice, connections, requests, health checks |
 //! | [`streaming`] | streamed responses, event by event |
 //! | [`sync`] | the link to the agent of the machine: published state in, usage out |
 //! | [`shutdown`] | when the proxy is ready, and how it drains |
--- a/crates/quillpulley/src/proxy/retry/forwarding.rs
+++ b/crates/quillpulley/src/proxy/retry/forwarding.rs
@@ -12,7 +12,7 @@
 use crate::proxy::state::ProxyState;
 use crate::proxy::upstream::connection_pool::{ConnectError, Connected};
 use crate::proxy::upstream::response_head::{self, ResponseVerdict};
-use crate::proxy::upstream::upstream_call::UpstreamCall;
+use crate::proxy::upstream::upstream_request::UpstreamRequest;
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::http::response::Parts;
@@ -43,8 +43,8 @@
     pub head: Parts,
     /// The body.
     pub body: Incoming,
-    /// The call that it responds to.
-    pub call: UpstreamCall,
+    /// The upstream request that it responds to.
+    pub upstream_request: UpstreamRequest,
 }
 
 /// Why there is no response of a server to forward.
@@ -164,7 +164,7 @@
     ) -> Result<UpstreamResponse, FinalResponse> {
         loop {
             let event = match self.acquire_upstream().await {
-                Some(call) => match self.attempt(call, resume_after).await {
+                Some(upstream_request) => match self.attempt(upstream_request, resume_after).await {
                     Ok(response) => return Ok(response),
                     Err(event) => event,
                 },
@@ -181,10 +181,12 @@
         }
     }
 
-    /// Returns a call to a server. A retry is counted by its budget before it is sent.
-    async fn acquire_upstream(&mut self) -> Option<UpstreamCall> {
+    /// Returns an upstream request to a server. A retry is counted by its budget before it is sent.
+    async fn acquire_upstream(&mut self) -> Option<UpstreamRequest> {
         match self.state.admission.acquire(&self.context, &self.tried, self.queue_deadline).await {
-            Ok(call) if !self.retry_state.is_retry() || self.try_retry() => Some(call),
+            Ok(upstream_request) if !self.retry_state.is_retry() || self.try_retry() => {
+                Some(upstream_request)
+            }
             Ok(_) => None,
             Err(no_capacity) => {
                 self.retry_after = no_capacity.retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
@@ -200,15 +202,15 @@
     /// Sends the request to a server. Returns the response to forward, or what became of the attempt.
     async fn attempt(
         &mut self,
-        mut call: UpstreamCall,
+        mut upstream_request: UpstreamRequest,
         resume_after: Option<&[u8]>,
     ) -> Result<UpstreamResponse, Event> {
-        self.tried.push(call.peer().key);
+        self.tried.push(upstream_request.peer().key);
         self.retry_state.handle(Event::UpstreamChosen);
-        match self.exchange(&mut call, resume_after).await {
-            Ok(response) => self.handle_response(call, response).await,
+        match self.exchange(&mut upstream_request, resume_after).await {
+            Ok(response) => self.handle_response(upstream_request, response).await,
             Err(AttemptError { event, outcome }) => {
-                call.end(outcome);
+                upstream_request.end(outcome);
                 Err(event)
             }
         }
@@ -217,11 +219,11 @@
     /// Writes the request and waits for the head of the response.
     async fn exchange(
         &mut self,
-        call: &mut UpstreamCall,
+        upstream_request: &mut UpstreamRequest,
         resume_after: Option<&[u8]>,
     ) -> Result<Response<Incoming>, AttemptError> {
         loop {
-            let peer = call.peer().clone();
+            let peer = upstream_request.peer().clone();
             let connected = self.state.upstreams.pool().connect(&peer).await;
             let Connected { connection, reused } = connected.map_err(|error| match error {
                 ConnectError::NoDescriptor => AttemptError::NOT_SENT,
@@ -236,7 +238,7 @@
             let socket = connection.socket().clone();
             self.socket = Some(socket.clone());
             self.retry_state.handle(Event::Connected);
-            match call.attach(connection).send(request).await {
+            match upstream_request.attach(connection).send(request).await {
                 Ok(response) => return Ok(response),
                 Err(_) if socket.write_progress() != WriteProgress::NotStarted => {
                     if reused {
@@ -246,7 +248,7 @@
                     return Err(AttemptError::RESET);
                 }
                 // An idle connection that broke before a byte was written says nothing about the server.
-                Err(_) if reused => call.detach(),
+                Err(_) if reused => upstream_request.detach(),
                 Err(_) => return Err(AttemptError::CONNECT),
             }
         }
@@ -255,16 +257,16 @@
     /// Decides what a response means. Its body is read if it must be complete before it is forwarded.
     async fn handle_response(
         &mut self,
-        call: UpstreamCall,
+        upstream_request: UpstreamRequest,
         response: Response<Incoming>,
     ) -> Result<UpstreamResponse, Event> {
         let (head, body) = response.into_parts();
         match self.classify(&head) {
             ResponseVerdict::Success if self.context.decision.streaming => {
-                Ok(UpstreamResponse::Stream(Box::new(StreamingResponse { head, body, call })))
+                Ok(UpstreamResponse::Stream(Box::new(StreamingResponse { head, body, upstream_request })))
             }
             ResponseVerdict::Success => {
-                let (head, body) = read_response(call, head, body, Outcome::Completed).await?;
+                let (head, body) = read_response(upstream_request, head, body, Outcome::Completed).await?;
                 Ok(UpstreamResponse::Complete(head, body))
             }
             ResponseVerdict::Failure => {
@@ -272,25 +274,26 @@
                     true => Outcome::Failed(FailureKind::ServerError),
                     false => Outcome::Completed,
                 };
-                self.error_response = Some(read_response(call, head, body, outcome).await?);
+                self.error_response = Some(read_response(upstream_request, head, body, outcome).await?);
                 Err(Event::UpstreamFailed)
             }
             ResponseVerdict::NotExecuted { full } => {
                 // If the body has not come with the head, it is not worth waiting for.
-                let mut reading = pin!(read_response(call, head, body, Outcome::NotExecuted { full }));
+                let mut reading =
+                    pin!(read_response(upstream_request, head, body, Outcome::NotExecuted { full }));
                 poll_fn(|cx| Poll::Ready(reading.as_mut().poll(cx).is_ready())).await;
                 Err(Event::NotExecuted)
             }
             ResponseVerdict::Misdirected => {
-                call.end(Outcome::Misdirected);
+                upstream_request.end(Outcome::Misdirected);
                 Err(Event::Misdirected)
             }
             ResponseVerdict::UnmarkedRejection => {
-                call.end(Outcome::Failed(FailureKind::ServerError));
+                upstream_request.end(Outcome::Failed(FailureKind::ServerError));
                 Err(Event::ConnectionBroken)
             }
             ResponseVerdict::Invalid => {
-                call.end(Outcome::Failed(FailureKind::InvalidResponse));
+                upstream_request.end(Outcome::Failed(FailureKind::InvalidResponse));
                 Err(Event::ConnectionBroken)
             }
         }
@@ -329,20 +332,20 @@
     }
 }
 
-/// Reads the body of a response and ends the call, whose connection is kept.
+/// Reads the body of a response and ends the upstream request, whose connection is kept.
 async fn read_response(
-    mut call: UpstreamCall,
+    mut upstream_request: UpstreamRequest,
     head: Parts,
     body: Incoming,
     outcome: Outcome,
 ) -> Result<(Parts, Bytes), Event> {
-    match call.read_body(body).await {
+    match upstream_request.read_body(body).await {
         Ok(body) => {
-            call.complete(outcome, response_head::keep_alive(&head.headers));
+            upstream_request.complete(outcome, response_head::keep_alive(&head.headers));
             Ok((head, body))
         }
         Err(_) => {
-            call.end(Outcome::Failed(FailureKind::Truncated));
+            upstream_request.end(Outcome::Failed(FailureKind::Truncated));
             Err(Event::ConnectionBroken)
         }
     }
--- a/crates/quillpulley/src/proxy/streaming/event_stream.rs
+++ b/crates/quillpulley/src/proxy/streaming/event_stream.rs
@@ -10,7 +10,7 @@
 use crate::proxy::retry::forwarding::{ForwardError, Forwarding, StreamingResponse, UpstreamResponse};
 use crate::proxy::streaming::event_splitter::{EventSplitter, Position};
 use crate::proxy::upstream::response_head;
-use crate::proxy::upstream::upstream_call::UpstreamCall;
+use crate::proxy::upstream::upstream_request::UpstreamRequest;
 use bytes::Bytes;
 use displaydoc::Display;
 use hyper::body::{Body, Frame, Incoming};
@@ -58,7 +58,7 @@
 /// A server that streams its response.
 struct UpstreamSource {
     forwarding: Box<Forwarding>,
-    call: UpstreamCall,
+    request: UpstreamRequest,
     body: Incoming,
     /// How long the server keeps the connection, if at all.
     keep_alive: Option<Duration>,
@@ -97,15 +97,17 @@
         }
         loop {
             match &mut self.source {
-                Source::Upstream(upstream) => match ready!(upstream.call.poll_data(cx, &mut upstream.body)) {
-                    Some(Ok(data)) => {
-                        if let Some(events) = self.push(data) {
-                            return Poll::Ready(Some(Ok(events)));
+                Source::Upstream(upstream) => {
+                    match ready!(upstream.request.poll_data(cx, &mut upstream.body)) {
+                        Some(Ok(data)) => {
+                            if let Some(events) = self.push(data) {
+                                return Poll::Ready(Some(Ok(events)));
+                            }
                         }
+                        Some(Err(_)) => self.connection_broken(),
+                        None => return Poll::Ready(self.finish().map(Ok)),
                     }
-                    Some(Err(_)) => self.connection_broken(),
-                    None => return Poll::Ready(self.finish().map(Ok)),
-                },
+                }
                 Source::Resuming(resumption) => {
                     let (forwarding, result) = ready!(resumption.as_mut().poll(cx));
                     self.resumed(forwarding, result);
@@ -121,7 +123,7 @@
         if !self.has_begun {
             self.has_begun = true;
             if let Source::Upstream(upstream) = &self.source {
-                upstream.call.record_started();
+                upstream.request.record_started();
             }
         }
         match &mut self.splitter {
@@ -133,7 +135,7 @@
     /// Handles that the server has completed the stream, and returns the rest of it.
     fn finish(&mut self) -> Option<Bytes> {
         if let Source::Upstream(upstream) = self.change_source(Source::Complete) {
-            upstream.call.complete(Outcome::Completed, upstream.keep_alive);
+            upstream.request.complete(Outcome::Completed, upstream.keep_alive);
         }
         self.splitter.as_mut().and_then(EventSplitter::finish)
     }
@@ -141,8 +143,8 @@
     /// Handles that the connection to the server broke.
     fn connection_broken(&mut self) {
         let Source::Upstream(upstream) = self.change_source(Source::Truncated) else { return };
-        let UpstreamSource { mut forwarding, call, .. } = *upstream;
-        call.end(Outcome::Failed(FailureKind::Truncated));
+        let UpstreamSource { mut forwarding, request, .. } = *upstream;
+        request.end(Outcome::Failed(FailureKind::Truncated));
         let Some(splitter) = &mut self.splitter else { return };
         if !splitter.restart() {
             return;
@@ -180,9 +182,17 @@
 impl Source {
     /// Returns the head of a response, and the source of its body.
     fn upstream(forwarding: Box<Forwarding>, response: StreamingResponse) -> (Parts, Source) {
-        let StreamingResponse { head, body, call } = response;
+        let StreamingResponse { head, body, upstream_request } = response;
         let keep_alive = response_head::keep_alive(&head.headers);
-        (head, Source::Upstream(Box::new(UpstreamSource { forwarding, call, body, keep_alive })))
+        (
+            head,
+            Source::Upstream(Box::new(UpstreamSource {
+                forwarding,
+                request: upstream_request,
+                body,
+                keep_alive,
+            })),
+        )
     }
 }
 
--- a/crates/quillpulley/src/proxy/upstream/mod.rs
+++ b/crates/quillpulley/src/proxy/upstream/mod.rs
@@ -1,8 +1,8 @@
-//! The servers' side: the choice among servers, connections, calls, and health checks.
+//! The servers' side: the choice among servers, connections, requests, and health checks.
 
 pub mod connection_pool;
 pub mod health_check;
 pub mod recent_failures;
 pub mod response_head;
-pub mod upstream_call;
+pub mod upstream_request;
 pub mod upstreams;
--- a/crates/quillpulley/src/proxy/upstream/upstream_call.rs
+++ b/crates/quillpulley/src/proxy/upstream/upstream_request.rs
@@ -1,4 +1,4 @@
-//! A call: one send of a request to a server, its connection, and its account with the load balancer.
+//! An upstream request: one attempt of a request at a server, its connection, and its ticket of the load balancer.
 
 use super::connection_pool::{AbortGuard, UpstreamPeer};
 use super::upstreams::Upstreams;
@@ -15,8 +15,8 @@
 /// The longest response that is read completely before it is forwarded, in bytes.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// A call in flight. Dropped before its end it closes its connection, and so the server stops.
-pub struct UpstreamCall {
+/// An upstream request in flight. Dropped before its end it closes its connection, and so the server stops.
+pub struct UpstreamRequest {
     upstreams: Rc<Upstreams>,
     context: Rc<RequestContext>,
     peer: UpstreamPeer,
@@ -25,15 +25,22 @@
     abort_guard: Option<AbortGuard>,
 }
 
-impl UpstreamCall {
-    /// Creates a call without a connection. `ticket` is that of the load balancer.
+impl UpstreamRequest {
+    /// Creates an upstream request without a connection. `ticket` is that of the load balancer.
     pub fn new(
         upstreams: Rc<Upstreams>,
         context: Rc<RequestContext>,
         peer: UpstreamPeer,
         ticket: Ticket,
     ) -> Self {
-        UpstreamCall { upstreams, context, peer, ticket: Some(ticket), connection: None, abort_guard: None }
+        UpstreamRequest {
+            upstreams,
+            context,
+            peer,
+            ticket: Some(ticket),
+            connection: None,
+            abort_guard: None,
+        }
     }
 
     /// Returns the server.
@@ -102,7 +109,7 @@
         Ok(first.unwrap_or_else(|| all.freeze()))
     }
 
-    /// Ends the call with a complete response. The server keeps the connection for `keep_alive`, if at all.
+    /// Ends the request with a complete response. The server keeps the connection for `keep_alive`, if at all.
     pub fn complete(mut self, outcome: Outcome, keep_alive: Option<Duration>) {
         self.abort_guard = None;
         if let Some((connection, time)) = self.connection.take().zip(keep_alive) {
@@ -112,7 +119,7 @@
         self.record_end(outcome);
     }
 
-    /// Ends the call and closes its connection.
+    /// Ends the request and closes its connection.
     pub fn end(mut self, outcome: Outcome) {
         self.detach();
         self.record_end(outcome);
@@ -125,7 +132,7 @@
     }
 }
 
-impl Drop for UpstreamCall {
+impl Drop for UpstreamRequest {
     fn drop(&mut self) {
         // The connection first: a server must not see the next attempt of a request while this one looks open.
         self.detach();
--- a/crates/quillpulley/src/proxy/upstream/upstreams.rs
+++ b/crates/quillpulley/src/proxy/upstream/upstreams.rs
@@ -1,6 +1,6 @@
-//! The servers as all calls share them: the choice among them, connections, and memory for bodies.
+//! What all upstream requests share: the choice among servers, connections, and memory for bodies.
 //!
-//! It does not know who calls. A [`CapacityListener`] is notified when a server may have capacity again.
+//! It does not know the requests that wait. A [`CapacityListener`] is notified when a server may have capacity again.
 
 use super::connection_pool::{ConnectionPool, UpstreamPeer};
 use super::recent_failures::RecentFailures;
@@ -102,19 +102,19 @@
         self.balancer.borrow_mut().choose(self.now(), demand, tried)
     }
 
-    /// Begins a call to a server. Returns none if it is not listed any more.
-    pub fn begin_call(&self, server: ServerKey, demand: &Demand<'_>) -> Option<(UpstreamPeer, Ticket)> {
+    /// Begins an upstream request to a server. Returns none if it is not listed any more.
+    pub fn begin_request(&self, server: ServerKey, demand: &Demand<'_>) -> Option<(UpstreamPeer, Ticket)> {
         let peer = self.peer(server)?;
         let ticket = self.balancer.borrow_mut().begin(self.now(), server, demand);
         Some((peer, ticket))
     }
 
-    /// Records that the response of a call has begun.
+    /// Records that the response to an upstream request has begun.
     pub fn record_started(&self, ticket: &Ticket) {
         self.balancer.borrow_mut().record_started(self.now(), ticket);
     }
 
-    /// Records the outcome of a call to a server of a service.
+    /// Records the outcome of an upstream request to a server of a service.
     pub fn record_end(&self, service: &str, ticket: Ticket, outcome: Outcome) {
         self.balancer.borrow_mut().end(self.now(), ticket, outcome);
         if matches!(outcome, Outcome::Failed(_)) {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Returns the outcome of a call that is dropped before its end.
+    /// Returns the outcome of an upstream request that is dropped before its end.
     pub fn outcome_when_dropped(due: Instant) -> Outcome {
         match Instant::now() >= due {
             true => Outcome::Failed(FailureKind::Timeout),
--- a/crates/retry-budget/src/cap.rs
+++ b/crates/retry-budget/src/cap.rs
@@ -55,8 +55,8 @@
     let window = SLOTS_PER_WINDOW as i64;
     let newest = newest as i64;
     (newest..=newest + window).all(|end| {
-        let repeats = 1 + sum(end - window, end, |slot| counts.slot(slot).retries);
-        f64::from(repeats) <= ratio * requests(counts, end) + share_of_slack
+        let retries = 1 + sum(end - window, end, |slot| counts.slot(slot).retries);
+        f64::from(retries) <= ratio * requests(counts, end) + share_of_slack
     })
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -44,7 +44,7 @@
     pub region: String,
     /// `PortRange`: the ports for traffic between the processes.
     pub ports: PortRange,
-    /// `Seeds`: `Control` addresses of some core machines.
+    /// `Seeds`: `Control` addresses of some control machines.
     pub seeds: Vec<SocketAddr>,
     /// `Bootstrap`: whether the whole system starts for the first time; false where it is missing.
     pub bootstrap: bool,
