--- a/crates/rate-limiter/src/limiter/attempts.rs
+++ b/crates/rate-limiter/src/limiter/attempts.rs
@@ -222,7 +222,7 @@
         let (class, units, was_done) = (request.class, request.units, request.done);
         let tenant = request.tenant.clone();
         self.uncount(id, number);
-        self.settle_units(&tenant, units, result);
+        self.correct_units(&tenant, units, result);
         match outcome {
             Outcome::Completed => self.record_response(&server, class, units, result),
             Outcome::Rejected => {
@@ -244,13 +244,13 @@
     }
 
     /// Corrects the units of a tenant by those that a response tells, if they were an estimate.
-    fn settle_units(&mut self, tenant: &str, estimate: f64, result: &AttemptResult) {
+    fn correct_units(&mut self, tenant: &str, estimate: f64, result: &AttemptResult) {
         let now = self.now;
         let actual = result.units.unwrap_or(0.0);
-        let is_settled = result.outcome == Outcome::Completed && actual > 0.0 && self.settings.post_paid;
+        let must_correct = result.outcome == Outcome::Completed && actual > 0.0 && self.settings.post_paid;
         let Some(tenant) = self.quotas.get_mut(tenant) else { return };
         tenant.in_flight = tenant.in_flight.saturating_sub(1);
-        if is_settled {
+        if must_correct {
             tenant.tokens -= actual - estimate;
             let correction = if now < tenant.next_report { actual - estimate } else { 0.0 };
             tenant.unreported_used = (tenant.unreported_used + correction).max(0.0);
--- a/crates/rate-limiter/src/limiter/counter_sync.rs
+++ b/crates/rate-limiter/src/limiter/counter_sync.rs
@@ -122,11 +122,18 @@
         }
         // One call per interval tells whether a counter that is down is back.
         self.retry_at = now + REPORT_INTERVAL;
-        Some(self.call(key, tenant, plan, now, rng.f64()))
+        Some(self.send_report(key, tenant, plan, now, rng.f64()))
     }
 
-    /// Calls the counter with all accumulated units. `draw` is a random number from 0 to 1.
-    fn call(&mut self, key: &Arc<str>, tenant: &mut Tenant, plan: &Plan, now: f64, draw: f64) -> Action {
+    /// Reports all accumulated units to the counter. `draw` is a random number from 0 to 1.
+    fn send_report(
+        &mut self,
+        key: &Arc<str>,
+        tenant: &mut Tenant,
+        plan: &Plan,
+        now: f64,
+        draw: f64,
+    ) -> Action {
         let window = (now / COUNTER_WINDOW).floor() as i64;
         let counted = tenant.counted.in_window(window);
         let step = step_units(plan);
--- a/crates/rate-limiter/src/limiter/heavy_hitters.rs
+++ b/crates/rate-limiter/src/limiter/heavy_hitters.rs
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Reads the list on. Due once a tick.
+    /// Reads the next entry of the list if it is due. To be called once a tick.
     pub(super) fn tick(&mut self, now: f64, rng: &mut fastrand::Rng) -> Option<Action> {
         let list = (now / LIST_TIME + 0.5).floor() as i64;
         if self.max_quota_cost > 0.0 && list != self.list {
@@ -173,7 +173,7 @@
             || self.open_read.is_some()
             || self.next_entry >= MAX_ENTRIES
             || now < self.next_read;
-        (!must_wait).then(|| self.call(0.0))
+        (!must_wait).then(|| self.add_to_next_entry(0.0))
     }
 
     fn begin_list(&mut self, list: i64, next_read: f64) {
@@ -187,15 +187,15 @@
         self.candidate = None;
     }
 
-    /// Adds to the next entry, and reads it.
-    fn call(&mut self, amount: f64) -> Action {
+    /// Adds to the counter of the next entry, and reads its total.
+    fn add_to_next_entry(&mut self, amount: f64) -> Action {
         let name = format!("heavy.{}.{}", self.list, self.next_entry);
         self.open_read = Some(CounterRead { name: name.clone(), amount });
         Action::AddToCounter { name, amount, ttl: LIST_TIME * 2.0 }
     }
 
-    /// Handles the response to a call, with the total if the counter told it, and returns a call that is due at once.
-    /// `sampling_rate` is the fraction of requests for which the counter bears a call.
+    /// Handles a response of the counter, with the total if there is one, and returns a request that is due at once.
+    /// `sampling_rate` is the fraction of requests for which a limiter may report to the counter.
     pub(super) fn counter_response(
         &mut self,
         name: &str,
@@ -204,21 +204,21 @@
         sampling_rate: f64,
         rng: &mut fastrand::Rng,
     ) -> Option<Action> {
-        let CounterRead { amount, .. } = self.open_read.take_if(|call| call.name == name)?;
+        let CounterRead { amount, .. } = self.open_read.take_if(|read| read.name == name)?;
         self.next_read = now + READ_INTERVAL / sampling_rate;
         let Some(total) = total else {
             self.next_read = now + POLL_INTERVAL;
             return None;
         };
         if total == 0.0 {
-            // The end of the list. A call that undoes an entry leaves zero too.
+            // The end of the list. An undone addition leaves zero too.
             self.next_read = now + POLL_INTERVAL * (0.5 + rng.f64());
             let candidate = self.candidate.filter(|_| amount == 0.0);
-            return candidate.map(|candidate| self.call(candidate.entry as f64));
+            return candidate.map(|candidate| self.add_to_next_entry(candidate.entry as f64));
         }
         if amount > 0.0 && total != amount {
             // Another limiter was first: undo the addition.
-            return Some(self.call(-amount));
+            return Some(self.add_to_next_entry(-amount));
         }
         match entry::decode(total) {
             Some(entry) => self.add(entry),
