--- a/crates/rate-limiter/src/bin/rate-limiter/clients/mod.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/clients/mod.rs
@@ -3,6 +3,7 @@
 //! Malformed requests get their responses here, and reach neither the decisions nor a server.
 
 mod guards;
+mod request_error;
 mod request_head;
 mod response;
 
@@ -21,8 +22,9 @@
     ConnectionManager, ConnectionOptions, Linger, ServerConnection, Service, Socket,
 };
 use rate_limiter::Settings;
+use request_error::RequestError;
 use request_head::{RequestHead, RETRY_MARK};
-use response::{ClientResponse, ErrorResponse};
+use response::ClientResponse;
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
 use std::future::{poll_fn, Future};
@@ -53,8 +55,6 @@
 /// The most open requests, whatever the settings say.
 const MAX_OPEN_REQUESTS: usize = 1_000;
 const READINESS_PATH: &str = "/up";
-const CLIENT_CLOSED: ErrorResponse =
-    ErrorResponse::new(StatusCode::BAD_GATEWAY, "failed: the client has left\n");
 
 /// The service for clients.
 pub struct Clients {
@@ -116,7 +116,7 @@
         let raw = if is_chunked { socket.recorded_input() } else { Vec::new() };
         socket.record_input(0);
         let handled = self.handle(request, raw, socket, accepted_at).await;
-        let mut response = handled.unwrap_or_else(ErrorResponse::into_response);
+        let mut response = handled.unwrap_or_else(RequestError::into_response);
         socket.record_input(MAX_HEADER_BYTES);
         // Nothing behind a chunked body is read as a request, whatever another reader would find there.
         if is_chunked || self.drain_deadline.get().is_some() {
@@ -131,9 +131,9 @@
         raw: Vec<u8>,
         socket: &Socket,
         accepted_at: Option<Instant>,
-    ) -> Result<ClientResponse, ErrorResponse> {
+    ) -> Result<ClientResponse, RequestError> {
         if request.uri().path() == READINESS_PATH {
-            return Err(self.readiness(request.method()));
+            return self.readiness(request.method());
         }
         let (parts, body) = request.into_parts();
         let head = RequestHead::read(&self.settings, &parts, &body, &raw)?;
@@ -142,8 +142,7 @@
         let _reservation = self.reserve_body(&body)?;
         let body = read_body(body, accepted_at).await?;
         if self.host.open_requests() >= self.max_open_requests() {
-            let reason = "too many requests are open\n";
-            return Err(ErrorResponse::new(StatusCode::SERVICE_UNAVAILABLE, reason));
+            return Err(RequestError::TooManyOpenRequests);
         }
         // The request was read completely: from here on it gets exactly one response.
         let due = Instant::now() + head.time_remaining.saturating_sub(RESPONSE_MARGIN);
@@ -151,8 +150,7 @@
         // Ids are new with every request. One that is open is a duplicate: forwarded, it would be a second attempt of
         // the same request at the same time.
         let open_id = OpenId::reserve(&self.open_ids, &head.correlation_id);
-        let _open_id =
-            open_id.ok_or(ErrorResponse::new(StatusCode::CONFLICT, "a request with this id is open\n"))?;
+        let _open_id = open_id.ok_or(RequestError::DuplicateId)?;
         self.forward(incoming_request(parts, head, body, due)?, socket).await
     }
 
@@ -161,12 +159,12 @@
         &self,
         incoming: IncomingRequest,
         socket: &Socket,
-    ) -> Result<ClientResponse, ErrorResponse> {
+    ) -> Result<ClientResponse, RequestError> {
         // hyper notices a close only if nothing is unread behind the request. A client that has gone while its
         // connection waited to be accepted is not forwarded at all.
         let mut closed = pin!(socket.peer_closed());
         if poll_fn(|cx| Poll::Ready(closed.as_mut().poll(cx).is_ready())).await {
-            return Err(CLIENT_CLOSED);
+            return Err(RequestError::ClientClosed);
         }
         let SubmittedRequest { id, response } = self.host.submit(incoming);
         // If this future is dropped before the response, its client has closed the connection.
@@ -174,18 +172,18 @@
         tokio::select! {
             biased;
             response = response => Ok(response.map_or_else(|_| response::failed(), response::from_final)),
-            () = closed => Err(CLIENT_CLOSED),
+            () = closed => Err(RequestError::ClientClosed),
         }
     }
 
     /// Returns the response to a readiness check.
-    fn readiness(&self, method: &Method) -> ErrorResponse {
+    fn readiness(&self, method: &Method) -> Result<ClientResponse, RequestError> {
         if method != Method::GET {
-            return ErrorResponse::new(StatusCode::METHOD_NOT_ALLOWED, "only GET\n");
+            return Err(RequestError::OnlyGet);
         }
         match self.is_ready.get() && self.drain_deadline.get().is_none() {
-            true => ErrorResponse::new(StatusCode::OK, "up\n"),
-            false => ErrorResponse::new(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+            true => Ok(response::plain(StatusCode::OK, "up\n")),
+            false => Err(RequestError::NotReady),
         }
     }
 
@@ -197,28 +195,25 @@
     }
 
     /// Reserves memory for a body.
-    fn reserve_body(&self, body: &Incoming) -> Result<BodyReservation<'_>, ErrorResponse> {
+    fn reserve_body(&self, body: &Incoming) -> Result<BodyReservation<'_>, RequestError> {
         let size = body.size_hint();
         if size.lower() > MAX_BODY as u64 {
-            return Err(BODY_TOO_LARGE);
+            return Err(RequestError::BodyTooLarge);
         }
         let size = size.exact().map_or(MAX_BODY, |size| size as usize);
         let reservation = BodyReservation::reserve(&self.reserved_bodies, size, self.body_budget);
-        reservation.ok_or(ErrorResponse::new(StatusCode::SERVICE_UNAVAILABLE, "too much is open\n"))
+        reservation.ok_or(RequestError::OutOfBodyMemory)
     }
 }
 
-const BODY_TOO_LARGE: ErrorResponse =
-    ErrorResponse::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n");
-
 /// Reads the body of a request. `accepted_at` is when its connection was accepted, for the first request.
-async fn read_body(body: Incoming, accepted_at: Option<Instant>) -> Result<Bytes, ErrorResponse> {
+async fn read_body(body: Incoming, accepted_at: Option<Instant>) -> Result<Bytes, RequestError> {
     let until = accepted_at.map_or_else(|| Instant::now() + BODY_TIMEOUT, |at| at + HEADER_TIMEOUT);
     match timeout_at(until, Limited::new(body, MAX_BODY).collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(BODY_TOO_LARGE),
-        Ok(Err(_)) => Err(ErrorResponse::new(StatusCode::BAD_REQUEST, "the body cannot be read\n")),
-        Err(_) => Err(ErrorResponse::new(StatusCode::REQUEST_TIMEOUT, "the body came too slowly\n")),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(RequestError::BodyTooLarge),
+        Ok(Err(_)) => Err(RequestError::UnreadableBody),
+        Err(_) => Err(RequestError::BodyTimeout),
     }
 }
 
@@ -227,7 +222,7 @@
     head: RequestHead,
     body: Bytes,
     due: Instant,
-) -> Result<IncomingRequest, ErrorResponse> {
+) -> Result<IncomingRequest, RequestError> {
     let header = |name: HeaderName| parts.headers.get(name).cloned();
     let target = parts.uri.path_and_query().cloned();
     Ok(IncomingRequest {
@@ -238,7 +233,7 @@
         tenant_limiters: head.tenant_limiters,
         is_retry: header(RETRY_MARK).is_some_and(|value| value == "1"),
         forwarded: ForwardedRequest {
-            target: target.ok_or(ErrorResponse::new(StatusCode::NOT_FOUND, "no path\n"))?,
+            target: target.ok_or(RequestError::NoPath)?,
             correlation_id: head.correlation_id,
             idempotency_key: header(IDEMPOTENCY_KEY),
             content_type: header(CONTENT_TYPE),
--- a/crates/rate-limiter/src/bin/rate-limiter/clients/request_head.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/clients/request_head.rs
@@ -3,12 +3,12 @@
 //! A request that is rejected here reaches neither the decisions, whose totals go by tenant, nor a server. This must
 //! stay cheap: nothing is kept or logged, since the same malformed request may come again at full speed.
 
-use super::response::ErrorResponse;
+use super::request_error::RequestError;
 use crate::upstream::headers::{CORRELATION_ID, IDEMPOTENCY_KEY, TIME_REMAINING};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::http::request::Parts;
-use hyper::{Method, StatusCode};
+use hyper::Method;
 use rate_limiter::{Class, Idempotency, Settings};
 use std::time::Duration;
 
@@ -48,55 +48,51 @@
     tenant_limiters: u32,
 }
 
-fn bad_request(reason: &'static str) -> ErrorResponse {
-    ErrorResponse::new(StatusCode::BAD_REQUEST, reason)
-}
-
-fn not_found() -> ErrorResponse {
-    ErrorResponse::new(StatusCode::NOT_FOUND, "no such path\n")
-}
-
 impl RequestHead {
     /// Reads the head of a request. `raw` is all that the connection has brought since the last request, the head
     /// first.
     ///
     /// # Errors
-    /// The response to a malformed request.
+    /// [`RequestError`] if the request is malformed.
     pub fn read(
         settings: &Settings,
         parts: &Parts,
         body: &Incoming,
         raw: &[u8],
-    ) -> Result<RequestHead, ErrorResponse> {
+    ) -> Result<RequestHead, RequestError> {
         let headers = &parts.headers;
         // The path comes first: an unknown one is not found, whatever the headers say.
         let path = parts.uri.path().strip_prefix('/').and_then(|path| path.split_once('/'));
-        let (class_name, tenant) = path.ok_or_else(not_found)?;
-        let class = settings.classes.iter().find(|class| class.name == class_name).ok_or_else(not_found)?;
+        let (class_name, tenant) = path.ok_or(RequestError::UnknownPath)?;
+        let class = settings
+            .classes
+            .iter()
+            .find(|class| class.name == class_name)
+            .ok_or(RequestError::UnknownPath)?;
         if tenant.contains('/') {
-            return Err(not_found());
+            return Err(RequestError::UnknownPath);
         }
         if headers.contains_key(TRANSFER_ENCODING) && !is_only_chunked(raw) {
-            return Err(bad_request("Transfer-Encoding beside Content-Length\n"));
+            return Err(RequestError::AmbiguousLength);
         }
-        let tenant = parse_tenant(tenant).ok_or(bad_request("the customer is malformed\n"))?;
+        let tenant = parse_tenant(tenant).ok_or(RequestError::InvalidTenant)?;
         let correlation_id = single_id(headers, CORRELATION_ID);
-        let correlation_id =
-            correlation_id.ok_or(bad_request("X-Correlation-Id is missing or malformed\n"))?;
+        let correlation_id = correlation_id.ok_or(RequestError::InvalidCorrelationId)?;
         let plan = single_text(headers, CONTRACT);
         let plan = plan.filter(|name| settings.plans.iter().any(|plan| plan.name == *name));
-        let plan = plan.ok_or(bad_request("X-Contract is missing or unknown\n"))?;
+        let plan = plan.ok_or(RequestError::UnknownPlan)?;
         let time_remaining = single_text(headers, TIME_REMAINING);
         let time_remaining = time_remaining.and_then(|text| parse_time_remaining(text, class));
-        let time_remaining = time_remaining.ok_or(bad_request("X-Time-Left is missing or malformed\n"))?;
+        let time_remaining = time_remaining.ok_or(RequestError::InvalidTimeRemaining)?;
         let metering = single_text(headers, METERING).and_then(|text| parse_metering(settings, text));
-        let metering = metering.ok_or(bad_request("X-Metering is missing or malformed\n"))?;
+        let metering = metering.ok_or(RequestError::InvalidMetering)?;
         check_class(class, &parts.method, headers, body)?;
         Ok(RequestHead {
             class: class.name.clone(),
             tenant,
             plan: plan.to_string(),
-            correlation_id: HeaderValue::from_str(correlation_id).map_err(|_| bad_request("malformed\n"))?,
+            correlation_id: HeaderValue::from_str(correlation_id)
+                .map_err(|_| RequestError::InvalidCorrelationId)?,
             time_remaining,
             units: metering.units,
             tenant_limiters: metering.tenant_limiters,
@@ -110,17 +106,17 @@
     method: &Method,
     headers: &HeaderMap,
     body: &Incoming,
-) -> Result<(), ErrorResponse> {
+) -> Result<(), RequestError> {
     let is_read = class.idempotency == Idempotency::Idempotent;
     let expected = if is_read { Method::GET } else { Method::POST };
     if *method != expected {
-        return Err(bad_request("the method does not fit the class\n"));
+        return Err(RequestError::WrongMethod);
     }
     if is_read && !body.is_end_stream() {
-        return Err(bad_request("a GET carries no body\n"));
+        return Err(RequestError::UnexpectedBody);
     }
     if class.idempotency == Idempotency::Keyed && single_id(headers, IDEMPOTENCY_KEY).is_none() {
-        return Err(bad_request("Idempotency-Key is missing or malformed\n"));
+        return Err(RequestError::InvalidIdempotencyKey);
     }
     Ok(())
 }
--- a/crates/rate-limiter/src/bin/rate-limiter/clients/response.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/clients/response.rs
@@ -9,31 +9,9 @@
 /// A response to a client.
 pub type ClientResponse = Response<Full<Bytes>>;
 
-/// A request that gets a response before the decisions see it.
-pub struct ErrorResponse {
-    pub status: StatusCode,
-    pub reason: &'static str,
-}
-
-impl ErrorResponse {
-    pub const fn new(status: StatusCode, reason: &'static str) -> Self {
-        ErrorResponse { status, reason }
-    }
-
-    /// Returns the response. Its connection is closed unless the request was read completely: the rest of it must not
-    /// be read as the next request.
-    pub fn into_response(self) -> ClientResponse {
-        let mut response = plain(self.status, self.reason);
-        if self.status != StatusCode::OK && self.status != StatusCode::SERVICE_UNAVAILABLE {
-            close_connection(&mut response);
-        }
-        response
-    }
-}
-
 /// Returns a response with a text.
-pub fn plain(status: StatusCode, text: &'static str) -> ClientResponse {
-    let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
+pub fn plain(status: StatusCode, text: impl Into<Bytes>) -> ClientResponse {
+    let mut response = Response::new(Full::new(text.into()));
     *response.status_mut() = status;
     response
 }
