--- a/crates/rate-limiter/src/limiter/counter_sync.rs
+++ b/crates/rate-limiter/src/limiter/counter_sync.rs
@@ -190,6 +190,12 @@
     (max / 2.0 / limiters).floor().max(1.0)
 }
 
+/// The steps that all limiters together have added to a number since its last response here.
+struct CountedSteps {
+    used: f64,
+    rejected: f64,
+}
+
 impl Tenant {
     /// Applies the response to a report, and returns the demand of the tenant if it tells it.
     pub(super) fn apply_response(
@@ -200,30 +206,54 @@
         response: &CounterResponse,
     ) -> Option<CountedDemand> {
         self.is_reporting = false;
-        let step = step_units(plan);
         if response.outcome != Outcome::Completed {
-            // After a time-out the units may have been added.
-            if response.outcome != Outcome::Timeout {
-                self.unreported_used += report.used * step;
-                self.unreported_rejected += report.rejected * step;
-            }
+            self.restore_unreported(plan, report, response.outcome);
             return None;
         }
-        let total = unpack(report.window, response.total);
-        let before = self.counted.in_window(report.window);
+        // The totals are missing until the next difference if the counter has lost its numbers.
         let last = self.totals.take();
+        let added = self.record_total(report, response.total)?;
         let window_start = report.window as f64 * COUNTER_WINDOW;
         let since = last.map_or(f64::MIN, |totals| totals.updated_at).max(window_start);
-        self.counted = total;
-        let (used, rejected) = (total.used - before.used, total.rejected - before.rejected);
-        if response.total < 0.0 || used < report.used || rejected < report.rejected {
-            // Less than this limiter's own part: the counter has lost its numbers. The totals are missing until the
-            // next difference.
-            return None;
+        let span = (now - since).max(REPORT_INTERVAL / 4.0);
+        self.totals = Some(self.averaged_totals(plan, now, last, report, &added, span));
+        Some(CountedDemand { units: (added.used + added.rejected) * step_units(plan), seconds: span })
+    }
+
+    /// Takes the units of a failed report back, so that they are reported again. After a time-out they may have been
+    /// added.
+    fn restore_unreported(&mut self, plan: &Plan, report: &Report, outcome: Outcome) {
+        if outcome == Outcome::Timeout {
+            return;
         }
+        let step = step_units(plan);
+        self.unreported_used += report.used * step;
+        self.unreported_rejected += report.rejected * step;
+    }
+
+    /// Records the total of a number, and returns what was added to it since the last response. Returns none if that
+    /// is less than this limiter's own addition: the counter has lost its numbers.
+    fn record_total(&mut self, report: &Report, total: f64) -> Option<CountedSteps> {
+        let before = self.counted.in_window(report.window);
+        self.counted = unpack(report.window, total);
+        let used = self.counted.used - before.used;
+        let rejected = self.counted.rejected - before.rejected;
+        let is_lost = total < 0.0 || used < report.used || rejected < report.rejected;
+        (!is_lost).then_some(CountedSteps { used, rejected })
+    }
+
+    /// Returns the totals with what was added in the last `span` seconds.
+    fn averaged_totals(
+        &mut self,
+        plan: &Plan,
+        now: f64,
+        last: Option<Totals>,
+        report: &Report,
+        added: &CountedSteps,
+        span: f64,
+    ) -> Totals {
         // Own demand is spread over all the time since the last report, a part of which lies before the window:
         // otherwise a rare request looks like a large share at the start of a window.
-        let span = (now - since).max(REPORT_INTERVAL / 4.0);
         let own_span = (now - self.last_report).max(REPORT_INTERVAL / 4.0);
         self.last_report = now;
         self.report_interval = moving_average(self.report_interval, own_span, REPORT_INTERVAL_GAIN);
@@ -233,16 +263,16 @@
         // them, but over a short time.
         let is_first = last.is_none() && is_scattered(plan, self.limiters);
         let fade = if is_first { AVERAGING_REPORTS * REPORT_INTERVAL } else { averaging_time };
+        let step = step_units(plan);
         let mean = |mean: f64, steps: f64, span: f64| mean_rate(mean, steps * step, span, fade);
         let totals = last.unwrap_or_default();
-        self.totals = Some(Totals {
+        Totals {
             own_demand: mean(totals.own_demand, report.used + report.rejected, own_span),
-            demand: mean(totals.demand, used + rejected, span),
-            used: mean(totals.used, used, span),
+            demand: mean(totals.demand, added.used + added.rejected, span),
+            used: mean(totals.used, added.used, span),
             updated_at: now,
             averaging_time,
-        });
-        Some(CountedDemand { units: (used + rejected) * step, seconds: span })
+        }
     }
 }
 
