--- a/crates/http1-client/src/client_connection.rs
+++ b/crates/http1-client/src/client_connection.rs
@@ -34,10 +34,10 @@
     /// The longest time between the first and the last byte of a response, for [`ClientConnection::exchange`]. One
     /// retransmission of a lost packet fits.
     pub body_timeout: Duration,
-    /// How long a connection rests before it is reused: bytes that come late behind a response must not be read as the
-    /// response to the next request. Some milliseconds are enough: of 209 second responses the latest came 5.5 ms after
-    /// the first.
-    pub rest_time: Duration,
+    /// How long a connection stays unused before it is reused: bytes that come late behind a response must not be read
+    /// as the response to the next request. Some milliseconds are enough: of 209 second responses the latest came 5.5 ms
+    /// after the first.
+    pub reuse_delay: Duration,
     /// How long a connection may take after a response until it is ready for the next request. After that it is closed.
     pub ready_timeout: Duration,
 }
@@ -98,7 +98,7 @@
         &self.socket
     }
 
-    /// Returns whether the connection can be reused, now or once it has rested.
+    /// Returns whether the connection can be reused, now or after the reuse delay.
     ///
     /// It cannot if unexpected bytes came behind the last response. Nor can it while a part of the last request is
     /// unwritten: its server responded early, and may read the rest at any time or never.
@@ -111,9 +111,9 @@
         self.socket.write_progress() == WriteProgress::Partial
     }
 
-    /// Returns whether the connection has rested after its last response.
-    pub fn has_rested(&self) -> bool {
-        self.idle_time() >= self.limits.rest_time
+    /// Returns whether the reuse delay after the last response is over.
+    pub fn is_reuse_delay_over(&self) -> bool {
+        self.idle_time() >= self.limits.reuse_delay
     }
 
     /// Returns when the connection was used last.
--- a/crates/http1-client/tests/client_connection/answers.rs
+++ b/crates/http1-client/tests/client_connection/answers.rs
@@ -24,7 +24,7 @@
     max_body: 1024,
     max_buffer: 32 * 1024,
     body_timeout: TIMEOUT,
-    rest_time: Duration::ZERO,
+    reuse_delay: Duration::ZERO,
     ready_timeout: TIMEOUT,
 };
 
--- a/crates/quillpulley/src/proxy/upstream/connection_pool.rs
+++ b/crates/quillpulley/src/proxy/upstream/connection_pool.rs
@@ -27,7 +27,7 @@
     max_body: usize::MAX,
     max_buffer: 32 * 1024,
     body_timeout: Duration::from_secs(3600),
-    rest_time: REST_TIME,
+    reuse_delay: REST_TIME,
     ready_timeout: Duration::ZERO,
 };
 
--- a/crates/quillpulley/tests/proxy/tables.rs
+++ b/crates/quillpulley/tests/proxy/tables.rs
@@ -2,10 +2,10 @@
 //!
 //! A line holds what the client asks for and gets, one request after the other on one connection, and what servers
 //! do, a connection a script (see `support/script.rs`). `once` may not be repeated, `again` may, `stream` may not,
-//! `resume` may be resumed. `+long` sends a long body, `rest` waits until a connection to a server has rested,
-//! `over` until all scripts are over.
+//! `resume` may be resumed. `+long` sends a long body, `idle` waits until a connection to a server may
+//! be reused, `over` until all scripts are over.
 
-/// Answers that are whole, cut, or none.
+/// Responses that are complete, truncated, or missing.
 pub const PLAIN: &str = "
     once=ok                     | request ok
     once=ok                     | request chunked
@@ -55,33 +55,33 @@
 
 /// Second requests on connections that were kept.
 pub const REUSED: &str = "
-    once=ok rest once=ok        | request ok request ok
-    once=ok rest once=502       | request ok forget
-    once=ok rest once=502       | request ok request reset
-    once=ok rest once=502       | request ok request other
-    once=ok rest once=ok        | request ok close ; request ok
-    once=ok rest once=ok over           | request ok ok mute ; request ok
-    once=ok rest once=ok over           | request last ok mute ; request ok
-    once=ok rest once=ok        | request bare close ; request ok
-    again=ok rest again=502     | request ok forget
-    again=ok rest again=ok over         | request ok other mute ; request ok
-    once=500 rest once=ok       | request failed request ok
+    once=ok idle once=ok        | request ok request ok
+    once=ok idle once=502       | request ok forget
+    once=ok idle once=502       | request ok request reset
+    once=ok idle once=502       | request ok request other
+    once=ok idle once=ok        | request ok close ; request ok
+    once=ok idle once=ok over           | request ok ok mute ; request ok
+    once=ok idle once=ok over           | request last ok mute ; request ok
+    once=ok idle once=ok        | request bare close ; request ok
+    again=ok idle again=502     | request ok forget
+    again=ok idle again=ok over         | request ok other mute ; request ok
+    once=500 idle once=ok       | request failed request ok
 ";
 
 /// Answers that come before the body of the request was read.
 pub const EARLY: &str = "
-    once=ok rest once=ok        | head ok body request ok
+    once=ok idle once=ok        | head ok body request ok
     once+long=ok over           | head ok mute
     once+long=ok over           | head declined mute ; request ok
-    once+long=ok rest once=ok over      | head ok mute ; request ok
-    once+long=ok rest once=ok over      | head last mute ; request ok
+    once+long=ok idle once=ok over      | head ok mute ; request ok
+    once+long=ok idle once=ok over      | head last mute ; request ok
     once+long=502               | head reset
     once+long=502               | head half-body reset
     once+long=ok over                   | head declined mute ; request ok
-    once+long=500 rest once=ok over     | head failed mute ; request ok
-    again+long=ok rest once=ok over     | head ok mute ; request ok
+    once+long=500 idle once=ok over     | head failed mute ; request ok
+    again+long=ok idle once=ok over     | head ok mute ; request ok
     again+long=ok               | head reset ; request ok
-    stream+long=1,2 rest once=ok over   | head stream event:1 event:2 end mute ; request ok
+    stream+long=1,2 idle once=ok over   | head stream event:1 event:2 end mute ; request ok
 ";
 
 /// Streams, and streams that are resumed.
@@ -98,7 +98,7 @@
     stream=502                  | request plain-503
     stream=1                    | request declined ; request stream event:1 end
     stream=503                  | request declined ; request declined
-    stream=1 rest once=ok       | request stream event:1 end request ok
+    stream=1 idle once=ok       | request stream event:1 end request ok
 
     resume=1,2                  | request stream event:1 until:1 reset ; request stream event:2 end
     resume=1,2                  | request stream event:1 part:2 until:1 reset ; request stream event:2 end
--- a/crates/quillpulley/tests/proxy/timelines.rs
+++ b/crates/quillpulley/tests/proxy/timelines.rs
@@ -41,7 +41,7 @@
     let servers = ScriptedServers::start(std::iter::once(first).chain(case.scripts.clone())).await;
     let seen = servers.seen.clone();
     // A second request goes to a connection that was kept where there is but one server.
-    let known = if case.client.contains("rest") { &servers.entries[..1] } else { &servers.entries[..] };
+    let known = if case.client.contains("idle") { &servers.entries[..1] } else { &servers.entries[..] };
     let proxy = Proxy::start_with_faults("", &served(), known, faults).await;
     let mut client = proxy.client().await;
     // The budget of a service has no rate before its first request.
@@ -50,7 +50,7 @@
     let mut results = Vec::new();
     for (number, step) in case.client.split_whitespace().enumerate() {
         match step {
-            "rest" => {
+            "idle" => {
                 rest(&mut client).await;
                 continue;
             }
@@ -177,7 +177,7 @@
     Ok(())
 }
 
-/// Waits until connections to servers have rested.
+/// Waits until the reuse delay of connections to servers is over.
 async fn rest(client: &mut Client) {
     let begun = Instant::now();
     while begun.elapsed() < REST {
--- a/crates/rate-limiter/src/bin/rate-limiter/counter.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/counter.rs
@@ -199,8 +199,9 @@
     fn reuse(&self) -> Option<ClientConnection> {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|connection| connection.idle_time() < IDLE_TIMEOUT);
-        let rested = || idle.iter().rposition(ClientConnection::has_rested).map(|index| idle.remove(index));
-        std::iter::from_fn(rested).find(ClientConnection::is_usable)
+        let next_idle =
+            || idle.iter().rposition(ClientConnection::is_reuse_delay_over).map(|index| idle.remove(index));
+        std::iter::from_fn(next_idle).find(ClientConnection::is_usable)
     }
 
     /// Logs the first invalid response and then fewer and fewer: a counter that is broken all day must not fill the
--- a/crates/rate-limiter/src/bin/rate-limiter/upstream/connection_limits.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/upstream/connection_limits.rs
@@ -11,6 +11,6 @@
     max_body: MAX_BODY,
     max_buffer: 32 * 1024,
     body_timeout: Duration::from_millis(250),
-    rest_time: Duration::from_millis(10),
+    reuse_delay: Duration::from_millis(10),
     ready_timeout: Duration::from_millis(100),
 };
--- a/crates/rate-limiter/src/bin/rate-limiter/upstream/mod.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/upstream/mod.rs
@@ -150,12 +150,13 @@
         connection.idle_time() < self.idle_timeout && connection.is_usable()
     }
 
-    /// Takes the idle connection that was used last and has rested, and drops those that cannot be reused.
+    /// Takes the idle connection that was used last and whose reuse delay is over. Drops those that cannot be reused.
     fn reuse(&self, id: &ServerId) -> Option<ClientConnection> {
         let mut servers = self.servers.borrow_mut();
         let idle = &mut servers.get_mut(id)?.idle;
-        let rested = || idle.iter().rposition(ClientConnection::has_rested).map(|index| idle.remove(index));
-        std::iter::from_fn(rested).find(|connection| self.is_reusable(connection))
+        let next_idle =
+            || idle.iter().rposition(ClientConnection::is_reuse_delay_over).map(|index| idle.remove(index));
+        std::iter::from_fn(next_idle).find(|connection| self.is_reusable(connection))
     }
 
     /// Keeps a connection as idle once it is ready for the next request.
--- a/crates/rate-limiter/tests/answers.rs
+++ b/crates/rate-limiter/tests/answers.rs
@@ -68,7 +68,7 @@
         std::thread::sleep(Duration::from_millis(6));
         assert_eq!(client.ask(&post("once", "x")).status(), 200);
         if began.elapsed() < Duration::from_millis(9) {
-            assert_eq!(server.accepted(), 2, "the first is still resting");
+            assert_eq!(server.accepted(), 2, "the reuse delay of the first is not over");
         }
         std::thread::sleep(Duration::from_millis(50));
         let before = server.accepted();
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -27,7 +27,7 @@
     let sent = post("bind", "a policy");
     let answer = client.ask(&sent);
     assert_eq!((answer.status(), answer.text().as_str()), (200, "echo a policy"));
-    // The connection rests for some milliseconds before it is used again.
+    // The connection is reused after some milliseconds only.
     std::thread::sleep(Duration::from_millis(50));
     let answer = client.ask(&quote("roomy", 1500));
     assert_eq!((answer.status(), answer.text().as_str()), (200, "echo "));
--- a/crates/rate-limiter/tests/signals.rs
+++ b/crates/rate-limiter/tests/signals.rs
@@ -112,7 +112,7 @@
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200);
     limiter.terminate();
     assert!(idle.answer().is_none(), "an idle connection is closed");
-    // Past the time for which new connections are accepted in any case, whatever is at rest is closed.
+    // Past the time for which new connections are accepted in any case, whatever is idle is closed.
     std::thread::sleep(Duration::from_millis(1_000));
     half.send(&next[40..]);
     fresh.send(&first[40..first.len() - 1]);
@@ -142,14 +142,14 @@
     assert_eq!(limiter.wait().code(), Some(0));
 }
 
-/// Has resting clients send a request each, some tenths of a millisecond apart, from so long after their last
+/// Has idle clients send a request each, some tenths of a millisecond apart, from so long after their last
 /// answer on and while `end` runs: around the moment in which their connections are closed. Each is answered, or
 /// never sent on.
-fn cross(server: &Fake, limiter: &Limiter, rest: Duration, end: impl FnOnce()) {
+fn cross(server: &Fake, limiter: &Limiter, idle: Duration, end: impl FnOnce()) {
     let clients = (0..32).map(|_| {
         let mut client = limiter.client();
         assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
-        (client, Instant::now() + rest)
+        (client, Instant::now() + idle)
     });
     let clients: Vec<(Client, Instant)> = clients.collect();
     let soon = Instant::now() + Duration::from_millis(2);
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn what_crosses_the_end_of_a_resting_connection_is_answered_or_never_sent_on() {
+fn a_request_that_crosses_the_close_of_an_idle_connection_gets_a_response_or_is_not_forwarded() {
     let server = Fake::new(|_| ok("served"));
     for _ in 0..4 {
         let mut limiter = Limiter::over(&[&server]);
--- a/crates/state-sync/src/updates.rs
+++ b/crates/state-sync/src/updates.rs
@@ -2,7 +2,7 @@
 //!
 //! Invariant: a revision identifies one state of the store, that of the root at that revision. An update that lists
 //! every key changed between two revisions (`Changes`) therefore applies to any state between them. One that lists
-//! only the keys that differ between two states (`Difference`) applies to the first of them only: a key may have
+//! only the keys that differ between two states (`Delta`) applies to the first of them only: a key may have
 //! changed and changed back between them. While a subscription is open, updates are ignored, so that its response
 //! applies to the state whose digests were sent.
 
