--- a/crates/http1-client/tests/client_connection/main.rs
+++ b/crates/http1-client/tests/client_connection/main.rs
@@ -1,4 +1,4 @@
 //! Outgoing connections against servers that play a timeline.
 
-mod answers;
+mod responses;
 mod server;
--- a/crates/http1-client/tests/client_connection/answers.rs
+++ b/crates/http1-client/tests/client_connection/responses.rs
@@ -1,4 +1,4 @@
-//! What comes of a request, how far it was written, and whether the connection is of further use.
+//! The outcome of a request, how far it was written, and whether the connection can be reused.
 
 use crate::server::{start, Shared};
 use bytes::Bytes;
--- a/crates/load-balancer/tests/warmup.rs
+++ b/crates/load-balancer/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! What cold servers get, from one proxy and from all.
+//! What servers in slow start get, from one proxy and from all.
 
 mod common;
 
--- a/crates/quillpulley/tests/control/directory_days.rs
+++ b/crates/quillpulley/tests/control/directory_staleness.rs
@@ -1,8 +1,8 @@
-//! How long a proxy that is gone is still listed by directories, in virtual time: three control nodes in three
+//! How long a proxy that has failed is still listed by directories, in virtual time: three control nodes in three
 //! regions, each with two agents, the real relay tree, publisher and view, and no monitors at all. What takes a
 //! proxy out of the answers here is silence alone; monitors only make it sooner.
 
-#[path = "directory_days/system.rs"]
+#[path = "directory_staleness/system.rs"]
 mod system;
 
 use quillpulley_protocol::EndpointState;
--- a/crates/quillpulley/tests/control/late_answers.rs
+++ b/crates/quillpulley/tests/control/expired_lease.rs
@@ -1,4 +1,4 @@
-//! Answers whose process was frozen between the decision and the writing.
+//! Responses of a process that was frozen between the decision and the writing.
 
 use crate::api::{call, send, HttpResponse};
 use quillpulley::control::api::{self, Faults};
--- a/crates/quillpulley/tests/control/main.rs
+++ b/crates/quillpulley/tests/control/main.rs
@@ -6,12 +6,12 @@
 mod commands;
 mod compatibility;
 mod directory;
-mod directory_days;
+mod directory_staleness;
 mod directory_view;
 mod disk;
 mod endpoint_registry;
+mod expired_lease;
 mod frozen_host;
-mod late_answers;
 mod mixed_releases;
 
 mod peer_table;
--- a/crates/quillpulley/tests/proxy/main.rs
+++ b/crates/quillpulley/tests/proxy/main.rs
@@ -2,12 +2,12 @@
 
 mod support;
 
-mod homes;
 mod limits;
+mod preferred_regions;
 mod process_lifecycle;
 mod retries;
 mod routing;
-mod sends;
 mod streams;
 mod tables;
 mod timelines;
+mod upstream_requests;
--- a/crates/quillpulley/tests/proxy/homes.rs
+++ b/crates/quillpulley/tests/proxy/preferred_regions.rs
@@ -1,4 +1,4 @@
-//! Which regions a proxy says its clients would better go to.
+//! The regions that a proxy prefers for its clients.
 
 use crate::support::client::request;
 use crate::support::{configuration, route, run, Client, Proxy};
--- a/crates/quillpulley/tests/proxy/sends.rs
+++ b/crates/quillpulley/tests/proxy/upstream_requests.rs
@@ -1,4 +1,4 @@
-//! What servers get of a request, on its first send and on those after it.
+//! What servers receive of a request, with its first attempt and with retries.
 
 use crate::support::client::request;
 use crate::support::script::ScriptedServers;
--- a/crates/rate-limiter/tests/heavy.rs
+++ b/crates/rate-limiter/tests/heavy_hitters.rs
@@ -1,4 +1,4 @@
-//! Hundreds of limiters that share a customer: most of its requests meet one that does not know it.
+//! Hundreds of limiters that share a tenant: most of its requests arrive at one that does not know it.
 mod common;
 use common::*;
 use rate_limiter::*;
--- a/crates/rate-limiter/tests/answers.rs
+++ b/crates/rate-limiter/tests/invalid_responses.rs
@@ -1,4 +1,4 @@
-//! The real binary and servers whose answers are spoilt, or bring more than belongs to them.
+//! The real binary and servers whose responses are malformed, or are followed by further bytes.
 mod common;
 
 use common::sockets::*;
--- a/crates/rate-limiter/tests/pressure.rs
+++ b/crates/rate-limiter/tests/overload.rs
@@ -1,4 +1,4 @@
-//! The real binary before servers whose answers take long: by their own length, or because they wait.
+//! The real binary before servers whose responses take long: by their own length, or because they are queued.
 mod common;
 
 use common::sockets::*;
--- a/crates/rate-limiter/tests/load.rs
+++ b/crates/rate-limiter/tests/server_load.rs
@@ -1,4 +1,4 @@
-//! What the servers report of their load: the choice of a server, and what is refused for pressure.
+//! The load that servers report: the choice of a server, and load shedding.
 mod common;
 use common::*;
 use rate_limiter::*;
--- a/crates/rate-limiter/tests/wire.rs
+++ b/crates/rate-limiter/tests/simulator_protocol.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process: lines in, lines out.
+//! The simulator's program as a process: lines in, lines out.
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
--- a/crates/replication/tests/replication/scenarios/mod.rs
+++ b/crates/replication/tests/replication/scenarios/mod.rs
@@ -1,14 +1,14 @@
 //! Troubles one by one, as timelines. Every one is played with several seeds.
 
-mod cut_off;
 mod failure_domains;
 mod graceful_shutdown;
-mod installs;
 mod lost_machines;
 pub mod operators;
+mod partition_times;
 mod partitions_and_disks;
 mod restarts;
-mod second_loss;
+mod second_failure;
+mod state_transfer;
 
 use crate::harness::timeline::play;
 use crate::harness::{World, WorldOptions};
--- a/crates/replication/tests/replication/scenarios/cut_off.rs
+++ b/crates/replication/tests/replication/scenarios/partition_times.rs
@@ -1,4 +1,4 @@
-//! A machine that is cut off for twenty seconds: when it stops saying the active configuration, when another is
+//! A machine that is partitioned for twenty seconds: when it stops saying the active configuration, when another is
 //! elected, and what happens once the cut is over. Times count from the cut or from its end.
 
 use super::{three, StableCluster, SEEDS};
--- a/crates/replication/tests/replication/scenarios/second_loss.rs
+++ b/crates/replication/tests/replication/scenarios/second_failure.rs
@@ -1,4 +1,4 @@
-//! A second loss right after a repair or a replacement, and at every step of one.
+//! A second failure right after a repair or a replacement, and at every step of one.
 
 use quillpulley_replication::Faults;
 use std::panic::{catch_unwind, AssertUnwindSafe};
--- a/crates/replication/tests/replication/scenarios/installs.rs
+++ b/crates/replication/tests/replication/scenarios/state_transfer.rs
@@ -1,4 +1,4 @@
-//! A member that gets the whole state and dies in any of the writes that this takes.
+//! A member that receives a state transfer and crashes in any of its writes.
 
 use super::StableCluster;
 
--- a/crates/retry-budget/tests/budgets.rs
+++ b/crates/retry-budget/tests/budgets.rs
@@ -1,5 +1,5 @@
-//! Token buckets, counts and ageing. A timeline holds one character for each 100 ms:
-//! `f` a request, `R` a repeat that is sent, `r` one that is refused, `t` totals, `.` nothing.
+//! Token buckets, counters and their expiry. A timeline holds one character for each 100 ms:
+//! `f` a request, `R` a retry that is sent, `r` one that is rejected, `t` totals, `.` nothing.
 
 use quillpulley_retry_budget::{Options, RetryBudgets, ServiceUsage};
 use std::time::Duration;
--- a/crates/state-sync/src/updates.rs
+++ b/crates/state-sync/src/updates.rs
@@ -64,21 +64,21 @@
         self.finish_update(now, digest, changed, actions);
     }
 
-    fn apply_repair(&mut self, now: Duration, answer: Update, actions: &mut Vec<Action<Child>>) {
-        if answer.base != self.revision {
+    fn apply_repair(&mut self, now: Duration, repair: Update, actions: &mut Vec<Action<Child>>) {
+        if repair.base != self.revision {
             return;
         }
         self.role = Role::Following;
-        if answer.revision <= self.revision {
+        if repair.revision <= self.revision {
             return;
         }
-        let changes = self.changes_of_repair(&answer.complete, answer.items);
+        let changes = self.changes_of_repair(&repair.complete, repair.items);
         let changed = self.apply_all(changes);
-        self.advance(now, answer.revision);
-        if self.store.digest() == answer.digest {
-            self.forward(self.update(UpdateKind::Delta, answer.base, items_of(&changed)), actions);
+        self.advance(now, repair.revision);
+        if self.store.digest() == repair.digest {
+            self.forward(self.update(UpdateKind::Delta, repair.base, items_of(&changed)), actions);
         }
-        self.finish_update(now, answer.digest, changed, actions);
+        self.finish_update(now, repair.digest, changed, actions);
     }
 
     /// Returns the items of a response, and the removals of all others in its ranges.
--- a/crates/state-sync/tests/timelines_counts.rs
+++ b/crates/state-sync/tests/aggregation.rs
@@ -1,4 +1,4 @@
-//! The way of counts, proxies and suspicions up the tree and of totals down it, as timelines.
+//! Aggregation of counters, proxies and suspicions up the tree and of totals down it, as timelines.
 
 mod network;
 
--- a/crates/state-sync/tests/timelines_state.rs
+++ b/crates/state-sync/tests/published_state.rs
@@ -1,4 +1,4 @@
-//! The way of the published state down the tree, as timelines.
+//! Distribution of the published state down the tree, as timelines.
 
 mod network;
 
