--- a/crates/control-state/tests/control_state.rs
+++ b/crates/control-state/tests/control_state.rs
@@ -1,4 +1,4 @@
-//! The control state: what becomes of orders.
+//! The control state: the outcome of commands.
 
 #[path = "../../serving-config/tests/common/mod.rs"]
 mod common;
--- a/crates/control-state/tests/published.rs
+++ b/crates/control-state/tests/published.rs
@@ -1,4 +1,4 @@
-//! Items and back.
+//! Published items are encoded and decoded without loss.
 
 #[path = "../../serving-config/tests/common/mod.rs"]
 mod common;
--- a/crates/load-balancer/tests/common/fleet.rs
+++ b/crates/load-balancer/tests/common/fleet.rs
@@ -1,4 +1,4 @@
-//! A small model of servers that run a model, of proxies before them and of their clients.
+//! A small model of a fleet: model servers, the proxies before them, and their clients.
 #![allow(dead_code)]
 
 use super::{balancer, engine, locality, ms, proxy_peer, ENGINE};
--- a/crates/load-balancer/tests/common/mod.rs
+++ b/crates/load-balancer/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What several tests need.
+//! Helpers of several tests.
 #![allow(dead_code)]
 
 pub mod fleet;
--- a/crates/load-balancer/tests/eligibility.rs
+++ b/crates/load-balancer/tests/eligibility.rs
@@ -1,4 +1,4 @@
-//! What the list, evacuations and homes allow.
+//! Which servers the published list, evacuations and home regions allow.
 
 mod common;
 
--- a/crates/load-balancer/tests/home_demand.rs
+++ b/crates/load-balancer/tests/home_demand.rs
@@ -1,4 +1,4 @@
-//! Which regions a proxy prefers over its own for the clients that come to it.
+//! The regions that a proxy prefers over its own for its clients.
 
 use quillpulley_load_balancer::HomeDemand;
 use std::time::Duration;
--- a/crates/load-balancer/tests/host_homes.rs
+++ b/crates/load-balancer/tests/host_homes.rs
@@ -1,4 +1,4 @@
-//! Where the requests of a host may be served, as the routes active say.
+//! The regions in which requests of a host may be served, by the active routes.
 
 use quillpulley_load_balancer::{HomeTable, ServedIn};
 
--- a/crates/load-balancer/tests/slow_start.rs
+++ b/crates/load-balancer/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! What servers in slow start get, from one proxy and from all.
+//! The requests that servers in slow start get, from one proxy and from all.
 
 mod common;
 
--- a/crates/membership/tests/monitoring.rs
+++ b/crates/membership/tests/monitoring.rs
@@ -1,4 +1,4 @@
-//! Monitors on a network that loses datagrams now and then, in virtual time.
+//! Monitors on a network that loses datagrams, in virtual time.
 
 use quillpulley_membership::{Action, Event, Monitor, MonitorOptions, Peer};
 use quillpulley_protocol::Body;
--- a/crates/membership/tests/rendezvous.rs
+++ b/crates/membership/tests/rendezvous.rs
@@ -1,4 +1,5 @@
-//! All who know the same candidates choose the same, evenly, and a change of candidates moves little.
+//! Rendezvous hashing: the same candidates give the same choice everywhere, evenly, and a change of candidates moves
+//! little.
 
 use quickcheck::quickcheck;
 use quillpulley_membership::rendezvous::{ranked, score, top};
--- a/crates/protocol/tests/framing.rs
+++ b/crates/protocol/tests/framing.rs
@@ -1,4 +1,4 @@
-//! Frames come out of a stream as they went in, however the stream is cut, and nothing read can panic.
+//! Framing: frames are decoded as they were encoded, however the stream is split, and no input makes the decoder panic.
 
 use quickcheck::quickcheck;
 use quillpulley_protocol::{
--- a/crates/protocol/tests/queue.rs
+++ b/crates/protocol/tests/queue.rs
@@ -1,4 +1,4 @@
-//! Long messages go in pieces, and hold up neither short ones nor those of other lanes.
+//! Long messages are sent in pieces, and delay neither short ones nor those of other lanes.
 
 use quickcheck::quickcheck;
 use quillpulley_protocol::{
--- a/crates/protocol/tests/sizes.rs
+++ b/crates/protocol/tests/sizes.rs
@@ -1,4 +1,4 @@
-//! What messages and published values take: the figures of `docs/CAPACITY.md` hold.
+//! The sizes of messages and published values: the figures of `docs/CAPACITY.md` hold.
 
 use quillpulley_protocol::View;
 use quillpulley_protocol::{encode_frame, encode_value, Body};
--- a/crates/quillpulley/tests/control/compatibility.rs
+++ b/crates/quillpulley/tests/control/compatibility.rs
@@ -1,4 +1,4 @@
-//! What earlier releases stored is read, and what they answered is answered, to the byte.
+//! What earlier releases stored can be read, and responses are those of earlier releases, to the byte.
 //!
 //! The folder `fixtures/data-folder` was written by the program at commit 0b0971f, started as the only control
 //! process of a new system: 280 configurations and 62 evacuations or ends of one. The files in `fixtures/answers` are
--- a/crates/quillpulley/tests/control/directory.rs
+++ b/crates/quillpulley/tests/control/directory.rs
@@ -1,4 +1,4 @@
-//! The directory: which addresses a client gets.
+//! The directory: the addresses that a client gets.
 
 use crate::api::send_raw;
 use quickcheck::{Arbitrary, Gen};
--- a/crates/quillpulley/tests/control/directory_view.rs
+++ b/crates/quillpulley/tests/control/directory_view.rs
@@ -1,4 +1,4 @@
-//! What the directory makes of the published state and of the reports to a control node.
+//! The directory's view of the published state and of the reports to its control node.
 
 use quillpulley::control::directory::builder::{DirectoryBuilder, DirectoryInputs};
 use quillpulley::control::directory::{Coverage, Directory};
--- a/crates/quillpulley/tests/control/endpoint_registry.rs
+++ b/crates/quillpulley/tests/control/endpoint_registry.rs
@@ -1,4 +1,4 @@
-//! Which proxies the primary publishes.
+//! The proxies that the primary publishes.
 //!
 //! Timelines have a line for each moment: the time in ms, what the tree reports, and what is published. A
 //! proxy is written as its name with its state, `s`tarting, `r`eady or `l`eaving, and its incarnation where it is
--- a/crates/quillpulley/tests/control/peer_table.rs
+++ b/crates/quillpulley/tests/control/peer_table.rs
@@ -1,4 +1,4 @@
-//! The links between control nodes: who is dialled when, and who is forgotten.
+//! The links between control nodes: which peers are dialled when, and which are removed.
 
 use quillpulley::control::replica_host::peer_table::{PeerChange, PeerTable};
 use quillpulley_protocol::{Hello, NodeId, PeerKind};
--- a/crates/quillpulley/tests/control/platform.rs
+++ b/crates/quillpulley/tests/control/platform.rs
@@ -1,4 +1,4 @@
-//! Pages of the platform's list: what is read of them, and how they are fetched.
+//! Pages of the platform's list: how they are fetched and parsed.
 
 use quillpulley::control::discovery::fetcher::Fetcher;
 use quillpulley::control::discovery::page::{parse_page, PageError};
--- a/crates/quillpulley/tests/control/processes.rs
+++ b/crates/quillpulley/tests/control/processes.rs
@@ -1,4 +1,4 @@
-//! Control nodes as processes: what operators get, and what survives their ends.
+//! Control nodes as processes: the responses to operators, and what survives the end of processes.
 
 use crate::cluster::{Cluster, Operation};
 use crate::configuration;
--- a/crates/quillpulley/tests/control/publisher.rs
+++ b/crates/quillpulley/tests/control/publisher.rs
@@ -1,4 +1,4 @@
-//! What the root publishes of the control state and of the control nodes.
+//! The items that the root publishes of the control state and of the control nodes.
 
 use quillpulley::control::distribution::published_state::{control_node_changes, state_changes};
 use quillpulley_control_state::{ControlState, EvacuationDecision};
--- a/crates/quillpulley/tests/control/reader.rs
+++ b/crates/quillpulley/tests/control/reader.rs
@@ -1,4 +1,4 @@
-//! Reading the platform's list: when pages are fetched and which readings are believed.
+//! Reading the platform's list: when pages are fetched, and which readings are accepted.
 //!
 //! Timelines have a line for each moment: the time in ms, what happens, and what the reader does about it.
 //!
--- a/crates/quillpulley/tests/control/relay.rs
+++ b/crates/quillpulley/tests/control/relay.rs
@@ -1,4 +1,4 @@
-//! Who is whose parent among the control nodes.
+//! The parents of control nodes in the relay tree.
 
 use quillpulley::control::distribution::control_topology::{ChildMessage, ControlTopology, ParentChange};
 use quillpulley_protocol::{Body, NodeId, Report, Revision, Subscribe};
--- a/crates/quillpulley/tests/control/servers.rs
+++ b/crates/quillpulley/tests/control/servers.rs
@@ -1,4 +1,4 @@
-//! What is published of the platform's list: only what those who know the items could not know by themselves.
+//! The items that are published of the platform's list: only what their readers cannot derive.
 //!
 //! Timelines have a line for each reading: its time in ms, the servers on the list, and what is published. A
 //! server is written as its id with what is special: `*` draining, `wN` cold for N ms, `tN` N ms left to it,
--- a/crates/quillpulley/tests/operators/checker.rs
+++ b/crates/quillpulley/tests/operators/checker.rs
@@ -1,4 +1,4 @@
-//! What must hold of all responses, stated once.
+//! The invariants of all responses, stated once.
 
 use super::node::RequestId;
 use super::requests::Request;
--- a/crates/quillpulley/tests/operators/faults.rs
+++ b/crates/quillpulley/tests/operators/faults.rs
@@ -1,4 +1,4 @@
-//! What is done to machines.
+//! The faults that machines and links get.
 
 use super::disk::{DiskImage, DiskMode};
 use super::network::NetworkOptions;
--- a/crates/quillpulley/tests/operators/injected_faults.rs
+++ b/crates/quillpulley/tests/operators/injected_faults.rs
@@ -1,4 +1,4 @@
-//! Processes with a fault built in: the checks have to catch every one of them.
+//! Processes with an injected fault: the checks have to catch each one.
 
 use super::node::Fault;
 use super::random::play;
--- a/crates/quillpulley/tests/operators/random.rs
+++ b/crates/quillpulley/tests/operators/random.rs
@@ -1,4 +1,4 @@
-//! Random runs: operators at work while machines are killed, frozen, cut off, wiped, and their disks fail.
+//! Random runs: operators send commands while machines are killed, frozen, partitioned and wiped, and their disks fail.
 
 use super::disk::DiskMode;
 use super::network::NetworkOptions;
--- a/crates/quillpulley/tests/operators/scenarios.rs
+++ b/crates/quillpulley/tests/operators/scenarios.rs
@@ -1,4 +1,4 @@
-//! Single courses of events, each with a fault at every moment of a command's way.
+//! Single scenarios, each with a fault at every moment of a command.
 
 use super::network::NetworkOptions;
 use super::node::{Fault, RequestId};
--- a/crates/quillpulley/tests/proxy/limits.rs
+++ b/crates/quillpulley/tests/proxy/limits.rs
@@ -1,4 +1,4 @@
-//! What clients may send.
+//! The limits of clients' requests.
 
 use crate::support::client::request;
 use crate::support::{configuration, route, run, FakeServer, Proxy};
--- a/crates/quillpulley/tests/proxy/process_lifecycle.rs
+++ b/crates/quillpulley/tests/proxy/process_lifecycle.rs
@@ -1,4 +1,4 @@
-//! Starting, news from the agent, and the end.
+//! Startup, published state from the agent, and shutdown.
 
 use crate::support::client::request;
 use crate::support::{configuration, route, run, FakeServer, Proxy};
--- a/crates/quillpulley/tests/proxy/retries.rs
+++ b/crates/quillpulley/tests/proxy/retries.rs
@@ -1,4 +1,4 @@
-//! What is retried, what is not, and what the client gets.
+//! Which failures are retried, which are not, and the response to the client.
 
 use crate::support::client::request;
 use crate::support::server::entry;
--- a/crates/quillpulley/tests/proxy/routing.rs
+++ b/crates/quillpulley/tests/proxy/routing.rs
@@ -1,4 +1,4 @@
-//! Which service a request goes to, and what goes on of it.
+//! The service that a request is routed to, and what is forwarded of it.
 
 use crate::support::client::request;
 use crate::support::{configuration, route, run, FakeServer, Proxy};
--- a/crates/quillpulley/tests/proxy/streams.rs
+++ b/crates/quillpulley/tests/proxy/streams.rs
@@ -1,4 +1,4 @@
-//! Streams of events: forwarded as they come, broken off, resumed elsewhere.
+//! Streams of events: forwarded as they come, truncated, resumed elsewhere.
 
 use crate::support::client::request;
 use crate::support::{configuration, route, run, Client, FakeServer, Proxy};
--- a/crates/quillpulley/tests/proxy/support/mod.rs
+++ b/crates/quillpulley/tests/proxy/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the proxy have in common.
+//! Helpers of the proxy's tests.
 
 pub mod agent;
 pub mod client;
--- a/crates/quillpulley/tests/proxy/support/server.rs
+++ b/crates/quillpulley/tests/proxy/support/server.rs
@@ -1,4 +1,4 @@
-//! A server, whose answers the test writes.
+//! A server whose responses the test writes.
 
 use super::message::Message;
 use quillpulley_protocol as protocol;
--- a/crates/quillpulley/tests/proxy/timelines.rs
+++ b/crates/quillpulley/tests/proxy/timelines.rs
@@ -1,4 +1,4 @@
-//! What clients get, and how often requests run, when connections to servers fail at every point.
+//! The responses to clients, and how often requests execute, when connections to servers fail at every point.
 
 use crate::support::client::request;
 use crate::support::message::Message;
--- a/crates/quillpulley/tests/proxy_lifecycle.rs
+++ b/crates/quillpulley/tests/proxy_lifecycle.rs
@@ -1,4 +1,4 @@
-//! When a proxy takes clients, as timelines.
+//! When a proxy accepts clients, as timelines.
 
 use quillpulley::proxy::shutdown::lifecycle::{retry_after_start, Event, Lifecycle};
 use quillpulley_protocol::EndpointState;
--- a/crates/quillpulley/tests/proxy_retry_state.rs
+++ b/crates/quillpulley/tests/proxy_retry_state.rs
@@ -1,4 +1,4 @@
-//! The attempts of one request, as timelines: what happens to it, and what comes of it.
+//! The attempts of one request, as timelines: events and the resulting actions.
 
 use quickcheck::{quickcheck, Arbitrary, Gen};
 use quillpulley::proxy::retry::retry_state::{Event, FinalResponse, RetryPolicy, RetryState, Step};
--- a/crates/quillpulley/tests/system/server.rs
+++ b/crates/quillpulley/tests/system/server.rs
@@ -1,4 +1,4 @@
-//! A server: answers requests with a card or a stream of events.
+//! A server that responds with a card or a stream of events.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/rate-limiter/tests/clients.rs
+++ b/crates/rate-limiter/tests/clients.rs
@@ -1,4 +1,4 @@
-//! The real binary and its clients, good and bad, over loopback sockets.
+//! The real binary and its clients, well-behaved and not, over loopback sockets.
 mod common;
 
 use common::sockets::*;
--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -1,4 +1,4 @@
-//! Small fakes on loopback sockets, and the real binary between them.
+//! Fake peers on loopback sockets, and the real binary between them.
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
--- a/crates/rate-limiter/tests/discovery.rs
+++ b/crates/rate-limiter/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! The real binary and the list of servers, over loopback sockets between small fakes.
+//! The real binary and the list of servers, over loopback sockets, between fake peers.
 mod common;
 
 use common::sockets::*;
--- a/crates/rate-limiter/tests/quota.rs
+++ b/crates/rate-limiter/tests/quota.rs
@@ -1,4 +1,4 @@
-//! Buckets, the limit, counter totals, settlement and the ceiling, on scripted events.
+//! Token buckets, the limit, counter totals, corrected units and the hard rate, on scripted events.
 mod common;
 use common::*;
 use rate_limiter::*;
--- a/crates/rate-limiter/tests/requests.rs
+++ b/crates/rate-limiter/tests/requests.rs
@@ -1,4 +1,4 @@
-//! One final answer on every path, and how far each effect class may be repeated.
+//! Exactly one final response on every path, and which requests are retried by idempotency.
 mod common;
 use common::*;
 use rate_limiter::*;
--- a/crates/rate-limiter/tests/servers.rs
+++ b/crates/rate-limiter/tests/servers.rs
@@ -1,4 +1,4 @@
-//! Drains, cold servers, ejection, the bound on what is out.
+//! Draining servers, slow start, ejection, and the bound on ejected servers.
 mod common;
 use common::*;
 use rate_limiter::*;
--- a/crates/replication/tests/replication/harness/clients.rs
+++ b/crates/replication/tests/replication/harness/clients.rs
@@ -1,4 +1,4 @@
-//! What operators do: send commands, also again and two on one base, and read the active configuration.
+//! Operators: they send commands, some again and some two on one base, and read the active configuration.
 
 use quillpulley_replication::{Event, Role};
 
--- a/crates/replication/tests/replication/harness/faults.rs
+++ b/crates/replication/tests/replication/harness/faults.rs
@@ -1,4 +1,4 @@
-//! What is done to machines: starts, ends and faults.
+//! Starts, ends and faults of machines.
 
 use quillpulley_protocol::NodeId;
 use quillpulley_replication::{Event, FaultTolerance, Options, Replica, Role};
--- a/crates/replication/tests/replication/harness/inspect.rs
+++ b/crates/replication/tests/replication/harness/inspect.rs
@@ -1,4 +1,4 @@
-//! What can be seen of the world, and the invariants that are checked as it runs.
+//! Observations of the world, and the invariants that are checked as it runs.
 
 use quillpulley_protocol::NodeId;
 use quillpulley_replication::{DurabilityStatus, Locality, Replica, Role};
--- a/crates/replication/tests/replication/injected_faults.rs
+++ b/crates/replication/tests/replication/injected_faults.rs
@@ -1,4 +1,4 @@
-//! Replicas with a fault built in: the invariants have to catch every one of them.
+//! Replicas with an injected fault: the invariants have to catch each one.
 
 use quillpulley_replication::Faults;
 use std::panic::{catch_unwind, AssertUnwindSafe};
--- a/crates/replication/tests/replication/model/inspect.rs
+++ b/crates/replication/tests/replication/model/inspect.rs
@@ -1,4 +1,4 @@
-//! What can be seen of the nodes, and what must hold of them.
+//! Observations of the nodes, and their invariants.
 
 use quillpulley_protocol::{Body, NodeId, Position};
 use quillpulley_replication::Role;
--- a/crates/replication/tests/replication/scenarios/lost_machines.rs
+++ b/crates/replication/tests/replication/scenarios/lost_machines.rs
@@ -1,4 +1,4 @@
-//! Disks that are lost, machines that are replaced, and nodes that are added.
+//! Lost disks, replaced machines, and added nodes.
 
 use super::{five, play, three, three_and_a_spare, StableCluster, SEEDS};
 use crate::harness::{World, WorldOptions};
--- a/crates/replication/tests/replication/scenarios/mod.rs
+++ b/crates/replication/tests/replication/scenarios/mod.rs
@@ -1,4 +1,4 @@
-//! Troubles one by one, as timelines. Every one is played with several seeds.
+//! Faults one by one, as timelines. Each is played with several seeds.
 
 mod failure_domains;
 mod graceful_shutdown;
--- a/crates/retry-budget/tests/share.rs
+++ b/crates/retry-budget/tests/share.rs
@@ -1,4 +1,4 @@
-//! The limit by share of demand.
+//! The limit by a proxy's fraction of the demand.
 
 use quillpulley_retry_budget::share::{limit, Demand};
 
--- a/crates/state-sync/tests/frame_sizes.rs
+++ b/crates/state-sync/tests/frame_sizes.rs
@@ -1,4 +1,4 @@
-//! What frames take on the wire: the figures that `Options` gives hold.
+//! The sizes of frames on the wire: the figures that `Options` gives hold.
 
 use quillpulley_protocol::{encode_frame, Body, EndpointState, ProxyEndpoint, ServerLoad, ServiceCounters};
 use quillpulley_state_sync::{server_key, Action, Event, LocalReport, Options, SyncNode};
--- a/crates/state-sync/tests/network/mod.rs
+++ b/crates/state-sync/tests/network/mod.rs
@@ -1,4 +1,4 @@
-//! A tree of nodes with connections that keep frames in order, in virtual time.
+//! A tree of nodes whose connections keep the order of frames, in virtual time.
 #![allow(dead_code)] // each test program uses a part of it
 
 pub mod timeline;
--- a/crates/state-sync/tests/resubscription.rs
+++ b/crates/state-sync/tests/resubscription.rs
@@ -1,4 +1,4 @@
-//! A child that begins anew on a connection that its parent takes for the one before.
+//! A child that subscribes anew on a connection that its parent takes for the previous one.
 
 use quillpulley_protocol::Body;
 use quillpulley_state_sync::{Action, Event, LocalReport, Options, SyncNode};
--- a/crates/state-sync/tests/store.rs
+++ b/crates/state-sync/tests/store.rs
@@ -1,4 +1,4 @@
-//! The digests of a store follow its items, and say where two stores differ.
+//! The digests of a store follow its items, and tell where two stores differ.
 
 use quickcheck::quickcheck;
 use quillpulley_state_sync::{Change, Event, Options, Store, SyncNode};
--- a/crates/storage/tests/common/mod.rs
+++ b/crates/storage/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of storage share.
+//! Helpers of the storage tests.
 #![allow(dead_code)]
 
 pub mod disk;
--- a/crates/storage/tests/compatibility.rs
+++ b/crates/storage/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! Folders that earlier releases wrote are read, and the same calls write the same bytes.
+//! Folders that earlier releases wrote can be read, and the same calls write the same bytes.
 //!
 //! `fixtures/folder` was written by the storage at commit 0b0971f with the calls of [`write_history`].
 
--- a/crates/storage/tests/damage.rs
+++ b/crates/storage/tests/damage.rs
@@ -1,4 +1,4 @@
-//! What a disk that lost or changed what was synced leads to.
+//! The errors that follow from a disk that lost or changed what was synced.
 
 mod common;
 
