--- a/crates/quillpulley/src/proxy/retry/forwarding.rs
+++ b/crates/quillpulley/src/proxy/retry/forwarding.rs
@@ -199,7 +199,7 @@
         self.state.retry_budgets.try_retry(self.state.now(), &self.context.decision.service)
     }
 
-    /// Sends the request to a server. Returns the response to forward, or what became of the attempt.
+    /// Sends the request to a server. Returns the response to forward, or the event that ended the attempt.
     async fn attempt(
         &mut self,
         mut upstream_request: UpstreamRequest,
--- a/crates/quillpulley/src/proxy/sync/usage.rs
+++ b/crates/quillpulley/src/proxy/sync/usage.rs
@@ -7,15 +7,15 @@
 
 /// Applies the loads of all proxies together to the choice of servers.
 pub fn apply_loads(state: &ProxyState, totals: &Totals) {
-    let loads: Vec<ServerLoad> = totals.counts.servers.iter().map(server_load).collect();
+    let loads: Vec<ServerLoad> = totals.counters.servers.iter().map(server_load).collect();
     state.upstreams.set_total_loads(&loads);
     state.admission.admit_all();
 }
 
 /// Applies the usage of all proxies together to the retry budgets. Due every exchange period.
 pub fn apply_usage(state: &ProxyState, totals: &Totals) {
-    let services: Vec<ServiceUsage> = totals.counts.services.iter().map(service_usage).collect();
-    let proxies = totals.counts.proxies as usize;
+    let services: Vec<ServiceUsage> = totals.counters.services.iter().map(service_usage).collect();
+    let proxies = totals.counters.proxies as usize;
     state.retry_budgets.set_totals(state.now(), &services, proxies, totals.complete);
 }
 
--- a/crates/quillpulley/tests/common/tree.rs
+++ b/crates/quillpulley/tests/common/tree.rs
@@ -235,7 +235,7 @@
             items: items.collect(),
             endpoints: endpoints.collect(),
             suspects: subtree.suspicions.keys().cloned().collect(),
-            proxies: subtree.counts.proxies,
+            proxies: subtree.counters.proxies,
             children: self.children.values().cloned().collect(),
             fresh: self.node.is_fresh(self.started.elapsed()),
             parents_lost: self.parents_lost,
--- a/crates/quillpulley/tests/proxy/support/agent.rs
+++ b/crates/quillpulley/tests/proxy/support/agent.rs
@@ -120,7 +120,7 @@
 
     /// Waits until the proxy has reported a request for a service.
     pub async fn until_counted(&self, service: &str) {
-        let counted = || self.shared.node.borrow().subtree().counts.services.contains_key(service);
+        let counted = || self.shared.node.borrow().subtree().counters.services.contains_key(service);
         while !counted() {
             self.shared.changed.notified().await;
         }
--- a/crates/replication/tests/replication/harness/faults.rs
+++ b/crates/replication/tests/replication/harness/faults.rs
@@ -229,6 +229,13 @@
         }
     }
 
+    /// Partitions two machines from each other, in both directions.
+    pub fn partition_pair(&mut self, one: usize, other: usize) {
+        self.network.partition(one, other);
+        self.network.partition(other, one);
+        self.detect_partitions();
+    }
+
     /// Has every machine notice connections that do not pass any more.
     pub fn detect_partitions(&mut self) {
         for one in 0..self.machines.len() {
--- a/crates/replication/tests/replication/main.rs
+++ b/crates/replication/tests/replication/main.rs
@@ -6,5 +6,6 @@
 mod operations;
 mod random;
 mod reads;
+mod recovery;
 mod scenarios;
 mod seeded;
--- a/crates/replication/tests/replication/operations.rs
+++ b/crates/replication/tests/replication/operations.rs
@@ -78,12 +78,7 @@
         Operation::RepairDisk => world.set_disk(machine, DiskMode::Healthy),
         Operation::Isolate => isolate(world, machine, true),
         Operation::IsolateOutbound => isolate(world, machine, false),
-        Operation::PartitionPair => {
-            let other = (machine + 1) % world.machines.len();
-            world.network.partition(machine, other);
-            world.network.partition(other, machine);
-            world.detect_partitions();
-        }
+        Operation::PartitionPair => world.partition_pair(machine, (machine + 1) % world.machines.len()),
         Operation::HealPartitions => world.network.heal_all(),
         Operation::KillAll => {
             for machine in world.present() {
--- a/crates/replication/tests/replication/random.rs
+++ b/crates/replication/tests/replication/random.rs
@@ -4,12 +4,8 @@
 
 use crate::harness::{NetworkOptions, World, WorldOptions};
 use crate::operations::{perform, Operation};
+use crate::recovery::{check_acknowledgement, JOIN_MS};
 
-/// How soon after the last fault there is a primary that acknowledges.
-const RECOVERY_MS: u64 = 3000;
-const ACKNOWLEDGE_MS: u64 = 1000;
-/// How soon all machines are members and witnesses again.
-const JOIN_MS: u64 = 8000;
 const STEPS: usize = 40;
 
 /// The rarer ones stand once, the others several times.
@@ -122,12 +118,7 @@
 
 /// After the faults: a command is acknowledged soon, nothing is lost, and everyone is added.
 fn check_recovery(world: &mut World) {
-    world.heal();
-    world.run_for(RECOVERY_MS);
-    let leader = world.leader().expect("a primary after a fault-free period");
-    let command = world.propose(leader);
-    let acknowledged = world.run_until(ACKNOWLEDGE_MS, |world| world.is_acknowledged(command));
-    assert!(acknowledged, "command {command} is not acknowledged in a fault-free period");
+    check_acknowledgement(world);
     let all_joined = |world: &World| {
         world.members() == world.present() && {
             let witnesses = world.witnesses();
--- a/crates/replication/tests/replication/reads.rs
+++ b/crates/replication/tests/replication/reads.rs
@@ -159,12 +159,7 @@
             Operation::Isolate => self.isolate(machine, true, true),
             Operation::IsolateInbound => self.isolate(machine, true, false),
             Operation::IsolateOutbound => self.isolate(machine, false, true),
-            Operation::PartitionPair => {
-                let other = (machine + 1) % world.machines.len();
-                world.network.partition(machine, other);
-                world.network.partition(other, machine);
-                world.detect_partitions();
-            }
+            Operation::PartitionPair => world.partition_pair(machine, (machine + 1) % world.machines.len()),
             Operation::HealPartitions => world.network.heal_all(),
             Operation::Kill => world.kill(machine, false),
             Operation::Start => {
--- a/crates/replication/tests/replication/seeded.rs
+++ b/crates/replication/tests/replication/seeded.rs
@@ -18,6 +18,7 @@
 
 use crate::harness::{NetworkOptions, World, WorldOptions};
 use crate::operations::{perform, Operation};
+use crate::recovery::{check_acknowledgement, JOIN_MS};
 
 const RUNS: u64 = 24;
 const STEPS: u64 = 3000;
@@ -29,12 +30,6 @@
 const CLOCK_DRIFT: u64 = 30;
 /// How many steps there are between two fault-free periods.
 const STEPS_TO_RECOVERY: u64 = 100;
-/// How soon after the last fault there is a primary.
-const RECOVERY_MS: u64 = 3000;
-/// How soon it acknowledges a command.
-const ACKNOWLEDGE_MS: u64 = 1000;
-/// How soon after that all machines are members and witnesses.
-const JOIN_MS: u64 = 8000;
 /// How soon after that all have applied all that is acknowledged.
 const CATCH_UP_MS: u64 = 1000;
 
@@ -162,12 +157,7 @@
 
 /// The faults end: a command is acknowledged soon, everyone is added, and everyone reaches the log's end.
 fn check_recovery(world: &mut World) {
-    world.heal();
-    world.run_for(RECOVERY_MS);
-    let leader = world.leader().expect("a primary after a fault-free period");
-    let command = world.propose(leader);
-    let acknowledged = world.run_until(ACKNOWLEDGE_MS, |world| world.is_acknowledged(command));
-    assert!(acknowledged, "command {command} is not acknowledged in a fault-free period");
+    check_acknowledgement(world);
     let is_complete = world.run_until(JOIN_MS, |world| {
         world.members() == world.present() && world.witnesses() == world.present()
     });
--- a/crates/state-sync/src/aggregate.rs
+++ b/crates/state-sync/src/aggregate.rs
@@ -32,7 +32,7 @@
     proxies: bool,
     services: BTreeSet<String>,
     servers: BTreeSet<u64>,
-    /// The last server that was sent. The next frame continues after it, so that all servers take turns.
+    /// The last server that was sent. The next frame continues after it, so that each server is sent in its turn.
     cursor: u64,
 }
 
@@ -49,7 +49,7 @@
         *self = Pending { cursor: self.cursor, ..Pending::default() };
     }
 
-    fn mark_counts(&mut self, dirty: &DirtyKeys, proxies: u32) {
+    fn mark_counters(&mut self, dirty: &DirtyKeys, proxies: u32) {
         self.proxies |= dirty.proxies_before != proxies;
         self.services.extend(dirty.services.iter().map(|change| change.key.clone()));
         self.servers.extend(dirty.servers.iter().map(|change| change.key));
@@ -57,9 +57,9 @@
 
     /// Removes and returns up to `limit` servers.
     fn take_servers(&mut self, limit: usize) -> Vec<u64> {
-        let behind = self.servers.range((Bound::Excluded(self.cursor), Bound::Unbounded));
+        let after_cursor = self.servers.range((Bound::Excluded(self.cursor), Bound::Unbounded));
         let from_start = self.servers.range(..=self.cursor);
-        let taken: Vec<u64> = behind.chain(from_start).take(limit).copied().collect();
+        let taken: Vec<u64> = after_cursor.chain(from_start).take(limit).copied().collect();
         for server in &taken {
             self.servers.remove(server);
             self.cursor = *server;
@@ -92,8 +92,8 @@
     pub(crate) fn apply(&mut self, source: Source<Child>, report: Report) -> bool {
         let contribution = self.contributions.entry(source).or_default();
         let dirty = contribution.apply(report);
-        let proxies = contribution.counts.proxies;
-        self.merge_counts(&dirty, proxies);
+        let proxies = contribution.counters.proxies;
+        self.merge_counters(&dirty, proxies);
         self.merge_depth();
         let endpoints_changed = dirty.endpoints.iter().filter(|name| self.merge_endpoint(name)).count() > 0;
         let suspects_changed = dirty.suspects.iter().filter(|name| self.merge_suspect(name)).count() > 0;
@@ -115,9 +115,9 @@
     }
 
     /// Returns a report of what is pending, with a bounded number of servers.
-    pub(crate) fn delta_report(&mut self, servers_max: usize) -> Report {
+    pub(crate) fn delta_report(&mut self, max_servers: usize) -> Report {
         let merged = &self.merged;
-        let servers = self.upward.take_servers(servers_max);
+        let servers = self.upward.take_servers(max_servers);
         let pending = &mut self.upward;
         pending.proxies = false;
         let (present, removed): (Vec<_>, Vec<_>) = std::mem::take(&mut pending.endpoints)
@@ -131,16 +131,16 @@
             endpoints: present.iter().filter_map(|name| merged.endpoints.get(name)).cloned().collect(),
             removed_endpoints: removed,
             suspicions: suspects.iter().map(|suspect| merged.suspicion(suspect)).collect(),
-            proxies: merged.counts.proxies,
-            services: pick(&merged.counts.services, services).map(service_counters).collect(),
-            servers: pick(&merged.counts.servers, servers).map(server_load).collect(),
+            proxies: merged.counters.proxies,
+            services: pick(&merged.counters.services, services).map(service_counters).collect(),
+            servers: pick(&merged.counters.servers, servers).map(server_load).collect(),
         }
     }
 
     /// Returns the pending part of the sums as totals for children, with a bounded number of servers.
-    pub(crate) fn delta_totals(&mut self, complete: bool, servers_max: usize) -> Totals {
-        let counts = &self.merged.counts;
-        let servers = self.downward.take_servers(servers_max);
+    pub(crate) fn delta_totals(&mut self, complete: bool, max_servers: usize) -> Totals {
+        let counters = &self.merged.counters;
+        let servers = self.downward.take_servers(max_servers);
         self.downward.proxies = false;
         let services = std::mem::take(&mut self.downward.services);
         Totals {
@@ -148,19 +148,19 @@
             delta: true,
             hops: 0,
             origin: 0,
-            proxies: counts.proxies,
-            services: pick(&counts.services, services).map(service_counters).collect(),
-            servers: pick(&counts.servers, servers).map(server_load).collect(),
+            proxies: counters.proxies,
+            services: pick(&counters.services, services).map(service_counters).collect(),
+            servers: pick(&counters.servers, servers).map(server_load).collect(),
         }
     }
 
-    fn merge_counts(&mut self, dirty: &DirtyKeys, proxies: u32) {
-        let counts = &mut self.merged.counts;
-        counts.proxies = counts.proxies.wrapping_sub(dirty.proxies_before).wrapping_add(proxies);
-        add_changes(&mut counts.services, &dirty.services);
-        add_changes(&mut counts.servers, &dirty.servers);
-        self.upward.mark_counts(dirty, proxies);
-        self.downward.mark_counts(dirty, proxies);
+    fn merge_counters(&mut self, dirty: &DirtyKeys, proxies: u32) {
+        let counters = &mut self.merged.counters;
+        counters.proxies = counters.proxies.wrapping_sub(dirty.proxies_before).wrapping_add(proxies);
+        add_changes(&mut counters.services, &dirty.services);
+        add_changes(&mut counters.servers, &dirty.servers);
+        self.upward.mark_counters(dirty, proxies);
+        self.downward.mark_counters(dirty, proxies);
     }
 
     fn merge_depth(&mut self) {
@@ -169,8 +169,8 @@
     }
 
     fn merge_endpoint(&mut self, name: &str) -> bool {
-        let accounts = self.contributions.values().filter_map(|subtree| subtree.endpoints.get(name));
-        let best = accounts.max_by_key(|endpoint| endpoint_rank(endpoint));
+        let reported = self.contributions.values().filter_map(|subtree| subtree.endpoints.get(name));
+        let best = reported.max_by_key(|endpoint| endpoint_rank(endpoint));
         if best == self.merged.endpoints.get(name) {
             return false;
         }
@@ -183,8 +183,8 @@
     }
 
     fn merge_suspect(&mut self, suspect: &str) -> bool {
-        let accounts = self.contributions.values().filter_map(|subtree| subtree.suspicions.get(suspect));
-        let monitors: BTreeSet<String> = accounts.flatten().cloned().collect();
+        let reported = self.contributions.values().filter_map(|subtree| subtree.suspicions.get(suspect));
+        let monitors: BTreeSet<String> = reported.flatten().cloned().collect();
         let before = match monitors.is_empty() {
             true => self.merged.suspicions.remove(suspect),
             false => self.merged.suspicions.insert(suspect.to_string(), monitors),
--- a/crates/state-sync/src/aggregation.rs
+++ b/crates/state-sync/src/aggregation.rs
@@ -117,19 +117,19 @@
             self.totals.show_own(delta)
         } else {
             self.aggregate.downward.clear();
-            self.totals.switch_to_own(complete, &self.aggregate.merged().counts)
+            self.totals.switch_to_own(complete, &self.aggregate.merged().counters)
         };
         self.spread_totals(now, delta, actions);
     }
 
     /// Returns when own totals are due, or the parent's totals expire.
     pub(crate) fn totals_due(&self) -> Duration {
-        match self.totals.outdated_at(self.options.receive_timeout) {
+        match self.totals.expires_at(self.options.receive_timeout) {
             Some(_) if self.is_root() => Duration::ZERO,
             Some(outdated) => outdated,
             None => {
                 let is_told =
-                    self.aggregate.downward.is_empty() && self.totals.shown().complete == self.is_root();
+                    self.aggregate.downward.is_empty() && self.totals.current().complete == self.is_root();
                 self.totals_sent_at + self.send_interval(is_told)
             }
         }
--- a/crates/state-sync/src/node.rs
+++ b/crates/state-sync/src/node.rs
@@ -176,7 +176,7 @@
 
     /// Returns the totals of the root, or else the sums of this subtree.
     pub fn totals(&self) -> &Totals {
-        self.totals.shown()
+        self.totals.current()
     }
 
     /// Returns the merged reports of this process and its subtree.
--- a/crates/state-sync/src/options.rs
+++ b/crates/state-sync/src/options.rs
@@ -4,7 +4,7 @@
 
 /// The options of a [`SyncNode`](crate::SyncNode).
 ///
-/// A heartbeat takes 100 bytes, five times a second. A frame of counts takes up to 100 bytes and, for what has changed,
+/// A heartbeat takes 100 bytes, five times a second. A frame of counters takes up to 100 bytes and, for what has changed,
 /// 50 for each service and 24 for each server (at most `max_servers_per_frame`), four times a second and in each
 /// direction; a proxy takes 150 when it changes. 5 KB/s for a proxy, as at the target size of 900 proxies and 4,700
 /// servers, leave room for some five services and 10 servers a frame. What would not fit there: the numbers of all
@@ -32,7 +32,7 @@
     pub receive_timeout: Duration,
     /// A child that sends nothing for this long is dropped.
     pub child_timeout: Duration,
-    /// The most servers in one frame of counts, save the first on a connection.
+    /// The most servers in one frame of counters, save the first on a connection.
     pub max_servers_per_frame: usize,
 }
 
--- a/crates/state-sync/src/subtree.rs
+++ b/crates/state-sync/src/subtree.rs
@@ -13,7 +13,7 @@
     /// For each suspected proxy the names of the monitors that cannot reach it.
     pub suspicions: BTreeMap<String, BTreeSet<String>>,
     /// The sums.
-    pub counts: CounterTable,
+    pub counters: CounterTable,
     /// The number of levels.
     pub depth: u8,
 }
@@ -63,7 +63,7 @@
 impl SubtreeState {
     /// Applies a report.
     pub(crate) fn apply(&mut self, report: Report) -> DirtyKeys {
-        let mut dirty = DirtyKeys { proxies_before: self.counts.proxies, ..DirtyKeys::default() };
+        let mut dirty = DirtyKeys { proxies_before: self.counters.proxies, ..DirtyKeys::default() };
         if !report.delta {
             dirty.endpoints.extend(std::mem::take(&mut self.endpoints).into_keys());
             dirty.suspects.extend(std::mem::take(&mut self.suspicions).into_keys());
@@ -71,25 +71,25 @@
         self.apply_endpoints(report.endpoints, report.removed_endpoints, &mut dirty);
         self.apply_suspicions(report.suspicions, &mut dirty);
         self.depth = report.depth;
-        self.counts.proxies = report.proxies;
+        self.counters.proxies = report.proxies;
         let services = report.services.into_iter().map(retry_counters);
-        dirty.services = apply_counters(&mut self.counts.services, services, report.delta);
+        dirty.services = apply_counters(&mut self.counters.services, services, report.delta);
         let servers = report.servers.into_iter().map(load_counters);
-        dirty.servers = apply_counters(&mut self.counts.servers, servers, report.delta);
+        dirty.servers = apply_counters(&mut self.counters.servers, servers, report.delta);
         dirty
     }
 
     /// Returns a complete report.
     pub(crate) fn to_report(&self) -> Report {
-        let services = self.counts.services.clone().into_iter().map(service_counters);
-        let servers = self.counts.servers.clone().into_iter().map(server_load);
+        let services = self.counters.services.clone().into_iter().map(service_counters);
+        let servers = self.counters.servers.clone().into_iter().map(server_load);
         Report {
             delta: false,
             depth: self.depth,
             endpoints: self.endpoints.values().cloned().collect(),
             removed_endpoints: Vec::new(),
             suspicions: self.suspicions.keys().map(|suspect| self.suspicion(suspect)).collect(),
-            proxies: self.counts.proxies,
+            proxies: self.counters.proxies,
             services: services.collect(),
             servers: servers.collect(),
         }
--- a/crates/state-sync/src/totals.rs
+++ b/crates/state-sync/src/totals.rs
@@ -17,7 +17,7 @@
     /// Whether they come from the root.
     pub complete: bool,
     /// The sums.
-    pub counts: CounterTable,
+    pub counters: CounterTable,
 }
 
 /// The origin of totals.
@@ -34,12 +34,12 @@
 pub(crate) struct TotalsState {
     /// The hash of this node's name.
     own_id: u64,
-    shown: Totals,
+    current: Totals,
     origin: Origin,
     /// The parent's totals on this link; none before the complete ones were received.
     parent_counters: Option<CounterTable>,
     /// Whether the totals are the parent's, so that its next delta can be forwarded unchanged.
-    is_in_step: bool,
+    can_forward_deltas: bool,
     /// Whether the totals have changed since [`TotalsState::take_changed`].
     has_changed: bool,
 }
@@ -48,16 +48,16 @@
     pub(crate) fn new(name: &str) -> Self {
         TotalsState {
             own_id: xxh3_64(name.as_bytes()),
-            shown: Totals::default(),
+            current: Totals::default(),
             origin: Origin::Own,
             parent_counters: None,
-            is_in_step: false,
+            can_forward_deltas: false,
             has_changed: false,
         }
     }
 
-    pub(crate) fn shown(&self) -> &Totals {
-        &self.shown
+    pub(crate) fn current(&self) -> &Totals {
+        &self.current
     }
 
     pub(crate) fn is_own(&self) -> bool {
@@ -65,7 +65,7 @@
     }
 
     /// Returns when the parent's totals expire.
-    pub(crate) fn outdated_at(&self, receive_timeout: Duration) -> Option<Duration> {
+    pub(crate) fn expires_at(&self, receive_timeout: Duration) -> Option<Duration> {
         match self.origin {
             Origin::Own => None,
             Origin::Parent { received_at } => Some(received_at + receive_timeout),
@@ -75,7 +75,7 @@
     /// Handles that a link to a parent was opened or closed: deltas are invalid until it sends its complete totals.
     pub(crate) fn reset_parent(&mut self) {
         self.parent_counters = None;
-        self.is_in_step = false;
+        self.can_forward_deltas = false;
     }
 
     /// Applies the parent's totals. Returns the frame for the children; none if the frame is invalid or in a loop.
@@ -89,16 +89,19 @@
         }
         let parent_counters = self.parent_counters.get_or_insert_with(CounterTable::default);
         apply(parent_counters, frame.clone());
-        let is_step = frame.delta && std::mem::take(&mut self.is_in_step);
+        let is_step = frame.delta && std::mem::take(&mut self.can_forward_deltas);
         if frame.origin == self.own_id || frame.hops >= MAX_HOPS {
             return None;
         }
         self.origin = Origin::Parent { received_at: now };
-        self.is_in_step = true;
+        self.can_forward_deltas = true;
         frame.hops += 1;
         if !is_step {
-            frame =
-                difference(&self.shown.counts, parent_counters, Header { delta: true, ..Header::of(&frame) });
+            frame = difference(
+                &self.current.counters,
+                parent_counters,
+                Header { delta: true, ..Header::of(&frame) },
+            );
         }
         self.show(frame.clone());
         Some(frame)
@@ -107,9 +110,9 @@
     /// Switches to the node's own sums. Returns the delta for the children.
     pub(crate) fn switch_to_own(&mut self, complete: bool, sums: &CounterTable) -> protocol::Totals {
         self.origin = Origin::Own;
-        self.is_in_step = false;
+        self.can_forward_deltas = false;
         let header = Header { complete, delta: true, hops: 0, origin: self.own_id };
-        let delta = difference(&self.shown.counts, sums, header);
+        let delta = difference(&self.current.counters, sums, header);
         self.show(delta.clone());
         delta
     }
@@ -122,11 +125,11 @@
     }
 
     fn show(&mut self, delta: protocol::Totals) {
-        self.has_changed |= self.shown.complete != delta.complete;
-        self.has_changed |= self.shown.counts.proxies != delta.proxies;
+        self.has_changed |= self.current.complete != delta.complete;
+        self.has_changed |= self.current.counters.proxies != delta.proxies;
         self.has_changed |= !delta.services.is_empty() || !delta.servers.is_empty();
-        self.shown.complete = delta.complete;
-        apply(&mut self.shown.counts, delta);
+        self.current.complete = delta.complete;
+        apply(&mut self.current.counters, delta);
     }
 
     /// Returns whether the totals have changed since the last call.
@@ -136,7 +139,11 @@
 
     /// Returns the complete totals, for a child that has none.
     pub(crate) fn complete_totals(&self, delta: &protocol::Totals) -> protocol::Totals {
-        difference(&CounterTable::default(), &self.shown.counts, Header { delta: false, ..Header::of(delta) })
+        difference(
+            &CounterTable::default(),
+            &self.current.counters,
+            Header { delta: false, ..Header::of(delta) },
+        )
     }
 }
 
@@ -154,10 +161,10 @@
     }
 }
 
-fn apply(counts: &mut CounterTable, frame: protocol::Totals) {
-    counts.proxies = frame.proxies;
-    apply_counters(&mut counts.services, frame.services.into_iter().map(retry_counters), frame.delta);
-    apply_counters(&mut counts.servers, frame.servers.into_iter().map(load_counters), frame.delta);
+fn apply(counters: &mut CounterTable, frame: protocol::Totals) {
+    counters.proxies = frame.proxies;
+    apply_counters(&mut counters.services, frame.services.into_iter().map(retry_counters), frame.delta);
+    apply_counters(&mut counters.servers, frame.servers.into_iter().map(load_counters), frame.delta);
 }
 
 /// Returns the frame with the difference of two sums.
--- a/crates/state-sync/tests/aggregation.rs
+++ b/crates/state-sync/tests/aggregation.rs
@@ -169,8 +169,8 @@
     let mut network = timeline.network;
     network.report(2, loads(35, 1));
     let known = |network: &network::Network, running: u32| {
-        let servers = network.nodes[2].totals().counts.servers.values();
-        servers.filter(|tally| tally.running == running).count()
+        let servers = network.nodes[2].totals().counters.servers.values();
+        servers.filter(|counters| counters.running == running).count()
     };
     for (round, until) in (0u32..).zip([5000, 10_000, 15_000]) {
         network.report(2, loads(35, round + 1));
@@ -182,7 +182,7 @@
     assert!(known(&network, 9) <= 10);
     network.report(2, LocalReport::default());
     network.run(Duration::from_millis(20_000));
-    assert!(network.nodes[2].totals().counts.servers.is_empty());
+    assert!(network.nodes[2].totals().counters.servers.is_empty());
 }
 
 #[test]
--- a/crates/state-sync/tests/network/timeline.rs
+++ b/crates/state-sync/tests/network/timeline.rs
@@ -145,14 +145,14 @@
     fn expect(&self, node: usize, expected: &str, row: &str) {
         let state = &self.network.nodes[node];
         let totals = state.totals();
-        let requests = totals.counts.services.get(SERVICE).map_or(0, |tally| tally.requests);
+        let requests = totals.counters.services.get(SERVICE).map_or(0, |counters| counters.requests);
         let words: Vec<&str> = expected.split_whitespace().collect();
         let found = match words[..] {
             ["fresh" | "stale"] if state.is_fresh(self.network.now) => "fresh".to_string(),
             ["fresh" | "stale"] => "stale".to_string(),
             ["total" | "partial", _] if totals.complete => format!("total {requests}"),
             ["total" | "partial", _] => format!("partial {requests}"),
-            ["proxies", _] => format!("proxies {}", totals.counts.proxies),
+            ["proxies", _] => format!("proxies {}", totals.counters.proxies),
             ["fronts", ..] => {
                 let endpoints: Vec<&str> = state.subtree().endpoints.keys().map(String::as_str).collect();
                 format!("fronts {}", endpoints.join(",")).trim_end().to_string()
@@ -172,8 +172,8 @@
     fn position(&self, node: usize) -> String {
         let revision = self.network.nodes[node].revision();
         let items: Items = self.network.items(node);
-        let shown = items.iter().map(|(key, value)| format!(" {key}={}", String::from_utf8_lossy(value)));
-        format!("{}:{}{}", revision.epoch, revision.tick, shown.collect::<String>())
+        let entries = items.iter().map(|(key, value)| format!(" {key}={}", String::from_utf8_lossy(value)));
+        format!("{}:{}{}", revision.epoch, revision.tick, entries.collect::<String>())
     }
 }
 
--- a/crates/state-sync/tests/random_trees.rs
+++ b/crates/state-sync/tests/random_trees.rs
@@ -172,37 +172,37 @@
         root
     }
 
-    fn expected_counts(&self) -> CounterTable {
-        let mut counts = CounterTable::default();
+    fn expected_counters(&self) -> CounterTable {
+        let mut counters = CounterTable::default();
         for report in self.reports.values() {
-            counts.proxies += report.proxies;
+            counters.proxies += report.proxies;
             for count in &report.services {
-                let sum: &mut RetryCounters = counts.services.entry(count.service.clone()).or_default();
+                let sum: &mut RetryCounters = counters.services.entry(count.service.clone()).or_default();
                 sum.requests += count.requests;
                 sum.retries += count.retries;
                 sum.rejected_retries += count.rejected_retries;
             }
             for load in &report.servers {
-                let sum = counts.servers.entry(load.server).or_default();
+                let sum = counters.servers.entry(load.server).or_default();
                 sum.running += load.running;
                 sum.waiting += load.waiting;
             }
         }
-        counts
+        counters
     }
 
     fn check_agreement(&self, root: usize) {
         let network = &self.network;
-        let counts = self.expected_counts();
+        let counters = self.expected_counters();
         for (number, node) in network.nodes.iter().enumerate() {
             assert_eq!(node.revision(), network.nodes[root].revision(), "node {number}");
             assert_eq!(network.items(number), network.items(root), "node {number}");
             assert!(node.is_fresh(network.now), "node {number}");
             assert!(node.totals().complete, "node {number}");
-            assert_eq!(node.totals().counts, counts, "totals at node {number}");
+            assert_eq!(node.totals().counters, counters, "totals at node {number}");
         }
         let subtree = network.nodes[root].subtree();
-        assert_eq!(subtree.counts, counts);
+        assert_eq!(subtree.counters, counters);
         let endpoints: Vec<String> =
             self.reports.values().filter_map(|r| Some(r.endpoint.as_ref()?.name.clone())).collect();
         assert_eq!(subtree.endpoints.keys().cloned().collect::<Vec<_>>(), endpoints);
--- a/crates/state-sync/tests/resubscription.rs
+++ b/crates/state-sync/tests/resubscription.rs
@@ -67,13 +67,13 @@
     pair.at_child(Event::ParentUp);
     pair.go_on(Duration::from_secs(2));
     assert!(pair.child.totals().complete, "the totals come from the root");
-    assert_eq!(pair.child.totals().counts.proxies, 2);
+    assert_eq!(pair.child.totals().counters.proxies, 2);
     // The root was frozen for a while, and the child asked anew on the same connection.
     pair.now += Duration::from_secs(2);
     pair.at_child(Event::ParentUp);
     pair.go_on(Duration::from_secs(4));
     assert!(pair.child.totals().complete, "they still do");
-    assert_eq!(pair.child.totals().counts.proxies, 2);
+    assert_eq!(pair.child.totals().counters.proxies, 2);
 }
 
 #[test]
@@ -87,5 +87,5 @@
     pair.at_child(Event::ParentUp);
     pair.go_on(Duration::from_secs(4));
     assert!(pair.child.totals().complete);
-    assert_eq!(pair.child.totals().counts.proxies, 3);
+    assert_eq!(pair.child.totals().counters.proxies, 3);
 }
