--- a/crates/http1-client/src/client_connection.rs
+++ b/crates/http1-client/src/client_connection.rs
@@ -103,7 +103,7 @@
     /// It cannot if unexpected bytes came behind the last response. Nor can it while a part of the last request is
     /// unwritten: its server responded early, and may read the rest at any time or never.
     pub fn is_usable(&self) -> bool {
-        !self.ended && !self.is_writing() && self.sender.is_ready() && self.socket.is_quiet()
+        !self.ended && !self.is_writing() && self.sender.is_ready() && self.socket.is_open_and_empty()
     }
 
     /// Returns whether a part of the last request is unwritten.
--- a/crates/http1-client/src/server_connection.rs
+++ b/crates/http1-client/src/server_connection.rs
@@ -151,7 +151,7 @@
         }
         if !self.socket.has_input() {
             self.head_since.set(None);
-            return self.since.get().elapsed() > idle_timeout && self.socket.is_quiet();
+            return self.since.get().elapsed() > idle_timeout && self.socket.is_open_and_empty();
         }
         let head_since = self.head_since.get().unwrap_or_else(Instant::now);
         self.head_since.set(Some(head_since));
@@ -218,7 +218,7 @@
         // A request that is unread or partly read would be lost with its connection: it is served first. When the
         // connection only makes room, a part of a head on one that never sent a request does not count.
         let expects_request = self.has_requested.get() || draining;
-        if !self.socket.is_quiet() || (expects_request && self.socket.has_input()) {
+        if !self.socket.is_open_and_empty() || (expects_request && self.socket.has_input()) {
             return CloseAction::Later;
         }
         // A part of a head would delay hyper's own shutdown.
--- a/crates/http1-client/src/socket.rs
+++ b/crates/http1-client/src/socket.rs
@@ -143,7 +143,7 @@
 
     /// Returns whether the connection is open and has nothing to read. Asks the kernel, as the runtime may not have
     /// noticed yet.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_open_and_empty(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let peeked = SockRef::from(self.stream()).peek(&mut byte);
         matches!(peeked, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
@@ -172,8 +172,8 @@
         }
         self.0.response_started.set(true);
         let mut recorded_input = self.0.recorded_input.borrow_mut();
-        let room = self.0.record_limit.get().saturating_sub(recorded_input.len());
-        recorded_input.extend_from_slice(&data[..data.len().min(room)]);
+        let remaining = self.0.record_limit.get().saturating_sub(recorded_input.len());
+        recorded_input.extend_from_slice(&data[..data.len().min(remaining)]);
         Poll::Ready(Ok(()))
     }
 }
--- a/crates/load-balancer/src/balancer/eligibility.rs
+++ b/crates/load-balancer/src/balancer/eligibility.rs
@@ -21,7 +21,7 @@
 const OTHER_PREFILL_FRACTION: f64 = 0.6;
 /// While more than this fraction of all slots is busy, requests with long shared segments wait for a server that has
 /// cached them.
-const SPILL_UNTIL: f64 = 0.75;
+const CACHED_ONLY_OCCUPANCY: f64 = 0.75;
 /// A server that has to prefill at most this fraction of the shared tokens counts as having cached them.
 const MAX_UNCACHED_FRACTION: f64 = 0.5;
 /// A proxy may use more than its even share of a server's connections, as few proxies need theirs at the same time.
@@ -90,7 +90,7 @@
         readmit_ejected(&mut candidates);
         candidates.retain(|candidate| !exclude.contains(&candidate.key));
         if demand.shared_tokens() >= LONG_PREFIX_TOKENS
-            && eligibility_policy.occupancy_of(&allowed) > SPILL_UNTIL
+            && eligibility_policy.occupancy_of(&allowed) > CACHED_ONLY_OCCUPANCY
         {
             restrict_to_cached(&mut candidates);
         }
@@ -135,7 +135,7 @@
             max_prefill_tokens: max_prefill_ms / service.rate.token_ms(),
             rate: service.rate,
             connections: self.connection_quota(&service.settings),
-            alone: (!any_warm).then_some(SlowStartShare::ALONE),
+            alone: (!any_warm).then_some(SlowStartShare::SINGLE_REQUEST),
             knows_proxies: self.proxies.iter().any(|proxy| proxy.name == self.options.name),
         }
     }
--- a/crates/load-balancer/src/balancer/outlier_detection.rs
+++ b/crates/load-balancer/src/balancer/outlier_detection.rs
@@ -41,7 +41,7 @@
 }
 
 impl Event {
-    fn hints_at_absence(self) -> bool {
+    fn suggests_restart(self) -> bool {
         match self {
             Event::Failed(FailureKind::ServerError | FailureKind::InvalidResponse) => false,
             Event::Failed(_) | Event::CheckFailed => true,
@@ -85,11 +85,11 @@
         match (was_healthy, self.is_healthy()) {
             (true, false) => {
                 self.since = now;
-                self.may_have_restarted = event.hints_at_absence();
+                self.may_have_restarted = event.suggests_restart();
                 None
             }
             (false, false) => {
-                self.may_have_restarted |= event.hints_at_absence();
+                self.may_have_restarted |= event.suggests_restart();
                 None
             }
             (false, true) => self.may_have_restarted.then(|| now.saturating_sub(self.since)),
--- a/crates/load-balancer/src/balancer/plain_score.rs
+++ b/crates/load-balancer/src/balancer/plain_score.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// The utilization up to which the nearest server is used. Beyond it all servers are compared.
-const NEAR_UNTIL: f64 = 0.7;
+const MAX_LOCAL_OCCUPANCY: f64 = 0.7;
 /// Conditions that count as utilization.
 const CONDITION: ConditionCosts = ConditionCosts { slow: 0.2, failing: 0.5, warming: 0.2 };
 
@@ -44,7 +44,7 @@
         let occupancy =
             requests / self.settings.slots(&server.info) + CONDITION.of(server, &self.medians, self.now);
         let tier = match server.distance {
-            _ if occupancy >= NEAR_UNTIL => 3,
+            _ if occupancy >= MAX_LOCAL_OCCUPANCY => 3,
             Distance::SameZone => 0,
             Distance::SameRegion => 1,
             Distance::Far => 2,
--- a/crates/load-balancer/src/balancer/server_load.rs
+++ b/crates/load-balancer/src/balancer/server_load.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// For how long the reported load of others is used as it is. It fades until it is twice as old, so that a server is
+/// For how long the reported load of others is used as it is. It decays until it is twice as old, so that a server is
 /// not avoided or preferred for a load that has long ended.
 const REPORT_TTL: Duration = Duration::from_secs(2);
 
--- a/crates/load-balancer/src/balancer/service.rs
+++ b/crates/load-balancer/src/balancer/service.rs
@@ -81,7 +81,7 @@
 impl ServiceSettings {
     /// Creates the parameters of a service. `overshoot` and `slack` bound the requests to cold servers.
     pub(crate) fn of(service: &Service, overshoot: f64, slack: f64) -> Self {
-        let bears_any = service.warmup.is_zero() && service.warmup_per_s <= 0.0;
+        let is_unlimited = service.warmup.is_zero() && service.warmup_per_s <= 0.0;
         let bound = service.warmup_per_s * overshoot + slack;
         let engine = service.engine.as_ref().map(|engine| EngineSettings {
             slots: engine.slots,
@@ -90,7 +90,7 @@
         ServiceSettings {
             max_connections: service.max_connections,
             warmup: service.warmup,
-            slow_start_share: (!bears_any).then(|| SlowStartShare::of(bound)),
+            slow_start_share: (!is_unlimited).then(|| SlowStartShare::of(bound)),
             engine,
         }
     }
--- a/crates/load-balancer/src/balancer/service_rate.rs
+++ b/crates/load-balancer/src/balancer/service_rate.rs
@@ -95,8 +95,8 @@
         let milliseconds = time.as_secs_f64() * 1e3;
         let floor = self.floors[distance].get_or_insert(milliseconds);
         *floor = floor.min(milliseconds);
-        let way = *floor - self.floors.iter().flatten().copied().fold(f64::INFINITY, f64::min);
-        let per_token = (milliseconds - way).max(0.0) / (BASE_TOKENS + work_tokens);
+        let extra_latency = *floor - self.floors.iter().flatten().copied().fold(f64::INFINITY, f64::min);
+        let per_token = (milliseconds - extra_latency).max(0.0) / (BASE_TOKENS + work_tokens);
         self.first_byte_ms.add(milliseconds);
         self.token_ms.add(per_token);
         per_token
--- a/crates/load-balancer/src/balancer/slow_start.rs
+++ b/crates/load-balancer/src/balancer/slow_start.rs
@@ -43,7 +43,7 @@
     }
 
     /// Returns the share of a proxy that does not know the others.
-    pub(crate) const ALONE: SlowStartShare = SlowStartShare { per_second: 1, senders: 1 };
+    pub(crate) const SINGLE_REQUEST: SlowStartShare = SlowStartShare { per_second: 1, senders: 1 };
 }
 
 /// Returns whether a proxy is among those that send to a cold server. Those in the server's zone come first, then
@@ -94,8 +94,8 @@
     pub(crate) fn allow(&self, now: Duration, share: SlowStartShare) -> bool {
         let recent = self.times.iter().rev().take_while(|time| now.saturating_sub(**time) < WINDOW).count();
         let latest = self.times.back().map(|time| now.saturating_sub(*time));
-        let apart = Duration::from_secs(1).mul_f64(SPACING / share.per_second.max(1) as f64);
-        recent < share.per_second && latest.is_none_or(|gap| gap >= apart)
+        let spacing = Duration::from_secs(1).mul_f64(SPACING / share.per_second.max(1) as f64);
+        recent < share.per_second && latest.is_none_or(|gap| gap >= spacing)
     }
 
     fn forget(&mut self, now: Duration) {
--- a/crates/load-balancer/src/home_demand.rs
+++ b/crates/load-balancer/src/home_demand.rs
@@ -43,7 +43,7 @@
 
     /// Counts a request that may be served in `homes`; anywhere if there are none.
     pub fn count(&mut self, now: Duration, homes: &[String]) {
-        self.fade(now);
+        self.decay(now);
         self.all += 1.0;
         if !homes.is_empty() && !homes.contains(&self.region) {
             self.elsewhere += 1.0;
@@ -65,7 +65,7 @@
         &self.preferred
     }
 
-    fn fade(&mut self, now: Duration) {
+    fn decay(&mut self, now: Duration) {
         let age = now.saturating_sub(self.counted).as_secs_f64();
         self.counted = self.counted.max(now);
         let factor = 0.5_f64.powf(age / HALVING_TIME.as_secs_f64());
--- a/crates/load-balancer/src/host_homes.rs
+++ b/crates/load-balancer/src/host_homes.rs
@@ -20,19 +20,19 @@
     /// The distinct sets of homes of the routes that have any.
     bound: BTreeSet<BTreeSet<String>>,
     /// Whether there is a route without homes.
-    has_free_routes: bool,
+    has_unbound_routes: bool,
 }
 
 impl HostHomes {
     /// Creates the homes of an unknown host: no region is certainly a home.
     pub fn unknown() -> Self {
-        HostHomes { bound: BTreeSet::from([BTreeSet::new()]), has_free_routes: true }
+        HostHomes { bound: BTreeSet::from([BTreeSet::new()]), has_unbound_routes: true }
     }
 
     /// Adds a route with its homes. Without any it may be served anywhere.
     pub fn add(&mut self, homes: &[String]) {
         if homes.is_empty() {
-            self.has_free_routes = true;
+            self.has_unbound_routes = true;
         } else {
             self.bound.insert(homes.iter().cloned().collect());
         }
@@ -48,7 +48,7 @@
     pub fn served_in(&self, region: &str) -> ServedIn {
         if self.is_common_home(region) {
             ServedIn::All
-        } else if self.has_free_routes || self.bound.iter().any(|homes| homes.contains(region)) {
+        } else if self.has_unbound_routes || self.bound.iter().any(|homes| homes.contains(region)) {
             ServedIn::Some
         } else {
             ServedIn::None
--- a/crates/quillpulley/src/control/directory/builder.rs
+++ b/crates/quillpulley/src/control/directory/builder.rs
@@ -1,7 +1,7 @@
 //! Builds the directory from the published proxy endpoints and those that report to this process.
 //!
 //! While the published state is fresh it alone counts: all endpoints are reported to the primary. Once it has not moved
-//! for a second, the endpoints that report to this process itself are added, and after [`OUT_OF_TOUCH_AFTER`] only
+//! for a second, the endpoints that report to this process itself are added, and after [`STALE_AFTER`] only
 //! these count: whether others still run is not known.
 
 use super::reported_endpoints::ReportedEndpoints;
@@ -20,7 +20,7 @@
 /// fresh.
 const INITIAL_WAIT: Duration = Duration::from_millis(1500);
 /// How long published endpoints count after the revision has advanced last. An election takes less.
-pub const OUT_OF_TOUCH_AFTER: Duration = Duration::from_secs(3);
+pub const STALE_AFTER: Duration = Duration::from_secs(3);
 /// How long after the start or an election some endpoints may not have been reported to the primary yet.
 pub const SETTLING_TIME: Duration = Duration::from_secs(3);
 
@@ -50,8 +50,8 @@
         }
     }
 
-    fn is_out_of_touch(&self, now: Duration) -> bool {
-        !self.fresh && self.last_moved.is_none_or(|moved| now >= moved + OUT_OF_TOUCH_AFTER)
+    fn is_stale(&self, now: Duration) -> bool {
+        !self.fresh && self.last_moved.is_none_or(|moved| now >= moved + STALE_AFTER)
     }
 }
 
@@ -93,12 +93,12 @@
             self.has_waited |= inputs.fresh || now >= first_known_at + INITIAL_WAIT;
         }
         self.update_epoch(now, inputs);
-        self.coverage = self.coverage(inputs.is_out_of_touch(now));
+        self.coverage = self.coverage(inputs.is_stale(now));
         Directory { endpoints, coverage: self.coverage, homes: self.homes.table(inputs.store) }
     }
 
-    fn coverage(&self, is_out_of_touch: bool) -> Coverage {
-        match (self.has_waited, is_out_of_touch) {
+    fn coverage(&self, is_stale: bool) -> Coverage {
+        match (self.has_waited, is_stale) {
             (false, _) => Coverage::TooFew,
             (true, true) => Coverage::OwnReports,
             (true, false) if !self.is_settled => Coverage::Settling,
@@ -128,7 +128,7 @@
 
     fn known_endpoints(&self, now: Duration, inputs: &DirectoryInputs<'_>) -> Vec<ProxyEndpoint> {
         let published = || published(inputs.store);
-        if inputs.is_out_of_touch(now) {
+        if inputs.is_stale(now) {
             return self.reported.endpoints().cloned().collect();
         }
         let mut endpoints: BTreeMap<String, ProxyEndpoint> = published().collect();
--- a/crates/quillpulley/src/control/replica_host/host.rs
+++ b/crates/quillpulley/src/control/replica_host/host.rs
@@ -155,7 +155,7 @@
         self.discovery.tick(now, self.publisher.is_leader());
         self.relay.tick_directory(now);
         self.forget_control_nodes(now);
-        let is_isolated = self.replica.view().is_none() && self.links.is_alone();
+        let is_isolated = self.replica.view().is_none() && self.links.has_no_connection();
         if self.seeds.is_reload_due(now, is_isolated) {
             self.reload_seeds();
         }
--- a/crates/quillpulley/src/control/replica_host/links.rs
+++ b/crates/quillpulley/src/control/replica_host/links.rs
@@ -149,7 +149,7 @@
     }
 
     /// Returns whether nothing can be sent to any control node.
-    pub fn is_alone(&self) -> bool {
+    pub fn has_no_connection(&self) -> bool {
         self.table.connected().next().is_none()
     }
 
--- a/crates/quillpulley/src/proxy/upstream/connection_pool.rs
+++ b/crates/quillpulley/src/proxy/upstream/connection_pool.rs
@@ -74,7 +74,7 @@
     /// The number of open sockets.
     open: Rc<Cell<usize>>,
     max_open: usize,
-    guarded: RefCell<HashMap<u64, (ServerKey, Rc<Socket>)>>,
+    abortable: RefCell<HashMap<u64, (ServerKey, Rc<Socket>)>>,
     next_guard: Cell<u64>,
 }
 
@@ -86,7 +86,7 @@
 
 impl Drop for AbortGuard {
     fn drop(&mut self) {
-        self.pool.guarded.borrow_mut().remove(&self.number);
+        self.pool.abortable.borrow_mut().remove(&self.number);
     }
 }
 
@@ -97,7 +97,7 @@
             idle: RefCell::default(),
             open: Rc::default(),
             max_open,
-            guarded: RefCell::default(),
+            abortable: RefCell::default(),
             next_guard: Cell::new(0),
         })
     }
@@ -154,8 +154,8 @@
     /// Closes all connections to a server that was removed, where [`ConnectionPool::abort_when_removed`] asked for it.
     pub fn abort_all(&self, server: ServerKey) {
         self.close_idle_to(server);
-        let guarded = self.guarded.borrow();
-        for (_, socket) in guarded.values().filter(|(of, _)| *of == server) {
+        let abortable = self.abortable.borrow();
+        for (_, socket) in abortable.values().filter(|(of, _)| *of == server) {
             socket.abort();
         }
     }
@@ -163,7 +163,7 @@
     /// Has a connection aborted when its server is removed, for as long as the guard exists.
     pub fn abort_when_removed(self: &Rc<Self>, server: ServerKey, socket: Rc<Socket>) -> AbortGuard {
         let number = self.next_guard.replace(self.next_guard.get() + 1);
-        self.guarded.borrow_mut().insert(number, (server, socket));
+        self.abortable.borrow_mut().insert(number, (server, socket));
         AbortGuard { pool: self.clone(), number }
     }
 
--- a/crates/rate-limiter/src/bin/rate-limiter/clients/request_head.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/clients/request_head.rs
@@ -189,9 +189,9 @@
     }
     let limiters = f64::from(settings.limiter_count.max(1));
     let max_units = if settings.max_units > 0.0 { settings.max_units } else { f64::MAX };
-    let is_whole = |number: &f64| number.fract() == 0.0;
-    first.filter(|first| is_whole(first) && *first < limiters)?;
-    let spread = spread.filter(|spread| is_whole(spread) && (1.0..=limiters).contains(spread))?;
+    let is_integer = |number: &f64| number.fract() == 0.0;
+    first.filter(|first| is_integer(first) && *first < limiters)?;
+    let spread = spread.filter(|spread| is_integer(spread) && (1.0..=limiters).contains(spread))?;
     let units = units.filter(|units| *units > 0.0 && *units <= max_units)?;
     Some(Metering { units, tenant_limiters: spread as u32 })
 }
--- a/crates/rate-limiter/src/limiter/counter_sync.rs
+++ b/crates/rate-limiter/src/limiter/counter_sync.rs
@@ -262,9 +262,9 @@
         // A tenant that is met seldom is judged by its first totals: those are not averaged with the nothing before
         // them, but over a short time.
         let is_first = last.is_none() && is_scattered(plan, self.limiters);
-        let fade = if is_first { AVERAGING_REPORTS * REPORT_INTERVAL } else { averaging_time };
+        let time_constant = if is_first { AVERAGING_REPORTS * REPORT_INTERVAL } else { averaging_time };
         let step = step_units(plan);
-        let mean = |mean: f64, steps: f64, span: f64| mean_rate(mean, steps * step, span, fade);
+        let mean = |mean: f64, steps: f64, span: f64| mean_rate(mean, steps * step, span, time_constant);
         let totals = last.unwrap_or_default();
         Totals {
             own_demand: mean(totals.own_demand, report.used + report.rejected, own_span),
--- a/crates/rate-limiter/src/limiter/fleet_load.rs
+++ b/crates/rate-limiter/src/limiter/fleet_load.rs
@@ -6,10 +6,10 @@
 
 use crate::interface::LoadReport;
 
-/// The time constant with which a report fades, in time scales: by then its queue has been worked off or has grown.
-const REPORT_FADE: f64 = 1.5;
+/// The time constant with which a report decays, in time scales: by then its queue has been worked off or has grown.
+const REPORT_DECAY: f64 = 1.5;
 /// The time constant of the mean over all servers, in time scales.
-const MEAN_FADE: f64 = 1.0;
+const MEAN_DECAY: f64 = 1.0;
 /// The most weight of one report in that mean: one server is not the fleet.
 const MAX_REPORT_WEIGHT: f64 = 0.3;
 /// Queued requests per unit of capacity from which the fleet is overloaded. Requests queue only when all slots are in
@@ -46,8 +46,8 @@
     ) -> Option<ReportedLoad> {
         let queue = report.queue?.max(0.0) / capacity;
         let load = queue + report.busy.unwrap_or(1.0).clamp(0.0, 1.0);
-        let fade = (-(now - self.updated_at) / (MEAN_FADE * time_scale)).exp();
-        let weight = (1.0 - fade).min(MAX_REPORT_WEIGHT);
+        let decay = (-(now - self.updated_at) / (MEAN_DECAY * time_scale)).exp();
+        let weight = (1.0 - decay).min(MAX_REPORT_WEIGHT);
         self.load += (load - self.load) * weight;
         self.queue += (queue - self.queue) * weight;
         self.updated_at = now;
@@ -57,8 +57,8 @@
     /// Returns the expected load of a server: as it reported, and with time more and more like the mean.
     pub(super) fn expected(&self, reported: Option<&ReportedLoad>, now: f64, time_scale: f64) -> f64 {
         reported.map_or(self.load, |reported| {
-            let fade = (-(now - reported.at) / (REPORT_FADE * time_scale)).exp();
-            self.load + (reported.load - self.load) * fade
+            let decay = (-(now - reported.at) / (REPORT_DECAY * time_scale)).exp();
+            self.load + (reported.load - self.load) * decay
         })
     }
 
--- a/crates/rate-limiter/src/limiter/outlier_detection.rs
+++ b/crates/rate-limiter/src/limiter/outlier_detection.rs
@@ -13,17 +13,17 @@
 const UNRESPONSIVE_ATTEMPTS: u32 = 2;
 /// The weight of one response in the slowness of a server.
 const SLOWNESS_GAIN: f64 = 0.15;
-/// The weight of one response if all responses before it have faded.
-const SLOWNESS_GAIN_AFTER_FADE: f64 = 0.5;
-/// The time constant with which slowness fades, in time scales.
-const SLOWNESS_FADE: f64 = 8.0;
+/// The weight of one response if all responses before it have decayed.
+const SLOWNESS_GAIN_AFTER_DECAY: f64 = 0.5;
+/// The time constant with which slowness decays, in time scales.
+const SLOWNESS_DECAY: f64 = 8.0;
 /// The bounds of one latency ratio.
 const MIN_RATIO: f64 = 0.1;
 const MAX_RATIO: f64 = 30.0;
 /// How much each late attempt of a class counts against its server for that class.
 const LATE_PENALTY: f64 = 4.0;
-/// The time constant with which that fades, in time scales per late attempt.
-const LATE_FADE: f64 = 8.0;
+/// The time constant with which that decays, in time scales per late attempt.
+const LATE_DECAY: f64 = 8.0;
 
 /// Whether an attempt has its response, or is late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,28 +35,28 @@
 }
 
 impl Server {
-    /// Returns the part of the recorded slowness that has not faded.
-    fn slowness_fade(&self, context: Context<'_>) -> f64 {
-        (-(context.now - self.slowness_at) / (SLOWNESS_FADE * context.time_scale())).exp()
+    /// Returns the part of the recorded slowness that has not decayed.
+    fn slowness_decay(&self, context: Context<'_>) -> f64 {
+        (-(context.now - self.slowness_at) / (SLOWNESS_DECAY * context.time_scale())).exp()
     }
 
-    /// Returns the remaining slowness after it has faded.
-    fn faded_slowness(&self, fade: f64) -> f64 {
-        1.0 + (self.slowness - 1.0) * fade
+    /// Returns the remaining slowness after it has decayed.
+    fn decayed_slowness(&self, decay: f64) -> f64 {
+        1.0 + (self.slowness - 1.0) * decay
     }
 
     /// Returns the factor by which the server is expected to be slower than usual for a class of requests.
     /// `zone_factor` is that of its zone.
     pub(super) fn expected_slowness(&self, context: Context<'_>, class: usize, zone_factor: f64) -> f64 {
-        self.faded_slowness(self.slowness_fade(context)) * zone_factor * self.late_factor(context, class)
+        self.decayed_slowness(self.slowness_decay(context)) * zone_factor * self.late_factor(context, class)
     }
 
     /// Returns the factor of late attempts of a class. A server may serve other classes as usual.
     fn late_factor(&self, context: Context<'_>, class: usize) -> f64 {
         let Some(late) = self.late_attempts.get(class).filter(|late| late.count > 0) else { return 1.0 };
         let count = f64::from(late.count);
-        let fade_time = LATE_FADE * context.time_scale() * count;
-        1.0 + LATE_PENALTY * count * (-(context.now - late.last) / fade_time).exp()
+        let decay_time = LATE_DECAY * context.time_scale() * count;
+        1.0 + LATE_PENALTY * count * (-(context.now - late.last) / decay_time).exp()
     }
 
     /// Returns whether the server does not respond to a class. One late attempt is not enough at a server that is used
@@ -99,11 +99,11 @@
     ) {
         let now = context.now;
         let Some(server) = self.get_mut(id) else { return };
-        // What has faded weighs less against a new ratio: a server that is used seldom is judged by its last responses.
-        let fade = server.slowness_fade(context);
-        let gain = SLOWNESS_GAIN.max(SLOWNESS_GAIN_AFTER_FADE * (1.0 - fade));
-        let faded = server.faded_slowness(fade);
-        server.slowness = moving_average(faded, ratio.clamp(MIN_RATIO, MAX_RATIO), gain);
+        // What has decayed weighs less against a new ratio: a server that is used seldom is judged by its last responses.
+        let decay = server.slowness_decay(context);
+        let gain = SLOWNESS_GAIN.max(SLOWNESS_GAIN_AFTER_DECAY * (1.0 - decay));
+        let decayed = server.decayed_slowness(decay);
+        server.slowness = moving_average(decayed, ratio.clamp(MIN_RATIO, MAX_RATIO), gain);
         server.slowness_at = now;
         let none = LateAttempts { count: 0, last: now };
         server.late_attempts.resize(context.settings.classes.len(), none);
--- a/crates/rate-limiter/src/limiter/servers.rs
+++ b/crates/rate-limiter/src/limiter/servers.rs
@@ -77,7 +77,7 @@
 
     /// Returns the capacity of the server, relative to others, by its weight and warm-up.
     pub(super) fn capacity(&self, context: Context<'_>) -> f64 {
-        self.warmth(context) * self.weight
+        self.warm_fraction(context) * self.weight
     }
 }
 
@@ -148,7 +148,7 @@
             (count * LIMITERS_PER_SERVER / limiters).ceil().clamp(MIN_SUBSET.min(count), count);
         self.limiters_per_server = (limiters * self.subset_size / f64::max(count, 1.0)).max(1.0);
         let used = self.in_ring_order(context).take(self.subset_size as usize);
-        let warm = used.filter(|(_, server)| server.warmth(context) >= 1.0);
+        let warm = used.filter(|(_, server)| server.warm_fraction(context) >= 1.0);
         self.warm_weight = warm.map(|(_, server)| server.weight).sum();
         self.recent_warm_sends.retain(|sent_at| now - sent_at <= settings.overload_window);
     }
--- a/crates/rate-limiter/src/limiter/slow_start.rs
+++ b/crates/rate-limiter/src/limiter/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: a server that started recently has a part of its capacity, and gets requests accordingly.
 //!
 //! A cold server that gets more than a multiple of its capacity for some time fails. Warm servers show what the load
-//! per unit of capacity is; a cold server gets the same, by its warmth.
+//! per unit of capacity is; a server in slow start gets the same, times its warm fraction.
 
 use super::servers::{Server, ServerSet};
 use super::{hash, Context};
@@ -14,7 +14,7 @@
 
 impl Server {
     /// Returns the least share of its full capacity that a server has, by its age.
-    pub(super) fn warmth(&self, context: Context<'_>) -> f64 {
+    pub(super) fn warm_fraction(&self, context: Context<'_>) -> f64 {
         let Context { settings, now } = context;
         let warmed_up =
             self.started_at.map_or(1.0, |at| (now - at).max(0.0) / settings.warmup_time.max(1e-9));
@@ -33,13 +33,13 @@
         id: &ServerId,
         server: &Server,
     ) -> bool {
-        let warmth = server.warmth(context);
-        if warmth >= 1.0 {
+        let warm_fraction = server.warm_fraction(context);
+        if warm_fraction >= 1.0 {
             return true;
         }
         let Context { settings, now } = context;
         let like_warm = match self.warm_weight > 0.0 {
-            true => self.recent_warm_sends.len() as f64 / self.warm_weight * server.weight * warmth,
+            true => self.recent_warm_sends.len() as f64 / self.warm_weight * server.weight * warm_fraction,
             false => 0.0,
         };
         let allowed = (like_warm * settings.overload_factor * SLOW_START_FRACTION)
@@ -58,7 +58,7 @@
         let Context { settings, now } = context;
         let Some(server) = self.get_mut(id) else { return };
         server.in_flight += 1;
-        if server.warmth(context) < 1.0 {
+        if server.warm_fraction(context) < 1.0 {
             server.recent_sends.retain(|sent_at| now - sent_at <= settings.overload_window);
             server.recent_sends.push(now);
         } else {
--- a/crates/replication/src/membership/planner.rs
+++ b/crates/replication/src/membership/planner.rs
@@ -99,25 +99,25 @@
     fn shutting_down_to_keep(
         &self,
         present: &BTreeSet<NodeId>,
-        staying: &BTreeSet<NodeId>,
+        remaining: &BTreeSet<NodeId>,
     ) -> BTreeSet<NodeId> {
         let is_candidate = |node: &&NodeId| {
             self.cluster.peers.is_responsive(self.cluster.now, **node)
                 && self.cluster.is_shutting_down(**node)
         };
         let candidates: BTreeSet<NodeId> = present.iter().filter(is_candidate).copied().collect();
-        let missing = (self.cluster.options.fault_tolerance.machines + 1).saturating_sub(staying.len());
+        let missing = (self.cluster.options.fault_tolerance.machines + 1).saturating_sub(remaining.len());
         if missing > candidates.len() {
             return BTreeSet::new();
         }
-        let mut kept: BTreeSet<NodeId> = candidates.iter().take(missing).copied().collect();
-        let with_kept: BTreeSet<NodeId> = staying.union(&kept).copied().collect();
-        let mut with_available = with_kept.clone();
+        let mut retained: BTreeSet<NodeId> = candidates.iter().take(missing).copied().collect();
+        let with_retained: BTreeSet<NodeId> = remaining.union(&retained).copied().collect();
+        let mut with_available = with_retained.clone();
         with_available.extend(self.cluster.available_nodes());
-        if self.cluster.count_uncovered(&with_available) < self.cluster.count_uncovered(&with_kept) {
-            kept.extend(self.cluster.covering(&candidates, &with_kept));
+        if self.cluster.count_uncovered(&with_available) < self.cluster.count_uncovered(&with_retained) {
+            retained.extend(self.cluster.covering(&candidates, &with_retained));
         }
-        kept
+        retained
     }
 
     /// Returns what the durability of the view is judged by.
--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -26,7 +26,7 @@
     is_connected: bool,
     /// Its failure domains, if its `Hello` was received since the start of this process.
     locality: Option<Locality>,
-    heard_at: Option<Duration>,
+    received_at: Option<Duration>,
     responsive_since: Option<Duration>,
     /// The end of its log, as it reported last.
     last: Position,
@@ -40,7 +40,7 @@
 
 impl Peer {
     fn is_responsive(&self, now: Duration) -> bool {
-        self.is_connected && self.heard_at.is_some_and(|heard_at| now < heard_at + REPLY_TIMEOUT)
+        self.is_connected && self.received_at.is_some_and(|received_at| now < received_at + REPLY_TIMEOUT)
     }
 }
 
@@ -72,11 +72,11 @@
     /// Records a reply, which proves that messages pass in both directions.
     pub fn record_reply(&mut self, now: Duration, node: NodeId) {
         let peer = self.get_mut(node);
-        let was_responsive = peer.heard_at.is_some_and(|heard_at| now < heard_at + REPLY_TIMEOUT);
+        let was_responsive = peer.received_at.is_some_and(|received_at| now < received_at + REPLY_TIMEOUT);
         if !was_responsive {
             peer.responsive_since = Some(now);
         }
-        peer.heard_at = Some(now);
+        peer.received_at = Some(now);
     }
 
     /// Records the end of a node's log.
@@ -108,7 +108,7 @@
         }
         peer.drops += 1;
         peer.dropped_at = now;
-        peer.responsive_since = peer.heard_at.map(|_| now);
+        peer.responsive_since = peer.received_at.map(|_| now);
     }
 
     /// Returns the nodes to which messages can be sent.
@@ -152,8 +152,8 @@
 
     /// Returns the time since a node's last message, counted from `start` at the earliest.
     pub fn time_since_reply(&self, now: Duration, node: NodeId, start: Duration) -> Duration {
-        let heard_at = self.get(node).and_then(|peer| peer.heard_at).unwrap_or_default();
-        now.saturating_sub(heard_at.max(start))
+        let received_at = self.get(node).and_then(|peer| peer.received_at).unwrap_or_default();
+        now.saturating_sub(received_at.max(start))
     }
 
     /// Returns the failure domains of a node's machine, whichever incarnation reported them.
--- a/crates/replication/src/replica/acceptor.rs
+++ b/crates/replication/src/replica/acceptor.rs
@@ -145,7 +145,7 @@
             self.view_change.as_ref().is_some_and(|change| change.is_claimed() && change.epoch() < epoch);
         if holds_lease {
             self.defer_to(primary);
-            self.contact = Some(PrimaryContact { node: primary, heard_at: self.now });
+            self.contact = Some(PrimaryContact { node: primary, received_at: self.now });
         } else if self.primary.is_some() || is_outdated {
             self.defer_to(primary);
         }
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug)]
 struct PrimaryContact {
     node: NodeId,
-    heard_at: Duration,
+    received_at: Duration,
 }
 
 /// A control node: a witness, and a member of the view once a primary has added it.
@@ -222,7 +222,7 @@
             return Some((self.options.me, end));
         }
         let contact = self.contact?;
-        let until = contact.heard_at + self.options.lease;
+        let until = contact.received_at + self.options.lease;
         (now < until).then_some((contact.node, until))
     }
 
--- a/crates/replication/src/replica/view_change.rs
+++ b/crates/replication/src/replica/view_change.rs
@@ -152,13 +152,13 @@
         let has_state = |node: NodeId| is_member(change.newest_view(), node) || self.has_synced(node);
         let stays =
             |node: &&NodeId| is_present(**node) && !cluster.is_shutting_down(**node) && has_state(**node);
-        let staying: BTreeSet<NodeId> = change.targets().iter().filter(stays).copied().collect();
+        let remaining: BTreeSet<NodeId> = change.targets().iter().filter(stays).copied().collect();
         let connected = self.peers.connected().into_iter();
         let candidates: BTreeSet<NodeId> = connected.filter(|node| cluster.is_shutting_down(*node)).collect();
-        if staying.len() <= self.options.fault_tolerance.machines {
+        if remaining.len() <= self.options.fault_tolerance.machines {
             return candidates;
         }
-        cluster.covering(&candidates, &staying)
+        cluster.covering(&candidates, &remaining)
     }
 
     /// Handles that a node is shutting down. It becomes a member only if it is needed beside the others.
--- a/crates/replication/src/shutdown.rs
+++ b/crates/replication/src/shutdown.rs
@@ -58,7 +58,7 @@
 fn is_dispensable(node: NodeId, view: &View, tolerated_machines: usize) -> bool {
     let members = members(view);
     let is_odd = view.witnesses.len() % 2 == 1;
-    let is_settled = is_odd && members.iter().all(|member| view.witnesses.contains(member));
-    let is_spare_witness = !view.witnesses.contains(&node) || is_settled;
+    let is_final_set = is_odd && members.iter().all(|member| view.witnesses.contains(member));
+    let is_spare_witness = !view.witnesses.contains(&node) || is_final_set;
     !members.contains(&node) && members.len() > tolerated_machines && is_spare_witness
 }
--- a/crates/state-sync/src/aggregation.rs
+++ b/crates/state-sync/src/aggregation.rs
@@ -128,9 +128,9 @@
             Some(_) if self.is_root() => Duration::ZERO,
             Some(outdated) => outdated,
             None => {
-                let is_told =
+                let is_up_to_date =
                     self.aggregate.downward.is_empty() && self.totals.current().complete == self.is_root();
-                self.totals_sent_at + self.send_interval(is_told)
+                self.totals_sent_at + self.send_interval(is_up_to_date)
             }
         }
     }
--- a/crates/state-sync/src/node.rs
+++ b/crates/state-sync/src/node.rs
@@ -186,12 +186,12 @@
 
     /// Returns when an [`Event::Tick`] is due.
     pub fn next_tick(&self) -> Duration {
-        let silent = self.children.values().map(|child| match child.suspended_report {
+        let timeouts = self.children.values().map(|child| match child.suspended_report {
             Some(_) => child.received_at + self.options.child_timeout,
             None => child.received_at + self.options.receive_timeout,
         });
         let times = [self.updates_due(), self.report_due(), self.totals_due()];
-        times.into_iter().chain(silent).min().unwrap_or(Duration::MAX)
+        times.into_iter().chain(timeouts).min().unwrap_or(Duration::MAX)
     }
 
     /// Sets the revision, which never decreases.
--- a/crates/storage/src/storage.rs
+++ b/crates/storage/src/storage.rs
@@ -296,8 +296,8 @@
 
 fn check_consecutive(first: u64, entries: &[Entry]) -> Result<(), StorageError> {
     let numbered = (first..).zip(entries);
-    let mut wrong = numbered.filter(|(expected, entry)| entry.index != *expected);
-    match wrong.next() {
+    let mut misnumbered = numbered.filter(|(expected, entry)| entry.index != *expected);
+    match misnumbered.next() {
         Some((expected, entry)) => Err(StorageError::OutOfOrder { found: entry.index, expected }),
         None => Ok(()),
     }
