--- a/crates/rate-limiter/tests/clients.rs
+++ b/crates/rate-limiter/tests/clients.rs
@@ -229,10 +229,7 @@
     let go = Arc::new(AtomicBool::new(false));
     let gate = go.clone();
     let server = Fake::new(move |_| {
-        let end = Instant::now() + TIMEOUT;
-        while !gate.load(Ordering::SeqCst) && Instant::now() < end {
-            std::thread::sleep(Duration::from_millis(1));
-        }
+        wait_for_gate(&gate);
         ok("served")
     });
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
@@ -277,10 +274,7 @@
     let go = Arc::new(AtomicBool::new(false));
     let gate = go.clone();
     let server = Fake::new(move |_| {
-        let end = Instant::now() + TIMEOUT;
-        while !gate.load(Ordering::SeqCst) && Instant::now() < end {
-            std::thread::sleep(Duration::from_millis(1));
-        }
+        wait_for_gate(&gate);
         ok("served")
     });
     let limiter = Limiter::over(&[&server]);
--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -19,6 +19,14 @@
     }
 }
 
+/// Holds a response back until a gate is opened, or the time-out is over.
+pub fn wait_for_gate(gate: &AtomicBool) {
+    let end = Instant::now() + TIMEOUT;
+    while !gate.load(Ordering::SeqCst) && Instant::now() < end {
+        thread::sleep(Duration::from_millis(1));
+    }
+}
+
 /// A message as it came: its first line, headers in lower case, body.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -255,10 +255,7 @@
         .map(|_| {
             let (failing, gate) = (failing.clone(), go.clone());
             Fake::new(move |_| {
-                let end = Instant::now() + TIMEOUT;
-                while !gate.load(Ordering::SeqCst) && Instant::now() < end {
-                    std::thread::sleep(Duration::from_millis(1));
-                }
+                wait_for_gate(&gate);
                 match failing.load(Ordering::SeqCst) {
                     true => Reply::Raw(raw("500 Internal Server Error", "", "")),
                     false => ok("served"),
--- a/crates/rate-limiter/tests/signals.rs
+++ b/crates/rate-limiter/tests/signals.rs
@@ -72,9 +72,8 @@
     let go = Arc::new(AtomicBool::new(false));
     let gate = go.clone();
     let server = Fake::new(move |m| {
-        let end = Instant::now() + TIMEOUT;
-        while m.first.contains("/bind/") && !gate.load(Ordering::SeqCst) && Instant::now() < end {
-            std::thread::sleep(Duration::from_millis(1));
+        if m.first.contains("/bind/") {
+            wait_for_gate(&gate);
         }
         ok("served")
     });
