--- a/crates/load-balancer/src/balancer/outlier_detection.rs
+++ b/crates/load-balancer/src/balancer/outlier_detection.rs
@@ -19,7 +19,7 @@
 
 /// The health of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum EjectionState {
     /// It responds, with this many failures since its latest response.
     Healthy { failures: u32 },
     /// It is ejected until a time, for the `count`th time in a row. `check` is when a health check was begun.
@@ -64,7 +64,7 @@
 /// Health of a server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Health {
-    state: State,
+    state: EjectionState,
     /// When it became unhealthy.
     since: Duration,
     /// Whether it may have restarted meanwhile. A server that responds with an error of its own has not.
@@ -73,7 +73,11 @@
 
 impl Health {
     pub(crate) fn new() -> Self {
-        Health { state: State::Healthy { failures: 0 }, since: Duration::ZERO, may_have_restarted: false }
+        Health {
+            state: EjectionState::Healthy { failures: 0 },
+            since: Duration::ZERO,
+            may_have_restarted: false,
+        }
     }
 
     /// Handles an event. Every change of state happens here. Returns for how long the server may have been away when
@@ -97,22 +101,28 @@
         }
     }
 
-    fn next(&self, now: Duration, event: Event) -> State {
+    fn next(&self, now: Duration, event: Event) -> EjectionState {
         match (self.state, event) {
-            (_, Event::Responded) => State::Healthy { failures: 0 },
-            (State::Healthy { .. }, Event::Failed(FailureKind::Connect)) => ejected(now, 1),
-            (State::Healthy { failures }, Event::Failed(_)) if failures + 1 >= FAILURES_IN_ROW => {
+            (_, Event::Responded) => EjectionState::Healthy { failures: 0 },
+            (EjectionState::Healthy { .. }, Event::Failed(FailureKind::Connect)) => ejected(now, 1),
+            (EjectionState::Healthy { failures }, Event::Failed(_)) if failures + 1 >= FAILURES_IN_ROW => {
                 ejected(now, 1)
             }
-            (State::Healthy { failures }, Event::Failed(_)) => State::Healthy { failures: failures + 1 },
-            (State::Probation { count }, Event::Failed(_)) => ejected(now, count + 1),
-            (State::Probation { count }, Event::ProbationAbandoned) => {
-                State::Ejected { until: now, count, check: None }
+            (EjectionState::Healthy { failures }, Event::Failed(_)) => {
+                EjectionState::Healthy { failures: failures + 1 }
+            }
+            (EjectionState::Probation { count }, Event::Failed(_)) => ejected(now, count + 1),
+            (EjectionState::Probation { count }, Event::ProbationAbandoned) => {
+                EjectionState::Ejected { until: now, count, check: None }
+            }
+            (EjectionState::Ejected { count, check: Some(_), .. }, Event::CheckFailed) => {
+                ejected(now, count + 1)
+            }
+            (EjectionState::Ejected { count, .. }, Event::ProbationStarted) => {
+                EjectionState::Probation { count }
             }
-            (State::Ejected { count, check: Some(_), .. }, Event::CheckFailed) => ejected(now, count + 1),
-            (State::Ejected { count, .. }, Event::ProbationStarted) => State::Probation { count },
-            (State::Ejected { until, count, .. }, Event::CheckStarted) => {
-                State::Ejected { until, count, check: Some(now) }
+            (EjectionState::Ejected { until, count, .. }, Event::CheckStarted) => {
+                EjectionState::Ejected { until, count, check: Some(now) }
             }
             // Requests that were sent before the ejection fail too, and say nothing new.
             (state, _) => state,
@@ -120,24 +130,24 @@
     }
 
     fn is_healthy(&self) -> bool {
-        matches!(self.state, State::Healthy { .. })
+        matches!(self.state, EjectionState::Healthy { .. })
     }
 
     /// Returns whether the server may get a request now.
     pub(crate) fn status(&self, now: Duration, urgent: bool) -> HealthStatus {
         let delay = if urgent { URGENT_PROBATION_DELAY } else { Duration::ZERO };
         match self.state {
-            State::Healthy { .. } => HealthStatus::Healthy,
-            State::Ejected { until, check, .. } if now >= until + delay && !is_open(check, now) => {
+            EjectionState::Healthy { .. } => HealthStatus::Healthy,
+            EjectionState::Ejected { until, check, .. } if now >= until + delay && !is_open(check, now) => {
                 HealthStatus::Probation
             }
-            State::Ejected { .. } | State::Probation { .. } => HealthStatus::Ejected,
+            EjectionState::Ejected { .. } | EjectionState::Probation { .. } => HealthStatus::Ejected,
         }
     }
 
     /// Returns whether a health check is due.
     pub(crate) fn check_due(&self, now: Duration) -> bool {
-        let State::Ejected { until, check, .. } = self.state else { return false };
+        let EjectionState::Ejected { until, check, .. } = self.state else { return false };
         now + CHECK_AHEAD >= until && !is_open(check, now)
     }
 }
@@ -146,10 +156,10 @@
     check.is_some_and(|begun| now < begun + CHECK_TIMEOUT)
 }
 
-fn ejected(now: Duration, count: u32) -> State {
+fn ejected(now: Duration, count: u32) -> EjectionState {
     let doublings = count.saturating_sub(1).min(16);
     let time = FIRST_EJECTION.saturating_mul(1 << doublings).min(LONGEST_EJECTION);
-    State::Ejected { until: now + time, count, check: None }
+    EjectionState::Ejected { until: now + time, count, check: None }
 }
 
 /// The failure rate of a server, with exponential decay.
--- a/crates/load-balancer/src/request_queue.rs
+++ b/crates/load-balancer/src/request_queue.rs
@@ -60,12 +60,12 @@
 /// The queue of a service.
 pub struct RequestQueue<T> {
     limits: QueueLimits,
-    requests: BTreeMap<QueueKey, Entry<T>>,
+    requests: BTreeMap<QueueKey, QueuedEntry<T>>,
     bytes: usize,
     next_number: u64,
 }
 
-struct Entry<T> {
+struct QueuedEntry<T> {
     request: T,
     bytes: usize,
 }
@@ -88,7 +88,7 @@
         }
         self.next_number += 1;
         let displaced = self.displace(terms.bytes);
-        self.requests.insert(key, Entry { request, bytes: terms.bytes });
+        self.requests.insert(key, QueuedEntry { request, bytes: terms.bytes });
         self.bytes += terms.bytes;
         Ok(Queued { key, displaced })
     }
--- a/crates/quillpulley/src/agent/drain.rs
+++ b/crates/quillpulley/src/agent/drain.rs
@@ -24,7 +24,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum DrainState {
     Serving,
     /// The drain began at this time, and new children are rejected.
     RejectingChildren {
@@ -39,7 +39,7 @@
 
 /// The drain of an agent. Times are since the start of the process.
 pub struct AgentDrain {
-    state: State,
+    state: DrainState,
     /// The time between the signal and the kill.
     grace: Duration,
     /// When the proxy disconnected.
@@ -49,13 +49,13 @@
 impl AgentDrain {
     /// Creates the state of an agent that serves, and is killed `grace` after its drain begins.
     pub fn new(grace: Duration) -> AgentDrain {
-        AgentDrain { state: State::Serving, grace, without_proxy_since: Some(Duration::ZERO) }
+        AgentDrain { state: DrainState::Serving, grace, without_proxy_since: Some(Duration::ZERO) }
     }
 
     /// Begins the drain.
     pub fn begin(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        if self.state == State::Serving {
-            self.change(State::RejectingChildren { since: now }, actions);
+        if self.state == DrainState::Serving {
+            self.change(DrainState::RejectingChildren { since: now }, actions);
         }
     }
 
@@ -65,37 +65,37 @@
             true => None,
             false => self.without_proxy_since.or(Some(now)),
         };
-        if let State::RejectingChildren { since } = self.state {
+        if let DrainState::RejectingChildren { since } = self.state {
             if now >= since + CHILD_AGENT_GRACE {
-                self.change(State::ProxyOnly { since }, actions);
+                self.change(DrainState::ProxyOnly { since }, actions);
             }
         }
         if now >= self.finish_at() {
-            self.change(State::Finished, actions);
+            self.change(DrainState::Finished, actions);
         }
     }
 
     /// Returns when [`AgentDrain::update`] is due.
     pub fn next_tick(&self) -> Duration {
         match self.state {
-            State::RejectingChildren { since } => self.finish_at().min(since + CHILD_AGENT_GRACE),
+            DrainState::RejectingChildren { since } => self.finish_at().min(since + CHILD_AGENT_GRACE),
             _ => self.finish_at(),
         }
     }
 
     /// Returns whether new children are rejected.
     pub fn rejects_children(&self) -> bool {
-        self.state != State::Serving
+        self.state != DrainState::Serving
     }
 
     /// Returns whether the agent exits.
     pub fn is_finished(&self) -> bool {
-        self.state == State::Finished
+        self.state == DrainState::Finished
     }
 
     /// Returns when the drain finishes if the proxy neither connects nor disconnects.
     fn finish_at(&self) -> Duration {
-        let (State::RejectingChildren { since } | State::ProxyOnly { since }) = self.state else {
+        let (DrainState::RejectingChildren { since } | DrainState::ProxyOnly { since }) = self.state else {
             return Duration::MAX;
         };
         let latest = since + self.grace.saturating_sub(EXIT_MARGIN);
@@ -106,13 +106,13 @@
     }
 
     /// Changes the state. Every change happens here.
-    fn change(&mut self, next: State, actions: &mut Vec<Action>) {
+    fn change(&mut self, next: DrainState, actions: &mut Vec<Action>) {
         self.state = next;
         actions.push(match next {
-            State::Serving => return,
-            State::RejectingChildren { .. } => Action::StopListening,
-            State::ProxyOnly { .. } => Action::CloseChildAgents,
-            State::Finished => Action::Exit,
+            DrainState::Serving => return,
+            DrainState::RejectingChildren { .. } => Action::StopListening,
+            DrainState::ProxyOnly { .. } => Action::CloseChildAgents,
+            DrainState::Finished => Action::Exit,
         });
     }
 }
--- a/crates/quillpulley/src/agent/parent_search/mod.rs
+++ b/crates/quillpulley/src/agent/parent_search/mod.rs
@@ -56,7 +56,7 @@
 
 /// The state of the search.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
-enum State {
+enum SearchState {
     /// There is no parent, or its revision has stalled.
     Searching { since: Duration, next_connect: Duration },
     /// There is a parent whose revision advances, or has time left to.
@@ -72,7 +72,7 @@
 
 /// The search of one agent.
 pub struct ParentSearch {
-    state: State,
+    state: SearchState,
     candidates: Vec<ParentCandidate>,
     /// Candidates whose links are being established.
     attempts: Vec<ParentCandidate>,
@@ -87,7 +87,7 @@
     /// Creates a search without candidates, at the start of the process.
     pub fn new(seed: u64) -> ParentSearch {
         ParentSearch {
-            state: State::Searching { since: Duration::ZERO, next_connect: Duration::ZERO },
+            state: SearchState::Searching { since: Duration::ZERO, next_connect: Duration::ZERO },
             candidates: Vec::new(),
             attempts: Vec::new(),
             parent: None,
@@ -113,9 +113,9 @@
     /// Returns when an [`Event::Tick`] is due.
     pub fn next_tick(&self) -> Duration {
         match self.state {
-            State::Searching { .. } if self.attempts.len() >= MAX_CONCURRENT_ATTEMPTS => Duration::MAX,
-            State::Searching { next_connect, .. } => next_connect,
-            State::Attached { next_review } => self.deadline().min(next_review),
+            SearchState::Searching { .. } if self.attempts.len() >= MAX_CONCURRENT_ATTEMPTS => Duration::MAX,
+            SearchState::Searching { next_connect, .. } => next_connect,
+            SearchState::Attached { next_review } => self.deadline().min(next_review),
         }
     }
 
@@ -127,8 +127,8 @@
     /// Returns when the search began, if there is no parent whose revision advances.
     pub fn searching_since(&self) -> Option<Duration> {
         match self.state {
-            State::Searching { since, .. } => Some(since),
-            State::Attached { .. } => None,
+            SearchState::Searching { since, .. } => Some(since),
+            SearchState::Attached { .. } => None,
         }
     }
 
@@ -143,8 +143,8 @@
         }
         self.failures = 0;
         let attached_to = match self.state {
-            State::Attached { .. } => self.parent,
-            State::Searching { .. } => None,
+            SearchState::Attached { .. } => self.parent,
+            SearchState::Searching { .. } => None,
         };
         if attached_to.is_some_and(|parent| !self.is_better(candidate, parent.candidate)) {
             actions.push(Action::Close(candidate));
@@ -176,10 +176,10 @@
     }
 
     fn schedule_retry(&mut self, now: Duration) {
-        let State::Searching { since, next_connect } = self.state else { return };
+        let SearchState::Searching { since, next_connect } = self.state else { return };
         let retry_at = now + self.backoff();
         let next_connect = if self.attempts.is_empty() { retry_at } else { next_connect.min(retry_at) };
-        self.change(State::Searching { since, next_connect });
+        self.change(SearchState::Searching { since, next_connect });
     }
 
     fn revision_advanced(&mut self, now: Duration, actions: &mut Vec<Action>) {
@@ -189,27 +189,27 @@
             true => self.penalties.clear(parent.candidate),
             false => self.penalties.expire(now, parent.candidate),
         }
-        if let State::Searching { .. } = self.state {
+        if let SearchState::Searching { .. } = self.state {
             self.keep_parent(now, actions);
         }
     }
 
     /// Handles the timers that are due.
     fn advance(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        if matches!(self.state, State::Attached { .. }) && now >= self.deadline() {
+        if matches!(self.state, SearchState::Attached { .. }) && now >= self.deadline() {
             let stalled = self.parent.map(|parent| parent.candidate);
             stalled.into_iter().for_each(|parent| self.penalties.add(now, parent));
             self.start_search(now, now);
         }
         match self.state {
-            State::Searching { since, next_connect } if now >= next_connect => {
+            SearchState::Searching { since, next_connect } if now >= next_connect => {
                 let next_connect = now + self.try_next(now, actions);
-                self.change(State::Searching { since, next_connect });
+                self.change(SearchState::Searching { since, next_connect });
             }
-            State::Attached { next_review } if now >= next_review => {
+            SearchState::Attached { next_review } if now >= next_review => {
                 self.try_better(now, actions);
                 let next_review = now + self.around(REVIEW_INTERVAL, 0.25);
-                self.change(State::Attached { next_review });
+                self.change(SearchState::Attached { next_review });
             }
             _ => {}
         }
@@ -250,16 +250,16 @@
         self.attempts = kept;
         actions.extend(worse.into_iter().map(Action::Close));
         let next_review = now + self.around(REVIEW_INTERVAL, 0.25);
-        self.change(State::Attached { next_review });
+        self.change(SearchState::Attached { next_review });
     }
 
     fn start_search(&mut self, now: Duration, next_connect: Duration) {
         let since = self.searching_since().unwrap_or(now);
-        self.change(State::Searching { since, next_connect });
+        self.change(SearchState::Searching { since, next_connect });
     }
 
     /// Changes the state. Every change happens here.
-    fn change(&mut self, next: State) {
+    fn change(&mut self, next: SearchState) {
         self.state = next;
     }
 
--- a/crates/quillpulley/src/control/discovery/reader.rs
+++ b/crates/quillpulley/src/control/discovery/reader.rs
@@ -48,7 +48,7 @@
     pub rate_per_s: f64,
 }
 
-enum State {
+enum ReaderState {
     /// The next reading begins at this time.
     RequestQueue(Duration),
     /// A page is being fetched.
@@ -68,7 +68,7 @@
 /// Reads the platform's list again and again while the lease is held.
 pub struct ListReader {
     options: ReaderOptions,
-    state: State,
+    state: ReaderState,
     failures: u32,
     /// The size of an implausible reading, which another one has to confirm.
     unconfirmed_size: Option<usize>,
@@ -79,7 +79,7 @@
     pub fn new(options: ReaderOptions) -> Self {
         ListReader {
             options,
-            state: State::RequestQueue(Duration::ZERO),
+            state: ReaderState::RequestQueue(Duration::ZERO),
             failures: 0,
             unconfirmed_size: None,
         }
@@ -89,16 +89,17 @@
     pub fn reset(&mut self, now: Duration) {
         self.unconfirmed_size = None;
         self.state = match self.state {
-            State::Reading(_) | State::Discarding => State::Discarding,
-            State::RequestQueue(_) => State::RequestQueue(now),
+            ReaderState::Reading(_) | ReaderState::Discarding => ReaderState::Discarding,
+            ReaderState::RequestQueue(_) => ReaderState::RequestQueue(now),
         };
     }
 
     /// Returns the page to fetch at `now`, if a reading is due. `is_leader` is whether the lease is held.
     pub fn tick(&mut self, now: Duration, is_leader: bool) -> Option<Fetch> {
         match self.state {
-            State::RequestQueue(at) if is_leader && at <= now => {
-                self.state = State::Reading(PartialReading { started: now, ..PartialReading::default() });
+            ReaderState::RequestQueue(at) if is_leader && at <= now => {
+                self.state =
+                    ReaderState::Reading(PartialReading { started: now, ..PartialReading::default() });
                 Some(Fetch { token: None })
             }
             _ => None,
@@ -113,9 +114,11 @@
         published: usize,
         outcome: Result<Page, FetchError>,
     ) -> Outcome {
-        match std::mem::replace(&mut self.state, State::RequestQueue(now)) {
-            State::Reading(partial) if is_leader => self.add_page(now, published, partial, outcome),
-            State::Reading(_) | State::Discarding | State::RequestQueue(_) => Outcome::Nothing,
+        match std::mem::replace(&mut self.state, ReaderState::RequestQueue(now)) {
+            ReaderState::Reading(partial) if is_leader => self.add_page(now, published, partial, outcome),
+            ReaderState::Reading(_) | ReaderState::Discarding | ReaderState::RequestQueue(_) => {
+                Outcome::Nothing
+            }
         }
     }
 
@@ -136,7 +139,7 @@
         match page.next_token {
             None => self.complete(now, published, partial),
             Some(token) if partial.pages < MAX_PAGES && partial.tokens.insert(token.clone()) => {
-                self.state = State::Reading(partial);
+                self.state = ReaderState::Reading(partial);
                 Outcome::Fetch(Fetch { token: Some(token) })
             }
             Some(token) => self.fail(now, FetchError::Unreadable(format!("page {token} comes twice"))),
@@ -146,7 +149,7 @@
     fn fail(&mut self, now: Duration, error: FetchError) -> Outcome {
         let backoff = self.options.interval * 2u32.saturating_pow(self.failures.min(16));
         self.failures += 1;
-        self.state = State::RequestQueue(now + backoff.min(LONGEST_BACKOFF));
+        self.state = ReaderState::RequestQueue(now + backoff.min(LONGEST_BACKOFF));
         Outcome::Failed { error, first: self.failures == 1 }
     }
 
@@ -156,12 +159,12 @@
         let is_implausible = size * 2 < published;
         if is_implausible && self.unconfirmed_size != Some(size) {
             self.unconfirmed_size = Some(size);
-            self.state = State::RequestQueue(now + CONFIRM_AFTER);
+            self.state = ReaderState::RequestQueue(now + CONFIRM_AFTER);
             return Outcome::Nothing;
         }
         self.unconfirmed_size = None;
         let next = partial.started + self.interval_for(partial.pages);
-        self.state = State::RequestQueue(next.max(now));
+        self.state = ReaderState::RequestQueue(next.max(now));
         Outcome::Complete(partial.reading)
     }
 
--- a/crates/quillpulley/src/peer/link_table.rs
+++ b/crates/quillpulley/src/peer/link_table.rs
@@ -25,7 +25,7 @@
     Closed,
 }
 
-struct Entry {
+struct LinkEntry {
     state: LinkState,
     address: SocketAddr,
     outbound: SharedOutbound,
@@ -33,7 +33,7 @@
 
 /// All links that are not closed.
 pub struct LinkTable {
-    links: BTreeMap<LinkId, Entry>,
+    links: BTreeMap<LinkId, LinkEntry>,
     next: u64,
     events: UnboundedSender<PeerEvent>,
     max_queued_bytes: usize,
@@ -59,7 +59,7 @@
         let link = LinkId(self.next);
         self.next += 1;
         let outbound = SharedOutbound::default();
-        self.links.insert(link, Entry { state, address, outbound: outbound.clone() });
+        self.links.insert(link, LinkEntry { state, address, outbound: outbound.clone() });
         (link, outbound)
     }
 
--- a/crates/state-sync/src/store.rs
+++ b/crates/state-sync/src/store.rs
@@ -35,7 +35,7 @@
 pub type Digests = [u64; RANGES];
 
 #[derive(Clone, Debug)]
-struct Entry {
+struct StoredItem {
     value: Arc<[u8]>,
     range: u8,
     hash: u64,
@@ -45,7 +45,7 @@
 /// updated with each change.
 #[derive(Clone, Debug)]
 pub struct Store {
-    entries: BTreeMap<String, Entry>,
+    entries: BTreeMap<String, StoredItem>,
     digests: Digests,
 }
 
@@ -68,7 +68,7 @@
 
     /// Returns the items whose keys begin with a prefix, in the order of their keys.
     pub fn with_prefix<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a [u8])> {
-        let from: Range<'a, String, Entry> =
+        let from: Range<'a, String, StoredItem> =
             self.entries.range::<str, _>((Bound::Included(prefix), Bound::Unbounded));
         from.take_while(move |(key, _)| key.starts_with(prefix))
             .map(|(key, entry)| (key.as_str(), &*entry.value))
@@ -142,7 +142,7 @@
         let range = (key_hash >> RANGE_SHIFT) as u8;
         let hash = xxh3_64_with_seed(&value, key_hash);
         self.digests[usize::from(range)] = self.digests[usize::from(range)].wrapping_add(hash);
-        self.entries.insert(key, Entry { value, range, hash });
+        self.entries.insert(key, StoredItem { value, range, hash });
     }
 
     fn remove(&mut self, key: &str) -> Option<Arc<[u8]>> {
