--- a/crates/retry-budget/src/budgets.rs
+++ b/crates/retry-budget/src/budgets.rs
@@ -1,4 +1,4 @@
-//! The retry budgets of a proxy for all services.
+//! The retry budgets of one proxy, one for each service.
 
 use crate::cap;
 use crate::share::{self, Demand};
@@ -6,27 +6,27 @@
 use crate::window_counters::{Slot, WindowCounters};
 use std::time::Duration;
 
-/// A service without requests and retries for this many windows is forgotten. At least two, as the hard cap needs
-/// their counts.
+/// Number of windows without requests and retries after which a service is removed. At least two, because the
+/// hard cap uses the counts of the last two windows.
 const IDLE_WINDOWS: u32 = 3;
 
-/// The limits of the budget.
+/// The options of the retry budgets.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Retries for each request (`RetryBudgetRatio`).
+    /// Number of retries that the budget allows per request (`RetryBudgetRatio`).
     pub ratio: f64,
-    /// The window of the budget (`BudgetWindowS`).
+    /// The window over which requests and retries are counted (`BudgetWindowS`).
     pub window: Duration,
-    /// Additional retries of the whole system in a window (`RetrySlack`).
+    /// Number of additional retries per window that the whole system may send (`RetrySlack`).
     pub slack: f64,
 }
 
-/// The counters of a service in the latest window, of one proxy or summed over all.
+/// The counters of a service in the latest window, of one proxy or summed over all proxies.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServiceUsage {
     /// Name of the service.
     pub service: String,
-    /// Requests taken from clients.
+    /// Requests received from clients.
     pub requests: u32,
     /// Retries that were sent.
     pub retries: u32,
@@ -34,12 +34,12 @@
     pub rejected_retries: u32,
 }
 
-/// The retry budgets of one proxy. `now` is the time since the start of the process.
+/// The retry budgets of one proxy. In all methods, `now` is the time since the start of the process.
 pub struct RetryBudgets {
     options: Options,
-    /// A deployment has a few services, so they are searched in order.
+    /// A linear search is used, because a deployment has only a few services.
     services: Vec<Budget>,
-    /// The greatest number of proxies that were known to be live at once.
+    /// Maximum number of proxies known to be live at the same time; 0 before the first complete totals.
     max_proxies: usize,
 }
 
@@ -52,7 +52,7 @@
 }
 
 impl RetryBudgets {
-    /// Creates budgets without counts, and without other proxies.
+    /// Creates budgets without counts. The number of proxies is unknown until the first complete totals.
     pub fn new(options: Options) -> Self {
         RetryBudgets { options, services: Vec::new(), max_proxies: 0 }
     }
@@ -80,10 +80,12 @@
         retries
     }
 
-    /// Sets the rate of each service's bucket. Due every exchange period, with or without totals.
+    /// Sets the refill rate of each service's token bucket. Must be called in every exchange period, with or
+    /// without totals.
     ///
-    /// `totals` are sums over `proxies` proxies, this one included. If they are not `complete`, or lack a service,
-    /// its limit is derived from the own counts. Idle services are forgotten.
+    /// `totals` are the sums over `proxies` proxies, including this one. If they are not `complete`, or lack
+    /// a service, the limit of the service is derived from this proxy's own counts. Idle services are
+    /// removed.
     pub fn set_totals(&mut self, now: Duration, totals: &[ServiceUsage], proxies: usize, complete: bool) {
         if complete {
             self.max_proxies = self.max_proxies.max(proxies);
@@ -99,7 +101,8 @@
         }
     }
 
-    /// Returns the own counts of the latest window, for the exchange.
+    /// Returns this proxy's own counts in the latest window, for the exchange with the other proxies.
+    /// Services without any counts are omitted.
     pub fn counts(&self, now: Duration) -> Vec<ServiceUsage> {
         let counts = self.services.iter().map(|budget| {
             let Slot { requests, retries, rejected_retries } = budget.counts.latest_window(now);
@@ -130,7 +133,7 @@
         }
     }
 
-    /// Takes a token, if the hard cap allows it.
+    /// Takes a token if the hard cap allows a retry. Returns whether a token was taken.
     fn take(&mut self, now: Duration, newest: u64, ratio: f64, share_of_slack: f64) -> bool {
         if !cap::allows_one_more(&self.counts, newest, ratio, share_of_slack) {
             return false;
@@ -139,7 +142,8 @@
     }
 }
 
-/// Returns the retries that may be sent in a window. Without totals, it is derived from the own requests.
+/// Returns the number of retries that this proxy may send per window. Without totals, it is derived from the
+/// proxy's own requests.
 fn limit(ratio: f64, own: Slot, totals: Option<&ServiceUsage>, proxies: usize) -> f64 {
     let Some(totals) = totals else {
         return ratio * f64::from(own.requests);
--- a/crates/retry-budget/src/cap.rs
+++ b/crates/retry-budget/src/cap.rs
@@ -1,43 +1,48 @@
-//! The hard cap, which does not depend on other proxies.
+//! The hard cap on retries, which does not depend on other proxies.
 //!
-//! In any window the whole system may send `ratio` times the requests of that window, of the window before, or of the
-//! window half a window before, whichever has the most, and the slack. A proxy enforces, for every window that holds
-//! the current retry,
+//! The system-wide bound on the retries in any window is derived from the requests in three windows: the
+//! window itself, the one that ends half a window earlier and the one that ends a full window earlier. The
+//! bound is `ratio` times the maximum of these three request counts, plus the slack. For every window that
+//! contains the current retry, a proxy enforces
 //!
-//! > retries in the window <= ratio × (its own requests in these three windows, by fixed weights that add up to
-//! > one) + its part of the slack
+//! > retries in the window <= ratio × (weighted mean of its own requests in the three windows) +
+//! > its share of the slack
 //!
-//! As the weights are the same everywhere, both sides add up over all proxies, and a mean of three windows is at most
-//! their maximum. A cap by the maximum of three windows at each proxy would not add up: it can be another window at
-//! each.
+//! The weights are fixed, add up to one and are the same at all proxies. Therefore both sides can be summed
+//! over all proxies, and the mean of the three sums is at most their maximum. If each proxy used the maximum
+//! of its own three windows instead, the sum of the caps could exceed the bound, because the maximum can be
+//! in a different window at each proxy.
 //!
-//! Slots at the edges of a window count fully as retries and not at all as requests. This also covers retries that
-//! arrive in a window that is shorter by up to a slot.
+//! Slots at the edges of a window count fully for retries and not at all for requests. This margin also
+//! covers the case that retries arrive within a window that is up to one slot shorter.
 
 use crate::window_counters::{WindowCounters, SLOTS_PER_WINDOW};
 use std::time::Duration;
 
-/// Weights of the window itself, of the one half a window before, and of the one before. The window before
-/// weighs most: it stays complete when retries come in one burst, as they do after the loss of a server.
+/// Weights of the requests in the window itself, in the one half a window earlier and in the one a full
+/// window earlier. The last has the largest weight, because it is complete even if all retries come in one
+/// burst, as they do after the loss of a server.
 const WEIGHTS: [f64; 3] = [0.25, 0.25, 0.5];
 
-/// The fraction of the slack that all proxies together use; the rest covers network delays.
+/// The fraction of the slack that all proxies together may use. The rest is a margin for network delays.
 const USABLE_SLACK: f64 = 0.8;
 
-/// The number of proxies that share the slack: this multiple of those that were live at once, and at least this many.
-/// The part above one is for restarts, see [`STARTUP_SHARE`].
+/// The slack is divided by the maximum number of live proxies times this factor. The excess over one is
+/// reserved for restarts, see [`STARTUP_SHARE`].
 const PLANNED_PROXIES_FACTOR: f64 = 1.5;
+/// The slack is divided by at least this number of proxies.
 const MIN_PLANNED_PROXIES: f64 = 4.0;
 
-/// The fraction of its part that a process may use at the end of its first window; it begins with nothing. A proxy
-/// that restarts any number of times within a window then uses up to 1.5 parts in it: one part by the process before,
-/// and half a part by all later ones, as their ages add up to at most the window.
+/// The fraction of its slack share that a process may use at the end of its first window. The fraction grows
+/// linearly from zero. A proxy that restarts any number of times within a window therefore uses at most 1.5
+/// shares in it: one share by the first process, and half a share by all later processes together, because
+/// their ages add up to at most one window.
 const STARTUP_SHARE: f64 = 0.5;
 
-/// Returns a proxy's part of the slack, in retries.
+/// Returns a proxy's share of the slack, as a number of retries per window.
 ///
-/// `proxies` is the greatest number of proxies ever known to be live at once; 0 if unknown, which gives no part.
-/// `age` is the time since the start of the process.
+/// `proxies` is the maximum number of proxies ever known to be live at the same time, or 0 if it is unknown;
+/// the share is then 0. `age` is the time since the start of the process.
 pub fn slack_share(slack: f64, proxies: usize, age: Duration, window: Duration) -> f64 {
     if proxies == 0 {
         return 0.0;
@@ -60,7 +65,7 @@
     })
 }
 
-/// Returns the weighted requests of the three windows for the window that ends in slot `end`.
+/// Returns the weighted mean of the requests in the three windows, for the window that ends in slot `end`.
 fn requests(counts: &WindowCounters, end: i64) -> f64 {
     let window = SLOTS_PER_WINDOW as i64;
     let requests = |slot| counts.slot(slot).requests;
--- a/crates/retry-budget/src/lib.rs
+++ b/crates/retry-budget/src/lib.rs
@@ -1,12 +1,13 @@
-//! Retry budgets that all proxies share: shares of demand, token buckets and a hard cap.
+//! Retry budgets that all proxies share. Each proxy limits its retries by a token bucket, whose refill rate
+//! follows its share of the demand, and by a hard cap.
 //!
-//! For each service a proxy counts the requests of clients, the retries that it sends, and those that it rejects.
-//! Proxies exchange these counts; from the totals each derives its [limit](share::limit), which fills a token bucket.
-//! A retry needs a token, and is counted before it is sent.
+//! For each service, a proxy counts the requests of clients, the retries that it sends, and the retries that
+//! it rejects. Proxies exchange these counts. From the totals, each proxy derives its [limit](share::limit),
+//! which sets the refill rate of a token bucket. A retry takes a token and is counted before it is sent.
 //!
-//! Totals may be stale, or missing during a partition, so that the limits of all proxies may add up to more than the
-//! target. In addition there is a [hard cap](cap) for each proxy alone. The caps of all proxies add up to no more
-//! than the bound of the whole system, whatever each of them believes about the others.
+//! Totals may be stale, or missing during a partition, so the limits of all proxies may add up to more than
+//! the target. Therefore each proxy also enforces a [hard cap](cap) on its own. The caps of all proxies add
+//! up to no more than the system-wide bound, even if the proxies have different views of each other.
 #![forbid(unsafe_code)]
 
 mod budgets;
--- a/crates/retry-budget/src/token_bucket.rs
+++ b/crates/retry-budget/src/token_bucket.rs
@@ -2,17 +2,18 @@
 
 use std::time::Duration;
 
-/// The capacity of a bucket, in seconds of its limit.
+/// Capacity of a bucket, in seconds of its refill rate.
 const DEPTH_SECONDS: f64 = 5.0;
 
-/// The least capacity of a bucket, in retries.
+/// Minimum capacity of a bucket, in tokens. Each retry takes one token.
 const MIN_DEPTH: f64 = 1.0;
 
-/// A token bucket, which starts full and keeps its tokens when its rate changes.
+/// A token bucket that starts full and keeps its tokens when its rate changes.
 pub(crate) struct TokenBucket {
     tokens: f64,
     /// Tokens per second.
     rate: f64,
+    /// When tokens were last added.
     filled: Duration,
 }
 
@@ -26,7 +27,7 @@
         self.rate = rate;
     }
 
-    /// Takes a token, if there is one.
+    /// Takes a token if there is one. Returns whether a token was taken.
     pub(crate) fn take(&mut self, now: Duration) -> bool {
         self.fill(now);
         if self.tokens < 1.0 {
@@ -36,7 +37,8 @@
         true
     }
 
-    /// Adds the tokens since the last call. Tokens above a lowered capacity are kept.
+    /// Adds the tokens accrued since the last call. If the rate was lowered, tokens above the new capacity
+    /// are kept.
     fn fill(&mut self, now: Duration) {
         let passed = now.saturating_sub(self.filled).as_secs_f64();
         self.filled = self.filled.max(now);
--- a/crates/retry-budget/src/window_counters.rs
+++ b/crates/retry-budget/src/window_counters.rs
@@ -1,14 +1,14 @@
-//! The counters of a service, in a ring of short slots.
+//! The counters of a service, in a ring buffer of time slots.
 
 use std::time::Duration;
 
-/// The slots in a budget window.
+/// Number of slots in a budget window.
 pub(crate) const SLOTS_PER_WINDOW: u64 = 20;
 
-/// The slots that are kept: two windows and the current slot, rounded up to a power of two.
+/// Number of slots in the ring buffer: two windows and the current slot, rounded up to a power of two.
 const RING: usize = 64;
 
-/// The counters of a slot.
+/// The counters of one slot, or their sums over several slots.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Slot {
     pub(crate) requests: u32,
@@ -16,11 +16,11 @@
     pub(crate) rejected_retries: u32,
 }
 
-/// A ring of slots since the start of the process.
+/// A ring buffer of the latest slots. Slots are numbered from the start of the process.
 pub(crate) struct WindowCounters {
     slot_length: Duration,
     slots: [Slot; RING],
-    /// The number of the newest slot.
+    /// Number of the newest slot.
     newest: u64,
 }
 
@@ -36,7 +36,8 @@
         (now.as_nanos() / self.slot_length.as_nanos()) as u64
     }
 
-    /// Advances to the slot of `now`, and clears the slots since the last call. Returns its number.
+    /// Advances to the slot that contains `now`, and clears the slots that began since the last call. Returns
+    /// the number of the newest slot.
     pub(crate) fn advance(&mut self, now: Duration) -> u64 {
         let number = self.number(now);
         let passed = number.saturating_sub(self.newest).min(RING as u64);
@@ -52,7 +53,8 @@
         &mut self.slots[(self.newest % RING as u64) as usize]
     }
 
-    /// Returns a slot by its number; empty if it has not begun or is not kept any more.
+    /// Returns the counters of the slot with this number. They are zero if the slot has not begun or is no
+    /// longer kept.
     pub(crate) fn slot(&self, number: i64) -> Slot {
         let newest = self.newest as i64;
         if number < 0 || number > newest || number <= newest - RING as i64 {
@@ -61,7 +63,7 @@
         self.slots[(number % RING as i64) as usize]
     }
 
-    /// Returns the sums over the latest window at `now`.
+    /// Returns the sums over the window that ends with the slot that contains `now`.
     pub(crate) fn latest_window(&self, now: Duration) -> Slot {
         let number = self.number(now).max(self.newest) as i64;
         let mut sum = Slot::default();
--- a/crates/retry-budget/tests/budgets.rs
+++ b/crates/retry-budget/tests/budgets.rs
@@ -1,5 +1,6 @@
-//! Token buckets, counters and their expiry. A timeline holds one character for each 100 ms:
-//! `f` a request, `R` a retry that is sent, `r` one that is rejected, `t` totals, `.` nothing.
+//! Tests of token buckets, counters and the removal of idle services. Each character of a timeline stands for
+//! a step of 100 ms: `f` is a request, `R` a retry that is sent, `r` a retry that is rejected, `t` the
+//! arrival of totals, and `.` no event.
 
 use quillpulley_retry_budget::{Options, RetryBudgets, ServiceUsage};
 use std::time::Duration;
@@ -9,7 +10,7 @@
 const WINDOW: Duration = Duration::from_secs(10);
 const OPTIONS: Options = Options { ratio: 0.2, window: WINDOW, slack: 50.0 };
 
-/// A limiter whose process has run long enough to have its whole part of the slack.
+/// A proxy whose process has run long enough to have its full share of the slack.
 struct Limiter {
     budgets: RetryBudgets,
     now: Duration,
@@ -27,7 +28,7 @@
         self.budgets.set_totals(self.now, totals, self.proxies, true);
     }
 
-    /// Plays a timeline, and gives it back as it went.
+    /// Runs a timeline, and returns it with the actual outcome of each retry.
     fn play(&mut self, timeline: &str) -> String {
         timeline.chars().map(|event| self.step(event)).collect()
     }
@@ -60,7 +61,7 @@
 
 #[test]
 fn a_bucket_fills_at_the_limit() {
-    // A target of 22 in 10 s and four limiters: a fallback of 0.55 repeats a second.
+    // A target of 22 retries in 10 s is divided among four proxies: the fallback is 0.55 retries per second.
     let mut limiter = Limiter::new(totals(110, 0, 0), 4);
     limiter.check("tRtrrrrrrrrrrrrrrrrrrRrrr");
 }
@@ -79,7 +80,7 @@
     limiter.send_totals();
     limiter.play(&"f".repeat(90));
     limiter.budgets.set_totals(limiter.now, &[], 0, false);
-    // 90 requests in the window allow 18 repeats in 10 s.
+    // 90 requests in the window allow 18 retries in 10 s.
     limiter.check("RrrrrRrrrrrRrrrrR");
 }
 
@@ -110,8 +111,8 @@
 
 #[test]
 fn the_hard_cap_holds_where_totals_promise_too_much() {
-    // By the totals all is free, but the own requests and a part of the slack do not allow it:
-    // 50 × 0.8 / 6 = 6.7 repeats.
+    // The totals would allow all of these retries. The hard cap allows only the proxy's share of the slack,
+    // 50 × 0.8 / 6 = 6.7 retries, and the ratio of its own requests.
     let mut limiter = Limiter::new(totals(100_000, 0, 0), 4);
     limiter.check("fttRRRRRRrrrr");
 }
@@ -129,7 +130,7 @@
     let mut limiter = Limiter::new(totals(100_000, 0, 0), 4);
     limiter.now = Duration::ZERO;
     limiter.check("rtt");
-    // Half the part, 3.3 repeats, by the end of the first window: one each 3 s.
+    // At the end of the first window, half the share is available, which is 3.3 retries: one every 3 s.
     let sent_at: Vec<usize> =
         limiter.play(&"r".repeat(96)).match_indices('R').map(|(step, _)| step).collect();
     assert_eq!(sent_at.len(), 3);
--- a/crates/retry-budget/tests/cap.rs
+++ b/crates/retry-budget/tests/cap.rs
@@ -1,4 +1,4 @@
-//! The hard cap under any schedule, any restarts and any knowledge of the others.
+//! Tests of the hard cap under random requests, retries, restarts and totals.
 
 use quickcheck::{quickcheck, Arbitrary, Gen};
 use quillpulley_retry_budget::{Options, RetryBudgets, ServiceUsage};
@@ -11,22 +11,24 @@
 const OPTIONS: Options = Options { ratio: RATIO, window: WINDOW, slack: SLACK };
 const LIMITERS: usize = 4;
 
-/// What happens at one limiter.
+/// An event at one proxy.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Requests(u8),
     Repeats(u8),
     Restart,
-    /// Totals of so many requests.
+    /// Complete totals arrive, with this number of requests.
     Totals(u16),
-    /// No totals of the whole system.
+    /// Totals of the whole system are unavailable.
     Cut,
 }
 
-/// An event at one limiter, or at all of them.
+/// An event at one proxy, or at all of them.
 #[derive(Clone, Debug)]
 struct Step {
+    /// Time since the previous step.
     gap: Duration,
+    /// The number of the proxy; `None` stands for all proxies.
     limiter: Option<usize>,
     event: Event,
 }
@@ -47,13 +49,13 @@
     }
 }
 
-/// A limiter, and the time when its process started.
+/// A proxy, and the time when its process started.
 struct Limiter {
     budgets: RetryBudgets,
     started: Duration,
 }
 
-/// Times and numbers of all requests and of all repeats, in order.
+/// The requests and the retries of all proxies, as times with counts, in chronological order.
 #[derive(Default)]
 struct Sent {
     requests: Vec<(Duration, usize)>,
@@ -67,7 +69,7 @@
         .collect();
     let mut sent = Sent::default();
     for limiter in &mut proxies {
-        // So that all have a full bucket.
+        // Registers the service and fills the bucket.
         play_step(limiter, Event::Totals(u16::MAX), now, &mut sent);
         play_step(limiter, Event::Repeats(1), now, &mut sent);
         play_step(limiter, Event::Totals(u16::MAX), now, &mut sent);
@@ -108,14 +110,14 @@
     }
 }
 
-/// How many were sent in the window that ends at `end`, given in nanoseconds.
+/// Returns the number of requests or retries in the window that ends at `end`, in nanoseconds.
 fn in_window(sent: &[(Duration, usize)], end: i128) -> usize {
     let start = end - WINDOW.as_nanos() as i128;
     let inside = |time: &Duration| (start + 1..=end).contains(&(time.as_nanos() as i128));
     sent.iter().filter(|(time, _)| inside(time)).map(|(_, count)| count).sum()
 }
 
-/// The rule of the users, for one window.
+/// Returns whether the retries of all proxies are within the system-wide bound, for one window.
 fn holds(sent: &Sent, end: i128) -> bool {
     let window = WINDOW.as_nanos() as i128;
     let requests = [0, window / 2, window].map(|before| in_window(&sent.requests, end - before));
@@ -123,7 +125,7 @@
     in_window(&sent.repeats, end) as f64 <= RATIO * most as f64 + SLACK
 }
 
-/// The ends of windows between which no count changes.
+/// Returns the window ends to be checked. Between two consecutive ones, no count of [`holds`] changes.
 fn ends(sent: &Sent) -> impl Iterator<Item = i128> + '_ {
     let half = WINDOW.as_nanos() as i128 / 2;
     let times = sent.requests.iter().chain(&sent.repeats).map(|(time, _)| time.as_nanos() as i128);
@@ -154,15 +156,16 @@
         budgets.set_totals(now, std::slice::from_ref(&totals), LIMITERS, true);
     }
     let burst = (0..100).filter(|_| budgets.try_retry(now, SERVICE)).count();
-    assert!((11..=20).contains(&burst), "{burst} repeats for 100 requests in the window");
+    assert!((11..=20).contains(&burst), "{burst} retries for 100 requests in the window");
 }
 
 const SLOTS: i64 = 20;
 const WITHOUT_SLACK: Options = Options { slack: 0.0, ..OPTIONS };
 
-/// The retries that the cap leaves in the last of these slots of half a second, counted by trying: each window of 21 slots
-/// that contains it may have the ratio of a quarter of its requests, a quarter of those half a window before, and half
-/// of those a window before.
+/// Returns the number of retries that the cap allows in the last of these slots, each of half a second. For
+/// each window of 21 slots that contains the last slot, the limit is the ratio times the sum of a quarter of
+/// the requests in the window, a quarter of those half a window earlier, and half of those a full window
+/// earlier.
 fn expected_retries(requests: &[u32]) -> u32 {
     let newest = requests.len() as i64 - 1;
     let sum = |from: i64, to: i64| -> u32 {
@@ -178,14 +181,15 @@
     (0..).find(|retries| f64::from(retries + 1) > least).unwrap_or_default()
 }
 
-/// The retries that a proxy sends in the last slot, with a bucket that holds more than the cap allows.
+/// Returns the number of retries that a proxy sends in the last slot if its bucket holds more than the cap
+/// allows.
 fn sent_retries(requests: &[u32]) -> u32 {
     let mut budgets = RetryBudgets::new(WITHOUT_SLACK);
     let slot = WINDOW / SLOTS as u32;
     let totals =
         [ServiceUsage { service: SERVICE.to_string(), requests: 1_000_000, retries: 0, rejected_retries: 0 }];
     let mut now = Duration::ZERO;
-    // The service is known from here on, so that its bucket is filled from the first totals on.
+    // Registers the service, so that its bucket fills from the first totals on.
     assert!(!budgets.try_retry(now, SERVICE), "without requests there are no retries");
     for count in requests {
         budgets.set_totals(now, &totals, 1, true);
@@ -198,7 +202,8 @@
 
 quickcheck! {
     fn a_full_bucket_is_used_up_to_the_cap_and_not_beyond(counts: Vec<u8>, last: u8) -> bool {
-        // A service that is idle for three windows would be forgotten, with its bucket.
+        // At most 55 slots, because a service that is idle for three windows is removed together with its
+        // bucket.
         let mut requests: Vec<u32> = counts.iter().take(55).map(|count| u32::from(*count)).collect();
         requests.push(u32::from(last) + 1);
         sent_retries(&requests) == expected_retries(&requests)
@@ -207,7 +212,7 @@
 
 #[test]
 fn requests_count_for_the_cap_of_exactly_the_windows_they_belong_to() {
-    // A burst in one slot, and the slots since then; the newest one has a request of its own.
+    // A burst of requests comes `since` slots before the newest slot, which has one request.
     for since in 1..45 {
         let mut requests = vec![0; 60];
         requests[59 - since] = 4_000;
--- a/crates/retry-budget/tests/share.rs
+++ b/crates/retry-budget/tests/share.rs
@@ -1,4 +1,4 @@
-//! The limit by a proxy's fraction of the demand.
+//! Tests of the limit that is derived from a proxy's share of the demand.
 
 use quillpulley_retry_budget::share::{limit, Demand};
 
