--- a/crates/state-sync/src/aggregate.rs
+++ b/crates/state-sync/src/aggregate.rs
@@ -1,4 +1,4 @@
-//! The merged reports of a node's own process and its children, updated with each report.
+//! The merged reports of a node's own process and of its children, updated incrementally with each report.
 
 use crate::counters::{server_load, service_counters, set_counters, CounterChange, Counters};
 use crate::subtree::{endpoint_rank, DirtyKeys, SubtreeState};
@@ -6,25 +6,25 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-/// The source of a report.
+/// The source of a report: the node's own process or a child.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Source<Child> {
     Own,
     Child(Child),
 }
 
-/// The merged reports, and the changes that were not sent to the parent and the children yet.
+/// The merged reports, and the changes that have not been sent to the parent or to the children yet.
 #[derive(Debug)]
 pub(crate) struct Aggregate<Child> {
     contributions: BTreeMap<Source<Child>, SubtreeState>,
     merged: SubtreeState,
-    /// Changes that were not sent to the parent.
+    /// Changes that have not been sent to the parent.
     pub(crate) upward: Pending,
-    /// Changes that were not sent to the children, while the totals are this node's own sums.
+    /// Changes that have not been sent to the children. Used only while the totals are this node's own sums.
     pub(crate) downward: Pending,
 }
 
-/// Entries that have changed since they were last sent.
+/// Keys of the entries that have changed since they were last sent.
 #[derive(Debug, Default)]
 pub(crate) struct Pending {
     endpoints: BTreeSet<String>,
@@ -32,7 +32,8 @@
     proxies: bool,
     services: BTreeSet<String>,
     servers: BTreeSet<u64>,
-    /// The last server that was sent. The next frame continues after it, so that each server is sent in its turn.
+    /// The last server that was sent. The next frame continues after it, so that servers are sent in
+    /// rotation.
     cursor: u64,
 }
 
@@ -83,12 +84,12 @@
         &self.merged
     }
 
-    /// Returns the report of a source.
+    /// Returns the state reported by a source, or `None` if it has not reported.
     pub(crate) fn contribution(&self, source: Source<Child>) -> Option<&SubtreeState> {
         self.contributions.get(&source)
     }
 
-    /// Applies a report. Returns whether the merged proxies or suspicions have changed.
+    /// Applies a report. Returns whether the merged endpoints or suspicions have changed.
     pub(crate) fn apply(&mut self, source: Source<Child>, report: Report) -> bool {
         let contribution = self.contributions.entry(source).or_default();
         let dirty = contribution.apply(report);
@@ -100,7 +101,7 @@
         endpoints_changed || suspects_changed
     }
 
-    /// Removes the report of a source. Returns whether the merged proxies or suspicions have changed.
+    /// Removes the report of a source. Returns whether the merged endpoints or suspicions have changed.
     pub(crate) fn remove(&mut self, source: Source<Child>) -> bool {
         let changed = self.apply(source, Report::default());
         self.contributions.remove(&source);
@@ -108,13 +109,13 @@
         changed
     }
 
-    /// Returns a report of everything.
+    /// Returns a complete report for the parent, after which no changes are pending for it.
     pub(crate) fn full_report(&mut self) -> Report {
         self.upward.clear();
         self.merged.to_report()
     }
 
-    /// Returns a report of what is pending, with a bounded number of servers.
+    /// Returns a report of the changes pending for the parent, with at most `max_servers` servers.
     pub(crate) fn delta_report(&mut self, max_servers: usize) -> Report {
         let merged = &self.merged;
         let servers = self.upward.take_servers(max_servers);
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Returns the pending part of the sums as totals for children, with a bounded number of servers.
+    /// Returns the changes pending for the children as a frame of totals, with at most `max_servers` servers.
     pub(crate) fn delta_totals(&mut self, complete: bool, max_servers: usize) -> Totals {
         let counters = &self.merged.counters;
         let servers = self.downward.take_servers(max_servers);
@@ -204,7 +205,7 @@
     }
 }
 
-/// Returns the entries for some keys, zero where there is none.
+/// Returns the entries for some keys, with counters of zero for keys that are not in the table.
 fn pick<K: Ord, T: Counters, I: IntoIterator<Item = K>>(
     table: &BTreeMap<K, T>,
     keys: I,
--- a/crates/state-sync/src/aggregation.rs
+++ b/crates/state-sync/src/aggregation.rs
@@ -1,4 +1,4 @@
-//! Aggregation: reports go up the tree, totals go down.
+//! Aggregation: reports are sent up the tree, and totals are sent down.
 
 use crate::aggregate::Source;
 use crate::node::{Action, Role, SyncNode};
@@ -8,7 +8,7 @@
 use std::hash::Hash;
 use std::time::Duration;
 
-/// The levels from which a subtree must have a loop.
+/// A subtree with at least this many levels is assumed to contain a loop.
 const MAX_DEPTH: u8 = 12;
 
 impl<Child: Copy + Eq + Hash + Ord> SyncNode<Child> {
@@ -24,7 +24,7 @@
             return self.drop_child(child, actions);
         }
         let Some(state) = self.children.get_mut(child) else { return };
-        // A second complete report means that the child has started again: it has no totals.
+        // A further complete report means that the child has restarted or connected again, and has no totals.
         let begins_anew = !report.delta && std::mem::replace(&mut state.has_reported, true);
         state.has_totals &= !begins_anew;
         if let Some(earlier) = state.suspended_report.take() {
@@ -39,11 +39,12 @@
         }
     }
 
-    /// Suspends the reports of children that send nothing, and drops those that have sent nothing for long.
+    /// Suspends the reports of children that have sent nothing for `receive_timeout`, and removes children
+    /// that have sent nothing for `child_timeout`.
     pub(crate) fn check_idle_children(&mut self, now: Duration, actions: &mut Vec<Action<Child>>) {
         let (receive_timeout, timeout) = (self.options.receive_timeout, self.options.child_timeout);
         if now >= self.ticked_at + receive_timeout {
-            // This process was stalled: the frames of the children have not been read yet.
+            // This process was stalled, so the frames of the children have not been read yet.
             self.children.values_mut().for_each(|child| child.received_at = now);
         }
         self.ticked_at = now;
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Returns when the next report is due.
+    /// Returns when the next report to the parent is due, or `Duration::MAX` without a parent.
     pub(crate) fn report_due(&self) -> Duration {
         match self.role {
             Role::Root { .. } | Role::Orphan => Duration::MAX,
@@ -106,7 +107,8 @@
         }
     }
 
-    /// Sends this node's own sums if they are the totals, or the parent's are out of date.
+    /// Sends this node's own sums to the children if they are due: either changes to them, or the switch to
+    /// them after the parent's totals have expired.
     pub(crate) fn tick_totals(&mut self, now: Duration, actions: &mut Vec<Action<Child>>) {
         if now < self.totals_due() {
             return;
@@ -122,7 +124,8 @@
         self.spread_totals(now, delta, actions);
     }
 
-    /// Returns when own totals are due, or the parent's totals expire.
+    /// Returns when own totals are due or, while the parent's totals are used, when these expire. A new root
+    /// replaces the parent's totals at once.
     pub(crate) fn totals_due(&self) -> Duration {
         match self.totals.expires_at(self.options.receive_timeout) {
             Some(_) if self.is_root() => Duration::ZERO,
@@ -135,7 +138,8 @@
         }
     }
 
-    /// Sends the changes of the totals to the children, and all totals to those that have none yet.
+    /// Sends the changes of the totals to the children, and the complete totals to children that have none
+    /// yet.
     fn spread_totals(&mut self, now: Duration, delta: protocol::Totals, actions: &mut Vec<Action<Child>>) {
         self.totals_sent_at = now;
         let informed = self.children.children_where(|child| child.has_totals);
--- a/crates/state-sync/src/children.rs
+++ b/crates/state-sync/src/children.rs
@@ -5,35 +5,35 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A subscription that has no response yet.
+/// A child's subscription that has no response yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Subscription {
     pub(crate) revision: Revision,
     pub(crate) digests: Box<Digests>,
 }
 
-/// The state of a child.
+/// The state of a child's subscription.
 #[derive(Debug)]
 pub(crate) enum Phase {
     /// The child has not subscribed.
     Connected,
     /// The child has subscribed and has no response yet.
     Subscribed(Subscription),
-    /// The child has its response and gets every update.
+    /// The child was sent the response and is sent every update.
     Following,
 }
 
-/// A child.
+/// The state of a child.
 #[derive(Debug)]
 pub(crate) struct ChildState {
     phase: Phase,
-    /// When anything was received from it.
+    /// When the latest frame was received from the child; at first, when it connected.
     pub(crate) received_at: Duration,
-    /// Its merged reports, while they are suspended as it sends nothing.
+    /// The child's merged reports while they are suspended because the child sends nothing, otherwise `None`.
     pub(crate) suspended_report: Option<Report>,
-    /// Whether it has reported.
+    /// Whether the child has sent a complete report.
     pub(crate) has_reported: bool,
-    /// Whether it was sent totals.
+    /// Whether the child was sent complete totals and still has them.
     pub(crate) has_totals: bool,
 }
 
@@ -99,12 +99,12 @@
         self.states.values_mut()
     }
 
-    /// Returns the children with a property.
+    /// Returns the children whose state satisfies a predicate.
     pub(crate) fn children_where(&self, mut holds: impl FnMut(&ChildState) -> bool) -> Vec<Child> {
         self.states.iter().filter(|(_, state)| holds(state)).map(|(child, _)| *child).collect()
     }
 
-    /// Returns the children that wait for a response, with their subscriptions.
+    /// Returns the children whose subscription has no response yet, with that subscription.
     pub(crate) fn subscriptions(&self) -> Vec<(Child, Subscription)> {
         let waiting = self.states.iter().filter_map(|(child, state)| Some((*child, state.subscription()?)));
         waiting.map(|(child, subscription)| (child, subscription.clone())).collect()
@@ -112,7 +112,7 @@
 }
 
 impl Subscription {
-    /// Returns a subscription, if it has a digest for each range.
+    /// Returns the subscription in a frame, or `None` if the frame does not have one digest for each range.
     pub(crate) fn read(subscribe: Subscribe) -> Option<Self> {
         let digests: Box<Digests> = subscribe.digests.into_boxed_slice().try_into().ok()?;
         Some(Subscription { revision: subscribe.revision, digests })
--- a/crates/state-sync/src/counters.rs
+++ b/crates/state-sync/src/counters.rs
@@ -1,18 +1,18 @@
-//! Counters that are summed over proxies, by service and by server.
+//! Counters by service and by server, which are summed over proxies.
 
 use quillpulley_protocol::{ServerLoad, ServiceCounters};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Returns the key of a server in counters: the hash of its id.
+/// Returns the key that identifies a server in counters: the XXH3 hash of its id.
 pub fn server_key(id: &str) -> u64 {
     xxh3_64(id.as_bytes())
 }
 
-/// The counters of a service in the latest budget window.
+/// The counters of a service in the latest window of the retry budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RetryCounters {
-    /// First sends of requests.
+    /// Requests, without their retries.
     pub requests: u32,
     /// Retries that were sent.
     pub retries: u32,
@@ -20,31 +20,32 @@
     pub rejected_retries: u32,
 }
 
-/// The load of a server.
+/// The load of a server that is caused by one or more proxies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadCounters {
-    /// Requests whose response has begun.
+    /// Requests in flight whose response has begun.
     pub running: u32,
-    /// Requests whose response has not begun.
+    /// Requests in flight whose response has not begun.
     pub waiting: u32,
-    /// Prompt tokens of these requests.
+    /// Prompt tokens of the waiting requests.
     pub prompt_tokens: u32,
-    /// Failures recently.
+    /// Number of recent failures.
     pub failures: u32,
 }
 
-/// The sums over some proxies. Services and servers for which all numbers are zero are omitted.
+/// The sums of the counters of some proxies. Services and servers whose counters are all zero are omitted.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CounterTable {
-    /// The number of proxies.
+    /// The number of proxies in the sums.
     pub proxies: u32,
-    /// By service name.
+    /// The retry counters, by name of the service.
     pub services: BTreeMap<String, RetryCounters>,
-    /// By [`server_key`].
+    /// The load of servers, by [`server_key`].
     pub servers: BTreeMap<u64, LoadCounters>,
 }
 
-/// Counters that can be added and subtracted. Both wrap, so that sums stay exact.
+/// Counters that can be added and subtracted. Both operations wrap on overflow, so that a sum is exact again
+/// after the values that caused the overflow are subtracted.
 pub(crate) trait Counters: Copy + Default + Eq {
     fn plus(self, other: Self) -> Self;
     fn minus(self, other: Self) -> Self;
@@ -88,7 +89,7 @@
     }
 }
 
-/// A change of one entry of a table.
+/// A change of one entry in a table of counters. An absent entry has counters of zero.
 #[derive(Clone, Debug)]
 pub(crate) struct CounterChange<K, T> {
     pub(crate) key: K,
@@ -96,13 +97,14 @@
     pub(crate) new: T,
 }
 
-/// Sets an entry; zero removes it. Returns the former value.
+/// Sets an entry, or removes it if its new counters are zero. Returns the previous counters.
 pub(crate) fn set_counters<K: Ord, T: Counters>(table: &mut BTreeMap<K, T>, key: K, counters: T) -> T {
     let old = if counters == T::default() { table.remove(&key) } else { table.insert(key, counters) };
     old.unwrap_or_default()
 }
 
-/// Sets the entries of a frame. Unless the frame is a delta, all others are removed. Returns the changes.
+/// Sets the entries of a frame in a table. Unless the frame is a delta, all other entries are removed.
+/// Returns the changes.
 pub(crate) fn apply_counters<K: Ord + Clone, T: Counters>(
     table: &mut BTreeMap<K, T>,
     entries: impl IntoIterator<Item = (K, T)>,
@@ -123,7 +125,8 @@
     changes
 }
 
-/// Returns the entries that turn one table into another, with zero for those to remove.
+/// Returns the entries that turn the table `from` into the table `to`. Entries to be removed have counters of
+/// zero.
 pub(crate) fn counters_between<K: Ord + Clone, T: Counters>(
     from: &BTreeMap<K, T>,
     to: &BTreeMap<K, T>,
@@ -133,7 +136,7 @@
     removed.chain(differing.map(|(key, counters)| (key.clone(), *counters))).collect()
 }
 
-/// Returns an entry for a service as a frame has it.
+/// Converts the entry of a service to its form in a frame.
 pub(crate) fn service_counters((service, counters): (String, RetryCounters)) -> ServiceCounters {
     ServiceCounters {
         service,
@@ -143,7 +146,7 @@
     }
 }
 
-/// Returns the entry for a service that a frame has.
+/// Converts the entry of a service from its form in a frame.
 pub(crate) fn retry_counters(count: ServiceCounters) -> (String, RetryCounters) {
     let counters = RetryCounters {
         requests: count.requests,
@@ -153,7 +156,7 @@
     (count.service, counters)
 }
 
-/// Returns an entry for a server as a frame has it.
+/// Converts the entry of a server to its form in a frame.
 pub(crate) fn server_load((server, counters): (u64, LoadCounters)) -> ServerLoad {
     ServerLoad {
         server,
@@ -164,7 +167,7 @@
     }
 }
 
-/// Returns the entry for a server that a frame has.
+/// Converts the entry of a server from its form in a frame.
 pub(crate) fn load_counters(load: ServerLoad) -> (u64, LoadCounters) {
     let counters = LoadCounters {
         running: load.running,
--- a/crates/state-sync/src/lib.rs
+++ b/crates/state-sync/src/lib.rs
@@ -1,13 +1,15 @@
-//! Distribution of published state down a relay tree, and of counters up the tree, as pure state machines.
+//! Distribution of published state down a relay tree, and aggregation of counters up the tree, as pure state
+//! machines.
 //!
-//! A [`SyncNode`] is one node of the tree: the root (the primary), a relay (other control nodes, agents) or a
-//! leaf (proxies). It holds a [`Store`] of the published items at a revision. Its host passes [`Event`]s with the
-//! time since the start of the process, and performs the resulting [`Action`]s. Invariant: the revision never
-//! decreases; a frame whose revision is not newer changes nothing.
+//! A [`SyncNode`] is one node of the tree: the root (the primary control node), a relay (other control nodes
+//! and agents) or a leaf (proxies). It holds a [`Store`] of the published items at a revision. Its host
+//! passes [`Event`]s to it, together with the time since the start of the process, and performs the resulting
+//! [`Action`]s. Invariant: the revision never decreases, and an update whose revision is not newer does not
+//! change the store.
 //!
-//! Connections must keep frames in order. A host whose queue to a child is full may leave out `Update` frames (the
-//! child notices by the gap and subscribes again), but if it cannot send a `Report` or `Totals` it has to close the
-//! connection.
+//! Connections must deliver frames in order. If the host's queue to a child is full, the host may drop
+//! `Update` frames: the child detects the gap and subscribes again. If the host cannot send a `Report` or
+//! `Totals` frame, it must close the connection.
 //!
 //! [`parent_selection`] ranks the candidates for an agent's parent.
 #![forbid(unsafe_code)]
--- a/crates/state-sync/src/node.rs
+++ b/crates/state-sync/src/node.rs
@@ -10,37 +10,38 @@
 use std::hash::Hash;
 use std::time::Duration;
 
-/// An event of a node.
+/// An event that the host passes to a node.
 #[derive(Clone, Debug)]
 pub enum Event<Child> {
-    /// A link to a parent is open, and replaces an earlier one.
+    /// A link to a parent was opened. It replaces an earlier link to a parent.
     ParentUp,
-    /// The link to the parent is closed.
+    /// The link to the parent was closed.
     ParentDown,
-    /// A frame of the parent: `Update` or `Totals`; others are ignored.
+    /// A frame from the parent: `Update` or `Totals`. Other frames are ignored.
     ParentFrame(Body),
-    /// A link of a child is open, and replaces an earlier one of the same name.
+    /// A link from a child was opened. It replaces an earlier link with the same identifier.
     ChildUp(Child),
-    /// The link of a child is closed.
+    /// The link from a child was closed.
     ChildDown(Child),
-    /// A frame of a child: `Subscribe` or `Report`; others are ignored.
+    /// A frame from a child: `Subscribe` or `Report`. Other frames are ignored.
     ChildFrame(Child, Body),
     /// Root only: publish changes at a new revision.
     Publish(Vec<Change>),
-    /// Root only: publish a new revision without changes, as a heartbeat. Due at least every 200 ms while the host
-    /// holds the lease.
+    /// Root only: publish a new revision without changes, as a heartbeat. The host must send it at least
+    /// every 200 ms while it holds the lease.
     Heartbeat,
-    /// This process becomes the root. Nothing is sent to children before the first `Publish` or `Heartbeat`: until
-    /// then the root can fill its store (see [`Store::changes_to`]). Ignored if the node has seen a later epoch.
+    /// This process becomes the root. Updates are not sent to children before the first `Publish` or
+    /// `Heartbeat`, so that the root can publish the changes from its store to the current state first (see
+    /// [`Store::changes_to`]). Ignored if the node has seen a later epoch.
     BecomeRoot {
-        /// The epoch, in which no other node and no earlier incarnation of this process has published.
+        /// The epoch. No other node and no earlier incarnation of this process may have published in it.
         epoch: u64,
     },
-    /// This process is not the root any more.
+    /// This process is no longer the root.
     LeaveRoot,
-    /// The complete report of this process itself.
+    /// The complete report of this process about itself.
     LocalReport(LocalReport),
-    /// Time has passed. Due at [`SyncNode::next_tick`] or a little later.
+    /// Time has passed. Due at [`SyncNode::next_tick`] or shortly after.
     Tick,
 }
 
@@ -51,67 +52,71 @@
     SendParent(Body),
     /// Send a frame to a child.
     SendChild(Child, Body),
-    /// Send a frame to several children, which needs to be encoded only once.
+    /// Send the same frame to several children. It needs to be encoded only once.
     SendChildren(Vec<Child>, Body),
-    /// Close the link of a child that the node has removed.
+    /// Close the link from a child that the node has removed or rejected.
     DropChild(Child),
-    /// These items have changed, at one revision.
+    /// These items of the store have changed, all at one revision.
     Changed(Vec<ChangedKey>),
     /// The totals have changed.
     TotalsChanged,
-    /// The proxies or the suspicions of the subtree have changed.
+    /// The endpoints or the suspicions of the subtree have changed.
     EndpointsChanged,
 }
 
-/// Where a node receives its state from.
+/// The role of a node, which determines where it receives its state from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Role {
-    /// The node publishes.
+    /// The node publishes the state.
     Root {
-        /// The last revision that children may have. While it is older than the node's own, the root has not
-        /// published in its epoch yet.
+        /// The latest revision that children may have. While it is older than the node's own revision, the
+        /// node has not published as the root yet.
         announced: Revision,
     },
     /// The node has no parent.
     Orphan,
-    /// The node has subscribed at its parent, and ignores updates until the response.
+    /// The node has sent a subscription to its parent at the time `at`. It ignores updates until the response
+    /// arrives.
     Subscribing { at: Duration },
-    /// The node has its response and applies updates.
+    /// The node has received the response and applies updates.
     Following,
 }
 
-/// One node of the tree: root, relay or leaf. `Child` identifies the link of a child.
+/// One node of the tree: root, relay or leaf. `Child` identifies the link from a child.
 #[derive(Debug)]
 pub struct SyncNode<Child> {
     pub(crate) options: Options,
     pub(crate) role: Role,
     pub(crate) store: Store,
     pub(crate) revision: Revision,
-    /// Whether the store is known to be wrong at its revision.
+    /// Whether the digest of the store differs from the one that the latest update gives for its revision.
     pub(crate) damaged: bool,
-    /// When the revision advanced last, and since when it has never stalled.
+    /// When the revision last advanced; `None` if it never has.
     pub(crate) moved_at: Option<Duration>,
+    /// Since when the state has been fresh without interruption; only meaningful while it is fresh.
     pub(crate) fresh_since: Duration,
     pub(crate) children: Children<Child>,
-    /// Bytes of items that may still be sent in responses, and since when they are counted. Less than zero after a
-    /// long response.
+    /// Bytes of items that may still be sent in responses in this interval. Negative after a response that
+    /// exceeded the limit.
     pub(crate) remaining_repair_bytes: i64,
     pub(crate) repair_interval_began_at: Duration,
     pub(crate) aggregate: Aggregate<Child>,
-    /// When the last report was sent, the last totals were sent, and the last tick was.
+    /// When the latest report was sent to the parent.
     pub(crate) reported_at: Duration,
     pub(crate) totals: TotalsState,
+    /// When the latest totals were sent to the children.
     pub(crate) totals_sent_at: Duration,
+    /// When the latest tick was handled.
     pub(crate) ticked_at: Duration,
 }
 
-/// Returns a number of bytes that can be subtracted from.
+/// Converts a number of bytes to a signed integer, or to the maximum if it is too large.
 pub(crate) fn byte_count(bytes: usize) -> i64 {
     i64::try_from(bytes).unwrap_or(i64::MAX)
 }
 
 impl<Child: Copy + Eq + Hash + Ord> SyncNode<Child> {
-    /// Creates a node without state and parent.
+    /// Creates a node without state and without a parent.
     pub fn new(options: Options) -> Self {
         SyncNode {
             totals: TotalsState::new(&options.name),
@@ -132,7 +137,8 @@
         }
     }
 
-    /// Handles an event, and adds the resulting actions. `now` is the time since the start of the process.
+    /// Handles an event, and appends the resulting actions to `actions`. `now` is the time since the start of
+    /// the process.
     pub fn handle(&mut self, now: Duration, event: Event<Child>, actions: &mut Vec<Action<Child>>) {
         match event {
             Event::ParentUp => self.parent_up(now, actions),
@@ -155,32 +161,33 @@
         &self.store
     }
 
-    /// Returns the revision of the state; 0:0 if there is none.
+    /// Returns the revision of the state, or 0:0 if there is no state yet.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Returns whether this node publishes.
+    /// Returns whether this node is the root, which publishes the state.
     pub fn is_root(&self) -> bool {
         matches!(self.role, Role::Root { .. })
     }
 
-    /// Returns whether the revision has advanced within the last second ([`Options::fresh_for`]).
+    /// Returns whether the revision has advanced within [`Options::fresh_for`], which is one second by
+    /// default.
     pub fn is_fresh(&self, now: Duration) -> bool {
         self.moved_at.is_some_and(|moved_at| now.saturating_sub(moved_at) <= self.options.fresh_for)
     }
 
-    /// Returns since when the state has been fresh without interruption, if it is.
+    /// Returns since when the state has been fresh without interruption, or `None` if it is stale.
     pub fn fresh_since(&self, now: Duration) -> Option<Duration> {
         self.is_fresh(now).then_some(self.fresh_since)
     }
 
-    /// Returns when the revision advanced last.
+    /// Returns when the revision last advanced, or `None` if it never has.
     pub fn last_moved(&self) -> Option<Duration> {
         self.moved_at
     }
 
-    /// Returns the totals of the root, or else the sums of this subtree.
+    /// Returns the totals received from the parent, or else the sums over this subtree.
     pub fn totals(&self) -> &Totals {
         self.totals.current()
     }
@@ -190,7 +197,7 @@
         self.aggregate.merged()
     }
 
-    /// Returns when an [`Event::Tick`] is due.
+    /// Returns when the next [`Event::Tick`] is due.
     pub fn next_tick(&self) -> Duration {
         let timeouts = self.children.values().map(|child| match child.suspended_report {
             Some(_) => child.received_at + self.options.child_timeout,
@@ -200,7 +207,7 @@
         times.into_iter().chain(timeouts).min().unwrap_or(Duration::MAX)
     }
 
-    /// Sets the revision, which never decreases.
+    /// Sets the revision, which must not decrease, and updates the freshness of the state.
     pub(crate) fn advance(&mut self, now: Duration, revision: Revision) {
         if !self.is_fresh(now) {
             self.fresh_since = now;
@@ -254,7 +261,7 @@
         }
     }
 
-    /// Closes the link of a child and removes it.
+    /// Removes a child and closes the link from it.
     pub(crate) fn drop_child(&mut self, child: Child, actions: &mut Vec<Action<Child>>) {
         self.forget_child(child, actions);
         actions.push(Action::DropChild(child));
--- a/crates/state-sync/src/parent_selection.rs
+++ b/crates/state-sync/src/parent_selection.rs
@@ -1,15 +1,17 @@
-//! The candidates for an agent's parent in the relay tree.
+//! Selection of the candidates for an agent's parent in the relay tree.
 //!
-//! The agents of a zone are ranked by rendezvous hashing and form a heap of bounded fan-out: the first is the child
-//! of a control node, and the parent of the one at position `i` is at `(i - 1) / FAN_OUT`. A parent always has a
-//! higher rank than its child, whichever agents are known or have failed, so that no loops form.
+//! The agents of a zone are ranked by rendezvous hashing and form a heap with a bounded fan-out. The first
+//! agent is a child of a control node, and the parent of the agent at position `i` is the agent at position
+//! `(i - 1) / FAN_OUT`. A parent always ranks higher than its child, whichever agents are known or have
+//! failed, so that no loops form.
 
 use quillpulley_membership::rendezvous::{ranked, Key};
 use quillpulley_protocol::{ControlNode, EndpointState, ProxyEndpoint};
 use std::collections::HashSet;
 use std::net::Ipv4Addr;
 
-/// The most children of an agent by its rank. It may have more for some time when others fail.
+/// Maximum number of children that an agent has by its rank. It may have more for some time after others have
+/// failed.
 pub const FAN_OUT: usize = 16;
 
 /// A process that may become the parent of an agent.
@@ -21,7 +23,7 @@
     Agent(Ipv4Addr),
 }
 
-/// What an agent knows about the tree.
+/// The information that an agent has about the relay tree.
 #[derive(Clone, Copy, Debug)]
 pub struct TreeTopology<'a> {
     /// The name of the agent.
@@ -30,19 +32,22 @@
     pub zone: &'a str,
     /// The region of its machine.
     pub region: &'a str,
-    /// The published proxies: each has an agent. It does not matter whether the agent itself is among them.
+    /// The published endpoints of proxies. Each proxy has an agent. The endpoint that belongs to this agent
+    /// may be missing.
     pub endpoints: &'a [ProxyEndpoint],
     /// The published control nodes.
     pub control_nodes: &'a [ControlNode],
     /// The addresses of the seeds, which are or were control nodes.
     pub seeds: &'a [Ipv4Addr],
-    /// Candidates that failed recently. The agents among them are not ranked, so that agents that have lost the same
-    /// parent choose the same next one; the control nodes among them come last.
+    /// Candidates that failed recently. Failed agents are not ranked, so that agents that have lost the same
+    /// parent choose the same next one. Failed control nodes come last.
     pub failed: &'a [ParentCandidate],
 }
 
-/// Returns the candidates for an agent's parent, the best first: the agents above it in the heap of its zone, the
-/// control nodes of its zone, its region and elsewhere, the seeds, and control nodes that failed recently.
+/// Returns the candidates for an agent's parent, in order of preference: the agents above it in the heap of
+/// its zone; the control nodes of its zone, then those of its region, then all others; the seeds; and finally
+/// the control nodes that failed recently. In a small zone with its own control node, agents are not
+/// candidates.
 pub fn parent_candidates(topology: &TreeTopology) -> Vec<ParentCandidate> {
     let agents = agents_above(topology);
     let control_nodes = control_nodes_by_distance(topology);
@@ -59,8 +64,8 @@
     ordered
 }
 
-/// Returns whether all agents of the zone are children of its control node: there is one that has not failed, and
-/// there are few agents.
+/// Returns whether all agents of the zone are children of its control node. This is the case if the zone has
+/// a control node that has not failed, and fewer than [`FAN_OUT`] other agents.
 fn starts_at_control_node(topology: &TreeTopology) -> bool {
     let mut in_zone = topology.control_nodes.iter().filter(|control_node| control_node.zone == topology.zone);
     let has_control_node =
@@ -68,7 +73,7 @@
     has_control_node && zone_agents(topology).count() < FAN_OUT
 }
 
-/// Returns the other agents of the zone that do not drain.
+/// Returns the other agents of the zone, except for those that are draining.
 fn zone_agents<'a>(topology: &TreeTopology<'a>) -> impl Iterator<Item = &'a ProxyEndpoint> + use<'a> {
     let (name, zone) = (topology.name, topology.zone);
     let in_zone =
@@ -76,7 +81,7 @@
     in_zone.filter(|endpoint| endpoint.state != EndpointState::Draining)
 }
 
-/// Returns the agents on the path from this one to the top of the heap, the nearest first.
+/// Returns the agents on the path from this agent to the root of the heap, the nearest first.
 fn agents_above(topology: &TreeTopology) -> Vec<ParentCandidate> {
     let key = Key::new(topology.zone);
     let own_rank = key.rank(topology.name);
@@ -100,8 +105,8 @@
     ParentCandidate::ControlNode(Ipv4Addr::from_bits(control_node.ip))
 }
 
-/// Returns the control nodes: those of the zone, then of the region, then the others; equal ones by rendezvous
-/// hashing.
+/// Returns the control nodes of the zone, then those of the region, then all others. Within each group they
+/// are ordered by rendezvous hashing.
 fn control_nodes_by_distance(topology: &TreeTopology) -> Vec<ParentCandidate> {
     let key = Key::new(topology.name);
     let mut control_nodes: Vec<&ControlNode> = topology.control_nodes.iter().collect();
--- a/crates/state-sync/src/publishing.rs
+++ b/crates/state-sync/src/publishing.rs
@@ -25,7 +25,8 @@
         }
     }
 
-    /// Applies changes at a new revision, and sends them to the children.
+    /// Applies changes at a new revision, and sends them to the children. Does nothing unless this node is
+    /// the root.
     pub(crate) fn publish(&mut self, now: Duration, changes: Vec<Change>, actions: &mut Vec<Action<Child>>) {
         let Role::Root { announced } = self.role else { return };
         let changed: Vec<ChangedKey> =
@@ -40,14 +41,14 @@
         self.serve_subscriptions(actions);
     }
 
-    /// Returns the update from a revision to this node's.
+    /// Returns an update from the revision `base` to this node's revision.
     pub(crate) fn update(&self, kind: UpdateKind, base: Revision, items: Vec<Item>) -> Update {
         let digest = self.store.digest();
         Update { kind, base, revision: self.revision, digest, complete: Vec::new(), items }
     }
 }
 
-/// Returns changed items in the form of a frame.
+/// Converts changed items to their form in a frame.
 pub(crate) fn items_of(changed: &[ChangedKey]) -> Vec<Item> {
     changed.iter().map(|changed| item(&changed.key, changed.new.as_ref())).collect()
 }
--- a/crates/state-sync/src/store.rs
+++ b/crates/state-sync/src/store.rs
@@ -1,4 +1,4 @@
-//! The published state: a map of small items with digests of ranges of it.
+//! The published state: a map of small items, with a digest for each range of key hashes.
 
 use quillpulley_protocol::Item;
 use std::collections::btree_map::{BTreeMap, Range};
@@ -6,9 +6,9 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// The ranges that the hashes of keys are divided into.
+/// Number of ranges into which the hashes of keys are divided.
 pub const RANGES: usize = 64;
-/// The range is the upper bits of a key's hash.
+/// Right shift that turns a key's hash into the number of its range, which is in the upper bits.
 const RANGE_SHIFT: u32 = u64::BITS - RANGES.trailing_zeros();
 
 /// A change that the root publishes.
@@ -16,7 +16,7 @@
 pub struct Change {
     /// The item's key.
     pub key: String,
-    /// The new value; none if it is removed.
+    /// The new value, or `None` if the item is removed.
     pub value: Option<Vec<u8>>,
 }
 
@@ -25,13 +25,13 @@
 pub struct ChangedKey {
     /// The item's key.
     pub key: String,
-    /// The former value, if there was one.
+    /// The previous value, or `None` if the item is new.
     pub old: Option<Arc<[u8]>>,
-    /// The new value, if there is one.
+    /// The new value, or `None` if the item was removed.
     pub new: Option<Arc<[u8]>>,
 }
 
-/// The digests of all ranges.
+/// The digests of all ranges, by number of the range.
 pub type Digests = [u64; RANGES];
 
 #[derive(Clone, Debug)]
@@ -41,8 +41,8 @@
     hash: u64,
 }
 
-/// Items ordered by key. Each range of key hashes has a digest, the wrapping sum of the hashes of its items, which is
-/// updated with each change.
+/// The published items, ordered by key. Each range of key hashes has a digest, which is the wrapping sum of
+/// the hashes of its items. It is updated with each change.
 #[derive(Clone, Debug)]
 pub struct Store {
     entries: BTreeMap<String, StoredItem>,
@@ -56,7 +56,7 @@
 }
 
 impl Store {
-    /// Returns the value of an item.
+    /// Returns the value of an item, or `None` if there is no item with this key.
     pub fn get(&self, key: &str) -> Option<&[u8]> {
         self.entries.get(key).map(|entry| &*entry.value)
     }
@@ -89,12 +89,12 @@
         &self.digests
     }
 
-    /// Returns the digest of the whole: the wrapping sum of the ranges' digests.
+    /// Returns the digest of the whole store, which is the wrapping sum of the digests of all ranges.
     pub fn digest(&self) -> u64 {
         self.digests.iter().fold(0, |sum, digest| sum.wrapping_add(*digest))
     }
 
-    /// Returns the changes that turn this store into one with exactly these items; for a new root.
+    /// Returns the changes that turn this store into one with exactly these items. A new root publishes them.
     pub fn changes_to(&self, items: &BTreeMap<String, Vec<u8>>) -> Vec<Change> {
         let removed = self.entries.keys().filter(|key| !items.contains_key(*key));
         let removed = removed.map(|key| Change { key: key.clone(), value: None });
@@ -103,7 +103,7 @@
         removed.chain(differing).collect()
     }
 
-    /// Sets or removes an item. Returns the change; none if there is none.
+    /// Sets or removes an item. Returns the change, or `None` if the item already was in this state.
     pub(crate) fn apply(&mut self, change: Change) -> Option<ChangedKey> {
         if self.get(&change.key) == change.value.as_deref() {
             return None;
@@ -116,19 +116,19 @@
         Some(ChangedKey { key: change.key, old, new })
     }
 
-    /// Returns the items of ranges in the form of a frame.
+    /// Returns the items in some ranges, in their form in a frame.
     pub(crate) fn items_of(&self, ranges: &[u8]) -> Vec<Item> {
         let entries = self.entries.iter().filter(|(_, entry)| ranges.contains(&entry.range));
         entries.map(|(key, entry)| item(key, Some(&entry.value))).collect()
     }
 
-    /// Returns the keys of ranges.
+    /// Returns the keys in some ranges.
     pub(crate) fn keys_of<'a>(&'a self, ranges: &'a [u8]) -> impl Iterator<Item = &'a str> {
         let entries = self.entries.iter().filter(|(_, entry)| ranges.contains(&entry.range));
         entries.map(|(key, _)| key.as_str())
     }
 
-    /// Returns the ranges whose digests differ.
+    /// Returns the ranges whose digests differ from the given ones.
     pub(crate) fn ranges_differing_from(&self, digests: &Digests) -> Vec<u8> {
         (0u8..)
             .zip(self.digests.iter().zip(digests))
@@ -153,7 +153,7 @@
     }
 }
 
-/// Returns an item in the form of a frame.
+/// Converts an item to its form in a frame. `None` as its value marks it as removed.
 pub(crate) fn item(key: &str, value: Option<&Arc<[u8]>>) -> Item {
     Item {
         key: key.to_string(),
@@ -162,7 +162,7 @@
     }
 }
 
-/// Returns the change of an item of a frame.
+/// Converts an item in a frame to a change.
 pub(crate) fn change(item: Item) -> Change {
     Change { key: item.key, value: (!item.removed).then_some(item.value) }
 }
--- a/crates/state-sync/src/subtree.rs
+++ b/crates/state-sync/src/subtree.rs
@@ -1,4 +1,5 @@
-//! The state of a subtree: its proxies, the suspicions of their monitors, and the sums of its counters.
+//! The state of a subtree: the endpoints of its proxies, the suspicions of its monitors, and the sums of its
+//! counters.
 
 use crate::counters::{apply_counters, load_counters, retry_counters, server_load, service_counters};
 use crate::counters::{CounterChange, CounterTable, LoadCounters, RetryCounters};
@@ -8,32 +9,32 @@
 /// The merged state of a node and its subtree.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SubtreeState {
-    /// The proxies by name.
+    /// The endpoints of the proxies, by name of the proxy.
     pub endpoints: BTreeMap<String, ProxyEndpoint>,
-    /// For each suspected proxy the names of the monitors that cannot reach it.
+    /// The names of the monitors that cannot reach a proxy, by name of this suspected proxy.
     pub suspicions: BTreeMap<String, BTreeSet<String>>,
-    /// The sums.
+    /// The sums of the counters.
     pub counters: CounterTable,
-    /// The number of levels.
+    /// The number of levels. It grows without bound if the tree has a loop.
     pub depth: u8,
 }
 
-/// The report of a process on itself.
+/// The report of a process about itself.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LocalReport {
-    /// The endpoint of the machine's proxy. The agent reports it, not the proxy.
+    /// The endpoint of the proxy on this machine. It is reported by the agent and not by the proxy itself.
     pub endpoint: Option<ProxyEndpoint>,
-    /// The names of the proxies that it monitors and cannot reach.
+    /// The names of the proxies that the process monitors and cannot reach.
     pub suspects: Vec<String>,
-    /// 1 for a proxy, else 0.
+    /// 1 if the process is a proxy, otherwise 0.
     pub proxies: u32,
-    /// Its counters by service.
+    /// The retry counters of the process, for each service.
     pub services: Vec<ServiceCounters>,
-    /// Its load by server.
+    /// The load that the process reports, for each server.
     pub servers: Vec<ServerLoad>,
 }
 
-/// The entries that a report has changed.
+/// The entries that a report may have changed.
 #[derive(Debug, Default)]
 pub(crate) struct DirtyKeys {
     pub(crate) endpoints: BTreeSet<String>,
@@ -44,7 +45,7 @@
 }
 
 impl LocalReport {
-    /// Returns the complete report of a node with a name.
+    /// Returns the complete report of the node with this name.
     pub(crate) fn into_report(self, name: &str) -> Report {
         let suspicion = |suspect| Suspicion { suspect, monitors: vec![name.to_string()] };
         Report {
@@ -61,7 +62,7 @@
 }
 
 impl SubtreeState {
-    /// Applies a report.
+    /// Applies a report. Returns the entries that it may have changed.
     pub(crate) fn apply(&mut self, report: Report) -> DirtyKeys {
         let mut dirty = DirtyKeys { proxies_before: self.counters.proxies, ..DirtyKeys::default() };
         if !report.delta {
@@ -79,7 +80,7 @@
         dirty
     }
 
-    /// Returns a complete report.
+    /// Returns a complete report of this state.
     pub(crate) fn to_report(&self) -> Report {
         let services = self.counters.services.clone().into_iter().map(service_counters);
         let servers = self.counters.servers.clone().into_iter().map(server_load);
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Returns the monitors that suspect a proxy, in the form of a report.
+    /// Returns the monitors that suspect a proxy, in their form in a report.
     pub(crate) fn suspicion(&self, suspect: &str) -> Suspicion {
         let monitors = self.suspicions.get(suspect).into_iter().flatten().cloned().collect();
         Suspicion { suspect: suspect.to_string(), monitors }
@@ -129,8 +130,9 @@
     }
 }
 
-/// Returns the rank of an endpoint. Of two reports of a proxy the one with the higher rank is valid: that of the
-/// later incarnation, and of the same incarnation the state that is never left.
+/// Returns the rank of an endpoint. Of two reports about the same proxy, the one with the higher rank is
+/// valid: the one with the later incarnation or, for the same incarnation, with the state that comes later in
+/// the proxy's lifecycle.
 pub(crate) fn endpoint_rank(endpoint: &ProxyEndpoint) -> (u64, u8) {
     let progress = match endpoint.state {
         EndpointState::Starting => 0,
--- a/crates/state-sync/src/totals.rs
+++ b/crates/state-sync/src/totals.rs
@@ -1,4 +1,5 @@
-//! The totals of a node for its own process and its children: the parent's, or else its own sums.
+//! The totals that a node provides to its own process and to its children: those of the parent, or else its
+//! own sums.
 
 use crate::counters::CounterTable;
 use crate::counters::{
@@ -8,15 +9,15 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The hops from which totals must be in a loop.
+/// Totals with at least this many hops are assumed to be in a loop.
 const MAX_HOPS: u8 = 12;
 
-/// Sums over the whole system, or over the reachable part.
+/// The counters summed over the whole system, or over the reachable part of it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
-    /// Whether they come from the root.
+    /// Whether the totals come from the root, so that they cover the whole system.
     pub complete: bool,
-    /// The sums.
+    /// The sums of the counters.
     pub counters: CounterTable,
 }
 
@@ -29,16 +30,17 @@
     Parent { received_at: Duration },
 }
 
-/// The totals of a node. Invariant: they equal what was sent to the children.
+/// The totals of a node. Invariant: `current` equals the totals that were sent to the children.
 #[derive(Debug)]
 pub(crate) struct TotalsState {
-    /// The hash of this node's name.
+    /// The hash of this node's name, which is the `origin` of its own sums in frames.
     own_id: u64,
     current: Totals,
     origin: Origin,
-    /// The parent's totals on this link; none before the complete ones were received.
+    /// The parent's totals on this link; `None` until it has sent complete totals.
     parent_counters: Option<CounterTable>,
-    /// Whether the totals are the parent's, so that its next delta can be forwarded unchanged.
+    /// Whether `current` equals the parent's totals, so that the counters in its next delta can be forwarded
+    /// unchanged.
     can_forward_deltas: bool,
     /// Whether the totals have changed since [`TotalsState::take_changed`].
     has_changed: bool,
@@ -64,7 +66,7 @@
         self.origin == Origin::Own
     }
 
-    /// Returns when the parent's totals expire.
+    /// Returns when the parent's totals expire, or `None` if the totals are this node's own sums.
     pub(crate) fn expires_at(&self, receive_timeout: Duration) -> Option<Duration> {
         match self.origin {
             Origin::Own => None,
@@ -72,13 +74,15 @@
         }
     }
 
-    /// Handles that a link to a parent was opened or closed: deltas are invalid until it sends its complete totals.
+    /// Handles that a link to a parent was opened or closed. Deltas are invalid until the parent sends
+    /// complete totals.
     pub(crate) fn reset_parent(&mut self) {
         self.parent_counters = None;
         self.can_forward_deltas = false;
     }
 
-    /// Applies the parent's totals. Returns the frame for the children; none if the frame is invalid or in a loop.
+    /// Applies the parent's totals. Returns the frame for the children, or `None` if the parent's frame is a
+    /// delta without previous complete totals, or is in a loop.
     pub(crate) fn handle_parent(
         &mut self,
         now: Duration,
@@ -137,7 +141,7 @@
         std::mem::take(&mut self.has_changed)
     }
 
-    /// Returns the complete totals, for a child that has none.
+    /// Returns the complete totals, for a child that has none. The header is taken from `delta`.
     pub(crate) fn complete_totals(&self, delta: &protocol::Totals) -> protocol::Totals {
         difference(
             &CounterTable::default(),
@@ -147,7 +151,7 @@
     }
 }
 
-/// The header of a frame of totals.
+/// The fields of a frame of totals that are not counters.
 struct Header {
     complete: bool,
     delta: bool,
@@ -167,7 +171,7 @@
     apply_counters(&mut counters.servers, frame.servers.into_iter().map(load_counters), frame.delta);
 }
 
-/// Returns the frame with the difference of two sums.
+/// Returns a frame with the entries that turn the counters `from` into `to`.
 fn difference(from: &CounterTable, to: &CounterTable, header: Header) -> protocol::Totals {
     let services = counters_between(&from.services, &to.services);
     let servers = counters_between(&from.servers, &to.servers);
--- a/crates/state-sync/src/updates.rs
+++ b/crates/state-sync/src/updates.rs
@@ -1,9 +1,10 @@
-//! The published state goes down the tree: subscriptions, their responses, and updates.
+//! Distribution of the published state down the tree: subscriptions, responses to them, and updates.
 //!
-//! Invariant: a revision identifies one state of the store, that of the root at that revision. An update that lists
-//! every key changed between two revisions (`Changes`) therefore applies to any state between them. One that lists
-//! only the keys that differ between two states (`Delta`) applies to the first of them only: a key may have
-//! changed and changed back between them. While a subscription is open, updates are ignored, so that its response
+//! Invariant: a revision identifies one state of the store, which is the state of the root at that revision.
+//! An update of the kind `Changes` lists every key that was changed between two revisions. It therefore
+//! applies to the state at any revision between them. An update of the kind `Delta` lists only the keys that
+//! differ between two states. It applies only to the first of them, because a key may have changed and
+//! changed back in between. While a subscription has no response, updates are ignored, so that the response
 //! applies to the state whose digests were sent.
 
 use crate::children::{Phase, Subscription};
@@ -15,13 +16,15 @@
 use std::hash::Hash;
 use std::time::Duration;
 
-/// The response of a node to a subscription.
+/// How a node responds to a subscription.
 enum RepairDecision {
-    /// None yet: the node is behind the child, or its state is unsound.
+    /// Do not respond yet: the node is at an older epoch than the child, its own state must not be sent, or
+    /// the two states differ although their revisions are equal.
     Wait,
-    /// The child is at the node's revision or later, in the same epoch: later updates are enough.
+    /// Respond without items: the child is at the node's revision or at a later one in the same epoch, so
+    /// that later updates are enough.
     UpToDate,
-    /// All items of these ranges.
+    /// Respond with all items of these ranges.
     Send(Vec<u8>),
 }
 
@@ -81,7 +84,7 @@
         self.finish_update(now, repair.digest, changed, actions);
     }
 
-    /// Returns the items of a response, and the removals of all others in its ranges.
+    /// Returns the changes of a response: its items, and the removal of all other items in its ranges.
     fn changes_of_repair(&self, complete: &[u8], items: Vec<Item>) -> Vec<Change> {
         let present: HashSet<&str> = items.iter().map(|item| item.key.as_str()).collect();
         let removed = self.store.keys_of(complete).filter(|key| !present.contains(key));
@@ -93,8 +96,8 @@
         changes.into_iter().filter_map(|change| self.store.apply(change)).collect()
     }
 
-    /// Handles that an update was applied: checks the store against the digest, subscribes again if it is wrong, and
-    /// notifies the host.
+    /// Completes an update: notifies the host of the changes, checks the digest of the store, subscribes
+    /// again if it is wrong, and responds to subscriptions.
     fn finish_update(
         &mut self,
         now: Duration,
@@ -112,7 +115,7 @@
         self.serve_subscriptions(actions);
     }
 
-    /// Sends an update to the children that are subscribed.
+    /// Sends an update to the children that were sent a response to their subscription.
     pub(crate) fn forward(&self, update: Update, actions: &mut Vec<Action<Child>>) {
         let followers = self.children.children_where(|child| child.is_following());
         if !followers.is_empty() {
@@ -135,7 +138,7 @@
         self.serve_subscriptions(actions);
     }
 
-    /// Responds to the subscriptions that can get a response, as many as the limit allows.
+    /// Responds to the subscriptions that can be answered now, as far as the limit of bytes allows.
     pub(crate) fn serve_subscriptions(&mut self, actions: &mut Vec<Action<Child>>) {
         for (child, subscription) in self.children.subscriptions() {
             let ranges = match self.decide_repair(&subscription) {
@@ -165,7 +168,8 @@
         }
     }
 
-    /// Returns whether the state can be sent to children: it is sound, and a new root has published.
+    /// Returns whether the state can be sent to children: there is one, its digest is correct, and a new root
+    /// has published.
     fn knows_own_state(&self) -> bool {
         let is_announced = match self.role {
             Role::Root { announced } => announced == self.revision,
@@ -206,7 +210,7 @@
         self.serve_subscriptions(actions);
     }
 
-    /// Returns when a subscription has to be sent again, or a delayed response can be sent.
+    /// Returns when a subscription must be sent again, or when a delayed response can be sent.
     pub(crate) fn updates_due(&self) -> Duration {
         let is_waiting =
             self.remaining_repair_bytes <= 0 && self.children.values().any(|c| c.subscription().is_some());
