--- a/crates/state-sync/tests/aggregation.rs
+++ b/crates/state-sync/tests/aggregation.rs
@@ -1,4 +1,5 @@
-//! Aggregation of counters, proxies and suspicions up the tree and of totals down it, as timelines.
+//! Timelines that test the aggregation of counters, endpoints and suspicions up the tree, and the
+//! distribution of totals down the tree.
 
 mod network;
 
@@ -127,7 +128,7 @@
      6000 |           |           |
     ",
     );
-    assert!(timeline.network.parent_links.iter().flatten().count() < 3, "nobody left the loop");
+    assert!(timeline.network.parent_links.iter().flatten().count() < 3, "no node left the loop");
 }
 
 #[test]
@@ -139,7 +140,7 @@
      1000 |           |           |
     ",
     );
-    assert!(timeline.network.parent_links.iter().flatten().count() < 3, "nobody left the loop");
+    assert!(timeline.network.parent_links.iter().flatten().count() < 3, "no node left the loop");
 }
 
 fn loads(count: u32, running: u32) -> LocalReport {
@@ -197,7 +198,7 @@
     let mut network = timeline.network;
     let (frames, news) = (network.seen[0].frames_sent, network.seen[2].totals_changed);
     network.run(Duration::from_millis(12_000));
-    assert_eq!(network.seen[0].frames_sent - frames, 20, "one each half second");
+    assert_eq!(network.seen[0].frames_sent - frames, 20, "one frame every half second");
     assert_eq!(network.seen[2].totals_changed, news);
 }
 
--- a/crates/state-sync/tests/frame_sizes.rs
+++ b/crates/state-sync/tests/frame_sizes.rs
@@ -1,4 +1,4 @@
-//! The sizes of frames on the wire: the figures that `Options` gives hold.
+//! Tests that the sizes of frames on the wire are within the figures in the documentation of `Options`.
 
 use quillpulley_protocol::{encode_frame, Body, EndpointState, ProxyEndpoint, ServerLoad, ServiceCounters};
 use quillpulley_state_sync::{server_key, Action, Event, LocalReport, Options, SyncNode};
@@ -13,10 +13,10 @@
         }
         _ => None,
     });
-    encode_frame(sent.expect("a frame")).len()
+    encode_frame(sent.expect("a frame was sent")).len()
 }
 
-/// The size of the second report on a connection, which is a delta.
+/// Returns the size in bytes of the second report on a connection, which is a delta.
 fn report_size(report: LocalReport) -> usize {
     let mut node: SyncNode<u32> = SyncNode::new(Options::new("front-zona-10-1"));
     let mut actions = Vec::new();
@@ -61,7 +61,11 @@
         Action::SendParent(Body::Subscribe(subscribe)) => Some(Body::Subscribe(subscribe.clone())),
         _ => None,
     });
-    root.handle(Duration::ZERO, Event::ChildFrame(1, subscribe.expect("a subscription")), &mut actions);
+    root.handle(
+        Duration::ZERO,
+        Event::ChildFrame(1, subscribe.expect("the child sent a subscription")),
+        &mut actions,
+    );
     root.handle(TICK, Event::Heartbeat, &mut actions);
     assert!(size_of_last(&actions) <= 100, "{}", size_of_last(&actions));
 }
--- a/crates/state-sync/tests/network/mod.rs
+++ b/crates/state-sync/tests/network/mod.rs
@@ -1,5 +1,5 @@
-//! A tree of nodes whose connections keep the order of frames, in virtual time.
-#![allow(dead_code)] // each test program uses a part of it
+//! A simulated network of nodes in virtual time. Connections deliver frames in order.
+#![allow(dead_code)] // each test program uses only a part of this module
 
 pub mod timeline;
 
@@ -8,11 +8,11 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// The name of a connection at its parent.
+/// The identifier of a connection, by which the parent identifies the child.
 pub type LinkId = u32;
 pub type Items = BTreeMap<String, Vec<u8>>;
 
-/// A connection from a child to a parent, with the frames on their way.
+/// A connection from a child to a parent, with the frames in transit in both directions.
 pub struct Link {
     pub child: usize,
     pub parent: usize,
@@ -20,7 +20,8 @@
     pub down: VecDeque<Body>,
 }
 
-/// The changes that were reported to a node's host.
+/// Numbers of the frames and items that a node has sent to its children, and of the changes that it has
+/// reported to its host.
 #[derive(Default)]
 pub struct Seen {
     pub frames_sent: usize,
@@ -36,9 +37,9 @@
     pub links: BTreeMap<LinkId, Link>,
     /// The connection of each node to its parent.
     pub parent_links: Vec<Option<LinkId>>,
-    /// The copies of the stores that hosts keep by the reported changes.
+    /// For each node, the copy of its store that its host derives from the reported changes.
     pub mirrors: Vec<Items>,
-    /// What roots had at each revision.
+    /// The items of the root at each revision.
     pub published: BTreeMap<Revision, Items>,
     pub frozen: Vec<bool>,
     next_link: LinkId,
@@ -75,29 +76,29 @@
         self.check(node, before);
     }
 
-    /// What holds after every event: the revision never goes back, the store is what a root had at that revision, and
-    /// every change was reported to the host.
+    /// Checks the invariants that hold after every event: the revision does not decrease, the store equals
+    /// that of the root at the same revision, and every change was reported to the host.
     fn check(&mut self, node: usize, before: Revision) {
         let revision = self.nodes[node].revision();
-        assert!(revision >= before, "node {node} went back from {before:?} to {revision:?}");
+        assert!(revision >= before, "the revision of node {node} decreased from {before:?} to {revision:?}");
         let items = self.items(node);
         if self.nodes[node].is_root() && revision > before {
             let taken = self.published.insert(revision, items.clone());
-            assert!(taken.is_none(), "{revision:?} was given twice");
+            assert!(taken.is_none(), "{revision:?} was assigned twice");
         }
         assert_eq!(
             Some(&items),
             self.published.get(&revision),
-            "node {node} is not what the root was at {revision:?}"
+            "the store of node {node} differs from that of the root at {revision:?}"
         );
-        assert_eq!(items, self.mirrors[node], "the host of node {node} was not told of everything");
+        assert_eq!(items, self.mirrors[node], "not all changes were reported to the host of node {node}");
     }
 
     fn act(&mut self, node: usize, action: Action<LinkId>) {
         match action {
             Action::SendParent(body) => {
                 let link = self.parent_links[node].and_then(|id| self.links.get_mut(&id));
-                link.expect("only who has a parent sends to it").up.push_back(body);
+                link.expect("only a node with a parent sends frames to it").up.push_back(body);
             }
             Action::SendChild(child, body) => self.send_down(node, child, body),
             Action::SendChildren(children, body) => {
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Gives a node another parent.
+    /// Connects a node to a parent, after disconnecting it from its previous parent.
     pub fn connect(&mut self, child: usize, parent: usize) {
         self.disconnect(child);
         let id = self.next_link;
@@ -141,14 +142,14 @@
         }
     }
 
-    /// Both ends lose a node's connection to its parent, and all that was on its way.
+    /// Closes a node's connection to its parent. Both ends are notified, and frames in transit are lost.
     pub fn disconnect(&mut self, child: usize) {
         if let Some(id) = self.parent_links[child] {
             self.break_link(id, true);
         }
     }
 
-    /// The child finds its connection broken; the parent does not learn of it and keeps sending.
+    /// Breaks a node's connection to its parent. The parent is not notified and keeps sending.
     pub fn break_at_child(&mut self, child: usize) {
         if let Some(id) = self.parent_links[child] {
             self.break_link(id, false);
@@ -164,7 +165,7 @@
         }
     }
 
-    /// Delivers the next frame of a connection. Returns whether there was one.
+    /// Delivers the next frame of a connection in one direction. Returns whether a frame was delivered.
     pub fn deliver(&mut self, id: LinkId, down: bool) -> bool {
         let Some(link) = self.links.get_mut(&id) else { return false };
         let receiver = if down { link.child } else { link.parent };
@@ -178,7 +179,8 @@
         true
     }
 
-    /// Leaves out the next frame to a node, as a host may do whose queue is full. Only updates are left out.
+    /// Drops the next frame from the parent to a node if it is an update, as a host may do whose queue is
+    /// full.
     pub fn lose_update(&mut self, child: usize) {
         let Some(link) = self.parent_links[child].and_then(|id| self.links.get_mut(&id)) else { return };
         if matches!(link.down.front(), Some(Body::Update(_))) {
@@ -186,7 +188,7 @@
         }
     }
 
-    /// Delivers until nothing is on its way any more.
+    /// Delivers frames until none is in transit, except for frames to frozen nodes.
     pub fn settle(&mut self) {
         loop {
             let ids: Vec<LinkId> = self.links.keys().copied().collect();
@@ -198,7 +200,7 @@
         }
     }
 
-    /// Lets time pass, ticking nodes when they want it. Frames stay where they are.
+    /// Advances the time and ticks nodes when they are due, without delivering frames.
     pub fn pass(&mut self, until: Duration) {
         while let Some((due, node)) = self.next_due().filter(|(due, _)| *due <= until) {
             self.now = due.max(self.now);
@@ -207,7 +209,7 @@
         self.now = until;
     }
 
-    /// Lets time pass and delivers every frame at once.
+    /// Advances the time, ticks nodes when they are due, and delivers every frame at once.
     pub fn run(&mut self, until: Duration) {
         self.settle();
         while let Some((due, node)) = self.next_due().filter(|(due, _)| *due <= until) {
--- a/crates/state-sync/tests/network/timeline.rs
+++ b/crates/state-sync/tests/network/timeline.rs
@@ -1,28 +1,33 @@
-//! Timelines drawn as text: a column for each node, a row for each moment.
+//! Test timelines as text tables: a column for each node and a row for each point in time.
 //!
-//! The first row names the nodes. Each further row begins with its time in milliseconds. Its cells are done from
-//! left to right, then all frames are delivered (save to nodes that are frozen), and then the cells that begin with
-//! `=` are checked. Between the rows nodes tick when they want to.
+//! The first row names the nodes. Each further row begins with its time in milliseconds. The actions in its
+//! cells are performed from left to right, then all frames are delivered (except to frozen nodes), and then
+//! the expectations, which begin with `=`, are checked. A cell may hold several of them, separated by `;`.
+//! Between rows, nodes tick when they are due.
 //!
-//! | cell | what it does |
+//! | action or expectation | meaning |
 //! | --- | --- |
-//! | `root 3`, `leave` | the node becomes root in epoch 3; it is root no more |
-//! | `put a=1 b=2`, `del a`, `revision` | the root publishes |
-//! | `on x`, `off`, `broken` | gets x as its parent; loses it; loses it without the parent's knowing |
-//! | `lose` | the next update on its way to the node is left out |
-//! | `freeze`, `thaw` | the node does nothing for a while |
-//! | `endpoint 1 Ready`, `count 7`, `suspect x` | what its own process reports |
-//! | `= 1:3 a=1` | it is at revision 1:3 with just these items |
-//! | `= fresh`, `= stale` | whether its revision keeps moving |
-//! | `= total 7`, `= partial 7`, `= proxies 2` | the totals that it shows, complete or not |
-//! | `= endpoints x,y`, `= suspects x*2` | its subtree's proxies, and how many suspect which |
+//! | `root 3`, `leave` | the node becomes the root in epoch 3; it is no longer the root |
+//! | `put a=1 b=2`, `del a`, `stamp` | the root publishes items, removals or a heartbeat |
+//! | `on x` | the node connects to x as its parent |
+//! | `off`, `broken` | the connection to the parent is closed; it breaks, and only the node is notified |
+//! | `lose` | the next frame from the parent to the node is dropped if it is an update |
+//! | `freeze`, `thaw` | the node stops to receive frames and ticks; it receives them again |
+//! | `front 1 Ready` | the node reports that its proxy has incarnation 1 and the state `Ready` |
+//! | `count 7`, `suspect x` | the node reports 7 requests; it reports that it cannot reach x |
+//! | `= 1:3 a=1` | the node is at revision 1:3 with exactly these items |
+//! | `= fresh`, `= stale` | the state of the node is fresh, or it is stale |
+//! | `= total 7`, `= partial 7` | the totals of the node are complete or incomplete, and have 7 requests |
+//! | `= proxies 2` | the totals of the node cover 2 proxies |
+//! | `= fronts x,y` | the proxies in the subtree of the node are x and y |
+//! | `= suspects x*2` | the only suspect in the subtree of the node is x, with 2 monitors |
 
 use super::{Items, Network};
 use quillpulley_protocol::{EndpointState, ProxyEndpoint, ServiceCounters};
 use quillpulley_state_sync::{Event, LocalReport, Options};
 use std::time::Duration;
 
-/// The service that timelines count for.
+/// The service whose requests are counted in timelines.
 const SERVICE: &str = "service";
 
 pub struct Timeline {
@@ -31,15 +36,15 @@
     reports: Vec<LocalReport>,
 }
 
-/// Plays a timeline with the usual figures.
+/// Runs a timeline whose nodes have the default options.
 pub fn play(text: &str) -> Timeline {
     play_with(text, Options::new)
 }
 
-/// Plays a timeline whose nodes have the given figures.
+/// Runs a timeline whose nodes have the given options.
 pub fn play_with(text: &str, options: fn(&str) -> Options) -> Timeline {
     let mut rows = text.lines().map(str::trim).filter(|line| !line.is_empty() && !line.starts_with("---"));
-    let header = rows.next().expect("a row that names the nodes");
+    let header = rows.next().expect("the first row names the nodes");
     let names: Vec<String> = header.split('|').skip(1).map(|name| name.trim().to_string()).collect();
     let network = Network::new(names.iter().map(|name| options(name)));
     let reports = vec![LocalReport::default(); names.len()];
@@ -52,7 +57,7 @@
     fn play_row(&mut self, row: &str) {
         let mut cells = row.split('|').map(str::trim);
         let time = cells.next().and_then(|time| time.parse().ok());
-        let time = time.unwrap_or_else(|| panic!("no time in {row:?}"));
+        let time = time.unwrap_or_else(|| panic!("no time in the row {row:?}"));
         let cells: Vec<&str> = cells.collect();
         self.network.run(Duration::from_millis(time));
         let parts =
@@ -76,7 +81,7 @@
         match words[..] {
             [] => {}
             ["root", epoch] => {
-                let epoch = epoch.parse().expect("an epoch");
+                let epoch = epoch.parse().expect("the epoch is a number");
                 self.network.handle(node, Event::BecomeRoot { epoch });
             }
             ["leave"] => self.network.handle(node, Event::LeaveRoot),
@@ -102,7 +107,7 @@
                 self.report(node);
             }
             ["count", count] => {
-                let requests = count.parse().expect("a count");
+                let requests = count.parse().expect("the count is a number");
                 self.reports[node].proxies = 1;
                 self.reports[node].services = vec![ServiceCounters {
                     service: SERVICE.to_string(),
@@ -116,7 +121,7 @@
                 self.reports[node].suspects = names.iter().map(|name| name.to_string()).collect();
                 self.report(node);
             }
-            _ => panic!("no such action: {action:?}"),
+            _ => panic!("unknown action: {action:?}"),
         }
     }
 
@@ -132,7 +137,7 @@
                 "Leaving" => EndpointState::Draining,
                 _ => EndpointState::Starting,
             },
-            incarnation: incarnation.parse().expect("a life"),
+            incarnation: incarnation.parse().expect("the incarnation is a number"),
             preferred_regions: Vec::new(),
         }
     }
@@ -168,7 +173,7 @@
         assert_eq!(found, expected, "{} in the row {row:?}", self.names[node]);
     }
 
-    /// The revision and the items of a node as a cell has them.
+    /// Returns the revision and the items of a node in the form of an expectation.
     fn position(&self, node: usize) -> String {
         let revision = self.network.nodes[node].revision();
         let items: Items = self.network.items(node);
@@ -178,6 +183,6 @@
 }
 
 fn pair(item: &str) -> (String, Vec<u8>) {
-    let (key, value) = item.split_once('=').unwrap_or_else(|| panic!("no item: {item:?}"));
+    let (key, value) = item.split_once('=').unwrap_or_else(|| panic!("no value for the item {item:?}"));
     (key.to_string(), value.as_bytes().to_vec())
 }
--- a/crates/state-sync/tests/published_state.rs
+++ b/crates/state-sync/tests/published_state.rs
@@ -1,4 +1,4 @@
-//! Distribution of the published state down the tree, as timelines.
+//! Timelines that test the distribution of the published state down the tree.
 
 mod network;
 
@@ -127,8 +127,8 @@
       400 |                | stamp          |                | = 2:3 a=1 b=2
     ",
     );
-    // `new` has answered one subscription by `x` and one by `old`; `x` one by `leaf`.
-    assert_eq!(timeline.network.seen[2].items_sent, 1 + 2, "two items at first, then the one that changed");
+    // `new` has responded to one subscription of `x` and one of `old`, and `x` to one of `leaf`.
+    assert_eq!(timeline.network.seen[2].items_sent, 1 + 2, "two items in a response, then the changed one");
 }
 
 #[test]
@@ -223,8 +223,8 @@
     );
 }
 
-/// The relay's difference between 1:2 and 1:6 does not name `a`, which has changed and changed back. A leaf that is
-/// at 1:4 must not take it for all that happened since.
+/// The delta that `x` sends from 1:2 to 1:5 does not list `a`, which has changed and changed back. The leaf,
+/// which is at 1:3, must not apply it as if it listed all changes since then.
 #[test]
 fn a_change_and_its_reversal_that_only_the_child_has_seen_in_part() {
     play(
@@ -241,7 +241,7 @@
     );
 }
 
-/// The item `a=1` has two bytes.
+/// Returns options with a limit on the bytes of responses. The item `a=1` has two bytes.
 fn repair_bytes(name: &str, repair_bytes: usize) -> Options {
     Options { repair_bytes, repair_interval: Duration::from_millis(50), ..Options::new(name) }
 }
--- a/crates/state-sync/tests/random_trees.rs
+++ b/crates/state-sync/tests/random_trees.rs
@@ -1,5 +1,6 @@
-//! Random trees with cuts, lost updates, several roots and new parents: nothing goes back, every store is what a
-//! root had at its revision, and after a calm time all agree.
+//! Tests of random trees with broken connections, lost updates, several roots and changes of parents.
+//! Revisions never decrease, every store equals that of the root at the same revision, and all nodes agree
+//! after a stable period.
 
 mod network;
 
@@ -10,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The nodes that may become root; the others only relay.
+/// Number of nodes that may become the root. The other nodes are relays or leaves.
 const CONTROL_NODES: usize = 3;
 const NODES: usize = 9;
 const KEYS: u8 = 12;
@@ -146,7 +147,8 @@
         self.network.handle(node, Event::BecomeRoot { epoch: self.epoch });
     }
 
-    /// One root, a tree below it to which those return who are turned away, and time.
+    /// Makes one node the root, connects the others to a tree below it, and lets time pass. Nodes that were
+    /// disconnected connect again. Returns the root.
     fn calm(&mut self, parents: &[usize]) -> usize {
         let root = self.epoch as usize % CONTROL_NODES;
         (0..CONTROL_NODES).for_each(|control_node| self.network.handle(control_node, Event::LeaveRoot));
--- a/crates/state-sync/tests/relay.rs
+++ b/crates/state-sync/tests/relay.rs
@@ -1,4 +1,5 @@
-//! Where agents find their parents: bounded fan-out, no loops, few crossings, and a next one for each that fails.
+//! Tests of the selection of parents for agents: bounded fan-out, no loops, few connections between zones,
+//! and another candidate for each parent that fails.
 
 use quickcheck::{quickcheck, TestResult};
 use quillpulley_protocol::{ControlNode, EndpointState, ProxyEndpoint};
@@ -80,7 +81,7 @@
     );
     assert_eq!(parents.iter().filter(|parent| **parent == control_node_candidate(2)).count(), 1);
     let others: HashSet<_> = parents.iter().filter(|parent| **parent != control_node_candidate(2)).collect();
-    assert_eq!(others.len(), 1, "all others have the first as their parent");
+    assert_eq!(others.len(), 1, "all other agents have the first agent as their parent");
 }
 
 #[test]
@@ -91,7 +92,7 @@
     parents.iter().for_each(|parent| *children.entry(*parent).or_default() += 1);
     assert_eq!(children.remove(&control_node_candidate(1)), Some(1));
     assert!(children.values().all(|count| *count <= FAN_OUT), "{children:?}");
-    assert_eq!(children.len(), 7, "99 children of the first seven");
+    assert_eq!(children.len(), 7, "the first seven agents have the other 99 as children");
 }
 
 #[test]
@@ -128,7 +129,10 @@
     let parents = first_parents(&endpoints, &control_nodes, &[]);
     let first =
         *parents.iter().find(|parent| **parent != control_node_candidate(1)).expect("the first is an agent");
-    let position = endpoints.iter().position(|endpoint| agent_candidate(endpoint) == first).expect("a front");
+    let position = endpoints
+        .iter()
+        .position(|endpoint| agent_candidate(endpoint) == first)
+        .expect("the first agent has an endpoint");
     endpoints[position].state = EndpointState::Draining;
     let without = first_parents(&endpoints, &control_nodes, &[]);
     assert!(!without.contains(&first));
@@ -156,7 +160,8 @@
 }
 
 quickcheck! {
-    /// Whatever each knows of the others and has given up: parents rank higher, so no loops form.
+    /// No loops form whichever endpoints and failures each agent knows, because parents rank higher than
+    /// their children.
     fn no_loops(count: u8, views: Vec<u64>, failures: Vec<u64>) -> TestResult {
         let endpoints = endpoints(u32::from(count % 64), "a1");
         if endpoints.is_empty() {
--- a/crates/state-sync/tests/repair.rs
+++ b/crates/state-sync/tests/repair.rs
@@ -1,4 +1,5 @@
-//! Which subscriptions a node answers: none while its own state is wrong, and none that knows a newer epoch.
+//! Tests of which subscriptions a node responds to: none while its own state is wrong, and none that has a
+//! newer epoch.
 
 use quillpulley_protocol::{Body, Revision, Subscribe, Update};
 use quillpulley_state_sync::{Action, Change, Event, Options, SyncNode};
@@ -18,7 +19,7 @@
     Event::Publish(vec![Change { key: key.to_string(), value: Some(value.as_bytes().to_vec()) }])
 }
 
-/// A root of an epoch that has published an item.
+/// Returns a root in this epoch that has published an item and has a child.
 fn root(epoch: u64) -> Node {
     let mut root = Node::new(Options::control_node("root"));
     handle(&mut root, 0, Event::BecomeRoot { epoch });
@@ -53,23 +54,23 @@
 fn a_node_whose_digest_is_wrong_answers_no_child_before_it_is_repaired() {
     let mut root = root(1);
     let mut relay = Node::new(Options::new("relay"));
-    let subscribe = subscription(&handle(&mut relay, 0, Event::ParentUp)).expect("a subscription");
+    let subscribe = subscription(&handle(&mut relay, 0, Event::ParentUp)).expect("the relay subscribes");
     let answer =
         updates(&handle(&mut root, 0, Event::ChildFrame(CHILD, Body::Subscribe(Box::new(subscribe)))));
     let mut damaged = answer[0].clone();
     damaged.items[0].value = b"9".to_vec();
-    // The digest tells, and the relay asks again; its child asks it meanwhile.
+    // The relay detects the damage by the digest and subscribes again. In the meantime, its child subscribes.
     let actions = handle(&mut relay, 10, Event::ParentFrame(Body::Update(Box::new(damaged))));
-    let again = subscription(&actions).expect("another subscription");
+    let again = subscription(&actions).expect("the relay subscribes again");
     handle(&mut relay, 20, Event::ChildUp(CHILD));
     let child = Subscribe {
         revision: Revision::default(),
         digests: Node::new(Options::new("x")).store().digests().to_vec(),
     };
     let actions = handle(&mut relay, 20, Event::ChildFrame(CHILD, Body::Subscribe(Box::new(child))));
-    assert!(updates(&actions).is_empty(), "a wrong state is served");
-    assert!(updates(&handle(&mut relay, 900, Event::Tick)).is_empty(), "a wrong state is served");
-    // What repairs it comes at a newer revision, and goes on to the child.
+    assert!(updates(&actions).is_empty(), "a wrong state was sent");
+    assert!(updates(&handle(&mut relay, 900, Event::Tick)).is_empty(), "a wrong state was sent");
+    // The response that repairs the relay has a newer revision. The relay then sends the state to the child.
     handle(&mut root, 910, Event::Heartbeat);
     let answer = updates(&handle(&mut root, 910, Event::ChildFrame(CHILD, Body::Subscribe(Box::new(again)))));
     let actions = handle(&mut relay, 920, Event::ParentFrame(Body::Update(Box::new(answer[0].clone()))));
@@ -85,12 +86,15 @@
     let digests = current.store().digests().to_vec();
     let newer = Subscribe { revision: current.revision(), digests: digests.clone() };
     let subscribe = Event::ChildFrame(CHILD, Body::Subscribe(Box::new(newer)));
-    assert!(updates(&handle(&mut former, 10, subscribe)).is_empty(), "an older epoch answers");
-    assert!(updates(&handle(&mut former, 200, put("a", "old"))).is_empty(), "an older epoch is followed");
-    // It learns the newer epoch as a child of the other node, and then answers.
+    assert!(updates(&handle(&mut former, 10, subscribe)).is_empty(), "a node in an older epoch responded");
+    assert!(
+        updates(&handle(&mut former, 200, put("a", "old"))).is_empty(),
+        "a node in an older epoch sent an update"
+    );
+    // The node reaches the newer epoch as a child of the other node, and then responds.
     handle(&mut former, 300, Event::LeaveRoot);
     let actions = handle(&mut former, 300, Event::ParentUp);
-    let subscribe = subscription(&actions).expect("a subscription");
+    let subscribe = subscription(&actions).expect("the former root subscribes");
     handle(&mut current, 300, Event::Heartbeat);
     let answer =
         updates(&handle(&mut current, 300, Event::ChildFrame(CHILD, Body::Subscribe(Box::new(subscribe)))));
--- a/crates/state-sync/tests/resubscription.rs
+++ b/crates/state-sync/tests/resubscription.rs
@@ -1,10 +1,10 @@
-//! A child that subscribes anew on a connection that its parent takes for the previous one.
+//! Tests of a child that subscribes again, while its parent takes the connection for the previous one.
 
 use quillpulley_protocol::Body;
 use quillpulley_state_sync::{Action, Event, LocalReport, Options, SyncNode};
 use std::time::Duration;
 
-/// Two nodes, and the frames between them.
+/// A root and its child, which exchange frames without delay.
 struct Pair {
     now: Duration,
     root: SyncNode<u8>,
@@ -68,11 +68,11 @@
     pair.go_on(Duration::from_secs(2));
     assert!(pair.child.totals().complete, "the totals come from the root");
     assert_eq!(pair.child.totals().counters.proxies, 2);
-    // The root was frozen for a while, and the child asked anew on the same connection.
+    // The root was unresponsive for a while, and the child subscribes again on the same connection.
     pair.now += Duration::from_secs(2);
     pair.at_child(Event::ParentUp);
     pair.go_on(Duration::from_secs(4));
-    assert!(pair.child.totals().complete, "they still do");
+    assert!(pair.child.totals().complete, "the totals still come from the root");
     assert_eq!(pair.child.totals().counters.proxies, 2);
 }
 
--- a/crates/state-sync/tests/store.rs
+++ b/crates/state-sync/tests/store.rs
@@ -1,4 +1,4 @@
-//! The digests of a store follow its items, and tell where two stores differ.
+//! Tests of the digests of a store, of the changes between two stores, and of searches by key prefix.
 
 use quickcheck::quickcheck;
 use quillpulley_state_sync::{Change, Event, Options, Store, SyncNode};
