--- a/crates/retry-budget/src/budgets.rs
+++ b/crates/retry-budget/src/budgets.rs
@@ -61,7 +61,7 @@
     pub fn record_request(&mut self, now: Duration, service: &str) {
         let budget = self.budget(now, service);
         budget.counts.advance(now);
-        let slot = budget.counts.present();
+        let slot = budget.counts.current_slot();
         slot.requests = slot.requests.saturating_add(1);
         budget.last_used = now;
     }
@@ -73,11 +73,11 @@
         let budget = self.budget(now, service);
         budget.last_used = now;
         let newest = budget.counts.advance(now);
-        let retries = budget.take(now, newest, ratio, share_of_slack);
-        let slot = budget.counts.present();
-        let count = if retries { &mut slot.retries } else { &mut slot.rejected_retries };
+        let allowed = budget.try_take(now, newest, ratio, share_of_slack);
+        let slot = budget.counts.current_slot();
+        let count = if allowed { &mut slot.retries } else { &mut slot.rejected_retries };
         *count = count.saturating_add(1);
-        retries
+        allowed
     }
 
     /// Sets the refill rate of each service's token bucket. Must be called in every exchange period, with or
@@ -94,9 +94,9 @@
         let idle = window * IDLE_WINDOWS;
         self.services.retain(|budget| now.saturating_sub(budget.last_used) < idle);
         for budget in &mut self.services {
-            let of_service = totals.iter().find(|totals| complete && totals.service == budget.service);
+            let service_totals = totals.iter().find(|totals| complete && totals.service == budget.service);
             let own = budget.counts.latest_window(now);
-            let limit = limit(ratio, own, of_service, proxies);
+            let limit = limit(ratio, own, service_totals, proxies);
             budget.bucket.set_rate(now, limit / window.as_secs_f64());
         }
     }
@@ -134,11 +134,11 @@
     }
 
     /// Takes a token if the hard cap allows a retry. Returns whether a token was taken.
-    fn take(&mut self, now: Duration, newest: u64, ratio: f64, share_of_slack: f64) -> bool {
+    fn try_take(&mut self, now: Duration, newest: u64, ratio: f64, share_of_slack: f64) -> bool {
         if !cap::allows_one_more(&self.counts, newest, ratio, share_of_slack) {
             return false;
         }
-        self.bucket.take(now)
+        self.bucket.try_take(now)
     }
 }
 
--- a/crates/retry-budget/src/cap.rs
+++ b/crates/retry-budget/src/cap.rs
@@ -61,12 +61,12 @@
     let newest = newest as i64;
     (newest..=newest + window).all(|end| {
         let retries = 1 + sum(end - window, end, |slot| counts.slot(slot).retries);
-        f64::from(retries) <= ratio * requests(counts, end) + share_of_slack
+        f64::from(retries) <= ratio * weighted_requests(counts, end) + share_of_slack
     })
 }
 
 /// Returns the weighted mean of the requests in the three windows, for the window that ends in slot `end`.
-fn requests(counts: &WindowCounters, end: i64) -> f64 {
+fn weighted_requests(counts: &WindowCounters, end: i64) -> f64 {
     let window = SLOTS_PER_WINDOW as i64;
     let requests = |slot| counts.slot(slot).requests;
     let this = sum(end - window + 1, end, requests);
--- a/crates/retry-budget/tests/budgets.rs
+++ b/crates/retry-budget/tests/budgets.rs
@@ -11,16 +11,16 @@
 const OPTIONS: Options = Options { ratio: 0.2, window: WINDOW, slack: 50.0 };
 
 /// A proxy whose process has run long enough to have its full share of the slack.
-struct Limiter {
+struct Proxy {
     budgets: RetryBudgets,
     now: Duration,
     totals: ServiceUsage,
     proxies: usize,
 }
 
-impl Limiter {
+impl Proxy {
     fn new(totals: ServiceUsage, proxies: usize) -> Self {
-        Limiter { budgets: RetryBudgets::new(OPTIONS), now: WINDOW * 2, totals, proxies }
+        Proxy { budgets: RetryBudgets::new(OPTIONS), now: WINDOW * 2, totals, proxies }
     }
 
     fn send_totals(&mut self) {
@@ -29,7 +29,7 @@
     }
 
     /// Runs a timeline, and returns it with the actual outcome of each retry.
-    fn play(&mut self, timeline: &str) -> String {
+    fn run(&mut self, timeline: &str) -> String {
         timeline.chars().map(|event| self.step(event)).collect()
     }
 
@@ -45,7 +45,7 @@
     }
 
     fn check(&mut self, timeline: &str) {
-        assert_eq!(self.play(timeline), timeline);
+        assert_eq!(self.run(timeline), timeline);
     }
 }
 
@@ -54,85 +54,84 @@
 }
 
 #[test]
-fn a_new_bucket_starts_with_one_request() {
-    let mut limiter = Limiter::new(totals(0, 0, 0), 4);
-    limiter.check("tRrr");
+fn a_new_bucket_starts_with_one_token() {
+    let mut proxy = Proxy::new(totals(0, 0, 0), 4);
+    proxy.check("tRrr");
 }
 
 #[test]
 fn a_bucket_fills_at_the_limit() {
     // A target of 22 retries in 10 s is divided among four proxies: the fallback is 0.55 retries per second.
-    let mut limiter = Limiter::new(totals(110, 0, 0), 4);
-    limiter.check("tRtrrrrrrrrrrrrrrrrrrRrrr");
+    let mut proxy = Proxy::new(totals(110, 0, 0), 4);
+    proxy.check("tRtrrrrrrrrrrrrrrrrrrRrrr");
 }
 
 #[test]
 fn a_bucket_holds_five_seconds_of_its_limit() {
-    let mut limiter = Limiter::new(totals(200, 0, 0), 4);
-    limiter.check("ft");
-    limiter.play(&"f".repeat(90));
-    limiter.check("RRRRRr");
+    let mut proxy = Proxy::new(totals(200, 0, 0), 4);
+    proxy.check("ft");
+    proxy.run(&"f".repeat(90));
+    proxy.check("RRRRRr");
 }
 
 #[test]
-fn without_totals_a_part_of_the_own_requests_is_the_limit() {
-    let mut limiter = Limiter::new(totals(1000, 0, 0), 4);
-    limiter.send_totals();
-    limiter.play(&"f".repeat(90));
-    limiter.budgets.set_totals(limiter.now, &[], 0, false);
+fn without_totals_the_limit_is_a_fraction_of_own_requests() {
+    let mut proxy = Proxy::new(totals(1000, 0, 0), 4);
+    proxy.send_totals();
+    proxy.run(&"f".repeat(90));
+    proxy.budgets.set_totals(proxy.now, &[], 0, false);
     // 90 requests in the window allow 18 retries in 10 s.
-    limiter.check("RrrrrRrrrrrRrrrrR");
+    proxy.check("RrrrrRrrrrrRrrrrR");
 }
 
 #[test]
 fn retries_are_counted_before_they_are_sent() {
-    let mut limiter = Limiter::new(totals(0, 0, 0), 4);
-    limiter.check("tffRr");
-    assert_eq!(limiter.budgets.counts(limiter.now), vec![totals(2, 1, 1)]);
+    let mut proxy = Proxy::new(totals(0, 0, 0), 4);
+    proxy.check("tffRr");
+    assert_eq!(proxy.budgets.counts(proxy.now), vec![totals(2, 1, 1)]);
 }
 
 #[test]
-fn counts_are_of_the_latest_window() {
-    let mut limiter = Limiter::new(totals(0, 0, 0), 4);
-    limiter.play("fff");
-    limiter.now += WINDOW / 2;
-    limiter.play("f");
-    limiter.now += WINDOW / 2;
-    assert_eq!(limiter.budgets.counts(limiter.now), vec![totals(1, 0, 0)]);
+fn counts_cover_the_latest_window() {
+    let mut proxy = Proxy::new(totals(0, 0, 0), 4);
+    proxy.run("fff");
+    proxy.now += WINDOW / 2;
+    proxy.run("f");
+    proxy.now += WINDOW / 2;
+    assert_eq!(proxy.budgets.counts(proxy.now), vec![totals(1, 0, 0)]);
 }
 
 #[test]
-fn an_idle_service_is_forgotten() {
-    let mut limiter = Limiter::new(totals(0, 0, 0), 4);
-    limiter.check("tRr");
-    limiter.now += WINDOW * 3;
-    limiter.check("tRr");
+fn an_idle_service_is_removed() {
+    let mut proxy = Proxy::new(totals(0, 0, 0), 4);
+    proxy.check("tRr");
+    proxy.now += WINDOW * 3;
+    proxy.check("tRr");
 }
 
 #[test]
-fn the_hard_cap_holds_where_totals_promise_too_much() {
+fn the_hard_cap_applies_when_totals_allow_more() {
     // The totals would allow all of these retries. The hard cap allows only the proxy's share of the slack,
     // 50 × 0.8 / 6 = 6.7 retries, and the ratio of its own requests.
-    let mut limiter = Limiter::new(totals(100_000, 0, 0), 4);
-    limiter.check("fttRRRRRRrrrr");
+    let mut proxy = Proxy::new(totals(100_000, 0, 0), 4);
+    proxy.check("fttRRRRRRrrrr");
 }
 
 #[test]
-fn without_totals_there_is_no_part_of_the_slack() {
-    let mut limiter = Limiter::new(totals(0, 0, 0), 0);
-    limiter.check("ffrrr");
-    limiter.play(&"f".repeat(40));
-    limiter.check("Rr");
+fn without_totals_there_is_no_slack_share() {
+    let mut proxy = Proxy::new(totals(0, 0, 0), 0);
+    proxy.check("ffrrr");
+    proxy.run(&"f".repeat(40));
+    proxy.check("Rr");
 }
 
 #[test]
-fn a_young_process_earns_its_part() {
-    let mut limiter = Limiter::new(totals(100_000, 0, 0), 4);
-    limiter.now = Duration::ZERO;
-    limiter.check("rtt");
+fn a_new_process_gains_its_slack_share_gradually() {
+    let mut proxy = Proxy::new(totals(100_000, 0, 0), 4);
+    proxy.now = Duration::ZERO;
+    proxy.check("rtt");
     // At the end of the first window, half the share is available, which is 3.3 retries: one every 3 s.
-    let sent_at: Vec<usize> =
-        limiter.play(&"r".repeat(96)).match_indices('R').map(|(step, _)| step).collect();
+    let sent_at: Vec<usize> = proxy.run(&"r".repeat(96)).match_indices('R').map(|(step, _)| step).collect();
     assert_eq!(sent_at.len(), 3);
     assert!(sent_at.iter().zip([30, 60, 90]).all(|(step, due)| (step + 4).abs_diff(due) <= 1), "{sent_at:?}");
 }
--- a/crates/retry-budget/tests/cap.rs
+++ b/crates/retry-budget/tests/cap.rs
@@ -9,18 +9,18 @@
 const RATIO: f64 = 0.2;
 const SLACK: f64 = 30.0;
 const OPTIONS: Options = Options { ratio: RATIO, window: WINDOW, slack: SLACK };
-const LIMITERS: usize = 4;
+const PROXIES: usize = 4;
 
 /// An event at one proxy.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Requests(u8),
-    Repeats(u8),
+    Retries(u8),
     Restart,
     /// Complete totals arrive, with this number of requests.
     Totals(u16),
     /// Totals of the whole system are unavailable.
-    Cut,
+    TotalsUnavailable,
 }
 
 /// An event at one proxy, or at all of them.
@@ -29,7 +29,7 @@
     /// Time since the previous step.
     gap: Duration,
     /// The number of the proxy; `None` stands for all proxies.
-    limiter: Option<usize>,
+    proxy: Option<usize>,
     event: Event,
 }
 
@@ -37,115 +37,115 @@
     fn arbitrary(g: &mut Gen) -> Self {
         let gaps = [0, 0, 0, 0, 1, 20, 499, 900, 4_900, 9_900];
         let gap = Duration::from_millis(*g.choose(&gaps).unwrap_or(&0));
-        let limiter = Some(usize::arbitrary(g) % LIMITERS).filter(|_| bool::arbitrary(g));
+        let proxy = Some(usize::arbitrary(g) % PROXIES).filter(|_| bool::arbitrary(g));
         let event = match u8::arbitrary(g) % 16 {
             0..=2 => Event::Requests(u8::arbitrary(g) % 60),
-            3..=10 => Event::Repeats(u8::arbitrary(g) % 20),
+            3..=10 => Event::Retries(u8::arbitrary(g) % 20),
             11..=12 => Event::Restart,
             13..=14 => Event::Totals(u16::arbitrary(g)),
-            _ => Event::Cut,
+            _ => Event::TotalsUnavailable,
         };
-        Step { gap, limiter, event }
+        Step { gap, proxy, event }
     }
 }
 
 /// A proxy, and the time when its process started.
-struct Limiter {
+struct Proxy {
     budgets: RetryBudgets,
     started: Duration,
 }
 
 /// The requests and the retries of all proxies, as times with counts, in chronological order.
 #[derive(Default)]
-struct Sent {
+struct Traffic {
     requests: Vec<(Duration, usize)>,
-    repeats: Vec<(Duration, usize)>,
+    retries: Vec<(Duration, usize)>,
 }
 
-fn play(steps: &[Step]) -> Sent {
+fn run(steps: &[Step]) -> Traffic {
     let mut now = WINDOW * 10;
-    let mut proxies: Vec<Limiter> = (0..LIMITERS)
-        .map(|_| Limiter { budgets: RetryBudgets::new(OPTIONS), started: Duration::ZERO })
+    let mut proxies: Vec<Proxy> = (0..PROXIES)
+        .map(|_| Proxy { budgets: RetryBudgets::new(OPTIONS), started: Duration::ZERO })
         .collect();
-    let mut sent = Sent::default();
-    for limiter in &mut proxies {
+    let mut traffic = Traffic::default();
+    for proxy in &mut proxies {
         // Registers the service and fills the bucket.
-        play_step(limiter, Event::Totals(u16::MAX), now, &mut sent);
-        play_step(limiter, Event::Repeats(1), now, &mut sent);
-        play_step(limiter, Event::Totals(u16::MAX), now, &mut sent);
+        run_step(proxy, Event::Totals(u16::MAX), now, &mut traffic);
+        run_step(proxy, Event::Retries(1), now, &mut traffic);
+        run_step(proxy, Event::Totals(u16::MAX), now, &mut traffic);
     }
     now += WINDOW * 2;
     for step in steps {
         now += step.gap;
-        for (number, limiter) in proxies.iter_mut().enumerate() {
-            if step.limiter.is_none_or(|only| only == number) {
-                play_step(limiter, step.event, now, &mut sent);
+        for (number, proxy) in proxies.iter_mut().enumerate() {
+            if step.proxy.is_none_or(|only| only == number) {
+                run_step(proxy, step.event, now, &mut traffic);
             }
         }
     }
-    sent
+    traffic
 }
 
-fn play_step(limiter: &mut Limiter, event: Event, now: Duration, sent: &mut Sent) {
-    let age = now - limiter.started;
+fn run_step(proxy: &mut Proxy, event: Event, now: Duration, traffic: &mut Traffic) {
+    let age = now - proxy.started;
     match event {
         Event::Requests(count) => {
             for _ in 0..count {
-                limiter.budgets.record_request(age, SERVICE);
+                proxy.budgets.record_request(age, SERVICE);
             }
-            sent.requests.push((now, usize::from(count)));
+            traffic.requests.push((now, usize::from(count)));
         }
-        Event::Repeats(count) => {
-            let retries = (0..count).filter(|_| limiter.budgets.try_retry(age, SERVICE)).count();
-            sent.repeats.push((now, retries));
+        Event::Retries(count) => {
+            let retries = (0..count).filter(|_| proxy.budgets.try_retry(age, SERVICE)).count();
+            traffic.retries.push((now, retries));
         }
-        Event::Restart => *limiter = Limiter { budgets: RetryBudgets::new(OPTIONS), started: now },
+        Event::Restart => *proxy = Proxy { budgets: RetryBudgets::new(OPTIONS), started: now },
         Event::Totals(requests) => {
             let requests = u32::from(requests);
             let totals =
                 ServiceUsage { service: SERVICE.to_owned(), requests, retries: 0, rejected_retries: 0 };
-            limiter.budgets.set_totals(age, &[totals], LIMITERS, true);
+            proxy.budgets.set_totals(age, &[totals], PROXIES, true);
         }
-        Event::Cut => limiter.budgets.set_totals(age, &[], 0, false),
+        Event::TotalsUnavailable => proxy.budgets.set_totals(age, &[], 0, false),
     }
 }
 
 /// Returns the number of requests or retries in the window that ends at `end`, in nanoseconds.
-fn in_window(sent: &[(Duration, usize)], end: i128) -> usize {
+fn count_in_window(counts: &[(Duration, usize)], end: i128) -> usize {
     let start = end - WINDOW.as_nanos() as i128;
     let inside = |time: &Duration| (start + 1..=end).contains(&(time.as_nanos() as i128));
-    sent.iter().filter(|(time, _)| inside(time)).map(|(_, count)| count).sum()
+    counts.iter().filter(|(time, _)| inside(time)).map(|(_, count)| count).sum()
 }
 
 /// Returns whether the retries of all proxies are within the system-wide bound, for one window.
-fn holds(sent: &Sent, end: i128) -> bool {
+fn is_within_bound(traffic: &Traffic, end: i128) -> bool {
     let window = WINDOW.as_nanos() as i128;
-    let requests = [0, window / 2, window].map(|before| in_window(&sent.requests, end - before));
-    let most = requests.into_iter().max().unwrap_or(0);
-    in_window(&sent.repeats, end) as f64 <= RATIO * most as f64 + SLACK
+    let requests = [0, window / 2, window].map(|before| count_in_window(&traffic.requests, end - before));
+    let max_requests = requests.into_iter().max().unwrap_or(0);
+    count_in_window(&traffic.retries, end) as f64 <= RATIO * max_requests as f64 + SLACK
 }
 
-/// Returns the window ends to be checked. Between two consecutive ones, no count of [`holds`] changes.
-fn ends(sent: &Sent) -> impl Iterator<Item = i128> + '_ {
+/// Returns the window ends to be checked. Between two consecutive ones, no count of [`is_within_bound`] changes.
+fn window_ends(traffic: &Traffic) -> impl Iterator<Item = i128> + '_ {
     let half = WINDOW.as_nanos() as i128 / 2;
-    let times = sent.requests.iter().chain(&sent.repeats).map(|(time, _)| time.as_nanos() as i128);
+    let times = traffic.requests.iter().chain(&traffic.retries).map(|(time, _)| time.as_nanos() as i128);
     times.flat_map(move |time| {
         (0..=4).flat_map(move |halves| [time + halves * half - 1, time + halves * half])
     })
 }
 
 quickcheck! {
-    fn the_sum_of_all_limiters_holds_in_every_window(steps: Vec<Step>) -> bool {
-        let sent = play(&steps);
-        let mut ends: Vec<i128> = ends(&sent).collect();
+    fn retries_of_all_proxies_stay_within_the_bound_in_every_window(steps: Vec<Step>) -> bool {
+        let traffic = run(&steps);
+        let mut ends: Vec<i128> = window_ends(&traffic).collect();
         ends.sort_unstable();
         ends.dedup();
-        ends.into_iter().all(|end| holds(&sent, end))
+        ends.into_iter().all(|end| is_within_bound(&traffic, end))
     }
 }
 
 #[test]
-fn in_steady_traffic_the_cap_leaves_more_than_half_of_the_ratio_for_one_burst() {
+fn steady_requests_allow_a_burst_of_more_than_half_of_the_ratio() {
     let mut budgets = RetryBudgets::new(OPTIONS);
     let totals =
         ServiceUsage { service: SERVICE.to_owned(), requests: 100_000, retries: 0, rejected_retries: 0 };
@@ -153,7 +153,7 @@
     for _ in 0..300 {
         now += Duration::from_millis(100);
         budgets.record_request(now, SERVICE);
-        budgets.set_totals(now, std::slice::from_ref(&totals), LIMITERS, true);
+        budgets.set_totals(now, std::slice::from_ref(&totals), PROXIES, true);
     }
     let burst = (0..100).filter(|_| budgets.try_retry(now, SERVICE)).count();
     assert!((11..=20).contains(&burst), "{burst} retries for 100 requests in the window");
@@ -177,8 +177,8 @@
         let before = sum(end - SLOTS * 2 + 1, end - SLOTS - 1);
         RATIO * (0.25 * f64::from(this) + 0.25 * f64::from(half_before) + 0.5 * f64::from(before))
     };
-    let least = (newest..=newest + SLOTS).map(allowance).fold(f64::INFINITY, f64::min);
-    (0..).find(|retries| f64::from(retries + 1) > least).unwrap_or_default()
+    let limit = (newest..=newest + SLOTS).map(allowance).fold(f64::INFINITY, f64::min);
+    (0..).find(|retries| f64::from(retries + 1) > limit).unwrap_or_default()
 }
 
 /// Returns the number of retries that a proxy sends in the last slot if its bucket holds more than the cap
--- a/crates/retry-budget/tests/share.rs
+++ b/crates/retry-budget/tests/share.rs
@@ -9,22 +9,22 @@
 }
 
 #[test]
-fn a_proxy_gets_the_target_by_its_weight() {
+fn a_proxy_gets_the_target_times_its_weight() {
     assert_eq!(limit(&demand(30.0, 100.0, 100.0)), 30.0);
 }
 
 #[test]
-fn a_low_weight_is_raised_by_what_is_unused() {
+fn a_low_limit_is_raised_by_the_unused_target() {
     assert_eq!(limit(&demand(1.0, 100.0, 95.0)), 6.0);
 }
 
 #[test]
-fn the_raise_ends_at_the_fallback() {
+fn a_low_limit_is_not_raised_above_the_fallback() {
     assert_eq!(limit(&demand(1.0, 100.0, 10.0)), 10.0);
 }
 
 #[test]
-fn nothing_is_raised_where_all_is_used() {
+fn a_low_limit_is_not_raised_if_the_target_is_used_up() {
     assert_eq!(limit(&demand(1.0, 100.0, 130.0)), 1.0);
 }
 
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn totals_older_than_the_own_counts_give_no_more_than_the_target() {
+fn totals_older_than_own_counts_give_at_most_the_target() {
     assert_eq!(limit(&demand(50.0, 20.0, 20.0)), TARGET);
 }
 
