--- a/crates/state-sync/src/aggregate.rs
+++ b/crates/state-sync/src/aggregate.rs
@@ -19,14 +19,14 @@
     contributions: BTreeMap<Source<Child>, SubtreeState>,
     merged: SubtreeState,
     /// Changes that have not been sent to the parent.
-    pub(crate) upward: Pending,
+    pub(crate) upward: PendingChanges,
     /// Changes that have not been sent to the children. Used only while the totals are this node's own sums.
-    pub(crate) downward: Pending,
+    pub(crate) downward: PendingChanges,
 }
 
 /// Keys of the entries that have changed since they were last sent.
 #[derive(Debug, Default)]
-pub(crate) struct Pending {
+pub(crate) struct PendingChanges {
     endpoints: BTreeSet<String>,
     suspects: BTreeSet<String>,
     proxies: bool,
@@ -37,7 +37,7 @@
     cursor: u64,
 }
 
-impl Pending {
+impl PendingChanges {
     pub(crate) fn is_empty(&self) -> bool {
         self.endpoints.is_empty()
             && self.suspects.is_empty()
@@ -47,7 +47,7 @@
     }
 
     pub(crate) fn clear(&mut self) {
-        *self = Pending { cursor: self.cursor, ..Pending::default() };
+        *self = PendingChanges { cursor: self.cursor, ..PendingChanges::default() };
     }
 
     fn mark_counters(&mut self, dirty: &DirtyKeys, proxies: u32) {
@@ -74,8 +74,8 @@
         Aggregate {
             contributions: BTreeMap::new(),
             merged: SubtreeState::default(),
-            upward: Pending::default(),
-            downward: Pending::default(),
+            upward: PendingChanges::default(),
+            downward: PendingChanges::default(),
         }
     }
 
@@ -133,8 +133,8 @@
             removed_endpoints: removed,
             suspicions: suspects.iter().map(|suspect| merged.suspicion(suspect)).collect(),
             proxies: merged.counters.proxies,
-            services: pick(&merged.counters.services, services).map(service_counters).collect(),
-            servers: pick(&merged.counters.servers, servers).map(server_load).collect(),
+            services: entries_for(&merged.counters.services, services).map(service_counters).collect(),
+            servers: entries_for(&merged.counters.servers, servers).map(server_load).collect(),
         }
     }
 
@@ -150,8 +150,8 @@
             hops: 0,
             origin: 0,
             proxies: counters.proxies,
-            services: pick(&counters.services, services).map(service_counters).collect(),
-            servers: pick(&counters.servers, servers).map(server_load).collect(),
+            services: entries_for(&counters.services, services).map(service_counters).collect(),
+            servers: entries_for(&counters.servers, servers).map(server_load).collect(),
         }
     }
 
@@ -206,7 +206,7 @@
 }
 
 /// Returns the entries for some keys, with counters of zero for keys that are not in the table.
-fn pick<K: Ord, T: Counters, I: IntoIterator<Item = K>>(
+fn entries_for<K: Ord, T: Counters, I: IntoIterator<Item = K>>(
     table: &BTreeMap<K, T>,
     keys: I,
 ) -> impl Iterator<Item = (K, T)> + use<'_, K, T, I> {
--- a/crates/state-sync/src/aggregation.rs
+++ b/crates/state-sync/src/aggregation.rs
@@ -12,23 +12,23 @@
 const MAX_DEPTH: u8 = 12;
 
 impl<Child: Copy + Eq + Hash + Ord> SyncNode<Child> {
-    pub(crate) fn local_report(&mut self, report: LocalReport, actions: &mut Vec<Action<Child>>) {
+    pub(crate) fn handle_local_report(&mut self, report: LocalReport, actions: &mut Vec<Action<Child>>) {
         let report = report.into_report(&self.options.name);
         self.aggregate_report(Source::Own, report, actions);
     }
 
     pub(crate) fn handle_report(&mut self, child: Child, report: Report, actions: &mut Vec<Action<Child>>) {
-        let is_below_itself = report.endpoints.iter().any(|endpoint| endpoint.name == self.options.name);
-        if is_below_itself || report.depth >= MAX_DEPTH {
+        let contains_this_node = report.endpoints.iter().any(|endpoint| endpoint.name == self.options.name);
+        if contains_this_node || report.depth >= MAX_DEPTH {
             // The tree has a loop.
             return self.drop_child(child, actions);
         }
         let Some(state) = self.children.get_mut(child) else { return };
         // A further complete report means that the child has restarted or connected again, and has no totals.
-        let begins_anew = !report.delta && std::mem::replace(&mut state.has_reported, true);
-        state.has_totals &= !begins_anew;
-        if let Some(earlier) = state.suspended_report.take() {
-            self.aggregate_report(Source::Child(child), earlier, actions);
+        let has_reconnected = !report.delta && std::mem::replace(&mut state.has_reported, true);
+        state.has_totals &= !has_reconnected;
+        if let Some(suspended) = state.suspended_report.take() {
+            self.aggregate_report(Source::Child(child), suspended, actions);
         }
         self.aggregate_report(Source::Child(child), report, actions);
     }
@@ -42,23 +42,23 @@
     /// Suspends the reports of children that have sent nothing for `receive_timeout`, and removes children
     /// that have sent nothing for `child_timeout`.
     pub(crate) fn check_idle_children(&mut self, now: Duration, actions: &mut Vec<Action<Child>>) {
-        let (receive_timeout, timeout) = (self.options.receive_timeout, self.options.child_timeout);
+        let (receive_timeout, child_timeout) = (self.options.receive_timeout, self.options.child_timeout);
         if now >= self.ticked_at + receive_timeout {
             // This process was stalled, so the frames of the children have not been read yet.
             self.children.values_mut().for_each(|child| child.received_at = now);
         }
         self.ticked_at = now;
-        for child in self.children.children_where(|child| now >= child.received_at + timeout) {
+        for child in self.children.children_where(|child| now >= child.received_at + child_timeout) {
             self.drop_child(child, actions);
         }
         for child in self.children.children_where(|child| {
             child.suspended_report.is_none() && now >= child.received_at + receive_timeout
         }) {
-            self.suspended_report(child, actions);
+            self.suspend_report(child, actions);
         }
     }
 
-    fn suspended_report(&mut self, child: Child, actions: &mut Vec<Action<Child>>) {
+    fn suspend_report(&mut self, child: Child, actions: &mut Vec<Action<Child>>) {
         let source = Source::Child(child);
         let reports = self.aggregate.contribution(source).map(|subtree| subtree.to_report());
         if let Some(state) = self.children.get_mut(child) {
@@ -103,7 +103,7 @@
         actions: &mut Vec<Action<Child>>,
     ) {
         if let Some(delta) = self.totals.handle_parent(now, frame) {
-            self.spread_totals(now, delta, actions);
+            self.send_totals_to_children(now, delta, actions);
         }
     }
 
@@ -116,12 +116,12 @@
         let complete = self.is_root();
         let delta = if self.totals.is_own() {
             let delta = self.aggregate.delta_totals(complete, self.options.max_servers_per_frame);
-            self.totals.show_own(delta)
+            self.totals.apply_own_delta(delta)
         } else {
             self.aggregate.downward.clear();
             self.totals.switch_to_own(complete, &self.aggregate.merged().counters)
         };
-        self.spread_totals(now, delta, actions);
+        self.send_totals_to_children(now, delta, actions);
     }
 
     /// Returns when own totals are due or, while the parent's totals are used, when these expire. A new root
@@ -129,7 +129,7 @@
     pub(crate) fn totals_due(&self) -> Duration {
         match self.totals.expires_at(self.options.receive_timeout) {
             Some(_) if self.is_root() => Duration::ZERO,
-            Some(outdated) => outdated,
+            Some(expires_at) => expires_at,
             None => {
                 let is_up_to_date =
                     self.aggregate.downward.is_empty() && self.totals.current().complete == self.is_root();
@@ -140,18 +140,24 @@
 
     /// Sends the changes of the totals to the children, and the complete totals to children that have none
     /// yet.
-    fn spread_totals(&mut self, now: Duration, delta: protocol::Totals, actions: &mut Vec<Action<Child>>) {
+    fn send_totals_to_children(
+        &mut self,
+        now: Duration,
+        delta: protocol::Totals,
+        actions: &mut Vec<Action<Child>>,
+    ) {
         self.totals_sent_at = now;
-        let informed = self.children.children_where(|child| child.has_totals);
-        let uninformed = self.children.children_where(|child| !child.has_totals);
-        if !uninformed.is_empty() {
+        let with_totals = self.children.children_where(|child| child.has_totals);
+        let without_totals = self.children.children_where(|child| !child.has_totals);
+        if !without_totals.is_empty() {
             let complete_totals = self.totals.complete_totals(&delta);
-            actions.push(Action::SendChildren(uninformed.clone(), Body::Totals(Box::new(complete_totals))));
+            actions
+                .push(Action::SendChildren(without_totals.clone(), Body::Totals(Box::new(complete_totals))));
         }
-        if !informed.is_empty() {
-            actions.push(Action::SendChildren(informed, Body::Totals(Box::new(delta))));
+        if !with_totals.is_empty() {
+            actions.push(Action::SendChildren(with_totals, Body::Totals(Box::new(delta))));
         }
-        for child in uninformed {
+        for child in without_totals {
             if let Some(state) = self.children.get_mut(child) {
                 state.has_totals = true;
             }
@@ -161,8 +167,8 @@
         }
     }
 
-    fn send_interval(&self, nothing_new: bool) -> Duration {
-        if nothing_new {
+    fn send_interval(&self, is_unchanged: bool) -> Duration {
+        if is_unchanged {
             self.options.keep_alive
         } else {
             self.options.report_interval
--- a/crates/state-sync/src/children.rs
+++ b/crates/state-sync/src/children.rs
@@ -59,7 +59,7 @@
         matches!(self.phase, Phase::Following)
     }
 
-    pub(crate) fn enter(&mut self, phase: Phase) {
+    pub(crate) fn set_phase(&mut self, phase: Phase) {
         self.phase = phase;
     }
 }
@@ -100,8 +100,8 @@
     }
 
     /// Returns the children whose state satisfies a predicate.
-    pub(crate) fn children_where(&self, mut holds: impl FnMut(&ChildState) -> bool) -> Vec<Child> {
-        self.states.iter().filter(|(_, state)| holds(state)).map(|(child, _)| *child).collect()
+    pub(crate) fn children_where(&self, mut predicate: impl FnMut(&ChildState) -> bool) -> Vec<Child> {
+        self.states.iter().filter(|(_, state)| predicate(state)).map(|(child, _)| *child).collect()
     }
 
     /// Returns the children whose subscription has no response yet, with that subscription.
@@ -113,7 +113,7 @@
 
 impl Subscription {
     /// Returns the subscription in a frame, or `None` if the frame does not have one digest for each range.
-    pub(crate) fn read(subscribe: Subscribe) -> Option<Self> {
+    pub(crate) fn from_frame(subscribe: Subscribe) -> Option<Self> {
         let digests: Box<Digests> = subscribe.digests.into_boxed_slice().try_into().ok()?;
         Some(Subscription { revision: subscribe.revision, digests })
     }
--- a/crates/state-sync/src/node.rs
+++ b/crates/state-sync/src/node.rs
@@ -90,9 +90,9 @@
     pub(crate) store: Store,
     pub(crate) revision: Revision,
     /// Whether the digest of the store differs from the one that the latest update gives for its revision.
-    pub(crate) damaged: bool,
+    pub(crate) digest_mismatch: bool,
     /// When the revision last advanced; `None` if it never has.
-    pub(crate) moved_at: Option<Duration>,
+    pub(crate) advanced_at: Option<Duration>,
     /// Since when the state has been fresh without interruption; only meaningful while it is fresh.
     pub(crate) fresh_since: Duration,
     pub(crate) children: Children<Child>,
@@ -111,7 +111,7 @@
 }
 
 /// Converts a number of bytes to a signed integer, or to the maximum if it is too large.
-pub(crate) fn byte_count(bytes: usize) -> i64 {
+pub(crate) fn signed_byte_count(bytes: usize) -> i64 {
     i64::try_from(bytes).unwrap_or(i64::MAX)
 }
 
@@ -120,13 +120,13 @@
     pub fn new(options: Options) -> Self {
         SyncNode {
             totals: TotalsState::new(&options.name),
-            remaining_repair_bytes: byte_count(options.repair_bytes),
+            remaining_repair_bytes: signed_byte_count(options.repair_bytes),
             options,
             role: Role::Orphan,
             store: Store::default(),
             revision: Revision::default(),
-            damaged: false,
-            moved_at: None,
+            digest_mismatch: false,
+            advanced_at: None,
             fresh_since: Duration::ZERO,
             children: Children::new(),
             repair_interval_began_at: Duration::ZERO,
@@ -145,13 +145,13 @@
             Event::ParentDown => self.parent_down(),
             Event::ParentFrame(body) => self.parent_frame(now, body, actions),
             Event::ChildUp(child) => self.child_up(now, child, actions),
-            Event::ChildDown(child) => self.forget_child(child, actions),
+            Event::ChildDown(child) => self.remove_child(child, actions),
             Event::ChildFrame(child, body) => self.child_frame(now, child, body, actions),
             Event::Publish(changes) => self.publish(now, changes, actions),
             Event::Heartbeat => self.publish(now, Vec::new(), actions),
             Event::BecomeRoot { epoch } => self.become_root(now, epoch),
             Event::LeaveRoot => self.leave_root(),
-            Event::LocalReport(report) => self.local_report(report, actions),
+            Event::LocalReport(report) => self.handle_local_report(report, actions),
             Event::Tick => self.tick(now, actions),
         }
     }
@@ -174,7 +174,7 @@
     /// Returns whether the revision has advanced within [`Options::fresh_for`], which is one second by
     /// default.
     pub fn is_fresh(&self, now: Duration) -> bool {
-        self.moved_at.is_some_and(|moved_at| now.saturating_sub(moved_at) <= self.options.fresh_for)
+        self.advanced_at.is_some_and(|advanced_at| now.saturating_sub(advanced_at) <= self.options.fresh_for)
     }
 
     /// Returns since when the state has been fresh without interruption, or `None` if it is stale.
@@ -184,7 +184,7 @@
 
     /// Returns when the revision last advanced, or `None` if it never has.
     pub fn last_moved(&self) -> Option<Duration> {
-        self.moved_at
+        self.advanced_at
     }
 
     /// Returns the totals received from the parent, or else the sums over this subtree.
@@ -212,7 +212,7 @@
         if !self.is_fresh(now) {
             self.fresh_since = now;
         }
-        self.moved_at = Some(now);
+        self.advanced_at = Some(now);
         self.revision = revision;
     }
 
@@ -243,7 +243,7 @@
     }
 
     fn child_up(&mut self, now: Duration, child: Child, actions: &mut Vec<Action<Child>>) {
-        self.forget_child(child, actions);
+        self.remove_child(child, actions);
         if self.children.len() >= self.options.max_children {
             actions.push(Action::DropChild(child));
             return;
@@ -263,11 +263,11 @@
 
     /// Removes a child and closes the link from it.
     pub(crate) fn drop_child(&mut self, child: Child, actions: &mut Vec<Action<Child>>) {
-        self.forget_child(child, actions);
+        self.remove_child(child, actions);
         actions.push(Action::DropChild(child));
     }
 
-    fn forget_child(&mut self, child: Child, actions: &mut Vec<Action<Child>>) {
+    fn remove_child(&mut self, child: Child, actions: &mut Vec<Action<Child>>) {
         if self.children.remove(child).is_some() && self.aggregate.remove(Source::Child(child)) {
             actions.push(Action::EndpointsChanged);
         }
--- a/crates/state-sync/src/parent_selection.rs
+++ b/crates/state-sync/src/parent_selection.rs
@@ -49,9 +49,9 @@
 /// the control nodes that failed recently. In a small zone with its own control node, agents are not
 /// candidates.
 pub fn parent_candidates(topology: &TreeTopology) -> Vec<ParentCandidate> {
-    let agents = agents_above(topology);
+    let agents = ancestor_agents(topology);
     let control_nodes = control_nodes_by_distance(topology);
-    let mut candidates = match starts_at_control_node(topology) {
+    let mut candidates = match attaches_to_control_node(topology) {
         true => control_nodes,
         false => agents.into_iter().chain(control_nodes).collect(),
     };
@@ -66,10 +66,10 @@
 
 /// Returns whether all agents of the zone are children of its control node. This is the case if the zone has
 /// a control node that has not failed, and fewer than [`FAN_OUT`] other agents.
-fn starts_at_control_node(topology: &TreeTopology) -> bool {
+fn attaches_to_control_node(topology: &TreeTopology) -> bool {
     let mut in_zone = topology.control_nodes.iter().filter(|control_node| control_node.zone == topology.zone);
     let has_control_node =
-        in_zone.any(|control_node| !topology.failed.contains(&control_process(control_node)));
+        in_zone.any(|control_node| !topology.failed.contains(&control_node_candidate(control_node)));
     has_control_node && zone_agents(topology).count() < FAN_OUT
 }
 
@@ -82,26 +82,30 @@
 }
 
 /// Returns the agents on the path from this agent to the root of the heap, the nearest first.
-fn agents_above(topology: &TreeTopology) -> Vec<ParentCandidate> {
+fn ancestor_agents(topology: &TreeTopology) -> Vec<ParentCandidate> {
     let key = Key::new(topology.zone);
     let own_rank = key.rank(topology.name);
-    let ahead = zone_agents(topology).filter(|endpoint| key.rank(&endpoint.name) < own_rank);
-    let mut ahead: Vec<&ProxyEndpoint> =
-        ahead.filter(|endpoint| !topology.failed.contains(&agent(endpoint))).collect();
-    ahead.sort_by_cached_key(|endpoint| key.rank(&endpoint.name));
-    let above = std::iter::successors(position_above(ahead.len()), |position| position_above(*position));
-    above.filter_map(|position| ahead.get(position)).map(|endpoint| agent(endpoint)).collect()
+    let higher_ranked = zone_agents(topology).filter(|endpoint| key.rank(&endpoint.name) < own_rank);
+    let mut higher_ranked: Vec<&ProxyEndpoint> =
+        higher_ranked.filter(|endpoint| !topology.failed.contains(&agent_candidate(endpoint))).collect();
+    higher_ranked.sort_by_cached_key(|endpoint| key.rank(&endpoint.name));
+    let ancestors =
+        std::iter::successors(parent_position(higher_ranked.len()), |position| parent_position(*position));
+    ancestors
+        .filter_map(|position| higher_ranked.get(position))
+        .map(|endpoint| agent_candidate(endpoint))
+        .collect()
 }
 
-fn position_above(position: usize) -> Option<usize> {
+fn parent_position(position: usize) -> Option<usize> {
     position.checked_sub(1).map(|before| before / FAN_OUT)
 }
 
-fn agent(endpoint: &ProxyEndpoint) -> ParentCandidate {
+fn agent_candidate(endpoint: &ProxyEndpoint) -> ParentCandidate {
     ParentCandidate::Agent(Ipv4Addr::from_bits(endpoint.ip))
 }
 
-fn control_process(control_node: &ControlNode) -> ParentCandidate {
+fn control_node_candidate(control_node: &ControlNode) -> ParentCandidate {
     ParentCandidate::ControlNode(Ipv4Addr::from_bits(control_node.ip))
 }
 
@@ -118,7 +122,7 @@
             std::cmp::Reverse(key.score(&address)),
         )
     });
-    control_nodes.into_iter().map(control_process).collect()
+    control_nodes.into_iter().map(control_node_candidate).collect()
 }
 
 fn seeds_by_hash(topology: &TreeTopology) -> Vec<ParentCandidate> {
--- a/crates/state-sync/src/publishing.rs
+++ b/crates/state-sync/src/publishing.rs
@@ -1,7 +1,7 @@
 //! The root: assigns revisions and publishes changes.
 
 use crate::node::{Action, Role, SyncNode};
-use crate::store::{item, Change, ChangedKey};
+use crate::store::{frame_item, Change, ChangedKey};
 use quillpulley_protocol::{Item, Revision, Update, UpdateKind};
 use std::hash::Hash;
 use std::time::Duration;
@@ -13,7 +13,7 @@
         }
         let announced = self.revision;
         let first = Revision { epoch, tick: 1 };
-        let revision = if first > announced { first } else { next(announced) };
+        let revision = if first > announced { first } else { next_revision(announced) };
         self.role = Role::Root { announced };
         self.advance(now, revision);
     }
@@ -31,10 +31,10 @@
         let Role::Root { announced } = self.role else { return };
         let changed: Vec<ChangedKey> =
             changes.into_iter().filter_map(|change| self.store.apply(change)).collect();
-        let revision = next(self.revision);
+        let revision = next_revision(self.revision);
         self.advance(now, revision);
         self.role = Role::Root { announced: revision };
-        self.forward(self.update(UpdateKind::Changes, announced, items_of(&changed)), actions);
+        self.forward(self.update(UpdateKind::Changes, announced, frame_items(&changed)), actions);
         if !changed.is_empty() {
             actions.push(Action::Changed(changed));
         }
@@ -49,10 +49,10 @@
 }
 
 /// Converts changed items to their form in a frame.
-pub(crate) fn items_of(changed: &[ChangedKey]) -> Vec<Item> {
-    changed.iter().map(|changed| item(&changed.key, changed.new.as_ref())).collect()
+pub(crate) fn frame_items(changed: &[ChangedKey]) -> Vec<Item> {
+    changed.iter().map(|changed| frame_item(&changed.key, changed.new.as_ref())).collect()
 }
 
-fn next(revision: Revision) -> Revision {
+fn next_revision(revision: Revision) -> Revision {
     Revision { epoch: revision.epoch, tick: revision.tick + 1 }
 }
--- a/crates/state-sync/src/store.rs
+++ b/crates/state-sync/src/store.rs
@@ -117,13 +117,13 @@
     }
 
     /// Returns the items in some ranges, in their form in a frame.
-    pub(crate) fn items_of(&self, ranges: &[u8]) -> Vec<Item> {
+    pub(crate) fn items_in_ranges(&self, ranges: &[u8]) -> Vec<Item> {
         let entries = self.entries.iter().filter(|(_, entry)| ranges.contains(&entry.range));
-        entries.map(|(key, entry)| item(key, Some(&entry.value))).collect()
+        entries.map(|(key, entry)| frame_item(key, Some(&entry.value))).collect()
     }
 
     /// Returns the keys in some ranges.
-    pub(crate) fn keys_of<'a>(&'a self, ranges: &'a [u8]) -> impl Iterator<Item = &'a str> {
+    pub(crate) fn keys_in_ranges<'a>(&'a self, ranges: &'a [u8]) -> impl Iterator<Item = &'a str> {
         let entries = self.entries.iter().filter(|(_, entry)| ranges.contains(&entry.range));
         entries.map(|(key, _)| key.as_str())
     }
@@ -133,7 +133,7 @@
         (0u8..)
             .zip(self.digests.iter().zip(digests))
             .filter(|(_, (own, other))| own != other)
-            .map(|(r, _)| r)
+            .map(|(range, _)| range)
             .collect()
     }
 
@@ -154,15 +154,15 @@
 }
 
 /// Converts an item to its form in a frame. `None` as its value marks it as removed.
-pub(crate) fn item(key: &str, value: Option<&Arc<[u8]>>) -> Item {
+pub(crate) fn frame_item(key: &str, value: Option<&Arc<[u8]>>) -> Item {
     Item {
         key: key.to_string(),
         removed: value.is_none(),
-        value: value.map(|v| v.to_vec()).unwrap_or_default(),
+        value: value.map(|value| value.to_vec()).unwrap_or_default(),
     }
 }
 
 /// Converts an item in a frame to a change.
-pub(crate) fn change(item: Item) -> Change {
+pub(crate) fn change_from_frame(item: Item) -> Change {
     Change { key: item.key, value: (!item.removed).then_some(item.value) }
 }
--- a/crates/state-sync/src/totals.rs
+++ b/crates/state-sync/src/totals.rs
@@ -93,21 +93,21 @@
         }
         let parent_counters = self.parent_counters.get_or_insert_with(CounterTable::default);
         apply(parent_counters, frame.clone());
-        let is_step = frame.delta && std::mem::take(&mut self.can_forward_deltas);
+        let can_forward = frame.delta && std::mem::take(&mut self.can_forward_deltas);
         if frame.origin == self.own_id || frame.hops >= MAX_HOPS {
             return None;
         }
         self.origin = Origin::Parent { received_at: now };
         self.can_forward_deltas = true;
         frame.hops += 1;
-        if !is_step {
+        if !can_forward {
             frame = difference(
                 &self.current.counters,
                 parent_counters,
                 Header { delta: true, ..Header::of(&frame) },
             );
         }
-        self.show(frame.clone());
+        self.apply_to_current(frame.clone());
         Some(frame)
     }
 
@@ -117,18 +117,18 @@
         self.can_forward_deltas = false;
         let header = Header { complete, delta: true, hops: 0, origin: self.own_id };
         let delta = difference(&self.current.counters, sums, header);
-        self.show(delta.clone());
+        self.apply_to_current(delta.clone());
         delta
     }
 
     /// Applies a delta of the node's own sums. Returns the delta for the children.
-    pub(crate) fn show_own(&mut self, mut delta: protocol::Totals) -> protocol::Totals {
+    pub(crate) fn apply_own_delta(&mut self, mut delta: protocol::Totals) -> protocol::Totals {
         delta.origin = self.own_id;
-        self.show(delta.clone());
+        self.apply_to_current(delta.clone());
         delta
     }
 
-    fn show(&mut self, delta: protocol::Totals) {
+    fn apply_to_current(&mut self, delta: protocol::Totals) {
         self.has_changed |= self.current.complete != delta.complete;
         self.has_changed |= self.current.counters.proxies != delta.proxies;
         self.has_changed |= !delta.services.is_empty() || !delta.servers.is_empty();
--- a/crates/state-sync/src/updates.rs
+++ b/crates/state-sync/src/updates.rs
@@ -8,9 +8,9 @@
 //! applies to the state whose digests were sent.
 
 use crate::children::{Phase, Subscription};
-use crate::node::{byte_count, Action, Role, SyncNode};
-use crate::publishing::items_of;
-use crate::store::{change, Change, ChangedKey, RANGES};
+use crate::node::{signed_byte_count, Action, Role, SyncNode};
+use crate::publishing::frame_items;
+use crate::store::{change_from_frame, Change, ChangedKey, RANGES};
 use quillpulley_protocol::{Body, Item, Revision, Subscribe, Update, UpdateKind};
 use std::collections::HashSet;
 use std::hash::Hash;
@@ -43,7 +43,7 @@
             UpdateKind::RangeRepair => {}
             UpdateKind::Changes | UpdateKind::Delta if is_subscribing || update.revision <= self.revision => {
             }
-            UpdateKind::Changes | UpdateKind::Delta if self.fits(&update) => {
+            UpdateKind::Changes | UpdateKind::Delta if self.is_applicable(&update) => {
                 self.apply_changes(now, update, actions);
             }
             UpdateKind::Changes | UpdateKind::Delta => self.subscribe(now, actions),
@@ -51,7 +51,7 @@
     }
 
     /// Returns whether an update that is newer than the node's state can be applied to it.
-    fn fits(&self, update: &Update) -> bool {
+    fn is_applicable(&self, update: &Update) -> bool {
         let epoch = self.revision.epoch;
         let is_between =
             update.base.epoch == epoch && update.revision.epoch == epoch && update.base <= self.revision;
@@ -59,7 +59,7 @@
     }
 
     fn apply_changes(&mut self, now: Duration, update: Update, actions: &mut Vec<Action<Child>>) {
-        let changes = update.items.iter().cloned().map(change).collect();
+        let changes = update.items.iter().cloned().map(change_from_frame).collect();
         let changed = self.apply_all(changes);
         self.advance(now, update.revision);
         let digest = update.digest;
@@ -79,7 +79,7 @@
         let changed = self.apply_all(changes);
         self.advance(now, repair.revision);
         if self.store.digest() == repair.digest {
-            self.forward(self.update(UpdateKind::Delta, repair.base, items_of(&changed)), actions);
+            self.forward(self.update(UpdateKind::Delta, repair.base, frame_items(&changed)), actions);
         }
         self.finish_update(now, repair.digest, changed, actions);
     }
@@ -87,9 +87,9 @@
     /// Returns the changes of a response: its items, and the removal of all other items in its ranges.
     fn changes_of_repair(&self, complete: &[u8], items: Vec<Item>) -> Vec<Change> {
         let present: HashSet<&str> = items.iter().map(|item| item.key.as_str()).collect();
-        let removed = self.store.keys_of(complete).filter(|key| !present.contains(key));
+        let removed = self.store.keys_in_ranges(complete).filter(|key| !present.contains(key));
         let removed: Vec<Change> = removed.map(|key| Change { key: key.to_string(), value: None }).collect();
-        removed.into_iter().chain(items.into_iter().map(change)).collect()
+        removed.into_iter().chain(items.into_iter().map(change_from_frame)).collect()
     }
 
     fn apply_all(&mut self, changes: Vec<Change>) -> Vec<ChangedKey> {
@@ -108,8 +108,8 @@
         if !changed.is_empty() {
             actions.push(Action::Changed(changed));
         }
-        self.damaged = self.store.digest() != digest;
-        if self.damaged {
+        self.digest_mismatch = self.store.digest() != digest;
+        if self.digest_mismatch {
             self.subscribe(now, actions);
         }
         self.serve_subscriptions(actions);
@@ -129,11 +129,11 @@
         subscribe: Subscribe,
         actions: &mut Vec<Action<Child>>,
     ) {
-        let Some(subscription) = Subscription::read(subscribe) else {
+        let Some(subscription) = Subscription::from_frame(subscribe) else {
             return self.drop_child(child, actions);
         };
         if let Some(state) = self.children.get_mut(child) {
-            state.enter(Phase::Subscribed(subscription));
+            state.set_phase(Phase::Subscribed(subscription));
         }
         self.serve_subscriptions(actions);
     }
@@ -152,7 +152,7 @@
     }
 
     fn decide_repair(&self, subscription: &Subscription) -> RepairDecision {
-        if !self.knows_own_state() || self.revision.epoch < subscription.revision.epoch {
+        if !self.can_serve_children() || self.revision.epoch < subscription.revision.epoch {
             return RepairDecision::Wait;
         }
         if self.revision < subscription.revision {
@@ -170,12 +170,12 @@
 
     /// Returns whether the state can be sent to children: there is one, its digest is correct, and a new root
     /// has published.
-    fn knows_own_state(&self) -> bool {
+    fn can_serve_children(&self) -> bool {
         let is_announced = match self.role {
             Role::Root { announced } => announced == self.revision,
             Role::Orphan | Role::Subscribing { .. } | Role::Following => true,
         };
-        is_announced && !self.damaged && self.revision != Revision::default()
+        is_announced && !self.digest_mismatch && self.revision != Revision::default()
     }
 
     fn send_repair(
@@ -185,13 +185,13 @@
         ranges: Vec<u8>,
         actions: &mut Vec<Action<Child>>,
     ) {
-        let items = self.store.items_of(&ranges);
+        let items = self.store.items_in_ranges(&ranges);
         let bytes: usize = items.iter().map(|item| item.key.len() + item.value.len()).sum();
-        self.remaining_repair_bytes -= byte_count(bytes);
+        self.remaining_repair_bytes -= signed_byte_count(bytes);
         let mut update = self.update(UpdateKind::RangeRepair, base, items);
         update.complete = ranges;
         if let Some(state) = self.children.get_mut(child) {
-            state.enter(Phase::Following);
+            state.set_phase(Phase::Following);
         }
         actions.push(Action::SendChild(child, Body::Update(Box::new(update))));
     }
@@ -204,7 +204,7 @@
         }
         if now >= self.repair_interval_began_at + self.options.repair_interval {
             self.repair_interval_began_at = now;
-            let budget = byte_count(self.options.repair_bytes);
+            let budget = signed_byte_count(self.options.repair_bytes);
             self.remaining_repair_bytes = self.remaining_repair_bytes.min(0) + budget;
         }
         self.serve_subscriptions(actions);
@@ -212,8 +212,8 @@
 
     /// Returns when a subscription must be sent again, or when a delayed response can be sent.
     pub(crate) fn updates_due(&self) -> Duration {
-        let is_waiting =
-            self.remaining_repair_bytes <= 0 && self.children.values().any(|c| c.subscription().is_some());
+        let is_waiting = self.remaining_repair_bytes <= 0
+            && self.children.values().any(|child| child.subscription().is_some());
         match self.role {
             _ if is_waiting => self.repair_interval_began_at + self.options.repair_interval,
             Role::Subscribing { at } => at + self.options.resubscribe_after,
