--- a/crates/state-sync/tests/aggregation.rs
+++ b/crates/state-sync/tests/aggregation.rs
@@ -3,14 +3,14 @@
 
 mod network;
 
-use network::timeline::{play, play_with};
+use network::timeline::{run_timeline, run_timeline_with};
 use quillpulley_protocol::ServerLoad;
 use quillpulley_state_sync::{server_key, Event, LocalReport, Options};
 use std::time::Duration;
 
 #[test]
 fn counts_go_up_and_totals_come_down() {
-    play(
+    run_timeline(
         "
           | root      | x         | y         | p         | q
         0 | root 1    | on root   | on root   | on x      | on y
@@ -23,8 +23,8 @@
 }
 
 #[test]
-fn without_a_root_the_part_that_is_reached_is_counted() {
-    play(
+fn without_a_root_totals_cover_the_reachable_part() {
+    run_timeline(
         "
           | root      | x           | y           | p           | q
         0 | root 1    | on root     | on root     | on x; count 3 | on y; count 4
@@ -43,7 +43,7 @@
 
 #[test]
 fn an_unresponsive_child_is_excluded_and_counted_again() {
-    play(
+    run_timeline(
         "
           | root      | x         | p         | q
         0 | root 1    | on root   | on x; count 3 | on x; count 4
@@ -57,7 +57,7 @@
 
 #[test]
 fn a_relay_that_was_frozen_does_not_exclude_its_children() {
-    play(
+    run_timeline(
         "
           | root      | x         | p             | q
         0 | root 1    | on root   | on x; count 3 | on x; count 4
@@ -71,7 +71,7 @@
 
 #[test]
 fn a_child_that_moves_is_counted_once() {
-    play(
+    run_timeline(
         "
           | root      | x         | y         | p
         0 | root 1    | on root   | on root   | on x; count 3
@@ -87,7 +87,7 @@
 
 #[test]
 fn proxies_and_suspicions_reach_the_root() {
-    play(
+    run_timeline(
         "
           | root              | x             | y               | z
         0 | root 1            | on root       | on root         | on y
@@ -104,8 +104,8 @@
 }
 
 #[test]
-fn of_two_incarnations_of_a_proxy_the_later_counts() {
-    let timeline = play(
+fn the_later_incarnation_of_a_proxy_takes_precedence() {
+    let timeline = run_timeline(
         "
           | root       | x       | y       | z
         0 | root 1     | on root | on root | on x
@@ -121,7 +121,7 @@
 
 #[test]
 fn a_loop_of_reports_is_broken() {
-    let timeline = play(
+    let timeline = run_timeline(
         "
           | x         | y         | z
         0 | on z; count 1 | on x; count 1 | on y; count 1
@@ -132,8 +132,8 @@
 }
 
 #[test]
-fn a_loop_of_agents_is_broken_as_soon_as_one_sees_itself() {
-    let timeline = play(
+fn a_loop_is_broken_when_an_agent_receives_its_own_endpoint() {
+    let timeline = run_timeline(
         "
           | x         | y         | z
         0 | on z; front 1 Ready | on x; front 1 Ready | on y; front 1 Ready
@@ -155,11 +155,11 @@
 }
 
 #[test]
-fn changed_servers_take_turns_where_they_are_too_many_for_a_frame() {
+fn changed_servers_are_sent_in_rotation_if_they_exceed_a_frame() {
     fn ten_servers(name: &str) -> Options {
         Options { max_servers_per_frame: 10, ..Options::new(name) }
     }
-    let timeline = play_with(
+    let timeline = run_timeline_with(
         "
           | root    | x       | p
         0 | root 1  | on root | on x
@@ -175,20 +175,20 @@
     };
     for (round, until) in (0u32..).zip([5000, 10_000, 15_000]) {
         network.report(2, loads(35, round + 1));
-        network.run(Duration::from_millis(until));
+        network.run_until(Duration::from_millis(until));
         assert_eq!(known(&network, round + 1), 35);
     }
     network.report(2, loads(35, 9));
-    network.run(Duration::from_millis(15_300));
+    network.run_until(Duration::from_millis(15_300));
     assert!(known(&network, 9) <= 10);
     network.report(2, LocalReport::default());
-    network.run(Duration::from_millis(20_000));
+    network.run_until(Duration::from_millis(20_000));
     assert!(network.nodes[2].totals().counters.servers.is_empty());
 }
 
 #[test]
-fn unchanged_state_is_reported_rarely() {
-    let timeline = play(
+fn unchanged_state_is_sent_at_the_keep_alive_interval() {
+    let timeline = run_timeline(
         "
           | root    | x       | p
         0 | root 1  | on root | on x; count 3
@@ -196,15 +196,15 @@
     ",
     );
     let mut network = timeline.network;
-    let (frames, news) = (network.seen[0].frames_sent, network.seen[2].totals_changed);
-    network.run(Duration::from_millis(12_000));
-    assert_eq!(network.seen[0].frames_sent - frames, 20, "one frame every half second");
-    assert_eq!(network.seen[2].totals_changed, news);
+    let (frames_before, changes_before) = (network.stats[0].frames_sent, network.stats[2].totals_changed);
+    network.run_until(Duration::from_millis(12_000));
+    assert_eq!(network.stats[0].frames_sent - frames_before, 20, "one frame every half second");
+    assert_eq!(network.stats[2].totals_changed, changes_before);
 }
 
 #[test]
-fn a_tick_is_wanted_no_sooner_than_it_has_something_to_do() {
-    let timeline = play(
+fn a_tick_is_not_due_before_it_has_an_effect() {
+    let timeline = run_timeline(
         "
           | root    | x       | p
         0 | root 1  | on root | on x; count 3
--- a/crates/state-sync/tests/frame_sizes.rs
+++ b/crates/state-sync/tests/frame_sizes.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_report_of_nothing_is_small() {
+fn an_empty_report_is_small() {
     assert!(report_size(LocalReport::default()) <= 100, "{}", report_size(LocalReport::default()));
 }
 
--- a/crates/state-sync/tests/network/mod.rs
+++ b/crates/state-sync/tests/network/mod.rs
@@ -23,7 +23,7 @@
 /// Numbers of the frames and items that a node has sent to its children, and of the changes that it has
 /// reported to its host.
 #[derive(Default)]
-pub struct Seen {
+pub struct NodeStats {
     pub frames_sent: usize,
     pub items_sent: usize,
     pub endpoints_changed: usize,
@@ -33,7 +33,7 @@
 pub struct Network {
     pub now: Duration,
     pub nodes: Vec<SyncNode<LinkId>>,
-    pub seen: Vec<Seen>,
+    pub stats: Vec<NodeStats>,
     pub links: BTreeMap<LinkId, Link>,
     /// The connection of each node to its parent.
     pub parent_links: Vec<Option<LinkId>>,
@@ -52,7 +52,7 @@
         Network {
             now: Duration::ZERO,
             nodes,
-            seen: (0..count).map(|_| Seen::default()).collect(),
+            stats: (0..count).map(|_| NodeStats::default()).collect(),
             links: BTreeMap::new(),
             parent_links: vec![None; count],
             mirrors: vec![Items::new(); count],
@@ -83,8 +83,8 @@
         assert!(revision >= before, "the revision of node {node} decreased from {before:?} to {revision:?}");
         let items = self.items(node);
         if self.nodes[node].is_root() && revision > before {
-            let taken = self.published.insert(revision, items.clone());
-            assert!(taken.is_none(), "{revision:?} was assigned twice");
+            let previous = self.published.insert(revision, items.clone());
+            assert!(previous.is_none(), "{revision:?} was assigned twice");
         }
         assert_eq!(
             Some(&items),
@@ -114,15 +114,15 @@
                     assert_eq!(old.as_deref(), change.old.as_deref());
                 }
             }
-            Action::TotalsChanged => self.seen[node].totals_changed += 1,
-            Action::EndpointsChanged => self.seen[node].endpoints_changed += 1,
+            Action::TotalsChanged => self.stats[node].totals_changed += 1,
+            Action::EndpointsChanged => self.stats[node].endpoints_changed += 1,
         }
     }
 
     fn send_down(&mut self, node: usize, child: LinkId, body: Body) {
-        self.seen[node].frames_sent += 1;
+        self.stats[node].frames_sent += 1;
         if let Body::Update(update) = &body {
-            self.seen[node].items_sent += update.items.len();
+            self.stats[node].items_sent += update.items.len();
         }
         if let Some(link) = self.links.get_mut(&child) {
             link.down.push_back(body);
@@ -156,11 +156,11 @@
         }
     }
 
-    fn break_link(&mut self, id: LinkId, tell_parent: bool) {
+    fn break_link(&mut self, id: LinkId, notify_parent: bool) {
         let Some(link) = self.links.remove(&id) else { return };
         self.parent_links[link.child] = None;
         self.handle(link.child, Event::ParentDown);
-        if tell_parent {
+        if notify_parent {
             self.handle(link.parent, Event::ChildDown(id));
         }
     }
@@ -181,7 +181,7 @@
 
     /// Drops the next frame from the parent to a node if it is an update, as a host may do whose queue is
     /// full.
-    pub fn lose_update(&mut self, child: usize) {
+    pub fn drop_next_update(&mut self, child: usize) {
         let Some(link) = self.parent_links[child].and_then(|id| self.links.get_mut(&id)) else { return };
         if matches!(link.down.front(), Some(Body::Update(_))) {
             link.down.pop_front();
@@ -189,7 +189,7 @@
     }
 
     /// Delivers frames until none is in transit, except for frames to frozen nodes.
-    pub fn settle(&mut self) {
+    pub fn deliver_all(&mut self) {
         loop {
             let ids: Vec<LinkId> = self.links.keys().copied().collect();
             let delivered =
@@ -201,7 +201,7 @@
     }
 
     /// Advances the time and ticks nodes when they are due, without delivering frames.
-    pub fn pass(&mut self, until: Duration) {
+    pub fn advance_without_delivery(&mut self, until: Duration) {
         while let Some((due, node)) = self.next_due().filter(|(due, _)| *due <= until) {
             self.now = due.max(self.now);
             self.handle(node, Event::Tick);
@@ -210,19 +210,19 @@
     }
 
     /// Advances the time, ticks nodes when they are due, and delivers every frame at once.
-    pub fn run(&mut self, until: Duration) {
-        self.settle();
+    pub fn run_until(&mut self, until: Duration) {
+        self.deliver_all();
         while let Some((due, node)) = self.next_due().filter(|(due, _)| *due <= until) {
             self.now = due.max(self.now);
             self.handle(node, Event::Tick);
-            self.settle();
+            self.deliver_all();
         }
         self.now = until;
     }
 
     fn next_due(&self) -> Option<(Duration, usize)> {
-        let awake = (0..self.nodes.len()).filter(|node| !self.frozen[*node]);
-        awake.map(|node| (self.nodes[node].next_tick().max(self.now), node)).min()
+        let running = (0..self.nodes.len()).filter(|node| !self.frozen[*node]);
+        running.map(|node| (self.nodes[node].next_tick().max(self.now), node)).min()
     }
 
     pub fn publish(&mut self, node: usize, changes: Vec<(String, Option<Vec<u8>>)>) {
--- a/crates/state-sync/tests/network/timeline.rs
+++ b/crates/state-sync/tests/network/timeline.rs
@@ -37,35 +37,38 @@
 }
 
 /// Runs a timeline whose nodes have the default options.
-pub fn play(text: &str) -> Timeline {
-    play_with(text, Options::new)
+pub fn run_timeline(text: &str) -> Timeline {
+    run_timeline_with(text, Options::new)
 }
 
 /// Runs a timeline whose nodes have the given options.
-pub fn play_with(text: &str, options: fn(&str) -> Options) -> Timeline {
+pub fn run_timeline_with(text: &str, options: fn(&str) -> Options) -> Timeline {
     let mut rows = text.lines().map(str::trim).filter(|line| !line.is_empty() && !line.starts_with("---"));
     let header = rows.next().expect("the first row names the nodes");
     let names: Vec<String> = header.split('|').skip(1).map(|name| name.trim().to_string()).collect();
     let network = Network::new(names.iter().map(|name| options(name)));
     let reports = vec![LocalReport::default(); names.len()];
     let mut timeline = Timeline { network, names, reports };
-    rows.for_each(|row| timeline.play_row(row));
+    rows.for_each(|row| timeline.run_row(row));
     timeline
 }
 
 impl Timeline {
-    fn play_row(&mut self, row: &str) {
+    fn run_row(&mut self, row: &str) {
         let mut cells = row.split('|').map(str::trim);
         let time = cells.next().and_then(|time| time.parse().ok());
         let time = time.unwrap_or_else(|| panic!("no time in the row {row:?}"));
         let cells: Vec<&str> = cells.collect();
-        self.network.run(Duration::from_millis(time));
+        self.network.run_until(Duration::from_millis(time));
         let parts =
             |cell: &str| -> Vec<String> { cell.split(';').map(|part| part.trim().to_string()).collect() };
         for (node, cell) in cells.iter().enumerate() {
-            parts(cell).iter().filter(|part| !part.starts_with('=')).for_each(|part| self.act(node, part));
+            parts(cell)
+                .iter()
+                .filter(|part| !part.starts_with('='))
+                .for_each(|part| self.perform(node, part));
         }
-        self.network.settle();
+        self.network.deliver_all();
         for (node, cell) in cells.iter().enumerate() {
             let expectations = parts(cell).into_iter().filter(|part| part.starts_with('='));
             expectations.for_each(|part| self.expect(node, part.trim_start_matches('=').trim(), row));
@@ -76,7 +79,7 @@
         self.names.iter().position(|other| other == name).unwrap_or_else(|| panic!("no node {name:?}"))
     }
 
-    fn act(&mut self, node: usize, action: &str) {
+    fn perform(&mut self, node: usize, action: &str) {
         let words: Vec<&str> = action.split_whitespace().collect();
         match words[..] {
             [] => {}
@@ -99,7 +102,7 @@
             }
             ["off"] => self.network.disconnect(node),
             ["broken"] => self.network.break_at_child(node),
-            ["lose"] => self.network.lose_update(node),
+            ["lose"] => self.network.drop_next_update(node),
             ["freeze"] => self.network.frozen[node] = true,
             ["thaw"] => self.network.frozen[node] = false,
             ["front", incarnation, state] => {
--- a/crates/state-sync/tests/published_state.rs
+++ b/crates/state-sync/tests/published_state.rs
@@ -2,13 +2,13 @@
 
 mod network;
 
-use network::timeline::{play, play_with};
+use network::timeline::{run_timeline, run_timeline_with};
 use quillpulley_state_sync::Options;
 use std::time::Duration;
 
 #[test]
-fn start_in_any_order() {
-    play(
+fn nodes_start_in_any_order() {
+    run_timeline(
         "
           | root               | relay              | leaf
         0 |                    |                    | on relay
@@ -28,8 +28,8 @@
 }
 
 #[test]
-fn a_heartbeat_has_no_items_and_goes_to_all() {
-    let timeline = play(
+fn a_heartbeat_has_no_items_and_is_sent_to_all_children() {
+    let timeline = run_timeline(
         "
           | root      | x         | y
         0 | root 1    | on root   | on root
@@ -37,14 +37,14 @@
     ",
     );
     let mut network = timeline.network;
-    let before = (network.seen[0].frames_sent, network.seen[0].items_sent);
+    let before = (network.stats[0].frames_sent, network.stats[0].items_sent);
     network.handle(0, quillpulley_state_sync::Event::Heartbeat);
-    assert_eq!((network.seen[0].frames_sent, network.seen[0].items_sent), (before.0 + 2, before.1));
+    assert_eq!((network.stats[0].frames_sent, network.stats[0].items_sent), (before.0 + 2, before.1));
 }
 
 #[test]
-fn parent_lost_and_another_found() {
-    play(
+fn a_child_that_changes_its_parent_receives_missed_updates() {
+    run_timeline(
         "
           | root          | x             | y             | leaf
         0 | root 1        | on root       | on root       | on x
@@ -60,7 +60,7 @@
 
 #[test]
 fn an_unresponsive_parent_is_replaced_and_accepts_the_child_again() {
-    play(
+    run_timeline(
         "
           | root     | x         | y         | leaf
         0 | root 1   | on root   | on root   | on x
@@ -78,8 +78,8 @@
 }
 
 #[test]
-fn a_parent_that_is_behind_reverts_nothing() {
-    play(
+fn a_parent_that_is_behind_does_not_revert_its_child() {
+    run_timeline(
         "
           | root      | x         | y             | leaf
         0 | root 1    | on root   | on root       | on x
@@ -97,8 +97,8 @@
 }
 
 #[test]
-fn a_deposed_root_keeps_none_who_know_the_new_one() {
-    play(
+fn a_deposed_root_does_not_update_nodes_that_know_the_new_epoch() {
+    run_timeline(
         "
           | old          | new               | x                 | y
         0 | root 1       | on old            | on old            | on old
@@ -116,8 +116,8 @@
 }
 
 #[test]
-fn a_new_epoch_with_the_same_state_costs_nobody_a_subscription() {
-    let timeline = play(
+fn a_new_epoch_with_the_same_state_needs_no_new_subscription() {
+    let timeline = run_timeline(
         "
           | old            | new            | x              | leaf
         0 | root 1         | on old         | on new         | on x
@@ -128,12 +128,12 @@
     ",
     );
     // `new` has responded to one subscription of `x` and one of `old`, and `x` to one of `leaf`.
-    assert_eq!(timeline.network.seen[2].items_sent, 1 + 2, "two items in a response, then the changed one");
+    assert_eq!(timeline.network.stats[2].items_sent, 1 + 2, "two items in a response, then the changed one");
 }
 
 #[test]
-fn a_new_root_is_followed_by_those_who_were_elsewhere() {
-    play(
+fn a_new_root_overrides_an_update_that_it_missed() {
+    run_timeline(
         "
           | old        | new            | x              | leaf
         0 | root 1     | on old         | on old         | on x
@@ -146,8 +146,8 @@
 }
 
 #[test]
-fn a_new_root_shows_nothing_before_it_publishes() {
-    play(
+fn a_new_root_sends_no_state_before_it_publishes() {
+    run_timeline(
         "
           | old      | new                  | x
         0 | root 1   |                      | on old
@@ -159,8 +159,8 @@
 }
 
 #[test]
-fn a_root_that_returns_in_its_epoch_goes_on() {
-    play(
+fn a_root_that_returns_in_its_epoch_continues_its_revisions() {
+    run_timeline(
         "
           | root          | x
         0 | root 4        | on root
@@ -174,8 +174,8 @@
 }
 
 #[test]
-fn lost_updates_are_made_up_for() {
-    play(
+fn lost_updates_are_recovered() {
+    run_timeline(
         "
           | root     | x             | leaf
         0 | root 1   | on root       | on x
@@ -191,7 +191,7 @@
 
 #[test]
 fn a_lost_response_is_requested_again() {
-    play(
+    run_timeline(
         "
           | root     | x
         0 | root 1   |
@@ -208,8 +208,8 @@
 }
 
 #[test]
-fn a_removal_that_only_some_have_seen() {
-    play(
+fn a_removal_that_only_some_nodes_have_received() {
+    run_timeline(
         "
           | root           | x             | y            | leaf
         0 | root 1         | on root       | on root      | on x
@@ -226,8 +226,8 @@
 /// The delta that `x` sends from 1:2 to 1:5 does not list `a`, which has changed and changed back. The leaf,
 /// which is at 1:3, must not apply it as if it listed all changes since then.
 #[test]
-fn a_change_and_its_reversal_that_only_the_child_has_seen_in_part() {
-    play(
+fn a_reverted_change_that_only_the_child_has_received_in_part() {
+    run_timeline(
         "
           | root     | x                   | y         | leaf
         0 | root 1   | on root             | on root   | on y
@@ -248,7 +248,7 @@
 
 #[test]
 fn many_subscriptions_are_answered_a_few_at_a_time() {
-    play_with(
+    run_timeline_with(
         "
           | root    | x         | y         | z
         0 | root 1  |           |           |
@@ -263,7 +263,7 @@
 
 #[test]
 fn a_response_beyond_the_budget_delays_the_next_ones() {
-    play_with(
+    run_timeline_with(
         "
           | root    | x         | y         | z
         0 | root 1  |           |           |
@@ -280,7 +280,7 @@
 
 #[test]
 fn the_default_budget_answers_all_children_of_a_small_state_at_once() {
-    play(
+    run_timeline(
         "
           | root    | x         | y         | z         | u         | v
         0 | root 1  |           |           |           |           |
@@ -291,11 +291,11 @@
 }
 
 #[test]
-fn children_beyond_the_bound_are_rejected() {
+fn children_beyond_the_maximum_are_rejected() {
     fn two_children(name: &str) -> Options {
         Options { max_children: 2, ..Options::new(name) }
     }
-    let timeline = play_with(
+    let timeline = run_timeline_with(
         "
           | root    | x         | y         | z
         0 | root 1  | on root   | on root   | on root
@@ -308,8 +308,8 @@
 }
 
 #[test]
-fn a_loop_brings_nothing_new_and_times_out() {
-    play(
+fn nodes_in_a_loop_become_stale() {
+    run_timeline(
         "
           | root     | x         | y         | z
         0 | root 1   | on root   | on x      | on y
--- a/crates/state-sync/tests/random_trees.rs
+++ b/crates/state-sync/tests/random_trees.rs
@@ -25,11 +25,11 @@
     Connect { child: usize, parent: usize },
     Disconnect { child: usize },
     BreakAtChild { child: usize },
-    LoseUpdate { child: usize },
+    DropNextUpdate { child: usize },
     Deliver { child: usize, down: bool, frames: usize },
-    Settle,
+    DeliverAll,
     Report { node: usize, count: u32, suspect: bool },
-    Pass { milliseconds: u64 },
+    AdvanceTime { milliseconds: u64 },
 }
 
 impl Arbitrary for Step {
@@ -50,11 +50,11 @@
             7..=9 => Step::Connect { child: node, parent: other },
             10 => Step::Disconnect { child: node },
             11 => Step::BreakAtChild { child: node },
-            12 => Step::LoseUpdate { child: node },
+            12 => Step::DropNextUpdate { child: node },
             13..=18 => Step::Deliver { child: node, down: kind < 17, frames },
-            19 => Step::Settle,
+            19 => Step::DeliverAll,
             20 => Step::Report { node, count, suspect: bool::arbitrary(gen) },
-            _ => Step::Pass { milliseconds },
+            _ => Step::AdvanceTime { milliseconds },
         }
     }
 }
@@ -92,19 +92,19 @@
     }
 }
 
-struct Run {
+struct Simulation {
     network: Network,
     reports: BTreeMap<usize, LocalReport>,
     epoch: u64,
 }
 
-impl Run {
+impl Simulation {
     fn new() -> Self {
         let options = (0..NODES).map(|node| Options::new(&format!("n{node}")));
-        Run { network: Network::new(options), reports: BTreeMap::new(), epoch: 0 }
+        Simulation { network: Network::new(options), reports: BTreeMap::new(), epoch: 0 }
     }
 
-    fn take(&mut self, step: &Step) {
+    fn apply_step(&mut self, step: &Step) {
         let network = &mut self.network;
         match step.clone() {
             Step::Publish { root, changes } => {
@@ -121,22 +121,22 @@
             Step::Connect { .. } => {}
             Step::Disconnect { child } => network.disconnect(child),
             Step::BreakAtChild { child } => network.break_at_child(child),
-            Step::LoseUpdate { child } => network.lose_update(child),
+            Step::DropNextUpdate { child } => network.drop_next_update(child),
             Step::Deliver { child, down, frames } => {
                 for _ in 0..frames {
                     let Some(link) = network.parent_links[child] else { return };
                     network.deliver(link, down);
                 }
             }
-            Step::Settle => self.network.settle(),
+            Step::DeliverAll => self.network.deliver_all(),
             Step::Report { node, count, suspect } => {
                 let report = local_report(node, count, suspect);
                 self.reports.insert(node, report.clone());
                 network.report(node, report);
             }
-            Step::Pass { milliseconds } => {
+            Step::AdvanceTime { milliseconds } => {
                 let until = network.now + Duration::from_millis(milliseconds);
-                network.pass(until);
+                network.advance_without_delivery(until);
             }
         }
     }
@@ -149,7 +149,7 @@
 
     /// Makes one node the root, connects the others to a tree below it, and lets time pass. Nodes that were
     /// disconnected connect again. Returns the root.
-    fn calm(&mut self, parents: &[usize]) -> usize {
+    fn stabilize(&mut self, parents: &[usize]) -> usize {
         let root = self.epoch as usize % CONTROL_NODES;
         (0..CONTROL_NODES).for_each(|control_node| self.network.handle(control_node, Event::LeaveRoot));
         self.become_root(root);
@@ -167,10 +167,10 @@
                 }
             }
             let until = self.network.now + Duration::from_millis(200);
-            self.network.run(until);
+            self.network.run_until(until);
             self.network.handle(root, Event::Heartbeat);
         }
-        self.network.settle();
+        self.network.deliver_all();
         root
     }
 
@@ -214,12 +214,12 @@
 }
 
 #[test]
-fn all_agree_after_a_calm_time() {
+fn all_nodes_agree_after_a_stable_period() {
     fn holds(steps: Vec<Step>, parents: Vec<usize>) -> bool {
-        let mut run = Run::new();
-        steps.iter().for_each(|step| run.take(step));
-        let root = run.calm(&parents);
-        run.check_agreement(root);
+        let mut simulation = Simulation::new();
+        steps.iter().for_each(|step| simulation.apply_step(step));
+        let root = simulation.stabilize(&parents);
+        simulation.check_agreement(root);
         true
     }
     QuickCheck::new().rng(Gen::new(300)).tests(300).quickcheck(holds as fn(Vec<Step>, Vec<usize>) -> bool);
--- a/crates/state-sync/tests/relay.rs
+++ b/crates/state-sync/tests/relay.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_small_zone_with_a_control_node_hangs_on_it() {
+fn agents_of_a_small_zone_are_children_of_its_control_node() {
     let parents = first_parents(
         &endpoints(16, "a1"),
         &[control_node(1, "b1"), control_node(2, "a1"), control_node(3, "a2")],
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_zone_without_a_control_node_has_one_crossing_to_its_own_region() {
+fn a_zone_without_a_control_node_has_one_connection_to_its_region() {
     let parents = first_parents(
         &endpoints(16, "a1"),
         &[control_node(1, "b1"), control_node(2, "a2"), control_node(3, "c1")],
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_large_zone_has_one_crossing_and_a_bounded_fan_out() {
+fn a_large_zone_has_one_child_of_the_control_node_and_a_bounded_fan_out() {
     let endpoints = endpoints(100, "a1");
     let parents = first_parents(&endpoints, &[control_node(1, "a1"), control_node(2, "b1")], &[]);
     let mut children: BTreeMap<ParentCandidate, usize> = BTreeMap::new();
@@ -96,23 +96,23 @@
 }
 
 #[test]
-fn those_who_lost_the_same_parent_meet_at_the_next() {
+fn agents_that_lost_the_same_parent_choose_the_same_next_one() {
     let endpoints = endpoints(10, "a1");
     let control_nodes = [control_node(1, "b1")];
     let parents = first_parents(&endpoints, &control_nodes, &[]);
     let first =
         *parents.iter().find(|parent| **parent != control_node_candidate(1)).expect("the first is an agent");
-    let left: Vec<ProxyEndpoint> =
+    let remaining: Vec<ProxyEndpoint> =
         endpoints.iter().filter(|endpoint| agent_candidate(endpoint) != first).cloned().collect();
-    let again: Vec<_> =
-        left.iter().map(|own| candidates(own, &endpoints, &control_nodes, &[first])[0]).collect();
-    assert_eq!(again.iter().filter(|parent| **parent == control_node_candidate(1)).count(), 1);
-    assert_eq!(again.iter().collect::<HashSet<_>>().len(), 2);
-    assert!(!again.contains(&first));
+    let next_parents: Vec<_> =
+        remaining.iter().map(|own| candidates(own, &endpoints, &control_nodes, &[first])[0]).collect();
+    assert_eq!(next_parents.iter().filter(|parent| **parent == control_node_candidate(1)).count(), 1);
+    assert_eq!(next_parents.iter().collect::<HashSet<_>>().len(), 2);
+    assert!(!next_parents.contains(&first));
 }
 
 #[test]
-fn a_control_node_that_failed_comes_last_and_its_zone_builds_a_heap() {
+fn a_failed_control_node_comes_last_and_its_zone_forms_a_heap() {
     let endpoints = endpoints(3, "a1");
     let control_nodes = [control_node(2, "a1"), control_node(1, "b1")];
     let failed = [control_node_candidate(2)];
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn draining_agents_are_no_parents() {
+fn draining_agents_are_not_chosen_as_parents() {
     let mut endpoints = endpoints(10, "a1");
     let control_nodes = [control_node(1, "b1")];
     let parents = first_parents(&endpoints, &control_nodes, &[]);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn before_anything_is_known_there_are_the_seeds() {
+fn the_seeds_are_candidates_before_any_state_is_known() {
     let own = endpoint(1, "a1");
     let found = candidates(&own, &[], &[], &[]);
     assert_eq!(found.len(), 2);
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn nobody_is_named_twice() {
+fn candidates_are_unique_and_never_the_agent_itself() {
     let endpoints = endpoints(40, "a1");
     let control_nodes = [control_node(1, "a1"), control_node(2, "b1")];
     for own in &endpoints {
@@ -162,7 +162,7 @@
 quickcheck! {
     /// No loops form whichever endpoints and failures each agent knows, because parents rank higher than
     /// their children.
-    fn no_loops(count: u8, views: Vec<u64>, failures: Vec<u64>) -> TestResult {
+    fn parents_never_form_a_loop(count: u8, views: Vec<u64>, failures: Vec<u64>) -> TestResult {
         let endpoints = endpoints(u32::from(count % 64), "a1");
         if endpoints.is_empty() {
             return TestResult::discard();
@@ -172,15 +172,18 @@
         for (own, endpoint) in endpoints.iter().enumerate() {
             let known = bits(&views, own);
             let failed = bits(&failures, own);
-            let seen: Vec<ProxyEndpoint> =
+            let known_endpoints: Vec<ProxyEndpoint> =
                 endpoints.iter().enumerate().filter(|(i, _)| known >> i & 1 == 0).map(|(_, f)| f.clone()).collect();
-            let given_up: Vec<ParentCandidate> =
+            let failed_candidates: Vec<ParentCandidate> =
                 endpoints.iter().enumerate().filter(|(i, _)| failed >> i & 1 == 1).map(|(_, f)| agent_candidate(f)).collect();
-            parent_of.insert(agent_candidate(endpoint), candidates(endpoint, &seen, &[control_node(1, "b1")], &given_up)[0]);
+            parent_of.insert(
+                agent_candidate(endpoint),
+                candidates(endpoint, &known_endpoints, &[control_node(1, "b1")], &failed_candidates)[0],
+            );
         }
         let ends_at_control_node = |start: &ParentCandidate| {
-            let way = std::iter::successors(Some(*start), |at| parent_of.get(at).copied());
-            way.take(endpoints.len() + 2).any(|at| at == control_node_candidate(1))
+            let path = std::iter::successors(Some(*start), |at| parent_of.get(at).copied());
+            path.take(endpoints.len() + 2).any(|at| at == control_node_candidate(1))
         };
         TestResult::from_bool(parent_of.keys().all(ends_at_control_node))
     }
--- a/crates/state-sync/tests/repair.rs
+++ b/crates/state-sync/tests/repair.rs
@@ -55,9 +55,9 @@
     let mut root = root(1);
     let mut relay = Node::new(Options::new("relay"));
     let subscribe = subscription(&handle(&mut relay, 0, Event::ParentUp)).expect("the relay subscribes");
-    let answer =
+    let response =
         updates(&handle(&mut root, 0, Event::ChildFrame(CHILD, Body::Subscribe(Box::new(subscribe)))));
-    let mut damaged = answer[0].clone();
+    let mut damaged = response[0].clone();
     damaged.items[0].value = b"9".to_vec();
     // The relay detects the damage by the digest and subscribes again. In the meantime, its child subscribes.
     let actions = handle(&mut relay, 10, Event::ParentFrame(Body::Update(Box::new(damaged))));
@@ -72,8 +72,9 @@
     assert!(updates(&handle(&mut relay, 900, Event::Tick)).is_empty(), "a wrong state was sent");
     // The response that repairs the relay has a newer revision. The relay then sends the state to the child.
     handle(&mut root, 910, Event::Heartbeat);
-    let answer = updates(&handle(&mut root, 910, Event::ChildFrame(CHILD, Body::Subscribe(Box::new(again)))));
-    let actions = handle(&mut relay, 920, Event::ParentFrame(Body::Update(Box::new(answer[0].clone()))));
+    let response =
+        updates(&handle(&mut root, 910, Event::ChildFrame(CHILD, Body::Subscribe(Box::new(again)))));
+    let actions = handle(&mut relay, 920, Event::ParentFrame(Body::Update(Box::new(response[0].clone()))));
     let served = updates(&actions);
     assert!(!served.is_empty(), "{actions:?}");
     assert!(served.iter().all(|update| value_of(update, "a") == Some(b"1")), "{served:?}");
@@ -96,9 +97,9 @@
     let actions = handle(&mut former, 300, Event::ParentUp);
     let subscribe = subscription(&actions).expect("the former root subscribes");
     handle(&mut current, 300, Event::Heartbeat);
-    let answer =
+    let response =
         updates(&handle(&mut current, 300, Event::ChildFrame(CHILD, Body::Subscribe(Box::new(subscribe)))));
-    let actions = handle(&mut former, 310, Event::ParentFrame(Body::Update(Box::new(answer[0].clone()))));
+    let actions = handle(&mut former, 310, Event::ParentFrame(Body::Update(Box::new(response[0].clone()))));
     let served = updates(&actions);
     assert_eq!(served.last().map(|update| update.revision), Some(current.revision()), "{actions:?}");
 }
--- a/crates/state-sync/tests/resubscription.rs
+++ b/crates/state-sync/tests/resubscription.rs
@@ -29,13 +29,13 @@
         self.root.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::SendChild(_, body) | Action::SendChildren(_, body) => self.child_gets(body),
+                Action::SendChild(_, body) | Action::SendChildren(_, body) => self.deliver_to_child(body),
                 _ => {}
             }
         }
     }
 
-    fn child_gets(&mut self, body: Body) {
+    fn deliver_to_child(&mut self, body: Body) {
         self.at_child(Event::ParentFrame(body));
     }
 
@@ -49,7 +49,7 @@
         }
     }
 
-    fn go_on(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.now += STEP;
@@ -65,13 +65,13 @@
     let mut pair = Pair::new();
     pair.at_child(Event::LocalReport(LocalReport { proxies: 2, ..LocalReport::default() }));
     pair.at_child(Event::ParentUp);
-    pair.go_on(Duration::from_secs(2));
+    pair.advance(Duration::from_secs(2));
     assert!(pair.child.totals().complete, "the totals come from the root");
     assert_eq!(pair.child.totals().counters.proxies, 2);
     // The root was unresponsive for a while, and the child subscribes again on the same connection.
     pair.now += Duration::from_secs(2);
     pair.at_child(Event::ParentUp);
-    pair.go_on(Duration::from_secs(4));
+    pair.advance(Duration::from_secs(4));
     assert!(pair.child.totals().complete, "the totals still come from the root");
     assert_eq!(pair.child.totals().counters.proxies, 2);
 }
@@ -81,11 +81,11 @@
     let mut pair = Pair::new();
     pair.at_child(Event::LocalReport(LocalReport { proxies: 2, ..LocalReport::default() }));
     pair.at_child(Event::ParentUp);
-    pair.go_on(Duration::from_secs(2));
+    pair.advance(Duration::from_secs(2));
     pair.child = SyncNode::new(Options::control_node("child"));
     pair.at_child(Event::LocalReport(LocalReport { proxies: 3, ..LocalReport::default() }));
     pair.at_child(Event::ParentUp);
-    pair.go_on(Duration::from_secs(4));
+    pair.advance(Duration::from_secs(4));
     assert!(pair.child.totals().complete);
     assert_eq!(pair.child.totals().counters.proxies, 3);
 }
--- a/crates/state-sync/tests/store.rs
+++ b/crates/state-sync/tests/store.rs
@@ -24,19 +24,19 @@
 }
 
 quickcheck! {
-    fn digests_depend_on_the_items_alone(changes: Vec<(u8, Option<u8>)>) -> bool {
-        let mut long_way = root();
+    fn digests_depend_only_on_the_items(changes: Vec<(u8, Option<u8>)>) -> bool {
+        let mut one_by_one = root();
         for (key, value) in changes {
-            publish(&mut long_way, vec![change(key, value)]);
+            publish(&mut one_by_one, vec![change(key, value)]);
         }
         let mut at_once = root();
-        let all = at_once.store().changes_to(&items(long_way.store()));
+        let all = at_once.store().changes_to(&items(one_by_one.store()));
         publish(&mut at_once, all);
-        at_once.store().digests() == long_way.store().digests()
-            && at_once.store().digest() == long_way.store().digest()
+        at_once.store().digests() == one_by_one.store().digests()
+            && at_once.store().digest() == one_by_one.store().digest()
     }
 
-    fn changes_lead_from_any_store_to_any_other(from: BTreeMap<u8, u8>, to: BTreeMap<u8, u8>) -> bool {
+    fn changes_to_turns_any_store_into_any_other(from: BTreeMap<u8, u8>, to: BTreeMap<u8, u8>) -> bool {
         let mut node = root();
         publish(&mut node, from.into_iter().map(|(key, value)| change(key, Some(value))).collect());
         let wanted = to.into_iter().map(|(key, value)| (format!("key/{key}"), vec![value])).collect();
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn items_are_found_by_the_beginning_of_their_keys() {
+fn items_are_found_by_key_prefix() {
     let mut node = root();
     let keys = ["server/a", "server/b", "serves", "route/a"];
     publish(&mut node, keys.map(|key| Change { key: key.to_string(), value: Some(vec![1]) }).to_vec());
