--- a/crates/state-sync/tests/aggregation.rs
+++ b/crates/state-sync/tests/aggregation.rs
@@ -14,7 +14,7 @@
         "
           | root      | x         | y         | p         | q
         0 | root 1    | on root   | on root   | on x      | on y
-      100 | stamp     |           |           | count 3   | count 4
+      100 | heartbeat |           |           | count 3   | count 4
      1500 | = total 7 | = total 7 | = total 7 | = total 7 | = total 7
      1500 |           |           |           | count 5   |
      2500 | = total 9 |           |           | = total 9 | = total 9; = proxies 2
@@ -89,16 +89,16 @@
 fn proxies_and_suspicions_reach_the_root() {
     run_timeline(
         "
-          | root              | x             | y               | z
-        0 | root 1            | on root       | on root         | on y
-      100 |                   | front 1 Ready | front 1 Starting | front 1 Ready
-      900 | = fronts x,y,z    | = fronts x    | = fronts y,z    | = fronts z
-     1000 |                   | suspect z y   | suspect z       |
-     1600 | = suspects y*1,z*2 |              | = suspects z*1  | = suspects
-     1700 |                   | suspect z     |                 | off
-     2300 | = suspects z*2; = fronts x,y |    | = fronts y      |
-     2400 |                   | suspect       | suspect         | on x
-     3000 | = suspects; = fronts x,y,z | = fronts x,z | = fronts y |
+          | root                            | x                | y                   | z
+        0 | root 1                          | on root          | on root             | on y
+      100 |                                 | endpoint 1 Ready | endpoint 1 Starting | endpoint 1 Ready
+      900 | = endpoints x,y,z               | = endpoints x    | = endpoints y,z     | = endpoints z
+     1000 |                                 | suspect z y      | suspect z           |
+     1600 | = suspects y*1,z*2              |                  | = suspects z*1      | = suspects
+     1700 |                                 | suspect z        |                     | off
+     2300 | = suspects z*2; = endpoints x,y |                  | = endpoints y       |
+     2400 |                                 | suspect          | suspect             | on x
+     3000 | = suspects; = endpoints x,y,z   | = endpoints x,z  | = endpoints y       |
     ",
     );
 }
@@ -107,13 +107,13 @@
 fn the_later_incarnation_of_a_proxy_takes_precedence() {
     let timeline = run_timeline(
         "
-          | root       | x       | y       | z
-        0 | root 1     | on root | on root | on x
-        0 |            |         |         | front 1 Ready
-     1000 | = fronts z |         |         | broken
-     1000 |            |         |         | front 2 Starting
-     1010 |            |         |         | on y
-     1600 | = fronts z |         |         |
+          | root          | x       | y       | z
+        0 | root 1        | on root | on root | on x
+        0 |               |         |         | endpoint 1 Ready
+     1000 | = endpoints z |         |         | broken
+     1000 |               |         |         | endpoint 2 Starting
+     1010 |               |         |         | on y
+     1600 | = endpoints z |         |         |
     ",
     );
     assert_eq!(timeline.network.nodes[0].subtree().endpoints["z"].incarnation, 2);
@@ -135,9 +135,9 @@
 fn a_loop_is_broken_when_an_agent_receives_its_own_endpoint() {
     let timeline = run_timeline(
         "
-          | x         | y         | z
-        0 | on z; front 1 Ready | on x; front 1 Ready | on y; front 1 Ready
-     1000 |           |           |
+          | x                      | y                      | z
+        0 | on z; endpoint 1 Ready | on x; endpoint 1 Ready | on y; endpoint 1 Ready
+     1000 |                        |                        |
     ",
     );
     assert!(timeline.network.parent_links.iter().flatten().count() < 3, "no node left the loop");
--- a/crates/state-sync/tests/network/timeline.rs
+++ b/crates/state-sync/tests/network/timeline.rs
@@ -8,18 +8,18 @@
 //! | action or expectation | meaning |
 //! | --- | --- |
 //! | `root 3`, `leave` | the node becomes the root in epoch 3; it is no longer the root |
-//! | `put a=1 b=2`, `del a`, `stamp` | the root publishes items, removals or a heartbeat |
+//! | `put a=1 b=2`, `del a`, `heartbeat` | the root publishes items, removals or a heartbeat |
 //! | `on x` | the node connects to x as its parent |
 //! | `off`, `broken` | the connection to the parent is closed; it breaks, and only the node is notified |
 //! | `lose` | the next frame from the parent to the node is dropped if it is an update |
 //! | `freeze`, `thaw` | the node stops to receive frames and ticks; it receives them again |
-//! | `front 1 Ready` | the node reports that its proxy has incarnation 1 and the state `Ready` |
+//! | `endpoint 1 Ready` | the node reports that its proxy has incarnation 1 and the state `Ready` |
 //! | `count 7`, `suspect x` | the node reports 7 requests; it reports that it cannot reach x |
 //! | `= 1:3 a=1` | the node is at revision 1:3 with exactly these items |
 //! | `= fresh`, `= stale` | the state of the node is fresh, or it is stale |
 //! | `= total 7`, `= partial 7` | the totals of the node are complete or incomplete, and have 7 requests |
 //! | `= proxies 2` | the totals of the node cover 2 proxies |
-//! | `= fronts x,y` | the proxies in the subtree of the node are x and y |
+//! | `= endpoints x,y` | the proxies in the subtree of the node are x and y |
 //! | `= suspects x*2` | the only suspect in the subtree of the node is x, with 2 monitors |
 
 use super::{Items, Network};
@@ -88,7 +88,7 @@
                 self.network.handle(node, Event::BecomeRoot { epoch });
             }
             ["leave"] => self.network.handle(node, Event::LeaveRoot),
-            ["stamp"] => self.network.handle(node, Event::Heartbeat),
+            ["heartbeat"] => self.network.handle(node, Event::Heartbeat),
             ["put", ref items @ ..] => {
                 let changes = items.iter().map(|item| pair(item)).map(|(key, value)| (key, Some(value)));
                 self.network.publish(node, changes.collect());
@@ -105,7 +105,7 @@
             ["lose"] => self.network.drop_next_update(node),
             ["freeze"] => self.network.frozen[node] = true,
             ["thaw"] => self.network.frozen[node] = false,
-            ["front", incarnation, state] => {
+            ["endpoint", incarnation, state] => {
                 self.reports[node].endpoint = Some(self.endpoint(node, incarnation, state));
                 self.report(node);
             }
@@ -137,7 +137,7 @@
             address: "10.0.0.1:80".to_string(),
             state: match state {
                 "Ready" => EndpointState::Ready,
-                "Leaving" => EndpointState::Draining,
+                "Draining" => EndpointState::Draining,
                 _ => EndpointState::Starting,
             },
             incarnation: incarnation.parse().expect("the incarnation is a number"),
@@ -161,9 +161,9 @@
             ["total" | "partial", _] if totals.complete => format!("total {requests}"),
             ["total" | "partial", _] => format!("partial {requests}"),
             ["proxies", _] => format!("proxies {}", totals.counters.proxies),
-            ["fronts", ..] => {
+            ["endpoints", ..] => {
                 let endpoints: Vec<&str> = state.subtree().endpoints.keys().map(String::as_str).collect();
-                format!("fronts {}", endpoints.join(",")).trim_end().to_string()
+                format!("endpoints {}", endpoints.join(",")).trim_end().to_string()
             }
             ["suspects", ..] => {
                 let suspects = state.subtree().suspicions.iter();
--- a/crates/state-sync/tests/published_state.rs
+++ b/crates/state-sync/tests/published_state.rs
@@ -19,10 +19,10 @@
       100 | = 1:2 a=1 b=2      | = 1:2 a=1 b=2      | = 1:2 a=1 b=2
       200 | put b=3 c=4        | = 1:3 a=1 b=3 c=4  | = 1:3 a=1 b=3 c=4
       300 | del a              | = 1:4 b=3 c=4      | = 1:4 b=3 c=4
-      400 | stamp              | = 1:5 b=3 c=4      | = 1:5 b=3 c=4; = fresh
+      400 | heartbeat          | = 1:5 b=3 c=4      | = 1:5 b=3 c=4; = fresh
      1400 | = fresh            | = fresh            | = fresh
      1401 | = stale            | = stale            | = stale
-     1500 | stamp              | = fresh            | = fresh
+     1500 | heartbeat          | = fresh            | = fresh
     ",
     );
 }
@@ -62,17 +62,17 @@
 fn an_unresponsive_parent_is_replaced_and_accepts_the_child_again() {
     run_timeline(
         "
-          | root     | x         | y         | leaf
-        0 | root 1   | on root   | on root   | on x
-      100 | put a=1  |           |           | = 1:2 a=1
-      200 | stamp    | freeze    |           | = 1:2 a=1
-      400 | put a=2  |           | = 1:4 a=2 | = 1:2 a=1
-      900 | stamp    |           |           | = fresh
-     1101 | stamp    |           |           | = stale
-     1110 |          |           |           | on y; = 1:6 a=2; = fresh
-     1200 | stamp    | thaw      |           | = 1:7 a=2
-     1300 | put a=3  | = 1:8 a=3 |           | on x; = 1:8 a=3
-     1400 | put a=4  |           |           | = 1:9 a=4
+          | root      | x         | y         | leaf
+        0 | root 1    | on root   | on root   | on x
+      100 | put a=1   |           |           | = 1:2 a=1
+      200 | heartbeat | freeze    |           | = 1:2 a=1
+      400 | put a=2   |           | = 1:4 a=2 | = 1:2 a=1
+      900 | heartbeat |           |           | = fresh
+     1101 | heartbeat |           |           | = stale
+     1110 |           |           |           | on y; = 1:6 a=2; = fresh
+     1200 | heartbeat | thaw      |           | = 1:7 a=2
+     1300 | put a=3   | = 1:8 a=3 |           | on x; = 1:8 a=3
+     1400 | put a=4   |           |           | = 1:9 a=4
     ",
     );
 }
@@ -89,7 +89,7 @@
       300 | put b=1   |           |               | = 1:4 a=2 b=1
       350 |           |           | thaw; off     | = 1:4 a=2 b=1
       400 |           |           |               | on y; = 1:4 a=2 b=1
-      500 | stamp     |           | = 1:2 a=1     | = 1:4 a=2 b=1
+      500 | heartbeat |           | = 1:2 a=1     | = 1:4 a=2 b=1
       600 |           |           | on root; = 1:5 a=2 b=1 | = 1:5 a=2 b=1
       700 | del a     |           | = 1:6 b=1     | = 1:6 b=1
     ",
@@ -100,17 +100,17 @@
 fn a_deposed_root_does_not_update_nodes_that_know_the_new_epoch() {
     run_timeline(
         "
-          | old          | new               | x                 | y
-        0 | root 1       | on old            | on old            | on old
-      100 | put a=1      |                   |                   | = 1:2 a=1
-      200 |              | off; root 2       | on new            |
-      300 | put a=old    | put a=new         | = 2:2 a=new       | = 1:3 a=old
-      400 | stamp        | stamp             | = 2:3 a=new       | = 1:4 a=old
-      500 |              |                   | on old; = 2:3 a=new |
-      600 | put b=old    | put b=new         | = 2:3 a=new       | = 1:5 a=old b=old
-      700 |              |                   | on new; = 2:4 a=new b=new | on new; = 2:4 a=new b=new
-      800 | leave        |                   |                   | on old; = 2:4 a=new b=new
-      900 | on new; = 2:5 a=new b=new | stamp |                   | = 2:5 a=new b=new
+          | old                       | new         | x                         | y
+        0 | root 1                    | on old      | on old                    | on old
+      100 | put a=1                   |             |                           | = 1:2 a=1
+      200 |                           | off; root 2 | on new                    |
+      300 | put a=old                 | put a=new   | = 2:2 a=new               | = 1:3 a=old
+      400 | heartbeat                 | heartbeat   | = 2:3 a=new               | = 1:4 a=old
+      500 |                           |             | on old; = 2:3 a=new       |
+      600 | put b=old                 | put b=new   | = 2:3 a=new               | = 1:5 a=old b=old
+      700 |                           |             | on new; = 2:4 a=new b=new | on new; = 2:4 a=new b=new
+      800 | leave                     |             |                           | on old; = 2:4 a=new b=new
+      900 | on new; = 2:5 a=new b=new | heartbeat   |                           | = 2:5 a=new b=new
     ",
     );
 }
@@ -124,7 +124,7 @@
       100 | put a=1 b=1    |                |                | = 1:2 a=1 b=1
       200 | leave          | off; root 2    |                | = 1:2 a=1 b=1
       300 | on new         | put b=2        | = 2:2 a=1 b=2  | = 2:2 a=1 b=2
-      400 |                | stamp          |                | = 2:3 a=1 b=2
+      400 |                | heartbeat      |                | = 2:3 a=1 b=2
     ",
     );
     // `new` has responded to one subscription of `x` and one of `old`, and `x` to one of `leaf`.
@@ -166,7 +166,7 @@
         0 | root 4        | on root
       100 | put a=1       | = 4:2 a=1
       200 | leave; root 4 | = 4:2 a=1
-      300 | stamp         | = 4:4 a=1
+      300 | heartbeat     | = 4:4 a=1
       400 | root 3        |
       500 | put a=2       | = 4:5 a=2
     ",
@@ -177,14 +177,14 @@
 fn lost_updates_are_recovered() {
     run_timeline(
         "
-          | root     | x             | leaf
-        0 | root 1   | on root       | on x
-      100 | put a=1  |               | = 1:2 a=1
-      200 | put b=2  | lose; = 1:2 a=1 | = 1:2 a=1
-      300 | del a    | = 1:4 b=2     | = 1:4 b=2
-      400 | put c=3  |               | lose; = 1:5 b=2 c=3
-      500 | put d=4  |               | lose
-      600 | stamp    |               | = 1:7 b=2 c=3 d=4
+          | root      | x               | leaf
+        0 | root 1    | on root         | on x
+      100 | put a=1   |                 | = 1:2 a=1
+      200 | put b=2   | lose; = 1:2 a=1 | = 1:2 a=1
+      300 | del a     | = 1:4 b=2       | = 1:4 b=2
+      400 | put c=3   |                 | lose; = 1:5 b=2 c=3
+      500 | put d=4   |                 | lose
+      600 | heartbeat |                 | = 1:7 b=2 c=3 d=4
     ",
     );
 }
