--- a/crates/state-sync/src/lib.rs
+++ b/crates/state-sync/src/lib.rs
@@ -30,6 +30,6 @@
 pub use counters::{server_key, CounterTable, LoadCounters, RetryCounters};
 pub use node::{Action, Event, SyncNode};
 pub use options::Options;
-pub use store::{Change, ChangedKey, Digests, Store, RANGES};
+pub use store::{Change, ChangedKey, Digests, Store, RANGE_COUNT};
 pub use subtree::{LocalReport, SubtreeState};
 pub use totals::Totals;
--- a/crates/state-sync/src/store.rs
+++ b/crates/state-sync/src/store.rs
@@ -7,9 +7,9 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 /// Number of ranges into which the hashes of keys are divided.
-pub const RANGES: usize = 64;
+pub const RANGE_COUNT: usize = 64;
 /// Right shift that turns a key's hash into the number of its range, which is in the upper bits.
-const RANGE_SHIFT: u32 = u64::BITS - RANGES.trailing_zeros();
+const RANGE_SHIFT: u32 = u64::BITS - RANGE_COUNT.trailing_zeros();
 
 /// A change that the root publishes.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -32,7 +32,7 @@
 }
 
 /// The digests of all ranges, by number of the range.
-pub type Digests = [u64; RANGES];
+pub type Digests = [u64; RANGE_COUNT];
 
 #[derive(Clone, Debug)]
 struct StoredItem {
@@ -51,7 +51,7 @@
 
 impl Default for Store {
     fn default() -> Self {
-        Store { entries: BTreeMap::new(), digests: [0; RANGES] }
+        Store { entries: BTreeMap::new(), digests: [0; RANGE_COUNT] }
     }
 }
 
--- a/crates/state-sync/src/updates.rs
+++ b/crates/state-sync/src/updates.rs
@@ -10,7 +10,7 @@
 use crate::children::{Phase, Subscription};
 use crate::node::{signed_byte_count, Action, Role, SyncNode};
 use crate::publishing::frame_items;
-use crate::store::{change_from_frame, Change, ChangedKey, RANGES};
+use crate::store::{change_from_frame, Change, ChangedKey, RANGE_COUNT};
 use quillpulley_protocol::{Body, Item, Revision, Subscribe, Update, UpdateKind};
 use std::collections::HashSet;
 use std::hash::Hash;
@@ -222,4 +222,4 @@
     }
 }
 
-const _: () = assert!(RANGES <= u8::MAX as usize);
+const _: () = assert!(RANGE_COUNT <= u8::MAX as usize);
