--- a/crates/quillpulley/src/control/directory/builder.rs
+++ b/crates/quillpulley/src/control/directory/builder.rs
@@ -43,7 +43,7 @@
     pub fn at<Child: Copy + Eq + Hash + Ord>(now: Duration, feed: &'a SyncNode<Child>) -> Self {
         DirectoryInputs {
             fresh: feed.is_fresh(now),
-            last_moved: feed.last_moved(),
+            last_moved: feed.last_advanced(),
             epoch: feed.revision().epoch,
             store: feed.store(),
             subtree: feed.subtree(),
--- a/crates/quillpulley/src/control/distribution/relay_node.rs
+++ b/crates/quillpulley/src/control/distribution/relay_node.rs
@@ -158,7 +158,7 @@
     /// Chooses the parent: the primary if it can be reached. Must not be called at the root.
     pub fn update_parent(&mut self, now: Duration, primary: Option<NodeId>, links: &mut Links) {
         let is_reachable = |node| links.exchanges_with(node);
-        match self.topology.choose_parent(now, primary, self.feed.last_moved(), is_reachable) {
+        match self.topology.choose_parent(now, primary, self.feed.last_advanced(), is_reachable) {
             Some(ParentChange::Up) => self.handle(Event::ParentUp, links),
             Some(ParentChange::Down) => self.handle(Event::ParentDown, links),
             None => {}
--- a/crates/state-sync/src/node.rs
+++ b/crates/state-sync/src/node.rs
@@ -183,7 +183,7 @@
     }
 
     /// Returns when the revision last advanced, or `None` if it never has.
-    pub fn last_moved(&self) -> Option<Duration> {
+    pub fn last_advanced(&self) -> Option<Duration> {
         self.advanced_at
     }
 
