--- a/crates/state-sync/src/aggregate.rs
+++ b/crates/state-sync/src/aggregate.rs
@@ -109,7 +109,7 @@
         changed
     }
 
-    /// Returns a complete report for the parent, after which no changes are pending for it.
+    /// Returns a complete report for the parent, and clears the changes pending for it.
     pub(crate) fn full_report(&mut self) -> Report {
         self.upward.clear();
         self.merged.to_report()
--- a/crates/state-sync/src/node.rs
+++ b/crates/state-sync/src/node.rs
@@ -31,7 +31,7 @@
     /// every 200 ms while it holds the lease.
     Heartbeat,
     /// This process becomes the root. Updates are not sent to children before the first `Publish` or
-    /// `Heartbeat`, so that the root can publish the changes from its store to the current state first (see
+    /// `Heartbeat`, so that the first `Publish` can bring the store to the current state (see
     /// [`Store::changes_to`]). Ignored if the node has seen a later epoch.
     BecomeRoot {
         /// The epoch. No other node and no earlier incarnation of this process may have published in it.
--- a/crates/state-sync/src/parent_selection.rs
+++ b/crates/state-sync/src/parent_selection.rs
@@ -46,7 +46,7 @@
 
 /// Returns the candidates for an agent's parent, in order of preference: the agents above it in the heap of
 /// its zone; the control nodes of its zone, then those of its region, then all others; the seeds; and finally
-/// the control nodes that failed recently. In a small zone with its own control node, agents are not
+/// the control nodes that failed recently. In a small zone whose control node has not failed, agents are not
 /// candidates.
 pub fn parent_candidates(topology: &TreeTopology) -> Vec<ParentCandidate> {
     let agents = ancestor_agents(topology);
--- a/crates/state-sync/tests/network/timeline.rs
+++ b/crates/state-sync/tests/network/timeline.rs
@@ -12,7 +12,7 @@
 //! | `on x` | the node connects to x as its parent |
 //! | `off`, `broken` | the connection to the parent is closed; it breaks, and only the node is notified |
 //! | `lose` | the next frame from the parent to the node is dropped if it is an update |
-//! | `freeze`, `thaw` | the node stops to receive frames and ticks; it receives them again |
+//! | `freeze`, `thaw` | the node stops receiving frames and ticks; it resumes |
 //! | `endpoint 1 Ready` | the node reports that its proxy has incarnation 1 and the state `Ready` |
 //! | `count 7`, `suspect x` | the node reports 7 requests; it reports that it cannot reach x |
 //! | `= 1:3 a=1` | the node is at revision 1:3 with exactly these items |
