--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,51 +1,51 @@
-//! The errors of storage.
+//! The errors of the storage.
 
 use displaydoc::Display;
 use std::io;
 
-/// An error of storage, with the remedy.
+/// An error of the storage. Its message names the remedy.
 #[derive(Debug, Display)]
 pub enum StorageError {
-    /// cannot {action} {file} ({error}): check the disk's space and state and try again
+    /// cannot {action} {file} ({error}): check the free space and the health of the disk, and try again
     Io {
-        /// What was tried.
+        /// The operation that failed.
         action: &'static str,
-        /// The file it was tried on.
+        /// The file or folder that the operation was performed on.
         file: String,
-        /// The error of the operating system.
+        /// The error that the operating system reported.
         error: io::Error,
     },
-    /// {file} is damaged at byte {offset}: empty the data folder, so that this machine joins anew
+    /// {file} is damaged at byte {offset}: empty the data folder, so that this machine joins as a new one
     Damaged {
         /// The damaged file.
         file: String,
-        /// Where the damage begins.
+        /// The offset in bytes at which the damage begins.
         offset: u64,
     },
-    /// the log lacks the entries from {first} to {last}: empty the data folder, so that this machine joins anew
+    /// the entries {first} to {last} are missing from the log: empty the data folder, so that this machine joins as a new one
     Incomplete {
-        /// The first entry that is missing.
+        /// The index of the first missing entry.
         first: u64,
-        /// The last entry that is missing.
+        /// The index of the last missing entry.
         last: u64,
     },
-    /// {file} was written by another version: start that version, or empty the data folder
+    /// {file} was written by another version of this program: start that version, or empty the data folder
     OtherVersion {
-        /// The file.
+        /// The file that has the other version.
         file: String,
     },
-    /// a record of {length} bytes does not fit into {most}: keep fewer witnesses
+    /// a record of {length} bytes exceeds the maximum of {most} bytes: reduce the number of witnesses
     RecordTooLong {
-        /// The length of the record.
+        /// The length of the record in bytes.
         length: usize,
-        /// The longest record that fits.
+        /// The maximum length of a record in bytes.
         most: usize,
     },
-    /// entry {found} cannot stand where the log goes on with {expected}: send the entries from there
+    /// entry {found} is out of order: send the entries from {expected} on
     OutOfOrder {
         /// The index of the entry.
         found: u64,
-        /// The highest index that it may have.
+        /// The highest index that the entry may have.
         expected: u64,
     },
 }
@@ -53,7 +53,9 @@
 impl std::error::Error for StorageError {}
 
 impl StorageError {
-    /// Wraps a failure of the system.
+    /// Returns a function that wraps an error of the operating system.
+    ///
+    /// `action` is a verb that the message puts before the name of the file, as in "cannot open record.slots".
     pub(crate) fn io(action: &'static str, file: impl ToString) -> impl FnOnce(io::Error) -> StorageError {
         let file = file.to_string();
         move |error| StorageError::Io { action, file, error }
--- a/crates/storage/src/files/folder.rs
+++ b/crates/storage/src/files/folder.rs
@@ -1,4 +1,4 @@
-//! Real files.
+//! The files of a folder in the file system.
 
 use super::{DataFile, Files};
 use std::fs::{self, File, OpenOptions};
@@ -12,10 +12,10 @@
 }
 
 impl Folder {
-    /// Creates a folder, which is made if it is missing.
+    /// Opens a folder, and creates it if it does not exist.
     ///
     /// # Errors
-    /// Those of the file system.
+    /// Fails if the file system reports an error.
     pub fn open(path: &Path) -> io::Result<Folder> {
         fs::create_dir_all(path)?;
         Ok(Folder { path: path.to_path_buf() })
@@ -28,7 +28,7 @@
     fn names(&self) -> io::Result<Vec<String>> {
         let name = |entry: io::Result<fs::DirEntry>| entry.map(|entry| entry.file_name());
         let names = fs::read_dir(&self.path)?.map(name).collect::<io::Result<Vec<_>>>()?;
-        // A name that is no text is none of storage's.
+        // All files of the storage have names in UTF-8; other files in the folder are ignored.
         Ok(names.into_iter().filter_map(|name| name.into_string().ok()).collect())
     }
 
--- a/crates/storage/src/files/mod.rs
+++ b/crates/storage/src/files/mod.rs
@@ -1,4 +1,4 @@
-//! The file system as storage uses it, so that tests can replace it.
+//! The file system operations that the storage needs, as traits that tests implement in memory.
 
 mod folder;
 
@@ -8,7 +8,8 @@
 
 /// The files of one folder.
 ///
-/// The contents of a file are durable once it is synced, names once [`Files::sync_names`] has returned.
+/// The contents of a file are durable once [`DataFile::sync`] has returned, and the creation, renaming and
+/// removal of files once [`Files::sync_names`] has returned.
 pub trait Files {
     /// A file that is open for reading and writing.
     type File: DataFile;
@@ -16,63 +17,63 @@
     /// Returns the names of all files.
     ///
     /// # Errors
-    /// Those of the file system.
+    /// Fails if the file system reports an error.
     fn names(&self) -> io::Result<Vec<String>>;
 
     /// Creates an empty file, or truncates an existing one.
     ///
     /// # Errors
-    /// Those of the file system.
+    /// Fails if the file system reports an error.
     fn create(&self, name: &str) -> io::Result<Self::File>;
 
     /// Opens an existing file.
     ///
     /// # Errors
-    /// Those of the file system.
+    /// Fails if the file system reports an error.
     fn open(&self, name: &str) -> io::Result<Self::File>;
 
-    /// Renames a file. No other file has the new name.
+    /// Renames a file. The caller ensures that no other file has the new name.
     ///
     /// # Errors
-    /// Those of the file system.
+    /// Fails if the file system reports an error.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
 
     /// Removes a file.
     ///
     /// # Errors
-    /// Those of the file system.
+    /// Fails if the file system reports an error.
     fn remove(&self, name: &str) -> io::Result<()>;
 
-    /// Waits until all names that were created, changed or removed are durable.
+    /// Waits until all creations, renamings and removals of files are durable (an fsync of the folder).
     ///
     /// # Errors
-    /// Those of the file system.
+    /// Fails if the file system reports an error.
     fn sync_names(&self) -> io::Result<()>;
 }
 
-/// The contents of a file.
+/// An open file.
 pub trait DataFile {
-    /// Returns the contents.
+    /// Returns the whole contents of the file.
     ///
     /// # Errors
-    /// Those of the file system.
+    /// Fails if the file system reports an error.
     fn read(&self) -> io::Result<Vec<u8>>;
 
-    /// Writes all bytes at an offset. After an error any part may have been written.
+    /// Writes all `bytes` at the offset `offset`. After an error, any part of them may have been written.
     ///
     /// # Errors
-    /// Those of the file system.
+    /// Fails if the file system reports an error.
     fn write(&self, offset: u64, bytes: &[u8]) -> io::Result<()>;
 
-    /// Sets the length of the file.
+    /// Truncates the file to `length` bytes, or extends it with zeros.
     ///
     /// # Errors
-    /// Those of the file system.
+    /// Fails if the file system reports an error.
     fn set_length(&self, length: u64) -> io::Result<()>;
 
-    /// Waits until contents and length are durable.
+    /// Waits until the contents and the length of the file are durable (fdatasync).
     ///
     /// # Errors
-    /// Those of the file system.
+    /// Fails if the file system reports an error.
     fn sync(&self) -> io::Result<()>;
 }
--- a/crates/storage/src/format/mod.rs
+++ b/crates/storage/src/format/mod.rs
@@ -1,12 +1,13 @@
-//! What is in the files, as bytes.
+//! The binary formats of the files.
 
 pub mod segment;
 pub mod snapshot;
 
-/// The version of all formats.
+/// The version of the segment and snapshot formats.
 pub const VERSION: u32 = 1;
 
-/// Reads numbers, least significant byte first, from the front of a slice.
+/// Reads little-endian integers from the front of a slice. The methods return `None` if too few bytes are
+/// left.
 pub struct Reader<'a>(pub &'a [u8]);
 
 impl Reader<'_> {
@@ -23,7 +24,7 @@
     }
 }
 
-/// Returns a checksum over several pieces, as if they were one.
+/// Returns the CRC-32 of the concatenation of several slices.
 pub fn checksum(pieces: &[&[u8]]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     pieces.iter().for_each(|piece| hasher.update(piece));
--- a/crates/storage/src/format/segment.rs
+++ b/crates/storage/src/format/segment.rs
@@ -1,12 +1,15 @@
-//! The format of a segment: a header of fixed length, and then one record for each entry.
+//! The format of a segment: a header of fixed length, followed by one record for each entry.
 //!
-//! Header: magic, version, generation, index of the first entry, the checksum of the record before it (the *chain*),
-//! checksum of all that.
+//! Header: magic, version, generation, index of the first entry, checksum of the last record in the previous
+//! segment, checksum of the header up to here.
 //!
-//! Record: magic, checksum of what follows, length of the payload, chain, durable length, epoch, index, payload.
-//! The chain is the checksum of the previous record; it distinguishes records of different histories.
-//! The durable length is that of the segment when the record was written: all bytes before it had been synced. So a
-//! complete record shows whether damage before it can be due to a loss of power.
+//! Record: magic, checksum of all fields that follow it, length of the payload, checksum of the previous
+//! record, synced length, epoch, index, payload.
+//!
+//! The checksum of the previous record links each record to its predecessor, so that records of different
+//! histories are not read as one log. The synced length is the length of the segment, in bytes, that had been
+//! synced when the record was written. A complete record thus proves that damage before its synced length is
+//! not due to a loss of power.
 
 use super::{checksum, Reader, VERSION};
 use quillpulley_protocol::Entry;
@@ -14,56 +17,56 @@
 const HEADER_MAGIC: u32 = u32::from_le_bytes(*b"QPsg");
 const RECORD_MAGIC: [u8; 4] = *b"QPen";
 const HEADER_CHECKED: usize = 28;
-/// The bytes of a header.
+/// The length of the header.
 pub const HEADER_BYTES: usize = HEADER_CHECKED + 4;
 const RECORD_HEADER_BYTES: usize = 40;
-/// What the checksum of a record does not cover: the magic and itself.
+/// The length of the fields that the checksum of a record does not cover: the magic and the checksum.
 const RECORD_UNCHECKED: usize = 8;
 
 /// The header of a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// The generation that it belongs to.
+    /// The generation that the segment belongs to.
     pub generation: u64,
-    /// The index of its first entry.
+    /// The index of the first entry in the segment.
     pub first: u64,
-    /// The checksum of the record before; 0 at the beginning of a generation.
+    /// The checksum of the last record in the previous segment; 0 in the first segment of a generation.
     pub chain: u32,
 }
 
-/// The decoded beginning of a segment.
+/// The result of decoding the header of a segment.
 #[derive(Debug, PartialEq, Eq)]
 pub enum DecodedHeader {
-    /// A complete header.
+    /// A complete header of this version.
     Intact(Header),
-    /// No header, or a part of one.
+    /// The bytes are no complete header, or their checksum does not match.
     Damaged,
-    /// A header that another version has written.
+    /// A complete header that another version has written.
     OtherVersion,
 }
 
-/// The location and identity of a record.
+/// Where a record ends in its segment, and what identifies it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordLocation {
-    /// The epoch of its entry.
+    /// The epoch of the entry in the record.
     pub epoch: u64,
-    /// The offset of the end of the record.
+    /// The offset of the first byte after the record.
     pub end: u64,
-    /// Its checksum, which is the chain of the next record.
+    /// The checksum of the record, which the next record refers to.
     pub checksum: u32,
 }
 
 /// The complete records at the beginning of a segment.
 #[derive(Debug, Default)]
 pub struct Scan {
-    /// Their entries.
+    /// The entries in the records.
     pub entries: Vec<Entry>,
-    /// Their locations.
+    /// The locations of the records, in the order of `entries`.
     pub records: Vec<RecordLocation>,
 }
 
 impl Header {
-    /// Appends it to a buffer.
+    /// Appends the encoded header to a buffer.
     pub fn encode(&self, buffer: &mut Vec<u8>) {
         let start = buffer.len();
         buffer.extend_from_slice(&HEADER_MAGIC.to_le_bytes());
@@ -75,7 +78,7 @@
         buffer.extend_from_slice(&checksum.to_le_bytes());
     }
 
-    /// Reads the beginning of a segment.
+    /// Decodes the header of a segment from the contents of its file.
     pub fn decode(bytes: &[u8]) -> DecodedHeader {
         let Some((version, header, checksum)) = Header::read(bytes) else { return DecodedHeader::Damaged };
         if checksum != super::checksum(&[&bytes[..HEADER_CHECKED]]) {
@@ -98,7 +101,7 @@
     }
 }
 
-/// Appends the record of an entry to a buffer, and returns its checksum.
+/// Appends the record of an entry to a buffer, and returns the checksum of the record.
 pub fn encode_record(entry: &Entry, chain: u32, durable: u64, buffer: &mut Vec<u8>) -> u32 {
     let start = buffer.len();
     buffer.extend_from_slice(&RECORD_MAGIC);
@@ -114,7 +117,8 @@
     checksum
 }
 
-/// Reads the consecutive records after the header.
+/// Reads the records after the header, up to the first one that is incomplete or does not follow the one
+/// before it.
 pub fn scan(bytes: &[u8], header: &Header) -> Scan {
     let mut scan = Scan::default();
     let mut chain = header.chain;
@@ -133,7 +137,7 @@
     scan
 }
 
-/// Returns whether a complete record shows that what is at this offset had been synced.
+/// Returns whether a complete record at or after `offset` proves that the byte at `offset` had been synced.
 pub fn was_synced(bytes: &[u8], offset: u64) -> bool {
     let rest = bytes.get(offset as usize..).unwrap_or_default();
     let starts = (0..rest.len()).filter(|start| rest[*start..].starts_with(&RECORD_MAGIC));
@@ -151,7 +155,7 @@
 }
 
 impl<'a> Record<'a> {
-    /// Reads one record, if it is complete.
+    /// Decodes the record at the beginning of `bytes`; `None` if it is incomplete or damaged.
     fn decode(bytes: &'a [u8]) -> Option<Record<'a>> {
         let mut reader = Reader(bytes.strip_prefix(&RECORD_MAGIC)?);
         let checksum = reader.u32()?;
--- a/crates/storage/src/format/snapshot.rs
+++ b/crates/storage/src/format/snapshot.rs
@@ -1,6 +1,7 @@
-//! The bytes of a snapshot: a head of fixed length, and then the state.
+//! The format of a snapshot: a header of fixed length, followed by the state.
 //!
-//! Head: magic, version, length of the state, epoch, index, checksum of all that and of the state.
+//! Header: magic, version, length of the state, epoch and index of the last entry that the snapshot covers,
+//! checksum of the header up to here and of the state.
 
 use super::{checksum, Reader, VERSION};
 use quillpulley_protocol::Position;
@@ -9,18 +10,19 @@
 const CHECKED: usize = 32;
 const HEADER_BYTES: usize = CHECKED + 4;
 
-/// What the bytes of a snapshot are.
+/// The result of decoding a snapshot.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Decoded {
-    /// A complete snapshot.
+    /// A complete snapshot: the position of the last entry that it covers, and the state.
     Intact(Position, Vec<u8>),
-    /// None, or a part of one.
+    /// The bytes are no complete snapshot, or their checksum does not match.
     Damaged,
-    /// One that another version has written.
+    /// The header has another version. The checksum is not verified.
     OtherVersion,
 }
 
-/// Returns the head that goes before a state.
+/// Returns the header of a snapshot of `state`, where `last` is the position of the last entry that it
+/// covers.
 pub fn encode_header(last: Position, state: &[u8]) -> [u8; HEADER_BYTES] {
     let mut header = [0; HEADER_BYTES];
     header[..4].copy_from_slice(&MAGIC.to_le_bytes());
@@ -33,7 +35,7 @@
     header
 }
 
-/// Reads a snapshot.
+/// Decodes the contents of a snapshot file.
 pub fn decode(mut bytes: Vec<u8>) -> Decoded {
     match decode_header(&bytes) {
         Some(Header { version, .. }) if version != VERSION => Decoded::OtherVersion,
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,17 +1,23 @@
-//! Durable storage of a control node: a segmented log with snapshots, and one small record beside it.
+//! Durable storage of a control node: a segmented log with snapshots, and one small record that is replaced
+//! as a whole.
 //!
-//! Once a call has succeeded, its effect is durable: it survives the end of the process, a loss of power and a full
-//! disk. A failed call may be retried. Until one succeeds, recovery finds the state before it, or a prefix of the
-//! entries that were to be appended, but never a mixture.
+//! The storage does not interpret the contents of the record. A control node keeps its durable state as a
+//! witness of the replication there.
 //!
-//! | file | holds |
+//! Once a call has succeeded, its effect is durable: it survives the end of the process, a loss of power and
+//! a full disk. A failed call may be retried. Until a call succeeds, recovery finds the state before the
+//! failed call, the state after it, or a log that ends within the entries that the call was to truncate or
+//! append. Recovery never finds a mixture of old and new data.
+//!
+//! | file | contents |
 //! | --- | --- |
-//! | `log-<generation>-<first index>.segment` | entries, each with a checksum and that of the entry before it |
-//! | `snapshot-<generation>-<index>.snapshot` | the state up to an entry |
-//! | `record.slots` | the record, in two slots that are written by turns |
+//! | `log-<generation>-<first index>.segment` | entries, each with its own checksum and the checksum of the entry before it |
+//! | `snapshot-<generation>-<index>.snapshot` | the state after the entry with this index |
+//! | `record.slots` | the record, in two slots that are written alternately |
 //!
-//! A [generation](Storage::install) is a history of its own. The newest one that has a snapshot is active; files of
-//! others are left over and removed.
+//! A [generation](Storage::install) is a log with its own snapshots, independent of other generations.
+//! Generation 0 is the log of a new folder; each installation of a snapshot creates the next generation. The
+//! highest generation that has a snapshot is active. Files of other generations are unused and are removed.
 #![forbid(unsafe_code)]
 
 mod error;
--- a/crates/storage/src/names.rs
+++ b/crates/storage/src/names.rs
@@ -1,4 +1,4 @@
-//! The names of the files.
+//! The names of the files in the folder of the storage.
 
 use std::fmt;
 
@@ -7,21 +7,21 @@
 const TEMPORARY: &str = "snapshot.temporary";
 const RECORD: &str = "record.slots";
 
-/// A file of storage.
+/// The name of a file of the storage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileName {
     /// A segment of the log.
     Segment { generation: u64, first: u64 },
-    /// The state up to an index.
+    /// A snapshot of the state after the entry with this index.
     Snapshot { generation: u64, index: u64 },
-    /// A snapshot that is being written.
+    /// A snapshot that is still being written. The file is renamed once it is complete.
     Temporary,
-    /// The two slots of the record.
+    /// The record, in two slots.
     Record,
 }
 
 impl FileName {
-    /// Returns the file that has this name; none if it is none of storage's.
+    /// Parses the name of a file; `None` if the file does not belong to the storage.
     pub fn parse(name: &str) -> Option<FileName> {
         if name == TEMPORARY {
             return Some(FileName::Temporary);
@@ -36,7 +36,7 @@
         Some(FileName::Snapshot { generation, index })
     }
 
-    /// Returns the generation that the file belongs to, if it belongs to one.
+    /// Returns the generation that the file belongs to; `None` for files that are shared by all generations.
     pub fn generation(&self) -> Option<u64> {
         match self {
             FileName::Segment { generation, .. } | FileName::Snapshot { generation, .. } => Some(*generation),
--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -1,7 +1,8 @@
-//! The record: a few bytes that are replaced atomically, also on a full disk.
+//! The record: a short byte string that is replaced atomically, even on a full disk.
 //!
-//! Its file has two slots of fixed length, which are allocated when the folder is created. A record overwrites the
-//! older of the two, with the next number, and is synced; the other slot stays as it is.
+//! The file has two slots of fixed length, which are allocated when the storage is first opened. Each save
+//! overwrites the slot with the older record, gives the new record the next sequence number, and syncs the
+//! file. The other slot keeps the previous record until the new one is durable.
 
 use crate::files::{DataFile, Files};
 use crate::format::{checksum, Reader};
@@ -11,28 +12,29 @@
 const SLOT_BYTES: usize = 4096;
 const SLOTS: usize = 2;
 const MAGIC: u32 = u32::from_le_bytes(*b"QPre");
-/// Magic, checksum, number, length.
+/// The length of the fields before the record: magic, checksum, number, length of the record.
 const HEADER_BYTES: usize = 20;
-/// What the checksum does not cover: the magic and itself.
+/// The length of the fields that the checksum does not cover: the magic and the checksum.
 const UNCHECKED: usize = 8;
 
-/// The longest record.
+/// The maximum length of a record.
 pub const MAX_RECORD_BYTES: usize = SLOT_BYTES - HEADER_BYTES;
 
 /// The file of the record.
 pub(crate) struct RecordFile<F: Files> {
-    /// None while it could not be created.
+    /// `None` if the file could not be created, or has to be created again by the next save.
     file: Option<F::File>,
-    /// The number of the last record that was synced; 0 before the first.
+    /// The number of the last record that was synced; 0 before the first record.
     number: u64,
-    /// Whether the slot of the next record holds a torn record. It must be cleared before anything else is written
-    /// there: two torn writes could combine into the older record.
+    /// Whether the slot that the next record goes to holds a torn record. The slot must be zeroed before
+    /// another record is written to it, since the remains of two torn writes could together form the older of
+    /// the two records.
     next_is_torn: bool,
 }
 
 impl<F: Files> RecordFile<F> {
-    /// Opens the file, and returns it with the record, if there is one. Without a file one is created, if the disk
-    /// allows it.
+    /// Opens the file, and returns it with the record, if one was saved. If the file does not exist, tries to
+    /// create it; a failure of that is ignored, since the next save tries again.
     pub fn open(files: &F, exists: bool) -> Result<(RecordFile<F>, Option<Vec<u8>>), StorageError> {
         if !exists {
             let file = create(files).ok();
@@ -41,14 +43,15 @@
         let file = files.open(&name()).map_err(StorageError::io("open", FileName::Record))?;
         let bytes = file.read().map_err(StorageError::io("read", FileName::Record))?;
         let Slots { newest, other_is_torn } = Slots::read(&bytes)?;
-        // A record that a killed process wrote and did not sync counts only from here on.
+        // A killed process may have written the record without syncing it: it must be durable before it is
+        // returned.
         file.sync().map_err(StorageError::io("sync", FileName::Record))?;
         let (number, record) = newest.map_or((0, None), |slot| (slot.number, Some(slot.record)));
         let usable = bytes.len() == SLOTS * SLOT_BYTES || number > 0;
         Ok((RecordFile { file: usable.then_some(file), number, next_is_torn: other_is_torn }, record))
     }
 
-    /// Replaces the record. After an error the next one goes to the same slot.
+    /// Replaces the record. After an error, the next save writes to the same slot.
     pub fn save(&mut self, files: &F, record: &[u8]) -> Result<(), StorageError> {
         if record.len() > MAX_RECORD_BYTES {
             return Err(StorageError::RecordTooLong { length: record.len(), most: MAX_RECORD_BYTES });
@@ -86,16 +89,17 @@
     FileName::Record.to_string()
 }
 
-/// Returns the slot that a record goes to; the first one, with number 1, goes to the second slot.
+/// Returns the index of the slot for the record with this number. The first record has number 1 and goes to
+/// slot 1.
 fn slot_of(number: u64) -> usize {
     (number % SLOTS as u64) as usize
 }
 
 /// The contents of a slot.
 enum Slot {
-    /// Nothing was ever written to it, or a torn record was cleared.
+    /// No record was ever written to the slot, or a torn record was cleared.
     Empty,
-    /// A part of a record.
+    /// An incomplete or damaged record.
     Torn,
     /// A complete record.
     Intact(NumberedRecord),
@@ -108,14 +112,15 @@
 
 /// The contents of both slots.
 struct Slots {
-    /// The newer one of the complete records.
+    /// The complete record with the highest number.
     newest: Option<NumberedRecord>,
     /// Whether the other slot holds a torn record.
     other_is_torn: bool,
 }
 
 impl Slots {
-    /// Only one slot is written at a time, and the second one first.
+    /// Decodes both slots. Only one slot is written at a time, and slot 1 is written first. A torn slot 0
+    /// without a complete record in slot 1 is therefore not due to an interrupted write, but damage.
     fn read(bytes: &[u8]) -> Result<Slots, StorageError> {
         let mut slots = bytes.chunks(SLOT_BYTES).map(decode_slot);
         let first = slots.next().unwrap_or(Slot::Empty);
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery: reads what an earlier process has stored.
+//! Recovery: reads the data that an earlier process has stored.
 
 use crate::files::{DataFile, Files};
 use crate::format::segment::{scan, was_synced, DecodedHeader, Header, Scan};
@@ -8,18 +8,18 @@
 use crate::StorageError;
 use quillpulley_protocol::{Entry, Position};
 
-/// What was stored before.
+/// The data that was found in the folder when the storage was opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
-    /// The record, if one was ever saved.
+    /// The record; `None` if none was ever saved.
     pub record: Option<Vec<u8>>,
-    /// The snapshot, and the position of the last entry that it covers.
+    /// The position of the last entry that the snapshot covers, and the snapshot; `None` if there is none.
     pub snapshot: Option<(Position, Vec<u8>)>,
-    /// The entries after the snapshot, without a gap.
+    /// The entries after the snapshot, with consecutive indices.
     pub entries: Vec<Entry>,
 }
 
-/// The recovered control state, and the segments to which later entries are appended.
+/// The recovered snapshot and log, with the segments to which later entries are appended.
 pub(crate) struct RecoveredState {
     pub generation: u64,
     pub snapshot: Option<(Position, Vec<u8>)>,
@@ -27,7 +27,7 @@
     pub entries: Vec<Entry>,
 }
 
-/// Reads snapshot and log. Changes nothing.
+/// Reads the snapshot and the log of the active generation, without changing any file.
 pub(crate) fn recover<F: Files>(files: &F, names: &[FileName]) -> Result<RecoveredState, StorageError> {
     let snapshots = names.iter().filter(|name| matches!(name, FileName::Snapshot { .. }));
     let generation = snapshots.filter_map(FileName::generation).max().unwrap_or(0);
@@ -36,7 +36,7 @@
     let log = read_log(files, segments_after(names, generation, base)?, base)?;
     let last = log.segments.last().map_or(base, Segment::last);
     if let Some(index) = damaged.filter(|index| *index > last) {
-        // The entries that the damaged snapshot covered are stored nowhere else.
+        // The log does not contain all entries that the damaged snapshot covered.
         return Err(StorageError::damaged(FileName::Snapshot { generation, index }, 0));
     }
     let entries = log.entries.into_iter().filter(|entry| entry.index > base).collect();
@@ -48,9 +48,9 @@
 /// The snapshots of a generation.
 #[derive(Default)]
 struct Snapshots {
-    /// The newest complete one.
+    /// The newest complete snapshot.
     newest: Option<Snapshot>,
-    /// The index of the newest damaged one, if it is newer than that.
+    /// The index of the newest damaged snapshot, if that is newer than `newest`.
     damaged: Option<u64>,
 }
 
@@ -74,7 +74,7 @@
         }
     }
     match snapshots.damaged {
-        // Every generation but the first begins with a snapshot.
+        // Every generation after generation 0 begins with a snapshot, so its log is incomplete without one.
         Some(index) if generation > 0 => {
             Err(StorageError::damaged(FileName::Snapshot { generation, index }, 0))
         }
@@ -82,7 +82,7 @@
     }
 }
 
-/// Returns the segments that may hold entries after a base, in order.
+/// Returns the segments that may contain entries after the index `base`, ordered by index.
 fn segments_after(names: &[FileName], generation: u64, base: u64) -> Result<Vec<FileName>, StorageError> {
     let firsts = numbers(names, generation, segment_first);
     let Some(lowest) = firsts.first() else { return Ok(Vec::new()) };
@@ -98,8 +98,8 @@
     entries: Vec<Entry>,
 }
 
-/// Reads consecutive segments. Only the last one may end with an incomplete record: the left-over of a write that was
-/// not synced.
+/// Reads consecutive segments. Only the last segment may end with an incomplete record, which an interrupted
+/// write has left there before it was synced.
 fn read_log<F: Files>(files: &F, names: Vec<FileName>, base: u64) -> Result<Log, StorageError> {
     let mut log = Log::default();
     for (offset, name) in names.iter().enumerate() {
@@ -108,13 +108,14 @@
         let Some((header, scan)) = read_segment(*name, &bytes, next, base)? else { continue };
         log.push(*name, header, scan)?;
     }
-    // Segments that a snapshot covers are removed in any order, and some may have come back.
+    // The removal of segments that the snapshot covers is not synced: after a loss of power any of them may
+    // exist.
     let is_covered = log.segments.last().is_some_and(|segment| segment.last() < base);
     Ok(if is_covered { Log::default() } else { log })
 }
 
 impl Log {
-    /// Appends a segment, if it begins where the log ends.
+    /// Appends a segment. Fails unless the segment continues the log.
     fn push(&mut self, name: FileName, header: Header, scan: Scan) -> Result<(), StorageError> {
         if let Some(before) = self.segments.last() {
             let chain = before.records.last().map(|record| record.checksum);
@@ -128,8 +129,9 @@
     }
 }
 
-/// Returns the records of a segment. `next` is the first index of the segment after it. None for a last segment without
-/// a record: the left-over of one that was being created.
+/// Reads the header and the records of a segment. `next` is the first index of the following segment, and
+/// `base` is the index of the last entry that the snapshot covers. Returns `None` for a last segment without
+/// a complete record, whose creation was interrupted.
 fn read_segment(
     name: FileName,
     bytes: &[u8],
@@ -146,7 +148,7 @@
     let following = header.first + found.records.len() as u64;
     let is_damaged = match next {
         Some(next) => following < next,
-        // Entries that a snapshot covers had been synced, too.
+        // Entries that the snapshot covers had been synced, so an incomplete record among them is damage.
         None => was_synced(bytes, end) || (following <= base && end < bytes.len() as u64),
     };
     if is_damaged {
@@ -167,7 +169,8 @@
     file.read().map_err(StorageError::io("read", name))
 }
 
-/// Returns the numbers of the files of a kind and a generation, in order.
+/// Returns the indices of the files of one kind in a generation, in ascending order. `number` returns the
+/// index of a file of that kind, and `None` for other files.
 fn numbers(names: &[FileName], generation: u64, number: fn(&FileName) -> Option<u64>) -> Vec<u64> {
     let own = names.iter().filter(|name| name.generation() == Some(generation));
     let mut numbers: Vec<u64> = own.filter_map(number).collect();
--- a/crates/storage/src/segments.rs
+++ b/crates/storage/src/segments.rs
@@ -6,7 +6,7 @@
 use crate::StorageError;
 use quillpulley_protocol::Entry;
 
-/// One segment, which has at least one record.
+/// A segment with at least one record.
 #[derive(Debug)]
 pub(crate) struct Segment {
     pub header: Header,
@@ -18,12 +18,12 @@
         FileName::Segment { generation: self.header.generation, first: self.header.first }
     }
 
-    /// Returns the index of its last entry.
+    /// Returns the index of the last entry.
     pub fn last(&self) -> u64 {
         self.header.first + self.records.len() as u64 - 1
     }
 
-    /// Returns the length of its complete records, all of them synced.
+    /// Returns the length of the header and of all records, in bytes. All of it is synced.
     pub fn length(&self) -> u64 {
         self.records.last().map_or(HEADER_BYTES as u64, |record| record.end)
     }
@@ -38,13 +38,14 @@
     }
 }
 
-/// The segments of a generation, one after the other, without those that a snapshot covers.
+/// The consecutive segments of a generation, without segments that the snapshot covers completely. A last
+/// segment is kept even if it is covered.
 ///
-/// After an error the last segment may be too long on disk, and there may be unused files; `truncate_to_length` and
-/// the removal of unused files correct that.
+/// After an error, the last segment may be longer on disk than in memory, and the folder may contain unused
+/// files. `truncate_to_length` and the removal of unused files correct that.
 pub(crate) struct Segments<F: Files> {
     segments: Vec<Segment>,
-    /// The file of the last segment, once it was opened.
+    /// The open file of the last segment; `None` until it is needed.
     file: Option<F::File>,
 }
 
@@ -53,18 +54,18 @@
         Segments { segments, file: None }
     }
 
-    /// Returns the index of the last entry.
+    /// Returns the index of the last entry; `None` if there is no segment.
     pub fn last_index(&self) -> Option<u64> {
         self.segments.last().map(Segment::last)
     }
 
-    /// Returns the epoch of an entry.
+    /// Returns the epoch of the entry with this index; `None` if it is not stored.
     pub fn epoch_of(&self, index: u64) -> Option<u64> {
         let segment = self.segments.iter().rev().find(|segment| segment.header.first <= index)?;
         segment.epoch_of(index)
     }
 
-    /// Returns the bytes of all segments.
+    /// Returns the length of all segments, in bytes.
     pub fn bytes(&self) -> u64 {
         self.segments.iter().map(Segment::length).sum()
     }
@@ -73,7 +74,8 @@
         self.segments.iter().any(|segment| segment.name() == *name)
     }
 
-    /// Drops segments that a snapshot covers, except the last one, to which the next entries are appended.
+    /// Forgets segments without entries after `index`, except for the last segment, to which the next entries
+    /// are appended. Their files become unused, and are not removed here.
     pub fn drop_covered(&mut self, index: u64) {
         let all_but_last = self.segments.len().saturating_sub(1);
         let covered =
@@ -81,7 +83,8 @@
         self.segments.drain(..covered);
     }
 
-    /// Removes all entries after an index, durably: later entries can never be mixed with them.
+    /// Removes all entries after the index `last`. The removal is durable before the method returns, so that
+    /// entries that are appended later are never mixed with removed ones.
     pub fn truncate(&mut self, files: &F, last: u64) -> Result<(), StorageError> {
         while let Some(segment) = self.segments.pop_if(|segment| segment.header.first > last) {
             self.file = None;
@@ -105,13 +108,14 @@
         file.sync().map_err(StorageError::io("sync", name))
     }
 
-    /// Syncs the last segment: a killed process may not have synced what was read of it.
+    /// Syncs the last segment, since recovery may have read records that a killed process wrote but did not
+    /// sync.
     pub fn sync_last(&mut self, files: &F) -> Result<(), StorageError> {
         let Some(name) = self.segments.last().map(Segment::name) else { return Ok(()) };
         self.last_file(files, name)?.sync().map_err(StorageError::io("sync", name))
     }
 
-    /// Appends entries to the last segment, or to a new one if that is full.
+    /// Appends entries to the last segment, or to a new one if the last segment has reached `segment_bytes`.
     pub fn append(
         &mut self,
         files: &F,
@@ -148,7 +152,7 @@
         Ok(())
     }
 
-    /// Returns the file of the last segment, which has this name.
+    /// Returns the open file of the last segment, whose name is `name`.
     fn last_file(&mut self, files: &F, name: FileName) -> Result<&F::File, StorageError> {
         let file = match self.file.take() {
             Some(file) => file,
@@ -158,7 +162,8 @@
     }
 }
 
-/// Creates a segment of these entries, durable with its name.
+/// Creates a segment that contains `entries`. Its contents and its name are durable before the function
+/// returns.
 pub(crate) fn create<F: Files>(
     files: &F,
     header: Header,
@@ -176,7 +181,8 @@
     Ok((segment, file))
 }
 
-/// Appends the records of entries to a buffer. The first one will be at the offset `start` of its segment.
+/// Appends the records of `entries` to a buffer, and returns their locations. The first record will be
+/// written at the offset `start` of the segment, of which `durable` bytes are synced.
 fn encode_records(
     entries: &[Entry],
     mut chain: u32,
--- a/crates/storage/src/storage.rs
+++ b/crates/storage/src/storage.rs
@@ -1,4 +1,4 @@
-//! The storage of a process: its operations, and the order in which they reach the disk.
+//! The operations of the storage, and the order in which they write to the disk.
 
 use crate::files::{DataFile, Files, Folder};
 use crate::format::segment::Header;
@@ -13,10 +13,10 @@
 
 const DEFAULT_SEGMENT_BYTES: u64 = 4 * 1024 * 1024;
 
-/// How storage uses the disk.
+/// The options of a [`Storage`].
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// A segment that has reached this length is not extended; 4 MiB.
+    /// The length in bytes at which a segment is full, so that entries go to a new one. The default is 4 MiB.
     pub segment_bytes: u64,
 }
 
@@ -26,27 +26,29 @@
     }
 }
 
-/// Durable storage for one thread. Every call may wait for the disk.
+/// A durable log with snapshots, and one record. Every call may block until the disk responds.
 pub struct Storage<F: Files = Folder> {
     files: F,
     options: Options,
     /// The active generation.
     generation: u64,
-    /// A generation that no file has had so far.
+    /// The number for the next generation, which no file has had so far.
     next_generation: u64,
-    /// The last entry that the snapshot covers.
+    /// The position of the last entry that the snapshot covers; `None` without a snapshot.
     snapshot: Option<Position>,
     segments: Segments<F>,
     record: RecordFile<F>,
-    /// Whether the folder may hold the left-overs of a call that failed.
+    /// Whether the folder may contain leftovers of a failed call, which must be removed before the next
+    /// change.
     needs_repair: bool,
 }
 
 impl Storage {
-    /// Opens the storage in a folder, and returns it with what was stored there.
+    /// Opens the storage in a folder, and returns it with the data that was found there.
     ///
     /// # Errors
-    /// [`StorageError::Io`], which may be retried; any other error means that the folder has lost synced data.
+    /// [`StorageError::Io`] if the disk fails; the call may be retried. [`StorageError::OtherVersion`] if
+    /// another version wrote the folder. Any other error means that synced data is lost or damaged.
     pub fn open(folder: &Path, options: Options) -> Result<(Storage, Recovered), StorageError> {
         let files = Folder::open(folder).map_err(StorageError::io("open the folder", folder.display()))?;
         Storage::open_in(files, options)
@@ -54,12 +56,14 @@
 }
 
 impl<F: Files> Storage<F> {
-    /// Opens the storage in some other kind of folder.
+    /// Opens the storage in a folder behind another implementation of [`Files`], and returns it with the data
+    /// that was found there.
     ///
     /// # Errors
-    /// [`StorageError`].
+    /// Fails like [`Storage::open`].
     pub fn open_in(files: F, options: Options) -> Result<(Storage<F>, Recovered), StorageError> {
-        // Names that a killed process created or removed count only once they are durable.
+        // A killed process may have created, renamed or removed files without syncing the folder. These
+        // changes must be durable before recovery relies on them.
         files.sync_names().map_err(StorageError::io("sync", "the folder"))?;
         let names = names(&files)?;
         let state = recover(&files, &names)?;
@@ -77,40 +81,46 @@
         };
         storage.segments.sync_last(&storage.files)?;
         if let Err(error) = storage.repair() {
-            log::warn!(error:%; "left-over files of an earlier process were not removed");
+            log::warn!(error:%; "could not remove the leftover files of an earlier process");
         }
         Ok((storage, Recovered { record: saved, snapshot: state.snapshot, entries: state.entries }))
     }
 
-    /// Returns the index of the last entry that is stored or that the snapshot covers; 0 before the first.
+    /// Returns the index of the last entry that is stored or that the snapshot covers; 0 if there is none.
     pub fn last_index(&self) -> u64 {
         self.segments.last_index().unwrap_or(self.snapshot_index())
     }
 
-    /// Returns the last entry that the snapshot covers, if there is one.
+    /// Returns the position of the last entry that the snapshot covers; `None` if there is no snapshot.
     pub fn snapshot_position(&self) -> Option<Position> {
         self.snapshot
     }
 
-    /// Returns the bytes of the log on disk, by which callers decide when to compact it.
+    /// Returns the length of the log on disk in bytes. Callers use it to decide when to compact the log.
     pub fn log_bytes(&self) -> u64 {
         self.segments.bytes()
     }
 
-    /// Replaces the record.
+    /// Replaces the record. This needs no new disk space if the file of the record exists.
     ///
     /// # Errors
-    /// [`StorageError`].
+    /// [`StorageError::RecordTooLong`] if the record exceeds [`MAX_RECORD_BYTES`](crate::MAX_RECORD_BYTES);
+    /// [`StorageError::Io`] if the disk fails.
     pub fn save_record(&mut self, bytes: &[u8]) -> Result<(), StorageError> {
         self.record.save(&self.files, bytes)
     }
 
-    /// Appends entries with consecutive indices, so that the log ends with the last of them. The first one may have any
-    /// index after the snapshot: entries that are stored already are kept, conflicting ones are truncated. After an
-    /// error the log may end before the first entry that was to be truncated.
+    /// Appends entries with consecutive indices. The log then ends with the last of them, even if it was
+    /// longer before.
+    ///
+    /// The first entry may have any index after the snapshot, up to the one that follows the end of the log.
+    /// Entries that are stored already are kept. From the first conflicting entry on, which has the same
+    /// index as a stored entry but another epoch, the stored entries are replaced. After an error, the
+    /// entries that were to be replaced may be removed although the new ones were not appended.
     ///
     /// # Errors
-    /// [`StorageError`].
+    /// [`StorageError::OutOfOrder`] if the indices are not consecutive, or the first one is not in the range
+    /// above; [`StorageError::Io`] if the disk fails.
     pub fn append(&mut self, entries: &[Entry]) -> Result<(), StorageError> {
         let Some(last) = entries.last().map(|entry| entry.index) else { return Ok(()) };
         self.check_sequence(entries)?;
@@ -130,11 +140,12 @@
         })
     }
 
-    /// Replaces everything but the record, atomically, by a snapshot, the position of the last entry that it covers,
-    /// and the entries after it, in a new generation.
+    /// Atomically replaces all snapshots and entries by `snapshot` and the entries that follow it, as a new
+    /// generation. `last` is the position of the last entry that `snapshot` covers. The record is kept.
     ///
     /// # Errors
-    /// [`StorageError`].
+    /// [`StorageError::OutOfOrder`] if the entries do not follow `last` with consecutive indices;
+    /// [`StorageError::Io`] if the disk fails.
     pub fn install(
         &mut self,
         last: Position,
@@ -145,11 +156,12 @@
         self.change(|storage| storage.install_generation(last, snapshot, entries))
     }
 
-    /// Stores a snapshot, and drops the entries that it covers. A snapshot that covers no more than the present one is
-    /// ignored.
+    /// Stores a snapshot, and drops the entries that it covers. `last` is the position of the last entry that
+    /// it covers. A snapshot that covers no more entries than the stored one is ignored. A snapshot beyond
+    /// the end of the log replaces the log, as [`Storage::install`] does.
     ///
     /// # Errors
-    /// [`StorageError`].
+    /// [`StorageError::Io`] if the disk fails.
     pub fn compact(&mut self, last: Position, snapshot: &[u8]) -> Result<(), StorageError> {
         if last.index <= self.snapshot_index() {
             return Ok(());
@@ -171,7 +183,8 @@
         self.snapshot.map_or(0, |last| last.index)
     }
 
-    /// Checks that the entries are consecutive, and begin after the snapshot and at the end of the log at the latest.
+    /// Checks that the entries are consecutive, begin after the snapshot, and leave no gap after the end of
+    /// the log.
     fn check_sequence(&self, entries: &[Entry]) -> Result<(), StorageError> {
         let first = entries.first().map_or(0, |entry| entry.index);
         let expected = self.last_index() + 1;
@@ -181,12 +194,12 @@
         check_consecutive(first, entries)
     }
 
-    /// Returns whether an entry is stored: index and epoch identify it.
+    /// Returns whether an entry is stored. An entry is identified by its index and epoch.
     fn contains(&self, entry: &Entry) -> bool {
         self.segments.epoch_of(entry.index) == Some(entry.epoch)
     }
 
-    /// Performs a change. The left-overs of one that fails are removed before the next.
+    /// Performs a change, after removing the leftovers of an earlier change that failed.
     fn change(
         &mut self,
         change: impl FnOnce(&mut Self) -> Result<(), StorageError>,
@@ -200,7 +213,7 @@
         Ok(())
     }
 
-    /// Removes left-overs from the folder, durably.
+    /// Durably removes unused files, and anything that follows the last complete record of the log.
     fn repair(&mut self) -> Result<(), StorageError> {
         self.revoke_newer_generations()?;
         self.remove_unused_files()?;
@@ -210,7 +223,7 @@
         Ok(())
     }
 
-    /// Creates a new generation. It becomes active when its snapshot gets its name.
+    /// Creates a new generation. It becomes active when its snapshot is renamed from the temporary file.
     fn install_generation(
         &mut self,
         last: Position,
@@ -232,7 +245,7 @@
         Ok(())
     }
 
-    /// Writes a snapshot to a temporary file, and renames that once it is complete.
+    /// Writes a snapshot to a temporary file, and renames the file once it is synced.
     fn write_snapshot(&self, generation: u64, last: Position, state: &[u8]) -> Result<(), StorageError> {
         let name = FileName::Snapshot { generation, index: last.index };
         let temporary = FileName::Temporary;
@@ -247,10 +260,11 @@
         self.files.sync_names().map_err(StorageError::io("sync the folder of", name))
     }
 
-    /// Removes unused files. Those that stay, or come back after a loss of power, do no harm.
+    /// Tries to remove unused files. Recovery ignores those that remain, or that reappear after a loss of
+    /// power.
     fn try_remove_unused_files(&self) {
         if let Err(error) = self.remove_unused_files() {
-            log::warn!(error:%; "unused files were not removed");
+            log::warn!(error:%; "could not remove unused files");
         }
     }
 
@@ -258,8 +272,9 @@
         names(&self.files)?.iter().filter(|name| !self.is_in_use(name)).try_for_each(|name| self.remove(name))
     }
 
-    /// Removes the snapshots of installations that failed at their end, durably and before their segments: a part of an
-    /// installation must not become active.
+    /// Durably removes snapshots of generations newer than the active one, which installations left that
+    /// failed after the renaming. This must happen before their segments are removed: otherwise, after a loss
+    /// of power, a generation could become active without its entries.
     fn revoke_newer_generations(&self) -> Result<(), StorageError> {
         let is_newer = |name: &&FileName| match name {
             FileName::Snapshot { generation, .. } => *generation > self.generation,
--- a/crates/storage/tests/common/disk.rs
+++ b/crates/storage/tests/common/disk.rs
@@ -1,6 +1,7 @@
-//! A folder on a simulated disk that loses power, fills up and fails.
+//! A folder on a simulated disk, which can lose power, run out of space and return errors.
 //!
-//! What was not synced is, after a loss of power, present, missing or torn, each write and each name on its own.
+//! A loss of power keeps, drops or tears each write that was not synced, and keeps or drops each change of a
+//! file name that was not synced, independently of the others.
 
 use quillpulley_storage::files::{DataFile, Files};
 use std::cell::RefCell;
@@ -8,20 +9,20 @@
 use std::io;
 use std::rc::Rc;
 
-/// What goes wrong.
+/// A fault of the disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The power goes; only [`Disk::lose_power`] brings the disk back.
+    /// The disk loses power: no file can be opened or changed until [`Disk::lose_power`].
     PowerOut,
-    /// One call fails, done in part.
+    /// One operation fails. A failed write may be performed in part.
     Error,
-    /// From now on, writes and new files are refused.
+    /// From now on, all writes and the creation of files fail.
     Full,
-    /// From now on, new files and writes that make a file longer are refused.
+    /// From now on, the creation of files and writes that extend a file fail. Files can still be overwritten.
     NoSpace,
 }
 
-/// A handle of the disk; the contents are shared by all handles.
+/// A handle of the disk. All clones share the contents.
 #[derive(Clone)]
 pub struct Disk(Rc<RefCell<Contents>>);
 
@@ -30,7 +31,7 @@
     names: Names,
     durable_names: Names,
     pending_names: Vec<NameChange>,
-    /// Whether a new name lasts once its file is synced.
+    /// Whether a sync of a new file makes its name durable, too.
     sync_keeps_name: bool,
     planned: Option<(Fault, usize)>,
     present: Option<Fault>,
@@ -59,7 +60,7 @@
     Removed(String),
 }
 
-/// What a step does.
+/// The kinds of disk operations that faults distinguish.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Step {
     Grow,
@@ -81,12 +82,12 @@
         })))
     }
 
-    /// Lets a fault come at a later step: 0 for the next one.
+    /// Schedules a fault: it occurs at the disk operation after the next `step` ones.
     pub fn plan(&self, fault: Fault, step: usize) {
         self.0.borrow_mut().planned = Some((fault, step));
     }
 
-    /// Ends faults that came or were to come, but for a loss of power.
+    /// Ends the present fault, unless it is a loss of power, and cancels the scheduled one.
     pub fn calm(&self) {
         let contents = &mut *self.0.borrow_mut();
         contents.planned = None;
@@ -97,7 +98,7 @@
         self.0.borrow().present == Some(Fault::PowerOut)
     }
 
-    /// Loses what was not synced, or a part of it, and comes back.
+    /// Drops the changes that were not synced, or a random part of them, and ends all faults.
     pub fn lose_power(&self) {
         let contents = &mut *self.0.borrow_mut();
         contents.planned = None;
@@ -125,7 +126,7 @@
         self.0.borrow().names.keys().cloned().collect()
     }
 
-    /// Changes a file behind the back of storage.
+    /// Changes the durable contents of a file without a call of the storage.
     pub fn damage(&self, name: &str, damage: impl FnOnce(&mut Vec<u8>)) {
         let contents = &mut *self.0.borrow_mut();
         let file = &mut contents.files[contents.names[name]];
@@ -160,7 +161,7 @@
     }
 }
 
-/// Some of a change, or all, or nothing of it.
+/// Applies a change completely, in part, or not at all.
 fn survive(bytes: &mut Vec<u8>, change: Change, random: &mut Random) {
     match (random.below(3), change) {
         (0, _) => {}
@@ -186,7 +187,7 @@
 
     fn begin(&mut self, fault: Fault, step: Step) -> io::Result<()> {
         if fault == Fault::Error {
-            return Err(io::Error::other("a planned error"));
+            return Err(io::Error::other("a scheduled error"));
         }
         self.present = Some(fault);
         self.refusal(step)
@@ -291,7 +292,7 @@
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         self.step(Step::Other)?;
         let contents = &mut *self.0.borrow_mut();
-        assert!(!contents.names.contains_key(to), "{to} is there already");
+        assert!(!contents.names.contains_key(to), "{to} exists already");
         let file = contents.names[from];
         contents.change_names(NameChange::Renamed(from.to_string(), to.to_string(), file));
         Ok(())
@@ -300,7 +301,7 @@
     fn remove(&self, name: &str) -> io::Result<()> {
         self.step(Step::Other)?;
         let contents = &mut *self.0.borrow_mut();
-        assert!(contents.names.contains_key(name), "{name} is not there");
+        assert!(contents.names.contains_key(name), "{name} does not exist");
         contents.change_names(NameChange::Removed(name.to_string()));
         Ok(())
     }
@@ -366,7 +367,7 @@
     }
 }
 
-/// SplitMix64.
+/// The SplitMix64 generator.
 pub struct Random(pub u64);
 
 impl Random {
--- a/crates/storage/tests/common/mod.rs
+++ b/crates/storage/tests/common/mod.rs
@@ -19,7 +19,8 @@
     Storage::open_in(disk.clone(), OPTIONS)
 }
 
-/// Entries of one epoch that follow each other, with payloads of their own.
+/// Returns the entries `first` to `last` of one epoch. Entries of different epochs or indices differ in their
+/// payload.
 pub fn entries(epoch: u64, first: u64, last: u64) -> Vec<Entry> {
     (first..=last).map(|index| entry(epoch, index)).collect()
 }
--- a/crates/storage/tests/compatibility.rs
+++ b/crates/storage/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! Folders that earlier releases wrote can be read, and the same calls write the same bytes.
+//! Checks that folders from earlier releases can be read, and that the same calls still write the same bytes.
 //!
 //! `fixtures/folder` was written by the storage at commit 0b0971f with the calls of [`write_history`].
 
@@ -9,10 +9,10 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-/// A few entries fill a segment.
+/// Options with short segments, so that a few dozen entries fill one.
 const OPTIONS: Options = Options { segment_bytes: 2_000 };
 
-/// A folder that is removed at the end of its test.
+/// A temporary folder that is removed at the end of the test.
 struct TestFolder(PathBuf);
 
 impl TestFolder {
@@ -43,7 +43,8 @@
         .collect()
 }
 
-/// Records, batches, a tail that another epoch replaces, a compaction, an installation, and entries behind it.
+/// Performs every kind of call: saves records, appends batches, replaces the tail of the log by entries of
+/// another epoch, compacts the log, installs a snapshot, and appends entries after it.
 fn write_history(folder: &Path) {
     let (mut storage, _) = Storage::open(folder, OPTIONS).expect("an empty folder");
     storage.save_record(b"the first record").expect("a record");
--- a/crates/storage/tests/crashes.rs
+++ b/crates/storage/tests/crashes.rs
@@ -1,5 +1,5 @@
-//! What survives losses of power, kills, failed calls and full disks: all that a call returned from, and nothing
-//! that was never asked for.
+//! Tests of recovery after losses of power, killed processes, failed calls and full disks. The effect of
+//! every successful call must be found, and nothing that no call has requested.
 
 mod common;
 
@@ -12,31 +12,32 @@
 #[derive(Clone, Debug)]
 enum Operation {
     SaveRecord,
-    /// Entries from `back` before the end of the log: some that are stored, then some that are new.
+    /// Appends entries, of which the first is `back` entries before the end of the log: up to `known` entries
+    /// that are stored, then `new` entries that are not.
     Append {
         back: u8,
         known: u8,
         new: u8,
     },
-    /// At some place of the log.
+    /// Compacts the log at an index that `place` chooses, from the snapshot to the first index after the log.
     Compact {
         place: u8,
     },
-    /// Beyond or before the end of the log.
+    /// Installs a snapshot at `index`, before or after the end of the log, followed by `new` entries.
     Install {
         index: u8,
         new: u8,
     },
-    /// The process is killed and started again.
+    /// Kills the process and starts it again.
     Kill,
-    /// The same, and the machine loses power.
+    /// Interrupts the power of the machine, and starts the process again.
     LosePower,
 }
 
 #[derive(Clone, Debug)]
 struct Step {
     operation: Operation,
-    /// What goes wrong, and at which step of the disk.
+    /// The fault that occurs, and the number of disk operations before it.
     fault: Option<(Fault, usize)>,
 }
 
@@ -75,7 +76,7 @@
     }
 }
 
-/// Snapshot and entries.
+/// The snapshot and the entries after it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct State {
     snapshot: Option<(Position, Vec<u8>)>,
@@ -97,7 +98,7 @@
         self.base() + self.entries.len() as u64
     }
 
-    /// The state with the log cut off behind an index.
+    /// Returns the state with the log truncated after the index `last`.
     fn cut(&self, last: u64) -> State {
         let kept = last.saturating_sub(self.base()) as usize;
         State {
@@ -119,16 +120,18 @@
     }
 }
 
-/// A storage, what it should hold, and what a recovery may find.
+/// A storage, with a model of its contents and of the results that recovery may have.
 struct Machine {
     disk: Disk,
     storage: Storage<Disk>,
-    /// What all successful calls add up to.
+    /// The state after all successful calls.
     state: State,
-    /// What calls that failed since the last success may have made of it, and itself.
+    /// The states that recovery may find: `state`, and the outcomes of calls that failed since the last
+    /// successful one.
     possible: Vec<State>,
+    /// The records that recovery may find.
     possible_records: Vec<Option<Vec<u8>>>,
-    /// Makes entries, snapshots and records different from all before.
+    /// The number of the current step. It makes the data of each step unique.
     counter: u64,
     random: Random,
 }
@@ -206,7 +209,7 @@
         let snapshot = format!("snapshot {}", self.counter).into_bytes();
         let result = self.storage.compact(last, &snapshot);
         if index <= self.state.base() {
-            return result.expect("passed over");
+            return result.expect("the snapshot is ignored");
         }
         let after = self.state.compacted(last, &snapshot);
         self.took(result, after.clone(), vec![after]);
@@ -237,7 +240,7 @@
         assert_eq!(self.storage.snapshot_position(), position);
     }
 
-    /// Starts a new process, which may end while it opens the storage.
+    /// Opens the storage as a new process does, and repeats that until no fault interrupts it.
     fn restart(&mut self, power: bool) {
         let mut power = power || self.disk.is_out();
         loop {
@@ -278,7 +281,7 @@
     }
 }
 
-/// Only what was planned may fail.
+/// Checks that the error is due to a fault of the disk, and not to the data that was found.
 fn expect_failures(error: &StorageError) {
     assert!(matches!(error, StorageError::Io { .. }), "{error}");
 }
@@ -324,9 +327,12 @@
     }
 }
 
-//    install 23, 24-27   | segment made | snapshot named | folder not synced: failed
-//    append 28           | repair: one of the two is removed, then the disk fails
-//    killed              | nothing of the installation may count
+// An installation fails after its snapshot was renamed. If the repair before the next call removed its files
+// in the wrong order and failed halfway, recovery could find the generation without its segment.
+//
+//    install 23, 24-27     | segment created, snapshot renamed, sync of the folder fails
+//    append 28             | repair removes one of the two files, then the disk fails
+//    kill or loss of power | recovery finds nothing of the installation
 #[test]
 fn a_part_of_a_failed_installation_does_not_count() {
     for (seed, after) in (0..50).flat_map(|seed| (0..8).map(move |after| (seed, after))) {
@@ -353,7 +359,7 @@
             disk.plan(if fault { Fault::Error } else { Fault::Full }, after % 10);
             if call(&mut storage).is_err() {
                 disk.calm();
-                call(&mut storage).expect("the second time");
+                call(&mut storage).expect("the retry succeeds");
             }
             disk.calm();
         };
@@ -371,9 +377,11 @@
     }
 }
 
-//    install 4, 5-7      | fails or loses power at any step
-//    install 30          | a newer one comes, and fails as well at any step
-//    killed or powerless | one of the three states counts, whole
+// A second installation follows one that failed, and may fail, too. Recovery must not mix the files of both.
+//
+//    install 4, 5-7        | a fault occurs at any disk operation
+//    install 30            | a fault occurs at any disk operation
+//    kill or loss of power | recovery finds exactly the state before both, after the first, or after the second
 #[test]
 fn an_installation_after_an_incomplete_one_is_complete_or_void() {
     let faults = [Fault::PowerOut, Fault::Error, Fault::Full, Fault::NoSpace];
--- a/crates/storage/tests/damage.rs
+++ b/crates/storage/tests/damage.rs
@@ -1,4 +1,4 @@
-//! The errors that follow from a disk that lost or changed what was synced.
+//! Tests of the errors that are reported when the disk has lost or changed synced data.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use quickcheck::quickcheck;
 use quillpulley_storage::StorageError;
 
-/// Entries 1 to 12 in three segments or more, each appended alone.
+/// Returns a disk with the entries 1 to 12, which were appended one by one and fill at least three segments.
 fn filled() -> Disk {
     let disk = Disk::new(1);
     let (mut storage, _) = open(&disk);
@@ -45,7 +45,7 @@
             match try_open(&disk) {
                 Ok((_, found)) => {
                     assert!(is_last, "{name} at {offset}");
-                    assert_eq!(found.entries, entries(1, 1, 11), "only the last batch may be cut off");
+                    assert_eq!(found.entries, entries(1, 1, 11), "only the last batch may be truncated");
                 }
                 Err(error) => {
                     let text = error.to_string();
@@ -91,7 +91,7 @@
     storage.append(&entries(1, 1, 3)).expect("appended");
     storage.compact(at(1, 2), b"two").expect("compacted");
     disk.damage("snapshot-000000-000000000002.snapshot", flip(36));
-    assert_eq!(open(&disk).1.entries, entries(1, 1, 3), "one segment still holds them all");
+    assert_eq!(open(&disk).1.entries, entries(1, 1, 3), "the segment still contains all entries");
 
     let disk = Disk::new(1);
     let (mut storage, _) = open(&disk);
@@ -186,7 +186,8 @@
     }
 }
 
-//    compacted at 3, 12 and 20; the last snapshot is gone, and the first came back
+// The log is compacted at 3, 12 and 20. Then the last snapshot is lost and the first one reappears, so that
+// the entries between it and the remaining log are missing.
 #[test]
 fn a_log_that_begins_after_the_snapshots_end_is_an_error() {
     let disk = filled();
@@ -206,7 +207,8 @@
     assert!(text.contains("empty the data folder"), "{text}");
 }
 
-//    installed at 9 with 10-12, then at 30: that snapshot is gone, the older installation is swept
+// A snapshot is installed at 9 with the entries 10-12, then another at 30, which removes the files of the
+// first. Then the second snapshot is lost, and its segment must not be read without it.
 #[test]
 fn segments_of_an_installation_without_its_snapshot_never_count() {
     let disk = Disk::new(1);
--- a/crates/storage/tests/reopening.rs
+++ b/crates/storage/tests/reopening.rs
@@ -1,5 +1,6 @@
-//! What a start makes of files that an earlier process left: unsynced entries, files of another name, history or
-//! length, and files that are as they should be.
+//! Tests of opening a folder that an earlier process has written. Cases are intact files, entries that were
+//! not synced, files of a wrong length, and files that have the name of another file or belong to another
+//! log.
 
 mod common;
 
@@ -10,10 +11,10 @@
 
 const RECORD: &str = "record.slots";
 const RECORD_BYTES: usize = 8192;
-/// The length of a segment's header, of which the last four bytes are the checksum of the others.
+/// The length of the header of a segment. The last four bytes are the checksum of the others.
 const HEADER_BYTES: usize = 32;
 
-/// Entries 1 to `last` in segments of a few entries, each appended alone.
+/// Returns a disk with the entries 1 to `last`, which were appended one by one and fill several segments.
 fn filled(epoch: u64, last: u64) -> Disk {
     let disk = Disk::new(1);
     let (mut storage, _) = open(&disk);
@@ -31,12 +32,12 @@
     try_open(disk).map(|_| ()).expect_err("an unusable folder")
 }
 
-/// An entry was written by a process that was killed before the sync.
+/// Returns a disk with a durable entry 1, and an entry 2 that a killed process has written but not synced.
 fn unsynced_entry(seed: u64) -> Disk {
     let disk = Disk::new(seed);
     let (mut storage, _) = open(&disk);
     storage.append(&entries(1, 1, 1)).expect("appended");
-    // The write, and then the sync that fails.
+    // The write succeeds, and the sync after it fails.
     disk.plan(Fault::Error, 1);
     storage.append(&entries(1, 2, 2)).expect_err("not synced");
     drop(storage);
@@ -68,7 +69,7 @@
     let (mut storage, found) = open(&disk);
     assert_eq!(found.record, None);
     disk.plan(Fault::NoSpace, 0);
-    storage.save_record(b"one").expect("there is room for it");
+    storage.save_record(b"one").expect("no new space is needed");
     disk.calm();
     assert_eq!(open(&disk).1.record, Some(b"one".to_vec()));
 }
--- a/crates/storage/tests/storage.rs
+++ b/crates/storage/tests/storage.rs
@@ -1,4 +1,4 @@
-//! What each operation stores, on a simulated disk without faults and on a real one.
+//! Tests of what each operation stores, on a simulated disk without faults and in a real folder.
 
 mod common;
 
@@ -65,6 +65,8 @@
     assert_eq!((storage.last_index(), recovered(&disk).entries), (20, entries(1, 1, 20)));
 }
 
+// Entries are written as epoch/index.
+//
 //    stored  | 1/1 1/2 1/3 1/4 1/5 1/6 1/7 1/8
 //    append  |             2/4 2/5
 //    stored  | 1/1 1/2 1/3 2/4 2/5
@@ -116,8 +118,8 @@
     let before = storage.log_bytes();
     storage.compact(at(1, 15), b"state").expect("compacted");
     assert!(storage.log_bytes() < before / 2);
-    storage.compact(at(1, 15), b"of no use").expect("passed over");
-    storage.compact(at(1, 7), b"of no use").expect("passed over");
+    storage.compact(at(1, 15), b"of no use").expect("the snapshot is ignored");
+    storage.compact(at(1, 7), b"of no use").expect("the snapshot is ignored");
     let found = recovered(&disk);
     assert_eq!(found.snapshot, Some((at(1, 15), b"state".to_vec())));
     assert_eq!(found.entries, entries(1, 16, 20));
@@ -174,7 +176,7 @@
     }
 }
 
-/// A folder of the file system that goes away with the test.
+/// A temporary folder that is removed at the end of the test.
 struct RealFolder(PathBuf);
 
 impl RealFolder {
