--- a/crates/control-state/src/decision.rs
+++ b/crates/control-state/src/decision.rs
@@ -1,34 +1,35 @@
-//! Decisions on commands.
+//! The decisions that the control state makes on commands before they are appended to the log.
 
 use quillpulley_serving_config::ConfigurationError;
 
-/// The decision on a configuration.
+/// The decision on a command to replace the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplaceDecision {
-    /// The same configuration was applied on the same base: acknowledge it, whatever has followed.
+    /// The same configuration was applied on the same base version: acknowledge the command, even if other
+    /// configurations have followed.
     AlreadyApplied,
-    /// It builds on another version than the active one: reject it.
+    /// The base version is not the active version: reject the command.
     Conflict {
         /// The active version.
         current: u64,
     },
-    /// It builds on a version that is older than the history: whether it was applied is unknown, so that it is
-    /// neither acknowledged nor rejected.
+    /// The base version is older than the history. Whether the configuration was applied is unknown, so the
+    /// command is neither acknowledged nor rejected.
     HistoryExpired {
-        /// The oldest base in the history.
+        /// The oldest base version in the history.
         oldest: u64,
     },
-    /// It is invalid: reject it.
+    /// The configuration is invalid: reject the command.
     Invalid(ConfigurationError),
-    /// Append this payload to the log.
+    /// Append an entry with this payload to the log.
     Propose(Vec<u8>),
 }
 
 /// The decision on a command to evacuate or restore a zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EvacuationDecision {
-    /// The zone is in the requested state: acknowledge the command.
+    /// The zone is already in the requested state: acknowledge the command.
     AlreadyInEffect,
-    /// Append this payload to the log.
+    /// Append an entry with this payload to the log.
     Propose(Vec<u8>),
 }
--- a/crates/control-state/src/history.rs
+++ b/crates/control-state/src/history.rs
@@ -1,26 +1,26 @@
-//! The history of applied configurations, by which one that is sent again is recognized.
+//! The history of applied configurations, which serves to recognize a configuration that is sent again.
 
 use quillpulley_protocol::AppliedConfig;
 use std::collections::VecDeque;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The most configurations in the history; the oldest ones are forgotten. At 17,000 changes a day these are the
-/// changes of the last 46 hours.
+/// The maximum number of configurations in the history; the oldest ones are dropped. At 17,000 changes a day,
+/// the history reaches back 46 hours.
 pub const HISTORY_LENGTH: usize = 32_768;
 
-/// The result of looking up a configuration on a base.
+/// The result of looking up a configuration and its base version in the history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DedupLookup {
-    /// It was applied.
+    /// The configuration was applied on this base version.
     Applied,
-    /// It was not applied.
+    /// The configuration was not applied on this base version.
     NotApplied,
-    /// Its base is older than the history, which begins at this base.
+    /// The base version is older than the history, whose oldest base version is `oldest`.
     Expired { oldest: u64 },
 }
 
-/// The applied configurations, the oldest first. Each builds on the version of the one before it, so that bases
-/// increase, and there is at most one per base.
+/// The applied configurations, the oldest first. Each has the version of the one before it as its base, so
+/// the base versions increase and are unique.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct History {
     applied: VecDeque<AppliedConfig>,
@@ -34,7 +34,7 @@
         self.applied.push_back(applied);
     }
 
-    /// Looks up a configuration by its base and the hash of its content.
+    /// Looks up a configuration by its base version and the hash of its content.
     pub fn look_up(&self, base: u64, content_hash: u64) -> DedupLookup {
         match self.applied.front() {
             Some(first) if base < first.base => DedupLookup::Expired { oldest: first.base },
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Returns the content hash of the configuration that was applied on a base.
+    /// Returns the content hash of the configuration that was applied on a base version; `None` if the
+    /// history has none.
     fn applied_on(&self, base: u64) -> Option<u64> {
         let index = self.applied.binary_search_by_key(&base, |applied| applied.base).ok()?;
         self.applied.get(index).map(|applied| applied.content_hash)
@@ -60,8 +61,8 @@
     }
 }
 
-/// Returns the hash of the content of a configuration. Two different ones on the same base collide with a probability
-/// of 2^-64.
+/// Returns the hash of the content of a configuration. The hashes of two different configurations collide
+/// with a probability of 2^-64. A collision matters only if both have the same base version.
 pub(super) fn content_hash(body: &[u8]) -> u64 {
     xxh3_64(body)
 }
--- a/crates/control-state/src/lib.rs
+++ b/crates/control-state/src/lib.rs
@@ -1,13 +1,16 @@
-//! The replicated control state: the active configuration, the history of configurations, and the evacuated zones.
+//! The replicated control state: the active configuration, the history of configurations, and the evacuated
+//! zones.
 //!
-//! A command is decided ([`ControlState::decide_replace`], [`ControlState::decide_evacuation`]), appended to the log,
-//! and applied. A decision does not see commands in the log that are not applied, so that two of them may build on
-//! one version; the second one is ignored when it is applied. The result of a command is known by deciding it again
-//! after it was applied: [`ReplaceDecision::AlreadyApplied`] or [`EvacuationDecision::AlreadyInEffect`] if it took
-//! effect.
+//! A command passes three steps: a decision ([`ControlState::decide_replace`],
+//! [`ControlState::decide_evacuation`]), the append of its entry to the log, and the application of the
+//! entry. A decision does not consider entries in the log that are not applied yet. Two entries may therefore
+//! have the same base version; the second one is ignored when it is applied. To learn whether a command took
+//! effect, the caller asks for the decision again after the entry was applied: it is then
+//! [`ReplaceDecision::AlreadyApplied`] or [`EvacuationDecision::AlreadyInEffect`].
 //!
-//! A configuration that is sent again is recognized by its base and the hash of its content. Two operators that send
-//! the same bytes on the same base are therefore one command, and both are acknowledged.
+//! A configuration that is sent again is recognized by its base version and the hash of its content. If two
+//! operators send the same bytes on the same base version, this counts as one command, and both are
+//! acknowledged.
 
 #![forbid(unsafe_code)]
 
@@ -29,20 +32,21 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The version before the first configuration.
+/// The active version before the first configuration.
 const NO_VERSION: u64 = 0;
 
 /// The replicated control state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ControlState {
-    /// The active version; 0 before the first.
+    /// The active version; 0 before the first configuration.
     version: u64,
-    /// The active configuration, as it was sent; empty before the first. Queued responses share it.
+    /// The bytes of the active configuration as they were received; empty before the first configuration. The
+    /// buffer is shared with queued responses.
     body: Arc<[u8]>,
-    /// The index of its log entry.
+    /// The index of the log entry of the active configuration; 0 before the first configuration.
     config_index: u64,
     history: History,
-    /// The evacuated zones, with the indices of the log entries that evacuated them.
+    /// The names of the evacuated zones, with the indices of the log entries that evacuated them.
     evacuated: BTreeMap<String, u64>,
 }
 
@@ -52,40 +56,43 @@
         self.version
     }
 
-    /// Returns the active configuration, exactly as it was sent.
+    /// Returns the bytes of the active configuration exactly as they were received; `None` before the first
+    /// configuration.
     pub fn body(&self) -> Option<&[u8]> {
         (self.version != NO_VERSION).then_some(&self.body)
     }
 
-    /// Returns the active configuration without a copy. It stays valid when another one follows.
+    /// Returns the bytes of the active configuration without copying them; `None` before the first
+    /// configuration. They stay valid after another configuration becomes active.
     pub fn shared_body(&self) -> Option<Arc<[u8]>> {
         (self.version != NO_VERSION).then(|| self.body.clone())
     }
 
-    /// Returns the index of the log entry of the active configuration; 0 before the first.
+    /// Returns the index of the log entry of the active configuration; 0 before the first configuration.
     pub fn config_index(&self) -> u64 {
         self.config_index
     }
 
-    /// Parses the active configuration.
+    /// Parses the active configuration; `None` before the first configuration.
     ///
     /// # Errors
-    /// [`ConfigurationError`].
+    /// [`ConfigurationError`] if another version of this program accepted a configuration that this one
+    /// rejects.
     pub fn configuration(&self) -> Result<Option<Configuration>, ConfigurationError> {
         self.body().map(Configuration::parse).transpose()
     }
 
-    /// Returns whether a zone is evacuated: nothing may be sent to it.
+    /// Returns whether a zone is evacuated, so that no requests may be sent to it.
     pub fn is_evacuated(&self, zone: &str) -> bool {
         self.evacuated.contains_key(zone)
     }
 
-    /// Returns the evacuated zones.
+    /// Returns the names of the evacuated zones, in order.
     pub fn evacuated_zones(&self) -> impl Iterator<Item = &str> {
         self.evacuated.keys().map(String::as_str)
     }
 
-    /// Decides a configuration that builds on version `base`.
+    /// Decides on a command to replace the configuration of version `base` by `body`.
     pub fn decide_replace(&self, base: u64, body: &[u8]) -> ReplaceDecision {
         let content_hash = history::content_hash(body);
         match self.history.look_up(base, content_hash) {
@@ -105,7 +112,7 @@
         }
     }
 
-    /// Decides a command to evacuate or restore a zone.
+    /// Decides on a command to evacuate a zone (`active` is true) or to restore it.
     pub fn decide_evacuation(&self, zone: &str, active: bool) -> EvacuationDecision {
         if self.is_evacuated(zone) == active {
             return EvacuationDecision::AlreadyInEffect;
@@ -114,14 +121,15 @@
         EvacuationDecision::Propose(encode_command(LogCommandBody::Evacuation(Box::new(command))))
     }
 
-    /// Returns the version of a configuration that may follow the active one.
+    /// Parses a configuration, checks that it may follow the active one, and returns its version.
     fn validate(&self, body: &[u8]) -> Result<u64, ConfigurationError> {
         let configuration = Configuration::parse(body)?;
         configuration.check_follows(self.version)?;
         Ok(configuration.version)
     }
 
-    /// Applies a configuration, if it builds on the active one.
+    /// Applies a configuration. Ignores it unless its base version is the active version and its own version
+    /// is higher.
     fn apply_replacement(&mut self, command: ReplaceConfig, index: u64) {
         if command.base != self.version || command.version <= self.version {
             return;
@@ -147,7 +155,7 @@
         let command: LogCommand = match decode_value::<LogCommandRef<'_>, _>(&entry.payload) {
             Ok(command) => command,
             Err(error) => {
-                return log::error!(index = entry.index, error:%; "a log entry cannot be read and is ignored")
+                return log::error!(index = entry.index, error:%; "ignoring a log entry that cannot be decoded")
             }
         };
         match command.body {
--- a/crates/control-state/src/published.rs
+++ b/crates/control-state/src/published.rs
@@ -1,4 +1,4 @@
-//! The items that the control state is published as.
+//! The items in which the control state is published.
 
 use crate::ControlState;
 use quillpulley_serving_config::published::evacuated_key;
@@ -9,9 +9,10 @@
     let mut items = match state.configuration() {
         Ok(Some(configuration)) => configuration.to_items(),
         Ok(None) => BTreeMap::new(),
-        // The state holds nothing invalid, unless from a version of this program with other rules.
+        // Only valid configurations are applied, so another version of this program, with other rules,
+        // accepted it.
         Err(error) => {
-            log::error!(version = state.version(), error:%; "the configuration cannot be published");
+            log::error!(version = state.version(), error:%; "cannot publish the invalid active configuration");
             BTreeMap::new()
         }
     };
--- a/crates/control-state/tests/control_state.rs
+++ b/crates/control-state/tests/control_state.rs
@@ -1,4 +1,4 @@
-//! The control state: the outcome of commands.
+//! Tests of the decisions on commands, and of the state after their application.
 
 #[path = "../../serving-config/tests/common/mod.rs"]
 mod common;
@@ -12,7 +12,7 @@
 use quillpulley_serving_config::ConfigurationError;
 use std::sync::Arc;
 
-/// A state and the log that made it.
+/// A control state and the log whose entries were applied to it.
 #[derive(Default)]
 struct Replica {
     state: ControlState,
@@ -26,7 +26,7 @@
         self.log.push(entry);
     }
 
-    /// Decides on a configuration and appends it if it is to be taken.
+    /// Decides on a configuration, and appends and applies it if it is accepted.
     fn replace(&mut self, base: u64, body: &[u8]) -> ReplaceDecision {
         let decision = self.state.decide_replace(base, body);
         if let ReplaceDecision::Propose(payload) = &decision {
@@ -68,15 +68,18 @@
     assert_eq!(configuration, parse(&body));
 }
 
-//    order   | base  | active before | decision
-//    3       | 0     | -               | take
-//    3       | 0     | 3               | already taken
+// Configurations are written as their version. A prime marks another configuration with the same version, and
+// { one that is not valid JSON.
+//
+//    command | base  | active before   | decision
+//    3       | 0     | -               | propose
+//    3       | 0     | 3               | already applied
 //    3'      | 0     | 3               | conflict
-//    5       | 3     | 3               | take
-//    3       | 0     | 5               | already taken
+//    5       | 3     | 3               | propose
+//    3       | 0     | 5               | already applied
 //    5'      | 3     | 5               | conflict
-//    5       | 5     | 5               | invalid: not above
-//    4       | 5     | 5               | invalid: not above
+//    5       | 5     | 5               | invalid: the version is not above 5
+//    4       | 5     | 5               | invalid: the version is not above 5
 //    {       | 5     | 5               | invalid: unreadable
 //    {       | 4     | 5               | conflict
 #[test]
@@ -99,8 +102,10 @@
     assert_eq!(replica.log.len(), 2);
 }
 
-//    one   decide(5 on 3) ------------ append ------------------- decide again: already taken
-//    other ---------- decide(5' on 3) --------- append (ignored)  decide again: conflict
+// Two commands with base version 3 are decided before either of them is applied.
+//
+//    one   decide(5 on 3) ------------ append ------------------- decide again: already applied
+//    other ---------- decide(6 on 3) ---------- append (ignored)  decide again: conflict
 #[test]
 fn of_two_changes_on_one_base_the_first_in_the_log_wins() {
     let mut replica = Replica::default();
@@ -130,11 +135,13 @@
     assert_eq!(replica.state.evacuated_zones().collect::<Vec<_>>(), ["b"]);
 }
 
-//    order on base | changes since | decision
-//    0, taken      | 32,768        | forgotten: neither acknowledged nor refused
-//    0, never sent | 32,768        | forgotten: it cannot be told from one that was taken
-//    1, taken      | 32,767        | already taken
-//    1, loser      | 32,767        | conflict
+// The history has dropped the first configuration.
+//
+//    command on base | changes since | decision
+//    0, applied      | 32,768        | history expired: neither acknowledged nor rejected
+//    0, never sent   | 32,768        | history expired: it cannot be distinguished from an applied one
+//    1, applied      | 32,767        | already applied
+//    1, not applied  | 32,767        | conflict
 #[test]
 fn the_history_is_long_but_bounded_and_what_it_forgot_is_not_rejected() {
     let mut replica = Replica::default();
@@ -151,19 +158,21 @@
     }
     assert_eq!(restored(&replica.state), replica.state);
     let bytes_each = replica.state.snapshot().len() / HISTORY_LENGTH;
-    assert!(bytes_each <= 48, "{bytes_each} bytes in each snapshot for each change");
+    assert!(bytes_each <= 48, "each change takes {bytes_each} bytes of a snapshot");
 }
 
-/// A configuration without routes, told apart from others of the same version by a mark.
+/// Returns a configuration without routes. `mark` distinguishes it from others of the same version.
 fn small(version: u64, mark: &str) -> Vec<u8> {
     format!("{{\"Version\":{version},\"Routes\":[],\"Services\":[],\"Mark\":\"{mark}\"}}").into_bytes()
 }
 
-//    order      | base | active before | decision
-//    6 (loser)  | 3    | 5               | conflict
-//    6' (anew)  | 5    | 5               | take: the number was never used
-//    6 (again)  | 3    | 6'              | conflict
-//    5 (again)  | 3    | 6'              | already taken
+// A prime marks another configuration with the same version.
+//
+//    command       | base | active before | decision
+//    6             | 3    | 5             | conflict
+//    6'            | 5    | 5             | propose: no applied configuration has version 6
+//    6 (repeated)  | 3    | 6'            | conflict
+//    5 (repeated)  | 3    | 6'            | already applied
 #[test]
 fn the_number_of_a_loser_may_be_used_again() {
     let mut replica = Replica::default();
@@ -174,19 +183,19 @@
     replica.take(5, &valid(6, 1, 3000));
     assert_eq!(replica.replace(3, &loser), ReplaceDecision::Conflict { current: 6 });
     assert_eq!(replica.replace(3, &valid(5, 1, 1000)), ReplaceDecision::AlreadyApplied);
-    // The same bytes on another base are another order: the number is in use.
+    // The same bytes on another base version are another command, and version 6 is in use.
     assert!(matches!(replica.replace(6, &loser), ReplaceDecision::Invalid(_)));
 }
 
-/// Whether a payload, appended and applied, changes the active state.
+/// Returns whether the application of an entry with this payload changes the state.
 fn changes(state: &ControlState, payload: Vec<u8>) -> bool {
     let mut after = state.clone();
     after.apply(&Entry { epoch: 9, index: 1_000_000, payload });
     after != *state
 }
 
-//    operator one   | 5 on 3: taken |                       | again: already taken
-//    operator two   |               | the same bytes on 3: already taken
+//    operator one | 5 on 3: proposed and applied |
+//    operator two | 5 on 3: proposed             | not applied; 5 on 3 again: already applied
 #[test]
 fn the_same_bytes_of_two_operators_are_one_command() {
     let mut replica = Replica::default();
@@ -196,10 +205,12 @@
     let second = payload(replica.state.decide_replace(3, &both));
     replica.append(first);
     assert_eq!(replica.replace(3, &both), ReplaceDecision::AlreadyApplied);
-    assert!(!changes(&replica.state, second), "the second entry of the same order changes nothing");
+    assert!(!changes(&replica.state, second), "the second entry of the same command changes nothing");
 }
 
-//    +a taken, -a taken, +a again (late, or wanted anew: they look the same): taken once more
+// A repeated command to evacuate a zone that was restored in between cannot be distinguished from a new one.
+//
+//    evacuate a: applied | restore a: applied | evacuate a, delayed or new: applied again
 #[test]
 fn a_late_evacuation_counts_as_a_new_one() {
     let mut replica = Replica::default();
@@ -214,14 +225,15 @@
     }
 }
 
-/// A configuration of each kind that must never be active, on the version 5 and after it.
+/// Returns configurations that must be rejected while version 5 is active and after a later one is: a
+/// description, the base version, and the bytes.
 fn refused_kinds() -> Vec<(&'static str, u64, Vec<u8>)> {
     let with = |fields: &str| body(7, &[&route("/a/", fields)]);
     let whole = valid(7, 2, 1000);
     let twice = route("/a/", ",\"Service\":\"s\"");
     vec![
-        ("cut short", 5, whole[..whole.len() / 2].to_vec()),
-        ("cut by one byte", 5, whole[..whole.len() - 1].to_vec()),
+        ("truncated to a half", 5, whole[..whole.len() / 2].to_vec()),
+        ("truncated by one byte", 5, whole[..whole.len() - 1].to_vec()),
         ("unknown service", 5, with(",\"Service\":\"u\"")),
         (
             "unknown service in a split",
@@ -229,18 +241,18 @@
             with(",\"TrafficSplit\":[{\"Service\":\"s\"},{\"Service\":\"u\"}]"),
         ),
         ("same host and prefix", 5, body(7, &[&twice, &twice])),
-        ("no weight", 5, with(",\"TrafficSplit\":[{\"Service\":\"s\",\"Weight\":0}]")),
-        ("no time-out", 5, with(",\"Service\":\"s\",\"TimeoutMs\":0")),
+        ("a weight of zero", 5, with(",\"TrafficSplit\":[{\"Service\":\"s\",\"Weight\":0}]")),
+        ("a timeout of zero", 5, with(",\"Service\":\"s\",\"TimeoutMs\":0")),
         ("older version", 5, valid(4, 1, 2000)),
         ("same version", 5, valid(5, 1, 2000)),
-        ("base that is out of date", 3, valid(7, 1, 2000)),
-        ("base that was never in force", 4, valid(7, 1, 2000)),
-        ("base of the future", 6, valid(7, 1, 2000)),
+        ("base version that is not active any more", 3, valid(7, 1, 2000)),
+        ("base version that was never active", 4, valid(7, 1, 2000)),
+        ("base version that is not active yet", 6, valid(7, 1, 2000)),
     ]
 }
 
-/// Each kind is refused before a valid change, while one is on its way, and after it, also by a replica that was
-/// restored; and nothing of it reaches the log.
+/// Each kind is rejected before a valid change, while that is proposed but not applied, after it, and by a
+/// replica that was restored from a snapshot. Nothing of it is appended to the log.
 #[test]
 fn what_is_invalid_is_rejected_at_every_moment() {
     for (kind, base, bad) in refused_kinds() {
@@ -253,10 +265,10 @@
         };
         assert!(refused(&replica.state), "{kind}");
         let racing = payload(replica.state.decide_replace(5, &valid(9, 1, 1000)));
-        assert!(refused(&replica.state), "{kind}, beside a valid one");
+        assert!(refused(&replica.state), "{kind}, while a valid one is proposed");
         replica.append(racing);
         assert!(refused(&replica.state), "{kind}, after a valid one");
-        assert!(refused(&restored(&replica.state)), "{kind}, after a restart");
+        assert!(refused(&restored(&replica.state)), "{kind}, after a restore");
         assert_eq!((replica.state.version(), replica.log.len()), (9, 3), "{kind}");
     }
 }
@@ -266,7 +278,7 @@
     let mut replica = Replica::default();
     replica.take(0, &valid(3, 1, 1000));
     let before = replica.state.clone();
-    let error = replica.state.restore(&[1, 2, 3]).expect_err("no snapshot").to_string();
+    let error = replica.state.restore(&[1, 2, 3]).expect_err("not a snapshot").to_string();
     assert!(error.contains("run the same version"), "{error}");
     assert_eq!(replica.state, before);
 }
@@ -277,7 +289,8 @@
     other
 }
 
-/// An order of some operator; some build on a version that is not active, some are invalid.
+/// A command of an operator, or a malformed log entry. Some commands have a base version that is not active,
+/// others an invalid configuration.
 #[derive(Clone, Debug)]
 enum Attempt {
     Replace { base: u8, version: u8, variant: u8 },
--- a/crates/control-state/tests/published.rs
+++ b/crates/control-state/tests/published.rs
@@ -1,4 +1,4 @@
-//! Published items are encoded and decoded without loss.
+//! Tests that published items are encoded and decoded without loss.
 
 #[path = "../../serving-config/tests/common/mod.rs"]
 mod common;
@@ -86,7 +86,7 @@
     }
 }
 
-/// Hosts and prefixes of a few letters, so that many are alike.
+/// The host and the path prefix of a route. They consist of a few letters, so that equal ones are frequent.
 #[derive(Clone, Debug)]
 struct Place(String, String);
 
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,8 +1,8 @@
-//! Failure detection: rendezvous hashing assigns a few monitors to each node, and each monitor pings its targets. A
-//! pure state machine.
+//! Failure detection: rendezvous hashing assigns a few monitors to each node, and each monitor pings its
+//! targets.
 //!
-//! Nothing here opens sockets or reads clocks: a host passes in datagrams, the time since its start and the list
-//! of peers, and does what the [`Action`]s say.
+//! The crate is a pure state machine that opens no sockets and reads no clocks. The host passes in received
+//! datagrams, the time since its start and the list of peers, and performs the returned [`Action`]s.
 #![forbid(unsafe_code)]
 
 mod monitor;
--- a/crates/membership/src/monitor.rs
+++ b/crates/membership/src/monitor.rs
@@ -1,7 +1,7 @@
-//! Which peers a node pings, and which of them it suspects.
+//! Decides which peers a node pings, and which of them it suspects to have failed.
 //!
-//! Each peer is pinged by the `monitors` others with the highest rendezvous score for its name, so a node pings
-//! about as many and what it costs does not grow with the system.
+//! Each peer is pinged by the `monitors` other nodes with the highest rendezvous scores for its name. A node
+//! therefore pings about `monitors` peers, however many nodes the system has.
 
 use crate::rendezvous::Key;
 use crate::target::Target;
@@ -15,22 +15,23 @@
 pub struct MonitorOptions {
     /// The name of this node.
     pub name: String,
-    /// How many others monitor a peer.
+    /// The number of nodes that monitor each peer.
     pub monitors: usize,
-    /// The time between two pings to a target that responds or is suspected, with a jitter of an eighth.
+    /// The time between two pings to a target that responds or is suspected. A jitter of up to an eighth is
+    /// added or subtracted.
     pub ping_interval: Duration,
-    /// Time after which a ping without a response is followed by the next.
+    /// The time after which the next ping follows one that was not acknowledged.
     pub retry_interval: Duration,
-    /// Number of consecutive pings without a response after which a target is suspected. The last one is given
-    /// `retry_interval` as well.
+    /// The number of consecutive pings without an acknowledgement after which a target is suspected. The
+    /// suspicion begins `retry_interval` after the last of these pings.
     pub max_unacknowledged: usize,
-    /// Seed of the jitter.
+    /// The seed of the random delays of pings.
     pub seed: u64,
 }
 
 impl MonitorOptions {
-    /// Creates the default options: three monitors, and a suspicion 1 to 1.7 s after a peer's failure. Even if one
-    /// datagram of twenty is lost, five pings in a row are seldom unacknowledged.
+    /// Creates the default options: each peer has three monitors, and is suspected 1 to 1.7 s after it
+    /// failed. Even if one in twenty datagrams is lost, five consecutive pings are rarely unacknowledged.
     pub fn new(name: &str, seed: u64) -> Self {
         MonitorOptions {
             name: name.to_string(),
@@ -46,33 +47,34 @@
 /// A node that may be monitored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Its name, unique in the system.
+    /// The name of the node, unique in the system.
     pub name: String,
-    /// The address for datagrams.
+    /// The address to which datagrams for the node are sent.
     pub address: SocketAddr,
 }
 
-/// What happens to a [`Monitor`].
+/// An input of a [`Monitor`].
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The nodes that are alive as far as is known, this one among them or not.
+    /// The nodes that are believed to be alive. The list may contain this node.
     Peers(Vec<Peer>),
-    /// A datagram was received. Anything but pings and acknowledgements is ignored.
+    /// A datagram was received from this address. Datagrams other than pings and acknowledgements are
+    /// ignored.
     Received(Body, SocketAddr),
-    /// Time has passed: wanted at [`Monitor::next_tick`], or a little later.
+    /// The time [`Monitor::next_tick`] has come, or has passed shortly before.
     Tick,
 }
 
-/// What the host is to do.
+/// An action that the host must perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a datagram.
+    /// Send a datagram to this address.
     Send(SocketAddr, Body),
-    /// The names of all the targets that are suspected from now on, in order.
+    /// The set of suspected targets has changed. Contains the names of all of them, in order.
     SuspectsChanged(Vec<String>),
 }
 
-/// The targets of one node.
+/// Monitors the targets of this node.
 #[derive(Debug)]
 pub struct Monitor {
     options: MonitorOptions,
@@ -80,14 +82,14 @@
     suspects: Vec<String>,
     sequence: u64,
     random: fastrand::Rng,
-    /// When a ping or an acknowledgement was last received.
+    /// The time at which a ping or an acknowledgement was last received.
     received_at: Duration,
-    /// When an acknowledgement of a target was last received.
+    /// The time at which an acknowledgement of a target was last received.
     acknowledged_at: Duration,
 }
 
 impl Monitor {
-    /// Creates a monitor without targets, at the time of the host's start.
+    /// Creates a monitor without targets. Its time begins at zero, the start of the host.
     pub fn new(options: MonitorOptions) -> Self {
         let random = fastrand::Rng::with_seed(options.seed);
         Monitor {
@@ -101,7 +103,8 @@
         }
     }
 
-    /// Handles an event at a time (since the host's start) and adds what follows from it to `actions`.
+    /// Handles an event, and appends the actions that the host must perform to `actions`. `now` is the time
+    /// since the start of the host.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Peers(peers) => self.set_peers(now, &peers),
@@ -113,7 +116,8 @@
         self.update_suspects(now, actions);
     }
 
-    /// Returns when a [`Event::Tick`] has something to do.
+    /// Returns the time at which the host must pass the next [`Event::Tick`]; [`Duration::MAX`] without
+    /// targets.
     pub fn next_tick(&self) -> Duration {
         self.targets.values().map(|target| target.due).min().unwrap_or(Duration::MAX)
     }
@@ -140,8 +144,9 @@
         }
     }
 
-    /// Returns whether this node is among those with the highest scores for a peer. Stops at the first few that score
-    /// higher, so that this takes far less time than a score for each pair.
+    /// Returns whether this node is one of the `monitors` nodes with the highest scores for `peer`. The
+    /// search ends as soon as `monitors` nodes with higher scores are found, so that only a fraction of all
+    /// pairs of nodes is scored.
     fn is_monitor_of(&self, peer: &str, peers: &[Peer]) -> bool {
         let own_name = self.options.name.as_str();
         if peer == own_name {
@@ -183,12 +188,13 @@
         }
     }
 
-    /// Returns whether this node itself was stalled, so that acknowledgements may be unread.
+    /// Returns whether this process was stalled, so that it may not have read acknowledgements that have
+    /// arrived.
     fn was_suspended(&self, now: Duration) -> bool {
         now.saturating_sub(self.next_tick()) > self.options.ping_interval
     }
 
-    /// Determines the suspects, and notifies the host if they have changed.
+    /// Determines the suspected targets, and notifies the host if they have changed.
     fn update_suspects(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let unresponsive = self.targets.iter().filter(|(_, target)| target.is_unresponsive());
         let mut suspects: Vec<String> = unresponsive.map(|(name, _)| name.clone()).collect();
@@ -201,20 +207,22 @@
         }
     }
 
-    /// Returns whether this node itself may be partitioned: it has received no acknowledgement recently, or nothing
-    /// at all if its only target does not respond. This is detected before any target becomes suspected.
+    /// Returns whether this node itself may be partitioned from the network: it has recently received no
+    /// acknowledgement of any target or, if it has only one target, no ping or acknowledgement at all. This
+    /// is detected before any target becomes suspected.
     fn is_isolated(&self, now: Duration) -> bool {
         let responsive_at = if self.targets.len() > 1 { self.acknowledged_at } else { self.received_at };
         now.saturating_sub(responsive_at) > 2 * self.options.ping_interval
     }
 
-    /// Returns a part of the time between pings, so that targets that became known together are spread over it.
+    /// Returns a random part of the ping interval, so that the pings to targets that were added together are
+    /// spread over the interval.
     fn initial_delay(&mut self) -> Duration {
         self.options.ping_interval.mul_f64(self.random.f64())
     }
 }
 
-/// Returns a time with a jitter of an eighth.
+/// Returns a time with a random jitter of up to an eighth in both directions.
 fn jittered(time: Duration, random: &mut fastrand::Rng) -> Duration {
     time.mul_f64(0.875 + random.f64() / 4.0)
 }
--- a/crates/membership/src/rendezvous.rs
+++ b/crates/membership/src/rendezvous.rs
@@ -1,5 +1,6 @@
-//! Rendezvous hashing: for each key every candidate has a score, and the key belongs to the highest. All who know
-//! the same candidates choose the same, and a candidate that comes or goes moves only what is its own.
+//! Rendezvous hashing: every candidate has a score for each key, and a key is assigned to the candidate with
+//! the highest score. All processes that know the same candidates make the same choice. When a candidate is
+//! added or removed, only the keys that are assigned to this candidate move.
 
 use std::cmp::Reverse;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
@@ -9,7 +10,7 @@
 pub struct Key(u64);
 
 impl Key {
-    /// Hashes the key.
+    /// Creates a key by hashing its text.
     pub fn new(key: &str) -> Self {
         Key(xxh3_64(key.as_bytes()))
     }
@@ -19,7 +20,8 @@
         xxh3_64_with_seed(candidate.as_bytes(), self.0)
     }
 
-    /// Returns what candidates are ordered by, the first with the highest score; equal scores by their names.
+    /// Returns the sort key of a candidate: candidates are ordered by descending score, and by name if their
+    /// scores are equal.
     pub fn rank(self, candidate: &str) -> (Reverse<u64>, &str) {
         (Reverse(self.score(candidate)), candidate)
     }
@@ -30,7 +32,7 @@
     Key::new(key).score(candidate)
 }
 
-/// Returns the candidates ordered by their score for a key, highest first.
+/// Returns the candidates ordered by their scores for a key, the highest first.
 pub fn ranked<'a>(key: &str, candidates: impl IntoIterator<Item = &'a str>) -> Vec<&'a str> {
     let key = Key::new(key);
     let mut ranked: Vec<&str> = candidates.into_iter().collect();
@@ -38,7 +40,7 @@
     ranked
 }
 
-/// Returns the `count` candidates with the highest scores for a key, highest first.
+/// Returns the `count` candidates with the highest scores for a key, the highest first.
 pub fn top<'a>(key: &str, candidates: impl IntoIterator<Item = &'a str>, count: usize) -> Vec<&'a str> {
     let mut ranked = ranked(key, candidates);
     ranked.truncate(count);
--- a/crates/membership/src/target.rs
+++ b/crates/membership/src/target.rs
@@ -1,15 +1,15 @@
-//! One peer that this node pings.
+//! The state of a peer that this node pings.
 
 use crate::monitor::MonitorOptions;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The state of a target.
+/// Whether a target responds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Health {
-    /// It has acknowledged a ping, or not enough pings were sent yet.
+    /// The target is not suspected: too few consecutive pings are unacknowledged.
     Responsive,
-    /// It is suspected, as it has not acknowledged several pings in a row.
+    /// The target is suspected, since it has not acknowledged several consecutive pings.
     Unresponsive,
 }
 
@@ -17,11 +17,12 @@
 #[derive(Debug)]
 pub(crate) struct Target {
     pub(crate) address: SocketAddr,
-    /// When the next ping is due.
+    /// The time at which the next ping is due.
     pub(crate) due: Duration,
-    /// When the next ping is due if the latest is acknowledged.
+    /// The time at which the next ping is due if the latest ping is acknowledged.
     due_if_acknowledged: Duration,
-    /// The sequence numbers of pings that were sent since its latest response.
+    /// The sequence numbers of the latest pings, sent since the last acknowledgement. The maximum length is
+    /// `max_unacknowledged`.
     unacknowledged: Vec<u64>,
     health: Health,
 }
@@ -41,8 +42,9 @@
         self.health == Health::Unresponsive
     }
 
-    /// A ping is due: those before it have had their time. `interval` is the time to the one after it if it is
-    /// acknowledged; if not, the next follows sooner, until there were enough for a suspicion.
+    /// Records that a ping is sent, since the time for an acknowledgement of the earlier ones has passed.
+    /// `interval` is the time to the next ping if this one is acknowledged. If it is not, the next ping
+    /// follows after `retry_interval`, or after `interval` if the target is already suspected.
     pub(crate) fn ping(
         &mut self,
         now: Duration,
@@ -59,7 +61,8 @@
         self.due = now + if self.is_unresponsive() { interval } else { options.retry_interval };
     }
 
-    /// Records an acknowledgement. One of an older ping proves nothing about the current state.
+    /// Records an acknowledgement. One of a ping that is not in `unacknowledged` any more is ignored, since
+    /// it says nothing about the current state of the target.
     pub(crate) fn acknowledge(&mut self, sequence: u64) {
         if self.unacknowledged.contains(&sequence) {
             self.due = self.due_if_acknowledged;
@@ -67,7 +70,7 @@
         }
     }
 
-    /// Forgets the pings that were not acknowledged.
+    /// Drops the unacknowledged pings, so that the target counts as responsive.
     pub(crate) fn reset(&mut self) {
         self.unacknowledged.clear();
         self.set_health(Health::Responsive);
--- a/crates/membership/tests/monitoring.rs
+++ b/crates/membership/tests/monitoring.rs
@@ -1,4 +1,4 @@
-//! Monitors on a network that loses datagrams, in virtual time.
+//! Tests of monitors on a simulated network, which delays and loses datagrams, in virtual time.
 
 use quillpulley_membership::{Action, Event, Monitor, MonitorOptions, Peer};
 use quillpulley_protocol::Body;
@@ -26,28 +26,28 @@
     nodes.into_iter().map(|node| Peer { name: name(node), address: address(node) }).collect()
 }
 
-/// A datagram on its way: when it arrives, its number, where to and from.
+/// A datagram in transit: the time of its arrival, its number, the receiver and the sender.
 type Flight = (Duration, u64, usize, usize);
 
 struct Network {
     now: Duration,
     nodes: Vec<Monitor>,
-    /// Nodes that neither send nor receive nor tick.
+    /// Whether a node neither sends nor receives datagrams nor handles ticks.
     still: Vec<bool>,
-    /// Nodes whose datagrams are lost.
+    /// Whether the datagrams that a node sends are lost.
     mute: Vec<bool>,
-    /// Which nodes are on the other side of a cut.
+    /// Whether a node is on the far side of a network partition.
     beyond: Vec<bool>,
-    /// Where the periods of each node's quota begin, in milliseconds; none if it is not limited.
+    /// The offset at which the periods of a node's CPU quota begin, in milliseconds; `None` without a quota.
     quota_offsets: Vec<Option<u64>>,
     loss: f64,
     random: fastrand::Rng,
     flights: BinaryHeap<Reverse<Flight>>,
     bodies: BTreeMap<u64, Body>,
     sent: u64,
-    /// Each time that a node began to suspect another.
+    /// All suspicions: the time at which each began, the monitor, and the name of the suspected node.
     suspicions: Vec<(Duration, usize, String)>,
-    /// The most monitors that suspected one and the same node at the same time.
+    /// The maximum number of monitors that suspected the same node at the same time.
     most_at_once: usize,
 }
 
@@ -131,7 +131,8 @@
         self.now = until;
     }
 
-    /// The first time from `time` on at which a node works: it does so for the first tenth of each period.
+    /// Returns the earliest time, not before `time`, at which a node runs. A node with a quota runs during
+    /// the first tenth of each period.
     fn working_from(&self, node: usize, time: Duration) -> Duration {
         let Some(offset) = self.quota_offsets[node] else { return time };
         let since = time.as_micros() as u64 + 1000 * (QUOTA_PERIOD_MS - offset);
@@ -143,7 +144,7 @@
     }
 
     fn arrive(&mut self, number: u64, to: usize, from: usize) {
-        let body = self.bodies.remove(&number).expect("what was sent");
+        let body = self.bodies.remove(&number).expect("a datagram in transit");
         if !self.still[to] {
             self.handle(to, Event::Received(body, address(from)));
         }
@@ -179,7 +180,7 @@
     assert_eq!(network.suspicions, []);
     assert!(
         network.sent < 20 * 3 * 2 * 60 * 3,
-        "two and a half pings a second and their answers: {}",
+        "expected about two and a half pings a second per target, each with an acknowledgement: {}",
         network.sent
     );
 }
@@ -199,7 +200,7 @@
         network.run(milliseconds(5_000));
         network.still[4] = true;
         network.run(milliseconds(5_800));
-        assert_eq!(network.suspecting(&name(4)), [], "too soon");
+        assert_eq!(network.suspecting(&name(4)), [], "suspected too early");
         network.run(milliseconds(6_700));
         assert_eq!(network.suspecting(&name(4)), network.monitors(4));
     }
@@ -240,13 +241,14 @@
 
 #[test]
 fn two_nodes_cannot_decide_which_is_partitioned_but_three_can() {
-    // Nothing comes from anybody: the one left cannot tell which of them is cut off, and says nothing.
+    // The remaining node receives nothing. It cannot know which of the two nodes is partitioned, and suspects
+    // nobody.
     let mut pair = Network::new(2, 0.0);
     pair.run(milliseconds(5_000));
     pair.still[1] = true;
     pair.run(milliseconds(15_000));
     assert_eq!(pair.suspicions, []);
-    // With a third who still sends, the one target that fell silent is suspected.
+    // A third node still responds, so the target that stopped responding is suspected.
     let mut three = Network::new(3, 0.0);
     three.run(milliseconds(5_000));
     three.still[1] = true;
@@ -309,7 +311,7 @@
         }
         network.run(milliseconds(10_000));
         assert_eq!(network.suspicions, [], "seed {seed}");
-        // One that has really gone is suspected all the same.
+        // A node that has failed is still suspected.
         network.still[5] = true;
         network.run(milliseconds(13_000));
         assert_eq!(network.suspecting(&name(5)).len(), 3, "seed {seed}");
@@ -318,7 +320,7 @@
 
 #[test]
 fn exactly_as_many_monitors_as_configured_have_the_highest_ranks() {
-    // Every set of nodes, from two to eight, agrees without asking anybody.
+    // The nodes agree on the monitors without communication. Checked for two to eight nodes.
     for count in 2..=8 {
         let network = Network::new(count, 0.0);
         for node in 0..count {
@@ -364,7 +366,7 @@
 
 #[test]
 fn processes_of_different_releases_agree_on_who_monitors_whom() {
-    // As they were chosen when this test was written.
+    // The choice that earlier releases make. A change would make processes of different releases disagree.
     let network = Network::new(8, 0.0);
     let monitors: Vec<Vec<usize>> = (0..8).map(|node| network.monitors(node)).collect();
     let expected = [[4, 5, 7], [3, 5, 6], [0, 3, 7], [2, 4, 7], [0, 1, 3], [0, 1, 6], [0, 1, 4], [1, 2, 3]];
--- a/crates/membership/tests/rendezvous.rs
+++ b/crates/membership/tests/rendezvous.rs
@@ -1,5 +1,5 @@
-//! Rendezvous hashing: the same candidates give the same choice everywhere, evenly, and a change of candidates moves
-//! little.
+//! Tests of rendezvous hashing: the choice depends only on the set of candidates, keys are spread evenly, and
+//! the removal of a candidate moves only its own keys.
 
 use quickcheck::quickcheck;
 use quillpulley_membership::rendezvous::{ranked, score, top};
--- a/crates/storage/tests/common/disk.rs
+++ b/crates/storage/tests/common/disk.rs
@@ -82,7 +82,7 @@
         })))
     }
 
-    /// Schedules a fault: it occurs at the disk operation after the next `step` ones.
+    /// Schedules a fault that occurs after `step` more disk operations; 0 means at the next one.
     pub fn plan(&self, fault: Fault, step: usize) {
         self.0.borrow_mut().planned = Some((fault, step));
     }
