--- a/crates/control-state/src/published.rs
+++ b/crates/control-state/src/published.rs
@@ -9,8 +9,8 @@
     let mut items = match state.configuration() {
         Ok(Some(configuration)) => configuration.to_items(),
         Ok(None) => BTreeMap::new(),
-        // Only valid configurations are applied, so another version of this program, with other rules,
-        // accepted it.
+        // Only valid configurations are applied, so this one was accepted by another version of this program
+        // with other rules.
         Err(error) => {
             log::error!(version = state.version(), error:%; "cannot publish the invalid active configuration");
             BTreeMap::new()
--- a/crates/control-state/tests/control_state.rs
+++ b/crates/control-state/tests/control_state.rs
@@ -68,8 +68,8 @@
     assert_eq!(configuration, parse(&body));
 }
 
-// Configurations are written as their version. A prime marks another configuration with the same version, and
-// { one that is not valid JSON.
+// Configurations are written as their version. A prime marks another configuration with the same version. `{`
+// stands for a text that is not valid JSON.
 //
 //    command | base  | active before   | decision
 //    3       | 0     | -               | propose
--- a/crates/membership/src/monitor.rs
+++ b/crates/membership/src/monitor.rs
@@ -61,7 +61,7 @@
     /// A datagram was received from this address. Datagrams other than pings and acknowledgements are
     /// ignored.
     Received(Body, SocketAddr),
-    /// The time [`Monitor::next_tick`] has come, or has passed shortly before.
+    /// The time that [`Monitor::next_tick`] returned has come. The event may be slightly late.
     Tick,
 }
 
