--- a/crates/storage/src/format/mod.rs
+++ b/crates/storage/src/format/mod.rs
@@ -25,8 +25,8 @@
 }
 
 /// Returns the CRC-32 of the concatenation of several slices.
-pub fn checksum(pieces: &[&[u8]]) -> u32 {
+pub fn checksum(parts: &[&[u8]]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
-    pieces.iter().for_each(|piece| hasher.update(piece));
+    parts.iter().for_each(|part| hasher.update(part));
     hasher.finalize()
 }
--- a/crates/storage/src/format/segment.rs
+++ b/crates/storage/src/format/segment.rs
@@ -16,12 +16,12 @@
 
 const HEADER_MAGIC: u32 = u32::from_le_bytes(*b"QPsg");
 const RECORD_MAGIC: [u8; 4] = *b"QPen";
-const HEADER_CHECKED: usize = 28;
+const CHECKSUMMED_HEADER_BYTES: usize = 28;
 /// The length of the header.
-pub const HEADER_BYTES: usize = HEADER_CHECKED + 4;
+pub const HEADER_BYTES: usize = CHECKSUMMED_HEADER_BYTES + 4;
 const RECORD_HEADER_BYTES: usize = 40;
 /// The length of the fields that the checksum of a record does not cover: the magic and the checksum.
-const RECORD_UNCHECKED: usize = 8;
+const UNCHECKSUMMED_RECORD_BYTES: usize = 8;
 
 /// The header of a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,9 +29,9 @@
     /// The generation that the segment belongs to.
     pub generation: u64,
     /// The index of the first entry in the segment.
-    pub first: u64,
+    pub first_index: u64,
     /// The checksum of the last record in the previous segment; 0 in the first segment of a generation.
-    pub chain: u32,
+    pub previous_checksum: u32,
 }
 
 /// The result of decoding the header of a segment.
@@ -51,14 +51,14 @@
     /// The epoch of the entry in the record.
     pub epoch: u64,
     /// The offset of the first byte after the record.
-    pub end: u64,
+    pub end_offset: u64,
     /// The checksum of the record, which the next record refers to.
     pub checksum: u32,
 }
 
 /// The complete records at the beginning of a segment.
 #[derive(Debug, Default)]
-pub struct Scan {
+pub struct ScannedRecords {
     /// The entries in the records.
     pub entries: Vec<Entry>,
     /// The locations of the records, in the order of `entries`.
@@ -72,8 +72,8 @@
         buffer.extend_from_slice(&HEADER_MAGIC.to_le_bytes());
         buffer.extend_from_slice(&VERSION.to_le_bytes());
         buffer.extend_from_slice(&self.generation.to_le_bytes());
-        buffer.extend_from_slice(&self.first.to_le_bytes());
-        buffer.extend_from_slice(&self.chain.to_le_bytes());
+        buffer.extend_from_slice(&self.first_index.to_le_bytes());
+        buffer.extend_from_slice(&self.previous_checksum.to_le_bytes());
         let checksum = checksum(&[&buffer[start..]]);
         buffer.extend_from_slice(&checksum.to_le_bytes());
     }
@@ -81,7 +81,7 @@
     /// Decodes the header of a segment from the contents of its file.
     pub fn decode(bytes: &[u8]) -> DecodedHeader {
         let Some((version, header, checksum)) = Header::read(bytes) else { return DecodedHeader::Damaged };
-        if checksum != super::checksum(&[&bytes[..HEADER_CHECKED]]) {
+        if checksum != super::checksum(&[&bytes[..CHECKSUMMED_HEADER_BYTES]]) {
             return DecodedHeader::Damaged;
         }
         match version {
@@ -96,45 +96,45 @@
             return None;
         }
         let version = reader.u32()?;
-        let header = Header { generation: reader.u64()?, first: reader.u64()?, chain: reader.u32()? };
+        let header = Header { generation: reader.u64()?, first_index: reader.u64()?, previous_checksum: reader.u32()? };
         Some((version, header, reader.u32()?))
     }
 }
 
 /// Appends the record of an entry to a buffer, and returns the checksum of the record.
-pub fn encode_record(entry: &Entry, chain: u32, durable: u64, buffer: &mut Vec<u8>) -> u32 {
+pub fn encode_record(entry: &Entry, previous_checksum: u32, synced_length: u64, buffer: &mut Vec<u8>) -> u32 {
     let start = buffer.len();
     buffer.extend_from_slice(&RECORD_MAGIC);
     buffer.extend_from_slice(&[0; 4]);
     buffer.extend_from_slice(&(entry.payload.len() as u32).to_le_bytes());
-    buffer.extend_from_slice(&chain.to_le_bytes());
-    buffer.extend_from_slice(&durable.to_le_bytes());
+    buffer.extend_from_slice(&previous_checksum.to_le_bytes());
+    buffer.extend_from_slice(&synced_length.to_le_bytes());
     buffer.extend_from_slice(&entry.epoch.to_le_bytes());
     buffer.extend_from_slice(&entry.index.to_le_bytes());
     buffer.extend_from_slice(&entry.payload);
-    let checksum = checksum(&[&buffer[start + RECORD_UNCHECKED..]]);
-    buffer[start + 4..start + RECORD_UNCHECKED].copy_from_slice(&checksum.to_le_bytes());
+    let checksum = checksum(&[&buffer[start + UNCHECKSUMMED_RECORD_BYTES..]]);
+    buffer[start + 4..start + UNCHECKSUMMED_RECORD_BYTES].copy_from_slice(&checksum.to_le_bytes());
     checksum
 }
 
 /// Reads the records after the header, up to the first one that is incomplete or does not follow the one
 /// before it.
-pub fn scan(bytes: &[u8], header: &Header) -> Scan {
-    let mut scan = Scan::default();
-    let mut chain = header.chain;
+pub fn scan_records(bytes: &[u8], header: &Header) -> ScannedRecords {
+    let mut scanned = ScannedRecords::default();
+    let mut last_checksum = header.previous_checksum;
     let mut offset = HEADER_BYTES;
     while let Some(record) = bytes.get(offset..).and_then(Record::decode) {
-        let expected = header.first + scan.entries.len() as u64;
-        if (record.index, record.chain) != (expected, chain) {
+        let expected = header.first_index + scanned.entries.len() as u64;
+        if (record.index, record.previous_checksum) != (expected, last_checksum) {
             break;
         }
         offset += RECORD_HEADER_BYTES + record.payload.len();
-        chain = record.checksum;
-        scan.records.push(RecordLocation { epoch: record.epoch, end: offset as u64, checksum: chain });
+        last_checksum = record.checksum;
+        scanned.records.push(RecordLocation { epoch: record.epoch, end_offset: offset as u64, checksum: last_checksum });
         let payload = record.payload.to_vec();
-        scan.entries.push(Entry { epoch: record.epoch, index: record.index, payload });
+        scanned.entries.push(Entry { epoch: record.epoch, index: record.index, payload });
     }
-    scan
+    scanned
 }
 
 /// Returns whether a complete record at or after `offset` proves that the byte at `offset` had been synced.
@@ -142,13 +142,13 @@
     let rest = bytes.get(offset as usize..).unwrap_or_default();
     let starts = (0..rest.len()).filter(|start| rest[*start..].starts_with(&RECORD_MAGIC));
     let mut records = starts.filter_map(|start| Record::decode(&rest[start..]));
-    records.any(|record| record.durable > offset)
+    records.any(|record| record.synced_length > offset)
 }
 
 struct Record<'a> {
     checksum: u32,
-    chain: u32,
-    durable: u64,
+    previous_checksum: u32,
+    synced_length: u64,
     epoch: u64,
     index: u64,
     payload: &'a [u8],
@@ -160,16 +160,16 @@
         let mut reader = Reader(bytes.strip_prefix(&RECORD_MAGIC)?);
         let checksum = reader.u32()?;
         let length = reader.u32()? as usize;
-        let chain = reader.u32()?;
-        let durable = reader.u64()?;
+        let previous_checksum = reader.u32()?;
+        let synced_length = reader.u64()?;
         let epoch = reader.u64()?;
         let index = reader.u64()?;
         let payload = reader.0.get(..length)?;
-        let checked = &bytes[RECORD_UNCHECKED..RECORD_HEADER_BYTES + length];
-        (checksum == super::checksum(&[checked])).then_some(Record {
+        let checksummed = &bytes[UNCHECKSUMMED_RECORD_BYTES..RECORD_HEADER_BYTES + length];
+        (checksum == super::checksum(&[checksummed])).then_some(Record {
             checksum,
-            chain,
-            durable,
+            previous_checksum,
+            synced_length,
             epoch,
             index,
             payload,
--- a/crates/storage/src/format/snapshot.rs
+++ b/crates/storage/src/format/snapshot.rs
@@ -7,8 +7,8 @@
 use quillpulley_protocol::Position;
 
 const MAGIC: u32 = u32::from_le_bytes(*b"QPsn");
-const CHECKED: usize = 32;
-const HEADER_BYTES: usize = CHECKED + 4;
+const CHECKSUMMED_HEADER_BYTES: usize = 32;
+const HEADER_BYTES: usize = CHECKSUMMED_HEADER_BYTES + 4;
 
 /// The result of decoding a snapshot.
 #[derive(Debug, PartialEq, Eq)]
@@ -29,9 +29,9 @@
     header[4..8].copy_from_slice(&VERSION.to_le_bytes());
     header[8..16].copy_from_slice(&(state.len() as u64).to_le_bytes());
     header[16..24].copy_from_slice(&last.epoch.to_le_bytes());
-    header[24..CHECKED].copy_from_slice(&last.index.to_le_bytes());
-    let checksum = checksum(&[&header[..CHECKED], state]);
-    header[CHECKED..].copy_from_slice(&checksum.to_le_bytes());
+    header[24..CHECKSUMMED_HEADER_BYTES].copy_from_slice(&last.index.to_le_bytes());
+    let checksum = checksum(&[&header[..CHECKSUMMED_HEADER_BYTES], state]);
+    header[CHECKSUMMED_HEADER_BYTES..].copy_from_slice(&checksum.to_le_bytes());
     header
 }
 
@@ -39,7 +39,7 @@
 pub fn decode(mut bytes: Vec<u8>) -> Decoded {
     match decode_header(&bytes) {
         Some(Header { version, .. }) if version != VERSION => Decoded::OtherVersion,
-        Some(header) if header.is_followed_by(&bytes) => {
+        Some(header) if header.matches_contents(&bytes) => {
             bytes.drain(..HEADER_BYTES);
             Decoded::Intact(header.last, bytes)
         }
@@ -55,9 +55,9 @@
 }
 
 impl Header {
-    fn is_followed_by(&self, bytes: &[u8]) -> bool {
+    fn matches_contents(&self, bytes: &[u8]) -> bool {
         let (header, state) = bytes.split_at(HEADER_BYTES);
-        self.length == state.len() as u64 && self.checksum == checksum(&[&header[..CHECKED], state])
+        self.length == state.len() as u64 && self.checksum == checksum(&[&header[..CHECKSUMMED_HEADER_BYTES], state])
     }
 }
 
--- a/crates/storage/src/names.rs
+++ b/crates/storage/src/names.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileName {
     /// A segment of the log.
-    Segment { generation: u64, first: u64 },
+    Segment { generation: u64, first_index: u64 },
     /// A snapshot of the state after the entry with this index.
     Snapshot { generation: u64, index: u64 },
     /// A snapshot that is still being written. The file is renamed once it is complete.
@@ -29,10 +29,10 @@
         if name == RECORD {
             return Some(FileName::Record);
         }
-        if let Some((generation, first)) = numbers(name, SEGMENT) {
-            return Some(FileName::Segment { generation, first });
+        if let Some((generation, first_index)) = parse_numbers(name, SEGMENT) {
+            return Some(FileName::Segment { generation, first_index });
         }
-        let (generation, index) = numbers(name, SNAPSHOT)?;
+        let (generation, index) = parse_numbers(name, SNAPSHOT)?;
         Some(FileName::Snapshot { generation, index })
     }
 
@@ -47,20 +47,20 @@
 
 impl fmt::Display for FileName {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let mut numbered = |(prefix, suffix), generation, index| {
+        let mut write_numbered = |(prefix, suffix), generation, index| {
             write!(formatter, "{prefix}{generation:06}-{index:012}{suffix}")
         };
         match self {
-            FileName::Segment { generation, first } => numbered(SEGMENT, generation, first),
-            FileName::Snapshot { generation, index } => numbered(SNAPSHOT, generation, index),
+            FileName::Segment { generation, first_index } => write_numbered(SEGMENT, generation, first_index),
+            FileName::Snapshot { generation, index } => write_numbered(SNAPSHOT, generation, index),
             FileName::Temporary => formatter.write_str(TEMPORARY),
             FileName::Record => formatter.write_str(RECORD),
         }
     }
 }
 
-fn numbers(name: &str, (prefix, suffix): (&str, &str)) -> Option<(u64, u64)> {
-    let middle = name.strip_prefix(prefix)?.strip_suffix(suffix)?;
-    let (generation, index) = middle.split_once('-')?;
+fn parse_numbers(name: &str, (prefix, suffix): (&str, &str)) -> Option<(u64, u64)> {
+    let numbers = name.strip_prefix(prefix)?.strip_suffix(suffix)?;
+    let (generation, index) = numbers.split_once('-')?;
     Some((generation.parse().ok()?, index.parse().ok()?))
 }
--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -10,12 +10,12 @@
 use crate::StorageError;
 
 const SLOT_BYTES: usize = 4096;
-const SLOTS: usize = 2;
+const SLOT_COUNT: usize = 2;
 const MAGIC: u32 = u32::from_le_bytes(*b"QPre");
 /// The length of the fields before the record: magic, checksum, number, length of the record.
 const HEADER_BYTES: usize = 20;
 /// The length of the fields that the checksum does not cover: the magic and the checksum.
-const UNCHECKED: usize = 8;
+const UNCHECKSUMMED_BYTES: usize = 8;
 
 /// The maximum length of a record.
 pub const MAX_RECORD_BYTES: usize = SLOT_BYTES - HEADER_BYTES;
@@ -29,7 +29,7 @@
     /// Whether the slot that the next record goes to holds a torn record. The slot must be zeroed before
     /// another record is written to it, since the remains of two torn writes could together form the older of
     /// the two records.
-    next_is_torn: bool,
+    next_slot_is_torn: bool,
 }
 
 impl<F: Files> RecordFile<F> {
@@ -38,17 +38,17 @@
     pub fn open(files: &F, exists: bool) -> Result<(RecordFile<F>, Option<Vec<u8>>), StorageError> {
         if !exists {
             let file = create(files).ok();
-            return Ok((RecordFile { file, number: 0, next_is_torn: false }, None));
+            return Ok((RecordFile { file, number: 0, next_slot_is_torn: false }, None));
         }
-        let file = files.open(&name()).map_err(StorageError::io("open", FileName::Record))?;
+        let file = files.open(&file_name()).map_err(StorageError::io("open", FileName::Record))?;
         let bytes = file.read().map_err(StorageError::io("read", FileName::Record))?;
-        let Slots { newest, other_is_torn } = Slots::read(&bytes)?;
+        let Slots { newest, other_slot_is_torn } = Slots::decode(&bytes)?;
         // A killed process may have written the record without syncing it: it must be durable before it is
         // returned.
         file.sync().map_err(StorageError::io("sync", FileName::Record))?;
         let (number, record) = newest.map_or((0, None), |slot| (slot.number, Some(slot.record)));
-        let usable = bytes.len() == SLOTS * SLOT_BYTES || number > 0;
-        Ok((RecordFile { file: usable.then_some(file), number, next_is_torn: other_is_torn }, record))
+        let is_usable = bytes.len() == SLOT_COUNT * SLOT_BYTES || number > 0;
+        Ok((RecordFile { file: is_usable.then_some(file), number, next_slot_is_torn: other_slot_is_torn }, record))
     }
 
     /// Replaces the record. After an error, the next save writes to the same slot.
@@ -62,10 +62,10 @@
         };
         let file = self.file.insert(file);
         let number = self.number + 1;
-        let offset = (slot_of(number) * SLOT_BYTES) as u64;
-        if self.next_is_torn {
+        let offset = (slot_index(number) * SLOT_BYTES) as u64;
+        if self.next_slot_is_torn {
             write_durably(file, offset, &[0; SLOT_BYTES])?;
-            self.next_is_torn = false;
+            self.next_slot_is_torn = false;
         }
         write_durably(file, offset, &encode_slot(number, record))?;
         self.number = number;
@@ -79,20 +79,20 @@
 }
 
 fn create<F: Files>(files: &F) -> Result<F::File, StorageError> {
-    let file = files.create(&name()).map_err(StorageError::io("create", FileName::Record))?;
-    write_durably(&file, 0, &[0; SLOTS * SLOT_BYTES])?;
+    let file = files.create(&file_name()).map_err(StorageError::io("create", FileName::Record))?;
+    write_durably(&file, 0, &[0; SLOT_COUNT * SLOT_BYTES])?;
     files.sync_names().map_err(StorageError::io("sync the folder of", FileName::Record))?;
     Ok(file)
 }
 
-fn name() -> String {
+fn file_name() -> String {
     FileName::Record.to_string()
 }
 
 /// Returns the index of the slot for the record with this number. The first record has number 1 and goes to
 /// slot 1.
-fn slot_of(number: u64) -> usize {
-    (number % SLOTS as u64) as usize
+fn slot_index(number: u64) -> usize {
+    (number % SLOT_COUNT as u64) as usize
 }
 
 /// The contents of a slot.
@@ -115,17 +115,17 @@
     /// The complete record with the highest number.
     newest: Option<NumberedRecord>,
     /// Whether the other slot holds a torn record.
-    other_is_torn: bool,
+    other_slot_is_torn: bool,
 }
 
 impl Slots {
     /// Decodes both slots. Only one slot is written at a time, and slot 1 is written first. A torn slot 0
     /// without a complete record in slot 1 is therefore not due to an interrupted write, but damage.
-    fn read(bytes: &[u8]) -> Result<Slots, StorageError> {
+    fn decode(bytes: &[u8]) -> Result<Slots, StorageError> {
         let mut slots = bytes.chunks(SLOT_BYTES).map(decode_slot);
         let first = slots.next().unwrap_or(Slot::Empty);
         let second = slots.next().unwrap_or(Slot::Empty);
-        let (newest, other_is_torn) = match (first, second) {
+        let (newest, other_slot_is_torn) = match (first, second) {
             (Slot::Intact(first), Slot::Intact(second)) if first.number > second.number => {
                 (Some(first), false)
             }
@@ -137,7 +137,7 @@
             (Slot::Empty, Slot::Empty) => (None, false),
             (Slot::Torn, Slot::Torn | Slot::Empty) => return Err(StorageError::damaged(FileName::Record, 0)),
         };
-        Ok(Slots { newest, other_is_torn })
+        Ok(Slots { newest, other_slot_is_torn })
     }
 }
 
@@ -148,8 +148,8 @@
     slot.extend_from_slice(&number.to_le_bytes());
     slot.extend_from_slice(&(record.len() as u32).to_le_bytes());
     slot.extend_from_slice(record);
-    let checksum = checksum(&[&slot[UNCHECKED..]]);
-    slot[4..UNCHECKED].copy_from_slice(&checksum.to_le_bytes());
+    let checksum = checksum(&[&slot[UNCHECKSUMMED_BYTES..]]);
+    slot[4..UNCHECKSUMMED_BYTES].copy_from_slice(&checksum.to_le_bytes());
     slot
 }
 
@@ -165,10 +165,10 @@
     if reader.u32()? != MAGIC {
         return None;
     }
-    let expected = reader.u32()?;
+    let checksum_read = reader.u32()?;
     let number = reader.u64()?;
     let length = reader.u32()? as usize;
     let record = reader.0.get(..length)?.to_vec();
-    let checked = &bytes[UNCHECKED..HEADER_BYTES + length];
-    (expected == checksum(&[checked])).then_some(NumberedRecord { number, record })
+    let checksummed = &bytes[UNCHECKSUMMED_BYTES..HEADER_BYTES + length];
+    (checksum_read == checksum(&[checksummed])).then_some(NumberedRecord { number, record })
 }
--- a/crates/storage/src/storage.rs
+++ b/crates/storage/src/storage.rs
@@ -6,7 +6,7 @@
 use crate::names::FileName;
 use crate::record::RecordFile;
 use crate::recovery::{recover, Recovered};
-use crate::segments::{create, Segments};
+use crate::segments::{create_segment, Segments};
 use crate::StorageError;
 use quillpulley_protocol::{Entry, Position};
 use std::path::Path;
@@ -65,17 +65,17 @@
         // A killed process may have created, renamed or removed files without syncing the folder. These
         // changes must be durable before recovery relies on them.
         files.sync_names().map_err(StorageError::io("sync", "the folder"))?;
-        let names = names(&files)?;
-        let state = recover(&files, &names)?;
-        let (record, saved) = RecordFile::open(&files, names.contains(&FileName::Record))?;
-        let highest = names.iter().filter_map(FileName::generation).max().unwrap_or(0);
+        let names = list_files(&files)?;
+        let recovered = recover(&files, &names)?;
+        let (record, saved_record) = RecordFile::open(&files, names.contains(&FileName::Record))?;
+        let highest_generation = names.iter().filter_map(FileName::generation).max().unwrap_or(0);
         let mut storage = Storage {
             files,
             options,
-            generation: state.generation,
-            next_generation: highest + 1,
-            snapshot: state.snapshot.as_ref().map(|(last, _)| *last),
-            segments: Segments::new(state.segments),
+            generation: recovered.generation,
+            next_generation: highest_generation + 1,
+            snapshot: recovered.snapshot.as_ref().map(|(last, _)| *last),
+            segments: Segments::new(recovered.segments),
             record,
             needs_repair: true,
         };
@@ -83,7 +83,7 @@
         if let Err(error) = storage.repair() {
             log::warn!(error:%; "could not remove the leftover files of an earlier process");
         }
-        Ok((storage, Recovered { record: saved, snapshot: state.snapshot, entries: state.entries }))
+        Ok((storage, Recovered { record: saved_record, snapshot: recovered.snapshot, entries: recovered.entries }))
     }
 
     /// Returns the index of the last entry that is stored or that the snapshot covers; 0 if there is none.
@@ -98,7 +98,7 @@
 
     /// Returns the length of the log on disk in bytes. Callers use it to decide when to compact the log.
     pub fn log_bytes(&self) -> u64 {
-        self.segments.bytes()
+        self.segments.total_bytes()
     }
 
     /// Replaces the record. This needs no new disk space if the file of the record exists.
@@ -122,21 +122,21 @@
     /// [`StorageError::OutOfOrder`] if the indices are not consecutive, or the first one is not in the range
     /// above; [`StorageError::Io`] if the disk fails.
     pub fn append(&mut self, entries: &[Entry]) -> Result<(), StorageError> {
-        let Some(last) = entries.last().map(|entry| entry.index) else { return Ok(()) };
+        let Some(last_index) = entries.last().map(|entry| entry.index) else { return Ok(()) };
         self.check_sequence(entries)?;
-        let known = entries.iter().take_while(|entry| self.contains(entry)).count();
-        let new = &entries[known..];
-        let kept = new.first().map_or(last, |entry| entry.index - 1);
-        if new.is_empty() && kept == self.last_index() && !self.needs_repair {
+        let stored_count = entries.iter().take_while(|entry| self.contains(entry)).count();
+        let new_entries = &entries[stored_count..];
+        let last_kept = new_entries.first().map_or(last_index, |entry| entry.index - 1);
+        if new_entries.is_empty() && last_kept == self.last_index() && !self.needs_repair {
             return Ok(());
         }
-        self.change(|storage| {
-            storage.segments.truncate(&storage.files, kept)?;
-            if new.is_empty() {
+        self.apply_change(|storage| {
+            storage.segments.truncate(&storage.files, last_kept)?;
+            if new_entries.is_empty() {
                 return Ok(());
             }
             let segment_bytes = storage.options.segment_bytes;
-            storage.segments.append(&storage.files, storage.generation, segment_bytes, new)
+            storage.segments.append(&storage.files, storage.generation, segment_bytes, new_entries)
         })
     }
 
@@ -153,7 +153,7 @@
         entries: &[Entry],
     ) -> Result<(), StorageError> {
         check_consecutive(last.index + 1, entries)?;
-        self.change(|storage| storage.install_generation(last, snapshot, entries))
+        self.apply_change(|storage| storage.install_generation(last, snapshot, entries))
     }
 
     /// Stores a snapshot, and drops the entries that it covers. `last` is the position of the last entry that
@@ -169,7 +169,7 @@
         if last.index > self.last_index() {
             return self.install(last, snapshot, &[]);
         }
-        self.change(|storage| {
+        self.apply_change(|storage| {
             storage.write_snapshot(storage.generation, last, snapshot)?;
             storage.snapshot = Some(last);
             storage.segments.drop_covered(last.index);
@@ -200,7 +200,7 @@
     }
 
     /// Performs a change, after removing the leftovers of an earlier change that failed.
-    fn change(
+    fn apply_change(
         &mut self,
         change: impl FnOnce(&mut Self) -> Result<(), StorageError>,
     ) -> Result<(), StorageError> {
@@ -215,7 +215,7 @@
 
     /// Durably removes unused files, and anything that follows the last complete record of the log.
     fn repair(&mut self) -> Result<(), StorageError> {
-        self.revoke_newer_generations()?;
+        self.remove_failed_installations()?;
         self.remove_unused_files()?;
         self.sync_names()?;
         self.segments.truncate_to_length(&self.files)?;
@@ -234,8 +234,8 @@
         self.next_generation += 1;
         let mut segments = Vec::new();
         if !entries.is_empty() {
-            let header = Header { generation, first: last.index + 1, chain: 0 };
-            segments.push(create(&self.files, header, entries)?.0);
+            let header = Header { generation, first_index: last.index + 1, previous_checksum: 0 };
+            segments.push(create_segment(&self.files, header, entries)?.0);
         }
         self.write_snapshot(generation, last, snapshot)?;
         self.generation = generation;
@@ -269,23 +269,23 @@
     }
 
     fn remove_unused_files(&self) -> Result<(), StorageError> {
-        names(&self.files)?.iter().filter(|name| !self.is_in_use(name)).try_for_each(|name| self.remove(name))
+        list_files(&self.files)?.iter().filter(|name| !self.is_in_use(name)).try_for_each(|name| self.remove(name))
     }
 
     /// Durably removes snapshots of generations newer than the active one, which installations left that
     /// failed after the renaming. This must happen before their segments are removed: otherwise, after a loss
     /// of power, a generation could become active without its entries.
-    fn revoke_newer_generations(&self) -> Result<(), StorageError> {
+    fn remove_failed_installations(&self) -> Result<(), StorageError> {
         let is_newer = |name: &&FileName| match name {
             FileName::Snapshot { generation, .. } => *generation > self.generation,
             _ => false,
         };
-        let names = names(&self.files)?;
-        let mut revoked = names.iter().filter(is_newer).peekable();
-        if revoked.peek().is_none() {
+        let names = list_files(&self.files)?;
+        let mut failed = names.iter().filter(is_newer).peekable();
+        if failed.peek().is_none() {
             return Ok(());
         }
-        revoked.try_for_each(|name| self.remove(name))?;
+        failed.try_for_each(|name| self.remove(name))?;
         self.sync_names()
     }
 
@@ -318,7 +318,7 @@
     }
 }
 
-fn names<F: Files>(files: &F) -> Result<Vec<FileName>, StorageError> {
+fn list_files<F: Files>(files: &F) -> Result<Vec<FileName>, StorageError> {
     let names = files.names().map_err(StorageError::io("list", "the folder"))?;
     Ok(names.iter().filter_map(|name| FileName::parse(name)).collect())
 }
--- a/crates/storage/tests/common/disk.rs
+++ b/crates/storage/tests/common/disk.rs
@@ -13,35 +13,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// The disk loses power: no file can be opened or changed until [`Disk::lose_power`].
-    PowerOut,
+    PowerLoss,
     /// One operation fails. A failed write may be performed in part.
-    Error,
+    OneCallFails,
     /// From now on, all writes and the creation of files fail.
-    Full,
+    AllWritesFail,
     /// From now on, the creation of files and writes that extend a file fail. Files can still be overwritten.
-    NoSpace,
+    GrowthFails,
 }
 
 /// A handle of the disk. All clones share the contents.
 #[derive(Clone)]
-pub struct Disk(Rc<RefCell<Contents>>);
+pub struct Disk(Rc<RefCell<DiskState>>);
 
-struct Contents {
-    files: Vec<Stored>,
+struct DiskState {
+    files: Vec<StoredFile>,
     names: Names,
     durable_names: Names,
     pending_names: Vec<NameChange>,
     /// Whether a sync of a new file makes its name durable, too.
-    sync_keeps_name: bool,
-    planned: Option<(Fault, usize)>,
-    present: Option<Fault>,
+    sync_makes_name_durable: bool,
+    scheduled: Option<(Fault, usize)>,
+    active: Option<Fault>,
     random: Random,
 }
 
 type Names = BTreeMap<String, usize>;
 
 #[derive(Default)]
-struct Stored {
+struct StoredFile {
     bytes: Vec<u8>,
     durable: Vec<u8>,
     pending: Vec<Change>,
@@ -55,14 +55,14 @@
 
 #[derive(Clone)]
 enum NameChange {
-    Made(String, usize),
+    Created(String, usize),
     Renamed(String, String, usize),
     Removed(String),
 }
 
 /// The kinds of disk operations that faults distinguish.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Step {
+enum OperationKind {
     Grow,
     Overwrite,
     Other,
@@ -70,52 +70,52 @@
 
 impl Disk {
     pub fn new(seed: u64) -> Disk {
-        Disk(Rc::new(RefCell::new(Contents {
+        Disk(Rc::new(RefCell::new(DiskState {
             files: Vec::new(),
             names: Names::new(),
             durable_names: Names::new(),
             pending_names: Vec::new(),
-            sync_keeps_name: seed.is_multiple_of(2),
-            planned: None,
-            present: None,
+            sync_makes_name_durable: seed.is_multiple_of(2),
+            scheduled: None,
+            active: None,
             random: Random(seed),
         })))
     }
 
-    /// Schedules a fault that occurs after `step` more disk operations; 0 means at the next one.
-    pub fn plan(&self, fault: Fault, step: usize) {
-        self.0.borrow_mut().planned = Some((fault, step));
+    /// Schedules a fault that occurs after `operations_before` more disk operations; 0 means at the next one.
+    pub fn schedule(&self, fault: Fault, operations_before: usize) {
+        self.0.borrow_mut().scheduled = Some((fault, operations_before));
     }
 
     /// Ends the present fault, unless it is a loss of power, and cancels the scheduled one.
-    pub fn calm(&self) {
+    pub fn clear_faults(&self) {
         let contents = &mut *self.0.borrow_mut();
-        contents.planned = None;
-        contents.present = contents.present.filter(|fault| *fault == Fault::PowerOut);
+        contents.scheduled = None;
+        contents.active = contents.active.filter(|fault| *fault == Fault::PowerLoss);
     }
 
-    pub fn is_out(&self) -> bool {
-        self.0.borrow().present == Some(Fault::PowerOut)
+    pub fn has_lost_power(&self) -> bool {
+        self.0.borrow().active == Some(Fault::PowerLoss)
     }
 
     /// Drops the changes that were not synced, or a random part of them, and ends all faults.
     pub fn lose_power(&self) {
         let contents = &mut *self.0.borrow_mut();
-        contents.planned = None;
-        contents.present = None;
-        let all = contents.random.below(4) == 0;
+        contents.scheduled = None;
+        contents.active = None;
+        let drops_all = contents.random.below(4) == 0;
         for file in &mut contents.files {
             let pending = std::mem::take(&mut file.pending);
-            if !all {
+            if !drops_all {
                 pending
                     .into_iter()
-                    .for_each(|change| survive(&mut file.durable, change, &mut contents.random));
+                    .for_each(|change| apply_randomly(&mut file.durable, change, &mut contents.random));
             }
             file.bytes = file.durable.clone();
         }
         let pending = std::mem::take(&mut contents.pending_names);
         for change in pending {
-            if !all && contents.random.below(2) == 0 {
+            if !drops_all && contents.random.below(2) == 0 {
                 change.apply(&mut contents.durable_names);
             }
         }
@@ -140,11 +140,11 @@
         contents.durable_names = contents.names.clone();
     }
 
-    pub fn make_durably(&self, name: &str, bytes: &[u8]) {
+    pub fn create_durably(&self, name: &str, bytes: &[u8]) {
         let contents = &mut *self.0.borrow_mut();
         contents.names.insert(name.to_string(), contents.files.len());
         contents.durable_names = contents.names.clone();
-        contents.files.push(Stored { bytes: bytes.to_vec(), durable: bytes.to_vec(), pending: Vec::new() });
+        contents.files.push(StoredFile { bytes: bytes.to_vec(), durable: bytes.to_vec(), pending: Vec::new() });
     }
 
     pub fn read(&self, name: &str) -> Vec<u8> {
@@ -156,13 +156,13 @@
         self.read(name).len()
     }
 
-    fn step(&self, step: Step) -> io::Result<()> {
-        self.0.borrow_mut().step(step)
+    fn check_fault(&self, kind: OperationKind) -> io::Result<()> {
+        self.0.borrow_mut().check_fault(kind)
     }
 }
 
 /// Applies a change completely, in part, or not at all.
-fn survive(bytes: &mut Vec<u8>, change: Change, random: &mut Random) {
+fn apply_randomly(bytes: &mut Vec<u8>, change: Change, random: &mut Random) {
     match (random.below(3), change) {
         (0, _) => {}
         (1, Change::Write { offset, bytes: written }) => {
@@ -174,29 +174,29 @@
     }
 }
 
-impl Contents {
-    fn step(&mut self, step: Step) -> io::Result<()> {
-        if let Some((fault, left)) = self.planned {
-            self.planned = (left > 0).then(|| (fault, left - 1));
-            if left == 0 {
-                return self.begin(fault, step);
+impl DiskState {
+    fn check_fault(&mut self, kind: OperationKind) -> io::Result<()> {
+        if let Some((fault, remaining)) = self.scheduled {
+            self.scheduled = (remaining > 0).then(|| (fault, remaining - 1));
+            if remaining == 0 {
+                return self.activate(fault, kind);
             }
         }
-        self.refusal(step)
+        self.error_for(kind)
     }
 
-    fn begin(&mut self, fault: Fault, step: Step) -> io::Result<()> {
-        if fault == Fault::Error {
+    fn activate(&mut self, fault: Fault, kind: OperationKind) -> io::Result<()> {
+        if fault == Fault::OneCallFails {
             return Err(io::Error::other("a scheduled error"));
         }
-        self.present = Some(fault);
-        self.refusal(step)
+        self.active = Some(fault);
+        self.error_for(kind)
     }
 
-    fn refusal(&self, step: Step) -> io::Result<()> {
-        match (self.present, step) {
-            (Some(Fault::PowerOut), _) => Err(io::Error::other("no power")),
-            (Some(Fault::Full), Step::Grow | Step::Overwrite) | (Some(Fault::NoSpace), Step::Grow) => {
+    fn error_for(&self, kind: OperationKind) -> io::Result<()> {
+        match (self.active, kind) {
+            (Some(Fault::PowerLoss), _) => Err(io::Error::other("no power")),
+            (Some(Fault::AllWritesFail), OperationKind::Grow | OperationKind::Overwrite) | (Some(Fault::GrowthFails), OperationKind::Grow) => {
                 Err(io::Error::new(io::ErrorKind::StorageFull, "no space"))
             }
             _ => Ok(()),
@@ -208,17 +208,17 @@
         self.pending_names.push(change);
     }
 
-    fn keep_name(&mut self, file: usize) {
-        let of_file = |change: &NameChange| matches!(change, NameChange::Made(_, made) if *made == file);
-        let kept: Vec<NameChange> = self.pending_names.extract_if(.., |change| of_file(change)).collect();
-        kept.iter().for_each(|change| change.apply(&mut self.durable_names));
+    fn make_name_durable(&mut self, file: usize) {
+        let creates_file = |change: &NameChange| matches!(change, NameChange::Created(_, created) if *created == file);
+        let synced: Vec<NameChange> = self.pending_names.extract_if(.., |change| creates_file(change)).collect();
+        synced.iter().for_each(|change| change.apply(&mut self.durable_names));
     }
 }
 
 impl NameChange {
     fn apply(&self, names: &mut Names) {
         match self {
-            NameChange::Made(name, file) => {
+            NameChange::Created(name, file) => {
                 names.insert(name.clone(), *file);
             }
             NameChange::Renamed(from, to, file) => {
@@ -250,7 +250,7 @@
     }
 }
 
-impl Stored {
+impl StoredFile {
     fn change(&mut self, change: Change) {
         change.apply(&mut self.bytes);
         self.pending.push(change);
@@ -261,27 +261,27 @@
     type File = DiskFile;
 
     fn names(&self) -> io::Result<Vec<String>> {
-        if self.is_out() {
+        if self.has_lost_power() {
             return Err(io::Error::other("no power"));
         }
         Ok(Disk::names(self))
     }
 
     fn create(&self, name: &str) -> io::Result<DiskFile> {
-        self.step(Step::Grow)?;
+        self.check_fault(OperationKind::Grow)?;
         let contents = &mut *self.0.borrow_mut();
         if let Some(file) = contents.names.get(name) {
             contents.files[*file].change(Change::Length(0));
             return Ok(DiskFile { disk: self.clone(), file: *file });
         }
         let file = contents.files.len();
-        contents.files.push(Stored::default());
-        contents.change_names(NameChange::Made(name.to_string(), file));
+        contents.files.push(StoredFile::default());
+        contents.change_names(NameChange::Created(name.to_string(), file));
         Ok(DiskFile { disk: self.clone(), file })
     }
 
     fn open(&self, name: &str) -> io::Result<DiskFile> {
-        if self.is_out() {
+        if self.has_lost_power() {
             return Err(io::Error::other("no power"));
         }
         let file = self.0.borrow().names.get(name).copied();
@@ -290,7 +290,7 @@
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
-        self.step(Step::Other)?;
+        self.check_fault(OperationKind::Other)?;
         let contents = &mut *self.0.borrow_mut();
         assert!(!contents.names.contains_key(to), "{to} exists already");
         let file = contents.names[from];
@@ -299,7 +299,7 @@
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
-        self.step(Step::Other)?;
+        self.check_fault(OperationKind::Other)?;
         let contents = &mut *self.0.borrow_mut();
         assert!(contents.names.contains_key(name), "{name} does not exist");
         contents.change_names(NameChange::Removed(name.to_string()));
@@ -307,7 +307,7 @@
     }
 
     fn sync_names(&self) -> io::Result<()> {
-        self.step(Step::Other)?;
+        self.check_fault(OperationKind::Other)?;
         let contents = &mut *self.0.borrow_mut();
         contents.pending_names.clear();
         contents.durable_names = contents.names.clone();
@@ -325,7 +325,7 @@
         self.disk.0.borrow_mut().files[self.file].change(change);
     }
 
-    fn write_part(&self, offset: usize, bytes: &[u8]) {
+    fn write_random_prefix(&self, offset: usize, bytes: &[u8]) {
         let length = self.disk.0.borrow_mut().random.below(bytes.len() + 1);
         self.change(Change::Write { offset, bytes: bytes[..length].to_vec() });
     }
@@ -339,9 +339,9 @@
     fn write(&self, offset: u64, bytes: &[u8]) -> io::Result<()> {
         let offset = offset as usize;
         let length = self.disk.0.borrow().files[self.file].bytes.len();
-        let step = if offset + bytes.len() > length { Step::Grow } else { Step::Overwrite };
-        if let Err(error) = self.disk.step(step) {
-            self.write_part(offset, bytes);
+        let kind = if offset + bytes.len() > length { OperationKind::Grow } else { OperationKind::Overwrite };
+        if let Err(error) = self.disk.check_fault(kind) {
+            self.write_random_prefix(offset, bytes);
             return Err(error);
         }
         self.change(Change::Write { offset, bytes: bytes.to_vec() });
@@ -349,19 +349,19 @@
     }
 
     fn set_length(&self, length: u64) -> io::Result<()> {
-        self.disk.step(Step::Other)?;
+        self.disk.check_fault(OperationKind::Other)?;
         self.change(Change::Length(length as usize));
         Ok(())
     }
 
     fn sync(&self) -> io::Result<()> {
-        self.disk.step(Step::Other)?;
+        self.disk.check_fault(OperationKind::Other)?;
         let contents = &mut *self.disk.0.borrow_mut();
         let file = &mut contents.files[self.file];
         file.pending.clear();
         file.durable = file.bytes.clone();
-        if contents.sync_keeps_name {
-            contents.keep_name(self.file);
+        if contents.sync_makes_name_durable {
+            contents.make_name_durable(self.file);
         }
         Ok(())
     }
--- a/crates/storage/tests/common/mod.rs
+++ b/crates/storage/tests/common/mod.rs
@@ -34,6 +34,6 @@
     }
 }
 
-pub fn at(epoch: u64, index: u64) -> Position {
+pub fn position(epoch: u64, index: u64) -> Position {
     Position { epoch, index }
 }
--- a/crates/storage/tests/compatibility.rs
+++ b/crates/storage/tests/compatibility.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::{at, entries};
+use common::{position, entries};
 use quillpulley_storage::{Options, Recovered, Storage};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -52,14 +52,14 @@
         storage.append(&entries(1, first, first + 4)).expect("a batch");
     }
     storage.append(&entries(2, 91, 110)).expect("a tail that is replaced");
-    storage.compact(at(1, 50), b"the state up to entry 50").expect("a compaction");
+    storage.compact(position(1, 50), b"the state up to entry 50").expect("a compaction");
     storage
-        .install(at(3, 200), b"the state up to entry 200", &entries(3, 201, 210))
+        .install(position(3, 200), b"the state up to entry 200", &entries(3, 201, 210))
         .expect("an installation");
     for first in (211..=290).step_by(4) {
         storage.append(&entries(3, first, first + 3)).expect("a batch");
     }
-    storage.compact(at(3, 220), b"the state up to entry 220").expect("a compaction");
+    storage.compact(position(3, 220), b"the state up to entry 220").expect("a compaction");
     storage.save_record(b"the second record").expect("a record");
     storage.save_record(b"the third record").expect("a record");
 }
@@ -84,7 +84,7 @@
     let (storage, recovered) = Storage::open(&folder.0, OPTIONS).expect("a readable folder");
     let expected = Recovered {
         record: Some(b"the third record".to_vec()),
-        snapshot: Some((at(3, 220), b"the state up to entry 220".to_vec())),
+        snapshot: Some((position(3, 220), b"the state up to entry 220".to_vec())),
         entries: entries(3, 221, 290),
     };
     assert!(recovered == expected);
--- a/crates/storage/tests/damage.rs
+++ b/crates/storage/tests/damage.rs
@@ -22,11 +22,11 @@
     disk.names().into_iter().filter(|name| name.ends_with(".segment")).collect()
 }
 
-fn error(disk: &Disk) -> StorageError {
+fn open_error(disk: &Disk) -> StorageError {
     try_open(disk).map(|_| ()).expect_err("an unusable folder")
 }
 
-fn flip(offset: usize) -> impl FnOnce(&mut Vec<u8>) {
+fn flip_bit(offset: usize) -> impl FnOnce(&mut Vec<u8>) {
     move |bytes| bytes[offset] ^= 0x10
 }
 
@@ -41,7 +41,7 @@
         let is_last = place + 1 == lengths.len();
         for offset in 0..*length {
             let disk = filled();
-            disk.damage(name, flip(offset));
+            disk.damage(name, flip_bit(offset));
             match try_open(&disk) {
                 Ok((_, found)) => {
                     assert!(is_last, "{name} at {offset}");
@@ -73,31 +73,31 @@
     for name in &names[..names.len() - 1] {
         let disk = filled();
         disk.remove_durably(name);
-        assert!(error(&disk).to_string().contains("empty the data folder"));
+        assert!(open_error(&disk).to_string().contains("empty the data folder"));
     }
 }
 
 #[test]
-fn a_damaged_snapshot_is_an_error_unless_the_log_stands_for_it() {
+fn a_damaged_snapshot_is_an_error_unless_the_log_contains_its_entries() {
     let disk = filled();
     let (mut storage, _) = open(&disk);
-    storage.compact(at(1, 3), b"three").expect("compacted");
+    storage.compact(position(1, 3), b"three").expect("compacted");
     let name = "snapshot-000000-000000000003.snapshot";
-    disk.damage(name, flip(36));
-    assert!(matches!(error(&disk), StorageError::Incomplete { first: 1, .. }));
+    disk.damage(name, flip_bit(36));
+    assert!(matches!(open_error(&disk), StorageError::Incomplete { first: 1, .. }));
 
     let disk = Disk::new(1);
     let (mut storage, _) = open(&disk);
     storage.append(&entries(1, 1, 3)).expect("appended");
-    storage.compact(at(1, 2), b"two").expect("compacted");
-    disk.damage("snapshot-000000-000000000002.snapshot", flip(36));
+    storage.compact(position(1, 2), b"two").expect("compacted");
+    disk.damage("snapshot-000000-000000000002.snapshot", flip_bit(36));
     assert_eq!(open(&disk).1.entries, entries(1, 1, 3), "the segment still contains all entries");
 
     let disk = Disk::new(1);
     let (mut storage, _) = open(&disk);
-    storage.install(at(2, 9), b"nine", &entries(2, 10, 12)).expect("installed");
-    disk.damage("snapshot-000001-000000000009.snapshot", flip(36));
-    let error = error(&disk);
+    storage.install(position(2, 9), b"nine", &entries(2, 10, 12)).expect("installed");
+    disk.damage("snapshot-000001-000000000009.snapshot", flip_bit(36));
+    let error = open_error(&disk);
     assert!(matches!(&error, StorageError::Damaged { file, .. } if file.contains("000009")), "{error}");
 }
 
@@ -107,11 +107,11 @@
     let (mut storage, _) = open(&disk);
     storage.append(&entries(1, 1, 1)).expect("appended");
     storage.append(&entries(1, 2, 2)).expect("appended");
-    storage.compact(at(1, 2), b"two").expect("compacted");
+    storage.compact(position(1, 2), b"two").expect("compacted");
     let name = segments(&disk).pop().expect("a segment");
     let length = disk.length(&name);
     disk.damage(&name, |bytes| bytes.truncate(length - 1));
-    assert!(matches!(error(&disk), StorageError::Damaged { .. }));
+    assert!(matches!(open_error(&disk), StorageError::Damaged { .. }));
 }
 
 #[test]
@@ -120,31 +120,31 @@
     let (mut storage, _) = open(&disk);
     storage.save_record(b"one").expect("saved");
     storage.save_record(b"two").expect("saved");
-    disk.damage("record.slots", flip(20));
-    disk.damage("record.slots", flip(4096 + 20));
-    assert!(matches!(error(&disk), StorageError::Damaged { .. }));
+    disk.damage("record.slots", flip_bit(20));
+    disk.damage("record.slots", flip_bit(4096 + 20));
+    assert!(matches!(open_error(&disk), StorageError::Damaged { .. }));
 }
 
 #[test]
-fn files_of_another_version_are_named() {
+fn files_of_another_version_are_reported() {
     let disk = filled();
     let (mut storage, _) = open(&disk);
-    storage.compact(at(1, 3), b"three").expect("compacted");
+    storage.compact(position(1, 3), b"three").expect("compacted");
     disk.damage("snapshot-000000-000000000003.snapshot", |bytes| bytes[4] = 9);
-    assert!(matches!(error(&disk), StorageError::OtherVersion { .. }));
+    assert!(matches!(open_error(&disk), StorageError::OtherVersion { .. }));
 }
 
 #[test]
-fn covered_segments_that_come_back_do_no_harm() {
+fn covered_segments_that_reappear_are_ignored() {
     let names = segments(&filled());
     for back in 0..names.len() {
         let disk = filled();
         let contents: Vec<Vec<u8>> = names.iter().map(|name| disk.read(name)).collect();
         let (mut storage, _) = open(&disk);
-        storage.compact(at(1, 12), b"twelve").expect("compacted");
+        storage.compact(position(1, 12), b"twelve").expect("compacted");
         drop(storage);
         segments(&disk).iter().for_each(|name| disk.remove_durably(name));
-        disk.make_durably(&names[back], &contents[back]);
+        disk.create_durably(&names[back], &contents[back]);
         let (mut storage, found) = open(&disk);
         assert_eq!((found.entries, storage.last_index()), (Vec::new(), 12));
         storage.append(&entries(2, 13, 13)).expect("appended");
@@ -157,7 +157,7 @@
         let disk = filled();
         let (mut storage, _) = open(&disk);
         storage.save_record(b"record").expect("saved");
-        storage.compact(at(1, 5), b"five").expect("compacted");
+        storage.compact(position(1, 5), b"five").expect("compacted");
         let names = disk.names();
         disk.damage(&names[file % names.len()], |bytes| {
             for (place, byte) in damage {
@@ -192,30 +192,30 @@
 fn a_log_that_begins_after_the_snapshots_end_is_an_error() {
     let disk = filled();
     let (mut storage, _) = open(&disk);
-    storage.compact(at(1, 3), b"three").expect("compacted");
+    storage.compact(position(1, 3), b"three").expect("compacted");
     let first = disk.read("snapshot-000000-000000000003.snapshot");
-    storage.compact(at(1, 12), b"twelve").expect("compacted");
+    storage.compact(position(1, 12), b"twelve").expect("compacted");
     storage.append(&entries(2, 13, 13)).expect("appended");
     for index in 14..=20 {
         storage.append(&entries(2, index, index)).expect("appended");
     }
-    storage.compact(at(2, 20), b"twenty").expect("compacted");
+    storage.compact(position(2, 20), b"twenty").expect("compacted");
     drop(storage);
     disk.remove_durably("snapshot-000000-000000000020.snapshot");
-    disk.make_durably("snapshot-000000-000000000003.snapshot", &first);
-    let text = error(&disk).to_string();
+    disk.create_durably("snapshot-000000-000000000003.snapshot", &first);
+    let text = open_error(&disk).to_string();
     assert!(text.contains("empty the data folder"), "{text}");
 }
 
 // A snapshot is installed at 9 with the entries 10-12, then another at 30, which removes the files of the
 // first. Then the second snapshot is lost, and its segment must not be read without it.
 #[test]
-fn segments_of_an_installation_without_its_snapshot_never_count() {
+fn segments_of_an_installation_without_its_snapshot_are_not_recovered() {
     let disk = Disk::new(1);
     let (mut storage, _) = open(&disk);
     storage.append(&entries(1, 1, 4)).expect("appended");
-    storage.install(at(2, 9), b"nine", &entries(2, 10, 12)).expect("installed");
-    storage.install(at(3, 30), b"thirty", &entries(3, 31, 33)).expect("installed");
+    storage.install(position(2, 9), b"nine", &entries(2, 10, 12)).expect("installed");
+    storage.install(position(3, 30), b"thirty", &entries(3, 31, 33)).expect("installed");
     drop(storage);
     disk.remove_durably("snapshot-000002-000000000030.snapshot");
     match try_open(&disk) {
--- a/crates/storage/tests/reopening.rs
+++ b/crates/storage/tests/reopening.rs
@@ -28,7 +28,7 @@
     disk.names().into_iter().filter(|name| name.ends_with(".segment")).collect()
 }
 
-fn error(disk: &Disk) -> StorageError {
+fn open_error(disk: &Disk) -> StorageError {
     try_open(disk).map(|_| ()).expect_err("an unusable folder")
 }
 
@@ -38,20 +38,20 @@
     let (mut storage, _) = open(&disk);
     storage.append(&entries(1, 1, 1)).expect("appended");
     // The write succeeds, and the sync after it fails.
-    disk.plan(Fault::Error, 1);
+    disk.schedule(Fault::OneCallFails, 1);
     storage.append(&entries(1, 2, 2)).expect_err("not synced");
     drop(storage);
-    disk.calm();
+    disk.clear_faults();
     disk
 }
 
 #[test]
-fn what_a_start_has_found_survives_a_loss_of_power_whichever_of_its_steps_fails() {
+fn recovered_entries_are_durable_whichever_step_of_opening_fails() {
     let mut found_unsynced = 0;
     for seed in 0..40 {
         for step in 0..10 {
             let disk = unsynced_entry(seed);
-            disk.plan(Fault::Error, step);
+            disk.schedule(Fault::OneCallFails, step);
             let Ok((storage, found)) = try_open(&disk) else { continue };
             drop(storage);
             found_unsynced += usize::from(found.entries == entries(1, 1, 2));
@@ -68,14 +68,14 @@
     drop(open(&disk));
     let (mut storage, found) = open(&disk);
     assert_eq!(found.record, None);
-    disk.plan(Fault::NoSpace, 0);
+    disk.schedule(Fault::GrowthFails, 0);
     storage.save_record(b"one").expect("no new space is needed");
-    disk.calm();
+    disk.clear_faults();
     assert_eq!(open(&disk).1.record, Some(b"one".to_vec()));
 }
 
 #[test]
-fn a_record_file_that_was_not_allocated_is_made_again_with_its_whole_length() {
+fn a_truncated_record_file_without_a_record_is_created_again() {
     let disk = Disk::new(1);
     drop(open(&disk));
     disk.damage(RECORD, |bytes| bytes.truncate(100));
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_short_record_file_with_a_record_is_never_emptied() {
+fn a_truncated_record_file_with_a_record_is_not_created_again() {
     for seed in 0..20 {
         for step in 0..4 {
             let disk = Disk::new(seed);
@@ -97,7 +97,7 @@
             disk.damage(RECORD, |bytes| bytes.truncate(4096 + 100));
             let (mut storage, found) = open(&disk);
             assert_eq!(found.record, Some(b"one".to_vec()));
-            disk.plan(Fault::PowerOut, step);
+            disk.schedule(Fault::PowerLoss, step);
             let saved = storage.save_record(b"two");
             drop(storage);
             disk.lose_power();
@@ -112,11 +112,11 @@
 }
 
 #[test]
-fn a_damaged_snapshot_whose_last_entry_is_the_logs_last_is_replaced_by_the_log() {
+fn a_damaged_snapshot_is_ignored_if_the_log_contains_its_entries() {
     let disk = Disk::new(1);
     let (mut storage, _) = open(&disk);
     storage.append(&entries(1, 1, 3)).expect("appended");
-    storage.compact(at(1, 3), b"three").expect("compacted");
+    storage.compact(position(1, 3), b"three").expect("compacted");
     drop(storage);
     disk.damage("snapshot-000000-000000000003.snapshot", |bytes| bytes[36] ^= 0x10);
     assert_eq!(open(&disk).1.entries, entries(1, 1, 3));
@@ -129,32 +129,32 @@
     storage.append(&entries(1, 1, 1)).expect("appended");
     let shorter = disk.read(&segments(&disk)[0]);
     storage.append(&entries(1, 2, 3)).expect("appended");
-    storage.compact(at(1, 3), b"three").expect("compacted");
+    storage.compact(position(1, 3), b"three").expect("compacted");
     drop(storage);
-    disk.make_durably(&segments(&disk)[0], &shorter);
+    disk.create_durably(&segments(&disk)[0], &shorter);
     disk.damage("snapshot-000000-000000000003.snapshot", |bytes| bytes[36] ^= 0x10);
-    assert!(matches!(error(&disk), StorageError::Damaged { .. }));
+    assert!(matches!(open_error(&disk), StorageError::Damaged { .. }));
 }
 
 #[test]
-fn a_snapshot_under_the_name_of_a_later_one_stands_for_no_more_than_the_log() {
+fn a_snapshot_with_the_file_name_of_a_later_one_is_an_error() {
     let disk = filled(1, 8);
     let (mut storage, _) = open(&disk);
-    storage.compact(at(1, 3), b"three").expect("compacted");
+    storage.compact(position(1, 3), b"three").expect("compacted");
     drop(storage);
     let earlier = disk.read("snapshot-000000-000000000003.snapshot");
-    disk.make_durably("snapshot-000000-000000000009.snapshot", &earlier);
-    assert!(matches!(error(&disk), StorageError::Damaged { file, .. } if file.contains("000009")));
+    disk.create_durably("snapshot-000000-000000000009.snapshot", &earlier);
+    assert!(matches!(open_error(&disk), StorageError::Damaged { file, .. } if file.contains("000009")));
 }
 
 #[test]
-fn entries_that_are_missing_before_the_log_are_named() {
+fn missing_entries_before_the_log_are_reported() {
     let disk = filled(1, 12);
     let names = segments(&disk);
     let first_of_second: u64 =
         names[1].split(['-', '.']).nth(2).and_then(|first| first.parse().ok()).expect("an index");
     disk.remove_durably(&names[0]);
-    match error(&disk) {
+    match open_error(&disk) {
         StorageError::Incomplete { first, last } => assert_eq!((first, last), (1, first_of_second - 1)),
         other => panic!("{other}"),
     }
@@ -165,7 +165,7 @@
     let disk = Disk::new(1);
     let (mut storage, _) = open(&disk);
     storage.append(&entries(1, 1, 1)).expect("appended");
-    storage.compact(at(1, 1), b"one").expect("compacted");
+    storage.compact(position(1, 1), b"one").expect("compacted");
     drop(storage);
     let names = segments(&disk);
     let (mut storage, found) = open(&disk);
@@ -176,20 +176,20 @@
 }
 
 #[test]
-fn a_segment_of_another_history_is_an_error() {
+fn a_segment_of_another_log_is_an_error() {
     let disk = filled(1, 12);
     let other = filled(2, 12);
     for name in segments(&disk).into_iter().skip(1).filter(|name| segments(&other).contains(name)) {
         let ours = disk.read(&name);
-        disk.make_durably(&name, &other.read(&name));
-        assert!(matches!(error(&disk), StorageError::Damaged { file, .. } if file == name));
-        disk.make_durably(&name, &ours);
+        disk.create_durably(&name, &other.read(&name));
+        assert!(matches!(open_error(&disk), StorageError::Damaged { file, .. } if file == name));
+        disk.create_durably(&name, &ours);
     }
     assert_eq!(open(&disk).1.entries, entries(1, 1, 12));
 }
 
 #[test]
-fn a_segment_of_another_version_is_named() {
+fn a_segment_of_another_version_is_reported() {
     let disk = filled(1, 12);
     for name in segments(&disk) {
         let disk = filled(1, 12);
@@ -198,21 +198,21 @@
             let checksum = crc32fast::hash(&bytes[..HEADER_BYTES - 4]);
             bytes[HEADER_BYTES - 4..HEADER_BYTES].copy_from_slice(&checksum.to_le_bytes());
         });
-        assert!(matches!(error(&disk), StorageError::OtherVersion { file } if file == name));
+        assert!(matches!(open_error(&disk), StorageError::OtherVersion { file } if file == name));
     }
 }
 
 #[test]
-fn a_segment_under_the_name_of_another_is_an_error() {
+fn a_segment_with_the_file_name_of_another_is_an_error() {
     let names = segments(&filled(1, 12));
     let disk = Disk::new(1);
     drop(open(&disk));
-    disk.make_durably(&names[0], &filled(1, 12).read(&names[1]));
-    assert!(matches!(error(&disk), StorageError::Damaged { file, .. } if file == names[0]));
+    disk.create_durably(&names[0], &filled(1, 12).read(&names[1]));
+    assert!(matches!(open_error(&disk), StorageError::Damaged { file, .. } if file == names[0]));
 }
 
 #[test]
-fn entries_that_a_later_segment_replaces_do_not_come_back() {
+fn entries_that_a_later_segment_replaces_are_not_recovered() {
     let disk = Disk::new(1);
     let (mut storage, _) = open(&disk);
     storage.append(&entries(1, 1, 12)).expect("appended in one segment");
@@ -221,12 +221,12 @@
     storage.append(&entries(2, 10, 12)).expect("appended in another");
     assert_eq!(segments(&disk).len(), 2);
     drop(storage);
-    disk.make_durably(name, &before);
+    disk.create_durably(name, &before);
     assert_eq!(open(&disk).1.entries, [entries(1, 1, 9), entries(2, 10, 12)].concat());
 }
 
 #[test]
-fn a_last_segment_without_a_record_does_not_count_whatever_it_follows() {
+fn a_last_segment_without_records_is_ignored() {
     let disk = filled(1, 12);
     let other = filled(2, 12);
     let is_common = |name: &String| segments(&other).contains(name);
@@ -234,7 +234,7 @@
     for later in segments(&disk).into_iter().filter(|name| *name > last) {
         disk.remove_durably(&later);
     }
-    disk.make_durably(&last, &other.read(&last)[..HEADER_BYTES]);
+    disk.create_durably(&last, &other.read(&last)[..HEADER_BYTES]);
     let found = open(&disk).1.entries;
     assert!(entries(1, 1, 12).starts_with(&found) && !found.is_empty());
 }
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn the_left_over_of_a_write_is_cut_off_real_files() {
+fn an_incomplete_write_is_truncated_in_a_real_folder() {
     let folder = std::env::temp_dir().join(format!("quillpulley-reopening-{}", std::process::id()));
     let _ = fs::remove_dir_all(&folder);
     let (mut storage, _) = Storage::open(&folder, OPTIONS).expect("opened");
--- a/crates/storage/tests/storage.rs
+++ b/crates/storage/tests/storage.rs
@@ -46,11 +46,11 @@
 fn the_record_needs_no_new_space() {
     let disk = Disk::new(1);
     let (mut storage, _) = open(&disk);
-    disk.plan(Fault::NoSpace, 0);
+    disk.schedule(Fault::GrowthFails, 0);
     storage.save_record(b"promised").expect("saved");
     storage.save_record(b"promised again").expect("saved");
     assert!(storage.append(&entries(1, 1, 1)).is_err());
-    disk.calm();
+    disk.clear_faults();
     assert_eq!(recovered(&disk), record(b"promised again"));
 }
 
@@ -75,7 +75,7 @@
 //    append  |         1/3 2/4 3/5
 //    stored  | 1/1 1/2 1/3 2/4 3/5
 #[test]
-fn an_earlier_first_entry_replaces_what_follows() {
+fn appending_before_the_end_replaces_later_entries() {
     let disk = Disk::new(1);
     let (mut storage, _) = open(&disk);
     storage.append(&entries(1, 1, 8)).expect("appended");
@@ -98,13 +98,13 @@
     let (mut storage, _) = open(&disk);
     storage.append(&[]).expect("nothing to do");
     storage.append(&entries(1, 1, 5)).expect("appended");
-    storage.compact(at(1, 3), b"three").expect("compacted");
+    storage.compact(position(1, 3), b"three").expect("compacted");
     let gap = [entry(1, 6), entry(1, 8)];
     for wrong in [&entries(1, 7, 7)[..], &gap, &entries(1, 3, 6), &entries(1, 0, 6)] {
         let error = storage.append(wrong).expect_err("out of order");
         assert!(matches!(error, StorageError::OutOfOrder { .. }), "{error}");
     }
-    assert!(storage.install(at(1, 3), b"", &entries(1, 5, 5)).is_err());
+    assert!(storage.install(position(1, 3), b"", &entries(1, 5, 5)).is_err());
     assert_eq!(recovered(&disk).entries, entries(1, 4, 5));
 }
 
@@ -116,17 +116,17 @@
         storage.append(&entries(1, index, index)).expect("appended");
     }
     let before = storage.log_bytes();
-    storage.compact(at(1, 15), b"state").expect("compacted");
+    storage.compact(position(1, 15), b"state").expect("compacted");
     assert!(storage.log_bytes() < before / 2);
-    storage.compact(at(1, 15), b"of no use").expect("the snapshot is ignored");
-    storage.compact(at(1, 7), b"of no use").expect("the snapshot is ignored");
+    storage.compact(position(1, 15), b"of no use").expect("the snapshot is ignored");
+    storage.compact(position(1, 7), b"of no use").expect("the snapshot is ignored");
     let found = recovered(&disk);
-    assert_eq!(found.snapshot, Some((at(1, 15), b"state".to_vec())));
+    assert_eq!(found.snapshot, Some((position(1, 15), b"state".to_vec())));
     assert_eq!(found.entries, entries(1, 16, 20));
-    storage.compact(at(1, 20), b"newer").expect("compacted");
+    storage.compact(position(1, 20), b"newer").expect("compacted");
     storage.append(&entries(2, 21, 22)).expect("appended");
     let found = recovered(&disk);
-    assert_eq!((storage.last_index(), found.snapshot), (22, Some((at(1, 20), b"newer".to_vec()))));
+    assert_eq!((storage.last_index(), found.snapshot), (22, Some((position(1, 20), b"newer".to_vec()))));
     assert_eq!(found.entries, entries(2, 21, 22));
 }
 
@@ -136,16 +136,16 @@
     let (mut storage, _) = open(&disk);
     storage.save_record(b"kept").expect("saved");
     storage.append(&entries(1, 1, 20)).expect("appended");
-    storage.install(at(3, 7), b"seven", &entries(3, 8, 9)).expect("installed");
+    storage.install(position(3, 7), b"seven", &entries(3, 8, 9)).expect("installed");
     let expected = |entries| Recovered {
         record: Some(b"kept".to_vec()),
-        snapshot: Some((at(3, 7), b"seven".to_vec())),
+        snapshot: Some((position(3, 7), b"seven".to_vec())),
         entries,
     };
     assert_eq!(recovered(&disk), expected(entries(3, 8, 9)));
     storage.append(&entries(3, 10, 12)).expect("appended");
     assert_eq!(recovered(&disk), expected(entries(3, 8, 12)));
-    storage.install(at(3, 7), b"seven", &[]).expect("installed");
+    storage.install(position(3, 7), b"seven", &[]).expect("installed");
     assert_eq!((storage.last_index(), recovered(&disk)), (7, expected(Vec::new())));
     storage.append(&entries(4, 8, 8)).expect("appended");
     assert_eq!(recovered(&disk), expected(entries(4, 8, 8)));
@@ -156,21 +156,21 @@
     let disk = Disk::new(1);
     let (mut storage, _) = open(&disk);
     storage.append(&entries(1, 1, 5)).expect("appended");
-    storage.compact(at(2, 9), b"nine").expect("installed");
+    storage.compact(position(2, 9), b"nine").expect("installed");
     assert_eq!((storage.last_index(), recovered(&disk).entries), (9, Vec::new()));
     storage.append(&entries(2, 10, 10)).expect("appended");
     assert_eq!(recovered(&disk).entries, entries(2, 10, 10));
 }
 
 #[test]
-fn files_do_not_pile_up() {
+fn unused_files_are_removed() {
     let disk = Disk::new(1);
     let (mut storage, _) = open(&disk);
     for round in 1..=30 {
         storage.append(&entries(round, round * 10 - 9, round * 10)).expect("appended");
-        storage.compact(at(round, round * 10 - 2), b"state").expect("compacted");
+        storage.compact(position(round, round * 10 - 2), b"state").expect("compacted");
         if round % 7 == 0 {
-            storage.install(at(round, round * 10), b"state", &[]).expect("installed");
+            storage.install(position(round, round * 10), b"state", &[]).expect("installed");
         }
         assert!(disk.names().len() <= 4, "{:?}", disk.names());
     }
@@ -202,14 +202,14 @@
     storage.save_record(b"record").expect("saved");
     storage.append(&entries(1, 1, 9)).expect("appended");
     storage.append(&entries(2, 6, 20)).expect("appended");
-    storage.compact(at(1, 4), &vec![7; 100_000]).expect("compacted");
+    storage.compact(position(1, 4), &vec![7; 100_000]).expect("compacted");
     drop(storage);
     let (mut storage, found) = Storage::open(&folder.0, options).expect("opened");
     assert_eq!(found.record, Some(b"record".to_vec()));
-    assert_eq!(found.snapshot, Some((at(1, 4), vec![7; 100_000])));
+    assert_eq!(found.snapshot, Some((position(1, 4), vec![7; 100_000])));
     assert_eq!(found.entries, [entries(1, 5, 5), entries(2, 6, 20)].concat());
-    storage.install(at(5, 50), b"fifty", &entries(5, 51, 52)).expect("installed");
+    storage.install(position(5, 50), b"fifty", &entries(5, 51, 52)).expect("installed");
     let (_, found) = Storage::open(&folder.0, options).expect("opened");
-    assert_eq!((found.snapshot, found.entries), (Some((at(5, 50), b"fifty".to_vec())), entries(5, 51, 52)));
+    assert_eq!((found.snapshot, found.entries), (Some((position(5, 50), b"fifty".to_vec())), entries(5, 51, 52)));
     assert!(folder.0.join("not-of-storage").exists());
 }
