--- a/crates/control-state/src/history.rs
+++ b/crates/control-state/src/history.rs
@@ -38,14 +38,14 @@
     pub fn look_up(&self, base: u64, content_hash: u64) -> DedupLookup {
         match self.applied.front() {
             Some(first) if base < first.base => DedupLookup::Expired { oldest: first.base },
-            _ if self.applied_on(base) == Some(content_hash) => DedupLookup::Applied,
+            _ if self.content_hash_on(base) == Some(content_hash) => DedupLookup::Applied,
             _ => DedupLookup::NotApplied,
         }
     }
 
     /// Returns the content hash of the configuration that was applied on a base version; `None` if the
     /// history has none.
-    fn applied_on(&self, base: u64) -> Option<u64> {
+    fn content_hash_on(&self, base: u64) -> Option<u64> {
         let index = self.applied.binary_search_by_key(&base, |applied| applied.base).ok()?;
         self.applied.get(index).map(|applied| applied.content_hash)
     }
--- a/crates/control-state/tests/control_state.rs
+++ b/crates/control-state/tests/control_state.rs
@@ -35,7 +35,7 @@
         decision
     }
 
-    fn take(&mut self, base: u64, body: &[u8]) {
+    fn replace_accepted(&mut self, base: u64, body: &[u8]) {
         let decision = self.replace(base, body);
         assert!(matches!(decision, ReplaceDecision::Propose(_)), "{decision:?}");
     }
@@ -57,11 +57,11 @@
 }
 
 #[test]
-fn a_configuration_is_given_back_as_it_was_sent() {
+fn a_configuration_is_returned_as_it_was_sent() {
     let mut replica = Replica::default();
     assert_eq!((replica.state.version(), replica.state.body()), (0, None));
     let body = valid(3, 2, 1000);
-    replica.take(0, &body);
+    replica.replace_accepted(0, &body);
     assert_eq!((replica.state.version(), replica.state.body()), (3, Some(body.as_slice())));
     assert_eq!(replica.state.config_index(), 1);
     let configuration = replica.state.configuration().expect("valid").expect("there");
@@ -83,14 +83,14 @@
 //    {       | 5     | 5               | invalid: unreadable
 //    {       | 4     | 5               | conflict
 #[test]
-fn each_change_is_accepted_once_and_known_afterwards() {
+fn each_configuration_is_accepted_once_and_recognized_afterwards() {
     let (three, other_three) = (valid(3, 1, 1000), valid(3, 1, 2000));
     let (five, other_five) = (valid(5, 1, 1000), valid(5, 1, 2000));
     let mut replica = Replica::default();
-    replica.take(0, &three);
+    replica.replace_accepted(0, &three);
     assert_eq!(replica.replace(0, &three), ReplaceDecision::AlreadyApplied);
     assert_eq!(replica.replace(0, &other_three), ReplaceDecision::Conflict { current: 3 });
-    replica.take(3, &five);
+    replica.replace_accepted(3, &five);
     assert_eq!(replica.replace(0, &three), ReplaceDecision::AlreadyApplied);
     assert_eq!(replica.replace(3, &other_five), ReplaceDecision::Conflict { current: 5 });
     let not_above = |version| ConfigurationError::VersionNotAbove { version, current: 5 };
@@ -109,7 +109,7 @@
 #[test]
 fn of_two_changes_on_one_base_the_first_in_the_log_wins() {
     let mut replica = Replica::default();
-    replica.take(0, &valid(3, 1, 1000));
+    replica.replace_accepted(0, &valid(3, 1, 1000));
     let (one, other) = (valid(5, 1, 1000), valid(6, 1, 2000));
     let first = payload(replica.state.decide_replace(3, &one));
     let second = payload(replica.state.decide_replace(3, &other));
@@ -143,18 +143,18 @@
 //    1, applied      | 32,767        | already applied
 //    1, not applied  | 32,767        | conflict
 #[test]
-fn the_history_is_long_but_bounded_and_what_it_forgot_is_not_rejected() {
+fn a_configuration_older_than_the_history_is_neither_acknowledged_nor_rejected() {
     let mut replica = Replica::default();
     for version in 1..=HISTORY_LENGTH as u64 + 1 {
-        replica.take(version - 1, &small(version, "a"));
+        replica.replace_accepted(version - 1, &without_routes(version, "a"));
     }
     let current = HISTORY_LENGTH as u64 + 1;
     for state in [&replica.state, &restored(&replica.state)] {
-        let forgotten = ReplaceDecision::HistoryExpired { oldest: 1 };
-        assert_eq!(state.decide_replace(0, &small(1, "a")), forgotten);
-        assert_eq!(state.decide_replace(0, &small(1, "b")), forgotten);
-        assert_eq!(state.decide_replace(1, &small(2, "a")), ReplaceDecision::AlreadyApplied);
-        assert_eq!(state.decide_replace(1, &small(2, "b")), ReplaceDecision::Conflict { current });
+        let expired = ReplaceDecision::HistoryExpired { oldest: 1 };
+        assert_eq!(state.decide_replace(0, &without_routes(1, "a")), expired);
+        assert_eq!(state.decide_replace(0, &without_routes(1, "b")), expired);
+        assert_eq!(state.decide_replace(1, &without_routes(2, "a")), ReplaceDecision::AlreadyApplied);
+        assert_eq!(state.decide_replace(1, &without_routes(2, "b")), ReplaceDecision::Conflict { current });
     }
     assert_eq!(restored(&replica.state), replica.state);
     let bytes_each = replica.state.snapshot().len() / HISTORY_LENGTH;
@@ -162,7 +162,7 @@
 }
 
 /// Returns a configuration without routes. `mark` distinguishes it from others of the same version.
-fn small(version: u64, mark: &str) -> Vec<u8> {
+fn without_routes(version: u64, mark: &str) -> Vec<u8> {
     format!("{{\"Version\":{version},\"Routes\":[],\"Services\":[],\"Mark\":\"{mark}\"}}").into_bytes()
 }
 
@@ -174,21 +174,21 @@
 //    6 (repeated)  | 3    | 6'            | conflict
 //    5 (repeated)  | 3    | 6'            | already applied
 #[test]
-fn the_number_of_a_loser_may_be_used_again() {
+fn the_version_of_a_rejected_configuration_may_be_used_again() {
     let mut replica = Replica::default();
-    replica.take(0, &valid(3, 1, 1000));
-    replica.take(3, &valid(5, 1, 1000));
-    let loser = valid(6, 1, 2000);
-    assert_eq!(replica.replace(3, &loser), ReplaceDecision::Conflict { current: 5 });
-    replica.take(5, &valid(6, 1, 3000));
-    assert_eq!(replica.replace(3, &loser), ReplaceDecision::Conflict { current: 6 });
+    replica.replace_accepted(0, &valid(3, 1, 1000));
+    replica.replace_accepted(3, &valid(5, 1, 1000));
+    let rejected = valid(6, 1, 2000);
+    assert_eq!(replica.replace(3, &rejected), ReplaceDecision::Conflict { current: 5 });
+    replica.replace_accepted(5, &valid(6, 1, 3000));
+    assert_eq!(replica.replace(3, &rejected), ReplaceDecision::Conflict { current: 6 });
     assert_eq!(replica.replace(3, &valid(5, 1, 1000)), ReplaceDecision::AlreadyApplied);
     // The same bytes on another base version are another command, and version 6 is in use.
-    assert!(matches!(replica.replace(6, &loser), ReplaceDecision::Invalid(_)));
+    assert!(matches!(replica.replace(6, &rejected), ReplaceDecision::Invalid(_)));
 }
 
 /// Returns whether the application of an entry with this payload changes the state.
-fn changes(state: &ControlState, payload: Vec<u8>) -> bool {
+fn changes_state(state: &ControlState, payload: Vec<u8>) -> bool {
     let mut after = state.clone();
     after.apply(&Entry { epoch: 9, index: 1_000_000, payload });
     after != *state
@@ -199,20 +199,20 @@
 #[test]
 fn the_same_bytes_of_two_operators_are_one_command() {
     let mut replica = Replica::default();
-    replica.take(0, &valid(3, 1, 1000));
-    let both = valid(5, 1, 1000);
-    let first = payload(replica.state.decide_replace(3, &both));
-    let second = payload(replica.state.decide_replace(3, &both));
+    replica.replace_accepted(0, &valid(3, 1, 1000));
+    let body = valid(5, 1, 1000);
+    let first = payload(replica.state.decide_replace(3, &body));
+    let second = payload(replica.state.decide_replace(3, &body));
     replica.append(first);
-    assert_eq!(replica.replace(3, &both), ReplaceDecision::AlreadyApplied);
-    assert!(!changes(&replica.state, second), "the second entry of the same command changes nothing");
+    assert_eq!(replica.replace(3, &body), ReplaceDecision::AlreadyApplied);
+    assert!(!changes_state(&replica.state, second), "the second entry of the same command changes nothing");
 }
 
 // A repeated command to evacuate a zone that was restored in between cannot be distinguished from a new one.
 //
 //    evacuate a: applied | restore a: applied | evacuate a, delayed or new: applied again
 #[test]
-fn a_late_evacuation_counts_as_a_new_one() {
+fn a_delayed_evacuation_counts_as_a_new_one() {
     let mut replica = Replica::default();
     for active in [true, false, true, false] {
         assert!(matches!(replica.evacuate("a", active), EvacuationDecision::Propose(_)));
@@ -227,22 +227,22 @@
 
 /// Returns configurations that must be rejected while version 5 is active and after a later one is: a
 /// description, the base version, and the bytes.
-fn refused_kinds() -> Vec<(&'static str, u64, Vec<u8>)> {
-    let with = |fields: &str| body(7, &[&route("/a/", fields)]);
+fn rejected_configurations() -> Vec<(&'static str, u64, Vec<u8>)> {
+    let with_fields = |fields: &str| body(7, &[&route("/a/", fields)]);
     let whole = valid(7, 2, 1000);
-    let twice = route("/a/", ",\"Service\":\"s\"");
+    let repeated_route = route("/a/", ",\"Service\":\"s\"");
     vec![
         ("truncated to a half", 5, whole[..whole.len() / 2].to_vec()),
         ("truncated by one byte", 5, whole[..whole.len() - 1].to_vec()),
-        ("unknown service", 5, with(",\"Service\":\"u\"")),
+        ("unknown service", 5, with_fields(",\"Service\":\"u\"")),
         (
             "unknown service in a split",
             5,
-            with(",\"TrafficSplit\":[{\"Service\":\"s\"},{\"Service\":\"u\"}]"),
+            with_fields(",\"TrafficSplit\":[{\"Service\":\"s\"},{\"Service\":\"u\"}]"),
         ),
-        ("same host and prefix", 5, body(7, &[&twice, &twice])),
-        ("a weight of zero", 5, with(",\"TrafficSplit\":[{\"Service\":\"s\",\"Weight\":0}]")),
-        ("a timeout of zero", 5, with(",\"Service\":\"s\",\"TimeoutMs\":0")),
+        ("same host and prefix", 5, body(7, &[&repeated_route, &repeated_route])),
+        ("a weight of zero", 5, with_fields(",\"TrafficSplit\":[{\"Service\":\"s\",\"Weight\":0}]")),
+        ("a timeout of zero", 5, with_fields(",\"Service\":\"s\",\"TimeoutMs\":0")),
         ("older version", 5, valid(4, 1, 2000)),
         ("same version", 5, valid(5, 1, 2000)),
         ("base version that is not active any more", 3, valid(7, 1, 2000)),
@@ -254,29 +254,29 @@
 /// Each kind is rejected before a valid change, while that is proposed but not applied, after it, and by a
 /// replica that was restored from a snapshot. Nothing of it is appended to the log.
 #[test]
-fn what_is_invalid_is_rejected_at_every_moment() {
-    for (kind, base, bad) in refused_kinds() {
+fn invalid_configurations_are_always_rejected() {
+    for (kind, base, invalid_body) in rejected_configurations() {
         let mut replica = Replica::default();
-        replica.take(0, &valid(3, 1, 1000));
-        replica.take(3, &valid(5, 1, 1000));
-        let refused = |state: &ControlState| {
-            let decision = state.decide_replace(base, &bad);
+        replica.replace_accepted(0, &valid(3, 1, 1000));
+        replica.replace_accepted(3, &valid(5, 1, 1000));
+        let is_rejected = |state: &ControlState| {
+            let decision = state.decide_replace(base, &invalid_body);
             matches!(decision, ReplaceDecision::Invalid(_) | ReplaceDecision::Conflict { .. })
         };
-        assert!(refused(&replica.state), "{kind}");
-        let racing = payload(replica.state.decide_replace(5, &valid(9, 1, 1000)));
-        assert!(refused(&replica.state), "{kind}, while a valid one is proposed");
-        replica.append(racing);
-        assert!(refused(&replica.state), "{kind}, after a valid one");
-        assert!(refused(&restored(&replica.state)), "{kind}, after a restore");
+        assert!(is_rejected(&replica.state), "{kind}");
+        let concurrent = payload(replica.state.decide_replace(5, &valid(9, 1, 1000)));
+        assert!(is_rejected(&replica.state), "{kind}, while a valid one is proposed");
+        replica.append(concurrent);
+        assert!(is_rejected(&replica.state), "{kind}, after a valid one");
+        assert!(is_rejected(&restored(&replica.state)), "{kind}, after a restore");
         assert_eq!((replica.state.version(), replica.log.len()), (9, 3), "{kind}");
     }
 }
 
 #[test]
-fn a_snapshot_that_is_none_changes_nothing() {
+fn a_malformed_snapshot_leaves_the_state_unchanged() {
     let mut replica = Replica::default();
-    replica.take(0, &valid(3, 1, 1000));
+    replica.replace_accepted(0, &valid(3, 1, 1000));
     let before = replica.state.clone();
     let error = replica.state.restore(&[1, 2, 3]).expect_err("not a snapshot").to_string();
     assert!(error.contains("run the same version"), "{error}");
@@ -292,18 +292,18 @@
 /// A command of an operator, or a malformed log entry. Some commands have a base version that is not active,
 /// others an invalid configuration.
 #[derive(Clone, Debug)]
-enum Attempt {
+enum Input {
     Replace { base: u8, version: u8, variant: u8 },
     Evacuate { zone: u8, active: bool },
-    Rubbish(Vec<u8>),
+    MalformedEntry(Vec<u8>),
 }
 
-impl Arbitrary for Attempt {
+impl Arbitrary for Input {
     fn arbitrary(gen: &mut Gen) -> Self {
         match u8::arbitrary(gen) % 8 {
-            0 => Attempt::Rubbish(Vec::arbitrary(gen)),
-            1 | 2 => Attempt::Evacuate { zone: u8::arbitrary(gen) % 3, active: bool::arbitrary(gen) },
-            _ => Attempt::Replace {
+            0 => Input::MalformedEntry(Vec::arbitrary(gen)),
+            1 | 2 => Input::Evacuate { zone: u8::arbitrary(gen) % 3, active: bool::arbitrary(gen) },
+            _ => Input::Replace {
                 base: u8::arbitrary(gen) % 6,
                 version: u8::arbitrary(gen) % 7,
                 variant: u8::arbitrary(gen) % 3,
@@ -312,54 +312,54 @@
     }
 }
 
-fn attempt(replica: &mut Replica, attempt: &Attempt) {
-    match attempt {
-        Attempt::Replace { base, version, variant } => {
+fn perform(replica: &mut Replica, input: &Input) {
+    match input {
+        Input::Replace { base, version, variant } => {
             let body = valid(u64::from(*version), 1, u64::from(*variant) * 1000);
             replica.replace(u64::from(*base), &body);
         }
-        Attempt::Evacuate { zone, active } => {
+        Input::Evacuate { zone, active } => {
             replica.evacuate(&zone.to_string(), *active);
         }
-        Attempt::Rubbish(payload) => replica.append(payload.clone()),
+        Input::MalformedEntry(payload) => replica.append(payload.clone()),
     }
 }
 
 quickcheck! {
-    fn the_same_log_gives_the_same_state(attempts: Vec<Attempt>) -> bool {
+    fn the_same_log_gives_the_same_state(inputs: Vec<Input>) -> bool {
         let mut replica = Replica::default();
-        attempts.iter().for_each(|order| attempt(&mut replica, order));
+        inputs.iter().for_each(|input| perform(&mut replica, input));
         let mut other = ControlState::default();
         replica.log.iter().for_each(|entry| other.apply(entry));
         other == replica.state && other.snapshot() == replica.state.snapshot()
     }
 
-    fn a_snapshot_stands_for_the_log_before_it(attempts: Vec<Attempt>, cut: usize) -> bool {
+    fn a_snapshot_replaces_the_log_before_it(inputs: Vec<Input>, split: usize) -> bool {
         let mut replica = Replica::default();
-        attempts.iter().for_each(|order| attempt(&mut replica, order));
-        let cut = cut % (replica.log.len() + 1);
+        inputs.iter().for_each(|input| perform(&mut replica, input));
+        let split = split % (replica.log.len() + 1);
         let mut other = ControlState::default();
-        replica.log[..cut].iter().for_each(|entry| other.apply(entry));
+        replica.log[..split].iter().for_each(|entry| other.apply(entry));
         let mut other = restored(&other);
-        replica.log[cut..].iter().for_each(|entry| other.apply(entry));
+        replica.log[split..].iter().for_each(|entry| other.apply(entry));
         other == replica.state
     }
 
-    fn versions_only_rise_and_accepted_changes_stay_known(attempts: Vec<Attempt>) -> bool {
+    fn versions_increase_and_accepted_configurations_are_recognized(inputs: Vec<Input>) -> bool {
         let mut replica = Replica::default();
-        let mut taken: Vec<(u64, Vec<u8>)> = Vec::new();
-        for order in &attempts {
+        let mut accepted: Vec<(u64, Vec<u8>)> = Vec::new();
+        for input in &inputs {
             let before = replica.state.version();
-            attempt(&mut replica, order);
+            perform(&mut replica, input);
             let after = replica.state.version();
             if after < before {
                 return false;
             }
             if after > before {
-                taken.push((before, replica.state.body().expect("taken").to_vec()));
+                accepted.push((before, replica.state.body().expect("taken").to_vec()));
             }
         }
-        taken.iter().all(|(base, body)| replica.state.decide_replace(*base, body) == ReplaceDecision::AlreadyApplied)
+        accepted.iter().all(|(base, body)| replica.state.decide_replace(*base, body) == ReplaceDecision::AlreadyApplied)
     }
 
     fn any_snapshot_is_read_or_rejected(bytes: Vec<u8>) -> bool {
@@ -375,12 +375,12 @@
     let mut replica = Replica::default();
     assert_eq!(replica.state.shared_body(), None);
     let first = valid(1, 0, 0);
-    replica.take(0, &first);
-    let kept = [replica.state.shared_body(), replica.state.shared_body()].map(|body| body.expect("a body"));
-    assert!(Arc::ptr_eq(&kept[0], &kept[1]));
-    replica.take(1, &valid(2, 0, 0));
-    assert_eq!(&*kept[0], first.as_slice());
+    replica.replace_accepted(0, &first);
+    let shared = [replica.state.shared_body(), replica.state.shared_body()].map(|body| body.expect("a body"));
+    assert!(Arc::ptr_eq(&shared[0], &shared[1]));
+    replica.replace_accepted(1, &valid(2, 0, 0));
+    assert_eq!(&*shared[0], first.as_slice());
     let next = replica.state.shared_body().expect("a body");
     assert_eq!(Some(&*next), replica.state.body());
-    assert!(!Arc::ptr_eq(&kept[0], &next));
+    assert!(!Arc::ptr_eq(&shared[0], &next));
 }
--- a/crates/control-state/tests/published.rs
+++ b/crates/control-state/tests/published.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn all_routes_must_be_there() {
+fn incomplete_or_malformed_items_are_rejected() {
     let mut items = parse(&valid(3, 3, 1000)).to_items();
     let removed = items.remove(&route_key("h.example", "/1/"));
     assert!(removed.is_some());
@@ -50,9 +50,9 @@
 fn a_state_is_published_completely() {
     let mut state = ControlState::default();
     assert_eq!(published_items(&state), BTreeMap::new());
-    let orders = [state.decide_replace(0, &valid(3, 2, 1000))];
-    for (index, order) in orders.into_iter().enumerate() {
-        let ReplaceDecision::Propose(payload) = order else { panic!("{order:?}") };
+    let decisions = [state.decide_replace(0, &valid(3, 2, 1000))];
+    for (index, decision) in decisions.into_iter().enumerate() {
+        let ReplaceDecision::Propose(payload) = decision else { panic!("{decision:?}") };
         state.apply(&Entry { epoch: 1, index: index as u64 + 1, payload });
     }
     let quillpulley_control_state::EvacuationDecision::Propose(payload) = state.decide_evacuation("z", true)
@@ -88,26 +88,26 @@
 
 /// The host and the path prefix of a route. They consist of a few letters, so that equal ones are frequent.
 #[derive(Clone, Debug)]
-struct Place(String, String);
+struct RouteAddress(String, String);
 
-impl Arbitrary for Place {
+impl Arbitrary for RouteAddress {
     fn arbitrary(gen: &mut Gen) -> Self {
         let letters = ["a", "b", "/", "%", "2F"];
         let mut text = || {
             let length = usize::arbitrary(gen) % 4;
             (0..length).map(|_| *gen.choose(&letters).expect("letters")).collect::<String>()
         };
-        Place(text(), text())
+        RouteAddress(text(), text())
     }
 }
 
 quickcheck! {
-    fn different_addresses_have_different_keys(one: Place, other: Place) -> bool {
+    fn different_routes_have_different_keys(one: RouteAddress, other: RouteAddress) -> bool {
         let same_key = route_key(&one.0, &one.1) == route_key(&other.0, &other.1);
         same_key == ((one.0, one.1) == (other.0, other.1))
     }
 
-    fn what_is_published_is_read_back(
+    fn published_items_are_decoded_without_loss(
         version: u64, routes: Vec<(u32, f32, u8, bool)>, homes: Vec<String>, warmup: u32
     ) -> bool {
         let mut configuration = parse(&valid(1, routes.len(), 1000));
--- a/crates/membership/src/monitor.rs
+++ b/crates/membership/src/monitor.rs
@@ -119,7 +119,7 @@
     /// Returns the time at which the host must pass the next [`Event::Tick`]; [`Duration::MAX`] without
     /// targets.
     pub fn next_tick(&self) -> Duration {
-        self.targets.values().map(|target| target.due).min().unwrap_or(Duration::MAX)
+        self.targets.values().map(|target| target.next_ping_at).min().unwrap_or(Duration::MAX)
     }
 
     /// Returns the names of the peers that this node pings, in order.
@@ -133,12 +133,12 @@
     }
 
     fn set_peers(&mut self, now: Duration, peers: &[Peer]) {
-        let mut kept = std::mem::take(&mut self.targets);
+        let mut previous_targets = std::mem::take(&mut self.targets);
         for peer in peers {
             if !self.is_monitor_of(&peer.name, peers) {
                 continue;
             }
-            let target = kept.remove(&peer.name).filter(|target| target.address == peer.address);
+            let target = previous_targets.remove(&peer.name).filter(|target| target.address == peer.address);
             let target = target.unwrap_or_else(|| Target::new(peer.address, now + self.initial_delay()));
             self.targets.insert(peer.name.clone(), target);
         }
@@ -155,8 +155,8 @@
         let key = Key::new(peer);
         let own_rank = key.rank(own_name);
         let others = peers.iter().map(|other| other.name.as_str()).filter(|other| *other != peer);
-        let ahead = others.filter(|other| key.rank(other) < own_rank);
-        ahead.take(self.options.monitors).count() < self.options.monitors
+        let higher_ranked = others.filter(|other| key.rank(other) < own_rank);
+        higher_ranked.take(self.options.monitors).count() < self.options.monitors
     }
 
     fn acknowledge_ping(&mut self, now: Duration, ping: &Ping, from: SocketAddr, actions: &mut Vec<Action>) {
@@ -174,12 +174,12 @@
     }
 
     fn tick(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        if self.was_suspended(now) {
+        if self.was_stalled(now) {
             self.received_at = now;
             self.acknowledged_at = now;
             self.targets.values_mut().for_each(Target::reset);
         }
-        for target in self.targets.values_mut().filter(|target| target.due <= now) {
+        for target in self.targets.values_mut().filter(|target| target.next_ping_at <= now) {
             self.sequence += 1;
             let interval = jittered(self.options.ping_interval, &mut self.random);
             target.ping(now, self.sequence, interval, &self.options);
@@ -190,7 +190,7 @@
 
     /// Returns whether this process was stalled, so that it may not have read acknowledgements that have
     /// arrived.
-    fn was_suspended(&self, now: Duration) -> bool {
+    fn was_stalled(&self, now: Duration) -> bool {
         now.saturating_sub(self.next_tick()) > self.options.ping_interval
     }
 
--- a/crates/membership/src/target.rs
+++ b/crates/membership/src/target.rs
@@ -18,9 +18,9 @@
 pub(crate) struct Target {
     pub(crate) address: SocketAddr,
     /// The time at which the next ping is due.
-    pub(crate) due: Duration,
+    pub(crate) next_ping_at: Duration,
     /// The time at which the next ping is due if the latest ping is acknowledged.
-    due_if_acknowledged: Duration,
+    next_ping_if_acknowledged: Duration,
     /// The sequence numbers of the latest pings, sent since the last acknowledgement. The maximum length is
     /// `max_unacknowledged`.
     unacknowledged: Vec<u64>,
@@ -28,11 +28,11 @@
 }
 
 impl Target {
-    pub(crate) fn new(address: SocketAddr, due: Duration) -> Self {
+    pub(crate) fn new(address: SocketAddr, next_ping_at: Duration) -> Self {
         Target {
             address,
-            due,
-            due_if_acknowledged: due,
+            next_ping_at,
+            next_ping_if_acknowledged: next_ping_at,
             unacknowledged: Vec::new(),
             health: Health::Responsive,
         }
@@ -57,15 +57,15 @@
             self.unacknowledged.remove(0);
         }
         self.unacknowledged.push(sequence);
-        self.due_if_acknowledged = now + interval;
-        self.due = now + if self.is_unresponsive() { interval } else { options.retry_interval };
+        self.next_ping_if_acknowledged = now + interval;
+        self.next_ping_at = now + if self.is_unresponsive() { interval } else { options.retry_interval };
     }
 
     /// Records an acknowledgement. One of a ping that is not in `unacknowledged` any more is ignored, since
     /// it says nothing about the current state of the target.
     pub(crate) fn acknowledge(&mut self, sequence: u64) {
         if self.unacknowledged.contains(&sequence) {
-            self.due = self.due_if_acknowledged;
+            self.next_ping_at = self.next_ping_if_acknowledged;
             self.reset();
         }
     }
--- a/crates/membership/tests/monitoring.rs
+++ b/crates/membership/tests/monitoring.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 const QUOTA_PERIOD_MS: u64 = 100;
-const DELAY: Duration = Duration::from_millis(20);
+const NETWORK_DELAY: Duration = Duration::from_millis(20);
 
 fn milliseconds(time: u64) -> Duration {
     Duration::from_millis(time)
@@ -27,28 +27,28 @@
 }
 
 /// A datagram in transit: the time of its arrival, its number, the receiver and the sender.
-type Flight = (Duration, u64, usize, usize);
+type InTransit = (Duration, u64, usize, usize);
 
 struct Network {
     now: Duration,
     nodes: Vec<Monitor>,
     /// Whether a node neither sends nor receives datagrams nor handles ticks.
-    still: Vec<bool>,
+    frozen: Vec<bool>,
     /// Whether the datagrams that a node sends are lost.
-    mute: Vec<bool>,
+    outgoing_lost: Vec<bool>,
     /// Whether a node is on the far side of a network partition.
-    beyond: Vec<bool>,
+    partitioned: Vec<bool>,
     /// The offset at which the periods of a node's CPU quota begin, in milliseconds; `None` without a quota.
-    quota_offsets: Vec<Option<u64>>,
+    quota_offsets_ms: Vec<Option<u64>>,
     loss: f64,
     random: fastrand::Rng,
-    flights: BinaryHeap<Reverse<Flight>>,
+    in_transit: BinaryHeap<Reverse<InTransit>>,
     bodies: BTreeMap<u64, Body>,
     sent: u64,
     /// All suspicions: the time at which each began, the monitor, and the name of the suspected node.
     suspicions: Vec<(Duration, usize, String)>,
     /// The maximum number of monitors that suspected the same node at the same time.
-    most_at_once: usize,
+    max_simultaneous: usize,
 }
 
 impl Network {
@@ -58,17 +58,17 @@
             nodes: (0..count)
                 .map(|node| Monitor::new(MonitorOptions::new(&name(node), node as u64)))
                 .collect(),
-            still: vec![false; count],
-            mute: vec![false; count],
-            beyond: vec![false; count],
-            quota_offsets: vec![None; count],
+            frozen: vec![false; count],
+            outgoing_lost: vec![false; count],
+            partitioned: vec![false; count],
+            quota_offsets_ms: vec![None; count],
             loss,
             random: fastrand::Rng::with_seed(7),
-            flights: BinaryHeap::new(),
+            in_transit: BinaryHeap::new(),
             bodies: BTreeMap::new(),
             sent: 0,
             suspicions: Vec::new(),
-            most_at_once: 0,
+            max_simultaneous: 0,
         };
         (0..count).for_each(|node| network.handle(node, Event::Peers(peers(0..count))));
         network
@@ -86,8 +86,8 @@
                     assert_ne!(suspects, before);
                     let new = suspects.iter().filter(|suspect| !before.contains(suspect));
                     self.suspicions.extend(new.map(|suspect| (self.now, node, suspect.clone())));
-                    let most = suspects.iter().map(|suspect| self.suspecting(suspect).len()).max();
-                    self.most_at_once = self.most_at_once.max(most.unwrap_or(0));
+                    let most = suspects.iter().map(|suspect| self.monitors_suspecting(suspect).len()).max();
+                    self.max_simultaneous = self.max_simultaneous.max(most.unwrap_or(0));
                 }
             }
         }
@@ -96,18 +96,18 @@
     fn send(&mut self, from: usize, to: SocketAddr, body: Body) {
         let to = (0..self.nodes.len()).find(|node| address(*node) == to).expect("the address of a node");
         self.sent += 1;
-        if self.random.f64() >= self.loss && self.beyond[from] == self.beyond[to] && !self.mute[from] {
-            self.flights.push(Reverse((self.now + DELAY, self.sent, to, from)));
+        if self.random.f64() >= self.loss && self.partitioned[from] == self.partitioned[to] && !self.outgoing_lost[from] {
+            self.in_transit.push(Reverse((self.now + NETWORK_DELAY, self.sent, to, from)));
             self.bodies.insert(self.sent, body);
         }
     }
 
     fn run(&mut self, until: Duration) {
         loop {
-            let awake = (0..self.nodes.len()).filter(|node| !self.still[*node]);
-            let tick_of = |node: usize| self.working_from(node, self.nodes[node].next_tick().max(self.now));
-            let tick = awake.map(|node| (tick_of(node), node)).min();
-            let arrival = self.flights.peek().map(|Reverse(flight)| *flight);
+            let running = (0..self.nodes.len()).filter(|node| !self.frozen[*node]);
+            let tick_of = |node: usize| self.earliest_running_time(node, self.nodes[node].next_tick().max(self.now));
+            let tick = running.map(|node| (tick_of(node), node)).min();
+            let arrival = self.in_transit.peek().map(|Reverse(datagram)| *datagram);
             let tick_time = tick.map_or(Duration::MAX, |(time, _)| time);
             let arrival_time = arrival.map_or(Duration::MAX, |(time, ..)| time);
             if tick_time.min(arrival_time) > until {
@@ -116,12 +116,12 @@
             self.now = tick_time.min(arrival_time).max(self.now);
             match (arrival, tick) {
                 (Some((time, number, to, from)), _) if time <= tick_time => {
-                    self.flights.pop();
-                    let read_at = self.working_from(to, time);
+                    self.in_transit.pop();
+                    let read_at = self.earliest_running_time(to, time);
                     if read_at > time {
-                        self.flights.push(Reverse((read_at, number, to, from)));
+                        self.in_transit.push(Reverse((read_at, number, to, from)));
                     } else {
-                        self.arrive(number, to, from);
+                        self.deliver(number, to, from);
                     }
                 }
                 (_, Some((_, node))) => self.handle(node, Event::Tick),
@@ -133,8 +133,8 @@
 
     /// Returns the earliest time, not before `time`, at which a node runs. A node with a quota runs during
     /// the first tenth of each period.
-    fn working_from(&self, node: usize, time: Duration) -> Duration {
-        let Some(offset) = self.quota_offsets[node] else { return time };
+    fn earliest_running_time(&self, node: usize, time: Duration) -> Duration {
+        let Some(offset) = self.quota_offsets_ms[node] else { return time };
         let since = time.as_micros() as u64 + 1000 * (QUOTA_PERIOD_MS - offset);
         let phase = since % (1000 * QUOTA_PERIOD_MS);
         if phase < 1000 * QUOTA_PERIOD_MS / 10 || time == Duration::MAX {
@@ -143,26 +143,26 @@
         time + Duration::from_micros(1000 * QUOTA_PERIOD_MS - phase)
     }
 
-    fn arrive(&mut self, number: u64, to: usize, from: usize) {
+    fn deliver(&mut self, number: u64, to: usize, from: usize) {
         let body = self.bodies.remove(&number).expect("a datagram in transit");
-        if !self.still[to] {
+        if !self.frozen[to] {
             self.handle(to, Event::Received(body, address(from)));
         }
     }
 
     fn monitors(&self, target: usize) -> Vec<usize> {
-        let watches = |node: &usize| self.nodes[*node].targets().any(|other| other == name(target));
-        (0..self.nodes.len()).filter(watches).collect()
+        let is_monitor = |node: &usize| self.nodes[*node].targets().any(|other| other == name(target));
+        (0..self.nodes.len()).filter(is_monitor).collect()
     }
 
-    fn suspecting(&self, suspect: &str) -> Vec<usize> {
-        let holds = |node: &usize| self.nodes[*node].suspects().iter().any(|other| other == suspect);
-        (0..self.nodes.len()).filter(holds).collect()
+    fn monitors_suspecting(&self, suspect: &str) -> Vec<usize> {
+        let suspects = |node: &usize| self.nodes[*node].suspects().iter().any(|other| other == suspect);
+        (0..self.nodes.len()).filter(suspects).collect()
     }
 }
 
 #[test]
-fn each_has_three_monitors_and_none_monitors_many() {
+fn each_node_has_three_monitors_and_monitors_a_bounded_number() {
     let network = Network::new(60, 0.0);
     for node in 0..60 {
         assert_eq!(network.monitors(node).len(), 3);
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn nobody_is_suspected_without_loss() {
+fn no_node_is_suspected_without_loss() {
     let mut network = Network::new(20, 0.0);
     network.run(milliseconds(60_000));
     assert_eq!(network.suspicions, []);
@@ -186,11 +186,11 @@
 }
 
 #[test]
-fn under_loss_hardly_anybody_is_suspected_and_never_by_two() {
+fn under_loss_suspicions_are_rare_and_by_one_monitor_at_a_time() {
     let mut network = Network::new(40, 0.05);
     network.run(milliseconds(240_000));
     assert!(network.suspicions.len() <= 4, "{:?}", network.suspicions);
-    assert!(network.most_at_once <= 1);
+    assert!(network.max_simultaneous <= 1);
 }
 
 #[test]
@@ -198,33 +198,33 @@
     for loss in [0.0, 0.05] {
         let mut network = Network::new(20, loss);
         network.run(milliseconds(5_000));
-        network.still[4] = true;
+        network.frozen[4] = true;
         network.run(milliseconds(5_800));
-        assert_eq!(network.suspecting(&name(4)), [], "suspected too early");
+        assert_eq!(network.monitors_suspecting(&name(4)), [], "suspected too early");
         network.run(milliseconds(6_700));
-        assert_eq!(network.suspecting(&name(4)), network.monitors(4));
+        assert_eq!(network.monitors_suspecting(&name(4)), network.monitors(4));
     }
 }
 
 #[test]
-fn the_first_answer_ends_the_suspicion() {
+fn the_first_acknowledgement_ends_the_suspicion() {
     let mut network = Network::new(20, 0.0);
     network.run(milliseconds(5_000));
-    network.still[4] = true;
+    network.frozen[4] = true;
     network.run(milliseconds(8_000));
-    assert_eq!(network.suspecting(&name(4)).len(), 3);
-    network.still[4] = false;
+    assert_eq!(network.monitors_suspecting(&name(4)).len(), 3);
+    network.frozen[4] = false;
     network.run(milliseconds(8_600));
-    assert_eq!(network.suspecting(&name(4)), []);
+    assert_eq!(network.monitors_suspecting(&name(4)), []);
 }
 
 #[test]
-fn one_that_was_frozen_itself_suspects_nobody() {
+fn a_node_that_was_frozen_suspects_nobody() {
     let mut network = Network::new(20, 0.0);
     network.run(milliseconds(5_000));
-    network.still[4] = true;
+    network.frozen[4] = true;
     network.run(milliseconds(9_000));
-    network.still[4] = false;
+    network.frozen[4] = false;
     network.run(milliseconds(15_000));
     assert!(network.suspicions.iter().all(|(_, monitor, _)| *monitor != 4), "{:?}", network.suspicions);
 }
@@ -233,10 +233,10 @@
 fn a_partitioned_node_suspects_nobody() {
     let mut network = Network::new(20, 0.0);
     network.run(milliseconds(5_000));
-    network.beyond[4] = true;
+    network.partitioned[4] = true;
     network.run(milliseconds(15_000));
     assert!(network.suspicions.iter().all(|(_, monitor, _)| *monitor != 4), "{:?}", network.suspicions);
-    assert_eq!(network.suspecting(&name(4)).len(), 3);
+    assert_eq!(network.monitors_suspecting(&name(4)).len(), 3);
 }
 
 #[test]
@@ -245,32 +245,32 @@
     // nobody.
     let mut pair = Network::new(2, 0.0);
     pair.run(milliseconds(5_000));
-    pair.still[1] = true;
+    pair.frozen[1] = true;
     pair.run(milliseconds(15_000));
     assert_eq!(pair.suspicions, []);
     // A third node still responds, so the target that stopped responding is suspected.
     let mut three = Network::new(3, 0.0);
     three.run(milliseconds(5_000));
-    three.still[1] = true;
+    three.frozen[1] = true;
     three.run(milliseconds(15_000));
-    assert_eq!(three.suspecting(&name(1)), [0, 2]);
+    assert_eq!(three.monitors_suspecting(&name(1)), [0, 2]);
 }
 
 #[test]
-fn a_target_that_is_no_peer_any_more_is_forgotten() {
+fn a_target_that_is_removed_from_the_peers_is_no_longer_monitored() {
     let mut network = Network::new(20, 0.0);
     network.run(milliseconds(5_000));
-    network.still[4] = true;
+    network.frozen[4] = true;
     network.run(milliseconds(8_000));
     for node in (0..20).filter(|node| *node != 4) {
         network.handle(node, Event::Peers(peers((0..20).filter(|peer| *peer != 4))));
     }
-    assert_eq!(network.suspecting(&name(4)), []);
+    assert_eq!(network.monitors_suspecting(&name(4)), []);
     assert_eq!(network.monitors(4), []);
 }
 
 #[test]
-fn an_answer_to_an_old_ping_proves_nothing() {
+fn an_acknowledgement_of_an_old_ping_is_ignored() {
     let mut monitor = Monitor::new(MonitorOptions::new(&name(0), 1));
     let mut actions = Vec::new();
     monitor.handle(Duration::ZERO, Event::Peers(peers([0, 1, 2])), &mut actions);
@@ -301,20 +301,20 @@
 }
 
 #[test]
-fn nodes_that_stand_still_for_nine_tenths_of_the_time_suspect_nobody() {
+fn nodes_that_run_for_a_tenth_of_the_time_suspect_no_running_node() {
     for seed in 0..1000 {
         let mut network = Network::new(6, 0.0);
         let mut offsets = fastrand::Rng::with_seed(seed);
         let limited = offsets.usize(1..=6);
         for node in 0..limited {
-            network.quota_offsets[node] = Some(offsets.u64(0..QUOTA_PERIOD_MS));
+            network.quota_offsets_ms[node] = Some(offsets.u64(0..QUOTA_PERIOD_MS));
         }
         network.run(milliseconds(10_000));
         assert_eq!(network.suspicions, [], "seed {seed}");
         // A node that has failed is still suspected.
-        network.still[5] = true;
+        network.frozen[5] = true;
         network.run(milliseconds(13_000));
-        assert_eq!(network.suspecting(&name(5)).len(), 3, "seed {seed}");
+        assert_eq!(network.monitors_suspecting(&name(5)).len(), 3, "seed {seed}");
     }
 }
 
@@ -330,38 +330,38 @@
 }
 
 #[test]
-fn a_node_whose_datagrams_are_lost_suspects_nobody_though_it_hears_the_others() {
+fn a_node_whose_datagrams_are_lost_suspects_nobody_although_it_receives_pings() {
     let mut network = Network::new(20, 0.0);
     network.run(milliseconds(5_000));
-    network.mute[4] = true;
+    network.outgoing_lost[4] = true;
     network.run(milliseconds(15_000));
     assert!(network.suspicions.iter().all(|(_, monitor, _)| *monitor != 4), "{:?}", network.suspicions);
-    assert_eq!(network.suspecting(&name(4)), network.monitors(4));
+    assert_eq!(network.monitors_suspecting(&name(4)), network.monitors(4));
 }
 
 #[test]
-fn of_two_the_one_that_hears_the_other_and_gets_no_answer_suspects_it() {
+fn of_two_nodes_one_that_receives_only_pings_suspects_the_other() {
     let mut pair = Network::new(2, 0.0);
     pair.run(milliseconds(5_000));
-    pair.mute[0] = true;
+    pair.outgoing_lost[0] = true;
     pair.run(milliseconds(10_000));
-    assert_eq!(pair.suspecting(&name(1)), [0]);
+    assert_eq!(pair.monitors_suspecting(&name(1)), [0]);
 }
 
 #[test]
-fn a_suspicion_outlives_a_list_of_the_same_peers_and_ends_with_another_address() {
+fn a_suspicion_survives_the_same_list_of_peers_and_ends_with_a_new_address() {
     let mut network = Network::new(20, 0.0);
     network.run(milliseconds(5_000));
-    network.still[4] = true;
+    network.frozen[4] = true;
     network.run(milliseconds(8_000));
-    let monitors = network.suspecting(&name(4));
+    let monitors = network.monitors_suspecting(&name(4));
     assert_eq!(monitors.len(), 3);
     (0..20).for_each(|node| network.handle(node, Event::Peers(peers(0..20))));
-    assert_eq!(network.suspecting(&name(4)), monitors);
-    let mut moved = peers(0..20);
-    moved[4].address = address(21);
-    network.handle(monitors[0], Event::Peers(moved));
-    assert_eq!(network.suspecting(&name(4)), monitors[1..]);
+    assert_eq!(network.monitors_suspecting(&name(4)), monitors);
+    let mut changed_peers = peers(0..20);
+    changed_peers[4].address = address(21);
+    network.handle(monitors[0], Event::Peers(changed_peers));
+    assert_eq!(network.monitors_suspecting(&name(4)), monitors[1..]);
 }
 
 #[test]
--- a/crates/membership/tests/rendezvous.rs
+++ b/crates/membership/tests/rendezvous.rs
@@ -21,11 +21,11 @@
         ranked.windows(2).all(|pair| score(&key, pair[0]) >= score(&key, pair[1]))
     }
 
-    fn a_candidate_that_goes_moves_only_its_own(key: String, candidates: Vec<String>, gone: usize) -> bool {
+    fn removing_a_candidate_moves_only_its_own_keys(key: String, candidates: Vec<String>, removed: usize) -> bool {
         let all: Vec<&str> = candidates.iter().map(String::as_str).collect();
-        let gone = all.get(gone % all.len().max(1)).copied().unwrap_or_default();
-        let before = top(&key, all.iter().copied().filter(|candidate| *candidate != gone), 3);
-        let expected: Vec<&str> = ranked(&key, all).into_iter().filter(|candidate| *candidate != gone).collect();
+        let removed = all.get(removed % all.len().max(1)).copied().unwrap_or_default();
+        let before = top(&key, all.iter().copied().filter(|candidate| *candidate != removed), 3);
+        let expected: Vec<&str> = ranked(&key, all).into_iter().filter(|candidate| *candidate != removed).collect();
         before == expected[..expected.len().min(3)]
     }
 }
