--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -34,12 +34,12 @@
         /// The file that has the other version.
         file: String,
     },
-    /// a record of {length} bytes exceeds the maximum of {most} bytes: reduce the number of witnesses
+    /// a record of {length} bytes exceeds the maximum of {max_length} bytes: reduce the number of witnesses
     RecordTooLong {
         /// The length of the record in bytes.
         length: usize,
         /// The maximum length of a record in bytes.
-        most: usize,
+        max_length: usize,
     },
     /// entry {found} is out of order: send the entries from {expected} on
     OutOfOrder {
--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -54,7 +54,7 @@
     /// Replaces the record. After an error, the next save writes to the same slot.
     pub fn save(&mut self, files: &F, record: &[u8]) -> Result<(), StorageError> {
         if record.len() > MAX_RECORD_BYTES {
-            return Err(StorageError::RecordTooLong { length: record.len(), most: MAX_RECORD_BYTES });
+            return Err(StorageError::RecordTooLong { length: record.len(), max_length: MAX_RECORD_BYTES });
         }
         let file = match self.file.take() {
             Some(file) => file,
