--- a/crates/control-state/tests/control_state.rs
+++ b/crates/control-state/tests/control_state.rs
@@ -229,11 +229,11 @@
 /// description, the base version, and the bytes.
 fn rejected_configurations() -> Vec<(&'static str, u64, Vec<u8>)> {
     let with_fields = |fields: &str| body(7, &[&route("/a/", fields)]);
-    let whole = valid(7, 2, 1000);
+    let complete = valid(7, 2, 1000);
     let repeated_route = route("/a/", ",\"Service\":\"s\"");
     vec![
-        ("truncated to a half", 5, whole[..whole.len() / 2].to_vec()),
-        ("truncated by one byte", 5, whole[..whole.len() - 1].to_vec()),
+        ("truncated to a half", 5, complete[..complete.len() / 2].to_vec()),
+        ("truncated by one byte", 5, complete[..complete.len() - 1].to_vec()),
         ("unknown service", 5, with_fields(",\"Service\":\"u\"")),
         (
             "unknown service in a split",
--- a/crates/storage/src/segments.rs
+++ b/crates/storage/src/segments.rs
@@ -74,8 +74,8 @@
         self.segments.iter().any(|segment| segment.name() == *name)
     }
 
-    /// Forgets segments without entries after `covered_index`, except for the last segment, to which the next entries
-    /// are appended. Their files become unused, and are not removed here.
+    /// Forgets segments without entries after `covered_index`, except for the last segment, to which the next
+    /// entries are appended. Their files become unused, and are not removed here.
     pub fn drop_covered(&mut self, covered_index: u64) {
         let all_but_last = self.segments.len().saturating_sub(1);
         let covered =
--- a/crates/storage/tests/common/disk.rs
+++ b/crates/storage/tests/common/disk.rs
@@ -30,20 +30,24 @@
     files: Vec<StoredFile>,
     names: Names,
     durable_names: Names,
+    /// The changes of names that are not synced, in order.
     pending_names: Vec<NameChange>,
     /// Whether a sync of a new file makes its name durable, too.
     sync_makes_name_durable: bool,
+    /// A fault, and the number of disk operations before it.
     scheduled: Option<(Fault, usize)>,
     active: Option<Fault>,
     random: Random,
 }
 
+/// File names and their indices in [`DiskState::files`].
 type Names = BTreeMap<String, usize>;
 
 #[derive(Default)]
 struct StoredFile {
     bytes: Vec<u8>,
     durable: Vec<u8>,
+    /// The changes of the contents that are not synced, in order.
     pending: Vec<Change>,
 }
 
@@ -87,11 +91,11 @@
         self.0.borrow_mut().scheduled = Some((fault, operations_before));
     }
 
-    /// Ends the present fault, unless it is a loss of power, and cancels the scheduled one.
+    /// Ends the active fault, unless it is a loss of power, and cancels the scheduled one.
     pub fn clear_faults(&self) {
-        let contents = &mut *self.0.borrow_mut();
-        contents.scheduled = None;
-        contents.active = contents.active.filter(|fault| *fault == Fault::PowerLoss);
+        let state = &mut *self.0.borrow_mut();
+        state.scheduled = None;
+        state.active = state.active.filter(|fault| *fault == Fault::PowerLoss);
     }
 
     pub fn has_lost_power(&self) -> bool {
@@ -100,26 +104,26 @@
 
     /// Drops the changes that were not synced, or a random part of them, and ends all faults.
     pub fn lose_power(&self) {
-        let contents = &mut *self.0.borrow_mut();
-        contents.scheduled = None;
-        contents.active = None;
-        let drops_all = contents.random.below(4) == 0;
-        for file in &mut contents.files {
+        let state = &mut *self.0.borrow_mut();
+        state.scheduled = None;
+        state.active = None;
+        let drops_all = state.random.below(4) == 0;
+        for file in &mut state.files {
             let pending = std::mem::take(&mut file.pending);
             if !drops_all {
                 pending
                     .into_iter()
-                    .for_each(|change| apply_randomly(&mut file.durable, change, &mut contents.random));
+                    .for_each(|change| apply_randomly(&mut file.durable, change, &mut state.random));
             }
             file.bytes = file.durable.clone();
         }
-        let pending = std::mem::take(&mut contents.pending_names);
+        let pending = std::mem::take(&mut state.pending_names);
         for change in pending {
-            if !drops_all && contents.random.below(2) == 0 {
-                change.apply(&mut contents.durable_names);
+            if !drops_all && state.random.below(2) == 0 {
+                change.apply(&mut state.durable_names);
             }
         }
-        contents.names = contents.durable_names.clone();
+        state.names = state.durable_names.clone();
     }
 
     pub fn names(&self) -> Vec<String> {
@@ -128,28 +132,28 @@
 
     /// Changes the durable contents of a file without a call of the storage.
     pub fn damage(&self, name: &str, damage: impl FnOnce(&mut Vec<u8>)) {
-        let contents = &mut *self.0.borrow_mut();
-        let file = &mut contents.files[contents.names[name]];
+        let state = &mut *self.0.borrow_mut();
+        let file = &mut state.files[state.names[name]];
         damage(&mut file.bytes);
         file.durable = file.bytes.clone();
     }
 
     pub fn remove_durably(&self, name: &str) {
-        let contents = &mut *self.0.borrow_mut();
-        contents.names.remove(name);
-        contents.durable_names = contents.names.clone();
+        let state = &mut *self.0.borrow_mut();
+        state.names.remove(name);
+        state.durable_names = state.names.clone();
     }
 
     pub fn create_durably(&self, name: &str, bytes: &[u8]) {
-        let contents = &mut *self.0.borrow_mut();
-        contents.names.insert(name.to_string(), contents.files.len());
-        contents.durable_names = contents.names.clone();
-        contents.files.push(StoredFile { bytes: bytes.to_vec(), durable: bytes.to_vec(), pending: Vec::new() });
+        let state = &mut *self.0.borrow_mut();
+        state.names.insert(name.to_string(), state.files.len());
+        state.durable_names = state.names.clone();
+        state.files.push(StoredFile { bytes: bytes.to_vec(), durable: bytes.to_vec(), pending: Vec::new() });
     }
 
     pub fn read(&self, name: &str) -> Vec<u8> {
-        let contents = self.0.borrow();
-        contents.files[contents.names[name]].bytes.clone()
+        let state = self.0.borrow();
+        state.files[state.names[name]].bytes.clone()
     }
 
     pub fn length(&self, name: &str) -> usize {
@@ -269,14 +273,14 @@
 
     fn create(&self, name: &str) -> io::Result<DiskFile> {
         self.check_fault(OperationKind::Grow)?;
-        let contents = &mut *self.0.borrow_mut();
-        if let Some(file) = contents.names.get(name) {
-            contents.files[*file].change(Change::Length(0));
+        let state = &mut *self.0.borrow_mut();
+        if let Some(file) = state.names.get(name) {
+            state.files[*file].change(Change::Length(0));
             return Ok(DiskFile { disk: self.clone(), file: *file });
         }
-        let file = contents.files.len();
-        contents.files.push(StoredFile::default());
-        contents.change_names(NameChange::Created(name.to_string(), file));
+        let file = state.files.len();
+        state.files.push(StoredFile::default());
+        state.change_names(NameChange::Created(name.to_string(), file));
         Ok(DiskFile { disk: self.clone(), file })
     }
 
@@ -291,26 +295,26 @@
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         self.check_fault(OperationKind::Other)?;
-        let contents = &mut *self.0.borrow_mut();
-        assert!(!contents.names.contains_key(to), "{to} exists already");
-        let file = contents.names[from];
-        contents.change_names(NameChange::Renamed(from.to_string(), to.to_string(), file));
+        let state = &mut *self.0.borrow_mut();
+        assert!(!state.names.contains_key(to), "{to} exists already");
+        let file = state.names[from];
+        state.change_names(NameChange::Renamed(from.to_string(), to.to_string(), file));
         Ok(())
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
         self.check_fault(OperationKind::Other)?;
-        let contents = &mut *self.0.borrow_mut();
-        assert!(contents.names.contains_key(name), "{name} does not exist");
-        contents.change_names(NameChange::Removed(name.to_string()));
+        let state = &mut *self.0.borrow_mut();
+        assert!(state.names.contains_key(name), "{name} does not exist");
+        state.change_names(NameChange::Removed(name.to_string()));
         Ok(())
     }
 
     fn sync_names(&self) -> io::Result<()> {
         self.check_fault(OperationKind::Other)?;
-        let contents = &mut *self.0.borrow_mut();
-        contents.pending_names.clear();
-        contents.durable_names = contents.names.clone();
+        let state = &mut *self.0.borrow_mut();
+        state.pending_names.clear();
+        state.durable_names = state.names.clone();
         Ok(())
     }
 }
@@ -356,12 +360,12 @@
 
     fn sync(&self) -> io::Result<()> {
         self.disk.check_fault(OperationKind::Other)?;
-        let contents = &mut *self.disk.0.borrow_mut();
-        let file = &mut contents.files[self.file];
+        let state = &mut *self.disk.0.borrow_mut();
+        let file = &mut state.files[self.file];
         file.pending.clear();
         file.durable = file.bytes.clone();
-        if contents.sync_makes_name_durable {
-            contents.make_name_durable(self.file);
+        if state.sync_makes_name_durable {
+            state.make_name_durable(self.file);
         }
         Ok(())
     }
--- a/crates/storage/tests/crashes.rs
+++ b/crates/storage/tests/crashes.rs
@@ -12,16 +12,17 @@
 #[derive(Clone, Debug)]
 enum Operation {
     SaveRecord,
-    /// Appends entries, of which the first is `before_end` entries before the end of the log: up to `stored_count` entries
-    /// that are stored, then `new_count` entries that are not.
+    /// Appends entries, of which the first is `before_end` entries before the end of the log: up to
+    /// `stored_count` entries that are stored, then `new_count` entries that are not.
     Append {
         before_end: u8,
         stored_count: u8,
         new_count: u8,
     },
-    /// Compacts the log at an index that `place` chooses, from the snapshot to the first index after the log.
+    /// Compacts the log at an index that `index_choice` chooses, from the snapshot to the first index after
+    /// the log.
     Compact {
-        place: u8,
+        index_choice: u8,
     },
     /// Installs a snapshot at `index`, before or after the end of the log, followed by `new_count` entries.
     Install {
@@ -53,7 +54,7 @@
         let operation = match u8::arbitrary(gen) % 16 {
             0 | 1 => Operation::SaveRecord,
             2..=9 => Operation::Append { before_end: small(gen), stored_count: small(gen), new_count: small(gen) },
-            10 | 11 => Operation::Compact { place: u8::arbitrary(gen) },
+            10 | 11 => Operation::Compact { index_choice: u8::arbitrary(gen) },
             12 | 13 => Operation::Install { index: u8::arbitrary(gen) % 40, new_count: small(gen) },
             14 => Operation::Kill,
             _ => Operation::LosePower,
@@ -160,7 +161,7 @@
         match step.operation.clone() {
             Operation::SaveRecord => self.save_record(),
             Operation::Append { before_end, stored_count, new_count } => self.append(before_end.into(), stored_count.into(), new_count.into()),
-            Operation::Compact { place } => self.compact(place.into()),
+            Operation::Compact { index_choice } => self.compact(index_choice.into()),
             Operation::Install { index, new_count } => self.install(index.into(), new_count.into()),
             Operation::Kill => self.restart(false),
             Operation::LosePower => self.restart(true),
@@ -202,8 +203,8 @@
         self.check_outcome(result, after, outcomes);
     }
 
-    fn compact(&mut self, place: u64) {
-        let index = self.state.snapshot_index() + place % (self.state.entries.len() as u64 + 2);
+    fn compact(&mut self, index_choice: u64) {
+        let index = self.state.snapshot_index() + index_choice % (self.state.entries.len() as u64 + 2);
         let epoch = self.state.entries.iter().find(|entry| entry.index == index).map(|entry| entry.epoch);
         let last = position(epoch.unwrap_or(self.step_number), index);
         let snapshot = format!("snapshot {}", self.step_number).into_bytes();
@@ -275,8 +276,8 @@
 
     fn assert_possible(&self, found: &Recovered) {
         let state = State { snapshot: found.snapshot.clone(), entries: found.entries.clone() };
-        let possible_states: Vec<String> = self.possible_states.iter().map(State::summary).collect();
-        assert!(self.possible_states.contains(&state), "{} is none of {possible_states:?}", state.summary());
+        let possible: Vec<String> = self.possible_states.iter().map(State::summary).collect();
+        assert!(self.possible_states.contains(&state), "{} is none of {possible:?}", state.summary());
         assert!(self.possible_records.contains(&found.record), "{:?}", found.record);
     }
 }
@@ -307,7 +308,7 @@
         Operation::Append { before_end: 0, stored_count: 0, new_count: 3 },
         Operation::Append { before_end: 5, stored_count: 1, new_count: 2 },
         Operation::Append { before_end: 5, stored_count: 2, new_count: 0 },
-        Operation::Compact { place: 7 },
+        Operation::Compact { index_choice: 7 },
         Operation::Install { index: 4, new_count: 3 },
         Operation::Install { index: 30, new_count: 0 },
     ];
@@ -399,7 +400,7 @@
                     Step { operation: Operation::Install { index: 30, new_count: 0 }, fault: Some((second, second_after)) },
                     without_fault(last),
                     append(),
-                    Step { operation: Operation::Compact { place: 1 }, fault: Some((first, second_after)) },
+                    Step { operation: Operation::Compact { index_choice: 1 }, fault: Some((first, second_after)) },
                 ],
             });
         }
--- a/crates/storage/tests/reopening.rs
+++ b/crates/storage/tests/reopening.rs
@@ -256,12 +256,12 @@
         .map(|entry| entry.expect("an entry").path())
         .find(|path| path.extension().is_some_and(|extension| extension == "segment"))
         .expect("a segment");
-    let whole = fs::read(&name).expect("read");
-    fs::write(&name, [whole.as_slice(), &[9; 77]].concat()).expect("written");
+    let intact = fs::read(&name).expect("read");
+    fs::write(&name, [intact.as_slice(), &[9; 77]].concat()).expect("written");
     let (storage, found) = Storage::open(&folder, OPTIONS).expect("opened");
     drop(storage);
-    let left = fs::read(&name).expect("read");
+    let remaining = fs::read(&name).expect("read");
     fs::remove_dir_all(&folder).expect("removed");
     assert_eq!(found.entries, entries(1, 1, 2));
-    assert_eq!(left, whole);
+    assert_eq!(remaining, intact);
 }
