--- a/crates/membership/tests/monitoring.rs
+++ b/crates/membership/tests/monitoring.rs
@@ -96,7 +96,10 @@
     fn send(&mut self, from: usize, to: SocketAddr, body: Body) {
         let to = (0..self.nodes.len()).find(|node| address(*node) == to).expect("the address of a node");
         self.sent += 1;
-        if self.random.f64() >= self.loss && self.partitioned[from] == self.partitioned[to] && !self.outgoing_lost[from] {
+        if self.random.f64() >= self.loss
+            && self.partitioned[from] == self.partitioned[to]
+            && !self.outgoing_lost[from]
+        {
             self.in_transit.push(Reverse((self.now + NETWORK_DELAY, self.sent, to, from)));
             self.bodies.insert(self.sent, body);
         }
@@ -105,7 +108,8 @@
     fn run(&mut self, until: Duration) {
         loop {
             let running = (0..self.nodes.len()).filter(|node| !self.frozen[*node]);
-            let tick_of = |node: usize| self.earliest_running_time(node, self.nodes[node].next_tick().max(self.now));
+            let tick_of =
+                |node: usize| self.earliest_running_time(node, self.nodes[node].next_tick().max(self.now));
             let tick = running.map(|node| (tick_of(node), node)).min();
             let arrival = self.in_transit.peek().map(|Reverse(datagram)| *datagram);
             let tick_time = tick.map_or(Duration::MAX, |(time, _)| time);
--- a/crates/storage/src/format/segment.rs
+++ b/crates/storage/src/format/segment.rs
@@ -96,7 +96,11 @@
             return None;
         }
         let version = reader.u32()?;
-        let header = Header { generation: reader.u64()?, first_index: reader.u64()?, previous_checksum: reader.u32()? };
+        let header = Header {
+            generation: reader.u64()?,
+            first_index: reader.u64()?,
+            previous_checksum: reader.u32()?,
+        };
         Some((version, header, reader.u32()?))
     }
 }
@@ -130,7 +134,11 @@
         }
         offset += RECORD_HEADER_BYTES + record.payload.len();
         last_checksum = record.checksum;
-        scanned.records.push(RecordLocation { epoch: record.epoch, end_offset: offset as u64, checksum: last_checksum });
+        scanned.records.push(RecordLocation {
+            epoch: record.epoch,
+            end_offset: offset as u64,
+            checksum: last_checksum,
+        });
         let payload = record.payload.to_vec();
         scanned.entries.push(Entry { epoch: record.epoch, index: record.index, payload });
     }
--- a/crates/storage/src/format/snapshot.rs
+++ b/crates/storage/src/format/snapshot.rs
@@ -57,7 +57,8 @@
 impl Header {
     fn matches_contents(&self, bytes: &[u8]) -> bool {
         let (header, state) = bytes.split_at(HEADER_BYTES);
-        self.length == state.len() as u64 && self.checksum == checksum(&[&header[..CHECKSUMMED_HEADER_BYTES], state])
+        self.length == state.len() as u64
+            && self.checksum == checksum(&[&header[..CHECKSUMMED_HEADER_BYTES], state])
     }
 }
 
--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -48,7 +48,10 @@
         file.sync().map_err(StorageError::io("sync", FileName::Record))?;
         let (number, record) = newest.map_or((0, None), |slot| (slot.number, Some(slot.record)));
         let is_usable = bytes.len() == SLOT_COUNT * SLOT_BYTES || number > 0;
-        Ok((RecordFile { file: is_usable.then_some(file), number, next_slot_is_torn: other_slot_is_torn }, record))
+        Ok((
+            RecordFile { file: is_usable.then_some(file), number, next_slot_is_torn: other_slot_is_torn },
+            record,
+        ))
     }
 
     /// Replaces the record. After an error, the next save writes to the same slot.
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -83,13 +83,20 @@
 }
 
 /// Returns the segments that may contain entries after `covered_index`, ordered by index.
-fn segments_after(names: &[FileName], generation: u64, covered_index: u64) -> Result<Vec<FileName>, StorageError> {
+fn segments_after(
+    names: &[FileName],
+    generation: u64,
+    covered_index: u64,
+) -> Result<Vec<FileName>, StorageError> {
     let first_indices = sorted_indices(names, generation, first_index_of_segment);
     let Some(lowest) = first_indices.first() else { return Ok(Vec::new()) };
     let Some(start) = first_indices.iter().rposition(|first_index| *first_index <= covered_index + 1) else {
         return Err(StorageError::Incomplete { first: covered_index + 1, last: lowest - 1 });
     };
-    Ok(first_indices[start..].iter().map(|first_index| FileName::Segment { generation, first_index: *first_index }).collect())
+    Ok(first_indices[start..]
+        .iter()
+        .map(|first_index| FileName::Segment { generation, first_index: *first_index })
+        .collect())
 }
 
 #[derive(Default)]
@@ -105,7 +112,9 @@
     for (segment_number, name) in names.iter().enumerate() {
         let bytes = read(files, *name)?;
         let next_first_index = names.get(segment_number + 1).and_then(first_index_of_segment);
-        let Some((header, scanned)) = read_segment(*name, &bytes, next_first_index, covered_index)? else { continue };
+        let Some((header, scanned)) = read_segment(*name, &bytes, next_first_index, covered_index)? else {
+            continue;
+        };
         log.push(*name, header, scanned)?;
     }
     // The removal of segments that the snapshot covers is not synced: after a loss of power any of them may
@@ -119,7 +128,9 @@
     fn push(&mut self, name: FileName, header: Header, scanned: ScannedRecords) -> Result<(), StorageError> {
         if let Some(last_segment) = self.segments.last() {
             let last_checksum = last_segment.records.last().map(|record| record.checksum);
-            if header.first_index != last_segment.last_index() + 1 || Some(header.previous_checksum) != last_checksum {
+            if header.first_index != last_segment.last_index() + 1
+                || Some(header.previous_checksum) != last_checksum
+            {
                 return Err(StorageError::damaged(name, 0));
             }
         }
@@ -139,7 +150,9 @@
     covered_index: u64,
 ) -> Result<Option<(Header, ScannedRecords)>, StorageError> {
     let (header, mut scanned) = match Header::decode(bytes) {
-        DecodedHeader::Intact(header) if is_header_of(&header, name) => (header, scan_records(bytes, &header)),
+        DecodedHeader::Intact(header) if is_header_of(&header, name) => {
+            (header, scan_records(bytes, &header))
+        }
         DecodedHeader::OtherVersion => return Err(StorageError::OtherVersion { file: name.to_string() }),
         _ if next_first_index.is_none() && !was_synced(bytes, 0) => return Ok(None),
         _ => return Err(StorageError::damaged(name, 0)),
@@ -154,7 +167,8 @@
     if is_damaged {
         return Err(StorageError::damaged(name, end));
     }
-    let count = next_first_index.map_or(scanned.records.len(), |next_first_index| (next_first_index - header.first_index) as usize);
+    let count = next_first_index
+        .map_or(scanned.records.len(), |next_first_index| (next_first_index - header.first_index) as usize);
     scanned.records.truncate(count);
     scanned.entries.truncate(count);
     Ok((count > 0).then_some((header, scanned)))
--- a/crates/storage/src/segments.rs
+++ b/crates/storage/src/segments.rs
@@ -78,8 +78,10 @@
     /// entries are appended. Their files become unused, and are not removed here.
     pub fn drop_covered(&mut self, covered_index: u64) {
         let all_but_last = self.segments.len().saturating_sub(1);
-        let covered =
-            self.segments[..all_but_last].iter().take_while(|segment| segment.last_index() <= covered_index).count();
+        let covered = self.segments[..all_but_last]
+            .iter()
+            .take_while(|segment| segment.last_index() <= covered_index)
+            .count();
         self.segments.drain(..covered);
     }
 
@@ -92,7 +94,8 @@
             files.remove(&name.to_string()).map_err(StorageError::io("remove", name))?;
             files.sync_names().map_err(StorageError::io("sync the folder of", name))?;
         }
-        let Some(segment) = self.segments.last_mut().filter(|segment| segment.last_index() > last_index) else {
+        let Some(segment) = self.segments.last_mut().filter(|segment| segment.last_index() > last_index)
+        else {
             return Ok(());
         };
         segment.records.truncate((last_index + 1 - segment.header.first_index) as usize);
@@ -146,7 +149,8 @@
     fn start_segment(&mut self, files: &F, generation: u64, entries: &[Entry]) -> Result<(), StorageError> {
         let Some(first_index) = entries.first().map(|entry| entry.index) else { return Ok(()) };
         let previous_checksum = self.segments.last().map_or(0, Segment::last_checksum);
-        let (segment, file) = create_segment(files, Header { generation, first_index, previous_checksum }, entries)?;
+        let (segment, file) =
+            create_segment(files, Header { generation, first_index, previous_checksum }, entries)?;
         self.segments.push(segment);
         self.last_file = Some(file);
         Ok(())
--- a/crates/storage/src/storage.rs
+++ b/crates/storage/src/storage.rs
@@ -83,7 +83,10 @@
         if let Err(error) = storage.repair() {
             log::warn!(error:%; "could not remove the leftover files of an earlier process");
         }
-        Ok((storage, Recovered { record: saved_record, snapshot: recovered.snapshot, entries: recovered.entries }))
+        Ok((
+            storage,
+            Recovered { record: saved_record, snapshot: recovered.snapshot, entries: recovered.entries },
+        ))
     }
 
     /// Returns the index of the last entry that is stored or that the snapshot covers; 0 if there is none.
@@ -269,7 +272,10 @@
     }
 
     fn remove_unused_files(&self) -> Result<(), StorageError> {
-        list_files(&self.files)?.iter().filter(|name| !self.is_in_use(name)).try_for_each(|name| self.remove(name))
+        list_files(&self.files)?
+            .iter()
+            .filter(|name| !self.is_in_use(name))
+            .try_for_each(|name| self.remove(name))
     }
 
     /// Durably removes snapshots of generations newer than the active one, which installations left that
--- a/crates/storage/tests/common/disk.rs
+++ b/crates/storage/tests/common/disk.rs
@@ -200,7 +200,8 @@
     fn error_for(&self, kind: OperationKind) -> io::Result<()> {
         match (self.active, kind) {
             (Some(Fault::PowerLoss), _) => Err(io::Error::other("no power")),
-            (Some(Fault::AllWritesFail), OperationKind::Grow | OperationKind::Overwrite) | (Some(Fault::GrowthFails), OperationKind::Grow) => {
+            (Some(Fault::AllWritesFail), OperationKind::Grow | OperationKind::Overwrite)
+            | (Some(Fault::GrowthFails), OperationKind::Grow) => {
                 Err(io::Error::new(io::ErrorKind::StorageFull, "no space"))
             }
             _ => Ok(()),
@@ -213,8 +214,10 @@
     }
 
     fn make_name_durable(&mut self, file: usize) {
-        let creates_file = |change: &NameChange| matches!(change, NameChange::Created(_, created) if *created == file);
-        let synced: Vec<NameChange> = self.pending_names.extract_if(.., |change| creates_file(change)).collect();
+        let creates_file =
+            |change: &NameChange| matches!(change, NameChange::Created(_, created) if *created == file);
+        let synced: Vec<NameChange> =
+            self.pending_names.extract_if(.., |change| creates_file(change)).collect();
         synced.iter().for_each(|change| change.apply(&mut self.durable_names));
     }
 }
--- a/crates/storage/tests/compatibility.rs
+++ b/crates/storage/tests/compatibility.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::{position, entries};
+use common::{entries, position};
 use quillpulley_storage::{Options, Recovered, Storage};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
--- a/crates/storage/tests/crashes.rs
+++ b/crates/storage/tests/crashes.rs
@@ -53,7 +53,9 @@
         let small = |gen: &mut Gen| u8::arbitrary(gen) % 6;
         let operation = match u8::arbitrary(gen) % 16 {
             0 | 1 => Operation::SaveRecord,
-            2..=9 => Operation::Append { before_end: small(gen), stored_count: small(gen), new_count: small(gen) },
+            2..=9 => {
+                Operation::Append { before_end: small(gen), stored_count: small(gen), new_count: small(gen) }
+            }
             10 | 11 => Operation::Compact { index_choice: u8::arbitrary(gen) },
             12 | 13 => Operation::Install { index: u8::arbitrary(gen) % 40, new_count: small(gen) },
             14 => Operation::Kill,
@@ -160,7 +162,9 @@
         self.step_number += 1;
         match step.operation.clone() {
             Operation::SaveRecord => self.save_record(),
-            Operation::Append { before_end, stored_count, new_count } => self.append(before_end.into(), stored_count.into(), new_count.into()),
+            Operation::Append { before_end, stored_count, new_count } => {
+                self.append(before_end.into(), stored_count.into(), new_count.into())
+            }
             Operation::Compact { index_choice } => self.compact(index_choice.into()),
             Operation::Install { index, new_count } => self.install(index.into(), new_count.into()),
             Operation::Kill => self.restart(false),
@@ -188,7 +192,11 @@
         let stored = self.state.entries.iter().filter(|entry| entry.index >= first);
         let mut entries: Vec<Entry> = stored.take(stored_count as usize).cloned().collect();
         let first_new = first + entries.len() as u64;
-        entries.extend(common::entries(self.step_number, first_new, first_new + new_count - 1 + u64::from(new_count == 0)));
+        entries.extend(common::entries(
+            self.step_number,
+            first_new,
+            first_new + new_count - 1 + u64::from(new_count == 0),
+        ));
         if new_count == 0 {
             entries.pop();
         }
@@ -198,7 +206,9 @@
         }
         let after = self.state.appended(&entries);
         let last_kept = first_new - 1;
-        let mut outcomes: Vec<State> = (last_kept..=self.state.last_index()).map(|last_index| self.state.truncated(last_index)).collect();
+        let mut outcomes: Vec<State> = (last_kept..=self.state.last_index())
+            .map(|last_index| self.state.truncated(last_index))
+            .collect();
         outcomes.extend((last_kept..=after.last_index()).map(|last_index| after.truncated(last_index)));
         self.check_outcome(result, after, outcomes);
     }
@@ -217,7 +227,8 @@
     }
 
     fn install(&mut self, index: u64, new_count: u64) {
-        let (last, snapshot) = (position(self.step_number, index), format!("installed {}", self.step_number).into_bytes());
+        let (last, snapshot) =
+            (position(self.step_number, index), format!("installed {}", self.step_number).into_bytes());
         let entries = common::entries(self.step_number, index + 1, index + new_count);
         let result = self.storage.install(last, &snapshot, &entries);
         let after = State { snapshot: Some((last, snapshot)), entries };
@@ -248,8 +259,13 @@
             if loses_power {
                 self.disk.lose_power();
             }
-            let faults =
-                [None, Some(Fault::PowerLoss), Some(Fault::OneCallFails), Some(Fault::AllWritesFail), Some(Fault::GrowthFails)];
+            let faults = [
+                None,
+                Some(Fault::PowerLoss),
+                Some(Fault::OneCallFails),
+                Some(Fault::AllWritesFail),
+                Some(Fault::GrowthFails),
+            ];
             let fault = faults[self.random.below(faults.len())];
             let after = self.random.below(8);
             if let Some(fault) = fault {
@@ -291,7 +307,10 @@
     let mut checked = CheckedStorage::new(scenario.seed);
     scenario.steps.iter().for_each(|step| checked.run_step(step));
     checked.restart(true);
-    checked.run_step(&Step { operation: Operation::Append { before_end: 0, stored_count: 0, new_count: 2 }, fault: None });
+    checked.run_step(&Step {
+        operation: Operation::Append { before_end: 0, stored_count: 0, new_count: 2 },
+        fault: None,
+    });
     checked.restart(true);
     true
 }
@@ -317,8 +336,10 @@
         for operation in &operations {
             for (fault, after) in faults.iter().flat_map(|fault| (0..10).map(move |after| (*fault, after))) {
                 let without_fault = |operation| Step { operation, fault: None };
-                let append = || without_fault(Operation::Append { before_end: 0, stored_count: 0, new_count: 1 });
-                let mut steps = vec![without_fault(Operation::SaveRecord), without_fault(Operation::SaveRecord)];
+                let append =
+                    || without_fault(Operation::Append { before_end: 0, stored_count: 0, new_count: 1 });
+                let mut steps =
+                    vec![without_fault(Operation::SaveRecord), without_fault(Operation::SaveRecord)];
                 steps.extend((0..10).map(|_| append()));
                 steps.push(Step { operation: operation.clone(), fault: Some((fault, after)) });
                 steps.push(append());
@@ -387,7 +408,9 @@
 fn an_installation_after_a_failed_one_is_atomic() {
     let faults = [Fault::PowerLoss, Fault::OneCallFails, Fault::AllWritesFail, Fault::GrowthFails];
     for (first, second) in faults.iter().flat_map(|first| faults.map(|second| (*first, second))) {
-        for (after, second_after) in (0..10).flat_map(|after| (0..10).map(move |second_after| (after, second_after))) {
+        for (after, second_after) in
+            (0..10).flat_map(|after| (0..10).map(move |second_after| (after, second_after)))
+        {
             let without_fault = |operation| Step { operation, fault: None };
             let append = || without_fault(Operation::Append { before_end: 0, stored_count: 0, new_count: 2 });
             let seed = (after * 10 + second_after) as u64;
@@ -396,11 +419,20 @@
                 seed,
                 steps: vec![
                     append(),
-                    Step { operation: Operation::Install { index: 4, new_count: 3 }, fault: Some((first, after)) },
-                    Step { operation: Operation::Install { index: 30, new_count: 0 }, fault: Some((second, second_after)) },
+                    Step {
+                        operation: Operation::Install { index: 4, new_count: 3 },
+                        fault: Some((first, after)),
+                    },
+                    Step {
+                        operation: Operation::Install { index: 30, new_count: 0 },
+                        fault: Some((second, second_after)),
+                    },
                     without_fault(last),
                     append(),
-                    Step { operation: Operation::Compact { index_choice: 1 }, fault: Some((first, second_after)) },
+                    Step {
+                        operation: Operation::Compact { index_choice: 1 },
+                        fault: Some((first, second_after)),
+                    },
                 ],
             });
         }
--- a/crates/storage/tests/storage.rs
+++ b/crates/storage/tests/storage.rs
@@ -210,6 +210,9 @@
     assert_eq!(found.entries, [entries(1, 5, 5), entries(2, 6, 20)].concat());
     storage.install(position(5, 50), b"fifty", &entries(5, 51, 52)).expect("installed");
     let (_, found) = Storage::open(&folder.0, options).expect("opened");
-    assert_eq!((found.snapshot, found.entries), (Some((position(5, 50), b"fifty".to_vec())), entries(5, 51, 52)));
+    assert_eq!(
+        (found.snapshot, found.entries),
+        (Some((position(5, 50), b"fifty".to_vec())), entries(5, 51, 52))
+    );
     assert!(folder.0.join("not-of-storage").exists());
 }
