--- a/crates/control-state/tests/control_state.rs
+++ b/crates/control-state/tests/control_state.rs
@@ -359,7 +359,9 @@
                 accepted.push((before, replica.state.body().expect("taken").to_vec()));
             }
         }
-        accepted.iter().all(|(base, body)| replica.state.decide_replace(*base, body) == ReplaceDecision::AlreadyApplied)
+        accepted
+            .iter()
+            .all(|(base, body)| replica.state.decide_replace(*base, body) == ReplaceDecision::AlreadyApplied)
     }
 
     fn any_snapshot_is_read_or_rejected(bytes: Vec<u8>) -> bool {
--- a/crates/membership/tests/rendezvous.rs
+++ b/crates/membership/tests/rendezvous.rs
@@ -21,11 +21,14 @@
         ranked.windows(2).all(|pair| score(&key, pair[0]) >= score(&key, pair[1]))
     }
 
-    fn removing_a_candidate_moves_only_its_own_keys(key: String, candidates: Vec<String>, removed: usize) -> bool {
+    fn removing_a_candidate_moves_only_its_own_keys(
+        key: String, candidates: Vec<String>, removed: usize
+    ) -> bool {
         let all: Vec<&str> = candidates.iter().map(String::as_str).collect();
         let removed = all.get(removed % all.len().max(1)).copied().unwrap_or_default();
         let before = top(&key, all.iter().copied().filter(|candidate| *candidate != removed), 3);
-        let expected: Vec<&str> = ranked(&key, all).into_iter().filter(|candidate| *candidate != removed).collect();
+        let expected: Vec<&str> =
+            ranked(&key, all).into_iter().filter(|candidate| *candidate != removed).collect();
         before == expected[..expected.len().min(3)]
     }
 }
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -55,7 +55,8 @@
 impl StorageError {
     /// Returns a function that wraps an error of the operating system.
     ///
-    /// `action` is a verb that the message puts before the name of the file, as in "cannot open record.slots".
+    /// `action` is a verb that the message puts before the name of the file, as in "cannot open
+    /// record.slots".
     pub(crate) fn io(action: &'static str, file: impl ToString) -> impl FnOnce(io::Error) -> StorageError {
         let file = file.to_string();
         move |error| StorageError::Io { action, file, error }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -11,7 +11,7 @@
 //!
 //! | file | contents |
 //! | --- | --- |
-//! | `log-<generation>-<first index>.segment` | entries, each with its own checksum and the checksum of the entry before it |
+//! | `log-<generation>-<first index>.segment` | entries, each with its checksum and that of the previous entry |
 //! | `snapshot-<generation>-<index>.snapshot` | the state after the entry with this index |
 //! | `record.slots` | the record, in two slots that are written alternately |
 //!
--- a/crates/storage/tests/crashes.rs
+++ b/crates/storage/tests/crashes.rs
@@ -378,7 +378,10 @@
         let (mut storage, _) = open(&disk);
         storage.append(&entries(1, 1, 9)).expect("appended");
         let mut retried = |call: &mut dyn FnMut(&mut Storage<Disk>) -> Result<(), StorageError>| {
-            disk.schedule(if one_call_fails { Fault::OneCallFails } else { Fault::AllWritesFail }, after % 10);
+            disk.schedule(
+                if one_call_fails { Fault::OneCallFails } else { Fault::AllWritesFail },
+                after % 10,
+            );
             if call(&mut storage).is_err() {
                 disk.clear_faults();
                 call(&mut storage).expect("the retry succeeds");
@@ -403,7 +406,7 @@
 //
 //    install 4, 5-7        | a fault occurs at any disk operation
 //    install 30            | a fault occurs at any disk operation
-//    kill or loss of power | recovery finds exactly the state before both, after the first, or after the second
+//    kill or loss of power | recovery finds the state before both, after the first, or after the second
 #[test]
 fn an_installation_after_a_failed_one_is_atomic() {
     let faults = [Fault::PowerLoss, Fault::OneCallFails, Fault::AllWritesFail, Fault::GrowthFails];
