--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -47,6 +47,7 @@
         // returned.
         file.sync().map_err(StorageError::io("sync", FileName::Record))?;
         let (number, record) = newest.map_or((0, None), |slot| (slot.number, Some(slot.record)));
+        // A file of another length without a record was not created completely: the next save creates it again.
         let is_usable = bytes.len() == SLOT_COUNT * SLOT_BYTES || number > 0;
         Ok((
             RecordFile { file: is_usable.then_some(file), number, next_slot_is_torn: other_slot_is_torn },
