--- a/crates/load-balancer/src/balancer/ablation.rs
+++ b/crates/load-balancer/src/balancer/ablation.rs
@@ -1,39 +1,40 @@
-//! The mechanisms of the choice of a server that an experiment can leave out.
+//! The mechanisms of server selection that an experiment can disable.
 //!
-//! The programs contain no way to leave one out: without the feature `fault-injection` every method is constant.
+//! Release programs cannot disable any of them: without the feature `fault-injection`, every method returns
+//! false.
 
 quillpulley_fault_injection::define_faults! {
-    /// The mechanisms that are left out.
+    /// The mechanisms of server selection that are disabled.
     Ablation {
         /// The cost of shared segments that a server has to prefill.
         prefix_affinity,
-        /// The cost of queued tokens, and of a first byte after the target latency.
+        /// The cost of queued tokens, and of a first byte that is expected after the target latency.
         queueing_cost,
-        /// The cost of the pauses that a long prompt causes.
+        /// The cost of the pauses that a long prompt causes in the responses that a server streams.
         interference_cost,
-        /// The cost of another zone or region.
+        /// The cost of a server in another zone or region.
         network_cost,
-        /// The cost of busy slots and memory.
+        /// The cost of occupied slots and memory.
         occupancy_cost,
         /// The cost of a slow, failing or cold server.
         condition_cost,
-        /// The random number of requests that others have sent since their reports.
+        /// The random estimate of the requests that other proxies have sent since their latest load reports.
         unseen_load,
-        /// The fit of the time to the first byte; the prior stays.
+        /// The fit of the time to the first byte to observed responses. Without it, the prior is used.
         fitted_prefill_time,
-        /// Requests with long shared segments wait for a server that has cached them.
+        /// The rule that requests with long shared segments wait for a server that has cached them.
         cached_only,
-        /// A busy server gets nothing that it would not prefill in time.
+        /// The rule that a busy server gets only requests that it is expected to prefill in time.
         busy_limit,
-        /// The queue at servers that urgent requests may use.
+        /// The queue at each server that only urgent requests may use.
         urgent_queue,
         /// The ejection of servers that fail.
         outlier_detection,
         /// The avoidance of servers that do not respond.
         unresponsive_detection,
-        /// The pause after a server has rejected a request as full.
+        /// The pause in sending after a server has rejected a request because it is full.
         full_time,
-        /// The bound on requests to cold servers.
+        /// The limit on requests to cold servers.
         slow_start,
     }
 }
--- a/crates/load-balancer/src/balancer/choice.rs
+++ b/crates/load-balancer/src/balancer/choice.rs
@@ -1,4 +1,4 @@
-//! The choice of a server for a request.
+//! Chooses a server for a request among the candidates.
 
 use super::eligibility::Candidate;
 use super::engine_cost::EngineCosts;
@@ -10,14 +10,15 @@
 use std::cmp::Ordering;
 use std::time::Duration;
 
-/// A client that found no capacity should try again after half of a mean request time, within these bounds.
+/// A client that finds no capacity is told to retry after half of the mean duration of a request, within
+/// these limits.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
-/// That time is multiplied by a random factor between these.
+/// The minimum and maximum of the random factor on the time until the retry.
 const RETRY_SPREAD: (f64, f64) = (0.75, 1.25);
 
 impl Balancer {
-    /// Chooses a server for a request, other than those that are excluded.
+    /// Chooses a server for a request. The servers in `exclude` are not chosen.
     pub fn choose(&mut self, now: Duration, demand: &Demand<'_>, exclude: &[ServerKey]) -> Choice {
         let random = self.random.f64();
         let seed = self.random.u64(..);
@@ -41,6 +42,7 @@
         chosen.map_or(Choice::NoServer, Choice::Send)
     }
 
+    /// Returns the candidate with the lowest cost.
     fn cheapest(
         &self,
         now: Duration,
@@ -65,7 +67,8 @@
         with_costs.min_by(|(_, one), (_, other)| one.total_cmp(other)).map(|(key, _)| key)
     }
 
-    /// Chooses at random among equal candidates: otherwise all proxies would choose the same.
+    /// Returns a random candidate among those with the best score. If the choice among equals were not
+    /// random, all proxies would choose the same server.
     fn best_scored(
         &self,
         now: Duration,
--- a/crates/load-balancer/src/balancer/condition_cost.rs
+++ b/crates/load-balancer/src/balancer/condition_cost.rs
@@ -4,16 +4,16 @@
 use super::service::Medians;
 use std::time::Duration;
 
-/// A server counts as slow if it takes more than this many times the median of its service.
+/// A server counts as slow if its time per token is more than this multiple of the median of its service.
 const SLOW_FROM: f64 = 2.0;
 
 /// The cost of each condition, in the unit of the scorer that uses it.
 pub(super) struct ConditionCosts {
-    /// Of a slow server, per multiple of the median of its service.
+    /// The cost of a slow server, for each multiple of the median time per token beyond the first.
     pub(super) slow: f64,
-    /// Of a server that fails more often than others.
+    /// The cost of a server that fails more often than others.
     pub(super) failing: f64,
-    /// Of a cold server.
+    /// The cost of a cold server.
     pub(super) warming: f64,
 }
 
--- a/crates/load-balancer/src/balancer/eligibility.rs
+++ b/crates/load-balancer/src/balancer/eligibility.rs
@@ -1,4 +1,4 @@
-//! Which servers are eligible for a request now.
+//! Determines which servers may get a request now.
 
 use super::ablation::Ablation;
 use super::outlier_detection::HealthStatus;
@@ -11,36 +11,39 @@
 use crate::demand::Demand;
 use std::time::Duration;
 
-/// The fraction of its slots that a server queues beyond them, for urgent requests only: they find capacity when
-/// others do not.
+/// The queue of a server for urgent requests, as a fraction of its slots. Urgent requests may be sent to a
+/// server beyond its slots, so that they find capacity when other requests do not.
 const QUEUE_FRACTION: f64 = 0.25;
-/// From this fraction of busy slots on, a server has capacity only for requests whose prompts it will have prefilled
-/// within these fractions of their target latency, for urgent requests and for others: late responses are worth
-/// little, and delay others.
+/// A server with at least this fraction of its slots occupied counts as busy. It has capacity only for
+/// requests that do not have to wait long for the prompts queued at the server: prefilling these must take
+/// less than the fraction of the request's target latency that is given below for urgent requests and for
+/// other requests. Late responses are worth little and delay other requests.
 const BUSY_FRACTION: f64 = 0.5;
 const URGENT_PREFILL_FRACTION: f64 = 0.9;
 const OTHER_PREFILL_FRACTION: f64 = 0.6;
-/// While more than this fraction of all slots is busy, requests with long shared segments wait for a server that has
-/// cached them.
+/// While more than this fraction of all slots is occupied, requests with long shared segments wait for a
+/// server that has cached them.
 const CACHED_ONLY_OCCUPANCY: f64 = 0.75;
 /// A server that has to prefill at most this fraction of the shared tokens counts as having cached them.
 const MAX_UNCACHED_FRACTION: f64 = 0.5;
-/// A proxy may use more than its even share of a server's connections, as few proxies need theirs at the same time.
+/// A proxy may use this multiple of its even share of a server's connections, because few proxies need their
+/// share at the same time.
 const CONNECTIONS_FACTOR: f64 = 1.5;
+/// The minimum number of connections to a server that a proxy may use.
 const MIN_CONNECTIONS: f64 = 2.0;
 
-/// The eligibility of a server, the best first.
+/// The eligibility of a server for a request, the best first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Eligibility {
-    /// It has capacity.
+    /// The server has capacity.
     Eligible,
-    /// It has capacity, but may be dead.
+    /// The server has capacity, but is unresponsive.
     Suspect,
-    /// It has capacity, but fails often.
+    /// The server has capacity, but was ejected because it failed.
     Ejected,
-    /// It is healthy, but full.
+    /// The server is healthy, but has no capacity.
     Full,
-    /// It must not get anything now.
+    /// The server must not get any request now.
     Ineligible,
 }
 
@@ -51,7 +54,7 @@
     }
 }
 
-/// A server that routes and the list allow for a request.
+/// A usable server in a region in which the request may be served.
 pub(super) struct Candidate {
     pub(super) key: ServerKey,
     pub(super) eligibility: Eligibility,
@@ -59,23 +62,27 @@
     pub(super) uncached_fraction: f64,
 }
 
-/// The criteria of eligibility.
+/// The criteria by which the eligibility of the servers for a request is determined.
 struct EligibilityPolicy<'a> {
     now: Duration,
     settings: &'a ServiceSettings,
+    /// Whether the request has the highest priority of all requests to the service so far.
     urgent: bool,
-    /// The most tokens that a busy server may have to prefill before the request's first byte.
+    /// A busy server has capacity only if fewer tokens than this wait to be prefilled.
     max_prefill_tokens: f64,
     rate: ServiceRate,
+    /// The maximum number of requests of this proxy at a server, each of which uses a connection.
     connections: u32,
-    /// The share of cold servers; none if a cold server gets nothing as the other proxies are unknown.
+    /// This proxy's share of the requests to a cold server while the live proxies are unknown; `None` if a
+    /// warm server is available, and cold servers get no requests.
     alone: Option<SlowStartShare>,
+    /// Whether the live proxies are known, which include this one.
     knows_proxies: bool,
     ablation: Ablation,
 }
 
 impl Balancer {
-    /// Returns all candidates for a request but those that are excluded, with their eligibility.
+    /// Returns the candidates for a request with their eligibility, without the servers in `exclude`.
     pub(super) fn candidates(
         &self,
         now: Duration,
@@ -100,7 +107,7 @@
         candidates
     }
 
-    /// Returns the tokens of a request's prompt that a server is expected to have to prefill.
+    /// Returns the number of prompt tokens that a server is expected to have to prefill for a request.
     pub(super) fn prefill_tokens(&self, now: Duration, key: ServerKey, demand: &Demand<'_>) -> u32 {
         let cached = self.cached.cached_tokens(now, key, demand.segments);
         let by_own_requests = demand.prompt_tokens.saturating_sub(cached);
@@ -112,7 +119,7 @@
         by_own_requests.min(demand.prompt_tokens.saturating_sub(cached_by_rank))
     }
 
-    /// Returns the usable servers in the regions where the request may be served.
+    /// Returns the usable servers in the regions in which the request may be served.
     fn allowed(&self, service: &ServiceState, demand: &Demand<'_>) -> Vec<(ServerKey, &Server)> {
         let servers = service.servers.iter().filter_map(|key| Some((*key, self.servers.get(*key)?)));
         let is_allowed =
@@ -144,7 +151,7 @@
         }
     }
 
-    /// Returns the connections of a server that this proxy may use.
+    /// Returns the maximum number of connections to a server that this proxy may use.
     fn connection_quota(&self, settings: &ServiceSettings) -> u32 {
         if settings.max_connections == 0 {
             return u32::MAX;
@@ -182,7 +189,7 @@
         server.health.status(self.now, self.urgent)
     }
 
-    /// Returns the fraction of all slots that is busy.
+    /// Returns the fraction of the slots of all servers that is occupied.
     fn occupancy_of(&self, servers: &[(ServerKey, &Server)]) -> f64 {
         let requests: f64 = servers.iter().map(|(_, server)| server.load.total(self.now).requests()).sum();
         let slots: f64 = servers.iter().map(|(_, server)| self.settings.slots(&server.info)).sum();
@@ -216,8 +223,9 @@
     }
 }
 
-/// Returns candidates with the fraction of the shared tokens that each has to prefill, by their ranks for the request's
-/// prefix.
+/// Returns the allowed servers as candidates whose eligibility is not determined yet. Their uncached
+/// fractions follow from the ranks of the servers in the rendezvous hashing of the request's prefix; they are
+/// 1 if the route is not sticky or the prompt has no shared segments.
 fn ranked(allowed: &[(ServerKey, &Server)], demand: &Demand<'_>) -> Vec<Candidate> {
     let candidate = |key| Candidate { key, eligibility: Eligibility::Ineligible, uncached_fraction: 1.0 };
     let mut candidates: Vec<Candidate> = allowed.iter().map(|(key, _)| candidate(*key)).collect();
@@ -234,7 +242,7 @@
     candidates
 }
 
-/// Returns the count of a region so far, and increments it.
+/// Returns how many servers of a region have been ranked so far, and counts one more.
 fn next_rank<'a>(in_regions: &mut Vec<(&'a str, usize)>, region: &'a str) -> usize {
     match in_regions.iter_mut().find(|(known, _)| *known == region) {
         Some((_, count)) => {
@@ -248,8 +256,8 @@
     }
 }
 
-/// If more than half of the servers fail, the fault may be on this side, and they are used if no other is left. If
-/// fewer fail, they are not used.
+/// Makes ejected servers ineligible, unless they are more than half of the candidates. If most servers fail,
+/// the fault may be at this proxy, and the ejected servers remain eligible as a last resort.
 fn readmit_ejected(candidates: &mut [Candidate]) {
     let ejected = candidates.iter().filter(|candidate| candidate.eligibility == Eligibility::Ejected).count();
     if ejected * 2 > candidates.len() {
@@ -262,8 +270,8 @@
     }
 }
 
-/// Keeps a request with long shared segments at the servers that have cached them, if any of these is healthy:
-/// prefilling them again elsewhere would take the time of several requests.
+/// Restricts a request with long shared segments to the servers that have cached them, if any of these is
+/// healthy. To prefill the segments again at another server would take the time of several requests.
 fn restrict_to_cached(candidates: &mut [Candidate]) {
     let has_cached = |candidate: &Candidate| candidate.uncached_fraction <= MAX_UNCACHED_FRACTION;
     let is_available =
--- a/crates/load-balancer/src/balancer/engine_cost.rs
+++ b/crates/load-balancer/src/balancer/engine_cost.rs
@@ -1,7 +1,7 @@
-//! The scorer of servers that run a model.
+//! Computes the cost of sending a request to a server that runs an inference engine.
 //!
-//! The candidate of least cost is chosen. The unit of cost is a prompt token that is prefilled again: it takes the
-//! server's time, and has a price if another server has cached it.
+//! The candidate with the lowest cost is chosen. The unit of cost is one prompt token that is prefilled
+//! again: it takes the server's time, and has a price if another server has cached it.
 
 use super::ablation::Ablation;
 use super::condition_cost::ConditionCosts;
@@ -12,41 +12,47 @@
 use crate::demand::Demand;
 use std::time::Duration;
 
-/// The cost of a token that is queued before the request. It is low: the time to prefill the prompt elsewhere would be
-/// as long.
+/// The cost of each token that the server has to prefill before the request. It is low, because prefilling
+/// the request's own prompt at another server would take as long.
 const QUEUED_TOKEN_COST: f64 = 0.05;
-/// The cost of a first byte after the target latency; less from this fraction of it on.
+/// The cost of a first byte that is expected after the target latency. It rises linearly from 0, beginning at
+/// the fraction `LATE_FROM` of the target latency.
 const LATE_COST: f64 = 4_000.0;
 const LATE_FROM: f64 = 0.5;
-/// A long prompt pauses the streams at the server. For each stream, tokens beyond this number cost this fraction of a
-/// token.
+/// Prefilling a long prompt pauses the responses that the server streams. For each of these responses, every
+/// token to prefill beyond `INTERFERENCE_FROM` costs `INTERFERENCE`.
 const INTERFERENCE: f64 = 0.3;
 const INTERFERENCE_FROM: f64 = 8_000.0;
-/// The cost of another region: the round trip and the price of its bytes. A body of 18 kB costs as much as prefilling
-/// about 1,300 tokens, so that prompts with longer shared segments are sent to the region that has cached them.
+/// The cost of a server in another region: the round trip, and the price of the transferred bytes. A body of
+/// 18 kB costs as much as prefilling about 1,300 tokens, so that prompts with longer shared segments are sent
+/// to the region that has cached them.
 const OTHER_REGION_COST: f64 = 500.0;
 const OTHER_REGION_BYTES_PER_TOKEN: f64 = 24.0;
-/// The cost of another zone of the region.
+/// The cost of a server in another zone of the same region.
 const OTHER_ZONE_COST: f64 = 100.0;
 const OTHER_ZONE_BYTES_PER_TOKEN: f64 = 32.0;
-/// The bytes of a stream per token.
+/// The size of a streamed response in bytes per token.
 const BYTES_PER_OUTPUT_TOKEN: f64 = 12.0;
-/// The cost of load: a server with many requests is slower for each token, a little at first and more when it is
-/// nearly full. It is less than prefilling a long prefix, so that a full fleet does not spend its time on prefilling
-/// prefixes again.
+/// The cost of occupancy: a server with many requests takes longer for each token, a little at first and more
+/// when it is nearly full. The cost is lower than that of prefilling a long prefix, so that full servers do
+/// not spend their time on prefilling prefixes again. The terms are proportional to the occupancy and to its
+/// cube.
 const OCCUPANCY_COST: f64 = 500.0;
 const OCCUPANCY_CUBED_COST: f64 = 2_000.0;
-/// The cost of a cold server, which has cached nothing and is slow.
+/// The costs of the conditions of a server. A cold server has cached nothing and is slow.
 const CONDITION: ConditionCosts = ConditionCosts { slow: 1_500.0, failing: 8_000.0, warming: 1_000.0 };
 
-/// What the candidates of a request have in common.
+/// Computes the costs of the candidates for a request, from what they have in common.
 pub(super) struct EngineCosts<'a> {
     now: Duration,
     demand: &'a Demand<'a>,
     settings: ServiceSettings,
+    /// The prompt tokens in shared segments.
     shared_tokens: f64,
+    /// The prompt tokens outside of shared segments.
     own_tokens: f64,
     prefill_time: PrefillTime,
+    /// The mean number of tokens that a server keeps in memory for one request alone.
     private_tokens: f64,
     medians: Medians,
     ablation: Ablation,
@@ -73,8 +79,9 @@
         }
     }
 
-    /// Returns the cost of a candidate that has cached `cached` tokens of the prompt for this proxy, if `unseen`
-    /// requests have been sent to it beside those that are known.
+    /// Returns the cost of a candidate that has cached `cached` tokens of the prompt from requests of this
+    /// proxy. `unseen` is the assumed number of requests that other proxies have sent to it since their
+    /// latest load reports.
     pub(super) fn of(&self, candidate: &Candidate, server: &Server, cached: u32, unseen: f64) -> f64 {
         let shared = self.prefill_cost(candidate, cached);
         shared
@@ -85,6 +92,7 @@
             + self.condition_cost(server)
     }
 
+    /// Returns the number of shared tokens that the server is expected to have to prefill.
     fn prefill_cost(&self, candidate: &Candidate, cached: u32) -> f64 {
         if self.ablation.prefix_affinity() {
             return 0.0;
@@ -93,7 +101,8 @@
         by_rank.min((self.shared_tokens - f64::from(cached)).max(0.0))
     }
 
-    /// Returns the cost of the time to the first byte, which is low until that may be late.
+    /// Returns the cost of the time to the first byte, which is low unless that time approaches the target
+    /// latency.
     fn queueing_cost(&self, server: &Server, prefilled_here: f64) -> f64 {
         if self.ablation.queueing_cost() {
             return 0.0;
@@ -105,7 +114,7 @@
         tokens * QUEUED_TOKEN_COST + late * LATE_COST
     }
 
-    /// Returns the cost of the streams that pause while a long prompt is prefilled.
+    /// Returns the cost of the pauses in other responses while a long prompt is prefilled.
     fn interference_cost(&self, server: &Server, prefilled_here: f64) -> f64 {
         if self.ablation.interference_cost() {
             return 0.0;
@@ -114,6 +123,7 @@
         server.load.total(self.now).running * interfering * INTERFERENCE
     }
 
+    /// Returns the cost of the round trip and of the bytes transferred between zones or regions.
     fn network_cost(&self, server: &Server) -> f64 {
         if self.ablation.network_cost() {
             return 0.0;
@@ -127,6 +137,7 @@
         }
     }
 
+    /// Returns the cost of the server's slots or memory in use, whichever is more occupied.
     fn occupancy_cost(&self, server: &Server, unseen: f64) -> f64 {
         if self.ablation.occupancy_cost() {
             return 0.0;
--- a/crates/load-balancer/src/balancer/in_flight.rs
+++ b/crates/load-balancer/src/balancer/in_flight.rs
@@ -1,4 +1,4 @@
-//! Requests in flight, and what their outcomes tell about servers.
+//! Tracks requests in flight, and updates the state of servers by their outcomes.
 
 use super::outlier_detection::{Event, HealthStatus};
 use super::prefill_time::PrefillTime;
@@ -12,11 +12,12 @@
     pub(super) struct RequestKey;
 }
 
-/// A server that was unhealthy for this long may have restarted, and be cold.
+/// A server that was unhealthy for at least this time may have restarted and be cold.
 const RESTART_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// A request in flight at a server. Must be passed to [`Balancer::end`] when it has ended.
-#[must_use = "a request that is not ended stays in flight"]
+/// The handle of a request in flight at a server. It must be passed to [`Balancer::end`] when the request has
+/// ended.
+#[must_use = "a request counts as in flight until its ticket is passed to `Balancer::end`"]
 #[derive(Debug)]
 pub struct Ticket {
     request: RequestKey,
@@ -35,7 +36,7 @@
 pub enum HealthCheckResult {
     /// The server is healthy.
     Passed {
-        /// For how long it stays cold, if it says so; zero for a warm one.
+        /// The remaining warm-up time that the server reports, zero if it is warm; `None` if it reports none.
         warmup_remaining: Option<Duration>,
     },
     /// The server is unhealthy, or did not respond.
@@ -45,16 +46,19 @@
 /// A request in flight.
 pub(super) struct InFlight {
     server: ServerKey,
+    /// When the request was sent.
     started_at: Duration,
+    /// Whether the response has begun.
     has_started: bool,
+    /// Whether the request is the probe of an ejected server.
     is_probation: bool,
     request_cost: RequestCost,
-    /// Tokens that the server had to prefill before it, when it was sent.
+    /// The tokens of earlier requests that the server had still to prefill when this request was sent.
     queued_tokens: f64,
 }
 
 impl Balancer {
-    /// Records that a request is about to be sent to a server.
+    /// Records that a request is about to be sent to a server, and returns its ticket.
     pub fn begin(&mut self, now: Duration, key: ServerKey, demand: &Demand<'_>) -> Ticket {
         let request_cost = RequestCost::new(demand, self.prefill_tokens(now, key, demand));
         self.cached.record(now, key, demand.segments);
@@ -75,7 +79,7 @@
         Ticket { request: self.requests.insert(request), server: key }
     }
 
-    /// Records that the response has begun.
+    /// Records that the response to a request has begun. Later calls for the same request have no effect.
     pub fn record_started(&mut self, now: Duration, ticket: &Ticket) {
         let Some(request) = self.requests.get_mut(ticket.request).filter(|request| !request.has_started)
         else {
@@ -96,7 +100,7 @@
         self.record_response(now, ticket.server);
     }
 
-    /// Records the outcome of a request.
+    /// Records the outcome of a request, which is no longer in flight.
     pub fn end(&mut self, now: Duration, ticket: Ticket, outcome: Outcome) {
         let Some(request) = self.requests.remove(ticket.request) else { return };
         if !request.has_started && outcome != Outcome::Completed {
@@ -131,17 +135,17 @@
         }
     }
 
-    /// Returns whether a server has not responded for longer than its load explains. It may be dead: idempotent
-    /// requests need not wait for it.
+    /// Returns whether a server has not responded for longer than its load explains. Such a server may have
+    /// failed, so idempotent requests need not wait for its response.
     pub fn is_unresponsive(&self, now: Duration, key: ServerKey) -> bool {
         let Some(server) = self.servers.get(key) else { return false };
         let service = self.services.get(&server.info.service);
         service.is_some_and(|service| server.load.is_unresponsive(now, &service.rate))
     }
 
-    /// Returns the ejected servers for which a health check is due. Its result must be passed to
-    /// [`Balancer::record_health_check`]. A server whose check fails stays ejected; without checks, requests are sent
-    /// as probes.
+    /// Returns the ejected servers whose health check is due, and records that the checks have started. Each
+    /// result must be passed to [`Balancer::record_health_check`]. A server whose check fails stays ejected.
+    /// If no checks are made, requests are sent as probes.
     pub fn due_health_checks(&mut self, now: Duration) -> Vec<ServerKey> {
         let is_due = |server: &Server| server.is_usable() && server.health.check_due(now);
         let due = self.servers.iter_mut().filter(|(_, server)| is_due(server));
@@ -169,7 +173,8 @@
         }
     }
 
-    /// Records that a server has responded. One that was unhealthy for long may have restarted, and be cold.
+    /// Records that a server has responded. If it was unhealthy for long and may have restarted, it counts as
+    /// cold.
     fn record_response(&mut self, now: Duration, key: ServerKey) {
         let Some(server) = self.servers.get_mut(key) else { return };
         let away = server.health.handle(now, Event::Responded);
@@ -181,8 +186,8 @@
 }
 
 impl Server {
-    /// Adds a request. Returns the tokens that the server has to prefill before it, and whether the request is its
-    /// probe.
+    /// Adds a request. Returns the number of tokens that the server has to prefill before it, and whether the
+    /// request is a probe of the ejected server.
     fn begin(&mut self, now: Duration, request_cost: &RequestCost) -> (f64, bool) {
         let queued_tokens = self.load.total(now).waiting_tokens;
         let is_probation = self.health.status(now, false) == HealthStatus::Probation;
--- a/crates/load-balancer/src/balancer/listing.rs
+++ b/crates/load-balancer/src/balancer/listing.rs
@@ -1,4 +1,4 @@
-//! The listed servers and the configured services.
+//! Applies changes of the published list of servers and of the evacuated zones.
 
 use super::server::{Distance, Server, ServerInfo};
 use super::slow_start;
@@ -9,7 +9,8 @@
 use std::time::Duration;
 
 impl Balancer {
-    /// Adds a listed server, or updates its entry. Returns none if its address is invalid; it is not used then.
+    /// Adds a server of the list, or applies its new entry. If the address is invalid, ignores the entry and
+    /// returns `None`.
     pub fn put_server(&mut self, now: Duration, entry: &protocol::Server) -> Option<ServerKey> {
         let info = self.info(entry)?;
         let distance = Distance::between(&self.locality, &info.locality);
@@ -28,7 +29,7 @@
         Some(key)
     }
 
-    /// Removes a server that is not listed any more.
+    /// Removes a server that is no longer listed. Returns `None` if it is unknown.
     pub fn remove_server(&mut self, _now: Duration, id: &str) -> Option<ServerKey> {
         let key = self.by_id.remove(id)?;
         self.leave_service(key);
@@ -36,8 +37,8 @@
         Some(key)
     }
 
-    /// Sets the evacuated zones, whose servers get nothing. Servers of a zone that is restored count as cold if their
-    /// service has a warm-up.
+    /// Sets the evacuated zones, whose servers get no requests. Servers of a zone whose evacuation has ended
+    /// count as cold for the warm-up time of their service.
     pub fn set_evacuated(&mut self, now: Duration, zones: &BTreeSet<String>) {
         self.evacuated.clone_from(zones);
         for server in self.servers.values_mut() {
@@ -50,6 +51,7 @@
         }
     }
 
+    /// Returns the information of an entry; `None` if its address is invalid.
     fn info(&self, entry: &protocol::Server) -> Option<ServerInfo> {
         let region = self.zones.get(&entry.zone).cloned().unwrap_or_default();
         Some(ServerInfo {
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Updates whether this proxy may send to each cold server.
+    /// Updates for each server whether this proxy may send requests to it while it is cold.
     pub(super) fn choose_slow_start_senders(&mut self) {
         let keys: Vec<ServerKey> = self.servers.keys().collect();
         for key in keys {
--- a/crates/load-balancer/src/balancer/mod.rs
+++ b/crates/load-balancer/src/balancer/mod.rs
@@ -1,5 +1,5 @@
-//! The choice of a server for each request, and what it is based on: listed entries, load, health, speed, warm-up,
-//! and cached prompt prefixes.
+//! Chooses a server for each request, by the published list of servers and by each server's load, health,
+//! speed, warm-up and cached prompt prefixes.
 
 mod ablation;
 mod choice;
@@ -40,11 +40,11 @@
 use std::time::Duration;
 
 slotmap::new_key_type! {
-    /// The key of a server, valid for as long as it is listed.
+    /// The key of a server, valid until the server is removed from the list.
     pub struct ServerKey;
 }
 
-/// Chooses a server for each request.
+/// Tracks servers and requests in flight, and chooses a server for each request.
 pub struct Balancer {
     locality: Locality,
     zones: BTreeMap<String, String>,
@@ -60,7 +60,7 @@
 }
 
 impl Balancer {
-    /// Creates a balancer without servers and other proxies. `zones` maps zones to their regions.
+    /// Creates a balancer that knows no servers and no other proxies. `zones` maps each zone to its region.
     pub fn new(locality: Locality, zones: BTreeMap<String, String>, options: Options) -> Self {
         Balancer {
             random: fastrand::Rng::with_seed(options.seed),
@@ -88,14 +88,15 @@
         self.choose_slow_start_senders();
     }
 
-    /// Sets the live proxies, this one included. Until it is called, cold servers get next to nothing.
+    /// Sets the live proxies, including this one. Until it is called, a cold server of a service with slow
+    /// start gets at most one request per second, and none if a warm server may be used instead.
     pub fn set_proxies(&mut self, proxies: Vec<ProxyPeer>) {
         self.proxies = proxies;
         self.choose_slow_start_senders();
     }
 
-    /// Sets the loads of all servers, summed over all proxies, this one included. A server without an entry has no
-    /// load.
+    /// Sets the load of each server, summed over all proxies including this one. A server without an entry
+    /// has no load.
     pub fn set_totals(&mut self, now: Duration, totals: &[protocol::ServerLoad]) {
         let by_hash: HashMap<u64, &protocol::ServerLoad> =
             totals.iter().map(|load| (load.server, load)).collect();
@@ -104,8 +105,9 @@
         }
     }
 
-    /// Returns the loads of this proxy, to be reported to the others, without servers that have none. Requests that a
-    /// server has not responded to for long are reported as failures, so that others need not wait for as long.
+    /// Returns the load that this proxy puts on each server, to be reported to the other proxies. Servers
+    /// without load are left out. Requests that wait for an unresponsive server are reported as failures, so
+    /// that the other proxies avoid it before their own requests have waited as long.
     pub fn own_loads(&mut self, now: Duration) -> Vec<protocol::ServerLoad> {
         let services = &self.services;
         let report = |server: &mut Server| {
@@ -118,18 +120,18 @@
         loads.filter(|load| load.running > 0 || load.waiting > 0 || load.failures > 0).collect()
     }
 
-    /// Returns the listed entry of a server; none if it is not listed any more.
+    /// Returns the listed information about a server; `None` if the server is no longer listed.
     pub fn server(&self, key: ServerKey) -> Option<&ServerInfo> {
         Some(&self.servers.get(key)?.info)
     }
 
-    /// Returns whether a server that was chosen before is still usable: it may have begun to drain, or been
-    /// evacuated.
+    /// Returns whether a server is listed and may get requests. A server that was chosen earlier may have
+    /// started to drain or been evacuated since.
     pub fn is_usable(&self, key: ServerKey) -> bool {
         self.servers.get(key).is_some_and(Server::is_usable)
     }
 
-    /// Sets for how long a server stays cold, as it reports.
+    /// Sets the remaining warm-up time that a server reports.
     pub fn set_warmup_remaining(&mut self, now: Duration, key: ServerKey, remaining: Duration) {
         if let Some(server) = self.servers.get_mut(key) {
             server.set_warming(now, remaining);
--- a/crates/load-balancer/src/balancer/options.rs
+++ b/crates/load-balancer/src/balancer/options.rs
@@ -3,26 +3,27 @@
 use super::ablation::Ablation;
 use quillpulley_protocol::Locality;
 
-/// A proxy that may send requests to servers.
+/// A live proxy, which may send requests to the same servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProxyPeer {
-    /// Its name.
+    /// The name that identifies the proxy.
     pub name: String,
-    /// The locality.
+    /// The zone and region of the proxy.
     pub locality: Locality,
 }
 
 /// The options of a balancer.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The name of this proxy.
+    /// The name that identifies this proxy among the live proxies.
     pub name: String,
-    /// `WarmupOvershoot`: the factor on what a cold server bears.
+    /// The setting `WarmupOvershoot`: the factor on the `WarmupPerS` of a service in the limit on requests to
+    /// a cold server.
     pub warmup_overshoot: f64,
-    /// `WarmupSlack`: requests a second beyond that.
+    /// The setting `WarmupSlack`: the requests per second that are added to this limit.
     pub warmup_slack: f64,
-    /// The seed of random numbers.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// The mechanisms that an experiment leaves out.
+    /// The mechanisms that an experiment disables.
     pub ablation: Ablation,
 }
--- a/crates/load-balancer/src/balancer/outcome.rs
+++ b/crates/load-balancer/src/balancer/outcome.rs
@@ -1,19 +1,19 @@
-//! The choice of a server for a request, and the outcome of the request.
+//! The result of choosing a server for a request, and the outcome of a request at a server.
 
 use super::ServerKey;
 use std::time::Duration;
 
-/// The choice of a server for a request.
+/// The result of choosing a server for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Choice {
     /// Send the request to this server.
     Send(ServerKey),
-    /// All eligible servers are full.
+    /// There are usable servers for the request, but none of them may get it now.
     Full {
-        /// When a server may have capacity.
+        /// How long the client should wait before it retries.
         retry_after: Duration,
     },
-    /// No server is eligible.
+    /// There is no usable server for the request.
     NoServer,
 }
 
@@ -24,30 +24,32 @@
     Connect,
     /// The connection was reset or closed before the response began.
     ResetBeforeResponse,
-    /// The response was truncated.
+    /// The response ended before it was complete.
     Truncated,
-    /// The response was not complete in time.
+    /// The response was not complete before the timeout.
     Timeout,
-    /// The response is invalid, or belongs to another request.
+    /// The response is invalid, or is the response to another request.
     InvalidResponse,
-    /// The server responded with an error of its own.
+    /// The server responded with an error status.
     ServerError,
 }
 
 /// The outcome of a request at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The response is complete.
+    /// The response was received completely.
     Completed,
     /// The request failed.
     Failed(FailureKind),
     /// The server reports that it did not execute the request.
     NotExecuted {
-        /// Whether that is because the server is full.
+        /// Whether the reason is that the server is full.
         full: bool,
     },
-    /// Another server listens at the address (421). This one is not eligible until its listed entry changes.
+    /// Another server listens at the address (status 421). The listed server gets no requests until its entry
+    /// changes.
     Misdirected,
-    /// The client closed its connection, or the request was cancelled. This says nothing about the server.
+    /// The client closed its connection, or the request was cancelled. This does not affect the health of the
+    /// server.
     ClientClosed,
 }
--- a/crates/load-balancer/src/balancer/outlier_detection.rs
+++ b/crates/load-balancer/src/balancer/outlier_detection.rs
@@ -1,34 +1,37 @@
-//! Outlier detection: the health of a server, as the outcomes of requests show it.
+//! Outlier detection: determines the health of a server from the outcomes of requests.
 //!
-//! A server that fails several times in a row is ejected for a time that doubles with each ejection. After that it
-//! gets one request as a probe, unless a health check has passed before.
+//! A server that fails several times in a row is ejected for a time that doubles with each ejection in a row.
+//! After that time it gets one request as a probe, unless a health check has passed before.
 
 use super::FailureKind;
 use std::time::Duration;
 
-/// The failures in a row that eject a server, if a single one says little.
+/// The number of failures in a row after which a server is ejected. A failed connection ejects it at once.
 const FAILURES_IN_ROW: u32 = 2;
+/// The time of the first ejection, which doubles with each further ejection in a row, and the maximum.
 const FIRST_EJECTION: Duration = Duration::from_millis(500);
 const LONGEST_EJECTION: Duration = Duration::from_secs(8);
-/// How long before the end of an ejection a health check is due, so that its result is known in time.
+/// How long before the end of an ejection a health check is due, so that its result is known at the end.
 const CHECK_AHEAD: Duration = Duration::from_millis(200);
-/// How long after the end of an ejection urgent requests are used as probes; until then others are, or a check.
+/// How long after the end of an ejection urgent requests are used as probes. Until then, only other requests
+/// or a health check probe the server.
 const URGENT_PROBATION_DELAY: Duration = Duration::from_millis(300);
-/// A check without a result by then is forgotten.
+/// The time after which a health check without a result is ignored.
 const CHECK_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The health of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EjectionState {
-    /// It responds, with this many failures since its latest response.
+    /// The server responds, and has failed `failures` times since its latest response.
     Healthy { failures: u32 },
-    /// It is ejected until a time, for the `count`th time in a row. `check` is when a health check was begun.
+    /// The server is ejected until a time, for the `count`th time in a row. `check` is when the latest health
+    /// check was started.
     Ejected { until: Duration, count: u32, check: Option<Duration> },
-    /// It has one request as a probe, whose outcome decides.
+    /// The server has got one request as a probe, whose outcome decides about the next state.
     Probation { count: u32 },
 }
 
-/// An event of a server.
+/// An event that concerns the health of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Event {
     Failed(FailureKind),
@@ -41,6 +44,7 @@
 }
 
 impl Event {
+    /// Returns whether the server may have restarted at the time of the event.
     fn suggests_restart(self) -> bool {
         match self {
             Event::Failed(FailureKind::ServerError | FailureKind::InvalidResponse) => false,
@@ -56,18 +60,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HealthStatus {
     Healthy,
-    /// The request will be its probe.
+    /// The next request will be a probe.
     Probation,
     Ejected,
 }
 
-/// Health of a server.
+/// The health of a server, and how long it has been unhealthy.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Health {
     state: EjectionState,
-    /// When it became unhealthy.
+    /// When the server became unhealthy.
     since: Duration,
-    /// Whether it may have restarted meanwhile. A server that responds with an error of its own has not.
+    /// Whether the server may have restarted since. A server that responds with an error has not.
     may_have_restarted: bool,
 }
 
@@ -80,8 +84,8 @@
         }
     }
 
-    /// Handles an event. Every change of state happens here. Returns for how long the server may have been away when
-    /// it becomes healthy again.
+    /// Handles an event. This is the only method that changes the state. If the server becomes healthy again
+    /// and may have restarted, returns how long it was unhealthy.
     pub(crate) fn handle(&mut self, now: Duration, event: Event) -> Option<Duration> {
         let next = self.next(now, event);
         let was_healthy = self.is_healthy();
@@ -124,7 +128,7 @@
             (EjectionState::Ejected { until, count, .. }, Event::CheckStarted) => {
                 EjectionState::Ejected { until, count, check: Some(now) }
             }
-            // Requests that were sent before the ejection fail too, and say nothing new.
+            // Failures of requests that were sent before the ejection are no new information.
             (state, _) => state,
         }
     }
@@ -152,17 +156,19 @@
     }
 }
 
+/// Returns whether a health check has started and its result is still awaited.
 fn is_open(check: Option<Duration>, now: Duration) -> bool {
     check.is_some_and(|begun| now < begun + CHECK_TIMEOUT)
 }
 
+/// Returns the state of a server that is ejected for the `count`th time in a row.
 fn ejected(now: Duration, count: u32) -> EjectionState {
     let doublings = count.saturating_sub(1).min(16);
     let time = FIRST_EJECTION.saturating_mul(1 << doublings).min(LONGEST_EJECTION);
     EjectionState::Ejected { until: now + time, count, check: None }
 }
 
-/// The failure rate of a server, with exponential decay.
+/// The numbers of failures and requests of a server, with exponential decay.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FailureRate {
     failures: f64,
@@ -170,7 +176,7 @@
     updated: Duration,
 }
 
-/// The half-life of a request.
+/// The half-life of the counts of failures and requests.
 const HALVING_SECONDS: f64 = 5.0;
 
 impl FailureRate {
@@ -181,7 +187,7 @@
         self.updated = now;
     }
 
-    /// Returns the decayed counts.
+    /// Returns the decayed numbers of failures and requests.
     pub(crate) fn at(&self, now: Duration) -> (f64, f64) {
         let age = now.saturating_sub(self.updated).as_secs_f64();
         let remaining = 0.5_f64.powf(age / HALVING_SECONDS);
--- a/crates/load-balancer/src/balancer/plain_score.rs
+++ b/crates/load-balancer/src/balancer/plain_score.rs
@@ -1,4 +1,5 @@
-//! The scorer of servers that run no model: the nearest server that is not too full.
+//! Scores the servers of a service without an inference engine: the nearest server that is not too full is
+//! the best.
 
 use super::condition_cost::ConditionCosts;
 use super::server::{Distance, Server};
@@ -6,15 +7,15 @@
 use std::cmp::Ordering;
 use std::time::Duration;
 
-/// The utilization up to which the nearest server is used. Beyond it all servers are compared.
+/// Below this occupancy the nearest server is used. Servers at or above it are compared by occupancy.
 const MAX_LOCAL_OCCUPANCY: f64 = 0.7;
-/// Conditions that count as utilization.
+/// The occupancy that is added for each condition of a server.
 const CONDITION: ConditionCosts = ConditionCosts { slow: 0.2, failing: 0.5, warming: 0.2 };
 
 /// The score of a server; the lowest is the best.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Score {
-    /// The distance, if it is not full; the same for all others.
+    /// The distance of a server below [`MAX_LOCAL_OCCUPANCY`]; the same higher value for all others.
     tier: u8,
     occupancy: f64,
     distance: Distance,
@@ -27,7 +28,7 @@
     }
 }
 
-/// What the candidates of a request have in common.
+/// Computes the scores of the candidates for a request.
 pub(super) struct Scorer {
     settings: ServiceSettings,
     now: Duration,
--- a/crates/load-balancer/src/balancer/prefill_time.rs
+++ b/crates/load-balancer/src/balancer/prefill_time.rs
@@ -1,21 +1,24 @@
-//! How long servers of a service take from a request to the first byte of its response, by the tokens to prefill.
+//! A model of the time from a request to the first byte of its response, as a function of the tokens to
+//! prefill.
 //!
-//! The model is a line: a base time, and a time per token. Both are fitted to the responses that this proxy has seen,
-//! by least squares with weights that decay with each response, so that a change of speed is followed. A few responses
-//! of the prior keep the line sensible as long as nothing, or only one length, has been seen.
+//! The model is linear: a base time plus a time per token. Both are fitted to the responses that this proxy
+//! has received, by least squares. The weights decay with each response, so that the model follows a change
+//! of speed. A prior of two assumed responses keeps the model plausible as long as no response, or only
+//! prompts of one length, have been observed.
 
-/// The weight of a response after the next one.
+/// The factor on the weights of all earlier responses when a response is recorded.
 const DECAY: f64 = 0.98;
-/// The prior: a base time, a time per token, and the lengths of two prompts that fit it.
+/// The prior: a base time, a time per token, and the lengths in tokens of two assumed prompts that take
+/// exactly these times.
 const PRIOR_BASE_MS: f64 = 20.0;
 const PRIOR_TOKEN_MS: f64 = 0.03;
 const PRIOR_TOKENS: [f64; 2] = [0.0, 4_000.0];
-/// The weight of each of these prompts. It does not decay.
+/// The weight of each assumed prompt. It does not decay.
 const PRIOR_WEIGHT: f64 = 1.0;
-/// The least time per token: a line that does not rise says nothing about long prompts.
+/// The minimum time per token, because long prompts must always be expected to take longer.
 const MIN_TOKEN_MS: f64 = 0.002;
 
-/// The time to the first byte as a line over the tokens to prefill.
+/// The time to the first byte as a linear function of the tokens to prefill.
 #[derive(Clone, Copy, Debug)]
 pub struct PrefillTime {
     base_ms: f64,
@@ -23,7 +26,8 @@
     sums: Sums,
 }
 
-/// The sums of the least squares, in responses, tokens and milliseconds.
+/// The weighted sums of the least-squares fit, over responses with a number of tokens and a time in
+/// milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
 struct Sums {
     weight: f64,
@@ -50,7 +54,7 @@
         self.tokens_ms *= DECAY;
     }
 
-    /// Returns the base time and the time per token of the line that fits best.
+    /// Returns the base time and the time per token of the best fit, in milliseconds.
     fn line(&self) -> (f64, f64) {
         let variance = self.weight * self.tokens_squared - self.tokens * self.tokens;
         let covariance = self.weight * self.tokens_ms - self.tokens * self.ms;
@@ -67,7 +71,8 @@
 }
 
 impl PrefillTime {
-    /// Records a response whose server had to prefill this many tokens before its first byte.
+    /// Records a response whose first byte came `ms` milliseconds after the request, and for which the server
+    /// had to prefill `tokens` tokens.
     pub fn record(&mut self, tokens: f64, ms: f64) {
         self.sums.decay();
         self.sums.add(tokens, ms, 1.0);
@@ -78,12 +83,13 @@
         (self.base_ms, self.token_ms) = with_prior.line();
     }
 
-    /// Returns the expected milliseconds to the first byte, with this many tokens to prefill.
+    /// Returns the expected time to the first byte in milliseconds, with `tokens` tokens to prefill.
     pub fn first_byte_ms(&self, tokens: f64) -> f64 {
         self.base_ms + self.token_ms * tokens
     }
 
-    /// Returns the most tokens that are prefilled before a first byte within this time.
+    /// Returns the number of tokens to prefill for which the first byte is expected after `ms` milliseconds;
+    /// negative if the base time alone is longer.
     pub fn tokens_within(&self, ms: f64) -> f64 {
         (ms - self.base_ms) / self.token_ms
     }
--- a/crates/load-balancer/src/balancer/prefix_cache.rs
+++ b/crates/load-balancer/src/balancer/prefix_cache.rs
@@ -1,30 +1,33 @@
-//! Which servers have cached the shared segments of a prompt.
+//! Estimates which servers have cached the shared segments of a prompt.
 //!
-//! Proxies do not exchange where they sent a prompt. They choose by rendezvous hashing on the shared segments, and so
-//! mostly agree. In addition, each remembers where it sent a segment itself.
+//! Proxies do not tell each other where they have sent a prompt. They rank servers by rendezvous hashing on
+//! the shared segments, and so mostly choose the same server. In addition, each proxy records where it has
+//! sent a segment itself.
 
 use super::ServerKey;
 use crate::demand::{Demand, PromptSegment};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Shared segments of at least this many tokens have one server in the whole system: prefilling them again in each
-/// region costs more than another region. Shorter ones have one server per region.
+/// Shared segments with at least this many tokens in total have one preferred server in the whole system,
+/// because prefilling them in each region costs more than sending requests to another region. Shorter ones
+/// have one preferred server per region.
 pub(super) const LONG_PREFIX_TOKENS: u32 = 1_500;
-/// How long a segment is expected to stay cached after its latest use by this proxy.
+/// How long a segment is assumed to stay cached after its latest use by this proxy.
 const CACHE_TTL: Duration = Duration::from_secs(30);
-/// The most segments that are remembered. Those not used recently are dropped first.
+/// The maximum number of recorded segments. When it is reached, expired segments are removed first.
 const MAX_SEGMENTS: usize = 8_192;
-/// Servers that are remembered for a segment.
+/// The maximum number of servers that are recorded for a segment.
 const MAX_SERVERS_PER_SEGMENT: usize = 6;
-/// The fraction of the shared tokens that is expected to be uncached at each server by its rank, so that proxies that
-/// cannot use the first server agree on the next. Ranks are in the whole system, and within the server's region.
+/// The fraction of long shared segments that a server is expected to have to prefill, by its rank in the
+/// whole system and by its rank within its region. The values rise with the rank, so that proxies that cannot
+/// use the first server agree on the next one.
 const UNCACHED_IN_SYSTEM: [f64; 3] = [0.0, 0.85, 0.95];
 const UNCACHED_IN_REGION: [f64; 2] = [0.75, 0.95];
-/// The same if each region has a server of its own.
+/// The same for short shared segments, by the rank within the region.
 const UNCACHED_AT_HOME: [f64; 3] = [0.0, 0.85, 0.95];
 
-/// The shared segments of a prompt, hashed.
+/// The hash of the shared segments of a prompt, and whether they are long.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PrefixKey {
     hash: u64,
@@ -32,7 +35,7 @@
 }
 
 impl PrefixKey {
-    /// Creates the shared segments of a prompt; none if nothing is shared.
+    /// Creates the key of a prompt; `None` if it has no shared segments.
     pub(crate) fn of(demand: &Demand<'_>) -> Option<PrefixKey> {
         let shared = demand.shared();
         if shared.is_empty() {
@@ -42,12 +45,13 @@
         Some(PrefixKey { hash, long: demand.shared_tokens() >= LONG_PREFIX_TOKENS })
     }
 
+    /// Returns the rendezvous hashing score of a server. The server with the highest score has rank 0.
     pub(crate) fn score(self, server_hash: u64) -> u64 {
         mix(self.hash ^ server_hash)
     }
 
-    /// Returns the fraction of the shared tokens that a server is expected to have to prefill, by its ranks among all
-    /// candidates and among those of its region.
+    /// Returns the fraction of the shared tokens that a server is expected to have to prefill, by its rank
+    /// among all candidates and its rank among those of its region.
     pub(crate) fn uncached_fraction(self, rank: usize, rank_in_region: usize) -> f64 {
         let part = |table: &[f64], rank: usize| table.get(rank).copied().unwrap_or(1.0);
         if self.long {
@@ -65,14 +69,14 @@
     value ^ (value >> 31)
 }
 
-/// The servers that this proxy sent prompt segments to.
+/// The servers to which this proxy has sent each prompt segment, and when.
 #[derive(Default)]
 pub(crate) struct PrefixCacheIndex {
     segments: HashMap<u64, Vec<(ServerKey, Duration)>>,
 }
 
 impl PrefixCacheIndex {
-    /// Records that a server prefills segments.
+    /// Records that a prompt with these segments is sent to a server.
     pub(crate) fn record(&mut self, now: Duration, server: ServerKey, segments: &[PromptSegment]) {
         if self.segments.len() >= MAX_SEGMENTS {
             self.forget_old(now);
@@ -87,7 +91,7 @@
         }
     }
 
-    /// Removes segments after a request did not execute at a server.
+    /// Removes a server from segments, after a request with them has ended there before its response began.
     pub(crate) fn forget(&mut self, server: ServerKey, ids: impl Iterator<Item = u64>) {
         for id in ids {
             if let Some(servers) = self.segments.get_mut(&id) {
@@ -96,7 +100,8 @@
         }
     }
 
-    /// Returns the tokens of the prefix of a prompt that a server has prefilled for this proxy.
+    /// Returns the number of tokens at the start of a prompt that a server is expected to have cached from
+    /// earlier requests of this proxy.
     pub(crate) fn cached_tokens(&self, now: Duration, server: ServerKey, segments: &[PromptSegment]) -> u32 {
         let cached = segments.iter().take_while(|segment| self.is_cached(now, server, segment.id));
         cached.fold(0, |sum, segment| sum.saturating_add(segment.tokens))
@@ -107,7 +112,7 @@
         servers.iter().any(|(known, at)| *known == server && now.saturating_sub(*at) < CACHE_TTL)
     }
 
-    /// Drops expired segments, or all if none is.
+    /// Removes expired segments, or all segments if too many remain.
     fn forget_old(&mut self, now: Duration) {
         self.segments.retain(|_, servers| servers.iter().any(|(_, at)| now.saturating_sub(*at) < CACHE_TTL));
         if self.segments.len() >= MAX_SEGMENTS {
--- a/crates/load-balancer/src/balancer/server.rs
+++ b/crates/load-balancer/src/balancer/server.rs
@@ -10,12 +10,13 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How long a server gets nothing after it has rejected a request as full.
+/// How long a server gets no requests after it has rejected one because it was full.
 const FULL_TIME: Duration = Duration::from_millis(150);
 
-/// The weight of a failure that another proxy reported.
+/// The weight in the failure rate of a failure that another proxy has reported.
 const OTHERS_FAILURE: f64 = 0.5;
-/// The prior of successful requests, so that one failure of few requests says little.
+/// The number of successful requests that the failure rate assumes in addition, so that one failure among a
+/// few requests has little effect.
 const UNSEEN_REQUESTS: f64 = 2.0;
 
 /// Returns the hash that identifies a server in load reports.
@@ -23,35 +24,39 @@
     xxh3_64(id.as_bytes())
 }
 
-/// A server that is listed.
+/// A server in the published list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerInfo {
-    /// The id. Every start of a server has a new one.
+    /// The identifier, which is new for every start of a server.
     pub id: String,
-    /// The address.
+    /// The address at which the server accepts requests.
     pub address: SocketAddr,
-    /// The service.
+    /// The name of the service that the server belongs to.
     pub service: String,
-    /// The locality.
+    /// The zone and region of the server.
     pub locality: Locality,
-    /// The requests that it executes at the same time.
+    /// The maximum number of requests that the server executes at the same time; 0 if the list does not state
+    /// it.
     pub slots: u32,
 }
 
-/// The listed state of a server.
+/// Whether the list allows requests to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Listing {
+    /// The server accepts requests.
     Ready,
-    /// It drains, or will be removed at short notice.
+    /// The server is draining, or will be removed at short notice.
     Draining,
-    /// Another server responded at its address.
+    /// Another server has responded at the listed address.
     Misdirected,
 }
 
-/// The result of updating a listed entry.
+/// An event that changes the [`Listing`] of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ListingEvent {
+    /// The list has a new entry of the server.
     Listed { is_leaving: bool },
+    /// A request reached another server.
     Misdirected,
 }
 
@@ -65,7 +70,7 @@
     }
 }
 
-/// The distance of a server from this proxy.
+/// The distance between two localities, the nearest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Distance {
     SameZone,
@@ -90,13 +95,15 @@
     pub(crate) info: ServerInfo,
     pub(crate) hash: u64,
     pub(crate) distance: Distance,
-    /// The latest entry.
+    /// The latest entry in the list.
     entry: protocol::Server,
     listing: Listing,
     pub(crate) evacuated: bool,
+    /// When the warm-up ends.
     warming_until: Duration,
+    /// Until when the server gets no requests because it has rejected one as full.
     full_until: Duration,
-    /// Whether this proxy may send to it while it is cold.
+    /// Whether this proxy may send requests to the server while it is cold.
     pub(crate) is_slow_start_sender: bool,
     pub(crate) sends: Sends,
     pub(crate) load: Load,
@@ -127,7 +134,7 @@
         server
     }
 
-    /// Applies an entry of the list. An unchanged one, as after a repair, has no effect.
+    /// Applies an entry of the list. An unchanged entry, as after a resynchronization, has no effect.
     pub(crate) fn update(
         &mut self,
         now: Duration,
@@ -150,12 +157,13 @@
         self.set_warming(now, Duration::from_millis(u64::from(entry.warmup_remaining_ms)));
     }
 
-    /// Sets for how long it stays cold.
+    /// Sets the remaining warm-up time.
     pub(crate) fn set_warming(&mut self, now: Duration, remaining: Duration) {
         self.warming_until = now + remaining;
     }
 
-    /// Marks it as possibly cold.
+    /// Treats the server as cold for at least the time `remaining`, because it may have become cold
+    /// unnoticed.
     pub(crate) fn presume_warming(&mut self, now: Duration, remaining: Duration) {
         self.warming_until = self.warming_until.max(now + remaining);
     }
@@ -168,14 +176,15 @@
         self.full_until = now + FULL_TIME;
     }
 
-    /// Returns the recent failure rate. Failures at other proxies count half.
+    /// Returns the recent failure rate over all proxies, in which failures at other proxies have a lower
+    /// weight.
     pub(crate) fn failure_rate(&self, now: Duration) -> f64 {
         let (failures, requests) = self.failures.at(now);
         let of_others = self.load.others(now).failures * OTHERS_FAILURE;
         (failures + of_others) / (requests + of_others + UNSEEN_REQUESTS)
     }
 
-    /// Returns whether requests may be sent to it.
+    /// Returns whether the list and the evacuations allow requests to the server.
     pub(crate) fn is_usable(&self) -> bool {
         self.listing == Listing::Ready && !self.evacuated
     }
--- a/crates/load-balancer/src/balancer/server_load.rs
+++ b/crates/load-balancer/src/balancer/server_load.rs
@@ -1,4 +1,4 @@
-//! The load of a server: the requests of this proxy, and those of others as they were reported.
+//! The load of a server: the requests of this proxy, and those that the other proxies have reported.
 
 use super::service_rate::ServiceRate;
 use crate::demand::Demand;
@@ -6,11 +6,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// For how long the reported load of others is used as it is. It decays until it is twice as old, so that a server is
-/// not avoided or preferred for a load that has long ended.
+/// The age up to which the load that other proxies have reported counts in full. From then on it decays
+/// linearly, to zero at twice this age, so that no server is avoided or preferred because of a load that has
+/// long ended.
 const REPORT_TTL: Duration = Duration::from_secs(2);
 
-/// Counts of requests.
+/// Numbers of requests, which are fractions where a reported load has decayed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct LoadCounts {
     /// Requests whose response has begun.
@@ -19,7 +20,7 @@
     pub(crate) waiting: f64,
     /// Prompt tokens of the waiting requests.
     pub(crate) waiting_tokens: f64,
-    /// Failures recently.
+    /// Recent failures.
     pub(crate) failures: f64,
 }
 
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Returns the difference, at least zero, multiplied by a factor.
+    /// Returns these counts minus `part`, each at least zero, multiplied by `factor`.
     fn without(&self, part: &LoadCounts, factor: f64) -> LoadCounts {
         let remaining = |all: f64, part: f64| (all - part).max(0.0) * factor;
         LoadCounts {
@@ -49,14 +50,14 @@
     }
 }
 
-/// The load of a request.
+/// The load that a request puts on a server.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestCost {
-    /// Prompt tokens that the server has to prefill.
+    /// The prompt tokens that the server has to prefill.
     pub(crate) prefill_tokens: u32,
-    /// Tokens of the server's memory that it alone needs.
+    /// The tokens that the server keeps in memory for this request alone.
     private: u32,
-    /// The shared segments and their lengths.
+    /// The ids of the shared segments, and their lengths in tokens.
     shared: Box<[(u64, u32)]>,
 }
 
@@ -78,18 +79,21 @@
     waiting: u32,
     waiting_tokens: u64,
     private_tokens: u64,
-    /// The shared segments of requests in flight: the number of requests, and the length.
+    /// The shared segments of the requests in flight, by id: the number of requests that use the segment, and
+    /// its length in tokens.
     shared: BTreeMap<u64, (u32, u32)>,
     shared_tokens: u64,
-    /// When the server responded last, while a request waits.
+    /// Since when the server has not responded although requests wait; `None` while no request waits.
     unresponsive_since: Option<Duration>,
-    /// The counts that were reported last.
+    /// The latest counts that this proxy has reported.
     reported: LoadCounts,
+    /// The counts of the other proxies, as of `reported_at`.
     others: LoadCounts,
     reported_at: Duration,
 }
 
 impl Load {
+    /// Records that a request is sent.
     pub(crate) fn begin(&mut self, now: Duration, request_cost: &RequestCost) {
         self.waiting += 1;
         self.waiting_tokens += u64::from(request_cost.prefill_tokens);
@@ -111,7 +115,8 @@
         self.record_response_time(now);
     }
 
-    /// Records the end of a request. `is_response` is whether the server has responded.
+    /// Records the end of a request. `has_started` is whether its response had begun, and `is_response`
+    /// whether its outcome proves that the server has responded.
     pub(crate) fn end(
         &mut self,
         now: Duration,
@@ -151,17 +156,18 @@
         self.unresponsive_since = (self.waiting > 0).then_some(now);
     }
 
-    /// Returns for how long requests have waited without a response of the server.
+    /// Returns how long requests have waited without any response of the server.
     fn time_without_response(&self, now: Duration) -> Duration {
         self.unresponsive_since.map_or(Duration::ZERO, |since| now.saturating_sub(since))
     }
 
-    /// Returns whether requests have waited for longer than the service's usual speed explains.
+    /// Returns whether requests have waited without a response for longer than the usual speed of the service
+    /// explains.
     pub(crate) fn is_unresponsive(&self, now: Duration, rate: &ServiceRate) -> bool {
         self.time_without_response(now) > rate.response_timeout(self.total(now).waiting_tokens)
     }
 
-    /// Returns the requests that wait for an unresponsive server.
+    /// Returns the number of requests that wait for the server if it is unresponsive, otherwise 0.
     pub(crate) fn unanswered(&self, now: Duration, rate: &ServiceRate) -> f64 {
         if self.is_unresponsive(now, rate) {
             return f64::from(self.waiting);
@@ -169,12 +175,12 @@
         0.0
     }
 
-    /// Returns the requests of this proxy in flight.
+    /// Returns the number of requests of this proxy in flight.
     pub(crate) fn own(&self) -> u32 {
         self.running + self.waiting
     }
 
-    /// Returns the counts to be reported, and remembers them.
+    /// Returns the counts of this proxy to be reported, and stores them for the next [`Load::set_total`].
     pub(crate) fn report(&mut self, server: u64, failures: f64) -> ServerLoad {
         let load = ServerLoad {
             server,
@@ -187,14 +193,14 @@
         load
     }
 
-    /// Sets the sum over all proxies; none if there is no load.
+    /// Sets the sum of the reported loads of all proxies including this one; `None` if there is no load.
     pub(crate) fn set_total(&mut self, now: Duration, total: Option<&ServerLoad>) {
         let total = total.map(LoadCounts::of).unwrap_or_default();
         self.others = total.without(&self.reported, 1.0);
         self.reported_at = now;
     }
 
-    /// Returns the load of other proxies.
+    /// Returns the load of the other proxies.
     pub(crate) fn others(&self, now: Duration) -> LoadCounts {
         let age = now.saturating_sub(self.reported_at).as_secs_f64() / REPORT_TTL.as_secs_f64();
         self.others.without(&LoadCounts::default(), (2.0 - age).clamp(0.0, 1.0))
@@ -211,8 +217,8 @@
         }
     }
 
-    /// Returns the tokens in the server's memory that cannot be evicted, if each request of others needs
-    /// `per_request`.
+    /// Returns the number of tokens in the server's memory that cannot be evicted, if each request of another
+    /// proxy needs `mean_private_tokens`.
     pub(crate) fn memory(&self, now: Duration, mean_private_tokens: f64) -> f64 {
         let others = self.others(now).requests() * mean_private_tokens;
         self.private_tokens as f64 + self.shared_tokens as f64 + others
--- a/crates/load-balancer/src/balancer/service.rs
+++ b/crates/load-balancer/src/balancer/service.rs
@@ -1,4 +1,4 @@
-//! The state of a service.
+//! The settings of a service, and what the balancer has measured about it.
 
 use super::server::{Server, ServerInfo};
 use super::service_rate::{median, ServiceRate};
@@ -8,36 +8,38 @@
 use slotmap::SlotMap;
 use std::time::Duration;
 
-/// The multiple of the median failure rate, and the least failure rate, from which a server counts as failing.
+/// A server counts as failing if its failure rate is above this multiple of the median of its service, and
+/// above the minimum.
 const FAILING_FACTOR: f64 = 3.0;
 const MIN_FAILURE_RATE: f64 = 0.1;
-/// How long medians are cached.
+/// How long the computed medians are used.
 const MEDIANS_TTL: Duration = Duration::from_millis(100);
 
-/// A service.
+/// The settings and the state of a service.
 #[derive(Default)]
 pub(crate) struct ServiceState {
     pub(crate) settings: ServiceSettings,
-    /// The servers.
+    /// The listed servers of the service.
     pub(crate) servers: Vec<ServerKey>,
     pub(crate) rate: ServiceRate,
     pub(crate) medians: Medians,
-    /// The highest priority that was seen.
+    /// The highest priority of all requests so far, which is the lowest number; `None` before the first
+    /// request.
     pub(crate) most_urgent: Option<u32>,
 }
 
-/// The medians that servers are compared with. They change slowly and are cached.
+/// The medians with which servers are compared. They change slowly and are computed at intervals.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Medians {
     pub(crate) updated_at: Option<Duration>,
-    /// The median time per token of work, in milliseconds.
+    /// The median time per token of work, in milliseconds; `None` if no server has enough samples.
     pub(crate) token_ms: Option<f64>,
-    /// The failure rate from which a server counts as failing.
+    /// The failure rate above which a server counts as failing.
     pub(crate) failing_from: f64,
 }
 
 impl ServiceState {
-    /// Computes the medians, unless they are cached.
+    /// Computes the medians, unless they are recent.
     pub(crate) fn refresh_medians(&mut self, now: Duration, servers: &SlotMap<ServerKey, Server>) {
         if self.medians.updated_at.is_some_and(|updated_at| now < updated_at + MEDIANS_TTL) {
             return;
@@ -51,35 +53,40 @@
         };
     }
 
-    /// Records the priority of a request.
+    /// Updates the highest priority with the priority of a request.
     pub(crate) fn note_priority(&mut self, priority: u32) {
         let most = self.most_urgent.unwrap_or(priority);
         self.most_urgent = Some(most.min(priority));
     }
 }
 
-/// The configuration of a service.
+/// The settings of a service that the balancer needs.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ServiceSettings {
-    /// The connections that a server accepts from all proxies; 0 if unknown.
+    /// The maximum number of connections that a server accepts from all proxies together; 0 if unknown, which
+    /// means no limit.
     pub(crate) max_connections: u32,
-    /// The warm-up time; zero if there is none.
+    /// The warm-up time of a server after its start; zero if it needs none.
     pub(crate) warmup: Duration,
-    /// The share of this proxy at a cold server; none if there is no limit.
+    /// The share of a proxy at a cold server; `None` if the requests to cold servers are not limited.
     pub(crate) slow_start_share: Option<SlowStartShare>,
+    /// The inference engine; `None` if the servers run no model.
     pub(crate) engine: Option<EngineSettings>,
 }
 
 /// The inference engine of a service's servers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EngineSettings {
-    /// The requests that a server executes at once, if the list does not say it.
+    /// The maximum number of requests that a server executes at the same time, unless its listed entry states
+    /// it.
     slots: u32,
+    /// The number of tokens that a server's memory holds; `None` if unknown.
     memory_tokens: Option<u32>,
 }
 
 impl ServiceSettings {
-    /// Creates the parameters of a service. `overshoot` and `slack` bound the requests to cold servers.
+    /// Creates the settings from the configuration of a service. `overshoot` is the factor on its
+    /// `WarmupPerS`, and `slack` the addend, in the limit on requests to a cold server.
     pub(crate) fn of(service: &Service, overshoot: f64, slack: f64) -> Self {
         let is_unlimited = service.warmup.is_zero() && service.warmup_per_s <= 0.0;
         let bound = service.warmup_per_s * overshoot + slack;
@@ -94,12 +101,14 @@
             engine,
         }
     }
-    /// Returns the tokens that a server's memory holds; none if unknown.
+
+    /// Returns the number of tokens that a server's memory holds; `None` if unknown.
     pub(crate) fn memory_tokens(&self) -> Option<u32> {
         self.engine?.memory_tokens
     }
 
-    /// Returns the requests that a server executes at the same time.
+    /// Returns the maximum number of requests that a server executes at the same time: that of its listed
+    /// entry, else that of the engine, else 1.
     pub(crate) fn slots(&self, server: &ServerInfo) -> f64 {
         let of_engine = || self.engine.map_or(1, |engine| engine.slots);
         let listed = Some(server.slots).filter(|slots| *slots > 0);
--- a/crates/load-balancer/src/balancer/service_rate.rs
+++ b/crates/load-balancer/src/balancer/service_rate.rs
@@ -1,28 +1,28 @@
-//! The speed of servers, from the times to the first byte.
+//! The speed of servers and services, measured by the time to the first byte.
 
 use super::prefill_time::PrefillTime;
 use std::time::Duration;
 
-/// The weight of one response in a mean.
+/// The weight of a new sample in an exponentially weighted mean.
 const GAIN: f64 = 0.15;
-/// The least number of responses for a mean.
+/// The minimum number of samples for a reliable mean.
 const MIN_SAMPLES: u32 = 5;
-/// The half-life of slowness, so that a slow server is tried again.
+/// The half-life of the measured slowness of a server, so that a slow server is tried again.
 const HALVING_SECONDS: f64 = 10.0;
-/// The work of a request besides its prompt, in tokens.
+/// The work of a request in addition to prefilling its prompt, in tokens.
 const BASE_TOKENS: f64 = 400.0;
-/// The initial time per token, in milliseconds.
+/// The time per token, in milliseconds, that is assumed before the first response.
 const INITIAL_TOKEN_MS: f64 = 0.05;
-/// A server may be dead if it has not responded to a waiting request for this multiple of the mean time to the first
-/// byte, and for at least this time.
+/// A server counts as unresponsive if it has not responded to waiting requests for this multiple of the mean
+/// time to the first byte, but at least for the minimum time, plus an allowance for the queued prompts.
 const TIMEOUT_FACTOR: u32 = 4;
 const MIN_TIMEOUT: Duration = Duration::from_millis(250);
-/// The same, in multiples of the time to prefill the queued prompts.
+/// The allowance for the queued prompts, as a multiple of the time to prefill them.
 const PREFILL_FACTOR: u32 = 2;
-/// The initial time of a request.
+/// The time to the first byte, and the duration of a request, that are assumed before the first response.
 const INITIAL_DURATION: Duration = Duration::from_millis(300);
 
-/// The time over which sends are counted.
+/// The time constant of the exponential decay of an event rate.
 const EVENT_RATE_WINDOW: Duration = Duration::from_secs(2);
 
 /// An exponentially weighted mean.
@@ -49,7 +49,7 @@
     }
 }
 
-/// The time per token of work at a server, in milliseconds.
+/// The measured speed of a server, as the mean time per token of work in milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Speed {
     mean: Mean,
@@ -57,7 +57,8 @@
 }
 
 impl Speed {
-    /// Returns the ratio to the service's median.
+    /// Returns the ratio of the time per token to the median of the service's servers; 1 if either is
+    /// unknown. The difference from 1 decays with the age of the latest sample.
     pub(crate) fn slowness(&self, now: Duration, median: Option<f64>) -> f64 {
         let (Some(own), Some(median)) = (self.mean.reliable(), median) else { return 1.0 };
         if median <= 0.0 {
@@ -67,7 +68,7 @@
         1.0 + (own / median - 1.0) * 0.5_f64.powf(age / HALVING_SECONDS)
     }
 
-    /// Returns the mean, once there are enough samples.
+    /// Returns the mean time per token in milliseconds; `None` while there are too few samples.
     pub(crate) fn reliable(&self) -> Option<f64> {
         self.mean.reliable()
     }
@@ -101,27 +102,29 @@
     }
 }
 
-/// The times of the requests of a service.
+/// The rate and the times of the requests that this proxy sends to a service.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ServiceRate {
-    /// The requests that this proxy sends.
+    /// The rate at which this proxy sends requests.
     sends: EventRate,
-    /// The least time to the first byte by distance, in milliseconds. Their differences are the network latencies.
+    /// The minimum time to the first byte for each `Distance`, in milliseconds. The difference from the
+    /// lowest of them is taken as the network latency of a distance.
     floors: [Option<f64>; 3],
-    /// Milliseconds per token of work.
+    /// The time per token of work, in milliseconds.
     token_ms: Mean,
-    /// The time to the first byte, without the network latency.
+    /// The model of the time to the first byte, without the network latency.
     pub(crate) prefill: PrefillTime,
-    /// Milliseconds to the first byte.
+    /// The time to the first byte, in milliseconds.
     first_byte_ms: Mean,
-    /// Milliseconds from the send to the end of the response.
+    /// The time from sending a request to the end of its response, in milliseconds.
     duration_ms: Mean,
-    /// Tokens of a server's memory that a request alone needs.
+    /// The tokens that a server keeps in memory for one request alone.
     private_tokens: Mean,
 }
 
 impl ServiceRate {
-    /// Records the time to a first byte. Returns the milliseconds per token of work, without the network latency.
+    /// Records the time to the first byte of a response from a server at `distance`, which had to prefill
+    /// `work_tokens` before it. Returns the milliseconds per token of work, without the network latency.
     pub(crate) fn record_first_byte(&mut self, time: Duration, distance: usize, work_tokens: f64) -> f64 {
         let milliseconds = time.as_secs_f64() * 1e3;
         let floor = self.floors[distance].get_or_insert(milliseconds);
@@ -144,28 +147,29 @@
         self.private_tokens.add(f64::from(private_tokens));
     }
 
-    /// Returns the requests that this proxy sends, per second.
+    /// Returns the number of requests per second that this proxy sends.
     pub(crate) fn sends_per_second(&self, now: Duration) -> f64 {
         self.sends.per_second(now)
     }
 
-    /// Milliseconds per token of work.
+    /// Returns the mean time per token of work, in milliseconds.
     pub(crate) fn token_ms(&self) -> f64 {
         self.token_ms.get().unwrap_or(INITIAL_TOKEN_MS)
     }
 
-    /// Returns how long a server may not respond while a request waits, with this many tokens queued.
+    /// Returns the time without a response after which a server with waiting requests counts as unresponsive.
+    /// `waiting_tokens` are queued to be prefilled.
     pub(crate) fn response_timeout(&self, waiting_tokens: f64) -> Duration {
         let reading = Duration::from_secs_f64(waiting_tokens * self.token_ms() / 1e3);
         (mean_time(&self.first_byte_ms) * TIMEOUT_FACTOR).max(MIN_TIMEOUT) + reading * PREFILL_FACTOR
     }
 
-    /// Returns the mean time from the send to the end of the response.
+    /// Returns the mean time from sending a request to the end of its response.
     pub(crate) fn mean_duration(&self) -> Duration {
         mean_time(&self.duration_ms)
     }
 
-    /// Returns the mean tokens that a request alone needs.
+    /// Returns the mean number of tokens that a server keeps in memory for one request alone.
     pub(crate) fn private_tokens(&self) -> f64 {
         self.private_tokens.get().unwrap_or(0.0)
     }
@@ -175,7 +179,8 @@
     milliseconds.get().map_or(INITIAL_DURATION, |mean| Duration::from_secs_f64(mean.max(0.0) / 1e3))
 }
 
-/// Returns the median, the lower one of two in the middle.
+/// Returns the median, which is the lower of the two middle values if their number is even; `None` without
+/// values.
 pub(crate) fn median(values: impl Iterator<Item = f64>) -> Option<f64> {
     let mut values: Vec<f64> = values.collect();
     values.sort_by(f64::total_cmp);
--- a/crates/load-balancer/src/balancer/slow_start.rs
+++ b/crates/load-balancer/src/balancer/slow_start.rs
@@ -1,9 +1,10 @@
-//! Slow start: the requests that a cold server gets.
+//! Slow start: limits the rate of requests to a cold server.
 //!
-//! The bound on the requests that a cold server gets in any second applies to the sum over all proxies, also during a
-//! partition between them. So only two proxies send to it, chosen by rendezvous hashing, and each sends at most a
-//! quarter of the bound: if the proxies are partitioned in two and each side chooses its own two, the bound still
-//! holds. The rest covers a proxy that takes over from one that has just failed.
+//! The limit on the requests that a cold server gets in any second applies to all proxies together, also
+//! during a network partition between them. Therefore only two proxies, chosen by rendezvous hashing, send
+//! requests to the server, and each sends at most a quarter of the limit. If a partition separates the
+//! proxies into two sides that each choose their own two, the limit still holds. Without a partition, the
+//! unused half covers a proxy that takes over from one that has just failed.
 
 use super::options::ProxyPeer;
 use quillpulley_membership::rendezvous::Key;
@@ -11,28 +12,29 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The proxies that send to a cold server.
+/// The number of proxies that send requests to a cold server.
 const SENDERS: usize = 2;
-/// The sides of a partition that may choose their own.
+/// The number of sides of a partition that may choose their own senders.
 const SIDES: usize = 2;
-/// The margin for requests that are sent within a second and arrive within less.
+/// The window in which sends are counted. It is longer than a second, because requests may arrive within a
+/// shorter time than they were sent in.
 const WINDOW: Duration = Duration::from_millis(1_200);
-/// The least time between sends, as a fraction of an even spacing.
+/// The minimum time between two sends, as a fraction of the time between evenly spaced sends.
 const SPACING: f64 = 0.5;
-/// The sends that are remembered. A share is never higher.
+/// The maximum number of sends that are recorded for a server. A share is never higher than this.
 const REMEMBERED: usize = 128;
 
-/// The share of a proxy at a cold server.
+/// The part of the request limit of a cold server that one proxy may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SlowStartShare {
-    /// Requests in any second.
+    /// The maximum number of requests in any second.
     pub(crate) per_second: usize,
-    /// The number of proxies with this share.
+    /// The number of proxies that have this share.
     pub(crate) senders: usize,
 }
 
 impl SlowStartShare {
-    /// Creates the share if all proxies together may send `bound` requests per second.
+    /// Creates the share for a limit of `bound` requests per second from all proxies together.
     pub(crate) fn of(bound: f64) -> SlowStartShare {
         let bound = if bound.is_finite() { bound.max(0.0) as usize } else { 0 };
         let shared = bound / (SENDERS * SIDES);
@@ -42,12 +44,12 @@
         SlowStartShare { per_second: shared.min(REMEMBERED), senders: SENDERS }
     }
 
-    /// Returns the share of a proxy that does not know the others.
+    /// The share of a proxy that does not know the other proxies.
     pub(crate) const SINGLE_REQUEST: SlowStartShare = SlowStartShare { per_second: 1, senders: 1 };
 }
 
-/// Returns whether a proxy is among those that send to a cold server. Those in the server's zone come first, then
-/// those in its region.
+/// Returns whether a proxy is among the `senders` proxies that send requests to a cold server. Proxies in the
+/// server's zone come first, then those in its region, then all others.
 pub(crate) fn is_sender(
     name: &str,
     proxies: &[ProxyPeer],
@@ -67,6 +69,7 @@
     proxies.iter().filter(is_before).count() < senders
 }
 
+/// Returns 0 within a zone, 1 within a region, otherwise 2.
 fn distance(one: &Locality, other: &Locality) -> u8 {
     match (one.zone == other.zone, one.region == other.region) {
         (true, _) => 0,
@@ -75,7 +78,7 @@
     }
 }
 
-/// The latest sends to a server.
+/// The times of the latest requests sent to a server.
 #[derive(Default)]
 pub(crate) struct Sends {
     times: VecDeque<Duration>,
@@ -90,7 +93,7 @@
         self.times.push_back(now);
     }
 
-    /// Returns whether one more send is within the share.
+    /// Returns whether the share allows another request now.
     pub(crate) fn allow(&self, now: Duration, share: SlowStartShare) -> bool {
         let recent = self.times.iter().rev().take_while(|time| now.saturating_sub(**time) < WINDOW).count();
         let latest = self.times.back().map(|time| now.saturating_sub(*time));
--- a/crates/load-balancer/src/balancer/unseen_load.rs
+++ b/crates/load-balancer/src/balancer/unseen_load.rs
@@ -1,35 +1,37 @@
-//! The requests that other proxies have sent since the loads that they reported.
+//! Estimates the requests that other proxies have sent since their latest load reports.
 //!
-//! Reported loads are about half a second old. If every proxy chose the server with the least of them, all would choose
-//! the same one until the next reports. So each proxy adds to the reported load of each server a random number of
-//! requests, whose scale is the number that the others are expected to have sent to a server meanwhile. Servers whose
-//! loads differ by less than what is unseen then get about the same number of requests, while one that has many more
-//! gets few.
+//! Reported loads are about half a second old. If every proxy chose the server with the lowest reported load,
+//! all would choose the same server until the next reports. So each proxy adds a random number of requests to
+//! the reported load of each server, whose scale is the number of requests that the other proxies are
+//! expected to have sent to a server since their reports. Servers whose loads differ by less than the unseen
+//! requests then get about the same number of requests, while a server with a much higher load gets few.
 
 use std::time::Duration;
 
-/// The mean age of reported loads when they are used: half of the report interval, and the way through the relay tree
-/// and back.
+/// The mean age of reported loads when they are used: half of the report interval, plus the time that the
+/// reports take through the relay tree and back.
 const REPORT_AGE: Duration = Duration::from_millis(550);
-/// The scale of the random number, as a multiple of the unseen requests per server. Below one, more requests would be
-/// sent to the least loaded servers than level the loads.
+/// The scale of the random number, as a multiple of the expected unseen requests per server. With a multiple
+/// below one, the least loaded servers would get more requests than it takes to balance the loads.
 const SCALE: f64 = 2.0;
 
-/// The distribution of the random numbers.
+/// The distribution of the random number of unseen requests at a server.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct UnseenLoad {
     scale: f64,
 }
 
 impl UnseenLoad {
-    /// Creates the distribution, if each of `others` proxies sends `per_second` requests to `servers` servers.
+    /// Creates the distribution for `others` other proxies, each of which sends `per_second` requests per
+    /// second to `servers` servers in total.
     pub(super) fn new(per_second: f64, others: usize, servers: usize) -> Self {
         let unseen = per_second * others as f64 * REPORT_AGE.as_secs_f64();
         UnseenLoad { scale: SCALE * unseen / servers.max(1) as f64 }
     }
 
-    /// Returns a random number of requests for a server. The server with the least sum of load and this number is
-    /// chosen with a probability that falls exponentially with its load (the Gumbel distribution has this property).
+    /// Returns a random number of unseen requests at a server; it may be negative. The probability that a
+    /// server has the lowest sum of load and this number falls exponentially with its load. This is a
+    /// property of the Gumbel distribution.
     pub(super) fn sample(self, random: &mut fastrand::Rng) -> f64 {
         let uniform = random.f64().clamp(f64::EPSILON, 1.0 - f64::EPSILON);
         self.scale * (-uniform.ln()).ln()
--- a/crates/load-balancer/src/home_demand.rs
+++ b/crates/load-balancer/src/home_demand.rs
@@ -1,37 +1,45 @@
-//! Where the requests that arrive at a proxy may be served. If most of them have their home regions elsewhere, their
-//! clients are served better by the proxies there, also during a partition between the regions.
+//! Tracks in which regions the requests that arrive at a proxy may be served. If most of them may only be
+//! served in other regions, the proxies of those regions serve the clients better, also during a partition
+//! between the regions.
 //!
-//! It counts requests of hosts only some of whose requests may be served here. For other hosts the configuration
-//! alone decides (see [`HostHomes`](crate::HostHomes)).
+//! Callers count only requests to hosts for which [`HostHomes::served_in`](crate::HostHomes::served_in)
+//! returns [`ServedIn::Some`](crate::ServedIn::Some). For all other hosts the configuration alone determines
+//! the region.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The half-life of counts.
+/// The half-life of the request counts.
 const HALVING_TIME: Duration = Duration::from_secs(5);
-/// The least number of requests for a decision.
+/// The minimum of the decayed request count for a change of the preferred regions.
 const ENOUGH_REQUESTS: f64 = 20.0;
-/// Above this share of requests that may not be served here, other regions are preferred; below the second share,
-/// this region is preferred again.
+/// Above this share of requests that may not be served in the proxy's region, other regions are preferred.
+/// Below the second share, the proxy's region is preferred again. Between the two, the preference stays as it
+/// is.
 const PREFER_OTHERS_FROM: f64 = 0.55;
 const PREFER_OWN_FROM: f64 = 0.35;
-/// A region is preferred if it is a home of this share of the requests that may not be served here.
+/// A region is preferred if it is a home region of at least this share of the requests that may not be served
+/// in the proxy's region.
 const COMMON_HOME: f64 = 0.5;
 
-/// Counts of requests by whether they may be served in the proxy's region, and the regions that are preferred over
-/// it.
+/// Counts the requests of a proxy by home region, and determines the regions that are preferred over the
+/// proxy's own.
 #[derive(Debug, Default)]
 pub struct HomeDemand {
     region: String,
+    /// The time to which the counts have decayed.
     counted: Duration,
+    /// The number of all requests.
     all: f64,
+    /// The number of requests that may not be served in the proxy's region.
     elsewhere: f64,
+    /// The number of those requests for each of their home regions.
     by_home: BTreeMap<String, f64>,
     preferred: Vec<String>,
 }
 
 impl HomeDemand {
-    /// Creates the counts of a proxy in a region.
+    /// Creates empty counts for a proxy in `region`.
     pub fn new(region: String) -> Self {
         HomeDemand { region, ..HomeDemand::default() }
     }
@@ -41,7 +49,7 @@
         &self.region
     }
 
-    /// Counts a request that may be served in `homes`; anywhere if there are none.
+    /// Counts a request with the home regions `homes`. Without any, it may be served everywhere.
     pub fn count(&mut self, now: Duration, homes: &[String]) {
         self.decay(now);
         self.all += 1.0;
@@ -54,13 +62,13 @@
         self.decide();
     }
 
-    /// Forgets the counts and the decision after the homes of requests have changed.
+    /// Clears the counts and the preferred regions. Called after the home regions of routes have changed.
     pub fn reset(&mut self) {
         *self = HomeDemand::new(std::mem::take(&mut self.region));
     }
 
-    /// Returns the regions whose proxies would serve the clients better; empty if this region does. While there are
-    /// too few requests, the latest decision holds.
+    /// Returns the regions whose proxies would serve the clients better; empty if the proxy's own region is
+    /// preferred. While there are too few requests for a decision, the latest one remains in force.
     pub fn preferred_regions(&self) -> &[String] {
         &self.preferred
     }
--- a/crates/load-balancer/src/host_homes.rs
+++ b/crates/load-balancer/src/host_homes.rs
@@ -1,35 +1,36 @@
-//! Where the requests of a host may be served, according to the active routes.
+//! The regions in which the requests to a host may be served, according to the routes of the configuration.
 
 use crate::route_table::host_key;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Which requests of a host may be served in a region.
+/// Which of the requests to a host may be served in a region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServedIn {
-    /// All of them.
+    /// All requests.
     All,
-    /// Those of some of its routes.
+    /// The requests of some of the host's routes only.
     Some,
-    /// None of them.
+    /// No request.
     None,
 }
 
 /// The home regions of the routes of a host.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HostHomes {
-    /// The distinct sets of homes of the routes that have any.
+    /// The distinct sets of home regions of the routes that have home regions.
     bound: BTreeSet<BTreeSet<String>>,
-    /// Whether there is a route without homes.
+    /// Whether any route has no home regions, so that its requests may be served everywhere.
     has_unbound_routes: bool,
 }
 
 impl HostHomes {
-    /// Creates the homes of an unknown host: no region is certainly a home.
+    /// Creates the entry of a host whose routes are unknown. No region is a common home, and
+    /// [`HostHomes::served_in`] returns [`ServedIn::Some`] for every region.
     pub fn unknown() -> Self {
         HostHomes { bound: BTreeSet::from([BTreeSet::new()]), has_unbound_routes: true }
     }
 
-    /// Adds a route with its homes. Without any it may be served anywhere.
+    /// Adds the home regions of a route. Without any, its requests may be served everywhere.
     pub fn add(&mut self, homes: &[String]) {
         if homes.is_empty() {
             self.has_unbound_routes = true;
@@ -38,13 +39,13 @@
         }
     }
 
-    /// Returns whether a region is a home of every route that has homes. Only there every request arrives at one of
-    /// its homes.
+    /// Returns whether a region is a home region of every route that has home regions. Only in such a region
+    /// may all requests to the host be served.
     pub fn is_common_home(&self, region: &str) -> bool {
         self.bound.iter().all(|homes| homes.contains(region))
     }
 
-    /// Returns which requests may be served in a region.
+    /// Returns which of the requests to the host may be served in a region.
     pub fn served_in(&self, region: &str) -> ServedIn {
         if self.is_common_home(region) {
             ServedIn::All
@@ -56,23 +57,24 @@
     }
 }
 
-/// The homes of all hosts of a configuration.
+/// The home regions of all hosts of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HomeTable {
     hosts: BTreeMap<String, HostHomes>,
-    /// The homes of all hosts together. They apply to hosts without a route, which may be about to get one.
+    /// The home regions of all routes of all hosts. They apply to a host without routes, whose route may be
+    /// about to be added.
     others: HostHomes,
 }
 
 impl Default for HomeTable {
-    /// Creates an empty table, for a proxy without a configuration.
+    /// Creates the table of a proxy without a configuration, to which all hosts are unknown.
     fn default() -> Self {
         HomeTable { hosts: BTreeMap::new(), others: HostHomes::unknown() }
     }
 }
 
 impl HomeTable {
-    /// Creates a table from the host and the homes of each route.
+    /// Creates a table from the host and the home regions of each route.
     pub fn new<'a>(routes: impl IntoIterator<Item = (&'a str, &'a [String])>) -> Self {
         let mut table = HomeTable { hosts: BTreeMap::new(), others: HostHomes::default() };
         for (host, homes) in routes {
@@ -85,12 +87,12 @@
         table
     }
 
-    /// Returns the homes of all hosts together.
+    /// Returns the home regions of all routes of all hosts.
     pub fn all(&self) -> &HostHomes {
         &self.others
     }
 
-    /// Returns the homes of a host, which may carry a port.
+    /// Returns the home regions of a host, whose name may include a port.
     pub fn of(&self, host: &str) -> &HostHomes {
         self.hosts.get(&*host_key(host)).unwrap_or(&self.others)
     }
--- a/crates/load-balancer/src/lib.rs
+++ b/crates/load-balancer/src/lib.rs
@@ -1,10 +1,15 @@
-//! Load balancing: routes, the choice of a server, load, slow start and queues, as pure state machines.
+//! Load balancing as state machines without I/O: route lookup, server selection, load tracking, slow start
+//! and request queues.
 //!
 //! - [`RouteTable`] finds the route of a request.
 //! - [`Balancer`] tracks the servers and the requests in flight, and chooses a server for each request.
-//! - [`RequestQueue`] queues requests for which no server has capacity, for a short time.
+//! - [`RequestQueue`] holds requests for a short time while no server has capacity for them.
+//! - [`HomeTable`] returns the home regions of a host, which are the only regions in which its requests may
+//!   be served.
+//! - [`HomeDemand`] tracks which other regions would serve the clients of a proxy better than its own region.
 //!
-//! Times are since the start of the process, and are passed by the caller. Random numbers come from a seed.
+//! The caller passes the current time, as the time since the start of the process. Random numbers come from a
+//! seeded generator.
 #![forbid(unsafe_code)]
 
 pub mod balancer;
--- a/crates/load-balancer/src/request_queue.rs
+++ b/crates/load-balancer/src/request_queue.rs
@@ -1,18 +1,19 @@
-//! The queue of requests that wait for capacity at a server.
+//! The queue of requests that wait until a server has capacity.
 //!
-//! A request waits for a part of its target latency only: a client that is rejected early can still be served in time
-//! elsewhere.
+//! A request waits only for a fraction of its target latency, so that a rejected client can still be served
+//! in time elsewhere.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A request waits for its target latency divided by this.
+/// The maximum time in the queue is the target latency divided by this.
 const QUEUE_TIME_DIVISOR: u32 = 4;
 
-/// The most requests that are tried for free capacity: trying one costs time, and most have the same demand.
+/// The maximum number of requests that [`RequestQueue::next`] checks against free capacity: each check takes
+/// time, and most requests need the same resources.
 const MAX_EXAMINED: usize = 8;
 
-/// Returns for how long a request with this target latency may wait in a queue.
+/// Returns the maximum time in the queue for a request with this target latency.
 pub fn queue_time(objective: Duration) -> Duration {
     objective / QUEUE_TIME_DIVISOR
 }
@@ -20,27 +21,27 @@
 /// The limits of a queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueLimits {
-    /// Requests.
+    /// The maximum number of queued requests.
     pub requests: usize,
-    /// The most bytes of all requests together.
+    /// The maximum memory of all queued requests together, in bytes.
     pub bytes: usize,
 }
 
-/// The terms on which a request waits.
+/// The properties of a request that determine its position in the queue and how long it may wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueTerms {
-    /// The priority; 0 is the highest.
+    /// The priority of the request; 0 is the highest.
     pub priority: u32,
     /// The target latency of the response.
     pub objective: Duration,
-    /// When the client gives up.
+    /// The time of the client's timeout.
     pub due: Duration,
-    /// The bytes that it holds.
+    /// The memory that the request occupies, in bytes.
     pub bytes: usize,
 }
 
-/// The key of a queued request. Keys are ordered as the requests are served: the highest priority first, and among
-/// these the one with the earliest deadline.
+/// The key of a queued request. Keys are ordered as requests leave the queue: by priority, then by the end of
+/// the maximum time in the queue, then by arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueKey {
     priority: u32,
@@ -48,12 +49,12 @@
     number: u64,
 }
 
-/// A request that was queued, and those that were displaced by it, which must be rejected.
+/// The key of a request that was queued, and the requests that it displaced, which the caller must reject.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Queued<T> {
-    /// The key of the request.
+    /// The key of the queued request.
     pub key: QueueKey,
-    /// Displaced requests of lower priority.
+    /// The displaced requests, which have a lower priority.
     pub displaced: Vec<T>,
 }
 
@@ -76,10 +77,10 @@
         RequestQueue { limits, requests: BTreeMap::new(), bytes: 0, next_number: 0 }
     }
 
-    /// Queues a request, and displaces those of lower priority if the limits require it.
+    /// Queues a request. If the limits require it, requests of lower priority are displaced.
     ///
     /// # Errors
-    /// The request, if it exceeds the limits even without those of lower priority.
+    /// Returns the request if it exceeds the limits even after all requests of lower priority are displaced.
     pub fn push(&mut self, now: Duration, terms: QueueTerms, request: T) -> Result<Queued<T>, T> {
         let until = (now + queue_time(terms.objective)).min(terms.due);
         let key = QueueKey { priority: terms.priority, until, number: self.next_number };
@@ -93,6 +94,7 @@
         Ok(Queued { key, displaced })
     }
 
+    /// Returns whether a request would fit the limits if all requests of lower priority were displaced.
     fn fits_among_urgent(&self, terms: QueueTerms) -> bool {
         let is_as_urgent = |key: &QueueKey| key.priority <= terms.priority;
         let urgent = self.requests.iter().take_while(|(key, _)| is_as_urgent(key));
@@ -101,6 +103,7 @@
         requests <= self.limits.requests && bytes <= self.limits.bytes
     }
 
+    /// Removes requests from the end of the queue until a request of `bytes` bytes fits the limits.
     fn displace(&mut self, bytes: usize) -> Vec<T> {
         let mut displaced = Vec::new();
         while self.requests.len() >= self.limits.requests || self.bytes + bytes > self.limits.bytes {
@@ -111,14 +114,16 @@
         displaced
     }
 
-    /// Removes and returns the first request that fits free capacity, among those that have not waited too long.
+    /// Removes and returns the first request for which `fits` returns true. Requests that have waited for the
+    /// maximum time are skipped; the caller removes them.
     pub fn next(&mut self, now: Duration, mut fits: impl FnMut(&T) -> bool) -> Option<T> {
         let mut unexpired = self.requests.iter().filter(|(key, _)| now < key.until).take(MAX_EXAMINED);
         let key = *unexpired.find(|(_, entry)| fits(&entry.request))?.0;
         self.remove(key)
     }
 
-    /// Removes a request that has waited too long, or whose client has closed its connection.
+    /// Removes a request that has waited for the maximum time, or whose client has closed its connection.
+    /// Returns `None` if it is not in the queue any more.
     pub fn remove(&mut self, key: QueueKey) -> Option<T> {
         let entry = self.requests.remove(&key)?;
         self.bytes -= entry.bytes;
--- a/crates/load-balancer/src/route_table.rs
+++ b/crates/load-balancer/src/route_table.rs
@@ -1,25 +1,26 @@
-//! Finds the route of a request by its host and path.
+//! Looks up the route of a request by its host and path.
 
 use quillpulley_serving_config::Configuration;
 use quillpulley_serving_config::Route;
 use std::borrow::Cow;
 use std::collections::HashMap;
 
-/// The routes of a configuration, by host and prefix.
+/// The routes of a configuration, indexed by host and path prefix.
 #[derive(Default)]
 pub struct RouteTable {
     routes: Vec<Route>,
     hosts: HashMap<String, HostRoutes>,
 }
 
-/// The routes of a host, as indices.
+/// The routes of a host, as indices of [`RouteTable::routes`].
 #[derive(Default)]
 struct HostRoutes {
-    /// Prefixes that end with a slash. A path is split at its slashes and looked up.
+    /// Routes whose prefix ends with a slash, by prefix. A lookup tries each part of the path that ends with
+    /// a slash.
     at_slashes: HashMap<String, usize>,
-    /// The length of the longest prefix.
+    /// The length of the longest prefix in `at_slashes`, in bytes.
     longest: usize,
-    /// All other prefixes, the longest first.
+    /// Routes with any other prefix, the longest prefix first.
     others: Vec<usize>,
 }
 
@@ -36,7 +37,8 @@
         table
     }
 
-    /// Returns the route of a host with the longest prefix of the path. `host` may carry a port, and `path` a query.
+    /// Returns the route of a host with the longest prefix that matches the path; `None` if no route matches.
+    /// `host` may include a port, and `path` a query and a fragment.
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         let routes = self.hosts.get(&*host_key(host))?;
         let path = path.split(['?', '#']).next().unwrap_or(path);
@@ -68,7 +70,8 @@
     }
 }
 
-/// Picks one of the services of a route by their weights. `random` is uniform between 0 and 1.
+/// Picks a service of a route with a probability in proportion to its weight; `None` if no weight is above 0.
+/// `random` is a uniformly distributed number between 0 and 1.
 pub fn pick_service(route: &Route, random: f64) -> Option<&str> {
     let total: f64 = route.split.iter().map(|share| share.weight).sum();
     let mut remaining = random.clamp(0.0, 1.0) * total;
@@ -80,12 +83,12 @@
     picked.or_else(weighted).map(|share| share.service.as_str())
 }
 
-/// Returns the key of a host: without its port, in lower case.
+/// Returns the key of a host in tables: its name in lower case, without a port.
 pub(crate) fn host_key(host: &str) -> Cow<'_, str> {
     lower_case(without_port(host))
 }
 
-/// Returns the host without its port; an IPv6 address keeps its brackets.
+/// Returns the host without its port. An IPv6 address keeps its brackets.
 fn without_port(host: &str) -> &str {
     match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) && !name.ends_with(':') => name,
