--- a/crates/http1-client/src/client_connection.rs
+++ b/crates/http1-client/src/client_connection.rs
@@ -1,8 +1,9 @@
-//! An outgoing HTTP/1.1 connection, driven by its owner: no background task, no pool, no retries.
+//! An outgoing HTTP/1.1 connection that its owner polls. It has no background task and no pool, and it never
+//! retries.
 //!
-//! Dropping a [`ClientConnection`] closes its socket at once, and nothing is ever sent twice. The socket records
-//! whether a request has been handed to the kernel completely, because that decides whether the server may have
-//! executed it.
+//! Dropping a [`ClientConnection`] closes its socket at once, and no request is ever sent twice. The socket
+//! records whether a request has been handed to the kernel completely, because this determines whether the
+//! server may have executed it.
 
 use crate::socket::{Socket, Tracked, WriteProgress};
 use bytes::Bytes;
@@ -27,35 +28,39 @@
 /// The limits of an outgoing connection.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
-    /// The most bytes of a body, in either direction.
+    /// The maximum size of the body of a response, for [`ClientConnection::exchange`], in bytes.
     pub max_body: usize,
-    /// The most bytes of the head of a response, and of what hyper buffers of its body.
+    /// The maximum size of the head of a response, and of the part of its body that hyper buffers, in bytes.
     pub max_buffer: usize,
-    /// The longest time between the first and the last byte of a response, for [`ClientConnection::exchange`]. One
-    /// retransmission of a lost packet fits.
+    /// The maximum time between the first and the last byte of a response, for
+    /// [`ClientConnection::exchange`]. It should be long enough for one retransmission of a lost packet.
     pub body_timeout: Duration,
-    /// How long a connection stays unused before it is reused: bytes that come late behind a response must not be read
-    /// as the response to the next request. Some milliseconds are enough: of 209 second responses the latest came 5.5 ms
-    /// after the first.
+    /// The minimum time between the end of a response and the next request on the connection. Without it,
+    /// unexpected bytes that arrive late after a response would be read as the response to the next request.
+    /// A few milliseconds are enough: of 209 observed second responses, the latest arrived 5.5 ms after the
+    /// first response.
     pub reuse_delay: Duration,
-    /// How long a connection may take after a response until it is ready for the next request. After that it is closed.
+    /// The maximum time after a response until the connection is ready for the next request. If it takes
+    /// longer, the connection has to be closed.
     pub ready_timeout: Duration,
 }
 
-/// Why there is no usable response.
+/// The reason why there is no usable response.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ResponseError {
-    /// The connection broke before the last byte of the request was written.
+    /// The connection failed before the last byte of the request was written and before a response was
+    /// received.
     NotSent,
-    /// The connection broke or brought invalid HTTP after the request was written.
+    /// The connection failed after the request was written or the response had begun, or the response was
+    /// invalid or too slow.
     Broken,
-    /// The body of the response is too large.
+    /// The body of the response exceeds [`ConnectionLimits::max_body`].
     TooLarge,
 }
 
 type HyperConnection = Pin<Box<Connection<TokioIo<Tracked>, Full<Bytes>>>>;
 
-/// An outgoing connection, and the requests on it, one after the other.
+/// An outgoing connection. It carries one request at a time.
 pub struct ClientConnection {
     sender: SendRequest<Full<Bytes>>,
     connection: HyperConnection,
@@ -67,10 +72,11 @@
 }
 
 impl ClientConnection {
-    /// Connects. `open` counts the socket for as long as it lives. The caller bounds the time.
+    /// Connects to a server. `open` is the number of open sockets, which includes this one until it is
+    /// dropped. The caller applies a timeout.
     ///
     /// # Errors
-    /// Those of the socket.
+    /// Returns an error if the connection cannot be established.
     pub async fn connect(
         address: SocketAddr,
         open: &Rc<Cell<usize>>,
@@ -93,43 +99,45 @@
         })
     }
 
-    /// Returns the socket.
+    /// Returns the socket of the connection.
     pub fn socket(&self) -> &Rc<Socket> {
         &self.socket
     }
 
     /// Returns whether the connection can be reused, now or after the reuse delay.
     ///
-    /// It cannot if unexpected bytes came behind the last response. Nor can it while a part of the last request is
-    /// unwritten: its server responded early, and may read the rest at any time or never.
+    /// It cannot be reused if unexpected bytes arrived after the last response, or while a part of the last
+    /// request is unwritten: the server responded early, and may read the rest of the request at any time or
+    /// never.
     pub fn is_usable(&self) -> bool {
         !self.ended && !self.is_writing() && self.sender.is_ready() && self.socket.is_open_and_empty()
     }
 
-    /// Returns whether a part of the last request is unwritten.
+    /// Returns whether the last request has been written in part only.
     pub fn is_writing(&self) -> bool {
         self.socket.write_progress() == WriteProgress::Partial
     }
 
-    /// Returns whether the reuse delay after the last response is over.
+    /// Returns whether the connection has been idle for at least [`ConnectionLimits::reuse_delay`].
     pub fn is_reuse_delay_over(&self) -> bool {
         self.idle_time() >= self.limits.reuse_delay
     }
 
-    /// Returns when the connection was used last.
+    /// Returns when the connection was opened, or when [`ClientConnection::wait_ready`] last returned.
     pub fn last_used_at(&self) -> Instant {
         self.last_used_at
     }
 
-    /// Returns the time since the connection was used last.
+    /// Returns the time since [`ClientConnection::last_used_at`].
     pub fn idle_time(&self) -> Duration {
         self.last_used_at.elapsed()
     }
 
-    /// Sends a request and returns the head of the response. Its body is read by [`ClientConnection::poll_data`].
+    /// Sends a request and returns the head of the response, whose body is read with
+    /// [`ClientConnection::poll_data`].
     ///
     /// # Errors
-    /// [`ResponseError`] if there is no response.
+    /// Returns [`ResponseError::NotSent`] or [`ResponseError::Broken`] if there is no response.
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, ResponseError> {
         self.socket.begin_message();
         let response = self.sender.send_request(request);
@@ -141,10 +149,11 @@
         })
     }
 
-    /// Sends a request and returns the complete response. Only the time between its first and its last byte is bounded.
+    /// Sends a request and returns the complete response. Only the time between the first and the last byte
+    /// of the response is limited.
     ///
     /// # Errors
-    /// [`ResponseError`] if there is no complete response.
+    /// Returns a [`ResponseError`] if there is no complete response.
     pub async fn exchange(
         &mut self,
         mut request: Request<Full<Bytes>>,
@@ -152,7 +161,7 @@
         let socket = self.socket.clone();
         let body_timeout = self.limits.body_timeout;
         socket.reset_response_started();
-        // After an informational response the final one has not begun.
+        // An informational response (1xx) does not begin the final response.
         let is_informational = Arc::new(AtomicBool::new(false));
         let received = is_informational.clone();
         hyper::ext::on_informational(&mut request, move |_| received.store(true, Ordering::Relaxed));
@@ -164,7 +173,8 @@
             socket.response_started()
         };
         loop {
-            // The response is polled first, and reading it is what sets the mark: no wake-up is missed.
+            // `response` is polled first, and only reading from the socket makes `started` ready, so no
+            // wake-up is missed.
             let started = poll_fn(|_| if has_started() { Poll::Ready(()) } else { Poll::Pending });
             tokio::select! {
                 biased;
@@ -184,7 +194,7 @@
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Bytes>, ResponseError> {
         let (head, body) = self.send(request).await?.into_parts();
-        // A body that is announced as too large need not be read.
+        // A body whose announced length is too large need not be read.
         if body.size_hint().lower() > self.limits.max_body as u64 {
             return Err(ResponseError::TooLarge);
         }
@@ -196,10 +206,10 @@
         }
     }
 
-    /// Returns the next chunk of the body of a response; none once it is complete. Drives the connection.
+    /// Polls the connection, and returns the next chunk of the body of a response; `None` after the last one.
     ///
     /// # Errors
-    /// [`ResponseError::Broken`] if the connection breaks.
+    /// Returns [`ResponseError::Broken`] if the connection fails.
     pub fn poll_data(
         &mut self,
         cx: &mut Context<'_>,
@@ -219,19 +229,20 @@
         }
     }
 
-    /// Drives the connection, which notices that the last response is complete, or that the peer has closed.
+    /// Polls the connection, so that it notices the end of the last response, or that the peer has closed it.
     pub fn poll_connection(&mut self, cx: &mut Context<'_>) {
         if !self.ended && self.connection.as_mut().poll(cx).is_ready() {
             self.ended = true;
         }
     }
 
-    /// Drives the connection until a future that depends on it is ready.
+    /// Polls the connection together with a future that depends on it, until the future is ready.
     pub async fn drive<F: Future>(&mut self, future: F) -> F::Output {
         drive(&mut self.connection, &mut self.ended, future).await
     }
 
-    /// Waits until the connection is ready for the next request. Returns false if it has to be closed.
+    /// Waits until the connection is ready for the next request, for at most
+    /// [`ConnectionLimits::ready_timeout`]. Returns false if the connection has to be closed.
     pub async fn wait_ready(&mut self) -> bool {
         let ClientConnection { sender, connection, ended, limits, .. } = self;
         let ready = poll_fn(|cx| {
@@ -246,8 +257,8 @@
     }
 }
 
-/// Polls the connection beside a future that depends on it. The connection may end in the very poll that brings the
-/// response, so that only the future tells of a failure.
+/// Polls the connection together with a future that depends on it. The connection may end in the same poll
+/// that makes the response available, so only the output of the future shows whether the request failed.
 async fn drive<F: Future>(connection: &mut HyperConnection, ended: &mut bool, future: F) -> F::Output {
     let mut future = pin!(future);
     poll_fn(|cx| {
@@ -259,7 +270,7 @@
     .await
 }
 
-/// Counts a socket that is open or being opened.
+/// Counts a socket, from before it connects until it is dropped.
 struct SocketCount(Rc<Cell<usize>>);
 
 impl SocketCount {
--- a/crates/http1-client/src/connection_manager.rs
+++ b/crates/http1-client/src/connection_manager.rs
@@ -1,6 +1,7 @@
-//! All incoming connections: accepts them within a budget, closes idle ones, and drains without losing a request.
+//! Accepts incoming connections up to a maximum number, closes idle connections, and drains without losing a
+//! request.
 //!
-//! What a request means is up to a [`Service`].
+//! A [`Service`] responds to the requests.
 
 use crate::server_connection::{ServeEnd, ServerConnection, Service};
 use crate::socket::Socket;
@@ -13,40 +14,46 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Rounds without a connection after which none waits in the kernel's queue either.
+/// The number of consecutive rounds without an open connection after which none waits in the kernel's queue
+/// either.
 const EMPTY_ROUNDS: u32 = 2;
 
-/// How a connection is read on after its last response, while its client still sends: closing it with unread bytes
-/// would reset it and destroy the response.
+/// The limits on reading from a connection after its last response while the client still sends. Closing the
+/// connection with unread bytes would reset it, and the client might lose the response.
 #[derive(Clone, Copy, Debug)]
 pub struct Linger {
-    /// For how long.
+    /// The maximum time.
     pub time: Duration,
-    /// The most bytes.
+    /// The maximum number of bytes.
     pub bytes: usize,
 }
 
 /// The limits of incoming connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionOptions {
-    /// The most connections. The one that has been idle longest is replaced by a new one.
+    /// The maximum number of open connections. When it is reached, the connection that has been idle longest
+    /// is closed to make room for a new one.
     pub max_connections: usize,
-    /// The most bytes of a head, and of what hyper buffers of a response.
+    /// The maximum size of the head of a request, and of the part of a response that hyper buffers, in bytes.
     pub max_header_bytes: usize,
-    /// Bytes that are recorded of what comes on a new connection (see [`Socket::record_input`]): one at least.
+    /// The number of bytes that are recorded of the input of a new connection, at least 1 (see
+    /// [`Socket::record_input`]).
     pub recorded_bytes: usize,
-    /// The longest time from connect, or from the last response, to the end of the next head, which bounds idle
-    /// connections too. If there is none, the owner bounds both by [`ConnectionManager::close_slow`].
+    /// The maximum time from the opening of a connection, or from its last response, to the end of the head
+    /// of its next request. It also limits the time that a connection is idle. If it is `None`, the owner
+    /// limits both times by calls of [`ConnectionManager::close_slow`].
     pub header_timeout: Option<Duration>,
-    /// How a connection is read on after its last response.
+    /// The limits on reading from a connection after its last response.
     pub linger: Linger,
-    /// A connection may be closed after it has been idle for this time. Before that, the request that it was opened for
-    /// is most likely on its way.
+    /// The minimum idle time of a connection before it is closed to make room for a new one, or by
+    /// [`ConnectionManager::all_closed`]. Before that, the request that it was opened for is most likely on
+    /// its way.
     pub idle_grace: Duration,
-    /// The same for a connection that has never brought a complete request, when it has to make room.
+    /// The minimum idle time of a connection on which no complete head of a request has arrived, if it is
+    /// closed to make room for a new connection.
     pub first_request_grace: Duration,
-    /// The time until accepting is tried again: after a failure, which most likely means that descriptors ran out, and
-    /// when all connections are busy.
+    /// The delay before accepting is retried after a failure, which most likely means that there are no free
+    /// file descriptors, or when all connections are busy.
     pub accept_retry_delay: Duration,
 }
 
@@ -60,7 +67,7 @@
 }
 
 impl ConnectionManager {
-    /// Creates a manager without connections.
+    /// Creates a manager that has no connections yet.
     pub fn new(options: ConnectionOptions) -> Rc<Self> {
         Rc::new(ConnectionManager {
             options: Cell::new(options),
@@ -71,17 +78,19 @@
         })
     }
 
-    /// Sets the limits of new connections. Open ones keep theirs.
+    /// Sets the limits of new connections. Open connections keep the limits with which they were accepted.
     pub fn set_options(&self, options: ConnectionOptions) {
         self.options.set(options);
     }
 
-    /// Accepts connections for as long as it is polled. Must be polled on a tokio `LocalSet`.
+    /// Accepts and serves connections for as long as the future is polled, which must be on a tokio
+    /// `LocalSet`.
     pub async fn accept<S: Service>(self: &Rc<Self>, listener: TcpListener, service: Rc<S>) {
         loop {
             let ConnectionOptions { max_connections, accept_retry_delay, .. } = self.options.get();
-            // A connection that is accepted may carry a request, and closing it would lose that one. Beyond the budget
-            // connections wait in the kernel's queue until another one has closed.
+            // An accepted connection may already carry a request, which would be lost if it were closed.
+            // Beyond the maximum, new connections therefore wait in the kernel's queue until another
+            // connection has closed.
             while self.open_count() >= max_connections {
                 self.close_most_idle();
                 let _ = timeout(accept_retry_delay, self.closed.notified()).await;
@@ -98,21 +107,22 @@
         }
     }
 
-    /// Begins to drain: responses are to carry `Connection: close` from now on. Idle connections stay open for now.
+    /// Starts to drain without closing idle connections yet. From now on, the service should send
+    /// `Connection: close` in its responses.
     pub fn set_draining(&self) {
         self.draining.set(true);
     }
 
-    /// Begins to drain and closes idle connections.
+    /// Starts to drain and closes idle connections.
     pub fn drain(&self) {
         self.set_draining();
-        // On a connection without a request so far, the first is most likely on its way.
+        // On a connection without any request so far, the first request is most likely on its way.
         for connection in self.connections.borrow().values().filter(|connection| connection.has_requested()) {
             connection.request_close();
         }
     }
 
-    /// Closes connections as they become idle, until none is left, nor one in the kernel's queue.
+    /// Closes connections as they become idle, until there is none left, and none in the kernel's queue.
     pub async fn all_closed(&self) {
         let ConnectionOptions { idle_grace, accept_retry_delay, .. } = self.options.get();
         let mut empty_rounds = 0;
@@ -127,8 +137,8 @@
         }
     }
 
-    /// Closes the connections that have been idle for `idle_timeout`, and those where a head that was seen before is
-    /// not complete within `header_timeout`.
+    /// Closes connections that have been idle for `idle_timeout`, and connections on which the head of a
+    /// request is still incomplete `header_timeout` after a call of this method first found a part of it.
     pub fn close_slow(&self, idle_timeout: Duration, header_timeout: Duration) {
         let connections = self.connections.borrow();
         for connection in connections.values().filter(|each| each.is_slow(idle_timeout, header_timeout)) {
@@ -141,6 +151,7 @@
         self.connections.borrow().len()
     }
 
+    /// Asks the connection that should be closed first to close, if any may be closed.
     fn close_most_idle(&self) {
         let options = self.options.get();
         let connections = self.connections.borrow();
--- a/crates/http1-client/src/lib.rs
+++ b/crates/http1-client/src/lib.rs
@@ -1,8 +1,9 @@
-//! HTTP/1.1 connections that know how far a message has been written.
+//! HTTP/1.1 connections that track how much of a message has been written to the socket.
 //!
-//! - [`ClientConnection`]: an outgoing connection. Nothing is ever sent twice on it.
-//! - [`ConnectionManager`]: all incoming connections, accepted within a budget and drained without losing a request.
-//! - [`Socket`]: the socket of either, with its [`WriteProgress`].
+//! - [`ClientConnection`]: an outgoing connection. It never sends a request a second time.
+//! - [`ConnectionManager`]: all incoming connections of a listener, limited in number and drained without
+//!   losing a request.
+//! - [`Socket`]: the socket of an outgoing or incoming connection, with its [`WriteProgress`].
 #![forbid(unsafe_code)]
 
 mod client_connection;
--- a/crates/http1-client/src/server_connection.rs
+++ b/crates/http1-client/src/server_connection.rs
@@ -1,4 +1,4 @@
-//! An incoming connection: its state, and how it is served.
+//! An incoming connection, which serves requests until it closes.
 
 use crate::connection_manager::ConnectionOptions;
 use crate::socket::{Socket, Tracked};
@@ -21,12 +21,13 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Responds to the requests of all connections.
+/// Responds to the requests on all incoming connections.
 pub trait Service: 'static {
-    /// The body of its responses.
+    /// The type of response bodies.
     type Body: Body<Data = Bytes, Error: Into<Box<dyn Error + Send + Sync>>> + Unpin + 'static;
 
-    /// Responds to a request. `accepted_at` is when the connection was accepted, for its first request.
+    /// Responds to a request. `accepted_at` is the time at which the connection was accepted for its first
+    /// request, and `None` for later requests.
     fn respond(
         self: Rc<Self>,
         request: Request<Incoming>,
@@ -34,44 +35,45 @@
         accepted_at: Option<Instant>,
     ) -> impl Future<Output = Response<Self::Body>>;
 
-    /// Handles that a connection could not be accepted. It is tried again.
+    /// Is called when accepting a connection has failed. Accepting is retried after a delay.
     fn accept_failed(&self, error: &io::Error);
 }
 
-/// Which connection is closed first to make room: those that never sent a request, then those that are idle longest.
+/// The order in which connections are closed to make room, the first one lowest: connections that have never
+/// sent a request, then the others; within each group the connection that has been idle longest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct CloseRank {
     has_requested: bool,
     idle_since: Instant,
 }
 
-/// How a connection ended.
+/// How serving a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ServeEnd {
-    /// The last response may meet a client that still sends.
+    /// The client may still be sending after the last response.
     Linger,
-    /// Nothing is left to be read or written.
+    /// There is nothing left to read or write.
     Closed,
 }
 
 /// An incoming connection.
 pub struct ServerConnection {
     socket: Rc<Socket>,
-    /// Whether a request is open.
+    /// Whether a request is open. It is open until hyper has read the whole body of its response.
     busy: Cell<bool>,
-    /// Whether a complete head of a request has come.
+    /// Whether the complete head of a request has arrived.
     has_requested: Cell<bool>,
-    /// When the connection became busy or idle: at first when it was accepted.
+    /// When the connection was accepted, or when it last became idle.
     since: Cell<Instant>,
-    /// When a part of a head was seen first.
+    /// When [`ServerConnection::is_slow`] first found a part of the head of the next request.
     head_since: Cell<Option<Instant>>,
-    /// Whether the latest response says that the connection closes.
+    /// Whether the latest response tells the client that the connection closes.
     closing: Cell<bool>,
-    /// Whether it closes without another response.
+    /// Whether the connection closes without another response unless a request is open.
     aborted: Cell<bool>,
-    /// Whether it closes at once, also with a request open.
+    /// Whether the connection closes at once, even if a request is open.
     closes_now: Cell<bool>,
-    /// Asks it to close once no request is open.
+    /// Asks the connection to close.
     close: Notify,
 }
 
@@ -90,19 +92,19 @@
         }
     }
 
-    /// Returns the socket.
+    /// Returns the socket of the connection.
     pub fn socket(&self) -> &Rc<Socket> {
         &self.socket
     }
 
-    /// Closes the connection at once, also in the middle of a response, which then does not look complete. For
-    /// responses that the client does not read.
+    /// Closes the connection at once, even in the middle of a response, which the client then recognizes as
+    /// incomplete. This is meant for responses that the client does not read.
     pub fn close_now(&self) {
         self.closes_now.set(true);
         self.close.notify_one();
     }
 
-    /// Closes the connection without another response.
+    /// Closes the connection without another response, unless a request is open.
     pub(crate) fn abort(&self) {
         self.aborted.set(true);
         self.close.notify_one();
@@ -118,13 +120,13 @@
         self.close.notified().await;
     }
 
-    /// Returns whether a complete head of a request has come.
+    /// Returns whether the complete head of a request has arrived.
     pub(crate) fn has_requested(&self) -> bool {
         self.has_requested.get()
     }
 
-    /// Forgets the requests of the connection, which has had its last response: it may be closed like one that never
-    /// had a request.
+    /// Records that the last response has been sent: from now on the connection may be closed like one that
+    /// has never had a request.
     pub(crate) fn forget_requests(&self) {
         self.has_requested.set(false);
         self.since.set(Instant::now());
@@ -135,15 +137,17 @@
         !self.busy.get() && self.since.get().elapsed() > idle_grace
     }
 
-    /// Returns the rank of the connection if it may be closed to make room. Connections without a request come first,
-    /// so that they crowd out no client.
+    /// Returns the rank of the connection if it may be closed to make room. Connections without a request are
+    /// closed first, so that they do not displace clients that send requests.
     pub(crate) fn close_rank(&self, options: &ConnectionOptions) -> Option<CloseRank> {
         let is_unused = !self.has_requested.get() && self.is_idle(options.first_request_grace);
         let rank = CloseRank { has_requested: self.has_requested.get(), idle_since: self.since.get() };
         (is_unused || self.is_idle(options.idle_grace)).then_some(rank)
     }
 
-    /// Returns whether the connection has been idle for too long, or the head of its next request takes too long.
+    /// Returns whether the connection has been idle for longer than `idle_timeout`, or the head of its next
+    /// request has been incomplete for longer than `header_timeout`. The time of a head is measured from the
+    /// first call that finds it.
     pub(crate) fn is_slow(&self, idle_timeout: Duration, header_timeout: Duration) -> bool {
         if self.busy.get() {
             self.head_since.set(None);
@@ -158,7 +162,7 @@
         head_since.elapsed() > header_timeout
     }
 
-    /// Serves the connection until it accepts no more requests.
+    /// Serves the connection until it accepts no further requests.
     pub(crate) async fn serve<S: Service>(
         self: &Rc<Self>,
         options: &ConnectionOptions,
@@ -175,7 +179,8 @@
         let mut connection = pin!(http.serve_connection(io, respond));
         loop {
             tokio::select! {
-                // An error here is the client's: it left, was too slow, or sent invalid HTTP and got a response.
+                // An error here is caused by the client: it closed the connection, was too slow, or sent
+                // invalid HTTP, to which hyper has responded.
                 end = connection.as_mut() => {
                     let lingers = end.map_or_else(|error| error.is_parse(), |()| self.closing.get());
                     return if lingers { ServeEnd::Linger } else { ServeEnd::Closed };
@@ -203,7 +208,7 @@
         Ok(response.map(|body| BusyBody { body, _busy: busy }))
     }
 
-    /// Returns how the connection closes after it was asked to.
+    /// Returns how a connection that was asked to close does so now.
     fn close_action(&self, draining: bool) -> CloseAction {
         if self.closes_now.get() {
             return CloseAction::Now;
@@ -215,13 +220,14 @@
         if self.aborted.get() {
             return CloseAction::Now;
         }
-        // A request that is unread or partly read would be lost with its connection: it is served first. When the
-        // connection only makes room, a part of a head on one that never sent a request does not count.
+        // A request that is unread or partly read would be lost if the connection closed, so it is served
+        // first. If the connection only closes to make room and has never sent a request, a part of a head
+        // does not prevent this.
         let expects_request = self.has_requested.get() || draining;
         if !self.socket.is_open_and_empty() || (expects_request && self.socket.has_input()) {
             return CloseAction::Later;
         }
-        // A part of a head would delay hyper's own shutdown.
+        // hyper's graceful shutdown would wait for the rest of a head that has arrived in part.
         match self.has_requested.get() {
             true => CloseAction::Gracefully,
             false => CloseAction::Now,
@@ -231,15 +237,15 @@
 
 /// How a connection that was asked to close does so.
 enum CloseAction {
-    /// At once.
+    /// The connection closes at once.
     Now,
-    /// After the response that is open, if any.
+    /// The connection closes after the open response, if any.
     Gracefully,
-    /// Not yet: a request is on its way.
+    /// The connection does not close yet, because a request is arriving.
     Later,
 }
 
-/// Marks a connection as busy while a request is open.
+/// Marks a connection as busy until it is dropped.
 struct BusyGuard(Rc<ServerConnection>);
 
 impl BusyGuard {
@@ -256,7 +262,7 @@
     }
 }
 
-/// The body of a response, whose connection is busy until hyper has taken all of it.
+/// The body of a response. Its connection is busy until hyper has read all of it.
 struct BusyBody<B> {
     body: B,
     _busy: BusyGuard,
--- a/crates/http1-client/src/socket.rs
+++ b/crates/http1-client/src/socket.rs
@@ -1,4 +1,4 @@
-//! A socket that records how far the latest message was written, and what was received.
+//! A socket that records how much of the latest message was written, and what was received.
 
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
@@ -18,32 +18,33 @@
 /// How much of the latest message has been handed to the kernel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteProgress {
-    /// Not one byte.
+    /// No byte.
     NotStarted,
-    /// Some bytes.
+    /// At least one byte, and possibly not all.
     Partial,
     /// All bytes.
     Complete,
 }
 
-/// A socket that records how far the latest message was written.
+/// A socket that records how much of the latest message was written, and the first bytes that were received.
 pub struct Socket {
-    /// Reads without asking the kernel once more after it has given less than there was room for.
+    /// The half for reading. It does not call the kernel again after a read that returned fewer bytes than
+    /// the buffer holds.
     reader: RefCell<OwnedReadHalf>,
-    /// Present until the socket is dropped.
+    /// The half for writing; `Some` until the socket is dropped.
     writer: Option<OwnedWriteHalf>,
     write_progress: Cell<WriteProgress>,
-    /// Whether anything was received since the latest message was begun.
+    /// Whether input or its end was read since [`Socket::reset_response_started`].
     response_started: Cell<bool>,
     /// The first bytes received since [`Socket::record_input`].
     recorded_input: RefCell<Vec<u8>>,
     record_limit: Cell<usize>,
-    /// Whether this side has aborted the connection.
+    /// Whether [`Socket::abort`] was called.
     aborted: Cell<bool>,
 }
 
 impl Socket {
-    /// Wraps a stream. Small messages go out at once.
+    /// Wraps a TCP stream, and sets `TCP_NODELAY` so that small messages are sent at once.
     pub fn new(stream: TcpStream) -> Rc<Self> {
         let _ = stream.set_nodelay(true);
         let (reader, writer) = stream.into_split();
@@ -59,20 +60,20 @@
     }
 
     fn stream(&self) -> &TcpStream {
-        self.writer.as_ref().expect("present until the socket is dropped").as_ref()
+        self.writer.as_ref().expect("the half for writing is present until the socket is dropped").as_ref()
     }
 
-    /// Returns how much of the latest message has been written.
+    /// Returns how much of the latest message has been handed to the kernel.
     pub fn write_progress(&self) -> WriteProgress {
         self.write_progress.get()
     }
 
-    /// Begins to record the progress of the next message.
+    /// Resets the write progress for the next message.
     pub(crate) fn begin_message(&self) {
         self.write_progress.set(WriteProgress::NotStarted);
     }
 
-    /// Forgets that anything was received.
+    /// Resets the result of [`Socket::response_started`] to false.
     pub(crate) fn reset_response_started(&self) {
         self.response_started.set(false);
     }
@@ -82,27 +83,28 @@
         self.response_started.get()
     }
 
-    /// Closes the connection at once, before its owner is dropped: a server must never see the next attempt of a
-    /// request while this one still looks open. Later reads fail, so that the end of the input does not look like an
-    /// orderly close by the peer.
+    /// Closes the connection at once, even if its owner is dropped later: a server must never receive the
+    /// next attempt of a request while the connection of this attempt still looks open. Later reads fail, so
+    /// that the end of the input is not taken for an orderly close by the peer.
     pub fn abort(&self) {
         self.aborted.set(true);
         let _ = SockRef::from(self.stream()).shutdown(Shutdown::Both);
     }
 
-    /// Begins to record the next `limit` bytes that are received.
+    /// Starts to record the first `limit` bytes that are received from now on.
     pub fn record_input(&self, limit: usize) {
         self.recorded_input.borrow_mut().clear();
         self.record_limit.set(limit);
     }
 
-    /// Returns the recorded bytes, and stops recording.
+    /// Stops recording, and returns and clears the recorded bytes.
     pub fn recorded_input(&self) -> Vec<u8> {
         self.record_limit.set(0);
         self.recorded_input.take()
     }
 
-    /// Stops writing, and reads until the peer has closed, or for up to `time` and `bytes`.
+    /// Closes the sending side, then reads and discards input until the peer has closed its sending side,
+    /// `time` has passed, or `bytes` bytes were read.
     pub async fn linger(&self, time: Duration, bytes: usize) {
         let _ = SockRef::from(self.stream()).shutdown(Shutdown::Write);
         let discard = async {
@@ -119,30 +121,31 @@
         let _ = timeout(time, discard).await;
     }
 
-    /// Waits until the peer has closed the connection or its sending side, also behind unread bytes.
+    /// Waits until the peer has closed the connection or its sending side, even if there are unread bytes.
     pub async fn peer_closed(&self) {
-        // With this interest the socket reports only the end of the input.
+        // With this interest, the socket reports the end of the input but no other input.
         match self.stream().ready(Interest::PRIORITY).await {
             Ok(ready) if !ready.is_read_closed() => pending().await,
             _ => {}
         }
     }
 
-    /// Returns whether anything was received since [`Socket::record_input`].
+    /// Returns whether any bytes have been recorded since [`Socket::record_input`].
     pub fn has_input(&self) -> bool {
         !self.recorded_input.borrow().is_empty()
     }
 
-    /// Sets for how long written bytes may stay unacknowledged before the connection breaks.
+    /// Sets the maximum time for which written bytes may stay unacknowledged before the connection fails
+    /// (`TCP_USER_TIMEOUT`).
     ///
     /// # Errors
-    /// Those of the socket.
+    /// Returns the error of the socket.
     pub fn set_user_timeout(&self, time: Duration) -> io::Result<()> {
         SockRef::from(self.stream()).set_tcp_user_timeout(Some(time))
     }
 
-    /// Returns whether the connection is open and has nothing to read. Asks the kernel, as the runtime may not have
-    /// noticed yet.
+    /// Returns whether the connection is open and has no unread input. This asks the kernel, because the
+    /// runtime may not have been notified yet.
     pub fn is_open_and_empty(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let peeked = SockRef::from(self.stream()).peek(&mut byte);
@@ -151,7 +154,8 @@
 }
 
 impl Drop for Socket {
-    /// Closes both directions at once: dropping the writing half alone would shut it down in an orderly way first.
+    /// Closes both directions at once. Dropping the half for writing would first shut down that direction in
+    /// an orderly way.
     fn drop(&mut self) {
         if let Some(writer) = self.writer.take() {
             writer.forget();
@@ -159,7 +163,7 @@
     }
 }
 
-/// A socket as hyper reads and writes it.
+/// The I/O stream through which hyper reads and writes a [`Socket`].
 pub struct Tracked(pub Rc<Socket>);
 
 impl AsyncRead for Tracked {
@@ -207,8 +211,9 @@
         true
     }
 
-    /// hyper flushes once its buffer is empty, and buffers a request with a ready body completely before it writes any
-    /// of it: a flush after a write means that the last byte was written.
+    /// Records that the message was written completely. hyper buffers a request whose body is available
+    /// completely before it writes any of it, and flushes only when its buffer is empty. A flush after a
+    /// write therefore means that the last byte was written.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         if self.0.write_progress.get() == WriteProgress::Partial {
             self.0.write_progress.set(WriteProgress::Complete);
