--- a/crates/http1-client/tests/client_connection/main.rs
+++ b/crates/http1-client/tests/client_connection/main.rs
@@ -1,4 +1,4 @@
-//! Outgoing connections against servers that play a timeline.
+//! Tests of outgoing connections against servers that run a script.
 
 mod responses;
 mod server;
--- a/crates/http1-client/tests/client_connection/responses.rs
+++ b/crates/http1-client/tests/client_connection/responses.rs
@@ -1,4 +1,4 @@
-//! The outcome of a request, how far it was written, and whether the connection can be reused.
+//! The outcome of a request, how much of it was written, and whether the connection can be reused.
 
 use crate::server::{start, Shared};
 use bytes::Bytes;
@@ -15,9 +15,10 @@
 use tokio::task::{yield_now, LocalSet};
 use tokio::time::timeout;
 
-/// The longest that anything is waited for.
+/// The maximum duration of a test, and the timeout of connections.
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// Longer than the kernel's buffers hold of a connection that nobody reads.
+/// The size of a body that exceeds the kernel's buffers for a connection that the server does not read, in
+/// bytes.
 const LONG_BODY: usize = 32 * 1024 * 1024;
 
 const OPTIONS: ConnectionLimits = ConnectionLimits {
@@ -55,7 +56,7 @@
     }
 }
 
-/// Lets the connection go on once, as the next use does.
+/// Polls the connection once, as its next use does, and returns whether it can be reused.
 async fn is_usable(connection: &mut ClientConnection) -> bool {
     poll_fn(|cx| {
         connection.poll_connection(cx);
@@ -64,8 +65,8 @@
     .await
 }
 
-/// Each line: what the server does, what comes of the request, how far it was written, and whether the connection
-/// can be used again. `signal` stands where the server has nothing more to send.
+/// The script of the server, the outcome of the request, how much of it was written, and whether the
+/// connection can be reused. `signal` stands where the server has nothing more to send.
 const TIMELINES: &[(&str, &str, WriteProgress, bool)] = &[
     ("request ok signal", "200 done", WriteProgress::Complete, true),
     ("request chunked signal", "200 done", WriteProgress::Complete, true),
@@ -84,7 +85,7 @@
     ("request noise signal", "Broken", WriteProgress::Complete, false),
     ("request signal close", "Broken", WriteProgress::Complete, false),
     ("request signal reset", "Broken", WriteProgress::Complete, false),
-    // Read or not: what was handed to the kernel may have been.
+    // The server does not read the body, but it could have: the kernel has taken all of the request.
     ("head signal reset", "Broken", WriteProgress::Complete, false),
 ];
 
@@ -115,7 +116,7 @@
             connection.socket().peer_closed().await;
             let socket = connection.socket().clone();
             let result = outcome(connection.exchange(request(b"more".to_vec())).await);
-            // Where only its writing had ended, the server might still read.
+            // If bytes were written, the server may have read them: it may have closed only its sending side.
             match socket.write_progress() {
                 WriteProgress::NotStarted => assert_eq!(result, "NotSent", "{script}"),
                 _ => assert_eq!(result, "Broken", "{script}"),
@@ -130,7 +131,7 @@
     run(async {
         let (address, _) = start(&["request ok head reset"]).await;
         let mut connection = connect(address).await;
-        connection.exchange(request(b"work".to_vec())).await.expect("an answer");
+        connection.exchange(request(b"work".to_vec())).await.expect("a response");
         assert!(is_usable(&mut connection).await);
         assert_eq!(outcome(connection.exchange(request(b"more".to_vec())).await), "Broken");
         assert_eq!(connection.socket().write_progress(), WriteProgress::Complete);
@@ -147,7 +148,7 @@
         assert!(connection.is_writing());
         assert!(!is_usable(&mut connection).await, "the next request has to wait");
         shared.go_on.add_permits(1);
-        // The server reads on, and gets that body and nothing else.
+        // The server reads the rest of this body and nothing else.
         let read = async {
             wait_for_signal(&shared).await;
         };
@@ -186,7 +187,7 @@
         assert_eq!(first, Some(Ok(Bytes::from_static(b"done"))));
         connection.socket().abort();
         let next = poll_fn(|cx| connection.poll_data(cx, &mut body)).await;
-        assert_eq!(next, Some(Err(ResponseError::Broken)), "the answer is not whole");
+        assert_eq!(next, Some(Err(ResponseError::Broken)), "the response is not complete");
     });
 }
 
@@ -218,7 +219,7 @@
         assert!(is_usable(&mut connection).await);
         shared.go_on.add_permits(1);
         wait_for_signal(&shared).await;
-        // The connection is not driven meanwhile, so that only the kernel has the bytes.
+        // The connection is not polled meanwhile, so that the bytes are only in the kernel's buffer.
         while connection.socket().is_open_and_empty() {
             yield_now().await;
         }
--- a/crates/http1-client/tests/client_connection/server.rs
+++ b/crates/http1-client/tests/client_connection/server.rs
@@ -1,13 +1,13 @@
-//! A server that plays a script on each connection, a word a step.
+//! A server that runs a script on each connection. Each word of a script is a step.
 //!
 //! | word | step |
 //! | --- | --- |
-//! | `head`, `body`, `request` | reads a part of a request, or all of it |
-//! | `ok`, `chunked`, `bare`, `empty` | answers: with a length, in chunks, with no length, with 204 |
-//! | `half-head`, `half-body`, `half-chunk` | begins an answer |
-//! | `hint`, `noise` | an answer before the answer, no HTTP |
-//! | `signal`, `wait` | tells the test that it got so far, waits until the test says so |
-//! | `reset`, `close` | ends the connection |
+//! | `head`, `body`, `request` | reads the head of a request, its body, or both |
+//! | `ok`, `chunked`, `bare`, `empty` | sends a response: with length, chunked, without length, status 204 |
+//! | `half-head`, `half-body`, `half-chunk` | sends the beginning of a response |
+//! | `hint`, `noise` | sends an informational response (103), or bytes that are not HTTP |
+//! | `signal`, `wait` | signals the test that this step is reached, waits for the test |
+//! | `reset`, `close` | resets the connection, or closes it |
 
 use socket2::SockRef;
 use std::cell::RefCell;
@@ -19,19 +19,19 @@
 use tokio::sync::Semaphore;
 use tokio::task::spawn_local;
 
-/// What the test and the server signal each other, and what the server got.
+/// The signals between the test and the server, and the requests that the server has read.
 pub struct Shared {
-    /// A permit for each `signal` of the script.
+    /// One permit for each `signal` step that the server has reached.
     pub signals: Semaphore,
-    /// As often as the server may go on.
+    /// One permit for each `wait` step after which the server may continue.
     pub go_on: Semaphore,
-    /// The first lines of the requests.
+    /// The first lines of the requests, in lower case.
     pub requests: RefCell<Vec<String>>,
     /// The bodies of the requests.
     pub bodies: RefCell<Vec<Vec<u8>>>,
 }
 
-/// Starts a server whose connections play these scripts, one each.
+/// Starts a server that runs one of the scripts on each connection, in this order.
 pub async fn start(scripts: &'static [&'static str]) -> (SocketAddr, Rc<Shared>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
     let address = listener.local_addr().expect("address");
@@ -63,7 +63,7 @@
                 read_body(&mut stream, length, &shared).await;
             }
             "signal" => shared.signals.add_permits(1),
-            "wait" => shared.go_on.acquire().await.expect("the test goes on").forget(),
+            "wait" => shared.go_on.acquire().await.expect("the test lets the server continue").forget(),
             "reset" => {
                 SockRef::from(stream.get_ref()).set_linger(Some(Duration::ZERO)).expect("linger");
                 return drop(stream);
@@ -74,7 +74,7 @@
             }
         }
     }
-    // Open until the other side has closed it.
+    // The connection stays open until the client has closed it.
     let _ = stream.read_to_end(&mut Vec::new()).await;
 }
 
@@ -94,7 +94,7 @@
     }
 }
 
-/// Gives the length of the body.
+/// Reads the head of a request, and returns the length of its body.
 async fn read_head(stream: &mut BufReader<TcpStream>, shared: &Shared) -> usize {
     let mut length = 0;
     let mut first = String::new();
--- a/crates/load-balancer/tests/common/fleet.rs
+++ b/crates/load-balancer/tests/common/fleet.rs
@@ -1,4 +1,4 @@
-//! A small model of a fleet: model servers, the proxies before them, and their clients.
+//! A simulation of a fleet: servers with inference engines, the proxies in front of them, and their clients.
 #![allow(dead_code)]
 
 use super::{balancer_with, engine, locality, ms, options, proxy_peer, ENGINE};
@@ -8,27 +8,34 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
+/// The duration of a step of an engine without any tokens, in milliseconds.
 const STEP_MS: f64 = 5.23;
+/// The number of tokens that an engine prefills per millisecond.
 const TOKENS_PER_MS: f64 = 38.4;
+/// The maximum number of tokens that an engine prefills in a step.
 const CHUNK: u32 = 2_048;
-/// Prefilling a token takes longer the longer its context.
+/// Prefilling a token takes longer with a longer context. This is the time in milliseconds for a million
+/// pairs of a prefilled token and a token of its context.
 const MS_PER_MILLION_PAIRS: f64 = 0.647;
-/// An event of a stream holds this many tokens, and should come within this time.
+/// The number of tokens in an event of a streamed response, and the maximum time between two events.
 const EVENT_TOKENS: u32 = 5;
 const MAX_EVENT_GAP: Duration = Duration::from_millis(400);
-/// No length is more times its mean.
+/// The maximum ratio of a random length to its mean.
 const MAX_LENGTH_FACTOR: f64 = 14.0;
+/// The number of tokens that the memory of an engine holds.
 const MEMORY: u64 = 225_711;
-/// Counts are exchanged so often, and are so old when they arrive.
+/// The interval at which proxies exchange their loads, and the age of the loads when they arrive.
 const EXCHANGE: Duration = Duration::from_millis(500);
 const EXCHANGE_LAG: Duration = Duration::from_millis(300);
-/// A segment should not be prefilled again so soon after its latest use.
+/// A shared segment that is prefilled within this time after its latest use counts as prefilled again.
 const REUSE_WINDOW: Duration = Duration::from_secs(10);
 
-/// A kind of request.
+/// A kind of request, with the means of its random lengths.
 pub struct Kind {
+    /// The mean number of requests per second.
     pub per_s: f64,
-    /// Numbers and lengths of the shared segments.
+    /// For each of the two shared segments of a prompt, the number of different segments and their mean
+    /// length in tokens.
     pub chain: [(u64, u32); 2],
     pub own_tokens: u32,
     pub output_tokens: u32,
@@ -51,34 +58,43 @@
 pub struct Figures {
     pub requests: usize,
     pub rejected: usize,
-    /// Requests whose first token came after their objective, though the prefill takes less than half of it.
+    /// Requests whose first token came after the target latency, although the prefill takes less than half of
+    /// it.
     pub late: usize,
-    /// Requests whose stream paused for too long.
+    /// Requests with a pause longer than [`MAX_EVENT_GAP`] between two events of the response.
     pub paused: usize,
-    /// Shared tokens of all requests, and those of them that a server prefilled although one had cached them recently.
+    /// Tokens in the shared segments of all requests.
     pub shared: u64,
+    /// Tokens of those that a server prefilled within [`REUSE_WINDOW`] after their latest use at any server.
     pub prefilled_again: u64,
-    /// Requests that went to another region.
+    /// Requests that were sent to another region.
     pub other_region: usize,
+    /// The bytes of those requests and of their responses.
     pub other_region_bytes: u64,
+    /// The maximum number of requests that ran at one engine at the same time.
     pub most_running: usize,
 }
 
+/// A request that is queued or runs at an engine.
 struct Running {
+    /// The index of its proxy.
     proxy: usize,
     objective: Duration,
     ticket: Option<Ticket>,
     sent: Duration,
     remaining_prefill: u32,
-    /// The tokens to prefill when its prefill began.
+    /// The number of tokens to prefill when the prefill began.
     prefill_tokens: u32,
     segments: Vec<PromptSegment>,
     remaining_output: u32,
     has_started: bool,
-    /// Tokens since the latest event of its stream, and when that was; whether one came too late.
+    /// The number of tokens since the latest event of its response.
     tokens: u32,
+    /// The time of the latest event.
     event: Duration,
+    /// Whether an event came too late.
     paused: bool,
+    /// The number of tokens that the request needs in the memory of the engine.
     memory: u64,
 }
 
@@ -86,7 +102,7 @@
 struct Engine {
     queue: VecDeque<Running>,
     running: Vec<Running>,
-    /// Segments that are cached, and when they were last used.
+    /// The cached segments by id, with their length in tokens and the time of their latest use.
     cached: HashMap<u64, (u32, Duration)>,
     busy_until: Duration,
 }
@@ -97,11 +113,15 @@
     proxies: Vec<ProxyPeer>,
     balancers: Vec<Balancer>,
     engines: BTreeMap<ServerKey, Engine>,
-    /// Keys are alike at all balancers, as servers are put in the same order.
+    /// The zone of each server. A server has the same key at all balancers, because servers are added in the
+    /// same order.
     zones: HashMap<ServerKey, &'static str>,
+    /// The time of the latest use of each segment at any server.
     last_use: HashMap<u64, Duration>,
+    /// The summed loads that the proxies have not received yet, with the times at which they arrive.
     totals: VecDeque<(Duration, HashMap<u64, quillpulley_protocol::ServerLoad>)>,
     pub figures: Figures,
+    /// The length of each shared segment in tokens.
     lengths: HashMap<u64, u32>,
 }
 
@@ -116,7 +136,7 @@
         for (n, zone) in fleet_options.server_zones.iter().enumerate() {
             for balancer in &mut balancers {
                 let key = balancer.put_server(Duration::ZERO, &engine(&format!("s{n}"), zone));
-                let key = key.expect("the address can be read");
+                let key = key.expect("the address is valid");
                 engines.entry(key).or_default();
                 zones.insert(key, *zone);
             }
@@ -161,6 +181,7 @@
         self.figures
     }
 
+    /// Sums the loads of all proxies, to be delivered later.
     fn exchange(&mut self, now: Duration) {
         let mut sums: HashMap<u64, quillpulley_protocol::ServerLoad> = HashMap::new();
         for balancer in &mut self.balancers {
@@ -190,12 +211,14 @@
         }
     }
 
+    /// Returns the length of a shared segment, which is chosen at random at its first use.
     fn length(&mut self, id: u64, mean: u32) -> u32 {
         let spread = self.random.f64() + 0.5;
         *self.lengths.entry(id).or_insert((f64::from(mean) * spread) as u32)
     }
 
-    /// A length around a mean: few are many times as long, as lengths of prompts are.
+    /// Returns a random length with a log-normal distribution. As with real prompts, a few lengths are many
+    /// times the mean.
     fn spread(&mut self, mean: u32, sigma: f64) -> u32 {
         let radius = (-2.0 * (1.0 - self.random.f64()).ln()).sqrt();
         let normal = radius * (std::f64::consts::TAU * self.random.f64()).cos();
@@ -203,6 +226,7 @@
         (f64::from(mean) * factor.min(MAX_LENGTH_FACTOR)) as u32 + 1
     }
 
+    /// Sends a request of a random kind with random segments from a random proxy.
     fn arrive(&mut self, now: Duration) {
         let total: f64 = self.options.kinds.iter().map(|kind| kind.per_s).sum();
         let mut left = self.random.f64() * total;
@@ -278,11 +302,12 @@
             memory,
             segments,
         };
-        let engine = self.engines.get_mut(&key).expect("it is known");
+        let engine = self.engines.get_mut(&key).expect("the server is known");
         engine.queue.push_back(request);
     }
 
-    /// One step of an engine: the requests that run get a token each, and a chunk of a prompt is prefilled.
+    /// Runs one step of an engine: each running request whose prompt is prefilled gets a token, and up to
+    /// [`CHUNK`] tokens of the other prompts are prefilled.
     fn step(&mut self, now: Duration, key: ServerKey) {
         let Some(engine) = self.engines.get_mut(&key) else { return };
         if now < engine.busy_until {
@@ -371,7 +396,7 @@
 }
 
 impl Engine {
-    /// Evicts the segments that were unused for longest.
+    /// Evicts the least recently used segments until the rest fits the memory.
     fn evict(&mut self) {
         let running: u64 = self.running.iter().map(|request| request.memory).sum();
         let mut used = running + self.cached.values().map(|(tokens, _)| u64::from(*tokens)).sum::<u64>();
--- a/crates/load-balancer/tests/common/mod.rs
+++ b/crates/load-balancer/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers of several tests.
+//! Helpers that several tests share.
 #![allow(dead_code)]
 
 pub mod fleet;
@@ -9,19 +9,23 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// The name of the service whose servers run an inference engine.
 pub const ENGINE: &str = "writers";
+/// The name of the service whose servers run no model.
 pub const PLAIN: &str = "cards";
 
-/// `WarmupPerS` 11 × `WarmupOvershoot` 1.5 + `WarmupSlack` 5.
+/// The limit on requests per second to a cold server: `WarmupPerS` 11 × `WarmupOvershoot` 1.5 + `WarmupSlack`
+/// 5, rounded down.
 pub const WARMUP_BOUND: usize = 21;
 
+/// The warm-up time of the service [`ENGINE`].
 pub const WARMUP: Duration = Duration::from_secs(3);
 
 pub fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
 }
 
-/// Zone `a1` is in region `a`, and so on.
+/// Returns the locality of a zone. The region is the first letter of the zone: `a1` is in region `a`.
 pub fn locality(zone: &str) -> Locality {
     Locality { zone: zone.to_owned(), region: zone[..1].to_owned() }
 }
@@ -52,12 +56,12 @@
     ProxyPeer { name: name.to_owned(), locality: locality(zone) }
 }
 
-/// A balancer that knows the configuration and no servers.
+/// Creates a balancer that has the services of [`configuration`] and no servers.
 pub fn balancer(name: &str, zone: &str, proxies: &[ProxyPeer]) -> Balancer {
     balancer_with(options(name), zone, proxies)
 }
 
-/// The same with other options.
+/// Does the same as [`balancer`], with the given options.
 pub fn balancer_with(options: Options, zone: &str, proxies: &[ProxyPeer]) -> Balancer {
     let mut balancer = Balancer::new(locality(zone), zones(), options);
     balancer.set_services(configuration().services.values());
@@ -67,7 +71,7 @@
     balancer
 }
 
-/// A balancer in zone `a1` with nobody else.
+/// Creates a balancer in zone `a1` that is the only proxy.
 pub fn lone_balancer() -> Balancer {
     balancer("l1", "a1", &[proxy_peer("l1", "a1")])
 }
@@ -94,7 +98,7 @@
     server(id, PLAIN, zone, 6)
 }
 
-/// A demand without a prompt.
+/// Returns a demand without a prompt, with the highest priority.
 pub fn demand(service: &str) -> Demand<'_> {
     Demand {
         service,
@@ -110,7 +114,7 @@
     }
 }
 
-/// A demand with a prompt of these segments.
+/// Returns a demand with a prompt of these segments, on a sticky route.
 pub fn prompt<'a>(service: &'a str, segments: &'a [PromptSegment]) -> Demand<'a> {
     let prompt_tokens = segments.iter().map(|segment| segment.tokens).sum();
     Demand { segments, prompt_tokens, output_tokens: 50, sticky: true, ..demand(service) }
--- a/crates/load-balancer/tests/eligibility.rs
+++ b/crates/load-balancer/tests/eligibility.rs
@@ -1,4 +1,4 @@
-//! Which servers the published list, evacuations and home regions allow.
+//! The servers that may be chosen according to the published list, the evacuated zones and the home regions.
 
 mod common;
 
@@ -12,7 +12,7 @@
 const NOW: Duration = Duration::from_secs(60);
 
 fn put(balancer: &mut Balancer, server: &Server) -> ServerKey {
-    balancer.put_server(NOW, server).expect("its address can be read")
+    balancer.put_server(NOW, server).expect("the address is valid")
 }
 
 fn chosen(balancer: &mut Balancer, demand: &Demand<'_>) -> Option<ServerKey> {
@@ -52,7 +52,7 @@
     let key = put(&mut balancer, &plain("s", "a1"));
     put(&mut balancer, &Server { state: ServerState::Draining, ..plain("s", "a1") });
     assert_eq!(balancer.choose(NOW, &demand(PLAIN), &[]), Choice::NoServer);
-    assert!(balancer.server(key).is_some(), "what is under way there goes on");
+    assert!(balancer.server(key).is_some(), "requests in flight at the server continue");
     assert!(!balancer.is_usable(key));
 }
 
@@ -72,7 +72,7 @@
     balancer.end(NOW, ticket, Outcome::Misdirected);
     assert_eq!(chosen(&mut balancer, &demand(PLAIN)), None);
     put(&mut balancer, &plain("s", "a1"));
-    assert_eq!(chosen(&mut balancer, &demand(PLAIN)), None, "the same entry again is nothing new");
+    assert_eq!(chosen(&mut balancer, &demand(PLAIN)), None, "an unchanged entry has no effect");
     put(&mut balancer, &Server { address: "10.0.0.2:80".to_owned(), ..plain("s", "a1") });
     assert_eq!(chosen(&mut balancer, &demand(PLAIN)), Some(key));
 }
@@ -114,7 +114,7 @@
     assert_eq!(balancer.choose(NOW, &demand(PLAIN), &[near, far]), Choice::NoServer);
 }
 
-/// What happens to the servers of a fleet, and requests that ask for one.
+/// A change of the listed servers or evacuated zones, or a request.
 #[derive(Clone, Debug)]
 enum Event {
     Put { server: usize, zone: usize, state: u8 },
@@ -150,7 +150,7 @@
     }
 }
 
-/// The servers as the list has them, beside the balancer.
+/// A balancer, and what the list and the evacuations contain, against which its choices are checked.
 struct Checked {
     balancer: Balancer,
     listed: [Option<(ServerKey, Server)>; SERVERS],
@@ -189,7 +189,7 @@
             warmup_remaining_ms: if state == 2 { 3_000 } else { 0 },
             ..server(&format!("s{number}"), service, zone, 4)
         };
-        let key = self.balancer.put_server(self.now, &entry).expect("its address can be read");
+        let key = self.balancer.put_server(self.now, &entry).expect("the address is valid");
         self.listed[number] = Some((key, entry));
     }
 
--- a/crates/load-balancer/tests/fleet_scenarios.rs
+++ b/crates/load-balancer/tests/fleet_scenarios.rs
@@ -1,5 +1,6 @@
-//! Some time with a fleet of engines: how often shared segments are prefilled again, how many requests are late or
-//! rejected. The bounds leave room around what the constants of the choice give, so that a mistake in them shows.
+//! Simulations of a fleet of engines, which measure how often shared segments are prefilled again, and how
+//! many requests are late or rejected. The limits leave some margin around the results with the present
+//! constants of server selection, and reveal a mistake in these constants.
 
 mod common;
 
@@ -10,7 +11,9 @@
 const ZONES: [&str; 9] = ["a1", "a1", "a1", "a1", "b1", "b1", "b1", "c1", "c1"];
 const LENGTH: Duration = Duration::from_secs(30);
 
-/// Few requests with long prompts, many with long answers, which may go to two of three regions only.
+/// Returns two kinds of requests: few with long prompts, and many with long responses, which may be served in
+/// two of the three regions only. `load` is a factor on the rate of both kinds, and `answers` on the rate of
+/// the second kind.
 fn kinds(load: f64, answers: f64) -> Vec<Kind> {
     let prompts = Kind {
         per_s: 10.0 * load,
--- a/crates/load-balancer/tests/health.rs
+++ b/crates/load-balancer/tests/health.rs
@@ -1,6 +1,22 @@
-//! Failing servers. A timeline has one column for each 100 ms. Above, what is tried: `F` a request that fails to
-//! connect, `e` one with a server error, `b` one that is truncated, `.` nothing is sent; `S` one that is served,
-//! `L` one whose client leaves. Below, what the balancer does: `s` sends it, `x` sends nothing.
+//! How the balancer treats failing servers.
+//!
+//! A timeline has one column for each 100 ms. The first line gives the outcome that the request of this step
+//! has if it is sent, and the second line whether the balancer sends it.
+//!
+//! | first line | request |
+//! | --- | --- |
+//! | `S` | succeeds |
+//! | `F` | fails to connect |
+//! | `e` | fails with a server error |
+//! | `b` | fails with a truncated response |
+//! | `L` | is cancelled by its client |
+//! | `.` | there is no request |
+//!
+//! | second line | balancer |
+//! | --- | --- |
+//! | `s` | sends the request |
+//! | `x` | does not send the request |
+//! | `.` | there is no request |
 
 mod common;
 
@@ -13,7 +29,8 @@
 
 const START: Duration = Duration::from_secs(60);
 
-/// Plays a timeline against the first of three servers, which the request has to go to as the others are excluded.
+/// Runs a timeline against the first of three servers. The others are excluded, so that no request can be
+/// sent to them.
 struct Player {
     balancer: Balancer,
     server: ServerKey,
@@ -24,7 +41,7 @@
 impl Player {
     fn new() -> Self {
         let mut balancer = lone_balancer();
-        let mut put = |id| balancer.put_server(START, &plain(id, "a1")).expect("its address can be read");
+        let mut put = |id| balancer.put_server(START, &plain(id, "a1")).expect("the address is valid");
         let (server, others) = (put("one"), vec![put("two"), put("three")]);
         Player { balancer, server, others, now: START }
     }
@@ -56,7 +73,8 @@
     }
 }
 
-/// An urgent request comes first, so that those of the timelines are not.
+/// Creates a player after a request with the highest priority, so that the requests of the timelines are not
+/// urgent.
 fn player() -> Player {
     let mut player = Player::new();
     player.balancer.choose(START, &demand(PLAIN), &[]);
@@ -109,7 +127,7 @@
     player.check("F....", "s....");
     let demand = Demand { priority: 1, ..demand(PLAIN) };
     let now = player.now + ms(100);
-    let Choice::Send(key) = player.balancer.choose(now, &demand, &player.others) else { panic!("no trial") };
+    let Choice::Send(key) = player.balancer.choose(now, &demand, &player.others) else { panic!("no probe was sent") };
     let trial = player.balancer.begin(now, key, &demand);
     assert!(matches!(player.balancer.choose(now, &demand, &player.others), Choice::Full { .. }));
     player.balancer.end(now, trial, Outcome::Completed);
--- a/crates/load-balancer/tests/home_demand.rs
+++ b/crates/load-balancer/tests/home_demand.rs
@@ -1,4 +1,4 @@
-//! The regions that a proxy prefers over its own for its clients.
+//! The regions that a proxy prefers over its own region for its clients.
 
 use quillpulley_load_balancer::HomeDemand;
 use std::time::Duration;
@@ -13,7 +13,8 @@
         Proxy { demand: HomeDemand::new("east".to_string()), now: Duration::ZERO }
     }
 
-    /// So many requests, 50 ms apart, each with these homes in turn; gives the preferred regions.
+    /// Counts `count` requests, one every 50 ms, whose home regions are the items of `homes` in turn. Returns
+    /// the preferred regions.
     fn requests(&mut self, count: usize, homes: &[&[&str]]) -> String {
         for homes in homes.iter().cycle().take(count) {
             let homes: Vec<String> = homes.iter().map(|home| home.to_string()).collect();
--- a/crates/load-balancer/tests/host_homes.rs
+++ b/crates/load-balancer/tests/host_homes.rs
@@ -1,19 +1,20 @@
-//! The regions in which requests of a host may be served, by the active routes.
+//! The regions in which the requests to a host may be served, according to its routes.
 
 use quillpulley_load_balancer::{HomeTable, ServedIn};
 
-/// Routes as `host:home+home`, with nothing after the colon where there are no homes.
+/// Creates a table from routes written as `host:home+home`, or as `host:` if a route has no home regions.
 fn table(routes: &str) -> HomeTable {
     let routes: Vec<(&str, Vec<String>)> = routes.split_whitespace().map(route).collect();
     HomeTable::new(routes.iter().map(|(host, homes)| (*host, homes.as_slice())))
 }
 
 fn route(text: &str) -> (&str, Vec<String>) {
-    let (host, homes) = text.split_once(':').expect("homes");
+    let (host, homes) = text.split_once(':').expect("a route has a colon");
     (host, homes.split('+').filter(|home| !home.is_empty()).map(str::to_string).collect())
 }
 
-/// What may be served of a host in east, west and north; with a star where all routes with homes have one there.
+/// Returns which requests to a host may be served in the regions east, west and north. A star marks a common
+/// home.
 fn served(table: &HomeTable, host: &str) -> String {
     let homes = table.of(host);
     let shown = ["east", "west", "north"].map(|region| {
--- a/crates/load-balancer/tests/model_servers.rs
+++ b/crates/load-balancer/tests/model_servers.rs
@@ -1,4 +1,4 @@
-//! Choice among servers that run a model.
+//! The choice among servers that run a model.
 
 mod common;
 
@@ -13,7 +13,7 @@
 const NOW: Duration = Duration::from_secs(60);
 const ZONES: [&str; 9] = ["a1", "a1", "a1", "a1", "b1", "b1", "b1", "c1", "c1"];
 
-/// A balancer that knows nine servers, whose ids are `s0` and so on.
+/// Creates a balancer with the servers `s0` to `s8`, and one proxy in each region.
 fn fleet(zone: &str) -> Balancer {
     let proxies = ["a1", "b1", "c1"].map(|zone| proxy_peer(zone, zone));
     fleet_of(zone, &proxies)
@@ -27,7 +27,7 @@
     balancer
 }
 
-/// Two shared segments and one of its own.
+/// Returns the segments of a prompt: two shared ones, and one that belongs to the request alone.
 fn segments(guide: u64, guide_tokens: u32, thing: u64, thing_tokens: u32) -> [PromptSegment; 3] {
     [
         PromptSegment { id: guide, tokens: guide_tokens },
@@ -44,7 +44,7 @@
     segments(thing % 4, 120, thing, 80)
 }
 
-/// Requests whose body is as long as half of their prompt in characters, about.
+/// Returns a request whose body has about half as many bytes as its prompt has characters.
 fn request<'a>(segments: &'a [PromptSegment]) -> Demand<'a> {
     Demand { body_bytes: 9_000, ..prompt(ENGINE, segments) }
 }
@@ -101,7 +101,7 @@
     let mut balancers = ["a1", "b1", "c1"].map(fleet);
     for thing in 0..50 {
         let request_parts = long(thing);
-        // The body of a small request crosses for little.
+        // With a small body, it costs little to send the request to another region.
         let demand = Demand { body_bytes: 100, ..request(&request_parts) };
         let first = chosen(&mut balancers[0], &demand);
         let next = |balancer: &mut Balancer| balancer.choose(NOW, &demand, &[first]);
@@ -115,7 +115,7 @@
             })
             .collect();
         let servers: BTreeSet<String> = nexts.iter().map(|choice| format!("{choice:?}")).collect();
-        assert!(servers.len() <= regions.len(), "one server in each region at most");
+        assert!(servers.len() <= regions.len(), "at most one server in each region");
     }
 }
 
@@ -167,7 +167,7 @@
 
 #[test]
 fn requests_without_a_prefix_go_where_the_least_is_in_flight() {
-    // No other proxy sends anything that this one cannot see.
+    // There is no other proxy, so the balancer assumes no unseen load.
     let mut balancer = fleet_of("a1", &[proxy_peer("a1", "a1")]);
     let mut counts: BTreeMap<ServerKey, usize> = BTreeMap::new();
     for _ in 0..40 {
@@ -177,7 +177,7 @@
         let ticket = balancer.begin(NOW, key, &demand);
         balancer.record_started(NOW, &ticket);
     }
-    assert_eq!(counts.len(), 4, "only those of the region");
+    assert_eq!(counts.len(), 4, "only the servers of the region");
     assert!(counts.values().all(|count| (9..=11).contains(count)), "{counts:?}");
 }
 
--- a/crates/load-balancer/tests/plain_servers.rs
+++ b/crates/load-balancer/tests/plain_servers.rs
@@ -1,4 +1,4 @@
-//! Choice among servers that run no model.
+//! The choice among servers that run no model.
 
 mod common;
 
@@ -10,7 +10,7 @@
 const NOW: Duration = Duration::from_secs(60);
 const SLOTS: usize = 6;
 
-/// Servers in the zone of the balancer, in another of its region, and in two other regions.
+/// A balancer with four servers: in its own zone, in another zone of its region, and in two other regions.
 struct Fleet {
     balancer: Balancer,
     servers: Vec<ServerKey>,
@@ -22,12 +22,13 @@
         let mut balancer = lone_balancer();
         let zones = ["a1", "a2", "b1", "c1"];
         let put =
-            |zone: &&str| balancer.put_server(NOW, &plain(zone, zone)).expect("its address can be read");
+            |zone: &&str| balancer.put_server(NOW, &plain(zone, zone)).expect("the address is valid");
         let servers = zones.iter().map(put).collect();
         Fleet { balancer, servers, under_way: Vec::new() }
     }
 
-    /// The number of the server that a request is sent to, and stays at.
+    /// Sends a request that stays in flight, and returns the index of its server; `None` if no server was
+    /// chosen.
     fn send(&mut self, demand: &Demand<'_>) -> Option<usize> {
         let Choice::Send(key) = self.balancer.choose(NOW, demand, &[]) else { return None };
         self.under_way.push(self.balancer.begin(NOW, key, demand));
@@ -38,6 +39,7 @@
         (0..count).map_while(|_| self.send(demand)).collect()
     }
 
+    /// Reports the load of a server.
     fn tell(&mut self, id: &str, running: u32) {
         let load = ServerLoad { server: server_hash(id), running, waiting: 0, prompt_tokens: 0, failures: 0 };
         self.balancer.set_totals(NOW, &[load]);
@@ -51,7 +53,8 @@
 #[test]
 fn the_nearest_server_is_used_until_it_is_rather_full() {
     let mut fleet = Fleet::new();
-    // 70% of 6 slots are 4.2: the fifth request finds 4 there and still goes, the sixth finds 5.
+    // 70% of 6 slots are 4.2. The fifth request finds 4 requests at the nearest server and is sent there too;
+    // the sixth request finds 5.
     let sent = fleet.send_all(12, &demand(PLAIN));
     assert_eq!(sent[..5], [0; 5]);
     assert_eq!(sent[5..10], [1; 5]);
@@ -114,7 +117,7 @@
 fn a_server_that_reports_overload_is_paused_briefly() {
     let mut fleet = Fleet::new();
     fleet.send(&demand(PLAIN));
-    let ticket = fleet.under_way.pop().expect("a request is under way");
+    let ticket = fleet.under_way.pop().expect("a request is in flight");
     fleet.balancer.end(NOW, ticket, Outcome::NotExecuted { full: true });
     assert_eq!(fleet.send(&demand(PLAIN)), Some(1));
     let later = NOW + ms(200);
@@ -137,7 +140,7 @@
     while let Choice::Send(key) = balancer.choose(NOW, &demand(PLAIN), &[]) {
         sent.push(balancer.begin(NOW, key, &demand(PLAIN)));
     }
-    // 100 connections over 50 proxies, and half more.
+    // 100 connections divided by 50 proxies, times 1.5.
     assert_eq!(sent.len(), 3);
 }
 
@@ -149,7 +152,7 @@
     }
     let mut counts = std::collections::BTreeMap::new();
     for _ in 0..300 {
-        let Choice::Send(key) = balancer.choose(NOW, &demand(PLAIN), &[]) else { panic!("there is a place") };
+        let Choice::Send(key) = balancer.choose(NOW, &demand(PLAIN), &[]) else { panic!("no server was chosen") };
         *counts.entry(key).or_insert(0) += 1;
     }
     assert!(counts.values().all(|count| (60..=140).contains(count)), "{counts:?}");
@@ -174,7 +177,7 @@
     let mut fleet = Fleet::new();
     fleet.send(&demand(PLAIN));
     fleet.balancer.remove_server(NOW, "a1");
-    let ticket = fleet.under_way.pop().expect("a request is under way");
+    let ticket = fleet.under_way.pop().expect("a request is in flight");
     fleet.balancer.record_started(NOW, &ticket);
     fleet.balancer.end(NOW, ticket, Outcome::Completed);
     assert_eq!(fleet.balancer.own_loads(NOW), []);
--- a/crates/load-balancer/tests/prefill_time.rs
+++ b/crates/load-balancer/tests/prefill_time.rs
@@ -1,11 +1,12 @@
-//! What the model of the time to the first byte learns from responses.
+//! How the model of the time to the first byte is fitted to responses.
 
 use quillpulley_load_balancer::PrefillTime;
 
 const BASE_MS: f64 = 35.0;
 const TOKEN_MS: f64 = 0.018;
 
-/// Records responses of an engine that needs `base_ms` and `token_ms`, with prompts of 200 to 12,000 tokens.
+/// Records responses of an engine with this base time and this time per token, to prompts of 200 to 12,000
+/// tokens. The times vary randomly by up to 40%.
 fn record(model: &mut PrefillTime, random: &mut fastrand::Rng, count: usize, base_ms: f64, token_ms: f64) {
     for _ in 0..count {
         let tokens = 200.0 + 11_800.0 * random.f64().powi(3);
--- a/crates/load-balancer/tests/request_queue.rs
+++ b/crates/load-balancer/tests/request_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of requests that wait for capacity.
+//! The queue of requests that wait until a server has capacity.
 
 use quickcheck::{quickcheck, Arbitrary, Gen};
 use quillpulley_load_balancer::{QueueKey, QueueLimits, QueueTerms, RequestQueue};
@@ -129,7 +129,8 @@
         bytes: usize,
     },
     Next,
-    /// The client of the request that was queued at this position disconnects, or it has waited too long.
+    /// The client of a request disconnects, or the request has waited too long. The number selects one of the
+    /// requests that were queued.
     Remove(usize),
 }
 
--- a/crates/load-balancer/tests/route_table.rs
+++ b/crates/load-balancer/tests/route_table.rs
@@ -1,4 +1,4 @@
-//! Finding routes, and picking one of their services.
+//! Lookup of routes, and the choice of one of their services.
 
 use quillpulley_load_balancer::{pick_service, RouteTable};
 use quillpulley_serving_config::Configuration;
--- a/crates/load-balancer/tests/slow_start.rs
+++ b/crates/load-balancer/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! The requests that servers in slow start get, from one proxy and from all.
+//! The requests that a server in slow start gets from one proxy and from all proxies.
 
 mod common;
 
@@ -16,10 +16,10 @@
 }
 
 fn put(balancer: &mut Balancer, server: &Server) -> ServerKey {
-    balancer.put_server(NOW, server).expect("its address can be read")
+    balancer.put_server(NOW, server).expect("the address is valid")
 }
 
-/// Sends a request each millisecond for a time; gives when a server got one.
+/// Sends a request every millisecond for `time`, and returns when a request was sent to `server`.
 fn sends_to(balancer: &mut Balancer, server: ServerKey, from: Duration, time: Duration) -> Vec<Duration> {
     let mut sent = Vec::new();
     let mut now = from;
@@ -124,7 +124,7 @@
     let server = balancer.put_server(NOW, &Server { warmup_remaining_ms: 3_000, ..plain("s", "a1") });
     for _ in 0..100 {
         assert_eq!(balancer.choose(NOW, &demand(PLAIN), &[]), server.map_or(Choice::NoServer, Choice::Send));
-        let ticket = balancer.begin(NOW, server.expect("it was put"), &demand(PLAIN));
+        let ticket = balancer.begin(NOW, server.expect("the server was added"), &demand(PLAIN));
         balancer.end(NOW, ticket, Outcome::Completed);
     }
 }
@@ -144,15 +144,15 @@
     }
 }
 
-/// Limiters on either side of a cut, what they know of each other, and when each has requests.
+/// A network partition that separates proxies into two sides, and the requests of the proxies.
 #[derive(Clone, Debug)]
 struct Cut {
-    /// For each proxy: its zone, and its side of the partition.
+    /// For each proxy, the index of its zone and its side of the partition.
     proxies: Vec<(usize, bool)>,
     server_zone: usize,
-    /// When each proxy learns of the partition, in milliseconds; before, it knows all.
+    /// When each proxy learns of the partition, in milliseconds. Before that, it knows all proxies.
     learns: Vec<u16>,
-    /// Milliseconds between the requests of each proxy.
+    /// The interval between the requests of each proxy, in milliseconds.
     gaps: Vec<u8>,
 }
 
@@ -171,7 +171,7 @@
     }
 }
 
-/// Sends of all proxies to the one server, which is cold.
+/// Returns when any of the proxies sends a request to the only server, which is cold.
 fn play(cut: &Cut) -> Vec<Duration> {
     let zones: Vec<&str> = cut.proxies.iter().map(|(zone, _)| ZONES[*zone]).collect();
     let all = proxies(&zones);
--- a/crates/load-balancer/tests/stale_loads.rs
+++ b/crates/load-balancer/tests/stale_loads.rs
@@ -1,4 +1,4 @@
-//! What proxies choose between two reports, when they all know the same loads.
+//! The servers that proxies choose between two load reports, when all proxies know the same reported loads.
 
 mod common;
 
@@ -10,9 +10,9 @@
 
 const PROXIES: usize = 24;
 const SERVERS: usize = 12;
-/// Each proxy sends a request so often.
+/// The interval between the requests of a proxy.
 const SEND_INTERVAL: Duration = Duration::from_millis(100);
-/// The time for which proxies do not see what the others have sent.
+/// The time for which a proxy does not know the requests of the other proxies.
 const UNSEEN: Duration = Duration::from_millis(500);
 const LEAST_LOADED: &str = "s0";
 
@@ -27,7 +27,7 @@
     key
 }
 
-/// Proxies of one zone that have sent for some seconds, so that they know how often they send.
+/// Creates the balancers of proxies in one zone, with servers in the same zone.
 fn fleet() -> Vec<Balancer> {
     let peers: Vec<ProxyPeer> = (0..PROXIES).map(|n| proxy_peer(&format!("l{n}"), "a1")).collect();
     let mut balancers: Vec<Balancer> = peers
@@ -46,8 +46,9 @@
     balancers
 }
 
-/// Returns what each server gets from all proxies until the next report, if `running` requests run at all servers and
-/// `least` at one.
+/// Returns how many requests each server gets from all proxies until the next report, if `running` requests
+/// run at every server but one, which has `least`. Before that, the proxies send requests for some seconds,
+/// so that they know their request rate.
 fn sent_until_next_report(running: u32, least: u32) -> BTreeMap<String, usize> {
     let mut balancers = fleet();
     let mut now = Duration::ZERO;
