--- a/crates/load-balancer/src/balancer/choice.rs
+++ b/crates/load-balancer/src/balancer/choice.rs
@@ -15,7 +15,7 @@
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 /// The minimum and maximum of the random factor on the time until the retry.
-const RETRY_SPREAD: (f64, f64) = (0.75, 1.25);
+const RETRY_JITTER: (f64, f64) = (0.75, 1.25);
 
 impl Balancer {
     /// Chooses a server for a request. The servers in `exclude` are not chosen.
@@ -23,7 +23,7 @@
         let random = self.random.f64();
         let seed = self.random.u64(..);
         if let Some(service) = self.services.get_mut(demand.service) {
-            service.note_priority(demand.priority);
+            service.record_priority(demand.priority);
             service.refresh_medians(now, &self.servers);
         }
         let Some(service) = self.services.get(demand.service) else { return Choice::NoServer };
@@ -31,19 +31,19 @@
         let Some(best) = candidates.iter().map(|candidate| candidate.eligibility).min() else {
             return Choice::NoServer;
         };
-        if !best.is_open() {
+        if !best.may_send() {
             return Choice::Full { retry_after: retry_after(service, random) };
         }
         candidates.retain(|candidate| candidate.eligibility == best);
         let chosen = match service.settings.engine {
-            Some(_) => self.cheapest(now, service, demand, &candidates, seed),
+            Some(_) => self.lowest_cost(now, service, demand, &candidates, seed),
             None => self.best_scored(now, service, &candidates, random),
         };
         chosen.map_or(Choice::NoServer, Choice::Send)
     }
 
     /// Returns the candidate with the lowest cost.
-    fn cheapest(
+    fn lowest_cost(
         &self,
         now: Duration,
         service: &ServiceState,
@@ -52,16 +52,17 @@
         seed: u64,
     ) -> Option<ServerKey> {
         let costs = EngineCosts::new(now, service, demand, self.options.ablation);
-        let others = self.proxies.len().saturating_sub(1);
-        let unseen_load = UnseenLoad::new(service.rate.sends_per_second(now), others, service.servers.len());
+        let other_proxies = self.proxies.len().saturating_sub(1);
+        let unseen_load =
+            UnseenLoad::new(service.rate.sends_per_second(now), other_proxies, service.servers.len());
         let mut random = fastrand::Rng::with_seed(seed);
         let mut cost = |candidate: &Candidate| {
-            let cached = self.cached.cached_tokens(now, candidate.key, demand.segments);
+            let cached = self.prefix_cache.cached_tokens(now, candidate.key, demand.segments);
             let unseen = match self.options.ablation.unseen_load() {
                 true => 0.0,
                 false => unseen_load.sample(&mut random),
             };
-            costs.of(candidate, &self.servers[candidate.key], cached, unseen)
+            costs.cost(candidate, &self.servers[candidate.key], cached, unseen)
         };
         let with_costs = candidates.iter().map(|candidate| (candidate.key, cost(candidate)));
         with_costs.min_by(|(_, one), (_, other)| one.total_cmp(other)).map(|(key, _)| key)
@@ -79,7 +80,7 @@
         let scorer = Scorer::new(now, service);
         let mut best: Vec<(ServerKey, Score)> = Vec::new();
         for candidate in candidates {
-            let score = scorer.of(&self.servers[candidate.key]);
+            let score = scorer.score(&self.servers[candidate.key]);
             match best.first().map_or(Ordering::Less, |(_, best)| score.compare(best)) {
                 Ordering::Greater => {}
                 Ordering::Equal => best.push((candidate.key, score)),
@@ -93,6 +94,6 @@
 
 fn retry_after(service: &ServiceState, random: f64) -> Duration {
     let half = service.rate.mean_duration() / 2;
-    let spread = RETRY_SPREAD.0 + (RETRY_SPREAD.1 - RETRY_SPREAD.0) * random;
-    half.mul_f64(spread).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
+    let jitter = RETRY_JITTER.0 + (RETRY_JITTER.1 - RETRY_JITTER.0) * random;
+    half.mul_f64(jitter).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
 }
--- a/crates/load-balancer/src/balancer/condition_cost.rs
+++ b/crates/load-balancer/src/balancer/condition_cost.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// A server counts as slow if its time per token is more than this multiple of the median of its service.
-const SLOW_FROM: f64 = 2.0;
+const SLOWNESS_THRESHOLD: f64 = 2.0;
 
 /// The cost of each condition, in the unit of the scorer that uses it.
 pub(super) struct ConditionCosts {
@@ -19,10 +19,10 @@
 
 impl ConditionCosts {
     /// Returns the cost of a server's condition now.
-    pub(super) fn of(&self, server: &Server, medians: &Medians, now: Duration) -> f64 {
+    pub(super) fn cost(&self, server: &Server, medians: &Medians, now: Duration) -> f64 {
         let slowness = server.speed.slowness(now, medians.token_ms);
-        let slow = if slowness > SLOW_FROM { (slowness - 1.0) * self.slow } else { 0.0 };
-        let failing = if server.failure_rate(now) > medians.failing_from { self.failing } else { 0.0 };
+        let slow = if slowness > SLOWNESS_THRESHOLD { (slowness - 1.0) * self.slow } else { 0.0 };
+        let failing = if server.failure_rate(now) > medians.failing_above { self.failing } else { 0.0 };
         let warming = if server.is_warming(now) { self.warming } else { 0.0 };
         slow + failing + warming
     }
--- a/crates/load-balancer/src/balancer/engine_cost.rs
+++ b/crates/load-balancer/src/balancer/engine_cost.rs
@@ -16,13 +16,13 @@
 /// the request's own prompt at another server would take as long.
 const QUEUED_TOKEN_COST: f64 = 0.05;
 /// The cost of a first byte that is expected after the target latency. It rises linearly from 0, beginning at
-/// the fraction `LATE_FROM` of the target latency.
+/// the fraction `LATE_FROM_FRACTION` of the target latency.
 const LATE_COST: f64 = 4_000.0;
-const LATE_FROM: f64 = 0.5;
+const LATE_FROM_FRACTION: f64 = 0.5;
 /// Prefilling a long prompt pauses the responses that the server streams. For each of these responses, every
-/// token to prefill beyond `INTERFERENCE_FROM` costs `INTERFERENCE`.
-const INTERFERENCE: f64 = 0.3;
-const INTERFERENCE_FROM: f64 = 8_000.0;
+/// token to prefill beyond `INTERFERENCE_FREE_TOKENS` costs `INTERFERENCE_COST`.
+const INTERFERENCE_COST: f64 = 0.3;
+const INTERFERENCE_FREE_TOKENS: f64 = 8_000.0;
 /// The cost of a server in another region: the round trip, and the price of the transferred bytes. A body of
 /// 18 kB costs as much as prefilling about 1,300 tokens, so that prompts with longer shared segments are sent
 /// to the region that has cached them.
@@ -40,7 +40,7 @@
 const OCCUPANCY_COST: f64 = 500.0;
 const OCCUPANCY_CUBED_COST: f64 = 2_000.0;
 /// The costs of the conditions of a server. A cold server has cached nothing and is slow.
-const CONDITION: ConditionCosts = ConditionCosts { slow: 1_500.0, failing: 8_000.0, warming: 1_000.0 };
+const CONDITION_COSTS: ConditionCosts = ConditionCosts { slow: 1_500.0, failing: 8_000.0, warming: 1_000.0 };
 
 /// Computes the costs of the candidates for a request, from what they have in common.
 pub(super) struct EngineCosts<'a> {
@@ -53,7 +53,7 @@
     own_tokens: f64,
     prefill_time: PrefillTime,
     /// The mean number of tokens that a server keeps in memory for one request alone.
-    private_tokens: f64,
+    mean_private_tokens: f64,
     medians: Medians,
     ablation: Ablation,
 }
@@ -73,7 +73,7 @@
             shared_tokens: f64::from(shared_tokens),
             own_tokens: f64::from(demand.prompt_tokens.saturating_sub(shared_tokens)),
             prefill_time: service.rate.prefill,
-            private_tokens: service.rate.private_tokens(),
+            mean_private_tokens: service.rate.private_tokens(),
             medians: service.medians,
             ablation,
         }
@@ -82,11 +82,11 @@
     /// Returns the cost of a candidate that has cached `cached` tokens of the prompt from requests of this
     /// proxy. `unseen` is the assumed number of requests that other proxies have sent to it since their
     /// latest load reports.
-    pub(super) fn of(&self, candidate: &Candidate, server: &Server, cached: u32, unseen: f64) -> f64 {
-        let shared = self.prefill_cost(candidate, cached);
-        shared
-            + self.queueing_cost(server, shared + self.own_tokens)
-            + self.interference_cost(server, shared + self.own_tokens)
+    pub(super) fn cost(&self, candidate: &Candidate, server: &Server, cached: u32, unseen: f64) -> f64 {
+        let prefill = self.prefill_cost(candidate, cached);
+        prefill
+            + self.queueing_cost(server, prefill + self.own_tokens)
+            + self.interference_cost(server, prefill + self.own_tokens)
             + self.network_cost(server)
             + self.occupancy_cost(server, unseen)
             + self.condition_cost(server)
@@ -103,24 +103,24 @@
 
     /// Returns the cost of the time to the first byte, which is low unless that time approaches the target
     /// latency.
-    fn queueing_cost(&self, server: &Server, prefilled_here: f64) -> f64 {
+    fn queueing_cost(&self, server: &Server, prefill_tokens: f64) -> f64 {
         if self.ablation.queueing_cost() {
             return 0.0;
         }
         let tokens = server.load.total(self.now).waiting_tokens;
         let objective_ms = (self.demand.objective.as_secs_f64() * 1e3).max(1.0);
-        let part = self.prefill_time.first_byte_ms(tokens + prefilled_here) / objective_ms;
-        let late = ((part - LATE_FROM) / (1.0 - LATE_FROM)).clamp(0.0, 1.0);
-        tokens * QUEUED_TOKEN_COST + late * LATE_COST
+        let latency_fraction = self.prefill_time.first_byte_ms(tokens + prefill_tokens) / objective_ms;
+        let lateness = ((latency_fraction - LATE_FROM_FRACTION) / (1.0 - LATE_FROM_FRACTION)).clamp(0.0, 1.0);
+        tokens * QUEUED_TOKEN_COST + lateness * LATE_COST
     }
 
     /// Returns the cost of the pauses in other responses while a long prompt is prefilled.
-    fn interference_cost(&self, server: &Server, prefilled_here: f64) -> f64 {
+    fn interference_cost(&self, server: &Server, prefill_tokens: f64) -> f64 {
         if self.ablation.interference_cost() {
             return 0.0;
         }
-        let interfering = (prefilled_here - INTERFERENCE_FROM).max(0.0);
-        server.load.total(self.now).running * interfering * INTERFERENCE
+        let interfering_tokens = (prefill_tokens - INTERFERENCE_FREE_TOKENS).max(0.0);
+        server.load.total(self.now).running * interfering_tokens * INTERFERENCE_COST
     }
 
     /// Returns the cost of the round trip and of the bytes transferred between zones or regions.
@@ -133,7 +133,7 @@
         match server.distance {
             Distance::SameZone => 0.0,
             Distance::SameRegion => OTHER_ZONE_COST + bytes / OTHER_ZONE_BYTES_PER_TOKEN,
-            Distance::Far => OTHER_REGION_COST + bytes / OTHER_REGION_BYTES_PER_TOKEN,
+            Distance::OtherRegion => OTHER_REGION_COST + bytes / OTHER_REGION_BYTES_PER_TOKEN,
         }
     }
 
@@ -143,10 +143,12 @@
             return 0.0;
         }
         let requests = server.load.total(self.now).requests() + unseen;
-        let slots = requests / self.settings.slots(&server.info);
-        let used = server.load.memory(self.now, self.private_tokens) + unseen * self.private_tokens;
-        let memory = self.settings.memory_tokens().map_or(0.0, |tokens| used / f64::from(tokens));
-        let occupancy = slots.max(memory);
+        let slot_occupancy = requests / self.settings.slots(&server.info);
+        let used_tokens = server.load.used_memory_tokens(self.now, self.mean_private_tokens)
+            + unseen * self.mean_private_tokens;
+        let memory_occupancy =
+            self.settings.memory_tokens().map_or(0.0, |tokens| used_tokens / f64::from(tokens));
+        let occupancy = slot_occupancy.max(memory_occupancy);
         OCCUPANCY_COST * occupancy + OCCUPANCY_CUBED_COST * occupancy.max(0.0).powi(3)
     }
 
@@ -154,6 +156,6 @@
         if self.ablation.condition_cost() {
             return 0.0;
         }
-        CONDITION.of(server, &self.medians, self.now)
+        CONDITION_COSTS.cost(server, &self.medians, self.now)
     }
 }
--- a/crates/load-balancer/src/balancer/in_flight.rs
+++ b/crates/load-balancer/src/balancer/in_flight.rs
@@ -1,9 +1,9 @@
 //! Tracks requests in flight, and updates the state of servers by their outcomes.
 
-use super::outlier_detection::{Event, HealthStatus};
+use super::outlier_detection::{HealthEvent, HealthStatus};
 use super::prefill_time::PrefillTime;
 use super::server::Server;
-use super::server_load::RequestCost;
+use super::server_load::RequestLoad;
 use super::{Balancer, FailureKind, Outcome, ServerKey};
 use crate::demand::Demand;
 use std::time::Duration;
@@ -47,12 +47,12 @@
 pub(super) struct InFlight {
     server: ServerKey,
     /// When the request was sent.
-    started_at: Duration,
+    sent_at: Duration,
     /// Whether the response has begun.
     has_started: bool,
     /// Whether the request is the probe of an ejected server.
-    is_probation: bool,
-    request_cost: RequestCost,
+    is_probe: bool,
+    request_load: RequestLoad,
     /// The tokens of earlier requests that the server had still to prefill when this request was sent.
     queued_tokens: f64,
 }
@@ -60,22 +60,16 @@
 impl Balancer {
     /// Records that a request is about to be sent to a server, and returns its ticket.
     pub fn begin(&mut self, now: Duration, key: ServerKey, demand: &Demand<'_>) -> Ticket {
-        let request_cost = RequestCost::new(demand, self.prefill_tokens(now, key, demand));
-        self.cached.record(now, key, demand.segments);
+        let request_load = RequestLoad::new(demand, self.prefill_tokens(now, key, demand));
+        self.prefix_cache.record(now, key, demand.segments);
         if let Some(service) = self.services.get_mut(demand.service) {
             service.rate.record_begin(now, demand.private_tokens());
         }
         let server = self.servers.get_mut(key);
-        let (queued_tokens, is_probation) =
-            server.map_or((0.0, false), |server| server.begin(now, &request_cost));
-        let request = InFlight {
-            server: key,
-            started_at: now,
-            has_started: false,
-            is_probation,
-            request_cost,
-            queued_tokens,
-        };
+        let (queued_tokens, is_probe) =
+            server.map_or((0.0, false), |server| server.begin(now, &request_load));
+        let request =
+            InFlight { server: key, sent_at: now, has_started: false, is_probe, request_load, queued_tokens };
         Ticket { request: self.requests.insert(request), server: key }
     }
 
@@ -87,9 +81,9 @@
         };
         request.has_started = true;
         let Some(server) = self.servers.get_mut(request.server) else { return };
-        server.load.start(now, &request.request_cost);
-        let time = now.saturating_sub(request.started_at);
-        let work = f64::from(request.request_cost.prefill_tokens) + request.queued_tokens;
+        server.load.start(now, &request.request_load);
+        let time = now.saturating_sub(request.sent_at);
+        let work = f64::from(request.request_load.prefill_tokens) + request.queued_tokens;
         if let Some(service) = self.services.get_mut(&server.info.service) {
             let per_token = service.rate.record_first_byte(time, server.distance as usize, work);
             if self.options.ablation.fitted_prefill_time() {
@@ -104,14 +98,14 @@
     pub fn end(&mut self, now: Duration, ticket: Ticket, outcome: Outcome) {
         let Some(request) = self.requests.remove(ticket.request) else { return };
         if !request.has_started && outcome != Outcome::Completed {
-            self.cached.forget(request.server, request.request_cost.shared_ids());
+            self.prefix_cache.forget_server(request.server, request.request_load.shared_ids());
         }
         let Some(server) = self.servers.get_mut(request.server) else { return };
-        server.load.end(now, &request.request_cost, request.has_started, is_response(outcome));
+        server.load.end(now, &request.request_load, request.has_started, is_response(outcome));
         match outcome {
             Outcome::Completed => {
-                server.failures.count(now, false);
-                let time = now.saturating_sub(request.started_at);
+                server.failures.record(now, false);
+                let time = now.saturating_sub(request.sent_at);
                 if let Some(service) = self.services.get_mut(&server.info.service) {
                     service.rate.record_end(time);
                 }
@@ -124,12 +118,12 @@
                 self.record_response(now, ticket.server);
             }
             Outcome::Failed(kind) => {
-                server.failures.count(now, true);
-                server.health.handle(now, Event::Failed(kind));
+                server.failures.record(now, true);
+                server.health.handle(now, HealthEvent::Failed(kind));
             }
             Outcome::Misdirected => server.set_misdirected(),
-            Outcome::ClientClosed if request.is_probation => {
-                server.health.handle(now, Event::ProbationAbandoned);
+            Outcome::ClientClosed if request.is_probe => {
+                server.health.handle(now, HealthEvent::ProbeAbandoned);
             }
             Outcome::ClientClosed => {}
         }
@@ -147,10 +141,10 @@
     /// result must be passed to [`Balancer::record_health_check`]. A server whose check fails stays ejected.
     /// If no checks are made, requests are sent as probes.
     pub fn due_health_checks(&mut self, now: Duration) -> Vec<ServerKey> {
-        let is_due = |server: &Server| server.is_usable() && server.health.check_due(now);
+        let is_due = |server: &Server| server.is_usable() && server.health.is_check_due(now);
         let due = self.servers.iter_mut().filter(|(_, server)| is_due(server));
         let begin = |(key, server): (ServerKey, &mut Server)| {
-            server.health.handle(now, Event::CheckStarted);
+            server.health.handle(now, HealthEvent::CheckStarted);
             key
         };
         due.map(begin).collect()
@@ -161,7 +155,7 @@
         match result {
             HealthCheckResult::Failed => {
                 if let Some(server) = self.servers.get_mut(key) {
-                    server.health.handle(now, Event::CheckFailed);
+                    server.health.handle(now, HealthEvent::CheckFailed);
                 }
             }
             HealthCheckResult::Passed { warmup_remaining } => {
@@ -177,10 +171,10 @@
     /// cold.
     fn record_response(&mut self, now: Duration, key: ServerKey) {
         let Some(server) = self.servers.get_mut(key) else { return };
-        let away = server.health.handle(now, Event::Responded);
-        if away.is_some_and(|away| away >= RESTART_THRESHOLD) {
+        let unhealthy_time = server.health.handle(now, HealthEvent::Responded);
+        if unhealthy_time.is_some_and(|unhealthy_time| unhealthy_time >= RESTART_THRESHOLD) {
             let warmup = self.services.get(&server.info.service).map(|service| service.settings.warmup);
-            server.presume_warming(now, warmup.unwrap_or_default());
+            server.assume_warming(now, warmup.unwrap_or_default());
         }
     }
 }
@@ -188,15 +182,15 @@
 impl Server {
     /// Adds a request. Returns the number of tokens that the server has to prefill before it, and whether the
     /// request is a probe of the ejected server.
-    fn begin(&mut self, now: Duration, request_cost: &RequestCost) -> (f64, bool) {
+    fn begin(&mut self, now: Duration, request_load: &RequestLoad) -> (f64, bool) {
         let queued_tokens = self.load.total(now).waiting_tokens;
-        let is_probation = self.health.status(now, false) == HealthStatus::Probation;
-        if is_probation {
-            self.health.handle(now, Event::ProbationStarted);
+        let is_probe = self.health.status(now, false) == HealthStatus::ProbeDue;
+        if is_probe {
+            self.health.handle(now, HealthEvent::ProbeStarted);
         }
-        self.load.begin(now, request_cost);
-        self.sends.count(now);
-        (queued_tokens, is_probation)
+        self.load.begin(now, request_load);
+        self.recent_sends.record(now);
+        (queued_tokens, is_probe)
     }
 }
 
--- a/crates/load-balancer/src/balancer/listing.rs
+++ b/crates/load-balancer/src/balancer/listing.rs
@@ -12,27 +12,27 @@
     /// Adds a server of the list, or applies its new entry. If the address is invalid, ignores the entry and
     /// returns `None`.
     pub fn put_server(&mut self, now: Duration, entry: &protocol::Server) -> Option<ServerKey> {
-        let info = self.info(entry)?;
+        let info = self.server_info(entry)?;
         let distance = Distance::between(&self.locality, &info.locality);
         let key = match self.by_id.get(&entry.id) {
             Some(key) => {
                 let key = *key;
-                self.leave_service(key);
+                self.remove_from_service(key);
                 self.servers[key].update(now, info, distance, entry);
                 key
             }
-            None => self.add(Server::new(now, info, distance, entry)),
+            None => self.insert_server(Server::new(now, info, distance, entry)),
         };
         self.services.entry(entry.service.clone()).or_default().servers.push(key);
-        self.servers[key].evacuated = self.evacuated.contains(&entry.zone);
-        self.choose_slow_start_sender(key);
+        self.servers[key].is_evacuated = self.evacuated_zones.contains(&entry.zone);
+        self.update_slow_start_sender(key);
         Some(key)
     }
 
     /// Removes a server that is no longer listed. Returns `None` if it is unknown.
     pub fn remove_server(&mut self, _now: Duration, id: &str) -> Option<ServerKey> {
         let key = self.by_id.remove(id)?;
-        self.leave_service(key);
+        self.remove_from_service(key);
         self.servers.remove(key);
         Some(key)
     }
@@ -40,19 +40,19 @@
     /// Sets the evacuated zones, whose servers get no requests. Servers of a zone whose evacuation has ended
     /// count as cold for the warm-up time of their service.
     pub fn set_evacuated(&mut self, now: Duration, zones: &BTreeSet<String>) {
-        self.evacuated.clone_from(zones);
+        self.evacuated_zones.clone_from(zones);
         for server in self.servers.values_mut() {
-            let evacuated = zones.contains(&server.info.locality.zone);
-            let taken_back = server.evacuated && !evacuated;
-            server.evacuated = evacuated;
-            if let Some(service) = self.services.get(&server.info.service).filter(|_| taken_back) {
-                server.presume_warming(now, service.settings.warmup);
+            let is_evacuated = zones.contains(&server.info.locality.zone);
+            let is_restored = server.is_evacuated && !is_evacuated;
+            server.is_evacuated = is_evacuated;
+            if let Some(service) = self.services.get(&server.info.service).filter(|_| is_restored) {
+                server.assume_warming(now, service.settings.warmup);
             }
         }
     }
 
     /// Returns the information of an entry; `None` if its address is invalid.
-    fn info(&self, entry: &protocol::Server) -> Option<ServerInfo> {
+    fn server_info(&self, entry: &protocol::Server) -> Option<ServerInfo> {
         let region = self.zones.get(&entry.zone).cloned().unwrap_or_default();
         Some(ServerInfo {
             id: entry.id.clone(),
@@ -63,14 +63,14 @@
         })
     }
 
-    fn add(&mut self, server: Server) -> ServerKey {
+    fn insert_server(&mut self, server: Server) -> ServerKey {
         let id = server.info.id.clone();
         let key = self.servers.insert(server);
         self.by_id.insert(id, key);
         key
     }
 
-    fn leave_service(&mut self, key: ServerKey) {
+    fn remove_from_service(&mut self, key: ServerKey) {
         let service = self.servers.get(key).and_then(|server| self.services.get_mut(&server.info.service));
         if let Some(service) = service {
             service.servers.retain(|other| *other != key);
@@ -78,14 +78,14 @@
     }
 
     /// Updates for each server whether this proxy may send requests to it while it is cold.
-    pub(super) fn choose_slow_start_senders(&mut self) {
+    pub(super) fn update_slow_start_senders(&mut self) {
         let keys: Vec<ServerKey> = self.servers.keys().collect();
         for key in keys {
-            self.choose_slow_start_sender(key);
+            self.update_slow_start_sender(key);
         }
     }
 
-    fn choose_slow_start_sender(&mut self, key: ServerKey) {
+    fn update_slow_start_sender(&mut self, key: ServerKey) {
         let Some(server) = self.servers.get_mut(key) else { return };
         let share =
             self.services.get(&server.info.service).and_then(|service| service.settings.slow_start_share);
--- a/crates/load-balancer/src/balancer/mod.rs
+++ b/crates/load-balancer/src/balancer/mod.rs
@@ -53,10 +53,10 @@
     servers: SlotMap<ServerKey, Server>,
     by_id: HashMap<String, ServerKey>,
     services: HashMap<String, ServiceState>,
-    evacuated: BTreeSet<String>,
+    evacuated_zones: BTreeSet<String>,
     proxies: Vec<ProxyPeer>,
     requests: SlotMap<RequestKey, InFlight>,
-    cached: PrefixCacheIndex,
+    prefix_cache: PrefixCacheIndex,
 }
 
 impl Balancer {
@@ -70,10 +70,10 @@
             servers: SlotMap::with_key(),
             by_id: HashMap::new(),
             services: HashMap::new(),
-            evacuated: BTreeSet::new(),
+            evacuated_zones: BTreeSet::new(),
             proxies: Vec::new(),
             requests: SlotMap::with_key(),
-            cached: PrefixCacheIndex::default(),
+            prefix_cache: PrefixCacheIndex::default(),
         }
     }
 
@@ -82,17 +82,17 @@
         self.services.values_mut().for_each(|service| service.settings = ServiceSettings::default());
         let Options { warmup_overshoot, warmup_slack, .. } = self.options;
         for service in services {
-            let settings = ServiceSettings::of(service, warmup_overshoot, warmup_slack);
+            let settings = ServiceSettings::new(service, warmup_overshoot, warmup_slack);
             self.services.entry(service.name.clone()).or_default().settings = settings;
         }
-        self.choose_slow_start_senders();
+        self.update_slow_start_senders();
     }
 
     /// Sets the live proxies, including this one. Until it is called, a cold server of a service with slow
     /// start gets at most one request per second, and none if a warm server may be used instead.
     pub fn set_proxies(&mut self, proxies: Vec<ProxyPeer>) {
         self.proxies = proxies;
-        self.choose_slow_start_senders();
+        self.update_slow_start_senders();
     }
 
     /// Sets the load of each server, summed over all proxies including this one. A server without an entry
@@ -113,8 +113,9 @@
         let report = |server: &mut Server| {
             let (failed, _) = server.failures.at(now);
             let service = services.get(&server.info.service);
-            let unanswered = service.map(|service| server.load.unanswered(now, &service.rate));
-            server.load.report(server.hash, failed + unanswered.unwrap_or_default())
+            let unanswered_requests =
+                service.map(|service| server.load.unanswered_requests(now, &service.rate));
+            server.load.report(server.hash, failed + unanswered_requests.unwrap_or_default())
         };
         let loads = self.servers.values_mut().map(report);
         loads.filter(|load| load.running > 0 || load.waiting > 0 || load.failures > 0).collect()
@@ -134,7 +135,7 @@
     /// Sets the remaining warm-up time that a server reports.
     pub fn set_warmup_remaining(&mut self, now: Duration, key: ServerKey, remaining: Duration) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.set_warming(now, remaining);
+            server.set_warmup_remaining(now, remaining);
         }
     }
 }
--- a/crates/load-balancer/src/balancer/outlier_detection.rs
+++ b/crates/load-balancer/src/balancer/outlier_detection.rs
@@ -7,15 +7,15 @@
 use std::time::Duration;
 
 /// The number of failures in a row after which a server is ejected. A failed connection ejects it at once.
-const FAILURES_IN_ROW: u32 = 2;
+const EJECTION_THRESHOLD: u32 = 2;
 /// The time of the first ejection, which doubles with each further ejection in a row, and the maximum.
-const FIRST_EJECTION: Duration = Duration::from_millis(500);
-const LONGEST_EJECTION: Duration = Duration::from_secs(8);
+const FIRST_EJECTION_TIME: Duration = Duration::from_millis(500);
+const MAX_EJECTION_TIME: Duration = Duration::from_secs(8);
 /// How long before the end of an ejection a health check is due, so that its result is known at the end.
-const CHECK_AHEAD: Duration = Duration::from_millis(200);
+const CHECK_LEAD_TIME: Duration = Duration::from_millis(200);
 /// How long after the end of an ejection urgent requests are used as probes. Until then, only other requests
 /// or a health check probe the server.
-const URGENT_PROBATION_DELAY: Duration = Duration::from_millis(300);
+const URGENT_PROBE_DELAY: Duration = Duration::from_millis(300);
 /// The time after which a health check without a result is ignored.
 const CHECK_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -28,30 +28,31 @@
     /// check was started.
     Ejected { until: Duration, count: u32, check: Option<Duration> },
     /// The server has got one request as a probe, whose outcome decides about the next state.
-    Probation { count: u32 },
+    Probing { count: u32 },
 }
 
 /// An event that concerns the health of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Event {
+pub(crate) enum HealthEvent {
     Failed(FailureKind),
     Responded,
-    ProbationStarted,
+    ProbeStarted,
     /// The probe ended without a result.
-    ProbationAbandoned,
+    ProbeAbandoned,
     CheckStarted,
     CheckFailed,
 }
 
-impl Event {
+impl HealthEvent {
     /// Returns whether the server may have restarted at the time of the event.
     fn suggests_restart(self) -> bool {
         match self {
-            Event::Failed(FailureKind::ServerError | FailureKind::InvalidResponse) => false,
-            Event::Failed(_) | Event::CheckFailed => true,
-            Event::Responded | Event::ProbationStarted | Event::ProbationAbandoned | Event::CheckStarted => {
-                false
-            }
+            HealthEvent::Failed(FailureKind::ServerError | FailureKind::InvalidResponse) => false,
+            HealthEvent::Failed(_) | HealthEvent::CheckFailed => true,
+            HealthEvent::Responded
+            | HealthEvent::ProbeStarted
+            | HealthEvent::ProbeAbandoned
+            | HealthEvent::CheckStarted => false,
         }
     }
 }
@@ -61,7 +62,7 @@
 pub(crate) enum HealthStatus {
     Healthy,
     /// The next request will be a probe.
-    Probation,
+    ProbeDue,
     Ejected,
 }
 
@@ -70,7 +71,7 @@
 pub(crate) struct Health {
     state: EjectionState,
     /// When the server became unhealthy.
-    since: Duration,
+    unhealthy_since: Duration,
     /// Whether the server may have restarted since. A server that responds with an error has not.
     may_have_restarted: bool,
 }
@@ -79,20 +80,20 @@
     pub(crate) fn new() -> Self {
         Health {
             state: EjectionState::Healthy { failures: 0 },
-            since: Duration::ZERO,
+            unhealthy_since: Duration::ZERO,
             may_have_restarted: false,
         }
     }
 
     /// Handles an event. This is the only method that changes the state. If the server becomes healthy again
     /// and may have restarted, returns how long it was unhealthy.
-    pub(crate) fn handle(&mut self, now: Duration, event: Event) -> Option<Duration> {
+    pub(crate) fn handle(&mut self, now: Duration, event: HealthEvent) -> Option<Duration> {
         let next = self.next(now, event);
         let was_healthy = self.is_healthy();
         self.state = next;
         match (was_healthy, self.is_healthy()) {
             (true, false) => {
-                self.since = now;
+                self.unhealthy_since = now;
                 self.may_have_restarted = event.suggests_restart();
                 None
             }
@@ -100,32 +101,34 @@
                 self.may_have_restarted |= event.suggests_restart();
                 None
             }
-            (false, true) => self.may_have_restarted.then(|| now.saturating_sub(self.since)),
+            (false, true) => self.may_have_restarted.then(|| now.saturating_sub(self.unhealthy_since)),
             (true, true) => None,
         }
     }
 
-    fn next(&self, now: Duration, event: Event) -> EjectionState {
+    fn next(&self, now: Duration, event: HealthEvent) -> EjectionState {
         match (self.state, event) {
-            (_, Event::Responded) => EjectionState::Healthy { failures: 0 },
-            (EjectionState::Healthy { .. }, Event::Failed(FailureKind::Connect)) => ejected(now, 1),
-            (EjectionState::Healthy { failures }, Event::Failed(_)) if failures + 1 >= FAILURES_IN_ROW => {
+            (_, HealthEvent::Responded) => EjectionState::Healthy { failures: 0 },
+            (EjectionState::Healthy { .. }, HealthEvent::Failed(FailureKind::Connect)) => ejected(now, 1),
+            (EjectionState::Healthy { failures }, HealthEvent::Failed(_))
+                if failures + 1 >= EJECTION_THRESHOLD =>
+            {
                 ejected(now, 1)
             }
-            (EjectionState::Healthy { failures }, Event::Failed(_)) => {
+            (EjectionState::Healthy { failures }, HealthEvent::Failed(_)) => {
                 EjectionState::Healthy { failures: failures + 1 }
             }
-            (EjectionState::Probation { count }, Event::Failed(_)) => ejected(now, count + 1),
-            (EjectionState::Probation { count }, Event::ProbationAbandoned) => {
+            (EjectionState::Probing { count }, HealthEvent::Failed(_)) => ejected(now, count + 1),
+            (EjectionState::Probing { count }, HealthEvent::ProbeAbandoned) => {
                 EjectionState::Ejected { until: now, count, check: None }
             }
-            (EjectionState::Ejected { count, check: Some(_), .. }, Event::CheckFailed) => {
+            (EjectionState::Ejected { count, check: Some(_), .. }, HealthEvent::CheckFailed) => {
                 ejected(now, count + 1)
             }
-            (EjectionState::Ejected { count, .. }, Event::ProbationStarted) => {
-                EjectionState::Probation { count }
+            (EjectionState::Ejected { count, .. }, HealthEvent::ProbeStarted) => {
+                EjectionState::Probing { count }
             }
-            (EjectionState::Ejected { until, count, .. }, Event::CheckStarted) => {
+            (EjectionState::Ejected { until, count, .. }, HealthEvent::CheckStarted) => {
                 EjectionState::Ejected { until, count, check: Some(now) }
             }
             // Failures of requests that were sent before the ejection are no new information.
@@ -139,48 +142,50 @@
 
     /// Returns whether the server may get a request now.
     pub(crate) fn status(&self, now: Duration, urgent: bool) -> HealthStatus {
-        let delay = if urgent { URGENT_PROBATION_DELAY } else { Duration::ZERO };
+        let delay = if urgent { URGENT_PROBE_DELAY } else { Duration::ZERO };
         match self.state {
             EjectionState::Healthy { .. } => HealthStatus::Healthy,
-            EjectionState::Ejected { until, check, .. } if now >= until + delay && !is_open(check, now) => {
-                HealthStatus::Probation
+            EjectionState::Ejected { until, check, .. }
+                if now >= until + delay && !is_check_pending(check, now) =>
+            {
+                HealthStatus::ProbeDue
             }
-            EjectionState::Ejected { .. } | EjectionState::Probation { .. } => HealthStatus::Ejected,
+            EjectionState::Ejected { .. } | EjectionState::Probing { .. } => HealthStatus::Ejected,
         }
     }
 
     /// Returns whether a health check is due.
-    pub(crate) fn check_due(&self, now: Duration) -> bool {
+    pub(crate) fn is_check_due(&self, now: Duration) -> bool {
         let EjectionState::Ejected { until, check, .. } = self.state else { return false };
-        now + CHECK_AHEAD >= until && !is_open(check, now)
+        now + CHECK_LEAD_TIME >= until && !is_check_pending(check, now)
     }
 }
 
 /// Returns whether a health check has started and its result is still awaited.
-fn is_open(check: Option<Duration>, now: Duration) -> bool {
+fn is_check_pending(check: Option<Duration>, now: Duration) -> bool {
     check.is_some_and(|begun| now < begun + CHECK_TIMEOUT)
 }
 
 /// Returns the state of a server that is ejected for the `count`th time in a row.
 fn ejected(now: Duration, count: u32) -> EjectionState {
     let doublings = count.saturating_sub(1).min(16);
-    let time = FIRST_EJECTION.saturating_mul(1 << doublings).min(LONGEST_EJECTION);
+    let time = FIRST_EJECTION_TIME.saturating_mul(1 << doublings).min(MAX_EJECTION_TIME);
     EjectionState::Ejected { until: now + time, count, check: None }
 }
 
 /// The numbers of failures and requests of a server, with exponential decay.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct FailureRate {
+pub(crate) struct FailureCounts {
     failures: f64,
     requests: f64,
     updated: Duration,
 }
 
 /// The half-life of the counts of failures and requests.
-const HALVING_SECONDS: f64 = 5.0;
+const HALF_LIFE_S: f64 = 5.0;
 
-impl FailureRate {
-    pub(crate) fn count(&mut self, now: Duration, failed: bool) {
+impl FailureCounts {
+    pub(crate) fn record(&mut self, now: Duration, failed: bool) {
         let (failures, requests) = self.at(now);
         self.failures = failures + f64::from(u8::from(failed));
         self.requests = requests + 1.0;
@@ -190,7 +195,7 @@
     /// Returns the decayed numbers of failures and requests.
     pub(crate) fn at(&self, now: Duration) -> (f64, f64) {
         let age = now.saturating_sub(self.updated).as_secs_f64();
-        let remaining = 0.5_f64.powf(age / HALVING_SECONDS);
+        let remaining = 0.5_f64.powf(age / HALF_LIFE_S);
         (self.failures * remaining, self.requests * remaining)
     }
 }
--- a/crates/load-balancer/src/balancer/plain_score.rs
+++ b/crates/load-balancer/src/balancer/plain_score.rs
@@ -10,7 +10,7 @@
 /// Below this occupancy the nearest server is used. Servers at or above it are compared by occupancy.
 const MAX_LOCAL_OCCUPANCY: f64 = 0.7;
 /// The occupancy that is added for each condition of a server.
-const CONDITION: ConditionCosts = ConditionCosts { slow: 0.2, failing: 0.5, warming: 0.2 };
+const CONDITION_COSTS: ConditionCosts = ConditionCosts { slow: 0.2, failing: 0.5, warming: 0.2 };
 
 /// The score of a server; the lowest is the best.
 #[derive(Clone, Copy, Debug)]
@@ -40,15 +40,15 @@
         Scorer { settings: service.settings, now, medians: service.medians }
     }
 
-    pub(super) fn of(&self, server: &Server) -> Score {
+    pub(super) fn score(&self, server: &Server) -> Score {
         let requests = server.load.total(self.now).requests();
-        let occupancy =
-            requests / self.settings.slots(&server.info) + CONDITION.of(server, &self.medians, self.now);
+        let occupancy = requests / self.settings.slots(&server.info)
+            + CONDITION_COSTS.cost(server, &self.medians, self.now);
         let tier = match server.distance {
             _ if occupancy >= MAX_LOCAL_OCCUPANCY => 3,
             Distance::SameZone => 0,
             Distance::SameRegion => 1,
-            Distance::Far => 2,
+            Distance::OtherRegion => 2,
         };
         Score { tier, occupancy, distance: server.distance }
     }
--- a/crates/load-balancer/src/balancer/prefill_time.rs
+++ b/crates/load-balancer/src/balancer/prefill_time.rs
@@ -34,7 +34,7 @@
     tokens: f64,
     ms: f64,
     tokens_squared: f64,
-    tokens_ms: f64,
+    tokens_times_ms: f64,
 }
 
 impl Sums {
@@ -43,7 +43,7 @@
         self.tokens += weight * tokens;
         self.ms += weight * ms;
         self.tokens_squared += weight * tokens * tokens;
-        self.tokens_ms += weight * tokens * ms;
+        self.tokens_times_ms += weight * tokens * ms;
     }
 
     fn decay(&mut self) {
@@ -51,13 +51,13 @@
         self.tokens *= DECAY;
         self.ms *= DECAY;
         self.tokens_squared *= DECAY;
-        self.tokens_ms *= DECAY;
+        self.tokens_times_ms *= DECAY;
     }
 
     /// Returns the base time and the time per token of the best fit, in milliseconds.
-    fn line(&self) -> (f64, f64) {
+    fn fit(&self) -> (f64, f64) {
         let variance = self.weight * self.tokens_squared - self.tokens * self.tokens;
-        let covariance = self.weight * self.tokens_ms - self.tokens * self.ms;
+        let covariance = self.weight * self.tokens_times_ms - self.tokens * self.ms;
         let token_ms = (covariance / variance.max(f64::EPSILON)).max(MIN_TOKEN_MS);
         let base_ms = ((self.ms - token_ms * self.tokens) / self.weight).max(0.0);
         (base_ms, token_ms)
@@ -80,7 +80,7 @@
         for tokens in PRIOR_TOKENS {
             with_prior.add(tokens, PRIOR_BASE_MS + PRIOR_TOKEN_MS * tokens, PRIOR_WEIGHT);
         }
-        (self.base_ms, self.token_ms) = with_prior.line();
+        (self.base_ms, self.token_ms) = with_prior.fit();
     }
 
     /// Returns the expected time to the first byte in milliseconds, with `tokens` tokens to prefill.
--- a/crates/load-balancer/src/balancer/prefix_cache.rs
+++ b/crates/load-balancer/src/balancer/prefix_cache.rs
@@ -22,27 +22,27 @@
 /// The fraction of long shared segments that a server is expected to have to prefill, by its rank in the
 /// whole system and by its rank within its region. The values rise with the rank, so that proxies that cannot
 /// use the first server agree on the next one.
-const UNCACHED_IN_SYSTEM: [f64; 3] = [0.0, 0.85, 0.95];
-const UNCACHED_IN_REGION: [f64; 2] = [0.75, 0.95];
+const LONG_UNCACHED_BY_SYSTEM_RANK: [f64; 3] = [0.0, 0.85, 0.95];
+const LONG_UNCACHED_BY_REGION_RANK: [f64; 2] = [0.75, 0.95];
 /// The same for short shared segments, by the rank within the region.
-const UNCACHED_AT_HOME: [f64; 3] = [0.0, 0.85, 0.95];
+const SHORT_UNCACHED_BY_REGION_RANK: [f64; 3] = [0.0, 0.85, 0.95];
 
 /// The hash of the shared segments of a prompt, and whether they are long.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PrefixKey {
     hash: u64,
-    long: bool,
+    is_long: bool,
 }
 
 impl PrefixKey {
     /// Creates the key of a prompt; `None` if it has no shared segments.
-    pub(crate) fn of(demand: &Demand<'_>) -> Option<PrefixKey> {
-        let shared = demand.shared();
-        if shared.is_empty() {
+    pub(crate) fn for_demand(demand: &Demand<'_>) -> Option<PrefixKey> {
+        let shared_segments = demand.shared_segments();
+        if shared_segments.is_empty() {
             return None;
         }
-        let hash = shared.iter().fold(0, |hash, segment| mix(hash ^ segment.id));
-        Some(PrefixKey { hash, long: demand.shared_tokens() >= LONG_PREFIX_TOKENS })
+        let hash = shared_segments.iter().fold(0, |hash, segment| mix(hash ^ segment.id));
+        Some(PrefixKey { hash, is_long: demand.shared_tokens() >= LONG_PREFIX_TOKENS })
     }
 
     /// Returns the rendezvous hashing score of a server. The server with the highest score has rank 0.
@@ -53,11 +53,12 @@
     /// Returns the fraction of the shared tokens that a server is expected to have to prefill, by its rank
     /// among all candidates and its rank among those of its region.
     pub(crate) fn uncached_fraction(self, rank: usize, rank_in_region: usize) -> f64 {
-        let part = |table: &[f64], rank: usize| table.get(rank).copied().unwrap_or(1.0);
-        if self.long {
-            return part(&UNCACHED_IN_SYSTEM, rank).min(part(&UNCACHED_IN_REGION, rank_in_region));
+        let fraction = |table: &[f64], rank: usize| table.get(rank).copied().unwrap_or(1.0);
+        if self.is_long {
+            return fraction(&LONG_UNCACHED_BY_SYSTEM_RANK, rank)
+                .min(fraction(&LONG_UNCACHED_BY_REGION_RANK, rank_in_region));
         }
-        part(&UNCACHED_AT_HOME, rank_in_region)
+        fraction(&SHORT_UNCACHED_BY_REGION_RANK, rank_in_region)
     }
 }
 
@@ -79,7 +80,7 @@
     /// Records that a prompt with these segments is sent to a server.
     pub(crate) fn record(&mut self, now: Duration, server: ServerKey, segments: &[PromptSegment]) {
         if self.segments.len() >= MAX_SEGMENTS {
-            self.forget_old(now);
+            self.evict_expired(now);
         }
         for segment in segments {
             let servers = self.segments.entry(segment.id).or_default();
@@ -92,7 +93,7 @@
     }
 
     /// Removes a server from segments, after a request with them has ended there before its response began.
-    pub(crate) fn forget(&mut self, server: ServerKey, ids: impl Iterator<Item = u64>) {
+    pub(crate) fn forget_server(&mut self, server: ServerKey, ids: impl Iterator<Item = u64>) {
         for id in ids {
             if let Some(servers) = self.segments.get_mut(&id) {
                 servers.retain(|(known, _)| *known != server);
@@ -113,7 +114,7 @@
     }
 
     /// Removes expired segments, or all segments if too many remain.
-    fn forget_old(&mut self, now: Duration) {
+    fn evict_expired(&mut self, now: Duration) {
         self.segments.retain(|_, servers| servers.iter().any(|(_, at)| now.saturating_sub(*at) < CACHE_TTL));
         if self.segments.len() >= MAX_SEGMENTS {
             self.segments.clear();
--- a/crates/load-balancer/src/balancer/server.rs
+++ b/crates/load-balancer/src/balancer/server.rs
@@ -1,9 +1,9 @@
 //! The state of a server.
 
-use super::outlier_detection::{FailureRate, Health};
+use super::outlier_detection::{FailureCounts, Health};
 use super::server_load::Load;
 use super::service_rate::Speed;
-use super::slow_start::Sends;
+use super::slow_start::RecentSends;
 use quillpulley_protocol as protocol;
 use quillpulley_protocol::Locality;
 use std::net::SocketAddr;
@@ -11,13 +11,13 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// How long a server gets no requests after it has rejected one because it was full.
-const FULL_TIME: Duration = Duration::from_millis(150);
+const FULL_PAUSE: Duration = Duration::from_millis(150);
 
 /// The weight in the failure rate of a failure that another proxy has reported.
-const OTHERS_FAILURE: f64 = 0.5;
+const OTHER_PROXY_FAILURE_WEIGHT: f64 = 0.5;
 /// The number of successful requests that the failure rate assumes in addition, so that one failure among a
 /// few requests has little effect.
-const UNSEEN_REQUESTS: f64 = 2.0;
+const PRIOR_REQUESTS: f64 = 2.0;
 
 /// Returns the hash that identifies a server in load reports.
 pub fn server_hash(id: &str) -> u64 {
@@ -42,7 +42,7 @@
 
 /// Whether the list allows requests to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Listing {
+enum ListingState {
     /// The server accepts requests.
     Ready,
     /// The server is draining, or will be removed at short notice.
@@ -51,21 +51,21 @@
     Misdirected,
 }
 
-/// An event that changes the [`Listing`] of a server.
+/// An event that changes the [`ListingState`] of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ListingEvent {
     /// The list has a new entry of the server.
-    Listed { is_leaving: bool },
+    Listed { is_draining: bool },
     /// A request reached another server.
     Misdirected,
 }
 
-impl Listing {
-    fn after(self, event: ListingEvent) -> Listing {
+impl ListingState {
+    fn after(self, event: ListingEvent) -> ListingState {
         match (self, event) {
-            (_, ListingEvent::Listed { is_leaving: true }) => Listing::Draining,
-            (_, ListingEvent::Listed { is_leaving: false }) => Listing::Ready,
-            (_, ListingEvent::Misdirected) => Listing::Misdirected,
+            (_, ListingEvent::Listed { is_draining: true }) => ListingState::Draining,
+            (_, ListingEvent::Listed { is_draining: false }) => ListingState::Ready,
+            (_, ListingEvent::Misdirected) => ListingState::Misdirected,
         }
     }
 }
@@ -75,7 +75,7 @@
 pub(crate) enum Distance {
     SameZone,
     SameRegion,
-    Far,
+    OtherRegion,
 }
 
 impl Distance {
@@ -85,7 +85,7 @@
         } else if one.region == other.region {
             Distance::SameRegion
         } else {
-            Distance::Far
+            Distance::OtherRegion
         }
     }
 }
@@ -97,18 +97,18 @@
     pub(crate) distance: Distance,
     /// The latest entry in the list.
     entry: protocol::Server,
-    listing: Listing,
-    pub(crate) evacuated: bool,
+    listing: ListingState,
+    pub(crate) is_evacuated: bool,
     /// When the warm-up ends.
     warming_until: Duration,
     /// Until when the server gets no requests because it has rejected one as full.
     full_until: Duration,
     /// Whether this proxy may send requests to the server while it is cold.
     pub(crate) is_slow_start_sender: bool,
-    pub(crate) sends: Sends,
+    pub(crate) recent_sends: RecentSends,
     pub(crate) load: Load,
     pub(crate) health: Health,
-    pub(crate) failures: FailureRate,
+    pub(crate) failures: FailureCounts,
     pub(crate) speed: Speed,
 }
 
@@ -119,15 +119,15 @@
             info,
             distance,
             entry: entry.clone(),
-            listing: Listing::Ready,
-            evacuated: false,
+            listing: ListingState::Ready,
+            is_evacuated: false,
             warming_until: Duration::ZERO,
             full_until: Duration::ZERO,
             is_slow_start_sender: false,
-            sends: Sends::default(),
+            recent_sends: RecentSends::default(),
             load: Load::default(),
             health: Health::new(),
-            failures: FailureRate::default(),
+            failures: FailureCounts::default(),
             speed: Speed::default(),
         };
         server.apply_entry(now, entry);
@@ -152,19 +152,19 @@
     }
 
     fn apply_entry(&mut self, now: Duration, entry: &protocol::Server) {
-        let is_leaving = entry.state == protocol::ServerState::Draining || entry.has_time_remaining;
-        self.listing = self.listing.after(ListingEvent::Listed { is_leaving });
-        self.set_warming(now, Duration::from_millis(u64::from(entry.warmup_remaining_ms)));
+        let is_draining = entry.state == protocol::ServerState::Draining || entry.has_time_remaining;
+        self.listing = self.listing.after(ListingEvent::Listed { is_draining });
+        self.set_warmup_remaining(now, Duration::from_millis(u64::from(entry.warmup_remaining_ms)));
     }
 
     /// Sets the remaining warm-up time.
-    pub(crate) fn set_warming(&mut self, now: Duration, remaining: Duration) {
+    pub(crate) fn set_warmup_remaining(&mut self, now: Duration, remaining: Duration) {
         self.warming_until = now + remaining;
     }
 
     /// Treats the server as cold for at least the time `remaining`, because it may have become cold
     /// unnoticed.
-    pub(crate) fn presume_warming(&mut self, now: Duration, remaining: Duration) {
+    pub(crate) fn assume_warming(&mut self, now: Duration, remaining: Duration) {
         self.warming_until = self.warming_until.max(now + remaining);
     }
 
@@ -173,20 +173,20 @@
     }
 
     pub(crate) fn set_full(&mut self, now: Duration) {
-        self.full_until = now + FULL_TIME;
+        self.full_until = now + FULL_PAUSE;
     }
 
     /// Returns the recent failure rate over all proxies, in which failures at other proxies have a lower
     /// weight.
     pub(crate) fn failure_rate(&self, now: Duration) -> f64 {
         let (failures, requests) = self.failures.at(now);
-        let of_others = self.load.others(now).failures * OTHERS_FAILURE;
-        (failures + of_others) / (requests + of_others + UNSEEN_REQUESTS)
+        let other_failures = self.load.others(now).failures * OTHER_PROXY_FAILURE_WEIGHT;
+        (failures + other_failures) / (requests + other_failures + PRIOR_REQUESTS)
     }
 
     /// Returns whether the list and the evacuations allow requests to the server.
     pub(crate) fn is_usable(&self) -> bool {
-        self.listing == Listing::Ready && !self.evacuated
+        self.listing == ListingState::Ready && !self.is_evacuated
     }
 
     pub(crate) fn is_warming(&self, now: Duration) -> bool {
--- a/crates/load-balancer/src/balancer/server_load.rs
+++ b/crates/load-balancer/src/balancer/server_load.rs
@@ -25,7 +25,7 @@
 }
 
 impl LoadCounts {
-    fn of(load: &ServerLoad) -> Self {
+    fn from_report(load: &ServerLoad) -> Self {
         LoadCounts {
             running: f64::from(load.running),
             waiting: f64::from(load.waiting),
@@ -35,7 +35,7 @@
     }
 
     /// Returns these counts minus `part`, each at least zero, multiplied by `factor`.
-    fn without(&self, part: &LoadCounts, factor: f64) -> LoadCounts {
+    fn scaled_difference(&self, part: &LoadCounts, factor: f64) -> LoadCounts {
         let remaining = |all: f64, part: f64| (all - part).max(0.0) * factor;
         LoadCounts {
             running: remaining(self.running, part.running),
@@ -52,23 +52,24 @@
 
 /// The load that a request puts on a server.
 #[derive(Clone, Debug)]
-pub(crate) struct RequestCost {
+pub(crate) struct RequestLoad {
     /// The prompt tokens that the server has to prefill.
     pub(crate) prefill_tokens: u32,
     /// The tokens that the server keeps in memory for this request alone.
-    private: u32,
+    private_tokens: u32,
     /// The ids of the shared segments, and their lengths in tokens.
-    shared: Box<[(u64, u32)]>,
+    shared_segments: Box<[(u64, u32)]>,
 }
 
-impl RequestCost {
+impl RequestLoad {
     pub(crate) fn new(demand: &Demand<'_>, prefill_tokens: u32) -> Self {
-        let shared = demand.shared().iter().map(|segment| (segment.id, segment.tokens)).collect();
-        RequestCost { prefill_tokens, private: demand.private_tokens(), shared }
+        let shared_segments =
+            demand.shared_segments().iter().map(|segment| (segment.id, segment.tokens)).collect();
+        RequestLoad { prefill_tokens, private_tokens: demand.private_tokens(), shared_segments }
     }
 
     pub(crate) fn shared_ids(&self) -> impl Iterator<Item = u64> + '_ {
-        self.shared.iter().map(|(id, _)| *id)
+        self.shared_segments.iter().map(|(id, _)| *id)
     }
 }
 
@@ -81,38 +82,38 @@
     private_tokens: u64,
     /// The shared segments of the requests in flight, by id: the number of requests that use the segment, and
     /// its length in tokens.
-    shared: BTreeMap<u64, (u32, u32)>,
+    shared_segments: BTreeMap<u64, (u32, u32)>,
     shared_tokens: u64,
     /// Since when the server has not responded although requests wait; `None` while no request waits.
-    unresponsive_since: Option<Duration>,
+    no_response_since: Option<Duration>,
     /// The latest counts that this proxy has reported.
-    reported: LoadCounts,
-    /// The counts of the other proxies, as of `reported_at`.
+    own_reported: LoadCounts,
+    /// The counts of the other proxies, as of `others_updated_at`.
     others: LoadCounts,
-    reported_at: Duration,
+    others_updated_at: Duration,
 }
 
 impl Load {
     /// Records that a request is sent.
-    pub(crate) fn begin(&mut self, now: Duration, request_cost: &RequestCost) {
+    pub(crate) fn begin(&mut self, now: Duration, request_load: &RequestLoad) {
         self.waiting += 1;
-        self.waiting_tokens += u64::from(request_cost.prefill_tokens);
-        self.private_tokens += u64::from(request_cost.private);
-        for (id, tokens) in request_cost.shared.iter().copied() {
-            let (users, _) = self.shared.entry(id).or_insert((0, tokens));
+        self.waiting_tokens += u64::from(request_load.prefill_tokens);
+        self.private_tokens += u64::from(request_load.private_tokens);
+        for (id, tokens) in request_load.shared_segments.iter().copied() {
+            let (users, _) = self.shared_segments.entry(id).or_insert((0, tokens));
             *users += 1;
             if *users == 1 {
                 self.shared_tokens += u64::from(tokens);
             }
         }
-        self.unresponsive_since = self.unresponsive_since.or(Some(now));
+        self.no_response_since = self.no_response_since.or(Some(now));
     }
 
     /// Records that the response of a waiting request has begun.
-    pub(crate) fn start(&mut self, now: Duration, request_cost: &RequestCost) {
-        self.stop_waiting(request_cost);
+    pub(crate) fn start(&mut self, now: Duration, request_load: &RequestLoad) {
+        self.stop_waiting(request_load);
         self.running += 1;
-        self.record_response_time(now);
+        self.record_response(now);
     }
 
     /// Records the end of a request. `has_started` is whether its response had begun, and `is_response`
@@ -120,45 +121,45 @@
     pub(crate) fn end(
         &mut self,
         now: Duration,
-        request_cost: &RequestCost,
+        request_load: &RequestLoad,
         has_started: bool,
         is_response: bool,
     ) {
         if has_started {
             self.running = self.running.saturating_sub(1);
         } else {
-            self.stop_waiting(request_cost);
+            self.stop_waiting(request_load);
         }
-        self.private_tokens = self.private_tokens.saturating_sub(u64::from(request_cost.private));
-        for id in request_cost.shared_ids() {
+        self.private_tokens = self.private_tokens.saturating_sub(u64::from(request_load.private_tokens));
+        for id in request_load.shared_ids() {
             self.release(id);
         }
         if is_response || self.waiting == 0 {
-            self.record_response_time(now);
+            self.record_response(now);
         }
     }
 
-    fn stop_waiting(&mut self, request_cost: &RequestCost) {
+    fn stop_waiting(&mut self, request_load: &RequestLoad) {
         self.waiting = self.waiting.saturating_sub(1);
-        self.waiting_tokens = self.waiting_tokens.saturating_sub(u64::from(request_cost.prefill_tokens));
+        self.waiting_tokens = self.waiting_tokens.saturating_sub(u64::from(request_load.prefill_tokens));
     }
 
     fn release(&mut self, id: u64) {
-        let Some((users, tokens)) = self.shared.get_mut(&id) else { return };
+        let Some((users, tokens)) = self.shared_segments.get_mut(&id) else { return };
         *users -= 1;
         if *users == 0 {
             self.shared_tokens = self.shared_tokens.saturating_sub(u64::from(*tokens));
-            self.shared.remove(&id);
+            self.shared_segments.remove(&id);
         }
     }
 
-    fn record_response_time(&mut self, now: Duration) {
-        self.unresponsive_since = (self.waiting > 0).then_some(now);
+    fn record_response(&mut self, now: Duration) {
+        self.no_response_since = (self.waiting > 0).then_some(now);
     }
 
     /// Returns how long requests have waited without any response of the server.
     fn time_without_response(&self, now: Duration) -> Duration {
-        self.unresponsive_since.map_or(Duration::ZERO, |since| now.saturating_sub(since))
+        self.no_response_since.map_or(Duration::ZERO, |since| now.saturating_sub(since))
     }
 
     /// Returns whether requests have waited without a response for longer than the usual speed of the service
@@ -168,7 +169,7 @@
     }
 
     /// Returns the number of requests that wait for the server if it is unresponsive, otherwise 0.
-    pub(crate) fn unanswered(&self, now: Duration, rate: &ServiceRate) -> f64 {
+    pub(crate) fn unanswered_requests(&self, now: Duration, rate: &ServiceRate) -> f64 {
         if self.is_unresponsive(now, rate) {
             return f64::from(self.waiting);
         }
@@ -176,7 +177,7 @@
     }
 
     /// Returns the number of requests of this proxy in flight.
-    pub(crate) fn own(&self) -> u32 {
+    pub(crate) fn own_requests(&self) -> u32 {
         self.running + self.waiting
     }
 
@@ -189,21 +190,21 @@
             prompt_tokens: u32::try_from(self.waiting_tokens).unwrap_or(u32::MAX),
             failures: failures.round() as u32,
         };
-        self.reported = LoadCounts::of(&load);
+        self.own_reported = LoadCounts::from_report(&load);
         load
     }
 
     /// Sets the sum of the reported loads of all proxies including this one; `None` if there is no load.
     pub(crate) fn set_total(&mut self, now: Duration, total: Option<&ServerLoad>) {
-        let total = total.map(LoadCounts::of).unwrap_or_default();
-        self.others = total.without(&self.reported, 1.0);
-        self.reported_at = now;
+        let total = total.map(LoadCounts::from_report).unwrap_or_default();
+        self.others = total.scaled_difference(&self.own_reported, 1.0);
+        self.others_updated_at = now;
     }
 
     /// Returns the load of the other proxies.
     pub(crate) fn others(&self, now: Duration) -> LoadCounts {
-        let age = now.saturating_sub(self.reported_at).as_secs_f64() / REPORT_TTL.as_secs_f64();
-        self.others.without(&LoadCounts::default(), (2.0 - age).clamp(0.0, 1.0))
+        let age = now.saturating_sub(self.others_updated_at).as_secs_f64() / REPORT_TTL.as_secs_f64();
+        self.others.scaled_difference(&LoadCounts::default(), (2.0 - age).clamp(0.0, 1.0))
     }
 
     /// Returns the load of all proxies.
@@ -219,7 +220,7 @@
 
     /// Returns the number of tokens in the server's memory that cannot be evicted, if each request of another
     /// proxy needs `mean_private_tokens`.
-    pub(crate) fn memory(&self, now: Duration, mean_private_tokens: f64) -> f64 {
+    pub(crate) fn used_memory_tokens(&self, now: Duration, mean_private_tokens: f64) -> f64 {
         let others = self.others(now).requests() * mean_private_tokens;
         self.private_tokens as f64 + self.shared_tokens as f64 + others
     }
--- a/crates/load-balancer/src/balancer/service.rs
+++ b/crates/load-balancer/src/balancer/service.rs
@@ -25,7 +25,7 @@
     pub(crate) medians: Medians,
     /// The highest priority of all requests so far, which is the lowest number; `None` before the first
     /// request.
-    pub(crate) most_urgent: Option<u32>,
+    pub(crate) highest_priority: Option<u32>,
 }
 
 /// The medians with which servers are compared. They change slowly and are computed at intervals.
@@ -35,7 +35,7 @@
     /// The median time per token of work, in milliseconds; `None` if no server has enough samples.
     pub(crate) token_ms: Option<f64>,
     /// The failure rate above which a server counts as failing.
-    pub(crate) failing_from: f64,
+    pub(crate) failing_above: f64,
 }
 
 impl ServiceState {
@@ -45,18 +45,18 @@
             return;
         }
         let servers = || self.servers.iter().filter_map(|key| servers.get(*key));
-        let share = median(servers().map(|server| server.failure_rate(now))).unwrap_or(0.0);
+        let median_failure_rate = median(servers().map(|server| server.failure_rate(now))).unwrap_or(0.0);
         self.medians = Medians {
             updated_at: Some(now),
             token_ms: median(servers().filter_map(|server| server.speed.reliable())),
-            failing_from: (share * FAILING_FACTOR).max(MIN_FAILURE_RATE),
+            failing_above: (median_failure_rate * FAILING_FACTOR).max(MIN_FAILURE_RATE),
         };
     }
 
     /// Updates the highest priority with the priority of a request.
-    pub(crate) fn note_priority(&mut self, priority: u32) {
-        let most = self.most_urgent.unwrap_or(priority);
-        self.most_urgent = Some(most.min(priority));
+    pub(crate) fn record_priority(&mut self, priority: u32) {
+        let highest = self.highest_priority.unwrap_or(priority);
+        self.highest_priority = Some(highest.min(priority));
     }
 }
 
@@ -87,9 +87,9 @@
 impl ServiceSettings {
     /// Creates the settings from the configuration of a service. `overshoot` is the factor on its
     /// `WarmupPerS`, and `slack` the addend, in the limit on requests to a cold server.
-    pub(crate) fn of(service: &Service, overshoot: f64, slack: f64) -> Self {
+    pub(crate) fn new(service: &Service, overshoot: f64, slack: f64) -> Self {
         let is_unlimited = service.warmup.is_zero() && service.warmup_per_s <= 0.0;
-        let bound = service.warmup_per_s * overshoot + slack;
+        let limit = service.warmup_per_s * overshoot + slack;
         let engine = service.engine.as_ref().map(|engine| EngineSettings {
             slots: engine.slots,
             memory_tokens: Some(engine.kv_capacity_tokens).filter(|tokens| *tokens > 0),
@@ -97,7 +97,7 @@
         ServiceSettings {
             max_connections: service.max_connections,
             warmup: service.warmup,
-            slow_start_share: (!is_unlimited).then(|| SlowStartShare::of(bound)),
+            slow_start_share: (!is_unlimited).then(|| SlowStartShare::for_limit(limit)),
             engine,
         }
     }
@@ -110,8 +110,8 @@
     /// Returns the maximum number of requests that a server executes at the same time: that of its listed
     /// entry, else that of the engine, else 1.
     pub(crate) fn slots(&self, server: &ServerInfo) -> f64 {
-        let of_engine = || self.engine.map_or(1, |engine| engine.slots);
-        let listed = Some(server.slots).filter(|slots| *slots > 0);
-        f64::from(listed.unwrap_or_else(of_engine).max(1))
+        let engine_slots = || self.engine.map_or(1, |engine| engine.slots);
+        let listed_slots = Some(server.slots).filter(|slots| *slots > 0);
+        f64::from(listed_slots.unwrap_or_else(engine_slots).max(1))
     }
 }
--- a/crates/load-balancer/src/balancer/service_rate.rs
+++ b/crates/load-balancer/src/balancer/service_rate.rs
@@ -4,26 +4,26 @@
 use std::time::Duration;
 
 /// The weight of a new sample in an exponentially weighted mean.
-const GAIN: f64 = 0.15;
+const SAMPLE_WEIGHT: f64 = 0.15;
 /// The minimum number of samples for a reliable mean.
 const MIN_SAMPLES: u32 = 5;
 /// The half-life of the measured slowness of a server, so that a slow server is tried again.
-const HALVING_SECONDS: f64 = 10.0;
+const SLOWNESS_HALF_LIFE_S: f64 = 10.0;
 /// The work of a request in addition to prefilling its prompt, in tokens.
 const BASE_TOKENS: f64 = 400.0;
 /// The time per token, in milliseconds, that is assumed before the first response.
 const INITIAL_TOKEN_MS: f64 = 0.05;
 /// A server counts as unresponsive if it has not responded to waiting requests for this multiple of the mean
 /// time to the first byte, but at least for the minimum time, plus an allowance for the queued prompts.
-const TIMEOUT_FACTOR: u32 = 4;
-const MIN_TIMEOUT: Duration = Duration::from_millis(250);
+const RESPONSE_TIMEOUT_FACTOR: u32 = 4;
+const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
 /// The allowance for the queued prompts, as a multiple of the time to prefill them.
-const PREFILL_FACTOR: u32 = 2;
+const PREFILL_TIMEOUT_FACTOR: u32 = 2;
 /// The time to the first byte, and the duration of a request, that are assumed before the first response.
-const INITIAL_DURATION: Duration = Duration::from_millis(300);
+const INITIAL_TIME: Duration = Duration::from_millis(300);
 
 /// The time constant of the exponential decay of an event rate.
-const EVENT_RATE_WINDOW: Duration = Duration::from_secs(2);
+const EVENT_RATE_TIME_CONSTANT: Duration = Duration::from_secs(2);
 
 /// An exponentially weighted mean.
 #[derive(Clone, Copy, Debug, Default)]
@@ -36,8 +36,8 @@
     pub(crate) fn add(&mut self, sample: f64) {
         self.samples = self.samples.saturating_add(1);
         // The first samples have equal weights.
-        let gain = GAIN.max(1.0 / f64::from(self.samples));
-        self.value += (sample - self.value) * gain;
+        let weight = SAMPLE_WEIGHT.max(1.0 / f64::from(self.samples));
+        self.value += (sample - self.value) * weight;
     }
 
     pub(crate) fn get(&self) -> Option<f64> {
@@ -65,7 +65,7 @@
             return 1.0;
         }
         let age = now.saturating_sub(self.updated).as_secs_f64();
-        1.0 + (own / median - 1.0) * 0.5_f64.powf(age / HALVING_SECONDS)
+        1.0 + (own / median - 1.0) * 0.5_f64.powf(age / SLOWNESS_HALF_LIFE_S)
     }
 
     /// Returns the mean time per token in milliseconds; `None` while there are too few samples.
@@ -89,7 +89,7 @@
 impl EventRate {
     fn count_at(&self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.updated).as_secs_f64();
-        self.count * (-age / EVENT_RATE_WINDOW.as_secs_f64()).exp()
+        self.count * (-age / EVENT_RATE_TIME_CONSTANT.as_secs_f64()).exp()
     }
 
     fn record(&mut self, now: Duration) {
@@ -98,7 +98,7 @@
     }
 
     fn per_second(&self, now: Duration) -> f64 {
-        self.count_at(now) / EVENT_RATE_WINDOW.as_secs_f64()
+        self.count_at(now) / EVENT_RATE_TIME_CONSTANT.as_secs_f64()
     }
 }
 
@@ -109,7 +109,7 @@
     sends: EventRate,
     /// The minimum time to the first byte for each `Distance`, in milliseconds. The difference from the
     /// lowest of them is taken as the network latency of a distance.
-    floors: [Option<f64>; 3],
+    min_first_byte_ms: [Option<f64>; 3],
     /// The time per token of work, in milliseconds.
     token_ms: Mean,
     /// The model of the time to the first byte, without the network latency.
@@ -127,12 +127,13 @@
     /// `work_tokens` before it. Returns the milliseconds per token of work, without the network latency.
     pub(crate) fn record_first_byte(&mut self, time: Duration, distance: usize, work_tokens: f64) -> f64 {
         let milliseconds = time.as_secs_f64() * 1e3;
-        let floor = self.floors[distance].get_or_insert(milliseconds);
-        *floor = floor.min(milliseconds);
-        let extra_latency = *floor - self.floors.iter().flatten().copied().fold(f64::INFINITY, f64::min);
-        let at_server = (milliseconds - extra_latency).max(0.0);
-        let per_token = at_server / (BASE_TOKENS + work_tokens);
-        self.prefill.record(work_tokens, at_server);
+        let min_ms = self.min_first_byte_ms[distance].get_or_insert(milliseconds);
+        *min_ms = min_ms.min(milliseconds);
+        let network_latency_ms =
+            *min_ms - self.min_first_byte_ms.iter().flatten().copied().fold(f64::INFINITY, f64::min);
+        let server_ms = (milliseconds - network_latency_ms).max(0.0);
+        let per_token = server_ms / (BASE_TOKENS + work_tokens);
+        self.prefill.record(work_tokens, server_ms);
         self.first_byte_ms.add(milliseconds);
         self.token_ms.add(per_token);
         per_token
@@ -160,8 +161,9 @@
     /// Returns the time without a response after which a server with waiting requests counts as unresponsive.
     /// `waiting_tokens` are queued to be prefilled.
     pub(crate) fn response_timeout(&self, waiting_tokens: f64) -> Duration {
-        let reading = Duration::from_secs_f64(waiting_tokens * self.token_ms() / 1e3);
-        (mean_time(&self.first_byte_ms) * TIMEOUT_FACTOR).max(MIN_TIMEOUT) + reading * PREFILL_FACTOR
+        let prefill_time = Duration::from_secs_f64(waiting_tokens * self.token_ms() / 1e3);
+        (mean_time(&self.first_byte_ms) * RESPONSE_TIMEOUT_FACTOR).max(MIN_RESPONSE_TIMEOUT)
+            + prefill_time * PREFILL_TIMEOUT_FACTOR
     }
 
     /// Returns the mean time from sending a request to the end of its response.
@@ -176,7 +178,7 @@
 }
 
 fn mean_time(milliseconds: &Mean) -> Duration {
-    milliseconds.get().map_or(INITIAL_DURATION, |mean| Duration::from_secs_f64(mean.max(0.0) / 1e3))
+    milliseconds.get().map_or(INITIAL_TIME, |mean| Duration::from_secs_f64(mean.max(0.0) / 1e3))
 }
 
 /// Returns the median, which is the lower of the two middle values if their number is even; `None` without
--- a/crates/load-balancer/src/balancer/slow_start.rs
+++ b/crates/load-balancer/src/balancer/slow_start.rs
@@ -15,14 +15,14 @@
 /// The number of proxies that send requests to a cold server.
 const SENDERS: usize = 2;
 /// The number of sides of a partition that may choose their own senders.
-const SIDES: usize = 2;
+const PARTITION_SIDES: usize = 2;
 /// The window in which sends are counted. It is longer than a second, because requests may arrive within a
 /// shorter time than they were sent in.
-const WINDOW: Duration = Duration::from_millis(1_200);
+const RATE_WINDOW: Duration = Duration::from_millis(1_200);
 /// The minimum time between two sends, as a fraction of the time between evenly spaced sends.
-const SPACING: f64 = 0.5;
+const MIN_SPACING: f64 = 0.5;
 /// The maximum number of sends that are recorded for a server. A share is never higher than this.
-const REMEMBERED: usize = 128;
+const MAX_RECENT_SENDS: usize = 128;
 
 /// The part of the request limit of a cold server that one proxy may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -34,14 +34,14 @@
 }
 
 impl SlowStartShare {
-    /// Creates the share for a limit of `bound` requests per second from all proxies together.
-    pub(crate) fn of(bound: f64) -> SlowStartShare {
-        let bound = if bound.is_finite() { bound.max(0.0) as usize } else { 0 };
-        let shared = bound / (SENDERS * SIDES);
+    /// Creates the share for a limit of `limit` requests per second from all proxies together.
+    pub(crate) fn for_limit(limit: f64) -> SlowStartShare {
+        let limit = if limit.is_finite() { limit.max(0.0) as usize } else { 0 };
+        let shared = limit / (SENDERS * PARTITION_SIDES);
         if shared == 0 {
-            return SlowStartShare { per_second: bound / SIDES, senders: 1 };
+            return SlowStartShare { per_second: limit / PARTITION_SIDES, senders: 1 };
         }
-        SlowStartShare { per_second: shared.min(REMEMBERED), senders: SENDERS }
+        SlowStartShare { per_second: shared.min(MAX_RECENT_SENDS), senders: SENDERS }
     }
 
     /// The share of a proxy that does not know the other proxies.
@@ -80,29 +80,30 @@
 
 /// The times of the latest requests sent to a server.
 #[derive(Default)]
-pub(crate) struct Sends {
+pub(crate) struct RecentSends {
     times: VecDeque<Duration>,
 }
 
-impl Sends {
-    pub(crate) fn count(&mut self, now: Duration) {
-        self.forget(now);
-        if self.times.len() == REMEMBERED {
+impl RecentSends {
+    pub(crate) fn record(&mut self, now: Duration) {
+        self.remove_expired(now);
+        if self.times.len() == MAX_RECENT_SENDS {
             self.times.pop_front();
         }
         self.times.push_back(now);
     }
 
     /// Returns whether the share allows another request now.
-    pub(crate) fn allow(&self, now: Duration, share: SlowStartShare) -> bool {
-        let recent = self.times.iter().rev().take_while(|time| now.saturating_sub(**time) < WINDOW).count();
+    pub(crate) fn allows(&self, now: Duration, share: SlowStartShare) -> bool {
+        let recent =
+            self.times.iter().rev().take_while(|time| now.saturating_sub(**time) < RATE_WINDOW).count();
         let latest = self.times.back().map(|time| now.saturating_sub(*time));
-        let spacing = Duration::from_secs(1).mul_f64(SPACING / share.per_second.max(1) as f64);
+        let spacing = Duration::from_secs(1).mul_f64(MIN_SPACING / share.per_second.max(1) as f64);
         recent < share.per_second && latest.is_none_or(|gap| gap >= spacing)
     }
 
-    fn forget(&mut self, now: Duration) {
-        while self.times.front().is_some_and(|time| now.saturating_sub(*time) >= WINDOW) {
+    fn remove_expired(&mut self, now: Duration) {
+        while self.times.front().is_some_and(|time| now.saturating_sub(*time) >= RATE_WINDOW) {
             self.times.pop_front();
         }
     }
--- a/crates/load-balancer/src/balancer/unseen_load.rs
+++ b/crates/load-balancer/src/balancer/unseen_load.rs
@@ -13,7 +13,7 @@
 const REPORT_AGE: Duration = Duration::from_millis(550);
 /// The scale of the random number, as a multiple of the expected unseen requests per server. With a multiple
 /// below one, the least loaded servers would get more requests than it takes to balance the loads.
-const SCALE: f64 = 2.0;
+const SCALE_FACTOR: f64 = 2.0;
 
 /// The distribution of the random number of unseen requests at a server.
 #[derive(Clone, Copy, Debug)]
@@ -22,11 +22,11 @@
 }
 
 impl UnseenLoad {
-    /// Creates the distribution for `others` other proxies, each of which sends `per_second` requests per
-    /// second to `servers` servers in total.
-    pub(super) fn new(per_second: f64, others: usize, servers: usize) -> Self {
-        let unseen = per_second * others as f64 * REPORT_AGE.as_secs_f64();
-        UnseenLoad { scale: SCALE * unseen / servers.max(1) as f64 }
+    /// Creates the distribution for `other_proxies` other proxies, each of which sends `sends_per_second`
+    /// requests per second to `servers` servers in total.
+    pub(super) fn new(sends_per_second: f64, other_proxies: usize, servers: usize) -> Self {
+        let unseen = sends_per_second * other_proxies as f64 * REPORT_AGE.as_secs_f64();
+        UnseenLoad { scale: SCALE_FACTOR * unseen / servers.max(1) as f64 }
     }
 
     /// Returns a random number of unseen requests at a server; it may be negative. The probability that a
--- a/crates/load-balancer/src/demand.rs
+++ b/crates/load-balancer/src/demand.rs
@@ -40,16 +40,16 @@
 
 impl<'a> Demand<'a> {
     /// Returns the segments that are shared with other requests.
-    pub(crate) fn shared(&self) -> &'a [PromptSegment] {
+    pub(crate) fn shared_segments(&self) -> &'a [PromptSegment] {
         match self.segments.split_last() {
-            Some((_own, shared)) => shared,
+            Some((_own, shared_segments)) => shared_segments,
             None => &[],
         }
     }
 
     /// Returns the number of tokens in the segments that are shared with other requests.
     pub(crate) fn shared_tokens(&self) -> u32 {
-        self.shared().iter().fold(0, |sum, segment| sum.saturating_add(segment.tokens))
+        self.shared_segments().iter().fold(0, |sum, segment| sum.saturating_add(segment.tokens))
     }
 
     /// Returns the number of tokens that a server keeps in memory for this request alone while it executes.
@@ -58,7 +58,7 @@
     }
 
     /// Returns whether the request may be served in `region`.
-    pub(crate) fn may_go_to(&self, region: &str) -> bool {
+    pub(crate) fn may_be_served_in(&self, region: &str) -> bool {
         self.homes.is_empty() || self.homes.iter().any(|home| home == region)
     }
 }
--- a/crates/load-balancer/src/home_demand.rs
+++ b/crates/load-balancer/src/home_demand.rs
@@ -10,17 +10,17 @@
 use std::time::Duration;
 
 /// The half-life of the request counts.
-const HALVING_TIME: Duration = Duration::from_secs(5);
+const HALF_LIFE: Duration = Duration::from_secs(5);
 /// The minimum of the decayed request count for a change of the preferred regions.
-const ENOUGH_REQUESTS: f64 = 20.0;
+const MIN_REQUESTS: f64 = 20.0;
 /// Above this share of requests that may not be served in the proxy's region, other regions are preferred.
 /// Below the second share, the proxy's region is preferred again. Between the two, the preference stays as it
 /// is.
-const PREFER_OTHERS_FROM: f64 = 0.55;
-const PREFER_OWN_FROM: f64 = 0.35;
+const PREFER_OTHERS_ABOVE: f64 = 0.55;
+const PREFER_OWN_BELOW: f64 = 0.35;
 /// A region is preferred if it is a home region of at least this share of the requests that may not be served
 /// in the proxy's region.
-const COMMON_HOME: f64 = 0.5;
+const MIN_HOME_SHARE: f64 = 0.5;
 
 /// Counts the requests of a proxy by home region, and determines the regions that are preferred over the
 /// proxy's own.
@@ -28,9 +28,9 @@
 pub struct HomeDemand {
     region: String,
     /// The time to which the counts have decayed.
-    counted: Duration,
+    updated_at: Duration,
     /// The number of all requests.
-    all: f64,
+    total: f64,
     /// The number of requests that may not be served in the proxy's region.
     elsewhere: f64,
     /// The number of those requests for each of their home regions.
@@ -52,14 +52,14 @@
     /// Counts a request with the home regions `homes`. Without any, it may be served everywhere.
     pub fn count(&mut self, now: Duration, homes: &[String]) {
         self.decay(now);
-        self.all += 1.0;
+        self.total += 1.0;
         if !homes.is_empty() && !homes.contains(&self.region) {
             self.elsewhere += 1.0;
             for home in homes {
                 *self.by_home.entry(home.clone()).or_default() += 1.0;
             }
         }
-        self.decide();
+        self.update_preference();
     }
 
     /// Clears the counts and the preferred regions. Called after the home regions of routes have changed.
@@ -74,24 +74,24 @@
     }
 
     fn decay(&mut self, now: Duration) {
-        let age = now.saturating_sub(self.counted).as_secs_f64();
-        self.counted = self.counted.max(now);
-        let factor = 0.5_f64.powf(age / HALVING_TIME.as_secs_f64());
-        self.all *= factor;
+        let age = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.updated_at = self.updated_at.max(now);
+        let factor = 0.5_f64.powf(age / HALF_LIFE.as_secs_f64());
+        self.total *= factor;
         self.elsewhere *= factor;
         self.by_home.values_mut().for_each(|count| *count *= factor);
     }
 
-    fn decide(&mut self) {
-        if self.all < ENOUGH_REQUESTS {
+    fn update_preference(&mut self) {
+        if self.total < MIN_REQUESTS {
             return;
         }
-        let share = self.elsewhere / self.all;
-        if share > PREFER_OTHERS_FROM {
-            let enough = self.elsewhere * COMMON_HOME;
-            let common = self.by_home.iter().filter(|(_, count)| **count >= enough);
+        let share = self.elsewhere / self.total;
+        if share > PREFER_OTHERS_ABOVE {
+            let min_count = self.elsewhere * MIN_HOME_SHARE;
+            let common = self.by_home.iter().filter(|(_, count)| **count >= min_count);
             self.preferred = common.map(|(home, _)| home.clone()).collect();
-        } else if share < PREFER_OWN_FROM {
+        } else if share < PREFER_OWN_BELOW {
             self.preferred.clear();
         }
     }
--- a/crates/load-balancer/src/request_queue.rs
+++ b/crates/load-balancer/src/request_queue.rs
@@ -45,8 +45,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueKey {
     priority: u32,
-    until: Duration,
-    number: u64,
+    expires_at: Duration,
+    sequence: u64,
 }
 
 /// The key of a request that was queued, and the requests that it displaced, which the caller must reject.
@@ -63,7 +63,7 @@
     limits: QueueLimits,
     requests: BTreeMap<QueueKey, QueuedEntry<T>>,
     bytes: usize,
-    next_number: u64,
+    next_sequence: u64,
 }
 
 struct QueuedEntry<T> {
@@ -74,7 +74,7 @@
 impl<T> RequestQueue<T> {
     /// Creates an empty queue.
     pub fn new(limits: QueueLimits) -> Self {
-        RequestQueue { limits, requests: BTreeMap::new(), bytes: 0, next_number: 0 }
+        RequestQueue { limits, requests: BTreeMap::new(), bytes: 0, next_sequence: 0 }
     }
 
     /// Queues a request. If the limits require it, requests of lower priority are displaced.
@@ -82,12 +82,12 @@
     /// # Errors
     /// Returns the request if it exceeds the limits even after all requests of lower priority are displaced.
     pub fn push(&mut self, now: Duration, terms: QueueTerms, request: T) -> Result<Queued<T>, T> {
-        let until = (now + queue_time(terms.objective)).min(terms.due);
-        let key = QueueKey { priority: terms.priority, until, number: self.next_number };
-        if !self.fits_among_urgent(terms) {
+        let expires_at = (now + queue_time(terms.objective)).min(terms.due);
+        let key = QueueKey { priority: terms.priority, expires_at, sequence: self.next_sequence };
+        if !self.fits_after_displacing(terms) {
             return Err(request);
         }
-        self.next_number += 1;
+        self.next_sequence += 1;
         let displaced = self.displace(terms.bytes);
         self.requests.insert(key, QueuedEntry { request, bytes: terms.bytes });
         self.bytes += terms.bytes;
@@ -95,7 +95,7 @@
     }
 
     /// Returns whether a request would fit the limits if all requests of lower priority were displaced.
-    fn fits_among_urgent(&self, terms: QueueTerms) -> bool {
+    fn fits_after_displacing(&self, terms: QueueTerms) -> bool {
         let is_as_urgent = |key: &QueueKey| key.priority <= terms.priority;
         let urgent = self.requests.iter().take_while(|(key, _)| is_as_urgent(key));
         let (requests, bytes) = urgent
@@ -117,7 +117,7 @@
     /// Removes and returns the first request for which `fits` returns true. Requests that have waited for the
     /// maximum time are skipped; the caller removes them.
     pub fn next(&mut self, now: Duration, mut fits: impl FnMut(&T) -> bool) -> Option<T> {
-        let mut unexpired = self.requests.iter().filter(|(key, _)| now < key.until).take(MAX_EXAMINED);
+        let mut unexpired = self.requests.iter().filter(|(key, _)| now < key.expires_at).take(MAX_EXAMINED);
         let key = *unexpired.find(|(_, entry)| fits(&entry.request))?.0;
         self.remove(key)
     }
--- a/crates/load-balancer/src/route_table.rs
+++ b/crates/load-balancer/src/route_table.rs
@@ -17,11 +17,11 @@
 struct HostRoutes {
     /// Routes whose prefix ends with a slash, by prefix. A lookup tries each part of the path that ends with
     /// a slash.
-    at_slashes: HashMap<String, usize>,
-    /// The length of the longest prefix in `at_slashes`, in bytes.
-    longest: usize,
+    slash_prefixes: HashMap<String, usize>,
+    /// The length of the longest prefix in `slash_prefixes`, in bytes.
+    longest_slash_prefix: usize,
     /// Routes with any other prefix, the longest prefix first.
-    others: Vec<usize>,
+    other_prefixes: Vec<usize>,
 }
 
 impl RouteTable {
@@ -32,7 +32,8 @@
             table.hosts.entry(route.host.to_ascii_lowercase()).or_default().add(index, &route.path_prefix);
         }
         for host in table.hosts.values_mut() {
-            host.others.sort_by_key(|index| std::cmp::Reverse(table.routes[*index].path_prefix.len()));
+            host.other_prefixes
+                .sort_by_key(|index| std::cmp::Reverse(table.routes[*index].path_prefix.len()));
         }
         table
     }
@@ -42,12 +43,17 @@
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         let routes = self.hosts.get(&*host_key(host))?;
         let path = path.split(['?', '#']).next().unwrap_or(path);
-        let routes_of = |index: &usize| &self.routes[*index];
-        let at_slash = routes.find_at_slash(path).map(|index| &self.routes[index]);
-        let other = routes.others.iter().map(routes_of).find(|route| path.starts_with(&route.path_prefix));
-        match (at_slash, other) {
-            (Some(one), Some(other)) if other.path_prefix.len() > one.path_prefix.len() => Some(other),
-            (one, other) => one.or(other),
+        let route_at = |index: &usize| &self.routes[*index];
+        let slash_match = routes.find_slash_prefix(path).map(|index| &self.routes[index]);
+        let other_match =
+            routes.other_prefixes.iter().map(route_at).find(|route| path.starts_with(&route.path_prefix));
+        match (slash_match, other_match) {
+            (Some(slash_match), Some(other_match))
+                if other_match.path_prefix.len() > slash_match.path_prefix.len() =>
+            {
+                Some(other_match)
+            }
+            (slash_match, other_match) => slash_match.or(other_match),
         }
     }
 }
@@ -55,17 +61,18 @@
 impl HostRoutes {
     fn add(&mut self, index: usize, prefix: &str) {
         if prefix.ends_with('/') {
-            self.at_slashes.insert(prefix.to_owned(), index);
-            self.longest = self.longest.max(prefix.len());
+            self.slash_prefixes.insert(prefix.to_owned(), index);
+            self.longest_slash_prefix = self.longest_slash_prefix.max(prefix.len());
         } else {
-            self.others.push(index);
+            self.other_prefixes.push(index);
         }
     }
 
-    fn find_at_slash(&self, path: &str) -> Option<usize> {
-        let slashes = path.bytes().enumerate().take(self.longest).filter(|(_, byte)| *byte == b'/');
+    fn find_slash_prefix(&self, path: &str) -> Option<usize> {
+        let slashes =
+            path.bytes().enumerate().take(self.longest_slash_prefix).filter(|(_, byte)| *byte == b'/');
         let ends = slashes.map(|(position, _)| position + 1);
-        let mut found = ends.filter_map(|end| self.at_slashes.get(path.get(..end)?).copied());
+        let mut found = ends.filter_map(|end| self.slash_prefixes.get(path.get(..end)?).copied());
         found.next_back()
     }
 }
--- a/crates/load-balancer/tests/health.rs
+++ b/crates/load-balancer/tests/health.rs
@@ -127,7 +127,9 @@
     player.check("F....", "s....");
     let demand = Demand { priority: 1, ..demand(PLAIN) };
     let now = player.now + ms(100);
-    let Choice::Send(key) = player.balancer.choose(now, &demand, &player.others) else { panic!("no probe was sent") };
+    let Choice::Send(key) = player.balancer.choose(now, &demand, &player.others) else {
+        panic!("no probe was sent")
+    };
     let trial = player.balancer.begin(now, key, &demand);
     assert!(matches!(player.balancer.choose(now, &demand, &player.others), Choice::Full { .. }));
     player.balancer.end(now, trial, Outcome::Completed);
--- a/crates/load-balancer/tests/plain_servers.rs
+++ b/crates/load-balancer/tests/plain_servers.rs
@@ -21,8 +21,7 @@
     fn new() -> Self {
         let mut balancer = lone_balancer();
         let zones = ["a1", "a2", "b1", "c1"];
-        let put =
-            |zone: &&str| balancer.put_server(NOW, &plain(zone, zone)).expect("the address is valid");
+        let put = |zone: &&str| balancer.put_server(NOW, &plain(zone, zone)).expect("the address is valid");
         let servers = zones.iter().map(put).collect();
         Fleet { balancer, servers, under_way: Vec::new() }
     }
@@ -152,7 +151,9 @@
     }
     let mut counts = std::collections::BTreeMap::new();
     for _ in 0..300 {
-        let Choice::Send(key) = balancer.choose(NOW, &demand(PLAIN), &[]) else { panic!("no server was chosen") };
+        let Choice::Send(key) = balancer.choose(NOW, &demand(PLAIN), &[]) else {
+            panic!("no server was chosen")
+        };
         *counts.entry(key).or_insert(0) += 1;
     }
     assert!(counts.values().all(|count| (60..=140).contains(count)), "{counts:?}");
