--- a/crates/http1-client/src/connection_manager.rs
+++ b/crates/http1-client/src/connection_manager.rs
@@ -49,8 +49,8 @@
     /// [`ConnectionManager::all_closed`]. Before that, the request that it was opened for is most likely on
     /// its way.
     pub idle_grace: Duration,
-    /// The minimum idle time of a connection on which no complete head of a request has arrived, if it is
-    /// closed to make room for a new connection.
+    /// The minimum idle time before a connection on which no complete head of a request has arrived is closed
+    /// to make room for a new one.
     pub first_request_grace: Duration,
     /// The delay before accepting is retried after a failure, which most likely means that there are no free
     /// file descriptors, or when all connections are busy.
--- a/crates/load-balancer/src/balancer/mod.rs
+++ b/crates/load-balancer/src/balancer/mod.rs
@@ -111,7 +111,7 @@
     pub fn own_loads(&mut self, now: Duration) -> Vec<protocol::ServerLoad> {
         let services = &self.services;
         let report = |server: &mut Server| {
-            let (failed, _) = server.failures.at(now);
+            let (failed, _) = server.failures.decayed_counts(now);
             let service = services.get(&server.info.service);
             let unanswered_requests =
                 service.map(|service| server.load.unanswered_requests(now, &service.rate));
--- a/crates/load-balancer/src/balancer/outlier_detection.rs
+++ b/crates/load-balancer/src/balancer/outlier_detection.rs
@@ -27,7 +27,7 @@
     /// The server is ejected until a time, for the `count`th time in a row. `check` is when the latest health
     /// check was started.
     Ejected { until: Duration, count: u32, check: Option<Duration> },
-    /// The server has got one request as a probe, whose outcome decides about the next state.
+    /// One request has been sent to the server as a probe. Its outcome determines the next state.
     Probing { count: u32 },
 }
 
@@ -178,7 +178,7 @@
 pub(crate) struct FailureCounts {
     failures: f64,
     requests: f64,
-    updated: Duration,
+    updated_at: Duration,
 }
 
 /// The half-life of the counts of failures and requests.
@@ -186,15 +186,15 @@
 
 impl FailureCounts {
     pub(crate) fn record(&mut self, now: Duration, failed: bool) {
-        let (failures, requests) = self.at(now);
+        let (failures, requests) = self.decayed_counts(now);
         self.failures = failures + f64::from(u8::from(failed));
         self.requests = requests + 1.0;
-        self.updated = now;
+        self.updated_at = now;
     }
 
-    /// Returns the decayed numbers of failures and requests.
-    pub(crate) fn at(&self, now: Duration) -> (f64, f64) {
-        let age = now.saturating_sub(self.updated).as_secs_f64();
+    /// Returns the numbers of failures and requests after their decay until `now`.
+    pub(crate) fn decayed_counts(&self, now: Duration) -> (f64, f64) {
+        let age = now.saturating_sub(self.updated_at).as_secs_f64();
         let remaining = 0.5_f64.powf(age / HALF_LIFE_S);
         (self.failures * remaining, self.requests * remaining)
     }
--- a/crates/load-balancer/src/balancer/server.rs
+++ b/crates/load-balancer/src/balancer/server.rs
@@ -61,7 +61,7 @@
 }
 
 impl ListingState {
-    fn after(self, event: ListingEvent) -> ListingState {
+    fn next(self, event: ListingEvent) -> ListingState {
         match (self, event) {
             (_, ListingEvent::Listed { is_draining: true }) => ListingState::Draining,
             (_, ListingEvent::Listed { is_draining: false }) => ListingState::Ready,
@@ -153,7 +153,7 @@
 
     fn apply_entry(&mut self, now: Duration, entry: &protocol::Server) {
         let is_draining = entry.state == protocol::ServerState::Draining || entry.has_time_remaining;
-        self.listing = self.listing.after(ListingEvent::Listed { is_draining });
+        self.listing = self.listing.next(ListingEvent::Listed { is_draining });
         self.set_warmup_remaining(now, Duration::from_millis(u64::from(entry.warmup_remaining_ms)));
     }
 
@@ -169,7 +169,7 @@
     }
 
     pub(crate) fn set_misdirected(&mut self) {
-        self.listing = self.listing.after(ListingEvent::Misdirected);
+        self.listing = self.listing.next(ListingEvent::Misdirected);
     }
 
     pub(crate) fn set_full(&mut self, now: Duration) {
@@ -179,7 +179,7 @@
     /// Returns the recent failure rate over all proxies, in which failures at other proxies have a lower
     /// weight.
     pub(crate) fn failure_rate(&self, now: Duration) -> f64 {
-        let (failures, requests) = self.failures.at(now);
+        let (failures, requests) = self.failures.decayed_counts(now);
         let other_failures = self.load.others(now).failures * OTHER_PROXY_FAILURE_WEIGHT;
         (failures + other_failures) / (requests + other_failures + PRIOR_REQUESTS)
     }
--- a/crates/load-balancer/src/balancer/service_rate.rs
+++ b/crates/load-balancer/src/balancer/service_rate.rs
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Speed {
     mean: Mean,
-    updated: Duration,
+    updated_at: Duration,
 }
 
 impl Speed {
@@ -64,7 +64,7 @@
         if median <= 0.0 {
             return 1.0;
         }
-        let age = now.saturating_sub(self.updated).as_secs_f64();
+        let age = now.saturating_sub(self.updated_at).as_secs_f64();
         1.0 + (own / median - 1.0) * 0.5_f64.powf(age / SLOWNESS_HALF_LIFE_S)
     }
 
@@ -75,7 +75,7 @@
 
     pub(crate) fn add(&mut self, now: Duration, ms_per_token: f64) {
         self.mean.add(ms_per_token);
-        self.updated = now;
+        self.updated_at = now;
     }
 }
 
@@ -83,18 +83,18 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct EventRate {
     count: f64,
-    updated: Duration,
+    updated_at: Duration,
 }
 
 impl EventRate {
     fn count_at(&self, now: Duration) -> f64 {
-        let age = now.saturating_sub(self.updated).as_secs_f64();
+        let age = now.saturating_sub(self.updated_at).as_secs_f64();
         self.count * (-age / EVENT_RATE_TIME_CONSTANT.as_secs_f64()).exp()
     }
 
     fn record(&mut self, now: Duration) {
         self.count = self.count_at(now) + 1.0;
-        self.updated = now;
+        self.updated_at = now;
     }
 
     fn per_second(&self, now: Duration) -> f64 {
--- a/crates/load-balancer/src/balancer/slow_start.rs
+++ b/crates/load-balancer/src/balancer/slow_start.rs
@@ -37,11 +37,11 @@
     /// Creates the share for a limit of `limit` requests per second from all proxies together.
     pub(crate) fn for_limit(limit: f64) -> SlowStartShare {
         let limit = if limit.is_finite() { limit.max(0.0) as usize } else { 0 };
-        let shared = limit / (SENDERS * PARTITION_SIDES);
-        if shared == 0 {
+        let per_sender = limit / (SENDERS * PARTITION_SIDES);
+        if per_sender == 0 {
             return SlowStartShare { per_second: limit / PARTITION_SIDES, senders: 1 };
         }
-        SlowStartShare { per_second: shared.min(MAX_RECENT_SENDS), senders: SENDERS }
+        SlowStartShare { per_second: per_sender.min(MAX_RECENT_SENDS), senders: SENDERS }
     }
 
     /// The share of a proxy that does not know the other proxies.
--- a/crates/load-balancer/src/demand.rs
+++ b/crates/load-balancer/src/demand.rs
@@ -32,7 +32,7 @@
     pub priority: u32,
     /// The target latency of the response.
     pub objective: Duration,
-    /// The time until the client's timeout.
+    /// The time until the client's timeout expires.
     pub time_remaining: Duration,
     /// Whether requests with the same shared segments should prefer the same servers.
     pub sticky: bool,
--- a/crates/load-balancer/src/request_queue.rs
+++ b/crates/load-balancer/src/request_queue.rs
@@ -34,18 +34,20 @@
     pub priority: u32,
     /// The target latency of the response.
     pub objective: Duration,
-    /// The time of the client's timeout.
+    /// The time at which the client's timeout expires.
     pub due: Duration,
     /// The memory that the request occupies, in bytes.
     pub bytes: usize,
 }
 
-/// The key of a queued request. Keys are ordered as requests leave the queue: by priority, then by the end of
-/// the maximum time in the queue, then by arrival.
+/// The key of a queued request. Keys are ordered as requests leave the queue: by priority, then by the time
+/// at which they expire, then by arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueKey {
     priority: u32,
+    /// The time until which the request may wait.
     expires_at: Duration,
+    /// The number of requests that were queued before.
     sequence: u64,
 }
 
@@ -114,16 +116,16 @@
         displaced
     }
 
-    /// Removes and returns the first request for which `fits` returns true. Requests that have waited for the
-    /// maximum time are skipped; the caller removes them.
+    /// Removes and returns the first request for which `fits` returns true. Expired requests are skipped; the
+    /// caller removes them.
     pub fn next(&mut self, now: Duration, mut fits: impl FnMut(&T) -> bool) -> Option<T> {
         let mut unexpired = self.requests.iter().filter(|(key, _)| now < key.expires_at).take(MAX_EXAMINED);
         let key = *unexpired.find(|(_, entry)| fits(&entry.request))?.0;
         self.remove(key)
     }
 
-    /// Removes a request that has waited for the maximum time, or whose client has closed its connection.
-    /// Returns `None` if it is not in the queue any more.
+    /// Removes a request that has expired, or whose client has closed its connection. Returns `None` if it is
+    /// not in the queue any more.
     pub fn remove(&mut self, key: QueueKey) -> Option<T> {
         let entry = self.requests.remove(&key)?;
         self.bytes -= entry.bytes;
