--- a/crates/http1-client/src/client_connection.rs
+++ b/crates/http1-client/src/client_connection.rs
@@ -72,17 +72,17 @@
 }
 
 impl ClientConnection {
-    /// Connects to a server. `open` is the number of open sockets, which includes this one until it is
+    /// Connects to a server. `open_sockets` is the number of open sockets, which includes this one until it is
     /// dropped. The caller applies a timeout.
     ///
     /// # Errors
     /// Returns an error if the connection cannot be established.
     pub async fn connect(
         address: SocketAddr,
-        open: &Rc<Cell<usize>>,
+        open_sockets: &Rc<Cell<usize>>,
         limits: ConnectionLimits,
     ) -> io::Result<ClientConnection> {
-        let socket_count = SocketCount::new(open);
+        let socket_count = SocketCount::new(open_sockets);
         let socket = Socket::new(TcpStream::connect(address).await?);
         let mut http = http1::Builder::new();
         http.max_buf_size(limits.max_buffer);
@@ -162,12 +162,12 @@
         let body_timeout = self.limits.body_timeout;
         socket.reset_response_started();
         // An informational response (1xx) does not begin the final response.
-        let is_informational = Arc::new(AtomicBool::new(false));
-        let received = is_informational.clone();
-        hyper::ext::on_informational(&mut request, move |_| received.store(true, Ordering::Relaxed));
+        let informational_received = Arc::new(AtomicBool::new(false));
+        let received_flag = informational_received.clone();
+        hyper::ext::on_informational(&mut request, move |_| received_flag.store(true, Ordering::Relaxed));
         let mut response = pin!(self.read_response(request));
         let has_started = || {
-            if is_informational.swap(false, Ordering::Relaxed) {
+            if informational_received.swap(false, Ordering::Relaxed) {
                 socket.reset_response_started();
             }
             socket.response_started()
@@ -183,7 +183,7 @@
             }
             match timeout(body_timeout, response.as_mut()).await {
                 Ok(complete) => return complete,
-                Err(_) if is_informational.load(Ordering::Relaxed) => {}
+                Err(_) if informational_received.load(Ordering::Relaxed) => {}
                 Err(_) => return Err(ResponseError::Broken),
             }
         }
@@ -274,9 +274,9 @@
 struct SocketCount(Rc<Cell<usize>>);
 
 impl SocketCount {
-    fn new(open: &Rc<Cell<usize>>) -> Self {
-        open.set(open.get() + 1);
-        SocketCount(open.clone())
+    fn new(open_sockets: &Rc<Cell<usize>>) -> Self {
+        open_sockets.set(open_sockets.get() + 1);
+        SocketCount(open_sockets.clone())
     }
 }
 
--- a/crates/http1-client/src/server_connection.rs
+++ b/crates/http1-client/src/server_connection.rs
@@ -64,15 +64,15 @@
     /// Whether the complete head of a request has arrived.
     has_requested: Cell<bool>,
     /// When the connection was accepted, or when it last became idle.
-    since: Cell<Instant>,
+    idle_since: Cell<Instant>,
     /// When [`ServerConnection::is_slow`] first found a part of the head of the next request.
-    head_since: Cell<Option<Instant>>,
+    head_seen_at: Cell<Option<Instant>>,
     /// Whether the latest response tells the client that the connection closes.
     closing: Cell<bool>,
     /// Whether the connection closes without another response unless a request is open.
     aborted: Cell<bool>,
     /// Whether the connection closes at once, even if a request is open.
-    closes_now: Cell<bool>,
+    closes_at_once: Cell<bool>,
     /// Asks the connection to close.
     close: Notify,
 }
@@ -83,11 +83,11 @@
             socket,
             busy: Cell::new(false),
             has_requested: Cell::new(false),
-            since: Cell::new(Instant::now()),
-            head_since: Cell::new(None),
+            idle_since: Cell::new(Instant::now()),
+            head_seen_at: Cell::new(None),
             closing: Cell::new(false),
             aborted: Cell::new(false),
-            closes_now: Cell::new(false),
+            closes_at_once: Cell::new(false),
             close: Notify::new(),
         }
     }
@@ -100,7 +100,7 @@
     /// Closes the connection at once, even in the middle of a response, which the client then recognizes as
     /// incomplete. This is meant for responses that the client does not read.
     pub fn close_now(&self) {
-        self.closes_now.set(true);
+        self.closes_at_once.set(true);
         self.close.notify_one();
     }
 
@@ -129,19 +129,19 @@
     /// has never had a request.
     pub(crate) fn forget_requests(&self) {
         self.has_requested.set(false);
-        self.since.set(Instant::now());
+        self.idle_since.set(Instant::now());
     }
 
     /// Returns whether the connection has been idle for longer than `idle_grace`.
     pub(crate) fn is_idle(&self, idle_grace: Duration) -> bool {
-        !self.busy.get() && self.since.get().elapsed() > idle_grace
+        !self.busy.get() && self.idle_since.get().elapsed() > idle_grace
     }
 
     /// Returns the rank of the connection if it may be closed to make room. Connections without a request are
     /// closed first, so that they do not displace clients that send requests.
     pub(crate) fn close_rank(&self, options: &ConnectionOptions) -> Option<CloseRank> {
         let is_unused = !self.has_requested.get() && self.is_idle(options.first_request_grace);
-        let rank = CloseRank { has_requested: self.has_requested.get(), idle_since: self.since.get() };
+        let rank = CloseRank { has_requested: self.has_requested.get(), idle_since: self.idle_since.get() };
         (is_unused || self.is_idle(options.idle_grace)).then_some(rank)
     }
 
@@ -150,16 +150,16 @@
     /// first call that finds it.
     pub(crate) fn is_slow(&self, idle_timeout: Duration, header_timeout: Duration) -> bool {
         if self.busy.get() {
-            self.head_since.set(None);
+            self.head_seen_at.set(None);
             return false;
         }
         if !self.socket.has_input() {
-            self.head_since.set(None);
-            return self.since.get().elapsed() > idle_timeout && self.socket.is_open_and_empty();
+            self.head_seen_at.set(None);
+            return self.idle_since.get().elapsed() > idle_timeout && self.socket.is_open_and_empty();
         }
-        let head_since = self.head_since.get().unwrap_or_else(Instant::now);
-        self.head_since.set(Some(head_since));
-        head_since.elapsed() > header_timeout
+        let head_seen_at = self.head_seen_at.get().unwrap_or_else(Instant::now);
+        self.head_seen_at.set(Some(head_seen_at));
+        head_seen_at.elapsed() > header_timeout
     }
 
     /// Serves the connection until it accepts no further requests.
@@ -199,7 +199,7 @@
         request: Request<Incoming>,
         service: Rc<S>,
     ) -> Result<Response<BusyBody<S::Body>>, Infallible> {
-        let accepted_at = (!self.has_requested.replace(true)).then(|| self.since.get());
+        let accepted_at = (!self.has_requested.replace(true)).then(|| self.idle_since.get());
         let busy = BusyGuard::new(self.clone());
         let response = service.respond(request, self.clone(), accepted_at).await;
         if response.headers().contains_key(CONNECTION) {
@@ -210,7 +210,7 @@
 
     /// Returns how a connection that was asked to close does so now.
     fn close_action(&self, draining: bool) -> CloseAction {
-        if self.closes_now.get() {
+        if self.closes_at_once.get() {
             return CloseAction::Now;
         }
         if self.busy.get() {
@@ -258,7 +258,7 @@
 impl Drop for BusyGuard {
     fn drop(&mut self) {
         self.0.busy.set(false);
-        self.0.since.set(Instant::now());
+        self.0.idle_since.set(Instant::now());
     }
 }
 
--- a/crates/http1-client/tests/client_connection/responses.rs
+++ b/crates/http1-client/tests/client_connection/responses.rs
@@ -21,7 +21,7 @@
 /// bytes.
 const LONG_BODY: usize = 32 * 1024 * 1024;
 
-const OPTIONS: ConnectionLimits = ConnectionLimits {
+const LIMITS: ConnectionLimits = ConnectionLimits {
     max_body: 1024,
     max_buffer: 32 * 1024,
     body_timeout: TIMEOUT,
@@ -36,7 +36,7 @@
 }
 
 async fn connect(address: SocketAddr) -> ClientConnection {
-    ClientConnection::connect(address, &Rc::new(Cell::new(0)), OPTIONS).await.expect("a connection")
+    ClientConnection::connect(address, &Rc::new(Cell::new(0)), LIMITS).await.expect("a connection")
 }
 
 fn request(body: Vec<u8>) -> Request<Full<Bytes>> {
@@ -49,8 +49,8 @@
 
 fn outcome(result: Result<Response<Bytes>, ResponseError>) -> String {
     match result {
-        Ok(body_timeout) => {
-            format!("{} {}", body_timeout.status().as_u16(), String::from_utf8_lossy(body_timeout.body()))
+        Ok(response) => {
+            format!("{} {}", response.status().as_u16(), String::from_utf8_lossy(response.body()))
         }
         Err(failure) => format!("{failure:?}"),
     }
@@ -67,7 +67,7 @@
 
 /// The script of the server, the outcome of the request, how much of it was written, and whether the
 /// connection can be reused. `signal` stands where the server has nothing more to send.
-const TIMELINES: &[(&str, &str, WriteProgress, bool)] = &[
+const SCRIPTS: &[(&str, &str, WriteProgress, bool)] = &[
     ("request ok signal", "200 done", WriteProgress::Complete, true),
     ("request chunked signal", "200 done", WriteProgress::Complete, true),
     ("request empty signal", "204 ", WriteProgress::Complete, true),
@@ -90,22 +90,22 @@
 ];
 
 #[test]
-fn timelines_come_out_as_they_should() {
+fn each_script_leads_to_the_expected_outcome() {
     run(async {
-        for (script, expected, write_progress, again) in TIMELINES {
+        for (script, expected, write_progress, is_reusable) in SCRIPTS {
             let (address, shared) = start(std::slice::from_ref(script)).await;
             let mut connection = connect(address).await;
             let result = outcome(connection.exchange(request(b"work".to_vec())).await);
             wait_for_signal(&shared).await;
-            let found =
+            let actual =
                 (result.as_str(), connection.socket().write_progress(), is_usable(&mut connection).await);
-            assert_eq!(found, (*expected, *write_progress, *again), "{script}");
+            assert_eq!(actual, (*expected, *write_progress, *is_reusable), "{script}");
         }
     });
 }
 
 #[test]
-fn of_what_finds_its_connection_ended_nothing_is_written() {
+fn a_request_on_a_connection_that_the_server_ended_fails() {
     run(async {
         for script in ["reset", "close", "ok close", "noise close", "request ok reset", "request ok close"] {
             let (address, _) = start(Box::leak(Box::new([script]))).await;
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_stale_reused_connection_does_not_prove_what_was_read() {
+fn a_reset_of_a_reused_connection_does_not_prove_that_the_request_was_not_read() {
     run(async {
         let (address, _) = start(&["request ok head reset"]).await;
         let mut connection = connect(address).await;
@@ -147,12 +147,12 @@
         assert_eq!(connection.socket().write_progress(), WriteProgress::Partial);
         assert!(connection.is_writing());
         assert!(!is_usable(&mut connection).await, "the next request has to wait");
-        shared.go_on.add_permits(1);
+        shared.continue_permits.add_permits(1);
         // The server reads the rest of this body and nothing else.
-        let read = async {
+        let rest_read = async {
             wait_for_signal(&shared).await;
         };
-        connection.drive(read).await;
+        connection.drive(rest_read).await;
         assert!(shared.bodies.borrow()[0].iter().all(|byte| *byte == b'w'));
         assert_eq!(shared.bodies.borrow()[0].len(), LONG_BODY);
         assert!(!connection.is_writing() && is_usable(&mut connection).await);
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_body_that_was_written_in_part_broke_with_its_connection() {
+fn a_request_that_was_written_in_part_counts_as_not_sent() {
     run(async {
         let (address, shared) = start(&["head signal reset"]).await;
         let mut connection = connect(address).await;
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn an_end_of_ones_own_does_not_pass_for_the_servers() {
+fn an_abort_by_the_client_is_not_taken_for_the_end_of_the_response() {
     run(async {
         let (address, shared) = start(&["request bare signal"]).await;
         let mut connection = connect(address).await;
@@ -192,32 +192,32 @@
 }
 
 #[test]
-fn answers_on_different_connections_may_pass_each_other() {
+fn responses_on_different_connections_may_arrive_in_another_order() {
     run(async {
         let (address, shared) = start(&["request signal wait ok", "request bare close"]).await;
         let (mut first, mut second) = (connect(address).await, connect(address).await);
-        let is_slow = first.exchange(request(b"slow".to_vec()));
+        let slow = first.exchange(request(b"slow".to_vec()));
         let fast = async {
             wait_for_signal(&shared).await;
-            let body_timeout = outcome(second.exchange(request(b"fast".to_vec())).await);
-            shared.go_on.add_permits(1);
-            body_timeout
+            let result = outcome(second.exchange(request(b"fast".to_vec())).await);
+            shared.continue_permits.add_permits(1);
+            result
         };
-        let (is_slow, fast) = tokio::join!(is_slow, fast);
-        assert_eq!((outcome(is_slow).as_str(), fast.as_str()), ("200 done", "200 done"));
+        let (slow, fast) = tokio::join!(slow, fast);
+        assert_eq!((outcome(slow).as_str(), fast.as_str()), ("200 done", "200 done"));
         assert_eq!(*shared.bodies.borrow(), [b"slow".to_vec(), b"fast".to_vec()]);
     });
 }
 
 #[test]
-fn bytes_that_nobody_has_read_yet_keep_a_connection_from_being_reused() {
+fn a_connection_with_unread_bytes_cannot_be_reused() {
     run(async {
         let (address, shared) = start(&["request ok signal wait ok signal"]).await;
         let mut connection = connect(address).await;
         assert_eq!(outcome(connection.exchange(request(b"work".to_vec())).await), "200 done");
         wait_for_signal(&shared).await;
         assert!(is_usable(&mut connection).await);
-        shared.go_on.add_permits(1);
+        shared.continue_permits.add_permits(1);
         wait_for_signal(&shared).await;
         // The connection is not polled meanwhile, so that the bytes are only in the kernel's buffer.
         while connection.socket().is_open_and_empty() {
--- a/crates/http1-client/tests/client_connection/server.rs
+++ b/crates/http1-client/tests/client_connection/server.rs
@@ -24,7 +24,7 @@
     /// One permit for each `signal` step that the server has reached.
     pub signals: Semaphore,
     /// One permit for each `wait` step after which the server may continue.
-    pub go_on: Semaphore,
+    pub continue_permits: Semaphore,
     /// The first lines of the requests, in lower case.
     pub requests: RefCell<Vec<String>>,
     /// The bodies of the requests.
@@ -37,22 +37,22 @@
     let address = listener.local_addr().expect("address");
     let shared = Rc::new(Shared {
         signals: Semaphore::new(0),
-        go_on: Semaphore::new(0),
+        continue_permits: Semaphore::new(0),
         requests: RefCell::default(),
         bodies: RefCell::default(),
     });
-    let seen = shared.clone();
+    let shared_by_connections = shared.clone();
     spawn_local(async move {
         for script in scripts {
             let (stream, _) = listener.accept().await.expect("accept");
             stream.set_nodelay(true).expect("nodelay");
-            spawn_local(play(BufReader::new(stream), script, seen.clone()));
+            spawn_local(run_script(BufReader::new(stream), script, shared_by_connections.clone()));
         }
     });
     (address, shared)
 }
 
-async fn play(mut stream: BufReader<TcpStream>, script: &str, shared: Rc<Shared>) {
+async fn run_script(mut stream: BufReader<TcpStream>, script: &str, shared: Rc<Shared>) {
     let mut length = 0;
     for word in script.split_whitespace() {
         match word {
@@ -63,14 +63,16 @@
                 read_body(&mut stream, length, &shared).await;
             }
             "signal" => shared.signals.add_permits(1),
-            "wait" => shared.go_on.acquire().await.expect("the test lets the server continue").forget(),
+            "wait" => {
+                shared.continue_permits.acquire().await.expect("the test lets the server continue").forget()
+            }
             "reset" => {
                 SockRef::from(stream.get_ref()).set_linger(Some(Duration::ZERO)).expect("linger");
                 return drop(stream);
             }
             "close" => return,
             word => {
-                let _ = stream.get_mut().write_all(body_timeout(word).as_bytes()).await;
+                let _ = stream.get_mut().write_all(response_bytes(word).as_bytes()).await;
             }
         }
     }
@@ -78,7 +80,7 @@
     let _ = stream.read_to_end(&mut Vec::new()).await;
 }
 
-fn body_timeout(word: &str) -> String {
+fn response_bytes(word: &str) -> String {
     let ok = "HTTP/1.1 200 OK\r\n";
     match word {
         "ok" => format!("{ok}Content-Length: 4\r\n\r\ndone"),
@@ -97,7 +99,7 @@
 /// Reads the head of a request, and returns the length of its body.
 async fn read_head(stream: &mut BufReader<TcpStream>, shared: &Shared) -> usize {
     let mut length = 0;
-    let mut first = String::new();
+    let mut request_line = String::new();
     loop {
         let mut line = String::new();
         if stream.read_line(&mut line).await.unwrap_or(0) == 0 {
@@ -110,11 +112,11 @@
         if line.is_empty() {
             break;
         }
-        if first.is_empty() {
-            first = line;
+        if request_line.is_empty() {
+            request_line = line;
         }
     }
-    shared.requests.borrow_mut().push(first);
+    shared.requests.borrow_mut().push(request_line);
     length
 }
 
