--- a/crates/load-balancer/src/balancer/eligibility.rs
+++ b/crates/load-balancer/src/balancer/eligibility.rs
@@ -136,7 +136,7 @@
     ) -> EligibilityPolicy<'a> {
         let urgent = service.highest_priority.is_none_or(|highest| demand.priority <= highest);
         let prefill_fraction = if urgent { URGENT_PREFILL_FRACTION } else { OTHER_PREFILL_FRACTION };
-        let max_prefill_ms = demand.objective.as_secs_f64() * 1e3 * prefill_fraction;
+        let max_prefill_ms = demand.target_latency.as_secs_f64() * 1e3 * prefill_fraction;
         let has_warm_server = allowed.iter().any(|(_, server)| !server.is_warming(now));
         EligibilityPolicy {
             now,
--- a/crates/load-balancer/src/balancer/engine_cost.rs
+++ b/crates/load-balancer/src/balancer/engine_cost.rs
@@ -108,8 +108,8 @@
             return 0.0;
         }
         let tokens = server.load.total(self.now).waiting_tokens;
-        let objective_ms = (self.demand.objective.as_secs_f64() * 1e3).max(1.0);
-        let latency_fraction = self.prefill_time.first_byte_ms(tokens + prefill_tokens) / objective_ms;
+        let target_latency_ms = (self.demand.target_latency.as_secs_f64() * 1e3).max(1.0);
+        let latency_fraction = self.prefill_time.first_byte_ms(tokens + prefill_tokens) / target_latency_ms;
         let lateness = ((latency_fraction - LATE_FROM_FRACTION) / (1.0 - LATE_FROM_FRACTION)).clamp(0.0, 1.0);
         tokens * QUEUED_TOKEN_COST + lateness * LATE_COST
     }
--- a/crates/load-balancer/src/demand.rs
+++ b/crates/load-balancer/src/demand.rs
@@ -31,7 +31,7 @@
     /// The priority of the request; 0 is the highest.
     pub priority: u32,
     /// The target latency of the response.
-    pub objective: Duration,
+    pub target_latency: Duration,
     /// The time until the client's timeout expires.
     pub time_remaining: Duration,
     /// Whether requests with the same shared segments should prefer the same servers.
--- a/crates/load-balancer/src/request_queue.rs
+++ b/crates/load-balancer/src/request_queue.rs
@@ -14,8 +14,8 @@
 const MAX_EXAMINED: usize = 8;
 
 /// Returns the maximum time in the queue for a request with this target latency.
-pub fn queue_time(objective: Duration) -> Duration {
-    objective / QUEUE_TIME_DIVISOR
+pub fn queue_time(target_latency: Duration) -> Duration {
+    target_latency / QUEUE_TIME_DIVISOR
 }
 
 /// The limits of a queue.
@@ -33,7 +33,7 @@
     /// The priority of the request; 0 is the highest.
     pub priority: u32,
     /// The target latency of the response.
-    pub objective: Duration,
+    pub target_latency: Duration,
     /// The time at which the client's timeout expires.
     pub due: Duration,
     /// The memory that the request occupies, in bytes.
@@ -84,7 +84,7 @@
     /// # Errors
     /// Returns the request if it exceeds the limits even after all requests of lower priority are displaced.
     pub fn push(&mut self, now: Duration, terms: QueueTerms, request: T) -> Result<Queued<T>, T> {
-        let expires_at = (now + queue_time(terms.objective)).min(terms.due);
+        let expires_at = (now + queue_time(terms.target_latency)).min(terms.due);
         let key = QueueKey { priority: terms.priority, expires_at, sequence: self.next_sequence };
         if !self.fits_after_displacing(terms) {
             return Err(request);
--- a/crates/load-balancer/tests/common/fleet.rs
+++ b/crates/load-balancer/tests/common/fleet.rs
@@ -41,7 +41,7 @@
     pub output_tokens: u32,
     pub body_bytes: usize,
     pub priority: u32,
-    pub objective: Duration,
+    pub target_latency: Duration,
     pub homes: Vec<String>,
 }
 
@@ -79,7 +79,7 @@
 struct EngineRequest {
     /// The index of its proxy.
     proxy: usize,
-    objective: Duration,
+    target_latency: Duration,
     ticket: Option<Ticket>,
     sent: Duration,
     remaining_prefill: u32,
@@ -271,7 +271,7 @@
             output_tokens,
             body_bytes: kind.body_bytes,
             priority: kind.priority,
-            objective: kind.objective,
+            target_latency: kind.target_latency,
             time_remaining: ms(5_000),
             sticky: true,
         };
@@ -289,7 +289,7 @@
         let memory_tokens = u64::from(demand.prompt_tokens + demand.output_tokens);
         let request = EngineRequest {
             proxy,
-            objective: kind.objective,
+            target_latency: kind.target_latency,
             ticket: Some(ticket),
             sent: now,
             remaining_prefill: 0,
@@ -358,7 +358,7 @@
                 }
                 let prefill_time =
                     Duration::from_secs_f64(f64::from(request.prefill_tokens) / TOKENS_PER_MS / 1e3);
-                if now - request.sent > request.objective && prefill_time < request.objective / 2 {
+                if now - request.sent > request.target_latency && prefill_time < request.target_latency / 2 {
                     self.metrics.late += 1;
                 }
             }
--- a/crates/load-balancer/tests/common/mod.rs
+++ b/crates/load-balancer/tests/common/mod.rs
@@ -108,7 +108,7 @@
         output_tokens: 0,
         body_bytes: 600,
         priority: 0,
-        objective: ms(800),
+        target_latency: ms(800),
         time_remaining: ms(5_000),
         sticky: false,
     }
--- a/crates/load-balancer/tests/fleet_scenarios.rs
+++ b/crates/load-balancer/tests/fleet_scenarios.rs
@@ -22,7 +22,7 @@
         output_tokens: 50,
         body_bytes: 18_000,
         priority: 0,
-        objective: Duration::from_millis(800),
+        target_latency: Duration::from_millis(800),
         homes: vec![],
     };
     let long_responses = RequestKind {
@@ -32,7 +32,7 @@
         output_tokens: 290,
         body_bytes: 1_700,
         priority: 1,
-        objective: Duration::from_millis(1_000),
+        target_latency: Duration::from_millis(1_000),
         homes: vec!["a".to_owned(), "b".to_owned()],
     };
     vec![long_prompts, long_responses]
--- a/crates/load-balancer/tests/model_servers.rs
+++ b/crates/load-balancer/tests/model_servers.rs
@@ -189,7 +189,7 @@
 #[test]
 fn slots_are_respected_and_urgent_requests_may_be_queued() {
     let mut balancer = fleet("a1");
-    let urgent = Demand { objective: Duration::from_secs(60), ..demand(ENGINE) };
+    let urgent = Demand { target_latency: Duration::from_secs(60), ..demand(ENGINE) };
     let less_urgent = Demand { priority: 1, ..urgent };
     balancer.choose(NOW, &urgent, &[]);
     let mut fill = |demand: &Demand<'_>| {
@@ -209,7 +209,7 @@
 fn no_request_is_rejected_while_half_of_the_slots_are_free() {
     let mut balancer = fleet("a1");
     let prompt_segments = long(1);
-    let demand = Demand { objective: ms(1), ..request(&prompt_segments) };
+    let demand = Demand { target_latency: ms(1), ..request(&prompt_segments) };
     for _ in 0..(9 * 32) {
         let Choice::Send(key) = balancer.choose(NOW, &demand, &[]) else { panic!("rejected") };
         let _ticket = balancer.begin(NOW, key, &demand);
--- a/crates/load-balancer/tests/request_queue.rs
+++ b/crates/load-balancer/tests/request_queue.rs
@@ -10,8 +10,8 @@
     Duration::from_millis(milliseconds)
 }
 
-fn terms(priority: u32, objective: u64) -> QueueTerms {
-    QueueTerms { priority, objective: ms(objective), due: ms(60_000), bytes: 100 }
+fn terms(priority: u32, target_latency: u64) -> QueueTerms {
+    QueueTerms { priority, target_latency: ms(target_latency), due: ms(60_000), bytes: 100 }
 }
 
 fn queue() -> RequestQueue<&'static str> {
@@ -119,7 +119,7 @@
 enum Step {
     Push {
         priority: u32,
-        objective: u64,
+        target_latency: u64,
         bytes: usize,
     },
     Next,
@@ -135,7 +135,7 @@
             1 => Step::Remove(usize::arbitrary(g)),
             _ => Step::Push {
                 priority: u32::arbitrary(g) % 3,
-                objective: u64::arbitrary(g) % 2_000,
+                target_latency: u64::arbitrary(g) % 2_000,
                 bytes: usize::arbitrary(g) % 700,
             },
         }
@@ -150,8 +150,8 @@
         for (number, step) in steps.iter().enumerate() {
             let now = ms(number as u64 * 20);
             let removed = match *step {
-                Step::Push { priority, objective, bytes } => {
-                    let terms = QueueTerms { bytes, ..terms(priority, objective) };
+                Step::Push { priority, target_latency, bytes } => {
+                    let terms = QueueTerms { bytes, ..terms(priority, target_latency) };
                     expected.push((number, bytes));
                     match queue.push(now, terms, (number, bytes)) {
                         Ok(queued) => {
--- a/crates/quillpulley/src/proxy/admission/mod.rs
+++ b/crates/quillpulley/src/proxy/admission/mod.rs
@@ -152,7 +152,7 @@
     fn queue_terms(&self, context: &RequestContext, until: Instant) -> QueueTerms {
         QueueTerms {
             priority: context.decision.priority,
-            objective: context.decision.objective,
+            target_latency: context.decision.objective,
             due: until.saturating_duration_since(self.upstreams.started_at()),
             bytes: context.request.body.len(),
         }
--- a/crates/quillpulley/src/proxy/downstream/request.rs
+++ b/crates/quillpulley/src/proxy/downstream/request.rs
@@ -161,7 +161,7 @@
             output_tokens: request.output_tokens,
             body_bytes: request.body.len(),
             priority: decision.priority,
-            objective: decision.objective,
+            target_latency: decision.objective,
             time_remaining: request.time_remaining(),
             sticky: decision.sticky,
         }
