--- a/crates/load-balancer/src/request_queue.rs
+++ b/crates/load-balancer/src/request_queue.rs
@@ -35,7 +35,7 @@
     /// The target latency of the response.
     pub target_latency: Duration,
     /// The time at which the client's timeout expires.
-    pub due: Duration,
+    pub deadline: Duration,
     /// The memory that the request occupies, in bytes.
     pub bytes: usize,
 }
@@ -84,7 +84,7 @@
     /// # Errors
     /// Returns the request if it exceeds the limits even after all requests of lower priority are displaced.
     pub fn push(&mut self, now: Duration, terms: QueueTerms, request: T) -> Result<Queued<T>, T> {
-        let expires_at = (now + queue_time(terms.target_latency)).min(terms.due);
+        let expires_at = (now + queue_time(terms.target_latency)).min(terms.deadline);
         let key = QueueKey { priority: terms.priority, expires_at, sequence: self.next_sequence };
         if !self.fits_after_displacing(terms) {
             return Err(request);
--- a/crates/load-balancer/tests/request_queue.rs
+++ b/crates/load-balancer/tests/request_queue.rs
@@ -11,7 +11,7 @@
 }
 
 fn terms(priority: u32, target_latency: u64) -> QueueTerms {
-    QueueTerms { priority, target_latency: ms(target_latency), due: ms(60_000), bytes: 100 }
+    QueueTerms { priority, target_latency: ms(target_latency), deadline: ms(60_000), bytes: 100 }
 }
 
 fn queue() -> RequestQueue<&'static str> {
@@ -77,7 +77,7 @@
 #[test]
 fn no_request_waits_beyond_the_timeout_of_its_client() {
     let mut queue = queue();
-    push(&mut queue, 0, QueueTerms { due: ms(50), ..terms(0, 800) }, "one");
+    push(&mut queue, 0, QueueTerms { deadline: ms(50), ..terms(0, 800) }, "one");
     assert_eq!(queue.next(ms(50), |_| true), None);
     assert_eq!(queue.next(ms(49), |_| true), Some("one"));
 }
--- a/crates/quillpulley/src/proxy/admission/mod.rs
+++ b/crates/quillpulley/src/proxy/admission/mod.rs
@@ -153,7 +153,7 @@
         QueueTerms {
             priority: context.decision.priority,
             target_latency: context.decision.objective,
-            due: until.saturating_duration_since(self.upstreams.started_at()),
+            deadline: until.saturating_duration_since(self.upstreams.started_at()),
             bytes: context.request.body.len(),
         }
     }
