--- a/crates/http1-client/src/client_connection.rs
+++ b/crates/http1-client/src/client_connection.rs
@@ -5,7 +5,7 @@
 //! records whether a request has been handed to the kernel completely, because this determines whether the
 //! server may have executed it.
 
-use crate::socket::{Socket, Tracked, WriteProgress};
+use crate::socket::{Socket, SocketIo, WriteProgress};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
@@ -58,7 +58,7 @@
     TooLarge,
 }
 
-type HyperConnection = Pin<Box<Connection<TokioIo<Tracked>, Full<Bytes>>>>;
+type HyperConnection = Pin<Box<Connection<TokioIo<SocketIo>, Full<Bytes>>>>;
 
 /// An outgoing connection. It carries one request at a time.
 pub struct ClientConnection {
@@ -86,7 +86,7 @@
         let socket = Socket::new(TcpStream::connect(address).await?);
         let mut http = http1::Builder::new();
         http.max_buf_size(limits.max_buffer);
-        let handshake = http.handshake(TokioIo::new(Tracked(socket.clone())));
+        let handshake = http.handshake(TokioIo::new(SocketIo(socket.clone())));
         let (sender, connection) = handshake.await.map_err(io::Error::other)?;
         Ok(ClientConnection {
             sender,
--- a/crates/http1-client/src/lib.rs
+++ b/crates/http1-client/src/lib.rs
@@ -14,4 +14,4 @@
 pub use client_connection::{ClientConnection, ConnectionLimits, ResponseError};
 pub use connection_manager::{ConnectionManager, ConnectionOptions, Linger};
 pub use server_connection::{ServerConnection, Service};
-pub use socket::{Socket, Tracked, WriteProgress};
+pub use socket::{Socket, SocketIo, WriteProgress};
--- a/crates/http1-client/src/server_connection.rs
+++ b/crates/http1-client/src/server_connection.rs
@@ -1,7 +1,7 @@
 //! An incoming connection, which serves requests until it closes.
 
 use crate::connection_manager::ConnectionOptions;
-use crate::socket::{Socket, Tracked};
+use crate::socket::{Socket, SocketIo};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper::header::CONNECTION;
@@ -175,7 +175,7 @@
             http.timer(TokioTimer::new()).header_read_timeout(header_timeout);
         }
         http.max_buf_size(options.max_header_bytes);
-        let io = TokioIo::new(Tracked(self.socket.clone()));
+        let io = TokioIo::new(SocketIo(self.socket.clone()));
         let mut connection = pin!(http.serve_connection(io, respond));
         loop {
             tokio::select! {
--- a/crates/http1-client/src/socket.rs
+++ b/crates/http1-client/src/socket.rs
@@ -164,9 +164,9 @@
 }
 
 /// The I/O stream through which hyper reads and writes a [`Socket`].
-pub struct Tracked(pub Rc<Socket>);
+pub struct SocketIo(pub Rc<Socket>);
 
-impl AsyncRead for Tracked {
+impl AsyncRead for SocketIo {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         ready!(Pin::new(&mut *self.0.reader.borrow_mut()).poll_read(cx, buf))?;
@@ -182,7 +182,7 @@
     }
 }
 
-impl AsyncWrite for Tracked {
+impl AsyncWrite for SocketIo {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.poll_write_vectored(cx, &[IoSlice::new(buf)])
     }
