--- a/crates/http1-client/src/client_connection.rs
+++ b/crates/http1-client/src/client_connection.rs
@@ -72,8 +72,8 @@
 }
 
 impl ClientConnection {
-    /// Connects to a server. `open_sockets` is the number of open sockets, which includes this one until it is
-    /// dropped. The caller applies a timeout.
+    /// Connects to a server. `open_sockets` is the number of open sockets, which includes this one until it
+    /// is dropped. The caller applies a timeout.
     ///
     /// # Errors
     /// Returns an error if the connection cannot be established.
--- a/crates/load-balancer/src/balancer/eligibility.rs
+++ b/crates/load-balancer/src/balancer/eligibility.rs
@@ -74,9 +74,9 @@
     /// The maximum number of requests of this proxy at a server, each of which uses a connection.
     connection_quota: u32,
     /// This proxy's share of the requests to a cold server while the live proxies are unknown; `None` if a
-    /// warm server is available, and cold servers get no requests.
+    /// warm server is available, so that cold servers get no requests.
     fallback_share: Option<SlowStartShare>,
-    /// Whether the live proxies are known, which include this one.
+    /// Whether the live proxies are known and include this one.
     knows_proxies: bool,
     ablation: Ablation,
 }
--- a/crates/load-balancer/src/balancer/engine_cost.rs
+++ b/crates/load-balancer/src/balancer/engine_cost.rs
@@ -1,7 +1,7 @@
 //! Computes the cost of sending a request to a server that runs an inference engine.
 //!
 //! The candidate with the lowest cost is chosen. The unit of cost is one prompt token that is prefilled
-//! again: it takes the server's time, and has a price if another server has cached it.
+//! again. Prefilling it takes the server's time, and also has a price if another server has cached it.
 
 use super::ablation::Ablation;
 use super::condition_cost::ConditionCosts;
--- a/crates/load-balancer/src/balancer/slow_start.rs
+++ b/crates/load-balancer/src/balancer/slow_start.rs
@@ -44,7 +44,7 @@
         SlowStartShare { per_second: per_sender.min(MAX_RECENT_SENDS), senders: SENDERS }
     }
 
-    /// The share of a proxy that does not know the other proxies.
+    /// The share of a proxy that does not know the other proxies: one request per second.
     pub(crate) const SINGLE_REQUEST: SlowStartShare = SlowStartShare { per_second: 1, senders: 1 };
 }
 
--- a/crates/load-balancer/src/lib.rs
+++ b/crates/load-balancer/src/lib.rs
@@ -4,8 +4,7 @@
 //! - [`RouteTable`] finds the route of a request.
 //! - [`Balancer`] tracks the servers and the requests in flight, and chooses a server for each request.
 //! - [`RequestQueue`] holds requests for a short time while no server has capacity for them.
-//! - [`HomeTable`] returns the home regions of a host, which are the only regions in which its requests may
-//!   be served.
+//! - [`HomeTable`] holds the home regions of the routes of each host, in which their requests may be served.
 //! - [`HomeDemand`] tracks which other regions would serve the clients of a proxy better than its own region.
 //!
 //! The caller passes the current time, as the time since the start of the process. Random numbers come from a
