--- a/crates/load-balancer/tests/model_servers.rs
+++ b/crates/load-balancer/tests/model_servers.rs
@@ -27,15 +27,10 @@
     balancer
 }
 
-/// Returns the segments of a prompt: two shared ones, and one that belongs to the request alone.
-fn segments(
-    system_prompt: u64,
-    system_prompt_tokens: u32,
-    document: u64,
-    document_tokens: u32,
-) -> [PromptSegment; 3] {
+/// Returns the segments of a prompt: a shared template, a shared document, and a part of the request's own.
+fn segments(template: u64, template_tokens: u32, document: u64, document_tokens: u32) -> [PromptSegment; 3] {
     [
-        PromptSegment { id: system_prompt, tokens: system_prompt_tokens },
+        PromptSegment { id: template, tokens: template_tokens },
         PromptSegment { id: 1_000 + document, tokens: document_tokens },
         PromptSegment { id: 1_000_000 + document, tokens: 500 },
     ]
