--- a/crates/http1-client/tests/client_connection/responses.rs
+++ b/crates/http1-client/tests/client_connection/responses.rs
@@ -30,17 +30,22 @@
 };
 
 fn run(test: impl Future<Output = ()>) {
-    let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = Builder::new_current_thread().enable_all().build().expect("the runtime starts");
     let test = async { timeout(TIMEOUT, test).await.expect("the test ends in time") };
     LocalSet::new().block_on(&runtime, test);
 }
 
 async fn connect(address: SocketAddr) -> ClientConnection {
-    ClientConnection::connect(address, &Rc::new(Cell::new(0)), LIMITS).await.expect("a connection")
+    ClientConnection::connect(address, &Rc::new(Cell::new(0)), LIMITS)
+        .await
+        .expect("the connection is established")
 }
 
 fn request(body: Vec<u8>) -> Request<Full<Bytes>> {
-    Request::post("/x").header("host", "h.example").body(Full::new(Bytes::from(body))).expect("a request")
+    Request::post("/x")
+        .header("host", "h.example")
+        .body(Full::new(Bytes::from(body)))
+        .expect("the request is valid")
 }
 
 async fn wait_for_signal(shared: &Shared) {
@@ -131,7 +136,7 @@
     run(async {
         let (address, _) = start(&["request ok head reset"]).await;
         let mut connection = connect(address).await;
-        connection.exchange(request(b"work".to_vec())).await.expect("a response");
+        connection.exchange(request(b"work".to_vec())).await.expect("the response arrives");
         assert!(is_usable(&mut connection).await);
         assert_eq!(outcome(connection.exchange(request(b"more".to_vec())).await), "Broken");
         assert_eq!(connection.socket().write_progress(), WriteProgress::Complete);
@@ -180,7 +185,8 @@
     run(async {
         let (address, shared) = start(&["request bare signal"]).await;
         let mut connection = connect(address).await;
-        let response = connection.send(request(b"work".to_vec())).await.expect("a head");
+        let response =
+            connection.send(request(b"work".to_vec())).await.expect("the head of the response arrives");
         wait_for_signal(&shared).await;
         let (_, mut body) = response.into_parts();
         let first = poll_fn(|cx| connection.poll_data(cx, &mut body)).await;
@@ -232,7 +238,8 @@
     run(async {
         let (address, shared) = start(&["request half-body signal"]).await;
         let mut connection = connect(address).await;
-        let response = connection.send(request(b"work".to_vec())).await.expect("a head");
+        let response =
+            connection.send(request(b"work".to_vec())).await.expect("the head of the response arrives");
         wait_for_signal(&shared).await;
         let (_, mut body) = response.into_parts();
         let first = poll_fn(|cx| connection.poll_data(cx, &mut body)).await;
--- a/crates/http1-client/tests/client_connection/server.rs
+++ b/crates/http1-client/tests/client_connection/server.rs
@@ -92,7 +92,7 @@
         "half-chunk" => format!("{ok}Transfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n"),
         "hint" => "HTTP/1.1 103 Early Hints\r\n\r\n".to_string(),
         "noise" => "no HTTP at all\r\n\r\n".to_string(),
-        _ => panic!("no step: {word}"),
+        _ => panic!("unknown step: {word}"),
     }
 }
 
@@ -107,7 +107,7 @@
         }
         let line = line.trim_end().to_ascii_lowercase();
         if let Some(value) = line.strip_prefix("content-length:") {
-            length = value.trim().parse().expect("a length");
+            length = value.trim().parse().expect("Content-Length is a number");
         }
         if line.is_empty() {
             break;
--- a/crates/load-balancer/tests/model_servers.rs
+++ b/crates/load-balancer/tests/model_servers.rs
@@ -57,7 +57,7 @@
 }
 
 fn region(balancer: &Balancer, key: ServerKey) -> String {
-    balancer.server(key).expect("it is listed").locality.region.clone()
+    balancer.server(key).expect("the server is listed").locality.region.clone()
 }
 
 #[test]
@@ -88,7 +88,7 @@
 #[test]
 fn removing_a_server_moves_only_its_own_prefixes() {
     let (mut complete, mut remaining) = (fleet("a1"), fleet("a1"));
-    let removed = remaining.remove_server(NOW, "s2").expect("it was listed");
+    let removed = remaining.remove_server(NOW, "s2").expect("the server was listed");
     for document in 0..200 {
         let before = chosen(&mut complete, &request(&long(document)));
         let after = chosen(&mut remaining, &request(&long(document)));
@@ -156,7 +156,7 @@
 fn a_server_with_long_prompts_queued_is_avoided() {
     let mut balancer = fleet("a1");
     let usual_server = chosen(&mut balancer, &request(&short(1)));
-    let id = balancer.server(usual_server).expect("it is listed").id.clone();
+    let id = balancer.server(usual_server).expect("the server is listed").id.clone();
     let load =
         ServerLoad { server: server_hash(&id), running: 0, waiting: 4, prompt_tokens: 60_000, failures: 0 };
     balancer.set_totals(NOW, &[load]);
--- a/crates/load-balancer/tests/plain_servers.rs
+++ b/crates/load-balancer/tests/plain_servers.rs
@@ -76,7 +76,7 @@
     fleet.send_all(100, &less_urgent);
     assert_eq!(fleet.in_flight.len(), 4 * SLOTS);
     let Choice::Full { retry_after } = fleet.balancer.choose(NOW, &less_urgent, &[]) else {
-        panic!("not full")
+        panic!("the servers are not full")
     };
     assert!((ms(100)..=ms(2_000)).contains(&retry_after));
 }
--- a/crates/load-balancer/tests/request_queue.rs
+++ b/crates/load-balancer/tests/request_queue.rs
@@ -19,7 +19,7 @@
 }
 
 fn push(queue: &mut RequestQueue<&'static str>, now: u64, terms: QueueTerms, name: &'static str) -> QueueKey {
-    queue.push(ms(now), terms, name).expect("there is room").key
+    queue.push(ms(now), terms, name).expect("the request fits the limits").key
 }
 
 #[test]
@@ -89,7 +89,7 @@
     push(&mut queue, 0, terms(2, 800), "two");
     push(&mut queue, 0, terms(2, 400), "three");
     assert_eq!(queue.push(ms(0), terms(2, 100), "rejected"), Err("rejected"));
-    let queued = queue.push(ms(0), terms(0, 800), "urgent").expect("it is more urgent");
+    let queued = queue.push(ms(0), terms(0, 800), "urgent").expect("the request is more urgent");
     assert_eq!(queued.displaced, ["two"]);
     assert_eq!(queue.len(), 3);
 }
@@ -100,7 +100,8 @@
     push(&mut queue, 0, QueueTerms { bytes: 600, ..terms(1, 800) }, "one");
     let large = QueueTerms { bytes: 500, ..terms(1, 800) };
     assert_eq!(queue.push(ms(0), large, "rejected"), Err("rejected"));
-    let queued = queue.push(ms(0), QueueTerms { priority: 0, ..large }, "urgent").expect("it is more urgent");
+    let queued =
+        queue.push(ms(0), QueueTerms { priority: 0, ..large }, "urgent").expect("the request is more urgent");
     assert_eq!(queued.displaced, ["one"]);
     let too_large = QueueTerms { bytes: 1_001, ..terms(0, 800) };
     assert_eq!(queue.push(ms(0), too_large, "rejected"), Err("rejected"));
--- a/crates/load-balancer/tests/stale_loads.rs
+++ b/crates/load-balancer/tests/stale_loads.rs
@@ -73,7 +73,7 @@
     while now < end {
         for balancer in &mut balancers {
             let key = send(balancer, now);
-            let id = balancer.server(key).expect("it is listed").id.clone();
+            let id = balancer.server(key).expect("the server is listed").id.clone();
             *sent.entry(id).or_default() += 1;
         }
         now += SEND_INTERVAL;
