--- a/crates/load-balancer/src/balancer/server.rs
+++ b/crates/load-balancer/src/balancer/server.rs
@@ -11,7 +11,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// How long a server gets no requests after it has rejected one because it was full.
-const FULL_PAUSE: Duration = Duration::from_millis(150);
+const FULL_BACKOFF: Duration = Duration::from_millis(150);
 
 /// The weight in the failure rate of a failure that another proxy has reported.
 const OTHER_PROXY_FAILURE_WEIGHT: f64 = 0.5;
@@ -173,7 +173,7 @@
     }
 
     pub(crate) fn set_full(&mut self, now: Duration) {
-        self.full_until = now + FULL_PAUSE;
+        self.full_until = now + FULL_BACKOFF;
     }
 
     /// Returns the recent failure rate over all proxies, in which failures at other proxies have a lower
--- a/crates/load-balancer/src/balancer/slow_start.rs
+++ b/crates/load-balancer/src/balancer/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: limits the rate of requests to a cold server.
+//! Slow start: limits the rate of requests to a cold server, whose warm-up is not over yet.
 //!
 //! The limit on the requests that a cold server gets in any second applies to all proxies together, also
 //! during a network partition between them. Therefore only two proxies, chosen by rendezvous hashing, send
--- a/crates/load-balancer/tests/common/fleet.rs
+++ b/crates/load-balancer/tests/common/fleet.rs
@@ -65,8 +65,8 @@
     pub paused: usize,
     /// Tokens in the shared segments of all requests.
     pub shared: u64,
-    /// Tokens in shared segments that a server prefilled within [`REUSE_WINDOW`] after their latest use at any
-    /// server.
+    /// Tokens in shared segments that a server prefilled within [`REUSE_WINDOW`] after their latest use at
+    /// any server.
     pub prefilled_again: u64,
     /// Requests that were sent to another region.
     pub other_region: usize,
