--- a/crates/replication/src/event.rs
+++ b/crates/replication/src/event.rs
@@ -1,4 +1,4 @@
-//! The events that a replica takes and the actions that it returns.
+//! The events that a replica handles and the actions that it returns.
 
 use std::fmt;
 
@@ -15,97 +15,99 @@
         /// The message.
         body: Body,
     },
-    /// The failure domains of a node, as its `Hello` states. Comes before [`Event::Connected`].
+    /// A node has stated its failure domains in its `Hello`. Precedes [`Event::Connected`] of that node.
     LocalityLearned {
         /// The node.
         node: NodeId,
         /// Its failure domains.
         locality: Locality,
     },
-    /// Messages can be sent to the node from now on.
+    /// A connection to the node is established: messages can be sent to it from now on.
     Connected(NodeId),
-    /// Messages to the node are lost from now on.
+    /// The connection to the node is closed: messages to it are lost from now on.
     Disconnected(NodeId),
-    /// A write is durable, or has failed.
+    /// A write has become durable or has failed.
     WriteCompleted {
-        /// The number of the write.
+        /// The ticket of the write, from [`Action::Store`].
         ticket: u64,
-        /// Whether it is durable.
+        /// `Ok` if the write is durable.
         result: Result<(), WriteFailed>,
     },
-    /// A payload to append to the log; must not be empty. Its outcome is reported by [`Action::Committed`] or
-    /// [`Action::Rejected`] with the same number.
+    /// A client proposes a payload for the log, which must not be empty. [`Action::Committed`] or
+    /// [`Action::Rejected`] reports the outcome with the same proposal number.
     Propose {
         /// The number of the proposal.
         proposal: u64,
         /// The payload.
         payload: Vec<u8>,
     },
-    /// The monotonic clock has stood still for a while, with the whole machine. Due before anything else is handled.
+    /// The machine was suspended, and its monotonic clock with it. The host reports this before it handles anything
+    /// else.
     ClockJumped,
-    /// Time has passed. Due every 50 ms.
+    /// Time has passed. The host reports this every 50 ms.
     Tick,
-    /// The process is about to shut down: a primary hands over, and the node does not campaign any more.
+    /// The process is about to shut down: a primary resigns, and the node no longer stands for election.
     Shutdown,
 }
 
 /// An output of a replica, which the host has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a message. It may get lost.
+    /// Send a message. The message may be lost.
     Send {
         /// The recipient.
         to: NodeId,
         /// The message.
         body: Body,
     },
-    /// Make a write durable and report it with [`Event::WriteCompleted`]. There is one write at a time.
+    /// Make a write durable and report the result with [`Event::WriteCompleted`]. At most one write is in flight.
     Store {
-        /// The number of the write.
+        /// The ticket of the write.
         ticket: u64,
         /// The write.
         write: Write,
     },
-    /// The entry is committed and applied to the state. Not reported for entries that a snapshot covers.
+    /// The entry is committed and applied to the state. Not reported for entries without a payload, nor for entries
+    /// that were received as part of a snapshot.
     Applied {
         /// The index of the entry.
         index: u64,
     },
-    /// The proposal is committed, and the replica held its lease when it saw that.
+    /// The proposal is committed, and the replica held its lease when it detected this.
     Committed {
         /// The number of the proposal.
         proposal: u64,
     },
-    /// The proposal is not acknowledged.
+    /// The proposal is not acknowledged; the reason states whether it may still take effect.
     Rejected {
         /// The number of the proposal.
         proposal: u64,
         /// Why it is rejected.
         reason: RejectReason,
     },
-    /// The role has changed.
+    /// The role of this replica has changed.
     RoleChanged(Role),
 }
 
 /// A write to disk.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Write {
-    /// Replace the witness record, atomically.
+    /// Replace the witness record atomically.
     Record(WitnessRecord),
-    /// Append entries, after truncating the stored log from the index of the first one on.
+    /// Truncate the stored log from the index of the first of these entries on, then append them.
     Append(Vec<Entry>),
-    /// Replace the whole log by a snapshot and the entries after it, atomically.
+    /// Atomically replace the whole log by a snapshot and the entries after it.
     Install {
-        /// The last entry that the snapshot covers.
+        /// The position of the last entry that the snapshot covers.
         last: Position,
         /// The snapshot.
         snapshot: Vec<u8>,
         /// The entries after the snapshot.
         entries: Vec<Entry>,
     },
-    /// Replace the entries up to `last` by a snapshot, atomically.
+    /// Atomically replace the entries up to `last` by a snapshot.
     Compact {
-        /// The last entry that the snapshot covers.
+        /// The position of the last entry that the snapshot covers.
         last: Position,
         /// The snapshot.
         snapshot: Vec<u8>,
@@ -113,7 +115,7 @@
 }
 
 impl Write {
-    /// Returns about how many bytes it puts on disk.
+    /// Returns the approximate size of this write in bytes: that of its snapshot and payloads.
     pub(crate) fn bytes(&self) -> usize {
         match self {
             Write::Record(_) => 0,
@@ -128,41 +130,41 @@
     entries.iter().map(|entry| entry.payload.len()).sum()
 }
 
-/// A write has failed: the disk is full or broken. The replica retries by itself.
+/// A write has failed, for instance because the disk is full or broken. The replica retries by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WriteFailed;
 
 /// Why a proposal is not acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// The replica holds no lease. The proposal was not appended and never will be. `hint` is the primary that the
-    /// replica has received a heartbeat from within the lease.
+    /// The replica does not hold the lease of a primary. The proposal was not appended and never will be.
     NotPrimary {
-        /// The primary, if it is known.
+        /// The primary whose latest heartbeat is not older than a lease; `None` if there is no such primary.
         hint: Option<NodeId>,
     },
-    /// The proposal was appended, and the replica lost its lease before it was committed: it may take effect or not.
+    /// The proposal was appended, but the replica lost its lease or stepped down before it could report a commit:
+    /// the proposal may or may not take effect.
     OutcomeUnknown,
 }
 
 /// The role of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It follows the primary whose heartbeat it has received within the lease, if there is one.
+    /// The replica is neither primary nor candidate.
     Follower {
-        /// The primary.
+        /// The primary whose latest heartbeat is not older than a lease; `None` if there is no such primary.
         primary: Option<NodeId>,
     },
-    /// It campaigns.
+    /// The replica stands for election.
     Candidate,
-    /// It is the primary of an epoch. Without the lease it must not act as one.
+    /// The replica is the primary of an epoch. It may act as primary only while it holds the lease.
     Primary {
-        /// The epoch.
+        /// The epoch of its view.
         epoch: u64,
-        /// Whether it holds the lease.
+        /// Whether the replica holds the lease.
         holds_lease: bool,
     },
-    /// It is shutting down.
+    /// The replica is shutting down.
     ShuttingDown,
 }
 
--- a/crates/replication/src/fault_tolerance.rs
+++ b/crates/replication/src/fault_tolerance.rs
@@ -1,4 +1,4 @@
-//! Failure domains, and which failures a set of nodes survives.
+//! Determines which tolerated failures of machines and failure domains a set of nodes survives.
 
 use quillpulley_protocol::{Locality, NodeId};
 use std::collections::BTreeMap;
@@ -6,20 +6,20 @@
 
 use crate::view::majority;
 
-/// The failures to survive: the loss of any `machines`, or of any `zones`, or of any `regions` at once, with all
-/// members and witnesses in them.
+/// The failures that a view has to survive: the simultaneous loss of any `machines` machines, or any `zones` zones,
+/// or any `regions` regions, with all members and witnesses in them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FaultTolerance {
-    /// Machines that may lose their disks at once. Commits need more members than this.
+    /// The number of machines that may lose their disks at once. Commits need more members than this.
     pub machines: usize,
-    /// Zones that may be lost at once.
+    /// The number of zones that may be lost at once.
     pub zones: usize,
-    /// Regions that may be lost at once.
+    /// The number of regions that may be lost at once.
     pub regions: usize,
 }
 
 impl Default for FaultTolerance {
-    /// One machine.
+    /// Tolerates the loss of one machine.
     fn default() -> Self {
         FaultTolerance { machines: 1, zones: 0, regions: 0 }
     }
@@ -28,16 +28,16 @@
 /// The kinds of tolerated failures that a set of nodes does not survive.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UncoveredFailures {
-    /// The loss of as many machines as are tolerated.
+    /// Whether the loss of the tolerated number of machines is not survived.
     pub machines: bool,
-    /// The loss of as many zones as are tolerated.
+    /// Whether the loss of the tolerated number of zones is not survived.
     pub zones: bool,
-    /// The loss of as many regions as are tolerated.
+    /// Whether the loss of the tolerated number of regions is not survived.
     pub regions: bool,
 }
 
 impl UncoveredFailures {
-    /// Returns whether every tolerated failure is survived.
+    /// Returns whether all tolerated failures are survived.
     pub fn is_empty(self) -> bool {
         self.count() == 0
     }
@@ -51,7 +51,7 @@
         [self.machines, self.zones, self.regions].iter().filter(|uncovered| **uncovered).count()
     }
 
-    /// Returns the names of the failures that are not survived.
+    /// Returns the names of the kinds of failures that are not survived: `machines`, `zones` or `regions`.
     pub fn kinds(self) -> Vec<&'static str> {
         let kinds = [(self.machines, "machines"), (self.zones, "zones"), (self.regions, "regions")];
         kinds.iter().filter(|(uncovered, _)| *uncovered).map(|(_, kind)| *kind).collect()
@@ -64,7 +64,7 @@
     }
 }
 
-/// Returns the failures after which no copy remains with these members.
+/// Returns the tolerated failures after which none of these members, and so no copy of the data, remains.
 pub(crate) fn uncovered_by_members<'a>(
     members: &[NodeId],
     tolerance: FaultTolerance,
@@ -73,7 +73,7 @@
     uncovered(members, tolerance, locality_of, 1)
 }
 
-/// Returns the failures after which these witnesses have no majority.
+/// Returns the tolerated failures after which no majority of these witnesses remains.
 pub(crate) fn uncovered_by_witnesses<'a>(
     witnesses: &[NodeId],
     tolerance: FaultTolerance,
@@ -82,7 +82,7 @@
     uncovered(witnesses, tolerance, locality_of, majority(witnesses.len()))
 }
 
-/// Returns the failures after which fewer than `needed` of the nodes remain.
+/// Returns the tolerated failures after which fewer than `needed` of the nodes remain.
 fn uncovered<'a>(
     nodes: &[NodeId],
     tolerance: FaultTolerance,
@@ -98,8 +98,8 @@
     }
 }
 
-/// Returns how many nodes remain after the loss of the domains with the most of them. A node whose domain is not known
-/// may be in any of them, and so counts as lost.
+/// Returns how many nodes remain after the loss of the `lost` domains with the most nodes. A node whose domain is
+/// unknown counts as lost, since it may be in any of them.
 fn remaining_after<'a>(nodes: &[NodeId], lost: usize, domain: impl Fn(&NodeId) -> Option<&'a str>) -> usize {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for name in nodes.iter().filter_map(domain).filter(|name| !name.is_empty()) {
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,33 +1,34 @@
 //! Primary-backup replication with witnesses that decide failover, as a pure state machine.
 //!
-//! [`Replica`] takes [`Event`]s together with the time at which they happen, and returns the [`Action`]s that are due.
-//! It opens no sockets, reads no clocks and writes no files: that is the host's part. Times are durations since the
-//! start of the process by a monotonic clock.
+//! [`Replica`] handles [`Event`]s, each with the time at which it occurred, and returns the [`Action`]s that the
+//! host has to carry out. It opens no sockets, reads no clocks and writes no files; the host does. Times are
+//! durations since the start of the process, measured by a monotonic clock.
 //!
 //! The protocol belongs to the family of Vertical Paxos and PacificA:
 //!
 //! - The *primary* appends proposals to its log. An entry is committed once **every** member of the view (the primary
-//!   and its backups) has stored it. So any one member of the newest view holds all that was ever acknowledged.
-//! - *Witnesses* store epochs and views, never data. A majority of them decides which view follows, and grants the
-//!   primary its lease. Their set changes by one node at a time; majorities of the old and of the new set have to
-//!   agree until the change is complete (joint consensus).
-//! - A *learner* is a node that receives the log and is no member yet.
-//! - A node is its address and the incarnation of its disk. A wiped disk makes another node, which has promised
-//!   nothing.
+//!   and its backups) has stored it. Therefore every member of the newest view holds all acknowledged entries.
+//! - *Witnesses* store epochs and views, never data. A majority of them decides on the next view and grants the
+//!   primary its lease. The set of witnesses changes by one node at a time; until a change is complete, majorities
+//!   of both the old and the new set have to agree (joint consensus).
+//! - A *learner* is a node that receives the log but is not a member yet.
+//! - A node is identified by its address and the incarnation of its disk. A machine whose disk was wiped is a new
+//!   node, which has made no promises.
 //!
-//! | module | holds |
+//! | module | contents |
 //! | --- | --- |
-//! | [`Replica`] (`replica/`) | the coordinator: routes events to the parts below, one file for each role |
-//! | `member_state` | the replicated state machine, its log, and how far it is applied |
+//! | [`Replica`] (`replica/`) | the coordinator: passes events to the modules below; one file per role |
+//! | `member_state` | the replicated state machine, its log, and the position up to which the log is applied |
 //! | `witness` | promises, accepted views and granted leases |
 //! | `primary`, `proposals`, `lease` | the state of a primary |
-//! | `view_change` | the phases of an election or reconfiguration |
-//! | `membership/` | the view that a primary wants: learners, lost members, the set of witnesses |
-//! | `progress` | how far the log of each replication target goes |
+//! | `view_change` | the phases of an election or a reconfiguration |
+//! | `membership/` | the view that the primary should form: learners to add, members to drop, the set of witnesses |
+//! | `progress` | how far the log of each replication target matches, and what is sent to it next |
 //! | `durability`, `fault_tolerance` | which failures a view survives, and when commits are acknowledged |
-//! | `write_queue` | writes to disk, and what has to wait for them |
+//! | `write_queue` | pending disk writes, and what is deferred until they are durable |
 //!
-//! The parts know nothing of [`Replica`]; their fields are private. `docs/CONTROL-STATE.md` argues why this is safe.
+//! The other modules do not depend on [`Replica`], and their state is private to them. `docs/CONTROL-STATE.md` gives
+//! the safety argument.
 #![forbid(unsafe_code)]
 
 mod durability;
--- a/crates/replication/src/log.rs
+++ b/crates/replication/src/log.rs
@@ -1,6 +1,6 @@
-//! The replicated log in memory: the entries after a base that a snapshot covers.
+//! The in-memory part of the replicated log: the entries after the base, the last position that the snapshot covers.
 //!
-//! Invariants: indices have no gaps; a committed entry is never truncated.
+//! Invariants: indices have no gaps; committed entries are never truncated.
 
 use quillpulley_protocol::{Entry, Position};
 use std::collections::VecDeque;
@@ -8,13 +8,13 @@
 /// Why entries are not appended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AppendError {
-    /// The log does not hold the entry that they follow.
+    /// The log does not hold the entry that precedes them, or their indices are not consecutive.
     Mismatch,
-    /// They conflict with committed entries: a defect, or a disk that has lost what it confirmed.
+    /// They conflict with committed entries. The cause is a bug, or a disk that lost writes that it had confirmed.
     ConflictsWithCommitted,
 }
 
-/// The entries after a base, ordered by index.
+/// The entries after the base, ordered by index.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Log {
     base: Position,
@@ -26,7 +26,7 @@
     /// Creates a log of the entries after `base`. Entries up to the base are skipped.
     ///
     /// # Errors
-    /// The index of the first entry behind a gap.
+    /// Returns the index of the first entry after a gap.
     pub fn new(base: Position, entries: Vec<Entry>) -> Result<Self, u64> {
         let mut log = Log { base, ..Log::default() };
         for entry in entries {
@@ -41,22 +41,22 @@
         Ok(log)
     }
 
-    /// Returns the position of the last entry that is covered by a snapshot.
+    /// Returns the position of the last entry that the snapshot covers.
     pub fn base(&self) -> Position {
         self.base
     }
 
-    /// Returns the position of the last entry, or the base.
+    /// Returns the position of the last entry, or the base if there are no entries.
     pub fn last(&self) -> Position {
         self.entries.back().map_or(self.base, position_of)
     }
 
-    /// Returns the bytes of all payloads.
+    /// Returns the total size of all payloads in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Returns the position of the entry with that index, if the log holds it or has it as its base.
+    /// Returns the position with that index, if it is the base or the position of an entry in the log.
     pub fn position_at(&self, index: u64) -> Option<Position> {
         if index == self.base.index {
             return Some(self.base);
@@ -64,7 +64,7 @@
         self.get(index).map(position_of)
     }
 
-    /// Returns whether the log holds that position. If so, it matches up to there the log of any other holder of it.
+    /// Returns whether the log holds a position. Any two logs that hold the same position match up to it.
     pub fn contains(&self, wanted: Position) -> bool {
         self.position_at(wanted.index) == Some(wanted)
     }
@@ -74,19 +74,19 @@
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Returns copies of the entries after an index.
+    /// Returns copies of all entries after an index.
     pub fn after(&self, index: u64) -> Vec<Entry> {
         let skipped = index.saturating_sub(self.base.index) as usize;
         self.entries.iter().skip(skipped).cloned().collect()
     }
 
-    /// Returns whether an entry after an index has a payload, and does not only mark the begin of an epoch.
+    /// Returns whether any entry after an index has a payload. Entries without one only mark the start of an epoch.
     pub fn has_payload_after(&self, index: u64) -> bool {
         let skipped = index.saturating_sub(self.base.index) as usize;
         self.entries.iter().skip(skipped).any(|entry| !entry.payload.is_empty())
     }
 
-    /// Returns copies of entries after an index: at least one, and as many as fit into `bytes`.
+    /// Returns copies of the entries after an index: as many as fit into `bytes`, but at least one if there is any.
     pub fn batch_after(&self, index: u64, bytes: usize) -> Vec<Entry> {
         let skipped = index.saturating_sub(self.base.index) as usize;
         let mut remaining = bytes;
@@ -101,19 +101,19 @@
         batch
     }
 
-    /// Appends a new entry of an epoch and returns its position.
+    /// Creates an entry in an epoch, appends it and returns its position.
     pub fn append(&mut self, epoch: u64, payload: Vec<u8>) -> Position {
         let index = self.last().index + 1;
         self.push(Entry { epoch, index, payload });
         self.last()
     }
 
-    /// Appends entries that follow `previous` in the log of a primary, if this log holds `previous`. Conflicting
-    /// entries are truncated, but never one up to `committed`. Returns the entries that are new, which have to be
-    /// stored.
+    /// Appends the entries that follow `previous` in the log of a primary, if this log holds `previous`. Truncates
+    /// conflicting entries after the index `committed`. Returns the entries that were not in the log before, which
+    /// the caller has to store.
     ///
     /// # Errors
-    /// [`AppendError`]; the log is then unchanged.
+    /// Returns [`AppendError`] if the entries do not fit. The log is then unchanged.
     pub fn maybe_append(
         &mut self,
         previous: Position,
@@ -123,7 +123,7 @@
         if !are_consecutive(previous, &entries) {
             return Err(AppendError::Mismatch);
         }
-        // Entries that the base covers are committed, and so the same everywhere.
+        // Entries up to the base are committed and therefore identical on all nodes.
         if previous.index > self.base.index && !self.contains(previous) {
             return Err(AppendError::Mismatch);
         }
@@ -140,7 +140,7 @@
         Ok(new)
     }
 
-    /// Drops the entries up to a position that the log holds.
+    /// Drops the entries up to a position in the log, which becomes the base.
     pub fn compact(&mut self, base: Position) {
         while self.entries.front().is_some_and(|entry| entry.index <= base.index) {
             self.pop_front();
--- a/crates/replication/src/options.rs
+++ b/crates/replication/src/options.rs
@@ -1,35 +1,36 @@
-//! The options of a replica, and the stored state that it starts from.
+//! The options of a replica, the stored state that it starts from, and the errors of a start.
 
 use crate::{FaultTolerance, Faults, Locality, RestoreError};
 use displaydoc::Display;
 use quillpulley_protocol::{Entry, NodeId, Position, WitnessRecord};
 use std::time::Duration;
 
-/// The options of a replica. Start from [`Options::default`] and set at least `me`.
+/// The options of a replica. Callers start from [`Options::default`] and set at least `me`.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The identity of this process: its address, and the incarnation that its disk holds.
+    /// The identity of this node: its address, and the incarnation that is stored on its disk.
     pub me: NodeId,
-    /// The failure domains of its machine.
+    /// The failure domains of this machine.
     pub locality: Locality,
-    /// At the first start of the whole system: the first set of witnesses, with incarnation 0. Used only if the disk
-    /// holds no record.
+    /// The first set of witnesses, with incarnation 0, at the first start of the whole system; otherwise `None`.
+    /// Ignored if the disk holds a witness record.
     pub bootstrap: Option<Vec<NodeId>>,
-    /// The failures to survive.
+    /// The failures that a view has to survive.
     pub fault_tolerance: FaultTolerance,
-    /// How long a granted lease runs.
+    /// The duration of a lease, from its grant to its expiry.
     pub lease: Duration,
-    /// The interval at which a primary renews its lease.
+    /// The interval at which a primary sends heartbeats, each of which requests its lease again.
     pub heartbeat: Duration,
-    /// How long a member may send nothing before the primary drops it from the view.
+    /// The time without replies, or without progress while its log is behind, after which the primary drops a
+    /// member from the view.
     pub drop_after: Duration,
-    /// Seeds the jitter of elections. Replicas should get different seeds.
+    /// The seed of the election jitter. Each replica should get a different seed.
     pub seed: u64,
-    /// The log is compacted once it has more applied entries than this.
+    /// The number of applied entries in the log above which it is compacted.
     pub compact_entries: usize,
-    /// The log is compacted once it holds more bytes than this.
+    /// The size of the log's payloads, in bytes, above which it is compacted.
     pub compact_bytes: usize,
-    /// Deliberate faults of tests.
+    /// Faults that tests inject.
     #[doc(hidden)]
     pub faults: Faults,
 }
@@ -52,34 +53,34 @@
     }
 }
 
-/// What a replica has found on its disk.
+/// The state that the disk of a replica holds at its start.
 #[derive(Clone, Debug, Default)]
 pub struct Recovered {
-    /// The record of the witness; none on an empty disk.
+    /// The witness record; `None` on an empty disk.
     pub record: Option<WitnessRecord>,
-    /// The last snapshot and the position of the last entry that it covers.
+    /// The latest snapshot and the position of the last entry that it covers; `None` before the first snapshot.
     pub snapshot: Option<(Position, Vec<u8>)>,
-    /// The entries after the snapshot. Entries that the snapshot covers are skipped.
+    /// The stored log entries. Those that the snapshot covers are skipped; the others have to follow it without gaps.
     pub entries: Vec<Entry>,
 }
 
 /// Why a replica cannot start from what its disk holds.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum StartError {
-    /// the record on disk is of incarnation {found:x}, but the replica was started as {expected:x}: start it with the record's
+    /// the witness record on disk has incarnation {found:x}, but the replica was started with incarnation {expected:x}: start it with the incarnation of the record
     Incarnation {
-        /// The incarnation in the record.
+        /// The incarnation in the witness record.
         found: u64,
         /// The incarnation in the options.
         expected: u64,
     },
     /// {0}
     Snapshot(RestoreError),
-    /// the log on disk goes from entry {last} to {next}: empty the data folder, so that it joins as a new machine
+    /// the log on disk has a gap between entries {last} and {next}: empty the data folder, so that this machine joins anew
     Gap {
-        /// The last index before the gap.
+        /// The index of the last entry that the snapshot covers.
         last: u64,
-        /// The first index after it.
+        /// The index of the first entry after the gap.
         next: u64,
     },
 }
--- a/crates/replication/src/outbox.rs
+++ b/crates/replication/src/outbox.rs
@@ -1,15 +1,15 @@
-//! The actions of one event, and the messages that a node sends to itself.
+//! The actions that result from one event, and the messages that a node sends to itself meanwhile.
 
 use quillpulley_protocol::Body;
 use std::collections::VecDeque;
 
 use crate::event::Action;
 
-/// Collects what an event results in.
+/// Collects the actions and loopback messages of the event that is being handled.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outbox {
     actions: Vec<Action>,
-    /// Messages of this node to itself, handled before the event is over.
+    /// Messages from this node to itself, which are handled before [`crate::Replica::handle`] returns.
     loopback: VecDeque<Body>,
 }
 
@@ -26,7 +26,7 @@
         self.loopback.pop_front()
     }
 
-    /// Moves all actions to `actions`.
+    /// Moves all collected actions to the end of `actions`.
     pub fn drain_into(&mut self, actions: &mut Vec<Action>) {
         actions.append(&mut self.actions);
     }
--- a/crates/replication/src/state_machine.rs
+++ b/crates/replication/src/state_machine.rs
@@ -3,25 +3,25 @@
 use quillpulley_protocol::Entry;
 use std::fmt;
 
-/// A deterministic state machine: the same entries applied to the same state give the same state.
+/// A deterministic state machine: applying the same entries to the same state results in the same state.
 pub trait StateMachine {
-    /// Applies the next entry of the log. An entry that cannot be read, or does not fit the state, is ignored.
+    /// Applies the next entry of the log. Ignores an entry that cannot be decoded or is not valid in this state.
     fn apply(&mut self, entry: &Entry);
 
-    /// Returns the whole state, for [`StateMachine::restore`].
+    /// Returns the whole state, encoded for [`StateMachine::restore`].
     fn snapshot(&self) -> Vec<u8>;
 
-    /// Replaces the state by that of a snapshot.
+    /// Replaces the state by the state in a snapshot.
     ///
     /// # Errors
-    /// [`RestoreError`] if the snapshot cannot be read. The state is then unchanged.
+    /// Returns [`RestoreError`] if the snapshot cannot be decoded. The state is then unchanged.
     fn restore(&mut self, snapshot: &[u8]) -> Result<(), RestoreError>;
 }
 
 /// Why a snapshot cannot be restored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RestoreError {
-    /// What is wrong with the bytes.
+    /// Why the snapshot cannot be decoded.
     pub reason: String,
 }
 
@@ -30,7 +30,7 @@
         let reason = &self.reason;
         write!(
             formatter,
-            "the snapshot cannot be read ({reason}): run the same version on all control machines, \
+            "the snapshot cannot be decoded ({reason}): run the same version on all control machines, \
              or empty the data folder of this one"
         )
     }
--- a/crates/replication/src/view.rs
+++ b/crates/replication/src/view.rs
@@ -1,13 +1,13 @@
-//! Queries of a [`View`]: its members and witnesses, and which responses are a quorum.
+//! Functions on a [`View`]: its members, its witnesses, and what is a quorum of the witnesses.
 
 use std::fmt;
 
 use quillpulley_protocol::{NodeId, View};
 
-/// The epoch of the view with the first set of witnesses, before any primary.
+/// The epoch of the bootstrap view, which holds the first set of witnesses and has no primary yet.
 pub(crate) const BOOTSTRAP_EPOCH: u64 = 0;
 
-/// Creates the view with the first set of witnesses. It has no members.
+/// Creates the bootstrap view, which holds the first set of witnesses and has no members.
 pub(crate) fn bootstrap_view(witnesses: Vec<NodeId>) -> View {
     View {
         epoch: BOOTSTRAP_EPOCH,
@@ -19,7 +19,7 @@
     }
 }
 
-/// Shows nodes in a log line, each with its incarnation: `[10.0.0.1#0, 10.0.0.2#5f]`.
+/// Formats nodes for a log line, each with its incarnation: `[10.0.0.1#0, 10.0.0.2#5f]`.
 pub(crate) struct NodeList<'a>(pub(crate) &'a [NodeId]);
 
 impl fmt::Display for NodeList<'_> {
@@ -29,7 +29,7 @@
     }
 }
 
-/// Returns the primary and the backups.
+/// Returns the primary and the backups; the bootstrap view has none.
 pub(crate) fn members(view: &View) -> Vec<NodeId> {
     if view.epoch == BOOTSTRAP_EPOCH {
         return Vec::new();
@@ -47,7 +47,7 @@
     witness_sets(view).iter().any(|set| set.contains(&node))
 }
 
-/// Returns the sets of witnesses of which a majority each has to agree before another view follows this one.
+/// Returns the sets of witnesses: a majority of each has to agree before another view can replace this one.
 pub(crate) fn witness_sets(view: &View) -> Vec<&[NodeId]> {
     if view.activated {
         vec![&view.witnesses]
@@ -56,7 +56,7 @@
     }
 }
 
-/// Returns all witnesses that have a vote, each once.
+/// Returns the witnesses of all sets that decide on the next view, without duplicates.
 pub(crate) fn voters(view: &View) -> Vec<NodeId> {
     let mut voters = view.witnesses.clone();
     if !view.activated {
@@ -67,7 +67,7 @@
     voters
 }
 
-/// Returns whether a majority of each set of witnesses of the view has granted.
+/// Returns whether a majority of each of the view's sets of witnesses has granted a request.
 pub(crate) fn has_quorum(view: &View, has_granted: impl Fn(&NodeId) -> bool) -> bool {
     witness_sets(view).iter().all(|set| has_majority(set, &has_granted))
 }
@@ -77,12 +77,12 @@
     count >= majority(set.len())
 }
 
-/// Returns the size of a majority of a set.
+/// Returns the number of nodes that form a majority of a set of `size` nodes.
 pub(crate) fn majority(size: usize) -> usize {
     size / 2 + 1
 }
 
-/// Returns whether a view supersedes the known one: it has a higher epoch, or it is the same view and activated.
+/// Returns whether a view supersedes the known one: it has a higher epoch, or it is the same view, activated meanwhile.
 pub(crate) fn is_newer(view: &View, known: Option<&View>) -> bool {
     match known {
         None => true,
