--- a/crates/replication/src/durability.rs
+++ b/crates/replication/src/durability.rs
@@ -1,8 +1,8 @@
-//! When commits of a view are acknowledged, given which failures the view survives.
+//! Decides when commits of a view are acknowledged, given the failures that the view survives.
 //!
-//! A view with no more members than machines may be lost acknowledges nothing. One whose members are enough, but in too
-//! few zones or regions, waits a little for nodes that would improve that, and then acknowledges in a degraded state:
-//! otherwise the loss of a region, which is tolerated, would stop all commits.
+//! A view acknowledges nothing unless it has more members than the number of machines that may be lost. If it has
+//! enough members, but in too few zones or regions, it waits briefly for nodes that would improve this, and then
+//! acknowledges in a degraded state: otherwise the loss of a region, which is tolerated, would stop all commits.
 
 use log::{info, warn};
 use quillpulley_protocol::NodeId;
@@ -10,58 +10,62 @@
 
 use crate::fault_tolerance::UncoveredFailures;
 
-/// How long a new primary waits for nodes that could become witnesses, before it acknowledges with fewer witnesses than
-/// the tolerated failures need.
+/// The time after its election that a primary waits for nodes that could become witnesses, before it acknowledges with
+/// fewer witnesses than the tolerated loss of machines requires.
 const WITNESS_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long acknowledgements wait for connected nodes in other failure domains to become members or witnesses.
+/// The maximum time that acknowledgements wait for connected nodes in other failure domains to become members or
+/// witnesses.
 const DOMAIN_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How long after such a wait no other one begins.
+/// The minimum time between the end of such a wait and the next one.
 const WAIT_INTERVAL: Duration = Duration::from_secs(10);
 
 /// The tolerated failures that a view does not survive.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DurabilityStatus {
-    /// Failures after which no member remains.
+    /// The tolerated failures after which no member remains.
     pub members: UncoveredFailures,
-    /// Failures after which no majority of the witnesses remains.
+    /// The tolerated failures after which no majority of the witnesses remains.
     pub witnesses: UncoveredFailures,
 }
 
 impl DurabilityStatus {
-    /// Returns whether every tolerated failure is survived.
+    /// Returns whether the view survives all tolerated failures.
     pub fn is_covered(self) -> bool {
         self.members.is_empty() && self.witnesses.is_empty()
     }
 
-    /// Returns whether the loss of zones or of regions is not survived.
+    /// Returns whether the view does not survive the tolerated loss of zones or regions.
     pub(crate) fn has_uncovered_domains(self) -> bool {
         self.members.has_domains() || self.witnesses.has_domains()
     }
 }
 
-/// The inputs of the durability of a primary's view.
+/// The facts that determine whether the commits of a primary's view are acknowledged.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DurabilityInputs {
     pub status: DurabilityStatus,
-    /// Whether there are enough witnesses for the loss of machines.
+    /// Whether a majority of the witnesses survives the tolerated loss of machines.
     pub has_enough_witnesses: bool,
     /// Whether a connected node could become a witness.
     pub could_add_witness: bool,
+    /// The time of the primary's election.
     pub elected_at: Duration,
 }
 
-/// What a primary remembers of the durability of its views.
+/// Tracks the durability of the views of a primary.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DurabilityMonitor {
-    /// When acknowledgements began to wait for nodes in other failure domains.
+    /// The time at which the latest wait for nodes in other failure domains began; `None` if the next one may begin at
+    /// once.
     waiting_since: Option<Duration>,
     /// The status that was logged last.
     logged: DurabilityStatus,
 }
 
 impl DurabilityMonitor {
-    /// Returns whether what all members have stored survives the tolerated failures, or is as safe as it can be made at
-    /// the moment. `could_survive_more` is whether connected nodes could cover more failures of zones or regions.
+    /// Returns whether entries that all members have stored may be acknowledged: the view has enough members, and no
+    /// wait for witnesses or for nodes in other failure domains is in progress. `could_survive_more` returns whether
+    /// the view would survive more failures of zones or regions with nodes that are connected.
     pub fn can_acknowledge(
         &self,
         now: Duration,
@@ -79,7 +83,8 @@
         now <= since + DOMAIN_TIMEOUT
     }
 
-    /// Begins and ends waits for nodes in other failure domains. Logs the status once commits are acknowledged in it.
+    /// Starts and ends waits for nodes in other failure domains. Logs a new status once it is covered, acknowledges
+    /// commits, or has too few members to do so.
     pub fn update(
         &mut self,
         now: Duration,
@@ -106,15 +111,15 @@
 
 fn log_status(me: NodeId, status: DurabilityStatus, logged: DurabilityStatus) {
     if status.is_covered() {
-        info!(node:% = me; "members and witnesses survive every tolerated failure again");
+        info!(node:% = me; "members and witnesses survive all tolerated failures again");
         return;
     }
     let DurabilityStatus { members, witnesses } = status;
     if members != logged.members && members.machines {
         warn!(
             node:% = me, uncovered:% = members;
-            "nothing is acknowledged: a tolerated failure would leave no copy; start control machines elsewhere, or \
-             repair the links to them"
+            "commits are not acknowledged: a tolerated failure would leave no copy; start control machines elsewhere, \
+             or repair the links to them"
         );
     } else if members != logged.members && !members.is_empty() {
         warn!(
--- a/crates/replication/src/election_timer.rs
+++ b/crates/replication/src/election_timer.rs
@@ -1,18 +1,18 @@
-//! When a node campaigns, with jitter.
+//! Schedules the elections of a node, with jitter.
 
 use std::time::Duration;
 
-/// The longest time that a node waits for a primary beyond the lease.
+/// The upper bound of the random time, beyond the lease, for which a node waits for a primary.
 const ELECTION_JITTER_MS: u64 = 200;
-/// How long a node waits for the others at the first start of the system.
+/// The minimum time before the first election of a system, in which the other nodes can start.
 const FIRST_ELECTION: Duration = Duration::from_millis(250);
-/// How long a node waits for connections after a restart if only its own lease can be running.
+/// The time that a restarted node waits for connections if it can have granted a lease only to itself.
 const RESTART_DELAY: Duration = Duration::from_millis(50);
-/// The additional delay of a node that is no member: it would have to fetch the state.
+/// The additional delay of a node that is not a member, since it would have to fetch the state.
 const NON_MEMBER_DELAY: Duration = Duration::from_millis(200);
-/// The longest backoff of a candidate that has failed.
+/// The upper bound of the random delay before a failed candidate retries, beyond the retry interval.
 const BACKOFF_MS: u64 = 300;
-/// The longest time after which followers campaign once a primary has resigned.
+/// The upper bound of the random delay before a follower stands for election once a primary has resigned.
 const HANDOVER_JITTER_MS: u64 = 150;
 
 /// The time of the next election, and the source of its jitter.
@@ -31,24 +31,24 @@
         now >= self.due_at
     }
 
-    /// Schedules the election of a first start: no lease can be running, and all nodes begin at about the same time.
+    /// Schedules the first election of a system: no node can hold a lease, and all nodes start at about the same time.
     pub fn schedule_first(&mut self, now: Duration) {
         self.due_at = now + FIRST_ELECTION + self.jitter(ELECTION_JITTER_MS);
     }
 
-    /// Schedules the election after a restart of the node that got the last promise. It need not wait: no lease of
-    /// another node can be running.
+    /// Schedules the election after a restart of a node that has made its latest promise to itself. The node does not
+    /// wait for a lease to expire: as a witness, it can have granted one only to itself.
     pub fn schedule_after_restart(&mut self, now: Duration) {
         self.due_at = now + RESTART_DELAY;
     }
 
-    /// Postpones the election by a lease from now on.
+    /// Postpones the election by the duration of a lease, from now on.
     pub fn postpone(&mut self, now: Duration, lease: Duration, is_member: bool) {
         let delay = if is_member { Duration::ZERO } else { NON_MEMBER_DELAY };
         self.due_at = now + lease + delay + self.jitter(ELECTION_JITTER_MS);
     }
 
-    /// Schedules the next attempt of a candidate that has failed.
+    /// Schedules the next attempt of a failed candidate.
     pub fn back_off(&mut self, now: Duration, retry_interval: Duration) {
         self.due_at = now + retry_interval + self.jitter(BACKOFF_MS);
     }
@@ -58,7 +58,8 @@
         self.due_at = now + self.jitter(HANDOVER_JITTER_MS);
     }
 
-    /// Brings the election forward after a candidate has resigned: two candidates may have yielded to each other.
+    /// Moves the election to an earlier time after a candidate has resigned: two candidates may have yielded to each
+    /// other, so that no other node stands for election.
     pub fn bring_forward(&mut self, now: Duration) {
         self.due_at = self.due_at.min(now + self.jitter(HANDOVER_JITTER_MS));
     }
--- a/crates/replication/src/lease.rs
+++ b/crates/replication/src/lease.rs
@@ -1,10 +1,12 @@
-//! The lease of a primary: the rounds of requests, and which witnesses granted them.
+//! The lease of a primary: the rounds of requests, and which witnesses have granted them.
 //!
-//! Invariant: the holder counts a lease from before it sent the request, a witness from when it received it. So the
-//! holder's lease ends first, as long as no clock runs faster than another by more than the safety margin.
+//! Invariant: the holder counts a lease from the time just before it sent the request, a witness from the time at
+//! which it received the request. Therefore the holder's lease expires first, as long as the rates of their clocks
+//! differ by less than the safety margin.
 //!
-//! A holder that hears no majority any more only *probes*: a probe ([`PROBE_ROUND`]) is answered and grants nothing. So
-//! witnesses that hear a holder which does not hear them are free to elect another soon.
+//! A primary that no longer receives answers from majorities of the witnesses only *probes*: a probe, a request of
+//! round [`PROBE_ROUND`], is answered but grants no lease. So if requests arrive but the answers are lost, the
+//! witnesses do not keep renewing the lease, and can elect another primary soon.
 
 use quillpulley_protocol::NodeId;
 use std::collections::{BTreeMap, VecDeque};
@@ -13,11 +15,12 @@
 use crate::view::majority;
 use crate::Faults;
 
-/// The holder leaves one part in so many of a lease unused, against clocks that run at different rates.
+/// The holder leaves this fraction (1/10) of the lease duration unused, since clocks may run at different rates.
 const SAFETY_MARGIN_DIVISOR: u32 = 10;
-/// The round of a request that asks for an answer and not for the lease. No grant of it ever counts.
+/// The round number of probes, which request an answer but no lease. Grants of this round never count.
 pub(crate) const PROBE_ROUND: u64 = 0;
 
+/// A round of lease requests to all witnesses.
 #[derive(Clone, Copy, Debug)]
 struct Round {
     number: u64,
@@ -25,17 +28,17 @@
     sent_at: Duration,
 }
 
-/// The lease of a primary. It is kept across the views that the primary forms itself.
+/// The lease of a primary. It persists across the views that the primary forms itself.
 #[derive(Clone, Debug)]
 pub(crate) struct Lease {
     duration: Duration,
-    /// Grants count whatever their epoch: a fault of tests.
+    /// Whether grants count regardless of their epoch. Only an injected fault sets this.
     ignores_epoch: bool,
     next_round: u64,
     rounds: VecDeque<Round>,
-    /// For each witness, when the newest round that it has granted was sent.
+    /// For each witness, the time at which the newest round that it has granted was sent.
     granted: BTreeMap<NodeId, Duration>,
-    /// For each witness, when its latest answer was received, whatever it said.
+    /// For each witness, the time at which its latest answer was received, whether or not that was a grant.
     answered: BTreeMap<NodeId, Duration>,
 }
 
@@ -60,7 +63,7 @@
         number
     }
 
-    /// Records that a witness has granted a round. Rounds that have expired count for nothing.
+    /// Records that a witness has granted a round. The grant of an expired round is ignored.
     pub fn record_grant(&mut self, witness: NodeId, number: u64, epoch: u64) {
         let is_granted =
             |round: &&Round| round.number == number && (round.epoch == epoch || self.ignores_epoch);
@@ -70,7 +73,7 @@
         }
     }
 
-    /// Forgets all rounds and grants: the times at which they were sent do not count any more.
+    /// Discards all rounds and grants, because the times at which the requests were sent are no longer reliable.
     pub fn forget_grants(&mut self) {
         self.rounds.clear();
         self.granted.clear();
@@ -81,19 +84,20 @@
         self.answered.insert(witness, now);
     }
 
-    /// Returns when the lease ends that majorities of all the sets have granted, if they ever have.
+    /// Returns the end of the lease that majorities of all the sets have granted; `None` if they never have.
     pub fn ends_at(&self, sets: &[&[NodeId]]) -> Option<Duration> {
         let sent_at = reached_by_majorities(&self.granted, sets)?;
         Some(sent_at + self.duration - self.duration / SAFETY_MARGIN_DIVISOR)
     }
 
-    /// Returns the latest time since which majorities of all the sets have answered, if they ever have.
+    /// Returns the latest time since which majorities of all the sets have answered; `None` if they never have.
     pub fn answered_at(&self, sets: &[&[NodeId]]) -> Option<Duration> {
         reached_by_majorities(&self.answered, sets)
     }
 }
 
-/// Returns the latest time that the times of a majority of each set have reached.
+/// Returns the latest time such that a majority of each set has a time that is not earlier; `None` if any set lacks a
+/// majority with times.
 fn reached_by_majorities(times: &BTreeMap<NodeId, Duration>, sets: &[&[NodeId]]) -> Option<Duration> {
     sets.iter().map(|set| reached_by_majority(times, set)).min().flatten()
 }
--- a/crates/replication/src/member_state.rs
+++ b/crates/replication/src/member_state.rs
@@ -1,7 +1,7 @@
-//! The replicated data of a member: its state machine, its log, and how far the one is applied to the other.
+//! The replicated data of a member: its state machine, its log, and the position up to which the log is applied.
 //!
-//! Invariants: `applied` never goes back; an entry is applied only once it is committed; what is committed is known
-//! only up to where the log is known to match that of the epoch's primary.
+//! Invariants: `applied` never decreases; an entry is applied only once it is committed; a commit index of a primary
+//! counts only up to the index up to which the log is known to match that primary's log.
 
 use displaydoc::Display;
 use quillpulley_protocol::{Entry, Position, StateTransfer};
@@ -11,19 +11,19 @@
 use crate::options::StartError;
 use crate::{Options, RestoreError, StateMachine};
 
-/// How far the log is known to match that of the latest primary or candidate.
+/// The index up to which the log is known to match that of the primary or candidate of an epoch.
 #[derive(Clone, Copy, Debug, Default)]
 struct MatchIndex {
     epoch: u64,
     index: u64,
 }
 
-/// Why the state of another node is not installed.
+/// Why the state of another node cannot be installed.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub(crate) enum InstallError {
-    /// its log has a gap before entry {0}
+    /// the log of the received state has a gap before entry {0}
     Gap(u64),
-    /// it lacks the committed entry {0}
+    /// the received state lacks the committed entry {0}
     LacksCommitted(u64),
     /// {0}
     Restore(RestoreError),
@@ -34,16 +34,16 @@
 pub(crate) struct MemberState<S> {
     state: S,
     log: Log,
-    /// The last entry that is applied to the state.
+    /// The position of the last entry that is applied to the state.
     applied: Position,
     match_index: MatchIndex,
 }
 
 impl<S: StateMachine> MemberState<S> {
-    /// Creates the state from a snapshot and the entries after it. `state` is that of an empty log.
+    /// Creates the member state from a snapshot and the entries after it. `state` is the state before the first entry.
     ///
     /// # Errors
-    /// [`StartError`] if the snapshot cannot be read, or the entries have a gap.
+    /// Returns [`StartError`] if the snapshot cannot be decoded or the entries have a gap.
     pub fn recover(
         mut state: S,
         snapshot: Option<(Position, Vec<u8>)>,
@@ -72,12 +72,12 @@
         self.applied
     }
 
-    /// Returns whether an entry with a payload is not applied yet.
+    /// Returns whether the log holds an entry with a payload that is not applied yet.
     pub fn has_unapplied_payload(&self) -> bool {
         self.log.has_payload_after(self.applied.index)
     }
 
-    /// Appends a new entry of an epoch and returns its position.
+    /// Creates an entry in an epoch, appends it and returns its position.
     pub fn append(&mut self, epoch: u64, payload: Vec<u8>) -> Position {
         self.log.append(epoch, payload)
     }
@@ -91,7 +91,7 @@
         self.log.maybe_append(previous, entries, self.applied.index)
     }
 
-    /// Returns what a candidate needs to continue from this state.
+    /// Returns the state and the log, for a candidate that is not a member of the newest view.
     pub fn transfer(&self, epoch: u64) -> StateTransfer {
         StateTransfer {
             epoch,
@@ -102,10 +102,11 @@
         }
     }
 
-    /// Replaces state and log by those of another node, and returns the write that makes that durable.
+    /// Replaces the state and the log by those of another node, and returns the write that makes them durable.
     ///
     /// # Errors
-    /// [`InstallError`] if they do not fit together, or lack an entry that is committed here. Nothing has changed then.
+    /// Returns [`InstallError`] if they are inconsistent or lack an entry that is committed here. Nothing is changed
+    /// then.
     pub fn install(
         &mut self,
         last: Position,
@@ -125,7 +126,7 @@
         Ok(Write::Install { last, snapshot, entries })
     }
 
-    /// Records that the log matches that of the primary or candidate of an epoch, up to an index.
+    /// Records that the log matches the log of the primary or candidate of an epoch up to an index.
     pub fn record_match(&mut self, epoch: u64, index: u64) {
         if self.match_index.epoch == epoch {
             self.match_index.index = self.match_index.index.max(index);
@@ -134,18 +135,18 @@
         }
     }
 
-    /// Returns up to which index entries may be applied, given that the primary of an epoch has committed up to
-    /// `committed`. None if the log was not compared with that primary's.
+    /// Returns the index up to which entries may be applied if the primary of an epoch has committed its log up to
+    /// `committed`; `None` if this log was not compared with the log of that primary.
     pub fn committable(&self, epoch: u64, committed: u64) -> Option<u64> {
         (self.match_index.epoch == epoch).then_some(committed.min(self.match_index.index))
     }
 
-    /// Applies committed entries up to an index, and returns the indices of those that had a payload.
+    /// Applies the committed entries up to an index, and returns the indices of those that have a payload.
     pub fn apply_up_to(&mut self, index: u64) -> Vec<u64> {
         let mut applied = Vec::new();
         while self.applied.index < index {
             let Some(entry) = self.log.get(self.applied.index + 1) else { break };
-            // Entries without a payload only mark the begin of an epoch.
+            // Entries without a payload only mark the start of an epoch.
             if !entry.payload.is_empty() {
                 self.state.apply(entry);
                 applied.push(entry.index);
@@ -155,7 +156,7 @@
         applied
     }
 
-    /// Returns whether enough entries are applied for a compaction.
+    /// Returns whether the log exceeds a limit for compaction and holds applied entries, which can be dropped.
     pub fn needs_compaction(&self, options: &Options) -> bool {
         let applied_entries = self.applied.index - self.log.base().index;
         let is_too_long = applied_entries > options.compact_entries as u64;
@@ -163,13 +164,13 @@
         is_too_long || is_too_big
     }
 
-    /// Drops the applied entries and returns the write that replaces them by a snapshot.
+    /// Drops the applied entries, and returns the write that replaces them by a snapshot on disk.
     pub fn compact(&mut self) -> Write {
         self.log.compact(self.applied);
         Write::Compact { last: self.applied, snapshot: self.state.snapshot() }
     }
 
-    /// Drops the applied entries and returns a write of everything that remains.
+    /// Drops the applied entries, and returns a write of the whole state: a snapshot and the remaining entries.
     pub fn rewrite(&mut self) -> Write {
         let entries = self.log.after(self.applied.index);
         self.log.compact(self.applied);
--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -1,13 +1,14 @@
-//! The connections to other control nodes, and what is known of each of them.
+//! The connections to other control nodes, and what each of them has reported.
 
 use crate::Locality;
 use quillpulley_protocol::{NodeId, Position};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A peer whose replies are never further apart than this counts as responsive without a break.
+/// The time after its last reply from which a peer no longer counts as responsive.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
-/// The delays before a node that was dropped may come back, by how often that happened recently.
+/// The delay between a drop of a node and its earliest readmission, indexed by the number of its earlier recent drops.
+/// The last delay applies to all further drops.
 const READMISSION_DELAYS: [Duration; 5] = [
     Duration::from_millis(300),
     Duration::from_millis(700),
@@ -15,26 +16,31 @@
     Duration::from_millis(2500),
     Duration::from_millis(4000),
 ];
-/// How long an announced shutdown is believed.
+/// The time after which an announcement of a shutdown expires.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How long after the last drop the earlier ones are forgotten.
+/// The time after a drop of a node after which its earlier drops no longer count.
 const FORGET_DROPS_AFTER: Duration = Duration::from_secs(30);
 
 /// Another control node.
 #[derive(Clone, Debug, Default)]
 struct Peer {
     is_connected: bool,
-    /// Its failure domains, if its `Hello` was received since the start of this process.
+    /// Its failure domains; `None` if no `Hello` of it was received since the start of this process.
     locality: Option<Locality>,
+    /// The time of its last reply; `None` before the first.
     received_at: Option<Duration>,
+    /// The time since which it has been responsive without interruption.
     responsive_since: Option<Duration>,
-    /// The end of its log, as it reported last.
+    /// The end of its log according to its last report.
     last: Position,
-    /// It has promised an epoch to another node and rejects this node's, as it reported last.
+    /// Whether it has promised an epoch to another node and rejects the epoch of this node, according to its last
+    /// report.
     is_rejecting: bool,
-    /// Until then it counts as shutting down, since it has announced it.
+    /// The time until which it counts as shutting down, since it has announced its shutdown.
     shutting_down_until: Duration,
+    /// How often it was dropped recently.
     drops: usize,
+    /// The time of the last drop.
     dropped_at: Duration,
 }
 
@@ -44,14 +50,14 @@
     }
 }
 
-/// All nodes that were connected since the start of this process.
+/// The nodes that this process knows from their connections.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Peers {
     peers: BTreeMap<NodeId, Peer>,
 }
 
 impl Peers {
-    /// Records a connection. A node with the same address and another incarnation is gone for good.
+    /// Records a connection. Removes nodes with the same address and another incarnation, which no longer exist.
     pub fn connect(&mut self, node: NodeId) {
         self.peers.retain(|other, _| other.ip != node.ip || other.incarnation == node.incarnation);
         let peer = self.get_mut(node);
@@ -69,7 +75,7 @@
         self.get_mut(node).locality = Some(locality);
     }
 
-    /// Records a reply, which proves that messages pass in both directions.
+    /// Records a reply, which proves that messages arrive in both directions.
     pub fn record_reply(&mut self, now: Duration, node: NodeId) {
         let peer = self.get_mut(node);
         let was_responsive = peer.received_at.is_some_and(|received_at| now < received_at + REPLY_TIMEOUT);
@@ -89,18 +95,18 @@
         self.get_mut(node).is_rejecting = is_rejecting;
     }
 
-    /// Clears all rejections: they count for the epoch in which they came.
+    /// Clears all rejections: they apply only to the epoch in which they were received.
     pub fn clear_rejections(&mut self) {
         self.peers.values_mut().for_each(|peer| peer.is_rejecting = false);
     }
 
-    /// Records that a process is shutting down. The announcement may come late, when the next process runs already, and
-    /// so it is not believed for long.
+    /// Records that the process of a node is shutting down. The announcement may arrive when the next process of the
+    /// node is running already, and therefore expires after a short time.
     pub fn record_shutdown(&mut self, now: Duration, node: NodeId) {
         self.get_mut(node).shutting_down_until = now + SHUTDOWN_TIMEOUT;
     }
 
-    /// Records that a node was dropped from a view, or failed to become a member.
+    /// Records that a node was dropped from a view or did not become a member as planned.
     pub fn record_drop(&mut self, now: Duration, node: NodeId) {
         let peer = self.get_mut(node);
         if now > peer.dropped_at + FORGET_DROPS_AFTER {
@@ -120,12 +126,12 @@
         self.get(node).is_some_and(|peer| peer.is_connected)
     }
 
-    /// Returns whether a node is connected and replies.
+    /// Returns whether a node is connected and has replied recently.
     pub fn is_responsive(&self, now: Duration, node: NodeId) -> bool {
         self.get(node).is_some_and(|peer| peer.is_responsive(now))
     }
 
-    /// Returns whether a node has been responsive for `time`, and long enough since its last drop.
+    /// Returns whether a node has been responsive for at least `time`, and the delay since its last drop has passed.
     pub fn is_steady(&self, now: Duration, node: NodeId, time: Duration) -> bool {
         let Some(peer) = self.get(node) else { return false };
         let is_steady = peer.responsive_since.is_some_and(|since| now >= since + time);
@@ -145,18 +151,19 @@
         self.get(node).is_some_and(|peer| peer.is_rejecting)
     }
 
-    /// Returns the end of a node's log as it reported last.
+    /// Returns the end of a node's log according to its last report.
     pub fn last_position(&self, node: NodeId) -> Position {
         self.get(node).map(|peer| peer.last).unwrap_or_default()
     }
 
-    /// Returns the time since a node's last message, counted from `start` at the earliest.
+    /// Returns the time since the last reply of a node, or since `start` if that is later.
     pub fn time_since_reply(&self, now: Duration, node: NodeId, start: Duration) -> Duration {
         let received_at = self.get(node).and_then(|peer| peer.received_at).unwrap_or_default();
         now.saturating_sub(received_at.max(start))
     }
 
-    /// Returns the failure domains of a node's machine, whichever incarnation reported them.
+    /// Returns the failure domains of a node's machine, even if only another incarnation of the node reported them;
+    /// `None` if they are not known.
     pub fn locality_of(&self, node: NodeId) -> Option<&Locality> {
         let own = self.get(node).and_then(|peer| peer.locality.as_ref());
         let is_same_machine = |(other, _): &(&NodeId, &Peer)| other.ip == node.ip;
--- a/crates/replication/src/primary.rs
+++ b/crates/replication/src/primary.rs
@@ -1,4 +1,4 @@
-//! The state of a primary.
+//! The state of a primary: its view, its lease, its proposals, and the durability of its view.
 
 use displaydoc::Display;
 use quillpulley_protocol::{NodeId, View};
@@ -9,36 +9,38 @@
 use crate::proposals::Proposals;
 use crate::view::witness_sets;
 
-/// A primary that no majority of witnesses has answered for so many half heartbeats asks for no lease until one answers.
+/// The number of half heartbeat intervals without answers from majorities of the witnesses after which a primary
+/// requests no lease until they answer again.
 const UNANSWERED_HALF_HEARTBEATS: u32 = 3;
 
 /// Why a primary steps down or a candidate gives up.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub(crate) enum ResignReason {
-    /// another node has a higher epoch
+    /// another node leads or campaigns with a higher epoch
     Superseded,
-    /// a newer view without this node exists
+    /// a newer view excludes this node or has another primary
     Excluded,
-    /// the disk does not complete writes
+    /// the disk does not complete writes in time
     DiskStalled,
     /// a write has failed
     DiskFailed,
     /// the lease cannot be renewed
     LeaseLost,
-    /// the view change has found no quorum
+    /// the view change did not reach a quorum
     NoQuorum,
-    /// the process shuts down
+    /// the process is shutting down
     Shutdown,
 }
 
-/// What a primary keeps from view to view, as long as it leads.
+/// The state that a primary keeps across the views that it forms itself, until it steps down.
 #[derive(Clone, Debug)]
 pub(crate) struct PrimaryState {
     view: View,
     elected_at: Duration,
-    /// Since when it asks for a lease without having forgotten one: its election, or the latest jump of its clock.
+    /// The time since which it has requested the lease without discarding grants: that of its election, or of the
+    /// latest clock jump.
     lease_requested_since: Duration,
-    /// The end of the log with which it was elected. All members hold the log up to there, so it is committed.
+    /// The index at which its log ended at its election. All members hold the log up to it, so it is committed.
     inherited_index: u64,
     lease: Lease,
     next_heartbeat: Duration,
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Returns the same primary in a new view that it has formed itself.
+    /// Returns the state of the same primary in the next view, which it has formed itself.
     pub fn continue_in(self, view: View, now: Duration) -> Self {
         PrimaryState { view, next_heartbeat: now, ..self }
     }
@@ -77,7 +79,7 @@
         self.lease_requested_since
     }
 
-    /// Forgets the lease, which has to be granted anew.
+    /// Discards the lease, which has to be granted again.
     pub fn forget_lease(&mut self, now: Duration) {
         self.lease.forget_grants();
         self.lease_requested_since = now;
@@ -91,8 +93,8 @@
         now >= self.next_heartbeat
     }
 
-    /// Begins a round of lease requests in an epoch, or one of probes if the witnesses are not heard, and returns its
-    /// number.
+    /// Begins a round of lease requests in an epoch, or of probes if the witnesses have not answered recently, and
+    /// returns its number.
     pub fn begin_lease_round(&mut self, now: Duration, epoch: u64, interval: Duration) -> u64 {
         self.next_heartbeat = now + interval;
         if self.hears_witnesses(now, interval) {
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Returns whether majorities of the witnesses have answered lately. Who has just been elected counts as heard.
+    /// Returns whether majorities of the witnesses have answered recently. The election counts as an answer.
     pub fn hears_witnesses(&self, now: Duration, interval: Duration) -> bool {
         let answered_at = self.lease.answered_at(&witness_sets(&self.view)).unwrap_or_default();
         now <= answered_at.max(self.elected_at) + interval * UNANSWERED_HALF_HEARTBEATS / 2
@@ -117,8 +119,9 @@
         self.lease.record_grant(witness, round, epoch);
     }
 
-    /// Returns when the lease ends, if it was ever granted. While a view is being `activated`, its witnesses have to
-    /// have granted as well: a candidate may know already that they alone decide.
+    /// Returns when the lease ends; `None` if it was never granted. `activated` is the view that is being activated, if
+    /// there is one: a majority of its witnesses has to grant the lease too, since a candidate may already know that
+    /// they alone decide on the next view.
     pub fn lease_end(&self, activated: Option<&View>) -> Option<Duration> {
         let mut sets = witness_sets(&self.view);
         if let Some(view) = activated {
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -1,4 +1,4 @@
-//! How far the log of each replication target goes, and what it is sent next.
+//! The replication progress of each target: how far its log matches, and which message it is sent next.
 
 use quillpulley_protocol::{Append, Body, Entry, Install, NodeId, Position};
 use std::collections::BTreeMap;
@@ -8,22 +8,22 @@
 use crate::log::Log;
 use crate::write_queue::per_mb;
 
-/// How long a message may stay unacknowledged before it is sent again.
+/// The time after which an unacknowledged message is sent again.
 const RESEND_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long nothing is sent to a node that has rejected a message.
+/// The time for which nothing is sent to a node that has rejected a message.
 const REJECTED_BACKOFF: Duration = Duration::from_millis(500);
-/// The additional time for each megabyte of a message: several targets share a link, and a disk may be slow.
+/// The additional time for each megabyte of a message, since several targets may share a link and disks may be slow.
 const TIME_PER_MB: Duration = Duration::from_millis(600);
-/// The most bytes of entries in one message with more than one entry.
+/// The maximum size of the payloads in a message with more than one entry.
 const MAX_BATCH_BYTES: usize = 1024 * 1024;
-/// The most bytes of entries sent to a node of which it is not known whether it holds the entry before.
+/// The maximum size of the payloads in a message to a target that may not hold the entry that precedes them.
 const MAX_PROBE_BYTES: usize = 64 * 1024;
 
 /// A message that is not acknowledged yet.
 #[derive(Clone, Copy, Debug)]
 struct InFlight {
     sent_at: Duration,
-    /// The index of the last entry that the target holds afterwards.
+    /// The index of the last entry that the target holds once it has processed the message.
     end: u64,
     bytes: usize,
 }
@@ -31,32 +31,33 @@
 /// The progress of one replication target.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Progress {
-    /// Its log durably matches up to here.
+    /// The position up to which its log durably matches; `None` if none is known.
     matched: Option<Position>,
-    /// Its log probably matches up to here.
+    /// The position up to which its log probably matches.
     probable: Position,
-    /// It needs a snapshot, since the log does not reach back to an entry that it holds.
+    /// Whether it needs a snapshot, because no entry that it holds was found in the log.
     needs_snapshot: bool,
     in_flight: Option<InFlight>,
-    /// Nothing is sent to it before that time, since it has rejected a message.
+    /// The time before which nothing is sent to it, because it has rejected a message.
     paused_until: Duration,
-    /// It may have restarted: then it holds its log, but applies it only once it receives the commit index again.
+    /// Whether it needs the commit index again: it may have restarted, and then does not know how far to apply its log.
     needs_commit_index: bool,
-    /// Since when it has made no progress although it lacks entries.
+    /// The time since which it has made no progress although it lacks entries; `None` if it lacks none.
     behind_since: Option<Duration>,
 }
 
-/// What a target is sent next.
+/// The next message to a target.
 enum NextMessage {
     Nothing,
-    /// The entries after a position that it holds.
+    /// The entries after a position that the target holds, or probably holds.
     Append {
         previous: Position,
     },
-    /// The entries after a position that it may not hold.
+    /// The entries after a position that the target may not hold.
     Probe {
         previous: Position,
     },
+    /// A snapshot and all entries after it.
     Snapshot,
 }
 
@@ -73,23 +74,24 @@
         }
     }
 
-    /// Returns the position up to which its log durably matches.
+    /// Returns the position up to which its log durably matches; `None` if none is known.
     pub fn matched(&self) -> Option<Position> {
         self.matched
     }
 
-    /// Returns the position up to which its log at least probably matches.
+    /// Returns the position up to which its log durably matches or, if none is known, probably matches.
     pub fn probable(&self) -> Position {
         self.matched.unwrap_or(self.probable)
     }
 
-    /// Returns whether it has made no progress for longer than `timeout`.
+    /// Returns whether it lacks entries but has made no progress for longer than `timeout` plus the additional time
+    /// for the size of the message in flight.
     pub fn is_stuck(&self, now: Duration, timeout: Duration) -> bool {
         let bytes = self.in_flight.map_or(0, |message| message.bytes);
         self.behind_since.is_some_and(|since| now > since + timeout + per_mb(TIME_PER_MB, bytes))
     }
 
-    /// Has the message in flight sent again at once, or at least an empty one with the commit index.
+    /// Makes the message in flight due again at once, or else an empty message with the commit index.
     fn resend(&mut self) {
         self.in_flight = None;
         self.needs_commit_index = true;
@@ -148,7 +150,7 @@
     }
 }
 
-/// The progress of all nodes that receive the log of one epoch, this node among them.
+/// The progress of all nodes that receive the log of one epoch, including this node.
 #[derive(Clone, Debug)]
 pub(crate) struct ProgressTracker {
     epoch: u64,
@@ -169,12 +171,12 @@
         self.nodes.get(&node)
     }
 
-    /// Returns the index up to which the log of a node durably matches.
+    /// Returns the index up to which the log of a node durably matches; `None` if none is known.
     pub fn match_index(&self, node: NodeId) -> Option<u64> {
         self.get(node)?.matched.map(|position| position.index)
     }
 
-    /// Adds a node whose log probably matches up to a position, unless it is there already.
+    /// Adds a node whose log probably matches up to a position, unless the node is tracked already.
     pub fn add(&mut self, node: NodeId, probable: Position) {
         self.nodes.entry(node).or_insert_with(|| Progress::new(probable));
     }
@@ -183,7 +185,7 @@
         self.nodes.remove(&node);
     }
 
-    /// Has the message in flight to a node sent again at once, or at least an empty one with the commit index.
+    /// Makes the message in flight to a node due again at once, or else an empty message with the commit index.
     pub fn resend(&mut self, node: NodeId) {
         if let Some(progress) = self.nodes.get_mut(&node) {
             progress.resend();
@@ -204,14 +206,15 @@
         }
     }
 
-    /// Records that a node does not hold the entry before those sent to it. `last` is a position that it surely holds.
+    /// Records that a node does not hold the entry that precedes those sent to it. `last` is the position that it
+    /// reports to hold.
     pub fn record_mismatch(&mut self, node: NodeId, last: Position, log: &Log) {
         if let Some(progress) = self.nodes.get_mut(&node) {
             progress.record_mismatch(last, log);
         }
     }
 
-    /// Returns the next message for a node, if one is due. `snapshot` returns the state at `applied`.
+    /// Returns the next message for a node, if one is due. `snapshot` returns a snapshot of the state at `applied`.
     pub fn next_message(
         &mut self,
         now: Duration,
@@ -231,7 +234,7 @@
             NextMessage::Probe { previous } => {
                 let mut entries = log.batch_after(previous.index, MAX_BATCH_BYTES);
                 if payload_bytes(&entries) > MAX_PROBE_BYTES {
-                    // The reply to an empty message tells what it holds.
+                    // The reply to an empty message reports a position that the node holds.
                     entries.clear();
                 }
                 SizedMessage::append(epoch, previous, entries, applied)
@@ -244,7 +247,7 @@
     }
 }
 
-/// A message, the index at which the target's log ends after it, and its bytes.
+/// A message, the index at which the target's log ends once the message is processed, and its payload size in bytes.
 struct SizedMessage {
     body: Body,
     end: u64,
--- a/crates/replication/src/shutdown.rs
+++ b/crates/replication/src/shutdown.rs
@@ -1,11 +1,11 @@
-//! The graceful shutdown of a node: what it announces, and when its data is safe elsewhere.
+//! The graceful shutdown of a node: when it announces the shutdown, and when its data is safe on other nodes.
 
 use quillpulley_protocol::{NodeId, View};
 use std::time::Duration;
 
 use crate::view::members;
 
-/// How often the shutdown is announced: peers believe an announcement only for a while.
+/// The interval at which the shutdown is announced, since an announcement expires at the peers.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The state of a graceful shutdown.
@@ -13,8 +13,8 @@
 pub(crate) struct GracefulShutdown {
     has_begun: bool,
     announce_at: Duration,
-    /// The epoch of the newest active view that this node has heard of from its primary, if that view does not need
-    /// this node.
+    /// The epoch of the newest active view that its primary has reported to this node; `None` if that view needs this
+    /// node.
     dispensable_in: Option<u64>,
 }
 
@@ -27,7 +27,8 @@
         self.has_begun
     }
 
-    /// Returns whether the shutdown has to be announced again: peers that have connected meanwhile do not know of it.
+    /// Returns whether the shutdown has to be announced again: earlier announcements expire, and peers that have
+    /// connected since have not received one.
     pub fn is_announcement_due(&self, now: Duration) -> bool {
         self.has_begun && now >= self.announce_at
     }
@@ -36,25 +37,26 @@
         self.announce_at = now + ANNOUNCE_INTERVAL;
     }
 
-    /// Records the view that a primary has reported under an epoch that this node has admitted.
+    /// Records the view that a primary has reported in an epoch that this node has admitted.
     pub fn record_view(&mut self, me: NodeId, epoch: u64, view: &View, tolerated_machines: usize) {
-        // Under a higher epoch than that of its view the primary prepares another one, which may name this node.
+        // If the epoch is higher than that of the view, the primary is preparing a view that may name this node.
         let is_in_force = epoch == view.epoch;
         let is_dispensable = is_in_force && is_dispensable(me, view, tolerated_machines);
         self.dispensable_in = is_dispensable.then_some(view.epoch);
     }
 
-    /// Returns whether the data is safe without this node, which has promised `promised`.
+    /// Returns whether the data is safe without this node, whose highest promised epoch is `promised`.
     ///
-    /// That is so if a view that does not need the node is in force, and the node has admitted no higher epoch since:
-    /// whoever made it a member again would have brought it to a higher epoch first.
+    /// The data is safe if the node has never promised an epoch, or if a view that does not need the node is active and
+    /// the node has admitted no higher epoch since: before the node becomes a member again, it has to admit a higher
+    /// epoch.
     pub fn is_data_safe(&self, promised: u64) -> bool {
         promised == 0 || self.dispensable_in == Some(promised)
     }
 }
 
-/// Returns whether a view has enough members without a node, and does not need it as a witness either: it is none, or
-/// nobody is to take its place and the set will not get smaller.
+/// Returns whether a view has enough members without a node and does not need it as a witness either: the node is not a
+/// witness, or the set of witnesses is final, so that no other node will replace it and the set will not shrink.
 fn is_dispensable(node: NodeId, view: &View, tolerated_machines: usize) -> bool {
     let members = members(view);
     let is_odd = view.witnesses.len() % 2 == 1;
--- a/crates/replication/src/view_change.rs
+++ b/crates/replication/src/view_change.rs
@@ -1,7 +1,7 @@
-//! A view change in progress: the state that elections and reconfigurations share.
+//! A view change in progress: an election or a reconfiguration, which go through the same phases.
 //!
-//! `PreVote` (elections only) → `Claim` → `Prepare` → `Fetch` (if this node is no member) → `Sync` → `Accept` →
-//! `Activate` (if the set of witnesses changes) → the view is active.
+//! `PreVote` (elections only) → `Claim` → `Prepare` → `Fetch` (if this node is not a member of the newest view) →
+//! `Sync` → `Accept` → `Activate` (if the set of witnesses changes) → the view is active.
 
 use quillpulley_protocol::{NodeId, Position, View};
 use std::collections::BTreeSet;
@@ -13,27 +13,28 @@
 /// The phases of a view change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// Asks whether witnesses would promise, which changes nothing.
+    /// Asks the witnesses whether they would promise the epoch, without changing their state.
     PreVote,
-    /// Makes the epoch durable as its own.
+    /// Makes this node's claim to the epoch durable.
     Claim,
-    /// Asks witnesses to promise.
+    /// Asks the witnesses to promise the epoch.
     Prepare,
     /// Fetches the state from a member of the newest view.
     Fetch,
     /// Replicates the state to the members of the new view.
     Sync,
-    /// Asks witnesses to accept the view.
+    /// Asks the witnesses to accept the view.
     Accept,
-    /// Has the new witnesses store that the view is activated.
+    /// Asks the new witnesses to store that the view is activated.
     Activate,
 }
 
 impl Phase {
-    /// Returns how long the phase may take before the view change is retried or aborted.
+    /// Returns the time after which the view change is retried or aborted; `None` if the phase has no timeout.
     fn timeout(self) -> Option<Duration> {
         match self {
-            // A pre-vote binds no one, and a claim waits for this node's disk, which has its own timeout.
+            // A pre-vote has no effect on other nodes, and a claim waits for this node's disk, whose writes have their
+            // own timeout.
             Phase::PreVote | Phase::Claim => None,
             Phase::Prepare => Some(Duration::from_millis(700)),
             Phase::Fetch | Phase::Sync => Some(Duration::from_millis(2500)),
@@ -50,23 +51,23 @@
     phase: Phase,
     phase_began_at: Duration,
     resend_at: Duration,
-    /// The newest view that any witness has accepted.
+    /// The newest view that any witness is known to have accepted.
     newest: View,
-    /// The witnesses that have granted what the phase asks for.
+    /// The witnesses that have granted the request of the phase.
     granted: BTreeSet<NodeId>,
     /// The nodes that have promised a higher epoch to another node.
     rejected: BTreeSet<NodeId>,
-    /// The view that an active primary wants; none in an election.
+    /// The view that an active primary wants to form; `None` in an election.
     desired_view: Option<DesiredView>,
     /// The nodes that may become members.
     targets: BTreeSet<NodeId>,
-    /// The targets that are waited for.
+    /// The targets that the view change waits for until the grace period ends.
     awaited: BTreeSet<NodeId>,
-    /// The end of the log that every member has to reach: the entry that marks the begin of the epoch.
+    /// The end of the log that every member has to reach: the position of the entry that marks the start of the epoch.
     log_end: Position,
-    /// The view, once its members are known.
+    /// The new view; `None` until its members are determined.
     proposed: Option<View>,
-    /// How many members were asked for their state.
+    /// The number of requests to members for their state.
     fetch_attempts: usize,
 }
 
@@ -103,7 +104,7 @@
         self.phase
     }
 
-    /// Returns the newest view that any witness has accepted.
+    /// Returns the newest view that any witness is known to have accepted.
     pub fn newest_view(&self) -> &View {
         &self.newest
     }
@@ -130,7 +131,7 @@
         &self.awaited
     }
 
-    /// Enters a phase, with no replies yet.
+    /// Enters a phase and clears the replies of the previous one.
     pub fn enter(&mut self, phase: Phase, now: Duration) {
         self.phase = phase;
         self.phase_began_at = now;
@@ -139,13 +140,13 @@
         self.rejected.clear();
     }
 
-    /// Starts the pre-vote again with a higher epoch.
+    /// Restarts the pre-vote with a higher epoch.
     pub fn restart_pre_vote(&mut self, epoch: u64, now: Duration) {
         self.epoch = epoch;
         self.enter(Phase::PreVote, now);
     }
 
-    /// Returns whether the phase has taken too long.
+    /// Returns whether the phase has exceeded its timeout.
     pub fn is_timed_out(&self, now: Duration) -> bool {
         self.phase.timeout().is_some_and(|timeout| now > self.phase_began_at + timeout)
     }
@@ -163,27 +164,27 @@
         self.resend_at = time;
     }
 
-    /// Returns whether the epoch is claimed by this node.
+    /// Returns whether this node claims the epoch, that is, whether the view change is past the pre-vote.
     pub fn is_claimed(&self) -> bool {
         self.phase != Phase::PreVote
     }
 
-    /// Returns whether the promises are still missing.
+    /// Returns whether a quorum of promises is still missing.
     pub fn is_contested(&self) -> bool {
         matches!(self.phase, Phase::Claim | Phase::Prepare)
     }
 
-    /// Returns whether the log of this epoch is being replicated.
+    /// Returns whether the log is replicated in the epoch of this view change.
     pub fn is_replicating(&self) -> bool {
         matches!(self.phase, Phase::Sync | Phase::Accept | Phase::Activate)
     }
 
-    /// Returns whether witnesses may have promised the epoch, so that leases are requested under it.
+    /// Returns whether witnesses may have promised the epoch. A primary then requests its lease in this epoch.
     pub fn is_public(&self) -> bool {
         self.is_replicating() || matches!(self.phase, Phase::Prepare | Phase::Fetch)
     }
 
-    /// Learns of a view that a witness has accepted. Returns whether it is newer than the known one.
+    /// Records a view that a witness has accepted, if it is newer than the known one. Returns whether it is newer.
     pub fn learn(&mut self, view: View) -> bool {
         let is_new = is_newer(&view, Some(&self.newest));
         if is_new {
@@ -192,12 +193,12 @@
         is_new
     }
 
-    /// Returns the view whose witnesses have to grant in this phase.
+    /// Returns the view whose witnesses have to grant the request of this phase.
     fn deciding_view(&self) -> &View {
         self.proposed.as_ref().unwrap_or(&self.newest)
     }
 
-    /// Returns the witnesses that have not granted yet.
+    /// Returns the witnesses that have not granted the request of this phase yet.
     pub fn pending_voters(&self) -> Vec<NodeId> {
         let mut pending = voters(self.deciding_view());
         pending.retain(|node| !self.granted.contains(node));
@@ -216,12 +217,12 @@
         self.rejected.insert(node);
     }
 
-    /// Returns whether enough witnesses have granted for the next phase.
+    /// Returns whether enough witnesses have granted the request of this phase to complete it.
     pub fn has_quorum(&self) -> bool {
         has_quorum(self.deciding_view(), |node| self.granted.contains(node))
     }
 
-    /// Returns whether so many witnesses have rejected that the others are no quorum.
+    /// Returns whether so many witnesses have rejected the request that the others cannot form a quorum.
     pub fn is_lost(&self) -> bool {
         witness_sets(self.deciding_view()).iter().any(|set| {
             let rejected = set.iter().filter(|node| self.rejected.contains(node)).count();
@@ -229,7 +230,7 @@
         })
     }
 
-    /// Returns the next of the nodes to fetch the state from.
+    /// Returns the source to fetch the state from next, in rotation; `None` if there are no sources.
     pub fn next_fetch_source(&mut self, sources: &[NodeId]) -> Option<NodeId> {
         if sources.is_empty() {
             return None;
@@ -239,20 +240,20 @@
         Some(source)
     }
 
-    /// Sets the nodes that may become members, all of which are worth waiting for except `me`.
+    /// Sets the nodes that may become members: `me`, and `targets`, which the view change waits for.
     pub fn set_targets(&mut self, me: NodeId, targets: BTreeSet<NodeId>) {
         self.awaited = targets.clone();
         self.targets = targets;
         self.targets.insert(me);
     }
 
-    /// Adds nodes that may become members and are worth waiting for.
+    /// Adds nodes that may become members and that the view change waits for.
     pub fn await_targets(&mut self, nodes: &BTreeSet<NodeId>) {
         self.awaited.extend(nodes);
         self.targets.extend(nodes);
     }
 
-    /// Adds a node that may become a member, unless it has rejected. Returns whether it is new.
+    /// Adds a node that may become a member, unless it has rejected the epoch. Returns whether it was added.
     pub fn add_target(&mut self, node: NodeId) -> bool {
         !self.rejected.contains(&node) && self.targets.insert(node)
     }
@@ -276,7 +277,7 @@
         self.enter(Phase::Accept, now);
     }
 
-    /// Has the new witnesses store that the proposed view is activated.
+    /// Marks the proposed view as activated and enters the phase in which the new witnesses store this.
     pub fn activate(&mut self, now: Duration) {
         if let Some(view) = &mut self.proposed {
             view.activated = true;
@@ -284,16 +285,19 @@
         self.enter(Phase::Activate, now);
     }
 
-    /// Returns the proposed view, the plan, and the end of the log that the members have reached.
+    /// Returns the outcome of a completed view change; `None` if no view was proposed.
     pub fn into_outcome(self) -> Option<ViewChangeOutcome> {
         let ViewChange { proposed, desired_view, log_end, .. } = self;
         proposed.map(|view| ViewChangeOutcome { view, desired_view, log_end })
     }
 }
 
-/// What a completed view change leaves behind.
+/// The outcome of a completed view change.
 pub(crate) struct ViewChangeOutcome {
+    /// The new view, which is active.
     pub view: View,
+    /// The view that an active primary wanted to form; `None` after an election.
     pub desired_view: Option<DesiredView>,
+    /// The end of the log that all members have reached.
     pub log_end: Position,
 }
--- a/crates/replication/src/witness.rs
+++ b/crates/replication/src/witness.rs
@@ -1,7 +1,7 @@
 //! The durable state of a witness, and the leases that it has granted.
 //!
-//! Invariants: the promised epoch never goes back; a promise of a higher epoch is not granted while a lease that was
-//! granted to another node runs. Callers make the record durable before anyone learns of a vote.
+//! Invariants: the promised epoch never decreases; a higher epoch is not promised to a candidate before the lease of
+//! any other node has expired. Callers make the record durable before they send a vote.
 
 use quillpulley_protocol::{NodeId, View, WitnessRecord};
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use crate::view::is_newer;
 use crate::Faults;
 
-/// A grant that expires by itself.
+/// A grant that expires at a given time.
 #[derive(Clone, Copy, Debug)]
 struct Grant {
     grantee: NodeId,
@@ -18,7 +18,7 @@
 }
 
 impl Grant {
-    /// Returns for how long the grant still keeps another node out.
+    /// Returns how much longer the grant excludes `other`; `None` if it has expired or `other` is its grantee.
     fn remaining_against(&self, now: Duration, other: NodeId) -> Option<Duration> {
         if self.grantee == other {
             return None;
@@ -27,13 +27,14 @@
     }
 }
 
-/// The vote on a candidate.
+/// The vote of a witness on a candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Vote {
+    /// The witness promises the epoch, or would do so in a pre-vote.
     Granted,
     /// The witness has promised an epoch at least as high to another node.
     Superseded,
-    /// The lease or the candidacy of another node runs for that time.
+    /// The lease or the candidacy of another node lasts for this time.
     Deferred(Duration),
 }
 
@@ -42,19 +43,19 @@
 pub(crate) struct Witness {
     record: WitnessRecord,
     lease: Option<Grant>,
-    /// A candidate that got a promise recently. It only delays the pre-votes of others.
+    /// The candidate that received the latest promise. It only delays the pre-votes of others.
     candidate: Option<Grant>,
-    /// The last node that gave up an epoch: late messages of that epoch or before are not admitted.
+    /// The node that resigned last, and the epoch: its delayed messages of that epoch or older ones are not admitted.
     resigned: Option<(NodeId, u64)>,
-    /// Promises while a lease runs: a fault of tests.
+    /// Whether promises are given although a lease has not expired. Only an injected fault sets this.
     ignores_lease: bool,
 }
 
 impl Witness {
-    /// Creates a witness from its durable record. Before the restart it may have granted a lease that runs until
-    /// `lease_end` at the latest. Leases are granted only once the promise of their epoch is durable, and a later
-    /// promise is made or learned of only when no other node's lease counts any more. So it is the lease of the node
-    /// that the record names, if any.
+    /// Creates a witness from its durable record. Before a restart the witness may have granted a lease, which expires
+    /// at `lease_end` at the latest. Only the node that the record names can hold it: the grant of a lease is sent
+    /// only once the promise of its epoch is durable, and a higher epoch is promised or adopted only when the lease of
+    /// any other node no longer counts.
     pub fn new(record: WitnessRecord, lease_end: Duration, faults: Faults) -> Self {
         let has_promised = record.promised > 0 && !faults.forget_lease_at_restart();
         let grant = Grant { grantee: record.promised_to, epoch: record.promised, until: lease_end };
@@ -67,26 +68,27 @@
         &self.record
     }
 
-    /// Returns the highest epoch that it has promised, 0 before the first.
+    /// Returns the highest epoch that the witness has promised; 0 before the first promise.
     pub fn promised(&self) -> u64 {
         self.record.promised
     }
 
-    /// Returns the node to which it has promised its highest epoch.
+    /// Returns the node to which the highest epoch is promised; `None` before the first promise.
     pub fn promised_to(&self) -> Option<NodeId> {
         (self.record.promised > 0).then_some(self.record.promised_to)
     }
 
-    /// Returns the newest view that it has accepted, or has learned of from its primary.
+    /// Returns the newest view that the witness has accepted or learned from the primary of that view.
     pub fn view(&self) -> Option<&View> {
         self.record.accepted.as_deref()
     }
 
-    /// Returns whether it may have granted a lease to another node that still runs.
+    /// Returns whether a lease that the witness may have granted to a node other than `node` has not expired.
     pub fn is_leased_to_other(&self, now: Duration, node: NodeId) -> bool {
         !self.ignores_lease && self.lease.and_then(|lease| lease.remaining_against(now, node)).is_some()
     }
 
+    /// Returns whether a message of an epoch is not outdated, that is, whether [`Witness::admit`] would admit it.
     fn admits(&self, epoch: u64, from: NodeId) -> bool {
         let has_resigned = self.resigned.is_some_and(|(node, last)| node == from && epoch <= last);
         if has_resigned {
@@ -95,7 +97,8 @@
         epoch > self.record.promised || epoch == self.record.promised && self.record.promised_to == from
     }
 
-    /// Admits a message of an epoch, and from then on none of older epochs. Returns false if it is outdated.
+    /// Admits a message of an epoch, and from then on no message of an older epoch. Returns false if the message is
+    /// outdated.
     pub fn admit(&mut self, epoch: u64, from: NodeId) -> bool {
         if !self.admits(epoch, from) {
             return false;
@@ -105,7 +108,7 @@
         true
     }
 
-    /// Returns the vote that a candidate would get, without any change.
+    /// Returns the vote that a candidate would get, without changing any state.
     pub fn pre_vote(&self, now: Duration, epoch: u64, candidate: NodeId) -> Vote {
         if let Some(remaining) = self.candidate.and_then(|grant| grant.remaining_against(now, candidate)) {
             return Vote::Deferred(remaining);
@@ -113,8 +116,8 @@
         self.consider(now, epoch, candidate)
     }
 
-    /// Promises an epoch to a candidate, unless it is outdated or a lease of another node runs. For `hold` it delays
-    /// the pre-votes of other candidates.
+    /// Promises an epoch to a candidate, unless the epoch is outdated or the lease of another node has not expired. A
+    /// promise defers the pre-votes of other candidates for `hold`.
     pub fn vote(&mut self, now: Duration, epoch: u64, candidate: NodeId, hold: Duration) -> Vote {
         let vote = self.consider(now, epoch, candidate);
         if vote == Vote::Granted {
@@ -124,6 +127,7 @@
         vote
     }
 
+    /// Returns the vote on a candidate given the promises and the lease of the witness.
     fn consider(&self, now: Duration, epoch: u64, candidate: NodeId) -> Vote {
         if !self.admits(epoch, candidate) {
             return Vote::Superseded;
@@ -134,7 +138,7 @@
         }
     }
 
-    /// Accepts a view, unless its epoch is outdated. Returns whether it did.
+    /// Accepts a view unless its epoch is outdated. Returns whether the view was accepted.
     pub fn accept(&mut self, view: &View) -> bool {
         let is_admitted = self.admit(view.epoch, view.primary);
         if is_admitted {
@@ -143,7 +147,7 @@
         is_admitted
     }
 
-    /// Records a view that is active or accepted. Returns whether it is newer than the known one.
+    /// Records a view that is active or accepted, if it is newer than the known one. Returns whether it is newer.
     pub fn learn(&mut self, view: &View) -> bool {
         let is_new = is_newer(view, self.view());
         if is_new {
@@ -152,12 +156,12 @@
         is_new
     }
 
-    /// Grants or renews a lease.
+    /// Grants a lease, or renews it, until the time `until`.
     pub fn grant_lease(&mut self, grantee: NodeId, epoch: u64, until: Duration) {
         self.lease = Some(Grant { grantee, epoch, until });
     }
 
-    /// Releases what was granted to a node that gives up an epoch. Grants for later epochs stay.
+    /// Releases the lease and the candidacy of a node that resigns from an epoch. Grants for later epochs remain.
     pub fn release(&mut self, grantee: NodeId, epoch: u64) {
         self.resigned = Some((grantee, epoch));
         for grant in [&mut self.lease, &mut self.candidate] {
--- a/crates/replication/src/write_queue.rs
+++ b/crates/replication/src/write_queue.rs
@@ -1,7 +1,7 @@
-//! The queue of writes to disk, and what has to wait until they are durable.
+//! The queue of writes to disk, and the steps that are deferred until the writes are durable.
 //!
-//! Invariant: the host has one write at a time, and gets the next one only when that has succeeded. So the disk always
-//! holds a state through which the memory has gone, also after a write has failed.
+//! Invariant: at most one write is in flight, and the next one follows only if it succeeds; if it fails, the queue is
+//! discarded. Therefore the disk always holds a state that was in memory at some time, even after a failed write.
 
 use quillpulley_protocol::{Body, NodeId, WitnessRecord};
 use std::collections::VecDeque;
@@ -9,42 +9,44 @@
 
 use crate::event::Write;
 
-/// A disk that does not complete a write for this long counts as broken.
+/// The time after which a write that has not completed makes the disk unusable.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(600);
-/// The additional time for each megabyte of a write.
+/// The additional timeout for each megabyte of a write.
 const WRITE_TIMEOUT_PER_MB: Duration = Duration::from_millis(250);
-/// How long after a failure the disk is tried again.
+/// The time between a failed write and the next attempt.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 const BYTES_PER_MB: u32 = 1024 * 1024;
 
-/// What happens once all writes before it are durable.
+/// A step that is performed once all writes that were queued before it are durable.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Completion {
-    /// A message may be sent.
+    /// The message is sent.
     Send { to: NodeId, body: Body },
-    /// The epoch that this node claims as a candidate is durable.
+    /// The claim of this node to an epoch is durable: the view change continues.
     EpochClaimed { epoch: u64 },
-    /// The disk holds what the memory holds, again.
+    /// The disk holds the whole state again after a failure.
     Recovered,
 }
 
+/// A write that was not handed to the host yet, and what is deferred until it is durable.
 #[derive(Clone, Debug)]
 struct QueuedWrite {
     write: Write,
     completions: Vec<Completion>,
 }
 
+/// The write that the host is making durable.
 #[derive(Clone, Debug)]
 struct InFlight {
     ticket: u64,
     since: Duration,
     timeout: Duration,
     completions: Vec<Completion>,
-    /// The promise in the record that is written, if it is a record.
+    /// The promise in the witness record that is written; `None` for other writes.
     promise: Option<Promised>,
 }
 
-/// An epoch that a record names as promised, and to which.
+/// The highest promise in a witness record: its epoch, and the node to which it was made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Promised {
     epoch: u64,
@@ -57,13 +59,16 @@
     }
 }
 
+/// The health of the disk according to the last writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Health {
     Healthy,
+    /// The last write has failed.
     Failed {
+        /// The time of the next attempt.
         retry_at: Duration,
     },
-    /// A write of everything is on its way.
+    /// A write of the whole state is queued or in flight after a failure.
     Recovering,
 }
 
@@ -74,18 +79,18 @@
     queue: VecDeque<QueuedWrite>,
     in_flight: Option<InFlight>,
     health: Health,
-    /// The record as it was written last, unless that has failed.
+    /// The witness record that was queued last; `None` if a write has failed since.
     record: Option<WitnessRecord>,
-    /// Whether any record has become durable.
+    /// Whether the disk holds a witness record.
     has_record: bool,
-    /// The promise of the newest record that is known to be durable.
+    /// The promise in the newest witness record that is known to be durable.
     durable_promise: Option<Promised>,
-    /// Nothing waits for writes: a fault of tests.
+    /// Whether no step waits for writes. Only an injected fault sets this.
     skips_sync: bool,
 }
 
 impl WriteQueue {
-    /// Creates the queue of a disk that holds `record`, if it holds one.
+    /// Creates the queue for a disk that holds `record`; `None` for an empty disk.
     pub fn new(record: Option<WitnessRecord>, skips_sync: bool) -> Self {
         WriteQueue {
             next_ticket: 1,
@@ -99,23 +104,23 @@
         }
     }
 
-    /// Returns whether the last write did not fail.
+    /// Returns whether no write has failed, or the whole state has been written since the last failure.
     pub fn is_healthy(&self) -> bool {
         self.health == Health::Healthy
     }
 
-    /// Returns whether the disk is healthy and completes writes in time.
+    /// Returns whether the disk is healthy and the write in flight has not timed out.
     pub fn is_usable(&self, now: Duration) -> bool {
         let is_in_time = |write: &InFlight| now < write.since + write.timeout;
         self.is_healthy() && self.in_flight.as_ref().is_none_or(is_in_time)
     }
 
-    /// Returns whether the disk holds a record of this incarnation.
+    /// Returns whether the disk holds a witness record of this incarnation.
     pub fn has_record(&self) -> bool {
         self.has_record
     }
 
-    /// Returns whether the disk is known to hold the promise of an epoch to a node.
+    /// Returns whether the newest durable witness record holds the promise of an epoch to a node.
     pub fn is_promise_durable(&self, epoch: u64, to: NodeId) -> bool {
         self.skips_sync || self.durable_promise == Some(Promised { epoch, to })
     }
@@ -125,7 +130,7 @@
         self.queue.push_back(QueuedWrite { write, completions: Vec::new() });
     }
 
-    /// Queues the record, if it differs from the one that was queued last.
+    /// Queues the witness record if it differs from the one that was queued last.
     pub fn push_record(&mut self, record: &WitnessRecord) {
         if self.record.as_ref() != Some(record) {
             self.record = Some(record.clone());
@@ -133,7 +138,7 @@
         }
     }
 
-    /// Defers a completion until everything queued so far is durable. Returns it if that is so already.
+    /// Defers a completion until all writes queued so far are durable. Returns it if they are durable already.
     #[must_use]
     pub fn when_durable(&mut self, completion: Completion) -> Option<Completion> {
         if self.skips_sync {
@@ -147,7 +152,7 @@
         None
     }
 
-    /// Returns the next write with its ticket, unless one is in flight.
+    /// Returns the next write with its ticket; `None` if a write is in flight or none is queued.
     pub fn next_write(&mut self, now: Duration) -> Option<(u64, Write)> {
         if self.in_flight.is_some() {
             return None;
@@ -164,10 +169,10 @@
         Some((ticket, write))
     }
 
-    /// Records that the host has made a write durable, and returns what was waiting for it.
+    /// Records that the host has made a write durable, and returns the completions that were waiting for it.
     pub fn complete(&mut self, ticket: u64) -> Vec<Completion> {
         let Some(write) = self.in_flight.take_if(|write| write.ticket == ticket) else { return Vec::new() };
-        // The first write of a process is the record, and a record comes first again after a failure.
+        // The first write of a process is the record, and so is the first write after a failure.
         self.has_record = true;
         self.durable_promise = write.promise.or(self.durable_promise);
         if write.completions.contains(&Completion::Recovered) {
@@ -176,8 +181,8 @@
         write.completions
     }
 
-    /// Records that the host could not make a write durable. Everything that waits is dropped. Returns whether the disk
-    /// was healthy before.
+    /// Records that the host could not make a write durable. Drops all queued writes and their completions. Returns
+    /// whether the disk was healthy before.
     pub fn fail(&mut self, ticket: u64, now: Duration) -> bool {
         if self.in_flight.take_if(|write| write.ticket == ticket).is_none() {
             return false;
@@ -189,12 +194,12 @@
         was_healthy
     }
 
-    /// Returns whether it is time to retry after a failure.
+    /// Returns whether a write has failed and the next attempt is due.
     pub fn is_retry_due(&self, now: Duration) -> bool {
         matches!(self.health, Health::Failed { retry_at } if now >= retry_at)
     }
 
-    /// Retries after a failure, with everything that the disk has to hold.
+    /// Queues the witness record and `rewrite`, a write of the whole state, after a failure.
     pub fn retry(&mut self, record: &WitnessRecord, rewrite: Write) {
         self.health = Health::Recovering;
         self.push_record(record);
@@ -202,7 +207,7 @@
     }
 }
 
-/// Returns `time` for each megabyte.
+/// Returns `time` multiplied by `bytes` in megabytes.
 pub(crate) fn per_mb(time: Duration, bytes: usize) -> Duration {
     let bytes = u32::try_from(bytes).unwrap_or(u32::MAX);
     time.mul_f64(f64::from(bytes) / f64::from(BYTES_PER_MB))
