--- a/crates/replication/src/membership/cluster_state.rs
+++ b/crates/replication/src/membership/cluster_state.rs
@@ -1,4 +1,4 @@
-//! What a node knows of the other control nodes at a moment.
+//! What a node knows about the control nodes at one moment.
 
 use quillpulley_protocol::{NodeId, View};
 use std::collections::BTreeSet;
@@ -9,7 +9,7 @@
 use crate::view::members;
 use crate::{DurabilityStatus, Locality, Options, UncoveredFailures};
 
-/// A read-only view of peers and their failure domains.
+/// Read-only access to the peers and their failure domains at the time `now`.
 #[derive(Clone, Copy)]
 pub(crate) struct ClusterState<'a> {
     pub options: &'a Options,
@@ -22,7 +22,7 @@
         node == self.options.me
     }
 
-    /// Returns the failure domains of a node, if they are known.
+    /// Returns the failure domains of a node; `None` if they are not known.
     pub fn locality_of(&self, node: NodeId) -> Option<&'a Locality> {
         if self.is_me(node) {
             return Some(&self.options.locality);
@@ -46,13 +46,14 @@
         uncovered_by_witnesses(witnesses, self.options.fault_tolerance, |node| self.locality_of(node))
     }
 
-    /// Returns how many kinds of tolerated failures would leave no copy with these members.
+    /// Returns the number of kinds of tolerated failures (machines, zones, regions) after which none of these members
+    /// remains.
     pub fn count_uncovered(&self, members: &BTreeSet<NodeId>) -> usize {
         let members: Vec<NodeId> = members.iter().copied().collect();
         self.uncovered_by_members(&members).count()
     }
 
-    /// Returns the nodes among `candidates` each of which covers more failures together with `members`.
+    /// Returns the candidates that reduce the uncovered failures of `members` if they are added alone.
     pub fn covering(&self, candidates: &BTreeSet<NodeId>, members: &BTreeSet<NodeId>) -> BTreeSet<NodeId> {
         let uncovered = self.count_uncovered(members);
         let covers_more = |node: &&NodeId| {
@@ -67,19 +68,19 @@
         self.peers.is_shutting_down(self.now, node)
     }
 
-    /// Returns whether a node replies and is not shutting down.
+    /// Returns whether a node is connected, has replied recently and is not shutting down.
     pub fn is_available(&self, node: NodeId) -> bool {
         self.peers.is_responsive(self.now, node) && !self.is_shutting_down(node)
     }
 
-    /// Returns the connected nodes that reply and are not shutting down.
+    /// Returns the connected nodes that have replied recently and are not shutting down.
     pub fn available_nodes(&self) -> Vec<NodeId> {
         let mut nodes = self.peers.connected();
         nodes.retain(|node| self.is_available(*node));
         nodes
     }
 
-    /// Returns the time since a node's last message, counted from `start` at the earliest.
+    /// Returns the time since the last reply of a node, or since `start` if that is later.
     pub fn time_since_reply(&self, node: NodeId, start: Duration) -> Duration {
         self.peers.time_since_reply(self.now, node, start)
     }
--- a/crates/replication/src/membership/learners.rs
+++ b/crates/replication/src/membership/learners.rs
@@ -1,8 +1,8 @@
 //! Learners: nodes that receive the log and are about to become members.
 //!
-//! New proposals wait until a learner has caught up. With long entries one after the other it would otherwise always
-//! lack the one that is on its way; a view change that begins then sends that entry a second time, in the new epoch,
-//! and the learner does not catch up in time.
+//! New proposals wait until a learner has caught up. Otherwise, under a continuous load of large entries, the learner
+//! would always lack the entry in flight. A view change that begins then would send that entry a second time, in the
+//! new epoch, and the learner would not catch up in time.
 
 use quillpulley_protocol::NodeId;
 
@@ -10,7 +10,7 @@
 use crate::view::members;
 
 impl Planner<'_> {
-    /// Returns the nodes that reply steadily and are no members.
+    /// Returns the nodes that are steadily responsive but not members.
     pub fn learners(&self) -> Vec<NodeId> {
         let present = members(self.primary.view());
         let mut nodes = self.cluster.peers.connected();
@@ -18,7 +18,8 @@
         nodes
     }
 
-    /// Returns whether a learner holds the log, or can get it only under a higher epoch.
+    /// Returns whether a learner can become a member: it holds the log, or rejects the epoch of this primary and can
+    /// receive the log only in a higher one.
     pub(super) fn is_ready(&self, node: NodeId) -> bool {
         let Some(tracker) = self.tracker else { return false };
         let is_rejecting = self.cluster.peers.is_rejecting(node);
@@ -27,17 +28,17 @@
         is_rejecting || is_counted_early || has_log && !self.is_catching_up(node)
     }
 
-    /// Returns whether proposals wait for a learner that has the log by now, so that the view can be changed at once.
+    /// Returns whether proposals are queued and a learner holds the log, so that the view should change at once.
     pub fn can_add_at_once(&self, node: NodeId) -> bool {
         self.primary.proposals.has_queued() && self.learners().contains(&node) && self.is_ready(node)
     }
 
-    /// Returns whether new proposals have to wait, since a learner is receiving the last entries.
+    /// Returns whether new proposals have to wait because a learner is receiving the last entries.
     pub fn waits_for_learner(&self) -> bool {
         self.learners().iter().any(|node| self.is_catching_up(*node))
     }
 
-    /// Returns whether the last entries are on their way to a node that acknowledges them.
+    /// Returns whether a node lacks only entries that are in the log, and makes progress in receiving them.
     fn is_catching_up(&self, node: NodeId) -> bool {
         let Some(progress) = self.progress(node) else { return false };
         let Some(matched) = progress.matched() else { return false };
--- a/crates/replication/src/membership/mod.rs
+++ b/crates/replication/src/membership/mod.rs
@@ -1,6 +1,6 @@
-//! The view that a primary wants: which nodes should be members, and which of them witnesses.
+//! The view that a primary should form: which nodes should be members, and which should be witnesses.
 //!
-//! [`ClusterState`] answers what is known of nodes; [`Planner`] decides. Both only read.
+//! [`ClusterState`] provides what is known about the nodes, and [`Planner`] decides. Neither changes any state.
 
 mod cluster_state;
 mod learners;
--- a/crates/replication/src/membership/planner.rs
+++ b/crates/replication/src/membership/planner.rs
@@ -1,4 +1,4 @@
-//! The view as it should be: which members are dropped, and which learners are added.
+//! Decides which members should be dropped from the view, and which learners should be added.
 
 use quillpulley_protocol::{NodeId, Position};
 use std::collections::BTreeSet;
@@ -11,20 +11,20 @@
 use crate::progress::{Progress, ProgressTracker};
 use crate::view::members;
 
-/// How long a node has to be responsive before it is added.
+/// The time for which a node has to be responsive before it is added.
 const STEADY_TIME: Duration = Duration::from_millis(300);
 
-/// The view that an active primary wants.
+/// The members and witnesses that the next view of an active primary should have.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct DesiredView {
     pub members: BTreeSet<NodeId>,
     pub witnesses: Vec<NodeId>,
-    /// The node that becomes a witness, if one does.
+    /// The node that is added to the witnesses; `None` if no node is added.
     pub new_witness: Option<NodeId>,
 }
 
 impl DesiredView {
-    /// Returns whether the new witness is among the nodes that hold the state.
+    /// Returns whether the new witness, if there is one, is among the nodes that hold the state.
     pub fn is_possible_with(&self, synced: &BTreeSet<NodeId>) -> bool {
         self.new_witness.is_none_or(|node| synced.contains(&node))
     }
@@ -50,7 +50,7 @@
         Planner { cluster, primary, tracker, log, applied }
     }
 
-    /// Returns the view as it should be now. Members are dropped only as long as enough remain.
+    /// Returns the view that the primary should have now. If too few members would remain, none is dropped.
     pub fn desired_view(&self) -> DesiredView {
         let present: BTreeSet<NodeId> = members(self.primary.view()).into_iter().collect();
         let mut wanted: BTreeSet<NodeId> =
@@ -64,7 +64,7 @@
         DesiredView { members: wanted, witnesses: change.witnesses, new_witness: change.added }
     }
 
-    /// Returns whether the view has to be replaced by the desired one.
+    /// Returns whether the present view has to be replaced by the desired one.
     pub fn requires_view_change(&self, desired_view: &DesiredView) -> bool {
         let view = self.primary.view();
         let is_different = desired_view.members != members(view).into_iter().collect::<BTreeSet<NodeId>>()
@@ -72,7 +72,7 @@
         is_different || self.is_superseded(desired_view)
     }
 
-    /// Returns whether a member does not do its part any more.
+    /// Returns whether a member should be dropped: it does not reply, is shutting down, or makes no progress.
     fn is_lost(&self, node: NodeId) -> bool {
         if self.cluster.is_me(node) {
             return false;
@@ -84,8 +84,8 @@
             || self.progress(node).is_some_and(|progress| progress.is_stuck(self.cluster.now, drop_after))
     }
 
-    /// Returns whether a node of the planned view has promised an epoch to another node, and so takes nothing from this
-    /// one.
+    /// Returns whether a responsive node of the desired view has promised an epoch to another node, and therefore
+    /// rejects the messages of this primary.
     fn is_superseded(&self, desired_view: &DesiredView) -> bool {
         let rejects = |node: &NodeId| {
             self.cluster.peers.is_responsive(self.cluster.now, *node)
@@ -94,8 +94,8 @@
         desired_view.members.iter().chain(&desired_view.witnesses).any(rejects)
     }
 
-    /// Returns the members that are shutting down and are kept beside those that stay: as many as are needed for the
-    /// loss of machines, and those whose failure domain is needed until a connected node takes their place.
+    /// Returns the members that are shutting down but are kept in addition to `remaining`: as many as the tolerated
+    /// loss of machines requires, and those whose failure domain is needed until an available node replaces them.
     fn shutting_down_to_keep(
         &self,
         present: &BTreeSet<NodeId>,
@@ -120,7 +120,7 @@
         retained
     }
 
-    /// Returns what the durability of the view is judged by.
+    /// Returns the facts that determine whether commits of the present view are acknowledged.
     pub fn durability_inputs(&self) -> DurabilityInputs {
         let view = self.primary.view();
         DurabilityInputs {
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Returns whether the view would survive more failures of zones or regions with nodes that are connected.
+    /// Returns whether the view would survive more failures of zones or regions with nodes that are available.
     pub fn could_survive_more(&self) -> bool {
         let status = self.cluster.durability_of(self.primary.view());
         if !status.has_uncovered_domains() {
--- a/crates/replication/src/membership/witness_set.rs
+++ b/crates/replication/src/membership/witness_set.rs
@@ -1,4 +1,4 @@
-//! The set of witnesses: who is added and who is removed, one node at a time.
+//! Decides which witnesses are added, removed or replaced, one node at a time.
 
 use quillpulley_protocol::NodeId;
 use std::collections::BTreeSet;
@@ -6,16 +6,16 @@
 
 use super::Planner;
 
-/// A witness without messages for this long is replaced by another node.
+/// The time without replies after which a witness is replaced by another node.
 const REPLACE_AFTER: Duration = Duration::from_secs(1);
-/// Two witnesses that have been unresponsive for this long are removed, one after the other, from a set that is larger
-/// than the tolerated failures need.
+/// The time without replies after which two witnesses are removed, one after the other, from a set that is larger than
+/// the tolerated failures require.
 const REMOVE_SPARE_AFTER: Duration = Duration::from_secs(3);
 
 /// The next set of witnesses.
 pub(super) struct WitnessChange {
     pub witnesses: Vec<NodeId>,
-    /// The node that is new in the set, if there is one.
+    /// The node that is added to the set; `None` if no node is added.
     pub added: Option<NodeId>,
 }
 
@@ -64,13 +64,14 @@
         self.cluster.peers.connected().iter().any(is_candidate)
     }
 
-    /// Returns the available members that are no witnesses.
+    /// Returns the available members that are not witnesses.
     fn witness_candidates(&self, witnesses: &[NodeId], members: &BTreeSet<NodeId>) -> Vec<NodeId> {
         let is_available = |node: NodeId| self.cluster.is_me(node) || self.cluster.is_available(node);
         members.iter().copied().filter(|node| !witnesses.contains(node) && is_available(*node)).collect()
     }
 
-    /// Replaces a witness by a candidate: one with the same address, else one that is shutting down or unresponsive.
+    /// Replaces a witness by a candidate: a witness with the same address as the candidate, or else one that is
+    /// shutting down or unresponsive.
     fn replace_one(&self, present: &[NodeId], candidates: &[NodeId]) -> Option<WitnessChange> {
         let successor = candidates.iter().find_map(|node| {
             let index = present.iter().position(|other| other.ip == node.ip)?;
@@ -84,8 +85,9 @@
         replacements.min_by_key(|change| self.count_uncovered_by(change))
     }
 
-    /// Removes an unavailable witness from a set of even size: that makes the majority smaller, and so the others
-    /// survive one loss more. From a set of odd size one is removed if two are unavailable that it does not need.
+    /// Removes an unavailable witness. In a set of even size this reduces the majority, so that the remaining witnesses
+    /// survive one more loss. In a set of odd size a witness is removed only if two that are not required are
+    /// unavailable.
     fn remove_one(&self, present: &[NodeId]) -> Option<WitnessChange> {
         let time_since_reply = match present.len().is_multiple_of(2) {
             true => self.cluster.options.drop_after,
@@ -95,8 +97,8 @@
         self.unavailable(present, time_since_reply).map(|index| WitnessChange::remove(present, index))
     }
 
-    /// Returns whether two witnesses are unavailable without which the set would still be large enough. They would
-    /// count against the next losses.
+    /// Returns whether two witnesses are unavailable and the set is large enough without them. As long as they stay in
+    /// the set, it survives fewer further losses.
     fn has_two_to_spare(&self, present: &[NodeId]) -> bool {
         let is_large = present.len() > 2 * self.cluster.options.fault_tolerance.machines + 1;
         let unavailable =
@@ -104,8 +106,7 @@
         is_large && unavailable >= 2
     }
 
-    /// Replaces or removes a witness if the set then survives failures of zones or regions that it does not survive
-    /// now.
+    /// Removes or replaces a witness if the set then survives more tolerated failures than it does now.
     fn spread(&self, present: &[NodeId], candidates: &[NodeId]) -> Option<WitnessChange> {
         let uncovered = self.cluster.uncovered_by_witnesses(present);
         let is_known = present.iter().all(|node| self.cluster.locality_of(*node).is_some());
@@ -113,7 +114,7 @@
             return None;
         }
         let is_better = |change: &WitnessChange| self.count_uncovered_by(change) < uncovered.count();
-        // Enough for the loss of machines have to stay: else the next one would be added again.
+        // Enough witnesses for the tolerated loss of machines have to remain: otherwise another would be added again.
         let is_removable = |change: &WitnessChange| {
             !self.cluster.uncovered_by_witnesses(&change.witnesses).machines && is_better(change)
         };
@@ -126,8 +127,8 @@
         replacements.find(is_better)
     }
 
-    /// Adds a candidate. A larger set needs a larger majority: so only while all witnesses are available, and not where
-    /// the set would survive fewer failures, unless more witnesses are needed for the loss of machines.
+    /// Adds a candidate if all witnesses are available, since a larger set needs a larger majority. A set that would
+    /// then survive fewer failures is extended only if the tolerated loss of machines requires more witnesses.
     fn add_one(&self, present: &[NodeId], candidates: &[NodeId]) -> Option<WitnessChange> {
         if self.unavailable(present, self.cluster.options.drop_after).is_some() {
             return None;
@@ -143,7 +144,7 @@
         self.cluster.uncovered_by_witnesses(&change.witnesses).count()
     }
 
-    /// Returns the index of a witness that is shutting down, or has been unresponsive for longer than `time`.
+    /// Returns the index of a witness that is shutting down or has not replied for longer than `time`.
     fn unavailable(&self, witnesses: &[NodeId], time: Duration) -> Option<usize> {
         witnesses.iter().position(|node| self.is_unavailable(*node, time))
     }
