--- a/crates/replication/src/replica/acceptor.rs
+++ b/crates/replication/src/replica/acceptor.rs
@@ -1,4 +1,4 @@
-//! The witness's side of elections and leases: which requests it grants, and what it makes durable before it replies.
+//! The witness: which requests of candidates and primaries it grants, and what it makes durable before it replies.
 
 use quillpulley_protocol::{
     Accept, Accepted, Body, LeaseGrant, LeaseRequest, NodeId, Prepare, Promise, Resign,
@@ -13,7 +13,7 @@
 use crate::witness::Vote;
 use crate::StateMachine;
 
-/// How long a promise delays the pre-votes of other candidates.
+/// The time for which a promise to a candidate defers the pre-votes of other candidates.
 const CANDIDATE_HOLD: Duration = Duration::from_millis(600);
 
 impl<S: StateMachine> Replica<S> {
@@ -52,8 +52,8 @@
         self.send(from, promise);
     }
 
-    /// Gives up a candidacy in favour of one of a higher identity. Two candidates that stand at the same time would
-    /// keep each other from a majority; the other one tries again with a higher epoch.
+    /// Abandons this node's candidacy in favour of a candidate with a higher node id. Two simultaneous candidates could
+    /// keep each other from a majority; the other one retries with a higher epoch.
     fn yield_to_rival(&mut self, rival: NodeId) {
         let is_contested = self.view_change.as_ref().is_some_and(ViewChange::is_contested);
         if self.primary.is_none() && is_contested && rival > self.options.me {
@@ -98,7 +98,8 @@
 
     pub(super) fn handle_lease_request(&mut self, from: NodeId, request: LeaseRequest) {
         let LeaseRequest { epoch, round, view, committed, holds_lease } = request;
-        // An epoch above that of the view is only being prepared: until it is promised, leases come first.
+        // An epoch above that of the view is still being prepared: until it is promised, the leases of other nodes take
+        // precedence.
         let is_contested = epoch > view.epoch
             && self.witness.is_leased_to_other(self.now, from)
             && !self.options.faults.grant_under_lease();
@@ -133,7 +134,8 @@
         self.send_lease_grant(from, grant);
     }
 
-    /// Sends a grant once the disk names its holder: after a restart the witness relies on that.
+    /// Sends a grant once the durable record names its holder, because a restarted witness relies on the record to know
+    /// who may hold a lease.
     fn send_lease_grant(&mut self, to: NodeId, grant: LeaseGrant) {
         let must_wait = grant.granted && !self.writes.is_promise_durable(grant.epoch, to);
         let body = Body::LeaseGrant(Box::new(grant));
@@ -144,7 +146,8 @@
         }
     }
 
-    /// Follows the primary of an epoch that is not outdated. Without its lease it keeps no one from campaigning.
+    /// Follows the primary of an epoch that is not outdated. A primary without its lease does not postpone the election
+    /// of a follower.
     fn follow(&mut self, primary: NodeId, epoch: u64, holds_lease: bool) {
         if primary == self.options.me {
             return;
@@ -159,7 +162,7 @@
         }
     }
 
-    /// Yields to the leadership or candidacy of another node.
+    /// Steps down or abandons the candidacy of this node in favour of another primary or candidate.
     pub(super) fn defer_to(&mut self, node: NodeId) {
         if node == self.options.me {
             return;
@@ -171,12 +174,12 @@
         self.tracker = None;
         self.postpone_election();
         if let Some(candidacy) = candidacy {
-            // Others may have deferred to it just now, and would wait for nobody.
+            // Other nodes may have deferred to the abandoned candidacy, and would wait for it in vain.
             self.resign(candidacy.epoch());
         }
     }
 
-    /// Releases what was granted to a primary or candidate that gives up, and may stand for election soon.
+    /// Releases the grants to a primary or candidate that resigns, and may schedule an election soon.
     pub(super) fn handle_resign(&mut self, from: NodeId, resign: Resign) {
         self.witness.release(from, resign.epoch);
         let was_primary = self.contact.is_some_and(|contact| contact.node == from);
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -1,5 +1,5 @@
-//! The candidate: from the pre-vote to the state of the newest view. Active primaries that change their view claim an
-//! epoch and collect promises in the same way.
+//! The candidate: from the pre-vote until it holds the state of the newest view. An active primary that changes its
+//! view claims an epoch and collects promises in the same way.
 
 use log::info;
 use quillpulley_protocol::{Body, FetchState, NodeId, Prepare, Promise, Resign, StateTransfer};
@@ -12,22 +12,22 @@
 use crate::write_queue::Completion;
 use crate::StateMachine;
 
-/// How often requests to witnesses are repeated.
+/// The interval at which unanswered requests to witnesses are repeated.
 pub(super) const RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// How long a member has to send its state before another one is asked.
+/// The time after which another member is asked for its state.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(700);
 
 impl<S: StateMachine> Replica<S> {
-    /// Counts the time to the next election from now on.
+    /// Restarts the time until the next election.
     pub(super) fn postpone_election(&mut self) {
         let me = self.options.me;
-        // Before the first view every node may become its primary.
+        // Before the first view has members, every node counts as one: no node has a state to fetch.
         let is_member =
             self.witness.view().is_none_or(|view| members(view).is_empty() || is_member(view, me));
         self.election.postpone(self.now, self.options.lease, is_member);
     }
 
-    /// Campaigns if no primary has sent a heartbeat for long enough.
+    /// Starts a pre-vote if an election is due and this node can stand for it.
     pub(super) fn maybe_campaign(&mut self) {
         let is_idle = self.primary.is_none() && self.view_change.is_none() && !self.shutdown.has_begun();
         if !is_idle || !self.election.is_due(self.now) || !self.writes.is_usable(self.now) {
@@ -40,7 +40,7 @@
         self.request_promises();
     }
 
-    /// Asks all witnesses that have not promised yet.
+    /// Sends a request to all witnesses that have not promised the epoch yet.
     pub(super) fn request_promises(&mut self) {
         let Some(change) = &mut self.view_change else { return };
         change.resend_at(self.now + RETRY_INTERVAL);
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Asks a witness that has just connected, without waiting for the next round.
+    /// Sends the request to a witness that has just connected, without waiting for the next repetition.
     pub(super) fn request_promise_of(&mut self, node: NodeId) {
         let Some(change) = &self.view_change else { return };
         let is_collecting = matches!(change.phase(), Phase::PreVote | Phase::Prepare);
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Makes the epoch durable as this node's own, so that it never stands with the same one twice.
+    /// Makes this node's claim to the epoch durable before any other node learns of it, so that this node never uses
+    /// the same epoch twice.
     pub(super) fn claim_epoch(&mut self) {
         let Some(change) = &mut self.view_change else { return };
         change.enter(Phase::Claim, self.now);
@@ -116,13 +117,13 @@
         } else if self.view_change.as_ref().is_some_and(ViewChange::has_quorum) {
             self.handle_promise_quorum();
         } else if has_newer_view {
-            // The newer view may name witnesses that have not been asked.
+            // The newer view may name witnesses that have not received a request.
             self.request_promises();
         }
     }
 
-    /// Returns whether a newer view has come up that does not include this node, or, if it is an active primary, that
-    /// has another primary.
+    /// Returns whether a newer view is known that excludes this node or, if this node is an active primary, that has
+    /// another primary.
     fn is_excluded(&self) -> bool {
         let Some(change) = &self.view_change else { return false };
         let newest = change.newest_view();
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Handles that a witness has promised an epoch at least as high to another node.
+    /// Handles that a witness has promised an epoch that is at least as high to another node.
     fn handle_superseded(&mut self, by: NodeId) {
         let next_epoch = self.highest_epoch + 1;
         let Some(change) = &mut self.view_change else { return };
@@ -143,15 +144,15 @@
         }
         change.record_rejection(by);
         if self.primary.is_none() && by < self.options.me {
-            // Of two rivals the one with the lower identity yields.
+            // Of two competing candidates, the one with the lower node id yields.
             self.retry_claim();
         } else if change.is_lost() {
             self.retry_or_abort(ResignReason::NoQuorum);
         }
     }
 
-    /// Continues once enough witnesses have promised. This node needs the state of the newest view next, unless it is a
-    /// member of that view.
+    /// Enters the next phase once enough witnesses have promised. This node fetches the state of the newest view unless
+    /// it is a member of that view.
     fn handle_promise_quorum(&mut self) {
         let me = self.options.me;
         let Some(change) = &mut self.view_change else { return };
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Asks the next connected member of the newest view for its state.
+    /// Requests the state of the next connected member of the newest view.
     pub(super) fn request_state(&mut self) {
         let Some(change) = &mut self.view_change else { return };
         let mut sources = members(change.newest_view());
@@ -203,19 +204,19 @@
         }
     }
 
-    /// Ends an election that this node stands in. Witnesses that have promised may promise others at once.
+    /// Ends the candidacy of this node, if any. Witnesses that have promised its epoch are free to promise others.
     pub(super) fn abandon_candidacy(&mut self) {
         let Some(change) = self.view_change.take() else { return };
         self.tracker = None;
         self.election.back_off(self.now, RETRY_INTERVAL);
-        // Before its claim is durable no other node knows of the epoch, and this one may claim it again.
+        // Before the claim is durable, no other node knows the epoch, and this node may claim it again.
         if change.is_public() {
             info!(node:% = self.options.me, epoch = change.epoch(), phase:? = change.phase(); "election failed");
             self.resign(change.epoch());
         }
     }
 
-    /// Announces that this node gives up an epoch.
+    /// Announces that this node resigns from an epoch.
     pub(super) fn resign(&mut self, epoch: u64) {
         self.broadcast(&Body::Resign(Box::new(Resign { epoch })));
     }
--- a/crates/replication/src/replica/follower.rs
+++ b/crates/replication/src/replica/follower.rs
@@ -1,4 +1,5 @@
-//! The member or learner: receives the log of a primary or candidate, gives its state away, applies and compacts.
+//! The member or learner: receives the log of a primary or candidate, transfers its state to a candidate, and applies
+//! and compacts its log.
 
 use log::{error, info, warn};
 use quillpulley_protocol::{
@@ -12,8 +13,9 @@
 use crate::StateMachine;
 
 impl<S: StateMachine> Replica<S> {
-    /// Admits a message of an epoch for the log, and from then on, also after a restart, none of older epochs. Replies
-    /// have to wait for the record that this writes.
+    /// Admits a message of an epoch that concerns the log, and from then on, even after a restart, no message of an
+    /// older epoch. Replies have to wait until the witness record that this queues is durable. Returns false if the
+    /// message is not admitted.
     fn admit_log_message(&mut self, from: NodeId, epoch: u64) -> bool {
         if from == self.options.me {
             return false;
@@ -38,8 +40,8 @@
         true
     }
 
-    /// Returns whether a node has claimed the lease in this epoch. From then on only its heartbeats postpone elections: a
-    /// primary that hears nobody sends its log again and again.
+    /// Returns whether a node has claimed the lease of a primary in this epoch. From then on, only its heartbeats
+    /// postpone the election: a primary that receives no replies keeps sending its log.
     fn follows(&self, primary: NodeId, epoch: u64) -> bool {
         self.contact.is_some_and(|contact| contact.node == primary && contact.epoch == epoch)
     }
@@ -68,7 +70,7 @@
             Err(AppendError::ConflictsWithCommitted) => {
                 error!(
                     node:% = self.options.me, peer:% = from, epoch, index = applied.index;
-                    "entries that conflict with the committed log are not appended"
+                    "rejected entries that conflict with the committed log"
                 );
             }
         }
@@ -76,7 +78,7 @@
 
     pub(super) fn handle_install(&mut self, from: NodeId, install: Install) {
         let Install { epoch, snapshot_last, snapshot, entries } = install;
-        // A complete state for a disk that does not complete writes would only pile up in memory.
+        // If the disk does not complete writes, the received states would accumulate in memory.
         if !self.admit_log_message(from, epoch) || !self.writes.is_usable(self.now) {
             return;
         }
@@ -101,7 +103,7 @@
         self.send_when_durable(from, Body::StateTransfer(Box::new(transfer)));
     }
 
-    /// Replaces the state and the log of this node by those of another one. Returns false if they cannot be installed.
+    /// Replaces the state and the log of this node by those of another node. Returns false if they cannot be installed.
     pub(super) fn install(&mut self, last: Position, snapshot: Vec<u8>, entries: Vec<Entry>) -> bool {
         match self.member.install(last, snapshot, entries) {
             Ok(write) => {
@@ -109,13 +111,14 @@
                 true
             }
             Err(reason) => {
-                error!(node:% = self.options.me, reason:% = reason; "a state is not installed");
+                error!(node:% = self.options.me, reason:% = reason; "cannot install the received state");
                 false
             }
         }
     }
 
-    /// Applies what the primary of an epoch has committed, as far as the log is known to match that primary's.
+    /// Applies the entries that the primary of an epoch has committed, as far as the log is known to match the log of
+    /// that primary.
     pub(super) fn commit_to(&mut self, epoch: u64, committed: u64) {
         if let Some(index) = self.member.committable(epoch, committed) {
             self.apply_up_to(index);
@@ -130,7 +133,8 @@
     }
 
     fn maybe_compact(&mut self) {
-        // A learner that catches up needs the last entries; no others follow meanwhile.
+        // A learner that is catching up needs the last entries, which are not compacted until then. The log does not
+        // grow meanwhile, since new proposals wait.
         let is_due = self.writes.is_healthy() && self.member.needs_compaction(&self.options);
         if is_due && !self.planner().is_some_and(|planner| planner.waits_for_learner()) {
             let write = self.member.compact();
@@ -142,19 +146,22 @@
         if !self.writes.fail(ticket, self.now) {
             return;
         }
-        warn!(node:% = self.options.me; "a write failed: this node neither votes nor stores until one succeeds");
+        warn!(
+            node:% = self.options.me;
+            "a write to disk failed; this node neither votes nor stores entries until a write succeeds"
+        );
         if self.primary.is_some() {
             self.step_down(ResignReason::DiskFailed);
         }
         self.abandon_candidacy();
     }
 
-    /// Retries a failed disk, with everything that it has to hold.
+    /// Writes the whole state to a failed disk once the next attempt is due.
     pub(super) fn retry_failed_disk(&mut self) {
         if !self.writes.is_retry_due(self.now) {
             return;
         }
-        info!(node:% = self.options.me; "retrying the disk");
+        info!(node:% = self.options.me; "retrying to write to the disk");
         let rewrite = self.member.rewrite();
         self.writes.retry(self.witness.record(), rewrite);
     }
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -1,9 +1,9 @@
 //! The replica: the coordinator of one control node.
 //!
-//! [`Replica`] owns the parts and is the only one that connects them. Its methods stand in one file for each role:
-//! `acceptor` (a witness asked by others), `follower` (a member or learner that receives the log), `election` (a
-//! candidate up to the state), `view_change` (from the state to an active view), `replication` (sending the log),
-//! `primary` (lease, proposals, commits) and `shutdown`.
+//! [`Replica`] owns the other modules' state and is the only type that connects them. Its methods are in one file per
+//! role: `acceptor` (a witness that answers requests), `follower` (a member or learner that receives the log),
+//! `election` (a candidate, until it holds the state of the newest view), `view_change` (from then until the view is
+//! active), `replication` (sending the log), `primary` (lease, proposals, commits) and `shutdown`.
 
 mod acceptor;
 mod election;
@@ -35,7 +35,7 @@
 use crate::write_queue::{Completion, WriteQueue};
 use crate::{DurabilityStatus, Locality, StateMachine};
 
-/// The primary whose heartbeat came last while it held its lease.
+/// The primary that has sent the latest heartbeat in which it claims to hold its lease.
 #[derive(Clone, Copy, Debug)]
 struct PrimaryContact {
     node: NodeId,
@@ -45,11 +45,12 @@
 
 /// A control node: a witness, and a member of the view once a primary has added it.
 ///
-/// All state changes in [`Replica::handle`]. A node with a `PrimaryState` is the primary; else one with a view change
-/// in progress is a candidate; else it follows.
+/// State changes only in [`Replica::handle`]. A node with a `PrimaryState` is the primary. Otherwise it is a candidate
+/// if a view change is in progress, and a follower if not.
 #[derive(Clone, Debug)]
 pub struct Replica<S> {
     options: Options,
+    /// The time of the latest event.
     now: Duration,
     member: MemberState<S>,
     witness: Witness,
@@ -57,7 +58,8 @@
     peers: Peers,
     primary: Option<PrimaryState>,
     view_change: Option<ViewChange>,
-    /// The replication targets of the epoch in which this node replicates its log.
+    /// The progress of the replication targets in the epoch in which this node replicates its log; `None` if it
+    /// replicates none.
     tracker: Option<ProgressTracker>,
     /// The highest epoch that any node is known to have promised.
     highest_epoch: u64,
@@ -69,10 +71,11 @@
 }
 
 impl<S: StateMachine> Replica<S> {
-    /// Creates a replica from what its disk holds. `state` is that of an empty log.
+    /// Creates a replica from the state that its disk holds. `state` is the state before the first entry.
     ///
     /// # Errors
-    /// [`StartError`] if the disk holds the data of another incarnation, or data that does not fit together.
+    /// Returns [`StartError`] if the disk holds data of another incarnation, a snapshot that cannot be decoded, or a
+    /// log with a gap.
     pub fn new(options: Options, recovered: Recovered, state: S, now: Duration) -> Result<Self, StartError> {
         let Recovered { record, snapshot, entries } = recovered;
         let member = MemberState::recover(state, snapshot, entries)?;
@@ -119,7 +122,8 @@
         }
     }
 
-    /// Handles an event and appends the resulting actions to `actions`. `now` must not go back.
+    /// Handles an event that occurred at `now` and appends the resulting actions to `actions`. `now` should not
+    /// decrease from call to call; an earlier time is treated as the latest one.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
@@ -152,12 +156,12 @@
         self.member.applied().index
     }
 
-    /// Returns the bytes of all entries in memory.
+    /// Returns the total size in bytes of the payloads of all entries in memory.
     pub fn log_bytes(&self) -> usize {
         self.member.log().bytes()
     }
 
-    /// Returns the role at this moment.
+    /// Returns the role at the time `now`.
     pub fn role(&self, now: Duration) -> Role {
         if let Some(primary) = &self.primary {
             return Role::Primary { epoch: primary.view().epoch, holds_lease: self.holds_lease(now) };
@@ -171,40 +175,41 @@
         Role::Follower { primary: self.primary_hint(now) }
     }
 
-    /// Returns whether it is the primary and holds the lease. Ask again right before everything that only a primary may
-    /// do.
+    /// Returns whether this node is the primary and holds the lease. Callers check this immediately before every step
+    /// that only a primary may take.
     pub fn holds_lease(&self, now: Duration) -> bool {
         let ignores_lease = self.options.faults.ignore_own_lease();
         self.primary.is_some() && (ignores_lease || self.lease_end().is_some_and(|end| now < end))
     }
 
-    /// Returns when the lease ends, if it is the primary and holds it. Until then no other node is elected, and so the
-    /// state is the newest one.
+    /// Returns when the lease ends; `None` if this node is not the primary or does not hold the lease. No other node is
+    /// elected before that time, so that the state is the newest one until then.
     pub fn lease_until(&self, now: Duration) -> Option<Duration> {
         self.holds_lease(now).then(|| self.lease_end()).flatten()
     }
 
-    /// Returns whether it may tell a client the newest state. Ask right before the response is written: the process may
-    /// have been suspended since the request came.
+    /// Returns whether this node may answer a read of the newest state. Callers check this immediately before they
+    /// write the response, since the process may have been suspended after it received the request.
     pub fn can_answer(&self, now: Duration) -> bool {
         let is_unchecked = self.options.faults.answer_without_lease_check() && self.primary.is_some();
         is_unchecked || self.holds_lease(now)
     }
 
-    /// Returns whether there are proposals, in the log or queued, that are not applied to the state: they may take
+    /// Returns whether proposals are queued, or are in the log and not applied to the state yet. They may still take
     /// effect without being proposed again.
     pub fn has_unresolved_proposals(&self) -> bool {
         let has_queued = self.primary.as_ref().is_some_and(|primary| primary.proposals.has_queued());
         has_queued || self.member.has_unapplied_payload()
     }
 
-    /// Returns the newest view that is known; none before the first.
+    /// Returns the newest known view; `None` before the first view with a primary.
     pub fn view(&self) -> Option<&View> {
         let known = self.witness.view().filter(|view| view.epoch > BOOTSTRAP_EPOCH);
         self.primary.as_ref().map(PrimaryState::view).or(known)
     }
 
-    /// Returns the nodes that the newest view names, or the first witnesses. The host should connect to them.
+    /// Returns the nodes that the newest known view names; in the bootstrap view these are the first witnesses. The
+    /// host should connect to them.
     pub fn known_nodes(&self) -> Vec<NodeId> {
         let Some(view) = self.witness.view() else { return Vec::new() };
         let mut nodes = voters(view);
@@ -214,13 +219,13 @@
         nodes
     }
 
-    /// Returns the primary, if this node is it, or has received its heartbeat within the lease.
+    /// Returns the primary: this node if it holds the lease, or the primary whose latest heartbeat is not older than a
+    /// lease; `None` if there is neither.
     pub fn primary_hint(&self, now: Duration) -> Option<NodeId> {
         self.primary_until(now).map(|(primary, _)| primary)
     }
 
-    /// Returns the primary, if this node is it, or has received its heartbeat within the lease, and until when it may
-    /// be named.
+    /// Returns the primary as [`Replica::primary_hint`] does, and the time until which it may be named to clients.
     pub fn primary_until(&self, now: Duration) -> Option<(NodeId, Duration)> {
         if let Some(end) = self.lease_until(now) {
             return Some((self.options.me, end));
@@ -230,20 +235,20 @@
         (now < until).then_some((contact.node, until))
     }
 
-    /// Returns the failure domains of a node, if they are known. A node that has lost its disk keeps those of its
-    /// machine.
+    /// Returns the failure domains of a node; `None` if they are not known. A new incarnation of a node has those of
+    /// its machine, even before it reports them.
     pub fn locality_of(&self, node: NodeId) -> Option<&Locality> {
         self.cluster().locality_of(node)
     }
 
-    /// Returns the tolerated failures that the newest known view does not survive, as far as the failure domains of its
-    /// nodes are known here. The primary knows those of all members. None before the first view.
+    /// Returns the tolerated failures that the newest known view does not survive, as far as this node knows the
+    /// failure domains; the primary knows those of all members. Returns `None` before the first view with a primary.
     pub fn durability(&self) -> Option<DurabilityStatus> {
         self.view().map(|view| self.cluster().durability_of(view))
     }
 
-    /// Returns how many of the witnesses that respond may be lost before no majority is left, if this node is the primary.
-    /// Others do not know who responds. The primary itself counts as one of them.
+    /// Returns how many of the responsive witnesses may be lost before no majority is left. This node counts as
+    /// responsive. Returns `None` if this node is not the primary: others do not know which witnesses are responsive.
     pub fn spare_witnesses(&self, now: Duration) -> Option<usize> {
         let primary = self.primary.as_ref()?;
         let responds = |node: &&NodeId| **node == self.options.me || self.peers.is_responsive(now, **node);
@@ -251,7 +256,7 @@
         witness_sets(primary.view()).into_iter().map(spare).min()
     }
 
-    /// Handles the messages to this node itself, hands the next write to the host, and reports a new role.
+    /// Handles the messages from this node to itself, hands the next write to the host, and reports a change of role.
     fn flush(&mut self) {
         while let Some(body) = self.outbox.pop_loopback() {
             self.step(self.options.me, body);
@@ -267,7 +272,7 @@
         }
     }
 
-    /// Handles a message of another node or of this one.
+    /// Handles a message from another node or from this node itself.
     fn step(&mut self, from: NodeId, body: Body) {
         match body {
             Body::Prepare(prepare) => self.handle_prepare(from, *prepare),
@@ -304,7 +309,7 @@
         self.tick_primary();
     }
 
-    /// Performs what was waiting for writes.
+    /// Performs a step that was deferred until writes were durable.
     fn perform(&mut self, completion: Completion) {
         match completion {
             Completion::Send { to, body } => self.send(to, body),
@@ -313,7 +318,8 @@
         }
     }
 
-    /// Sends a message. One to this node itself is handled before the event is over.
+    /// Sends a message if its recipient is connected. A message to this node itself is handled before
+    /// [`Replica::handle`] returns.
     fn send(&mut self, to: NodeId, body: Body) {
         if to == self.options.me {
             self.outbox.push_loopback(body);
@@ -322,7 +328,7 @@
         }
     }
 
-    /// Sends a message to this node and all connected ones.
+    /// Sends a message to this node and all connected nodes.
     fn broadcast(&mut self, body: &Body) {
         self.send(self.options.me, body.clone());
         for node in self.peers.connected() {
@@ -330,20 +336,21 @@
         }
     }
 
-    /// Sends a message once everything written so far is durable.
+    /// Sends a message once all writes queued so far are durable.
     fn send_when_durable(&mut self, to: NodeId, body: Body) {
         if let Some(completion) = self.writes.when_durable(Completion::Send { to, body }) {
             self.perform(completion);
         }
     }
 
-    /// Rejects a message for the log.
+    /// Rejects a message that concerns the log.
     fn reject(&mut self, to: NodeId, epoch: u64) {
         let shutting_down = self.shutdown.has_begun();
         let reject = Reject { epoch, promised: self.witness.promised(), shutting_down };
         self.send(to, Body::Reject(Box::new(reject)));
     }
 
+    /// Records that a node has promised an epoch.
     fn observe_epoch(&mut self, epoch: u64) {
         self.highest_epoch = self.highest_epoch.max(epoch);
     }
@@ -352,7 +359,7 @@
         ClusterState { options: &self.options, peers: &self.peers, now: self.now }
     }
 
-    /// Returns what decides on the membership, if this node is the primary.
+    /// Returns the planner of the membership; `None` if this node is not the primary.
     fn planner(&self) -> Option<Planner<'_>> {
         let primary = self.primary.as_ref()?;
         let (log, applied) = (self.member.log(), self.member.applied());
@@ -364,7 +371,7 @@
     }
 }
 
-/// Returns the record of an empty disk.
+/// Returns the witness record of a node whose disk is empty.
 fn first_record(options: &Options) -> WitnessRecord {
     let accepted = options.bootstrap.clone().map(|witnesses| Box::new(bootstrap_view(witnesses)));
     let incarnation = options.me.incarnation;
--- a/crates/replication/src/replica/primary.rs
+++ b/crates/replication/src/replica/primary.rs
@@ -1,4 +1,4 @@
-//! The active primary: its lease, its proposals, and what is committed.
+//! The active primary: its lease, its proposals, and the commit of entries.
 
 use log::{info, warn};
 use quillpulley_protocol::{Body, LeaseGrant, LeaseRequest, NodeId, View};
@@ -15,7 +15,7 @@
 use crate::StateMachine;
 
 impl<S: StateMachine> Replica<S> {
-    /// Becomes the primary of the proposed view, which is active.
+    /// Makes this node the primary of the proposed view, which is active now.
     pub(super) fn become_primary(&mut self) {
         let Some(outcome) = self.view_change.take().and_then(ViewChange::into_outcome) else { return };
         let ViewChangeOutcome { view, desired_view, log_end } = outcome;
@@ -43,7 +43,8 @@
         self.append_queued_proposals();
     }
 
-    /// Records the members that were dropped, and the learners that were to be added and did not catch up in time.
+    /// Records as dropped the members that the view no longer has and the learners that did not catch up in time to be
+    /// added.
     fn record_drops(&mut self, view: &View, desired_view: Option<DesiredView>) {
         let Some(primary) = &self.primary else { return };
         let present = members(view);
@@ -53,7 +54,7 @@
         expected.sort_unstable();
         expected.dedup();
         for node in expected {
-            info!(node:% = self.options.me, epoch = view.epoch, peer:% = node; "node is left out of the view");
+            info!(node:% = self.options.me, epoch = view.epoch, peer:% = node; "the new view excludes the node");
             self.peers.record_drop(self.now, node);
             if let Some(tracker) = &mut self.tracker {
                 tracker.remove(node);
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Steps down. Proposals in the log may take effect or not.
+    /// Steps down as primary. Proposals that are in the log may or may not take effect.
     pub(super) fn step_down(&mut self, reason: ResignReason) {
         let Some(mut primary) = self.primary.take() else { return };
         let public_change = self.view_change.take().filter(ViewChange::is_public);
@@ -106,14 +107,15 @@
         }
     }
 
-    /// Returns when the lease ends, if it was ever granted.
+    /// Returns when the lease of this primary ends; `None` if this node is not the primary or was never granted a
+    /// lease.
     pub(super) fn lease_end(&self) -> Option<Duration> {
         let activating = self.view_change.as_ref().filter(|change| change.phase() == Phase::Activate);
         self.primary.as_ref()?.lease_end(activating.and_then(ViewChange::proposed_view))
     }
 
-    /// Requests the lease from all nodes and sends them the view and what is committed. A primary that does not hear the
-    /// witnesses only probes them, and keeps nobody from campaigning.
+    /// Requests the lease from all nodes and sends them the view and the commit index. If the witnesses have not
+    /// answered recently, the primary only probes them and does not keep other nodes from standing for election.
     fn send_heartbeat(&mut self) {
         let holds_lease = self.holds_lease(self.now);
         let Some(primary) = &mut self.primary else { return };
@@ -146,21 +148,25 @@
         let hears_again = !heard_witnesses && primary.hears_witnesses(self.now, heartbeat);
         let has_gained_lease = !held_lease && self.holds_lease(self.now);
         if hears_again || has_gained_lease {
-            // The probes asked for no lease, and the others follow only a primary that claims it.
+            // Probes request no lease, and the other nodes follow only a primary that claims to hold it.
             self.send_heartbeat();
         }
     }
 
-    /// Handles that the clock has stood still: how long ago the lease was granted is not known. It counts again once a
-    /// round that begins now was granted.
+    /// Handles that the clock did not advance for some time: the age of the lease is unknown. The primary holds the
+    /// lease again once a round that begins now is granted.
     pub(super) fn handle_clock_jump(&mut self) {
         let Some(primary) = &mut self.primary else { return };
-        warn!(node:% = self.options.me; "the clock has stood still: the lease has to be granted again");
+        warn!(
+            node:% = self.options.me;
+            "the monotonic clock did not advance for some time; the lease has to be granted again"
+        );
         primary.forget_lease(self.now);
         self.send_heartbeat();
     }
 
-    /// Without the lease nothing is acknowledged. A primary that has been without it for long steps down.
+    /// Without the lease, reports the outcome of the proposals in the log as unknown, since nothing is acknowledged,
+    /// and steps down once the lease has been expired for half its duration.
     fn check_lease(&mut self) {
         if self.holds_lease(self.now) {
             return;
@@ -177,7 +183,7 @@
         }
     }
 
-    /// Reports the outcome of proposals in the log as unknown.
+    /// Reports the outcome of the proposals in the log as unknown.
     fn abandon_logged_proposals(&mut self) {
         let Some(primary) = &mut self.primary else { return };
         for proposal in primary.proposals.take_logged() {
@@ -223,7 +229,7 @@
         self.replicate();
     }
 
-    /// Commits what every member of the view has stored.
+    /// Commits the entries that every member of the view has stored.
     pub(super) fn advance_commit(&mut self) {
         if self.view_change.is_some() {
             return;
@@ -237,6 +243,8 @@
         }
     }
 
+    /// Returns the index up to which every member of the view has stored the log; `None` if this node is not the
+    /// primary.
     fn stored_by_all(&self) -> Option<u64> {
         let primary = self.primary.as_ref()?;
         let tracker = self.tracker.as_ref()?;
@@ -249,7 +257,7 @@
         indices.last().copied()
     }
 
-    /// Returns whether commits of the present view may be acknowledged.
+    /// Returns whether new commits of the present view may be acknowledged.
     fn can_acknowledge(&self) -> bool {
         let (Some(primary), Some(planner)) = (&self.primary, self.planner()) else { return false };
         let inputs = planner.durability_inputs();
@@ -267,7 +275,7 @@
         }
     }
 
-    /// Reports the outcome of the proposals that are committed.
+    /// Reports the outcome of the proposals that are committed: unknown if this node does not hold its lease.
     fn resolve_proposals(&mut self) {
         let holds_lease = self.holds_lease(self.now);
         let applied = self.member.applied().index;
--- a/crates/replication/src/replica/replication.rs
+++ b/crates/replication/src/replica/replication.rs
@@ -1,4 +1,4 @@
-//! Sending the log to the members and learners, and what their acknowledgements lead to.
+//! Sending the log to members and learners, and handling their acknowledgements.
 
 use quillpulley_protocol::{AppendAck, Body, Installed, NodeId, Position, Reject};
 
@@ -8,13 +8,13 @@
 use crate::StateMachine;
 
 impl<S: StateMachine> Replica<S> {
-    /// Counts this node's own log like that of any member, once it is durable.
+    /// Acknowledges this node's own log once it is durable, as any other member does.
     pub(super) fn acknowledge_own_log(&mut self, epoch: u64, last: Position) {
         let ack = AppendAck { epoch, last, matched: true };
         self.send_when_durable(self.options.me, Body::AppendAck(Box::new(ack)));
     }
 
-    /// Sends every replication target what it lacks of the log.
+    /// Sends every replication target its next message, if one is due.
     pub(super) fn replicate(&mut self) {
         for node in self.replication_targets() {
             self.replicate_to(node);
@@ -33,7 +33,8 @@
         }
     }
 
-    /// Returns the nodes that receive the log: the targets of a view change, or else members and learners.
+    /// Returns the nodes that receive the log: the targets of the view change in progress, or else members and
+    /// learners, which are added to the tracker.
     fn replication_targets(&mut self) -> Vec<NodeId> {
         if let Some(change) = &self.view_change {
             return if change.is_replicating() {
@@ -86,13 +87,13 @@
         self.append_queued_proposals();
     }
 
-    /// Returns whether the log of the tracked epoch is replicated: not while a new epoch is being promised.
+    /// Returns whether the log is replicated in the tracked epoch, which is not so while a new epoch is being promised.
     fn is_replicating(&self) -> bool {
         self.view_change.as_ref().map_or(self.primary.is_some(), ViewChange::is_replicating)
     }
 
-    /// Begins to add a learner as soon as it holds the log, if proposals are queued that would follow. Otherwise the
-    /// next tick does.
+    /// Begins the view change that adds a learner as soon as the learner holds the log, if proposals are queued.
+    /// Without queued proposals, the next tick does so.
     fn maybe_add_learner(&mut self, node: NodeId) {
         let can_add = self.planner().is_some_and(|planner| planner.can_add_at_once(node));
         if can_add && self.view_change.is_none() {
@@ -100,7 +101,8 @@
         }
     }
 
-    /// Handles that a node has promised a higher epoch, cannot store, or is shutting down: it is not waited for.
+    /// Handles that a node has promised a higher epoch, cannot store entries, or is shutting down: the view change in
+    /// progress no longer waits for it.
     pub(super) fn handle_reject(&mut self, from: NodeId, reject: Reject) {
         self.observe_epoch(reject.promised);
         if reject.shutting_down {
@@ -113,9 +115,9 @@
         let is_current = change.epoch() == reject.epoch;
         let is_superseded = is_current && reject.promised >= reject.epoch;
         match change.phase() {
-            // It accepts the log as long as it is there.
+            // A node that is shutting down still accepts the log until it exits.
             _ if reject.shutting_down && !is_superseded => self.continue_without_shutting_down(from),
-            // A member that has given its state under a higher epoch follows one that is higher still.
+            // A member that has promised a higher epoch transfers its state only in an epoch that is higher still.
             Phase::Fetch if is_superseded => self.retry_claim(),
             Phase::Fetch if is_current => change.resend_at(self.now + super::election::RETRY_INTERVAL),
             Phase::Sync if is_superseded => self.continue_without(from),
--- a/crates/replication/src/replica/shutdown.rs
+++ b/crates/replication/src/replica/shutdown.rs
@@ -1,4 +1,5 @@
-//! The graceful shutdown of this node: it hands over, announces its shutdown, and waits until its data is safe.
+//! The graceful shutdown of this node: it resigns as primary, announces the shutdown, and waits until its data is safe
+//! on other nodes.
 
 use quillpulley_protocol::{Body, NodeId, Reject};
 
@@ -7,8 +8,8 @@
 use crate::StateMachine;
 
 impl<S: StateMachine> Replica<S> {
-    /// Begins the shutdown: a primary hands over, a backup asks to be dropped, and the node stands for no election any
-    /// more. It still votes and stores.
+    /// Begins the shutdown: a primary steps down, and the node asks to be dropped from the view and no longer stands
+    /// for election. It still votes and stores entries.
     pub(super) fn begin_shutdown(&mut self) {
         self.shutdown.begin();
         if self.primary.is_some() {
@@ -31,23 +32,26 @@
         }
     }
 
-    /// Announces the shutdown to a node. This rejects no epoch.
+    /// Announces the shutdown to a node. The message is a `Reject` of epoch 0, which rejects no actual epoch.
     pub(super) fn announce_shutdown_to(&mut self, to: NodeId) {
         let reject = Reject { epoch: 0, promised: self.witness.promised(), shutting_down: true };
         self.send(to, Body::Reject(Box::new(reject)));
     }
 
-    /// Returns whether a process that was signalled to shut down may exit. Until then it should go on for as long as it
-    /// is given.
+    /// Returns whether the process may exit after [`Event::Shutdown`]. Until then it should continue for as long as it
+    /// is allowed to run.
     ///
-    /// It may exit once its data is safe elsewhere. It may also exit if nobody could take the data, since all other
-    /// nodes are shutting down too or there are none: waiting would only delay the next start.
+    /// It may exit once its data is safe on other nodes. It may also exit if no other node can take over the data,
+    /// since there is none or all others are shutting down too: waiting would only delay the next start.
+    ///
+    /// [`Event::Shutdown`]: crate::Event::Shutdown
     pub fn can_exit(&self) -> bool {
         let is_data_safe = self.shutdown.is_data_safe(self.witness.promised());
         self.shutdown.has_begun() && (is_data_safe || !self.has_successor())
     }
 
-    /// Returns whether there is another node that is not shutting down. One that is not connected may come back.
+    /// Returns whether another node can take over the data: a connected one that is not shutting down or, if none is
+    /// connected, any other known node, since it may reconnect.
     fn has_successor(&self) -> bool {
         let connected = self.peers.connected();
         if connected.is_empty() {
--- a/crates/replication/src/replica/view_change.rs
+++ b/crates/replication/src/replica/view_change.rs
@@ -1,4 +1,4 @@
-//! From the state to an active view: the members are brought to the state, then witnesses accept the view.
+//! The second part of a view change: replicates the state to the new members, then has the witnesses accept the view.
 
 use quillpulley_protocol::{Accept, Accepted, Body, NodeId, View};
 use std::collections::BTreeSet;
@@ -13,7 +13,7 @@
 use crate::view_change::{Phase, ViewChange};
 use crate::StateMachine;
 
-/// How long a candidate waits for more members once it has enough.
+/// The time from the start of the sync phase for which a candidate waits for more members than it needs.
 const SYNC_GRACE: Duration = Duration::from_millis(300);
 
 impl<S: StateMachine> Replica<S> {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Begins a view change of an active primary, if its view should be another one.
+    /// Begins a view change if this node holds its lease as primary and its view has to be replaced by the desired one.
     pub(super) fn maybe_reconfigure(&mut self) {
         if !self.holds_lease(self.now) {
             return;
@@ -62,7 +62,7 @@
         self.claim_epoch();
     }
 
-    /// Begins the view change again with a higher epoch.
+    /// Restarts the view change in a higher epoch.
     pub(super) fn retry_claim(&mut self) {
         let Some(change) = &self.view_change else { return };
         let newest = change.newest_view().clone();
@@ -72,7 +72,7 @@
         self.claim_epoch();
     }
 
-    /// Retries with a higher epoch if this node still holds its lease as primary, else aborts.
+    /// Retries in a higher epoch if this node still holds its lease as primary, and aborts otherwise.
     pub(super) fn retry_or_abort(&mut self, reason: ResignReason) {
         if self.holds_lease(self.now) {
             self.retry_claim();
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Begins to replicate the state to the nodes that are to be members. An entry marks the begin of the epoch in
-    /// every log, and supersedes what other logs hold beyond this one.
+    /// Begins to replicate the state to the nodes that should become members. An entry without a payload marks the
+    /// start of the epoch in every log, and replaces the entries that other logs hold beyond the end of this one.
     pub(super) fn begin_sync(&mut self) {
         let me = self.options.me;
         let Some(change) = &mut self.view_change else { return };
@@ -91,7 +91,7 @@
             Some(desired_view) => desired_view.members.clone(),
             None => members(change.newest_view()).into_iter().chain(voters(change.newest_view())).collect(),
         };
-        // Nodes that are shutting down become members only if they are needed beside the others.
+        // Nodes that are shutting down become members only if they are needed in addition to the others.
         targets.retain(|node| !self.peers.is_shutting_down(self.now, *node));
         change.set_targets(me, targets);
         let needed = self.needed_shutting_down();
@@ -114,8 +114,8 @@
         self.replicate();
     }
 
-    /// Adds every connected node to the targets of an election: it may be needed for the tolerated failures. An active
-    /// primary does so only when planned members fail it.
+    /// Adds every connected node to the targets of an election, since it may be needed to survive the tolerated
+    /// failures. An active primary does so only if the desired members have not synced in time.
     fn add_sync_targets(&mut self) {
         let needed = self.needed_shutting_down();
         let (Some(change), Some(tracker)) = (&mut self.view_change, &mut self.tracker) else { return };
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Returns whether a node holds the state with which the view in flight begins.
+    /// Returns whether a node holds the log up to the start of the epoch, so that it can become a member.
     fn has_synced(&self, node: NodeId) -> bool {
         let Some(change) = self.view_change.as_ref().filter(|change| change.phase() == Phase::Sync) else {
             return false;
@@ -139,7 +139,8 @@
         match_index.is_some_and(|index| index >= change.log_end().index)
     }
 
-    /// Returns the nodes that are shutting down and have to be members of the view in flight, beside its other targets.
+    /// Returns the nodes that are shutting down but have to be members of the new view in addition to the other
+    /// targets.
     pub(super) fn needed_shutting_down(&self) -> BTreeSet<NodeId> {
         let Some(change) = &self.view_change else { return BTreeSet::new() };
         let cluster = self.cluster();
@@ -148,7 +149,8 @@
             return members.filter(|node| cluster.is_shutting_down(*node)).collect();
         }
         let is_present = |node: NodeId| self.peers.is_connected(node) || node == self.options.me;
-        // One that was no member may not get the state in time: it replaces no other before it holds it.
+        // A node that was not a member may not receive the state in time: it replaces no other node until it holds the
+        // state.
         let has_state = |node: NodeId| is_member(change.newest_view(), node) || self.has_synced(node);
         let stays =
             |node: &&NodeId| is_present(**node) && !cluster.is_shutting_down(**node) && has_state(**node);
@@ -161,7 +163,7 @@
         cluster.covering(&candidates, &remaining)
     }
 
-    /// Handles that a node is shutting down. It becomes a member only if it is needed beside the others.
+    /// Handles that a node is shutting down. It becomes a member only if it is needed in addition to the others.
     pub(super) fn continue_without_shutting_down(&mut self, node: NodeId) {
         let is_needed = self.needed_shutting_down().contains(&node);
         let Some(change) = self.view_change.as_mut().filter(|change| change.phase() == Phase::Sync) else {
@@ -173,21 +175,22 @@
         self.maybe_propose_view();
     }
 
-    /// Handles that a node has promised a higher epoch, and does not become a member in this one.
+    /// Handles that a node has promised a higher epoch, and therefore cannot become a member in this one.
     pub(super) fn continue_without(&mut self, node: NodeId) {
         let Some(change) = &mut self.view_change else { return };
         change.record_rejection(node);
         change.remove_target(node);
         let reachable = change.targets().iter().filter(|node| self.peers.is_connected(**node)).count();
         if reachable < self.options.fault_tolerance.machines {
-            // Not enough nodes remain, but under a higher epoch this one can become a member.
+            // Not enough nodes remain, but in a higher epoch the node can become a member.
             self.retry_claim();
         } else {
             self.maybe_propose_view();
         }
     }
 
-    /// Proposes the view once enough members hold the state, and the others had their time.
+    /// Proposes the view once enough members hold the state and the grace period for the others has passed or is not
+    /// needed.
     pub(super) fn maybe_propose_view(&mut self) {
         let Some(change) = self.view_change.as_ref().filter(|change| change.phase() == Phase::Sync) else {
             return;
@@ -220,8 +223,8 @@
         self.request_acceptance();
     }
 
-    /// Returns the view with these members. Its witnesses differ from those of the newest view only if that is the
-    /// active view of this primary, and by one node at most.
+    /// Returns the new view with these members. Its witnesses differ from those of the newest view only if that is the
+    /// active view of this primary, and then by at most one node.
     fn next_view(&self, change: &ViewChange, members: BTreeSet<NodeId>) -> View {
         let me = self.options.me;
         let newest = change.newest_view();
@@ -234,7 +237,7 @@
             let witnesses = desired_view.map_or(&newest.witnesses, |desired_view| &desired_view.witnesses);
             (witnesses.clone(), newest.witnesses.clone())
         } else {
-            // Both sets still decide, and so both stay.
+            // A change of the witnesses is not complete: both sets still decide, and therefore both are kept.
             (newest.witnesses.clone(), newest.previous_witnesses.clone())
         };
         let faults = self.options.faults;
@@ -254,7 +257,7 @@
         }
     }
 
-    /// Asks all witnesses that have not accepted yet.
+    /// Sends the proposed view to all witnesses that have not accepted it yet.
     fn request_acceptance(&mut self) {
         let Some(change) = &mut self.view_change else { return };
         let Some(view) = change.proposed_view().cloned() else { return };
@@ -288,8 +291,8 @@
         if is_activated {
             self.become_primary();
         } else {
-            // Both sets of witnesses have accepted. That the old set is out must be durable with a majority of the new
-            // one before anything relies on it.
+            // Both sets of witnesses have accepted the view. A majority of the new set must durably record that the old
+            // set no longer decides before anything relies on this.
             change.activate(self.now);
             self.request_acceptance();
         }
