--- a/crates/replication/src/durability.rs
+++ b/crates/replication/src/durability.rs
@@ -12,12 +12,12 @@
 
 /// The time after its election that a primary waits for nodes that could become witnesses, before it acknowledges with
 /// fewer witnesses than the tolerated loss of machines requires.
-const WITNESS_TIMEOUT: Duration = Duration::from_secs(3);
+const WITNESS_WAIT_TIMEOUT: Duration = Duration::from_secs(3);
 /// The maximum time that acknowledgements wait for connected nodes in other failure domains to become members or
 /// witnesses.
-const DOMAIN_TIMEOUT: Duration = Duration::from_millis(1500);
+const DOMAIN_WAIT_TIMEOUT: Duration = Duration::from_millis(1500);
 /// The minimum time between the end of such a wait and the next one.
-const WAIT_INTERVAL: Duration = Duration::from_secs(10);
+const MIN_DOMAIN_WAIT_INTERVAL: Duration = Duration::from_secs(10);
 
 /// The tolerated failures that a view does not survive.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -72,15 +72,15 @@
         inputs: &DurabilityInputs,
         could_survive_more: impl Fn() -> bool,
     ) -> bool {
-        let has_waited = now > inputs.elected_at + WITNESS_TIMEOUT;
-        let are_witnesses_enough = inputs.has_enough_witnesses || has_waited || !inputs.could_add_witness;
-        let waits_for_domains = self.is_within_wait(now) && could_survive_more();
-        !inputs.status.members.machines && are_witnesses_enough && !waits_for_domains
+        let is_timed_out = now > inputs.elected_at + WITNESS_WAIT_TIMEOUT;
+        let accepts_witnesses = inputs.has_enough_witnesses || is_timed_out || !inputs.could_add_witness;
+        let waits_for_domains = self.may_wait_for_domains(now) && could_survive_more();
+        !inputs.status.members.machines && accepts_witnesses && !waits_for_domains
     }
 
-    fn is_within_wait(&self, now: Duration) -> bool {
+    fn may_wait_for_domains(&self, now: Duration) -> bool {
         let since = self.waiting_since.unwrap_or(now);
-        now <= since + DOMAIN_TIMEOUT
+        now <= since + DOMAIN_WAIT_TIMEOUT
     }
 
     /// Starts and ends waits for nodes in other failure domains. Logs a new status once it is covered, acknowledges
@@ -93,16 +93,16 @@
         could_survive_more: impl Fn() -> bool,
     ) {
         let status = inputs.status;
-        let is_over = |since: &Duration| now > *since + DOMAIN_TIMEOUT + WAIT_INTERVAL;
+        let is_over = |since: &Duration| now > *since + DOMAIN_WAIT_TIMEOUT + MIN_DOMAIN_WAIT_INTERVAL;
         self.waiting_since =
             self.waiting_since.filter(|since| status.has_uncovered_domains() && !is_over(since));
         if self.waiting_since.is_none() && could_survive_more() {
             self.waiting_since = Some(now);
         }
-        let is_decided = status.is_covered()
+        let should_log = status.is_covered()
             || self.can_acknowledge(now, inputs, could_survive_more)
             || status.members.machines;
-        if status != self.logged && is_decided {
+        if status != self.logged && should_log {
             log_status(me, status, self.logged);
             self.logged = status;
         }
--- a/crates/replication/src/lease.rs
+++ b/crates/replication/src/lease.rs
@@ -74,7 +74,7 @@
     }
 
     /// Discards all rounds and grants, because the times at which the requests were sent are no longer reliable.
-    pub fn forget_grants(&mut self) {
+    pub fn discard_grants(&mut self) {
         self.rounds.clear();
         self.granted.clear();
     }
@@ -86,23 +86,23 @@
 
     /// Returns the end of the lease that majorities of all the sets have granted; `None` if they never have.
     pub fn ends_at(&self, sets: &[&[NodeId]]) -> Option<Duration> {
-        let sent_at = reached_by_majorities(&self.granted, sets)?;
+        let sent_at = time_reached_by_majorities(&self.granted, sets)?;
         Some(sent_at + self.duration - self.duration / SAFETY_MARGIN_DIVISOR)
     }
 
     /// Returns the latest time since which majorities of all the sets have answered; `None` if they never have.
     pub fn answered_at(&self, sets: &[&[NodeId]]) -> Option<Duration> {
-        reached_by_majorities(&self.answered, sets)
+        time_reached_by_majorities(&self.answered, sets)
     }
 }
 
 /// Returns the latest time such that a majority of each set has a time that is not earlier; `None` if any set lacks a
 /// majority with times.
-fn reached_by_majorities(times: &BTreeMap<NodeId, Duration>, sets: &[&[NodeId]]) -> Option<Duration> {
-    sets.iter().map(|set| reached_by_majority(times, set)).min().flatten()
+fn time_reached_by_majorities(times: &BTreeMap<NodeId, Duration>, sets: &[&[NodeId]]) -> Option<Duration> {
+    sets.iter().map(|set| time_reached_by_majority(times, set)).min().flatten()
 }
 
-fn reached_by_majority(times: &BTreeMap<NodeId, Duration>, set: &[NodeId]) -> Option<Duration> {
+fn time_reached_by_majority(times: &BTreeMap<NodeId, Duration>, set: &[NodeId]) -> Option<Duration> {
     let mut times: Vec<Duration> = set.iter().filter_map(|node| times.get(node)).copied().collect();
     times.sort_unstable_by(|a, b| b.cmp(a));
     times.get(majority(set.len()) - 1).copied()
--- a/crates/replication/src/log.rs
+++ b/crates/replication/src/log.rs
@@ -75,7 +75,7 @@
     }
 
     /// Returns copies of all entries after an index.
-    pub fn after(&self, index: u64) -> Vec<Entry> {
+    pub fn entries_after(&self, index: u64) -> Vec<Entry> {
         let skipped = index.saturating_sub(self.base.index) as usize;
         self.entries.iter().skip(skipped).cloned().collect()
     }
--- a/crates/replication/src/member_state.rs
+++ b/crates/replication/src/member_state.rs
@@ -92,13 +92,13 @@
     }
 
     /// Returns the state and the log, for a candidate that is not a member of the newest view.
-    pub fn transfer(&self, epoch: u64) -> StateTransfer {
+    pub fn state_transfer(&self, epoch: u64) -> StateTransfer {
         StateTransfer {
             epoch,
             last: self.log.last(),
             snapshot_last: self.applied,
             snapshot: self.state.snapshot(),
-            entries: self.log.after(self.applied.index),
+            entries: self.log.entries_after(self.applied.index),
         }
     }
 
@@ -137,7 +137,7 @@
 
     /// Returns the index up to which entries may be applied if the primary of an epoch has committed its log up to
     /// `committed`; `None` if this log was not compared with the log of that primary.
-    pub fn committable(&self, epoch: u64, committed: u64) -> Option<u64> {
+    pub fn committable_index(&self, epoch: u64, committed: u64) -> Option<u64> {
         (self.match_index.epoch == epoch).then_some(committed.min(self.match_index.index))
     }
 
@@ -172,7 +172,7 @@
 
     /// Drops the applied entries, and returns a write of the whole state: a snapshot and the remaining entries.
     pub fn rewrite(&mut self) -> Write {
-        let entries = self.log.after(self.applied.index);
+        let entries = self.log.entries_after(self.applied.index);
         self.log.compact(self.applied);
         Write::Install { last: self.applied, snapshot: self.state.snapshot(), entries }
     }
--- a/crates/replication/src/membership/cluster_state.rs
+++ b/crates/replication/src/membership/cluster_state.rs
@@ -54,7 +54,11 @@
     }
 
     /// Returns the candidates that reduce the uncovered failures of `members` if they are added alone.
-    pub fn covering(&self, candidates: &BTreeSet<NodeId>, members: &BTreeSet<NodeId>) -> BTreeSet<NodeId> {
+    pub fn covering_nodes(
+        &self,
+        candidates: &BTreeSet<NodeId>,
+        members: &BTreeSet<NodeId>,
+    ) -> BTreeSet<NodeId> {
         let uncovered = self.count_uncovered(members);
         let covers_more = |node: &&NodeId| {
             let mut with_node = members.clone();
--- a/crates/replication/src/membership/learners.rs
+++ b/crates/replication/src/membership/learners.rs
@@ -20,7 +20,7 @@
 
     /// Returns whether a learner can become a member: it holds the log, or rejects the epoch of this primary and can
     /// receive the log only in a higher one.
-    pub(super) fn is_ready(&self, node: NodeId) -> bool {
+    pub(super) fn can_become_member(&self, node: NodeId) -> bool {
         let Some(tracker) = self.tracker else { return false };
         let is_rejecting = self.cluster.peers.is_rejecting(node);
         let is_counted_early = self.cluster.options.faults.count_learner_early();
@@ -30,7 +30,7 @@
 
     /// Returns whether proposals are queued and a learner holds the log, so that the view should change at once.
     pub fn can_add_at_once(&self, node: NodeId) -> bool {
-        self.primary.proposals.has_queued() && self.learners().contains(&node) && self.is_ready(node)
+        self.primary.proposals.has_queued() && self.learners().contains(&node) && self.can_become_member(node)
     }
 
     /// Returns whether new proposals have to wait because a learner is receiving the last entries.
@@ -44,6 +44,6 @@
         let Some(matched) = progress.matched() else { return false };
         let is_behind = matched.index < self.log.last().index;
         let drop_after = self.cluster.options.drop_after;
-        is_behind && self.log.contains(matched) && !progress.is_stuck(self.cluster.now, drop_after)
+        is_behind && self.log.contains(matched) && !progress.is_stalled(self.cluster.now, drop_after)
     }
 }
--- a/crates/replication/src/membership/planner.rs
+++ b/crates/replication/src/membership/planner.rs
@@ -54,9 +54,9 @@
     pub fn desired_view(&self) -> DesiredView {
         let present: BTreeSet<NodeId> = members(self.primary.view()).into_iter().collect();
         let mut wanted: BTreeSet<NodeId> =
-            present.iter().copied().filter(|node| !self.is_lost(*node)).collect();
-        wanted.extend(self.learners().into_iter().filter(|node| self.is_ready(*node)));
-        wanted.extend(self.shutting_down_to_keep(&present, &wanted));
+            present.iter().copied().filter(|node| !self.should_drop(*node)).collect();
+        wanted.extend(self.learners().into_iter().filter(|node| self.can_become_member(*node)));
+        wanted.extend(self.retained_shutting_down_members(&present, &wanted));
         if wanted.len() <= self.cluster.options.fault_tolerance.machines {
             wanted.extend(present);
         }
@@ -73,7 +73,7 @@
     }
 
     /// Returns whether a member should be dropped: it does not reply, is shutting down, or makes no progress.
-    fn is_lost(&self, node: NodeId) -> bool {
+    fn should_drop(&self, node: NodeId) -> bool {
         if self.cluster.is_me(node) {
             return false;
         }
@@ -81,7 +81,7 @@
         let has_timed_out = self.cluster.time_since_reply(node, self.primary.elected_at()) > drop_after;
         has_timed_out
             || self.cluster.is_shutting_down(node)
-            || self.progress(node).is_some_and(|progress| progress.is_stuck(self.cluster.now, drop_after))
+            || self.progress(node).is_some_and(|progress| progress.is_stalled(self.cluster.now, drop_after))
     }
 
     /// Returns whether a responsive node of the desired view has promised an epoch to another node, and therefore
@@ -96,7 +96,7 @@
 
     /// Returns the members that are shutting down but are kept in addition to `remaining`: as many as the tolerated
     /// loss of machines requires, and those whose failure domain is needed until an available node replaces them.
-    fn shutting_down_to_keep(
+    fn retained_shutting_down_members(
         &self,
         present: &BTreeSet<NodeId>,
         remaining: &BTreeSet<NodeId>,
@@ -115,7 +115,7 @@
         let mut with_available = with_retained.clone();
         with_available.extend(self.cluster.available_nodes());
         if self.cluster.count_uncovered(&with_available) < self.cluster.count_uncovered(&with_retained) {
-            retained.extend(self.cluster.covering(&candidates, &with_retained));
+            retained.extend(self.cluster.covering_nodes(&candidates, &with_retained));
         }
         retained
     }
--- a/crates/replication/src/membership/witness_set.rs
+++ b/crates/replication/src/membership/witness_set.rs
@@ -10,7 +10,7 @@
 const REPLACE_AFTER: Duration = Duration::from_secs(1);
 /// The time without replies after which two witnesses are removed, one after the other, from a set that is larger than
 /// the tolerated failures require.
-const REMOVE_SPARE_AFTER: Duration = Duration::from_secs(3);
+const REMOVE_SURPLUS_AFTER: Duration = Duration::from_secs(3);
 
 /// The next set of witnesses.
 pub(super) struct WitnessChange {
@@ -50,7 +50,7 @@
         let candidates = self.witness_candidates(present, members);
         self.replace_one(present, &candidates)
             .or_else(|| self.remove_one(present))
-            .or_else(|| self.spread(present, &candidates))
+            .or_else(|| self.spread_over_domains(present, &candidates))
             .or_else(|| self.add_one(present, &candidates))
             .unwrap_or_else(|| WitnessChange::unchanged(present))
     }
@@ -80,7 +80,7 @@
         if let Some((index, node)) = successor {
             return Some(WitnessChange::replace(present, index, node));
         }
-        let index = self.unavailable(present, REPLACE_AFTER)?;
+        let index = self.unavailable_index(present, REPLACE_AFTER)?;
         let replacements = candidates.iter().map(|node| WitnessChange::replace(present, index, *node));
         replacements.min_by_key(|change| self.count_uncovered_by(change))
     }
@@ -91,23 +91,23 @@
     fn remove_one(&self, present: &[NodeId]) -> Option<WitnessChange> {
         let time_since_reply = match present.len().is_multiple_of(2) {
             true => self.cluster.options.drop_after,
-            false if self.has_two_to_spare(present) => REMOVE_SPARE_AFTER,
+            false if self.has_two_surplus_witnesses(present) => REMOVE_SURPLUS_AFTER,
             false => return None,
         };
-        self.unavailable(present, time_since_reply).map(|index| WitnessChange::remove(present, index))
+        self.unavailable_index(present, time_since_reply).map(|index| WitnessChange::remove(present, index))
     }
 
     /// Returns whether two witnesses are unavailable and the set is large enough without them. As long as they stay in
     /// the set, it survives fewer further losses.
-    fn has_two_to_spare(&self, present: &[NodeId]) -> bool {
+    fn has_two_surplus_witnesses(&self, present: &[NodeId]) -> bool {
         let is_large = present.len() > 2 * self.cluster.options.fault_tolerance.machines + 1;
         let unavailable =
-            present.iter().filter(|node| self.is_unavailable(**node, REMOVE_SPARE_AFTER)).count();
+            present.iter().filter(|node| self.is_unavailable(**node, REMOVE_SURPLUS_AFTER)).count();
         is_large && unavailable >= 2
     }
 
     /// Removes or replaces a witness if the set then survives more tolerated failures than it does now.
-    fn spread(&self, present: &[NodeId], candidates: &[NodeId]) -> Option<WitnessChange> {
+    fn spread_over_domains(&self, present: &[NodeId], candidates: &[NodeId]) -> Option<WitnessChange> {
         let uncovered = self.cluster.uncovered_by_witnesses(present);
         let is_known = present.iter().all(|node| self.cluster.locality_of(*node).is_some());
         if !uncovered.has_domains() || !is_known {
@@ -130,7 +130,7 @@
     /// Adds a candidate if all witnesses are available, since a larger set needs a larger majority. A set that would
     /// then survive fewer failures is extended only if the tolerated loss of machines requires more witnesses.
     fn add_one(&self, present: &[NodeId], candidates: &[NodeId]) -> Option<WitnessChange> {
-        if self.unavailable(present, self.cluster.options.drop_after).is_some() {
+        if self.unavailable_index(present, self.cluster.options.drop_after).is_some() {
             return None;
         }
         let uncovered = self.cluster.uncovered_by_witnesses(present);
@@ -145,7 +145,7 @@
     }
 
     /// Returns the index of a witness that is shutting down or has not replied for longer than `time`.
-    fn unavailable(&self, witnesses: &[NodeId], time: Duration) -> Option<usize> {
+    fn unavailable_index(&self, witnesses: &[NodeId], time: Duration) -> Option<usize> {
         witnesses.iter().position(|node| self.is_unavailable(*node, time))
     }
 
--- a/crates/replication/src/options.rs
+++ b/crates/replication/src/options.rs
@@ -17,7 +17,7 @@
     pub bootstrap: Option<Vec<NodeId>>,
     /// The failures that a view has to survive.
     pub fault_tolerance: FaultTolerance,
-    /// The duration of a lease, from its grant to its expiry.
+    /// The time after which a granted lease expires at a witness. The primary stops relying on it earlier.
     pub lease: Duration,
     /// The interval at which a primary sends heartbeats, each of which requests its lease again.
     pub heartbeat: Duration,
--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -17,7 +17,7 @@
     Duration::from_millis(4000),
 ];
 /// The time after which an announcement of a shutdown expires.
-const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(1500);
+const SHUTDOWN_ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_millis(1500);
 /// The time after a drop of a node after which its earlier drops no longer count.
 const FORGET_DROPS_AFTER: Duration = Duration::from_secs(30);
 
@@ -28,29 +28,30 @@
     /// Its failure domains; `None` if no `Hello` of it was received since the start of this process.
     locality: Option<Locality>,
     /// The time of its last reply; `None` before the first.
-    received_at: Option<Duration>,
+    last_reply_at: Option<Duration>,
     /// The time since which it has been responsive without interruption.
     responsive_since: Option<Duration>,
     /// The end of its log according to its last report.
-    last: Position,
+    log_end: Position,
     /// Whether it has promised an epoch to another node and rejects the epoch of this node, according to its last
     /// report.
     is_rejecting: bool,
     /// The time until which it counts as shutting down, since it has announced its shutdown.
     shutting_down_until: Duration,
     /// How often it was dropped recently.
-    drops: usize,
+    recent_drops: usize,
     /// The time of the last drop.
     dropped_at: Duration,
 }
 
 impl Peer {
     fn is_responsive(&self, now: Duration) -> bool {
-        self.is_connected && self.received_at.is_some_and(|received_at| now < received_at + REPLY_TIMEOUT)
+        self.is_connected
+            && self.last_reply_at.is_some_and(|last_reply_at| now < last_reply_at + REPLY_TIMEOUT)
     }
 }
 
-/// The nodes that this process knows from their connections.
+/// The other control nodes that have connected to this one since the start of this process.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Peers {
     peers: BTreeMap<NodeId, Peer>,
@@ -78,16 +79,17 @@
     /// Records a reply, which proves that messages arrive in both directions.
     pub fn record_reply(&mut self, now: Duration, node: NodeId) {
         let peer = self.get_mut(node);
-        let was_responsive = peer.received_at.is_some_and(|received_at| now < received_at + REPLY_TIMEOUT);
+        let was_responsive =
+            peer.last_reply_at.is_some_and(|last_reply_at| now < last_reply_at + REPLY_TIMEOUT);
         if !was_responsive {
             peer.responsive_since = Some(now);
         }
-        peer.received_at = Some(now);
+        peer.last_reply_at = Some(now);
     }
 
     /// Records the end of a node's log.
-    pub fn record_position(&mut self, node: NodeId, last: Position) {
-        self.get_mut(node).last = last;
+    pub fn record_position(&mut self, node: NodeId, log_end: Position) {
+        self.get_mut(node).log_end = log_end;
     }
 
     /// Records whether a node rejects this node's epoch.
@@ -103,18 +105,18 @@
     /// Records that the process of a node is shutting down. The announcement may arrive when the next process of the
     /// node is running already, and therefore expires after a short time.
     pub fn record_shutdown(&mut self, now: Duration, node: NodeId) {
-        self.get_mut(node).shutting_down_until = now + SHUTDOWN_TIMEOUT;
+        self.get_mut(node).shutting_down_until = now + SHUTDOWN_ANNOUNCEMENT_TIMEOUT;
     }
 
     /// Records that a node was dropped from a view or did not become a member as planned.
     pub fn record_drop(&mut self, now: Duration, node: NodeId) {
         let peer = self.get_mut(node);
         if now > peer.dropped_at + FORGET_DROPS_AFTER {
-            peer.drops = 0;
+            peer.recent_drops = 0;
         }
-        peer.drops += 1;
+        peer.recent_drops += 1;
         peer.dropped_at = now;
-        peer.responsive_since = peer.received_at.map(|_| now);
+        peer.responsive_since = peer.last_reply_at.map(|_| now);
     }
 
     /// Returns the nodes to which messages can be sent.
@@ -136,9 +138,9 @@
         let Some(peer) = self.get(node) else { return false };
         let is_steady = peer.responsive_since.is_some_and(|since| now >= since + time);
         let readmission = peer
-            .drops
+            .recent_drops
             .checked_sub(1)
-            .map(|drops| READMISSION_DELAYS[drops.min(READMISSION_DELAYS.len() - 1)]);
+            .map(|recent_drops| READMISSION_DELAYS[recent_drops.min(READMISSION_DELAYS.len() - 1)]);
         let is_readmitted = readmission.is_none_or(|delay| now >= peer.dropped_at + delay);
         peer.is_responsive(now) && is_steady && is_readmitted
     }
@@ -153,13 +155,13 @@
 
     /// Returns the end of a node's log according to its last report.
     pub fn last_position(&self, node: NodeId) -> Position {
-        self.get(node).map(|peer| peer.last).unwrap_or_default()
+        self.get(node).map(|peer| peer.log_end).unwrap_or_default()
     }
 
     /// Returns the time since the last reply of a node, or since `start` if that is later.
     pub fn time_since_reply(&self, now: Duration, node: NodeId, start: Duration) -> Duration {
-        let received_at = self.get(node).and_then(|peer| peer.received_at).unwrap_or_default();
-        now.saturating_sub(received_at.max(start))
+        let last_reply_at = self.get(node).and_then(|peer| peer.last_reply_at).unwrap_or_default();
+        now.saturating_sub(last_reply_at.max(start))
     }
 
     /// Returns the failure domains of a node's machine, even if only another incarnation of the node reported them;
--- a/crates/replication/src/primary.rs
+++ b/crates/replication/src/primary.rs
@@ -11,7 +11,7 @@
 
 /// The number of half heartbeat intervals without answers from majorities of the witnesses after which a primary
 /// requests no lease until they answer again.
-const UNANSWERED_HALF_HEARTBEATS: u32 = 3;
+const MAX_UNANSWERED_HALF_HEARTBEATS: u32 = 3;
 
 /// Why a primary steps down or a candidate gives up.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
@@ -80,8 +80,8 @@
     }
 
     /// Discards the lease, which has to be granted again.
-    pub fn forget_lease(&mut self, now: Duration) {
-        self.lease.forget_grants();
+    pub fn discard_lease(&mut self, now: Duration) {
+        self.lease.discard_grants();
         self.lease_requested_since = now;
     }
 
@@ -97,7 +97,7 @@
     /// returns its number.
     pub fn begin_lease_round(&mut self, now: Duration, epoch: u64, interval: Duration) -> u64 {
         self.next_heartbeat = now + interval;
-        if self.hears_witnesses(now, interval) {
+        if self.has_recent_answers(now, interval) {
             self.lease.begin_round(now, epoch)
         } else {
             PROBE_ROUND
@@ -105,9 +105,9 @@
     }
 
     /// Returns whether majorities of the witnesses have answered recently. The election counts as an answer.
-    pub fn hears_witnesses(&self, now: Duration, interval: Duration) -> bool {
+    pub fn has_recent_answers(&self, now: Duration, interval: Duration) -> bool {
         let answered_at = self.lease.answered_at(&witness_sets(&self.view)).unwrap_or_default();
-        now <= answered_at.max(self.elected_at) + interval * UNANSWERED_HALF_HEARTBEATS / 2
+        now <= answered_at.max(self.elected_at) + interval * MAX_UNANSWERED_HALF_HEARTBEATS / 2
     }
 
     /// Records that a witness has answered a request or a probe.
@@ -119,12 +119,12 @@
         self.lease.record_grant(witness, round, epoch);
     }
 
-    /// Returns when the lease ends; `None` if it was never granted. `activated` is the view that is being activated, if
+    /// Returns when the lease ends; `None` if it was never granted. `activating` is the view that is being activated, if
     /// there is one: a majority of its witnesses has to grant the lease too, since a candidate may already know that
     /// they alone decide on the next view.
-    pub fn lease_end(&self, activated: Option<&View>) -> Option<Duration> {
+    pub fn lease_end(&self, activating: Option<&View>) -> Option<Duration> {
         let mut sets = witness_sets(&self.view);
-        if let Some(view) = activated {
+        if let Some(view) = activating {
             sets.push(&view.witnesses);
         }
         self.lease.ends_at(&sets)
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -13,7 +13,7 @@
 /// The time for which nothing is sent to a node that has rejected a message.
 const REJECTED_BACKOFF: Duration = Duration::from_millis(500);
 /// The additional time for each megabyte of a message, since several targets may share a link and disks may be slow.
-const TIME_PER_MB: Duration = Duration::from_millis(600);
+const TIMEOUT_PER_MB: Duration = Duration::from_millis(600);
 /// The maximum size of the payloads in a message with more than one entry.
 const MAX_BATCH_BYTES: usize = 1024 * 1024;
 /// The maximum size of the payloads in a message to a target that may not hold the entry that precedes them.
@@ -34,7 +34,7 @@
     /// The position up to which its log durably matches; `None` if none is known.
     matched: Option<Position>,
     /// The position up to which its log probably matches.
-    probable: Position,
+    probable_match: Position,
     /// Whether it needs a snapshot, because no entry that it holds was found in the log.
     needs_snapshot: bool,
     in_flight: Option<InFlight>,
@@ -62,10 +62,10 @@
 }
 
 impl Progress {
-    fn new(probable: Position) -> Self {
+    fn new(probable_match: Position) -> Self {
         Progress {
             matched: None,
-            probable,
+            probable_match,
             needs_snapshot: false,
             in_flight: None,
             paused_until: Duration::ZERO,
@@ -80,15 +80,15 @@
     }
 
     /// Returns the position up to which its log durably matches or, if none is known, probably matches.
-    pub fn probable(&self) -> Position {
-        self.matched.unwrap_or(self.probable)
+    pub fn probable_match(&self) -> Position {
+        self.matched.unwrap_or(self.probable_match)
     }
 
     /// Returns whether it lacks entries but has made no progress for longer than `timeout` plus the additional time
     /// for the size of the message in flight.
-    pub fn is_stuck(&self, now: Duration, timeout: Duration) -> bool {
+    pub fn is_stalled(&self, now: Duration, timeout: Duration) -> bool {
         let bytes = self.in_flight.map_or(0, |message| message.bytes);
-        self.behind_since.is_some_and(|since| now > since + timeout + per_mb(TIME_PER_MB, bytes))
+        self.behind_since.is_some_and(|since| now > since + timeout + per_mb(TIMEOUT_PER_MB, bytes))
     }
 
     /// Makes the message in flight due again at once, or else an empty message with the commit index.
@@ -117,8 +117,8 @@
             return;
         }
         self.in_flight = None;
-        if log.contains(last) && self.probable != last {
-            self.probable = last;
+        if log.contains(last) && self.probable_match != last {
+            self.probable_match = last;
         } else {
             self.needs_snapshot = true;
         }
@@ -129,7 +129,7 @@
             return NextMessage::Nothing;
         }
         if let Some(message) = &self.in_flight {
-            let timeout = RESEND_TIMEOUT + per_mb(TIME_PER_MB, message.bytes);
+            let timeout = RESEND_TIMEOUT + per_mb(TIMEOUT_PER_MB, message.bytes);
             if now < message.sent_at + timeout {
                 return NextMessage::Nothing;
             }
@@ -143,7 +143,9 @@
             }
             Some(matched) if log.contains(matched) => NextMessage::Append { previous: matched },
             Some(_) => NextMessage::Snapshot,
-            None if log.contains(self.probable) => NextMessage::Append { previous: self.probable },
+            None if log.contains(self.probable_match) => {
+                NextMessage::Append { previous: self.probable_match }
+            }
             None if log.contains(applied) => NextMessage::Probe { previous: applied },
             None => NextMessage::Snapshot,
         }
@@ -177,8 +179,8 @@
     }
 
     /// Adds a node whose log probably matches up to a position, unless the node is tracked already.
-    pub fn add(&mut self, node: NodeId, probable: Position) {
-        self.nodes.entry(node).or_insert_with(|| Progress::new(probable));
+    pub fn add(&mut self, node: NodeId, probable_match: Position) {
+        self.nodes.entry(node).or_insert_with(|| Progress::new(probable_match));
     }
 
     pub fn remove(&mut self, node: NodeId) {
@@ -263,7 +265,7 @@
     }
 
     fn install(epoch: u64, log: &Log, applied: Position, snapshot: Vec<u8>) -> Self {
-        let entries = log.after(applied.index);
+        let entries = log.entries_after(applied.index);
         let bytes = snapshot.len() + payload_bytes(&entries);
         let install = Install { epoch, snapshot_last: applied, snapshot, entries };
         SizedMessage { body: Body::Install(Box::new(install)), end: log.last().index, bytes }
--- a/crates/replication/src/replica/acceptor.rs
+++ b/crates/replication/src/replica/acceptor.rs
@@ -14,7 +14,7 @@
 use crate::StateMachine;
 
 /// The time for which a promise to a candidate defers the pre-votes of other candidates.
-const CANDIDATE_HOLD: Duration = Duration::from_millis(600);
+const PRE_VOTE_DEFERRAL: Duration = Duration::from_millis(600);
 
 impl<S: StateMachine> Replica<S> {
     pub(super) fn handle_prepare(&mut self, from: NodeId, prepare: Prepare) {
@@ -26,7 +26,7 @@
             self.answer_pre_vote(from, epoch);
             return;
         }
-        let vote = self.witness.vote(self.now, epoch, from, CANDIDATE_HOLD);
+        let vote = self.witness.vote(self.now, epoch, from, PRE_VOTE_DEFERRAL);
         let promise = self.promise_message(epoch, pre_vote, vote);
         if vote == Vote::Granted {
             self.defer_to(from);
@@ -34,7 +34,7 @@
             self.send_when_durable(from, promise);
         } else {
             self.send(from, promise);
-            self.yield_to_rival(from);
+            self.yield_to_candidate(from);
         }
     }
 
@@ -42,10 +42,10 @@
         if !self.writes.is_usable(self.now) {
             return;
         }
-        let is_rival =
+        let is_competing =
             from != self.options.me && self.view_change.as_ref().is_some_and(ViewChange::is_claimed);
-        let vote = match is_rival {
-            true => Vote::Deferred(CANDIDATE_HOLD),
+        let vote = match is_competing {
+            true => Vote::Deferred(PRE_VOTE_DEFERRAL),
             false => self.witness.pre_vote(self.now, epoch, from),
         };
         let promise = self.promise_message(epoch, true, vote);
@@ -54,9 +54,9 @@
 
     /// Abandons this node's candidacy in favour of a candidate with a higher node id. Two simultaneous candidates could
     /// keep each other from a majority; the other one retries with a higher epoch.
-    fn yield_to_rival(&mut self, rival: NodeId) {
-        let is_contested = self.view_change.as_ref().is_some_and(ViewChange::is_contested);
-        if self.primary.is_none() && is_contested && rival > self.options.me {
+    fn yield_to_candidate(&mut self, candidate: NodeId) {
+        let is_awaiting_promises = self.view_change.as_ref().is_some_and(ViewChange::is_awaiting_promises);
+        if self.primary.is_none() && is_awaiting_promises && candidate > self.options.me {
             self.abandon_candidacy();
             self.postpone_election();
         }
@@ -100,10 +100,10 @@
         let LeaseRequest { epoch, round, view, committed, holds_lease } = request;
         // An epoch above that of the view is still being prepared: until it is promised, the leases of other nodes take
         // precedence.
-        let is_contested = epoch > view.epoch
+        let is_blocked_by_lease = epoch > view.epoch
             && self.witness.is_leased_to_other(self.now, from)
             && !self.options.faults.grant_under_lease();
-        let can_grant = view.primary == from && self.writes.has_record() && !is_contested;
+        let can_grant = view.primary == from && self.writes.has_record() && !is_blocked_by_lease;
         let granted = can_grant && self.witness.admit(epoch, from);
         if granted && round != PROBE_ROUND {
             self.witness.grant_lease(from, epoch, self.now + self.options.lease);
@@ -156,7 +156,7 @@
             self.view_change.as_ref().is_some_and(|change| change.is_claimed() && change.epoch() < epoch);
         if holds_lease {
             self.defer_to(primary);
-            self.contact = Some(PrimaryContact { node: primary, epoch, received_at: self.now });
+            self.primary_contact = Some(PrimaryContact { node: primary, epoch, received_at: self.now });
         } else if self.primary.is_some() || is_outdated {
             self.defer_to(primary);
         }
@@ -170,7 +170,7 @@
         if self.primary.is_some() {
             self.step_down(ResignReason::Superseded);
         }
-        let candidacy = self.view_change.take().filter(ViewChange::is_public);
+        let candidacy = self.view_change.take().filter(ViewChange::is_announced);
         self.tracker = None;
         self.postpone_election();
         if let Some(candidacy) = candidacy {
@@ -182,9 +182,9 @@
     /// Releases the grants to a primary or candidate that resigns, and may schedule an election soon.
     pub(super) fn handle_resign(&mut self, from: NodeId, resign: Resign) {
         self.witness.release(from, resign.epoch);
-        let was_primary = self.contact.is_some_and(|contact| contact.node == from);
+        let was_primary = self.primary_contact.is_some_and(|contact| contact.node == from);
         if was_primary && resign.epoch >= self.witness.view().map_or(0, |view| view.epoch) {
-            self.contact = None;
+            self.primary_contact = None;
             self.election.schedule_after_resignation(self.now);
         } else if self.witness.promised_to() == Some(from) && resign.epoch >= self.witness.promised() {
             self.election.bring_forward(self.now);
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -43,7 +43,7 @@
     /// Sends a request to all witnesses that have not promised the epoch yet.
     pub(super) fn request_promises(&mut self) {
         let Some(change) = &mut self.view_change else { return };
-        change.resend_at(self.now + RETRY_INTERVAL);
+        change.schedule_resend(self.now + RETRY_INTERVAL);
         let pending = change.pending_voters();
         let prepare = prepare_message(change, self.options.me);
         for node in pending {
@@ -146,7 +146,7 @@
         if self.primary.is_none() && by < self.options.me {
             // Of two competing candidates, the one with the lower node id yields.
             self.retry_claim();
-        } else if change.is_lost() {
+        } else if change.cannot_reach_quorum() {
             self.retry_or_abort(ResignReason::NoQuorum);
         }
     }
@@ -176,10 +176,10 @@
         let mut sources = members(change.newest_view());
         sources.retain(|node| self.peers.is_connected(*node));
         let Some(source) = change.next_fetch_source(&sources) else {
-            change.resend_at(self.now + RETRY_INTERVAL);
+            change.schedule_resend(self.now + RETRY_INTERVAL);
             return;
         };
-        change.resend_at(self.now + FETCH_TIMEOUT);
+        change.schedule_resend(self.now + FETCH_TIMEOUT);
         let fetch = FetchState { epoch: change.epoch() };
         self.send(source, Body::FetchState(Box::new(fetch)));
     }
@@ -210,7 +210,7 @@
         self.tracker = None;
         self.election.back_off(self.now, RETRY_INTERVAL);
         // Before the claim is durable, no other node knows the epoch, and this node may claim it again.
-        if change.is_public() {
+        if change.is_announced() {
             info!(node:% = self.options.me, epoch = change.epoch(), phase:? = change.phase(); "election failed");
             self.resign(change.epoch());
         }
--- a/crates/replication/src/replica/follower.rs
+++ b/crates/replication/src/replica/follower.rs
@@ -43,7 +43,7 @@
     /// Returns whether a node has claimed the lease of a primary in this epoch. From then on, only its heartbeats
     /// postpone the election: a primary that receives no replies keeps sending its log.
     fn follows(&self, primary: NodeId, epoch: u64) -> bool {
-        self.contact.is_some_and(|contact| contact.node == primary && contact.epoch == epoch)
+        self.primary_contact.is_some_and(|contact| contact.node == primary && contact.epoch == epoch)
     }
 
     pub(super) fn handle_append(&mut self, from: NodeId, append: Append) {
@@ -99,7 +99,7 @@
         if !self.admit_log_message(from, fetch.epoch) {
             return;
         }
-        let transfer = self.member.transfer(fetch.epoch);
+        let transfer = self.member.state_transfer(fetch.epoch);
         self.send_when_durable(from, Body::StateTransfer(Box::new(transfer)));
     }
 
@@ -120,7 +120,7 @@
     /// Applies the entries that the primary of an epoch has committed, as far as the log is known to match the log of
     /// that primary.
     pub(super) fn commit_to(&mut self, epoch: u64, committed: u64) {
-        if let Some(index) = self.member.committable(epoch, committed) {
+        if let Some(index) = self.member.committable_index(epoch, committed) {
             self.apply_up_to(index);
         }
     }
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -63,7 +63,7 @@
     tracker: Option<ProgressTracker>,
     /// The highest epoch that any node is known to have promised.
     highest_epoch: u64,
-    contact: Option<PrimaryContact>,
+    primary_contact: Option<PrimaryContact>,
     election: ElectionTimer,
     shutdown: GracefulShutdown,
     outbox: Outbox,
@@ -100,7 +100,7 @@
             view_change: None,
             tracker: None,
             highest_epoch,
-            contact: None,
+            primary_contact: None,
             election: ElectionTimer::new(now, options.seed),
             shutdown: GracefulShutdown::default(),
             outbox: Outbox::default(),
@@ -230,7 +230,7 @@
         if let Some(end) = self.lease_until(now) {
             return Some((self.options.me, end));
         }
-        let contact = self.contact?;
+        let contact = self.primary_contact?;
         let until = contact.received_at + self.options.lease;
         (now < until).then_some((contact.node, until))
     }
--- a/crates/replication/src/replica/primary.rs
+++ b/crates/replication/src/replica/primary.rs
@@ -65,8 +65,8 @@
     /// Steps down as primary. Proposals that are in the log may or may not take effect.
     pub(super) fn step_down(&mut self, reason: ResignReason) {
         let Some(mut primary) = self.primary.take() else { return };
-        let public_change = self.view_change.take().filter(ViewChange::is_public);
-        let change_epoch = public_change.map_or(0, |change| change.epoch());
+        let announced_change = self.view_change.take().filter(ViewChange::is_announced);
+        let change_epoch = announced_change.map_or(0, |change| change.epoch());
         self.tracker = None;
         let epoch = primary.view().epoch;
         info!(node:% = self.options.me, epoch, reason:% = reason; "stepped down as primary");
@@ -119,8 +119,8 @@
     fn send_heartbeat(&mut self) {
         let holds_lease = self.holds_lease(self.now);
         let Some(primary) = &mut self.primary else { return };
-        let public_change = self.view_change.as_ref().filter(|change| change.is_public());
-        let epoch = public_change.map_or(primary.view().epoch, ViewChange::epoch);
+        let announced_change = self.view_change.as_ref().filter(|change| change.is_announced());
+        let epoch = announced_change.map_or(primary.view().epoch, ViewChange::epoch);
         let round = primary.begin_lease_round(self.now, epoch, self.options.heartbeat);
         let holds_lease = holds_lease && round != PROBE_ROUND;
         let view = Box::new(primary.view().clone());
@@ -136,7 +136,7 @@
         self.peers.record_position(from, grant.last);
         let heartbeat = self.options.heartbeat;
         let Some(primary) = &mut self.primary else { return };
-        let heard_witnesses = primary.hears_witnesses(self.now, heartbeat);
+        let had_recent_answers = primary.has_recent_answers(self.now, heartbeat);
         primary.record_lease_answer(self.now, from);
         if grant.epoch >= primary.view().epoch {
             let is_rejecting = !grant.granted && grant.promised >= grant.epoch;
@@ -145,9 +145,9 @@
         if grant.granted {
             primary.record_lease_grant(from, grant.round, grant.epoch);
         }
-        let hears_again = !heard_witnesses && primary.hears_witnesses(self.now, heartbeat);
+        let answers_have_resumed = !had_recent_answers && primary.has_recent_answers(self.now, heartbeat);
         let has_gained_lease = !held_lease && self.holds_lease(self.now);
-        if hears_again || has_gained_lease {
+        if answers_have_resumed || has_gained_lease {
             // Probes request no lease, and the other nodes follow only a primary that claims to hold it.
             self.send_heartbeat();
         }
@@ -161,7 +161,7 @@
             node:% = self.options.me;
             "the monotonic clock did not advance for some time; the lease has to be granted again"
         );
-        primary.forget_lease(self.now);
+        primary.discard_lease(self.now);
         self.send_heartbeat();
     }
 
@@ -234,7 +234,7 @@
         if self.view_change.is_some() {
             return;
         }
-        let Some(stored) = self.stored_by_all() else { return };
+        let Some(stored) = self.index_stored_by_all() else { return };
         let inherited = self.primary.as_ref().map_or(0, PrimaryState::inherited_index);
         let index = if self.can_acknowledge() { stored } else { stored.min(inherited) };
         if index > self.member.applied().index {
@@ -245,7 +245,7 @@
 
     /// Returns the index up to which every member of the view has stored the log; `None` if this node is not the
     /// primary.
-    fn stored_by_all(&self) -> Option<u64> {
+    fn index_stored_by_all(&self) -> Option<u64> {
         let primary = self.primary.as_ref()?;
         let tracker = self.tracker.as_ref()?;
         let match_index = |node: &NodeId| tracker.match_index(*node).unwrap_or(0);
--- a/crates/replication/src/replica/replication.rs
+++ b/crates/replication/src/replica/replication.rs
@@ -119,7 +119,7 @@
             _ if reject.shutting_down && !is_superseded => self.continue_without_shutting_down(from),
             // A member that has promised a higher epoch transfers its state only in an epoch that is higher still.
             Phase::Fetch if is_superseded => self.retry_claim(),
-            Phase::Fetch if is_current => change.resend_at(self.now + super::election::RETRY_INTERVAL),
+            Phase::Fetch if is_current => change.schedule_resend(self.now + super::election::RETRY_INTERVAL),
             Phase::Sync if is_superseded => self.continue_without(from),
             Phase::Sync if is_current => {
                 change.stop_awaiting(from);
--- a/crates/replication/src/replica/view_change.rs
+++ b/crates/replication/src/replica/view_change.rs
@@ -94,7 +94,7 @@
         // Nodes that are shutting down become members only if they are needed in addition to the others.
         targets.retain(|node| !self.peers.is_shutting_down(self.now, *node));
         change.set_targets(me, targets);
-        let needed = self.needed_shutting_down();
+        let needed = self.required_shutting_down_nodes();
         let Some(change) = &mut self.view_change else { return };
         change.await_targets(&needed);
         let epoch = change.epoch();
@@ -105,7 +105,7 @@
         for node in change.targets() {
             let known = self.tracker.as_ref().and_then(|tracker| tracker.get(*node));
             let reported = self.peers.last_position(*node);
-            tracker.add(*node, known.map_or(reported, |progress| progress.probable()));
+            tracker.add(*node, known.map_or(reported, |progress| progress.probable_match()));
         }
         self.tracker = Some(tracker);
         self.writes.push(Write::Append(vec![entry]));
@@ -117,7 +117,7 @@
     /// Adds every connected node to the targets of an election, since it may be needed to survive the tolerated
     /// failures. An active primary does so only if the desired members have not synced in time.
     fn add_sync_targets(&mut self) {
-        let needed = self.needed_shutting_down();
+        let needed = self.required_shutting_down_nodes();
         let (Some(change), Some(tracker)) = (&mut self.view_change, &mut self.tracker) else { return };
         if change.desired_view().is_some() && change.is_within(self.now, self.options.drop_after) {
             return;
@@ -141,7 +141,7 @@
 
     /// Returns the nodes that are shutting down but have to be members of the new view in addition to the other
     /// targets.
-    pub(super) fn needed_shutting_down(&self) -> BTreeSet<NodeId> {
+    pub(super) fn required_shutting_down_nodes(&self) -> BTreeSet<NodeId> {
         let Some(change) = &self.view_change else { return BTreeSet::new() };
         let cluster = self.cluster();
         if let Some(planner) = self.planner() {
@@ -160,12 +160,12 @@
         if remaining.len() <= self.options.fault_tolerance.machines {
             return candidates;
         }
-        cluster.covering(&candidates, &remaining)
+        cluster.covering_nodes(&candidates, &remaining)
     }
 
     /// Handles that a node is shutting down. It becomes a member only if it is needed in addition to the others.
     pub(super) fn continue_without_shutting_down(&mut self, node: NodeId) {
-        let is_needed = self.needed_shutting_down().contains(&node);
+        let is_needed = self.required_shutting_down_nodes().contains(&node);
         let Some(change) = self.view_change.as_mut().filter(|change| change.phase() == Phase::Sync) else {
             return;
         };
@@ -202,14 +202,14 @@
         let mut synced: BTreeSet<NodeId> = change.targets().iter().copied().filter(holds_state).collect();
         let is_shutting_down = |node: &NodeId| self.peers.is_shutting_down(self.now, *node);
         if synced.iter().filter(|node| !is_shutting_down(node)).count() > tolerated_machines {
-            let needed = self.needed_shutting_down();
+            let needed = self.required_shutting_down_nodes();
             synced.retain(|node| !is_shutting_down(node) || needed.contains(node));
         }
         let grace = if change.desired_view().is_some() { self.options.drop_after } else { SYNC_GRACE };
         let may_still_sync = |node: &NodeId| !synced.contains(node) && self.peers.is_connected(*node);
         let is_waiting = change.is_within(self.now, grace) && change.awaited().iter().any(may_still_sync);
-        let is_enough = synced.contains(&self.options.me) && synced.len() > tolerated_machines;
-        if is_enough && !is_waiting {
+        let has_enough_members = synced.contains(&self.options.me) && synced.len() > tolerated_machines;
+        if has_enough_members && !is_waiting {
             self.propose_view(synced);
         }
     }
@@ -261,7 +261,7 @@
     fn request_acceptance(&mut self) {
         let Some(change) = &mut self.view_change else { return };
         let Some(view) = change.proposed_view().cloned() else { return };
-        change.resend_at(self.now + RETRY_INTERVAL);
+        change.schedule_resend(self.now + RETRY_INTERVAL);
         let pending = change.pending_voters();
         let accept = Body::Accept(Box::new(Accept { view: Box::new(view) }));
         for node in pending {
@@ -279,7 +279,7 @@
         }
         if !accepted.granted {
             change.record_rejection(from);
-            if change.is_lost() {
+            if change.cannot_reach_quorum() {
                 self.retry_or_abort(ResignReason::NoQuorum);
             }
             return;
--- a/crates/replication/src/shutdown.rs
+++ b/crates/replication/src/shutdown.rs
@@ -12,10 +12,10 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct GracefulShutdown {
     has_begun: bool,
-    announce_at: Duration,
+    next_announcement_at: Duration,
     /// The epoch of the newest active view that its primary has reported to this node; `None` if that view needs this
     /// node.
-    dispensable_in: Option<u64>,
+    dispensable_in_epoch: Option<u64>,
 }
 
 impl GracefulShutdown {
@@ -30,19 +30,19 @@
     /// Returns whether the shutdown has to be announced again: earlier announcements expire, and peers that have
     /// connected since have not received one.
     pub fn is_announcement_due(&self, now: Duration) -> bool {
-        self.has_begun && now >= self.announce_at
+        self.has_begun && now >= self.next_announcement_at
     }
 
     pub fn record_announcement(&mut self, now: Duration) {
-        self.announce_at = now + ANNOUNCE_INTERVAL;
+        self.next_announcement_at = now + ANNOUNCE_INTERVAL;
     }
 
     /// Records the view that a primary has reported in an epoch that this node has admitted.
     pub fn record_view(&mut self, me: NodeId, epoch: u64, view: &View, tolerated_machines: usize) {
         // If the epoch is higher than that of the view, the primary is preparing a view that may name this node.
-        let is_in_force = epoch == view.epoch;
-        let is_dispensable = is_in_force && is_dispensable(me, view, tolerated_machines);
-        self.dispensable_in = is_dispensable.then_some(view.epoch);
+        let is_active_view = epoch == view.epoch;
+        let is_dispensable = is_active_view && is_dispensable(me, view, tolerated_machines);
+        self.dispensable_in_epoch = is_dispensable.then_some(view.epoch);
     }
 
     /// Returns whether the data is safe without this node, whose highest promised epoch is `promised`.
@@ -51,7 +51,7 @@
     /// the node has admitted no higher epoch since: before the node becomes a member again, it has to admit a higher
     /// epoch.
     pub fn is_data_safe(&self, promised: u64) -> bool {
-        promised == 0 || self.dispensable_in == Some(promised)
+        promised == 0 || self.dispensable_in_epoch == Some(promised)
     }
 }
 
@@ -61,6 +61,6 @@
     let members = members(view);
     let is_odd = view.witnesses.len() % 2 == 1;
     let is_final_set = is_odd && members.iter().all(|member| view.witnesses.contains(member));
-    let is_spare_witness = !view.witnesses.contains(&node) || is_final_set;
-    !members.contains(&node) && members.len() > tolerated_machines && is_spare_witness
+    let is_dispensable_witness = !view.witnesses.contains(&node) || is_final_set;
+    !members.contains(&node) && members.len() > tolerated_machines && is_dispensable_witness
 }
--- a/crates/replication/src/view_change.rs
+++ b/crates/replication/src/view_change.rs
@@ -160,7 +160,7 @@
         now >= self.resend_at
     }
 
-    pub fn resend_at(&mut self, time: Duration) {
+    pub fn schedule_resend(&mut self, time: Duration) {
         self.resend_at = time;
     }
 
@@ -170,7 +170,7 @@
     }
 
     /// Returns whether a quorum of promises is still missing.
-    pub fn is_contested(&self) -> bool {
+    pub fn is_awaiting_promises(&self) -> bool {
         matches!(self.phase, Phase::Claim | Phase::Prepare)
     }
 
@@ -179,8 +179,9 @@
         matches!(self.phase, Phase::Sync | Phase::Accept | Phase::Activate)
     }
 
-    /// Returns whether witnesses may have promised the epoch. A primary then requests its lease in this epoch.
-    pub fn is_public(&self) -> bool {
+    /// Returns whether the epoch was announced to the witnesses, which may have promised it. A primary then requests
+    /// its lease in this epoch.
+    pub fn is_announced(&self) -> bool {
         self.is_replicating() || matches!(self.phase, Phase::Prepare | Phase::Fetch)
     }
 
@@ -223,7 +224,7 @@
     }
 
     /// Returns whether so many witnesses have rejected the request that the others cannot form a quorum.
-    pub fn is_lost(&self) -> bool {
+    pub fn cannot_reach_quorum(&self) -> bool {
         witness_sets(self.deciding_view()).iter().any(|set| {
             let rejected = set.iter().filter(|node| self.rejected.contains(node)).count();
             set.len() - rejected < majority(set.len())
--- a/crates/replication/src/witness.rs
+++ b/crates/replication/src/witness.rs
@@ -19,7 +19,7 @@
 
 impl Grant {
     /// Returns how much longer the grant excludes `other`; `None` if it has expired or `other` is its grantee.
-    fn remaining_against(&self, now: Duration, other: NodeId) -> Option<Duration> {
+    fn remaining_exclusion(&self, now: Duration, other: NodeId) -> Option<Duration> {
         if self.grantee == other {
             return None;
         }
@@ -85,7 +85,7 @@
 
     /// Returns whether a lease that the witness may have granted to a node other than `node` has not expired.
     pub fn is_leased_to_other(&self, now: Duration, node: NodeId) -> bool {
-        !self.ignores_lease && self.lease.and_then(|lease| lease.remaining_against(now, node)).is_some()
+        !self.ignores_lease && self.lease.and_then(|lease| lease.remaining_exclusion(now, node)).is_some()
     }
 
     /// Returns whether a message of an epoch is not outdated, that is, whether [`Witness::admit`] would admit it.
@@ -110,29 +110,29 @@
 
     /// Returns the vote that a candidate would get, without changing any state.
     pub fn pre_vote(&self, now: Duration, epoch: u64, candidate: NodeId) -> Vote {
-        if let Some(remaining) = self.candidate.and_then(|grant| grant.remaining_against(now, candidate)) {
+        if let Some(remaining) = self.candidate.and_then(|grant| grant.remaining_exclusion(now, candidate)) {
             return Vote::Deferred(remaining);
         }
-        self.consider(now, epoch, candidate)
+        self.decide_vote(now, epoch, candidate)
     }
 
     /// Promises an epoch to a candidate, unless the epoch is outdated or the lease of another node has not expired. A
-    /// promise defers the pre-votes of other candidates for `hold`.
-    pub fn vote(&mut self, now: Duration, epoch: u64, candidate: NodeId, hold: Duration) -> Vote {
-        let vote = self.consider(now, epoch, candidate);
+    /// promise defers the pre-votes of other candidates for `deferral`.
+    pub fn vote(&mut self, now: Duration, epoch: u64, candidate: NodeId, deferral: Duration) -> Vote {
+        let vote = self.decide_vote(now, epoch, candidate);
         if vote == Vote::Granted {
             self.admit(epoch, candidate);
-            self.candidate = Some(Grant { grantee: candidate, epoch, until: now + hold });
+            self.candidate = Some(Grant { grantee: candidate, epoch, until: now + deferral });
         }
         vote
     }
 
     /// Returns the vote on a candidate given the promises and the lease of the witness.
-    fn consider(&self, now: Duration, epoch: u64, candidate: NodeId) -> Vote {
+    fn decide_vote(&self, now: Duration, epoch: u64, candidate: NodeId) -> Vote {
         if !self.admits(epoch, candidate) {
             return Vote::Superseded;
         }
-        match self.lease.and_then(|lease| lease.remaining_against(now, candidate)) {
+        match self.lease.and_then(|lease| lease.remaining_exclusion(now, candidate)) {
             Some(remaining) if !self.ignores_lease => Vote::Deferred(remaining),
             _ => Vote::Granted,
         }
--- a/crates/replication/src/write_queue.rs
+++ b/crates/replication/src/write_queue.rs
@@ -1,7 +1,8 @@
 //! The queue of writes to disk, and the steps that are deferred until the writes are durable.
 //!
-//! Invariant: at most one write is in flight, and the next one follows only if it succeeds; if it fails, the queue is
-//! discarded. Therefore the disk always holds a state that was in memory at some time, even after a failed write.
+//! Invariant: at most one write is in flight, and the next one is handed to the host only once it has succeeded; if it
+//! fails, the queue is discarded. Therefore the disk always holds a state that was in memory at some time, even after a
+//! failed write.
 
 use quillpulley_protocol::{Body, NodeId, WitnessRecord};
 use std::collections::VecDeque;
@@ -39,23 +40,23 @@
 #[derive(Clone, Debug)]
 struct InFlight {
     ticket: u64,
-    since: Duration,
+    started_at: Duration,
     timeout: Duration,
     completions: Vec<Completion>,
     /// The promise in the witness record that is written; `None` for other writes.
-    promise: Option<Promised>,
+    promise: Option<RecordedPromise>,
 }
 
 /// The highest promise in a witness record: its epoch, and the node to which it was made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Promised {
+struct RecordedPromise {
     epoch: u64,
     to: NodeId,
 }
 
-impl Promised {
+impl RecordedPromise {
     fn of(record: &WitnessRecord) -> Self {
-        Promised { epoch: record.promised, to: record.promised_to }
+        RecordedPromise { epoch: record.promised, to: record.promised_to }
     }
 }
 
@@ -84,7 +85,7 @@
     /// Whether the disk holds a witness record.
     has_record: bool,
     /// The promise in the newest witness record that is known to be durable.
-    durable_promise: Option<Promised>,
+    durable_promise: Option<RecordedPromise>,
     /// Whether no step waits for writes. Only an injected fault sets this.
     skips_sync: bool,
 }
@@ -98,7 +99,7 @@
             in_flight: None,
             health: Health::Healthy,
             has_record: record.is_some(),
-            durable_promise: record.as_ref().map(Promised::of),
+            durable_promise: record.as_ref().map(RecordedPromise::of),
             record,
             skips_sync,
         }
@@ -111,7 +112,7 @@
 
     /// Returns whether the disk is healthy and the write in flight has not timed out.
     pub fn is_usable(&self, now: Duration) -> bool {
-        let is_in_time = |write: &InFlight| now < write.since + write.timeout;
+        let is_in_time = |write: &InFlight| now < write.started_at + write.timeout;
         self.is_healthy() && self.in_flight.as_ref().is_none_or(is_in_time)
     }
 
@@ -122,7 +123,7 @@
 
     /// Returns whether the newest durable witness record holds the promise of an epoch to a node.
     pub fn is_promise_durable(&self, epoch: u64, to: NodeId) -> bool {
-        self.skips_sync || self.durable_promise == Some(Promised { epoch, to })
+        self.skips_sync || self.durable_promise == Some(RecordedPromise { epoch, to })
     }
 
     /// Queues a write.
@@ -162,10 +163,10 @@
         self.next_ticket += 1;
         let timeout = WRITE_TIMEOUT + per_mb(WRITE_TIMEOUT_PER_MB, write.bytes());
         let promise = match &write {
-            Write::Record(record) => Some(Promised::of(record)),
+            Write::Record(record) => Some(RecordedPromise::of(record)),
             Write::Append(_) | Write::Install { .. } | Write::Compact { .. } => None,
         };
-        self.in_flight = Some(InFlight { ticket, since: now, timeout, completions, promise });
+        self.in_flight = Some(InFlight { ticket, started_at: now, timeout, completions, promise });
         Some((ticket, write))
     }
 
