--- a/crates/replication/src/durability.rs
+++ b/crates/replication/src/durability.rs
@@ -36,7 +36,7 @@
 
     /// Returns whether the view does not survive the tolerated loss of zones or regions.
     pub(crate) fn has_uncovered_domains(self) -> bool {
-        self.members.has_domains() || self.witnesses.has_domains()
+        self.members.includes_domains() || self.witnesses.includes_domains()
     }
 }
 
--- a/crates/replication/src/fault_tolerance.rs
+++ b/crates/replication/src/fault_tolerance.rs
@@ -43,7 +43,7 @@
     }
 
     /// Returns whether the loss of zones or of regions is not survived.
-    pub fn has_domains(self) -> bool {
+    pub fn includes_domains(self) -> bool {
         self.zones || self.regions
     }
 
--- a/crates/replication/src/membership/planner.rs
+++ b/crates/replication/src/membership/planner.rs
@@ -143,7 +143,7 @@
         with_available.extend(available.into_iter().filter(|node| !present.contains(node)));
         let members_help =
             self.cluster.uncovered_by_members(&with_available).count() < status.members.count();
-        let witnesses_help = status.witnesses.has_domains()
+        let witnesses_help = status.witnesses.includes_domains()
             && self.cluster.uncovered_by_witnesses(&self.desired_view().witnesses).count()
                 < status.witnesses.count();
         members_help || witnesses_help
--- a/crates/replication/src/membership/witness_set.rs
+++ b/crates/replication/src/membership/witness_set.rs
@@ -110,7 +110,7 @@
     fn spread_over_domains(&self, present: &[NodeId], candidates: &[NodeId]) -> Option<WitnessChange> {
         let uncovered = self.cluster.uncovered_by_witnesses(present);
         let is_known = present.iter().all(|node| self.cluster.locality_of(*node).is_some());
-        if !uncovered.has_domains() || !is_known {
+        if !uncovered.includes_domains() || !is_known {
             return None;
         }
         let is_better = |change: &WitnessChange| self.count_uncovered_by(change) < uncovered.count();
