--- a/crates/replication/src/lease.rs
+++ b/crates/replication/src/lease.rs
@@ -65,9 +65,9 @@
 
     /// Records that a witness has granted a round. The grant of an expired round is ignored.
     pub fn record_grant(&mut self, witness: NodeId, number: u64, epoch: u64) {
-        let is_granted =
+        let is_granted_round =
             |round: &&Round| round.number == number && (round.epoch == epoch || self.ignores_epoch);
-        if let Some(round) = self.rounds.iter().find(is_granted) {
+        if let Some(round) = self.rounds.iter().find(is_granted_round) {
             let newest = self.granted.entry(witness).or_default();
             *newest = round.sent_at.max(*newest);
         }
--- a/crates/replication/src/membership/learners.rs
+++ b/crates/replication/src/membership/learners.rs
@@ -12,9 +12,9 @@
 impl Planner<'_> {
     /// Returns the nodes that are steadily responsive but not members.
     pub fn learners(&self) -> Vec<NodeId> {
-        let present = members(self.primary.view());
+        let current = members(self.primary.view());
         let mut nodes = self.cluster.peers.connected();
-        nodes.retain(|node| !present.contains(node) && self.is_steady(*node));
+        nodes.retain(|node| !current.contains(node) && self.is_steady(*node));
         nodes
     }
 
--- a/crates/replication/src/membership/planner.rs
+++ b/crates/replication/src/membership/planner.rs
@@ -52,19 +52,19 @@
 
     /// Returns the view that the primary should have now. If too few members would remain, none is dropped.
     pub fn desired_view(&self) -> DesiredView {
-        let present: BTreeSet<NodeId> = members(self.primary.view()).into_iter().collect();
+        let current: BTreeSet<NodeId> = members(self.primary.view()).into_iter().collect();
         let mut wanted: BTreeSet<NodeId> =
-            present.iter().copied().filter(|node| !self.should_drop(*node)).collect();
+            current.iter().copied().filter(|node| !self.should_drop(*node)).collect();
         wanted.extend(self.learners().into_iter().filter(|node| self.can_become_member(*node)));
-        wanted.extend(self.retained_shutting_down_members(&present, &wanted));
+        wanted.extend(self.retained_shutting_down_members(&current, &wanted));
         if wanted.len() <= self.cluster.options.fault_tolerance.machines {
-            wanted.extend(present);
+            wanted.extend(current);
         }
         let change = self.next_witnesses(&wanted);
         DesiredView { members: wanted, witnesses: change.witnesses, new_witness: change.added }
     }
 
-    /// Returns whether the present view has to be replaced by the desired one.
+    /// Returns whether the current view has to be replaced by the desired one.
     pub fn requires_view_change(&self, desired_view: &DesiredView) -> bool {
         let view = self.primary.view();
         let is_different = desired_view.members != members(view).into_iter().collect::<BTreeSet<NodeId>>()
@@ -98,14 +98,14 @@
     /// loss of machines requires, and those whose failure domain is needed until an available node replaces them.
     fn retained_shutting_down_members(
         &self,
-        present: &BTreeSet<NodeId>,
+        current: &BTreeSet<NodeId>,
         remaining: &BTreeSet<NodeId>,
     ) -> BTreeSet<NodeId> {
         let is_candidate = |node: &&NodeId| {
             self.cluster.peers.is_responsive(self.cluster.now, **node)
                 && self.cluster.is_shutting_down(**node)
         };
-        let candidates: BTreeSet<NodeId> = present.iter().filter(is_candidate).copied().collect();
+        let candidates: BTreeSet<NodeId> = current.iter().filter(is_candidate).copied().collect();
         let missing = (self.cluster.options.fault_tolerance.machines + 1).saturating_sub(remaining.len());
         if missing > candidates.len() {
             return BTreeSet::new();
@@ -120,7 +120,7 @@
         retained
     }
 
-    /// Returns the facts that determine whether commits of the present view are acknowledged.
+    /// Returns the facts that determine whether commits of the current view are acknowledged.
     pub fn durability_inputs(&self) -> DurabilityInputs {
         let view = self.primary.view();
         DurabilityInputs {
@@ -137,10 +137,10 @@
         if !status.has_uncovered_domains() {
             return false;
         }
-        let present = members(self.primary.view());
-        let mut with_available = present.clone();
+        let current = members(self.primary.view());
+        let mut with_available = current.clone();
         let available = self.cluster.available_nodes();
-        with_available.extend(available.into_iter().filter(|node| !present.contains(node)));
+        with_available.extend(available.into_iter().filter(|node| !current.contains(node)));
         let members_help =
             self.cluster.uncovered_by_members(&with_available).count() < status.members.count();
         let witnesses_help = status.witnesses.includes_domains()
--- a/crates/replication/src/membership/witness_set.rs
+++ b/crates/replication/src/membership/witness_set.rs
@@ -46,13 +46,13 @@
 impl Planner<'_> {
     /// Returns the next set of witnesses, with at most one node added or removed.
     pub(super) fn next_witnesses(&self, members: &BTreeSet<NodeId>) -> WitnessChange {
-        let present = &self.primary.view().witnesses;
-        let candidates = self.witness_candidates(present, members);
-        self.replace_one(present, &candidates)
-            .or_else(|| self.remove_one(present))
-            .or_else(|| self.spread_over_domains(present, &candidates))
-            .or_else(|| self.add_one(present, &candidates))
-            .unwrap_or_else(|| WitnessChange::unchanged(present))
+        let current = &self.primary.view().witnesses;
+        let candidates = self.witness_candidates(current, members);
+        self.replace_one(current, &candidates)
+            .or_else(|| self.remove_one(current))
+            .or_else(|| self.spread_over_domains(current, &candidates))
+            .or_else(|| self.add_one(current, &candidates))
+            .unwrap_or_else(|| WitnessChange::unchanged(current))
     }
 
     /// Returns whether a connected node could become a witness.
@@ -72,44 +72,44 @@
 
     /// Replaces a witness by a candidate: a witness with the same address as the candidate, or else one that is
     /// shutting down or unresponsive.
-    fn replace_one(&self, present: &[NodeId], candidates: &[NodeId]) -> Option<WitnessChange> {
-        let successor = candidates.iter().find_map(|node| {
-            let index = present.iter().position(|other| other.ip == node.ip)?;
+    fn replace_one(&self, current: &[NodeId], candidates: &[NodeId]) -> Option<WitnessChange> {
+        let same_address = candidates.iter().find_map(|node| {
+            let index = current.iter().position(|other| other.ip == node.ip)?;
             Some((index, *node))
         });
-        if let Some((index, node)) = successor {
-            return Some(WitnessChange::replace(present, index, node));
+        if let Some((index, node)) = same_address {
+            return Some(WitnessChange::replace(current, index, node));
         }
-        let index = self.unavailable_index(present, REPLACE_AFTER)?;
-        let replacements = candidates.iter().map(|node| WitnessChange::replace(present, index, *node));
+        let index = self.unavailable_index(current, REPLACE_AFTER)?;
+        let replacements = candidates.iter().map(|node| WitnessChange::replace(current, index, *node));
         replacements.min_by_key(|change| self.count_uncovered_by(change))
     }
 
     /// Removes an unavailable witness. In a set of even size this reduces the majority, so that the remaining witnesses
     /// survive one more loss. In a set of odd size a witness is removed only if two that are not required are
     /// unavailable.
-    fn remove_one(&self, present: &[NodeId]) -> Option<WitnessChange> {
-        let time_since_reply = match present.len().is_multiple_of(2) {
+    fn remove_one(&self, current: &[NodeId]) -> Option<WitnessChange> {
+        let time_since_reply = match current.len().is_multiple_of(2) {
             true => self.cluster.options.drop_after,
-            false if self.has_two_surplus_witnesses(present) => REMOVE_SURPLUS_AFTER,
+            false if self.has_two_surplus_witnesses(current) => REMOVE_SURPLUS_AFTER,
             false => return None,
         };
-        self.unavailable_index(present, time_since_reply).map(|index| WitnessChange::remove(present, index))
+        self.unavailable_index(current, time_since_reply).map(|index| WitnessChange::remove(current, index))
     }
 
     /// Returns whether two witnesses are unavailable and the set is large enough without them. As long as they stay in
     /// the set, it survives fewer further losses.
-    fn has_two_surplus_witnesses(&self, present: &[NodeId]) -> bool {
-        let is_large = present.len() > 2 * self.cluster.options.fault_tolerance.machines + 1;
+    fn has_two_surplus_witnesses(&self, current: &[NodeId]) -> bool {
+        let exceeds_requirement = current.len() > 2 * self.cluster.options.fault_tolerance.machines + 1;
         let unavailable =
-            present.iter().filter(|node| self.is_unavailable(**node, REMOVE_SURPLUS_AFTER)).count();
-        is_large && unavailable >= 2
+            current.iter().filter(|node| self.is_unavailable(**node, REMOVE_SURPLUS_AFTER)).count();
+        exceeds_requirement && unavailable >= 2
     }
 
     /// Removes or replaces a witness if the set then survives more tolerated failures than it does now.
-    fn spread_over_domains(&self, present: &[NodeId], candidates: &[NodeId]) -> Option<WitnessChange> {
-        let uncovered = self.cluster.uncovered_by_witnesses(present);
-        let is_known = present.iter().all(|node| self.cluster.locality_of(*node).is_some());
+    fn spread_over_domains(&self, current: &[NodeId], candidates: &[NodeId]) -> Option<WitnessChange> {
+        let uncovered = self.cluster.uncovered_by_witnesses(current);
+        let is_known = current.iter().all(|node| self.cluster.locality_of(*node).is_some());
         if !uncovered.includes_domains() || !is_known {
             return None;
         }
@@ -118,23 +118,23 @@
         let is_removable = |change: &WitnessChange| {
             !self.cluster.uncovered_by_witnesses(&change.witnesses).machines && is_better(change)
         };
-        let mut removals = (0..present.len()).map(|index| WitnessChange::remove(present, index));
+        let mut removals = (0..current.len()).map(|index| WitnessChange::remove(current, index));
         if let Some(removal) = removals.find(is_removable) {
             return Some(removal);
         }
-        let pairs = candidates.iter().flat_map(|node| (0..present.len()).map(move |index| (index, *node)));
-        let mut replacements = pairs.map(|(index, node)| WitnessChange::replace(present, index, node));
+        let pairs = candidates.iter().flat_map(|node| (0..current.len()).map(move |index| (index, *node)));
+        let mut replacements = pairs.map(|(index, node)| WitnessChange::replace(current, index, node));
         replacements.find(is_better)
     }
 
     /// Adds a candidate if all witnesses are available, since a larger set needs a larger majority. A set that would
     /// then survive fewer failures is extended only if the tolerated loss of machines requires more witnesses.
-    fn add_one(&self, present: &[NodeId], candidates: &[NodeId]) -> Option<WitnessChange> {
-        if self.unavailable_index(present, self.cluster.options.drop_after).is_some() {
+    fn add_one(&self, current: &[NodeId], candidates: &[NodeId]) -> Option<WitnessChange> {
+        if self.unavailable_index(current, self.cluster.options.drop_after).is_some() {
             return None;
         }
-        let uncovered = self.cluster.uncovered_by_witnesses(present);
-        let additions = candidates.iter().map(|node| WitnessChange::add(present, *node));
+        let uncovered = self.cluster.uncovered_by_witnesses(current);
+        let additions = candidates.iter().map(|node| WitnessChange::add(current, *node));
         let addition = additions.min_by_key(|change| self.count_uncovered_by(change))?;
         let is_safe = self.count_uncovered_by(&addition) <= uncovered.count();
         (uncovered.machines || is_safe).then_some(addition)
--- a/crates/replication/src/replica/acceptor.rs
+++ b/crates/replication/src/replica/acceptor.rs
@@ -152,12 +152,12 @@
         if primary == self.options.me {
             return;
         }
-        let is_outdated =
+        let has_outdated_candidacy =
             self.view_change.as_ref().is_some_and(|change| change.is_claimed() && change.epoch() < epoch);
         if holds_lease {
             self.defer_to(primary);
             self.primary_contact = Some(PrimaryContact { node: primary, epoch, received_at: self.now });
-        } else if self.primary.is_some() || is_outdated {
+        } else if self.primary.is_some() || has_outdated_candidacy {
             self.defer_to(primary);
         }
     }
--- a/crates/replication/src/replica/mod.rs
+++ b/crates/replication/src/replica/mod.rs
@@ -127,7 +127,7 @@
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
-            Event::Message { from, body } => self.step(from, body),
+            Event::Message { from, body } => self.handle_message(from, body),
             Event::LocalityLearned { node, locality } => self.peers.set_locality(node, locality),
             Event::Connected(node) => self.handle_connected(node),
             Event::Disconnected(node) => self.peers.disconnect(node),
@@ -259,7 +259,7 @@
     /// Handles the messages from this node to itself, hands the next write to the host, and reports a change of role.
     fn flush(&mut self) {
         while let Some(body) = self.outbox.pop_loopback() {
-            self.step(self.options.me, body);
+            self.handle_message(self.options.me, body);
         }
         if let Some((ticket, write)) = self.writes.next_write(self.now) {
             self.outbox.push(Action::Store { ticket, write });
@@ -273,7 +273,7 @@
     }
 
     /// Handles a message from another node or from this node itself.
-    fn step(&mut self, from: NodeId, body: Body) {
+    fn handle_message(&mut self, from: NodeId, body: Body) {
         match body {
             Body::Prepare(prepare) => self.handle_prepare(from, *prepare),
             Body::Promise(promise) => self.handle_promise(from, *promise),
--- a/crates/replication/src/replica/primary.rs
+++ b/crates/replication/src/replica/primary.rs
@@ -47,10 +47,10 @@
     /// added.
     fn record_drops(&mut self, view: &View, desired_view: Option<DesiredView>) {
         let Some(primary) = &self.primary else { return };
-        let present = members(view);
+        let current = members(view);
         let mut expected = members(primary.view());
         expected.extend(desired_view.into_iter().flat_map(|desired_view| desired_view.members));
-        expected.retain(|node| !present.contains(node));
+        expected.retain(|node| !current.contains(node));
         expected.sort_unstable();
         expected.dedup();
         for node in expected {
@@ -257,7 +257,7 @@
         indices.last().copied()
     }
 
-    /// Returns whether new commits of the present view may be acknowledged.
+    /// Returns whether new commits of the current view may be acknowledged.
     fn can_acknowledge(&self) -> bool {
         let (Some(primary), Some(planner)) = (&self.primary, self.planner()) else { return false };
         let inputs = planner.durability_inputs();
--- a/crates/replication/src/replica/view_change.rs
+++ b/crates/replication/src/replica/view_change.rs
@@ -196,9 +196,10 @@
             return;
         };
         let tolerated_machines = self.options.fault_tolerance.machines;
-        let counts_early = self.options.faults.count_learner_early();
-        let holds_state =
-            |node: &NodeId| counts_early && !is_member(change.newest_view(), *node) || self.has_synced(*node);
+        let counts_learners_early = self.options.faults.count_learner_early();
+        let holds_state = |node: &NodeId| {
+            counts_learners_early && !is_member(change.newest_view(), *node) || self.has_synced(*node)
+        };
         let mut synced: BTreeSet<NodeId> = change.targets().iter().copied().filter(holds_state).collect();
         let is_shutting_down = |node: &NodeId| self.peers.is_shutting_down(self.now, *node);
         if synced.iter().filter(|node| !is_shutting_down(node)).count() > tolerated_machines {
