--- a/crates/replication/src/durability.rs
+++ b/crates/replication/src/durability.rs
@@ -111,15 +111,15 @@
 
 fn log_status(me: NodeId, status: DurabilityStatus, logged: DurabilityStatus) {
     if status.is_covered() {
-        info!(node:% = me; "members and witnesses survive all tolerated failures again");
+        info!(node:% = me; "members and witnesses survive every tolerated failure again");
         return;
     }
     let DurabilityStatus { members, witnesses } = status;
     if members != logged.members && members.machines {
         warn!(
             node:% = me, uncovered:% = members;
-            "commits are not acknowledged: a tolerated failure would leave no copy; start control machines elsewhere, \
-             or repair the links to them"
+            "nothing is acknowledged: a tolerated failure would leave no copy; start control machines elsewhere, or \
+             repair the links to them"
         );
     } else if members != logged.members && !members.is_empty() {
         warn!(
--- a/crates/replication/src/event.rs
+++ b/crates/replication/src/event.rs
@@ -41,8 +41,8 @@
         /// The payload.
         payload: Vec<u8>,
     },
-    /// The monotonic clock did not advance for some time, because the whole machine was suspended. The host reports this
-    /// before it handles anything else.
+    /// The monotonic clock did not advance for some time, because the whole machine was suspended. The host reports
+    /// this before it handles anything else.
     ClockJumped,
     /// Time has passed. The host reports this every 50 ms.
     Tick,
--- a/crates/replication/src/primary.rs
+++ b/crates/replication/src/primary.rs
@@ -119,8 +119,8 @@
         self.lease.record_grant(witness, round, epoch);
     }
 
-    /// Returns when the lease ends; `None` if it was never granted. `activating` is the view that is being activated, if
-    /// there is one: a majority of its witnesses has to grant the lease too, since a candidate may already know that
+    /// Returns when the lease ends; `None` if it was never granted. `activating` is the view that is being activated,
+    /// if there is one: a majority of its witnesses has to grant the lease too, since a candidate may already know that
     /// they alone decide on the next view.
     pub fn lease_end(&self, activating: Option<&View>) -> Option<Duration> {
         let mut sets = witness_sets(&self.view);
--- a/crates/replication/src/replica/follower.rs
+++ b/crates/replication/src/replica/follower.rs
@@ -70,7 +70,7 @@
             Err(AppendError::ConflictsWithCommitted) => {
                 error!(
                     node:% = self.options.me, peer:% = from, epoch, index = applied.index;
-                    "rejected entries that conflict with the committed log"
+                    "entries that conflict with the committed log are not appended"
                 );
             }
         }
--- a/crates/replication/src/replica/primary.rs
+++ b/crates/replication/src/replica/primary.rs
@@ -43,18 +43,18 @@
         self.append_queued_proposals();
     }
 
-    /// Records as dropped the members that the view no longer has and the learners that did not catch up in time to be
-    /// added.
+    /// Records the drop of the members that the new view no longer has, and of the learners that did not catch up in
+    /// time to be added.
     fn record_drops(&mut self, view: &View, desired_view: Option<DesiredView>) {
         let Some(primary) = &self.primary else { return };
-        let current = members(view);
+        let new_members = members(view);
         let mut expected = members(primary.view());
         expected.extend(desired_view.into_iter().flat_map(|desired_view| desired_view.members));
-        expected.retain(|node| !current.contains(node));
+        expected.retain(|node| !new_members.contains(node));
         expected.sort_unstable();
         expected.dedup();
         for node in expected {
-            info!(node:% = self.options.me, epoch = view.epoch, peer:% = node; "the new view excludes the node");
+            info!(node:% = self.options.me, epoch = view.epoch, peer:% = node; "node is left out of the view");
             self.peers.record_drop(self.now, node);
             if let Some(tracker) = &mut self.tracker {
                 tracker.remove(node);
--- a/crates/replication/src/state_machine.rs
+++ b/crates/replication/src/state_machine.rs
@@ -30,7 +30,7 @@
         let reason = &self.reason;
         write!(
             formatter,
-            "the snapshot cannot be decoded ({reason}): run the same version on all control machines, \
+            "the snapshot cannot be read ({reason}): run the same version on all control machines, \
              or empty the data folder of this one"
         )
     }
