--- a/crates/quillpulley/src/proxy/admission/buffer_budget.rs
+++ b/crates/quillpulley/src/proxy/admission/buffer_budget.rs
@@ -1,13 +1,13 @@
-//! The memory that the bodies of requests and responses may take together.
+//! The memory budget that bodies of requests and responses share.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The part of a process's memory that bodies may take: 96 MB of 260.
+/// Fraction of the process's memory that bodies may use: 96 MB of 260 MB.
 const MEMORY_FRACTION: f64 = 96.0 / 260.0;
 const MEGABYTE: f64 = 1024.0 * 1024.0;
 
-/// The memory for bodies.
+/// The memory budget for bodies. Clones share the same budget.
 #[derive(Clone)]
 pub struct BufferBudget(Rc<Budget>);
 
@@ -16,24 +16,24 @@
     reserved: Cell<usize>,
 }
 
-/// Bytes that are reserved, for as long as this exists.
+/// Bytes reserved from a budget, which are released when the reservation is dropped.
 pub struct BufferReservation {
     budget: BufferBudget,
     bytes: usize,
 }
 
 impl BufferBudget {
-    /// Creates the budget of a process with so many megabytes of memory.
+    /// Creates the budget of a process that may use this many megabytes of memory.
     pub fn for_memory(megabytes: u32) -> Self {
         BufferBudget::new((f64::from(megabytes) * MEMORY_FRACTION * MEGABYTE) as usize)
     }
 
-    /// Creates a budget of this many bytes.
+    /// Creates a budget of `limit` bytes.
     pub fn new(limit: usize) -> Self {
         BufferBudget(Rc::new(Budget { limit, reserved: Cell::new(0) }))
     }
 
-    /// Returns the whole budget, in bytes.
+    /// Returns the size of the whole budget in bytes, including reserved bytes.
     pub fn limit(&self) -> usize {
         self.0.limit
     }
@@ -45,7 +45,8 @@
 }
 
 impl BufferReservation {
-    /// Grows the reservation to this many bytes. Returns false if the budget does not allow it.
+    /// Grows the reservation to a total of `bytes`; never shrinks it. Returns false, and changes nothing, if
+    /// the budget does not have enough left.
     pub fn try_grow_to(&mut self, bytes: usize) -> bool {
         let Budget { limit, reserved } = &*self.budget.0;
         let more = bytes.saturating_sub(self.bytes);
--- a/crates/quillpulley/src/proxy/admission/mod.rs
+++ b/crates/quillpulley/src/proxy/admission/mod.rs
@@ -1,6 +1,6 @@
-//! Capacity at servers: a request gets it at once, or waits in a queue for a short time.
+//! Admission of requests to servers: a request gets capacity at once, or waits in a queue for a short time.
 //!
-//! Whoever waits is admitted as soon as there is capacity, before anybody who comes later.
+//! Queued requests are admitted as soon as capacity becomes available, before requests that arrive later.
 
 pub mod buffer_budget;
 
@@ -15,21 +15,21 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// How often queues are looked at while they are not empty: some capacity comes with time alone, as warming servers get
-/// their requests one by one.
+/// Interval at which non-empty queues are checked: some capacity becomes available with time alone, since the
+/// rate of requests to a warming server is limited.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// No server has capacity for a request.
+/// Error: no server has capacity for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoCapacity {
-    /// When there may be capacity, if that is known.
+    /// The delay after which there may be capacity. `None` if it is not known.
     pub retry_after: Option<Duration>,
 }
 
 /// A request in a queue.
 struct Waiter {
     context: Rc<RequestContext>,
-    /// The servers that it was sent to.
+    /// The servers that the request was already sent to, which are not chosen again.
     tried: Vec<ServerKey>,
     admitted: oneshot::Sender<UpstreamRequest>,
 }
@@ -39,12 +39,12 @@
     upstreams: Rc<Upstreams>,
     limits: QueueLimits,
     queues: RefCell<HashMap<String, RequestQueue<Waiter>>>,
-    /// The first request is queued.
+    /// Notified when a request is added while all queues are empty.
     queue_filled: Notify,
 }
 
 impl Admission {
-    /// Creates empty queues, which hold up to `limits` for each service.
+    /// Creates empty queues. `limits` applies to the queue of each service.
     pub fn new(upstreams: Rc<Upstreams>, limits: QueueLimits) -> Rc<Self> {
         let queue_filled = Notify::new();
         let admission = Rc::new(Admission { upstreams, limits, queues: RefCell::default(), queue_filled });
@@ -53,10 +53,11 @@
         admission
     }
 
-    /// Returns an upstream request to a server, other than those that were tried, at once or until then.
+    /// Returns an upstream request to a server that is not in `tried`. Without free capacity, the request
+    /// waits in the queue of its service until the deadline `until` at the latest.
     ///
     /// # Errors
-    /// [`NoCapacity`] if no server had capacity by then.
+    /// [`NoCapacity`] if no server had capacity by then, no server is eligible, or the queue is full.
     pub async fn acquire(
         &self,
         context: &Rc<RequestContext>,
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Admits queued requests to servers of a service, as long as there is capacity.
+    /// Admits queued requests of a service until there is no more capacity.
     pub fn admit(&self, service: &str) {
         loop {
             let mut chosen = None;
@@ -90,7 +91,7 @@
             });
             let Some((waiter, server)) = waiter.zip(chosen) else { return };
             if let Some(upstream_request) = self.begin(waiter.context, server) {
-                // A request whose receiver has gone ends by itself.
+                // If the receiver is gone, the upstream request is dropped here, which ends it.
                 let _ = waiter.admitted.send(upstream_request);
             }
         }
@@ -102,7 +103,7 @@
         services.iter().for_each(|service| self.admit(service));
     }
 
-    /// Admits queued requests again and again, for as long as it is polled.
+    /// Periodically admits queued requests while there are any. Runs until it is dropped.
     pub async fn poll_queues(self: Rc<Self>) {
         loop {
             self.queue_filled.notified().await;
@@ -124,7 +125,7 @@
         let service = waiter.context.decision.service.clone();
         let mut queues = self.queues.borrow_mut();
         let queue = queues.entry(service).or_insert_with(|| RequestQueue::new(self.limits));
-        // Displaced requests find their sender dropped.
+        // Displaced requests are dropped with their senders, which ends their wait.
         queue.push(self.upstreams.now(), terms, waiter).ok().map(|queued| queued.key)
     }
 
@@ -165,7 +166,7 @@
     }
 }
 
-/// The place of a request in a queue, for as long as this exists.
+/// A queued request. Dropping the guard removes the request from the queue.
 struct QueueEntry<'a> {
     admission: &'a Admission,
     service: &'a str,
--- a/crates/quillpulley/src/proxy/config/active_config.rs
+++ b/crates/quillpulley/src/proxy/config/active_config.rs
@@ -1,4 +1,4 @@
-//! The active configuration, and what it decides for a request.
+//! The active configuration, and the route decision for a request.
 
 use quillpulley_load_balancer::{pick_service, HomeTable, RouteTable};
 use quillpulley_serving_config::{Configuration, Limits, Route, RouteKind, Service};
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A configuration, indexed for look-ups.
+/// A configuration, indexed for lookups.
 pub struct ActiveConfig {
     configuration: Configuration,
     routes: RouteTable,
@@ -23,17 +23,17 @@
         ActiveConfig { configuration, routes, homes }
     }
 
-    /// Returns its version.
+    /// Returns the version of the configuration.
     pub fn version(&self) -> u64 {
         self.configuration.version
     }
 
-    /// Returns the limits of clients.
+    /// Returns the limits on requests and connections of clients.
     pub fn limits(&self) -> &Limits {
         &self.configuration.limits
     }
 
-    /// Returns a service by its name.
+    /// Returns a service by its name. `None` if the configuration has no such service.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.configuration.services.get(name)
     }
@@ -43,12 +43,13 @@
         self.configuration.services.values()
     }
 
-    /// Returns the home regions of each host.
+    /// Returns the table of home regions by host.
     pub fn homes(&self) -> &HomeTable {
         &self.homes
     }
 
-    /// Returns the decision for a request, if there is a route for it.
+    /// Returns the route decision for a request, with a service chosen at random by weight. `None` if no
+    /// route matches.
     pub fn decide(&self, host: &str, path: &str) -> Option<RouteDecision> {
         let route = self.routes.find(host, path)?;
         let service = pick_service(route, fastrand::f64())?;
@@ -56,50 +57,52 @@
     }
 }
 
-/// The active configuration, which is replaced as a whole.
+/// The shared cell of the active configuration, which is replaced as a whole.
 #[derive(Default)]
 pub struct ActiveConfigCell(RefCell<Option<Rc<ActiveConfig>>>);
 
 impl ActiveConfigCell {
-    /// Returns the active configuration, once one is known.
+    /// Returns the active configuration. `None` until the first one is received.
     pub fn get(&self) -> Option<Rc<ActiveConfig>> {
         self.0.borrow().clone()
     }
 
-    /// Returns the version of the active configuration.
+    /// Returns the version of the active configuration. `None` until the first one is received.
     pub fn version(&self) -> Option<u64> {
         self.0.borrow().as_ref().map(|config| config.version())
     }
 
-    /// Replaces the active configuration and returns the one before.
+    /// Replaces the active configuration and returns the previous one.
     pub fn replace(&self, config: Rc<ActiveConfig>) -> Option<Rc<ActiveConfig>> {
         self.0.replace(Some(config))
     }
 }
 
-/// What the configuration decides for a request.
+/// What the active configuration determines for a request.
 pub struct RouteDecision {
-    /// The service that it goes to.
+    /// The name of the service whose servers the request is sent to.
     pub service: String,
-    /// The most connections that a server of the service accepts from all callers together.
+    /// The maximum number of connections that a server of the service accepts, over all callers. 0 if the
+    /// service is unknown.
     pub max_connections: u32,
-    /// Whether its response is a stream of events.
+    /// Whether the response is a stream of events.
     pub streaming: bool,
-    /// Whether that stream may be resumed at another server.
+    /// Whether a broken stream may be resumed at another server.
     pub resumable: bool,
-    /// Whether it may run more than once.
+    /// Whether the request may execute more than once.
     pub is_idempotent: bool,
-    /// The most servers that it may be sent to.
+    /// The maximum number of servers that the request may be sent to.
     pub max_attempts: u32,
-    /// The longest time that it may be held.
+    /// The maximum time from the arrival of the request to the end of its response.
     pub timeout: Duration,
-    /// The latency target of its response.
+    /// The target latency of the response.
     pub objective: Duration,
-    /// Its priority; 0 is the highest.
+    /// The priority of the request; 0 is the highest.
     pub priority: u32,
-    /// Whether it names the parts of its prompt.
+    /// Whether requests of the route name the segments of their prompts, so that servers with cached segments
+    /// are preferred.
     pub sticky: bool,
-    /// The only regions in which it may be served; none for any.
+    /// The only regions in which the request may be served. Empty if it may be served in any region.
     pub homes: Vec<String>,
 }
 
--- a/crates/quillpulley/src/proxy/config/mod.rs
+++ b/crates/quillpulley/src/proxy/config/mod.rs
@@ -1,4 +1,4 @@
-//! The active configuration, and how it follows the published state.
+//! The active configuration, and how it is updated from the published state.
 
 pub mod active_config;
 pub mod updates;
--- a/crates/quillpulley/src/proxy/config/updates.rs
+++ b/crates/quillpulley/src/proxy/config/updates.rs
@@ -1,4 +1,4 @@
-//! Applies changes of the published state to what all requests share.
+//! Applies changes of the published state to the state that all requests share.
 
 use crate::proxy::state::ProxyState;
 use quillpulley_load_balancer::ProxyPeer;
@@ -12,7 +12,7 @@
 use quillpulley_state_sync::{ChangedKey, Store};
 use std::rc::Rc;
 
-/// The kinds of items that have to be read again after a change.
+/// The kinds of items to read from the store again, because at least one item of that kind has changed.
 #[derive(Default)]
 struct Affected {
     configuration: bool,
@@ -20,7 +20,7 @@
     endpoints: bool,
 }
 
-/// Applies what has changed in the store.
+/// Applies the changed items of the store.
 pub fn apply(state: &Rc<ProxyState>, store: &Store, changes: &[ChangedKey]) {
     let mut affected = Affected::default();
     for change in changes {
@@ -47,18 +47,18 @@
 fn apply_server(state: &Rc<ProxyState>, id: &str, value: Option<&[u8]>) {
     match value.map(decode_value::<ServerRef<'_>, Server>) {
         Some(Ok(server)) => state.put_server(&server),
-        Some(Err(error)) => log::error!(server = id, error:% = error; "a published server cannot be read"),
+        Some(Err(error)) => log::error!(server = id, error:% = error; "cannot decode a published server"),
         None => state.upstreams.remove_server(id),
     }
 }
 
-/// Applies the configuration if it is a later one: its head changes with it.
+/// Applies the published configuration if its version is later than the active one.
 fn apply_configuration(state: &ProxyState, store: &Store) {
     let Some(head) = store.get(CONFIG_KEY) else { return };
     let version = match decode_value::<ConfigHeadRef<'_>, ConfigHead>(head) {
         Ok(head) => head.version,
         Err(error) => {
-            return log::error!(error:% = error; "the head of the published configuration cannot be read")
+            return log::error!(error:% = error; "the head of the published configuration cannot be decoded")
         }
     };
     if state.config.version().is_some_and(|current| version <= current) {
@@ -67,15 +67,16 @@
     let routes = store.with_prefix(ROUTE_PREFIX).map(|(_, value)| value);
     match Configuration::from_items(head, routes) {
         Ok(configuration) => state.activate(configuration),
-        // The rest comes with the next frame.
+        // The missing routes arrive with a later update.
         Err(error @ ConfigurationError::Incomplete { .. }) => {
             log::debug!(version, error:% = error; "the published configuration is incomplete");
         }
-        Err(error) => log::error!(version, error:% = error; "the published configuration cannot be read"),
+        Err(error) => log::error!(version, error:% = error; "the published configuration is invalid"),
     }
 }
 
-/// Returns all proxies: one that starts or drains may send requests to servers too.
+/// Returns all published proxies, including those that are starting or draining: they may send requests to
+/// servers too.
 fn proxies(store: &Store) -> Vec<ProxyPeer> {
     let endpoints = store.with_prefix(ENDPOINT_PREFIX);
     let endpoints =
--- a/crates/quillpulley/src/proxy/downstream/client_service.rs
+++ b/crates/quillpulley/src/proxy/downstream/client_service.rs
@@ -1,8 +1,8 @@
-//! Serves clients: each request is accepted, forwarded, and answered.
+//! The HTTP service for clients: reads each request, has it forwarded, and responds.
 //!
-//! A request passes through these phases, each a method: `accept` reads and checks it, `forward` has it sent to
-//! servers, and `respond` (of [`Service`]) writes the response. A client that closes its connection ends its request in
-//! any phase.
+//! A request passes through these methods: `accept` reads and checks it, `forward` has it sent to servers,
+//! and `respond` (of [`Service`]) returns the response. If the client closes its connection, the request ends
+//! in any of them.
 
 use crate::proxy::config::active_config::{ActiveConfig, RouteDecision};
 use crate::proxy::downstream::local_response::LocalResponse;
@@ -25,15 +25,16 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, timeout_at, Instant};
 
-/// When a client may try again if a request with its id is open.
+/// `Retry-After` for a request whose id belongs to a request that is still open.
 const DUPLICATE_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// When it may try again if this proxy exits too soon: at once, as others serve it.
+/// `Retry-After` for a request that cannot be completed before this proxy exits: zero, as another proxy can
+/// serve it at once.
 const DRAINING_RETRY_AFTER: Duration = Duration::ZERO;
-/// When it may try again if there is no route for it, and the published state is stale.
+/// `Retry-After` for a request without a known route while the published state is stale.
 const STALE_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// A stream that is still open so long after its deadline is not being read by its client.
+/// A stream that is still open for this long after its deadline is not being read by its client.
 const UNREAD_MARGIN: Duration = Duration::from_millis(200);
-/// How many received bytes are recorded: one is enough to tell that a request has begun.
+/// Number of received bytes to record on a connection: one is enough to detect that a request has begun.
 pub const RECORDED_BYTES: usize = 1;
 
 /// The service for clients.
@@ -41,13 +42,13 @@
     state: Rc<ProxyState>,
 }
 
-/// A request that was accepted, with what it holds until it has its response.
+/// A request that was accepted, with the resources that it holds until its response is complete.
 struct AcceptedRequest {
     context: RequestContext,
     guards: StreamGuards,
 }
 
-/// The head of a request, with what the active configuration decides for it.
+/// The head of a request, and the route decision for it.
 struct RoutedHead {
     head: RequestHead,
     decision: RouteDecision,
@@ -55,7 +56,7 @@
 }
 
 impl ClientService {
-    /// Creates the service of a proxy.
+    /// Creates the client service of a proxy.
     pub fn new(state: Rc<ProxyState>) -> Rc<Self> {
         Rc::new(ClientService { state })
     }
@@ -68,7 +69,8 @@
         let socket = connection.socket();
         let accepted = self.accept(request).await?;
         let mut closed = pin!(socket.peer_closed());
-        // A client that has gone while its connection waited to be accepted is not sent to a server at all.
+        // A client may have closed its connection before it was accepted; its request is not sent to a
+        // server.
         if poll_fn(|cx| Poll::Ready(closed.as_mut().poll(cx).is_ready())).await {
             return Err(client_closed());
         }
@@ -79,12 +81,12 @@
         }
     }
 
-    /// Reads a request and checks it.
+    /// Reads a request and checks it: head, route, size limits, and a unique id.
     async fn accept(&self, request: Request<Incoming>) -> Result<AcceptedRequest, LocalResponse> {
         let arrived = Instant::now();
         let (head, body) = request.into_parts();
         let has_body = !body.is_end_stream();
-        // A response that comes before the body was read closes the connection.
+        // The connection has to be closed after a response that is sent before the body was read.
         let before_body = |response: LocalResponse| response.or_closing(has_body);
         let config = self.state.config.get().ok_or_else(|| before_body(self.starting()))?;
         let limits = config.limits();
@@ -103,7 +105,8 @@
         Ok(AcceptedRequest { context, guards: StreamGuards { open, reservation } })
     }
 
-    /// Finds the route of a request. Must be decided before its body is read.
+    /// Finds the route of a request. Called before the body is read, so that a request can be rejected
+    /// without reading it.
     fn route(
         &self,
         config: &ActiveConfig,
@@ -121,19 +124,20 @@
         Ok(RoutedHead { head, decision, due })
     }
 
-    /// Opens a request. Ids are new with every request: one that is open already is a duplicate of it.
+    /// Registers an open request. Clients use a new id for every request, so a request whose id is already
+    /// open is a duplicate.
     fn open(&self, head: &RequestHead) -> Result<OpenRequest, LocalResponse> {
         let open = self.state.open_requests.open(&head.id);
         open.ok_or_else(|| LocalResponse::unavailable(DUPLICATE_RETRY_AFTER))
     }
 
-    /// Returns the response while no configuration is known.
+    /// Returns the response to requests that arrive before a configuration is known.
     fn starting(&self) -> LocalResponse {
         LocalResponse::unavailable(lifecycle::retry_after_start(self.state.now()))
     }
 
-    /// Returns the response to a request without a route. If the published state is stale, another proxy may know a
-    /// route that this one does not know.
+    /// Returns the response to a request without a route. If the published state is stale, another proxy may
+    /// know a route that this proxy does not know.
     fn no_route(&self) -> LocalResponse {
         match self.state.is_fresh() {
             true => LocalResponse::status(StatusCode::NOT_FOUND),
@@ -185,18 +189,18 @@
     }
 
     fn accept_failed(&self, error: &io::Error) {
-        log::warn!(error:% = error; "cannot accept clients: raise the limit of open files if this goes on");
+        log::warn!(error:% = error; "cannot accept clients: raise the limit of open files if this persists");
     }
 }
 
-/// Closes the connection of a client that does not read its stream. A stream ends itself at its deadline, but only
-/// while its client reads: otherwise no more of it is asked for.
+/// Closes the connection of a client that does not read its stream. A stream checks its deadline only when it
+/// is polled, and it is not polled while the client does not read.
 async fn close_unread(connection: Rc<ServerConnection>, due: Instant) {
     sleep_until(due + UNREAD_MARGIN).await;
     connection.close_now();
 }
 
-/// Returns a response that nobody reads.
+/// Returns a placeholder response, which is never delivered because the client has closed its connection.
 fn client_closed() -> LocalResponse {
     LocalResponse::closing(StatusCode::BAD_GATEWAY)
 }
--- a/crates/quillpulley/src/proxy/downstream/local_response.rs
+++ b/crates/quillpulley/src/proxy/downstream/local_response.rs
@@ -1,33 +1,34 @@
-//! Responses that the proxy gives by itself, without a server.
+//! Responses that the proxy generates itself, without a server.
 
 use bytes::Bytes;
 use hyper::header::{HeaderName, HeaderValue, RETRY_AFTER};
 use hyper::StatusCode;
 use std::time::Duration;
 
-/// A response of the proxy itself.
+/// A response that the proxy generates itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LocalResponse {
-    /// The status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// The time after which the client may try again, if the request has not executed.
+    /// The value of `Retry-After`. Present only if the request has not executed and will not.
     pub retry_after: Option<Duration>,
-    /// Whether the connection is closed, as the rest of the request was not read or must not be.
+    /// Whether the connection is closed after the response, because the rest of the request was not read or
+    /// must not be.
     pub closes_connection: bool,
 }
 
 impl LocalResponse {
-    /// Creates a response on a connection that stays open.
+    /// Creates a response that keeps the connection open.
     pub fn status(status: StatusCode) -> Self {
         LocalResponse { status, retry_after: None, closes_connection: false }
     }
 
-    /// Creates a response on a connection that is closed after it.
+    /// Creates a response after which the connection is closed.
     pub fn closing(status: StatusCode) -> Self {
         LocalResponse { closes_connection: true, ..LocalResponse::status(status) }
     }
 
-    /// Creates the response to a request that has not executed and will not.
+    /// Creates a 503 response to a request that has not executed and will not.
     pub fn unavailable(retry_after: Duration) -> Self {
         LocalResponse {
             retry_after: Some(retry_after),
@@ -35,12 +36,13 @@
         }
     }
 
-    /// Returns the same response on a connection that is closed if `closes` holds, or it was to be closed anyway.
+    /// Returns the response with its connection also closed if `closes` is true.
     pub fn or_closing(self, closes: bool) -> Self {
         LocalResponse { closes_connection: self.closes_connection || closes, ..self }
     }
 
-    /// Returns the header `Retry-After`: seconds with a fraction.
+    /// Returns the header `Retry-After`, in seconds with three decimals. `None` if the response has no retry
+    /// delay.
     pub fn retry_after_header(&self) -> Option<(HeaderName, HeaderValue)> {
         let seconds = self.retry_after?.as_secs_f64();
         Some((RETRY_AFTER, HeaderValue::try_from(format!("{seconds:.3}")).ok()?))
--- a/crates/quillpulley/src/proxy/downstream/mod.rs
+++ b/crates/quillpulley/src/proxy/downstream/mod.rs
@@ -1,4 +1,4 @@
-//! The clients' side: reads and checks requests, has them forwarded, and writes responses.
+//! The client side: reads and checks requests, has them forwarded, and writes responses.
 
 pub mod client_service;
 pub mod home_demand;
--- a/crates/quillpulley/src/proxy/downstream/open_requests.rs
+++ b/crates/quillpulley/src/proxy/downstream/open_requests.rs
@@ -1,4 +1,4 @@
-//! The requests that are open, by their ids.
+//! The open requests by id, to detect duplicates.
 
 use hyper::header::HeaderValue;
 use std::cell::RefCell;
@@ -7,14 +7,14 @@
 use std::rc::Rc;
 use tokio::task::{spawn_local, AbortHandle};
 
-/// The ids of open requests.
+/// The ids of all open requests of this proxy.
 #[derive(Default)]
 pub struct OpenRequests {
     ids: RefCell<HashSet<HeaderValue>>,
 }
 
 impl OpenRequests {
-    /// Opens a request. Returns none if one with its id is open.
+    /// Registers a request. Returns `None` if a request with the same id is open.
     pub fn open(self: &Rc<Self>, id: &HeaderValue) -> Option<OpenRequest> {
         let is_new = self.ids.borrow_mut().insert(id.clone());
         is_new.then(|| OpenRequest { requests: self.clone(), id: id.clone(), task: None })
@@ -31,7 +31,7 @@
     }
 }
 
-/// A request that is open, for as long as this exists.
+/// An open request. Dropping it removes its id and aborts its task.
 pub struct OpenRequest {
     requests: Rc<OpenRequests>,
     id: HeaderValue,
@@ -39,7 +39,7 @@
 }
 
 impl OpenRequest {
-    /// Runs a task for as long as the request is open.
+    /// Spawns a task that is aborted when the request ends. Must be called on a tokio `LocalSet`.
     pub fn run_while_open(&mut self, task: impl Future<Output = ()> + 'static) {
         self.task = Some(spawn_local(task).abort_handle());
     }
--- a/crates/quillpulley/src/proxy/downstream/readiness.rs
+++ b/crates/quillpulley/src/proxy/downstream/readiness.rs
@@ -13,7 +13,7 @@
 
 const PATH: &str = "/v1/ready";
 
-/// The limits of connections: checks are few.
+/// Limits of the connections for readiness checks. They are low, as checks are rare.
 pub const OPTIONS: ConnectionOptions = ConnectionOptions {
     max_connections: 16,
     max_header_bytes: 8 * 1024,
@@ -25,13 +25,13 @@
     accept_retry_delay: Duration::from_millis(100),
 };
 
-/// Tells whether this proxy is ready for clients.
+/// Responds to readiness checks: 200 if this proxy is ready for clients, else 503.
 pub struct ReadinessService {
     state: Rc<ProxyState>,
 }
 
 impl ReadinessService {
-    /// Creates the service of a proxy.
+    /// Creates the readiness service of a proxy.
     pub fn new(state: Rc<ProxyState>) -> Rc<Self> {
         Rc::new(ReadinessService { state })
     }
@@ -65,6 +65,6 @@
     }
 
     fn accept_failed(&self, error: &io::Error) {
-        log::warn!(error:% = error; "cannot accept checks: raise the limit of open files if this goes on");
+        log::warn!(error:% = error; "cannot accept checks: raise the limit of open files if this persists");
     }
 }
--- a/crates/quillpulley/src/proxy/downstream/request.rs
+++ b/crates/quillpulley/src/proxy/downstream/request.rs
@@ -1,4 +1,4 @@
-//! A client's request: what servers get of it, and what it demands of a server.
+//! A client's request: the request that is sent to servers, and its demand for the load balancer.
 
 use crate::proxy::config::active_config::RouteDecision;
 use crate::proxy::downstream::local_response::LocalResponse;
@@ -14,11 +14,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The longest id of a request, in bytes: ids are kept while requests are open.
+/// Maximum length of a request id, in bytes: ids are kept in memory while requests are open.
 const MAX_ID_BYTES: usize = 256;
-/// The client's deadline began before its request arrived, and the response has to travel back.
+/// Subtracted from the client's timeout, which started before the request arrived, and includes the time that
+/// the response takes to reach the client.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(10);
-/// The bytes of a header beside its name and value.
+/// Bytes of a header field in addition to its name and value.
 const HEADER_OVERHEAD: usize = ": \r\n".len();
 const HEXADECIMAL: u32 = 16;
 
@@ -28,21 +29,21 @@
     pub method: Method,
     /// Path and query, which are forwarded unchanged.
     pub target: PathAndQuery,
-    /// The host, as the client names it.
+    /// The host of the request target, or else the `Host` header.
     pub host: HeaderValue,
-    /// The headers that are forwarded.
+    /// The headers to forward, without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// `Quillpulley-Request-Id`.
+    /// `Quillpulley-Request-Id`, 1 to 256 bytes long.
     pub id: HeaderValue,
-    /// `Quillpulley-Deadline-Ms`: how long the client waits, if it says so.
+    /// `Quillpulley-Deadline-Ms`: how long the client waits. `None` if the header is missing or invalid.
     pub deadline: Option<Duration>,
 }
 
 impl RequestHead {
-    /// Reads the head of a request.
+    /// Reads and validates the head of a request.
     ///
     /// # Errors
-    /// The response to a malformed request.
+    /// The response to the client if the id, the host or the path is missing or invalid.
     pub fn read(head: Parts) -> Result<RequestHead, LocalResponse> {
         let malformed = || LocalResponse::closing(StatusCode::BAD_REQUEST);
         let id = headers::single(&head.headers, &REQUEST_ID).filter(|id| is_valid_id(id)).cloned();
@@ -55,14 +56,15 @@
         Ok(RequestHead { method: head.method, target, host, headers, id, deadline })
     }
 
-    /// Returns when the response is due, on a route with a time-out.
+    /// Returns the deadline of the response: when the timeout of the route or of the client ends, whichever
+    /// is first.
     pub fn due(&self, arrived: Instant, timeout: Duration) -> Instant {
         let client_time = self.deadline.map_or(timeout, |deadline| deadline.saturating_sub(DEADLINE_MARGIN));
         arrived + client_time.min(timeout)
     }
 }
 
-/// Returns the size of a head in bytes, without optional white space.
+/// Returns the size of a head in bytes, not counting optional white space.
 pub fn head_bytes(head: &Parts) -> usize {
     let line = head.method.as_str().len() + head.uri.path().len() + head.uri.query().map_or(0, str::len);
     let fields = head.headers.iter().map(|(name, value)| name.as_str().len() + value.len() + HEADER_OVERHEAD);
@@ -73,7 +75,7 @@
     !id.is_empty() && id.len() <= MAX_ID_BYTES
 }
 
-/// Returns the host of the request target, or else `Host`.
+/// Returns the host of the request target, or else the `Host` header.
 fn host(head: &Parts) -> Option<HeaderValue> {
     match head.uri.host() {
         Some(host) => HeaderValue::from_str(host).ok(),
@@ -86,26 +88,26 @@
     Duration::try_from_secs_f64(milliseconds / 1000.0).ok()
 }
 
-/// A request that has been read completely.
+/// A complete request, with its body.
 pub struct ClientRequest {
-    /// The head.
+    /// The head of the request.
     pub head: RequestHead,
-    /// The body.
+    /// The complete body.
     pub body: Bytes,
-    /// When the head arrived.
+    /// When the complete head had arrived.
     pub arrived: Instant,
-    /// When the response is due.
+    /// The deadline of the response.
     pub due: Instant,
-    /// The segments of the prompt, in order.
+    /// The segments of the prompt in order, from `Quillpulley-Prompt-Prefix`; empty if the header is missing.
     pub segments: Vec<PromptSegment>,
-    /// Tokens of the prompt; 0 if unknown.
+    /// The number of tokens of the prompt; 0 if unknown.
     pub prompt_tokens: u32,
-    /// The most tokens of the response; 0 if unknown.
+    /// The maximum number of tokens of the response; 0 if unknown.
     pub output_tokens: u32,
 }
 
 impl ClientRequest {
-    /// Creates a request. Its head tells the size of its work.
+    /// Creates a request. Its prompt segments and token counts are read from the head.
     pub fn new(head: RequestHead, body: Bytes, arrived: Instant, due: Instant) -> Self {
         let segments =
             headers::single_text(&head.headers, &PROMPT_PREFIX).map(parse_segments).unwrap_or_default();
@@ -114,18 +116,19 @@
         ClientRequest { head, body, arrived, due, segments, prompt_tokens, output_tokens }
     }
 
-    /// Returns `Last-Event-Id` as the client sent it.
+    /// Returns `Last-Event-Id` as the client sent it. `None` if it is missing or empty.
     pub fn last_event_id(&self) -> Option<Bytes> {
         let id = headers::single(&self.head.headers, &LAST_EVENT_ID)?;
         Some(Bytes::copy_from_slice(id.as_bytes())).filter(|id| !id.is_empty())
     }
 
-    /// Returns the time until the response is due.
+    /// Returns the time until the deadline of the response; zero after it.
     pub fn time_remaining(&self) -> Duration {
         self.due.saturating_duration_since(Instant::now())
     }
 
-    /// Returns the request as a server gets it. `resume_after` is the last event that was forwarded.
+    /// Returns the request to send to the server with the id `instance`, or `None` if a header value is
+    /// invalid. `resume_after` is the id of the last event that was forwarded to the client.
     pub fn for_server(&self, instance: &str, resume_after: Option<&[u8]>) -> Option<Request<Full<Bytes>>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.head.method.clone();
@@ -141,16 +144,16 @@
     }
 }
 
-/// A request with its route decision.
+/// A request with the route decision for it.
 pub struct RequestContext {
-    /// The request.
+    /// The client's request.
     pub request: ClientRequest,
-    /// The route decision.
+    /// What the active configuration decided for the request.
     pub decision: RouteDecision,
 }
 
 impl RequestContext {
-    /// Returns what the request demands of a server now.
+    /// Returns the demand of the request for the load balancer, with the time remaining now.
     pub fn demand(&self) -> Demand<'_> {
         let RequestContext { request, decision } = self;
         Demand {
@@ -168,7 +171,8 @@
     }
 }
 
-/// Parses `5c1e07a2:800,91bd3f06:410`. An invalid segment ends the list.
+/// Parses `Quillpulley-Prompt-Prefix`, such as `5c1e07a2:800,91bd3f06:410`: the hexadecimal id of each
+/// segment and its length in tokens. An invalid segment ends the list.
 fn parse_segments(text: &str) -> Vec<PromptSegment> {
     let segment = |text: &str| {
         let (id, tokens) = text.trim().split_once(':')?;
@@ -180,7 +184,8 @@
     text.split(',').map_while(segment).collect()
 }
 
-/// Parses `1460,80`: tokens of the prompt, and the most tokens of the response.
+/// Parses `Quillpulley-Token-Count`, such as `1460,80`: the tokens of the prompt, and the maximum tokens of
+/// the response.
 fn parse_token_counts(text: &str) -> Option<(u32, u32)> {
     let (prompt, output) = text.split_once(',')?;
     Some((prompt.trim().parse().ok()?, output.trim().parse().ok()?))
--- a/crates/quillpulley/src/proxy/downstream/request_body.rs
+++ b/crates/quillpulley/src/proxy/downstream/request_body.rs
@@ -1,4 +1,4 @@
-//! Reads the body of a client's request, within its limit and the memory for bodies.
+//! Reads the body of a client's request, within the size limit and the memory budget.
 
 use crate::proxy::admission::buffer_budget::BufferReservation;
 use crate::proxy::downstream::local_response::LocalResponse;
@@ -8,13 +8,13 @@
 use hyper::StatusCode;
 use std::time::Duration;
 
-/// When a client may try again if the memory for bodies is in use.
+/// `Retry-After` for a request whose body does not fit into the memory budget.
 const NO_MEMORY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Reads a body of up to `max_bytes`.
+/// Reads a body of at most `max_bytes`, and reserves memory for it.
 ///
 /// # Errors
-/// The response to a client whose body is too large, malformed, or cannot be held.
+/// The response to the client if the body is too large, malformed, or does not fit into the memory budget.
 pub async fn read_body(
     mut body: Incoming,
     max_bytes: usize,
@@ -22,7 +22,7 @@
 ) -> Result<Bytes, LocalResponse> {
     let too_large = LocalResponse::closing(StatusCode::PAYLOAD_TOO_LARGE);
     let no_memory = LocalResponse::unavailable(NO_MEMORY_RETRY_AFTER).or_closing(true);
-    // The announced length is reserved at once, so that a body that is being read can be read to its end.
+    // The announced length is reserved before reading, so that a body does not run out of memory halfway.
     let announced = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
     if announced > max_bytes {
         return Err(too_large);
--- a/crates/quillpulley/src/proxy/downstream/response.rs
+++ b/crates/quillpulley/src/proxy/downstream/response.rs
@@ -14,21 +14,21 @@
 /// A response to a client.
 pub type ClientResponse = Response<ResponseBody>;
 
-/// The body of a response.
+/// The body of a response to a client.
 pub enum ResponseBody {
-    /// All of it, until it has been taken.
+    /// A body that is complete; `None` once it has been read.
     Complete(Option<Bytes>),
-    /// A stream.
+    /// A body that is streamed from a server.
     Stream(Box<EventStream>),
 }
 
-/// Returns the response of a server.
+/// Returns a server's response as it is forwarded to the client, without hop-by-hop headers.
 pub fn from_server(mut head: Parts, body: ResponseBody) -> ClientResponse {
     headers::remove_connection_headers(&mut head.headers);
     Response::from_parts(head, body)
 }
 
-/// Returns a response of the proxy itself.
+/// Returns the HTTP response for a response that the proxy generated itself.
 pub fn from_local(local: &LocalResponse) -> ClientResponse {
     let mut response = Response::new(ResponseBody::Complete(Some(local.body())));
     *response.status_mut() = local.status;
@@ -41,7 +41,7 @@
     response
 }
 
-/// Has the connection closed after a response.
+/// Adds `Connection: close`, so that the connection is closed after the response.
 pub fn close_connection(response: &mut ClientResponse) {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
--- a/crates/quillpulley/src/proxy/faults.rs
+++ b/crates/quillpulley/src/proxy/faults.rs
@@ -1,34 +1,35 @@
-//! The deliberate faults of a proxy, and the mechanisms that an experiment leaves out.
+//! Fault injection for tests, and the mechanisms that an experiment disables to measure their effect.
 
 use quillpulley_load_balancer::Ablation;
 
 quillpulley_fault_injection::define_faults! {
-    /// The faults of a proxy.
+    /// Switches of a proxy: each injects a fault or disables a mechanism.
     Faults {
-        /// A request that is not idempotent is sent again after its connection broke.
+        /// Resends a request that is not idempotent after its connection broke.
         retry_after_reset,
-        /// A response is accepted for the request that waits on its connection, whatever id it has.
+        /// Accepts a response on the request's connection whatever request id it carries.
         ignore_response_ids,
-        /// Requests are rejected at once where no server has capacity.
+        /// Disables queueing: requests are rejected at once if no server has capacity.
         queueing,
-        /// A request is sent to one server only.
+        /// Disables retries: a request has a single attempt.
         retries,
-        /// A stream whose server breaks it off is not resumed elsewhere.
+        /// Disables stream resumption: a stream that its server breaks off is not resumed at another server.
         stream_resumption,
     }
 }
 
-/// What an experiment changes in a proxy; nothing in a released program.
+/// The injected faults and disabled mechanisms of a proxy. By default there are none; a program built without
+/// the feature `fault-injection` cannot change that.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Experiment {
-    /// Faults and mechanisms of the proxy itself.
+    /// Switches of the proxy itself.
     pub faults: Faults,
-    /// Mechanisms of the choice of a server.
+    /// Switches of the load balancer.
     pub ablation: Ablation,
 }
 
 impl Experiment {
-    /// Leaves out a mechanism. Returns false if there is none of this name.
+    /// Disables the mechanism, or injects the fault, of this name. Returns false if the name is unknown.
     #[cfg(feature = "fault-injection")]
     pub fn leave_out(&mut self, name: &str) -> bool {
         self.faults.switch_on(name) || self.ablation.switch_on(name)
--- a/crates/quillpulley/src/proxy/headers.rs
+++ b/crates/quillpulley/src/proxy/headers.rs
@@ -1,4 +1,4 @@
-//! The headers of the protocol, and those that concern only one connection.
+//! HTTP headers: those of the quillpulley protocol, and hop-by-hop headers.
 
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONNECTION};
 use hyper::header::{CONTENT_LENGTH, EXPECT, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION};
@@ -15,11 +15,11 @@
 pub const INSTANCE_ID: HeaderName = HeaderName::from_static("quillpulley-instance-id");
 pub const WARMUP_REMAINING_MS: HeaderName = HeaderName::from_static("quillpulley-warmup-remaining-ms");
 pub const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
-/// The prefix of the headers of the protocol.
+/// The prefix of the names of the protocol's own headers.
 const PROTOCOL_PREFIX: &str = "quillpulley-";
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Hop-by-hop headers, and those of the framing of a body.
+/// Headers that are not forwarded: hop-by-hop headers, and those that describe the framing of a body.
 const HOP_BY_HOP: [HeaderName; 11] = [
     CONNECTION,
     CONTENT_LENGTH,
@@ -34,7 +34,7 @@
     UPGRADE,
 ];
 
-/// Removes the hop-by-hop headers of a message.
+/// Removes the headers that must not be forwarded: `HOP_BY_HOP` and those that `Connection` names.
 pub fn remove_connection_headers(headers: &mut HeaderMap) {
     if headers.contains_key(CONNECTION) {
         let named: Vec<HeaderName> = named_by_connection(headers).collect();
@@ -47,13 +47,14 @@
     }
 }
 
-/// Returns whether the connection is closed after the message.
+/// Returns whether `Connection: close` announces that the connection is closed after the message.
 pub fn closes_connection(headers: &HeaderMap) -> bool {
     headers.contains_key(CONNECTION)
         && connection_tokens(headers).any(|token| token.eq_ignore_ascii_case("close"))
 }
 
-/// Returns the headers that `Connection` names, without those of the protocol, which are end-to-end.
+/// Returns the headers that `Connection` names, except the protocol's own headers and `Last-Event-Id`, which
+/// are end-to-end.
 fn named_by_connection(headers: &HeaderMap) -> impl Iterator<Item = HeaderName> + '_ {
     let names = connection_tokens(headers).filter_map(|name| name.parse().ok());
     names.filter(|name: &HeaderName| !name.as_str().starts_with(PROTOCOL_PREFIX) && *name != LAST_EVENT_ID)
@@ -64,14 +65,15 @@
     values.flat_map(|value| value.split(',')).map(str::trim)
 }
 
-/// Returns the value of a header that occurs exactly once.
+/// Returns the value of a header. `None` if the header is missing or occurs more than once.
 pub fn single<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a HeaderValue> {
     let mut values = headers.get_all(name).iter();
     let value = values.next()?;
     values.next().is_none().then_some(value)
 }
 
-/// Returns the text of a header that occurs exactly once.
+/// Returns the trimmed text of a header. `None` if the header is missing, occurs more than once, or is not
+/// visible ASCII.
 pub fn single_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     single(headers, name)?.to_str().ok().map(str::trim)
 }
--- a/crates/quillpulley/src/proxy/mod.rs
+++ b/crates/quillpulley/src/proxy/mod.rs
@@ -1,16 +1,16 @@
-//! The proxy role: serves clients, sends their requests to servers, and passes the responses on.
+//! The proxy role: accepts client requests, forwards them to servers, and returns the responses.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | [`downstream`] | the clients' side: reads and checks requests, writes responses |
-//! | [`config`] | the active configuration, and what it decides for a request |
-//! | [`admission`] | capacity at servers: requests get it at once or wait in a queue |
-//! | [`retry`] | sends a request until there is a response, within its retry policy |
-//! | [`upstream`] | the servers' side: choice, connections, requests, health checks |
-//! | [`streaming`] | streamed responses, event by event |
-//! | [`sync`] | the link to the agent of the machine: published state in, usage out |
-//! | [`shutdown`] | when the proxy is ready, and how it drains |
-//! | [`state`] | what all requests share |
+//! | [`downstream`] | client side: reads and checks requests, writes responses |
+//! | [`config`] | the active configuration, and the route decision for a request |
+//! | [`admission`] | capacity at servers, and queues of requests that wait for it |
+//! | [`retry`] | forwards a request to servers, within its retry policy and the retry budget |
+//! | [`upstream`] | server side: choice of a server, connections, requests, health checks |
+//! | [`streaming`] | streamed responses, and their resumption at another server |
+//! | [`sync`] | the link to the agent on the machine: receives published state, reports load and usage |
+//! | [`shutdown`] | readiness, draining and shutdown |
+//! | [`state`] | the state that all requests share |
 
 pub mod admission;
 pub mod config;
--- a/crates/quillpulley/src/proxy/process.rs
+++ b/crates/quillpulley/src/proxy/process.rs
@@ -1,4 +1,4 @@
-//! The process of a proxy: starts its tasks, and drains them.
+//! Runs the proxy process: starts its tasks, and drains it on shutdown.
 
 use crate::peer::bind;
 use crate::proxy::admission::buffer_budget::BufferBudget;
@@ -25,34 +25,36 @@
 use tokio::task::spawn_local;
 use tokio::time::{interval, sleep_until, timeout_at, MissedTickBehavior};
 
-/// Descriptors of the process that are not sockets.
+/// File descriptors reserved for what is not a socket.
 const RESERVED_FILES: usize = 200;
-/// Descriptors for listeners, the agent, the runtime and connections that are being accepted.
+/// File descriptors reserved for listeners, the agent, the runtime and connections that are being accepted.
 const RESERVED_SOCKETS: usize = 40;
-/// The fraction of the descriptors for connections that clients get, whose connections stay open while idle.
+/// Fraction of the remaining descriptors that client connections may use; connections to servers use the
+/// others. Clients get more, as their connections stay open while idle.
 const CLIENT_FRACTION: f64 = 0.6;
-/// The memory of a client's connection with a stream on it, its upstream connection included: 42 KB were measured.
+/// Memory for a client connection that carries a stream, including its upstream connection: 42 KB were
+/// measured.
 const CONNECTION_BYTES: usize = 48 * 1024;
-/// The fraction of the process's memory for connections.
+/// Fraction of the process's memory that connections may use.
 const CONNECTION_FRACTION: f64 = 0.4;
 const MEGABYTE: f64 = 1024.0 * 1024.0;
-/// The most queued requests of a service.
+/// Maximum number of queued requests of a service.
 const MAX_QUEUED_REQUESTS: usize = 512;
-/// The least buffer that hyper accepts, in bytes.
+/// Minimum buffer size that hyper accepts, in bytes.
 const MIN_BUFFER: usize = 8 * 1024;
-/// How often idle and slow connections are looked for.
+/// Interval at which idle and slow connections are closed.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The sockets that a proxy listens on.
 pub struct Listeners {
-    /// Clients.
+    /// The listener for client requests.
     pub clients: TcpListener,
-    /// Readiness checks.
+    /// The listener for readiness checks.
     pub readiness: TcpListener,
 }
 
 impl Listeners {
-    /// Binds the addresses of the settings.
+    /// Binds the addresses from the settings.
     ///
     /// # Errors
     /// [`HostError`] if an address is missing or cannot be bound.
@@ -63,7 +65,7 @@
     }
 }
 
-/// Runs a proxy until the process is signalled to shut down.
+/// Runs a proxy until the process receives a shutdown signal and the proxy has drained.
 ///
 /// # Errors
 /// [`HostError`] if the proxy cannot start.
@@ -76,12 +78,13 @@
     })
 }
 
-/// Serves clients until a shutdown is signalled and the proxy has drained. Must be called on a tokio `LocalSet`.
+/// Serves clients until a shutdown signal is received and the proxy has drained. Must be called on a tokio
+/// `LocalSet`.
 pub async fn serve(settings: Settings, listeners: Listeners, signals: UnboundedReceiver<ProcessSignal>) {
     serve_experiment(settings, listeners, signals, Experiment::default()).await;
 }
 
-/// Serves clients with deliberate faults, or without some mechanisms, for tests and experiments. See [`serve`].
+/// Does the same as [`serve`], with injected faults or disabled mechanisms for tests and experiments.
 pub async fn serve_experiment(
     settings: Settings,
     listeners: Listeners,
@@ -98,11 +101,12 @@
     proxy.drain(&settings).await;
 }
 
-/// Checks changed settings. A proxy applies its settings only when it starts.
+/// Validates the settings file after a reload signal. A running proxy keeps the settings that it started
+/// with.
 fn check_settings() {
     match Settings::from_environment() {
-        Ok(_) => log::info!("the settings have changed: they apply from the next start"),
-        Err(error) => log::error!(error:% = error; "the changed settings are invalid for the next start"),
+        Ok(_) => log::info!("the settings file is valid; changes apply from the next start"),
+        Err(error) => log::error!(error:% = error; "the settings file is invalid; the next start will fail"),
     }
 }
 
@@ -110,7 +114,7 @@
 struct Proxy {
     state: Rc<ProxyState>,
     clients: Rc<ConnectionManager>,
-    /// Notified when a report is due at once.
+    /// Notified to send the next report to the agent immediately.
     urgent_report: Rc<Notify>,
 }
 
@@ -147,7 +151,8 @@
         Proxy { state, clients, urgent_report }
     }
 
-    /// Publishes that the proxy drains, serves the clients that still come, and completes open requests.
+    /// Publishes that the proxy drains, keeps serving requests that arrive meanwhile, and completes open
+    /// requests.
     async fn drain(self, settings: &Settings) {
         let state = &self.state;
         let now = state.now();
@@ -175,7 +180,7 @@
     ConnectionManager::new(readiness::OPTIONS).accept(listener, ReadinessService::new(state)).await;
 }
 
-/// Closes idle and slow connections, and applies the active limits to new ones.
+/// Periodically closes idle and slow connections, and applies the active limits to new client connections.
 async fn close_idle(clients: Rc<ConnectionManager>, state: Rc<ProxyState>, max_connections: usize) {
     let mut ticks = interval(SWEEP_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -203,7 +208,7 @@
     }
 }
 
-/// Returns how many connections of clients the memory is enough for.
+/// Returns the number of client connections that fit into the memory available for connections.
 fn connections_for_memory(megabytes: u32) -> usize {
     (f64::from(megabytes) * MEGABYTE * CONNECTION_FRACTION) as usize / CONNECTION_BYTES
 }
--- a/crates/quillpulley/src/proxy/retry/forwarding.rs
+++ b/crates/quillpulley/src/proxy/retry/forwarding.rs
@@ -1,9 +1,9 @@
-//! Forwards a request: sends it to servers until there is a response to forward, or it is clear that there will be
-//! none.
+//! Forwards a request: sends it to servers until there is a response to forward, or no server can respond.
 //!
-//! A request passes through these phases, each a method: [`Forwarding::forward`] bounds the time,
-//! `acquire_upstream` gets a server and the right to a retry, `attempt` sends the request there, `exchange` writes it
-//! and waits for the head of the response, and `handle_response` decides what that means.
+//! A request passes through these methods: [`Forwarding::forward`] enforces the deadline, `acquire_upstream`
+//! obtains capacity at a server and permission to retry, `attempt` sends the request to the server,
+//! `exchange` writes it and waits for the head of the response, and `handle_response` decides what the
+//! response means.
 
 use crate::proxy::downstream::local_response::LocalResponse;
 use crate::proxy::downstream::request::RequestContext;
@@ -27,73 +27,73 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
-/// When a client may try again if nothing better is known.
+/// `Retry-After` when there is no better estimate.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// The response of a server.
+/// A server's response to forward.
 pub enum UpstreamResponse {
-    /// The response is complete.
+    /// The head and the complete body.
     Complete(Parts, Bytes),
-    /// The body is still to come.
+    /// A response whose body is streamed.
     Stream(Box<StreamingResponse>),
 }
 
-/// A response whose body is still to come.
+/// A response whose head has arrived, and whose body is still to be read.
 pub struct StreamingResponse {
-    /// The head.
+    /// The head of the response.
     pub head: Parts,
-    /// The body.
+    /// The body, which is read from the connection of `upstream_request`.
     pub body: Incoming,
-    /// The upstream request that it responds to.
+    /// The upstream request that this is the response to.
     pub upstream_request: UpstreamRequest,
 }
 
-/// Why there is no response of a server to forward.
+/// Why there is no server response to forward.
 pub enum ForwardError {
-    /// The client gets this response of the proxy.
+    /// The client gets this response from the proxy instead.
     Local(LocalResponse),
-    /// The response that was begun has to be truncated.
+    /// The client already has the head of a response, whose body has to be truncated.
     Truncated,
 }
 
 /// Why an attempt has no response.
 struct AttemptError {
     event: Event,
-    /// What it says about the server.
+    /// The outcome reported to the load balancer.
     outcome: Outcome,
 }
 
 impl AttemptError {
-    /// Nothing was sent, for a reason that is not the server's.
+    /// Nothing was sent, for a reason that is not the server's fault.
     const NOT_SENT: AttemptError = AttemptError { event: Event::NotSent, outcome: Outcome::ClientClosed };
-    /// The server accepts no connection.
+    /// No connection to the server could be established.
     const CONNECT: AttemptError =
         AttemptError { event: Event::NotSent, outcome: Outcome::Failed(FailureKind::Connect) };
-    /// The connection broke after a part of the request was written.
+    /// The connection broke after at least a part of the request was written.
     const RESET: AttemptError = AttemptError {
         event: Event::ConnectionBroken,
         outcome: Outcome::Failed(FailureKind::ResetBeforeResponse),
     };
 }
 
-/// A request on its way to servers.
+/// The forwarding of one client request, over all its attempts.
 pub struct Forwarding {
     state: Rc<ProxyState>,
     context: Rc<RequestContext>,
     retry_state: RetryState,
-    /// The servers that it was sent to.
+    /// The servers that the request was sent to, which are not chosen again.
     tried: Vec<ServerKey>,
-    /// The error response of the latest server, should there be no other response.
+    /// The latest error response of a server, which is forwarded if there is no better response.
     error_response: Option<(Parts, Bytes)>,
-    /// The connection of the latest attempt.
+    /// The socket of the latest attempt. `None` while another server is being chosen.
     socket: Option<Rc<Socket>>,
-    /// Until when it may wait in a queue.
+    /// The time until which the request may wait in a queue.
     queue_deadline: Instant,
     retry_after: Duration,
 }
 
 impl Forwarding {
-    /// Creates a request that was accepted from a client just now.
+    /// Starts the forwarding of a request that has just arrived, and counts the request in the retry budget.
     pub fn new(state: Rc<ProxyState>, context: RequestContext) -> Self {
         let RequestContext { request, decision } = &context;
         state.retry_budgets.record_request(state.now(), &decision.service);
@@ -119,23 +119,23 @@
         &self.context
     }
 
-    /// Returns the deliberate faults of this proxy.
+    /// Returns the injected faults of this proxy.
     pub(crate) fn faults(&self) -> Faults {
         self.state.faults
     }
 
-    /// Sends the request until there is a response to forward, or its deadline has passed.
+    /// Sends the request until there is a response to forward, or its deadline is reached.
     ///
     /// # Errors
-    /// [`ForwardError`] if no server has a response.
+    /// [`ForwardError`] if there is no server response to forward by the deadline.
     pub async fn forward(&mut self) -> Result<UpstreamResponse, ForwardError> {
         self.forward_in_time(None).await
     }
 
-    /// Resumes a stream at another server, after the last event that was forwarded.
+    /// Resumes a stream at another server, after the event with the id `after`, or from its start for `None`.
     ///
     /// # Errors
-    /// [`ForwardError`] if no server can resume it.
+    /// [`ForwardError`] if no other server resumes the stream.
     pub async fn resume(&mut self, after: Option<Bytes>) -> Result<UpstreamResponse, ForwardError> {
         if let Step::Finish(response) = self.retry_state.handle(Event::ConnectionBroken) {
             return Err(self.forward_error(response));
@@ -144,7 +144,7 @@
         self.forward_in_time(after).await
     }
 
-    /// Records that the head of a response is forwarded.
+    /// Records that the head of a response is being forwarded to the client.
     pub fn response_begun(&mut self) {
         self.retry_state.handle(Event::ResponseBegun);
     }
@@ -176,7 +176,8 @@
                 },
                 None => Event::NoCapacity,
             };
-            // This closes the connection, also while another server is being chosen.
+            // Releases the last reference to the socket, so that the connection is closed before another
+            // server is chosen.
             self.socket = None;
             let Step::Finish(response) = self.retry_state.handle(event) else { continue };
             let error_response = self.error_response.take();
@@ -187,7 +188,8 @@
         }
     }
 
-    /// Returns an upstream request to a server. A retry is counted by its budget before it is sent.
+    /// Returns an upstream request to a server. A retry is counted in the retry budget before it is sent.
+    /// `None` if there is no capacity, or the budget rejects the retry.
     async fn acquire_upstream(&mut self) -> Option<UpstreamRequest> {
         match self.state.admission.acquire(&self.context, &self.tried, self.queue_deadline).await {
             Ok(upstream_request) if !self.retry_state.is_retry() || self.try_retry() => {
@@ -222,7 +224,7 @@
         }
     }
 
-    /// Writes the request and waits for the head of the response.
+    /// Connects to the server, writes the request, and waits for the head of the response.
     async fn exchange(
         &mut self,
         upstream_request: &mut UpstreamRequest,
@@ -235,7 +237,8 @@
                 ConnectError::NoDescriptor => AttemptError::NOT_SENT,
                 ConnectError::Failed => AttemptError::CONNECT,
             })?;
-            // Connecting takes a while: a server that has begun to drain meanwhile gets nothing new.
+            // The server may have begun to drain while the connection was established; it gets no new
+            // requests then.
             if !self.state.upstreams.is_usable(peer.key) {
                 return Err(AttemptError::NOT_SENT);
             }
@@ -248,19 +251,20 @@
                 Ok(response) => return Ok(response),
                 Err(_) if socket.write_progress() != WriteProgress::NotStarted => {
                     if reused {
-                        // A server that has closed one idle connection has most likely closed the others.
+                        // A server that has closed one idle connection has probably closed the others too.
                         self.state.upstreams.pool().close_idle_to(peer.key);
                     }
                     return Err(AttemptError::RESET);
                 }
-                // An idle connection that broke before a byte was written says nothing about the server.
+                // A reused connection that broke before a byte was written was closed while idle: this is no
+                // failure of the server, and another connection to it is tried.
                 Err(_) if reused => upstream_request.detach(),
                 Err(_) => return Err(AttemptError::CONNECT),
             }
         }
     }
 
-    /// Decides what a response means. Its body is read if it must be complete before it is forwarded.
+    /// Decides what a response means. Unless it is a stream, its body is read before it is forwarded.
     async fn handle_response(
         &mut self,
         upstream_request: UpstreamRequest,
@@ -284,7 +288,7 @@
                 Err(Event::UpstreamFailed)
             }
             ResponseVerdict::NotExecuted { full } => {
-                // If the body has not come with the head, it is not worth waiting for.
+                // The body is read only as far as it has arrived with the head; it is not waited for.
                 let mut reading =
                     pin!(read_response(upstream_request, head, body, Outcome::NotExecuted { full }));
                 poll_fn(|cx| Poll::Ready(reading.as_mut().poll(cx).is_ready())).await;
@@ -312,7 +316,7 @@
         response_head::classify(head, expected)
     }
 
-    /// Handles that the deadline of the request has passed.
+    /// Handles that the deadline of the request has been reached, and returns the final response.
     fn deadline_reached(&mut self) -> FinalResponse {
         let progress =
             self.socket.as_ref().map_or(WriteProgress::NotStarted, |socket| socket.write_progress());
@@ -338,7 +342,7 @@
     }
 }
 
-/// Returns for how long a request with this target latency may wait in a queue.
+/// Returns the maximum time in a queue for a request with this target latency.
 fn queue_time_of(state: &ProxyState, objective: Duration) -> Duration {
     match state.faults.queueing() {
         true => Duration::ZERO,
@@ -346,7 +350,8 @@
     }
 }
 
-/// Reads the body of a response and ends the upstream request, whose connection is kept.
+/// Reads the complete body of a response and ends the upstream request. Its connection is returned to the
+/// pool if the server keeps it open.
 async fn read_response(
     mut upstream_request: UpstreamRequest,
     head: Parts,
--- a/crates/quillpulley/src/proxy/retry/mod.rs
+++ b/crates/quillpulley/src/proxy/retry/mod.rs
@@ -1,4 +1,4 @@
-//! Sends a request until there is a response: the policy, the budgets, and the sends themselves.
+//! Sends a request until there is a response: forwarding, the retry policy, and the retry budgets.
 
 pub mod budgets;
 pub mod forwarding;
--- a/crates/quillpulley/src/proxy/retry/retry_state.rs
+++ b/crates/quillpulley/src/proxy/retry/retry_state.rs
@@ -1,22 +1,23 @@
-//! The attempts of one request: a pure state machine that decides whether the request may be sent again.
+//! The retry state of one request: a pure state machine that decides whether the request may be sent again.
 //!
 //! Invariants:
-//! - A request that is not idempotent executes at most once. It is sent again only if nothing of it was written, or the
-//!   server reports that it did not execute it.
-//! - Once the request may have executed, no response to the client promises that it has not.
+//! - A request that is not idempotent executes at most once. It is sent again only if no byte of it was
+//!   written, or the server reports that it did not execute the request.
+//! - Once the request may have executed, the client gets no response which promises that it has not.
 
-/// The most sends of a request. Sends that reach no server (no connection, the wrong instance) do not count as attempts
-/// of the route, and are bounded by this.
+/// Maximum number of sends of a request. Sends that do not reach the intended server (no connection, or
+/// another server at its address) are not counted against the attempts of the route, but are bounded by this.
 const MAX_SENDS: u32 = 4;
 
-/// The bounds of the attempts of a request.
+/// The limits on the attempts of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryPolicy {
     /// Whether the request may execute more than once.
     pub is_idempotent: bool,
-    /// The most servers that the request may be sent to.
+    /// The maximum number of servers that the request may be sent to.
     pub max_attempts: u32,
-    /// A fault for tests: a request is sent again after its connection broke, whether or not it is idempotent.
+    /// An injected fault for tests: the request is sent again after its connection broke, even if it is not
+    /// idempotent.
     pub retries_after_reset: bool,
 }
 
@@ -27,77 +28,77 @@
     Choosing,
     /// The connection to the server is being established, and nothing is written yet.
     Connecting,
-    /// The request is written, or being written, and the response has not begun.
+    /// The request is being written or has been written, and the response has not begun.
     Awaiting,
-    /// The head of the response has been forwarded, and its body follows.
+    /// The head of the response has been forwarded, and its body is being forwarded.
     Responding,
     /// The request has its final response.
     Ended,
 }
 
-/// What happens to a request.
+/// An event in the processing of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A server was chosen.
     UpstreamChosen,
-    /// No server has capacity in time, or the retry budget does not allow another attempt.
+    /// No server had capacity in time, or the retry budget rejected another attempt.
     NoCapacity,
-    /// The connection is established: from now on the request may be written.
+    /// The connection is established. From now on bytes of the request may be written.
     Connected,
-    /// No connection was established, or it broke before anything was written.
+    /// No connection was established, or it broke before a byte of the request was written.
     NotSent,
-    /// The server reports that it did not execute the request.
+    /// The server reported that it did not execute the request.
     NotExecuted,
-    /// Another server listens at the address, and did not execute the request.
+    /// Another server listens at the address (421), and did not execute the request.
     Misdirected,
     /// The connection broke, or the response is invalid or incomplete: the request may have executed.
     ConnectionBroken,
-    /// The server responded with an error of its own: the request has executed.
+    /// The server responded with an error: the request has executed.
     UpstreamFailed,
-    /// The head of a response is forwarded.
+    /// The head of a response is being forwarded to the client.
     ResponseBegun,
     /// The complete response has been forwarded.
     Completed,
-    /// The deadline of the request has passed.
+    /// The deadline of the request has been reached.
     DeadlineReached,
 }
 
-/// What to do next.
+/// What the caller has to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Continue with the current attempt.
     Continue,
-    /// Send the request to a server that it was not sent to.
+    /// Send the request to another server, which it was not sent to before.
     Retry,
-    /// Respond to the client.
+    /// Send the final response to the client.
     Finish(FinalResponse),
 }
 
-/// The response to the client.
+/// The final response to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalResponse {
-    /// The response of a server.
+    /// A server's response, forwarded completely.
     Completed,
-    /// The error response of a server.
+    /// A server's error response.
     UpstreamFailure,
-    /// The request has not executed and will not.
+    /// The request has not executed and will not (503).
     Rejected,
-    /// The request may have executed.
+    /// The request may have executed (502).
     BadGateway,
-    /// The request may have executed, and its deadline has passed.
+    /// The request may have executed, and its deadline has been reached (504).
     TimedOut,
-    /// The response that was begun is truncated.
+    /// The head of a response was already forwarded, and its body is truncated.
     Truncated,
 }
 
-/// The attempts of one request.
+/// The retry state of one request.
 #[derive(Clone, Debug)]
 pub struct RetryState {
     policy: RetryPolicy,
     phase: Phase,
-    /// Sends that reached a server, whether or not it executed the request.
+    /// The number of sends that reached the intended server, whether or not it executed the request.
     attempts: u32,
-    /// All sends.
+    /// The number of all sends.
     sends: u32,
     may_have_executed: bool,
     response_begun: bool,
@@ -110,17 +111,17 @@
         RetryState { policy, phase, attempts: 0, sends: 0, may_have_executed: false, response_begun: false }
     }
 
-    /// Returns the phase.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Returns whether the request was sent before, so that the next send is a retry.
+    /// Returns whether the request was sent before, so that the next send counts as a retry.
     pub fn is_retry(&self) -> bool {
         self.sends > 0
     }
 
-    /// Handles an event. Every change of state happens here.
+    /// Handles an event and returns the next step. Every state change happens here.
     pub fn handle(&mut self, event: Event) -> Step {
         match (self.phase, event) {
             (Phase::Ended, _) => Step::Finish(self.final_response(event)),
@@ -128,7 +129,8 @@
                 self.sends += 1;
                 self.enter(Phase::Connecting)
             }
-            // An idle connection may turn out to be closed; then another one is established.
+            // A reused idle connection was already closed, and another connection to the same server was
+            // established.
             (Phase::Awaiting, Event::Connected) => Step::Continue,
             (_, Event::Connected) => {
                 self.attempts += 1;
@@ -139,7 +141,7 @@
                 self.enter(Phase::Responding)
             }
             (_, Event::NotSent | Event::Misdirected) => {
-                // The server did not see the request: this is not an attempt of the route.
+                // The intended server did not receive the request, so this does not count as an attempt.
                 self.attempts -= u32::from(self.phase == Phase::Awaiting);
                 self.retry(event)
             }
--- a/crates/quillpulley/src/proxy/shutdown/drain_deadline.rs
+++ b/crates/quillpulley/src/proxy/shutdown/drain_deadline.rs
@@ -1,23 +1,26 @@
-//! Which requests a draining proxy still accepts, and when it exits: a pure function of time.
+//! Computes which requests a draining proxy still accepts, and when the process exits: a pure function of
+//! time.
 //!
-//! Clients keep coming for some seconds, as they cache the answers of the directory. At first all requests are
-//! accepted. After that only those are accepted that are sure to have a response before the process exits: the time-out
-//! of the route or the deadline of the client ends them by then. Others are rejected before they are sent to a server,
-//! so that the client can go to another proxy at once.
+//! New requests keep arriving for some seconds, because clients cache the addresses that the directory
+//! returns. At first all requests are accepted. After that a request is accepted only if the timeout of its
+//! route or the deadline of its client ends it before the process exits, so that it is sure to have a
+//! response. Other requests are rejected before they are sent to a server, so that the client can use another
+//! proxy at once.
 
 use std::time::Duration;
 
-/// For how long all requests are accepted. The platform excuses truncated requests at the end only if they were sent
-/// within 3 s after the signal, and the signal may be noticed a little late.
+/// How long all requests are accepted after the signal. The platform excuses requests that are truncated at
+/// the exit only if they were sent within 3 s after the signal; the rest of the 3 s allows for a signal that
+/// is noticed late.
 const ACCEPT_ALL_TIME: Duration = Duration::from_millis(2_900);
-/// The least time between the last request that is accepted whatever its time-out is, and the kill.
+/// Minimum time between the end of the period in which all requests are accepted, and SIGKILL.
 const FINISH_TIME: Duration = Duration::from_secs(3);
-/// How long before the kill the process exits.
+/// How long before SIGKILL the process exits.
 const EXIT_MARGIN: Duration = Duration::from_millis(500);
-/// How long before the exit a response must have been written.
+/// How long before the exit every response must have been written.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(100);
 
-/// The deadlines of a draining proxy. Times are since the start of the process.
+/// The deadlines of a draining proxy, as times since the start of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrainDeadline {
     accepts_all_until: Duration,
@@ -25,7 +28,7 @@
 }
 
 impl DrainDeadline {
-    /// Computes the deadlines of a proxy that was signalled at `signalled_at` and is killed `grace` later.
+    /// Computes the deadlines of a proxy that receives SIGTERM at `signalled_at` and SIGKILL `grace` later.
     pub fn new(signalled_at: Duration, grace: Duration) -> Self {
         let time_to_exit = grace.saturating_sub(EXIT_MARGIN);
         let accept_all_time = ACCEPT_ALL_TIME.min(grace.saturating_sub(FINISH_TIME));
@@ -35,23 +38,23 @@
         }
     }
 
-    /// Returns whether a request is accepted whose head arrived at `arrived`, and whose response is due at `due`: at
-    /// the time-out of its route or the deadline of its client, whichever is first.
+    /// Returns whether to accept a request whose head arrived at `arrived`, and whose response is due at
+    /// `due`: the end of the timeout of its route or of its client, whichever is first.
     pub fn accepts(&self, arrived: Duration, due: Duration) -> bool {
         arrived <= self.accepts_all_until || due <= self.final_responses_at()
     }
 
-    /// Returns until when all requests are accepted. From then on idle connections are closed.
+    /// Returns the time until which all requests are accepted. From then on idle connections are closed.
     pub fn accepts_all_until(&self) -> Duration {
         self.accepts_all_until
     }
 
-    /// Returns when requests without a response get one from the proxy.
+    /// Returns the time at which the proxy itself responds to all requests that have no response yet.
     pub fn final_responses_at(&self) -> Duration {
         self.exits_at.saturating_sub(RESPONSE_MARGIN)
     }
 
-    /// Returns when the process exits at the latest.
+    /// Returns the latest time at which the process exits.
     pub fn exits_at(&self) -> Duration {
         self.exits_at
     }
--- a/crates/quillpulley/src/proxy/shutdown/lifecycle.rs
+++ b/crates/quillpulley/src/proxy/shutdown/lifecycle.rs
@@ -1,36 +1,39 @@
-//! Whether a proxy may serve clients: a pure state machine. Times are since the start of the process.
+//! The lifecycle of a proxy, from start to drain: a pure state machine. Times are since the start of the
+//! process.
 
 use quillpulley_protocol::EndpointState;
 use std::time::Duration;
 
-/// How long a proxy with a configuration waits for fresh published state, which it may never get.
+/// Maximum time that a proxy with a configuration waits for fresh published state, which may never arrive,
+/// before it is ready anyway.
 const FRESHNESS_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// How long after its start a proxy knows a configuration, also if the control plane starts at the same time.
+/// Time since the start of the process by which a proxy has received a configuration, even if the control
+/// plane starts at the same time.
 const STARTUP_TIME: Duration = Duration::from_millis(1_600);
-/// The least advice after that time. A client that tries again too early is rejected again.
+/// Minimum `Retry-After` while there is no configuration: a client that retries too early is rejected again.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 
-/// What happens to a proxy.
+/// An event in the lifecycle of a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A configuration is known.
+    /// A configuration has become active.
     ConfigurationKnown,
     /// The published state is fresh.
     Fresh,
-    /// The process is signalled to shut down.
+    /// The process received a shutdown signal.
     Drain,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// No configuration is known. The published state may have been fresh already.
+    /// No configuration is active. `fresh` is whether the published state has been fresh.
     Starting { fresh: bool },
-    /// A configuration is known since this time, and may be out of date.
+    /// A configuration is active since this time, but it may be out of date.
     Unconfirmed { since: Duration },
     /// The proxy serves clients.
     Ready,
-    /// The proxy serves the clients that still come.
+    /// The proxy drains: it still serves requests that arrive, but is not published as ready.
     Draining,
 }
 
@@ -47,7 +50,7 @@
 }
 
 impl Lifecycle {
-    /// Handles an event. Every change of stage happens here.
+    /// Handles an event. Every stage change happens here.
     pub fn handle(&mut self, now: Duration, event: Event) {
         self.stage = match (self.stage, event) {
             (Stage::Draining, _) | (_, Event::Drain) => Stage::Draining,
@@ -61,12 +64,12 @@
         };
     }
 
-    /// Returns whether the proxy drains.
+    /// Returns whether the proxy is draining.
     pub fn is_draining(&self) -> bool {
         self.stage == Stage::Draining
     }
 
-    /// Returns the state that is published.
+    /// Returns the state to publish for this proxy.
     pub fn endpoint_state(&self, now: Duration) -> EndpointState {
         match self.stage {
             Stage::Ready => EndpointState::Ready,
@@ -76,13 +79,13 @@
         }
     }
 
-    /// Returns whether new clients may come.
+    /// Returns whether new clients may be directed to this proxy.
     pub fn is_ready(&self, now: Duration) -> bool {
         self.endpoint_state(now) == EndpointState::Ready
     }
 }
 
-/// Returns when clients may try again at a proxy that has run for `age` and knows no configuration.
+/// Returns the `Retry-After` of a proxy that has run for `age` and has no configuration.
 pub fn retry_after_start(age: Duration) -> Duration {
     STARTUP_TIME.saturating_sub(age).max(MIN_RETRY_AFTER)
 }
--- a/crates/quillpulley/src/proxy/shutdown/mod.rs
+++ b/crates/quillpulley/src/proxy/shutdown/mod.rs
@@ -1,4 +1,4 @@
-//! When the proxy is ready for clients, and how it drains.
+//! Readiness, draining and shutdown of the proxy.
 
 pub mod drain_deadline;
 pub mod lifecycle;
--- a/crates/quillpulley/src/proxy/shutdown/proxy_lifecycle.rs
+++ b/crates/quillpulley/src/proxy/shutdown/proxy_lifecycle.rs
@@ -1,4 +1,4 @@
-//! The lifecycle of this proxy, shared by all requests.
+//! The lifecycle of this proxy, in cells that all requests share.
 
 use super::drain_deadline::DrainDeadline;
 use super::lifecycle::{Event, Lifecycle};
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// The stage of the lifecycle, and the deadlines of a drain. Times are since the start of the process.
+/// The lifecycle of this proxy and the deadlines of its drain. Times are since the start of the process.
 #[derive(Default)]
 pub struct ProxyLifecycle {
     lifecycle: Cell<Lifecycle>,
@@ -16,45 +16,47 @@
 }
 
 impl ProxyLifecycle {
-    /// Handles an event. Every change of stage happens here.
+    /// Handles an event. Every stage change happens here.
     pub fn handle(&self, now: Duration, event: Event) {
         let mut lifecycle = self.lifecycle.get();
         lifecycle.handle(now, event);
         self.lifecycle.set(lifecycle);
     }
 
-    /// Begins to drain.
+    /// Begins to drain with these deadlines.
     pub fn begin_drain(&self, now: Duration, deadline: DrainDeadline) {
         self.drain_deadline.set(Some(deadline));
         self.handle(now, Event::Drain);
     }
 
-    /// Returns whether the process drains.
+    /// Returns whether the proxy is draining.
     pub fn is_draining(&self) -> bool {
         self.lifecycle.get().is_draining()
     }
 
-    /// Returns whether new clients may come.
+    /// Returns whether new clients may be directed to this proxy.
     pub fn is_ready(&self, now: Duration) -> bool {
         self.lifecycle.get().is_ready(now)
     }
 
-    /// Returns the state that is published.
+    /// Returns the state to publish for this proxy.
     pub fn endpoint_state(&self, now: Duration) -> EndpointState {
         self.lifecycle.get().endpoint_state(now)
     }
 
-    /// Returns whether a request is accepted whose head came at `arrived`, and whose response is due at `due`.
+    /// Returns whether to accept a request whose head arrived at `arrived`, and whose response is due at
+    /// `due`. All requests are accepted unless the proxy drains.
     pub fn accepts(&self, arrived: Duration, due: Duration) -> bool {
         self.drain_deadline.get().is_none_or(|deadline| deadline.accepts(arrived, due))
     }
 
-    /// Has all requests without a response get one now, as the process is about to exit.
+    /// Ends all requests that have no response yet: the proxy itself responds to them, because the process is
+    /// about to exit.
     pub fn begin_final_responses(&self) {
         self.final_responses.notify_waiters();
     }
 
-    /// Waits until all requests without a response have to get one.
+    /// Waits until [`ProxyLifecycle::begin_final_responses`] is called.
     pub async fn final_responses(&self) {
         self.final_responses.notified().await;
     }
--- a/crates/quillpulley/src/proxy/state.rs
+++ b/crates/quillpulley/src/proxy/state.rs
@@ -1,4 +1,4 @@
-//! What all requests of a proxy share, and the changes that concern more than one part of it.
+//! The state that all requests of a proxy share, and the changes that affect more than one part of it.
 
 use crate::proxy::admission::buffer_budget::BufferBudget;
 use crate::proxy::admission::Admission;
@@ -21,46 +21,48 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The published state is looked at several times within this time. If it was fresh at none of these, it is stale.
+/// The published state is stale if it has not been found fresh for this long. The sync client checks it
+/// several times within this time.
 const STALE_AFTER: Duration = Duration::from_secs(1);
 
-/// What a [`ProxyState`] is built from.
+/// The components that a [`ProxyState`] is built from.
 pub struct Components {
-    /// The region of this proxy.
+    /// The region in which this proxy runs.
     pub region: String,
-    /// The choice of servers.
+    /// The load balancer, which chooses a server for each request.
     pub balancer: Balancer,
-    /// The retry budgets.
+    /// The retry budgets of all services.
     pub budgets: RetryBudgets,
-    /// The connections to servers.
+    /// The pool of connections to servers.
     pub pool: Rc<ConnectionPool>,
-    /// The memory for bodies.
+    /// The memory budget for bodies of requests and responses.
     pub buffers: BufferBudget,
-    /// The bounds of the queue of each service.
+    /// The limits of each service's queue.
     pub queue_limits: QueueLimits,
-    /// Deliberate faults of tests.
+    /// Faults that tests inject; none otherwise.
     pub faults: Faults,
 }
 
-/// What all requests share. Each field is a concern of its own, used by whoever needs it.
+/// The state that all requests of a proxy share.
 pub struct ProxyState {
-    /// The servers.
+    /// The servers, with the connections to them.
     pub upstreams: Rc<Upstreams>,
-    /// Capacity at the servers.
+    /// The queues of requests that wait for capacity at a server.
     pub admission: Rc<Admission>,
     /// The retry budgets of all services.
     pub retry_budgets: SharedRetryBudgets,
-    /// The active configuration.
+    /// The active configuration; empty until one is received.
     pub config: ActiveConfigCell,
-    /// The requests that are open.
+    /// The requests that have no complete response yet.
     pub open_requests: Rc<OpenRequests>,
-    /// Whether clients may come.
+    /// Whether the proxy is starting, ready or draining.
     pub lifecycle: ProxyLifecycle,
-    /// Where the clients of this proxy would be served better.
+    /// Counts of requests by home region, which tell whether proxies in other regions would serve the clients
+    /// better.
     pub home_demand: HomeDemandCell,
-    /// Deliberate faults of tests.
+    /// Faults that tests inject; none otherwise.
     pub faults: Faults,
-    /// When the published state was fresh last.
+    /// When the published state was last fresh, since the start of the process. `None` if it never was.
     fresh_at: Cell<Option<Duration>>,
 }
 
@@ -82,22 +84,22 @@
         })
     }
 
-    /// Returns the time since the start.
+    /// Returns the time since the start of the process.
     pub fn now(&self) -> Duration {
         self.upstreams.now()
     }
 
-    /// Converts a time of the clock to the time since the start.
+    /// Converts an instant to a time since the start of the process; zero for an earlier instant.
     pub fn since_start(&self, time: Instant) -> Duration {
         time.saturating_duration_since(self.upstreams.started_at())
     }
 
-    /// Converts a time since the start to one of the clock.
+    /// Converts a time since the start of the process to an instant.
     pub fn at(&self, time: Duration) -> Instant {
         self.upstreams.started_at() + time
     }
 
-    /// Activates a configuration, unless a later one is active.
+    /// Activates a configuration, unless the active one is the same or a later version.
     pub fn activate(&self, configuration: Configuration) {
         if self.config.version().is_some_and(|current| configuration.version <= current) {
             return;
@@ -112,37 +114,38 @@
         self.lifecycle.handle(self.now(), Event::ConfigurationKnown);
     }
 
-    /// Returns whether the published state is fresh. If not, there may be routes that this proxy does not know.
+    /// Returns whether the published state is fresh. If it is not, routes may exist that this proxy does not
+    /// know.
     pub fn is_fresh(&self) -> bool {
         self.fresh_at.get().is_some_and(|fresh_at| self.now().saturating_sub(fresh_at) < STALE_AFTER)
     }
 
-    /// Records that the published state is fresh.
+    /// Records that the published state is fresh now.
     pub fn record_fresh(&self) {
         self.fresh_at.set(Some(self.now()));
         self.lifecycle.handle(self.now(), Event::Fresh);
     }
 
-    /// Sets the proxies that share the servers.
+    /// Sets the proxies that send requests to the same servers, including this one.
     pub fn set_proxies(&self, proxies: Vec<ProxyPeer>) {
         self.upstreams.set_proxies(proxies);
         self.admission.admit_all();
     }
 
-    /// Sets the zones to which nothing is sent.
+    /// Sets the evacuated zones, to whose servers no requests are sent.
     pub fn set_evacuated(&self, zones: &BTreeSet<String>) {
         self.upstreams.set_evacuated(zones);
         self.admission.admit_all();
     }
 
-    /// Adds a listed server, or updates its entry.
+    /// Adds a server of the published list, or updates its entry.
     pub fn put_server(&self, server: &Server) {
         match self.upstreams.put_server(server) {
             ListingOutcome::Usable => self.admission.admit(&server.service),
             ListingOutcome::Draining => {}
             ListingOutcome::InvalidAddress => {
                 let (id, address) = (server.id.as_str(), server.address.as_str());
-                log::error!(server = id, address; "the address of a server cannot be read");
+                log::error!(server = id, address; "ignoring a published server with an invalid address");
             }
         }
     }
--- a/crates/quillpulley/src/proxy/streaming/event_splitter.rs
+++ b/crates/quillpulley/src/proxy/streaming/event_splitter.rs
@@ -1,43 +1,45 @@
-//! Splits a stream of events (`text/event-stream`), so that only complete events are forwarded.
+//! Splits a stream of server-sent events (`text/event-stream`), so that only complete events are forwarded.
 
 use bytes::{Bytes, BytesMut};
 
-/// The most bytes of an event. A longer one is forwarded in parts, and its stream cannot be resumed.
+/// Maximum size of an event, in bytes. A longer event is forwarded in parts, after which its stream cannot be
+/// resumed.
 const MAX_EVENT_BYTES: usize = 64 * 1024;
 
-/// How far a stream has been forwarded.
+/// How much of a stream has been forwarded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Position {
-    /// No event yet.
+    /// No event has been forwarded.
     Start,
-    /// The event with this id was the last.
+    /// The id of the last event that was forwarded.
     After(Bytes),
-    /// The last event has no id: the stream cannot be resumed.
+    /// An event without an id, or a part of an event, was forwarded: the stream cannot be resumed.
     Unnamed,
 }
 
-/// The events of a stream, which may come from several servers, one after the other.
+/// Splits one stream, which may be sent by several servers in turn, into events.
 #[derive(Debug)]
 pub struct EventSplitter {
     buffer: BytesMut,
-    /// The length of the prefix of the buffer that holds no end of an event.
+    /// The length of the prefix of the buffer that is known to contain no end of an event.
     searched: usize,
     position: Position,
 }
 
 impl EventSplitter {
-    /// Creates the splitter of a response. A request with `Last-Event-Id` resumes a stream after that event.
+    /// Creates a splitter. `last_event_id` is the `Last-Event-Id` of the request: the stream starts after
+    /// that event.
     pub fn new(last_event_id: Option<Bytes>) -> Self {
         let position = last_event_id.map_or(Position::Start, Position::After);
         EventSplitter { buffer: BytesMut::new(), searched: 0, position }
     }
 
-    /// Returns how far the stream has been forwarded.
+    /// Returns how much of the stream has been forwarded.
     pub fn position(&self) -> &Position {
         &self.position
     }
 
-    /// Adds received bytes and returns the events that are complete now, if any.
+    /// Adds received bytes, and returns the events that are now complete. `None` if there is none.
     pub fn push(&mut self, data: &[u8]) -> Option<Bytes> {
         self.buffer.extend_from_slice(data);
         let mut events = BytesMut::new();
@@ -56,20 +58,21 @@
         (!events.is_empty()).then(|| events.freeze())
     }
 
-    /// Returns the rest of the stream at its end.
+    /// Returns the bytes that are left when the server has ended the stream. `None` if there are none.
     pub fn finish(&mut self) -> Option<Bytes> {
         let rest = self.buffer.split();
         (!rest.is_empty()).then(|| rest.freeze())
     }
 
-    /// Forgets an incomplete event after the connection broke. Returns false if the stream cannot be resumed.
+    /// Discards an incomplete event after the connection broke. Returns false if the stream cannot be
+    /// resumed.
     pub fn restart(&mut self) -> bool {
         self.buffer.clear();
         self.searched = 0;
         self.position != Position::Unnamed
     }
 
-    /// Returns the end of the next event, which is after a blank line.
+    /// Returns the end of the next event, which is the end of a blank line.
     fn next_end(&mut self) -> Option<usize> {
         let from = self.searched;
         let line_ends = line_feeds(&self.buffer, from);
@@ -80,12 +83,13 @@
                 _ => {}
             }
         }
-        // A part of a blank line may have come.
+        // The buffer may end within a blank line, whose last two bytes are searched again.
         self.searched = self.buffer.len().saturating_sub(2);
         None
     }
 
-    /// Records the id of a complete event. Returns false if it has been forwarded before.
+    /// Records the id of a complete event. Returns false if the event was forwarded before, according to its
+    /// numeric id.
     fn advance(&mut self, event: &[u8]) -> bool {
         let Some(id) = event_id(event) else {
             let has_content = event.iter().any(|byte| !matches!(byte, b'\r' | b'\n'));
@@ -106,7 +110,7 @@
     }
 }
 
-/// Appends an event, without a copy if it is the first.
+/// Appends an event, without copying it if it is the first.
 fn join(events: &mut BytesMut, event: BytesMut) {
     if events.is_empty() {
         *events = event;
@@ -115,12 +119,12 @@
     }
 }
 
-/// Returns the positions of line feeds.
+/// Returns the positions of line feeds at or after `from`.
 fn line_feeds(buffer: &[u8], from: usize) -> impl Iterator<Item = usize> + '_ {
     (from..buffer.len()).filter(|at| buffer[*at] == b'\n')
 }
 
-/// Returns the value of the last `id` field.
+/// Returns the value of the last `id` field of an event. `None` if there is none, or it is empty.
 fn event_id(event: &[u8]) -> Option<&[u8]> {
     let lines = event.split(|byte| *byte == b'\n').map(|line| line.strip_suffix(b"\r").unwrap_or(line));
     let mut ids = lines.filter_map(|line| line.strip_prefix(b"id:"));
--- a/crates/quillpulley/src/proxy/streaming/event_stream.rs
+++ b/crates/quillpulley/src/proxy/streaming/event_stream.rs
@@ -1,8 +1,9 @@
-//! The body of a streamed response: passes events on as they come, and resumes a broken stream at another server where
-//! the route allows it.
+//! The body of a streamed response: forwards events as they arrive, and resumes a broken stream at another
+//! server if the route allows it.
 //!
-//! Nothing is read from the server that the client's connection has not asked for, which asks as far as its buffer
-//! goes. Dropped before its end (the client has closed its connection), it closes the connection to the server.
+//! Backpressure: data is read from the server only when the connection to the client polls for it, which it
+//! does until its write buffer is full. If the stream is dropped before its end, because the client has
+//! closed its connection, the connection to the server is closed.
 
 use crate::proxy::admission::buffer_budget::BufferReservation;
 use crate::proxy::downstream::open_requests::OpenRequest;
@@ -22,36 +23,37 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Sleep};
 
-/// Why a stream is truncated. The connection to the client is closed, so that the stream does not look complete.
+/// Why a stream was truncated. The connection to the client is then closed, so that the stream does not
+/// appear complete.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum StreamError {
-    /// the server broke the stream off: look for its cause there
+    /// the server ended the stream before it was complete: look for the cause at the server
     Broken,
-    /// the time of the request is over: raise TimeoutMs of the route if that is too soon
+    /// the deadline passed before the stream was complete: raise TimeoutMs of the route if it is too short
     TimedOut,
 }
 
 impl std::error::Error for StreamError {}
 
-/// What a request holds while its response is streamed.
+/// Resources that a request holds until its response has been streamed.
 pub struct StreamGuards {
-    /// The request is open.
+    /// The registration of the open request.
     pub open: OpenRequest,
-    /// The memory of its body.
+    /// The memory reserved for the body of the request.
     pub reservation: BufferReservation,
 }
 
 type Resumption = Pin<Box<dyn Future<Output = (Box<Forwarding>, Result<UpstreamResponse, ForwardError>)>>>;
 
-/// Where the events come from.
+/// The source of the events.
 enum Source {
-    /// A server sends them.
+    /// A server streams the response.
     Upstream(Box<UpstreamSource>),
-    /// The stream broke, and another server is being looked for.
+    /// The stream broke, and another server is being found to resume it.
     Resuming(Resumption),
-    /// The server has completed the stream.
+    /// The server has ended the stream.
     Complete,
-    /// The stream is truncated.
+    /// The stream is truncated, and cannot be resumed.
     Truncated,
 }
 
@@ -60,23 +62,25 @@
     forwarding: Box<Forwarding>,
     request: UpstreamRequest,
     body: Incoming,
-    /// How long the server keeps the connection, if at all.
+    /// How long the server keeps the connection open while it is idle. `None` if the server closes it after
+    /// the response.
     keep_alive: Option<Duration>,
 }
 
 /// The body of a streamed response.
 pub struct EventStream {
     source: Source,
-    /// Splits streams that may be resumed into events.
+    /// Splits the stream into events. `None` if the stream cannot be resumed, so that data is forwarded as it
+    /// arrives.
     splitter: Option<EventSplitter>,
-    /// Whether the current server has sent anything.
+    /// Whether any data of the body was received from the current server.
     has_begun: bool,
     due: Pin<Box<Sleep>>,
     _guards: StreamGuards,
 }
 
 impl EventStream {
-    /// Creates the head and the body of a response to a client.
+    /// Creates the head and the body of the response to the client.
     pub fn new(
         mut forwarding: Box<Forwarding>,
         response: StreamingResponse,
@@ -119,7 +123,7 @@
         }
     }
 
-    /// Adds a chunk of the stream, and returns what can be forwarded now.
+    /// Adds a chunk of the stream, and returns the data to forward now, if any.
     fn push(&mut self, data: Bytes) -> Option<Bytes> {
         if !self.has_begun {
             self.has_begun = true;
@@ -133,7 +137,7 @@
         }
     }
 
-    /// Handles that the server has completed the stream, and returns the rest of it.
+    /// Handles the end of the stream, and returns the data that is left to forward.
     fn finish(&mut self) -> Option<Bytes> {
         if let Source::Upstream(upstream) = self.change_source(Source::Complete) {
             upstream.request.complete(Outcome::Completed, upstream.keep_alive);
@@ -141,7 +145,7 @@
         self.splitter.as_mut().and_then(EventSplitter::finish)
     }
 
-    /// Handles that the connection to the server broke.
+    /// Handles a broken connection to the server: begins to resume the stream if possible, else truncates it.
     fn connection_broken(&mut self) {
         let Source::Upstream(upstream) = self.change_source(Source::Truncated) else { return };
         let UpstreamSource { mut forwarding, request, .. } = *upstream;
@@ -161,12 +165,12 @@
         })));
     }
 
-    /// Handles the response of another server, or that there is none.
+    /// Handles the result of resuming the stream at another server.
     fn resumed(&mut self, mut forwarding: Box<Forwarding>, result: Result<UpstreamResponse, ForwardError>) {
         self.change_source(match result {
             Ok(UpstreamResponse::Stream(response)) => {
                 forwarding.response_begun();
-                // The client has the head of the first server.
+                // The client already has the head of the first server's response.
                 let (_, source) = Source::upstream(forwarding, *response);
                 source
             }
@@ -174,14 +178,14 @@
         });
     }
 
-    /// Replaces the source and returns the one before. Every change of source happens here.
+    /// Replaces the source and returns the previous one. Every change of the source happens here.
     fn change_source(&mut self, source: Source) -> Source {
         std::mem::replace(&mut self.source, source)
     }
 }
 
 impl Source {
-    /// Returns the head of a response, and the source of its body.
+    /// Returns the head of a server's response, and the source of its body.
     fn upstream(forwarding: Box<Forwarding>, response: StreamingResponse) -> (Parts, Source) {
         let StreamingResponse { head, body, upstream_request } = response;
         let keep_alive = response_head::keep_alive(&head.headers);
--- a/crates/quillpulley/src/proxy/streaming/mod.rs
+++ b/crates/quillpulley/src/proxy/streaming/mod.rs
@@ -1,4 +1,5 @@
-//! Streamed responses: events are forwarded as they come, and a stream may be resumed at another server.
+//! Streamed responses: events are forwarded as they arrive, and a broken stream may be resumed at another
+//! server.
 
 pub mod event_splitter;
 pub mod event_stream;
--- a/crates/quillpulley/src/proxy/sync/mod.rs
+++ b/crates/quillpulley/src/proxy/sync/mod.rs
@@ -1,4 +1,4 @@
-//! The link to the agent of the machine: published state comes in, load and usage go out.
+//! The link to the agent on the same machine: receives published state, and reports load and usage.
 
 pub mod sync_client;
 mod usage;
--- a/crates/quillpulley/src/proxy/sync/sync_client.rs
+++ b/crates/quillpulley/src/proxy/sync/sync_client.rs
@@ -1,6 +1,6 @@
-//! The link to the agent of the machine: receives published state, and reports load and usage.
+//! The link to the agent on the same machine: receives published state, and reports load and usage.
 //!
-//! Without an agent the proxy serves clients with the state that it has.
+//! While there is no link to the agent, the proxy serves clients with the last state that it received.
 
 use crate::peer::{LinkId, PeerEvent, Peers};
 use crate::proxy::config::updates;
@@ -16,26 +16,26 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, Instant};
 
-/// The time between two attempts to connect to the agent.
+/// Delay between a lost or failed connection to the agent and the next attempt.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(100);
-/// How often a report is due, if anything has changed.
+/// Interval between reports. A report that equals the previous one is not sent.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The link to the agent.
+/// The state of the link to the agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AgentLink {
-    /// There is none. The next attempt is due at this time.
+    /// There is no link. The next connection attempt is due at `retry_at`.
     Down { retry_at: Instant },
-    /// It is being established.
+    /// The link is being established.
     Connecting(LinkId),
-    /// It is up.
+    /// The link is established.
     Up(LinkId),
 }
 
-/// A proxy has no children in the relay tree.
+/// The type of child links. A proxy has none, as it is a leaf of the relay tree.
 type NoChild = u8;
 
-/// A leaf of the relay tree.
+/// The proxy's node of the relay tree, with its link to the agent.
 pub struct SyncClient {
     state: Rc<ProxyState>,
     endpoint: ProxyEndpoint,
@@ -47,12 +47,12 @@
     /// The latest report.
     reported: LocalReport,
     report_due: Instant,
-    /// Notified when a report is due at once.
+    /// Notified to send the next report immediately.
     urgent_report: Rc<Notify>,
 }
 
 impl SyncClient {
-    /// Creates the link of the proxy that clients reach at an address.
+    /// Creates the sync client of a proxy. `endpoint` is the address at which clients reach the proxy.
     pub fn new(state: Rc<ProxyState>, settings: &Settings, endpoint: Option<SocketAddr>) -> Self {
         let (peers, events) = Peers::new(hello(settings));
         SyncClient {
@@ -69,12 +69,12 @@
         }
     }
 
-    /// Returns what is to be notified when a report is due at once.
+    /// Returns the notification that requests an immediate report.
     pub fn urgent_report(&self) -> Rc<Notify> {
         self.urgent_report.clone()
     }
 
-    /// Maintains the link for as long as it is polled.
+    /// Maintains the link and sends reports. Runs until it is dropped.
     pub async fn run(mut self) {
         let urgent_report = self.urgent_report.clone();
         loop {
@@ -128,7 +128,7 @@
         matches!(self.link, AgentLink::Connecting(at) | AgentLink::Up(at) if at == link)
     }
 
-    /// Every change of the link happens here.
+    /// Changes the state of the link. Every change happens here.
     fn change_link(&mut self, next: AgentLink) {
         let was_up = matches!(self.link, AgentLink::Up(_));
         self.link = next;
@@ -138,7 +138,7 @@
                 self.handle(Event::ParentUp);
             }
             AgentLink::Down { .. } if was_up => {
-                log::warn!(address:% = self.agent; "agent disconnected, serving with the last known state");
+                log::warn!(address:% = self.agent; "agent disconnected; serving with the last known state");
                 self.handle(Event::ParentDown);
             }
             AgentLink::Down { .. } | AgentLink::Connecting(_) => {}
@@ -240,7 +240,8 @@
     }
 }
 
-/// Returns the incarnation of this process: later processes of a machine have higher ones.
+/// Returns the incarnation of this process: microseconds since the Unix epoch, so that later processes on a
+/// machine have higher ones.
 fn incarnation() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since_epoch.as_micros()).unwrap_or(u64::MAX)
--- a/crates/quillpulley/src/proxy/sync/usage.rs
+++ b/crates/quillpulley/src/proxy/sync/usage.rs
@@ -1,25 +1,25 @@
-//! The load and usage that this proxy exchanges with the others.
+//! Exchange of server loads and retry usage with the other proxies.
 
 use crate::proxy::state::ProxyState;
 use quillpulley_protocol::{ServerLoad, ServiceCounters};
 use quillpulley_retry_budget::ServiceUsage;
 use quillpulley_state_sync::{LoadCounters, RetryCounters, Totals};
 
-/// Applies the loads of all proxies together to the choice of servers.
+/// Applies the server loads summed over all proxies to the load balancer, and admits queued requests.
 pub fn apply_loads(state: &ProxyState, totals: &Totals) {
     let loads: Vec<ServerLoad> = totals.counters.servers.iter().map(server_load).collect();
     state.upstreams.set_total_loads(&loads);
     state.admission.admit_all();
 }
 
-/// Applies the usage of all proxies together to the retry budgets. Due every exchange period.
+/// Applies the usage summed over all proxies to the retry budgets. Must be called in every report interval.
 pub fn apply_usage(state: &ProxyState, totals: &Totals) {
     let services: Vec<ServiceUsage> = totals.counters.services.iter().map(service_usage).collect();
     let proxies = totals.counters.proxies as usize;
     state.retry_budgets.set_totals(state.now(), &services, proxies, totals.complete);
 }
 
-/// Returns the usage of this proxy in the latest window.
+/// Returns this proxy's own usage per service in the latest window of the retry budget.
 pub fn own_usage(state: &ProxyState) -> Vec<ServiceCounters> {
     state.retry_budgets.usage(state.now()).into_iter().map(service_counters).collect()
 }
--- a/crates/quillpulley/src/proxy/upstream/connection_pool.rs
+++ b/crates/quillpulley/src/proxy/upstream/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to servers, and establishing new ones.
+//! The pool of idle connections to servers, which also establishes new connections.
 
 use quillpulley_http1_client::{ClientConnection, ConnectionLimits, Socket};
 use quillpulley_load_balancer::ServerKey;
@@ -11,16 +11,18 @@
 use std::time::Duration;
 use tokio::time::{timeout, Instant};
 
-/// The longest round trip between regions, three times over, and a little more.
+/// Three times the longest round trip between regions, plus a margin.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// A server that acknowledges nothing for this long is dead.
+/// TCP user timeout: a connection breaks if the server acknowledges no data for this long.
 const USER_TIMEOUT: Duration = Duration::from_secs(3);
-/// An idle connection is closed after this fraction of the time after which the server closes it. A request that
-/// crosses the server's close would end as a reset, and nobody knows whether it executed.
+/// An idle connection is closed after the server's keep-alive time divided by this. A request that is sent
+/// just when the server closes the connection would end in a reset, and it would be unknown whether it
+/// executed.
 const IDLE_DIVISOR: u32 = 2;
-/// Idle connections that are kept to a server, whatever its quota is.
+/// Minimum number of idle connections to keep per server, even if its quota is smaller.
 const MIN_IDLE: usize = 2;
-/// How long a connection rests between requests: late bytes behind a response must not be read as the next one.
+/// Minimum time between a response and the next request on a connection: bytes that arrive late after a
+/// response must not be read as the next response.
 const REUSE_DELAY: Duration = Duration::from_millis(10);
 
 const LIMITS: ConnectionLimits = ConnectionLimits {
@@ -31,54 +33,55 @@
     ready_timeout: Duration::ZERO,
 };
 
-/// A server that was chosen.
+/// A server that was chosen for a request or a health check.
 #[derive(Clone, Debug)]
 pub struct UpstreamPeer {
     /// The key of the server in the load balancer.
     pub key: ServerKey,
     /// The id of the server.
     pub id: String,
-    /// The address that it listens at.
+    /// The address and port that the server listens on.
     pub address: SocketAddr,
 }
 
 /// Why no connection was established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectError {
-    /// All descriptors for connections to servers are in use.
+    /// The proxy has no descriptor left for a connection to a server.
     NoDescriptor,
-    /// The server rejects the connection or does not answer.
+    /// The server refused the connection or did not respond in time.
     Failed,
 }
 
-/// A connection to a server.
+/// An established connection to a server.
 pub struct Connected {
-    /// The connection.
+    /// The connection, on which no request is open.
     pub connection: ClientConnection,
-    /// Whether it served a request before.
+    /// Whether the connection was idle in the pool before. Otherwise it is new.
     pub reused: bool,
 }
 
 struct IdleConnection {
     connection: ClientConnection,
-    /// When it may be reused.
+    /// The earliest time at which the connection may be reused.
     reusable_at: Instant,
-    /// When it is closed.
+    /// The time from which on the connection is not reused, and is closed.
     expires_at: Instant,
 }
 
-/// The connections to all servers.
+/// The pool of connections to all servers.
 pub struct ConnectionPool {
-    /// Idle connections, the most recently used last.
+    /// Idle connections by server, with the most recently used last.
     idle: RefCell<HashMap<ServerKey, Vec<IdleConnection>>>,
-    /// The number of open sockets.
+    /// The number of open sockets to servers, idle or in use.
     open: Rc<Cell<usize>>,
     max_open: usize,
     abortable: RefCell<HashMap<u64, (ServerKey, Rc<Socket>)>>,
     next_guard: Cell<u64>,
 }
 
-/// Has a connection aborted when its server is removed, for as long as this exists.
+/// Keeps a connection registered to be aborted when its server is removed. Dropping the guard ends the
+/// registration.
 pub struct AbortGuard {
     pool: Rc<ConnectionPool>,
     number: u64,
@@ -91,7 +94,7 @@
 }
 
 impl ConnectionPool {
-    /// Creates an empty pool for up to `max_open` connections.
+    /// Creates an empty pool, which opens at most `max_open` connections at once.
     pub fn new(max_open: usize) -> Rc<Self> {
         Rc::new(ConnectionPool {
             idle: RefCell::default(),
@@ -102,10 +105,10 @@
         })
     }
 
-    /// Returns an idle connection if there is one that can be reused, else a new one.
+    /// Returns an idle connection to the server if one can be reused, else a new one.
     ///
     /// # Errors
-    /// [`ConnectError`].
+    /// [`ConnectError`] if there is no idle connection and no new one can be established.
     pub async fn connect(&self, peer: &UpstreamPeer) -> Result<Connected, ConnectError> {
         if let Some(connection) = poll_fn(|cx| Poll::Ready(self.reuse(peer.key, cx))).await {
             return Ok(Connected { connection, reused: true });
@@ -116,15 +119,17 @@
         let connecting =
             timeout(CONNECT_TIMEOUT, ClientConnection::connect(peer.address, &self.open, LIMITS));
         let Ok(Ok(connection)) = connecting.await else { return Err(ConnectError::Failed) };
-        // If it cannot be set, the loss of the server's machine is noticed later.
+        // If the option cannot be set, the loss of the server's machine is detected later.
         let _ = connection.socket().set_user_timeout(USER_TIMEOUT);
         Ok(Connected { connection, reused: false })
     }
 
-    /// Keeps an idle connection, of up to `quota` to this server, which keeps it for `keep_alive` itself.
+    /// Returns a connection to the pool, which keeps at most `quota` idle connections to this server, or
+    /// `MIN_IDLE` if that is more. `keep_alive` is how long the server keeps the connection open while it
+    /// is idle.
     ///
-    /// A connection with unwritten bytes of a request, whose response came early, is closed: the bytes must not be
-    /// written behind the response.
+    /// If the response came before the request was written completely, the connection is closed: its
+    /// unwritten bytes must not be written after the response.
     pub fn return_idle(
         &self,
         server: ServerKey,
@@ -146,12 +151,13 @@
         of_server.push(IdleConnection { connection, reusable_at, expires_at });
     }
 
-    /// Closes the idle connections to a server that gets nothing more.
+    /// Closes all idle connections to a server.
     pub fn close_idle_to(&self, server: ServerKey) {
         self.idle.borrow_mut().remove(&server);
     }
 
-    /// Closes all connections to a server that was removed, where [`ConnectionPool::abort_when_removed`] asked for it.
+    /// Closes the idle connections to a removed server, and aborts the connections registered with
+    /// [`ConnectionPool::abort_when_removed`].
     pub fn abort_all(&self, server: ServerKey) {
         self.close_idle_to(server);
         let abortable = self.abortable.borrow();
@@ -160,14 +166,15 @@
         }
     }
 
-    /// Has a connection aborted when its server is removed, for as long as the guard exists.
+    /// Registers a connection to be aborted when its server is removed. The registration ends when the guard
+    /// is dropped.
     pub fn abort_when_removed(self: &Rc<Self>, server: ServerKey, socket: Rc<Socket>) -> AbortGuard {
         let number = self.next_guard.replace(self.next_guard.get() + 1);
         self.abortable.borrow_mut().insert(number, (server, socket));
         AbortGuard { pool: self.clone(), number }
     }
 
-    /// Closes the connections that have been idle for too long.
+    /// Closes the idle connections that have expired.
     pub fn close_expired(&self) {
         let now = Instant::now();
         self.idle.borrow_mut().retain(|_, of_server| {
@@ -176,7 +183,8 @@
         });
     }
 
-    /// Takes the connection that was used last and can be reused, and drops those that turn out to be unusable.
+    /// Takes the most recently used idle connection that can be reused, and closes those that turn out to be
+    /// unusable.
     fn reuse(&self, server: ServerKey, cx: &mut Context<'_>) -> Option<ClientConnection> {
         let mut idle = self.idle.borrow_mut();
         let of_server = idle.get_mut(&server)?;
@@ -187,7 +195,7 @@
             if now >= expires_at {
                 continue;
             }
-            // The last response was read to its end; here hyper notices that.
+            // The last response has been read to its end, but hyper notices this only when it is polled.
             connection.poll_connection(cx);
             if connection.is_usable() {
                 return Some(connection);
@@ -195,8 +203,8 @@
         }
     }
 
-    /// Returns whether there is a descriptor for one more connection. If necessary, the idle connection that expires
-    /// first is closed.
+    /// Returns whether a descriptor is available for one more connection. If all are in use, the idle
+    /// connection that expires first is closed to free one.
     fn ensure_descriptor(&self) -> bool {
         if self.open.get() < self.max_open {
             return true;
--- a/crates/quillpulley/src/proxy/upstream/health_check.rs
+++ b/crates/quillpulley/src/proxy/upstream/health_check.rs
@@ -1,5 +1,5 @@
-//! Health checks of servers that outlier detection has ejected. Other servers are not checked: requests show how they
-//! are.
+//! Health checks of servers that outlier detection has ejected. Other servers are not checked, as the
+//! outcomes of requests show their health.
 
 use crate::proxy::headers::{
     self, EXPECT_INSTANCE, INSTANCE_ID, NOT_EXECUTED, REQUEST_ID, WARMUP_REMAINING_MS,
@@ -18,14 +18,15 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// How often due checks are looked for.
+/// Interval at which due health checks are looked for.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// How long after a failure checks are looked for: longer than a server stays ejected without a check.
+/// How long due health checks are looked for after a failure. Longer than a server stays ejected without a
+/// check.
 const CHECKS_AFTER_FAILURE: Duration = Duration::from_secs(12);
-/// A check that takes longer has failed.
+/// Timeout of a health check.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Checks servers while some are ejected, for as long as it is polled.
+/// Sends health checks to ejected servers. Runs until it is dropped.
 pub async fn check_servers(state: Rc<ProxyState>) {
     let upstreams = &state.upstreams;
     let failures = upstreams.failures();
@@ -49,7 +50,7 @@
     }
 }
 
-/// Sends the check, and returns what the server reports about itself; none if there is no response.
+/// Sends a health check, and returns the health that the server reports. `None` if there is no response.
 async fn probe(state: &ProxyState, server: ServerKey) -> Option<HealthCheckResult> {
     let CheckedServer { peer, service } = state.upstreams.checked_server(server)?;
     let config = state.config.get()?;
@@ -70,11 +71,13 @@
     request.header(EXPECT_INSTANCE, &peer.id).body(Full::default()).ok()
 }
 
-/// Classifies the response to a check. A server that is too busy for it is healthy; another one at its address is not.
+/// Classifies the response to a health check. A server that rejects the check because it is busy is healthy.
+/// The check fails if another server listens at the address.
 fn classify(response: &Response<Bytes>, id: &str) -> HealthCheckResult {
     let headers = response.headers();
     if headers.get(REQUEST_ID).is_some_and(|id| !id.is_empty()) {
-        // A second response to an earlier request on this connection: checks have no id.
+        // Health checks carry no request id, so this is a second response to an earlier request on the
+        // connection.
         return HealthCheckResult::Failed;
     }
     let is_expected = headers.get(INSTANCE_ID).is_some_and(|instance| instance == id);
--- a/crates/quillpulley/src/proxy/upstream/mod.rs
+++ b/crates/quillpulley/src/proxy/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! The servers' side: the choice among servers, connections, requests, and health checks.
+//! The server side: the choice of a server, connections, upstream requests, and health checks.
 
 pub mod connection_pool;
 pub mod health_check;
--- a/crates/quillpulley/src/proxy/upstream/response_head.rs
+++ b/crates/quillpulley/src/proxy/upstream/response_head.rs
@@ -1,4 +1,4 @@
-//! What the head of a server's response means.
+//! Classification of the head of a server's response.
 
 use crate::proxy::headers::{self, KEEP_ALIVE, NOT_EXECUTED, REQUEST_ID, RESPONSE_SEAL};
 use hyper::header::{HeaderMap, HeaderValue, CONTENT_ENCODING, CONTENT_LENGTH, TRANSFER_ENCODING};
@@ -6,38 +6,41 @@
 use hyper::StatusCode;
 use std::time::Duration;
 
-/// How long a server keeps an idle connection if it does not say.
+/// How long a server keeps an idle connection open if it sends no `Keep-Alive` header.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
 const IDENTITY: &str = "identity";
 
-/// What the head of a server's response means.
+/// The classification of the head of a server's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseVerdict {
-    /// A success that can be forwarded.
+    /// A successful response, which can be forwarded.
     Success,
-    /// An error of the server that can be forwarded: the request has executed.
+    /// An error response, which can be forwarded: the request has executed.
     Failure,
-    /// An error with a status that promises what the server does not: the request may have executed.
+    /// A 408, 429 or 503 response without `Quillpulley-Not-Executed`. It must not be forwarded, as the status
+    /// promises that the request did not execute, but the request may have executed.
     UnmarkedRejection,
-    /// The request did not execute.
+    /// The server reports that it did not execute the request.
     NotExecuted {
-        /// Whether that is because the server is full.
+        /// Whether the server rejected the request because it is full.
         full: bool,
     },
-    /// The request did not execute: another server listens at the address.
+    /// The server did not execute the request, as it is not the intended one: another server listens at the
+    /// address (421).
     Misdirected,
-    /// The response to another request, or one that breaks the protocol.
+    /// The response to another request, or a response that violates the protocol.
     Invalid,
 }
 
-/// Classifies the head of a response to the request with an id.
+/// Classifies the head of a response to the request with the id `id`.
 pub fn classify(head: &Parts, id: &HeaderValue) -> ResponseVerdict {
     if headers::single(&head.headers, &REQUEST_ID) != Some(id) {
         return ResponseVerdict::Invalid;
     }
     let not_executed = head.headers.contains_key(NOT_EXECUTED);
     match head.status {
-        // Informational responses before the final one are skipped by hyper; any other was not asked for.
+        // hyper skips informational responses before the final one. Any that it returns, such as 101, was not
+        // requested.
         status if status.is_informational() => ResponseVerdict::Invalid,
         StatusCode::MISDIRECTED_REQUEST => ResponseVerdict::Misdirected,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS if not_executed => {
@@ -53,7 +56,8 @@
     }
 }
 
-/// Returns whether the server vouches for the response, and nobody has encoded it since.
+/// Returns whether the response carries the server's seal and no content encoding. An encoding would have
+/// been applied after the server sealed the response.
 fn is_sealed(headers: &HeaderMap) -> bool {
     let encoding = headers.get(CONTENT_ENCODING);
     let is_identity =
@@ -61,13 +65,14 @@
     is_identity && headers.contains_key(RESPONSE_SEAL)
 }
 
-/// Returns whether the end of the body can be known without the end of the connection. If not, an orderly close of the
-/// connection ends the body, and a reset truncates it.
+/// Returns whether the head tells where the body ends. Otherwise an orderly close of the connection ends the
+/// body, and a reset truncates it.
 fn is_framed(headers: &HeaderMap) -> bool {
     headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
 
-/// Returns how long the server keeps the connection while it is idle; none if it closes it after this response.
+/// Returns how long the server keeps the connection open while it is idle. `None` if it closes the connection
+/// after this response.
 pub fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
     if !is_framed(headers) || headers::closes_connection(headers) {
         return None;
@@ -76,7 +81,7 @@
     Some(value.and_then(keep_alive_seconds).map_or(DEFAULT_KEEP_ALIVE, Duration::from_secs))
 }
 
-/// Parses `timeout=5, max=100`, or the seconds alone.
+/// Parses the value of `Keep-Alive`, in seconds: `timeout=5, max=100`, or a number alone.
 fn keep_alive_seconds(value: &str) -> Option<u64> {
     let mut parameters = value.split(',').map(str::trim);
     let timeout = parameters.find_map(|parameter| parameter.strip_prefix("timeout="));
--- a/crates/quillpulley/src/proxy/upstream/upstream_request.rs
+++ b/crates/quillpulley/src/proxy/upstream/upstream_request.rs
@@ -1,4 +1,5 @@
-//! An upstream request: one attempt of a request at a server, its connection, and its ticket of the load balancer.
+//! An upstream request: one attempt to send a request to a server, with its connection and its ticket from
+//! the load balancer.
 
 use super::connection_pool::{AbortGuard, UpstreamPeer};
 use super::upstreams::Upstreams;
@@ -12,10 +13,11 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// The longest response that is read completely before it is forwarded, in bytes.
+/// Maximum size of a response that is read completely before it is forwarded, in bytes.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// An upstream request in flight. Dropped before its end it closes its connection, and so the server stops.
+/// An upstream request in flight. If it is dropped before it ends, its connection is closed, so that the
+/// server cancels the request.
 pub struct UpstreamRequest {
     upstreams: Rc<Upstreams>,
     context: Rc<RequestContext>,
@@ -26,7 +28,7 @@
 }
 
 impl UpstreamRequest {
-    /// Creates an upstream request without a connection. `ticket` is that of the load balancer.
+    /// Creates an upstream request without a connection. `ticket` accounts for it in the load balancer.
     pub fn new(
         upstreams: Rc<Upstreams>,
         context: Rc<RequestContext>,
@@ -43,12 +45,13 @@
         }
     }
 
-    /// Returns the server.
+    /// Returns the server that the request is sent to.
     pub fn peer(&self) -> &UpstreamPeer {
         &self.peer
     }
 
-    /// Attaches a connection. An idempotent request does not wait for a server that is removed.
+    /// Attaches a connection. If the request is idempotent, the connection is aborted when the server is
+    /// removed, so that the request need not wait for a response.
     pub fn attach(&mut self, connection: ClientConnection) -> &mut ClientConnection {
         let socket = self.context.decision.is_idempotent.then(|| connection.socket().clone());
         self.abort_guard =
@@ -56,7 +59,7 @@
         self.connection.insert(connection)
     }
 
-    /// Closes the connection.
+    /// Closes the connection, if one is attached.
     pub fn detach(&mut self) {
         self.abort_guard = None;
         self.connection = None;
@@ -69,7 +72,7 @@
         }
     }
 
-    /// Returns the next chunk of the response's body; none once it is complete.
+    /// Returns the next chunk of the response body. `None` once the body is complete.
     pub fn poll_data(
         &mut self,
         cx: &mut Context<'_>,
@@ -81,10 +84,11 @@
         }
     }
 
-    /// Returns the complete body of the response.
+    /// Reads the complete body of the response.
     ///
     /// # Errors
-    /// [`ResponseError`] if the connection breaks, or the body is too large for the memory.
+    /// [`ResponseError`] if the connection breaks, or the body exceeds `MAX_RESPONSE_BYTES` or the memory
+    /// budget.
     pub async fn read_body(&mut self, mut body: Incoming) -> Result<Bytes, ResponseError> {
         if body.size_hint().lower() > MAX_RESPONSE_BYTES as u64 {
             return Err(ResponseError::TooLarge);
@@ -109,7 +113,8 @@
         Ok(first.unwrap_or_else(|| all.freeze()))
     }
 
-    /// Ends the request with a complete response. The server keeps the connection for `keep_alive`, if at all.
+    /// Ends the request after a complete response. `keep_alive` is how long the server keeps the connection
+    /// open while it is idle; for `None` the connection is closed.
     pub fn complete(mut self, outcome: Outcome, keep_alive: Option<Duration>) {
         self.abort_guard = None;
         if let Some((connection, time)) = self.connection.take().zip(keep_alive) {
@@ -134,7 +139,8 @@
 
 impl Drop for UpstreamRequest {
     fn drop(&mut self) {
-        // The connection first: a server must not see the next attempt of a request while this one looks open.
+        // The connection is closed first: a server must not receive the next attempt of a request while this
+        // one still appears to be open.
         self.detach();
         self.record_end(Upstreams::outcome_when_dropped(self.context.request.due));
     }
--- a/crates/quillpulley/src/proxy/upstream/upstreams.rs
+++ b/crates/quillpulley/src/proxy/upstream/upstreams.rs
@@ -1,6 +1,8 @@
-//! What all upstream requests share: the choice among servers, connections, and memory for bodies.
+//! The state that all upstream requests share: the load balancer, the connection pool, and the memory budget
+//! for bodies.
 //!
-//! It does not know the requests that wait. A [`CapacityListener`] is notified when a server may have capacity again.
+//! It does not know the queued requests. A [`CapacityListener`] is notified when a server may have capacity
+//! again.
 
 use super::connection_pool::{ConnectionPool, UpstreamPeer};
 use super::recent_failures::RecentFailures;
@@ -16,45 +18,45 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Is notified when a server may have capacity again.
+/// A listener that is notified when a server may have capacity again.
 pub trait CapacityListener {
-    /// Handles that a server of a service may have capacity.
+    /// Called when a server of the service may have capacity again.
     fn capacity_freed(self: Rc<Self>, service: &str);
 }
 
-/// What a health check has to know of a server.
+/// The server that a health check is sent to.
 pub struct CheckedServer {
-    /// The server.
+    /// The key, id and address of the server.
     pub peer: UpstreamPeer,
     /// The name of its service.
     pub service: String,
 }
 
-/// What became of an entry of the published list.
+/// The result of adding or updating a server of the published list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListingOutcome {
-    /// The server may get requests.
+    /// The server may receive requests.
     Usable,
-    /// The server gets nothing new.
+    /// The server is draining and receives no new requests.
     Draining,
-    /// The address of the server cannot be read.
+    /// The entry was ignored, as its address is invalid.
     InvalidAddress,
 }
 
-/// The servers.
+/// The servers, with the connections to them.
 pub struct Upstreams {
     started_at: Instant,
     balancer: RefCell<Balancer>,
     pool: Rc<ConnectionPool>,
     buffers: BufferBudget,
     failures: RecentFailures,
-    /// The proxies that share the servers.
+    /// The number of proxies that send requests to the same servers, including this one.
     proxy_count: Cell<usize>,
     capacity_listener: OnceCell<Weak<dyn CapacityListener>>,
 }
 
 impl Upstreams {
-    /// Creates the upstreams of a proxy that knows no server yet.
+    /// Creates the upstreams of a proxy that does not know any server yet.
     pub fn new(balancer: Balancer, pool: Rc<ConnectionPool>, buffers: BufferBudget) -> Rc<Self> {
         Rc::new(Upstreams {
             started_at: Instant::now(),
@@ -67,42 +69,43 @@
         })
     }
 
-    /// Sets who is notified of capacity. Only the first call has an effect.
+    /// Sets the listener for free capacity. Only the first call has an effect.
     pub fn set_capacity_listener(&self, listener: Weak<dyn CapacityListener>) {
         let _ = self.capacity_listener.set(listener);
     }
 
-    /// Returns when the process started.
+    /// Returns when these upstreams were created, which is the start of the process.
     pub fn started_at(&self) -> Instant {
         self.started_at
     }
 
-    /// Returns the time since the start.
+    /// Returns the time since the start of the process.
     pub fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
 
-    /// Returns the connections to servers.
+    /// Returns the pool of connections to servers.
     pub fn pool(&self) -> &Rc<ConnectionPool> {
         &self.pool
     }
 
-    /// Returns the memory for bodies.
+    /// Returns the memory budget for bodies.
     pub fn buffers(&self) -> &BufferBudget {
         &self.buffers
     }
 
-    /// Returns when something failed at a server.
+    /// Returns the time of the last failure at a server.
     pub fn failures(&self) -> &RecentFailures {
         &self.failures
     }
 
-    /// Chooses a server for a request, other than those that were tried.
+    /// Chooses a server for a request, among those that are not in `tried`.
     pub fn choose(&self, demand: &Demand<'_>, tried: &[ServerKey]) -> Choice {
         self.balancer.borrow_mut().choose(self.now(), demand, tried)
     }
 
-    /// Begins an upstream request to a server. Returns none if it is not listed any more.
+    /// Registers an upstream request with the load balancer. Returns `None` if the server is no longer
+    /// listed.
     pub fn begin_request(&self, server: ServerKey, demand: &Demand<'_>) -> Option<(UpstreamPeer, Ticket)> {
         let peer = self.peer(server)?;
         let ticket = self.balancer.borrow_mut().begin(self.now(), server, demand);
@@ -114,7 +117,8 @@
         self.balancer.borrow_mut().record_started(self.now(), ticket);
     }
 
-    /// Records the outcome of an upstream request to a server of a service.
+    /// Records the outcome of an upstream request to a server of a service, and notifies the listener that
+    /// there may be capacity.
     pub fn record_end(&self, service: &str, ticket: Ticket, outcome: Outcome) {
         self.balancer.borrow_mut().end(self.now(), ticket, outcome);
         if matches!(outcome, Outcome::Failed(_)) {
@@ -125,7 +129,8 @@
         }
     }
 
-    /// Returns the outcome of an upstream request that is dropped before its end.
+    /// Returns the outcome of an upstream request that is dropped before it ends: a timeout if its deadline
+    /// `due` has been reached, else its client has closed the connection.
     pub fn outcome_when_dropped(due: Instant) -> Outcome {
         match Instant::now() >= due {
             true => Outcome::Failed(FailureKind::Timeout),
@@ -139,22 +144,23 @@
         Some(UpstreamPeer { key: server, id: info.id.clone(), address: info.address })
     }
 
-    /// Returns whether anything may be sent to a server that was chosen before.
+    /// Returns whether requests may still be sent to a server that was chosen before.
     pub fn is_usable(&self, server: ServerKey) -> bool {
         self.balancer.borrow().is_usable(server)
     }
 
-    /// Returns the number of a server's connections that this proxy may keep.
+    /// Returns the number of idle connections to a server that this proxy may keep: its share of
+    /// `max_connections`.
     pub fn connection_quota(&self, max_connections: u32) -> usize {
         max_connections as usize / self.proxy_count.get()
     }
 
-    /// Returns the servers for which a health check has to be made now.
+    /// Returns the servers to which a health check is due, and marks these checks as started.
     pub fn due_health_checks(&self) -> Vec<ServerKey> {
         self.balancer.borrow_mut().due_health_checks(self.now())
     }
 
-    /// Returns what a health check has to know of a server, if it is still listed.
+    /// Returns the target of a health check. `None` if the server is no longer listed.
     pub fn checked_server(&self, server: ServerKey) -> Option<CheckedServer> {
         let peer = self.peer(server)?;
         let service = self.balancer.borrow().server(server)?.service.clone();
@@ -174,18 +180,18 @@
         self.balancer.borrow_mut().set_services(services);
     }
 
-    /// Sets the proxies that share the servers, this one included.
+    /// Sets the proxies that send requests to the same servers, including this one.
     pub fn set_proxies(&self, proxies: Vec<ProxyPeer>) {
         self.proxy_count.set(proxies.len().max(1));
         self.balancer.borrow_mut().set_proxies(proxies);
     }
 
-    /// Sets the zones to which nothing is sent.
+    /// Sets the evacuated zones, to whose servers no requests are sent.
     pub fn set_evacuated(&self, zones: &BTreeSet<String>) {
         self.balancer.borrow_mut().set_evacuated(self.now(), zones);
     }
 
-    /// Adds a listed server, or updates its entry.
+    /// Adds a server of the published list, or updates its entry.
     pub fn put_server(&self, server: &Server) -> ListingOutcome {
         let key = self.balancer.borrow_mut().put_server(self.now(), server);
         match key {
@@ -198,7 +204,8 @@
         }
     }
 
-    /// Removes a server that is not listed any more, and ends what waits for it.
+    /// Removes a server that is no longer listed. Closes its idle connections, and aborts the idempotent
+    /// requests that wait for it.
     pub fn remove_server(&self, id: &str) {
         let removed = self.balancer.borrow_mut().remove_server(self.now(), id);
         if let Some(key) = removed {
@@ -206,12 +213,12 @@
         }
     }
 
-    /// Sets the loads of all servers, summed over all proxies.
+    /// Sets the load of each server, summed over all proxies.
     pub fn set_total_loads(&self, loads: &[ServerLoad]) {
         self.balancer.borrow_mut().set_totals(self.now(), loads);
     }
 
-    /// Returns what this proxy has in flight at each server, to be reported to the others.
+    /// Returns the load that this proxy causes at each server, to be reported to the other proxies.
     pub fn own_loads(&self) -> Vec<ServerLoad> {
         self.balancer.borrow_mut().own_loads(self.now())
     }
