--- a/crates/quillpulley/src/proxy/downstream/client_service.rs
+++ b/crates/quillpulley/src/proxy/downstream/client_service.rs
@@ -133,7 +133,7 @@
 
     /// Returns the response to requests that arrive before a configuration is known.
     fn starting(&self) -> LocalResponse {
-        LocalResponse::unavailable(lifecycle::retry_after_start(self.state.now()))
+        LocalResponse::unavailable(lifecycle::startup_retry_after(self.state.now()))
     }
 
     /// Returns the response to a request without a route. If the published state is stale, another proxy may
--- a/crates/quillpulley/src/proxy/shutdown/lifecycle.rs
+++ b/crates/quillpulley/src/proxy/shutdown/lifecycle.rs
@@ -86,6 +86,6 @@
 }
 
 /// Returns the `Retry-After` of a proxy that has run for `age` and has no configuration.
-pub fn retry_after_start(age: Duration) -> Duration {
+pub fn startup_retry_after(age: Duration) -> Duration {
     STARTUP_TIME.saturating_sub(age).max(MIN_RETRY_AFTER)
 }
--- a/crates/quillpulley/tests/proxy_lifecycle.rs
+++ b/crates/quillpulley/tests/proxy_lifecycle.rs
@@ -1,6 +1,6 @@
 //! When a proxy accepts clients, as timelines.
 
-use quillpulley::proxy::shutdown::lifecycle::{retry_after_start, Event, Lifecycle};
+use quillpulley::proxy::shutdown::lifecycle::{startup_retry_after, Event, Lifecycle};
 use quillpulley_protocol::EndpointState;
 use std::time::Duration;
 
@@ -57,7 +57,7 @@
 
 #[test]
 fn who_is_rejected_at_the_start_comes_back_when_the_start_is_over_and_never_too_soon() {
-    let after_ms = |age_ms| retry_after_start(Duration::from_millis(age_ms)).as_millis();
+    let after_ms = |age_ms| startup_retry_after(Duration::from_millis(age_ms)).as_millis();
     assert_eq!([0, 300, 600, 1_600, 10_000].map(after_ms), [1_600, 1_300, 1_000, 1_000, 1_000]);
 }
 
