--- a/crates/quillpulley/src/proxy/process.rs
+++ b/crates/quillpulley/src/proxy/process.rs
@@ -162,7 +162,7 @@
         self.urgent_report.notify_one();
         sleep_until(state.at(deadline.accepts_all_until())).await;
         self.clients.set_draining();
-        if timeout_at(state.at(deadline.final_responses_at()), self.clients.all_closed()).await.is_ok() {
+        if timeout_at(state.at(deadline.response_cutoff()), self.clients.all_closed()).await.is_ok() {
             return;
         }
         state.lifecycle.begin_final_responses();
--- a/crates/quillpulley/src/proxy/shutdown/drain_deadline.rs
+++ b/crates/quillpulley/src/proxy/shutdown/drain_deadline.rs
@@ -41,7 +41,7 @@
     /// Returns whether to accept a request whose head arrived at `arrived`, and whose response is due at
     /// `due`: the end of the timeout of its route or of its client, whichever is first.
     pub fn accepts(&self, arrived: Duration, due: Duration) -> bool {
-        arrived <= self.accepts_all_until || due <= self.final_responses_at()
+        arrived <= self.accepts_all_until || due <= self.response_cutoff()
     }
 
     /// Returns the time until which all requests are accepted. From then on idle connections are closed.
@@ -50,7 +50,7 @@
     }
 
     /// Returns the time at which the proxy itself responds to all requests that have no response yet.
-    pub fn final_responses_at(&self) -> Duration {
+    pub fn response_cutoff(&self) -> Duration {
         self.exits_at.saturating_sub(RESPONSE_MARGIN)
     }
 
--- a/crates/quillpulley/tests/proxy_drain_deadline.rs
+++ b/crates/quillpulley/tests/proxy_drain_deadline.rs
@@ -66,7 +66,7 @@
 #[test]
 fn it_ends_half_a_second_before_it_would_be_killed() {
     let deadline = DrainDeadline::new(SIGNALLED, Duration::from_secs(8));
-    let times = [deadline.accepts_all_until(), deadline.final_responses_at(), deadline.exits_at()];
+    let times = [deadline.accepts_all_until(), deadline.response_cutoff(), deadline.exits_at()];
     assert_eq!(times.map(|time| time.as_millis()), [3_900, 8_400, 8_500]);
 }
 
