--- a/crates/quillpulley/src/proxy/process.rs
+++ b/crates/quillpulley/src/proxy/process.rs
@@ -165,7 +165,7 @@
         if timeout_at(state.at(deadline.response_cutoff()), self.clients.all_closed()).await.is_ok() {
             return;
         }
-        state.lifecycle.begin_final_responses();
+        state.lifecycle.signal_response_cutoff();
         if timeout_at(state.at(deadline.exits_at()), self.clients.all_closed()).await.is_err() {
             log::warn!(open_requests = state.open_requests.len(); "exiting with requests still open");
         }
--- a/crates/quillpulley/src/proxy/shutdown/proxy_lifecycle.rs
+++ b/crates/quillpulley/src/proxy/shutdown/proxy_lifecycle.rs
@@ -52,11 +52,11 @@
 
     /// Ends all requests that have no response yet: the proxy itself responds to them, because the process is
     /// about to exit.
-    pub fn begin_final_responses(&self) {
+    pub fn signal_response_cutoff(&self) {
         self.final_responses.notify_waiters();
     }
 
-    /// Waits until [`ProxyLifecycle::begin_final_responses`] is called.
+    /// Waits until [`ProxyLifecycle::signal_response_cutoff`] is called.
     pub async fn final_responses(&self) {
         self.final_responses.notified().await;
     }
