--- a/crates/quillpulley/src/proxy/retry/forwarding.rs
+++ b/crates/quillpulley/src/proxy/retry/forwarding.rs
@@ -159,7 +159,7 @@
             biased;
             result = self.attempt_until_done(resume_after.as_deref()) => result,
             () = sleep_until(due) => Err(self.deadline_reached()),
-            () = state.lifecycle.final_responses() => Err(self.deadline_reached()),
+            () = state.lifecycle.response_cutoff_reached() => Err(self.deadline_reached()),
         };
         result.map_err(|response| self.forward_error(response))
     }
--- a/crates/quillpulley/src/proxy/shutdown/proxy_lifecycle.rs
+++ b/crates/quillpulley/src/proxy/shutdown/proxy_lifecycle.rs
@@ -12,7 +12,7 @@
 pub struct ProxyLifecycle {
     lifecycle: Cell<Lifecycle>,
     drain_deadline: Cell<Option<DrainDeadline>>,
-    final_responses: Notify,
+    response_cutoff_reached: Notify,
 }
 
 impl ProxyLifecycle {
@@ -53,11 +53,11 @@
     /// Ends all requests that have no response yet: the proxy itself responds to them, because the process is
     /// about to exit.
     pub fn signal_response_cutoff(&self) {
-        self.final_responses.notify_waiters();
+        self.response_cutoff_reached.notify_waiters();
     }
 
     /// Waits until [`ProxyLifecycle::signal_response_cutoff`] is called.
-    pub async fn final_responses(&self) {
-        self.final_responses.notified().await;
+    pub async fn response_cutoff_reached(&self) {
+        self.response_cutoff_reached.notified().await;
     }
 }
