--- a/crates/quillpulley/src/proxy/streaming/event_splitter.rs
+++ b/crates/quillpulley/src/proxy/streaming/event_splitter.rs
@@ -14,7 +14,7 @@
     /// The id of the last event that was forwarded.
     After(Bytes),
     /// An event without an id, or a part of an event, was forwarded: the stream cannot be resumed.
-    Unnamed,
+    WithoutId,
 }
 
 /// Splits one stream, which may be sent by several servers in turn, into events.
@@ -51,7 +51,7 @@
             }
         }
         if events.is_empty() && self.buffer.len() > MAX_EVENT_BYTES {
-            self.position = Position::Unnamed;
+            self.position = Position::WithoutId;
             self.searched = 0;
             events = self.buffer.split();
         }
@@ -69,7 +69,7 @@
     pub fn restart(&mut self) -> bool {
         self.buffer.clear();
         self.searched = 0;
-        self.position != Position::Unnamed
+        self.position != Position::WithoutId
     }
 
     /// Returns the end of the next event, which is the end of a blank line.
@@ -94,7 +94,7 @@
         let Some(id) = event_id(event) else {
             let has_content = event.iter().any(|byte| !matches!(byte, b'\r' | b'\n'));
             if has_content && !event.starts_with(b":") {
-                self.position = Position::Unnamed;
+                self.position = Position::WithoutId;
             }
             return true;
         };
@@ -103,7 +103,7 @@
                 return false;
             }
         }
-        if self.position != Position::Unnamed {
+        if self.position != Position::WithoutId {
             self.position = Position::After(Bytes::copy_from_slice(id));
         }
         true
--- a/crates/quillpulley/src/proxy/streaming/event_stream.rs
+++ b/crates/quillpulley/src/proxy/streaming/event_stream.rs
@@ -156,7 +156,7 @@
         }
         let after = match splitter.position() {
             Position::After(id) => Some(id.clone()),
-            Position::Start | Position::Unnamed => None,
+            Position::Start | Position::WithoutId => None,
         };
         self.has_begun = false;
         self.change_source(Source::Resuming(Box::pin(async move {
--- a/crates/quillpulley/tests/proxy_event_splitter.rs
+++ b/crates/quillpulley/tests/proxy_event_splitter.rs
@@ -72,7 +72,7 @@
             let done = match splitter.position() {
                 Position::Start => 0,
                 Position::After(id) => text(Some(id.clone())).parse().expect("a number"),
-                Position::Unnamed => return false,
+                Position::WithoutId => return false,
             };
             passed += &text(splitter.push(cuts.events[done..].concat().as_bytes()));
             passed == cuts.text()
