--- a/crates/quillpulley/src/command_line/mod.rs
+++ b/crates/quillpulley/src/command_line/mod.rs
@@ -112,7 +112,7 @@
     let mut experiment = Experiment::default();
     let usage = |error| UsageError::Option(error, role.name());
     while let Some(name) = arguments.opt_value_from_str::<_, String>("--without").map_err(usage)? {
-        if !experiment.leave_out(&name) {
+        if !experiment.switch_on(&name) {
             return Err(UsageError::Unexpected(name.into(), role.name()));
         }
     }
--- a/crates/quillpulley/src/proxy/faults.rs
+++ b/crates/quillpulley/src/proxy/faults.rs
@@ -31,7 +31,7 @@
 impl Experiment {
     /// Disables the mechanism, or injects the fault, of this name. Returns false if the name is unknown.
     #[cfg(feature = "fault-injection")]
-    pub fn leave_out(&mut self, name: &str) -> bool {
+    pub fn switch_on(&mut self, name: &str) -> bool {
         self.faults.switch_on(name) || self.ablation.switch_on(name)
     }
 }
