--- a/crates/quillpulley/src/proxy/upstream/health_check.rs
+++ b/crates/quillpulley/src/proxy/upstream/health_check.rs
@@ -7,7 +7,7 @@
 use crate::proxy::state::ProxyState;
 use crate::proxy::upstream::connection_pool::UpstreamPeer;
 use crate::proxy::upstream::response_head;
-use crate::proxy::upstream::upstreams::CheckedServer;
+use crate::proxy::upstream::upstreams::HealthCheckTarget;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{HeaderMap, HeaderValue, HOST};
@@ -52,7 +52,7 @@
 
 /// Sends a health check, and returns the health that the server reports. `None` if there is no response.
 async fn probe(state: &ProxyState, server: ServerKey) -> Option<HealthCheckResult> {
-    let CheckedServer { peer, service } = state.upstreams.checked_server(server)?;
+    let HealthCheckTarget { peer, service } = state.upstreams.health_check_target(server)?;
     let config = state.config.get()?;
     let service = config.service(&service)?;
     let pool = state.upstreams.pool();
--- a/crates/quillpulley/src/proxy/upstream/upstreams.rs
+++ b/crates/quillpulley/src/proxy/upstream/upstreams.rs
@@ -25,7 +25,7 @@
 }
 
 /// The server that a health check is sent to.
-pub struct CheckedServer {
+pub struct HealthCheckTarget {
     /// The key, id and address of the server.
     pub peer: UpstreamPeer,
     /// The name of its service.
@@ -161,10 +161,10 @@
     }
 
     /// Returns the target of a health check. `None` if the server is no longer listed.
-    pub fn checked_server(&self, server: ServerKey) -> Option<CheckedServer> {
+    pub fn health_check_target(&self, server: ServerKey) -> Option<HealthCheckTarget> {
         let peer = self.peer(server)?;
         let service = self.balancer.borrow().server(server)?.service.clone();
-        Some(CheckedServer { peer, service })
+        Some(HealthCheckTarget { peer, service })
     }
 
     /// Records the result of a health check.
