--- a/crates/quillpulley/src/proxy/state.rs
+++ b/crates/quillpulley/src/proxy/state.rs
@@ -10,7 +10,7 @@
 use crate::proxy::shutdown::lifecycle::Event;
 use crate::proxy::shutdown::proxy_lifecycle::ProxyLifecycle;
 use crate::proxy::upstream::connection_pool::ConnectionPool;
-use crate::proxy::upstream::upstreams::{ListingOutcome, Upstreams};
+use crate::proxy::upstream::upstreams::{PutServerOutcome, Upstreams};
 use quillpulley_load_balancer::{Balancer, ProxyPeer, QueueLimits};
 use quillpulley_protocol::Server;
 use quillpulley_retry_budget::RetryBudgets;
@@ -141,9 +141,9 @@
     /// Adds a server of the published list, or updates its entry.
     pub fn put_server(&self, server: &Server) {
         match self.upstreams.put_server(server) {
-            ListingOutcome::Usable => self.admission.admit(&server.service),
-            ListingOutcome::Draining => {}
-            ListingOutcome::InvalidAddress => {
+            PutServerOutcome::Usable => self.admission.admit(&server.service),
+            PutServerOutcome::Draining => {}
+            PutServerOutcome::InvalidAddress => {
                 let (id, address) = (server.id.as_str(), server.address.as_str());
                 log::error!(server = id, address; "ignoring a published server with an invalid address");
             }
--- a/crates/quillpulley/src/proxy/upstream/upstreams.rs
+++ b/crates/quillpulley/src/proxy/upstream/upstreams.rs
@@ -34,7 +34,7 @@
 
 /// The result of adding or updating a server of the published list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListingOutcome {
+pub enum PutServerOutcome {
     /// The server may receive requests.
     Usable,
     /// The server is draining and receives no new requests.
@@ -192,15 +192,15 @@
     }
 
     /// Adds a server of the published list, or updates its entry.
-    pub fn put_server(&self, server: &Server) -> ListingOutcome {
+    pub fn put_server(&self, server: &Server) -> PutServerOutcome {
         let key = self.balancer.borrow_mut().put_server(self.now(), server);
         match key {
             Some(key) if server.state == ServerState::Draining => {
                 self.pool.close_idle_to(key);
-                ListingOutcome::Draining
+                PutServerOutcome::Draining
             }
-            Some(_) => ListingOutcome::Usable,
-            None => ListingOutcome::InvalidAddress,
+            Some(_) => PutServerOutcome::Usable,
+            None => PutServerOutcome::InvalidAddress,
         }
     }
 
