--- a/crates/quillpulley/src/proxy/downstream/client_service.rs
+++ b/crates/quillpulley/src/proxy/downstream/client_service.rs
@@ -87,7 +87,7 @@
         let (head, body) = request.into_parts();
         let has_body = !body.is_end_stream();
         // The connection has to be closed after a response that is sent before the body was read.
-        let before_body = |response: LocalResponse| response.or_closing(has_body);
+        let before_body = |response: LocalResponse| response.closing_if(has_body);
         let config = self.state.config.get().ok_or_else(|| before_body(self.starting()))?;
         let limits = config.limits();
         if head_bytes(&head) > limits.max_header_bytes as usize {
--- a/crates/quillpulley/src/proxy/downstream/local_response.rs
+++ b/crates/quillpulley/src/proxy/downstream/local_response.rs
@@ -37,7 +37,7 @@
     }
 
     /// Returns the response with its connection also closed if `closes` is true.
-    pub fn or_closing(self, closes: bool) -> Self {
+    pub fn closing_if(self, closes: bool) -> Self {
         LocalResponse { closes_connection: self.closes_connection || closes, ..self }
     }
 
--- a/crates/quillpulley/src/proxy/downstream/request_body.rs
+++ b/crates/quillpulley/src/proxy/downstream/request_body.rs
@@ -21,7 +21,7 @@
     reservation: &mut BufferReservation,
 ) -> Result<Bytes, LocalResponse> {
     let too_large = LocalResponse::closing(StatusCode::PAYLOAD_TOO_LARGE);
-    let no_memory = LocalResponse::unavailable(NO_MEMORY_RETRY_AFTER).or_closing(true);
+    let no_memory = LocalResponse::unavailable(NO_MEMORY_RETRY_AFTER).closing_if(true);
     // The announced length is reserved before reading, so that a body does not run out of memory halfway.
     let announced = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
     if announced > max_bytes {
