--- a/crates/quillpulley/src/proxy/admission/mod.rs
+++ b/crates/quillpulley/src/proxy/admission/mod.rs
@@ -153,7 +153,7 @@
     fn queue_terms(&self, context: &RequestContext, until: Instant) -> QueueTerms {
         QueueTerms {
             priority: context.decision.priority,
-            target_latency: context.decision.objective,
+            target_latency: context.decision.target_latency,
             deadline: until.saturating_duration_since(self.upstreams.started_at()),
             bytes: context.request.body.len(),
         }
--- a/crates/quillpulley/src/proxy/config/active_config.rs
+++ b/crates/quillpulley/src/proxy/config/active_config.rs
@@ -96,7 +96,7 @@
     /// The maximum time from the arrival of the request to the end of its response.
     pub timeout: Duration,
     /// The target latency of the response.
-    pub objective: Duration,
+    pub target_latency: Duration,
     /// The priority of the request; 0 is the highest.
     pub priority: u32,
     /// Whether requests of the route name the segments of their prompts, so that servers with cached segments
@@ -117,7 +117,7 @@
             is_idempotent: route.is_idempotent(),
             max_attempts: route.max_attempts,
             timeout: route.timeout,
-            objective: route.target_latency,
+            target_latency: route.target_latency,
             priority: route.priority,
             sticky: route.sticky,
             homes: route.home_regions.clone(),
--- a/crates/quillpulley/src/proxy/downstream/request.rs
+++ b/crates/quillpulley/src/proxy/downstream/request.rs
@@ -164,7 +164,7 @@
             output_tokens: request.output_tokens,
             body_bytes: request.body.len(),
             priority: decision.priority,
-            target_latency: decision.objective,
+            target_latency: decision.target_latency,
             time_remaining: request.time_remaining(),
             sticky: decision.sticky,
         }
--- a/crates/quillpulley/src/proxy/retry/forwarding.rs
+++ b/crates/quillpulley/src/proxy/retry/forwarding.rs
@@ -107,7 +107,7 @@
             tried: Vec::new(),
             error_response: None,
             socket: None,
-            queue_deadline: request.arrived + queue_time_of(&state, decision.objective),
+            queue_deadline: request.arrived + queue_time_of(&state, decision.target_latency),
             retry_after: DEFAULT_RETRY_AFTER,
             state,
             context: Rc::new(context),
@@ -140,7 +140,7 @@
         if let Step::Finish(response) = self.retry_state.handle(Event::ConnectionBroken) {
             return Err(self.forward_error(response));
         }
-        self.queue_deadline = Instant::now() + queue_time_of(&self.state, self.context.decision.objective);
+        self.queue_deadline = Instant::now() + queue_time_of(&self.state, self.context.decision.target_latency);
         self.forward_in_time(after).await
     }
 
@@ -343,10 +343,10 @@
 }
 
 /// Returns the maximum time in a queue for a request with this target latency.
-fn queue_time_of(state: &ProxyState, objective: Duration) -> Duration {
+fn queue_time_of(state: &ProxyState, target_latency: Duration) -> Duration {
     match state.faults.queueing() {
         true => Duration::ZERO,
-        false => queue_time(objective),
+        false => queue_time(target_latency),
     }
 }
 
