--- a/crates/quillpulley/src/proxy/config/active_config.rs
+++ b/crates/quillpulley/src/proxy/config/active_config.rs
@@ -103,7 +103,7 @@
     /// are preferred.
     pub sticky: bool,
     /// The only regions in which the request may be served. Empty if it may be served in any region.
-    pub homes: Vec<String>,
+    pub home_regions: Vec<String>,
 }
 
 impl RouteDecision {
@@ -120,7 +120,7 @@
             target_latency: route.target_latency,
             priority: route.priority,
             sticky: route.sticky,
-            homes: route.home_regions.clone(),
+            home_regions: route.home_regions.clone(),
         }
     }
 }
--- a/crates/quillpulley/src/proxy/downstream/client_service.rs
+++ b/crates/quillpulley/src/proxy/downstream/client_service.rs
@@ -116,7 +116,7 @@
         let state = &self.state;
         let host = head.host.to_str().unwrap_or_default();
         let decision = config.decide(host, head.target.path()).ok_or_else(|| self.no_route())?;
-        state.home_demand.count(state.now(), config, host, &decision.homes);
+        state.home_demand.count(state.now(), config, host, &decision.home_regions);
         let due = head.due(arrived, decision.timeout);
         if !state.lifecycle.accepts(state.since_start(arrived), state.since_start(due)) {
             return Err(LocalResponse::unavailable(DRAINING_RETRY_AFTER));
--- a/crates/quillpulley/src/proxy/downstream/home_demand.rs
+++ b/crates/quillpulley/src/proxy/downstream/home_demand.rs
@@ -16,10 +16,10 @@
 
     /// Counts a request by its home regions, if only some requests to its host may be served in this region.
     /// For other hosts the configuration alone decides which region is preferred.
-    pub fn count(&self, now: Duration, config: &ActiveConfig, host: &str, homes: &[String]) {
+    pub fn count(&self, now: Duration, config: &ActiveConfig, host: &str, home_regions: &[String]) {
         let mut demand = self.0.borrow_mut();
         if config.homes().of(host).served_in(demand.region()) == ServedIn::Some {
-            demand.count(now, homes);
+            demand.count(now, home_regions);
         }
     }
 
--- a/crates/quillpulley/src/proxy/downstream/request.rs
+++ b/crates/quillpulley/src/proxy/downstream/request.rs
@@ -158,7 +158,7 @@
         let RequestContext { request, decision } = self;
         Demand {
             service: &decision.service,
-            homes: &decision.homes,
+            homes: &decision.home_regions,
             segments: &request.segments,
             prompt_tokens: request.prompt_tokens,
             output_tokens: request.output_tokens,
