--- a/crates/quillpulley/src/proxy/downstream/request.rs
+++ b/crates/quillpulley/src/proxy/downstream/request.rs
@@ -36,7 +36,7 @@
     /// `Quillpulley-Request-Id`, 1 to 256 bytes long.
     pub id: HeaderValue,
     /// `Quillpulley-Deadline-Ms`: how long the client waits. `None` if the header is missing or invalid.
-    pub deadline: Option<Duration>,
+    pub client_timeout: Option<Duration>,
 }
 
 impl RequestHead {
@@ -50,17 +50,17 @@
         let id = id.ok_or_else(malformed)?;
         let host = host(&head).ok_or_else(malformed)?;
         let target = head.uri.path_and_query().cloned().ok_or_else(malformed)?;
-        let deadline = headers::single_text(&head.headers, &DEADLINE_MS).and_then(milliseconds);
+        let client_timeout = headers::single_text(&head.headers, &DEADLINE_MS).and_then(milliseconds);
         let mut headers = head.headers;
         headers::remove_connection_headers(&mut headers);
-        Ok(RequestHead { method: head.method, target, host, headers, id, deadline })
+        Ok(RequestHead { method: head.method, target, host, headers, id, client_timeout })
     }
 
     /// Returns the deadline of the response: when the timeout of the route or of the client ends, whichever
     /// is first.
     pub fn due(&self, arrived: Instant, timeout: Duration) -> Instant {
-        let client_time = self.deadline.map_or(timeout, |deadline| deadline.saturating_sub(DEADLINE_MARGIN));
-        arrived + client_time.min(timeout)
+        let client_time_left = self.client_timeout.map_or(timeout, |client_timeout| client_timeout.saturating_sub(DEADLINE_MARGIN));
+        arrived + client_time_left.min(timeout)
     }
 }
 
