--- a/crates/quillpulley/src/proxy/downstream/client_service.rs
+++ b/crates/quillpulley/src/proxy/downstream/client_service.rs
@@ -52,7 +52,7 @@
 struct RoutedHead {
     head: RequestHead,
     decision: RouteDecision,
-    due: Instant,
+    deadline: Instant,
 }
 
 impl ClientService {
@@ -94,13 +94,13 @@
             return Err(LocalResponse::closing(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE));
         }
         let head = RequestHead::read(head)?;
-        let RoutedHead { head, decision, due } = self.route(&config, head, arrived).map_err(before_body)?;
+        let RoutedHead { head, decision, deadline } = self.route(&config, head, arrived).map_err(before_body)?;
         let mut reservation = self.state.upstreams.buffers().reservation();
         let reading = read_body(body, limits.max_body_bytes as usize, &mut reservation);
-        let body = timeout_at(due, reading).await;
+        let body = timeout_at(deadline, reading).await;
         let body = body.map_err(|_| LocalResponse::closing(StatusCode::REQUEST_TIMEOUT))??;
         let open = self.open(&head)?;
-        let request = ClientRequest::new(head, body, arrived, due);
+        let request = ClientRequest::new(head, body, arrived, deadline);
         let context = RequestContext { request, decision };
         Ok(AcceptedRequest { context, guards: StreamGuards { open, reservation } })
     }
@@ -117,11 +117,11 @@
         let host = head.host.to_str().unwrap_or_default();
         let decision = config.decide(host, head.target.path()).ok_or_else(|| self.no_route())?;
         state.home_demand.count(state.now(), config, host, &decision.home_regions);
-        let due = head.due(arrived, decision.timeout);
-        if !state.lifecycle.accepts(state.since_start(arrived), state.since_start(due)) {
+        let deadline = head.deadline(arrived, decision.timeout);
+        if !state.lifecycle.accepts(state.since_start(arrived), state.since_start(deadline)) {
             return Err(LocalResponse::unavailable(DRAINING_RETRY_AFTER));
         }
-        Ok(RoutedHead { head, decision, due })
+        Ok(RoutedHead { head, decision, deadline })
     }
 
     /// Registers an open request. Clients use a new id for every request, so a request whose id is already
@@ -151,14 +151,14 @@
         connection: &Rc<ServerConnection>,
     ) -> Result<ClientResponse, LocalResponse> {
         let AcceptedRequest { context, mut guards } = accepted;
-        let due = context.request.due;
+        let deadline = context.request.deadline;
         let mut forwarding = Box::new(Forwarding::new(self.state.clone(), context));
         match forwarding.forward().await {
             Ok(UpstreamResponse::Complete(head, body)) => {
                 Ok(response::from_server(head, ResponseBody::Complete(Some(body))))
             }
             Ok(UpstreamResponse::Stream(upstream)) => {
-                guards.open.run_while_open(close_unread(connection.clone(), due));
+                guards.open.run_while_open(close_unread(connection.clone(), deadline));
                 let (head, stream) = EventStream::new(forwarding, *upstream, guards);
                 Ok(response::from_server(head, ResponseBody::Stream(Box::new(stream))))
             }
@@ -195,8 +195,8 @@
 
 /// Closes the connection of a client that does not read its stream. A stream checks its deadline only when it
 /// is polled, and it is not polled while the client does not read.
-async fn close_unread(connection: Rc<ServerConnection>, due: Instant) {
-    sleep_until(due + UNREAD_MARGIN).await;
+async fn close_unread(connection: Rc<ServerConnection>, deadline: Instant) {
+    sleep_until(deadline + UNREAD_MARGIN).await;
     connection.close_now();
 }
 
--- a/crates/quillpulley/src/proxy/downstream/request.rs
+++ b/crates/quillpulley/src/proxy/downstream/request.rs
@@ -58,7 +58,7 @@
 
     /// Returns the deadline of the response: when the timeout of the route or of the client ends, whichever
     /// is first.
-    pub fn due(&self, arrived: Instant, timeout: Duration) -> Instant {
+    pub fn deadline(&self, arrived: Instant, timeout: Duration) -> Instant {
         let client_time_left = self.client_timeout.map_or(timeout, |client_timeout| client_timeout.saturating_sub(DEADLINE_MARGIN));
         arrived + client_time_left.min(timeout)
     }
@@ -97,7 +97,7 @@
     /// When the complete head had arrived.
     pub arrived: Instant,
     /// The deadline of the response.
-    pub due: Instant,
+    pub deadline: Instant,
     /// The segments of the prompt in order, from `Quillpulley-Prompt-Prefix`; empty if the header is missing.
     pub segments: Vec<PromptSegment>,
     /// The number of tokens of the prompt; 0 if unknown.
@@ -108,12 +108,12 @@
 
 impl ClientRequest {
     /// Creates a request. Its prompt segments and token counts are read from the head.
-    pub fn new(head: RequestHead, body: Bytes, arrived: Instant, due: Instant) -> Self {
+    pub fn new(head: RequestHead, body: Bytes, arrived: Instant, deadline: Instant) -> Self {
         let segments =
             headers::single_text(&head.headers, &PROMPT_PREFIX).map(parse_segments).unwrap_or_default();
         let counts = headers::single_text(&head.headers, &TOKEN_COUNT).and_then(parse_token_counts);
         let (prompt_tokens, output_tokens) = counts.unwrap_or_default();
-        ClientRequest { head, body, arrived, due, segments, prompt_tokens, output_tokens }
+        ClientRequest { head, body, arrived, deadline, segments, prompt_tokens, output_tokens }
     }
 
     /// Returns `Last-Event-Id` as the client sent it. `None` if it is missing or empty.
@@ -124,7 +124,7 @@
 
     /// Returns the time until the deadline of the response; zero after it.
     pub fn time_remaining(&self) -> Duration {
-        self.due.saturating_duration_since(Instant::now())
+        self.deadline.saturating_duration_since(Instant::now())
     }
 
     /// Returns the request to send to the server with the id `instance`, or `None` if a header value is
--- a/crates/quillpulley/src/proxy/retry/forwarding.rs
+++ b/crates/quillpulley/src/proxy/retry/forwarding.rs
@@ -153,12 +153,12 @@
         &mut self,
         resume_after: Option<Bytes>,
     ) -> Result<UpstreamResponse, ForwardError> {
-        let due = self.context.request.due;
+        let deadline = self.context.request.deadline;
         let state = self.state.clone();
         let result = tokio::select! {
             biased;
             result = self.attempt_until_done(resume_after.as_deref()) => result,
-            () = sleep_until(due) => Err(self.deadline_reached()),
+            () = sleep_until(deadline) => Err(self.deadline_reached()),
             () = state.lifecycle.response_cutoff_reached() => Err(self.deadline_reached()),
         };
         result.map_err(|response| self.forward_error(response))
--- a/crates/quillpulley/src/proxy/shutdown/drain_deadline.rs
+++ b/crates/quillpulley/src/proxy/shutdown/drain_deadline.rs
@@ -38,10 +38,10 @@
         }
     }
 
-    /// Returns whether to accept a request whose head arrived at `arrived`, and whose response is due at
-    /// `due`: the end of the timeout of its route or of its client, whichever is first.
-    pub fn accepts(&self, arrived: Duration, due: Duration) -> bool {
-        arrived <= self.accepts_all_until || due <= self.response_cutoff()
+    /// Returns whether to accept a request whose head arrived at `arrived`, and which ends by `deadline`: the
+    /// end of the timeout of its route or of its client, whichever is first.
+    pub fn accepts(&self, arrived: Duration, deadline: Duration) -> bool {
+        arrived <= self.accepts_all_until || deadline <= self.response_cutoff()
     }
 
     /// Returns the time until which all requests are accepted. From then on idle connections are closed.
--- a/crates/quillpulley/src/proxy/streaming/event_stream.rs
+++ b/crates/quillpulley/src/proxy/streaming/event_stream.rs
@@ -75,7 +75,7 @@
     splitter: Option<EventSplitter>,
     /// Whether any data of the body was received from the current server.
     has_begun: bool,
-    due: Pin<Box<Sleep>>,
+    deadline: Pin<Box<Sleep>>,
     _guards: StreamGuards,
 }
 
@@ -89,14 +89,14 @@
         let RequestContext { request, decision } = forwarding.context();
         let is_resumable = decision.resumable && !forwarding.faults().stream_resumption();
         let splitter = is_resumable.then(|| EventSplitter::new(request.last_event_id()));
-        let due = Box::pin(sleep_until(request.due));
+        let deadline = Box::pin(sleep_until(request.deadline));
         forwarding.response_begun();
         let (head, source) = Source::upstream(forwarding, response);
-        (head, EventStream { source, splitter, has_begun: false, due, _guards: guards })
+        (head, EventStream { source, splitter, has_begun: false, deadline, _guards: guards })
     }
 
     fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, StreamError>>> {
-        if self.due.as_mut().poll(cx).is_ready() {
+        if self.deadline.as_mut().poll(cx).is_ready() {
             self.change_source(Source::Truncated);
             return Poll::Ready(Some(Err(StreamError::TimedOut)));
         }
--- a/crates/quillpulley/src/proxy/upstream/upstream_request.rs
+++ b/crates/quillpulley/src/proxy/upstream/upstream_request.rs
@@ -142,6 +142,6 @@
         // The connection is closed first: a server must not receive the next attempt of a request while this
         // one still appears to be open.
         self.detach();
-        self.record_end(Upstreams::outcome_when_dropped(self.context.request.due));
+        self.record_end(Upstreams::outcome_when_dropped(self.context.request.deadline));
     }
 }
--- a/crates/quillpulley/src/proxy/upstream/upstreams.rs
+++ b/crates/quillpulley/src/proxy/upstream/upstreams.rs
@@ -130,9 +130,9 @@
     }
 
     /// Returns the outcome of an upstream request that is dropped before it ends: a timeout if its deadline
-    /// `due` has been reached, else its client has closed the connection.
-    pub fn outcome_when_dropped(due: Instant) -> Outcome {
-        match Instant::now() >= due {
+    /// `deadline` has been reached, else its client has closed the connection.
+    pub fn outcome_when_dropped(deadline: Instant) -> Outcome {
+        match Instant::now() >= deadline {
             true => Outcome::Failed(FailureKind::Timeout),
             false => Outcome::ClientClosed,
         }
