--- a/crates/quillpulley/src/proxy/admission/buffer_budget.rs
+++ b/crates/quillpulley/src/proxy/admission/buffer_budget.rs
@@ -5,7 +5,7 @@
 
 /// Fraction of the process's memory that bodies may use: 96 MB of 260 MB.
 const MEMORY_FRACTION: f64 = 96.0 / 260.0;
-const MEGABYTE: f64 = 1024.0 * 1024.0;
+const BYTES_PER_MEGABYTE: f64 = 1024.0 * 1024.0;
 
 /// The memory budget for bodies. Clones share the same budget.
 #[derive(Clone)]
@@ -25,7 +25,7 @@
 impl BufferBudget {
     /// Creates the budget of a process that may use this many megabytes of memory.
     pub fn for_memory(megabytes: u32) -> Self {
-        BufferBudget::new((f64::from(megabytes) * MEMORY_FRACTION * MEGABYTE) as usize)
+        BufferBudget::new((f64::from(megabytes) * MEMORY_FRACTION * BYTES_PER_MEGABYTE) as usize)
     }
 
     /// Creates a budget of `limit` bytes.
--- a/crates/quillpulley/src/proxy/admission/mod.rs
+++ b/crates/quillpulley/src/proxy/admission/mod.rs
@@ -74,7 +74,7 @@
         let (admitted, upstream_request) = oneshot::channel();
         let waiter = Waiter { context: context.clone(), tried: tried.to_vec(), admitted };
         let key = self.enqueue(self.queue_terms(context, until), waiter).ok_or(NoCapacity { retry_after })?;
-        let _entry = QueueEntry { admission: self, service: &context.decision.service, key };
+        let _guard = QueueGuard { admission: self, service: &context.decision.service, key };
         match timeout_at(until, upstream_request).await {
             Ok(Ok(upstream_request)) => Ok(upstream_request),
             Ok(Err(_)) | Err(_) => Err(NoCapacity { retry_after }),
@@ -107,19 +107,19 @@
     pub async fn poll_queues(self: Rc<Self>) {
         loop {
             self.queue_filled.notified().await;
-            while !self.is_idle() {
+            while !self.queues_are_empty() {
                 sleep(POLL_INTERVAL).await;
                 self.admit_all();
             }
         }
     }
 
-    fn is_idle(&self) -> bool {
+    fn queues_are_empty(&self) -> bool {
         self.queues.borrow().values().all(RequestQueue::is_empty)
     }
 
     fn enqueue(&self, terms: QueueTerms, waiter: Waiter) -> Option<QueueKey> {
-        if self.is_idle() {
+        if self.queues_are_empty() {
             self.queue_filled.notify_one();
         }
         let service = waiter.context.decision.service.clone();
@@ -167,13 +167,13 @@
 }
 
 /// A queued request. Dropping the guard removes the request from the queue.
-struct QueueEntry<'a> {
+struct QueueGuard<'a> {
     admission: &'a Admission,
     service: &'a str,
     key: QueueKey,
 }
 
-impl Drop for QueueEntry<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
         self.admission.remove(self.service, self.key);
     }
--- a/crates/quillpulley/src/proxy/config/active_config.rs
+++ b/crates/quillpulley/src/proxy/config/active_config.rs
@@ -17,9 +17,9 @@
     /// Indexes a configuration.
     pub fn new(configuration: Configuration) -> Self {
         let routes = RouteTable::new(&configuration);
-        let with_homes =
+        let homes_by_host =
             configuration.routes.iter().map(|route| (route.host.as_str(), route.home_regions.as_slice()));
-        let homes = HomeTable::new(with_homes);
+        let homes = HomeTable::new(homes_by_host);
         ActiveConfig { configuration, routes, homes }
     }
 
@@ -108,9 +108,9 @@
 
 impl RouteDecision {
     fn new(route: &Route, service: &str, configuration: &Configuration) -> Self {
-        let known = configuration.services.get(service);
+        let service_config = configuration.services.get(service);
         RouteDecision {
-            max_connections: known.map_or(0, |service| service.max_connections),
+            max_connections: service_config.map_or(0, |service| service.max_connections),
             service: service.to_string(),
             streaming: route.kind == RouteKind::Streaming,
             resumable: route.resumable,
--- a/crates/quillpulley/src/proxy/downstream/client_service.rs
+++ b/crates/quillpulley/src/proxy/downstream/client_service.rs
@@ -33,7 +33,7 @@
 /// `Retry-After` for a request without a known route while the published state is stale.
 const STALE_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// A stream that is still open for this long after its deadline is not being read by its client.
-const UNREAD_MARGIN: Duration = Duration::from_millis(200);
+const STALLED_STREAM_MARGIN: Duration = Duration::from_millis(200);
 /// Number of received bytes to record on a connection: one is enough to detect that a request has begun.
 pub const RECORDED_BYTES: usize = 1;
 
@@ -72,12 +72,12 @@
         // A client may have closed its connection before it was accepted; its request is not sent to a
         // server.
         if poll_fn(|cx| Poll::Ready(closed.as_mut().poll(cx).is_ready())).await {
-            return Err(client_closed());
+            return Err(client_closed_response());
         }
         tokio::select! {
             biased;
             response = self.forward(accepted, connection) => response,
-            () = closed => Err(client_closed()),
+            () = closed => Err(client_closed_response()),
         }
     }
 
@@ -87,19 +87,20 @@
         let (head, body) = request.into_parts();
         let has_body = !body.is_end_stream();
         // The connection has to be closed after a response that is sent before the body was read.
-        let before_body = |response: LocalResponse| response.closing_if(has_body);
-        let config = self.state.config.get().ok_or_else(|| before_body(self.starting()))?;
+        let without_reading_body = |response: LocalResponse| response.closing_if(has_body);
+        let config = self.state.config.get().ok_or_else(|| without_reading_body(self.starting_response()))?;
         let limits = config.limits();
         if head_bytes(&head) > limits.max_header_bytes as usize {
             return Err(LocalResponse::closing(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE));
         }
         let head = RequestHead::read(head)?;
-        let RoutedHead { head, decision, deadline } = self.route(&config, head, arrived).map_err(before_body)?;
+        let RoutedHead { head, decision, deadline } =
+            self.route(&config, head, arrived).map_err(without_reading_body)?;
         let mut reservation = self.state.upstreams.buffers().reservation();
         let reading = read_body(body, limits.max_body_bytes as usize, &mut reservation);
         let body = timeout_at(deadline, reading).await;
         let body = body.map_err(|_| LocalResponse::closing(StatusCode::REQUEST_TIMEOUT))??;
-        let open = self.open(&head)?;
+        let open = self.open_request(&head)?;
         let request = ClientRequest::new(head, body, arrived, deadline);
         let context = RequestContext { request, decision };
         Ok(AcceptedRequest { context, guards: StreamGuards { open, reservation } })
@@ -115,7 +116,7 @@
     ) -> Result<RoutedHead, LocalResponse> {
         let state = &self.state;
         let host = head.host.to_str().unwrap_or_default();
-        let decision = config.decide(host, head.target.path()).ok_or_else(|| self.no_route())?;
+        let decision = config.decide(host, head.target.path()).ok_or_else(|| self.no_route_response())?;
         state.home_demand.count(state.now(), config, host, &decision.home_regions);
         let deadline = head.deadline(arrived, decision.timeout);
         if !state.lifecycle.accepts(state.since_start(arrived), state.since_start(deadline)) {
@@ -126,19 +127,19 @@
 
     /// Registers an open request. Clients use a new id for every request, so a request whose id is already
     /// open is a duplicate.
-    fn open(&self, head: &RequestHead) -> Result<OpenRequest, LocalResponse> {
+    fn open_request(&self, head: &RequestHead) -> Result<OpenRequest, LocalResponse> {
         let open = self.state.open_requests.open(&head.id);
         open.ok_or_else(|| LocalResponse::unavailable(DUPLICATE_RETRY_AFTER))
     }
 
     /// Returns the response to requests that arrive before a configuration is known.
-    fn starting(&self) -> LocalResponse {
+    fn starting_response(&self) -> LocalResponse {
         LocalResponse::unavailable(lifecycle::startup_retry_after(self.state.now()))
     }
 
     /// Returns the response to a request without a route. If the published state is stale, another proxy may
     /// know a route that this proxy does not know.
-    fn no_route(&self) -> LocalResponse {
+    fn no_route_response(&self) -> LocalResponse {
         match self.state.is_fresh() {
             true => LocalResponse::status(StatusCode::NOT_FOUND),
             false => LocalResponse::unavailable(STALE_RETRY_AFTER),
@@ -158,7 +159,7 @@
                 Ok(response::from_server(head, ResponseBody::Complete(Some(body))))
             }
             Ok(UpstreamResponse::Stream(upstream)) => {
-                guards.open.run_while_open(close_unread(connection.clone(), deadline));
+                guards.open.run_while_open(close_stalled_stream(connection.clone(), deadline));
                 let (head, stream) = EventStream::new(forwarding, *upstream, guards);
                 Ok(response::from_server(head, ResponseBody::Stream(Box::new(stream))))
             }
@@ -195,12 +196,12 @@
 
 /// Closes the connection of a client that does not read its stream. A stream checks its deadline only when it
 /// is polled, and it is not polled while the client does not read.
-async fn close_unread(connection: Rc<ServerConnection>, deadline: Instant) {
-    sleep_until(deadline + UNREAD_MARGIN).await;
+async fn close_stalled_stream(connection: Rc<ServerConnection>, deadline: Instant) {
+    sleep_until(deadline + STALLED_STREAM_MARGIN).await;
     connection.close_now();
 }
 
 /// Returns a placeholder response, which is never delivered because the client has closed its connection.
-fn client_closed() -> LocalResponse {
+fn client_closed_response() -> LocalResponse {
     LocalResponse::closing(StatusCode::BAD_GATEWAY)
 }
--- a/crates/quillpulley/src/proxy/downstream/request.rs
+++ b/crates/quillpulley/src/proxy/downstream/request.rs
@@ -21,7 +21,7 @@
 const DEADLINE_MARGIN: Duration = Duration::from_millis(10);
 /// Bytes of a header field in addition to its name and value.
 const HEADER_OVERHEAD: usize = ": \r\n".len();
-const HEXADECIMAL: u32 = 16;
+const HEXADECIMAL_RADIX: u32 = 16;
 
 /// The head of a request.
 pub struct RequestHead {
@@ -50,7 +50,7 @@
         let id = id.ok_or_else(malformed)?;
         let host = host(&head).ok_or_else(malformed)?;
         let target = head.uri.path_and_query().cloned().ok_or_else(malformed)?;
-        let client_timeout = headers::single_text(&head.headers, &DEADLINE_MS).and_then(milliseconds);
+        let client_timeout = headers::single_text(&head.headers, &DEADLINE_MS).and_then(parse_milliseconds);
         let mut headers = head.headers;
         headers::remove_connection_headers(&mut headers);
         Ok(RequestHead { method: head.method, target, host, headers, id, client_timeout })
@@ -59,7 +59,9 @@
     /// Returns the deadline of the response: when the timeout of the route or of the client ends, whichever
     /// is first.
     pub fn deadline(&self, arrived: Instant, timeout: Duration) -> Instant {
-        let client_time_left = self.client_timeout.map_or(timeout, |client_timeout| client_timeout.saturating_sub(DEADLINE_MARGIN));
+        let client_time_left = self
+            .client_timeout
+            .map_or(timeout, |client_timeout| client_timeout.saturating_sub(DEADLINE_MARGIN));
         arrived + client_time_left.min(timeout)
     }
 }
@@ -83,7 +85,7 @@
     }
 }
 
-fn milliseconds(text: &str) -> Option<Duration> {
+fn parse_milliseconds(text: &str) -> Option<Duration> {
     let milliseconds: f64 = text.parse().ok()?;
     Duration::try_from_secs_f64(milliseconds / 1000.0).ok()
 }
@@ -177,7 +179,7 @@
     let segment = |text: &str| {
         let (id, tokens) = text.trim().split_once(':')?;
         Some(PromptSegment {
-            id: u64::from_str_radix(id.trim(), HEXADECIMAL).ok()?,
+            id: u64::from_str_radix(id.trim(), HEXADECIMAL_RADIX).ok()?,
             tokens: tokens.trim().parse().ok()?,
         })
     };
--- a/crates/quillpulley/src/proxy/process.rs
+++ b/crates/quillpulley/src/proxy/process.rs
@@ -26,22 +26,22 @@
 use tokio::time::{interval, sleep_until, timeout_at, MissedTickBehavior};
 
 /// File descriptors reserved for what is not a socket.
-const RESERVED_FILES: usize = 200;
+const RESERVED_FILE_DESCRIPTORS: usize = 200;
 /// File descriptors reserved for listeners, the agent, the runtime and connections that are being accepted.
-const RESERVED_SOCKETS: usize = 40;
+const RESERVED_SOCKET_DESCRIPTORS: usize = 40;
 /// Fraction of the remaining descriptors that client connections may use; connections to servers use the
 /// others. Clients get more, as their connections stay open while idle.
-const CLIENT_FRACTION: f64 = 0.6;
+const CLIENT_DESCRIPTOR_FRACTION: f64 = 0.6;
 /// Memory for a client connection that carries a stream, including its upstream connection: 42 KB were
 /// measured.
-const CONNECTION_BYTES: usize = 48 * 1024;
+const CONNECTION_MEMORY_BYTES: usize = 48 * 1024;
 /// Fraction of the process's memory that connections may use.
-const CONNECTION_FRACTION: f64 = 0.4;
-const MEGABYTE: f64 = 1024.0 * 1024.0;
+const CONNECTION_MEMORY_FRACTION: f64 = 0.4;
+const BYTES_PER_MEGABYTE: f64 = 1024.0 * 1024.0;
 /// Maximum number of queued requests of a service.
 const MAX_QUEUED_REQUESTS: usize = 512;
 /// Minimum buffer size that hyper accepts, in bytes.
-const MIN_BUFFER: usize = 8 * 1024;
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
 /// Interval at which idle and slow connections are closed.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
@@ -94,7 +94,7 @@
     let proxy = Proxy::start(&settings, listeners, experiment);
     while let Some(signal) = signals.recv().await {
         match signal {
-            ProcessSignal::Reload => check_settings(),
+            ProcessSignal::Reload => validate_settings_file(),
             ProcessSignal::Shutdown => break,
         }
     }
@@ -103,7 +103,7 @@
 
 /// Validates the settings file after a reload signal. A running proxy keeps the settings that it started
 /// with.
-fn check_settings() {
+fn validate_settings_file() {
     match Settings::from_environment() {
         Ok(_) => log::info!("the settings file is valid; changes apply from the next start"),
         Err(error) => log::error!(error:% = error; "the settings file is invalid; the next start will fail"),
@@ -120,22 +120,25 @@
 
 impl Proxy {
     fn start(settings: &Settings, listeners: Listeners, experiment: Experiment) -> Proxy {
-        let descriptors = (settings.limits.max_descriptors as usize).saturating_sub(RESERVED_FILES);
-        let descriptors = descriptors.saturating_sub(RESERVED_SOCKETS);
-        let for_clients = (descriptors as f64 * CLIENT_FRACTION) as usize;
-        let for_clients = for_clients.min(connections_for_memory(settings.limits.memory_mb));
+        let descriptors =
+            (settings.limits.max_descriptors as usize).saturating_sub(RESERVED_FILE_DESCRIPTORS);
+        let descriptors = descriptors.saturating_sub(RESERVED_SOCKET_DESCRIPTORS);
+        let max_client_connections = (descriptors as f64 * CLIENT_DESCRIPTOR_FRACTION) as usize;
+        let max_client_connections =
+            max_client_connections.min(max_connections_for_memory(settings.limits.memory_mb));
         let buffers = BufferBudget::for_memory(settings.limits.memory_mb);
         let queue_limits = QueueLimits { requests: MAX_QUEUED_REQUESTS, bytes: buffers.limit() / 2 };
         let state = ProxyState::new(Components {
             region: settings.region.clone(),
             balancer: balancer(settings, experiment.ablation),
             budgets: RetryBudgets::new(budget_options(settings)),
-            pool: ConnectionPool::new((descriptors - for_clients).max(1)),
+            pool: ConnectionPool::new((descriptors - max_client_connections).max(1)),
             buffers,
             queue_limits,
             faults: experiment.faults,
         });
-        let clients = ConnectionManager::new(client_options(for_clients.max(1), &Limits::default()));
+        let clients =
+            ConnectionManager::new(client_options(max_client_connections.max(1), &Limits::default()));
         let address = listeners.clients.local_addr().ok().or(settings.listen.front);
         if let Some(address) = address {
             log::info!(address:% = address; "listening for clients");
@@ -146,8 +149,8 @@
         spawn_local(state.admission.clone().poll_queues());
         spawn_local(check_servers(state.clone()));
         spawn_local(accept_clients(clients.clone(), listeners.clients, state.clone()));
-        spawn_local(accept_checks(listeners.readiness, state.clone()));
-        spawn_local(close_idle(clients.clone(), state.clone(), for_clients.max(1)));
+        spawn_local(accept_readiness_checks(listeners.readiness, state.clone()));
+        spawn_local(close_idle_connections(clients.clone(), state.clone(), max_client_connections.max(1)));
         Proxy { state, clients, urgent_report }
     }
 
@@ -176,12 +179,16 @@
     clients.accept(listener, ClientService::new(state)).await;
 }
 
-async fn accept_checks(listener: TcpListener, state: Rc<ProxyState>) {
+async fn accept_readiness_checks(listener: TcpListener, state: Rc<ProxyState>) {
     ConnectionManager::new(readiness::OPTIONS).accept(listener, ReadinessService::new(state)).await;
 }
 
 /// Periodically closes idle and slow connections, and applies the active limits to new client connections.
-async fn close_idle(clients: Rc<ConnectionManager>, state: Rc<ProxyState>, max_connections: usize) {
+async fn close_idle_connections(
+    clients: Rc<ConnectionManager>,
+    state: Rc<ProxyState>,
+    max_connections: usize,
+) {
     let mut ticks = interval(SWEEP_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
@@ -198,7 +205,7 @@
 fn client_options(max_connections: usize, limits: &Limits) -> ConnectionOptions {
     ConnectionOptions {
         max_connections,
-        max_header_bytes: (limits.max_header_bytes as usize).max(MIN_BUFFER),
+        max_header_bytes: (limits.max_header_bytes as usize).max(MIN_BUFFER_BYTES),
         recorded_bytes: RECORDED_BYTES,
         header_timeout: None,
         linger: Linger { time: Duration::from_millis(500), bytes: 256 * 1024 },
@@ -209,8 +216,9 @@
 }
 
 /// Returns the number of client connections that fit into the memory available for connections.
-fn connections_for_memory(megabytes: u32) -> usize {
-    (f64::from(megabytes) * MEGABYTE * CONNECTION_FRACTION) as usize / CONNECTION_BYTES
+fn max_connections_for_memory(megabytes: u32) -> usize {
+    (f64::from(megabytes) * BYTES_PER_MEGABYTE * CONNECTION_MEMORY_FRACTION) as usize
+        / CONNECTION_MEMORY_BYTES
 }
 
 fn balancer(settings: &Settings, ablation: Ablation) -> Balancer {
--- a/crates/quillpulley/src/proxy/retry/forwarding.rs
+++ b/crates/quillpulley/src/proxy/retry/forwarding.rs
@@ -107,7 +107,7 @@
             tried: Vec::new(),
             error_response: None,
             socket: None,
-            queue_deadline: request.arrived + queue_time_of(&state, decision.target_latency),
+            queue_deadline: request.arrived + max_queue_time(&state, decision.target_latency),
             retry_after: DEFAULT_RETRY_AFTER,
             state,
             context: Rc::new(context),
@@ -129,7 +129,7 @@
     /// # Errors
     /// [`ForwardError`] if there is no server response to forward by the deadline.
     pub async fn forward(&mut self) -> Result<UpstreamResponse, ForwardError> {
-        self.forward_in_time(None).await
+        self.forward_until_deadline(None).await
     }
 
     /// Resumes a stream at another server, after the event with the id `after`, or from its start for `None`.
@@ -140,8 +140,9 @@
         if let Step::Finish(response) = self.retry_state.handle(Event::ConnectionBroken) {
             return Err(self.forward_error(response));
         }
-        self.queue_deadline = Instant::now() + queue_time_of(&self.state, self.context.decision.target_latency);
-        self.forward_in_time(after).await
+        self.queue_deadline =
+            Instant::now() + max_queue_time(&self.state, self.context.decision.target_latency);
+        self.forward_until_deadline(after).await
     }
 
     /// Records that the head of a response is being forwarded to the client.
@@ -149,7 +150,7 @@
         self.retry_state.handle(Event::ResponseBegun);
     }
 
-    async fn forward_in_time(
+    async fn forward_until_deadline(
         &mut self,
         resume_after: Option<Bytes>,
     ) -> Result<UpstreamResponse, ForwardError> {
@@ -158,8 +159,8 @@
         let result = tokio::select! {
             biased;
             result = self.attempt_until_done(resume_after.as_deref()) => result,
-            () = sleep_until(deadline) => Err(self.deadline_reached()),
-            () = state.lifecycle.response_cutoff_reached() => Err(self.deadline_reached()),
+            () = sleep_until(deadline) => Err(self.handle_deadline()),
+            () = state.lifecycle.response_cutoff_reached() => Err(self.handle_deadline()),
         };
         result.map_err(|response| self.forward_error(response))
     }
@@ -317,7 +318,7 @@
     }
 
     /// Handles that the deadline of the request has been reached, and returns the final response.
-    fn deadline_reached(&mut self) -> FinalResponse {
+    fn handle_deadline(&mut self) -> FinalResponse {
         let progress =
             self.socket.as_ref().map_or(WriteProgress::NotStarted, |socket| socket.write_progress());
         if self.retry_state.phase() == Phase::Awaiting && progress == WriteProgress::NotStarted {
@@ -343,7 +344,7 @@
 }
 
 /// Returns the maximum time in a queue for a request with this target latency.
-fn queue_time_of(state: &ProxyState, target_latency: Duration) -> Duration {
+fn max_queue_time(state: &ProxyState, target_latency: Duration) -> Duration {
     match state.faults.queueing() {
         true => Duration::ZERO,
         false => queue_time(target_latency),
--- a/crates/quillpulley/src/proxy/shutdown/drain_deadline.rs
+++ b/crates/quillpulley/src/proxy/shutdown/drain_deadline.rs
@@ -12,9 +12,9 @@
 /// How long all requests are accepted after the signal. The platform excuses requests that are truncated at
 /// the exit only if they were sent within 3 s after the signal; the rest of the 3 s allows for a signal that
 /// is noticed late.
-const ACCEPT_ALL_TIME: Duration = Duration::from_millis(2_900);
+const ACCEPT_ALL_PERIOD: Duration = Duration::from_millis(2_900);
 /// Minimum time between the end of the period in which all requests are accepted, and SIGKILL.
-const FINISH_TIME: Duration = Duration::from_secs(3);
+const MIN_FINISH_TIME: Duration = Duration::from_secs(3);
 /// How long before SIGKILL the process exits.
 const EXIT_MARGIN: Duration = Duration::from_millis(500);
 /// How long before the exit every response must have been written.
@@ -31,9 +31,9 @@
     /// Computes the deadlines of a proxy that receives SIGTERM at `signalled_at` and SIGKILL `grace` later.
     pub fn new(signalled_at: Duration, grace: Duration) -> Self {
         let time_to_exit = grace.saturating_sub(EXIT_MARGIN);
-        let accept_all_time = ACCEPT_ALL_TIME.min(grace.saturating_sub(FINISH_TIME));
+        let accept_all_period = ACCEPT_ALL_PERIOD.min(grace.saturating_sub(MIN_FINISH_TIME));
         DrainDeadline {
-            accepts_all_until: signalled_at + accept_all_time,
+            accepts_all_until: signalled_at + accept_all_period,
             exits_at: signalled_at + time_to_exit,
         }
     }
--- a/crates/quillpulley/src/proxy/streaming/event_splitter.rs
+++ b/crates/quillpulley/src/proxy/streaming/event_splitter.rs
@@ -43,11 +43,11 @@
     pub fn push(&mut self, data: &[u8]) -> Option<Bytes> {
         self.buffer.extend_from_slice(data);
         let mut events = BytesMut::new();
-        while let Some(end) = self.next_end() {
+        while let Some(end) = self.next_event_end() {
             let event = self.buffer.split_to(end);
             self.searched = 0;
-            if self.advance(&event) {
-                join(&mut events, event);
+            if self.record_event(&event) {
+                append_event(&mut events, event);
             }
         }
         if events.is_empty() && self.buffer.len() > MAX_EVENT_BYTES {
@@ -73,7 +73,7 @@
     }
 
     /// Returns the end of the next event, which is the end of a blank line.
-    fn next_end(&mut self) -> Option<usize> {
+    fn next_event_end(&mut self) -> Option<usize> {
         let from = self.searched;
         let line_ends = line_feeds(&self.buffer, from);
         for at in line_ends {
@@ -90,7 +90,7 @@
 
     /// Records the id of a complete event. Returns false if the event was forwarded before, according to its
     /// numeric id.
-    fn advance(&mut self, event: &[u8]) -> bool {
+    fn record_event(&mut self, event: &[u8]) -> bool {
         let Some(id) = event_id(event) else {
             let has_content = event.iter().any(|byte| !matches!(byte, b'\r' | b'\n'));
             if has_content && !event.starts_with(b":") {
@@ -99,7 +99,7 @@
             return true;
         };
         if let Position::After(last) = &self.position {
-            if number(last).zip(number(id)).is_some_and(|(last, new)| new <= last) {
+            if parse_number(last).zip(parse_number(id)).is_some_and(|(last, new)| new <= last) {
                 return false;
             }
         }
@@ -111,7 +111,7 @@
 }
 
 /// Appends an event, without copying it if it is the first.
-fn join(events: &mut BytesMut, event: BytesMut) {
+fn append_event(events: &mut BytesMut, event: BytesMut) {
     if events.is_empty() {
         *events = event;
     } else {
@@ -131,6 +131,6 @@
     ids.next_back().map(|id| id.strip_prefix(b" ").unwrap_or(id)).filter(|id| !id.is_empty())
 }
 
-fn number(id: &[u8]) -> Option<u64> {
+fn parse_number(id: &[u8]) -> Option<u64> {
     std::str::from_utf8(id).ok()?.parse().ok()
 }
--- a/crates/quillpulley/src/proxy/streaming/event_stream.rs
+++ b/crates/quillpulley/src/proxy/streaming/event_stream.rs
@@ -74,7 +74,7 @@
     /// arrives.
     splitter: Option<EventSplitter>,
     /// Whether any data of the body was received from the current server.
-    has_begun: bool,
+    has_received_data: bool,
     deadline: Pin<Box<Sleep>>,
     _guards: StreamGuards,
 }
@@ -92,7 +92,7 @@
         let deadline = Box::pin(sleep_until(request.deadline));
         forwarding.response_begun();
         let (head, source) = Source::upstream(forwarding, response);
-        (head, EventStream { source, splitter, has_begun: false, deadline, _guards: guards })
+        (head, EventStream { source, splitter, has_received_data: false, deadline, _guards: guards })
     }
 
     fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, StreamError>>> {
@@ -109,13 +109,13 @@
                                 return Poll::Ready(Some(Ok(events)));
                             }
                         }
-                        Some(Err(_)) => self.connection_broken(),
-                        None => return Poll::Ready(self.finish().map(Ok)),
+                        Some(Err(_)) => self.handle_broken_connection(),
+                        None => return Poll::Ready(self.handle_end().map(Ok)),
                     }
                 }
                 Source::Resuming(resumption) => {
                     let (forwarding, result) = ready!(resumption.as_mut().poll(cx));
-                    self.resumed(forwarding, result);
+                    self.handle_resumption(forwarding, result);
                 }
                 Source::Complete => return Poll::Ready(None),
                 Source::Truncated => return Poll::Ready(Some(Err(StreamError::Broken))),
@@ -125,8 +125,8 @@
 
     /// Adds a chunk of the stream, and returns the data to forward now, if any.
     fn push(&mut self, data: Bytes) -> Option<Bytes> {
-        if !self.has_begun {
-            self.has_begun = true;
+        if !self.has_received_data {
+            self.has_received_data = true;
             if let Source::Upstream(upstream) = &self.source {
                 upstream.request.record_started();
             }
@@ -138,7 +138,7 @@
     }
 
     /// Handles the end of the stream, and returns the data that is left to forward.
-    fn finish(&mut self) -> Option<Bytes> {
+    fn handle_end(&mut self) -> Option<Bytes> {
         if let Source::Upstream(upstream) = self.change_source(Source::Complete) {
             upstream.request.complete(Outcome::Completed, upstream.keep_alive);
         }
@@ -146,7 +146,7 @@
     }
 
     /// Handles a broken connection to the server: begins to resume the stream if possible, else truncates it.
-    fn connection_broken(&mut self) {
+    fn handle_broken_connection(&mut self) {
         let Source::Upstream(upstream) = self.change_source(Source::Truncated) else { return };
         let UpstreamSource { mut forwarding, request, .. } = *upstream;
         request.end(Outcome::Failed(FailureKind::Truncated));
@@ -158,7 +158,7 @@
             Position::After(id) => Some(id.clone()),
             Position::Start | Position::WithoutId => None,
         };
-        self.has_begun = false;
+        self.has_received_data = false;
         self.change_source(Source::Resuming(Box::pin(async move {
             let result = forwarding.resume(after).await;
             (forwarding, result)
@@ -166,7 +166,11 @@
     }
 
     /// Handles the result of resuming the stream at another server.
-    fn resumed(&mut self, mut forwarding: Box<Forwarding>, result: Result<UpstreamResponse, ForwardError>) {
+    fn handle_resumption(
+        &mut self,
+        mut forwarding: Box<Forwarding>,
+        result: Result<UpstreamResponse, ForwardError>,
+    ) {
         self.change_source(match result {
             Ok(UpstreamResponse::Stream(response)) => {
                 forwarding.response_begun();
--- a/crates/quillpulley/src/proxy/sync/sync_client.rs
+++ b/crates/quillpulley/src/proxy/sync/sync_client.rs
@@ -45,8 +45,8 @@
     link: AgentLink,
     node: SyncNode<NoChild>,
     /// The latest report.
-    reported: LocalReport,
-    report_due: Instant,
+    last_report: LocalReport,
+    next_report_at: Instant,
     /// Notified to send the next report immediately.
     urgent_report: Rc<Notify>,
 }
@@ -63,8 +63,8 @@
             events,
             link: AgentLink::Down { retry_at: Instant::now() },
             node: SyncNode::new(Options::new(&settings.node_name)),
-            reported: LocalReport::default(),
-            report_due: Instant::now(),
+            last_report: LocalReport::default(),
+            next_report_at: Instant::now(),
             urgent_report: Rc::default(),
         }
     }
@@ -79,26 +79,26 @@
         let urgent_report = self.urgent_report.clone();
         loop {
             self.connect_if_due();
-            let wake_at = self.next_wake();
+            let wake_at = self.next_wake_at();
             tokio::select! {
                 event = self.events.recv() => match event {
-                    Some(event) => self.handle_peer(event),
+                    Some(event) => self.handle_peer_event(event),
                     None => return,
                 },
-                () = urgent_report.notified() => self.report_due = Instant::now(),
+                () = urgent_report.notified() => self.next_report_at = Instant::now(),
                 () = sleep_until(wake_at) => {}
             }
             self.tick();
         }
     }
 
-    fn next_wake(&self) -> Instant {
+    fn next_wake_at(&self) -> Instant {
         let now = self.state.now();
-        let node_due = Instant::now() + self.node.next_tick().saturating_sub(now).min(REPORT_INTERVAL);
-        let due = self.report_due.min(node_due);
+        let next_tick_at = Instant::now() + self.node.next_tick().saturating_sub(now).min(REPORT_INTERVAL);
+        let wake_at = self.next_report_at.min(next_tick_at);
         match self.link {
-            AgentLink::Down { retry_at } => due.min(retry_at),
-            AgentLink::Connecting(_) | AgentLink::Up(_) => due,
+            AgentLink::Down { retry_at } => wake_at.min(retry_at),
+            AgentLink::Connecting(_) | AgentLink::Up(_) => wake_at,
         }
     }
 
@@ -109,7 +109,7 @@
         }
     }
 
-    fn handle_peer(&mut self, event: PeerEvent) {
+    fn handle_peer_event(&mut self, event: PeerEvent) {
         match event {
             PeerEvent::Opened { link, .. } if self.link == AgentLink::Connecting(link) => {
                 self.change_link(AgentLink::Up(link));
@@ -125,7 +125,7 @@
     }
 
     fn is_current(&self, link: LinkId) -> bool {
-        matches!(self.link, AgentLink::Connecting(at) | AgentLink::Up(at) if at == link)
+        matches!(self.link, AgentLink::Connecting(current) | AgentLink::Up(current) if current == link)
     }
 
     /// Changes the state of the link. Every change happens here.
@@ -149,8 +149,8 @@
         if self.node.is_fresh(self.state.now()) {
             self.state.record_fresh();
         }
-        if self.report_due <= Instant::now() || self.lifecycle_changed() {
-            self.report_due = Instant::now() + REPORT_INTERVAL;
+        if self.next_report_at <= Instant::now() || self.lifecycle_changed() {
+            self.next_report_at = Instant::now() + REPORT_INTERVAL;
             self.report();
         }
         if self.node.next_tick() <= self.state.now() {
@@ -160,7 +160,7 @@
 
     fn lifecycle_changed(&self) -> bool {
         let current = self.endpoint_state();
-        self.reported.endpoint.as_ref().is_some_and(|endpoint| endpoint.state != current)
+        self.last_report.endpoint.as_ref().is_some_and(|endpoint| endpoint.state != current)
     }
 
     fn endpoint_state(&self) -> EndpointState {
@@ -180,8 +180,8 @@
             services: usage::own_usage(&self.state),
             servers: self.state.upstreams.own_loads(),
         };
-        if report != self.reported {
-            self.reported = report.clone();
+        if report != self.last_report {
+            self.last_report = report.clone();
             self.handle(Event::LocalReport(report));
         }
     }
--- a/crates/quillpulley/src/proxy/upstream/connection_pool.rs
+++ b/crates/quillpulley/src/proxy/upstream/connection_pool.rs
@@ -18,14 +18,14 @@
 /// An idle connection is closed after the server's keep-alive time divided by this. A request that is sent
 /// just when the server closes the connection would end in a reset, and it would be unknown whether it
 /// executed.
-const IDLE_DIVISOR: u32 = 2;
+const KEEP_ALIVE_DIVISOR: u32 = 2;
 /// Minimum number of idle connections to keep per server, even if its quota is smaller.
-const MIN_IDLE: usize = 2;
+const MIN_IDLE_CONNECTIONS: usize = 2;
 /// Minimum time between a response and the next request on a connection: bytes that arrive late after a
 /// response must not be read as the next response.
 const REUSE_DELAY: Duration = Duration::from_millis(10);
 
-const LIMITS: ConnectionLimits = ConnectionLimits {
+const CONNECTION_LIMITS: ConnectionLimits = ConnectionLimits {
     max_body: usize::MAX,
     max_buffer: 32 * 1024,
     body_timeout: Duration::from_secs(3600),
@@ -77,19 +77,19 @@
     open: Rc<Cell<usize>>,
     max_open: usize,
     abortable: RefCell<HashMap<u64, (ServerKey, Rc<Socket>)>>,
-    next_guard: Cell<u64>,
+    next_guard_id: Cell<u64>,
 }
 
 /// Keeps a connection registered to be aborted when its server is removed. Dropping the guard ends the
 /// registration.
 pub struct AbortGuard {
     pool: Rc<ConnectionPool>,
-    number: u64,
+    id: u64,
 }
 
 impl Drop for AbortGuard {
     fn drop(&mut self) {
-        self.pool.abortable.borrow_mut().remove(&self.number);
+        self.pool.abortable.borrow_mut().remove(&self.id);
     }
 }
 
@@ -101,7 +101,7 @@
             open: Rc::default(),
             max_open,
             abortable: RefCell::default(),
-            next_guard: Cell::new(0),
+            next_guard_id: Cell::new(0),
         })
     }
 
@@ -117,7 +117,7 @@
             return Err(ConnectError::NoDescriptor);
         }
         let connecting =
-            timeout(CONNECT_TIMEOUT, ClientConnection::connect(peer.address, &self.open, LIMITS));
+            timeout(CONNECT_TIMEOUT, ClientConnection::connect(peer.address, &self.open, CONNECTION_LIMITS));
         let Ok(Ok(connection)) = connecting.await else { return Err(ConnectError::Failed) };
         // If the option cannot be set, the loss of the server's machine is detected later.
         let _ = connection.socket().set_user_timeout(USER_TIMEOUT);
@@ -125,8 +125,8 @@
     }
 
     /// Returns a connection to the pool, which keeps at most `quota` idle connections to this server, or
-    /// `MIN_IDLE` if that is more. `keep_alive` is how long the server keeps the connection open while it
-    /// is idle.
+    /// `MIN_IDLE_CONNECTIONS` if that is more. `keep_alive` is how long the server keeps the connection open
+    /// while it is idle.
     ///
     /// If the response came before the request was written completely, the connection is closed: its
     /// unwritten bytes must not be written after the response.
@@ -137,14 +137,14 @@
         keep_alive: Duration,
         quota: usize,
     ) {
-        let idle_time = keep_alive / IDLE_DIVISOR;
+        let idle_time = keep_alive / KEEP_ALIVE_DIVISOR;
         if idle_time.is_zero() || connection.is_writing() {
             return;
         }
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
         let of_server = idle.entry(server).or_default();
-        if of_server.len() >= quota.max(MIN_IDLE) {
+        if of_server.len() >= quota.max(MIN_IDLE_CONNECTIONS) {
             of_server.remove(0);
         }
         let (reusable_at, expires_at) = (now + REUSE_DELAY, now + idle_time);
@@ -169,9 +169,9 @@
     /// Registers a connection to be aborted when its server is removed. The registration ends when the guard
     /// is dropped.
     pub fn abort_when_removed(self: &Rc<Self>, server: ServerKey, socket: Rc<Socket>) -> AbortGuard {
-        let number = self.next_guard.replace(self.next_guard.get() + 1);
-        self.abortable.borrow_mut().insert(number, (server, socket));
-        AbortGuard { pool: self.clone(), number }
+        let id = self.next_guard_id.replace(self.next_guard_id.get() + 1);
+        self.abortable.borrow_mut().insert(id, (server, socket));
+        AbortGuard { pool: self.clone(), id }
     }
 
     /// Closes the idle connections that have expired.
--- a/crates/quillpulley/src/proxy/upstream/health_check.rs
+++ b/crates/quillpulley/src/proxy/upstream/health_check.rs
@@ -22,7 +22,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// How long due health checks are looked for after a failure. Longer than a server stays ejected without a
 /// check.
-const CHECKS_AFTER_FAILURE: Duration = Duration::from_secs(12);
+const CHECK_PERIOD_AFTER_FAILURE: Duration = Duration::from_secs(12);
 /// Timeout of a health check.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 
@@ -32,7 +32,7 @@
     let failures = upstreams.failures();
     loop {
         failures.occurred().await;
-        while failures.last_at().is_some_and(|last| last.elapsed() < CHECKS_AFTER_FAILURE) {
+        while failures.last_at().is_some_and(|last| last.elapsed() < CHECK_PERIOD_AFTER_FAILURE) {
             sleep(POLL_INTERVAL).await;
             for server in upstreams.due_health_checks() {
                 spawn_local(check(state.clone(), server));
@@ -57,7 +57,7 @@
     let service = config.service(&service)?;
     let pool = state.upstreams.pool();
     let mut connection = pool.connect(&peer).await.ok()?.connection;
-    let response = connection.exchange(request(&peer, &service.health_path)?).await.ok()?;
+    let response = connection.exchange(health_check_request(&peer, &service.health_path)?).await.ok()?;
     let result = classify(&response, &peer.id);
     if let Some(keep_alive) = response_head::keep_alive(response.headers()) {
         let quota = state.upstreams.connection_quota(service.max_connections);
@@ -66,7 +66,7 @@
     Some(result)
 }
 
-fn request(peer: &UpstreamPeer, path: &str) -> Option<Request<Full<Bytes>>> {
+fn health_check_request(peer: &UpstreamPeer, path: &str) -> Option<Request<Full<Bytes>>> {
     let request = Request::get(path).header(HOST, peer.address.to_string());
     request.header(EXPECT_INSTANCE, &peer.id).body(Full::default()).ok()
 }
--- a/crates/quillpulley/src/proxy/upstream/response_head.rs
+++ b/crates/quillpulley/src/proxy/upstream/response_head.rs
@@ -8,7 +8,7 @@
 
 /// How long a server keeps an idle connection open if it sends no `Keep-Alive` header.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
-const IDENTITY: &str = "identity";
+const IDENTITY_ENCODING: &str = "identity";
 
 /// The classification of the head of a server's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -60,8 +60,8 @@
 /// been applied after the server sealed the response.
 fn is_sealed(headers: &HeaderMap) -> bool {
     let encoding = headers.get(CONTENT_ENCODING);
-    let is_identity =
-        encoding.is_none_or(|encoding| encoding.as_bytes().eq_ignore_ascii_case(IDENTITY.as_bytes()));
+    let is_identity = encoding
+        .is_none_or(|encoding| encoding.as_bytes().eq_ignore_ascii_case(IDENTITY_ENCODING.as_bytes()));
     is_identity && headers.contains_key(RESPONSE_SEAL)
 }
 
@@ -78,11 +78,11 @@
         return None;
     }
     let value = headers::single_text(headers, &KEEP_ALIVE);
-    Some(value.and_then(keep_alive_seconds).map_or(DEFAULT_KEEP_ALIVE, Duration::from_secs))
+    Some(value.and_then(parse_keep_alive_seconds).map_or(DEFAULT_KEEP_ALIVE, Duration::from_secs))
 }
 
 /// Parses the value of `Keep-Alive`, in seconds: `timeout=5, max=100`, or a number alone.
-fn keep_alive_seconds(value: &str) -> Option<u64> {
+fn parse_keep_alive_seconds(value: &str) -> Option<u64> {
     let mut parameters = value.split(',').map(str::trim);
     let timeout = parameters.find_map(|parameter| parameter.strip_prefix("timeout="));
     timeout.unwrap_or(value).trim().parse().ok()
