--- a/crates/quillpulley/src/proxy/process.rs
+++ b/crates/quillpulley/src/proxy/process.rs
@@ -150,7 +150,7 @@
         spawn_local(check_servers(state.clone()));
         spawn_local(accept_clients(clients.clone(), listeners.clients, state.clone()));
         spawn_local(accept_readiness_checks(listeners.readiness, state.clone()));
-        spawn_local(close_idle_connections(clients.clone(), state.clone(), max_client_connections.max(1)));
+        spawn_local(sweep_connections(clients.clone(), state.clone(), max_client_connections.max(1)));
         Proxy { state, clients, urgent_report }
     }
 
@@ -184,11 +184,7 @@
 }
 
 /// Periodically closes idle and slow connections, and applies the active limits to new client connections.
-async fn close_idle_connections(
-    clients: Rc<ConnectionManager>,
-    state: Rc<ProxyState>,
-    max_connections: usize,
-) {
+async fn sweep_connections(clients: Rc<ConnectionManager>, state: Rc<ProxyState>, max_connections: usize) {
     let mut ticks = interval(SWEEP_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
