--- a/crates/quillpulley/src/proxy/retry/forwarding.rs
+++ b/crates/quillpulley/src/proxy/retry/forwarding.rs
@@ -257,8 +257,8 @@
                     }
                     return Err(AttemptError::RESET);
                 }
-                // A reused connection that broke before a byte was written was closed while idle: this is no
-                // failure of the server, and another connection to it is tried.
+                // If a reused connection breaks before a byte was written, this says nothing about the server:
+                // another connection to it is tried.
                 Err(_) if reused => upstream_request.detach(),
                 Err(_) => return Err(AttemptError::CONNECT),
             }
--- a/crates/quillpulley/src/proxy/upstream/connection_pool.rs
+++ b/crates/quillpulley/src/proxy/upstream/connection_pool.rs
@@ -76,6 +76,7 @@
     /// The number of open sockets to servers, idle or in use.
     open: Rc<Cell<usize>>,
     max_open: usize,
+    /// The sockets to abort when their server is removed, by the id of their guard.
     abortable: RefCell<HashMap<u64, (ServerKey, Rc<Socket>)>>,
     next_guard_id: Cell<u64>,
 }
