--- a/crates/quillpulley/src/proxy/downstream/client_service.rs
+++ b/crates/quillpulley/src/proxy/downstream/client_service.rs
@@ -100,10 +100,10 @@
         let reading = read_body(body, limits.max_body_bytes as usize, &mut reservation);
         let body = timeout_at(deadline, reading).await;
         let body = body.map_err(|_| LocalResponse::closing(StatusCode::REQUEST_TIMEOUT))??;
-        let open = self.open_request(&head)?;
+        let open_request = self.open_request(&head)?;
         let request = ClientRequest::new(head, body, arrived, deadline);
         let context = RequestContext { request, decision };
-        Ok(AcceptedRequest { context, guards: StreamGuards { open, reservation } })
+        Ok(AcceptedRequest { context, guards: StreamGuards { open_request, reservation } })
     }
 
     /// Finds the route of a request. Called before the body is read, so that a request can be rejected
@@ -128,8 +128,8 @@
     /// Registers an open request. Clients use a new id for every request, so a request whose id is already
     /// open is a duplicate.
     fn open_request(&self, head: &RequestHead) -> Result<OpenRequest, LocalResponse> {
-        let open = self.state.open_requests.open(&head.id);
-        open.ok_or_else(|| LocalResponse::unavailable(DUPLICATE_RETRY_AFTER))
+        let open_request = self.state.open_requests.open(&head.id);
+        open_request.ok_or_else(|| LocalResponse::unavailable(DUPLICATE_RETRY_AFTER))
     }
 
     /// Returns the response to requests that arrive before a configuration is known.
@@ -159,7 +159,7 @@
                 Ok(response::from_server(head, ResponseBody::Complete(Some(body))))
             }
             Ok(UpstreamResponse::Stream(upstream)) => {
-                guards.open.run_while_open(close_stalled_stream(connection.clone(), deadline));
+                guards.open_request.run_while_open(close_stalled_stream(connection.clone(), deadline));
                 let (head, stream) = EventStream::new(forwarding, *upstream, guards);
                 Ok(response::from_server(head, ResponseBody::Stream(Box::new(stream))))
             }
--- a/crates/quillpulley/src/proxy/streaming/event_stream.rs
+++ b/crates/quillpulley/src/proxy/streaming/event_stream.rs
@@ -38,7 +38,7 @@
 /// Resources that a request holds until its response has been streamed.
 pub struct StreamGuards {
     /// The registration of the open request.
-    pub open: OpenRequest,
+    pub open_request: OpenRequest,
     /// The memory reserved for the body of the request.
     pub reservation: BufferReservation,
 }
