--- a/crates/rate-limiter/src/limiter/admission.rs
+++ b/crates/rate-limiter/src/limiter/admission.rs
@@ -1,18 +1,19 @@
-//! Admission: a request is sent at once or rejected at once. Its quota decides first, then the load of the servers.
+//! Admission: each request is immediately either sent to a server or rejected; there is no queue. The tenant's quota is
+//! checked first, then the load of the servers.
 
 use super::attempts::OpenRequest;
 use super::quota::QuotaExceeded;
 use super::{context, Context, Limiter, Timer};
 use crate::interface::{Action, Request, RequestId};
 
-/// Time scales after which a client may try again if the servers were full, or did not respond: by then much of the
-/// queue is worked off.
+/// The delay after which a client may retry if the servers were overloaded or did not respond, as a multiple of
+/// [`Context::time_scale`]. By then, much of the queue has been processed.
 const RETRY_AFTER: f64 = 0.5;
-/// How much more classes of less value for their work are shed.
+/// Scales up the shed probability of classes with a lower value per second of work than the best class.
 const LOW_VALUE_SHED_FACTOR: f64 = 4.0;
-/// How much more requests are shed that are likely beyond their quota.
+/// Multiplies the shed probability of requests that are likely to exceed their tenant's quota.
 const OVER_QUOTA_SHED_FACTOR: f64 = 4.0;
-/// Rounds of events by which a timer is early.
+/// How early a timer fires before a deadline, in multiples of `Settings::round_interval`.
 pub(super) const ROUND_MARGIN: f64 = 2.0;
 
 impl Limiter {
@@ -25,7 +26,7 @@
         };
         let final_response_at = request.due - ROUND_MARGIN * self.settings.round_interval;
         if final_response_at <= self.now {
-            // The client does not wait any longer: the request would execute for nothing.
+            // The client no longer waits for the response, so that executing the request would be wasted work.
             return self.reject_overloaded(request.id, actions);
         }
         let (units, key) = (request.units.max(0.0), &request.tenant);
@@ -34,7 +35,7 @@
         let checked = self.quotas.check(context!(self), key, units, request.is_retry, &mut self.rng);
         if let Err(QuotaExceeded { retry_after }) = checked {
             if !request.is_retry {
-                // A rejected retry is demand that was counted where it came first.
+                // The demand of a retry was already counted by the limiter that received the first try.
                 actions.extend(self.quotas.report(context!(self), key, units, false, &mut self.rng));
             }
             return self.reject(request.id, retry_after, actions);
@@ -52,11 +53,11 @@
         self.send(request.id, server, actions);
     }
 
-    /// Returns the probability with which a request is shed: if the servers are overloaded, those of least value for
-    /// their work, and those that are likely beyond their quota.
+    /// Returns the probability of shedding a request. It is 0 unless the servers are overloaded, and higher for classes
+    /// with a low value per second of work and for requests that are likely to exceed their tenant's quota.
     ///
-    /// The latter are requests of a tenant whose demand exceeds its quota, and retries of one without totals, which
-    /// most often were rejected for their quota at another limiter.
+    /// A request is likely to exceed the quota if its tenant's demand does. If no totals are known for the tenant, this
+    /// holds for retries, most of which another limiter rejected because of the quota.
     fn shed_probability(&self, request: &Request, class: usize, plan: usize) -> f64 {
         let value = |class: usize| self.settings.classes[class].value / self.mean_latency[class].max(1e-6);
         let best = (0..self.mean_latency.len()).map(value).fold(0.0, f64::max);
@@ -68,13 +69,13 @@
         self.servers.load.shed_fraction() * value_factor * quota_factor
     }
 
-    /// Rejects a request as the servers are full, or do not respond.
+    /// Rejects a request because the servers are overloaded or do not respond.
     pub(super) fn reject_overloaded(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let retry_after = RETRY_AFTER * context!(self).time_scale();
         self.reject(id, retry_after, actions);
     }
 
-    /// Rejects a request, which is safe to retry after this many seconds.
+    /// Rejects a request, which the client may safely retry after `retry_after` seconds.
     fn reject(&mut self, id: RequestId, retry_after: f64, actions: &mut Vec<Action>) {
         let retry_after = match self.settings.may_send_retry_after {
             true => retry_after.clamp(0.0, self.settings.max_retry_after.max(0.0)),
--- a/crates/rate-limiter/src/limiter/attempts.rs
+++ b/crates/rate-limiter/src/limiter/attempts.rs
@@ -1,7 +1,7 @@
 //! The attempts of a request: sends, slow attempts, retries, and the final response.
 //!
-//! Invariant: a request that is not idempotent is sent again only if no attempt may have executed it; a keyed one only
-//! within the time in which the servers deduplicate it.
+//! Invariants: a request that is not idempotent is retried only if no earlier attempt can have executed it. A request with
+//! an idempotency key is retried only while the servers deduplicate it.
 
 use super::admission::ROUND_MARGIN;
 use super::outlier_detection::Lateness;
@@ -11,18 +11,18 @@
 };
 use std::sync::Arc;
 
-/// An attempt is slow after this multiple of the usual latency, ...
+/// An attempt is slow after this multiple of the mean latency, ...
 const SLOW_FACTOR: f64 = 6.0;
 /// ... but not before this fraction of the target latency, ...
 const MIN_SLOW_FRACTION: f64 = 0.5;
-/// ... and after this fraction of it at the latest.
+/// ... and no later than after this fraction of it.
 const MAX_SLOW_FRACTION: f64 = 0.8;
-/// The fraction of the deduplication window in which a keyed request may be sent again.
+/// The fraction of the deduplication window during which a keyed request may be retried.
 const DEDUPLICATION_FRACTION: f64 = 0.9;
-/// The slowness that a server shows by rejecting a request. It responds at once, and would otherwise look like the
-/// least loaded.
+/// The latency ratio recorded for a server that rejects a request. A rejection is immediate, and the server would
+/// otherwise look like the least loaded one.
 const REJECTION_SLOWNESS: f64 = 10.0;
-/// The least usual latency in seconds.
+/// Minimum mean latency in seconds, used as a divisor.
 const MIN_LATENCY: f64 = 1e-6;
 
 /// One send of a request to a server.
@@ -33,21 +33,23 @@
     sent_at: f64,
     /// Whether it has no outcome yet.
     is_open: bool,
-    /// Whether it counts as in flight at its server.
+    /// Whether it is included in `Server::in_flight`.
     is_counted: bool,
-    /// Whether it may have executed, unless its outcome proves the contrary.
+    /// Whether the server may have executed the request. True until an outcome proves that it did not.
     may_have_executed: bool,
 }
 
-/// A request that was admitted.
+/// An admitted request.
 pub(super) struct OpenRequest {
     tenant: Arc<str>,
     /// The index of the class.
     pub(super) class: usize,
     units: f64,
+    /// The time at which the client gives up.
     due: f64,
+    /// Whether a streamed response has started.
     pub(super) streaming: bool,
-    /// Whether it has its final response, and only outcomes of its attempts are missing.
+    /// Whether the request has its final response. It is then kept only until its attempts have their outcomes.
     pub(super) done: bool,
     attempts: Vec<Attempt>,
 }
@@ -65,7 +67,7 @@
         }
     }
 
-    /// Returns whether the request was sent to a server.
+    /// Returns whether an attempt was made at a server.
     pub(super) fn was_sent_to(&self, server: &ServerId) -> bool {
         self.attempts.iter().any(|attempt| attempt.server == *server)
     }
@@ -79,7 +81,8 @@
         self.attempts.iter().any(|attempt| attempt.is_open)
     }
 
-    /// Returns until when a keyed request that may have executed may be sent again.
+    /// Returns the time until which a keyed request may be retried. Returns `None` if the class is not keyed, or if no
+    /// attempt can have executed the request.
     fn deduplicated_until(&self, context: Context<'_>) -> Option<f64> {
         let class = &context.settings.classes[self.class];
         let first = self.first_possible_execution().filter(|_| class.idempotency == Idempotency::Keyed)?;
@@ -89,12 +92,12 @@
 }
 
 impl Limiter {
-    /// Sends a request to a server.
+    /// Starts an attempt of a request at a server.
     pub(super) fn send(&mut self, id: RequestId, server: ServerId, actions: &mut Vec<Action>) {
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(target) = self.servers.get(&server) else { return };
-        // Connecting may take some time: the deduplication window has to hold then too.
+        // Connecting takes time. The request must still be within the deduplication window when it is sent.
         let send_by = request.deduplicated_until(context!(self));
         request.attempts.push(Attempt {
             server: server.clone(),
@@ -118,7 +121,7 @@
         actions.push(Action::Send { id, server, timeout: 0.0, send_by });
     }
 
-    /// Returns whether the rules allow to send a request again.
+    /// Returns whether a request may be retried, regardless of the retry budget.
     fn may_retry(&self, request: &OpenRequest) -> bool {
         let class = &self.settings.classes[request.class];
         let has_time = request.due - self.now > self.mean_latency[request.class];
@@ -135,7 +138,7 @@
         }
     }
 
-    /// Sends a request again, within the retry budget. Returns whether it was sent.
+    /// Retries a request if the retry budget allows it and a server is available. Returns whether it was sent.
     fn try_retry(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let seed = self.rng.u64(..);
         let Some(request) = self.requests.get(&id) else { return false };
@@ -148,8 +151,8 @@
         true
     }
 
-    /// Handles an attempt that may take too long: it counts against the server, and is cancelled in favour of a retry
-    /// if the server seems not to respond.
+    /// Checks whether the latest attempt of a request is slow. If so, records it against the server, and cancels it in
+    /// favour of a retry if the server is unresponsive.
     pub(super) fn check_slow_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.done && !request.streaming)
         else {
@@ -175,7 +178,8 @@
         if was_stalled {
             return;
         }
-        // A server that has responded since is slow, not lost: if it were ejected, others would get its load.
+        // A server that has responded since the attempt began is slow but alive. Ejecting it would move its load to
+        // other servers.
         if self.servers.get(&server).is_some_and(|state| state.last_success < self.now - elapsed) {
             self.servers.record_failure(context!(self), &server);
         }
@@ -183,7 +187,7 @@
         self.servers.record_latency(context!(self), &server, class, ratio, Lateness::Late);
         let is_unresponsive = self.servers.get(&server).is_some_and(|state| state.is_unresponsive(class));
         if may_retry && is_unresponsive && self.settings.may_cancel {
-            // Only one attempt may be open: the outcome of this one brings the next.
+            // Only one attempt may be open, so the retry follows when this attempt reports its outcome.
             actions.push(Action::Cancel { id, attempt: number });
         }
     }
@@ -197,7 +201,8 @@
         self.servers.record_load_report(context, &id, &result.report);
     }
 
-    /// Stops counting an attempt as in flight at its server: it has its outcome, or is so late that it may be lost.
+    /// Removes an attempt from its server's in-flight count, because it has its outcome, or is so late that the request or
+    /// its response may be lost.
     fn uncount(&mut self, id: RequestId, number: u32) {
         let request = self.requests.get_mut(&id);
         let attempt = request.and_then(|request| request.attempts.get_mut(number as usize));
@@ -243,7 +248,8 @@
         }
     }
 
-    /// Corrects the units of a tenant by those that a response tells, if they were an estimate.
+    /// Releases the tenant's in-flight slot. If requests are post-paid, replaces the estimated units by the actual units
+    /// of the response.
     fn correct_units(&mut self, tenant: &str, estimate: f64, result: &AttemptResult) {
         let now = self.now;
         let actual = result.units.unwrap_or(0.0);
@@ -257,7 +263,7 @@
         }
     }
 
-    /// Records the latency of a response.
+    /// Records a completed response for its server, the mean latency of its class, and the retry budget.
     fn record_response(&mut self, server: &ServerId, class: usize, units: f64, result: &AttemptResult) {
         let latency = result.elapsed / units.max(1.0);
         let ratio = latency / self.mean_latency[class].max(MIN_LATENCY);
@@ -271,7 +277,8 @@
         }
     }
 
-    /// Gives the final response to a request without another attempt: rejected if that is safe to promise, else failed.
+    /// Gives the final response to a request that is not retried. It is rejected if the client may safely retry it, and
+    /// failed otherwise.
     fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.done) else { return };
         let class = &self.settings.classes[request.class];
@@ -282,7 +289,7 @@
         self.finish(id, actions);
     }
 
-    /// Marks a request as done, cancels its open attempts, and forgets it once all its attempts have their outcomes.
+    /// Marks a request as done, cancels its open attempts, and removes it once all its attempts have their outcomes.
     pub(super) fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if !request.done && self.settings.may_cancel && !request.streaming {
@@ -296,7 +303,8 @@
     }
 }
 
-/// Returns whether clients may retry requests of a class that may have executed: at any limiter, and so at any server.
+/// Returns whether clients may retry requests of a class that may have executed. The retry can reach any limiter, and
+/// through it any server.
 fn is_safe_to_retry(class: &Class) -> bool {
     match class.idempotency {
         Idempotency::Idempotent => true,
--- a/crates/rate-limiter/src/limiter/counter_sync.rs
+++ b/crates/rate-limiter/src/limiter/counter_sync.rs
@@ -1,8 +1,8 @@
-//! The exchange of tenants' demand with the other limiters, through numbers on the counter service.
+//! Shares the demand of tenants with the other limiters through the counter service.
 //!
-//! Each limiter adds the units that it has admitted and rejected to one number per tenant and window, off the request
-//! path, and reads the total back. Both parts are packed into one number, in steps, so that it stays within the digits
-//! that the counter holds exactly.
+//! Each limiter adds the units that it has admitted and rejected to one counter per tenant and time window, outside the
+//! request path, and reads back the total. The admitted and the rejected units are quantized to steps and packed into
+//! one number, so that it does not exceed the digits that the counter stores exactly.
 
 use super::quota::{counter_name, is_scattered, mean_rate, CounterState, Tenant, Totals};
 use super::{moving_average, Context};
@@ -10,60 +10,64 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The least seconds between two reports of a tenant.
+/// Seconds between two reports of a tenant, apart from jitter.
 pub(super) const REPORT_INTERVAL: f64 = 0.5;
-/// The jitter of that interval.
+/// The jitter of the report interval: it varies over this fraction of [`REPORT_INTERVAL`], centred on it.
 const REPORT_JITTER: f64 = 0.2;
-/// Seconds that share one number on the counter. Lost and doubled additions are forgotten with it.
+/// The length of a counter window in seconds. Each window has its own counter, so that the errors of lost and repeated
+/// additions end with the window.
 pub(super) const COUNTER_WINDOW: f64 = 20.0;
-/// Windows after which the counter forgets a number, and the most seconds that it keeps one.
+/// The time to live of a counter, in windows, and its maximum in seconds.
 const COUNTER_TTL_WINDOWS: f64 = 2.0;
 const MAX_COUNTER_TTL: f64 = 60.0;
-/// Rates are averaged over this many mean report intervals ...
+/// The time constant of averaged rates, in mean report intervals, ...
 const AVERAGING_REPORTS: f64 = 4.0;
-/// ... but over this fraction of a window at most.
+/// ... and its maximum, in counter windows.
 const MAX_AVERAGING_WINDOWS: f64 = 0.5;
-/// The weight of one report interval in their mean.
+/// The weight of one report interval in the moving average of the intervals.
 const REPORT_INTERVAL_GAIN: f64 = 0.3;
-/// Failed calls in a row after which the counter counts as down.
+/// Consecutive failed calls after which the counter is considered down.
 const MAX_COUNTER_FAILURES: u32 = 3;
-/// The fraction of requests that call the counter, at first.
+/// The initial fraction of requests that call the counter.
 const INITIAL_SAMPLING_RATE: f64 = 0.5;
-/// The least fraction of requests that call the counter.
+/// Minimum fraction of requests that call the counter.
 const MIN_SAMPLING_RATE: f64 = 0.03;
-/// What a quick response adds to the sampling rate.
+/// The amount that a quick response adds to the sampling rate.
 const SAMPLING_RATE_INCREASE: f64 = 0.02;
-/// The factor by which a slow or missing response lowers it.
+/// The factor by which a slow or missing response multiplies the sampling rate.
 const SAMPLING_RATE_DECREASE: f64 = 0.85;
-/// The fraction of the counter's time-out within which a response is quick. The network alone may take half of it.
+/// A response is quick if it takes at most this fraction of the counter timeout. The network alone may take half of the
+/// timeout.
 const QUICK_RESPONSE: f64 = 0.7;
-/// Steps of a total below this are units admitted, those above units rejected (seven digits are exact).
+/// A total is `admitted steps + PACKING_BASE * rejected steps`. The counter stores seven digits exactly.
 const PACKING_BASE: f64 = 2_000.0;
+/// Maximum rejected steps in a total.
 const MAX_REJECTED_STEPS: f64 = 4_999.0;
-/// The multiple of the quota for a window that the steps leave room for.
+/// The multiple of a window's quota that the steps of a total can represent, in addition to the burst.
 const HEADROOM: f64 = 3.0;
 
-/// A report to the counter that has no response yet.
+/// A report to the counter that is awaiting its response.
 pub(super) struct Report {
     pub(super) tenant: Arc<str>,
     window: i64,
-    /// The steps that were added.
+    /// The admitted steps that this report adds.
     used: f64,
+    /// The rejected steps that this report adds.
     rejected: f64,
 }
 
-/// The demand of a tenant over all limiters, as its totals tell it.
+/// The demand of a tenant over all limiters in a span of time.
 pub(super) struct CountedDemand {
     pub(super) units: f64,
     pub(super) seconds: f64,
 }
 
-/// The calls to the counter.
+/// The state of the calls to the counter.
 pub(super) struct CounterSync {
     reports: BTreeMap<String, Report>,
-    /// Failed calls in a row.
+    /// Consecutive failed calls.
     failures: u32,
-    /// When a counter that is down may be called next.
+    /// The earliest time of the next call while the counter is down.
     retry_at: f64,
     /// The fraction of requests that call the counter.
     sampling_rate: f64,
@@ -79,7 +83,7 @@
         }
     }
 
-    /// Returns whether the counter responds.
+    /// Returns whether the counter is considered up.
     pub(super) fn is_up(&self) -> bool {
         self.failures < MAX_COUNTER_FAILURES
     }
@@ -91,9 +95,10 @@
 
     /// Reports the units of a request.
     ///
-    /// A sample of the requests calls the counter and stands for all, so that the counter can bear hundreds of
-    /// limiters. For an interval after a call all units are accumulated. Rejected requests are more likely to call: the
-    /// response decides the client's next try.
+    /// Only a random sample of the requests calls the counter, so that it can serve hundreds of limiters. Their units are
+    /// scaled up to represent all requests. During the report interval after a call, all units are accumulated without
+    /// sampling. Rejected requests are sampled twice as often, because the response affects whether the client's next try
+    /// is admitted.
     pub(super) fn report(
         &mut self,
         context: Context<'_>,
@@ -120,12 +125,12 @@
         if must_wait {
             return None;
         }
-        // One call per interval tells whether a counter that is down is back.
+        // While the counter is down, one call per interval checks whether it has recovered.
         self.retry_at = now + REPORT_INTERVAL;
         Some(self.send_report(key, tenant, plan, now, rng.f64()))
     }
 
-    /// Reports all accumulated units to the counter. `draw` is a random number from 0 to 1.
+    /// Returns the call that reports all accumulated units to the counter. `draw` is a random number from 0 to 1.
     fn send_report(
         &mut self,
         key: &Arc<str>,
@@ -156,7 +161,7 @@
         }
     }
 
-    /// Records how the counter responds.
+    /// Adjusts the sampling rate and the number of consecutive failures by the outcome of a call.
     pub(super) fn record_response(&mut self, settings: &Settings, response: &CounterResponse) {
         let completed = response.outcome == Outcome::Completed;
         let is_quick = completed && response.elapsed <= QUICK_RESPONSE * settings.counter_timeout;
@@ -170,19 +175,20 @@
         }
     }
 
-    /// Removes the report that a response is for, if there is one.
+    /// Removes and returns the report with this counter name. Returns `None` if the call was not a report.
     pub(super) fn take_report(&mut self, name: &str) -> Option<Report> {
         self.reports.remove(name)
     }
 }
 
-/// Returns how many units one step of the packed number stands for.
+/// Returns the number of units in one step, which is at least 1.
 fn step_units(plan: &Plan) -> f64 {
     ((COUNTER_WINDOW * plan.rate * HEADROOM + plan.burst) / PACKING_BASE).max(1.0)
 }
 
-/// Returns the most steps that one call adds. Each limiter adds its share of half the digits at most, and nothing once
-/// those are half full: with a call of every limiter open, they still do not overflow.
+/// Returns the maximum number of steps that one call may add, where `max` is the maximum that the total can represent.
+/// One call adds at most the limiter's share of half of `max`, and nothing once half of `max` is counted. The total thus
+/// does not overflow even if all limiters have a call open.
 fn max_added_steps(counted: f64, max: f64, limiters: f64) -> f64 {
     if counted > max / 2.0 {
         return 0.0;
@@ -190,14 +196,15 @@
     (max / 2.0 / limiters).floor().max(1.0)
 }
 
-/// The steps that all limiters together have added to a number since its last response here.
+/// The steps that all limiters together have added to a counter since the last response to this limiter.
 struct CountedSteps {
     used: f64,
     rejected: f64,
 }
 
 impl Tenant {
-    /// Applies the response to a report, and returns the demand of the tenant if it tells it.
+    /// Applies the response to a report. Returns the demand of the tenant since the last response, or `None` if the call
+    /// failed or the counter has lost its numbers.
     pub(super) fn apply_response(
         &mut self,
         plan: &Plan,
@@ -210,7 +217,7 @@
             self.restore_unreported(plan, report, response.outcome);
             return None;
         }
-        // The totals are missing until the next difference if the counter has lost its numbers.
+        // If the counter has lost its numbers, the totals stay missing until the next response.
         let last = self.totals.take();
         let added = self.record_total(report, response.total)?;
         let window_start = report.window as f64 * COUNTER_WINDOW;
@@ -220,8 +227,8 @@
         Some(CountedDemand { units: (added.used + added.rejected) * step_units(plan), seconds: span })
     }
 
-    /// Takes the units of a failed report back, so that they are reported again. After a time-out they may have been
-    /// added.
+    /// Restores the units of a failed report, so that they are reported again. After a timeout they are not restored,
+    /// because the counter may have added them.
     fn restore_unreported(&mut self, plan: &Plan, report: &Report, outcome: Outcome) {
         if outcome == Outcome::Timeout {
             return;
@@ -231,8 +238,8 @@
         self.unreported_rejected += report.rejected * step;
     }
 
-    /// Records the total of a number, and returns what was added to it since the last response. Returns none if that
-    /// is less than this limiter's own addition: the counter has lost its numbers.
+    /// Records the total of a counter, and returns the steps added to it since the last response. Returns `None` if they
+    /// are fewer than this limiter has added itself, which means that the counter has lost its numbers.
     fn record_total(&mut self, report: &Report, total: f64) -> Option<CountedSteps> {
         let before = self.counted.in_window(report.window);
         self.counted = unpack(report.window, total);
@@ -242,7 +249,7 @@
         (!is_lost).then_some(CountedSteps { used, rejected })
     }
 
-    /// Returns the totals with what was added in the last `span` seconds.
+    /// Returns the totals, updated with the steps that were added in the last `span` seconds.
     fn averaged_totals(
         &mut self,
         plan: &Plan,
@@ -252,15 +259,15 @@
         added: &CountedSteps,
         span: f64,
     ) -> Totals {
-        // Own demand is spread over all the time since the last report, a part of which lies before the window:
-        // otherwise a rare request looks like a large share at the start of a window.
+        // The own demand is divided by the whole time since the last report, which may have been in an earlier window.
+        // Otherwise a rare request at the start of a window would look like a large share of the demand.
         let own_span = (now - self.last_report).max(REPORT_INTERVAL / 4.0);
         self.last_report = now;
         self.report_interval = moving_average(self.report_interval, own_span, REPORT_INTERVAL_GAIN);
         let averaging_time = (AVERAGING_REPORTS * self.report_interval)
             .clamp(AVERAGING_REPORTS * REPORT_INTERVAL, MAX_AVERAGING_WINDOWS * COUNTER_WINDOW);
-        // A tenant that is met seldom is judged by its first totals: those are not averaged with the nothing before
-        // them, but over a short time.
+        // A limiter that seldom receives requests of the tenant has to rely on the first totals. They get a short time
+        // constant, since the initial mean of zero would otherwise dominate them.
         let is_first = last.is_none() && is_scattered(plan, self.limiters);
         let time_constant = if is_first { AVERAGING_REPORTS * REPORT_INTERVAL } else { averaging_time };
         let step = step_units(plan);
@@ -276,6 +283,7 @@
     }
 }
 
+/// Decodes the total of a counter into the admitted and the rejected steps.
 fn unpack(window: i64, total: f64) -> CounterState {
     CounterState {
         window,
--- a/crates/rate-limiter/src/limiter/fleet_load.rs
+++ b/crates/rate-limiter/src/limiter/fleet_load.rs
@@ -1,23 +1,25 @@
-//! The load of all servers, from the reports in their responses.
+//! The mean load of all servers, from the load reports in their responses.
 //!
-//! A report tells the load that all limiters together put on a server. One of many limiters cannot see that in its own
-//! attempts: with a hundred of them, most servers have no attempt in flight from here at any moment, and all would look
-//! alike.
+//! A report contains the load that all limiters together put on a server. A single limiter cannot infer it from its own
+//! attempts in flight: with a hundred limiters, it has none at most servers at any moment, and all servers would look
+//! equally loaded.
 
 use crate::interface::LoadReport;
 
-/// The time constant with which a report decays, in time scales: by then its queue has been worked off or has grown.
+/// The time constant with which a report loses its weight, as a multiple of the time scale. After that time, the reported
+/// queue has been processed or has grown.
 const REPORT_DECAY: f64 = 1.5;
-/// The time constant of the mean over all servers, in time scales.
+/// The time constant of the mean over all servers, as a multiple of the time scale.
 const MEAN_DECAY: f64 = 1.0;
-/// The most weight of one report in that mean: one server is not the fleet.
+/// Maximum weight of one report in the mean, so that no single server dominates it.
 const MAX_REPORT_WEIGHT: f64 = 0.3;
-/// Queued requests per unit of capacity from which the fleet is overloaded. Requests queue only when all slots are in
-/// use.
+/// The mean number of queued requests per unit of capacity above which the servers are overloaded. A server queues
+/// requests only when all its slots are in use.
 const OVERLOAD_QUEUE: f64 = 0.3;
-/// Further queued requests per unit of capacity for which all requests would be shed.
+/// The number of queued requests per unit of capacity, beyond [`OVERLOAD_QUEUE`], at which the computed shed fraction
+/// reaches 1 (before it is limited to [`MAX_SHED`]).
 const FULL_SHED_QUEUE: f64 = 2.0;
-/// The most requests that are shed: the end of an overload shows only in requests that are sent.
+/// Maximum shed fraction. The end of an overload can be detected only by requests that are sent.
 const MAX_SHED: f64 = 0.9;
 
 /// The latest report of a server, in requests per unit of capacity.
@@ -36,7 +38,7 @@
 }
 
 impl FleetLoad {
-    /// Records the report of a server with a capacity, and returns its load if it tells it.
+    /// Records the report of a server with this capacity. Returns its load, or `None` if the report has no queue length.
     pub(super) fn record(
         &mut self,
         report: &LoadReport,
@@ -54,7 +56,8 @@
         Some(ReportedLoad { load, at: now })
     }
 
-    /// Returns the expected load of a server: as it reported, and with time more and more like the mean.
+    /// Returns the expected load of a server: its reported load, which decays towards the mean load with the age of the
+    /// report.
     pub(super) fn expected(&self, reported: Option<&ReportedLoad>, now: f64, time_scale: f64) -> f64 {
         reported.map_or(self.load, |reported| {
             let decay = (-(now - reported.at) / (REPORT_DECAY * time_scale)).exp();
@@ -62,7 +65,7 @@
         })
     }
 
-    /// Returns the fraction of the requests that the servers cannot serve, by the queues at them.
+    /// Returns the fraction of requests to shed, computed from the mean queue length of the servers.
     pub(super) fn shed_fraction(&self) -> f64 {
         ((self.queue - OVERLOAD_QUEUE) / FULL_SHED_QUEUE).clamp(0.0, MAX_SHED)
     }
--- a/crates/rate-limiter/src/limiter/heavy_hitters.rs
+++ b/crates/rate-limiter/src/limiter/heavy_hitters.rs
@@ -1,62 +1,69 @@
-//! Tenants whose demand is far beyond their quota, as the limiters list them for each other on the counter.
+//! Heavy hitters: a list of the tenants whose demand far exceeds their quota, which the limiters share through the
+//! counter service.
 //!
-//! If hundreds of limiters share a tenant, most of its requests meet a limiter that has no totals of it, and whose
-//! bucket holds one request all the same: each admits one, and all together far more than the quota. The few tenants
-//! that cause most of that are listed by the first limiter that learns it from its totals.
+//! If a tenant's requests are spread over hundreds of limiters, most requests arrive at a limiter that has no totals for
+//! the tenant. Since a new bucket always holds one request, each of these limiters admits one, and together they admit
+//! far more than the quota. A few tenants cause most of this excess. The first limiter that recognizes such a tenant by
+//! its totals adds it to the list.
 //!
-//! The list is a row of numbers on the counter, read off the request path. Every limiter reads each entry once, and
-//! then polls the end of the list.
+//! The list is a sequence of counters, which limiters read outside the request path. Each limiter reads every entry
+//! once, and then polls the end of the list for new entries.
 
 use super::counter_sync::CountedDemand;
 use super::{hash, Action, Settings};
 use crate::interface::Plan;
 use std::collections::BTreeMap;
 
-/// Seconds for which a list is valid. The next one begins empty. Shorter, and all limiters would read it again more
-/// often. It changes in the middle of a counter window, where totals are the best to decide what to list.
+/// The lifetime of a list in seconds, after which a new list starts empty. With a shorter lifetime, all limiters would
+/// have to read the list more often. A new list starts in the middle of a counter window, because totals are then most
+/// accurate for deciding which tenants to list.
 const LIST_TIME: f64 = 20.0;
-/// The previous list stays valid until this many seconds into the next, by when what still applies is listed again.
+/// Seconds for which the previous list stays valid after a new one has started. By then, tenants that still exceed their
+/// quota are listed again.
 const OVERLAP: f64 = 5.0;
-/// The most entries of a list. Each costs one call of every limiter.
+/// Maximum number of entries of a list. Each entry costs every limiter one call to the counter.
 const MAX_ENTRIES: u32 = 60;
-/// Seconds between two polls of the end of the list.
+/// Seconds between polls of the end of the list.
 const POLL_INTERVAL: f64 = 2.0;
-/// Seconds between two entries on the way there, if the counter bears a call for every request; otherwise longer by as
-/// much as it bears less.
+/// Minimum seconds between reads of successive entries. It is divided by the sampling rate of counter calls, so that a
+/// slow counter gets fewer reads.
 const READ_INTERVAL: f64 = 0.05;
-/// Reads after which an invalid entry is skipped: two limiters wrote it at once, or a call that was to undo it is lost.
+/// The number of further reads of an invalid entry before it is skipped. An entry is invalid if two limiters added to it
+/// at the same time, or if a call that should have undone an addition was lost.
 const MAX_INVALID_READS: u32 = 4;
-/// A tenant is listed if its demand exceeds its burst by this multiple of its quota ...
+/// A tenant is listed if its demand exceeds its burst plus this multiple of its quota, ...
 const MIN_EXCESS: f64 = 1.2;
-/// ... and its excess costs at least this fraction of what the costliest plan's quota is worth.
+/// ... and if the cost of its excess is more than this fraction of `HeavyHitters::max_quota_cost`.
 const MIN_EXCESS_COST: f64 = 0.2;
-/// A listed tenant is listed again if its demand has grown by this factor.
+/// A tenant is listed again if the admitted fraction that its demand requires has shrunk by this factor.
 const RELIST_FACTOR: f64 = 2.0;
-/// The part of a tenant's quota that the listed fraction allows: limiters that know the tenant, or have not read the
-/// entry yet, admit requests too.
+/// The fraction of a tenant's quota that is granted through its admitted fraction. The rest is left for requests that
+/// limiters admit by their own totals or before they have read the entry.
 pub(super) const LISTED_FRACTION: f64 = 0.7;
 
-/// An entry is a number that the counter holds exactly (seven digits). It consists of a part of the tenant's hash, a
-/// level of its admitted fraction, and a check digit, so that the sum of two entries is not an entry.
+/// Encoding of list entries as integers that the counter stores exactly (up to seven digits).
+///
+/// An entry consists of a part of the tenant's hash, the quantized admitted fraction, and a check digit. The check digit
+/// makes the sum of two entries invalid.
 mod entry {
     use super::hash;
 
     const TENANTS: u64 = 40_009;
     const LEVELS: u64 = 16;
-    /// The ratio of the fractions of two neighbouring levels.
+    /// The ratio of the admitted fractions of successive levels.
     const LEVEL_RATIO: f64 = 0.75;
     const CHECK: u64 = 13;
 
-    /// What an entry says.
+    /// A decoded list entry.
     #[derive(Clone, Copy, Debug, PartialEq)]
     pub struct Entry {
-        /// The tenant, by a part of its hash.
+        /// The part of the tenant's hash that entries store, see [`tenant_of`].
         pub tenant: u64,
-        /// The fraction of its requests to be admitted.
+        /// The fraction of the tenant's requests to admit.
         pub admitted_fraction: f64,
     }
 
-    /// Returns the part of the hash of a tenant that entries hold.
+    /// Returns the part of a tenant's hash that entries store. Different tenants may share it.
     pub fn tenant_of(key: &str) -> u64 {
         hash(key) % TENANTS
     }
@@ -65,7 +72,7 @@
         (body / CHECK + body) % CHECK
     }
 
-    /// Encodes the entry of a tenant.
+    /// Encodes the entry of a tenant. The admitted fraction is rounded to a power of [`LEVEL_RATIO`].
     pub fn encode(key: &str, admitted_fraction: f64) -> u64 {
         let level =
             (admitted_fraction.ln() / LEVEL_RATIO.ln()).round().clamp(0.0, LEVELS as f64 - 1.0) as u64;
@@ -73,7 +80,7 @@
         body * CHECK + check_digit(body) + 1
     }
 
-    /// Decodes a number, unless it is not an entry.
+    /// Decodes an entry. Returns `None` if the number is not a valid entry.
     pub fn decode(number: f64) -> Option<Entry> {
         let number = (number >= 1.0 && number.fract() == 0.0).then(|| number as u64 - 1)?;
         let (body, check) = (number / CHECK, number % CHECK);
@@ -84,36 +91,39 @@
 }
 use entry::Entry;
 
-/// A call to the counter that has no response yet.
+/// A call to the counter that is awaiting its response.
 struct CounterRead {
     name: String,
     amount: f64,
 }
 
-/// An entry that this limiter is to add.
+/// An entry that this limiter adds once it has reached the end of the list.
 #[derive(Clone, Copy)]
 struct Candidate {
     entry: u64,
     excess_cost: f64,
 }
 
-/// The list, as far as this limiter has read it.
+/// The part of the list that this limiter has read, and the entry that it will add.
 pub(super) struct HeavyHitters {
-    /// What the costliest plan's quota is worth beyond the quota. If that is nothing, no tenant is listed.
+    /// The highest cost of one second of a plan's rate, if it were used in excess of the quota, over the plans whose burst
+    /// is less than one unit per limiter. If it is 0, no tenant is listed.
     max_quota_cost: f64,
+    /// The number of the current list, which increases by one each [`LIST_TIME`].
     list: i64,
     list_began: f64,
-    /// The first entry that is not read yet, and the reads of it that were invalid.
+    /// The index of the first unread entry, and how many reads of it returned an invalid number.
     next_entry: u32,
     invalid_reads: u32,
     next_read: f64,
     open_read: Option<CounterRead>,
-    /// The admitted fractions of tenants in this list, and in the previous one.
+    /// The admitted fractions in the current and the previous list, by [`entry::tenant_of`].
     fractions: BTreeMap<u64, f64>,
     previous_fractions: BTreeMap<u64, f64>,
     candidate: Option<Candidate>,
 }
 
+/// Returns the cost of one unit in excess of a plan's quota.
 fn excess_cost(plan: &Plan) -> f64 {
     plan.price * plan.excess_cost
 }
@@ -138,7 +148,7 @@
         }
     }
 
-    /// Returns the fraction of a tenant's requests to be admitted, if it is listed.
+    /// Returns the fraction of a tenant's requests to admit, or `None` if the tenant is not listed.
     pub(super) fn admitted_fraction(&self, key: &str, now: f64) -> Option<f64> {
         let tenant = entry::tenant_of(key);
         let age = now - self.list_began;
@@ -147,7 +157,8 @@
         current.or(previous).copied()
     }
 
-    /// Records the demand of a tenant, as its totals tell it.
+    /// Records the measured demand of a tenant, and makes the tenant the candidate for a new entry if its excess costs
+    /// more than that of the current candidate.
     pub(super) fn record_demand(&mut self, key: &str, plan: &Plan, demand: &CountedDemand) {
         let CountedDemand { units, seconds } = *demand;
         let cost = (units / seconds - plan.rate) * excess_cost(plan);
@@ -163,7 +174,7 @@
         }
     }
 
-    /// Reads the next entry of the list if it is due. To be called once a tick.
+    /// Returns the call that reads the next entry of the list, if it is time for it. Must be called once per tick.
     pub(super) fn tick(&mut self, now: f64, rng: &mut fastrand::Rng) -> Option<Action> {
         let list = (now / LIST_TIME + 0.5).floor() as i64;
         if self.max_quota_cost > 0.0 && list != self.list {
@@ -187,15 +198,15 @@
         self.candidate = None;
     }
 
-    /// Adds to the counter of the next entry, and reads its total.
+    /// Returns the call that adds to the counter of the next entry and reads its total.
     fn add_to_next_entry(&mut self, amount: f64) -> Action {
         let name = format!("heavy.{}.{}", self.list, self.next_entry);
         self.open_read = Some(CounterRead { name: name.clone(), amount });
         Action::AddToCounter { name, amount, ttl: LIST_TIME * 2.0 }
     }
 
-    /// Handles a response of the counter, with the total if there is one, and returns a request that is due at once.
-    /// `sampling_rate` is the fraction of requests for which a limiter may report to the counter.
+    /// Handles a response of the counter, and returns a follow-up call if one is necessary. `total` is `None` if the call
+    /// failed. `sampling_rate` is the fraction of requests for which a limiter currently calls the counter.
     pub(super) fn counter_response(
         &mut self,
         name: &str,
@@ -211,13 +222,13 @@
             return None;
         };
         if total == 0.0 {
-            // The end of the list. An undone addition leaves zero too.
+            // This is the end of the list. An addition that was undone also leaves zero.
             self.next_read = now + POLL_INTERVAL * (0.5 + rng.f64());
             let candidate = self.candidate.filter(|_| amount == 0.0);
             return candidate.map(|candidate| self.add_to_next_entry(candidate.entry as f64));
         }
         if amount > 0.0 && total != amount {
-            // Another limiter was first: undo the addition.
+            // Another limiter has added its entry first, so this addition is undone.
             return Some(self.add_to_next_entry(-amount));
         }
         match entry::decode(total) {
@@ -233,7 +244,7 @@
         None
     }
 
-    /// Adds an entry that was read. This limiter does not list the same tenant again.
+    /// Stores an entry that was read, and drops the candidate if it is for the same tenant.
     fn add(&mut self, entry: Entry) {
         self.fractions.insert(entry.tenant, entry.admitted_fraction);
         let is_other = |candidate: &Candidate| {
--- a/crates/rate-limiter/src/limiter/load_balancing.rs
+++ b/crates/rate-limiter/src/limiter/load_balancing.rs
@@ -1,4 +1,4 @@
-//! The choice of a server for a request: the best of a few random candidates, by slowness and load.
+//! Selects a server for a request: the best of a few random candidates, by slowness and load.
 
 use super::attempts::OpenRequest;
 use super::outlier_detection::MAX_FAILURES;
@@ -6,28 +6,30 @@
 use super::Context;
 use crate::interface::{Idempotency, Scope, ServerId};
 
-/// The most attempts in flight at a server from all limiters together, per unit of its capacity.
+/// Maximum attempts in flight at a server from all limiters together, per unit of its capacity.
 const MAX_IN_FLIGHT: f64 = 5.0;
-/// The least limit of one limiter, as few of many limiters meet at a server.
+/// Minimum in-flight limit of a single limiter at a server. It can exceed the limiter's share of [`MAX_IN_FLIGHT`],
+/// because only a few of many limiters use a server at the same time.
 const MIN_IN_FLIGHT_LIMIT: f64 = 2.0;
-/// The servers that are compared for a request, in subsets per limiter that shares a server. The more limiters share
-/// the servers, the more all would choose the same one: then many choose the better of two random ones.
+/// The number of candidates compared for a request is this factor times the subset size, divided by the number of
+/// limiters per server. The more limiters share the servers, the more of them would choose the same best server. They
+/// then compare fewer candidates, down to the better of two random ones.
 const COMPARED_SUBSETS: f64 = 4.0;
-/// The least number of servers that are compared.
+/// Minimum number of candidates that are compared.
 const MIN_COMPARED: f64 = 2.0;
-/// A server of another zone counts as this much slower.
+/// The factor by which the slowness of a server in another zone is multiplied.
 const OTHER_ZONE_FACTOR: f64 = 1.1;
-/// A server that the request was sent to before counts as this much slower.
+/// The factor by which the slowness of a server is multiplied if the request was sent to it before.
 const TRIED_FACTOR: f64 = 10.0;
-/// The jitter of scores, which breaks ties.
+/// Maximum relative jitter of scores, which breaks ties.
 const JITTER: f64 = 0.05;
 
-/// A server that may be chosen.
+/// A server with capacity for the request.
 struct Candidate<'a> {
     id: &'a ServerId,
-    /// The lower, the earlier the server is compared.
+    /// Random rank. The candidates with the lowest ranks are compared.
     rank: f64,
-    /// The lower, the better.
+    /// Expected slowness under load. The candidate with the lowest score is chosen.
     score: f64,
 }
 
@@ -39,7 +41,7 @@
 }
 
 impl ServerSet {
-    /// Chooses a server for a request. Returns none if all servers that may get it are full.
+    /// Chooses a server for a request. Returns `None` if no server that is allowed for the request has capacity.
     pub(super) fn choose(&self, context: Context<'_>, request: &OpenRequest, seed: u64) -> Option<ServerId> {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut candidates = Vec::new();
@@ -66,12 +68,13 @@
         let compared = COMPARED_SUBSETS * self.subset_size / self.limiters_per_server;
         candidates.truncate(compared.max(MIN_COMPARED) as usize);
         let best = candidates.iter().min_by(|a, b| a.score.total_cmp(&b.score)).map(|best| best.id);
-        // If every server is ejected, one still gets requests: a wrong detection must not stop all.
+        // If every server is ejected, the one that is readmitted first still gets a request at a time, so that a false
+        // detection does not stop all traffic.
         let fallback = least_ejected.filter(|_| considered == 0.0).map(|least| least.id);
         best.or(fallback).cloned()
     }
 
-    /// Returns whether a server may get one more attempt from here.
+    /// Returns whether a server has capacity for one more attempt from this limiter.
     fn has_capacity(&self, context: Context<'_>, id: &ServerId, server: &Server) -> bool {
         let by_capacity = MAX_IN_FLIGHT * server.capacity(context) / self.limiters_per_server;
         let limit = match server.failures >= MAX_FAILURES {
@@ -94,11 +97,14 @@
         let others = self.load.expected(server.reported_load.as_ref(), context.now, context.time_scale());
         let own = (f64::from(server.in_flight) + 1.0 / self.limiters_per_server) / capacity;
         let score = slowness * (1.0 + own + others) * (1.0 + JITTER * rng.f64());
-        // An exponential race: the probability to be among the first is proportional to capacity and speed.
+        // Weighted random sampling by exponential ranks: the probability of the lowest rank is proportional to capacity
+        // divided by slowness.
         let rank = -(1.0 - rng.f64()).ln() * slowness / capacity;
         Candidate { id, rank, score }
     }
 
+    /// Returns the slowness of a server for a request, including the penalties for its zone, for failures, and for
+    /// earlier attempts of the request.
     fn slowness_for(
         &self,
         context: Context<'_>,
@@ -114,8 +120,8 @@
 }
 
 impl OpenRequest {
-    /// Returns whether a server may get the request. A keyed request stays with the servers that deduplicate it
-    /// together with the first one that may have executed it.
+    /// Returns whether the request may be sent to a server. A keyed request may be sent only to servers that deduplicate
+    /// it together with the first server that may have executed it.
     fn allows_server(&self, context: Context<'_>, server: &Server) -> bool {
         let class = &context.settings.classes[self.class];
         if class.idempotency != Idempotency::Keyed {
--- a/crates/rate-limiter/src/limiter/mod.rs
+++ b/crates/rate-limiter/src/limiter/mod.rs
@@ -1,19 +1,19 @@
-//! The decisions of one limiter: a pure state machine, without I/O and clocks.
+//! The decision logic of one limiter: a pure state machine that performs no I/O and reads no clock.
 //!
-//! | module | concern |
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`admission`] | accepts or rejects a request: quota first, then the load of the servers |
+//! | [`admission`] | admits or rejects a request, by its tenant's quota and then by server load |
 //! | [`quota`] | token buckets per tenant, and this limiter's share of each quota |
-//! | [`counter_sync`] | exchanges the demand of tenants with the other limiters, through the counter |
-//! | [`heavy_hitters`] | tenants far beyond their quota, as all limiters list them for each other |
-//! | [`attempts`] | the attempts of a request: sends, time-outs, retries, the final response |
-//! | [`retry_budget`] | how many retries may be sent |
-//! | [`servers`] | the listed servers, and the subset that this limiter uses |
-//! | [`load_balancing`] | the choice of a server for a request |
-//! | [`outlier_detection`] | ejects servers that fail, and scores slow ones |
-//! | [`slow_start`] | how much a server that started recently may get |
-//! | [`fleet_load`] | the load of all servers, from their reports |
-//! | [`discovery_backoff`] | when the list of servers is asked for again |
+//! | [`counter_sync`] | shares each tenant's demand with the other limiters through the counter service |
+//! | [`heavy_hitters`] | a list, shared by all limiters, of tenants that far exceed their quota |
+//! | [`attempts`] | the attempts of a request: sends, timeouts, retries and the final response |
+//! | [`retry_budget`] | limits the number of retries |
+//! | [`servers`] | the servers known from discovery, and the subset that this limiter uses |
+//! | [`load_balancing`] | selects a server for a request |
+//! | [`outlier_detection`] | ejects failing servers and tracks the slowness of each server |
+//! | [`slow_start`] | limits the requests sent to a recently started server |
+//! | [`fleet_load`] | the mean load of all servers, from their load reports |
+//! | [`discovery_backoff`] | schedules the next discovery call after a failed one |
 
 mod admission;
 mod attempts;
@@ -37,25 +37,25 @@
 use std::collections::BTreeMap;
 use std::hash::Hasher;
 
-/// Seconds between two ticks.
+/// Seconds between ticks.
 const TICK_INTERVAL: f64 = 0.05;
-/// Seconds between two ticks from which this limiter itself was stalled.
+/// If more than this many seconds pass between two ticks, this limiter itself was stalled.
 const STALL_TIME: f64 = 0.25;
-/// The mean latency of a class before any is measured, in target latencies.
+/// The initial mean latency of a class before any measurement, as a multiple of its target latency.
 const INITIAL_MEAN_LATENCY: f64 = 0.2;
-/// The weight of one response in the mean latency of its class.
+/// The weight of one response in the moving average of its class's latency.
 const MEAN_LATENCY_GAIN: f64 = 0.02;
-/// The longest latency in seconds by which the time constants of health and load are scaled.
+/// Maximum time scale in seconds (see [`Context::time_scale`]).
 const MAX_TIME_SCALE: f64 = 10.0;
 
-/// What a timer is for. It is encoded in the timer's token, together with the request.
+/// The purpose of a timer, encoded in the timer's token together with the request id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Timer {
-    /// The regular tick.
+    /// The periodic tick.
     Tick,
-    /// The response to a request is due.
+    /// The final response to a request must be given now.
     Due(RequestId),
-    /// An attempt of a request may be taking too long.
+    /// The latest attempt of a request may be too slow.
     SlowAttempt(RequestId),
 }
 
@@ -80,41 +80,43 @@
     }
 }
 
-/// What all parts of a limiter read: its settings, and the time of the event that is being handled.
+/// The input shared by all parts of a limiter: its settings and the time of the current event.
 #[derive(Clone, Copy)]
 struct Context<'a> {
     settings: &'a Settings,
-    /// In seconds.
+    /// The time of the current event, in seconds.
     now: f64,
 }
 
 impl Context<'_> {
-    /// Returns the shortest target latency of all classes, which scales the time constants of health and load.
+    /// Returns the shortest target latency of all classes in seconds, at most [`MAX_TIME_SCALE`]. The time constants
+    /// of outlier detection and load tracking are multiples of it.
     fn time_scale(&self) -> f64 {
         let latencies = self.settings.classes.iter().map(|class| class.target_latency);
         latencies.fold(f64::MAX, f64::min).min(MAX_TIME_SCALE)
     }
 }
 
-/// One limiter's decisions.
+/// The decision logic of one limiter. Events go in through [`Limiter::handle`], and actions come out.
 pub struct Limiter {
     settings: Settings,
     now: f64,
     timer_started: bool,
     last_tick: f64,
-    /// Until when late responses are this limiter's own fault, not the servers'.
+    /// The end of the last stall of this limiter. Delays before it are not attributed to the servers.
     stalled_until: f64,
     rng: fastrand::Rng,
     quotas: Quotas,
     servers: ServerSet,
-    /// The mean latency per unit, by class.
+    /// The mean latency per unit in seconds, by class index.
     mean_latency: Vec<f64>,
     retry_budget: RetryBudget,
     requests: BTreeMap<RequestId, OpenRequest>,
     discovery: DiscoveryBackoff,
 }
 
-/// Returns the context of the event that is being handled. A macro, as it borrows two fields only.
+/// Returns the [`Context`] of the current event. This is a macro and not a method so that it borrows only two fields
+/// of the limiter.
 macro_rules! context {
     ($limiter:expr) => {
         Context { settings: &$limiter.settings, now: $limiter.now }
@@ -123,7 +125,7 @@
 use context;
 
 impl Limiter {
-    /// Creates a limiter that knows no server and no tenant.
+    /// Creates a limiter without servers or tenants. `now` is in seconds on the clock of the host.
     pub fn new(settings: Settings, seed: u64, now: f64) -> Self {
         let mean_latency = settings.classes.iter().map(|class| class.target_latency * INITIAL_MEAN_LATENCY);
         Limiter {
@@ -142,10 +144,10 @@
         }
     }
 
-    /// Handles an event, and adds the resulting actions in order.
+    /// Handles an event and appends the resulting actions to `actions`, in the order in which they are to be performed.
     pub fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
-        // By a flag, not by the time: a real clock has advanced since `new` when the first event comes.
+        // Uses a flag instead of comparing times, because a real clock advances between `new` and the first event.
         if !std::mem::replace(&mut self.timer_started, true) {
             actions.push(Action::SetTimer { at: now + TICK_INTERVAL, token: Timer::Tick.token() });
         }
@@ -196,7 +198,7 @@
     }
 
     fn tick(&mut self, actions: &mut Vec<Action>) {
-        // This limiter was stalled, and so were all events meanwhile: what looks late is not the servers' fault.
+        // While this limiter is stalled, its events wait too. Responses that look late were not delayed by the servers.
         if self.now - self.last_tick > STALL_TIME {
             self.stalled_until = self.now;
         }
@@ -208,12 +210,12 @@
     }
 }
 
-/// Moves a mean towards a sample by a weight from 0 to 1.
+/// Returns the exponential moving average after a sample. `weight` is the weight of the sample, from 0 to 1.
 fn moving_average(mean: f64, sample: f64, weight: f64) -> f64 {
     mean + (sample - mean) * weight
 }
 
-/// Returns the FNV-1a hash of a text, which is the same at every limiter.
+/// Returns the FNV-1a hash of a text. Limiters rely on it to be the same in every process.
 fn hash(text: &str) -> u64 {
     let mut hasher = fnv::FnvHasher::default();
     hasher.write(text.as_bytes());
--- a/crates/rate-limiter/src/limiter/outlier_detection.rs
+++ b/crates/rate-limiter/src/limiter/outlier_detection.rs
@@ -1,57 +1,58 @@
-//! Outlier detection: ejects servers that fail several times in a row, and scores those that are slow.
+//! Outlier detection: ejects servers after consecutive failures, and tracks the slowness of each server.
 
 use super::servers::{LateAttempts, Server, ServerSet};
 use super::{moving_average, Context};
 
-/// Failures in a row that eject a server.
+/// Consecutive failures after which a server is ejected.
 pub(super) const MAX_FAILURES: u32 = 3;
-/// The duration of the first ejection, in time scales. Each further one in a row doubles it ...
+/// The duration of the first ejection, as a multiple of the time scale. Each consecutive ejection doubles it, ...
 const EJECTION_TIME: f64 = 3.0;
-/// ... up to this many times.
+/// ... up to this number of doublings.
 const MAX_DOUBLINGS: u32 = 3;
-/// Late attempts in a row from which a server counts as unresponsive.
+/// Consecutive late attempts or failures after which a server is considered unresponsive.
 const UNRESPONSIVE_ATTEMPTS: u32 = 2;
-/// The weight of one response in the slowness of a server.
+/// Minimum weight of one response in the slowness of a server.
 const SLOWNESS_GAIN: f64 = 0.15;
-/// The weight of one response if all responses before it have decayed.
+/// The weight of one response if all earlier responses have decayed.
 const SLOWNESS_GAIN_AFTER_DECAY: f64 = 0.5;
-/// The time constant with which slowness decays, in time scales.
+/// The time constant with which slowness decays towards 1, as a multiple of the time scale.
 const SLOWNESS_DECAY: f64 = 8.0;
-/// The bounds of one latency ratio.
+/// The bounds to which a latency ratio is clamped.
 const MIN_RATIO: f64 = 0.1;
 const MAX_RATIO: f64 = 30.0;
-/// How much each late attempt of a class counts against its server for that class.
+/// The amount that each late attempt of a class adds to the server's slowness factor for that class.
 const LATE_PENALTY: f64 = 4.0;
-/// The time constant with which that decays, in time scales per late attempt.
+/// The time constant with which that penalty decays, as a multiple of the time scale, per late attempt.
 const LATE_DECAY: f64 = 8.0;
 
-/// Whether an attempt has its response, or is late.
+/// Whether an attempt has its response or is late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Lateness {
     /// The server has responded.
     Responded,
-    /// The response takes too long.
+    /// The attempt is slow and has no response yet.
     Late,
 }
 
 impl Server {
-    /// Returns the part of the recorded slowness that has not decayed.
+    /// Returns the remaining fraction of the recorded slowness, from 1 when it is recorded towards 0.
     fn slowness_decay(&self, context: Context<'_>) -> f64 {
         (-(context.now - self.slowness_at) / (SLOWNESS_DECAY * context.time_scale())).exp()
     }
 
-    /// Returns the remaining slowness after it has decayed.
+    /// Returns the recorded slowness after its deviation from 1 has decayed to the fraction `decay`.
     fn decayed_slowness(&self, decay: f64) -> f64 {
         1.0 + (self.slowness - 1.0) * decay
     }
 
-    /// Returns the factor by which the server is expected to be slower than usual for a class of requests.
-    /// `zone_factor` is that of its zone.
+    /// Returns the factor by which the server is expected to be slower than the mean for a class of requests.
+    /// `zone_factor` is the factor for the zone of the server.
     pub(super) fn expected_slowness(&self, context: Context<'_>, class: usize, zone_factor: f64) -> f64 {
         self.decayed_slowness(self.slowness_decay(context)) * zone_factor * self.late_factor(context, class)
     }
 
-    /// Returns the factor of late attempts of a class. A server may serve other classes as usual.
+    /// Returns the slowness factor for late attempts of a class. It is tracked by class, since the server may serve other
+    /// classes normally.
     fn late_factor(&self, context: Context<'_>, class: usize) -> f64 {
         let Some(late) = self.late_attempts.get(class).filter(|late| late.count > 0) else { return 1.0 };
         let count = f64::from(late.count);
@@ -59,14 +60,14 @@
         1.0 + LATE_PENALTY * count * (-(context.now - late.last) / decay_time).exp()
     }
 
-    /// Returns whether the server does not respond to a class. One late attempt is not enough at a server that is used
-    /// seldom.
+    /// Returns whether the server is unresponsive to a class. A single late attempt is not sufficient, since it may be the
+    /// only recent attempt at a seldom used server.
     pub(super) fn is_unresponsive(&self, class: usize) -> bool {
         let late = self.late_attempts.get(class).map_or(0, |late| late.count);
         self.failures.max(late) >= UNRESPONSIVE_ATTEMPTS
     }
 
-    /// Records a response.
+    /// Records a completed response, which ends a series of failures and ejections.
     pub(super) fn record_success(&mut self, now: f64) {
         self.last_success = now;
         self.failures = 0;
@@ -75,7 +76,7 @@
 }
 
 impl ServerSet {
-    /// Records a failure of a server. Too many in a row eject it for some time.
+    /// Records a failure of a server, and ejects the server after [`MAX_FAILURES`] consecutive failures.
     pub(super) fn record_failure(&mut self, context: Context<'_>, id: &str) {
         let (now, may_eject) = (context.now, self.remaining_ejections >= 1.0);
         let Some(server) = self.get_mut(id) else { return };
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Records the ratio of an attempt's latency to the usual one, so far if it is late.
+    /// Records the ratio of an attempt's latency to the mean latency. For a late attempt, it is the latency so far.
     pub(super) fn record_latency(
         &mut self,
         context: Context<'_>,
@@ -99,7 +100,8 @@
     ) {
         let now = context.now;
         let Some(server) = self.get_mut(id) else { return };
-        // What has decayed weighs less against a new ratio: a server that is used seldom is judged by its last responses.
+        // The more the recorded slowness has decayed, the more weight a new ratio gets, so that the slowness of a seldom
+        // used server follows its latest responses.
         let decay = server.slowness_decay(context);
         let gain = SLOWNESS_GAIN.max(SLOWNESS_GAIN_AFTER_DECAY * (1.0 - decay));
         let decayed = server.decayed_slowness(decay);
--- a/crates/rate-limiter/src/limiter/quota.rs
+++ b/crates/rate-limiter/src/limiter/quota.rs
@@ -1,7 +1,7 @@
-//! The quotas of tenants: token buckets, each filled by this limiter's share of the quota.
+//! Tenant quotas: one token bucket per tenant, refilled at this limiter's share of the tenant's quota.
 //!
-//! The share of the quota is this limiter's share of the tenant's demand, as the counter tells it. Without recent
-//! totals it is an even share.
+//! The share is proportional to this limiter's part of the tenant's total demand, which the counter service provides.
+//! Without recent totals, the quota is divided evenly among the tenant's limiters.
 
 use super::counter_sync::CounterSync;
 use super::heavy_hitters::{HeavyHitters, LISTED_FRACTION};
@@ -12,58 +12,70 @@
 
 pub(super) use super::counter_sync::COUNTER_WINDOW;
 
-/// Requests of even demand that every share starts with, so that one request of many is no share.
+/// The number of requests, divided evenly among the limiters, that is added to the measured demand when shares are
+/// computed. It keeps a single request from changing a share much.
 const PRIOR_REQUESTS: f64 = 2.0;
-/// Counter windows after which totals count as missing while the counter responds.
+/// The age in counter windows after which totals are treated as missing, even while the counter responds.
 const STALE_WINDOWS: f64 = 2.0;
-/// Seconds without a request after which a tenant whose bucket is full may be forgotten, and between checks for them.
+/// Seconds without a request after which a tenant with a full bucket may be evicted. Also the interval in seconds
+/// between checks for such tenants.
 const IDLE_TIME: f64 = 60.0;
-/// As far as the quota is idle, the fraction of the plan's burst that a bucket of less than one request may borrow.
+/// The fraction of the plan's burst that a bucket smaller than one request may borrow if the quota is completely idle.
+/// The borrowed amount is proportional to the idle fraction of the quota.
 const SMALL_BUCKET_BORROWED_BURST: f64 = 0.7;
-/// As far as the quota is idle, the fraction of its own burst that any other bucket may borrow.
+/// The same for any other bucket, as a fraction of its own burst.
 const BORROWED_BURST: f64 = 0.3;
-/// Divisors are at least this.
+/// Minimum divisor, which avoids division by zero.
 const EPSILON: f64 = 1e-9;
 
-/// The totals of a tenant over all limiters, as this limiter last learned them. Rates are in units per second.
+/// The latest known totals of a tenant over all limiters. Rates are in units per second.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Totals {
+    /// The demand at this limiter, admitted and rejected.
     pub(super) own_demand: f64,
+    /// The demand at all limiters, admitted and rejected.
     pub(super) demand: f64,
+    /// The admitted part of `demand`.
     pub(super) used: f64,
     pub(super) updated_at: f64,
-    /// Seconds over which the rates are averaged.
+    /// The time constant of the averaged rates, in seconds.
     pub(super) averaging_time: f64,
 }
 
-/// A tenant at this limiter.
+/// The state of a tenant at this limiter.
 #[derive(Default)]
 pub(super) struct Tenant {
     /// The index of the plan.
     pub(super) plan: usize,
-    /// Limiters that the tenant can come through.
+    /// The number of limiters that receive requests of the tenant.
     pub(super) limiters: f64,
+    /// Available units of this limiter's share of the quota. Negative after borrowing, or after the units of a
+    /// post-paid request were corrected upwards.
     pub(super) tokens: f64,
-    /// When the bucket was refilled last.
+    /// When the bucket was last refilled.
     refilled_at: f64,
-    /// Tokens of the hard rate limit.
+    /// Available units of this limiter's share of the hard rate limit.
     hard_tokens: f64,
+    /// Attempts in flight from this limiter.
     pub(super) in_flight: u32,
-    /// Units to be reported to the counter: admitted, and rejected.
+    /// Units admitted and rejected that are not yet reported to the counter.
     pub(super) unreported_used: f64,
     pub(super) unreported_rejected: f64,
-    /// Whether a call to the counter is open.
+    /// Whether a report to the counter is awaiting its response.
     pub(super) is_reporting: bool,
+    /// The earliest time of the next report.
     pub(super) next_report: f64,
     pub(super) last_report: f64,
-    /// Mean seconds between two reports.
+    /// The mean time between two reports, in seconds.
     pub(super) report_interval: f64,
     /// The latest response of the counter.
     pub(super) counted: CounterState,
+    /// `None` until the first counter response, and after the counter has lost its numbers.
     pub(super) totals: Option<Totals>,
 }
 
-/// A number on the counter, in steps: those admitted and those rejected in a window.
+/// The decoded value of a tenant's counter: the steps admitted and rejected in one window. See
+/// [`counter_sync`](super::counter_sync) for steps and windows.
 #[derive(Clone, Copy)]
 pub(super) struct CounterState {
     pub(super) window: i64,
@@ -78,7 +90,7 @@
 }
 
 impl CounterState {
-    /// Returns the number in a window, which is zero if another one was counted last.
+    /// Returns the state in a window, which is zero if this state belongs to another window.
     pub(super) fn in_window(self, window: i64) -> CounterState {
         match self.window == window {
             true => self,
@@ -87,23 +99,23 @@
     }
 }
 
-/// A bucket after its refill.
+/// The result of refilling a bucket.
 struct Refilled {
     /// This limiter's share of the quota, in units per second.
     rate: f64,
-    /// Units that the bucket may borrow.
+    /// Units by which the bucket may currently be overdrawn.
     borrowed_burst: f64,
 }
 
-/// A request that its quota rejects.
+/// The error for a request that exceeds its tenant's quota.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct QuotaExceeded {
-    /// Seconds after which the client may try again.
+    /// Seconds after which the client may retry.
     pub(super) retry_after: f64,
 }
 
-/// Returns this limiter's share of a quota, in units per second: by its share of the demand, raised towards an even
-/// share by the part of the quota that is unused.
+/// Returns this limiter's share of a quota, in units per second. It is proportional to this limiter's share of the
+/// demand, and is raised by the unused part of the quota up to an even share.
 fn quota_share(quota: f64, limiters: f64, request_units: f64, totals: Option<&Totals>) -> f64 {
     let even_share = quota / limiters.max(1.0);
     let Some(totals) = totals.filter(|totals| totals.demand > 0.0) else { return even_share };
@@ -114,8 +126,9 @@
     weighted.max(even_share.min(weighted + (quota - totals.used).max(0.0)))
 }
 
-/// Returns whether a plan's burst, spread over a tenant's limiters, is less than the smallest request at each. Nearly
-/// every request then finds a bucket that holds one request all the same, and no totals.
+/// Returns whether the plan's burst, divided among the tenant's limiters, is less than one unit at each limiter. Since a
+/// new bucket always holds at least one request, nearly every request then meets a bucket that admits it, at a limiter
+/// without totals for the tenant.
 pub(super) fn is_scattered(plan: &Plan, limiters: f64) -> bool {
     plan.rate > 0.0 && plan.burst / limiters < 1.0
 }
@@ -129,7 +142,8 @@
             limiters,
             tokens: (plan.burst / limiters).max(units),
             refilled_at: context.now,
-            // A restart must not draw the hard rate limit's burst again: the share is empty when the limiter starts.
+            // The hard rate limit starts without tokens and accrues them from the start of the limiter. Otherwise each
+            // restart would grant the whole burst again.
             hard_tokens: (plan.hard_rate / limiters * age).min(plan.hard_burst / limiters),
             next_report: context.now,
             last_report: started_at,
@@ -138,13 +152,14 @@
         }
     }
 
-    /// Returns the totals, unless they are missing.
+    /// Returns the totals, or `None` if they are missing or stale, or the counter is down.
     fn known_totals(&self, counter_is_up: bool, now: f64) -> Option<&Totals> {
         let is_recent = |totals: &&Totals| now - totals.updated_at <= STALE_WINDOWS * COUNTER_WINDOW;
         self.totals.as_ref().filter(|totals| counter_is_up && is_recent(totals))
     }
 
-    /// Refills the bucket, and the share of the hard rate limit. Tokens above a lowered burst are kept.
+    /// Refills the buckets of the quota and of the hard rate limit. If the burst of the quota shrinks, tokens above it
+    /// are kept.
     fn refill(&mut self, plan: &Plan, units: f64, counter_is_up: bool, now: f64) -> Refilled {
         let known = self.known_totals(counter_is_up, now).copied();
         let rate = quota_share(plan.rate, self.limiters, units, known.as_ref());
@@ -154,16 +169,17 @@
         let (hard_rate, hard_burst) = (plan.hard_rate / self.limiters, plan.hard_burst / self.limiters);
         self.hard_tokens = (self.hard_tokens + hard_rate * (now - self.refilled_at)).min(hard_burst);
         self.refilled_at = now;
-        // A bucket of less than one request rejects most requests however idle the quota is. Other buckets lag behind
-        // load that moves here, a restart, and lost calls. If many limiters lend the same idle units within a report
-        // interval, the quota is exceeded.
+        // Without borrowing, a bucket smaller than one request would reject most requests even if the quota is idle. The
+        // shares of other buckets lag behind when load moves to this limiter, after a restart, and after lost counter
+        // calls. The amount is limited because many limiters can lend the same idle units within one report interval,
+        // which exceeds the quota.
         let idle = known.map_or(0.0, |totals| (1.0 - totals.used / plan.rate.max(EPSILON)).max(0.0));
         let max_borrowed_burst =
             if burst < units { SMALL_BUCKET_BORROWED_BURST * plan.burst } else { BORROWED_BURST * burst };
         Refilled { rate, borrowed_burst: max_borrowed_burst * idle }
     }
 
-    /// Returns whether the tenant may be forgotten: its bucket and its hard rate limit would be full.
+    /// Returns whether the tenant can be evicted: it is idle, and refilled, its quota and hard rate limit would be full.
     fn can_be_forgotten(&self, context: Context<'_>) -> bool {
         let plan = &context.settings.plans[self.plan];
         let idle_time = context.now - self.refilled_at;
@@ -202,7 +218,7 @@
         self.tenants.get_mut(key)
     }
 
-    /// Adds a tenant that is not known, and sets how many limiters it can come through.
+    /// Inserts a tenant if it is unknown, and updates the number of limiters that receive its requests.
     pub(super) fn put(
         &mut self,
         context: Context<'_>,
@@ -218,10 +234,10 @@
         tenant.limiters = limiters;
     }
 
-    /// Decides whether the quota allows a request. Must be followed by [`Quotas::take`] if it is sent.
+    /// Checks whether the quota allows a request. If the request is then sent, the caller must call [`Quotas::take`].
     ///
     /// # Errors
-    /// [`QuotaExceeded`] if it does not.
+    /// [`QuotaExceeded`] if the quota does not allow it.
     pub(super) fn check(
         &mut self,
         context: Context<'_>,
@@ -236,12 +252,13 @@
         let plan = &context.settings.plans[tenant.plan];
         let scattered = is_scattered(plan, tenant.limiters);
         if is_retry && tenant.totals.is_none() && scattered {
-            // Rejected by a limiter that knew more, or while the servers were full: each of hundreds of limiters would
-            // admit it once. By then the quota itself has grown by as much.
+            // Another limiter rejected the request, because it had totals for the tenant or because the servers were
+            // overloaded. Without this check, each of hundreds of limiters would admit one such retry. After the
+            // returned delay, the whole quota has accrued enough units for the request.
             return exceeded(units / plan.rate);
         }
-        // By its share of the quota each limiter would admit that share of what it sees: one that sees little admits by
-        // chance.
+        // A limiter that receives few requests of a tenant cannot enforce a small share with tokens. If the tenant
+        // exceeds its quota, the limiter admits each request with the probability that the quota allows.
         let over_quota = tenant.known_totals(counter_is_up, context.now);
         let over_quota = over_quota.filter(|totals| totals.demand > plan.rate);
         let own_fraction = over_quota.map(|totals| LISTED_FRACTION * plan.rate / totals.demand);
@@ -252,7 +269,7 @@
         }
         let Refilled { rate, borrowed_burst } = tenant.refill(plan, units, counter_is_up, context.now);
         if plan.rate > 0.0 && tenant.tokens + borrowed_burst < units {
-            // If the quota is idle, the next totals matter more than the time until the bucket is refilled.
+            // If the quota is partly idle, new totals may admit the request before the bucket is refilled.
             let refill_time = (units - tenant.tokens - borrowed_burst) / rate.max(1e-3);
             let next_totals = (tenant.next_report - context.now).max(0.0);
             return exceeded(if borrowed_burst > 0.0 { refill_time.min(next_totals) } else { refill_time });
@@ -263,7 +280,7 @@
         Ok(())
     }
 
-    /// Takes the units of a request that is sent.
+    /// Deducts the units of a request that is sent.
     pub(super) fn take(&mut self, key: &str, units: f64) {
         if let Some(tenant) = self.tenants.get_mut(key) {
             tenant.tokens -= units;
@@ -271,8 +288,8 @@
         }
     }
 
-    /// Returns whether a tenant has its share of the plan's limit in flight from here; the share is one attempt at
-    /// least.
+    /// Returns whether a tenant has reached this limiter's share of the plan's in-flight limit. The share is at least
+    /// one attempt.
     pub(super) fn is_at_in_flight_limit(&self, context: Context<'_>, key: &str) -> bool {
         let Some(tenant) = self.tenants.get(key) else { return true };
         let even_share = 1.0 / tenant.limiters;
@@ -283,7 +300,7 @@
             && f64::from(tenant.in_flight) >= (max_in_flight * share.max(even_share)).round().max(1.0)
     }
 
-    /// Reports the units of a request to the counter, now or with a later request.
+    /// Reports the units of a request to the counter, either now or together with a later request.
     pub(super) fn report(
         &mut self,
         context: Context<'_>,
@@ -296,7 +313,7 @@
         self.counter.report(context, key, tenant, units, admitted, rng)
     }
 
-    /// Handles a response of the counter, and returns a further call that follows from it.
+    /// Handles a response of the counter. Returns a follow-up call to the counter, if one is necessary.
     pub(super) fn counter_response(
         &mut self,
         context: Context<'_>,
@@ -324,7 +341,7 @@
         None
     }
 
-    /// Reads the list of heavy hitters on. Due once a tick.
+    /// Continues reading the list of heavy hitters. Must be called once per tick.
     pub(super) fn read_heavy_hitters(
         &mut self,
         context: Context<'_>,
@@ -333,8 +350,8 @@
         self.counter.is_up().then(|| self.heavy_hitters.tick(context.now, rng)).flatten()
     }
 
-    /// Forgets tenants without a request for long, whose bucket and hard rate limit would be full: forgotten sooner,
-    /// each would get them full again. Does nothing unless a check is due since the last tick.
+    /// Evicts idle tenants whose quota and hard rate limit would be full again. Evicting a tenant sooner would reset its
+    /// partly used buckets. Does nothing unless a multiple of [`IDLE_TIME`] has passed since the last tick.
     pub(super) fn forget_idle_tenants(&mut self, context: Context<'_>, last_tick: f64) {
         if (context.now / IDLE_TIME).floor() > (last_tick / IDLE_TIME).floor() {
             self.tenants.retain(|_, tenant| !tenant.can_be_forgotten(context));
@@ -342,12 +359,12 @@
     }
 }
 
-/// Returns the name of a tenant's number on the counter in a window.
+/// Returns the name of a tenant's counter for a window.
 pub(super) fn counter_name(key: &str, window: i64) -> String {
     format!("{:016x}.{window}", hash(key))
 }
 
-/// Returns the mean of a rate after a span of time, in units per second.
+/// Returns the moving average of a rate, in units per second, after `units` were added in `span` seconds.
 pub(super) fn mean_rate(mean: f64, units: f64, span: f64, averaging_time: f64) -> f64 {
     moving_average(mean, units / span, 1.0 - (-span / averaging_time).exp())
 }
--- a/crates/rate-limiter/src/limiter/retry_budget.rs
+++ b/crates/rate-limiter/src/limiter/retry_budget.rs
@@ -1,13 +1,14 @@
-//! The retry budget: every request earns a part of a retry, and a retry that succeeds earns most of it back.
+//! The retry budget: each request deposits a fraction of a retry, and a successful retry is mostly refunded.
 
-/// Retries that each request earns.
+/// The fraction of a retry that each request adds to the budget.
 const EARNED_PER_REQUEST: f64 = 0.1;
-/// The most retries that are saved up.
+/// Maximum number of retries in the budget.
 const MAX_SAVED: f64 = 10.0;
-/// The part of a retry that is earned back when it succeeds in time: where retries help, more are sent.
+/// The fraction of a retry that is refunded if the retry succeeds in time, so that more retries are sent while they
+/// help.
 const EARNED_PER_SUCCESS: f64 = 0.8;
 
-/// The retries that may be sent.
+/// The budget of retries, which starts full.
 pub(super) struct RetryBudget {
     saved: f64,
 }
@@ -19,22 +20,22 @@
 }
 
 impl RetryBudget {
-    /// Records a request of a client.
+    /// Adds the deposit for a client's request.
     pub(super) fn record_request(&mut self) {
         self.earn(EARNED_PER_REQUEST);
     }
 
-    /// Records a retry that succeeded in time.
+    /// Adds the refund for a retry that succeeded in time.
     pub(super) fn record_success(&mut self) {
         self.earn(EARNED_PER_SUCCESS);
     }
 
-    /// Returns whether a retry may be sent.
+    /// Returns whether the budget contains at least one retry.
     pub(super) fn allows_retry(&self) -> bool {
         self.saved >= 1.0
     }
 
-    /// Takes a retry that is sent.
+    /// Deducts a retry that is sent.
     pub(super) fn take(&mut self) {
         self.saved -= 1.0;
     }
--- a/crates/rate-limiter/src/limiter/servers.rs
+++ b/crates/rate-limiter/src/limiter/servers.rs
@@ -1,8 +1,8 @@
-//! The listed servers, and the subset of them that this limiter uses.
+//! The servers known from discovery, and the subset of them that this limiter uses.
 //!
-//! Each limiter uses a few servers only, and all limiters are spread evenly over the servers. Each opens its own
-//! connections, which cost the server work and the request time, and learns of each server from its own responses: with
-//! fewer servers, connections are reused and reports are recent.
+//! Each limiter uses only a few servers, and the limiters are spread evenly over all servers. Opening a connection costs
+//! the server work and delays the request, and a limiter learns the state of a server only from responses to its own
+//! requests. With a small subset, connections are reused and load reports are recent.
 
 use super::fleet_load::{FleetLoad, ReportedLoad};
 use super::{hash, Context};
@@ -10,28 +10,30 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Limiters that use a server. Too few, and their loads do not even out at the server.
+/// The target number of limiters that use each server. With too few, differences between the loads of limiters do not
+/// average out at the server.
 const LIMITERS_PER_SERVER: f64 = 12.0;
-/// The fewest servers that a limiter uses.
+/// Minimum number of servers that a limiter uses, if there are as many.
 const MIN_SUBSET: f64 = 6.0;
-/// The fraction of all servers that may be ejected (half may be partitioned).
+/// Maximum fraction of all servers that may be ejected at once. It exceeds one half because a network partition can cut
+/// off half of the servers.
 const MAX_EJECTED: f64 = 0.6;
-/// The fractional part of the golden ratio, whose multiples spread evenly.
+/// The fractional part of the golden ratio. Its multiples modulo 1 are spread evenly.
 const GOLDEN_RATIO: f64 = 0.618_033_988_75;
 
-/// The least capacity by which loads are divided.
+/// Minimum capacity used as a divisor of loads.
 const MIN_CAPACITY: f64 = 1e-6;
 
-/// The late attempts of a class at a server.
+/// The consecutive late attempts of a class at a server.
 #[derive(Clone, Copy)]
 pub(super) struct LateAttempts {
-    /// Since the server last responded to that class.
+    /// The number of late attempts since the server last responded to a request of the class.
     pub(super) count: u32,
-    /// The time of the latest.
+    /// The time of the latest late attempt.
     pub(super) last: f64,
 }
 
-/// A listed server, and what this limiter has seen of it.
+/// A server known from discovery, and the state that this limiter has observed.
 #[derive(Default)]
 pub(super) struct Server {
     pub(super) zone: Arc<str>,
@@ -39,21 +41,22 @@
     pub(super) weight: f64,
     pub(super) state: ServerState,
     pub(super) started_at: Option<f64>,
-    /// The ratio of its latency to the usual one, and when that was updated.
+    /// The moving average of the ratio of the server's latency to the mean latency, and the time of its last update.
     pub(super) slowness: f64,
     pub(super) slowness_at: f64,
     /// Attempts in flight from this limiter.
     pub(super) in_flight: u32,
     pub(super) reported_load: Option<ReportedLoad>,
+    /// The time of the last completed response.
     pub(super) last_success: f64,
-    /// Failures in a row.
+    /// Consecutive failures.
     pub(super) failures: u32,
-    /// By class.
+    /// Late attempts by class index. Shorter than the list of classes until the first latency is recorded.
     pub(super) late_attempts: Vec<LateAttempts>,
-    /// Ejections in a row.
+    /// Consecutive ejections without a completed response in between.
     pub(super) ejections: u32,
     pub(super) ejected_until: f64,
-    /// The sends of the latest overload window, while the server warms up.
+    /// The times of sends in the latest overload window. Recorded only while the server warms up.
     pub(super) recent_sends: Vec<f64>,
 }
 
@@ -75,28 +78,28 @@
         self.state == ServerState::InService
     }
 
-    /// Returns the capacity of the server, relative to others, by its weight and warm-up.
+    /// Returns the capacity of the server relative to others: its weight times its warm fraction.
     pub(super) fn capacity(&self, context: Context<'_>) -> f64 {
         self.warm_fraction(context) * self.weight
     }
 }
 
-/// All listed servers.
+/// All servers known from discovery.
 #[derive(Default)]
 pub(super) struct ServerSet {
     servers: BTreeMap<ServerId, Server>,
-    /// The servers in the order of their hashes, the same at every limiter.
+    /// The servers in the order of their hashes, which is the same at every limiter.
     ring: Vec<ServerId>,
-    /// How many servers this limiter uses.
+    /// The number of servers that this limiter uses.
     pub(super) subset_size: f64,
-    /// How many limiters use a server.
+    /// The mean number of limiters that use a server, at least 1.
     pub(super) limiters_per_server: f64,
-    /// How many more servers may be ejected.
+    /// The number of further servers that may be ejected. Recomputed in each tick.
     pub(super) remaining_ejections: f64,
     pub(super) load: FleetLoad,
-    /// The sends to warm servers in the latest overload window.
+    /// The times of sends to warm servers in the latest overload window.
     pub(super) recent_warm_sends: VecDeque<f64>,
-    /// The weight of the warm servers in use.
+    /// The total weight of the warm servers in this limiter's subset.
     pub(super) warm_weight: f64,
 }
 
@@ -109,7 +112,7 @@
         self.servers.get_mut(id)
     }
 
-    /// Replaces the list. Servers that are not in it are removed.
+    /// Applies a complete list. Servers that are not in it are removed.
     pub(super) fn replace(&mut self, context: Context<'_>, entries: &[ServerEntry]) {
         for (id, server) in &mut self.servers {
             if entries.iter().all(|entry| entry.id != *id) {
@@ -124,7 +127,7 @@
         for entry in entries {
             let server = self.servers.entry(entry.id.clone()).or_insert_with(|| Server::new(entry, 0));
             if server.started_at != entry.started_at && entry.started_at.is_some() {
-                // A restarted process has nothing in common with the one before but the attempts in flight.
+                // The server process was restarted. Only the count of attempts in flight carries over.
                 *server = Server::new(entry, server.in_flight);
             }
             server.state = entry.state;
@@ -136,7 +139,8 @@
         self.refresh(context);
     }
 
-    /// Updates what is kept over all servers. Due once a tick, so that no request has to do it.
+    /// Recomputes the aggregates over all servers. Called once per tick and after each list update, so that requests do
+    /// not have to compute them.
     pub(super) fn refresh(&mut self, context: Context<'_>) {
         let Context { settings, now } = context;
         let limiters = f64::from(settings.limiter_count.max(1));
@@ -161,7 +165,8 @@
         server.reported_load = self.load.record(report, capacity, now, time_scale).or(server.reported_load);
     }
 
-    /// Returns the servers in this limiter's order. The limiters start evenly spread over the ring.
+    /// Returns the servers in ring order, beginning at this limiter's position. The positions of the limiters are spread
+    /// evenly over the ring.
     pub(super) fn in_ring_order(&self, context: Context<'_>) -> impl Iterator<Item = (&ServerId, &Server)> {
         let offset = (f64::from(context.settings.limiter_index) * GOLDEN_RATIO).fract();
         let start = ((offset * self.ring.len() as f64) as usize).min(self.ring.len());
--- a/crates/rate-limiter/src/limiter/slow_start.rs
+++ b/crates/rate-limiter/src/limiter/slow_start.rs
@@ -1,19 +1,20 @@
-//! Slow start: a server that started recently has a part of its capacity, and gets requests accordingly.
+//! Slow start: a recently started server has only a fraction of its full capacity, and gets requests in proportion.
 //!
-//! A cold server that gets more than a multiple of its capacity for some time fails. Warm servers show what the load
-//! per unit of capacity is; a server in slow start gets the same, times its warm fraction.
+//! A cold server fails if its load exceeds a multiple of its current capacity for some time. The sends to warm servers
+//! give the current load per unit of weight. A server in slow start gets the same load, times its warm fraction.
 
 use super::servers::{Server, ServerSet};
 use super::{hash, Context};
 use crate::interface::ServerId;
 
-/// The fraction of what a cold server can bear that is used.
+/// The fraction of the load at which a cold server fails that is used as its limit.
 const SLOW_START_FRACTION: f64 = 0.6;
-/// The sends of all limiters together in an overload window that a cold server always gets.
+/// Minimum limit of sends to a cold server in an overload window, from all limiters together.
 const MIN_SLOW_START_SENDS: f64 = 4.0;
 
 impl Server {
-    /// Returns the least share of its full capacity that a server has, by its age.
+    /// Returns the fraction of its full capacity that a server has at its age. It grows linearly from
+    /// `Settings::initial_capacity` to 1 over the warm-up time.
     pub(super) fn warm_fraction(&self, context: Context<'_>) -> f64 {
         let Context { settings, now } = context;
         let warmed_up =
@@ -23,10 +24,10 @@
 }
 
 impl ServerSet {
-    /// Returns whether a server may get one more send from here, if it is cold.
+    /// Returns whether slow start allows this limiter one more send to a server. Always true for a warm server.
     ///
-    /// If its share is less than one send in a window, it gets one in that share of the windows, which differ between
-    /// limiters.
+    /// If the limit is less than one send per overload window, a send is allowed in that fraction of the windows. Which
+    /// windows these are is pseudo-random and differs between limiters.
     pub(super) fn allows_slow_start_send(
         &self,
         context: Context<'_>,
