--- a/crates/rate-limiter/src/bin/rate-limiter/clients/guards.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/clients/guards.rs
@@ -1,4 +1,4 @@
-//! What a request holds while it is open.
+//! Guards for the resources that a request holds while it is open. Dropping a guard releases its resource.
 
 use crate::host::Host;
 use hyper::header::HeaderValue;
@@ -14,7 +14,7 @@
 }
 
 impl<'a> OpenId<'a> {
-    /// Reserves an id. Returns none if a request with it is open.
+    /// Reserves an id. Returns `None` if a request with the same id is open.
     pub fn reserve(ids: &'a RefCell<HashSet<HeaderValue>>, id: &HeaderValue) -> Option<Self> {
         ids.borrow_mut().insert(id.clone()).then(|| OpenId { ids, id: id.clone() })
     }
@@ -26,14 +26,14 @@
     }
 }
 
-/// Bytes of a body, reserved from the budget of all bodies.
+/// The bytes of a body, reserved from the budget for all bodies.
 pub struct BodyReservation<'a> {
     reserved: &'a Cell<usize>,
     bytes: usize,
 }
 
 impl<'a> BodyReservation<'a> {
-    /// Reserves bytes. Returns none if the budget does not allow it.
+    /// Reserves bytes. Returns `None` if they would exceed the budget.
     pub fn reserve(reserved: &'a Cell<usize>, bytes: usize, budget: usize) -> Option<Self> {
         let total = Some(reserved.get() + bytes).filter(|total| *total <= budget)?;
         reserved.set(total);
@@ -47,7 +47,8 @@
     }
 }
 
-/// Notifies the host that a client closed its connection, if it is dropped before the final response.
+/// When dropped, notifies the host that the client closed its connection. The host ignores this if the request has its
+/// final response.
 pub struct ClientGuard {
     pub host: Rc<Host>,
     pub id: RequestId,
--- a/crates/rate-limiter/src/bin/rate-limiter/clients/mod.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/clients/mod.rs
@@ -1,6 +1,6 @@
-//! The clients' side: accepts connections, bounds what each may use, reads requests and writes responses.
+//! The client side: accepts connections, limits the resources of each, reads requests and writes responses.
 //!
-//! Malformed requests get their responses here, and reach neither the decisions nor a server.
+//! Malformed requests are answered here. They are neither submitted to the limiter nor sent to a server.
 
 mod guards;
 mod request_error;
@@ -38,34 +38,34 @@
 
 pub use request_head::parse_number;
 
-/// How much earlier than the client gives up a response is due: it has to travel back, and the client's deadline began
-/// before its request arrived.
+/// How long before the client's deadline the final response must be given. The response takes time to reach the client,
+/// and the client's deadline started before the request arrived.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(10);
-/// The longest time from connect, or from the last response, to the end of the next head, and to the end of the first
-/// request, however its bytes come. It bounds idle connections too: that of a client which sends nothing more would
-/// otherwise stay open for ever.
+/// Maximum time from accepting a connection, or from the last response on it, until the next request head is complete.
+/// The first request must be complete within this time including its body. It also limits idle connections, which would
+/// otherwise stay open for ever if the client sends nothing more.
 const HEADER_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// The longest time from the head to the end of a later request.
+/// Maximum time from the head to the end of the body for later requests on a connection.
 const BODY_TIMEOUT: Duration = Duration::from_secs(2);
 const LINGER: Linger = Linger { time: Duration::from_millis(500), bytes: 256 * 1024 };
 const IDLE_GRACE: Duration = Duration::from_millis(100);
 const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(30);
 const MAX_HEADER_BYTES: usize = 16 * 1024;
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// The most open requests, whatever the settings say.
+/// Maximum number of open requests, regardless of the settings.
 const MAX_OPEN_REQUESTS: usize = 1_000;
 const READINESS_PATH: &str = "/up";
 
-/// The service for clients.
+/// The HTTP service for clients.
 pub struct Clients {
     host: Rc<Host>,
     settings: Settings,
-    /// The most bytes of the bodies of all requests together, and those reserved now.
+    /// Maximum bytes of the bodies of all open requests together, and the bytes currently reserved.
     body_budget: usize,
     reserved_bodies: Cell<usize>,
     open_ids: RefCell<HashSet<HeaderValue>>,
     is_ready: Cell<bool>,
-    /// While draining, when requests must have their responses at the latest.
+    /// The time by which requests must have their final responses. `None` unless draining.
     drain_deadline: Cell<Option<Instant>>,
     connections: Rc<ConnectionManager>,
 }
@@ -85,23 +85,24 @@
         })
     }
 
-    /// Marks the limiter as ready: `GET /up` responds 200 from now on.
+    /// Marks the limiter as ready. `GET /up` then responds with 200 until draining begins.
     pub fn set_ready(&self) {
         self.is_ready.set(true);
     }
 
-    /// Accepts connections for as long as it is polled.
+    /// Accepts connections until the future is dropped.
     pub async fn accept(self: &Rc<Self>, listener: TcpListener) {
         self.connections.accept(listener, self.clone()).await;
     }
 
-    /// Begins to drain: responses carry `Connection: close` and are due by `until`; idle connections are closed.
+    /// Starts draining: responses have `Connection: close` and are given by `until`, and idle connections are closed.
     pub fn drain(&self, until: Instant) {
         self.drain_deadline.set(Some(until));
         self.connections.drain();
     }
 
-    /// Closes connections as they become idle, until none is left, nor one in the kernel's queue.
+    /// Waits until all connections are closed, including those in the kernel's accept queue. Connections are closed as
+    /// they become idle.
     pub async fn all_closed(&self) {
         self.connections.all_closed().await;
     }
@@ -118,7 +119,8 @@
         let handled = self.handle(request, raw, socket, accepted_at).await;
         let mut response = handled.unwrap_or_else(RequestError::into_response);
         socket.record_input(MAX_HEADER_BYTES);
-        // Nothing behind a chunked body is read as a request, whatever another reader would find there.
+        // The connection is closed after a chunked request, so that no bytes after its body are read as a request, even if
+        // another HTTP implementation would determine a different end of the body.
         if is_chunked || self.drain_deadline.get().is_some() {
             response::close_connection(&mut response);
         }
@@ -138,17 +140,17 @@
         let (parts, body) = request.into_parts();
         let head = RequestHead::read(&self.settings, &parts, &body, &raw)?;
         drop(raw);
-        // Reserved until the response is written.
+        // The reservation is held until the response is available.
         let _reservation = self.reserve_body(&body)?;
         let body = read_body(body, accepted_at).await?;
         if self.host.open_requests() >= self.max_open_requests() {
             return Err(RequestError::TooManyOpenRequests);
         }
-        // The request was read completely: from here on it gets exactly one response.
+        // The request was read completely. From here on, it gets exactly one response.
         let due = Instant::now() + head.time_remaining.saturating_sub(RESPONSE_MARGIN);
         let due = self.drain_deadline.get().map_or(due, |until| due.min(until));
-        // Ids are new with every request. One that is open is a duplicate: forwarded, it would be a second attempt of
-        // the same request at the same time.
+        // Every request must have a new id. A request whose id is already open is a duplicate. Forwarding it would be a
+        // second concurrent attempt of the same request.
         let open_id = OpenId::reserve(&self.open_ids, &head.correlation_id);
         let _open_id = open_id.ok_or(RequestError::DuplicateId)?;
         self.forward(incoming_request(parts, head, body, due)?, socket).await
@@ -160,14 +162,14 @@
         incoming: IncomingRequest,
         socket: &Socket,
     ) -> Result<ClientResponse, RequestError> {
-        // hyper notices a close only if nothing is unread behind the request. A client that has gone while its
-        // connection waited to be accepted is not forwarded at all.
+        // hyper detects a close only if there is no unread input after the request, so the socket is checked directly. If
+        // the client left while its connection was waiting to be accepted, the request is not submitted.
         let mut closed = pin!(socket.peer_closed());
         if poll_fn(|cx| Poll::Ready(closed.as_mut().poll(cx).is_ready())).await {
             return Err(RequestError::ClientClosed);
         }
         let SubmittedRequest { id, response } = self.host.submit(incoming);
-        // If this future is dropped before the response, its client has closed the connection.
+        // If this future is dropped before the response is available, the client has closed the connection.
         let _guard = ClientGuard { host: self.host.clone(), id };
         tokio::select! {
             biased;
@@ -194,7 +196,7 @@
         }
     }
 
-    /// Reserves memory for a body.
+    /// Reserves memory for a body: its length if that is known, else the maximum length.
     fn reserve_body(&self, body: &Incoming) -> Result<BodyReservation<'_>, RequestError> {
         let size = body.size_hint();
         if size.lower() > MAX_BODY as u64 {
@@ -206,7 +208,8 @@
     }
 }
 
-/// Reads the body of a request. `accepted_at` is when its connection was accepted, for the first request.
+/// Reads the body of a request. `accepted_at` is the time at which the connection was accepted, and `None` unless this is
+/// the first request on the connection.
 async fn read_body(body: Incoming, accepted_at: Option<Instant>) -> Result<Bytes, RequestError> {
     let until = accepted_at.map_or_else(|| Instant::now() + BODY_TIMEOUT, |at| at + HEADER_TIMEOUT);
     match timeout_at(until, Limited::new(body, MAX_BODY).collect()).await {
@@ -257,7 +260,7 @@
     }
 
     fn accept_failed(&self, error: &io::Error) {
-        warn!(error:%; "cannot accept a connection: raise the limit of open files");
+        warn!(error:%; "cannot accept a connection; the limit of open files may be too low");
     }
 }
 
--- a/crates/rate-limiter/src/bin/rate-limiter/clients/request_error.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/clients/request_error.rs
@@ -1,10 +1,10 @@
-//! The errors of requests that get their response before the decisions see them.
+//! Errors of requests that are answered without being submitted to the limiter.
 
 use super::response::{close_connection, plain, ClientResponse};
 use displaydoc::Display;
 use hyper::StatusCode;
 
-/// Why a request is not submitted. The text is the body of its response.
+/// Why a request is not submitted to the limiter. The text is the body of the response.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum RequestError {
     /// no such path
@@ -50,7 +50,7 @@
 }
 
 impl RequestError {
-    /// Returns the status of the response.
+    /// Returns the status code of the response.
     pub fn status(self) -> StatusCode {
         match self {
             RequestError::UnknownPath | RequestError::NoPath => StatusCode::NOT_FOUND,
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Returns the response. Its connection is closed unless the request was read completely: the rest of it must not
-    /// be read as the next request.
+    /// Returns the response. Unless the status is 503, the connection is closed, so that an unread rest of the request is
+    /// not read as the next request.
     pub fn into_response(self) -> ClientResponse {
         let status = self.status();
         let mut response = plain(status, format!("{self}\n"));
--- a/crates/rate-limiter/src/bin/rate-limiter/clients/request_head.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/clients/request_head.rs
@@ -1,7 +1,8 @@
-//! Reads and checks the head of a client's request: everything that the decisions or a server rely on.
+//! Parses and validates the head of a client's request: everything on which the limiter or a server relies.
 //!
-//! A request that is rejected here reaches neither the decisions, whose totals go by tenant, nor a server. This must
-//! stay cheap: nothing is kept or logged, since the same malformed request may come again at full speed.
+//! A request that is rejected here is neither submitted to the limiter, whose totals are kept by tenant, nor sent to a
+//! server. Rejection must be cheap: nothing is stored or logged, because a client may repeat a malformed request at a
+//! high rate.
 
 use super::request_error::RequestError;
 use crate::upstream::headers::{CORRELATION_ID, IDEMPOTENCY_KEY, TIME_REMAINING};
@@ -14,43 +15,44 @@
 
 const METERING: HeaderName = HeaderName::from_static("x-metering");
 const CONTRACT: HeaderName = HeaderName::from_static("x-contract");
-/// Marks a retry of the client.
+/// Marks a retry by the client.
 pub const RETRY_MARK: HeaderName = HeaderName::from_static("x-repeat");
 
-/// The longest id of a request or key, in bytes: ids are kept while requests are open, and are forwarded to servers.
+/// Maximum length of a correlation id or idempotency key, in bytes. Both are stored while the request is open, and are
+/// forwarded to servers.
 const MAX_ID_BYTES: usize = 128;
-/// The most headers that hyper reads of a request.
+/// Maximum number of headers that hyper accepts in a request.
 const MAX_HEADERS: usize = 100;
-/// Numbers of tenants are below this, and written in this many hexadecimal digits.
+/// Tenant numbers are below this limit, and are written with `TENANT_DIGITS` hexadecimal digits.
 const MAX_TENANT: u64 = 1 << 33;
 const TENANT_DIGITS: usize = 16;
 const HEXADECIMAL: u32 = 16;
-/// The most characters of a number.
+/// Maximum length of a number, in bytes.
 const MAX_NUMBER_LENGTH: usize = 20;
 const SECONDS_PER_MILLISECOND: f64 = 1e-3;
 const SECONDS_PER_MICROSECOND: f64 = 1e-6;
 
-/// The checked head of a request.
+/// The validated head of a request.
 pub struct RequestHead {
     pub class: String,
     pub tenant: String,
     pub plan: String,
     pub correlation_id: HeaderValue,
-    /// How long the client waits.
+    /// How long the client still waits, at most the deadline of the class.
     pub time_remaining: Duration,
     pub units: f64,
     pub tenant_limiters: u32,
 }
 
-/// The units of a request, and the number of limiters that its tenant can come through.
+/// The units of a request, and the number of limiters that receive requests of its tenant.
 struct Metering {
     units: f64,
     tenant_limiters: u32,
 }
 
 impl RequestHead {
-    /// Reads the head of a request. `raw` is all that the connection has brought since the last request, the head
-    /// first.
+    /// Parses the head of a request. `raw` contains all bytes received on the connection since the last request, beginning
+    /// with this head. It is only used for chunked requests.
     ///
     /// # Errors
     /// [`RequestError`] if the request is malformed.
@@ -61,7 +63,7 @@
         raw: &[u8],
     ) -> Result<RequestHead, RequestError> {
         let headers = &parts.headers;
-        // The path comes first: an unknown one is not found, whatever the headers say.
+        // The path is checked first, so that an unknown path is reported as not found even if headers are invalid.
         let path = parts.uri.path().strip_prefix('/').and_then(|path| path.split_once('/'));
         let (class_name, tenant) = path.ok_or(RequestError::UnknownPath)?;
         let class = settings
@@ -121,8 +123,8 @@
     Ok(())
 }
 
-/// Returns the text of a header that occurs exactly once. Given twice, it may be read one way here and another way at a
-/// server.
+/// Returns the value of a header that occurs exactly once. Headers that occur twice are invalid, because this limiter and
+/// a server could use different values.
 fn single_text(headers: &HeaderMap, name: HeaderName) -> Option<&str> {
     let mut values = headers.get_all(name).iter();
     let value = values.next().filter(|value| !value.is_empty()).and_then(|value| value.to_str().ok());
@@ -133,24 +135,25 @@
     single_text(headers, name).filter(|id| id.len() <= MAX_ID_BYTES)
 }
 
-/// Parses the number of a tenant, and returns it in its canonical form.
+/// Parses a tenant number, and returns it in its canonical form of lowercase hexadecimal digits.
 fn parse_tenant(text: &str) -> Option<String> {
     let is_hexadecimal = text.len() == TENANT_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
     let number = u64::from_str_radix(text, HEXADECIMAL).ok().filter(|_| is_hexadecimal)?;
     (number < MAX_TENANT).then(|| format!("{number:016x}"))
 }
 
-/// Returns whether a chunked request came without a length. hyper removes the length if both are present, and a peer
-/// that goes by it would find another request in the body: so the head is parsed once more as it came.
+/// Returns whether a chunked request has no `Content-Length`. If both headers are present, hyper removes the length. A
+/// peer that uses the length instead would find another request within the body (request smuggling). The original head
+/// is therefore parsed once more.
 fn is_only_chunked(raw: &[u8]) -> bool {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
-    // A head that is not found again, as it was pipelined behind another request, is rejected too.
+    // A head that was pipelined behind another request may not be found in `raw`. It is rejected too.
     matches!(head.parse(raw), Ok(httparse::Status::Complete(_)))
         && head.headers.iter().all(|header| !header.name.eq_ignore_ascii_case(CONTENT_LENGTH.as_str()))
 }
 
-/// Parses digits with at most one point. Signs, exponents and infinity, which `f64` parses too, are invalid.
+/// Parses digits with at most one decimal point. Signs, exponents and infinity, which `f64` would accept, are invalid.
 pub fn parse_number(text: &str) -> Option<f64> {
     let is_plain = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
     if text.len() > MAX_NUMBER_LENGTH || !is_plain {
@@ -159,8 +162,7 @@
     text.parse::<f64>().ok().filter(|number| number.is_finite())
 }
 
-/// Parses a number and a unit: `480m` milliseconds or `1500u` microseconds. No client waits longer than the deadline of
-/// its class.
+/// Parses a duration such as `480m` (milliseconds) or `1500u` (microseconds). It is limited to the deadline of the class.
 fn parse_time_remaining(text: &str, class: &Class) -> Option<Duration> {
     let (scale, number) = match (text.strip_suffix('m'), text.strip_suffix('u')) {
         (Some(number), _) => (SECONDS_PER_MILLISECOND, number),
@@ -171,7 +173,8 @@
     Duration::try_from_secs_f64((parse_number(number)? * scale).min(max)).ok()
 }
 
-/// Parses `units=2,spread=3,first=1`: the units, the number of limiters of the tenant, and the first of them.
+/// Parses a value such as `units=2,spread=3,first=1`: the units, the number of limiters that receive requests of the
+/// tenant, and the index of the first of them. All three must be present and valid; `first` is not used further.
 fn parse_metering(settings: &Settings, text: &str) -> Option<Metering> {
     let (mut units, mut spread, mut first) = (None, None, None);
     for pair in text.split(',') {
--- a/crates/rate-limiter/src/bin/rate-limiter/clients/response.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/clients/response.rs
@@ -9,19 +9,19 @@
 /// A response to a client.
 pub type ClientResponse = Response<Full<Bytes>>;
 
-/// Returns a response with a text.
+/// Returns a response with a plain text body.
 pub fn plain(status: StatusCode, text: impl Into<Bytes>) -> ClientResponse {
     let mut response = Response::new(Full::new(text.into()));
     *response.status_mut() = status;
     response
 }
 
-/// Has the connection closed after a response.
+/// Sets `Connection: close`, so that the connection is closed after the response.
 pub fn close_connection(response: &mut ClientResponse) {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
-/// Returns the final response to a request.
+/// Converts the final response of the host to an HTTP response.
 pub fn from_final(response: FinalResponse) -> ClientResponse {
     match response {
         FinalResponse::Completed(upstream) => from_server(upstream),
@@ -30,7 +30,7 @@
     }
 }
 
-/// Returns the response to a request that may have executed.
+/// Returns the response to a request that failed and may have executed.
 pub fn failed() -> ClientResponse {
     plain(StatusCode::BAD_GATEWAY, "failed\n")
 }
@@ -44,7 +44,8 @@
     response
 }
 
-/// Returns the response to a request that is safe to retry, after this many seconds; 0 for no advice.
+/// Returns the response to a rejected request, which is safe to retry. `retry_after` is in seconds; if it is 0, the
+/// response has no `Retry-After`.
 fn rejected(retry_after: f64) -> ClientResponse {
     let mut response = plain(StatusCode::TOO_MANY_REQUESTS, "refused: trying again is harmless\n");
     if retry_after > 0.0 {
--- a/crates/rate-limiter/src/bin/rate-limiter/config.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: the environment, and the file that it names.
+//! The configuration: environment variables, and the JSON file that `ROUTER_CONFIG` names.
 
 use crate::discovery::Update;
 use displaydoc::Display;
@@ -11,11 +11,11 @@
 
 const DEFAULT_SOCKETS: usize = 1_024;
 const DEFAULT_MEMORY_MB: f64 = 32.0;
-/// The radix of a seed, and the multiplier that hashes any other text.
+/// The radix of a seed, and the multiplier of the hash that is used if the text is not a number in this radix.
 const SEED_RADIX: u32 = 16;
 const SEED_MULTIPLIER: u64 = 31;
 
-/// Why the limiter cannot be configured.
+/// An error in the configuration.
 #[derive(Debug, Display)]
 pub enum ConfigError {
     /// ROUTER_CONFIG is not set
@@ -24,13 +24,13 @@
     Unreadable { path: String, error: std::io::Error },
     /// ROUTER_CONFIG: {path}: {error}
     Invalid { path: String, error: serde_json::Error },
-    /// {variable}: not an address: {text:?}
+    /// {variable}: invalid socket address: {text:?}
     InvalidAddress { variable: &'static str, text: String },
-    /// {variable} is not set, and {path} names no {key}
+    /// {variable} is not set, and {path} has no `{key}`
     NoAddress { variable: &'static str, path: String, key: &'static str },
-    /// ROUTER_CONFIG: {path}: no settings
+    /// ROUTER_CONFIG: {path}: `settings` is missing
     NoSettings { path: String },
-    /// ROUTER_CONFIG: {path}: settings: no {key}
+    /// ROUTER_CONFIG: {path}: settings: `{key}` is missing or empty
     Empty { path: String, key: &'static str },
 }
 
@@ -54,42 +54,42 @@
     memory_mb: Option<f64>,
 }
 
-/// The part of the file that a reload may change.
+/// The part of the configuration file that a reload may change.
 #[derive(Deserialize)]
 pub struct Addresses {
-    /// The address of discovery.
+    /// The address of discovery. `None` leaves it unchanged.
     pub discovery: Option<SocketAddr>,
-    /// The address of the counter.
+    /// The address of the counter. `None` leaves it unchanged.
     pub counter: Option<SocketAddr>,
 }
 
-/// What a limiter starts with.
+/// The configuration with which the process starts.
 pub struct Setup {
-    /// The path of the file.
+    /// The path of the configuration file.
     pub path: String,
-    /// The address for clients.
+    /// The address on which the limiter listens for clients.
     pub listen: SocketAddr,
     /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The address of the counter, if there is one.
+    /// The address of the counter. `None` if there is no counter.
     pub counter: Option<SocketAddr>,
-    /// The settings of the decisions.
+    /// The settings of the limiter.
     pub settings: Settings,
-    /// The list of servers that this limiter had last.
+    /// The last server list that this limiter knew before it was restarted.
     pub known_servers: Option<Update>,
-    /// The seed of random numbers.
+    /// The seed of the limiter's random numbers.
     pub seed: u64,
-    /// The most sockets of the process.
+    /// Maximum number of sockets of the process.
     pub max_sockets: usize,
     /// The memory of the process, in megabytes.
     pub memory_mb: f64,
 }
 
 impl Setup {
-    /// Reads the environment, and the file that it names. Variables take precedence over the file.
+    /// Reads the environment variables and the configuration file. Variables take precedence over the file.
     ///
     /// # Errors
-    /// [`ConfigError`] if a limiter cannot start with it.
+    /// [`ConfigError`] if a required value is missing or invalid.
     pub fn read() -> Result<Setup, ConfigError> {
         let path = variable("ROUTER_CONFIG").ok_or(ConfigError::NoPath)?;
         let file: ConfigFile = read_file(&path)?;
@@ -112,10 +112,10 @@
 }
 
 impl Addresses {
-    /// Reads the addresses from the file again.
+    /// Reads the addresses from the configuration file.
     ///
     /// # Errors
-    /// [`ConfigError`] if the file cannot be read.
+    /// [`ConfigError`] if the file cannot be read or is invalid.
     pub fn read(path: &str) -> Result<Addresses, ConfigError> {
         read_file(path)
     }
@@ -151,17 +151,17 @@
     }
 }
 
-/// Reads the list that this limiter had last. It only bridges the time until the first update of discovery: an invalid
-/// one keeps no limiter from starting.
+/// Parses the last known server list. It is only used until the first update from discovery, so that an invalid list is
+/// logged and ignored.
 fn read_known_servers(path: &str, known: Value) -> Option<Update> {
     let update = serde_json::from_value(known);
     let log_error = |error: &serde_json::Error| {
-        warn!(path, error:%; "ROUTER_CONFIG: the known list of servers cannot be read, starting without it");
+        warn!(path, error:%; "ROUTER_CONFIG: cannot parse the last known server list, starting without it");
     };
     update.inspect_err(log_error).ok()
 }
 
-/// Parses a seed of hexadecimal digits. Any other text is hashed.
+/// Parses a seed in hexadecimal digits. Any other text is hashed to a seed.
 fn parse_seed(text: &str) -> u64 {
     let hash = |seed: u64, byte: u8| seed.wrapping_mul(SEED_MULTIPLIER) ^ u64::from(byte);
     u64::from_str_radix(text, SEED_RADIX).unwrap_or_else(|_| text.bytes().fold(0, hash))
--- a/crates/rate-limiter/src/bin/rate-limiter/counter.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/counter.rs
@@ -1,4 +1,5 @@
-//! The counter service: adds to a named number and reads it, on a few kept connections.
+//! Client of the counter service, which adds to named counters and returns their totals. It uses a small pool of
+//! persistent connections.
 
 use crate::host::Host;
 use crate::upstream::CONNECTION_LIMITS;
@@ -15,33 +16,36 @@
 use tokio::task::spawn_local;
 use tokio::time::{timeout_at, Instant};
 
-/// The most open calls, each on a connection of its own. Responses on a connection come in order, however late: a call
-/// can never read the response to another one.
+/// Maximum number of open calls, each on its own connection. Since a connection carries one call at a time, a call can
+/// never read a late response to another call.
 pub const MAX_CALLS: usize = 8;
-/// Idle connections are closed after this time, well before the counter closes them (after about 10 s or less).
+/// Idle connections are closed after this time, before the counter closes them (after about 10 s or less).
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// The backoff after a failed connect, which doubles with each further one up to the second figure. It is short, as the
-/// limiter calls seldom while the counter is down, and its calls are what detects that it is back.
+/// The delay after a failed connection attempt, which doubles with each consecutive failure up to `MAX_BACKOFF`. The
+/// delays are short because the limiter calls the counter rarely while it is down, and only these calls detect that it
+/// has recovered.
 const MIN_BACKOFF: Duration = Duration::from_millis(25);
 const MAX_BACKOFF: Duration = Duration::from_millis(200);
-/// The most doublings that are computed.
+/// Maximum number of doublings of the backoff, to avoid an overflow.
 const MAX_DOUBLINGS: u32 = 8;
-/// The time-out of a call in seconds, if the settings do not say it.
+/// The timeout of a call in seconds if the settings contain none.
 const DEFAULT_TIMEOUT_S: f64 = 0.05;
-/// The bounds of the time until a number is forgotten, in milliseconds.
+/// The bounds of a counter's time to live, in milliseconds.
 const MIN_TTL_MS: f64 = 1.0;
 const MAX_TTL_MS: f64 = 60_000.0;
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
 /// A call to the counter.
 pub struct CounterRequest {
+    /// The name of the counter.
     pub name: String,
+    /// The amount to add; 0 to only read the total.
     pub amount: f64,
-    /// Seconds until the number is forgotten.
+    /// The time to live of a new counter, in seconds.
     pub ttl: f64,
 }
 
-/// The result of a call, and its connection if it can be reused.
+/// The result of a call, and its connection if the connection can be reused.
 struct CounterResult {
     outcome: Outcome,
     total: f64,
@@ -59,12 +63,12 @@
     timeout: Duration,
     idle: RefCell<Vec<ClientConnection>>,
     open_sockets: Rc<Cell<usize>>,
-    /// Calls without a response.
+    /// The number of calls that are awaiting their response.
     open_calls: Cell<usize>,
-    /// Failed connects in a row, and when the next is tried.
+    /// The number of consecutive failed connection attempts, and the earliest time of the next attempt.
     connect_failures: Cell<u32>,
     retry_at: Cell<Option<Instant>>,
-    /// Invalid responses so far.
+    /// The number of invalid responses so far.
     invalid_responses: Cell<u64>,
 }
 
@@ -84,8 +88,8 @@
         }
     }
 
-    /// Sets the address of later calls. Open calls end where they are. Idle connections to the old address are closed,
-    /// as a call that crosses their close there is lost.
+    /// Sets the address for new calls. Open calls continue at the old address. Idle connections to the old address are
+    /// closed, because a call would be lost if the counter closed such a connection at the same time.
     pub fn set_address(&self, address: SocketAddr) {
         if self.address.replace(Some(address)) != Some(address) {
             self.idle.borrow_mut().clear();
@@ -94,10 +98,10 @@
         }
     }
 
-    /// Starts a call, whose response goes to the host.
+    /// Starts a call. Its response is passed to the host.
     ///
     /// # Errors
-    /// The outcome if no call can be made; nothing is added then.
+    /// The outcome if the call cannot be started. Nothing is added in this case.
     pub fn call(self: &Rc<Self>, host: &Rc<Host>, call: CounterRequest) -> Result<(), Outcome> {
         let address = self.address.get().ok_or(Outcome::ConnectFailed)?;
         if self.retry_at.get().is_some_and(|retry_at| Instant::now() < retry_at) {
@@ -128,7 +132,7 @@
         let ttl_ms = (ttl * MILLISECONDS_PER_SECOND).clamp(MIN_TTL_MS, MAX_TTL_MS).round();
         let target = format!("/tally/{name}?n={amount}&keep_ms={ttl_ms}");
         loop {
-            // The address may change between two tries: idle connections lead to the current one.
+            // Idle connections are connected to the current address, which may have changed since the call started.
             let idle = if self.address.get() == Some(address) { self.reuse() } else { None };
             let is_reused = idle.is_some();
             let mut connection = match idle {
@@ -144,8 +148,8 @@
                 Ok(Ok(response)) => self.classify(&target, response, connection),
                 Ok(Err(ResponseError::NotSent)) if is_reused => continue,
                 Ok(Err(ResponseError::NotSent)) => CounterResult::failed(Outcome::ConnectFailed),
-                // The amount may have been added, or may be later: a call without a response. Its connection is closed,
-                // so that nobody reads a late response.
+                // The counter may have added the amount, or may still add it. The connection is closed so that a late
+                // response is not read as the response to another call.
                 Ok(Err(ResponseError::Broken | ResponseError::TooLarge)) | Err(_) => {
                     CounterResult::failed(Outcome::Timeout)
                 }
@@ -161,7 +165,7 @@
                 Some(connection)
             }
             Ok(Err(_)) => {
-                // An old address that refuses says nothing about the current one.
+                // A failure at an old address says nothing about the current one.
                 if self.address.get() == Some(address) {
                     self.record_connect_failure();
                 }
@@ -184,12 +188,12 @@
                 CounterResult { outcome: Outcome::Completed, total, reusable: Some(connection) }
             }
             (StatusCode::OK, None) => {
-                self.log_invalid(format_args!("a response to {target} has no total"));
+                self.log_invalid(format_args!("invalid total in the response to {target}"));
                 CounterResult::failed(Outcome::Timeout)
             }
             (status, _) => {
                 if status != StatusCode::SERVICE_UNAVAILABLE {
-                    self.log_invalid(format_args!("{status} for {target}"));
+                    self.log_invalid(format_args!("unexpected status {status} for {target}"));
                 }
                 CounterResult { outcome: Outcome::Rejected, total: 0.0, reusable: Some(connection) }
             }
@@ -204,8 +208,8 @@
         std::iter::from_fn(next_idle).find(ClientConnection::is_usable)
     }
 
-    /// Logs the first invalid response and then fewer and fewer: a counter that is broken all day must not fill the
-    /// log.
+    /// Logs an invalid response if the number of invalid responses is a power of two, so that a counter that stays broken
+    /// does not fill the log.
     fn log_invalid(&self, text: std::fmt::Arguments<'_>) {
         let count = self.invalid_responses.get() + 1;
         self.invalid_responses.set(count);
--- a/crates/rate-limiter/src/bin/rate-limiter/main.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/main.rs
@@ -1,14 +1,14 @@
-//! rate-limiter: a quota-keeping rate limiter on real sockets.
+//! rate-limiter: an HTTP rate limiter that enforces tenant quotas in front of a set of servers.
 //!
-//! | module | concern |
+//! | module | responsibility |
 //! | --- | --- |
 //! | `config` | the environment and the configuration file |
-//! | `process` | starts the parts, reloads addresses on SIGHUP, drains on SIGTERM |
-//! | `clients` | the clients' side: connections, requests, responses |
-//! | `host` | the event loop of the decisions: clock, timers, the table of requests |
-//! | `upstream` | the servers' side: connections, attempts, probes |
+//! | `process` | the process: startup, reload of addresses on SIGHUP, graceful shutdown on SIGTERM |
+//! | `clients` | the client side: connections, requests, responses |
+//! | `host` | the event loop around the limiter: clock, timers, table of requests |
+//! | `upstream` | the server side: connections, attempts, probes |
 //! | `counter` | calls to the counter service |
-//! | `discovery` | the watch of the list of servers |
+//! | `discovery` | the watch of the server list |
 #![forbid(unsafe_code)]
 
 mod clients;
@@ -28,7 +28,7 @@
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            error!(error:%; "the limiter ended");
+            error!(error:%; "the rate limiter ended with an error");
             ExitCode::FAILURE
         }
     }
--- a/crates/rate-limiter/src/bin/rate-limiter/process.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/process.rs
@@ -1,4 +1,4 @@
-//! The process: starts the parts, reloads addresses on SIGHUP, and drains on SIGTERM.
+//! The process: starts all parts, reloads addresses on SIGHUP, and shuts down gracefully on SIGTERM.
 
 use crate::clients::Clients;
 use crate::config::{Addresses, ConfigError, Setup};
@@ -19,20 +19,21 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, timeout, Instant};
 
-/// For how long connections are accepted at least after SIGTERM: new ones come for up to 0.4 s.
+/// How long connections are still accepted after SIGTERM. New connections arrive for up to 0.4 s after it.
 const ACCEPT_TIME: Duration = Duration::from_millis(600);
-/// SIGKILL comes 0.7 s after the longest deadline, or after this many seconds if that is longer.
+/// Maximum part of the longest deadline that counts for the time of SIGKILL, in seconds: SIGKILL follows SIGTERM after
+/// the longest deadline, limited to this value, plus 0.7 s.
 const MAX_KILL_DELAY_S: f64 = 3.0;
-/// The longest deadline that open requests are waited for, in seconds.
+/// Maximum part of the longest deadline for which a shutdown waits for open requests, in seconds.
 const MAX_DRAIN_S: f64 = 60.0;
-/// How long open requests are waited for beyond the longest deadline.
+/// How long a shutdown waits for open requests beyond the longest deadline.
 const DRAIN_MARGIN: Duration = Duration::from_millis(50);
-/// How long the first update of discovery is waited for before the limiter is ready.
+/// Maximum time for which the limiter waits for the first update from discovery before it becomes ready.
 const FIRST_UPDATE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Descriptors for the listener, the runtime, discovery and connections that are being accepted.
+/// File descriptors reserved for the listener, the runtime, discovery and connections that are being accepted.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// The fraction of the memory for bodies of open requests. Responses may take as much again, and each connection has a
-/// buffer of some kilobytes.
+/// The fraction of the memory that the bodies of open requests may use. Responses may use the same amount again, and
+/// each connection has a buffer of a few kilobytes.
 const BODY_MEMORY_FRACTION: f64 = 0.125;
 const MEGABYTE: f64 = 1024.0 * 1024.0;
 /// The exit code after a panic.
@@ -45,27 +46,28 @@
     Config(ConfigError),
     /// cannot start the runtime: {0}
     Runtime(io::Error),
-    /// cannot handle {name}: {error}
+    /// cannot install a handler for {name}: {error}
     Signal { name: &'static str, error: io::Error },
     /// cannot listen on {address}: {error}
     Listen { address: SocketAddr, error: io::Error },
-    /// the address of the listener is unknown: {0}
+    /// cannot read the address of the listening socket: {0}
     LocalAddress(io::Error),
-    /// {0} requests were left open
+    /// {0} requests were still open at shutdown
     OpenRequests(usize),
 }
 
 /// Runs a limiter until it is terminated.
 ///
 /// # Errors
-/// [`ProcessError`] if it cannot start, or requests are still open at its end.
+/// [`ProcessError`] if the limiter cannot start, or if requests are still open when it ends.
 pub fn run(setup: Setup) -> Result<(), ProcessError> {
     exit_on_panic();
     let runtime = Builder::new_current_thread().enable_all().build().map_err(ProcessError::Runtime)?;
     LocalSet::new().block_on(&runtime, serve(setup))
 }
 
-/// Ends the process after a panic: the limiter does not know any more which responses are missing, and is restarted.
+/// Makes any panic end the process. After a panic, the limiter may have lost track of open requests and has to be
+/// restarted.
 fn exit_on_panic() {
     let report = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
@@ -75,7 +77,7 @@
 }
 
 async fn serve(setup: Setup) -> Result<(), ProcessError> {
-    // Both first: a signal without a handler ends the process.
+    // The handlers are installed before anything else, since a signal without a handler ends the process.
     let mut terminate = subscribe(SignalKind::terminate(), "SIGTERM")?;
     let hangup = subscribe(SignalKind::hangup(), "SIGHUP")?;
     let address = setup.listen;
@@ -95,7 +97,7 @@
     spawn_local(become_ready(host.clone(), clients.clone()));
 
     terminate.recv().await;
-    info!(open_requests = host.open_requests(); "SIGTERM received, draining");
+    info!(open_requests = host.open_requests(); "SIGTERM received, completing open requests");
     drain(&clients, longest_deadline).await;
     accepting.abort();
     match host.open_requests() {
@@ -116,7 +118,7 @@
 /// Starts the tasks of all parts.
 fn start(setup: Setup) -> (Rc<Host>, Rc<Clients>) {
     let Setup { discovery, counter, settings, known_servers, seed, max_sockets, memory_mb, .. } = setup;
-    // Each request may have two sockets, one to its client and one to a server.
+    // Each request may need two sockets: one to its client and one to a server.
     let sockets = max_sockets.saturating_sub(RESERVED_DESCRIPTORS + MAX_CALLS).max(2);
     let servers = Servers::new(&settings, sockets / 2);
     let counter = Counter::new(counter, &settings);
@@ -139,20 +141,21 @@
     (host, clients)
 }
 
-/// Marks the limiter as ready after the first update of discovery, or without it: the known list may be out of date.
+/// Marks the limiter as ready after the first update from discovery, or after a timeout. It waits for the update because
+/// the server list from the configuration may be out of date.
 async fn become_ready(host: Rc<Host>, clients: Rc<Clients>) {
     let _ = timeout(FIRST_UPDATE_TIMEOUT, host.discovery().first_update()).await;
     clients.set_ready();
 }
 
-/// Reloads the addresses of discovery and counter from the file at each SIGHUP. The environment applies to the start
-/// only. Signals that come meanwhile count as one more.
+/// Reloads the addresses of discovery and the counter from the configuration file at each SIGHUP. Environment variables
+/// apply only at startup. Signals that arrive during a reload cause one further reload.
 async fn reload(mut hangup: Signal, path: String, host: Rc<Host>) {
     while hangup.recv().await.is_some() {
         let Addresses { discovery, counter } = match Addresses::read(&path) {
             Ok(addresses) => addresses,
             Err(error) => {
-                warn!(path, error:%; "SIGHUP received, settings not reloaded");
+                warn!(path, error:%; "SIGHUP received, cannot reload addresses");
                 continue;
             }
         };
@@ -166,13 +169,13 @@
     }
 }
 
-/// Completes open requests. `longest_deadline` is in seconds.
+/// Completes open requests and closes all connections. `longest_deadline` is in seconds.
 async fn drain(clients: &Clients, longest_deadline: f64) {
-    // Requests that come late must have their responses before SIGKILL too.
+    // Requests that arrive late must also have their responses before SIGKILL.
     let respond_by = Duration::from_secs_f64(longest_deadline.clamp(0.0, MAX_KILL_DELAY_S)) + ACCEPT_TIME;
     clients.drain(Instant::now() + respond_by);
     sleep(ACCEPT_TIME).await;
     let drain_time = Duration::from_secs_f64(longest_deadline.clamp(0.0, MAX_DRAIN_S)) + DRAIN_MARGIN;
-    // Connections that are open after that carry no request, or an incomplete one.
+    // Connections that are still open after this time have no request, or an incomplete one.
     let _ = timeout(drain_time, clients.all_closed()).await;
 }
--- a/crates/rate-limiter/src/interface/action.rs
+++ b/crates/rate-limiter/src/interface/action.rs
@@ -1,61 +1,61 @@
-//! What the host of a limiter has to do.
+//! The actions that a limiter requests from its host.
 
 use super::{RequestId, ServerId};
 
-/// An action for the host.
+/// An action for the host to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt of a request. Attempts are numbered from 0 in this order.
+    /// Start an attempt of a request. The attempts of a request are numbered from 0 in the order of these actions.
     Send {
         /// The request.
         id: RequestId,
-        /// The server.
+        /// The server to send it to.
         server: ServerId,
-        /// The time-out; 0 if the client's deadline bounds it.
+        /// The timeout; 0 if only the client's deadline applies.
         timeout: f64,
-        /// The request must not be sent after this time, however long connecting takes; none if it may.
+        /// The request must not be sent after this time, however long connecting takes. `None` for no limit.
         send_by: Option<f64>,
     },
-    /// Final response: rejected, safe to retry.
+    /// Give the final response: rejected, and safe to retry.
     Reject {
         /// The request.
         id: RequestId,
-        /// The client should try again after this time; 0 for no advice.
+        /// The duration after which the client should retry; 0 if the response gives none.
         retry_after: f64,
     },
-    /// Final response: failed, the request may have executed.
+    /// Give the final response: failed; the request may have executed.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Cancel an attempt.
+    /// Cancel an open attempt. Its outcome must still be reported.
     Cancel {
         /// The request.
         id: RequestId,
-        /// The number of the attempt.
+        /// The number of the attempt, from 0.
         attempt: u32,
     },
-    /// Add to a number on the counter service, and read it.
+    /// Add to a counter of the counter service, and read its new total.
     AddToCounter {
-        /// The name of the number.
+        /// The name of the counter.
         name: String,
-        /// What to add; 0 only reads.
+        /// The amount to add; 0 to only read the total.
         amount: f64,
-        /// A new number is forgotten after this time.
+        /// The time to live of the counter, if this call creates it.
         ttl: f64,
     },
-    /// Set a timer.
+    /// Set a timer. A timer cannot be cancelled.
     SetTimer {
-        /// When it is due.
+        /// The time at which the timer fires.
         at: f64,
-        /// The token of its [`Event::Timer`](super::Event::Timer).
+        /// The token to pass back with its [`Event::Timer`](super::Event::Timer).
         token: u64,
     },
-    /// Probe a server.
+    /// Probe a server for its load.
     Probe {
-        /// The server.
+        /// The server to probe.
         server: ServerId,
     },
-    /// Watch the list of servers.
+    /// Start a watch of the server list, unless one is open.
     WatchServers,
 }
--- a/crates/rate-limiter/src/interface/event.rs
+++ b/crates/rate-limiter/src/interface/event.rs
@@ -1,12 +1,12 @@
-//! What happens to a limiter.
+//! The events that a host passes to a limiter.
 
 use super::{RequestId, ServerEntry, ServerId};
 use std::sync::Arc;
 
-/// The outcome of an attempt or a call.
+/// The outcome of an attempt, a probe, or a call to the counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The response is complete.
+    /// A complete, successful response was received.
     Completed,
     /// An error response; the request may have executed.
     Error,
@@ -14,37 +14,37 @@
     Rejected,
     /// No response in time; the request may have executed.
     Timeout,
-    /// No connection.
+    /// The connection failed before the request was written completely; the request did not execute.
     ConnectFailed,
-    /// The connection broke; the request may have executed.
+    /// The connection was lost; the request may have executed.
     Reset,
     /// Cancelled; the request may have executed.
     Cancelled,
-    /// Never sent.
+    /// The request was not sent, for a reason that is not the server's fault.
     NotSent,
 }
 
-/// A server's report of its load. Values that it did not give are none.
+/// A server's report of its load. A value is `None` if the server did not report it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests in flight.
+    /// The number of requests in flight at the server.
     pub in_flight: Option<f64>,
-    /// Queued requests.
+    /// The number of queued requests at the server.
     pub queue: Option<f64>,
-    /// The share of its cores in use.
+    /// The fraction of the server's cores in use, from 0 to 1.
     pub busy: Option<f64>,
     /// The recent service time in seconds.
     pub latency: Option<f64>,
-    /// Requests per second.
+    /// The request rate, in requests per second.
     pub rate: Option<f64>,
-    /// Errors per second.
+    /// The error rate, in errors per second.
     pub errors: Option<f64>,
 }
 
 /// A client's request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The number of the request.
+    /// The id of the request.
     pub id: RequestId,
     /// The tenant.
     pub tenant: Arc<str>,
@@ -52,85 +52,86 @@
     pub plan: Arc<str>,
     /// The name of the class.
     pub class: Arc<str>,
-    /// The units, or an estimate of them.
+    /// The units that the request consumes, or an estimate if they are settled with the response.
     pub units: f64,
-    /// The number of limiters that the tenant can come through.
+    /// The number of limiters that receive requests of the tenant.
     pub tenant_limiters: u32,
     /// Whether the client marked it as a retry.
     pub is_retry: bool,
-    /// When the client gives up.
+    /// The time at which the client gives up.
     pub due: f64,
 }
 
-/// The result of an attempt.
+/// The result of an attempt, reported exactly once per attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
     /// The request.
     pub id: RequestId,
     /// The number of the attempt, from 0.
     pub attempt: u32,
-    /// Whether the request has its final response.
+    /// Whether the request needs no further response, because the client has its final response or has closed its
+    /// connection.
     pub finished: bool,
     /// The outcome.
     pub outcome: Outcome,
-    /// The time since it was sent.
+    /// The time since the attempt was started.
     pub elapsed: f64,
-    /// The actual units, once, if they are settled afterwards.
+    /// The actual units of the request, if the response contains them.
     pub units: Option<f64>,
-    /// The server's report.
+    /// The server's load report, empty if there is none.
     pub report: LoadReport,
 }
 
 /// The response to an [`Action::AddToCounter`](super::Action::AddToCounter).
 #[derive(Clone, Debug)]
 pub struct CounterResponse {
-    /// The name of the number.
+    /// The name of the counter.
     pub name: String,
-    /// [`Outcome::Completed`], [`Outcome::Timeout`] (may have been added), or another (not added).
+    /// [`Outcome::Completed`]; [`Outcome::Timeout`] if the amount may have been added; any other if it was not added.
     pub outcome: Outcome,
-    /// The number after the call, with [`Outcome::Completed`].
+    /// The total of the counter after the call. Only valid with [`Outcome::Completed`].
     pub total: f64,
-    /// The time since the call.
+    /// The time since the start of the call.
     pub elapsed: f64,
 }
 
-/// An event.
+/// An event for a limiter to handle.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The complete list of servers. Those that are not in it are removed.
+    /// The complete list of servers. Servers that are not in it are removed.
     ServerList(Vec<ServerEntry>),
-    /// Changed entries of the list.
+    /// The changed entries of the server list.
     ServerChanges(Vec<ServerEntry>),
-    /// A call to discovery failed, or the watch broke.
+    /// A call to discovery failed, or an open watch ended.
     DiscoveryFailed,
-    /// A client's request.
+    /// A client's request was received.
     Request(Request),
     /// A streamed response has started.
     StreamStarted {
         /// The request.
         id: RequestId,
     },
-    /// An attempt has its result.
+    /// An attempt ended.
     AttemptFinished(AttemptResult),
     /// The client closed its connection; no response is expected.
     ClientClosed {
         /// The request.
         id: RequestId,
     },
-    /// The counter has responded, or failed.
+    /// A call to the counter ended.
     CounterResponse(CounterResponse),
     /// The response to an [`Action::Probe`](super::Action::Probe).
     ProbeResponse {
-        /// The server.
+        /// The server that was probed.
         server: ServerId,
         /// The outcome.
         outcome: Outcome,
-        /// The server's report.
+        /// The server's load report, empty if there is none.
         report: LoadReport,
     },
-    /// A timer is due.
+    /// A timer fired.
     Timer {
-        /// The token that it was set with.
+        /// The token of the [`Action::SetTimer`](super::Action::SetTimer) that set it.
         token: u64,
     },
 }
--- a/crates/rate-limiter/src/interface/mod.rs
+++ b/crates/rate-limiter/src/interface/mod.rs
@@ -1,6 +1,6 @@
-//! The interface of the decisions: settings, events and actions. It decides nothing.
+//! The types that a limiter and its host exchange: settings, events and actions. They contain no decision logic.
 //!
-//! Times are seconds on the host's clock. Durations are seconds.
+//! Unless stated otherwise, times are in seconds on the host's clock, and durations are in seconds.
 
 mod action;
 mod event;
@@ -12,5 +12,5 @@
 pub use server::{ServerEntry, ServerId, ServerState};
 pub use settings::{Class, Idempotency, Plan, Scope, Settings};
 
-/// The number of a client's request, unique at its limiter.
+/// The id of a client's request, unique within a limiter.
 pub type RequestId = u64;
--- a/crates/rate-limiter/src/interface/server.rs
+++ b/crates/rate-limiter/src/interface/server.rs
@@ -1,37 +1,37 @@
-//! The list of servers.
+//! The server list, as discovery provides it.
 
 use std::sync::Arc;
 
-/// The address of a server.
+/// The id of a server, unique in the server list.
 pub type ServerId = Arc<str>;
 
-/// The state of a server in the list.
+/// The state of a server in the server list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerState {
-    /// Accepts requests.
+    /// The server accepts requests.
     InService,
-    /// Completes its requests; nothing new may be sent.
+    /// The server completes its open requests, and must not get new ones.
     Draining,
-    /// Removed.
+    /// The server is removed from the list, and must not get requests.
     #[default]
     Removed,
 }
 
-/// An entry of the list of servers.
+/// An entry of the server list.
 #[derive(Clone, Debug)]
 pub struct ServerEntry {
-    /// The address.
+    /// The id of the server.
     pub id: ServerId,
-    /// The zone.
+    /// The zone in which the server runs.
     pub zone: Arc<str>,
-    /// The kind of machine.
+    /// The machine type.
     pub kind: Arc<str>,
-    /// The cell within the zone.
+    /// The number of the cell within the zone.
     pub cell: i64,
-    /// The state.
+    /// The state of the server.
     pub state: ServerState,
-    /// The capacity relative to other servers.
+    /// The full capacity relative to other servers. Values that are not positive count as 1.
     pub weight: f64,
-    /// The time of the latest start; none if it is long ago.
+    /// The time of the latest start. `None` if the server has long been warm.
     pub started_at: Option<f64>,
 }
--- a/crates/rate-limiter/src/interface/settings.rs
+++ b/crates/rate-limiter/src/interface/settings.rs
@@ -1,12 +1,12 @@
 //! The settings of a limiter.
 
-/// How far a request of a class may be repeated.
+/// Whether a request of a class may be executed more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
     /// Safe to execute any number of times.
     #[default]
     Idempotent,
-    /// Carries an idempotency key. The servers of one [`Scope`] deduplicate it for some time.
+    /// The request carries an idempotency key, by which the servers of one [`Scope`] deduplicate it for some time.
     Keyed,
     /// Must never execute twice.
     NonIdempotent,
@@ -18,57 +18,58 @@
     /// All servers.
     #[default]
     All,
-    /// Those of one zone.
+    /// The servers of one zone.
     Zone,
-    /// Those of one cell.
+    /// The servers of one cell within a zone.
     Cell,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, Default)]
 pub struct Class {
-    /// The name, as requests give it.
+    /// The name by which requests refer to the class.
     pub name: String,
-    /// A response within this time earns the full value.
+    /// The target latency. A response within this time earns the full value.
     pub target_latency: f64,
-    /// The client gives up after this time, over all its tries.
+    /// The time after which the client gives up, including its own retries.
     pub deadline: f64,
-    /// The value of a request.
+    /// The value of a response, relative to other classes.
     pub value: f64,
-    /// The share of the value that is earned after the target latency.
+    /// The fraction of the value that a response after the target latency earns.
     pub late_share: f64,
-    /// How far a request may be repeated.
+    /// Whether a request may be executed more than once.
     pub idempotency: Idempotency,
-    /// The servers that deduplicate it, for [`Idempotency::Keyed`].
+    /// The servers that together deduplicate a request. Only used with [`Idempotency::Keyed`].
     pub scope: Scope,
-    /// How long it is deduplicated, from the first send that may have executed.
+    /// How long a request is deduplicated, from the first attempt that may have executed it. Only used with
+    /// [`Idempotency::Keyed`].
     pub deduplication_window: f64,
-    /// Whether the response is a stream.
+    /// Whether responses are streamed.
     pub streaming: bool,
 }
 
-/// A plan. Its quotas apply per tenant, over all limiters together.
+/// A plan. Its limits apply to each tenant, over all limiters together.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
-    /// The name, as requests give it.
+    /// The name by which requests refer to the plan.
     pub name: String,
-    /// The quota in units per second; 0 for none.
+    /// The quota in units per second; 0 for no quota.
     pub rate: f64,
-    /// The units that may be used at once.
+    /// The burst of the quota in units.
     pub burst: f64,
-    /// The attempts that may be in flight at once; 0 for no limit.
+    /// Maximum number of attempts in flight; 0 for no limit.
     pub max_in_flight: f64,
-    /// The hard rate limit in units per second; 0 for none.
+    /// The hard rate limit in units per second; 0 for no limit.
     pub hard_rate: f64,
     /// The burst of the hard rate limit in units.
     pub hard_burst: f64,
-    /// Units by which the burst of the hard rate limit may be overdrawn.
+    /// The number of units by which the burst of the hard rate limit may be overdrawn.
     pub hard_slack: f64,
-    /// A multiplier of the value.
+    /// The multiplier of the value of responses.
     pub price: f64,
-    /// The share of the value that is earned beyond the quota.
+    /// The fraction of the value that is earned by responses in excess of the quota.
     pub excess_value: f64,
-    /// The share of the value that is lost for what is sent beyond the quota.
+    /// The fraction of the value that is lost for units sent in excess of the quota.
     pub excess_cost: f64,
 }
 
@@ -81,33 +82,33 @@
     pub limiter_count: u32,
     /// The zone of this limiter.
     pub zone: String,
-    /// The least time between two rounds of events.
+    /// Minimum time between two rounds in which the host passes events to the limiter.
     pub round_interval: f64,
-    /// The classes of requests.
+    /// The classes of requests, to which class indexes refer.
     pub classes: Vec<Class>,
-    /// The plans.
+    /// The plans, to which plan indexes refer.
     pub plans: Vec<Plan>,
-    /// The most units of one request.
+    /// Maximum units of one request; 0 for no limit.
     pub max_units: f64,
-    /// Whether a request's units are an estimate, settled with the response.
+    /// Whether the units of a request are an estimate, which the response replaces by the actual units.
     pub post_paid: bool,
-    /// Whether the counter service may be used.
+    /// Whether a counter service is available.
     pub has_counter: bool,
-    /// The time-out of a counter call.
+    /// The timeout of a call to the counter.
     pub counter_timeout: f64,
-    /// Whether the list of servers comes only when asked for.
+    /// Whether the server list is polled. If false, it is pushed.
     pub discovery_on_request: bool,
-    /// After this time without a call to discovery, a limiter counts as informed.
+    /// The time without a call to discovery after which a limiter is considered to know the current server list.
     pub discovery_deadline: f64,
-    /// The least share of its capacity that a new server has.
+    /// The fraction of its full capacity that a server has when it starts.
     pub initial_capacity: f64,
-    /// The time until a new server has its full capacity.
+    /// The time from the start of a server until it has its full capacity.
     pub warmup_time: f64,
-    /// A cold server fails at this multiple of its present capacity ...
+    /// A cold server fails if its load exceeds this multiple of its current capacity ...
     pub overload_factor: f64,
-    /// ... over this time.
+    /// ... for this time.
     pub overload_window: f64,
-    /// The most attempts of a request.
+    /// Maximum number of attempts of a request.
     pub max_attempts: u32,
     /// Whether attempts may be cancelled.
     pub may_cancel: bool,
@@ -115,14 +116,14 @@
     pub may_probe: bool,
     /// Whether a request may have two attempts open at the same time.
     pub may_hedge: bool,
-    /// Whether rejected clients can be told when to try again.
+    /// Whether a rejection may tell the client when to retry.
     pub may_send_retry_after: bool,
-    /// The longest such time.
+    /// Maximum duration after which a rejected client is told to retry.
     pub max_retry_after: f64,
-    /// The time-out of connecting to a server. For the host; the limiter has no connections.
+    /// The timeout of connecting to a server. Used by the host only.
     pub connect_timeout: f64,
-    /// Servers close a connection that has been idle for this time.
+    /// The idle timeout after which servers close a connection. Used by the host only.
     pub server_idle_timeout: f64,
-    /// The most requests that may be open at once; 0 if unknown.
+    /// Maximum number of open requests; 0 if unknown. Used by the host only.
     pub max_open_requests: u32,
 }
--- a/crates/rate-limiter/src/lib.rs
+++ b/crates/rate-limiter/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of a rate limiter in front of a shared API.
+//! The decision logic of a rate limiter in front of a shared API.
 //!
-//! A [`Limiter`] is a pure state machine: no I/O, no clock, no globals. Its host passes it events ([`Event`]) and their
-//! time, and performs the resulting actions ([`Action`]). Several limiters in front of the same servers enforce each
-//! tenant's quota together, through a counter service.
+//! A [`Limiter`] is a pure state machine: it performs no I/O, reads no clock, and has no global state. Its host passes
+//! events ([`Event`]) to it together with the current time, and performs the resulting actions ([`Action`]). Several
+//! limiters in front of the same servers jointly enforce each tenant's quota, through a counter service.
 //!
 //! ```
 //! use rate_limiter::{Action, Event, Limiter, Settings};
--- a/crates/rate-limiter/src/settings_file.rs
+++ b/crates/rate-limiter/src/settings_file.rs
@@ -1,5 +1,5 @@
-//! The settings and load reports as the deployment writes them, for every host of a limiter. Unknown keys are ignored;
-//! missing ones are zero.
+//! Deserializes the settings and load reports in the format of the deployment, for all hosts of a limiter. Unknown keys
+//! are ignored. Missing keys get the default: 0, false, or empty.
 
 use crate::interface::{Class, Idempotency, LoadReport, Plan, Scope, Settings};
 use serde::{Deserialize, Deserializer};
@@ -13,7 +13,7 @@
 }
 
 impl LoadReport {
-    /// Sets a value by its name in the settings or in the servers' responses. Unknown names are ignored.
+    /// Sets the value with this name in the settings or in a server's response. Unknown names are ignored.
     pub fn set(&mut self, name: &str, value: f64) {
         match name {
             "rif" | "inflight" => self.in_flight = Some(value),
@@ -27,7 +27,7 @@
     }
 }
 
-/// The settings. The names of fields are the keys of the file.
+/// The format of the settings. The keys are the field names in kebab case, unless an attribute renames a field.
 #[derive(Deserialize, Default)]
 #[serde(default, rename_all = "kebab-case", expecting = "the settings")]
 struct SettingsFile {
