--- a/crates/rate-limiter/src/bin/rate-limiter-sim/error.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter-sim/error.rs
@@ -1,16 +1,16 @@
-//! Why the simulator's input cannot be processed.
+//! Errors of the simulator host.
 
 use displaydoc::Display;
 use std::io;
 
-/// An error in a line.
+/// An error in a line of the input.
 #[derive(Debug, Display)]
 pub enum LineError {
     /// {word}: {field}: missing
     Missing { word: String, field: &'static str },
     /// {word}: {field}: {problem}
     Invalid { word: String, field: &'static str, problem: String },
-    /// {word:?} where {expected}
+    /// unexpected {word:?}: {expected}
     Unexpected { word: String, expected: String },
     /// empty line within a batch
     Empty,
@@ -21,9 +21,9 @@
 /// Why the program ends.
 #[derive(Debug, Display)]
 pub enum SimError {
-    /// cannot read: {0}
+    /// cannot read standard input: {0}
     Read(io::Error),
-    /// cannot write: {0}
+    /// cannot write standard output: {0}
     Write(io::Error),
     /// line {number}: {error}
     Line { number: usize, error: LineError },
--- a/crates/rate-limiter/src/bin/rate-limiter-sim/line.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter-sim/line.rs
@@ -1,9 +1,9 @@
-//! A line of the input, and its fields.
+//! Access to the fields of an input line.
 
 use super::error::LineError;
 use std::str::FromStr;
 
-/// A line and its fields, split at single spaces.
+/// An input line and its fields, which are separated by single spaces.
 pub struct Line<'a> {
     text: &'a str,
     fields: Vec<&'a str>,
@@ -18,7 +18,7 @@
         self.text.is_empty()
     }
 
-    /// Returns the first field, which tells what the line is.
+    /// Returns the first field, the keyword that identifies the kind of line.
     pub fn word(&self) -> &'a str {
         self.fields[0]
     }
@@ -35,24 +35,24 @@
         LineError::Missing { word: self.word().to_string(), field }
     }
 
-    /// Returns a field.
+    /// Returns a field that must not be empty. `field` is its name in errors.
     pub fn text(&self, index: usize, field: &'static str) -> Result<&'a str, LineError> {
         let text = self.fields.get(index).copied().filter(|text| !text.is_empty());
         text.ok_or_else(|| self.missing(field))
     }
 
-    /// Returns a field, unless it is `-` or missing.
+    /// Returns a field, or `None` if it is `-`, empty or missing.
     pub fn optional(&self, index: usize) -> Option<&'a str> {
         self.fields.get(index).copied().filter(|text| *text != "-" && !text.is_empty())
     }
 
-    /// Returns a field that is an integer.
+    /// Returns a field as an integer.
     pub fn integer<T: FromStr>(&self, index: usize, field: &'static str) -> Result<T, LineError> {
         let text = self.text(index, field)?;
         text.parse().map_err(|_| self.invalid(field, format!("not a whole number in range: {text:?}")))
     }
 
-    /// Returns a field that is a number.
+    /// Returns a field as a finite number.
     pub fn number(&self, index: usize, field: &'static str) -> Result<f64, LineError> {
         self.parse_number(self.text(index, field)?, field)
     }
@@ -63,12 +63,12 @@
         number.ok_or_else(|| self.invalid(field, format!("not a number: {text:?}")))
     }
 
-    /// Returns a field that is a number, unless it is missing.
+    /// Returns a field as a finite number, or `None` if it is `-`, empty or missing.
     pub fn optional_number(&self, index: usize, field: &'static str) -> Result<Option<f64>, LineError> {
         self.optional(index).map(|text| self.parse_number(text, field)).transpose()
     }
 
-    /// Returns a field that is 1, or 0 or `-`.
+    /// Returns a field as a flag: `1` is true, `0` and `-` are false.
     pub fn flag(&self, index: usize, field: &'static str) -> Result<bool, LineError> {
         match self.text(index, field)? {
             "1" => Ok(true),
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Returns the rest of the line from a field on.
+    /// Returns the rest of the line, beginning with a field.
     pub fn rest(&self, index: usize, field: &'static str) -> Result<&'a str, LineError> {
         let text = self.text.splitn(index + 1, ' ').nth(index).filter(|text| !text.is_empty());
         text.ok_or_else(|| self.missing(field))
--- a/crates/rate-limiter/src/bin/rate-limiter-sim/main.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter-sim/main.rs
@@ -1,5 +1,5 @@
-//! Hosts limiters in the simulator: reads batches of events from standard input, and writes a reply for each to
-//! standard output. It parses, routes and formats; it decides nothing.
+//! rate-limiter-sim: hosts the limiters of a simulation. It reads batches of events from standard input, and writes a
+//! reply to each batch to standard output. It contains no decision logic.
 #![forbid(unsafe_code)]
 
 mod error;
@@ -20,11 +20,12 @@
 /// The size of the output buffer, in bytes.
 const OUTPUT_BUFFER: usize = 1 << 20;
 
-/// The limiter with a number, if one runs.
+/// The state of an instance number: its current limiter, if one is running.
 #[derive(Default)]
 struct Instance {
     limiter: Option<Limiter>,
-    /// How many ended before: what was meant for them is not for the next one.
+    /// The number of limiters with this instance number that ended before. Timers of earlier limiters are recognized by it
+    /// and ignored.
     incarnation: u32,
 }
 
@@ -34,7 +35,7 @@
     }
 }
 
-/// The limiters of this process, by their numbers, and the batch that is being read.
+/// The limiters of the simulation by instance number, and the batch that is being read.
 #[derive(Default)]
 struct Simulation {
     instances: BTreeMap<u32, Instance>,
@@ -77,7 +78,7 @@
     }
 }
 
-/// Why a line cannot be handled.
+/// An error while handling a line.
 enum HandleError {
     Line(LineError),
     Write(io::Error),
@@ -146,7 +147,7 @@
         Ok(())
     }
 
-    /// Ends the limiter with a number, and discards its actions in this batch.
+    /// Ends the limiter with this instance number, if one is running, and discards its actions in the current batch.
     fn stop(&mut self, instance: u32) -> &mut Instance {
         self.reply.remove(instance);
         let stopped = self.instances.entry(instance).or_default();
@@ -154,7 +155,7 @@
         stopped
     }
 
-    /// Passes an event to a limiter, and adds its actions to the reply.
+    /// Passes an event to a limiter, and adds the resulting actions to the reply. Ignored if the limiter is not running.
     fn deliver(&mut self, instance: u32, now: f64, event: Event) -> io::Result<()> {
         let Some(Instance { limiter: Some(limiter), incarnation }) = self.instances.get_mut(&instance) else {
             return Ok(());
--- a/crates/rate-limiter/src/bin/rate-limiter-sim/protocol.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter-sim/protocol.rs
@@ -1,4 +1,4 @@
-//! The simulator's protocol: lines to events and settings, actions to lines.
+//! The protocol of the simulator: parses lines into events and settings, and formats actions as lines.
 
 use super::error::LineError;
 use super::line::Line;
@@ -9,7 +9,7 @@
 use std::io::{self, Write};
 use std::sync::Arc;
 
-/// The words of lines that concern a limiter. Others are ignored.
+/// The keywords of lines that concern a limiter. Other lines are ignored.
 const KNOWN_WORDS: [&str; 10] = [
     "PROVISION",
     "REGISTRY",
@@ -23,40 +23,40 @@
     "ALARM",
 ];
 
-/// The start of a batch.
+/// The header of a batch.
 pub struct Batch {
-    /// The time of its events, in seconds.
+    /// The time of all events of the batch, in seconds.
     pub now: f64,
     pub number: u64,
 }
 
-/// A process of a limiter, among all with its number.
+/// Identifies one limiter among those that successively have the same instance number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Incarnation {
     pub instance: u32,
-    /// How many processes with this number ended before.
+    /// The number of limiters with this instance number that ended before.
     pub incarnation: u32,
 }
 
-/// A line within a batch.
+/// The content of a line within a batch.
 pub enum Message {
-    /// The batch is complete.
+    /// The end of the batch.
     End,
-    /// A limiter starts.
+    /// A limiter is started.
     Start { instance: u32, seed: u64, settings: Box<Settings> },
-    /// A limiter was killed.
+    /// A limiter is stopped.
     Stop(u32),
-    /// A list of servers begins.
+    /// A server list, whose entries follow as separate lines.
     List(PendingList),
     /// An event for a limiter.
     Event { instance: u32, event: Event },
-    /// A timer is due that an incarnation set.
+    /// A timer fires that was set by this incarnation.
     Timer { target: Incarnation, token: u64 },
-    /// Does not concern a limiter.
+    /// The line does not concern a limiter.
     Ignored,
 }
 
-/// A list of servers of which some entries are missing.
+/// A server list whose entries are being read.
 pub struct PendingList {
     instance: u32,
     kind: ListKind,
@@ -75,7 +75,7 @@
         self.missing == 0
     }
 
-    /// Adds an entry.
+    /// Adds the entry in an `ITEM` line.
     pub fn push(&mut self, line: &Line) -> Result<(), LineError> {
         if line.word() != "ITEM" {
             return Err(line.unexpected(&format!("{} more ITEM lines are due", self.missing)));
@@ -99,7 +99,7 @@
         Ok(())
     }
 
-    /// Returns the limiter that the list is for, and the event.
+    /// Returns the instance number of the limiter that gets the list, and the event for it.
     pub fn into_event(self) -> (u32, Event) {
         let event = match self.kind {
             ListKind::Complete => Event::ServerList(self.entries),
@@ -110,7 +110,7 @@
     }
 }
 
-/// Parses the line that begins a batch.
+/// Parses the `TURN` line that begins a batch.
 pub fn parse_batch(line: &Line) -> Result<Batch, LineError> {
     if line.word() != "TURN" {
         return Err(line.unexpected("TURN is due"));
@@ -119,7 +119,7 @@
     Ok(Batch { now: line.number(1, "clock")?, number })
 }
 
-/// Parses any other line of a batch but the entries of a list.
+/// Parses a line within a batch, except for the entries of a server list.
 pub fn parse_message(line: &Line) -> Result<Message, LineError> {
     match line.word() {
         "OVER_TO_YOU" => return Ok(Message::End),
@@ -158,7 +158,7 @@
     Ok(Message::List(PendingList { instance, kind, missing, entries: Vec::new() }))
 }
 
-/// Parses a timer. One with a token that this program did not write is ignored.
+/// Parses a timer. A timer whose token does not have the format that this program writes is ignored.
 fn parse_timer(line: &Line, instance: u32) -> Result<Message, LineError> {
     let reference = line.text(2, "ref")?;
     let (token, incarnation) = reference.split_once('.').unwrap_or((reference, "0"));
@@ -234,11 +234,11 @@
     Ok(report)
 }
 
-/// Writes an action of an incarnation as a line.
+/// Writes an action of a limiter as a line.
 pub fn write_action(output: &mut impl Write, source: Incarnation, action: &Action) -> io::Result<()> {
     let Incarnation { instance, incarnation } = source;
     match action {
-        // The simulator sends at once, so that `send_by` always holds.
+        // The simulator sends requests immediately, so that `send_by` is always met.
         Action::Send { id, server, timeout, send_by: _ } => {
             writeln!(output, "ASSIGN {instance} {id} {timeout} {server}")
         }
@@ -251,7 +251,8 @@
         Action::SetTimer { at, token } if incarnation == 0 => {
             writeln!(output, "DEFER {instance} {at} {token}")
         }
-        // Timers cannot be cancelled: one that is left over must not wake the next incarnation.
+        // Timers cannot be cancelled. The incarnation is added to the token so that a timer of an earlier limiter is not
+        // delivered to a later one.
         Action::SetTimer { at, token } => writeln!(output, "DEFER {instance} {at} {token}.{incarnation}"),
         Action::Probe { server } => writeln!(output, "TEST {instance} {server}"),
         Action::WatchServers => writeln!(output, "FOLLOW {instance} 1"),
--- a/crates/rate-limiter/src/bin/rate-limiter-sim/reply.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter-sim/reply.rs
@@ -1,15 +1,15 @@
-//! The reply to a batch.
+//! Collects and writes the reply to a batch.
 
 use std::io::{self, Write};
 
-/// The lines of one limiter.
+/// Consecutive lines that belong to one limiter.
 struct Section {
     instance: u32,
-    /// The end of its lines.
+    /// The end of the section in `Reply::lines`, in bytes.
     end: usize,
 }
 
-/// The reply to the batch that is being read.
+/// The reply to the batch that is being read. The sections are consecutive and cover all lines.
 #[derive(Default)]
 pub struct Reply {
     lines: Vec<u8>,
@@ -17,7 +17,7 @@
 }
 
 impl Reply {
-    /// Adds lines of a limiter, which `write` writes.
+    /// Adds the lines that `write` produces for a limiter.
     pub fn add(
         &mut self,
         instance: u32,
@@ -28,8 +28,8 @@
         written
     }
 
-    /// Removes the lines of a limiter that ended within the batch: actions take effect after all events of the batch,
-    /// and would be those of a limiter that has ended, or of the next one, which knows nothing of them.
+    /// Removes the lines of a limiter that ended within the batch. Actions take effect only after all events of the batch.
+    /// They would then be performed for a limiter that has ended, or for its successor, which did not request them.
     pub fn remove(&mut self, instance: u32) {
         let mut kept = Reply::default();
         let mut start = 0;
@@ -43,7 +43,7 @@
         *self = kept;
     }
 
-    /// Writes the reply to a batch, and clears it.
+    /// Writes and flushes the reply to a batch, and clears it for the next batch.
     pub fn send(&mut self, batch: u64, output: &mut impl Write) -> io::Result<()> {
         output.write_all(&self.lines)?;
         writeln!(output, "NEXT {batch}")?;
--- a/crates/rate-limiter/src/bin/rate-limiter/discovery/message_decoder.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/discovery/message_decoder.rs
@@ -1,27 +1,27 @@
-//! The messages of a watch: one JSON value after the other, with any white space between and within them, in chunks of
-//! any size.
+//! Decodes the messages of a watch: a sequence of JSON values with optional white space between and within them, received
+//! in chunks of any size.
 
 use super::update::Update;
 use bytes::{Buf, BytesMut};
 use displaydoc::Display;
 
-/// The most bytes of a message. A list of about ten thousand servers fits.
+/// Maximum bytes of a message. A list of about ten thousand servers fits.
 const MAX_MESSAGE: usize = 4 << 20;
 
 /// Why a message cannot be decoded.
 #[derive(Debug, Display)]
 pub enum DecodeError {
-    /// a message cannot be read: {0}
+    /// cannot parse a message: {0}
     Invalid(serde_json::Error),
-    /// a message is too long
+    /// a message exceeds the maximum length
     TooLong,
 }
 
-/// Decodes messages.
+/// An incremental decoder of messages.
 #[derive(Default)]
 pub struct MessageDecoder {
     buffer: BytesMut,
-    /// Whether bytes since the last decoding may complete a message, which ends with a brace.
+    /// Whether the bytes received since the last parse contain a closing brace, and so may complete a message.
     may_be_complete: bool,
 }
 
@@ -32,15 +32,15 @@
         self.may_be_complete |= chunk.contains(&b'}');
     }
 
-    /// Returns whether a part of a message was received.
+    /// Returns whether a message was received in part.
     pub fn has_partial_message(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Returns the next message that is complete.
+    /// Returns the next complete message, or `None` if more bytes are needed.
     ///
     /// # Errors
-    /// [`DecodeError`] if it is invalid.
+    /// [`DecodeError`] if the message is invalid or too long.
     pub fn next_message(&mut self) -> Result<Option<Update>, DecodeError> {
         let blank = self.buffer.len() - self.buffer.trim_ascii_start().len();
         self.buffer.advance(blank);
--- a/crates/rate-limiter/src/bin/rate-limiter/discovery/mod.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Discovery: watches the list of servers, and resumes the watch when it breaks.
+//! Client of the discovery service: watches the server list, and resumes the watch after it ends.
 
 mod message_decoder;
 mod update;
@@ -26,57 +26,62 @@
 
 pub use update::Update;
 
-/// How long a watch may be idle. An empty line comes every 2 s while nothing changes. A peer behind a partition shows
-/// no error, and simply sends nothing. What discovery publishes applies 6 s after the watch went idle, or 4 s after a
-/// move, whether or not it arrived: this, two calls without a response and the backoffs between them stay below that.
+/// Maximum time without a message or an empty line on a watch. Discovery sends an empty line every 2 s while nothing
+/// changes, so that silence reveals a network partition, which causes no error.
+///
+/// A change that discovery publishes takes effect 6 s after the watch became idle, or 4 s after a move, even if the limiter
+/// did not receive it. This timeout, two calls without a response, and the backoffs between them take less than that.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How long a call may take to its first message if the list is pushed: the agent of this machine responds at once or
-/// not at all.
+/// Maximum time from the start of a call to the first message if the list is pushed. The agent on the local machine
+/// responds immediately or not at all.
 const PUSHED_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The same if the list comes on request: one discovery serves all limiters in turn.
+/// Maximum time from the start of a call to the first message if the list is polled. A single discovery service serves all
+/// limiters one after the other.
 const POLLED_RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
-/// The longest time between two watches, should the decisions not ask for one.
+/// Maximum delay before the next watch if the limiter does not request one.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(60);
 
 /// Why a watch ended.
 #[derive(Debug, Display)]
 enum WatchError {
-    /// no connection: {0}
+    /// cannot connect: {0}
     Connect(io::Error),
-    /// the request cannot be built: {0}
+    /// cannot build the request: {0}
     Request(hyper::http::Error),
-    /// the connection broke before the response
+    /// the connection was lost before the response
     NoResponse,
-    /// no response in time
+    /// timeout before the response
     ResponseTimeout,
-    /// the response has status {0}
+    /// unexpected status {0}
     Status(StatusCode),
-    /// the watch was idle for too long
+    /// timeout without a message on the watch
     Idle,
-    /// the service ended the watch
+    /// discovery ended the watch
     Ended,
-    /// the watch broke: {0}
+    /// the connection of the watch was lost: {0}
     Broken(hyper::Error),
     /// {0}
     Decode(DecodeError),
 }
 
-/// A watch that was accepted.
+/// A watch whose response head was received.
 struct OpenWatch {
     connection: ClientConnection,
     response: Response<Incoming>,
 }
 
+/// The client of the discovery service.
 pub struct Discovery {
     address: Cell<SocketAddr>,
-    /// Notified when the address has changed: the watch, and the delay until the next one, end.
+    /// Notified when the address changes. Ends the current watch, or the delay before the next one.
     address_changed: Notify,
-    /// Notified when the decisions ask for a watch: the delay until the next one ends.
+    /// Notified when the limiter requests a watch. Ends the delay before the next watch.
     watch_requested: Notify,
+    /// Notified when a message was received completely.
     updated: Notify,
-    /// Watches in a row that ended without an update.
+    /// The number of consecutive watches that ended without an update.
     failures: Cell<u64>,
-    /// How long a call may take to its first message.
+    /// Maximum time from the start of a call to the first message.
     response_timeout: Duration,
     open_sockets: Rc<Cell<usize>>,
 }
@@ -97,30 +102,31 @@
         }
     }
 
-    /// Sets the address. A watch at the old one ends at once: the new one continues after the last version.
+    /// Sets the address. A watch at the old address ends immediately, and a new watch continues after the last received
+    /// version.
     pub fn set_address(&self, address: SocketAddr) {
         if self.address.replace(address) != address {
             self.address_changed.notify_one();
         }
     }
 
-    /// Asks for a watch now, unless there is one.
+    /// Requests a watch without further delay. Has no effect while a watch is open.
     pub fn request_watch(&self) {
         self.watch_requested.notify_one();
     }
 
-    /// Waits for the first message of a watch.
+    /// Waits until a message was received.
     pub async fn first_update(&self) {
         self.updated.notified().await;
     }
 
-    /// Watches the list for as long as it is polled, after the version that the host starts with.
+    /// Watches the server list until the future is dropped. `after` is the version that the limiter already has.
     pub async fn watch(self: Rc<Self>, host: Rc<Host>, mut after: Option<u64>) {
         loop {
             let watching = async {
                 let Err(error) = self.watch_once(&host, self.address.get(), &mut after).await;
                 self.log_failure(&error);
-                // A watch that was requested before this one ended is not requested again.
+                // Discards a request that was made while the watch was still open.
                 let _ = timeout(Duration::ZERO, self.watch_requested.notified()).await;
                 host.discovery_failed();
                 let _ = timeout(MAX_RETRY_DELAY, self.watch_requested.notified()).await;
@@ -132,24 +138,26 @@
         }
     }
 
-    /// Logs the first failure in a row and then fewer and fewer: a discovery that is down must not fill the log.
+    /// Logs a failure if the number of consecutive failures is a power of two, so that a discovery service that stays down
+    /// does not fill the log.
     fn log_failure(&self, error: &WatchError) {
         let failures = self.failures.get() + 1;
         self.failures.set(failures);
         if failures.is_power_of_two() {
-            warn!(error:%, failures; "watching the list of servers failed");
+            warn!(error:%, failures; "the watch of the server list failed");
         }
     }
 
-    /// Ends a series of failures.
+    /// Records that the watch works, which resets the number of consecutive failures.
     fn record_update(&self) {
         self.updated.notify_one();
         let failures = self.failures.replace(0);
         if failures > 0 {
-            info!(failures; "watching the list of servers again");
+            info!(failures; "the watch of the server list works again");
         }
     }
 
+    /// Connects, sends the request for a watch, and waits for the response head.
     async fn open_watch(&self, address: SocketAddr, after: Option<u64>) -> Result<OpenWatch, WatchError> {
         let connection = ClientConnection::connect(address, &self.open_sockets, CONNECTION_LIMITS).await;
         let mut connection = connection.map_err(WatchError::Connect)?;
@@ -158,13 +166,14 @@
         Ok(OpenWatch { connection, response })
     }
 
+    /// Runs one watch and applies its updates until it ends. `after` is set to the version of each update.
     async fn watch_once(
         &self,
         host: &Rc<Host>,
         address: SocketAddr,
         after: &mut Option<u64>,
     ) -> Result<Infallible, WatchError> {
-        // The first message comes with the response, whether or not anything has changed.
+        // Discovery sends the first message with the response, even if nothing has changed.
         let mut until = Instant::now() + self.response_timeout;
         let opened = timeout_at(until, self.open_watch(address, *after)).await;
         let OpenWatch { mut connection, response } = opened.map_err(|_| WatchError::ResponseTimeout)??;
@@ -183,7 +192,8 @@
                 *after = Some(update.generation);
                 host.update_servers(&update);
             }
-            // A message that has begun must be complete within the time too: blank lines may come within it for ever.
+            // The timeout is not extended within a message. Otherwise a peer could send white space within a message for
+            // ever.
             if begins_message || !decoder.has_partial_message() {
                 until = Instant::now() + WATCH_TIMEOUT;
             }
--- a/crates/rate-limiter/src/bin/rate-limiter/discovery/update.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/discovery/update.rs
@@ -1,4 +1,4 @@
-//! A message of discovery.
+//! The messages of the discovery service.
 
 use log::warn;
 use rate_limiter::{ServerEntry, ServerState};
@@ -8,12 +8,12 @@
 
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
-/// A message: the complete list, or what has changed.
+/// A message: the complete server list, or its changed entries.
 #[derive(Deserialize)]
 pub struct Update {
-    /// The version of the list.
+    /// The version of the server list.
     pub generation: u64,
-    /// Whether it is the complete list.
+    /// Whether `instances` is the complete list. If not, it contains the changed entries.
     #[serde(default)]
     pub reset: bool,
     /// The entries.
@@ -21,8 +21,9 @@
     pub instances: Vec<Instance>,
 }
 
-/// Deserializes the valid entries. An invalid one must not hide the others: asked for again, the message would be the
-/// same. A message without a valid entry is invalid: it must not look as if every server were removed.
+/// Deserializes the valid entries, and skips invalid ones. Rejecting the whole message would not help, since a new request
+/// would return the same message. A message in which all entries are invalid is rejected, because an empty list would
+/// remove every server.
 fn valid_instances<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<Instance>, D::Error> {
     let entries = Vec::<serde_json::Value>::deserialize(deserializer)?;
     let count = entries.len();
@@ -30,16 +31,16 @@
     for entry in entries {
         match Instance::deserialize(entry) {
             Ok(instance) => instances.push(instance),
-            Err(error) => warn!(error:%; "an entry of the list of servers is skipped"),
+            Err(error) => warn!(error:%; "skipping an invalid entry of the server list"),
         }
     }
     if instances.is_empty() && count > 0 {
-        return Err(D::Error::custom("no entry can be read"));
+        return Err(D::Error::custom("no entry is valid"));
     }
     Ok(instances)
 }
 
-/// A server in the list.
+/// An entry of the server list, as discovery sends it.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Instance {
@@ -57,7 +58,7 @@
 }
 
 impl Instance {
-    /// Returns the entry for the decisions.
+    /// Converts the entry to the form that the limiter uses.
     pub fn entry(&self) -> ServerEntry {
         let started_at_ms = self.started_at_ms.filter(|started_at| *started_at > 0.0);
         ServerEntry {
--- a/crates/rate-limiter/src/bin/rate-limiter/host/mod.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/host/mod.rs
@@ -1,8 +1,8 @@
-//! The host of the decisions: passes events and the time to them, and performs their actions.
+//! The host of the limiter: passes events with the current time to it, and performs its actions.
 //!
-//! It owns the [`Limiter`], the clock, the timers and the table of requests; nothing else calls the limiter. Everything
-//! runs on one thread. Events are queued and handled one after the other, so that an action whose outcome is known at
-//! once never re-enters the limiter.
+//! The host owns the [`Limiter`], the clock, the timers and the table of requests. Only the host calls the limiter, and
+//! everything runs on one thread. Events are queued and handled one at a time, so that an action with an immediate
+//! outcome does not re-enter the limiter.
 
 mod clock;
 mod open_request;
@@ -29,16 +29,17 @@
 
 pub use open_request::{FinalResponse, IncomingRequest};
 
-/// The longest time-out of an attempt, in seconds.
+/// Maximum timeout of an attempt, in seconds.
 const MAX_TIMEOUT_S: f64 = 1e6;
 
 /// A request that was submitted.
 pub struct SubmittedRequest {
     pub id: RequestId,
-    /// Receives the one final response.
+    /// Receives the final response, exactly once.
     pub response: oneshot::Receiver<FinalResponse>,
 }
 
+/// The host of a limiter. See the module documentation.
 pub struct Host {
     limiter: RefCell<Limiter>,
     clock: Clock,
@@ -89,14 +90,14 @@
         &self.discovery
     }
 
-    /// Returns the number of open requests.
+    /// Returns the number of open requests, including those that only wait for the outcome of an attempt.
     pub fn open_requests(&self) -> usize {
         self.requests.borrow().len()
     }
 
     // ----- events -----
 
-    /// Submits a request that was read completely.
+    /// Submits a completely read request to the limiter.
     pub fn submit(self: &Rc<Self>, incoming: IncomingRequest) -> SubmittedRequest {
         let id = self.next_id.replace(self.next_id.get() + 1);
         let (sender, response) = oneshot::channel();
@@ -115,12 +116,12 @@
         SubmittedRequest { id, response }
     }
 
-    /// Returns whether a request has no final response.
+    /// Returns whether the client of a request is still waiting for its final response.
     pub fn awaits_response(&self, id: RequestId) -> bool {
         self.requests.borrow().get(&id).is_some_and(OpenRequest::awaits_response)
     }
 
-    /// Handles that a client closed its connection.
+    /// Handles the close of a client's connection. Ignored if the request has its final response.
     pub fn client_closed(self: &Rc<Self>, id: RequestId) {
         let was_waiting = self.requests.borrow_mut().get_mut(&id).is_some_and(OpenRequest::close_client);
         if was_waiting {
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Handles the end of an attempt's task.
+    /// Handles the end of an attempt. Ignored if the attempt was closed before.
     pub fn attempt_finished(self: &Rc<Self>, attempt: AttemptId, mut outcome: AttemptOutcome) {
         let AttemptId { request: id, number } = attempt;
         let closed = {
@@ -150,19 +151,19 @@
         self.remove_if_done(id);
     }
 
-    /// Handles the response to a counter call.
+    /// Handles the end of a call to the counter.
     pub fn counter_response(self: &Rc<Self>, name: String, outcome: Outcome, total: f64, elapsed: Duration) {
         let elapsed = elapsed.as_secs_f64();
         self.dispatch(Event::CounterResponse(CounterResponse { name, outcome, total, elapsed }));
     }
 
-    /// Handles the response to a probe.
+    /// Handles the end of a probe.
     pub fn probe_response(self: &Rc<Self>, server: ServerId, outcome: Outcome, report: LoadReport) {
         self.dispatch(Event::ProbeResponse { server, outcome, report });
     }
 
-    /// Applies an update of the list of servers. Attempts at removed servers end, and so do those at draining ones that
-    /// are not written: neither may get anything new.
+    /// Applies an update of the server list. Aborts the open attempts at removed servers, and those at draining servers
+    /// whose requests are not written completely, because neither may get new requests.
     pub fn update_servers(self: &Rc<Self>, update: &Update) {
         let entries: Vec<ServerEntry> = update.instances.iter().map(|instance| instance.entry()).collect();
         for (instance, entry) in update.instances.iter().zip(&entries) {
@@ -177,7 +178,7 @@
         if update.reset {
             removed.extend(self.remove_unlisted(&entries));
         }
-        // The limiter first: it answers the ended attempts with others.
+        // The limiter gets the update before the attempts are aborted, so that its retries avoid these servers.
         self.dispatch(match update.reset {
             true => Event::ServerList(entries),
             false => Event::ServerChanges(entries),
@@ -188,7 +189,7 @@
         });
     }
 
-    /// Removes the servers that are not in a complete list, and returns them.
+    /// Removes the servers that are not in a complete list, and returns their ids.
     fn remove_unlisted(&self, entries: &[ServerEntry]) -> Vec<ServerId> {
         let address = SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0));
         let is_unlisted = |id: &ServerId| entries.iter().all(|entry| entry.id != *id);
@@ -199,6 +200,7 @@
         unlisted
     }
 
+    /// Aborts all open attempts that `is_affected` selects, and reports their outcomes to the limiter.
     fn abort_attempts(self: &Rc<Self>, is_affected: impl Fn(&OpenAttempt) -> bool) {
         let affected: Vec<(AttemptId, bool)> = {
             let requests = self.requests.borrow();
@@ -216,12 +218,12 @@
         }
     }
 
-    /// Handles that the watch of the list broke.
+    /// Handles a failed call to discovery, or the end of a watch.
     pub fn discovery_failed(self: &Rc<Self>) {
         self.dispatch(Event::DiscoveryFailed);
     }
 
-    /// Dispatches timers when they are due, for as long as it is polled.
+    /// Dispatches timers as they expire, until the future is dropped.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
             for token in self.timers.due().await {
@@ -232,7 +234,8 @@
 
     // ----- actions -----
 
-    /// Passes an event to the limiter and performs its actions, after those of earlier events.
+    /// Passes an event to the limiter and performs the resulting actions. If another event is being handled, the event is
+    /// queued behind it.
     fn dispatch(self: &Rc<Self>, event: Event) {
         self.queue.borrow_mut().push_back(event);
         if self.is_handling.replace(true) {
@@ -276,8 +279,8 @@
         }
     }
 
-    /// Starts an attempt. It ends without being sent if the rules forbid it, whatever the limiter decided: none for a
-    /// request with a final response, never two at the same time, and no more than the class allows.
+    /// Starts an attempt. As a safeguard against errors of the limiter, the attempt ends with [`Outcome::NotSent`] if the
+    /// request has its final response, has another open attempt, or has used the maximum number of attempts.
     fn send(self: &Rc<Self>, id: RequestId, server: ServerId, timeout: f64, send_by: Option<Instant>) {
         let mut requests = self.requests.borrow_mut();
         let Some(request) = requests.get_mut(&id) else { return };
@@ -312,8 +315,8 @@
         request.open_attempt(OpenAttempt { number, server, started_at: now, handle, task });
     }
 
-    /// Aborts an attempt: its connection is closed when this returns, and its task does not continue. Returns whether
-    /// it was open.
+    /// Aborts an attempt: closes its connection and stops its task before it returns. Returns whether the attempt was
+    /// open.
     fn abort(&self, attempt: AttemptId) -> bool {
         let requests = self.requests.borrow();
         let open = requests.get(&attempt.request).and_then(OpenRequest::attempt);
--- a/crates/rate-limiter/src/bin/rate-limiter/host/open_request.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/host/open_request.rs
@@ -1,4 +1,4 @@
-//! The requests of clients that are open.
+//! The open requests of clients.
 
 use crate::upstream::{AttemptHandle, AttemptOutcome, ForwardedRequest};
 use bytes::Bytes;
@@ -10,17 +10,17 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-/// The one final response to a request.
+/// The final response to a request. Each request gets exactly one.
 pub enum FinalResponse {
-    /// The complete response of a server.
+    /// The complete response from a server.
     Completed(Response<Bytes>),
-    /// Rejected: safe to retry, after this many seconds; 0 for no advice.
+    /// Rejected, and safe to retry after this many seconds; 0 if the response gives no delay.
     Rejected(f64),
-    /// Failed: the request may have executed.
+    /// Failed; the request may have executed.
     Failed,
 }
 
-/// A client's request, as the decisions see it, and as servers get it.
+/// A client's request: the properties that the limiter needs, and the part that is forwarded to servers.
 pub struct IncomingRequest {
     pub tenant: String,
     pub plan: String,
@@ -44,17 +44,17 @@
 pub struct OpenRequest {
     forwarded: Rc<ForwardedRequest>,
     response: Option<oneshot::Sender<FinalResponse>>,
-    /// Attempts so far.
+    /// The number of attempts so far.
     attempts: u32,
-    /// There is one open attempt at most.
+    /// The open attempt. There is at most one.
     attempt: Option<OpenAttempt>,
 }
 
-/// An attempt that was closed.
+/// The result of closing an attempt.
 pub struct ClosedAttempt {
-    /// The time since it was started.
+    /// The time since the attempt was started.
     pub elapsed: Duration,
-    /// Whether the request has its final response.
+    /// Whether the client no longer waits for the final response.
     pub finished: bool,
 }
 
@@ -63,37 +63,37 @@
         OpenRequest { forwarded: Rc::new(forwarded), response: Some(response), attempts: 0, attempt: None }
     }
 
-    /// Returns the request as servers get it.
+    /// Returns the part of the request that is forwarded to servers.
     pub fn forwarded(&self) -> &Rc<ForwardedRequest> {
         &self.forwarded
     }
 
-    /// Returns whether the client waits for its response.
+    /// Returns whether the client is still waiting for its final response.
     pub fn awaits_response(&self) -> bool {
         self.response.is_some()
     }
 
-    /// Gives the final response, unless there is one.
+    /// Sends the final response to the client, unless it has one.
     pub fn respond(&mut self, response: FinalResponse) {
         if let Some(sender) = self.response.take() {
             let _ = sender.send(response);
         }
     }
 
-    /// Handles that the client closed its connection. Returns whether it was waiting.
+    /// Records that the client closed its connection. Returns whether the client was waiting for its response.
     pub fn close_client(&mut self) -> bool {
         self.response.take().is_some()
     }
 
-    /// Numbers the next attempt.
+    /// Returns the number of the next attempt, and counts the attempt.
     pub fn next_attempt(&mut self) -> u32 {
         let number = self.attempts;
         self.attempts += 1;
         number
     }
 
-    /// Returns whether an attempt may be started: the request has no final response, no open attempt, and attempts
-    /// left.
+    /// Returns whether an attempt may be started: the client is waiting, no other attempt is open, and the maximum number
+    /// of attempts is not reached.
     pub fn may_start(&self, number: u32, max_attempts: u32) -> bool {
         self.awaits_response() && self.attempt.is_none() && number < max_attempts
     }
@@ -108,7 +108,8 @@
         self.attempt.as_ref()
     }
 
-    /// Closes an attempt, whose response is the final one if there is one. Returns none if it was closed before.
+    /// Closes an attempt. If the outcome contains a response, it is taken and sent as the final response. Returns `None`
+    /// if the attempt was closed before.
     pub fn close_attempt(&mut self, number: u32, outcome: &mut AttemptOutcome) -> Option<ClosedAttempt> {
         let attempt = self.attempt.take_if(|attempt| attempt.number == number)?;
         if let Some(response) = outcome.response.take() {
@@ -117,7 +118,7 @@
         Some(ClosedAttempt { elapsed: attempt.started_at.elapsed(), finished: !self.awaits_response() })
     }
 
-    /// Returns whether nothing more can happen to the request.
+    /// Returns whether the request can be removed: the client is not waiting, and no attempt is open.
     pub fn is_done(&self) -> bool {
         !self.awaits_response() && self.attempt.is_none()
     }
--- a/crates/rate-limiter/src/bin/rate-limiter/host/timers.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/host/timers.rs
@@ -1,4 +1,4 @@
-//! The timers of the decisions.
+//! The timers of the limiter.
 
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -7,16 +7,16 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, Instant};
 
-/// Timers in the order of their times.
+/// A queue of timers, ordered by the time at which they expire.
 #[derive(Default)]
 pub struct Timers {
     queue: RefCell<BinaryHeap<Reverse<(Instant, u64)>>>,
-    /// Notified when an earlier timer was added.
+    /// Notified when a timer is added that expires before all others.
     earlier_added: Notify,
 }
 
 impl Timers {
-    /// Adds a timer.
+    /// Adds a timer that expires at `at`.
     pub fn add(&self, at: Instant, token: u64) {
         let is_first = self.next_due().is_none_or(|next| at < next);
         self.queue.borrow_mut().push(Reverse((at, token)));
@@ -25,8 +25,8 @@
         }
     }
 
-    /// Waits until timers are due, and returns their tokens. Timers that are added meanwhile are not among them, so
-    /// that a timer is never due in the round that added it.
+    /// Waits until at least one timer has expired, and returns the tokens of all expired timers. A timer that is added
+    /// while these are handled is returned by a later call, even if it expires immediately.
     pub async fn due(&self) -> Vec<u64> {
         loop {
             let next = self.next_due();
--- a/crates/rate-limiter/src/bin/rate-limiter/upstream/attempt.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! An attempt: one send of a request to a server.
+//! Attempts: each sends a request once to one server.
 
 use super::{response, ForwardedRequest, Servers, CONNECTION_LIMITS};
 use crate::host::Host;
@@ -22,17 +22,19 @@
 /// The deadlines of an attempt.
 #[derive(Clone, Copy)]
 pub struct AttemptDeadlines {
-    /// When it ends.
+    /// The time at which the attempt ends without a response.
     pub give_up_at: Instant,
-    /// It is not sent after this time.
+    /// The request is not sent after this time. `None` for no limit.
     pub send_by: Option<Instant>,
 }
 
-/// The outcome of an attempt, and the response if it is the final one.
+/// The outcome of an attempt, and the data from its response.
 pub struct AttemptOutcome {
     pub outcome: Outcome,
+    /// The actual units of the request, if the response contains a valid value.
     pub units: Option<f64>,
     pub report: LoadReport,
+    /// The response to forward to the client. `None` unless the outcome is [`Outcome::Completed`].
     pub response: Option<Response<Bytes>>,
 }
 
@@ -42,21 +44,21 @@
     }
 }
 
-/// A handle on an open attempt, with which it can be aborted.
+/// A handle to an open attempt, which can abort the attempt and read its progress.
 #[derive(Default)]
 pub struct AttemptHandle {
     socket: RefCell<Option<Rc<Socket>>>,
 }
 
 impl AttemptHandle {
-    /// Closes the connection of the attempt.
+    /// Closes the connection of the attempt, if it has one.
     pub fn abort(&self) {
         if let Some(socket) = self.socket.borrow().as_ref() {
             socket.abort();
         }
     }
 
-    /// Returns whether the request may have reached the server completely.
+    /// Returns whether the request was written completely, so that it may have reached the server.
     pub fn was_sent(&self) -> bool {
         let socket = self.socket.borrow();
         socket.as_ref().is_some_and(|socket| socket.write_progress() == WriteProgress::Complete)
@@ -66,13 +68,13 @@
         *self.socket.borrow_mut() = Some(connection.socket().clone());
     }
 
-    /// Releases the connection, which is closed when it is dropped, or kept for other attempts.
+    /// Detaches the connection from the attempt, so that it closes when it is dropped, or can be reused.
     fn release(&self) {
         self.socket.borrow_mut().take();
     }
 }
 
-/// A connection that can be reused.
+/// A connection that can be reused, and the address to which it is connected.
 pub(super) struct ReusableConnection {
     pub(super) address: SocketAddr,
     pub(super) connection: ClientConnection,
@@ -91,7 +93,7 @@
 }
 
 impl Servers {
-    /// Runs an attempt and reports its outcome to the host. A connection that can be reused is kept.
+    /// Runs an attempt, reports its outcome to the host, and keeps its connection if it can be reused.
     pub async fn attempt(
         self: Rc<Self>,
         host: Rc<Host>,
@@ -105,16 +107,17 @@
         let sending = self.send(&server, &request, &handle, deadlines, is_awaited);
         let AttemptEnd { outcome, reusable } = match timeout_at(deadlines.give_up_at, sending).await {
             Ok(end) => end,
-            // A request that is not written completely has not executed.
+            // A request that was not written completely was not executed.
             Err(_) if !handle.was_sent() => AttemptEnd::without_response(Outcome::ConnectFailed),
             Err(_) => AttemptEnd::without_response(Outcome::Timeout),
         };
-        // This closes the socket of a failed attempt: the next attempt may start.
+        // Closes the socket of a failed attempt before the next attempt can start.
         handle.release();
         host.attempt_finished(id, outcome);
         self.return_when_ready(&server, reusable).await;
     }
 
+    /// Sends a request to a server over a new or an idle connection, and classifies the response.
     async fn send(
         &self,
         server: &ServerId,
@@ -135,8 +138,8 @@
                     Err(outcome) => return failed(outcome),
                 },
             };
-            // Connecting takes a while: a server that has begun to drain meanwhile gets nothing new, and nothing is
-            // sent for a client that has left or has its response, nor after the time for it.
+            // The state may have changed while connecting. A server that is draining now must not get new requests, and
+            // nothing is sent if the client is no longer waiting, or after `send_by`.
             if self.address(server) != Some(address) {
                 return failed(Outcome::ConnectFailed);
             }
@@ -151,7 +154,7 @@
                     outcome: response::classify(response, self.max_units),
                     reusable: Some(ReusableConnection { address, connection }),
                 },
-                // An idle connection that broke before a byte was written says nothing about the server.
+                // An idle connection that failed before any byte was written is no evidence of a server failure.
                 Err(ResponseError::NotSent) if is_reused && is_unwritten => {
                     handle.release();
                     continue;
@@ -163,7 +166,8 @@
         }
     }
 
-    /// Connects within the connect time-out, and by `send_by`: if that is earlier, a failure is not the server's.
+    /// Connects to a server within the connect timeout and by `send_by`. If `send_by` ends the attempt first, the outcome
+    /// is [`Outcome::NotSent`], which is not counted as a failure of the server.
     pub(super) async fn connect(
         &self,
         address: SocketAddr,
--- a/crates/rate-limiter/src/bin/rate-limiter/upstream/connection_limits.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/upstream/connection_limits.rs
@@ -1,12 +1,12 @@
-//! The limits of messages and outgoing connections.
+//! Limits of message bodies and outgoing connections.
 
 use quillpulley_http1_client::ConnectionLimits;
 use std::time::Duration;
 
-/// The most bytes of a body, in either direction.
+/// Maximum bytes of a request or response body.
 pub const MAX_BODY: usize = 64 * 1024;
 
-/// The limits of outgoing connections: to servers, to the counter and to discovery.
+/// Limits of the connections to servers, to the counter, and to discovery.
 pub const CONNECTION_LIMITS: ConnectionLimits = ConnectionLimits {
     max_body: MAX_BODY,
     max_buffer: 32 * 1024,
--- a/crates/rate-limiter/src/bin/rate-limiter/upstream/forwarded_request.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/upstream/forwarded_request.rs
@@ -1,4 +1,4 @@
-//! A client's request, as servers get it.
+//! The part of a client's request that is forwarded to servers.
 
 use super::headers::{CORRELATION_ID, IDEMPOTENCY_KEY, TIME_REMAINING};
 use bytes::Bytes;
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
-/// The part of a client's request that is forwarded unchanged.
+/// The data from which the requests to servers are built. It is the same for all attempts.
 pub struct ForwardedRequest {
     pub method: Method,
     pub target: PathAndQuery,
@@ -17,12 +17,12 @@
     pub idempotency_key: Option<HeaderValue>,
     pub content_type: Option<HeaderValue>,
     pub body: Bytes,
-    /// When the response has to be written.
+    /// The time by which the client must get the final response.
     pub due: Instant,
 }
 
 impl ForwardedRequest {
-    /// Returns the request for a server, with the time for which its response is awaited.
+    /// Builds the request for a server. Its remaining time header gives the time until `give_up_at`, when the attempt ends.
     pub fn for_server(&self, address: SocketAddr, give_up_at: Instant) -> Request<Full<Bytes>> {
         let remaining = give_up_at.saturating_duration_since(Instant::now()).as_micros();
         let mut request = Request::new(Full::new(self.body.clone()));
--- a/crates/rate-limiter/src/bin/rate-limiter/upstream/mod.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! The servers' side: listed servers, idle connections, attempts and probes.
+//! The server side: the table of listed servers, idle connections, attempts and probes.
 
 mod attempt;
 mod connection_limits;
@@ -25,19 +25,19 @@
 pub use connection_limits::{CONNECTION_LIMITS, MAX_BODY};
 pub use forwarded_request::ForwardedRequest;
 
-/// An idle connection is closed after this fraction of the time after which the server closes it. A request that
-/// crosses the server's close would end as a reset, and nobody knows whether it executed.
+/// Idle connections are closed after this fraction of the server's idle timeout. If a request were sent while the server
+/// closes the connection, it would end with a reset, and it would be unknown whether it was executed.
 const IDLE_FRACTION: f64 = 0.5;
-/// The server's idle time-out in seconds, if the settings do not say it.
+/// The idle timeout of servers in seconds if the settings contain none.
 const DEFAULT_IDLE_S: f64 = 10.0;
-/// The connect time-out in seconds, if the settings do not say it.
+/// The connect timeout in seconds if the settings contain none.
 const DEFAULT_CONNECT_S: f64 = 0.25;
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 const PROBE_PATH: &str = "/metrics/load";
-/// How often idle connections are checked.
+/// The interval between checks of idle connections.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The listed entry of a server, as far as connections need it.
+/// The parts of a server list entry that are needed for connections.
 pub struct ListedServer {
     pub address: SocketAddr,
     pub state: ServerState,
@@ -45,19 +45,20 @@
 
 struct Server {
     listed: ListedServer,
-    /// Idle connections, the most recently used last.
+    /// Idle connections, the most recently used one last.
     idle: Vec<ClientConnection>,
 }
 
-/// All listed servers.
+/// The table of listed servers and their idle connections.
 pub struct Servers {
     servers: RefCell<HashMap<ServerId, Server>>,
     connect_timeout: Duration,
     idle_timeout: Duration,
     /// The number of open sockets.
     open: Rc<Cell<usize>>,
+    /// Maximum number of open sockets.
     max_open: usize,
-    /// The most units of a request.
+    /// Maximum units of a request.
     max_units: f64,
 }
 
@@ -76,7 +77,8 @@
         }
     }
 
-    /// Applies a listed entry. Idle connections to another address, or to a server that is not in service, are closed.
+    /// Inserts, updates or removes a server according to its list entry. Its idle connections are closed if its address has
+    /// changed or if it is not in service.
     pub fn put(&self, id: &ServerId, listed: ListedServer) {
         let mut servers = self.servers.borrow_mut();
         if listed.state == ServerState::Removed {
@@ -96,13 +98,13 @@
         }
     }
 
-    /// Returns the ids of all servers.
+    /// Returns the ids of all servers in the table.
     pub fn ids(&self) -> Vec<ServerId> {
         self.servers.borrow().keys().cloned().collect()
     }
 
-    /// Closes connections that have been idle for too long or were closed by their servers, for as long as it is
-    /// polled.
+    /// Periodically closes connections that have been idle for too long or were closed by their servers, until the future
+    /// is dropped.
     pub async fn close_idle(&self) {
         loop {
             sleep(SWEEP_INTERVAL).await;
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Probes the load of a server, and reports it to the host.
+    /// Probes the load of a server, and reports the result to the host.
     pub async fn probe(self: Rc<Self>, host: Rc<Host>, id: ServerId) {
         let (outcome, report, reusable) = match timeout(PROBE_TIMEOUT, self.exchange_probe(&id)).await {
             Ok(Some((response, reusable))) => {
@@ -139,7 +141,7 @@
         Some((response, ReusableConnection { address, connection }))
     }
 
-    /// Returns the address of a server that is in service.
+    /// Returns the address of a server, or `None` if the server is not in service.
     fn address(&self, id: &ServerId) -> Option<SocketAddr> {
         let servers = self.servers.borrow();
         let listed = &servers.get(id)?.listed;
@@ -150,7 +152,8 @@
         connection.idle_time() < self.idle_timeout && connection.is_usable()
     }
 
-    /// Takes the idle connection that was used last and whose reuse delay is over. Drops those that cannot be reused.
+    /// Takes the most recently used idle connection whose reuse delay is over. Connections that turn out not to be reusable
+    /// are closed.
     fn reuse(&self, id: &ServerId) -> Option<ClientConnection> {
         let mut servers = self.servers.borrow_mut();
         let idle = &mut servers.get_mut(id)?.idle;
@@ -159,7 +162,7 @@
         std::iter::from_fn(next_idle).find(|connection| self.is_reusable(connection))
     }
 
-    /// Keeps a connection as idle once it is ready for the next request.
+    /// Waits until a connection is ready for another request, and adds it to the idle connections of its server.
     async fn return_when_ready(&self, id: &ServerId, reusable: Option<ReusableConnection>) {
         let Some(ReusableConnection { address, mut connection }) = reusable else { return };
         if !connection.wait_ready().await || self.address(id) != Some(address) {
@@ -170,8 +173,8 @@
         }
     }
 
-    /// Returns whether there is a descriptor for one more connection. If necessary, the connection that has been idle
-    /// longest is closed.
+    /// Returns whether another connection may be opened. At the maximum, this closes the connection that has been idle
+    /// longest, and returns false if no connection is idle.
     fn ensure_descriptor(&self) -> bool {
         if self.open.get() < self.max_open {
             return true;
--- a/crates/rate-limiter/src/bin/rate-limiter/upstream/response.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/upstream/response.rs
@@ -1,4 +1,4 @@
-//! What the responses of servers mean.
+//! Classification of server responses.
 
 use super::attempt::AttemptOutcome;
 use super::headers::{ACTUAL_UNITS, NOT_EXECUTED, SERVER_LOAD};
@@ -8,10 +8,10 @@
 use hyper::{Response, StatusCode};
 use rate_limiter::{LoadReport, Outcome};
 
-/// The most load that a server can report, whatever its unit.
+/// Maximum valid value in a load report, for all units.
 const MAX_LOAD: f64 = 1e6;
 
-/// Classifies a complete response. `max_units` is the most units of a request.
+/// Classifies a complete response to a request. `max_units` is the maximum number of units of a request.
 pub fn classify(response: Response<Bytes>, max_units: f64) -> AttemptOutcome {
     let headers = response.headers();
     let not_executed = headers.get(NOT_EXECUTED).is_some_and(|value| value == "1");
@@ -21,7 +21,7 @@
         _ => Outcome::Error,
     };
     let units = headers.get(ACTUAL_UNITS).and_then(|value| parse_number(value.to_str().ok()?.trim()));
-    // More units than a request can have are invalid: taken from a bucket, they would block a tenant for good.
+    // Values above the maximum are invalid. Deducting one from a token bucket could block the tenant indefinitely.
     let units = units.filter(|units| *units > 0.0 && *units <= max_units);
     let report = load_report(headers);
     let response = (outcome == Outcome::Completed).then_some(response);
@@ -41,6 +41,7 @@
     (outcome, report)
 }
 
+/// Returns the load report in the headers of a response.
 fn load_report(headers: &HeaderMap) -> LoadReport {
     let mut report = LoadReport::default();
     if let Some(text) = headers.get(SERVER_LOAD).and_then(|value| value.to_str().ok()) {
@@ -49,7 +50,7 @@
     report
 }
 
-/// Parses `name=value` pairs. Invalid ones are skipped.
+/// Parses comma-separated `name=value` pairs into a load report. Invalid pairs are skipped.
 fn parse_load(text: &str, report: &mut LoadReport) {
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
         if let Some(value) = parse_number(value.trim()).filter(|value| *value <= MAX_LOAD) {
