--- a/crates/rate-limiter/src/bin/rate-limiter-sim/error.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter-sim/error.rs
@@ -6,12 +6,12 @@
 /// An error in a line of the input.
 #[derive(Debug, Display)]
 pub enum LineError {
-    /// {word}: {field}: missing
-    Missing { word: String, field: &'static str },
-    /// {word}: {field}: {problem}
-    Invalid { word: String, field: &'static str, problem: String },
-    /// unexpected {word:?}: {expected}
-    Unexpected { word: String, expected: String },
+    /// {keyword}: {field}: missing
+    Missing { keyword: String, field: &'static str },
+    /// {keyword}: {field}: {problem}
+    Invalid { keyword: String, field: &'static str, problem: String },
+    /// unexpected {keyword:?}: {expected}
+    Unexpected { keyword: String, expected: String },
     /// empty line within a batch
     Empty,
     /// not valid UTF-8
--- a/crates/rate-limiter/src/bin/rate-limiter-sim/line.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter-sim/line.rs
@@ -19,20 +19,20 @@
     }
 
     /// Returns the first field, the keyword that identifies the kind of line.
-    pub fn word(&self) -> &'a str {
+    pub fn keyword(&self) -> &'a str {
         self.fields[0]
     }
 
     pub fn invalid(&self, field: &'static str, problem: String) -> LineError {
-        LineError::Invalid { word: self.word().to_string(), field, problem }
+        LineError::Invalid { keyword: self.keyword().to_string(), field, problem }
     }
 
     pub fn unexpected(&self, expected: &str) -> LineError {
-        LineError::Unexpected { word: self.word().to_string(), expected: expected.to_string() }
+        LineError::Unexpected { keyword: self.keyword().to_string(), expected: expected.to_string() }
     }
 
     fn missing(&self, field: &'static str) -> LineError {
-        LineError::Missing { word: self.word().to_string(), field }
+        LineError::Missing { keyword: self.keyword().to_string(), field }
     }
 
     /// Returns a field that must not be empty. `field` is its name in errors.
--- a/crates/rate-limiter/src/bin/rate-limiter-sim/main.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter-sim/main.rs
@@ -68,11 +68,11 @@
             };
         }
         number += 1;
-        let at = |error| SimError::Line { number, error };
-        let text = std::str::from_utf8(&buffer).map_err(|_| at(LineError::Encoding))?;
+        let with_line_number = |error| SimError::Line { number, error };
+        let text = std::str::from_utf8(&buffer).map_err(|_| with_line_number(LineError::Encoding))?;
         let line = Line::new(text.trim_end_matches(['\n', '\r']));
         simulation.handle_line(&line, &mut output).map_err(|error| match error {
-            HandleError::Line(error) => at(error),
+            HandleError::Line(error) => with_line_number(error),
             HandleError::Write(error) => SimError::Write(error),
         })?;
     }
--- a/crates/rate-limiter/src/bin/rate-limiter-sim/protocol.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter-sim/protocol.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 /// The keywords of lines that concern a limiter. Other lines are ignored.
-const KNOWN_WORDS: [&str; 10] = [
+const KNOWN_KEYWORDS: [&str; 10] = [
     "PROVISION",
     "REGISTRY",
     "SUBMIT",
@@ -60,7 +60,7 @@
 pub struct PendingList {
     instance: u32,
     kind: ListKind,
-    missing: usize,
+    remaining: usize,
     entries: Vec<ServerEntry>,
 }
 
@@ -72,13 +72,13 @@
 
 impl PendingList {
     pub fn is_complete(&self) -> bool {
-        self.missing == 0
+        self.remaining == 0
     }
 
     /// Adds the entry in an `ITEM` line.
     pub fn push(&mut self, line: &Line) -> Result<(), LineError> {
-        if line.word() != "ITEM" {
-            return Err(line.unexpected(&format!("{} more ITEM lines are due", self.missing)));
+        if line.keyword() != "ITEM" {
+            return Err(line.unexpected(&format!("{} more ITEM lines are due", self.remaining)));
         }
         let state = match line.text(5, "status")? {
             "in_service" => ServerState::InService,
@@ -95,7 +95,7 @@
             weight: line.optional_number(6, "heft")?.unwrap_or(1.0),
             started_at: line.optional_number(7, "start-time-s")?.filter(|time| *time != 0.0),
         });
-        self.missing -= 1;
+        self.remaining -= 1;
         Ok(())
     }
 
@@ -112,7 +112,7 @@
 
 /// Parses the `TURN` line that begins a batch.
 pub fn parse_batch(line: &Line) -> Result<Batch, LineError> {
-    if line.word() != "TURN" {
+    if line.keyword() != "TURN" {
         return Err(line.unexpected("TURN is due"));
     }
     let number = line.integer(2, "number")?;
@@ -121,15 +121,15 @@
 
 /// Parses a line within a batch, except for the entries of a server list.
 pub fn parse_message(line: &Line) -> Result<Message, LineError> {
-    match line.word() {
+    match line.keyword() {
         "OVER_TO_YOU" => return Ok(Message::End),
         "TURN" | "ITEM" => return Err(line.unexpected("an event or OVER_TO_YOU is due")),
         "" => return Err(LineError::Empty),
-        word if !KNOWN_WORDS.contains(&word) => return Ok(Message::Ignored),
+        keyword if !KNOWN_KEYWORDS.contains(&keyword) => return Ok(Message::Ignored),
         _ => {}
     }
     let instance: u32 = line.integer(1, "limiter-id")?;
-    match line.word() {
+    match line.keyword() {
         "PROVISION" => parse_start(line, instance),
         "DESTROY" => Ok(Message::Stop(instance)),
         "REGISTRY" => parse_list(line, instance),
@@ -154,8 +154,8 @@
         "broken" => ListKind::Failed,
         other => return Err(line.invalid("kind", format!("unknown: {other:?}"))),
     };
-    let missing = line.optional(4).map(|_| line.integer(4, "elements")).transpose()?.unwrap_or(0);
-    Ok(Message::List(PendingList { instance, kind, missing, entries: Vec::new() }))
+    let remaining = line.optional(4).map(|_| line.integer(4, "elements")).transpose()?.unwrap_or(0);
+    Ok(Message::List(PendingList { instance, kind, remaining, entries: Vec::new() }))
 }
 
 /// Parses a timer. A timer whose token does not have the format that this program writes is ignored.
@@ -172,7 +172,7 @@
 
 fn parse_event(line: &Line) -> Result<Option<Event>, LineError> {
     let id = || line.integer::<u64>(2, "handle");
-    Ok(Some(match line.word() {
+    Ok(Some(match line.keyword() {
         "SUBMIT" => Event::Request(Request {
             id: id()?,
             is_retry: line.flag(4, "repeat")?,
--- a/crates/rate-limiter/src/bin/rate-limiter/host/mod.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/host/mod.rs
@@ -123,7 +123,7 @@
 
     /// Handles the close of a client's connection. Ignored if the request has its final response.
     pub fn client_closed(self: &Rc<Self>, id: RequestId) {
-        let was_waiting = self.requests.borrow_mut().get_mut(&id).is_some_and(OpenRequest::close_client);
+        let was_waiting = self.requests.borrow_mut().get_mut(&id).is_some_and(OpenRequest::client_closed);
         if was_waiting {
             self.dispatch(Event::ClientClosed { id });
             self.remove_if_done(id);
@@ -167,14 +167,14 @@
     pub fn update_servers(self: &Rc<Self>, update: &Update) {
         let entries: Vec<ServerEntry> = update.instances.iter().map(|instance| instance.entry()).collect();
         for (instance, entry) in update.instances.iter().zip(&entries) {
-            self.servers.put(&entry.id, ListedServer { address: instance.host_port, state: entry.state });
+            self.servers.update(&entry.id, ListedServer { address: instance.host_port, state: entry.state });
         }
-        let in_state = |state: ServerState| {
+        let ids_in_state = |state: ServerState| {
             let ids = entries.iter().filter(move |entry| entry.state == state);
             ids.map(|entry| entry.id.clone()).collect::<Vec<_>>()
         };
-        let draining = in_state(ServerState::Draining);
-        let mut removed = in_state(ServerState::Removed);
+        let draining = ids_in_state(ServerState::Draining);
+        let mut removed = ids_in_state(ServerState::Removed);
         if update.reset {
             removed.extend(self.remove_unlisted(&entries));
         }
@@ -195,7 +195,7 @@
         let is_unlisted = |id: &ServerId| entries.iter().all(|entry| entry.id != *id);
         let unlisted: Vec<ServerId> = self.servers.ids().into_iter().filter(is_unlisted).collect();
         for id in &unlisted {
-            self.servers.put(id, ListedServer { address, state: ServerState::Removed });
+            self.servers.update(id, ListedServer { address, state: ServerState::Removed });
         }
         unlisted
     }
--- a/crates/rate-limiter/src/bin/rate-limiter/host/open_request.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/host/open_request.rs
@@ -81,7 +81,7 @@
     }
 
     /// Records that the client closed its connection. Returns whether the client was waiting for its response.
-    pub fn close_client(&mut self) -> bool {
+    pub fn client_closed(&mut self) -> bool {
         self.response.take().is_some()
     }
 
--- a/crates/rate-limiter/src/bin/rate-limiter/process.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/process.rs
@@ -23,7 +23,7 @@
 const ACCEPT_TIME: Duration = Duration::from_millis(600);
 /// Maximum part of the longest deadline that counts for the time of SIGKILL, in seconds: SIGKILL follows SIGTERM after
 /// the longest deadline, limited to this value, plus 0.7 s.
-const MAX_KILL_DELAY_S: f64 = 3.0;
+const MAX_KILL_DEADLINE_S: f64 = 3.0;
 /// Maximum part of the longest deadline for which a shutdown waits for open requests, in seconds.
 const MAX_DRAIN_S: f64 = 60.0;
 /// How long a shutdown waits for open requests beyond the longest deadline.
@@ -172,7 +172,7 @@
 /// Completes open requests and closes all connections. `longest_deadline` is in seconds.
 async fn drain(clients: &Clients, longest_deadline: f64) {
     // Requests that arrive late must also have their responses before SIGKILL.
-    let respond_by = Duration::from_secs_f64(longest_deadline.clamp(0.0, MAX_KILL_DELAY_S)) + ACCEPT_TIME;
+    let respond_by = Duration::from_secs_f64(longest_deadline.clamp(0.0, MAX_KILL_DEADLINE_S)) + ACCEPT_TIME;
     clients.drain(Instant::now() + respond_by);
     sleep(ACCEPT_TIME).await;
     let drain_time = Duration::from_secs_f64(longest_deadline.clamp(0.0, MAX_DRAIN_S)) + DRAIN_MARGIN;
--- a/crates/rate-limiter/src/bin/rate-limiter/upstream/attempt.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/upstream/attempt.rs
@@ -103,8 +103,8 @@
         handle: Rc<AttemptHandle>,
         deadlines: AttemptDeadlines,
     ) {
-        let is_awaited = || host.awaits_response(id.request);
-        let sending = self.send(&server, &request, &handle, deadlines, is_awaited);
+        let client_is_waiting = || host.awaits_response(id.request);
+        let sending = self.send(&server, &request, &handle, deadlines, client_is_waiting);
         let AttemptEnd { outcome, reusable } = match timeout_at(deadlines.give_up_at, sending).await {
             Ok(end) => end,
             // A request that was not written completely was not executed.
@@ -124,7 +124,7 @@
         request: &ForwardedRequest,
         handle: &AttemptHandle,
         deadlines: AttemptDeadlines,
-        is_awaited: impl Fn() -> bool,
+        client_is_waiting: impl Fn() -> bool,
     ) -> AttemptEnd {
         let AttemptDeadlines { give_up_at, send_by } = deadlines;
         let failed = AttemptEnd::without_response;
@@ -143,7 +143,7 @@
             if self.address(server) != Some(address) {
                 return failed(Outcome::ConnectFailed);
             }
-            if !is_awaited() || send_by.is_some_and(|send_by| Instant::now() >= send_by) {
+            if !client_is_waiting() || send_by.is_some_and(|send_by| Instant::now() >= send_by) {
                 return failed(Outcome::NotSent);
             }
             handle.attach(&connection);
--- a/crates/rate-limiter/src/bin/rate-limiter/upstream/mod.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/upstream/mod.rs
@@ -65,21 +65,25 @@
 impl Servers {
     /// Creates an empty table for up to `max_open` connections.
     pub fn new(settings: &Settings, max_open: usize) -> Self {
-        let or = |value: f64, default| if value > 0.0 && value.is_finite() { value } else { default };
-        let server_idle_timeout = or(settings.server_idle_timeout, DEFAULT_IDLE_S);
+        let positive_or =
+            |value: f64, default| if value > 0.0 && value.is_finite() { value } else { default };
+        let server_idle_timeout = positive_or(settings.server_idle_timeout, DEFAULT_IDLE_S);
         Servers {
             servers: RefCell::default(),
-            connect_timeout: Duration::from_secs_f64(or(settings.connect_timeout, DEFAULT_CONNECT_S)),
+            connect_timeout: Duration::from_secs_f64(positive_or(
+                settings.connect_timeout,
+                DEFAULT_CONNECT_S,
+            )),
             idle_timeout: Duration::from_secs_f64(IDLE_FRACTION * server_idle_timeout),
             open: Rc::default(),
             max_open,
-            max_units: or(settings.max_units, f64::MAX),
+            max_units: positive_or(settings.max_units, f64::MAX),
         }
     }
 
     /// Inserts, updates or removes a server according to its list entry. Its idle connections are closed if its address has
     /// changed or if it is not in service.
-    pub fn put(&self, id: &ServerId, listed: ListedServer) {
+    pub fn update(&self, id: &ServerId, listed: ListedServer) {
         let mut servers = self.servers.borrow_mut();
         if listed.state == ServerState::Removed {
             servers.remove(id);
--- a/crates/rate-limiter/src/limiter/admission.rs
+++ b/crates/rate-limiter/src/limiter/admission.rs
@@ -14,7 +14,7 @@
 /// Multiplies the shed probability of requests that are likely to exceed their tenant's quota.
 const OVER_QUOTA_SHED_FACTOR: f64 = 4.0;
 /// How early a timer fires before a deadline, in multiples of `Settings::round_interval`.
-pub(super) const ROUND_MARGIN: f64 = 2.0;
+pub(super) const TIMER_MARGIN_ROUNDS: f64 = 2.0;
 
 impl Limiter {
     /// Admits a request and sends it to a server, or rejects it.
@@ -24,14 +24,14 @@
         let (Some(class), Some(plan)) = (class, plan) else {
             return self.reject(request.id, 0.0, actions);
         };
-        let final_response_at = request.due - ROUND_MARGIN * self.settings.round_interval;
+        let final_response_at = request.due - TIMER_MARGIN_ROUNDS * self.settings.round_interval;
         if final_response_at <= self.now {
             // The client no longer waits for the response, so that executing the request would be wasted work.
             return self.reject_overloaded(request.id, actions);
         }
         let (units, key) = (request.units.max(0.0), &request.tenant);
         self.retry_budget.record_request();
-        self.quotas.put(context!(self), key, plan, request.tenant_limiters, units);
+        self.quotas.upsert(context!(self), key, plan, request.tenant_limiters, units);
         let checked = self.quotas.check(context!(self), key, units, request.is_retry, &mut self.rng);
         if let Err(QuotaExceeded { retry_after }) = checked {
             if !request.is_retry {
@@ -46,10 +46,10 @@
         let is_rejected = is_shed || self.quotas.is_at_in_flight_limit(context!(self), key);
         let server = if is_rejected { None } else { self.servers.choose(context!(self), &open, seed) };
         let Some(server) = server else { return self.reject_overloaded(request.id, actions) };
-        self.quotas.take(key, units);
+        self.quotas.consume(key, units);
         actions.extend(self.quotas.report(context!(self), key, units, true, &mut self.rng));
         self.requests.insert(request.id, open);
-        actions.push(Action::SetTimer { at: final_response_at, token: Timer::Due(request.id).token() });
+        actions.push(Action::SetTimer { at: final_response_at, token: Timer::Deadline(request.id).token() });
         self.send(request.id, server, actions);
     }
 
--- a/crates/rate-limiter/src/limiter/attempts.rs
+++ b/crates/rate-limiter/src/limiter/attempts.rs
@@ -3,8 +3,8 @@
 //! Invariants: a request that is not idempotent is retried only if no earlier attempt can have executed it. A request with
 //! an idempotency key is retried only while the servers deduplicate it.
 
-use super::admission::ROUND_MARGIN;
-use super::outlier_detection::Lateness;
+use super::admission::TIMER_MARGIN_ROUNDS;
+use super::outlier_detection::LatencySample;
 use super::{context, moving_average, Context, Limiter, Timer, MEAN_LATENCY_GAIN, TICK_INTERVAL};
 use crate::interface::{
     Action, AttemptResult, Class, Idempotency, Outcome, Request, RequestId, Scope, ServerId,
@@ -34,7 +34,7 @@
     /// Whether it has no outcome yet.
     is_open: bool,
     /// Whether it is included in `Server::in_flight`.
-    is_counted: bool,
+    is_in_flight: bool,
     /// Whether the server may have executed the request. True until an outcome proves that it did not.
     may_have_executed: bool,
 }
@@ -86,7 +86,7 @@
     fn deduplicated_until(&self, context: Context<'_>) -> Option<f64> {
         let class = &context.settings.classes[self.class];
         let first = self.first_possible_execution().filter(|_| class.idempotency == Idempotency::Keyed)?;
-        let margin = context.settings.round_interval * ROUND_MARGIN;
+        let margin = context.settings.round_interval * TIMER_MARGIN_ROUNDS;
         Some(first.sent_at + class.deduplication_window * DEDUPLICATION_FRACTION - margin)
     }
 }
@@ -105,7 +105,7 @@
             cell: target.cell,
             sent_at: now,
             is_open: true,
-            is_counted: true,
+            is_in_flight: true,
             may_have_executed: true,
         });
         self.servers.record_send(context!(self), &server);
@@ -146,7 +146,7 @@
             return false;
         }
         let Some(server) = self.servers.choose(context!(self), request, seed) else { return false };
-        self.retry_budget.take();
+        self.retry_budget.withdraw();
         self.send(id, server, actions);
         true
     }
@@ -171,7 +171,7 @@
             return;
         }
         if elapsed >= target_latency {
-            return self.uncount(id, number);
+            return self.remove_from_in_flight(id, number);
         }
         let next = if was_stalled { self.now + TICK_INTERVAL } else { sent_at + target_latency + round };
         actions.push(Action::SetTimer { at: next, token: Timer::SlowAttempt(id).token() });
@@ -184,7 +184,7 @@
             self.servers.record_failure(context!(self), &server);
         }
         let ratio = elapsed / usual.max(MIN_LATENCY);
-        self.servers.record_latency(context!(self), &server, class, ratio, Lateness::Late);
+        self.servers.record_latency(context!(self), &server, class, ratio, LatencySample::Partial);
         let is_unresponsive = self.servers.get(&server).is_some_and(|state| state.is_unresponsive(class));
         if may_retry && is_unresponsive && self.settings.may_cancel {
             // Only one attempt may be open, so the retry follows when this attempt reports its outcome.
@@ -203,11 +203,11 @@
 
     /// Removes an attempt from its server's in-flight count, because it has its outcome, or is so late that the request or
     /// its response may be lost.
-    fn uncount(&mut self, id: RequestId, number: u32) {
+    fn remove_from_in_flight(&mut self, id: RequestId, number: u32) {
         let request = self.requests.get_mut(&id);
         let attempt = request.and_then(|request| request.attempts.get_mut(number as usize));
         let Some(attempt) = attempt else { return };
-        if std::mem::take(&mut attempt.is_counted) {
+        if std::mem::take(&mut attempt.is_in_flight) {
             if let Some(server) = self.servers.get_mut(&attempt.server) {
                 server.in_flight = server.in_flight.saturating_sub(1);
             }
@@ -226,13 +226,13 @@
         let server = attempt.server.clone();
         let (class, units, was_done) = (request.class, request.units, request.done);
         let tenant = request.tenant.clone();
-        self.uncount(id, number);
+        self.remove_from_in_flight(id, number);
         self.correct_units(&tenant, units, result);
         match outcome {
             Outcome::Completed => self.record_response(&server, class, units, result),
             Outcome::Rejected => {
-                let responded = Lateness::Responded;
-                self.servers.record_latency(context!(self), &server, class, REJECTION_SLOWNESS, responded);
+                let sample = LatencySample::Complete;
+                self.servers.record_latency(context!(self), &server, class, REJECTION_SLOWNESS, sample);
             }
             Outcome::Error | Outcome::ConnectFailed | Outcome::Reset => {
                 self.servers.record_failure(context!(self), &server);
@@ -244,7 +244,7 @@
         }
         let has_open_attempt = self.requests.get(&id).is_some_and(OpenRequest::has_open_attempt);
         if !has_open_attempt && !self.try_retry(id, actions) {
-            self.give_up(id, actions);
+            self.finish_without_retry(id, actions);
         }
     }
 
@@ -267,7 +267,7 @@
     fn record_response(&mut self, server: &ServerId, class: usize, units: f64, result: &AttemptResult) {
         let latency = result.elapsed / units.max(1.0);
         let ratio = latency / self.mean_latency[class].max(MIN_LATENCY);
-        self.servers.record_latency(context!(self), server, class, ratio, Lateness::Responded);
+        self.servers.record_latency(context!(self), server, class, ratio, LatencySample::Complete);
         self.mean_latency[class] = moving_average(self.mean_latency[class], latency, MEAN_LATENCY_GAIN);
         if result.attempt > 0 && result.elapsed < self.settings.classes[class].target_latency {
             self.retry_budget.record_success();
@@ -279,7 +279,7 @@
 
     /// Gives the final response to a request that is not retried. It is rejected if the client may safely retry it, and
     /// failed otherwise.
-    fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    fn finish_without_retry(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.done) else { return };
         let class = &self.settings.classes[request.class];
         if is_safe_to_retry(class) || request.first_possible_execution().is_none() {
--- a/crates/rate-limiter/src/limiter/counter_sync.rs
+++ b/crates/rate-limiter/src/limiter/counter_sync.rs
@@ -4,7 +4,7 @@
 //! request path, and reads back the total. The admitted and the rejected units are quantized to steps and packed into
 //! one number, so that it does not exceed the digits that the counter stores exactly.
 
-use super::quota::{counter_name, is_scattered, mean_rate, CounterState, Tenant, Totals};
+use super::quota::{counter_name, has_fractional_burst, mean_rate, CounterState, Tenant, Totals};
 use super::{moving_average, Context};
 use crate::interface::{Action, CounterResponse, Outcome, Plan, Settings};
 use std::collections::BTreeMap;
@@ -38,7 +38,7 @@
 const SAMPLING_RATE_DECREASE: f64 = 0.85;
 /// A response is quick if it takes at most this fraction of the counter timeout. The network alone may take half of the
 /// timeout.
-const QUICK_RESPONSE: f64 = 0.7;
+const QUICK_RESPONSE_FRACTION: f64 = 0.7;
 /// A total is `admitted steps + PACKING_BASE * rejected steps`. The counter stores seven digits exactly.
 const PACKING_BASE: f64 = 2_000.0;
 /// Maximum rejected steps in a total.
@@ -57,7 +57,7 @@
 }
 
 /// The demand of a tenant over all limiters in a span of time.
-pub(super) struct CountedDemand {
+pub(super) struct MeasuredDemand {
     pub(super) units: f64,
     pub(super) seconds: f64,
 }
@@ -113,15 +113,16 @@
         if !settings.has_counter || plan.rate <= 0.0 {
             return None;
         }
-        let chance = if admitted { self.sampling_rate } else { (2.0 * self.sampling_rate).min(1.0) };
+        let call_probability =
+            if admitted { self.sampling_rate } else { (2.0 * self.sampling_rate).min(1.0) };
         let must_wait =
             tenant.is_reporting || now < tenant.next_report || (!self.is_up() && now < self.retry_at);
-        if !must_wait && rng.f64() >= chance {
+        if !must_wait && rng.f64() >= call_probability {
             return None;
         }
         let accumulated =
             if admitted { &mut tenant.unreported_used } else { &mut tenant.unreported_rejected };
-        *accumulated += if must_wait { units } else { units / chance };
+        *accumulated += if must_wait { units } else { units / call_probability };
         if must_wait {
             return None;
         }
@@ -164,7 +165,7 @@
     /// Adjusts the sampling rate and the number of consecutive failures by the outcome of a call.
     pub(super) fn record_response(&mut self, settings: &Settings, response: &CounterResponse) {
         let completed = response.outcome == Outcome::Completed;
-        let is_quick = completed && response.elapsed <= QUICK_RESPONSE * settings.counter_timeout;
+        let is_quick = completed && response.elapsed <= QUICK_RESPONSE_FRACTION * settings.counter_timeout;
         self.sampling_rate = match is_quick {
             true => self.sampling_rate + SAMPLING_RATE_INCREASE,
             false => self.sampling_rate * SAMPLING_RATE_DECREASE,
@@ -211,7 +212,7 @@
         now: f64,
         report: &Report,
         response: &CounterResponse,
-    ) -> Option<CountedDemand> {
+    ) -> Option<MeasuredDemand> {
         self.is_reporting = false;
         if response.outcome != Outcome::Completed {
             self.restore_unreported(plan, report, response.outcome);
@@ -224,7 +225,7 @@
         let since = last.map_or(f64::MIN, |totals| totals.updated_at).max(window_start);
         let span = (now - since).max(REPORT_INTERVAL / 4.0);
         self.totals = Some(self.averaged_totals(plan, now, last, report, &added, span));
-        Some(CountedDemand { units: (added.used + added.rejected) * step_units(plan), seconds: span })
+        Some(MeasuredDemand { units: (added.used + added.rejected) * step_units(plan), seconds: span })
     }
 
     /// Restores the units of a failed report, so that they are reported again. After a timeout they are not restored,
@@ -268,7 +269,7 @@
             .clamp(AVERAGING_REPORTS * REPORT_INTERVAL, MAX_AVERAGING_WINDOWS * COUNTER_WINDOW);
         // A limiter that seldom receives requests of the tenant has to rely on the first totals. They get a short time
         // constant, since the initial mean of zero would otherwise dominate them.
-        let is_first = last.is_none() && is_scattered(plan, self.limiters);
+        let is_first = last.is_none() && has_fractional_burst(plan, self.limiters);
         let time_constant = if is_first { AVERAGING_REPORTS * REPORT_INTERVAL } else { averaging_time };
         let step = step_units(plan);
         let mean = |mean: f64, steps: f64, span: f64| mean_rate(mean, steps * step, span, time_constant);
--- a/crates/rate-limiter/src/limiter/heavy_hitters.rs
+++ b/crates/rate-limiter/src/limiter/heavy_hitters.rs
@@ -9,7 +9,7 @@
 //! The list is a sequence of counters, which limiters read outside the request path. Each limiter reads every entry
 //! once, and then polls the end of the list for new entries.
 
-use super::counter_sync::CountedDemand;
+use super::counter_sync::MeasuredDemand;
 use super::{hash, Action, Settings};
 use crate::interface::Plan;
 use std::collections::BTreeMap;
@@ -17,10 +17,10 @@
 /// The lifetime of a list in seconds, after which a new list starts empty. With a shorter lifetime, all limiters would
 /// have to read the list more often. A new list starts in the middle of a counter window, because totals are then most
 /// accurate for deciding which tenants to list.
-const LIST_TIME: f64 = 20.0;
+const LIST_LIFETIME: f64 = 20.0;
 /// Seconds for which the previous list stays valid after a new one has started. By then, tenants that still exceed their
 /// quota are listed again.
-const OVERLAP: f64 = 5.0;
+const LIST_OVERLAP: f64 = 5.0;
 /// Maximum number of entries of a list. Each entry costs every limiter one call to the counter.
 const MAX_ENTRIES: u32 = 60;
 /// Seconds between polls of the end of the list.
@@ -32,14 +32,14 @@
 /// at the same time, or if a call that should have undone an addition was lost.
 const MAX_INVALID_READS: u32 = 4;
 /// A tenant is listed if its demand exceeds its burst plus this multiple of its quota, ...
-const MIN_EXCESS: f64 = 1.2;
+const MIN_DEMAND_FACTOR: f64 = 1.2;
 /// ... and if the cost of its excess is more than this fraction of `HeavyHitters::max_quota_cost`.
 const MIN_EXCESS_COST: f64 = 0.2;
 /// A tenant is listed again if the admitted fraction that its demand requires has shrunk by this factor.
 const RELIST_FACTOR: f64 = 2.0;
 /// The fraction of a tenant's quota that is granted through its admitted fraction. The rest is left for requests that
 /// limiters admit by their own totals or before they have read the entry.
-pub(super) const LISTED_FRACTION: f64 = 0.7;
+pub(super) const GRANTED_QUOTA_FRACTION: f64 = 0.7;
 
 /// Encoding of list entries as integers that the counter stores exactly (up to seven digits).
 ///
@@ -92,7 +92,7 @@
 use entry::Entry;
 
 /// A call to the counter that is awaiting its response.
-struct CounterRead {
+struct PendingCall {
     name: String,
     amount: f64,
 }
@@ -109,14 +109,14 @@
     /// The highest cost of one second of a plan's rate, if it were used in excess of the quota, over the plans whose burst
     /// is less than one unit per limiter. If it is 0, no tenant is listed.
     max_quota_cost: f64,
-    /// The number of the current list, which increases by one each [`LIST_TIME`].
+    /// The number of the current list, which increases by one each [`LIST_LIFETIME`].
     list: i64,
-    list_began: f64,
+    list_started_at: f64,
     /// The index of the first unread entry, and how many reads of it returned an invalid number.
     next_entry: u32,
     invalid_reads: u32,
     next_read: f64,
-    open_read: Option<CounterRead>,
+    pending_call: Option<PendingCall>,
     /// The admitted fractions in the current and the previous list, by [`entry::tenant_of`].
     fractions: BTreeMap<u64, f64>,
     previous_fractions: BTreeMap<u64, f64>,
@@ -131,17 +131,18 @@
 impl HeavyHitters {
     pub(super) fn new(settings: &Settings) -> Self {
         let limiters = f64::from(settings.limiter_count);
-        let is_scattered = |plan: &&Plan| plan.rate > 0.0 && plan.burst < limiters;
-        let scattered = settings.plans.iter().filter(is_scattered);
-        let max_quota_cost = scattered.map(|plan| plan.rate * excess_cost(plan)).fold(0.0, f64::max);
+        let has_fractional_burst = |plan: &&Plan| plan.rate > 0.0 && plan.burst < limiters;
+        let plans_with_fractional_burst = settings.plans.iter().filter(has_fractional_burst);
+        let max_quota_cost =
+            plans_with_fractional_burst.map(|plan| plan.rate * excess_cost(plan)).fold(0.0, f64::max);
         HeavyHitters {
             max_quota_cost: if settings.has_counter { max_quota_cost } else { 0.0 },
             list: i64::MIN,
-            list_began: f64::MIN,
+            list_started_at: f64::MIN,
             next_entry: 0,
             invalid_reads: 0,
             next_read: f64::MIN,
-            open_read: None,
+            pending_call: None,
             fractions: BTreeMap::new(),
             previous_fractions: BTreeMap::new(),
             candidate: None,
@@ -151,20 +152,20 @@
     /// Returns the fraction of a tenant's requests to admit, or `None` if the tenant is not listed.
     pub(super) fn admitted_fraction(&self, key: &str, now: f64) -> Option<f64> {
         let tenant = entry::tenant_of(key);
-        let age = now - self.list_began;
-        let previous = self.previous_fractions.get(&tenant).filter(|_| age < OVERLAP);
-        let current = self.fractions.get(&tenant).filter(|_| age < LIST_TIME + OVERLAP);
+        let age = now - self.list_started_at;
+        let previous = self.previous_fractions.get(&tenant).filter(|_| age < LIST_OVERLAP);
+        let current = self.fractions.get(&tenant).filter(|_| age < LIST_LIFETIME + LIST_OVERLAP);
         current.or(previous).copied()
     }
 
     /// Records the measured demand of a tenant, and makes the tenant the candidate for a new entry if its excess costs
     /// more than that of the current candidate.
-    pub(super) fn record_demand(&mut self, key: &str, plan: &Plan, demand: &CountedDemand) {
-        let CountedDemand { units, seconds } = *demand;
+    pub(super) fn record_demand(&mut self, key: &str, plan: &Plan, demand: &MeasuredDemand) {
+        let MeasuredDemand { units, seconds } = *demand;
         let cost = (units / seconds - plan.rate) * excess_cost(plan);
-        let admitted_fraction = LISTED_FRACTION * plan.rate * seconds / units;
+        let admitted_fraction = GRANTED_QUOTA_FRACTION * plan.rate * seconds / units;
         let listed_fraction = self.fractions.get(&entry::tenant_of(key));
-        let is_over_quota = units > plan.burst + MIN_EXCESS * plan.rate * seconds;
+        let is_over_quota = units > plan.burst + MIN_DEMAND_FACTOR * plan.rate * seconds;
         let is_new = listed_fraction.is_none_or(|listed| *listed >= RELIST_FACTOR * admitted_fraction);
         let min_cost = MIN_EXCESS_COST * self.max_quota_cost;
         let cost_to_beat = self.candidate.map_or(min_cost, |candidate| candidate.excess_cost);
@@ -176,12 +177,12 @@
 
     /// Returns the call that reads the next entry of the list, if it is time for it. Must be called once per tick.
     pub(super) fn tick(&mut self, now: f64, rng: &mut fastrand::Rng) -> Option<Action> {
-        let list = (now / LIST_TIME + 0.5).floor() as i64;
+        let list = (now / LIST_LIFETIME + 0.5).floor() as i64;
         if self.max_quota_cost > 0.0 && list != self.list {
             self.begin_list(list, now + rng.f64() * POLL_INTERVAL);
         }
         let must_wait = self.max_quota_cost <= 0.0
-            || self.open_read.is_some()
+            || self.pending_call.is_some()
             || self.next_entry >= MAX_ENTRIES
             || now < self.next_read;
         (!must_wait).then(|| self.add_to_next_entry(0.0))
@@ -190,19 +191,19 @@
     fn begin_list(&mut self, list: i64, next_read: f64) {
         self.previous_fractions = std::mem::take(&mut self.fractions);
         self.list = list;
-        self.list_began = (list as f64 - 0.5) * LIST_TIME;
+        self.list_started_at = (list as f64 - 0.5) * LIST_LIFETIME;
         self.next_entry = 0;
         self.invalid_reads = 0;
         self.next_read = next_read;
-        self.open_read = None;
+        self.pending_call = None;
         self.candidate = None;
     }
 
     /// Returns the call that adds to the counter of the next entry and reads its total.
     fn add_to_next_entry(&mut self, amount: f64) -> Action {
         let name = format!("heavy.{}.{}", self.list, self.next_entry);
-        self.open_read = Some(CounterRead { name: name.clone(), amount });
-        Action::AddToCounter { name, amount, ttl: LIST_TIME * 2.0 }
+        self.pending_call = Some(PendingCall { name: name.clone(), amount });
+        Action::AddToCounter { name, amount, ttl: LIST_LIFETIME * 2.0 }
     }
 
     /// Handles a response of the counter, and returns a follow-up call if one is necessary. `total` is `None` if the call
@@ -215,7 +216,7 @@
         sampling_rate: f64,
         rng: &mut fastrand::Rng,
     ) -> Option<Action> {
-        let CounterRead { amount, .. } = self.open_read.take_if(|read| read.name == name)?;
+        let PendingCall { amount, .. } = self.pending_call.take_if(|call| call.name == name)?;
         self.next_read = now + READ_INTERVAL / sampling_rate;
         let Some(total) = total else {
             self.next_read = now + POLL_INTERVAL;
--- a/crates/rate-limiter/src/limiter/load_balancing.rs
+++ b/crates/rate-limiter/src/limiter/load_balancing.rs
@@ -14,9 +14,9 @@
 /// The number of candidates compared for a request is this factor times the subset size, divided by the number of
 /// limiters per server. The more limiters share the servers, the more of them would choose the same best server. They
 /// then compare fewer candidates, down to the better of two random ones.
-const COMPARED_SUBSETS: f64 = 4.0;
+const CANDIDATE_FACTOR: f64 = 4.0;
 /// Minimum number of candidates that are compared.
-const MIN_COMPARED: f64 = 2.0;
+const MIN_CANDIDATES: f64 = 2.0;
 /// The factor by which the slowness of a server in another zone is multiplied.
 const OTHER_ZONE_FACTOR: f64 = 1.1;
 /// The factor by which the slowness of a server is multiplied if the request was sent to it before.
@@ -35,7 +35,7 @@
 
 /// The ejected server whose ejection ends first.
 #[derive(Clone, Copy)]
-struct LeastEjected<'a> {
+struct NextReadmission<'a> {
     id: &'a ServerId,
     until: f64,
 }
@@ -45,14 +45,14 @@
     pub(super) fn choose(&self, context: Context<'_>, request: &OpenRequest, seed: u64) -> Option<ServerId> {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut candidates = Vec::new();
-        let mut least_ejected: Option<LeastEjected<'_>> = None;
+        let mut next_readmission: Option<NextReadmission<'_>> = None;
         let mut considered = 0.0;
         let in_service = self.in_ring_order(context).filter(|(_, server)| server.is_in_service());
         for (id, server) in in_service.filter(|(_, server)| request.allows_server(context, server)) {
             if server.ejected_until > context.now {
-                let is_first = least_ejected.is_none_or(|least| server.ejected_until < least.until);
+                let is_first = next_readmission.is_none_or(|next| server.ejected_until < next.until);
                 if server.in_flight == 0 && is_first {
-                    least_ejected = Some(LeastEjected { id, until: server.ejected_until });
+                    next_readmission = Some(NextReadmission { id, until: server.ejected_until });
                 }
                 continue;
             }
@@ -65,21 +65,21 @@
             }
         }
         candidates.sort_by(|a, b| a.rank.total_cmp(&b.rank));
-        let compared = COMPARED_SUBSETS * self.subset_size / self.limiters_per_server;
-        candidates.truncate(compared.max(MIN_COMPARED) as usize);
+        let compared_count = CANDIDATE_FACTOR * self.subset_size / self.limiters_per_server;
+        candidates.truncate(compared_count.max(MIN_CANDIDATES) as usize);
         let best = candidates.iter().min_by(|a, b| a.score.total_cmp(&b.score)).map(|best| best.id);
         // If every server is ejected, the one that is readmitted first still gets a request at a time, so that a false
         // detection does not stop all traffic.
-        let fallback = least_ejected.filter(|_| considered == 0.0).map(|least| least.id);
+        let fallback = next_readmission.filter(|_| considered == 0.0).map(|next| next.id);
         best.or(fallback).cloned()
     }
 
     /// Returns whether a server has capacity for one more attempt from this limiter.
     fn has_capacity(&self, context: Context<'_>, id: &ServerId, server: &Server) -> bool {
-        let by_capacity = MAX_IN_FLIGHT * server.capacity(context) / self.limiters_per_server;
+        let capacity_limit = MAX_IN_FLIGHT * server.capacity(context) / self.limiters_per_server;
         let limit = match server.failures >= MAX_FAILURES {
             true => 1.0,
-            false => by_capacity.max(MIN_IN_FLIGHT_LIMIT),
+            false => capacity_limit.max(MIN_IN_FLIGHT_LIMIT),
         };
         f64::from(server.in_flight) + 1.0 <= limit && self.allows_slow_start_send(context, id, server)
     }
@@ -94,9 +94,10 @@
     ) -> Candidate<'a> {
         let slowness = self.slowness_for(context, request, id, server);
         let capacity = server.capacity(context);
-        let others = self.load.expected(server.reported_load.as_ref(), context.now, context.time_scale());
-        let own = (f64::from(server.in_flight) + 1.0 / self.limiters_per_server) / capacity;
-        let score = slowness * (1.0 + own + others) * (1.0 + JITTER * rng.f64());
+        let expected_load =
+            self.load.expected(server.reported_load.as_ref(), context.now, context.time_scale());
+        let own_load = (f64::from(server.in_flight) + 1.0 / self.limiters_per_server) / capacity;
+        let score = slowness * (1.0 + own_load + expected_load) * (1.0 + JITTER * rng.f64());
         // Weighted random sampling by exponential ranks: the probability of the lowest rank is proportional to capacity
         // divided by slowness.
         let rank = -(1.0 - rng.f64()).ln() * slowness / capacity;
--- a/crates/rate-limiter/src/limiter/mod.rs
+++ b/crates/rate-limiter/src/limiter/mod.rs
@@ -54,7 +54,7 @@
     /// The periodic tick.
     Tick,
     /// The final response to a request must be given now.
-    Due(RequestId),
+    Deadline(RequestId),
     /// The latest attempt of a request may be too slow.
     SlowAttempt(RequestId),
 }
@@ -65,7 +65,7 @@
     fn token(self) -> u64 {
         match self {
             Timer::Tick => 0,
-            Timer::Due(id) => id * Self::KINDS + 1,
+            Timer::Deadline(id) => id * Self::KINDS + 1,
             Timer::SlowAttempt(id) => id * Self::KINDS + 2,
         }
     }
@@ -74,7 +74,7 @@
         let id = token / Self::KINDS;
         match token % Self::KINDS {
             0 => Timer::Tick,
-            1 => Timer::Due(id),
+            1 => Timer::Deadline(id),
             _ => Timer::SlowAttempt(id),
         }
     }
@@ -151,7 +151,7 @@
         if !std::mem::replace(&mut self.timer_started, true) {
             actions.push(Action::SetTimer { at: now + TICK_INTERVAL, token: Timer::Tick.token() });
         }
-        if self.discovery.is_due(now) {
+        if self.discovery.take_due_call(now) {
             actions.push(Action::WatchServers);
         }
         match event {
@@ -185,11 +185,11 @@
     fn handle_timer(&mut self, timer: Timer, actions: &mut Vec<Action>) {
         match timer {
             Timer::Tick => self.tick(actions),
-            Timer::Due(id) if self.awaits_response(id) => {
+            Timer::Deadline(id) if self.awaits_response(id) => {
                 actions.push(Action::Fail { id });
                 self.finish(id, actions);
             }
-            Timer::Due(id) | Timer::SlowAttempt(id) => self.check_slow_attempt(id, actions),
+            Timer::Deadline(id) | Timer::SlowAttempt(id) => self.check_slow_attempt(id, actions),
         }
     }
 
@@ -202,7 +202,7 @@
         if self.now - self.last_tick > STALL_TIME {
             self.stalled_until = self.now;
         }
-        self.quotas.forget_idle_tenants(context!(self), self.last_tick);
+        self.quotas.evict_idle_tenants(context!(self), self.last_tick);
         self.last_tick = self.now;
         self.servers.refresh(context!(self));
         actions.extend(self.quotas.read_heavy_hitters(context!(self), &mut self.rng));
--- a/crates/rate-limiter/src/limiter/outlier_detection.rs
+++ b/crates/rate-limiter/src/limiter/outlier_detection.rs
@@ -18,20 +18,20 @@
 /// The time constant with which slowness decays towards 1, as a multiple of the time scale.
 const SLOWNESS_DECAY: f64 = 8.0;
 /// The bounds to which a latency ratio is clamped.
-const MIN_RATIO: f64 = 0.1;
-const MAX_RATIO: f64 = 30.0;
+const MIN_LATENCY_RATIO: f64 = 0.1;
+const MAX_LATENCY_RATIO: f64 = 30.0;
 /// The amount that each late attempt of a class adds to the server's slowness factor for that class.
 const LATE_PENALTY: f64 = 4.0;
 /// The time constant with which that penalty decays, as a multiple of the time scale, per late attempt.
 const LATE_DECAY: f64 = 8.0;
 
-/// Whether an attempt has its response or is late.
+/// Whether a recorded latency is that of a response, or the time so far of a late attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Lateness {
-    /// The server has responded.
-    Responded,
-    /// The attempt is slow and has no response yet.
-    Late,
+pub(super) enum LatencySample {
+    /// The server has responded, so that the latency is final.
+    Complete,
+    /// The attempt is late and has no response yet, so that the latency will be higher.
+    Partial,
 }
 
 impl Server {
@@ -96,7 +96,7 @@
         id: &str,
         class: usize,
         ratio: f64,
-        lateness: Lateness,
+        sample: LatencySample,
     ) {
         let now = context.now;
         let Some(server) = self.get_mut(id) else { return };
@@ -105,15 +105,15 @@
         let decay = server.slowness_decay(context);
         let gain = SLOWNESS_GAIN.max(SLOWNESS_GAIN_AFTER_DECAY * (1.0 - decay));
         let decayed = server.decayed_slowness(decay);
-        server.slowness = moving_average(decayed, ratio.clamp(MIN_RATIO, MAX_RATIO), gain);
+        server.slowness = moving_average(decayed, ratio.clamp(MIN_LATENCY_RATIO, MAX_LATENCY_RATIO), gain);
         server.slowness_at = now;
         let none = LateAttempts { count: 0, last: now };
         server.late_attempts.resize(context.settings.classes.len(), none);
         let late = &mut server.late_attempts[class];
         late.last = now;
-        late.count = match lateness {
-            Lateness::Responded => 0,
-            Lateness::Late => late.count + 1,
+        late.count = match sample {
+            LatencySample::Complete => 0,
+            LatencySample::Partial => late.count + 1,
         };
     }
 }
--- a/crates/rate-limiter/src/limiter/quota.rs
+++ b/crates/rate-limiter/src/limiter/quota.rs
@@ -4,7 +4,7 @@
 //! Without recent totals, the quota is divided evenly among the tenant's limiters.
 
 use super::counter_sync::CounterSync;
-use super::heavy_hitters::{HeavyHitters, LISTED_FRACTION};
+use super::heavy_hitters::{HeavyHitters, GRANTED_QUOTA_FRACTION};
 use super::{hash, moving_average, Context};
 use crate::interface::{Action, CounterResponse, Outcome, Plan, Settings};
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
 /// computed. It keeps a single request from changing a share much.
 const PRIOR_REQUESTS: f64 = 2.0;
 /// The age in counter windows after which totals are treated as missing, even while the counter responds.
-const STALE_WINDOWS: f64 = 2.0;
+const MAX_TOTALS_AGE_WINDOWS: f64 = 2.0;
 /// Seconds without a request after which a tenant with a full bucket may be evicted. Also the interval in seconds
 /// between checks for such tenants.
 const IDLE_TIME: f64 = 60.0;
@@ -129,7 +129,7 @@
 /// Returns whether the plan's burst, divided among the tenant's limiters, is less than one unit at each limiter. Since a
 /// new bucket always holds at least one request, nearly every request then meets a bucket that admits it, at a limiter
 /// without totals for the tenant.
-pub(super) fn is_scattered(plan: &Plan, limiters: f64) -> bool {
+pub(super) fn has_fractional_burst(plan: &Plan, limiters: f64) -> bool {
     plan.rate > 0.0 && plan.burst / limiters < 1.0
 }
 
@@ -154,7 +154,7 @@
 
     /// Returns the totals, or `None` if they are missing or stale, or the counter is down.
     fn known_totals(&self, counter_is_up: bool, now: f64) -> Option<&Totals> {
-        let is_recent = |totals: &&Totals| now - totals.updated_at <= STALE_WINDOWS * COUNTER_WINDOW;
+        let is_recent = |totals: &&Totals| now - totals.updated_at <= MAX_TOTALS_AGE_WINDOWS * COUNTER_WINDOW;
         self.totals.as_ref().filter(|totals| counter_is_up && is_recent(totals))
     }
 
@@ -180,7 +180,7 @@
     }
 
     /// Returns whether the tenant can be evicted: it is idle, and refilled, its quota and hard rate limit would be full.
-    fn can_be_forgotten(&self, context: Context<'_>) -> bool {
+    fn can_be_evicted(&self, context: Context<'_>) -> bool {
         let plan = &context.settings.plans[self.plan];
         let idle_time = context.now - self.refilled_at;
         let missing = (plan.burst / self.limiters).max(context.settings.max_units) - self.tokens;
@@ -219,7 +219,7 @@
     }
 
     /// Inserts a tenant if it is unknown, and updates the number of limiters that receive its requests.
-    pub(super) fn put(
+    pub(super) fn upsert(
         &mut self,
         context: Context<'_>,
         key: &Arc<str>,
@@ -234,7 +234,7 @@
         tenant.limiters = limiters;
     }
 
-    /// Checks whether the quota allows a request. If the request is then sent, the caller must call [`Quotas::take`].
+    /// Checks whether the quota allows a request. If the request is then sent, the caller must call [`Quotas::consume`].
     ///
     /// # Errors
     /// [`QuotaExceeded`] if the quota does not allow it.
@@ -250,8 +250,8 @@
         let exceeded = |retry_after| Err(QuotaExceeded { retry_after });
         let Some(tenant) = self.tenants.get_mut(key) else { return exceeded(0.0) };
         let plan = &context.settings.plans[tenant.plan];
-        let scattered = is_scattered(plan, tenant.limiters);
-        if is_retry && tenant.totals.is_none() && scattered {
+        let fractional_burst = has_fractional_burst(plan, tenant.limiters);
+        if is_retry && tenant.totals.is_none() && fractional_burst {
             // Another limiter rejected the request, because it had totals for the tenant or because the servers were
             // overloaded. Without this check, each of hundreds of limiters would admit one such retry. After the
             // returned delay, the whole quota has accrued enough units for the request.
@@ -261,9 +261,12 @@
         // exceeds its quota, the limiter admits each request with the probability that the quota allows.
         let over_quota = tenant.known_totals(counter_is_up, context.now);
         let over_quota = over_quota.filter(|totals| totals.demand > plan.rate);
-        let own_fraction = over_quota.map(|totals| LISTED_FRACTION * plan.rate / totals.demand);
-        let admitted_fraction =
-            self.heavy_hitters.admitted_fraction(key, context.now).or(own_fraction).filter(|_| scattered);
+        let own_fraction = over_quota.map(|totals| GRANTED_QUOTA_FRACTION * plan.rate / totals.demand);
+        let admitted_fraction = self
+            .heavy_hitters
+            .admitted_fraction(key, context.now)
+            .or(own_fraction)
+            .filter(|_| fractional_burst);
         if admitted_fraction.is_some_and(|fraction| rng.f64() >= fraction) {
             return exceeded(units / plan.rate);
         }
@@ -281,7 +284,7 @@
     }
 
     /// Deducts the units of a request that is sent.
-    pub(super) fn take(&mut self, key: &str, units: f64) {
+    pub(super) fn consume(&mut self, key: &str, units: f64) {
         if let Some(tenant) = self.tenants.get_mut(key) {
             tenant.tokens -= units;
             tenant.hard_tokens -= units;
@@ -334,8 +337,8 @@
         };
         let tenant = self.tenants.get_mut(&report.tenant)?;
         let plan = &context.settings.plans[tenant.plan];
-        let learned = tenant.apply_response(plan, context.now, &report, response);
-        if let Some(demand) = learned.filter(|_| is_scattered(plan, tenant.limiters)) {
+        let demand = tenant.apply_response(plan, context.now, &report, response);
+        if let Some(demand) = demand.filter(|_| has_fractional_burst(plan, tenant.limiters)) {
             self.heavy_hitters.record_demand(&report.tenant, plan, &demand);
         }
         None
@@ -352,9 +355,9 @@
 
     /// Evicts idle tenants whose quota and hard rate limit would be full again. Evicting a tenant sooner would reset its
     /// partly used buckets. Does nothing unless a multiple of [`IDLE_TIME`] has passed since the last tick.
-    pub(super) fn forget_idle_tenants(&mut self, context: Context<'_>, last_tick: f64) {
+    pub(super) fn evict_idle_tenants(&mut self, context: Context<'_>, last_tick: f64) {
         if (context.now / IDLE_TIME).floor() > (last_tick / IDLE_TIME).floor() {
-            self.tenants.retain(|_, tenant| !tenant.can_be_forgotten(context));
+            self.tenants.retain(|_, tenant| !tenant.can_be_evicted(context));
         }
     }
 }
--- a/crates/rate-limiter/src/limiter/retry_budget.rs
+++ b/crates/rate-limiter/src/limiter/retry_budget.rs
@@ -1,46 +1,46 @@
 //! The retry budget: each request deposits a fraction of a retry, and a successful retry is mostly refunded.
 
 /// The fraction of a retry that each request adds to the budget.
-const EARNED_PER_REQUEST: f64 = 0.1;
+const DEPOSIT_PER_REQUEST: f64 = 0.1;
 /// Maximum number of retries in the budget.
-const MAX_SAVED: f64 = 10.0;
+const MAX_BALANCE: f64 = 10.0;
 /// The fraction of a retry that is refunded if the retry succeeds in time, so that more retries are sent while they
 /// help.
-const EARNED_PER_SUCCESS: f64 = 0.8;
+const REFUND_PER_SUCCESS: f64 = 0.8;
 
 /// The budget of retries, which starts full.
 pub(super) struct RetryBudget {
-    saved: f64,
+    balance: f64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        RetryBudget { saved: MAX_SAVED }
+        RetryBudget { balance: MAX_BALANCE }
     }
 }
 
 impl RetryBudget {
     /// Adds the deposit for a client's request.
     pub(super) fn record_request(&mut self) {
-        self.earn(EARNED_PER_REQUEST);
+        self.deposit(DEPOSIT_PER_REQUEST);
     }
 
     /// Adds the refund for a retry that succeeded in time.
     pub(super) fn record_success(&mut self) {
-        self.earn(EARNED_PER_SUCCESS);
+        self.deposit(REFUND_PER_SUCCESS);
     }
 
     /// Returns whether the budget contains at least one retry.
     pub(super) fn allows_retry(&self) -> bool {
-        self.saved >= 1.0
+        self.balance >= 1.0
     }
 
     /// Deducts a retry that is sent.
-    pub(super) fn take(&mut self) {
-        self.saved -= 1.0;
+    pub(super) fn withdraw(&mut self) {
+        self.balance -= 1.0;
     }
 
-    fn earn(&mut self, retries: f64) {
-        self.saved = (self.saved + retries).min(MAX_SAVED);
+    fn deposit(&mut self, retries: f64) {
+        self.balance = (self.balance + retries).min(MAX_BALANCE);
     }
 }
--- a/crates/rate-limiter/src/limiter/servers.rs
+++ b/crates/rate-limiter/src/limiter/servers.rs
@@ -12,12 +12,12 @@
 
 /// The target number of limiters that use each server. With too few, differences between the loads of limiters do not
 /// average out at the server.
-const LIMITERS_PER_SERVER: f64 = 12.0;
+const TARGET_LIMITERS_PER_SERVER: f64 = 12.0;
 /// Minimum number of servers that a limiter uses, if there are as many.
-const MIN_SUBSET: f64 = 6.0;
+const MIN_SUBSET_SIZE: f64 = 6.0;
 /// Maximum fraction of all servers that may be ejected at once. It exceeds one half because a network partition can cut
 /// off half of the servers.
-const MAX_EJECTED: f64 = 0.6;
+const MAX_EJECTED_FRACTION: f64 = 0.6;
 /// The fractional part of the golden ratio. Its multiples modulo 1 are spread evenly.
 const GOLDEN_RATIO: f64 = 0.618_033_988_75;
 
@@ -147,9 +147,9 @@
         let in_service = || self.servers.values().filter(|server| server.is_in_service());
         let count = in_service().count() as f64;
         let ejected = in_service().filter(|server| server.ejected_until > now).count() as f64;
-        self.remaining_ejections = count * MAX_EJECTED - ejected;
+        self.remaining_ejections = count * MAX_EJECTED_FRACTION - ejected;
         self.subset_size =
-            (count * LIMITERS_PER_SERVER / limiters).ceil().clamp(MIN_SUBSET.min(count), count);
+            (count * TARGET_LIMITERS_PER_SERVER / limiters).ceil().clamp(MIN_SUBSET_SIZE.min(count), count);
         self.limiters_per_server = (limiters * self.subset_size / f64::max(count, 1.0)).max(1.0);
         let used = self.in_ring_order(context).take(self.subset_size as usize);
         let warm = used.filter(|(_, server)| server.warm_fraction(context) >= 1.0);
--- a/crates/rate-limiter/src/limiter/slow_start.rs
+++ b/crates/rate-limiter/src/limiter/slow_start.rs
@@ -39,19 +39,20 @@
             return true;
         }
         let Context { settings, now } = context;
-        let like_warm = match self.warm_weight > 0.0 {
+        let warm_equivalent_sends = match self.warm_weight > 0.0 {
             true => self.recent_warm_sends.len() as f64 / self.warm_weight * server.weight * warm_fraction,
             false => 0.0,
         };
-        let allowed = (like_warm * settings.overload_factor * SLOW_START_FRACTION)
+        let max_sends = (warm_equivalent_sends * settings.overload_factor * SLOW_START_FRACTION)
             .max(MIN_SLOW_START_SENDS / self.limiters_per_server);
         let window = settings.overload_window.max(settings.round_interval);
-        let recent = server.recent_sends.iter().filter(|sent_at| now - **sent_at <= window).count() as f64;
-        if recent + 1.0 <= allowed {
+        let recent_count =
+            server.recent_sends.iter().filter(|sent_at| now - **sent_at <= window).count() as f64;
+        if recent_count + 1.0 <= max_sends {
             return true;
         }
         let seed = hash(id) ^ (u64::from(settings.limiter_index) << 32) ^ (now / window) as u64;
-        recent < 1.0 && fastrand::Rng::with_seed(seed).f64() < allowed
+        recent_count < 1.0 && fastrand::Rng::with_seed(seed).f64() < max_sends
     }
 
     /// Records a send to a server.
