--- a/crates/rate-limiter/src/bin/rate-limiter-sim/protocol.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter-sim/protocol.rs
@@ -176,7 +176,7 @@
         "SUBMIT" => Event::Request(Request {
             id: id()?,
             is_retry: line.flag(4, "repeat")?,
-            due: line.number(5, "due-s")?,
+            deadline: line.number(5, "due-s")?,
             tenant_limiters: line.number(6, "width")?.max(1.0) as u32,
             units: line.number(7, "weight")?,
             plan: line.text(9, "contract")?.into(),
--- a/crates/rate-limiter/src/bin/rate-limiter/clients/mod.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/clients/mod.rs
@@ -147,13 +147,13 @@
             return Err(RequestError::TooManyOpenRequests);
         }
         // The request was read completely. From here on, it gets exactly one response.
-        let due = Instant::now() + head.time_remaining.saturating_sub(RESPONSE_MARGIN);
-        let due = self.drain_deadline.get().map_or(due, |until| due.min(until));
+        let deadline = Instant::now() + head.time_remaining.saturating_sub(RESPONSE_MARGIN);
+        let deadline = self.drain_deadline.get().map_or(deadline, |until| deadline.min(until));
         // Every request must have a new id. A request whose id is already open is a duplicate. Forwarding it would be a
         // second concurrent attempt of the same request.
         let open_id = OpenId::reserve(&self.open_ids, &head.correlation_id);
         let _open_id = open_id.ok_or(RequestError::DuplicateId)?;
-        self.forward(incoming_request(parts, head, body, due)?, socket).await
+        self.forward(incoming_request(parts, head, body, deadline)?, socket).await
     }
 
     /// Submits a request, and waits for its final response or the close of its connection.
@@ -224,7 +224,7 @@
     parts: Parts,
     head: RequestHead,
     body: Bytes,
-    due: Instant,
+    deadline: Instant,
 ) -> Result<IncomingRequest, RequestError> {
     let header = |name: HeaderName| parts.headers.get(name).cloned();
     let target = parts.uri.path_and_query().cloned();
@@ -242,7 +242,7 @@
             content_type: header(CONTENT_TYPE),
             method: parts.method,
             body,
-            due,
+            deadline,
         },
     })
 }
--- a/crates/rate-limiter/src/bin/rate-limiter/host/mod.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/host/mod.rs
@@ -101,7 +101,7 @@
     pub fn submit(self: &Rc<Self>, incoming: IncomingRequest) -> SubmittedRequest {
         let id = self.next_id.replace(self.next_id.get() + 1);
         let (sender, response) = oneshot::channel();
-        let due = self.clock.seconds(incoming.forwarded.due);
+        let deadline = self.clock.seconds(incoming.forwarded.deadline);
         self.requests.borrow_mut().insert(id, OpenRequest::new(incoming.forwarded, sender));
         self.dispatch(Event::Request(Request {
             id,
@@ -111,7 +111,7 @@
             units: incoming.units,
             tenant_limiters: incoming.tenant_limiters,
             is_retry: incoming.is_retry,
-            due,
+            deadline,
         }));
         SubmittedRequest { id, response }
     }
@@ -300,8 +300,8 @@
         let now = Instant::now();
         let forwarded = request.forwarded().clone();
         let give_up_at = match timeout > 0.0 {
-            true => forwarded.due.min(now + Duration::from_secs_f64(timeout.min(MAX_TIMEOUT_S))),
-            false => forwarded.due,
+            true => forwarded.deadline.min(now + Duration::from_secs_f64(timeout.min(MAX_TIMEOUT_S))),
+            false => forwarded.deadline,
         };
         let handle = Rc::new(AttemptHandle::default());
         let task = spawn_local(self.servers.clone().attempt(
--- a/crates/rate-limiter/src/bin/rate-limiter/upstream/forwarded_request.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/upstream/forwarded_request.rs
@@ -18,7 +18,7 @@
     pub content_type: Option<HeaderValue>,
     pub body: Bytes,
     /// The time by which the client must get the final response.
-    pub due: Instant,
+    pub deadline: Instant,
 }
 
 impl ForwardedRequest {
--- a/crates/rate-limiter/src/interface/event.rs
+++ b/crates/rate-limiter/src/interface/event.rs
@@ -59,7 +59,7 @@
     /// Whether the client marked it as a retry.
     pub is_retry: bool,
     /// The time at which the client gives up.
-    pub due: f64,
+    pub deadline: f64,
 }
 
 /// The result of an attempt, reported exactly once per attempt.
--- a/crates/rate-limiter/src/limiter/admission.rs
+++ b/crates/rate-limiter/src/limiter/admission.rs
@@ -24,7 +24,7 @@
         let (Some(class), Some(plan)) = (class, plan) else {
             return self.reject(request.id, 0.0, actions);
         };
-        let final_response_at = request.due - TIMER_MARGIN_ROUNDS * self.settings.round_interval;
+        let final_response_at = request.deadline - TIMER_MARGIN_ROUNDS * self.settings.round_interval;
         if final_response_at <= self.now {
             // The client no longer waits for the response, so that executing the request would be wasted work.
             return self.reject_overloaded(request.id, actions);
--- a/crates/rate-limiter/src/limiter/attempts.rs
+++ b/crates/rate-limiter/src/limiter/attempts.rs
@@ -46,7 +46,7 @@
     pub(super) class: usize,
     units: f64,
     /// The time at which the client gives up.
-    due: f64,
+    deadline: f64,
     /// Whether a streamed response has started.
     pub(super) streaming: bool,
     /// Whether the request has its final response. It is then kept only until its attempts have their outcomes.
@@ -60,7 +60,7 @@
             tenant: request.tenant.clone(),
             class,
             units,
-            due: request.due,
+            deadline: request.deadline,
             streaming: false,
             done: false,
             attempts: Vec::new(),
@@ -115,7 +115,7 @@
         let target_latency = self.settings.classes[request.class].target_latency;
         let usual = SLOW_FACTOR * self.mean_latency[request.class] * request.units.max(1.0);
         let slow_after = usual.clamp(MIN_SLOW_FRACTION * target_latency, MAX_SLOW_FRACTION * target_latency);
-        if now + slow_after < request.due {
+        if now + slow_after < request.deadline {
             actions.push(Action::SetTimer { at: now + slow_after, token: Timer::SlowAttempt(id).token() });
         }
         actions.push(Action::Send { id, server, timeout: 0.0, send_by });
@@ -124,7 +124,7 @@
     /// Returns whether a request may be retried, regardless of the retry budget.
     fn may_retry(&self, request: &OpenRequest) -> bool {
         let class = &self.settings.classes[request.class];
-        let has_time = request.due - self.now > self.mean_latency[request.class];
+        let has_time = request.deadline - self.now > self.mean_latency[request.class];
         let has_attempts = (request.attempts.len() as u32) < self.settings.max_attempts;
         if request.done || request.streaming || !has_attempts || !has_time {
             return false;
--- a/crates/rate-limiter/tests/common/mod.rs
+++ b/crates/rate-limiter/tests/common/mod.rs
@@ -124,7 +124,7 @@
             units,
             tenant_limiters: self.tenant_limiters,
             is_retry,
-            due: self.now + 4.0,
+            deadline: self.now + 4.0,
         };
         (self.next, self.event(Event::Request(request)))
     }
--- a/crates/rate-limiter/tests/quota.rs
+++ b/crates/rate-limiter/tests/quota.rs
@@ -305,7 +305,7 @@
         units: 9.0,
         tenant_limiters: 50,
         is_retry: false,
-        due: h.now + 1.0,
+        deadline: h.now + 1.0,
     };
     assert!(sent_to(&h.event(Event::Request(request))).is_some(), "a bucket of 10, not of 20 / 50");
     assert!(!h.served("c", "plain", 2.0));
--- a/crates/rate-limiter/tests/server_load.rs
+++ b/crates/rate-limiter/tests/server_load.rs
@@ -126,7 +126,7 @@
         for n in 0..600 {
             h.now += 0.02;
             serve(&mut h, n, |_| Some(0.6));
-            let (id, due) = (10_000 + u64::from(n), h.now + 4.0);
+            let (id, deadline) = (10_000 + u64::from(n), h.now + 4.0);
             let out = h.event(Event::Request(Request {
                 id,
                 tenant: format!("other{n}").as_str().into(),
@@ -135,7 +135,7 @@
                 units: 1.0,
                 tenant_limiters: 2,
                 is_retry,
-                due,
+                deadline,
             }));
             refused += common::refused(&out);
             if sent_to(&out).is_some() {
