--- a/crates/rate-limiter/src/bin/rate-limiter/host/mod.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/host/mod.rs
@@ -226,7 +226,7 @@
     /// Dispatches timers as they expire, until the future is dropped.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
-            for token in self.timers.due().await {
+            for token in self.timers.expired().await {
                 self.dispatch(Event::Timer { token });
             }
         }
--- a/crates/rate-limiter/src/bin/rate-limiter/host/timers.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/host/timers.rs
@@ -18,7 +18,7 @@
 impl Timers {
     /// Adds a timer that expires at `at`.
     pub fn add(&self, at: Instant, token: u64) {
-        let is_first = self.next_due().is_none_or(|next| at < next);
+        let is_first = self.next_expiry().is_none_or(|next| at < next);
         self.queue.borrow_mut().push(Reverse((at, token)));
         if is_first {
             self.earlier_added.notify_one();
@@ -27,9 +27,9 @@
 
     /// Waits until at least one timer has expired, and returns the tokens of all expired timers. A timer that is added
     /// while these are handled is returned by a later call, even if it expires immediately.
-    pub async fn due(&self) -> Vec<u64> {
+    pub async fn expired(&self) -> Vec<u64> {
         loop {
-            let next = self.next_due();
+            let next = self.next_expiry();
             let wait = async {
                 match next {
                     Some(at) => sleep_until(at).await,
@@ -37,23 +37,23 @@
                 }
             };
             tokio::select! {
-                () = wait => return self.take_due(Instant::now()),
+                () = wait => return self.take_expired(Instant::now()),
                 () = self.earlier_added.notified() => {}
             }
         }
     }
 
-    fn next_due(&self) -> Option<Instant> {
+    fn next_expiry(&self) -> Option<Instant> {
         self.queue.borrow().peek().map(|Reverse((at, _))| *at)
     }
 
-    fn take_due(&self, now: Instant) -> Vec<u64> {
+    fn take_expired(&self, now: Instant) -> Vec<u64> {
         let mut queue = self.queue.borrow_mut();
-        let mut due = Vec::new();
+        let mut expired = Vec::new();
         while let Some(Reverse((_, token))) = queue.peek().filter(|Reverse((at, _))| *at <= now) {
-            due.push(*token);
+            expired.push(*token);
             queue.pop();
         }
-        due
+        expired
     }
 }
