--- a/crates/rate-limiter/src/bin/rate-limiter/clients/mod.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/clients/mod.rs
@@ -43,7 +43,7 @@
 const RESPONSE_MARGIN: Duration = Duration::from_millis(10);
 /// Maximum time from accepting a connection, or from the last response on it, until the next request head is complete.
 /// The first request must be complete within this time including its body. It also limits idle connections, which would
-/// otherwise stay open for ever if the client sends nothing more.
+/// otherwise stay open indefinitely if the client sends nothing more.
 const HEADER_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Maximum time from the head to the end of the body for later requests on a connection.
 const BODY_TIMEOUT: Duration = Duration::from_secs(2);
--- a/crates/rate-limiter/src/bin/rate-limiter/discovery/mod.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/discovery/mod.rs
@@ -192,8 +192,8 @@
                 *after = Some(update.generation);
                 host.update_servers(&update);
             }
-            // The timeout is not extended within a message. Otherwise a peer could send white space within a message for
-            // ever.
+            // The timeout is not extended within a message. Otherwise a peer could keep the watch open by sending only
+            // white space within a message.
             if begins_message || !decoder.has_partial_message() {
                 until = Instant::now() + WATCH_TIMEOUT;
             }
