--- a/crates/replication/tests/replication/harness/checker.rs
+++ b/crates/replication/tests/replication/harness/checker.rs
@@ -1,10 +1,11 @@
-//! The invariants, stated once.
+//! Checks the safety invariants of the replicated state, of leases and of reads:
 //!
-//! - The states that replicas have at an index are the same, and no state goes back while its process runs.
-//! - A command that was acknowledged is in the state of everyone who holds the lease from then on.
-//! - One command is accepted on a base, and a command is accepted once, however often it is sent.
-//! - A command that was accepted is not rejected when it is sent again; one that was rejected is never accepted.
-//! - At most one replica holds the lease, and an epoch has one holder.
+//! - All replicas have the same state at an index, and no state goes back while its process runs.
+//! - Every later holder of the lease has each acknowledged command in its state.
+//! - At most one command is accepted on a base, and a command is accepted at most once, however often it is
+//!   sent.
+//! - An accepted command is not rejected when it is sent again, and a rejected command is never accepted.
+//! - At most one replica holds the lease at a time, and each epoch has at most one holder.
 //! - Reads are served only under the lease.
 
 use quillpulley_protocol::Position;
@@ -12,71 +13,75 @@
 
 use super::command_history::{Applied, CommandHistory};
 
-/// What all replicas together have shown so far.
+/// The observations of all replicas so far, against which each new one is checked.
 #[derive(Clone, Debug, Default)]
 pub struct Checker {
-    /// What any state has at an index.
+    /// The entry that the states have at each index.
     applied: BTreeMap<u64, Applied>,
-    /// The digest of any state that has so many entries.
+    /// The digest of a state, by its number of entries.
     digests: BTreeMap<usize, u64>,
-    /// Commands that were acknowledged.
+    /// The acknowledged commands.
     pub acknowledged: BTreeSet<u64>,
-    /// The same in their sequence.
+    /// The acknowledged commands in the order of their acknowledgements.
     in_sequence: Vec<u64>,
-    /// The positions of their entries, by index.
+    /// The positions of the acknowledged commands, sorted by index.
     pub positions: Vec<Position>,
     /// Proposals whose outcome was reported.
     resolved: BTreeSet<u64>,
-    /// Proposals that were not appended and are never to be applied.
+    /// Proposals that were not appended, and therefore must never be applied.
     not_appended: BTreeSet<u64>,
-    /// Commands that were rejected, since another is on their base.
+    /// Commands that were rejected because another command was accepted on their base.
     rejected: BTreeSet<u64>,
-    /// For each base, the command that was accepted on it.
+    /// The command that was accepted on each base.
     accepted_on: BTreeMap<u64, u64>,
-    /// For each command that was accepted, where.
+    /// The position of each accepted command.
     accepted_at: BTreeMap<u64, Position>,
-    /// The epochs of leases, by holder.
+    /// The name of the lease holder of each epoch.
     holders: BTreeMap<u64, String>,
 }
 
 impl Checker {
-    /// The state is a prefix of what any state has, and holds no less than it did when it had `seen` entries.
+    /// Checks that a state which had `seen` entries before has not lost any, and that its entries are those
+    /// that other states have at the same indexes.
     pub fn check_state(&mut self, history: &CommandHistory, seen: usize) {
         let length = history.entries.len();
-        assert!(length >= seen, "a state goes back from {seen} entries to {length}");
+        assert!(length >= seen, "the state goes back from {seen} entries to {length}");
         for applied in &history.entries[seen..] {
             let known = self.applied.entry(applied.position.index).or_insert(*applied);
-            assert_eq!(known, applied, "two states differ at an index");
-            assert!(!self.not_appended.contains(&applied.proposal), "a rejected command is applied");
+            assert_eq!(known, applied, "the states of two replicas differ at an index");
+            assert!(!self.not_appended.contains(&applied.proposal), "a rejected proposal is applied");
             self.check_accepted(applied);
         }
         let digest = *self.digests.entry(length).or_insert(history.digest);
-        assert_eq!(digest, history.digest, "two states differ before index {length}");
+        assert_eq!(
+            digest, history.digest,
+            "the states of two replicas differ in their first {length} entries"
+        );
     }
 
     fn check_accepted(&mut self, applied: &Applied) {
         let Some(base) = applied.accepted_on else { return };
         let command = applied.command;
         let winner = *self.accepted_on.entry(base).or_insert(command);
-        assert_eq!(winner, command, "two commands on one base were accepted");
+        assert_eq!(winner, command, "two commands were accepted on the same base");
         let position = *self.accepted_at.entry(command).or_insert(applied.position);
         assert_eq!(position, applied.position, "command {command} takes effect in two places");
         assert!(
             !self.rejected.contains(&command),
-            "command {command} is accepted after two answers that differ"
+            "command {command} is accepted after it was rejected: two outcomes that differ"
         );
     }
 
-    /// A proposal of a command is committed, and the command is in the state of who says so. It was accepted then or
-    /// before, or else is rejected.
+    /// Records that a replica with the state `history` has reported a proposal as committed. Checks that the
+    /// command is in that state, and that its outcome, accepted or rejected, is the same as before.
     pub fn acknowledge(&mut self, proposal: u64, command: u64, history: &CommandHistory) {
         self.resolve(proposal);
-        assert!(history.find(command).is_some(), "an acknowledged command is in the state");
+        assert!(history.find(command).is_some(), "a committed command is missing from the state");
         let Some(accepted) = history.find_accepted(command) else {
             let is_accepted = self.accepted_at.contains_key(&command);
             assert!(
                 !is_accepted,
-                "command {command} was accepted, and is rejected when it comes again: answers differ"
+                "command {command} was accepted, and is rejected when it is sent again: the outcomes differ"
             );
             self.rejected.insert(command);
             return;
@@ -88,7 +93,8 @@
         }
     }
 
-    /// A proposal is not acknowledged. One that is `final` has not been appended.
+    /// Records that a proposal is not acknowledged. If `is_final`, it was not appended and must never be
+    /// applied.
     pub fn reject(&mut self, proposal: u64, is_final: bool) {
         self.resolve(proposal);
         if is_final {
@@ -105,22 +111,22 @@
         self.resolved.contains(&proposal)
     }
 
-    /// Returns whether a command was rejected for good.
+    /// Returns whether a command was rejected because another command was accepted on its base.
     pub fn is_rejected(&self, command: u64) -> bool {
         self.rejected.contains(&command)
     }
 
-    /// At most one replica holds the lease at a time, and an epoch has one holder only.
+    /// Checks that at most one replica holds the lease, and that each epoch has at most one holder.
     pub fn check_holders(&mut self, holders: &[(String, u64)]) {
-        assert!(holders.len() <= 1, "two hold the lease: {holders:?}");
+        assert!(holders.len() <= 1, "two replicas hold the lease: {holders:?}");
         for (name, epoch) in holders {
             let known = self.holders.entry(*epoch).or_insert_with(|| name.clone());
-            assert_eq!(known, name, "two have held the lease in epoch {epoch}");
+            assert_eq!(known, name, "two replicas have held the lease of epoch {epoch}");
         }
     }
 
-    /// Nothing acknowledged is missing from the state of whoever holds the lease. The first `checked` commands are
-    /// known to be there. Returns how many are known from now on.
+    /// Checks that the state of the lease holder contains all acknowledged commands. The first `checked` of
+    /// them were checked before. Returns how many are checked now.
     pub fn check_nothing_lost(&self, history: &CommandHistory, checked: usize) -> usize {
         for command in &self.in_sequence[checked..] {
             assert!(history.has_accepted(*command), "the acknowledged command {command} is lost");
@@ -128,15 +134,19 @@
         self.in_sequence.len()
     }
 
-    /// A read is served by the holder of the lease, from a state with all that was acknowledged.
+    /// Checks that a read is served by the holder of the lease, from a state that contains all acknowledged
+    /// commands.
     pub fn check_read(&self, history: &CommandHistory, has_lease: bool) {
         for command in self.in_sequence.iter().rev() {
-            assert!(history.has_accepted(*command), "an answer lacks the acknowledged command {command}");
+            assert!(
+                history.has_accepted(*command),
+                "a read response lacks the acknowledged command {command}"
+            );
         }
-        assert!(has_lease, "an answer about the active configuration without the lease");
+        assert!(has_lease, "a read response was served without the lease");
     }
 
-    /// How many epochs had a holder of the lease.
+    /// Returns the number of epochs in which a replica held the lease.
     pub fn epochs(&self) -> usize {
         self.holders.len()
     }
--- a/crates/replication/tests/replication/harness/clients.rs
+++ b/crates/replication/tests/replication/harness/clients.rs
@@ -1,17 +1,19 @@
-//! Operators: they send commands, some again and some two on one base, and read the active configuration.
+//! Clients, which send commands and read the replicated state. They may send a command again, or several
+//! commands on the same base.
 
 use quillpulley_replication::{Event, Role};
 
 use super::command_history::Command;
 use super::world::{ScheduledEvent, World};
 
-/// Commands are longer than they have to be by up to this many bytes.
+/// The maximum padding of a payload in bytes.
 const PADDING: usize = 300;
-/// The longest time from a read to its response, unless the process is frozen in between.
+/// The maximum time from a read to its response, unless the process is frozen in between.
 const MAX_READ_MS: u64 = 5;
 
 impl World {
-    /// Sends a new command to a machine, built on its state; returns the command's number.
+    /// Sends a new command to a machine, with the version of its state as the base. Returns the number of the
+    /// command.
     pub fn propose(&mut self, machine: usize) -> u64 {
         let base = self.machines[machine].replica.as_ref().map_or(0, |replica| replica.state().version());
         let number = self.commands.len() as u64 + 1;
@@ -21,14 +23,14 @@
         number
     }
 
-    /// Sends a command again, with the same base, whatever became of it.
+    /// Sends a command again with the same base, whether or not its outcome was reported.
     pub fn propose_again(&mut self, machine: usize, number: u64) {
         if let Some(command) = self.commands.get(number as usize - 1).copied() {
             self.send_command(machine, command);
         }
     }
 
-    /// How many commands there have been.
+    /// Returns the number of commands that were created.
     pub fn command_count(&self) -> u64 {
         self.commands.len() as u64
     }
@@ -39,20 +41,20 @@
         let mut payload = command.payload(proposal);
         payload.resize(payload.len() + self.random.usize(0..=PADDING), 0);
         self.proposed.push((proposal, machine, self.machines[machine].process));
-        self.note(machine, &format!("gets command {} on {}", command.number, command.base));
+        self.note(machine, &format!("receives command {} on base {}", command.number, command.base));
         self.handle(machine, Event::Propose { proposal, payload });
     }
 
-    /// The number of the command that a proposal has.
+    /// Returns the number of the command that a proposal contains.
     pub(super) fn command_of(&self, proposal: u64) -> u64 {
         self.proposals[proposal as usize - 1].number
     }
 
-    /// Sends a read to a machine, which is served a little later.
+    /// Sends a read to a machine, which serves it after a random delay.
     pub fn read(&mut self, machine: usize) {
         let delay = self.random.u64(0..=MAX_READ_MS);
         let process = self.machines[machine].process;
-        self.note(machine, "gets a read");
+        self.note(machine, "receives a read");
         self.schedule(delay, ScheduledEvent::Read { machine, process });
     }
 
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Serves a read, if the replica allows it.
+    /// Serves a read and checks it, unless the replica refuses to answer reads.
     pub(super) fn serve_read(&mut self, machine: usize) {
         let now = self.local(machine);
         let has_lease = matches!(self.role(machine), Some(Role::Primary { holds_lease: true, .. }));
--- a/crates/replication/tests/replication/harness/command_history.rs
+++ b/crates/replication/tests/replication/harness/command_history.rs
@@ -1,13 +1,14 @@
-//! The replicated state of the tests: commands, each of which builds on the one before it.
+//! The replicated state machine of the tests: a history of commands. A command names the version of the state
+//! that it is based on, and is accepted only if that is still the current version (a compare-and-set).
 
 use quillpulley_protocol::{Entry, Position};
 use quillpulley_replication::{RestoreError, StateMachine};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// How many words an entry has in a snapshot.
+/// The number of 64-bit words of an entry in a snapshot.
 const WORDS: usize = 5;
 
-/// A command: its number, and the number of the command that it builds on.
+/// A command: its number, and the number of the accepted command that it is based on; 0 for the empty state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Command {
     pub number: u64,
@@ -15,34 +16,34 @@
 }
 
 impl Command {
-    /// The command as a proposal has it. Every proposal of the same command has its own number.
+    /// Encodes the payload of a proposal. Each proposal of the same command has a different proposal number.
     pub fn payload(self, proposal: u64) -> Vec<u8> {
         [self.number, self.base, proposal].into_iter().flat_map(u64::to_le_bytes).collect()
     }
 
-    /// A command, and the number of the proposal.
+    /// Decodes a payload into the command and the proposal number.
     fn read(bytes: &[u8]) -> (Self, u64) {
         let word = |at: usize| u64::from_le_bytes(bytes[at..at + 8].try_into().unwrap());
         (Command { number: word(0), base: word(8) }, word(16))
     }
 }
 
-/// An entry as the state has seen it.
+/// An entry that was applied to the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Applied {
     pub position: Position,
     pub command: u64,
-    /// The proposal in which the command came.
+    /// The number of the proposal that contained the command.
     pub proposal: u64,
-    /// The command that it built on, if that was the newest one then.
+    /// The base of the command if it was accepted; `None` if the base was not the current version.
     pub accepted_on: Option<u64>,
 }
 
-/// All commands in their sequence.
+/// All applied entries in the order of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct CommandHistory {
     pub entries: Vec<Applied>,
-    /// Of the whole history.
+    /// A hash chain over all entries.
     pub digest: u64,
 }
 
@@ -54,7 +55,7 @@
         self.entries.push(applied);
     }
 
-    /// The newest command that was accepted.
+    /// Returns the number of the command that was accepted last, or 0 if there is none.
     pub fn version(&self) -> u64 {
         self.entries
             .iter()
@@ -94,7 +95,7 @@
 
     fn restore(&mut self, snapshot: &[u8]) -> Result<(), RestoreError> {
         if !snapshot.len().is_multiple_of(8 * WORDS) {
-            return Err(RestoreError { reason: "a wrong length".into() });
+            return Err(RestoreError { reason: "the length is not a multiple of the entry size".into() });
         }
         let words: Vec<u64> =
             snapshot.chunks(8).map(|bytes| u64::from_le_bytes(bytes.try_into().unwrap())).collect();
--- a/crates/replication/tests/replication/harness/disk.rs
+++ b/crates/replication/tests/replication/harness/disk.rs
@@ -1,22 +1,23 @@
-//! A disk that keeps exactly what was synced, and any part of a write in flight.
+//! A simulated disk. After a crash it holds all completed writes and an arbitrary part of the write in
+//! flight.
 
 use quillpulley_protocol::{Entry, Position, WitnessRecord};
 use quillpulley_replication::{Recovered, Write};
 
-/// How a disk behaves.
+/// The condition of a disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DiskMode {
     #[default]
     Healthy,
     /// Writes take many times longer.
     Slow,
-    /// Writes wait until the disk is good again.
+    /// Writes do not complete until the disk leaves this mode.
     Hangs,
     /// Writes fail.
     Full,
 }
 
-/// What is durable.
+/// The durable contents of a disk.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DiskImage {
     pub record: Option<WitnessRecord>,
@@ -48,7 +49,8 @@
         }
     }
 
-    /// A write that was cut short: only entries can be there in part, and the first `kept` of them are.
+    /// Applies a write that a crash interrupted. An append keeps its first `kept` entries; any other write is
+    /// atomic, and is applied if `kept` is above 0.
     pub fn apply_torn(&mut self, write: Write, kept: usize) {
         match write {
             Write::Append(entries) => self.append(entries.into_iter().take(kept).collect()),
--- a/crates/replication/tests/replication/harness/durability.rs
+++ b/crates/replication/tests/replication/harness/durability.rs
@@ -1,13 +1,14 @@
-//! What must hold of the disks at every moment: whichever majority of witnesses decides next, all that was
-//! acknowledged is with every member of the view from which it would go on, and these are more than the losses to
-//! tolerate. So a copy is left, also if as many disks as that are lost at once.
+//! Checks the durability invariant on the contents of the disks: whichever majority of witnesses decides
+//! next, every member of the view that it would continue from holds all acknowledged entries, and that view
+//! has more members than the number of disk losses to tolerate. So a copy remains even if that many disks are
+//! lost at once.
 
 use quillpulley_protocol::{NodeId, Position, View};
 use std::collections::BTreeSet;
 
 use super::disk::DiskImage;
 
-/// A node that may come back with its disk.
+/// A node whose disk is not lost, so that it may return with what is stored on it.
 #[derive(Clone, Copy)]
 pub struct Survivor<'a> {
     pub id: NodeId,
@@ -19,7 +20,7 @@
         self.disk.record.as_ref()?.accepted.as_deref()
     }
 
-    /// Whether its log holds the entry at that position.
+    /// Returns whether its log or snapshot holds the entry at a position.
     fn holds(&self, position: Position) -> bool {
         let is_entry = |entry: &quillpulley_protocol::Entry| {
             entry.index == position.index && entry.epoch == position.epoch
@@ -27,13 +28,14 @@
         position.index <= self.covered() || self.disk.entries.iter().any(is_entry)
     }
 
-    /// Up to where its snapshot goes.
+    /// Returns the index of the last entry that its snapshot covers; 0 without a snapshot.
     fn covered(&self) -> u64 {
         self.disk.snapshot.as_ref().map_or(0, |(last, _)| last.index)
     }
 }
 
-/// What some majority could go on without, if there is one.
+/// Returns how some majority of witnesses could continue without an acknowledged entry, or from a view with
+/// too few members; `None` if no majority could. `acknowledged` is sorted by index.
 pub fn violation(survivors: &[Survivor], acknowledged: &[Position], tolerated: usize) -> Option<String> {
     if acknowledged.is_empty() {
         return None;
@@ -46,7 +48,7 @@
     })
 }
 
-/// The view from which the quorum would go on, if it is one.
+/// Returns the view that these nodes would continue from; `None` if they are no quorum.
 fn deciding_view(quorum: &[Survivor]) -> Option<View> {
     let newest =
         quorum.iter().filter_map(Survivor::accepted).max_by_key(|view| (view.epoch, view.activated))?;
@@ -57,12 +59,14 @@
     decides.then(|| newest.clone())
 }
 
-/// A view with members that could all be lost at once.
+/// Returns a description of the violation if a view has so few members that all may be lost at once.
 fn too_few(view: &View, tolerated: usize) -> Option<String> {
     let is_small = view.backups.len() < tolerated;
-    is_small.then(|| format!("all that was acknowledged could be lost with {tolerated} members of {view:?}"))
+    is_small.then(|| format!("all acknowledged entries could be lost with {tolerated} members of {view:?}"))
 }
 
+/// Returns a description of the violation if no member of the view remains, or one lacks an acknowledged
+/// entry.
 fn missing_from(view: &View, survivors: &[Survivor], acknowledged: &[Position]) -> Option<String> {
     let is_member = |id: NodeId| view.primary == id || view.backups.contains(&id);
     let members: Vec<&Survivor> = survivors.iter().filter(|survivor| is_member(survivor.id)).collect();
@@ -70,15 +74,17 @@
         return Some(format!("all members of a view that may be the newest are lost: {view:?}"));
     }
     members.into_iter().find_map(|member| {
-        // The positions are sorted by their index, and what a snapshot covers is there.
+        // The positions are sorted by index, and a snapshot contains all entries that it covers.
         let covered = member.covered();
         let beyond = acknowledged.iter().rev().take_while(|position| position.index > covered);
         let missing = beyond.filter(|position| !member.holds(**position)).last()?;
-        Some(format!("{} could be elected without {missing:?}, which would be lost", member.id))
+        Some(format!("{} could be elected without {missing:?}, which would then be lost", member.id))
     })
 }
 
-/// The views from which the nodes with these disks may go on, after this many nodes were lost.
+/// Returns the accepted views on these disks, any of which may be the newest, after `lost` nodes were lost.
+/// Views older than a decided one are left out. An activated view counts as decided if more disks hold it or
+/// a newer view than half of its witnesses plus `lost`.
 pub fn newest_views<'a>(disks: &[&'a DiskImage], lost: usize) -> Vec<&'a View> {
     let records = disks.iter().filter_map(|disk| disk.record.as_ref());
     let views: Vec<&View> = records.filter_map(|record| record.accepted.as_deref()).collect();
@@ -90,13 +96,14 @@
     views.into_iter().filter(|view| view.epoch >= decided).collect()
 }
 
-/// Whether a view names a node as a member or a witness.
+/// Returns whether a node is a member or a witness of a view.
 pub fn includes(view: &View, node: NodeId) -> bool {
     let sets = [&view.backups, &view.witnesses, &view.previous_witnesses];
     view.primary == node || sets.iter().any(|set| set.contains(&node))
 }
 
-/// Whether a view has enough witnesses for the losses to tolerate.
+/// Returns whether a view keeps a majority of its witnesses after the tolerated losses. While the view is not
+/// activated, its previous witnesses count. The bootstrap view, which has epoch 0, never has enough.
 pub fn has_enough_witnesses(view: &View, tolerated: usize) -> bool {
     let fewest = if view.activated { &view.witnesses } else { &view.previous_witnesses };
     view.epoch > 0 && fewest.len() > 2 * tolerated
--- a/crates/replication/tests/replication/harness/faults.rs
+++ b/crates/replication/tests/replication/harness/faults.rs
@@ -1,4 +1,4 @@
-//! Starts, ends and faults of machines.
+//! Starts and stops machines and injects faults into them.
 
 use quillpulley_protocol::NodeId;
 use quillpulley_replication::{Event, FaultTolerance, Options, Replica, Role};
@@ -13,7 +13,7 @@
     ZONES,
 };
 
-/// A letter, and from the 27th machine on a number.
+/// Returns the name of a machine: a letter, or from the 27th machine on `m` and its number.
 fn name(machine: usize) -> String {
     match u8::try_from(machine) {
         Ok(number) if number < 26 => char::from(b'a' + number).to_string(),
@@ -22,7 +22,8 @@
 }
 
 impl World {
-    /// A world whose first `seeds` machines of `count` are the seeds, all started within 300 ms.
+    /// Creates a simulation of `count` machines that start for the first time, all within 300 ms. The first
+    /// `seeds` of them are the bootstrap witnesses.
     pub fn first_start(options: WorldOptions, count: usize, seeds: usize) -> Self {
         let mut world = World::new(options);
         let witnesses: Vec<NodeId> = (0..seeds).map(|machine| NodeId::new(address(machine), 0)).collect();
@@ -37,7 +38,7 @@
         world
     }
 
-    /// Adds a machine that is down; returns its number.
+    /// Adds a machine without a process. Returns its number.
     pub fn add(&mut self, id: NodeId, bootstrap: Option<Vec<NodeId>>) -> usize {
         let number = self.machines.len();
         self.machines.push(Machine {
@@ -74,7 +75,7 @@
         self.add_spare_in(self.machines.len() % ZONES)
     }
 
-    /// The same, in a zone.
+    /// Adds a machine like [`World::add_spare`], in the given zone.
     pub fn add_spare_in(&mut self, zone: usize) -> usize {
         let incarnation = self.random.u64(1..);
         let number = self.add(NodeId::new(address(self.machines.len()), incarnation), None);
@@ -107,7 +108,7 @@
         assert!(slot.replica.is_none(), "{} runs already", slot.name);
         let recovered = slot.disk.recovered();
         let replica = Replica::new(options, recovered, CommandHistory::default(), Duration::ZERO)
-            .expect("a sound disk");
+            .expect("the disk is corrupt");
         slot.process += 1;
         slot.started_at = now;
         slot.replica = Some(replica);
@@ -127,7 +128,8 @@
         self.reconnect(machine);
     }
 
-    /// Ends the process. Others notice at once, unless the machine lost power.
+    /// Kills the process. The other machines detect this after `CONNECT_MS`, or after `DETECTION_MS` if the
+    /// machine lost power, since then it does not close its connections.
     pub fn kill(&mut self, machine: usize, power: bool) {
         self.note(machine, if power { "loses power" } else { "is killed" });
         let torn = self.random.usize(0..4);
@@ -148,7 +150,8 @@
         }
     }
 
-    /// Empties the disk of a machine that is down; it comes back as another node.
+    /// Erases the disk of a machine whose process does not run. The machine returns as a new node, unless the
+    /// option `keeps_identity` is set.
     pub fn wipe(&mut self, machine: usize) {
         self.note(machine, "loses its disk");
         let incarnation = self.random.u64(1..);
@@ -163,7 +166,7 @@
         slot.bootstrap = None;
     }
 
-    /// Takes the machine away for good.
+    /// Removes a machine permanently, with its disk.
     pub fn remove(&mut self, machine: usize) {
         self.kill(machine, true);
         self.note(machine, "is removed");
@@ -171,9 +174,9 @@
         self.machines[machine].removed = true;
     }
 
-    /// Ends all faults: every machine runs and reaches every other.
+    /// Ends all faults: afterwards every machine that was not removed runs and reaches every other.
     pub fn heal(&mut self) {
-        self.trace.push(format!("{:>7} calm", self.now));
+        self.trace.push(format!("{:>7} all faults end", self.now));
         self.network.heal_all();
         self.network.options = NetworkOptions::default();
         for machine in 0..self.machines.len() {
@@ -200,7 +203,7 @@
         self.machines[machine].frozen = true;
     }
 
-    /// Freezes a machine with its clock.
+    /// Freezes the process of a machine and stops its clock, as the suspension of a virtual machine does.
     pub fn pause(&mut self, machine: usize) {
         if self.is_running(machine) && !self.machines[machine].frozen {
             self.machines[machine].paused_at = Some(self.now);
@@ -208,7 +211,8 @@
         }
     }
 
-    /// The clock goes on from where it stood still; the time of day tells the process so.
+    /// Lets the clock continue from where it stopped. The process learns of the jump, as from the time of
+    /// day, if the option `notices_clock_jumps` is set.
     fn end_pause(&mut self, machine: usize) {
         let Some(paused_at) = self.machines[machine].paused_at.take() else { return };
         self.machines[machine].clock_lag += self.now - paused_at;
@@ -221,7 +225,7 @@
         self.note(machine, "resumes");
         self.machines[machine].frozen = false;
         self.end_pause(machine);
-        // What was about to be written before the process was frozen goes first.
+        // Responses that were about to be written when the process froze are written first.
         for _ in 0..std::mem::take(&mut self.machines[machine].buffered_reads) {
             self.serve_read(machine);
         }
@@ -231,7 +235,7 @@
     }
 
     pub fn set_disk(&mut self, machine: usize, mode: DiskMode) {
-        self.note(machine, &format!("has a disk that is {mode:?}"));
+        self.note(machine, &format!("has its disk in mode {mode:?}"));
         let slot = &mut self.machines[machine];
         slot.mode = mode;
         if let (Some((ticket, _)), true) = (&slot.write, mode != DiskMode::Hangs) {
@@ -240,13 +244,13 @@
         }
     }
 
-    /// Signals the process to shut down.
+    /// Sends the shutdown signal to the process.
     pub fn shut_down(&mut self, machine: usize) {
         self.note(machine, "is signalled to shut down");
         self.handle(machine, Event::Shutdown);
     }
 
-    /// Makes the connections of a machine that has started.
+    /// Schedules the connections between a machine that has started and all others, in both directions.
     pub(super) fn reconnect(&mut self, machine: usize) {
         for other in (0..self.machines.len()).filter(|other| *other != machine) {
             for (one, two) in [(machine, other), (other, machine)] {
@@ -263,7 +267,7 @@
         self.detect_partitions();
     }
 
-    /// Has every machine notice connections that do not pass any more.
+    /// Schedules the disconnects of all connections that a partition interrupts in either direction.
     pub fn detect_partitions(&mut self) {
         for one in 0..self.machines.len() {
             for other in 0..self.machines.len() {
--- a/crates/replication/tests/replication/harness/inspect.rs
+++ b/crates/replication/tests/replication/harness/inspect.rs
@@ -1,4 +1,4 @@
-//! Observations of the world, and the invariants that are checked as it runs.
+//! Observations of a simulation, and the invariants that are checked while it runs.
 
 use quillpulley_protocol::{Body, NodeId};
 use quillpulley_replication::{DurabilityStatus, Locality, Replica, Role};
@@ -8,16 +8,16 @@
 use super::durability::{self, Survivor};
 use super::world::{traces, Machine, World, REGION_OF};
 
-/// How long a granted lease runs.
+/// The duration of a granted lease.
 const LEASE_MS: u64 = 900;
-/// The round of a request that asks for no lease.
+/// The round number of probes, which do not request the lease.
 const PROBE_ROUND: u64 = 0;
-/// How long a machine counts as lost after it was replaced.
+/// The minimum time for which a lost node counts as lost: by then its replacement has caught up.
 const CATCH_UP_MS: u64 = 4000;
 
 impl World {
-    /// Whether the loss of a machine's disk is still among the losses to tolerate. A node counts as lost for as
-    /// long as machines take to catch up, and while a view that may be the newest names it.
+    /// Returns whether the loss of a machine's disk would still be a tolerated loss. A lost node counts for
+    /// `CATCH_UP_MS`, and longer while a view that may be the newest names it.
     pub fn tolerates_loss_of(&self, machine: usize) -> bool {
         let present = self.machines.iter().filter(|machine| !machine.removed);
         let disks: Vec<&DiskImage> = present.map(|machine| &machine.disk).collect();
@@ -32,12 +32,13 @@
         !self.machines[machine].removed && lost <= tolerated && have_enough_witnesses
     }
 
-    /// The machines that are not gone for good.
+    /// Returns the machines that were not removed.
     pub fn present(&self) -> Vec<usize> {
         (0..self.machines.len()).filter(|machine| !self.machines[*machine].removed).collect()
     }
 
-    /// Proposals whose outcome was not reported by the processes that got them, and that still run.
+    /// Returns the proposals whose outcome is not reported although the process that received them still
+    /// runs.
     pub fn unresolved_proposals(&self) -> Vec<u64> {
         let is_open = |(proposal, machine, process): &&(u64, usize, u64)| {
             self.runs_process(*machine, *process) && !self.checker.is_resolved(*proposal)
@@ -45,7 +46,7 @@
         self.proposed.iter().filter(is_open).map(|(proposal, ..)| *proposal).collect()
     }
 
-    /// Where a machine stands.
+    /// Returns the zone and region of a machine; both are empty if it has none.
     pub fn locality_of(&self, machine: usize) -> Locality {
         if self.options.announces_zones {
             let zone = self.machines[machine].zone;
@@ -55,12 +56,13 @@
         Locality { zone: zone.into(), region: region.into() }
     }
 
-    /// The tolerated losses that the view of the leader does not survive.
+    /// Returns which tolerated failures the view of the leader does not survive; `None` without a leader.
     pub fn durability(&self) -> Option<DurabilityStatus> {
         self.leader().and_then(|leader| self.machines[leader].replica.as_ref()).and_then(Replica::durability)
     }
 
-    /// How many witnesses may be lost before the leader has no majority.
+    /// Returns how many responsive witnesses may be lost before the leader has no majority; `None` without a
+    /// leader.
     pub fn spare_witnesses(&self) -> Option<usize> {
         let leader = self.leader()?;
         self.machines[leader].replica.as_ref().and_then(|replica| replica.spare_witnesses(self.local(leader)))
@@ -71,7 +73,7 @@
         self.machines[machine].replica.as_ref().is_some_and(Replica::can_exit)
     }
 
-    /// Whether a machine is storing a whole state.
+    /// Returns whether a machine is writing an installed snapshot to its disk.
     pub fn is_installing(&self, machine: usize) -> bool {
         matches!(self.machines[machine].write, Some((_, quillpulley_replication::Write::Install { .. })))
     }
@@ -80,13 +82,13 @@
         self.machines[machine].replica.is_some()
     }
 
-    /// The role of a machine that runs.
+    /// Returns the role of a machine; `None` if its process does not run.
     pub fn role(&self, machine: usize) -> Option<Role> {
         let now = self.local(machine);
         self.machines[machine].replica.as_ref().map(|replica| replica.role(now))
     }
 
-    /// The machine that holds the lease and is not frozen.
+    /// Returns the machine that holds the lease and is not frozen.
     pub fn leader(&self) -> Option<usize> {
         let is_leader = |machine: &usize| {
             !self.machines[*machine].frozen
@@ -95,7 +97,7 @@
         (0..self.machines.len()).find(is_leader)
     }
 
-    /// The machine that a machine names as the primary to its callers.
+    /// Returns the machine that a machine names to its clients as the primary.
     pub fn hinted_primary(&self, machine: usize) -> Option<usize> {
         let now = self.local(machine);
         let replica = self.machines[machine].replica.as_ref()?;
@@ -103,8 +105,8 @@
         self.machines.iter().position(|other| other.id == primary)
     }
 
-    /// The machines that a caller passes who begins at one and goes where it is sent; ends where nobody is named
-    /// or the named one names itself.
+    /// Returns the machines that a client visits if it starts at `machine` and follows the redirects. The
+    /// path ends at a machine that names no primary or itself, or at the first machine that is visited twice.
     pub fn redirects(&self, machine: usize) -> Vec<usize> {
         let mut passed = vec![machine];
         while let Some(next) = self.hinted_primary(passed[passed.len() - 1]) {
@@ -120,17 +122,17 @@
         passed
     }
 
-    /// Which of its processes runs on a machine, or ran last.
+    /// Returns the number of the process that runs on a machine, or ran last.
     pub fn process(&self, machine: usize) -> u64 {
         self.machines[machine].process
     }
 
-    /// The time as a machine's own clock shows it.
+    /// Returns the time since the start of the process, by the machine's own clock.
     pub fn clock(&self, machine: usize) -> Duration {
         self.local(machine)
     }
 
-    /// The machines that the view of the leader names as members.
+    /// Returns the members of the leader's view; empty without a leader.
     pub fn members(&self) -> Vec<usize> {
         let replica = self.leader().and_then(|leader| self.machines[leader].replica.as_ref());
         let Some(view) = replica.and_then(Replica::view) else { return Vec::new() };
@@ -141,7 +143,7 @@
         (0..self.machines.len()).filter(in_view).collect()
     }
 
-    /// The machines that the view of the leader names as witnesses.
+    /// Returns the witnesses of the leader's view; empty without a leader.
     pub fn witnesses(&self) -> Vec<usize> {
         let replica = self.leader().and_then(|leader| self.machines[leader].replica.as_ref());
         let Some(view) = replica.and_then(Replica::view) else { return Vec::new() };
@@ -153,17 +155,17 @@
         self.checker.acknowledged.contains(&command)
     }
 
-    /// How far the state of a machine is; 0 if it does not run.
+    /// Returns the index of the last entry that a machine has applied; 0 if its process does not run.
     pub fn applied_index(&self, machine: usize) -> u64 {
         self.machines[machine].replica.as_ref().map_or(0, Replica::applied_index)
     }
 
-    /// How many writes the process of a machine has begun.
+    /// Returns the number of disk writes that the current process of a machine has started.
     pub fn write_count(&self, machine: usize) -> u64 {
         self.machines[machine].writes
     }
 
-    /// How many disks were lost so far.
+    /// Returns the number of disks that were lost so far.
     pub fn lost_count(&self) -> u64 {
         self.lost.len() as u64
     }
@@ -182,7 +184,7 @@
         }
     }
 
-    /// Nothing acknowledged is missing from the disks that may decide next.
+    /// Checks the durability invariant on the disks of all machines that were not removed.
     pub(super) fn check_disks(&self) {
         let present = self.machines.iter().filter(|machine| !machine.removed);
         let survivors: Vec<Survivor> =
@@ -193,7 +195,7 @@
 
     pub(super) fn check_leases(&mut self) {
         let mut holders = Vec::new();
-        // A machine that is paused with its clock does nothing before it has noticed that.
+        // A machine whose clock is paused does nothing before it has learned of the clock jump.
         let awake = |machine: &usize| self.machines[*machine].paused_at.is_none();
         let awake: Vec<usize> = (0..self.machines.len()).filter(awake).collect();
         for machine in awake.iter().copied() {
@@ -212,7 +214,7 @@
         }
     }
 
-    /// Records a lease that is granted by a message.
+    /// Records the lease that a message grants, if it grants one.
     pub(super) fn record_grant(&mut self, witness: NodeId, grantee: NodeId, body: &Body) {
         if let Body::LeaseGrant(grant) = body {
             if grant.granted && grant.round != PROBE_ROUND {
@@ -221,8 +223,8 @@
         }
     }
 
-    /// A lease that a machine holds was granted since it was elected, by majorities of the witnesses of its view, and not
-    /// too long ago.
+    /// Checks that a lease which a machine holds was granted by a majority of each witness set of its view,
+    /// after the machine was elected and within the last `LEASE_MS`.
     fn check_grants(&self, machine: usize) {
         let Some(Role::Primary { epoch, holds_lease: true }) = self.role(machine) else { return };
         let Some(view) = self.machines[machine].replica.as_ref().and_then(Replica::view) else { return };
@@ -237,7 +239,10 @@
         for set in [&view.witnesses].into_iter().chain(previous) {
             let count = set.iter().filter(has_granted).count();
             let name = &self.machines[machine].name;
-            assert!(2 * count > set.len(), "{name} holds a lease of epoch {epoch} that {count} have granted");
+            assert!(
+                2 * count > set.len(),
+                "{name} holds a lease of epoch {epoch} that only {count} witnesses have granted"
+            );
         }
     }
 
--- a/crates/replication/tests/replication/harness/messages.rs
+++ b/crates/replication/tests/replication/harness/messages.rs
@@ -1,22 +1,22 @@
-//! What has to be on the disk of a node before a message leaves it: whoever receives the message relies on it, also
-//! after the sender has restarted.
+//! What has to be durable at the sender before each message is sent. The receiver relies on it even after the
+//! sender has restarted.
 
 use quillpulley_protocol::Body;
 
 use super::disk::DiskImage;
 
-/// What a message states of its sender's disk.
+/// What a message implies about the disk of its sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Requirement {
-    /// It has promised an epoch at least as high.
+    /// It holds a promise of this epoch or a higher one.
     Promised(u64),
-    /// It has accepted a view of an epoch at least as high.
+    /// It holds an accepted view of this epoch or a higher one.
     Accepted(u64),
-    /// Its log reaches an index.
+    /// Its log reaches this index.
     Stored(u64),
 }
 
-/// Returns what a message states and the disk does not hold.
+/// Returns the first requirement of a message that the disk of its sender does not meet.
 pub fn missing_on_disk(body: &Body, disk: &DiskImage) -> Option<Requirement> {
     requirements(body).into_iter().find(|requirement| !holds(*requirement, disk))
 }
--- a/crates/replication/tests/replication/harness/mod.rs
+++ b/crates/replication/tests/replication/harness/mod.rs
@@ -1,4 +1,4 @@
-//! A world of replicas in virtual time: a network, disks, clocks, and faults in all of them.
+//! A simulation of replicas in virtual time, with a network, disks, clocks, and faults in all of them.
 
 pub mod checker;
 mod clients;
--- a/crates/replication/tests/replication/harness/network.rs
+++ b/crates/replication/tests/replication/harness/network.rs
@@ -1,22 +1,23 @@
-//! Links between machines: delays, losses, duplicates and cuts, each direction on its own.
+//! Links between machines: delays, losses, duplicates and partitions, separately for each direction.
 
 use std::collections::BTreeSet;
 
-/// How late the copies of answers are.
+/// The delay of the late copies of replies.
 const LATE_MS: std::ops::Range<u64> = 500..3000;
 
-/// How links behave, in milliseconds and shares of a thousand.
+/// The delays of messages in milliseconds, and the rates of faults per thousand messages.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkOptions {
     pub min_delay: u64,
     pub max_delay: u64,
-    /// Messages lost of a thousand.
+    /// Messages per thousand that are lost.
     pub lost: u32,
-    /// Messages that arrive twice of a thousand.
+    /// Messages per thousand that arrive twice.
     pub duplicated: u32,
-    /// Messages that take up to a second of a thousand.
+    /// Messages per thousand that take up to a second longer.
     pub delayed: u32,
-    /// Answers of witnesses that come once more of a thousand, seconds later: perhaps to a later leadership.
+    /// Replies of witnesses per thousand of which a copy arrives up to 3 seconds later, when the receiver may
+    /// lead in another epoch.
     pub late: u32,
 }
 
@@ -26,7 +27,7 @@
     }
 }
 
-/// Which machines cannot send to which.
+/// The options of all links, and the partitioned ones.
 #[derive(Clone, Debug)]
 pub struct Network {
     pub options: NetworkOptions,
@@ -38,7 +39,7 @@
         Network { options, partitions: BTreeSet::new() }
     }
 
-    /// Cuts one direction.
+    /// Partitions one direction of a link.
     pub fn partition(&mut self, from: usize, to: usize) {
         self.partitions.insert((from, to));
     }
@@ -59,13 +60,13 @@
         self.passes(one, other) && self.passes(other, one)
     }
 
-    /// When a copy of an answer arrives that comes late, as a delay.
+    /// Returns the delay of the late copy of a reply in milliseconds; `None` if there is no such copy.
     pub fn late_delivery(&self, from: usize, to: usize, random: &mut fastrand::Rng) -> Option<u64> {
         let is_late = self.options.late > 0 && random.u32(0..1000) < self.options.late;
         (is_late && self.passes(from, to)).then(|| random.u64(LATE_MS))
     }
 
-    /// When copies of a message arrive, as delays; none if it is lost.
+    /// Returns the delay of each copy of a message in milliseconds; empty if the message is lost.
     pub fn deliveries(&self, from: usize, to: usize, random: &mut fastrand::Rng) -> Vec<u64> {
         let options = &self.options;
         if !self.passes(from, to) || random.u32(0..1000) < options.lost {
--- a/crates/replication/tests/replication/harness/quota.rs
+++ b/crates/replication/tests/replication/harness/quota.rs
@@ -1,19 +1,19 @@
-//! A quota in place of a share of a core: a process works at full speed until its quota is spent, and then stands still
-//! for the rest of each period.
+//! A CPU quota, as opposed to a share of a core: in each period a process runs at full speed until its quota
+//! is used up, and is then throttled for the rest of the period.
 
-/// The length of a period.
+/// The length of a quota period.
 const PERIOD_MS: u64 = 100;
 
-/// The quota of a process, and where its periods begin.
+/// The quota of a process, and the offset of its periods.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Quota {
-    /// How long it works in each period.
+    /// The time for which the process may run in each period.
     pub working_ms: u64,
     pub offset_ms: u64,
 }
 
 impl Quota {
-    /// Returns how long a process has to wait at a time until it works again; 0 if it works.
+    /// Returns how long a process is throttled from the time `now` on, in milliseconds; 0 if it may run.
     pub fn wait_at(self, now: u64) -> u64 {
         let phase = (now + PERIOD_MS - self.offset_ms % PERIOD_MS) % PERIOD_MS;
         if phase < self.working_ms {
--- a/crates/replication/tests/replication/harness/timeline.rs
+++ b/crates/replication/tests/replication/harness/timeline.rs
@@ -1,4 +1,4 @@
-//! Timelines drawn as text: one row a moment, one column a machine.
+//! Test scenarios written as text tables: one row per point in time, one column per machine.
 //!
 //! ```text
 //! time | P       | B      | C
@@ -7,41 +7,42 @@
 //! 2500 |         |        | acked=1
 //! ```
 //!
-//! Times are milliseconds from the begin of the timeline. A cell holds operations and claims.
+//! Times are in milliseconds since the start of the timeline. A cell holds operations and assertions, which
+//! are performed and checked from left to right.
 //!
 //! | operations | effect |
 //! | --- | --- |
-//! | `start` `kill` `power-loss` `shutdown` `freeze` `resume` | of the machine's process |
-//! | `pause` | freezes the machine with its clock, until `resume` |
-//! | `wipe` `hang` `slow` `full` `repair` | of its disk |
-//! | `partition` `partition-in` `partition-out` `partition:B` `heal` `heal:B` | of its links, all of them or those to one machine |
-//! | `propose=N` `resend=N` | proposes command N, or sends the same command once more |
-//! | `read` | reads the active configuration |
+//! | `start` `kill` `power-loss` `shutdown` `freeze` `resume` | act on the process of the machine |
+//! | `pause` | freezes the process and stops the clock of the machine, until `resume` |
+//! | `wipe` `hang` `slow` `full` `repair` | act on its disk |
+//! | `partition` `partition-in` `partition-out` `partition:B` `heal` `heal:B` | act on all its links, or on the link to one machine |
+//! | `propose=N` `resend=N` | proposes command N, or sends the same command again |
+//! | `read` | reads the replicated state |
 //!
-//! | claims, which must hold at that time | meaning |
+//! | assertions | subject |
 //! | --- | --- |
-//! | `leads` `follows` `deposed` `no-lease` | role of the machine |
-//! | `member` `no-member` `witness` `no-witness` | its part in the leader's view |
-//! | `hints:B` `no-hint` | the primary to which it redirects |
-//! | `acked=N` `rejected=N` `unresolved=N` | outcome of command N |
+//! | `leads` `follows` `deposed` `no-lease` | the role of the machine |
+//! | `member` `no-member` `witness` `no-witness` | its membership in the leader's view |
+//! | `hints:B` `no-hint` | the primary that it names to its clients |
+//! | `acked=N` `rejected=N` `unresolved=N` | the outcome of command N |
 //!
-//! A column `*` stands for the machine that leads at the time.
+//! The column `*` stands for the machine that leads at that time.
 
 use super::disk::DiskMode;
 use super::world::World;
 use quillpulley_replication::Role;
 use std::collections::BTreeMap;
 
-/// The column of whoever leads.
+/// The column of the machine that leads.
 const LEADER: &str = "*";
 
-/// Plays a timeline. `names` are the machines that its columns stand for.
+/// Runs a timeline. `names` maps the names of columns to machines.
 pub fn play(world: &mut World, names: &[(&str, usize)], text: &str) {
     let mut lines = text.lines().map(str::trim).filter(|line| !line.is_empty());
-    let header: Vec<&str> = cells(lines.next().expect("a header"));
+    let header: Vec<&str> = cells(lines.next().expect("the timeline has no header"));
     let machine_of = |name: &str| {
         let found = names.iter().find(|(known, _)| *known == name);
-        found.unwrap_or_else(|| panic!("no machine is called {name}")).1
+        found.unwrap_or_else(|| panic!("no machine is named {name}")).1
     };
     let machines: Vec<Option<usize>> =
         header[1..].iter().map(|name| (*name != LEADER).then(|| machine_of(name))).collect();
@@ -49,13 +50,13 @@
     let mut player = Player { world, machine_of: &machine_of, commands: BTreeMap::new() };
     for line in lines {
         let row = cells(line);
-        let time: u64 = row[0].parse().expect("a time in milliseconds");
+        let time: u64 = row[0].parse().expect("the time of a row is not a number of milliseconds");
         player.world.run_for((begin + time).saturating_sub(player.world.now));
         for (machine, cell) in machines.iter().zip(&row[1..]) {
             for word in cell.split_whitespace() {
                 let machine = machine.or_else(|| player.world.leader());
                 let machine =
-                    machine.unwrap_or_else(|| panic!("no one leads in `{line}`\n{}", player.trace()));
+                    machine.unwrap_or_else(|| panic!("no machine leads in `{line}`\n{}", player.trace()));
                 player.play(machine, word, line);
             }
         }
@@ -69,7 +70,7 @@
 struct Player<'a> {
     world: &'a mut World,
     machine_of: &'a dyn Fn(&str) -> usize,
-    /// The numbers that the world has given to the timeline's commands.
+    /// The number that the simulation has given to each command of the timeline.
     commands: BTreeMap<u64, u64>,
 }
 
@@ -78,7 +79,7 @@
         let (verb, argument) = word.split_once(['=', ':']).unwrap_or((word, ""));
         if !self.perform(machine, verb, argument) {
             let holds = self.holds(machine, verb, argument);
-            assert!(holds, "`{word}` does not hold in `{line}`\n{}", self.trace());
+            assert!(holds, "assertion `{word}` fails in `{line}`\n{}", self.trace());
         }
     }
 
@@ -86,7 +87,7 @@
         self.world.trace.join("\n")
     }
 
-    /// Performs an operation. Returns whether the verb is one.
+    /// Performs an operation. Returns `false` if the verb is not an operation.
     fn perform(&mut self, machine: usize, verb: &str, argument: &str) -> bool {
         let world = &mut *self.world;
         match verb {
@@ -111,10 +112,10 @@
             }
             "propose" => {
                 let number = world.propose(machine);
-                self.commands.insert(argument.parse().expect("a number"), number);
+                self.commands.insert(argument.parse().expect("the argument is not a number"), number);
             }
             "resend" => {
-                let number = self.commands[&argument.parse().expect("a number")];
+                let number = self.commands[&argument.parse().expect("the argument is not a number")];
                 world.propose_again(machine, number);
             }
             "read" => world.read(machine),
@@ -142,7 +143,8 @@
 
     fn holds(&self, machine: usize, verb: &str, argument: &str) -> bool {
         let world = &*self.world;
-        let acknowledged = || world.is_acknowledged(self.commands[&argument.parse().expect("a number")]);
+        let acknowledged =
+            || world.is_acknowledged(self.commands[&argument.parse().expect("the argument is not a number")]);
         match verb {
             "leads" => world.leader() == Some(machine),
             "follows" => {
@@ -158,9 +160,11 @@
             "witness" => world.witnesses().contains(&machine),
             "no-witness" => !world.witnesses().contains(&machine),
             "acked" => acknowledged(),
-            "rejected" => world.checker.is_rejected(self.commands[&argument.parse().expect("a number")]),
+            "rejected" => world
+                .checker
+                .is_rejected(self.commands[&argument.parse().expect("the argument is not a number")]),
             "unresolved" => !acknowledged(),
-            _ => panic!("`{verb}` is neither an operation nor a claim"),
+            _ => panic!("`{verb}` is neither an operation nor an assertion"),
         }
     }
 }
--- a/crates/replication/tests/replication/harness/world.rs
+++ b/crates/replication/tests/replication/harness/world.rs
@@ -1,4 +1,4 @@
-//! The machines and the time.
+//! The simulation: its machines, its virtual time and the queue of scheduled events.
 
 use quillpulley_protocol::{Body, NodeId};
 use quillpulley_replication::{Action, Event, Faults, RejectReason, Replica, Role, Write, WriteFailed};
@@ -13,17 +13,20 @@
 use super::network::{Network, NetworkOptions};
 use super::quota::Quota;
 
-/// Machines stand in so many zones in turn.
+/// The number of zones; machines are assigned to them in turn.
 pub const ZONES: usize = 5;
 /// The region of each zone.
 pub const REGION_OF: [usize; ZONES] = [0, 0, 1, 1, 2];
 pub(super) const TICK_MS: u64 = 50;
-/// How long a process takes to notice that a connection is dead, and to make a new one.
+/// The time after which a process detects that a connection is dead.
 pub(super) const DETECTION_MS: u64 = 1000;
+/// The time that a process takes to establish a connection, or to detect that the peer has closed one.
 pub(super) const CONNECT_MS: u64 = 40;
+/// The minimum duration of a write to a healthy disk.
 pub(super) const DISK_MS: u64 = 2;
-/// How many times longer a slow disk takes.
+/// The factor by which the writes of a slow disk take longer.
 const SLOW_DISK: u64 = 30;
+/// The size of the log's payloads, in bytes, above which replicas compact the log.
 pub(super) const COMPACT_BYTES: usize = 1500;
 
 #[derive(Clone, Debug)]
@@ -32,21 +35,23 @@
     pub tolerated: usize,
     pub tolerated_zones: usize,
     pub tolerated_regions: usize,
-    /// The zone and the region of each machine, by its number; those beyond stand in none.
+    /// The zone and the region of each machine, by its number. Machines beyond the end of the list have none.
     pub localities: Vec<(&'static str, &'static str)>,
-    /// Machines announce their zone and region, see `REGION_OF`.
+    /// Whether machines announce the zone in `Machine::zone` and its region, instead of those in
+    /// `localities`.
     pub announces_zones: bool,
     pub network: NetworkOptions,
     pub faults: Faults,
     pub compact_entries: usize,
-    /// Clocks run up to so many thousandths too fast or too slow.
+    /// The maximum deviation of clock rates, per thousand, in either direction.
     pub clock_drift: u64,
-    /// Whether every message is checked against the disk of its sender, and every lease against the grants that were
-    /// sent. Off where the other invariants have to catch a fault.
+    /// Whether every message is checked against the disk of its sender, and every lease against the grants
+    /// that were sent. Disabled in tests that expect the other invariants to detect a fault.
     pub checks_messages: bool,
-    /// Processes notice that their clock has stood still.
+    /// Whether processes learn that their clock was stopped.
     pub notices_clock_jumps: bool,
-    /// A machine comes back as the same node after its disk was wiped: a fault that has to be caught.
+    /// Whether a machine returns as the same node after its disk was wiped. This is a fault that tests have
+    /// to detect.
     pub keeps_identity: bool,
 }
 
@@ -71,7 +76,7 @@
     }
 }
 
-/// A machine: an address, a disk, and a process if one runs.
+/// A machine: an address, a disk, and its process while one runs.
 pub struct Machine {
     pub name: String,
     pub id: NodeId,
@@ -79,38 +84,39 @@
     pub disk: DiskImage,
     pub mode: DiskMode,
     pub replica: Option<Replica<CommandHistory>>,
-    /// Counts the processes that have run here.
+    /// The number of processes that were started on this machine; identifies the current one.
     pub(super) process: u64,
     pub(super) started_at: u64,
-    /// How far its clock comes in a second, in milliseconds.
+    /// The number of milliseconds by which its clock advances per second.
     pub(super) clock_rate: u64,
     pub frozen: bool,
-    /// It is gone for good.
+    /// Whether the machine was removed permanently.
     pub removed: bool,
-    /// Events that came while the process was frozen.
+    /// Events that arrived while the process was frozen.
     pub(super) buffered: VecDeque<Event>,
-    /// The write in flight.
+    /// The ticket and the contents of the write in flight.
     pub(super) write: Option<(u64, Write)>,
-    /// The nodes that the process has a connection to.
+    /// The connections of the process: the node at the other end, by machine.
     pub(super) connections: BTreeMap<usize, NodeId>,
-    /// How much of the state has been checked.
+    /// The number of entries of the state that were checked.
     pub(super) seen: usize,
-    /// How many acknowledged commands the state is known to hold.
+    /// The number of acknowledged commands that the state was verified to hold.
     pub(super) verified_commands: usize,
-    /// Reads that came while the process was frozen.
+    /// The number of reads that became due while the process was frozen.
     pub(super) buffered_reads: usize,
-    /// How many writes its process has begun.
+    /// The number of writes that the process has started.
     pub(super) writes: u64,
-    /// The epoch in which its process became the primary, if it is.
+    /// The epoch in which the process became the primary; `None` if it is not the primary.
     pub(super) elected_in: Option<u64>,
-    /// How long its clock has stood still since the start of the process, and since when it does.
+    /// The total time in milliseconds for which its clock was stopped since the start of the process.
     pub(super) clock_lag: u64,
+    /// The time at which its clock was stopped; `None` while the clock runs.
     pub(super) paused_at: Option<u64>,
-    /// Its share of the processor, if that is limited.
+    /// The CPU quota of its process; `None` if it is not limited.
     pub quota: Option<Quota>,
-    /// Events that came while its quota was spent.
+    /// Events that arrived while the process was throttled.
     pub(super) postponed: Vec<Event>,
-    /// Its zone, of `ZONES`.
+    /// The number of its zone, below `ZONES`.
     pub zone: usize,
 }
 
@@ -146,7 +152,7 @@
         machine: usize,
         process: u64,
     },
-    /// The quota of a process begins anew.
+    /// The next quota period of a throttled process begins.
     QuotaRenewed {
         machine: usize,
         process: u64,
@@ -160,28 +166,28 @@
     pub network: Network,
     pub checker: Checker,
     pub random: fastrand::Rng,
-    /// The commands so far: that of number `n` stands at `n - 1`.
+    /// All commands so far; command number `n` is at index `n - 1`.
     pub(super) commands: Vec<Command>,
-    /// The command of each proposal.
+    /// The command of each proposal; proposal number `n` is at index `n - 1`.
     pub(super) proposals: Vec<Command>,
-    /// Proposals, and the machine and the process that got them.
+    /// The number of each proposal, and the machine and the process that received it.
     pub(super) proposed: Vec<(u64, usize, u64)>,
-    /// For each witness and node, the epoch and the time of the last lease that the one granted to the other.
+    /// The epoch and the time of the last lease that was granted, by witness and grantee.
     pub(super) grants: BTreeMap<(NodeId, NodeId), (u64, u64)>,
-    /// How many reads were served.
+    /// The number of reads that were served.
     pub reads: u64,
-    /// Nodes that will never come back, and since when.
+    /// The nodes whose disks were lost, and the time of each loss.
     pub(super) lost: Vec<(NodeId, u64)>,
     pub(super) queue: BinaryHeap<Reverse<(u64, u64, ScheduledEvent)>>,
     pub(super) sequence: u64,
-    /// What happened, for the message of a failed test.
+    /// A description of each event, for the message of a failed test.
     pub trace: Vec<String>,
 }
 
 impl World {
     pub fn new(options: WorldOptions) -> Self {
         if traces() {
-            // It can be set once only, by whichever world comes first.
+            // Only the first call in the process succeeds.
             let _ = log::set_logger(&Printer).map(|()| log::set_max_level(log::LevelFilter::Info));
         }
         let network = Network::new(options.network);
@@ -208,7 +214,7 @@
         self.run_until(milliseconds, |_| false);
     }
 
-    /// Runs until a condition holds, at most for `milliseconds`. Returns whether it holds.
+    /// Runs until a condition holds, for at most `milliseconds`. Returns whether it holds.
     pub fn run_until(&mut self, milliseconds: u64, holds: impl Fn(&World) -> bool) -> bool {
         let end = self.now + milliseconds;
         while !holds(self) {
@@ -269,7 +275,9 @@
         }
     }
 
-    /// Connects if the other side is there and both directions pass; tries again otherwise.
+    /// Connects a machine to another if the other one runs and both directions of the link are open.
+    /// Otherwise retries, except if the other one was started before and is down now: it connects when it
+    /// starts again.
     pub(super) fn connect(&mut self, machine: usize, other: usize) {
         let id = self.machines[other].id;
         let is_there = self.is_running(other) && self.network.is_open(machine, other);
@@ -331,7 +339,7 @@
         self.check_leases();
     }
 
-    /// Postpones an event to when the process may work again, if it has spent its quota.
+    /// Postpones an event to the next quota period if the process is throttled. Returns whether it does.
     fn postpone(&mut self, machine: usize, event: &Event) -> bool {
         let slot = &mut self.machines[machine];
         let wait = slot.quota.map_or(0, |quota| quota.wait_at(self.now));
@@ -346,12 +354,13 @@
         true
     }
 
+    /// Carries out an action of a replica.
     fn act(&mut self, machine: usize, action: Action) {
         match action {
             Action::Send { to, body } => self.send(machine, to, body),
             Action::Store { ticket, write } => {
                 let slot = &mut self.machines[machine];
-                assert!(slot.write.is_none(), "a write before the last one was answered");
+                assert!(slot.write.is_none(), "a write is started while another one is in flight");
                 slot.write = Some((ticket, write));
                 slot.writes += 1;
                 let done = ScheduledEvent::WriteDone { machine, process: slot.process, ticket };
@@ -389,7 +398,7 @@
             let missing = messages::missing_on_disk(&body, &self.machines[machine].disk);
             assert!(
                 missing.is_none(),
-                "{} sends what is not durable: {missing:?}",
+                "{} sends a message before its requirement is durable: {missing:?}",
                 self.machines[machine].name
             );
         }
@@ -414,12 +423,12 @@
     }
 }
 
-/// Returns whether events are printed: if `TRACE` is set.
+/// Returns whether events are printed, which the environment variable `TRACE` enables.
 pub(super) fn traces() -> bool {
     std::env::var_os("TRACE").is_some()
 }
 
-/// Prints what the replicas log.
+/// Prints the log messages of the replicas to standard error.
 struct Printer;
 
 impl log::Log for Printer {
--- a/crates/replication/tests/replication/injected_faults.rs
+++ b/crates/replication/tests/replication/injected_faults.rs
@@ -1,4 +1,4 @@
-//! Replicas with an injected fault: the invariants have to catch each one.
+//! Tests of the tests: the invariants have to detect each fault that is injected into the replicas.
 
 use quillpulley_replication::Faults;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -8,10 +8,10 @@
 use crate::scenarios::{operators, StableCluster};
 use crate::seeded;
 
-/// How many schedules are played at most.
+/// The maximum number of random schedules.
 const SCHEDULES: u64 = 2000;
 
-/// What the first schedule that breaks an invariant says.
+/// Returns the message of the first schedule that violates a safety invariant; `None` if there is none.
 fn first_failure(options: &WorldOptions) -> Option<String> {
     (0..SCHEDULES).find_map(|seed| {
         let schedule = Schedule::from_seed(seed);
@@ -25,14 +25,15 @@
     })
 }
 
-/// Whether it is more than slowness.
+/// Returns whether a message reports the violation of a safety invariant, and not only of liveness.
 fn is_about_safety(message: &str) -> bool {
     ["lost", "two", "gap", "differ", "goes back", "lacks", "without the lease"]
         .iter()
         .any(|word| message.contains(word))
 }
 
-/// The options of a world with a fault that the invariants on states, disks and leases have to catch.
+/// Returns the options of a simulation with faults that the invariants on states, disks and leases have to
+/// detect.
 fn with_faults(faults: Faults) -> WorldOptions {
     WorldOptions { faults, checks_messages: false, ..WorldOptions::default() }
 }
@@ -61,12 +62,13 @@
     assert!(first_failure(&options).is_some());
 }
 
-//    C was away for so long that it gets the whole state, in an election. Its disk freezes before it has that.
-//    B, which has the state, comes up only now. The new view may be P and C only once C has stored all.
+/// C was down for so long that it receives a whole snapshot during an election, and its disk hangs before the
+/// snapshot is stored. B, which holds the state, starts only then. A view of P and C may be formed only once
+/// C has stored the snapshot.
 fn election_with_an_installation(seed: u64, faults: Faults) {
     let mut world = World::first_start(WorldOptions { seed, ..with_faults(faults) }, 3, 3);
     assert!(world.run_until(6000, |world| world.members().len() == 3));
-    let primary = world.leader().expect("a primary");
+    let primary = world.leader().expect("no primary");
     let (backup, away) = ((primary + 1) % 3, (primary + 2) % 3);
     world.kill(away, false);
     for _ in 0..30 {
@@ -103,11 +105,11 @@
     assert!(first_failure(&options).is_some());
 }
 
-/// How many long runs are played at most.
+/// The maximum number of long runs.
 const RUNS: u64 = 40;
 const STEPS: u64 = 1000;
 
-/// What the first long run that breaks an invariant says.
+/// Returns the message of the first long run that violates a safety invariant; `None` if there is none.
 fn first_failure_of_a_long_run(faults: Faults) -> Option<String> {
     (0..RUNS).find_map(|seed| {
         let message = seeded::failure(seed, STEPS, &with_faults(faults))?;
@@ -138,22 +140,23 @@
 fn an_answer_without_a_lease_check_is_caught() {
     let faults = Faults { answer_without_lease_check: true, ..Faults::default() };
     let message = first_failure_of_a_long_run(faults);
-    assert!(message.is_some_and(|message| message.contains("an answer")));
+    assert!(message.is_some_and(|message| message.contains("a read response")));
     let stands_still =
         || StableCluster::with(with_faults(faults), ["P", "B", "C"]).play(operators::STANDS_STILL);
-    let panic = catch_unwind(stands_still).expect_err("an answer from the past");
+    let panic = catch_unwind(stands_still).expect_err("a stale read response is not detected");
     let message = panic.downcast_ref::<String>().cloned().unwrap_or_default();
-    assert!(message.contains("an answer lacks the acknowledged command"), "{message}");
+    assert!(message.contains("a read response lacks the acknowledged command"), "{message}");
 }
 
-/// What the first long run says that breaks an invariant or the rules of messages and leases.
+/// Returns the message of the first long run that violates a safety invariant, or that sends a message before
+/// its requirement is durable, or that holds a lease without enough grants; `None` if there is none.
 fn first_broken_rule(faults: Faults) -> Option<String> {
     let options = WorldOptions { faults, ..WorldOptions::default() };
     (0..RUNS).find_map(|seed| {
         let message = seeded::failure(seed, STEPS, &options)?;
         println!("run {seed}: {message}");
         let breaks_rule =
-            ["sends what is not durable", "holds a lease"].iter().any(|rule| message.contains(rule));
+            ["before its requirement is durable", "holds a lease"].iter().any(|rule| message.contains(rule));
         (breaks_rule || is_about_safety(&message)).then_some(message)
     })
 }
@@ -167,5 +170,6 @@
 #[test]
 fn a_claim_that_counts_before_it_is_durable_is_found_by_long_runs() {
     let faults = Faults { prepare_before_claim: true, ..Faults::default() };
-    assert!(first_broken_rule(faults).is_some_and(|message| message.contains("not durable")));
+    assert!(first_broken_rule(faults)
+        .is_some_and(|message| message.contains("before its requirement is durable")));
 }
--- a/crates/replication/tests/replication/main.rs
+++ b/crates/replication/tests/replication/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the replication in virtual time.
+//! Tests of the replication protocol in virtual time.
 
 mod harness;
 mod injected_faults;
--- a/crates/replication/tests/replication/model/cluster.rs
+++ b/crates/replication/tests/replication/model/cluster.rs
@@ -1,4 +1,4 @@
-//! A few nodes and the messages in flight between them.
+//! The state of the model: a few nodes and the messages in flight between them.
 
 use quillpulley_protocol::{Body, NodeId, Position};
 use quillpulley_replication::{Action, Event, FaultTolerance, Faults, Options, Replica, Role};
@@ -11,14 +11,14 @@
 use crate::harness::command_history::{Command, CommandHistory};
 use crate::harness::disk::DiskImage;
 
-/// How many nodes are the first witnesses.
+/// The number of bootstrap witnesses.
 const SEEDS: usize = 3;
-/// How many machines may lose their disks at once.
+/// The number of machines that may lose their disks at once.
 pub(super) const TOLERATED: usize = 1;
 const TICK_MS: u64 = 50;
-/// Long enough for every lease and timer to run out.
+/// Long enough for every lease and timer to expire.
 const TIME_JUMP_MS: u64 = 1200;
-/// Messages in flight on a link; others are lost.
+/// The maximum number of messages in flight on a link; further messages are lost.
 const LINK_CAPACITY: usize = 4;
 
 #[derive(Clone)]
@@ -26,21 +26,22 @@
     pub(super) id: NodeId,
     pub(super) replica: Replica<CommandHistory>,
     pub(super) disk: DiskImage,
-    /// What happens to the process at its next write.
+    /// How the process crashes at its next write; `None` if it does not.
     crash: Option<Crash>,
-    /// It is gone for good.
+    /// Whether the node was removed permanently.
     pub(super) is_removed: bool,
-    /// A hash of the replica's whole state.
+    /// A hash of the whole state of the replica.
     fingerprint: u64,
 }
 
-/// The process dies in a write, which was not yet durable, or just was.
+/// Whether a process crashes before or after its write becomes durable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Crash {
     Before,
     After,
 }
 
+/// The sender and the receiver.
 pub type Link = (usize, usize);
 
 /// A few nodes and the messages in flight between them.
@@ -50,23 +51,23 @@
     pub nodes: Vec<Node>,
     pub links: BTreeMap<Link, VecDeque<(NodeId, Body)>>,
     pub faults: u8,
-    /// The commands so far: that of number `n` stands at `n - 1`.
+    /// All commands so far; command number `n` is at index `n - 1`.
     pub commands: Vec<Command>,
-    /// The number of the command of each proposal.
+    /// The command number of each proposal; proposal number `n` is at index `n - 1`.
     pub(super) proposals: Vec<u64>,
     /// Nodes whose disks are lost.
     pub(super) lost: Vec<NodeId>,
-    /// Commands that were acknowledged, and where they are, by index.
+    /// The positions and numbers of the acknowledged commands, sorted by index.
     pub acknowledged: Vec<(Position, u64)>,
-    /// Commands that were rejected.
+    /// The rejected commands.
     pub(super) rejected: BTreeSet<u64>,
-    /// For each base, the command that was acknowledged on it.
+    /// The command that was acknowledged on each base.
     pub accepted_on: BTreeMap<u64, u64>,
     /// The epochs of the views that were activated.
     pub activated_epochs: BTreeSet<u64>,
     pub faulty: Faults,
     compact_entries: usize,
-    /// An invariant that was broken in a step.
+    /// A description of the invariant that a step violated; `None` if there is none.
     pub broken: Option<String>,
 }
 
@@ -105,19 +106,20 @@
     Deliver(Link),
     Lose(Link),
     Tick(usize),
-    /// Time passes, and nothing happens.
+    /// Time advances by `TIME_JUMP_MS` without any other event.
     AdvanceTime,
     Restart(usize),
     Wipe(usize),
     Propose(usize),
-    /// The latest command is sent again.
+    /// Sends the latest command again.
     Resend(usize),
-    /// The process dies in its next write and starts again.
+    /// Makes the process crash at its next write and restart.
     CrashInWrite(usize, Crash),
 }
 
 impl Cluster {
-    /// Creates `count` nodes that start for the first time. A log is compacted once it has more than `compact_entries`.
+    /// Creates `count` nodes that start for the first time. A log is compacted once it has more than
+    /// `compact_entries`.
     pub fn new(count: usize, faulty: Faults, compact_entries: usize) -> Self {
         let ids: Vec<NodeId> = (0..count).map(|node| NodeId::new(address(node), 0)).collect();
         let mut cluster = Cluster {
@@ -157,13 +159,13 @@
             ..Options::default()
         };
         let replica = Replica::new(options, disk.recovered(), CommandHistory::default(), self.time())
-            .expect("a sound disk");
+            .expect("the disk is corrupt");
         let mut node = Node { id, replica, disk, crash: None, is_removed: false, fingerprint: 0 };
         node.update_fingerprint();
         node
     }
 
-    /// The nodes that are not gone for good.
+    /// Returns the nodes that were not removed.
     pub fn present(&self) -> Vec<usize> {
         (0..self.nodes.len()).filter(|node| !self.nodes[*node].is_removed).collect()
     }
@@ -172,7 +174,7 @@
         Duration::from_millis(self.now)
     }
 
-    /// Connects a node that has started with all others.
+    /// Connects a node that has started to all others. Messages in flight on its links are lost.
     fn connect(&mut self, node: usize) {
         for other in self.present().into_iter().filter(|other| *other != node) {
             self.links.remove(&(node, other));
@@ -201,7 +203,8 @@
         self.nodes[node].update_fingerprint();
     }
 
-    /// Does what a replica asks for; a write is durable at once.
+    /// Carries out an action of a replica. A write is durable at once. Returns the event that results, if
+    /// any.
     fn act(&mut self, node: usize, action: Action) -> Option<Event> {
         match action {
             Action::Send { to, body } => {
@@ -229,7 +232,7 @@
         }
     }
 
-    /// The process dies in a write and starts again.
+    /// Crashes the process in a write and restarts it.
     fn crash(&mut self, node: usize, store: Action) {
         if let (Action::Store { write, .. }, Some(Crash::After)) = (store, self.nodes[node].crash) {
             self.nodes[node].disk.apply(write);
@@ -289,7 +292,7 @@
         self.connect(node);
     }
 
-    /// A machine is gone for good, and another comes in its place, at a new address. Returns its number.
+    /// Removes a node permanently and adds another one at a new address. Returns the number of the new node.
     pub fn replace(&mut self, node: usize) -> usize {
         self.remove(node);
         let number = self.nodes.len();
@@ -299,7 +302,7 @@
         number
     }
 
-    /// A machine is gone for good.
+    /// Removes a node permanently, with its disk.
     pub fn remove(&mut self, node: usize) {
         let id = self.nodes[node].id;
         self.lost.push(id);
@@ -324,22 +327,23 @@
         self.handle(node, Event::Propose { proposal, payload: command.payload(proposal) });
     }
 
-    /// How many proposals there were.
+    /// Returns the number of proposals so far.
     pub fn proposal_count(&self) -> usize {
         self.proposals.len()
     }
 
+    /// Returns the first link with a message in flight.
     pub fn pending(&self) -> Option<Link> {
         self.links.iter().find(|(_, link)| !link.is_empty()).map(|(link, _)| *link)
     }
 
-    /// Runs without faults, with the machines in `frozen` left alone, until something holds. Returns every state
-    /// on the way.
+    /// Runs without faults until a condition holds. The nodes in `frozen` receive no events. Returns the
+    /// state after each step.
     pub fn run(&mut self, frozen: &[usize], holds: impl Fn(&Cluster) -> bool) -> Vec<Cluster> {
         let mut passed = Vec::new();
         let limit = self.now + 10_000;
         while !holds(self) {
-            assert!(self.now < limit, "it never comes to hold: {self:?}");
+            assert!(self.now < limit, "the condition does not hold within 10 s: {self:?}");
             let is_awake = |link: &Link| !frozen.contains(&link.0) && !frozen.contains(&link.1);
             let next = self.links.iter().find(|(link, queue)| is_awake(link) && !queue.is_empty());
             if let Some(link) = next.map(|(link, _)| *link) {
@@ -360,13 +364,13 @@
 impl Node {
     fn update_fingerprint(&mut self) {
         let mut fingerprint = Fingerprint(DefaultHasher::new());
-        // A fingerprint cannot fail to be written.
+        // Writing to a hasher never fails.
         let _ = write!(fingerprint, "{:?}", self.replica);
         self.fingerprint = fingerprint.0.finish();
     }
 }
 
-/// Hashes what is written to it.
+/// Hashes the text that is written to it.
 struct Fingerprint(DefaultHasher);
 
 impl fmt::Write for Fingerprint {
--- a/crates/replication/tests/replication/model/inspect.rs
+++ b/crates/replication/tests/replication/model/inspect.rs
@@ -1,4 +1,4 @@
-//! Observations of the nodes, and their invariants.
+//! Observations of the nodes, and the invariants of the model.
 
 use quillpulley_protocol::{Body, NodeId, Position};
 use quillpulley_replication::Role;
@@ -16,8 +16,8 @@
         self.present().into_iter().filter(leads).collect()
     }
 
-    /// How often a caller who begins at a node is sent on, until nobody is named or the named one names itself. None if
-    /// it would be led back to where it was.
+    /// Returns the number of redirects that a client follows from a node until it reaches one that names no
+    /// primary, or itself. Returns `None` if the redirects form a loop.
     pub fn redirects_from(&self, node: usize) -> Option<usize> {
         let mut passed = vec![node];
         loop {
@@ -33,12 +33,13 @@
         }
     }
 
-    /// A proposal is acknowledged: its command was accepted, now or before, or else is rejected.
+    /// Records that a node has reported a proposal as committed. Checks that the command is in the state of
+    /// that node, and that its outcome, accepted or rejected, is the same as before.
     pub(super) fn acknowledge(&mut self, node: usize, proposal: u64) {
         let command = self.proposals[proposal as usize - 1];
         let state = self.nodes[node].replica.state();
         if state.find(command).is_none() {
-            self.broken = Some(format!("command {command} is acknowledged and not applied"));
+            self.broken = Some(format!("command {command} is acknowledged but not applied"));
             return;
         }
         let known =
@@ -47,7 +48,7 @@
             self.rejected.insert(command);
             if known.is_some() {
                 self.broken =
-                    Some(format!("command {command} was accepted, and is rejected when it comes again"));
+                    Some(format!("command {command} was accepted, and is rejected when it is sent again"));
             }
             return;
         };
@@ -56,7 +57,7 @@
         }
         let base = accepted.accepted_on.unwrap_or_default();
         if *self.accepted_on.entry(base).or_insert(command) != command {
-            self.broken = Some(format!("two commands on {base} are acknowledged"));
+            self.broken = Some(format!("two commands on base {base} are acknowledged"));
         }
         if known.is_none() {
             self.acknowledged.push((accepted.position, command));
@@ -64,7 +65,8 @@
         }
     }
 
-    /// What may go on without something that was acknowledged, or states the active configuration without it.
+    /// Returns a description of the first violated invariant: one that a step violated, the durability
+    /// invariant, or that reads return all acknowledged commands.
     pub fn violation(&self) -> Option<String> {
         let present = self.present();
         let survivors: Vec<Survivor> = present
@@ -82,11 +84,12 @@
             let state = node.replica.state();
             let lacks = |(_, command): &&(Position, u64)| !state.has_accepted(*command);
             let (_, command) = self.acknowledged.iter().find(lacks)?;
-            Some(format!("{} may answer without the acknowledged command {command}", node.id))
+            Some(format!("{} may answer a read without the acknowledged command {command}", node.id))
         })
     }
 
-    /// Whether one more disk may be lost: the views that may be the newest have done without those that are.
+    /// Returns whether the loss of another disk would be a tolerated loss. A lost node counts while a view
+    /// that may be the newest names it.
     pub fn tolerates_loss(&self) -> bool {
         let disks: Vec<&DiskImage> = self.present().iter().map(|node| &self.nodes[*node].disk).collect();
         let newest = newest_views(&disks, self.lost.len());
@@ -95,7 +98,7 @@
         lost <= TOLERATED && newest.iter().all(|view| has_enough_witnesses(view, TOLERATED))
     }
 
-    /// How many nodes that exist are members of the leader's view.
+    /// Returns how many of the nodes are members of the leader's view; 0 without a leader.
     pub fn members(&self) -> usize {
         let Some(leader) = self.leaders().first().copied() else { return 0 };
         let Some(view) = self.nodes[leader].replica.view() else { return 0 };
@@ -103,8 +106,8 @@
         self.nodes.iter().filter(is_member).count()
     }
 
-    /// Whether all present nodes, and no others, are members and witnesses of the leader's view, and nothing but
-    /// heartbeats is in flight.
+    /// Returns whether exactly the present nodes are the members and the witnesses of the leader's view, and
+    /// no messages other than heartbeats are in flight.
     pub fn is_complete(&self) -> bool {
         let Some(leader) = self.leaders().first().copied() else { return false };
         let Some(view) = self.nodes[leader].replica.view() else { return false };
@@ -114,7 +117,7 @@
         members == present && witnesses == present && view.activated && !self.is_changing()
     }
 
-    /// Returns whether more than heartbeats is in flight.
+    /// Returns whether messages other than heartbeats are in flight.
     pub fn is_changing(&self) -> bool {
         let is_heartbeat = |body: &Body| matches!(body, Body::LeaseRequest(_) | Body::LeaseGrant(_));
         self.links.values().flatten().any(|(_, body)| !is_heartbeat(body))
--- a/crates/replication/tests/replication/model/late_messages.rs
+++ b/crates/replication/tests/replication/model/late_messages.rs
@@ -1,5 +1,5 @@
-//! Leases of one node beside messages of another time: grants of an earlier leadership, and requests in an epoch that
-//! was claimed before another node was elected.
+//! Late lease messages: grants from an epoch in which a node led earlier, and requests in an epoch that a
+//! node claimed before another node was elected.
 
 use quillpulley_protocol::{Body, LeaseGrant, NodeId};
 use quillpulley_replication::{Event, Faults, Role};
@@ -7,7 +7,7 @@
 use super::cluster::{Cluster, Step};
 use super::{stable_cluster, COMPACT_LATE};
 
-/// The round of a request that asks for no lease.
+/// The round number of probes, which do not request the lease.
 const PROBE_ROUND: u64 = 0;
 const SHORT_TICK_MS: u64 = 10;
 
@@ -19,13 +19,14 @@
     [(node + 1) % 3, (node + 2) % 3]
 }
 
+/// Delivers a message before all others on its link.
 fn inject(cluster: &mut Cluster, from: usize, to: usize, body: Body) {
     let id: NodeId = cluster.nodes[to].id;
     cluster.links.entry((from, to)).or_default().push_front((id, body));
     cluster.perform(Step::Deliver((from, to)));
 }
 
-/// Delivers what two nodes send to each other, until nothing is in flight between them.
+/// Delivers the messages between two nodes until none is in flight.
 fn exchange(cluster: &mut Cluster, one: usize, other: usize) {
     let links = [(one, other), (other, one)];
     while let Some(link) =
@@ -35,6 +36,7 @@
     }
 }
 
+/// Returns the witness, the receiver and the contents of a grant in the first round that is in flight.
 fn first_grant(cluster: &Cluster) -> Option<(usize, usize, LeaseGrant)> {
     cluster.links.iter().find_map(|((from, to), queue)| {
         queue.iter().find_map(|(_, body)| match body {
@@ -46,14 +48,14 @@
     })
 }
 
-/// A node is elected, steps down and is elected again by one other. Returns whether it holds the lease once the grant
-/// that the third node gave in the first leadership has come.
+/// A node is elected, steps down, and is elected again with the vote of one other node. Then it receives a
+/// grant that the third node sent after the first election. Returns whether the node holds the lease now.
 fn is_leased_by_a_late_grant(faults: Faults) -> bool {
     let mut cluster = Cluster::new(3, faults, COMPACT_LATE);
     cluster.run(&[], |cluster| first_grant(cluster).is_some());
-    let (witness, node, grant) = first_grant(&cluster).expect("a grant");
+    let (witness, node, grant) = first_grant(&cluster).expect("no grant is in flight");
     cluster.run(&[], Cluster::is_complete);
-    assert_eq!(cluster.leaders(), [node], "the first leader is the one of the grant");
+    assert_eq!(cluster.leaders(), [node], "the node that received the grant does not lead");
     let other = 3 - node - witness;
     while !leads(&cluster, node) || cluster.activated_epochs.len() < 2 {
         for leader in [node, other] {
@@ -63,7 +65,7 @@
         cluster.links.clear();
         cluster.run(&[witness], |cluster| leads(cluster, node) || leads(cluster, other));
     }
-    assert!(cluster.leaders().is_empty(), "it has only its own grant as yet");
+    assert!(cluster.leaders().is_empty(), "a node holds the lease with only its own grant");
     inject(&mut cluster, witness, node, Body::LeaseGrant(Box::new(grant)));
     cluster.leaders() == [node]
 }
@@ -72,20 +74,22 @@
 fn a_grant_of_an_earlier_leadership_gives_no_lease() {
     assert!(!is_leased_by_a_late_grant(Faults::default()));
     let faults = Faults { ignore_epoch_of_grant: true, ..Faults::default() };
-    assert!(is_leased_by_a_late_grant(faults), "the fault goes unnoticed");
+    assert!(is_leased_by_a_late_grant(faults), "the injected fault is not detected");
 }
 
-/// A primary knows of a high epoch, claims one above it to drop a node, and is cut off from the other one too: another
-/// is elected in a lower epoch. Returns who holds the lease once the primary has reached the third node again.
+/// A primary has learned of a high epoch and claims a higher one to drop a node. Then the other node is
+/// partitioned from it too, and the two elect another primary in a lower epoch. Returns the holders of the
+/// lease once the former primary reaches the node that was not elected again; `None` if it steps down before
+/// the election.
 ///
-/// The claim follows a heartbeat closely, and the primary ticks often: so it still holds its lease when the claim times
-/// out, and repeats it. `delay_ms` shifts the campaign of the node that it wants to drop. None if the primary steps down
-/// before the other one is elected.
+/// The claim follows a heartbeat closely and the former primary ticks often. Therefore it still holds its
+/// lease when the claim times out, and claims the epoch again. `delay_ms` delays the campaign of the node
+/// that it drops.
 fn holders_after_a_contested_request(faults: Faults, delay_ms: u64) -> Option<Vec<usize>> {
     let mut cluster = stable_cluster(3, faults, COMPACT_LATE);
     let former = cluster.leaders()[0];
     let [gone, third] = others(former);
-    let epoch = cluster.nodes[former].replica.view().expect("a view").epoch;
+    let epoch = cluster.nodes[former].replica.view().expect("no view").epoch;
     let answer = LeaseGrant {
         epoch,
         round: PROBE_ROUND,
@@ -136,7 +140,7 @@
     for _ in 0..20 {
         cluster.now += SHORT_TICK_MS;
         cluster.perform(Step::Tick(former));
-        // The answer to its claim would tell it that it is replaced.
+        // The reply to its claim would tell the former primary that it was replaced.
         for queue in cluster.links.values_mut() {
             queue.retain(|(_, body)| !matches!(body, Body::Prepare(_)));
         }
@@ -155,5 +159,5 @@
     let without_fault = counts(Faults::default());
     assert!(without_fault.len() > 5 && without_fault.iter().all(|count| *count <= 1), "{without_fault:?}");
     let faults = Faults { grant_under_lease: true, ..Faults::default() };
-    assert!(counts(faults).contains(&2), "the fault goes unnoticed");
+    assert!(counts(faults).contains(&2), "the injected fault is not detected");
 }
--- a/crates/replication/tests/replication/model/mod.rs
+++ b/crates/replication/tests/replication/model/mod.rs
@@ -1,12 +1,13 @@
-//! Exhaustive model checking of small worlds: from the moments of a failover, of a replacement, of the removal of a
-//! witness, and of an install, all ways in which the next few things can happen, with faults among them.
+//! Exhaustive model checking of small clusters. The initial states are those that a cluster passes through
+//! during a failover, a replacement, the removal of a witness, or an install. From each of them, all
+//! sequences of the next few events are explored, faults included.
 //!
-//! A write is durable at once here, unless the process dies in it. A frozen machine is one to which nothing happens for
-//! a while. The initial states are every second moment, in the longer stories of those at which more than heartbeats is
-//! in flight.
+//! A write is durable at once in the model, unless the process crashes in it. A frozen node receives no
+//! events. By default every second state is an initial state; in the longer scenarios, every second one of
+//! those in which messages other than heartbeats are in flight.
 //!
-//! `MODEL_DEPTH` sets how many states a path has, and then every moment is an initial state. Each test prints how many
-//! states it has seen:
+//! `MODEL_DEPTH` sets the number of states in a path, and makes every state an initial state. Each test
+//! prints the number of distinct states that it has visited:
 //!
 //! ```text
 //! MODEL_DEPTH=6 cargo test --release -p quillpulley-replication model:: -- --nocapture
@@ -21,29 +22,30 @@
 
 use cluster::{Cluster, Crash, Step};
 
-/// Faults in one path: restarts, wipes, lost messages, leaps of time.
+/// The maximum number of faults in a path: restarts, wipes, lost messages, time jumps, crashes in writes.
 const FAULTS: u8 = 2;
 const THREADS: usize = 3;
-/// Compaction that happens late, and with every command.
+/// The number of entries above which the log is compacted: more than a test ever has.
 const COMPACT_LATE: usize = 256;
+/// The number of entries above which the log is compacted: with every command.
 const COMPACT_AT_ONCE: usize = 0;
-/// How many redirects callers follow.
+/// The maximum number of redirects that a client follows.
 const MAX_REDIRECTS: usize = 2;
-/// Proposals in a world where they are sent again.
+/// The maximum number of proposals in the tests that send commands again.
 const MAX_PROPOSALS: usize = 5;
-const NOTHING_LOST: &str = "nothing acknowledged can be lost, and no answer is without it";
+const NOTHING_LOST: &str = "no acknowledged command can be lost, or be missing from a read response";
 
-/// What can happen beside messages, ticks, commands, restarts, leaps, lost messages and lost disks.
+/// Steps in addition to messages, ticks, commands, restarts, time jumps, lost messages and lost disks.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Extra {
     Nothing,
-    /// Processes die in a write.
+    /// Processes crash in a write.
     CrashInWrite,
     /// Commands are sent again.
     Resend,
 }
 
-/// All that can happen from the initial states on.
+/// The model: all sequences of steps from the initial states.
 struct ClusterModel {
     initial_states: Vec<Cluster>,
     extra: Extra,
@@ -95,19 +97,22 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(NOTHING_LOST, |_, state: &Cluster| state.violation().is_none()),
-            Property::always("one holder of the lease", |_, state: &Cluster| state.leaders().len() <= 1),
-            Property::always("callers are redirected twice at most", |_, state: &Cluster| {
+            Property::always("at most one node holds the lease", |_, state: &Cluster| {
+                state.leaders().len() <= 1
+            }),
+            Property::always("clients are redirected at most twice", |_, state: &Cluster| {
                 let mut redirects = state.present().into_iter().map(|node| state.redirects_from(node));
                 redirects.all(|count| count.is_some_and(|count| count <= MAX_REDIRECTS))
             }),
-            Property::sometimes("a view is activated on the way", |_, state: &Cluster| {
+            Property::sometimes("a view is activated", |_, state: &Cluster| {
                 !state.activated_epochs.is_empty()
             }),
         ]
     }
 }
 
-/// So many nodes with a primary, all of them members and witnesses, and one command acknowledged.
+/// Returns a cluster of `count` nodes with a primary. All nodes are members and witnesses, and one command is
+/// acknowledged.
 fn stable_cluster(count: usize, faults: Faults, compact_entries: usize) -> Cluster {
     let mut cluster = Cluster::new(count, faults, compact_entries);
     cluster.run(&[], Cluster::is_complete);
@@ -117,24 +122,24 @@
     cluster
 }
 
-/// Returns how many states a path has, if `MODEL_DEPTH` is set.
+/// Returns the number of states in a path from `MODEL_DEPTH`; `None` if it is not set.
 fn requested_depth() -> Option<usize> {
     std::env::var("MODEL_DEPTH").ok().and_then(|text| text.parse().ok())
 }
 
-/// Every so many of the moments, or every one if `MODEL_DEPTH` is set.
-fn sample(moments: Vec<Cluster>, stride: usize) -> Vec<Cluster> {
+/// Returns every `stride`th state, or every state if `MODEL_DEPTH` is set.
+fn sample(states: Vec<Cluster>, stride: usize) -> Vec<Cluster> {
     let stride = if requested_depth().is_some() { 1 } else { stride };
-    moments.into_iter().step_by(stride).collect()
+    states.into_iter().step_by(stride).collect()
 }
 
-/// The same of the moments at which more than heartbeats is in flight.
-fn sample_changes(mut moments: Vec<Cluster>, stride: usize) -> Vec<Cluster> {
-    moments.retain(Cluster::is_changing);
-    sample(moments, stride)
+/// Samples the states in which messages other than heartbeats are in flight.
+fn sample_changes(mut states: Vec<Cluster>, stride: usize) -> Vec<Cluster> {
+    states.retain(Cluster::is_changing);
+    sample(states, stride)
 }
 
-/// Explores all paths of `depth` states.
+/// Explores all paths of `depth` states, or of `MODEL_DEPTH` states if that is set.
 fn explore(mut initial_states: Vec<Cluster>, extra: Extra, depth: usize) -> impl Checker<ClusterModel> {
     for state in &mut initial_states {
         state.activated_epochs.clear();
@@ -218,7 +223,7 @@
     explore(sample(initial_states, 1), Extra::Resend, 5).assert_properties();
 }
 
-/// The moments of a replacement with a fault built in.
+/// Returns the states during a replacement with the injected `faults`.
 fn replacement(faults: Faults) -> Vec<Cluster> {
     let mut cluster = stable_cluster(3, faults, COMPACT_LATE);
     let leader = cluster.leaders()[0];
@@ -243,7 +248,7 @@
     let leader = cluster.leaders()[0];
     cluster.perform(Step::Propose(leader));
     cluster.run(&[frozen], |cluster| cluster.acknowledged.len() == 2);
-    assert!(cluster.violation().is_some_and(|why| why.contains("may answer without")));
+    assert!(cluster.violation().is_some_and(|why| why.contains("may answer a read without")));
 }
 
 #[test]
--- a/crates/replication/tests/replication/operations.rs
+++ b/crates/replication/tests/replication/operations.rs
@@ -3,15 +3,15 @@
 use crate::harness::world::REGION_OF;
 use crate::harness::{DiskMode, World};
 
-/// The most machines that there are in a run, those that are gone among them.
+/// The maximum number of machines in a run, including those that were removed.
 const MACHINES: usize = 60;
-/// How long a machine has to shut down.
+/// The time that a machine has to shut down.
 const SHUTDOWN_MS: u64 = 1500;
-/// A process that is killed and started again at once is away for so long at most.
+/// The maximum downtime of a process that is restarted at once.
 const RESTART_MS: u64 = 60;
-/// Whoever lost the leader campaigns after so long.
+/// The time after which machines that have lost the leader campaign.
 const CAMPAIGN_MS: u64 = 1500;
-/// Only so many of the latest commands are sent again.
+/// The number of latest commands of which one may be sent again.
 const LATEST_COMMANDS: u64 = 8;
 
 /// An operation on a machine, or on several.
@@ -24,44 +24,45 @@
     Wipe,
     Replace,
     Start,
-    /// The process is killed and comes back within the time of a lease.
+    /// Kills the process and restarts it before a lease can expire.
     RestartAtOnce,
-    /// Some machines lose the leader alone. Once they campaign, another witness loses it too and restarts: its lease to
-    /// the leader still runs.
+    /// Partitions some machines from the leader only. Once they campaign, partitions another witness from the
+    /// leader too and restarts it, while the lease that it granted to the leader has not expired.
     RestartUnderLease,
     ShutDown,
     Freeze,
     Resume,
-    /// The machine stands still with its clock, until it resumes.
+    /// Freezes the process and stops the clock of the machine until it resumes.
     Pause,
     HangDisk,
     FillDisk,
     RepairDisk,
     Isolate,
     IsolateOutbound,
-    /// Partitions one machine from the next.
+    /// Partitions the machine from the next one.
     PartitionPair,
     HealPartitions,
     KillAll,
     StartAll,
-    /// Two operators send commands on one base at the same time.
+    /// Sends several commands on the same base at the same time.
     ProposeConflicting,
-    /// One of the latest commands is sent again, to any machine.
+    /// Sends one of the latest commands again, to the leader or to this machine.
     ProposeAgain,
-    /// The active configuration is read.
+    /// Reads the replicated state.
     Read,
     SlowDisk,
-    /// Partitions one region from the others.
+    /// Partitions the region of the machine from the others.
     PartitionRegion,
-    /// All machines of a region lose power.
+    /// Cuts the power of all machines in the region of the machine.
     RegionPowerLoss,
-    /// All machines of a region lose power and their disks.
+    /// Cuts the power of all machines in the region of the machine, and wipes as many disks as the tolerated
+    /// losses allow.
     WipeRegion,
-    /// The machine shuts down, and another takes its place.
+    /// Shuts the machine down and replaces it by another one.
     ShutDownAndReplace,
 }
 
-/// Performs an operation on a machine, if it makes sense there.
+/// Performs an operation on a machine. Does nothing if the state of the machine does not allow the operation.
 pub fn perform(world: &mut World, operation: Operation, machine: usize) {
     let runs = world.is_running(machine);
     match operation {
@@ -163,7 +164,8 @@
     world.add_spare_in(zone);
 }
 
-/// Two commands on one base: both to the leader if there is one, or else to two machines.
+/// Sends two commands on the same base to the leader, and a third one to `machine` if that is another one and
+/// runs. Does nothing without a leader.
 fn propose_conflicting(world: &mut World, machine: usize) {
     let Some(leader) = world.leader() else { return };
     world.propose(leader);
@@ -205,7 +207,7 @@
     world.detect_partitions();
 }
 
-/// All disks of a region, as long as they are among the losses to tolerate.
+/// Cuts the power of all machines of a region, and wipes their disks as long as the losses are tolerated.
 fn wipe_region(world: &mut World, region: usize) {
     for machine in machines_in(world, region) {
         world.kill(machine, true);
--- a/crates/replication/tests/replication/random.rs
+++ b/crates/replication/tests/replication/random.rs
@@ -1,4 +1,4 @@
-//! Random schedules of operations against the invariants, and liveness once the faults are over.
+//! Random schedules of operations that check the safety invariants, and liveness after the faults have ended.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
@@ -8,7 +8,7 @@
 
 const STEPS: usize = 40;
 
-/// The rarer ones stand once, the others several times.
+/// Each step picks one of these at random. An operation is listed several times to be picked more often.
 const OPERATIONS: [Operation; 37] = [
     Operation::Propose,
     Operation::Propose,
@@ -119,7 +119,8 @@
     world
 }
 
-/// After the faults: a command is acknowledged soon, nothing is lost, and everyone is added.
+/// Ends all faults, and checks that a command is acknowledged in time, that all machines become members and
+/// witnesses in time, and that the outcome of every proposal is reported.
 fn check_recovery(world: &mut World) {
     check_acknowledgement(world);
     let all_joined = |world: &World| {
@@ -130,17 +131,23 @@
     };
     let is_complete = world.run_until(JOIN_MS, all_joined);
     let unresolved = world.unresolved_proposals();
-    assert!(unresolved.is_empty(), "the outcome of commands {unresolved:?} is not reported");
-    assert!(is_complete, "members are {:?}, witnesses {:?}", world.members(), world.witnesses());
+    assert!(unresolved.is_empty(), "the outcome of proposals {unresolved:?} is not reported");
+    assert!(
+        is_complete,
+        "not all machines have joined: members {:?}, witnesses {:?}",
+        world.members(),
+        world.witnesses()
+    );
 }
 
-/// Plays a schedule; panics if an invariant does not hold.
+/// Runs a schedule. Panics if an invariant does not hold.
 pub fn check(schedule: &Schedule, count: usize, options: WorldOptions) {
     let mut world = run(schedule, count, options);
     check_recovery(&mut world);
 }
 
-/// Plays random schedules, as many as `QUICKCHECK_TESTS` says or else `tests`.
+/// Runs as many random schedules as the environment variable `QUICKCHECK_TESTS` states, or `tests` if it is
+/// not set.
 fn check_random(property: fn(Schedule) -> bool, tests: u64) {
     let tests = std::env::var("QUICKCHECK_TESTS").ok().and_then(|text| text.parse().ok()).unwrap_or(tests);
     QuickCheck::new().tests(tests).quickcheck(property);
--- a/crates/replication/tests/replication/reads.rs
+++ b/crates/replication/tests/replication/reads.rs
@@ -1,8 +1,8 @@
-//! Answers to callers as the host gives them: decided by one thread under the lease, written by another later. Random
-//! cuts, freezes and ends of processes fall between the two.
+//! Reads as the host serves them: one thread prepares the response under the lease, and another thread writes
+//! it later. Between the two, machines are partitioned, frozen, killed and shut down at random.
 //!
-//! An answer about the active configuration has everything that any *other* process had acknowledged when it was
-//! written. Nobody who follows redirects ever comes back to where it was.
+//! A response has to contain all commands that any *other* process had acknowledged when the response was
+//! written. The redirects of clients must not form a loop.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,18 +11,18 @@
 
 const SCHEDULES: u64 = 150;
 const STEPS: usize = 60;
-/// The longest time between the decision and the writing while the process runs, in milliseconds.
+/// The maximum time from the preparation of a response until it is written, while the process runs.
 const LONGEST_WAIT_MS: u64 = 30;
 
-/// How the message of a failure initial_states.
-const PAST: &str = "an answer from the past";
+/// The start of the message if a response lacks an acknowledged command.
+const PAST: &str = "a stale read response";
 
-/// What is done at a step.
+/// The operation of a step.
 #[derive(Clone, Copy)]
 enum Operation {
     Propose,
     Read,
-    /// Some ask, and the machine freezes before it has answered.
+    /// The leader receives a read, and freezes before it has written the response.
     ReadAndFreeze,
     Freeze,
     Resume,
@@ -63,33 +63,33 @@
     Operation::ShutDown,
 ];
 
-/// An answer that waits to be written.
+/// A prepared response that is not written yet.
 struct Waiting {
     machine: usize,
     incarnation: u64,
     due: u64,
-    /// The end of the lease, by the machine's own clock.
+    /// The end of the lease by the machine's own clock.
     valid_until: Duration,
-    /// The commands in the state that it reports.
+    /// The accepted commands in the state that the response reports.
     accepted: Vec<u64>,
 }
 
-/// What a run has shown.
+/// The counters of a run.
 #[derive(Default, Debug, Clone, Copy)]
 struct Counts {
     decided: usize,
     written: usize,
     too_late: usize,
-    /// Looks at where callers are sent.
+    /// The number of checks of the redirects from a machine.
     looks: usize,
-    /// The most machines that a caller passed.
+    /// The maximum number of machines that a client visits.
     longest_way: usize,
 }
 
 struct Callers {
     world: World,
     random: fastrand::Rng,
-    /// Writers look at the clock.
+    /// Whether a response is written only if the lease has not ended by then.
     checks_clock: bool,
     waiting: Vec<Waiting>,
     proposers: BTreeMap<u64, usize>,
@@ -126,7 +126,7 @@
         self.counts
     }
 
-    /// Runs for some time and writes what is due, in steps of a few milliseconds.
+    /// Runs for some milliseconds, and checks redirects and writes due responses every few milliseconds.
     fn run_for(&mut self, time: u64) {
         let end = self.world.now + time;
         while self.world.now < end {
@@ -191,7 +191,7 @@
         self.world.detect_partitions();
     }
 
-    /// A caller asks a machine for the active configuration.
+    /// Prepares the response to a read on a machine, if that holds its lease.
     fn decide(&mut self, machine: usize) {
         if self.world.machines[machine].frozen {
             return;
@@ -213,7 +213,7 @@
         self.waiting.push(waiting);
     }
 
-    /// A process resumes: its writers may come to run before its main thread.
+    /// Resumes a process. Its threads that write responses may run before its main thread.
     fn resume(&mut self, machine: usize) {
         if self.world.is_running(machine) && self.world.machines[machine].frozen {
             self.world.machines[machine].frozen = false;
@@ -257,7 +257,7 @@
         for machine in 0..self.world.machines.len() {
             let way = self.world.redirects(machine);
             let last = way[way.len() - 1];
-            assert!(!way[..way.len() - 1].contains(&last), "a loop of redirects: {way:?}");
+            assert!(!way[..way.len() - 1].contains(&last), "the redirects form a loop: {way:?}");
             self.counts.looks += 1;
             self.counts.longest_way = self.counts.longest_way.max(way.len());
         }
--- a/crates/replication/tests/replication/recovery.rs
+++ b/crates/replication/tests/replication/recovery.rs
@@ -1,19 +1,19 @@
-//! Liveness after faults: what must hold within bounded times once a world is fault-free.
+//! Liveness: what must hold within bounded times after the last fault has ended.
 
 use crate::harness::World;
 
-/// How soon after the last fault there is a primary.
+/// The maximum time from the end of the last fault until there is a primary.
 const RECOVERY_MS: u64 = 3000;
-/// How soon it acknowledges a command.
+/// The maximum time in which that primary acknowledges a command.
 const ACKNOWLEDGE_MS: u64 = 1000;
-/// How soon after that all machines are members and witnesses.
+/// The maximum time from that acknowledgement until all machines are members and witnesses.
 pub const JOIN_MS: u64 = 8000;
 
-/// Ends all faults, and checks that there is a primary that acknowledges a command soon.
+/// Ends all faults, and checks that a primary is elected and acknowledges a command in time.
 pub fn check_acknowledgement(world: &mut World) {
     world.heal();
     world.run_for(RECOVERY_MS);
-    let leader = world.leader().expect("a primary after a fault-free period");
+    let leader = world.leader().expect("no primary after a fault-free period");
     let command = world.propose(leader);
     let acknowledged = world.run_until(ACKNOWLEDGE_MS, |world| world.is_acknowledged(command));
     assert!(acknowledged, "command {command} is not acknowledged in a fault-free period");
--- a/crates/replication/tests/replication/scenarios/clock_jumps.rs
+++ b/crates/replication/tests/replication/scenarios/clock_jumps.rs
@@ -1,11 +1,12 @@
-//! Machines that stand still with their clocks: a virtual machine that is paused, or moved to another host.
+//! Machines whose clocks stop while they are suspended, as those of a virtual machine that is paused or
+//! migrated to another host.
 
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 use super::{three, StableCluster, SEEDS};
 use crate::harness::WorldOptions;
 
-/// The primary stands still until another leads, and wakes with nearly all of its lease left by its own clock.
+/// The primary is paused until another one leads, and resumes with most of its lease left by its own clock.
 const REPLACED: &str = "
     time | P        | B | C | *
        0 | pause    |   |   |
--- a/crates/replication/tests/replication/scenarios/failure_domains.rs
+++ b/crates/replication/tests/replication/scenarios/failure_domains.rs
@@ -1,4 +1,5 @@
-//! Failure domains: which losses a view survives, and what is done while its members are in too few zones or regions.
+//! Failure domains: which losses a view survives, and how replicas behave while its members are in too few
+//! zones or regions.
 
 use quickcheck::{quickcheck, TestResult};
 use quillpulley_protocol::{NodeId, View, WitnessRecord};
@@ -11,7 +12,7 @@
 use crate::harness::command_history::CommandHistory;
 use crate::harness::{DiskMode, World, WorldOptions};
 
-/// Within which a command has to be acknowledged (`AckMs`).
+/// The time within which a command has to be acknowledged: the default of `AckMs`.
 const ACKNOWLEDGED_WITHIN_MS: u64 = 5000;
 
 const A: (&str, &str) = ("zone-a", "east");
@@ -20,7 +21,8 @@
 const B2: (&str, &str) = ("zone-b2", "west");
 const C: (&str, &str) = ("zone-c", "north");
 
-/// Machines in these zones and regions, of which one, or one zone, or one region may be lost.
+/// Returns a simulation of machines in these zones and regions, all of them members. One machine, one zone or
+/// one region may be lost.
 fn world(seed: u64, localities: &[(&'static str, &'static str)]) -> World {
     let options = WorldOptions {
         seed,
@@ -36,6 +38,7 @@
     world
 }
 
+/// Proposes a command. Returns whether it is acknowledged within `within` ms; `false` without a leader.
 fn acknowledged(world: &mut World, within: u64) -> bool {
     let Some(leader) = world.leader() else { return false };
     let command = world.propose(leader);
@@ -44,7 +47,7 @@
 
 fn assert_serves_again(world: &mut World) {
     let is_led = world.run_until(4000, |world| world.leader().is_some());
-    assert!(is_led, "no one leads\n{}", world.trace.join("\n"));
+    assert!(is_led, "no machine leads\n{}", world.trace.join("\n"));
     assert!(acknowledged(world, 3000), "{}", world.trace.join("\n"));
 }
 
@@ -54,12 +57,15 @@
         let mut world = world(seed, &[A, A2, B]);
         world.kill(2, false);
         world.run_for(2500);
-        let durability = world.durability().expect("a view");
+        let durability = world.durability().expect("no view");
         assert!(durability.members.regions && !durability.members.zones && !durability.members.machines);
-        assert!(acknowledged(&mut world, 200), "nobody elsewhere could join: degraded");
+        assert!(
+            acknowledged(&mut world, 200),
+            "a command waits although no node in another region could join"
+        );
 
         world.start(2);
-        let leader = world.leader().expect("a primary");
+        let leader = world.leader().expect("no primary");
         let id = world.machines[2].id;
         let knows = |world: &World| {
             let replica = world.machines[leader].replica.as_ref();
@@ -67,10 +73,14 @@
         };
         assert!(world.run_until(1000, knows));
         world.run_for(250);
-        assert!(!world.members().contains(&2), "it is not added yet");
+        assert!(!world.members().contains(&2), "the machine in the other region is a member too early");
         let command = world.propose(leader);
         assert!(world.run_until(ACKNOWLEDGED_WITHIN_MS, |world| world.is_acknowledged(command)));
-        assert!(world.members().contains(&2), "acknowledged in one region only\n{}", world.trace.join("\n"));
+        assert!(
+            world.members().contains(&2),
+            "the command was acknowledged in one region only\n{}",
+            world.trace.join("\n")
+        );
         assert!(world.durability().is_some_and(|durability| durability.members.is_empty()));
     }
 }
@@ -96,7 +106,7 @@
         world.kill(2, false);
         world.run_for(2500);
         world.start(2);
-        // Once it has promised the epoch it goes on answering the primary.
+        // After the machine has promised the epoch, it answers the primary even while its disk hangs.
         let epoch = |world: &World| {
             let leader = world.leader().and_then(|leader| world.machines[leader].replica.as_ref())?;
             leader.view().map(|view| view.epoch)
@@ -110,7 +120,7 @@
         world.run_for(200);
         let begin = world.now;
         assert!(acknowledged(&mut world, ACKNOWLEDGED_WITHIN_MS - 2000), "{}", world.trace.join("\n"));
-        assert!(world.now > begin + 500, "it did not wait");
+        assert!(world.now > begin + 500, "the command did not wait for the node");
         // The wait is not repeated for every command.
         for _ in 0..5 {
             assert!(acknowledged(&mut world, 200), "{}", world.trace.join("\n"));
@@ -123,7 +133,7 @@
     for seed in 0..SEEDS {
         let mut world = world(seed, &[A, A, A]);
         assert!(acknowledged(&mut world, 200));
-        let durability = world.durability().expect("a view");
+        let durability = world.durability().expect("no view");
         assert!(durability.members.zones && durability.members.regions && !durability.members.machines);
         assert!(durability.witnesses.zones && durability.witnesses.regions);
     }
@@ -163,7 +173,7 @@
     }
 }
 
-/// Returns how long a machine takes from the signal until it may exit.
+/// Signals a machine to shut down. Returns the time in milliseconds until it may exit.
 fn time_to_exit(world: &mut World, machine: usize) -> u64 {
     let signalled_at = world.now;
     world.shut_down(machine);
@@ -171,26 +181,26 @@
     world.now - signalled_at
 }
 
-/// The only member of a region is signalled to shut down, `delay` after a machine of its region was started. It may
-/// exit only when that machine is a member.
+/// The only member of a region is signalled to shut down, 200 ms and `delay` ms after another machine was
+/// started in the same region. Checks that it may exit only when that machine is a member.
 fn exits_once_its_successor_has_joined(seed: u64, delay: u64) {
     let mut world = world(seed, &[A, A2, B]);
-    let command = world.propose(world.leader().expect("a primary"));
+    let command = world.propose(world.leader().expect("no primary"));
     world.options.localities.push(B2);
     let successor = world.add_spare();
     world.run_for(200 + delay);
     time_to_exit(&mut world, 2);
     world.remove(2);
     assert!(world.is_acknowledged(command), "{}", world.trace.join("\n"));
-    // Both machines of the other region lose their disks now: the successor has what was acknowledged.
-    // A primary that has just accepted over may have no lease yet.
+    // If both machines of the other region lost their disks now, the successor would still hold all
+    // acknowledged entries. A primary that was elected just now may not hold its lease yet.
     let leads = |machine: &usize| matches!(world.role(*machine), Some(Role::Primary { .. }));
     let leaders = (0..world.machines.len()).filter(leads);
     let views = leaders.filter_map(|machine| world.machines[machine].replica.as_ref()?.view());
     let view = views.max_by_key(|view| view.epoch);
     let successor = world.machines[successor].id;
-    let names = view.is_some_and(|view| view.primary == successor || view.backups.contains(&successor));
-    assert!(names, "seed {seed}, {delay} ms\n{}", world.trace.join("\n"));
+    let is_member = view.is_some_and(|view| view.primary == successor || view.backups.contains(&successor));
+    assert!(is_member, "seed {seed}, {delay} ms\n{}", world.trace.join("\n"));
 }
 
 #[test]
@@ -223,8 +233,8 @@
     }
 }
 
-/// Returns what a replica reports of a view whose nodes are in these zones and regions, as (machines, zones, regions)
-/// of the members and of the witnesses.
+/// Returns the uncovered failures that a replica reports for a view whose nodes are in these zones and
+/// regions, as [machines, zones, regions], first for the members and then for the witnesses.
 fn uncovered_failures(localities: &[(u8, u8)], tolerated: (usize, usize, usize)) -> [[bool; 3]; 2] {
     let nodes: Vec<NodeId> =
         (0..localities.len()).map(|index| NodeId::new(Ipv4Addr::new(10, 0, 0, 1 + index as u8), 0)).collect();
@@ -248,18 +258,19 @@
         ..Options::default()
     };
     let recovered = Recovered { record: Some(record), ..Recovered::default() };
-    let mut replica =
-        Replica::new(options, recovered, CommandHistory::default(), Duration::ZERO).expect("a replica");
+    let mut replica = Replica::new(options, recovered, CommandHistory::default(), Duration::ZERO)
+        .expect("the replica does not start");
     for (node, (zone, region)) in nodes.iter().zip(localities) {
         let locality = Locality { zone: format!("zone-{zone}"), region: format!("region-{region}") };
         replica.handle(Duration::ZERO, Event::LocalityLearned { node: *node, locality }, &mut Vec::new());
     }
-    let durability = replica.durability().expect("a view");
+    let durability = replica.durability().expect("no view");
     [durability.members, durability.witnesses]
         .map(|uncovered| [uncovered.machines, uncovered.zones, uncovered.regions])
 }
 
-/// Whether after the loss of some `count` of the groups fewer than `needed` nodes are left, tried one by one.
+/// Returns whether the loss of some `count` or fewer of the groups leaves fewer than `needed` nodes. Tries
+/// all sets of groups. `groups` contains the group of each node.
 fn some_loss_leaves_fewer(groups: &[u8], count: usize, needed: usize) -> bool {
     let names: Vec<u8> = groups.iter().copied().collect::<BTreeSet<u8>>().into_iter().collect();
     (0..1_u32 << names.len()).any(|lost| {
--- a/crates/replication/tests/replication/scenarios/graceful_shutdown.rs
+++ b/crates/replication/tests/replication/scenarios/graceful_shutdown.rs
@@ -1,18 +1,20 @@
-//! Graceful shutdown: a process may exit once its data is safe elsewhere.
+//! Graceful shutdown: a process may exit once its data is safe on other nodes.
 
 use super::{three, StableCluster, SEEDS};
 use crate::harness::{World, WorldOptions};
 use quillpulley_replication::Faults;
 
+/// Proposes a command to the leader, and checks that it is acknowledged within 2 s. Returns its number.
 fn acknowledge(world: &mut World) -> u64 {
-    let leader = world.leader().unwrap_or_else(|| panic!("no one leads\n{}", world.trace.join("\n")));
+    let leader = world.leader().unwrap_or_else(|| panic!("no machine leads\n{}", world.trace.join("\n")));
     let command = world.propose(leader);
     let is_acknowledged = world.run_until(2000, |world| world.is_acknowledged(command));
     assert!(is_acknowledged, "{}", world.trace.join("\n"));
     command
 }
 
-/// Returns how long a machine takes from the signal until it may exit.
+/// Signals a machine to shut down. Returns the time in milliseconds until it may exit; `None` if it may not
+/// within 7 s.
 fn time_to_exit(world: &mut World, machine: usize) -> Option<u64> {
     let signalled_at = world.now;
     world.shut_down(machine);
@@ -25,7 +27,8 @@
         for (index, within) in [(1, 400), (2, 400), (0, 800)] {
             let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
             let machine = cluster.names[index].1;
-            let time = time_to_exit(&mut cluster.world, machine).expect("an end");
+            let time = time_to_exit(&mut cluster.world, machine)
+                .expect("the machine is not allowed to exit in time");
             assert!(time <= within, "{time} ms\n{}", cluster.world.trace.join("\n"));
         }
     }
@@ -38,7 +41,7 @@
         let world = &mut cluster.world;
         for machine in [0, 1, 2, 0, 1, 2] {
             acknowledge(world);
-            let time = time_to_exit(world, machine).expect("an end");
+            let time = time_to_exit(world, machine).expect("the machine is not allowed to exit in time");
             assert!(time <= 2500, "{time} ms\n{}", world.trace.join("\n"));
             world.kill(machine, false);
             world.run_for(300);
@@ -63,7 +66,11 @@
             world.run_for(1500);
             world.shut_down(shutting_down);
             world.run_for(3000);
-            assert!(!world.can_exit(shutting_down), "only two have the data\n{}", world.trace.join("\n"));
+            assert!(
+                !world.can_exit(shutting_down),
+                "a machine may exit although only two have the data\n{}",
+                world.trace.join("\n")
+            );
             assert!(world.leader().is_some(), "{}", world.trace.join("\n"));
             acknowledge(world);
             world.start(wiped);
@@ -72,7 +79,7 @@
                 "{}",
                 world.trace.join("\n")
             );
-            // It goes for good, and right after it the other one that had the data.
+            // The other machine that held the data is killed right after this one was removed.
             world.remove(shutting_down);
             world.kill(stays, true);
             assert!(world.is_acknowledged(command));
@@ -94,7 +101,7 @@
             pair.iter().for_each(|machine| world.shut_down(*machine));
             let ended = |world: &World| pair.into_iter().find(|machine| world.can_exit(*machine));
             assert!(world.run_until(2000, |world| ended(world).is_some()), "{}", world.trace.join("\n"));
-            let first = ended(world).expect("one of them");
+            let first = ended(world).expect("neither machine is allowed to exit");
             let second = pair[0] + pair[1] - first;
             world.run_for(100);
             acknowledge(world);
@@ -160,7 +167,7 @@
                 world.trace.join("\n")
             );
             world.remove(shutting_down);
-            // The successor is there and has had its time.
+            // The spare has joined, and has had the time to take over.
             world.run_for(1500);
             world.remove(lost);
             assert!(world.run_until(4000, |world| world.leader().is_some_and(|leader| leader != lost)));
@@ -170,9 +177,9 @@
     }
 }
 
-/// The operator raises `FaultTolerance.Machines` from one to two, on one machine after the other. The first of them was
-/// away and is signalled to shut down before it is a member again. Returns whether it may exit while the others are the
-/// only two members: under its own settings they are too few.
+/// An operator raises `FaultTolerance.Machines` from one to two, one machine at a time. The first of them was
+/// down, and is signalled to shut down before it is a member again. Returns whether it may exit while the
+/// others are the only two members, which are too few under its own settings.
 fn exits_beside_two_members(seed: u64, faults: Faults) -> bool {
     let mut cluster =
         StableCluster::with(WorldOptions { seed, faults, ..WorldOptions::default() }, ["P", "B", "C"]);
@@ -193,7 +200,10 @@
         assert!(!exits_beside_two_members(seed, Faults::default()));
     }
     let faults = Faults { exit_with_too_few_members: true, ..Faults::default() };
-    assert!((0..SEEDS).any(|seed| exits_beside_two_members(seed, faults)), "the fault goes unnoticed");
+    assert!(
+        (0..SEEDS).any(|seed| exits_beside_two_members(seed, faults)),
+        "the injected fault is not detected"
+    );
 }
 
 #[test]
@@ -214,7 +224,8 @@
     for seed in 0..SEEDS {
         let mut cluster = StableCluster::new(seed, 2, ["P", "B", "C", "D", "E"]);
         let machine = cluster.names[4].1;
-        let time = time_to_exit(&mut cluster.world, machine).expect("an end");
+        let time =
+            time_to_exit(&mut cluster.world, machine).expect("the machine is not allowed to exit in time");
         assert!(time <= 600, "{time} ms\n{}", cluster.world.trace.join("\n"));
     }
 }
--- a/crates/replication/tests/replication/scenarios/loss_orders.rs
+++ b/crates/replication/tests/replication/scenarios/loss_orders.rs
@@ -1,10 +1,11 @@
-//! All orders in which machines are lost for good, one after the other: how many losses the core goes on after, and
-//! whether the status said so before each of them.
+//! All orders in which machines can be lost permanently, one after the other: how many losses the cluster
+//! survives, and whether the number of spare witnesses predicts the outcome of each loss.
 
 use crate::harness::{World, WorldOptions};
 
-/// Between two losses the primary has the time to change the view and the set of witnesses.
+/// The time between two losses: enough for the primary to change the view and the set of witnesses.
 const PAUSE_MS: u64 = 4500;
+/// The maximum time of an election, and then of an acknowledgement.
 const ANSWER_MS: u64 = 3000;
 
 fn stable_world(count: usize, tolerated: usize) -> World {
@@ -14,15 +15,17 @@
     world
 }
 
+/// Returns whether a primary is elected and acknowledges a command in time.
 fn acknowledges(world: &mut World) -> bool {
     if !world.run_until(ANSWER_MS, |world| world.leader().is_some()) {
         return false;
     }
-    let leader = world.leader().expect("a primary");
+    let leader = world.leader().expect("no primary");
     let command = world.propose(leader);
     world.run_until(ANSWER_MS, |world| world.is_acknowledged(command))
 }
 
+/// Returns all ordered selections of `length` of the `count` machines.
 fn orders(count: usize, length: usize) -> Vec<Vec<usize>> {
     if length == 0 {
         return vec![Vec::new()];
@@ -35,11 +38,13 @@
     longer.collect()
 }
 
-/// Loses machines in an order. Returns after how many losses nothing is acknowledged any more.
+/// Kills machines in an order, without restarting them, until commands are no longer acknowledged. Checks
+/// that the number of spare witnesses predicts each outcome. Returns the number of killed machines; one more
+/// than all of `order` if commands are acknowledged to the end.
 fn losses_until_stopped(count: usize, tolerated: usize, order: &[usize]) -> usize {
     let mut world = stable_world(count, tolerated);
     for (lost, machine) in order.iter().enumerate() {
-        let spare = world.spare_witnesses().expect("a primary");
+        let spare = world.spare_witnesses().expect("no primary");
         world.kill(*machine, true);
         let goes_on = acknowledges(&mut world);
         assert_eq!(
@@ -67,7 +72,8 @@
 
 #[test]
 fn a_larger_core_goes_on_with_as_many_as_it_tolerates_and_one_more() {
-    // Of seven, of which two may be lost, three remain: the set of witnesses gets smaller with each two losses.
+    // Two of the seven machines may be lost at once, but four are lost one after the other, since the set of
+    // witnesses shrinks after every two losses.
     for order in [[0, 1, 2, 3], [6, 5, 4, 3], [0, 2, 4, 6], [3, 0, 6, 1]] {
         let stopped_by = losses_until_stopped(7, 2, &order);
         assert!(stopped_by >= 4, "{order:?}: {stopped_by}");
--- a/crates/replication/tests/replication/scenarios/lost_machines.rs
+++ b/crates/replication/tests/replication/scenarios/lost_machines.rs
@@ -1,4 +1,4 @@
-//! Lost disks, replaced machines, and added nodes.
+//! Lost disks, replaced machines and added nodes.
 
 use super::{five, play, three, three_and_a_spare, StableCluster, SEEDS};
 use crate::harness::{World, WorldOptions};
@@ -158,8 +158,8 @@
     }
 }
 
-/// Two machines are replaced so fast that the new ones become witnesses beside the old ones. Two further disks may
-/// be lost once the replacement is over.
+/// Two machines are replaced so quickly that the new machines become witnesses before the old ones are
+/// dropped. Two more disks may be lost once the old machines are neither members nor witnesses.
 #[test]
 fn two_disks_are_lost_after_two_machines_were_replaced_fast() {
     for seed in 0..SEEDS {
--- a/crates/replication/tests/replication/scenarios/mod.rs
+++ b/crates/replication/tests/replication/scenarios/mod.rs
@@ -1,4 +1,4 @@
-//! Faults one by one, as timelines. Each is played with several seeds.
+//! Scenarios with specific faults, most of them written as timelines. Each runs with several seeds.
 
 mod clock_jumps;
 mod failure_domains;
@@ -18,11 +18,13 @@
 use crate::harness::timeline::play;
 use crate::harness::{World, WorldOptions};
 
+/// The number of seeds with which each scenario runs.
 pub const SEEDS: u64 = 12;
 
-/// Machines that have started, all of them members and witnesses, named with the primary first.
+/// A cluster in which all machines are members and witnesses.
 pub struct StableCluster<const N: usize> {
     pub world: World,
+    /// The names of the machines in timelines, and their numbers. The first one is the primary.
     pub names: Vec<(&'static str, usize)>,
 }
 
@@ -36,9 +38,9 @@
         let mut world = World::first_start(options, N, 3);
         let is_complete = |world: &World| world.members().len() == N && world.witnesses().len() == N;
         assert!(world.run_until(6000, is_complete), "{}", world.trace.join("\n"));
-        // In the midst of heartbeats at a different point with every seed.
+        // Each seed starts at a different point between two heartbeats.
         world.run_for(500 + seed * 37 % 150);
-        let leader = world.leader().expect("a primary");
+        let leader = world.leader().expect("no primary");
         let mut machines: Vec<usize> = (0..N).collect();
         machines.sort_by_key(|machine| *machine != leader);
         let names = names.into_iter().zip(machines).collect();
@@ -50,21 +52,22 @@
     }
 }
 
-/// Plays a timeline on three machines, of which one may be lost.
+/// Runs a timeline on three machines, of which one may be lost.
 pub fn three(text: &str) {
     for seed in 0..SEEDS {
         StableCluster::new(seed, 1, ["P", "B", "C"]).play(text);
     }
 }
 
-/// Plays a timeline on five machines, of which two may be lost.
+/// Runs a timeline on five machines, of which two may be lost.
 pub fn five(text: &str) {
     for seed in 0..SEEDS {
         StableCluster::new(seed, 2, ["P", "B", "C", "D", "E"]).play(text);
     }
 }
 
-/// Plays a timeline on three machines, with a spare `S` at a new address that does not run yet.
+/// Runs a timeline on three machines, and a spare `S` with a new address and an empty disk that has just
+/// started.
 pub fn three_and_a_spare(text: &str) {
     for seed in 0..SEEDS {
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
--- a/crates/replication/tests/replication/scenarios/operators.rs
+++ b/crates/replication/tests/replication/scenarios/operators.rs
@@ -1,4 +1,4 @@
-//! Commands that are sent again, commands on one base, and read about the active configuration.
+//! Commands that are sent again, concurrent commands on the same base, and reads.
 
 use super::{three, StableCluster, SEEDS};
 
@@ -51,7 +51,7 @@
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
         cluster.play("time | P\n 0 | propose=1\n 200 | acked=1");
         for _ in 0..40 {
-            let leader = cluster.world.leader().expect("a primary");
+            let leader = cluster.world.leader().expect("no primary");
             cluster.world.propose(leader);
             cluster.world.run_for(100);
         }
@@ -63,7 +63,7 @@
              2800 |            |            |            | propose=2
              3200 |            |            |            | acked=2",
         );
-        let leader = cluster.world.leader().expect("a primary");
+        let leader = cluster.world.leader().expect("no primary");
         cluster.world.propose_again(leader, 1);
         cluster.world.run_for(500);
         assert!(cluster.world.is_acknowledged(1));
@@ -76,7 +76,7 @@
     three(STANDS_STILL);
 }
 
-/// A read comes, the process freezes, and another takes over before it resumes.
+/// A machine receives a read and freezes, and another one becomes the primary before it resumes.
 pub const STANDS_STILL: &str = "time | P           | B | C | *
                                    0 | read freeze |   |   |
                                 2000 |             |   |   | propose=1
--- a/crates/replication/tests/replication/scenarios/overlapping_losses.rs
+++ b/crates/replication/tests/replication/scenarios/overlapping_losses.rs
@@ -1,6 +1,7 @@
-//! What `FaultTolerance` does not count: a cut into halves, processes that are lost beyond it with their disks kept, and a
-//! loss of power of all at the moment at which as many disks are lost as are tolerated. Service may rest; nothing that
-//! was acknowledged is lost, or shown in an older state. The checker looks after every event.
+//! Failures that `FaultTolerance` does not cover: a partition into halves, the loss of more processes than
+//! tolerated while their disks remain, and a power loss of all machines together with the tolerated number of
+//! lost disks. Commands may stop being acknowledged, but no acknowledged command may be lost or be missing
+//! from a read. The checker runs after every event.
 
 use crate::harness::{World, WorldOptions};
 use crate::recovery::check_acknowledgement;
@@ -8,7 +9,7 @@
 const RUNS: u64 = 1000;
 const STEP_MS: u64 = 100;
 
-/// Three machines of which one may be lost, or five of which two may.
+/// Starts three machines of which one may be lost, or, with an odd seed, five of which two may be lost.
 fn start(seed: u64) -> World {
     let tolerated = 1 + (seed % 2) as usize;
     let count = 2 * tolerated + 1;
@@ -18,7 +19,7 @@
     world
 }
 
-/// Every running machine is asked for the configuration, and whoever leads gets a command.
+/// Sends a read to every running machine, and a command to the leader.
 fn use_all(world: &mut World) {
     for machine in world.present() {
         if world.is_running(machine) {
@@ -54,7 +55,7 @@
         reads += world.reads;
         check_acknowledgement(&mut world);
     }
-    assert!(reads > 10 * RUNS, "{reads}");
+    assert!(reads > 10 * RUNS, "only {reads} reads were served");
 }
 
 #[test]
@@ -105,7 +106,7 @@
             world.start(machine);
         }
         check_acknowledgement(&mut world);
-        let leader = world.leader().expect("a primary");
+        let leader = world.leader().expect("no primary");
         let now = world.checker.acknowledged.len();
         assert!(acknowledged > 0 && now > acknowledged, "seed {seed}: {acknowledged}, {now}");
         world.read(leader);
--- a/crates/replication/tests/replication/scenarios/partition_times.rs
+++ b/crates/replication/tests/replication/scenarios/partition_times.rs
@@ -1,22 +1,22 @@
-//! A machine that is partitioned for twenty seconds: when it stops saying the active configuration, when another is
-//! elected, and what happens once the cut is over. Times count from the cut or from its end.
+//! A machine that is partitioned for 20 s: when it stops serving reads, when another primary is elected, and
+//! what happens after the partition has ended. Times count from the start or from the end of the partition.
 
 use super::{three, StableCluster, SEEDS};
 use crate::harness::World;
 
 const CUT_MS: u64 = 20_000;
-/// The part of its lease that a primary uses, from the request of the last round that was granted.
+/// The part of its lease that a primary relies on, from the request of the last round that was granted.
 const USED_LEASE_MS: u64 = 810;
-/// Whoever heard a primary before the cut got its message this long after the cut at the latest.
+/// The maximum time after the start of a partition at which a message sent before it arrives.
 const LONGEST_DELAY_MS: u64 = 25;
 
-/// The ways in which a machine can be cut off.
+/// The directions in which a machine is partitioned from all others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Partition {
     Both,
-    /// It hears nothing.
+    /// The machine receives no messages.
     In,
-    /// Nobody hears it.
+    /// The messages of the machine reach nobody.
     Out,
 }
 
@@ -32,23 +32,24 @@
     world.detect_partitions();
 }
 
-/// The time until something holds.
+/// Runs until a condition holds, which must happen within `limit` ms. Returns the time until then in
+/// milliseconds.
 fn time_until(world: &mut World, limit: u64, what: &str, holds: impl Fn(&World) -> bool) -> u64 {
     let began = world.now;
     let held = world.run_until(limit, holds);
-    assert!(held, "not in {limit} ms: {what}\n{}", world.trace.join("\n"));
+    assert!(held, "does not happen within {limit} ms: {what}\n{}", world.trace.join("\n"));
     world.now - began
 }
 
-/// What a primary does when it is cut off.
+/// What a primary does while it is partitioned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Load {
     Idle,
-    /// It sends the entry of a command again and again.
+    /// It sends the entry of a command repeatedly.
     Command,
 }
 
-/// Cuts the primary off and returns the longest time over all seeds until another leads.
+/// Partitions the primary. Returns the maximum time over all seeds until another machine leads.
 fn longest_time_to_another(how: Partition, load: Load) -> u64 {
     let times = (0..SEEDS).map(|seed| {
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
@@ -105,7 +106,7 @@
         let longest = [Partition::Both, Partition::In, Partition::Out]
             .map(|partition| longest_time_to_another(partition, load));
         println!(
-            "{load:?}: the longest times to another primary, cut off, hearing nothing, heard by nobody: {longest:?} ms"
+            "{load:?}: maximum times until another primary leads, partitioned in both directions, inbound, outbound: {longest:?} ms"
         );
         assert!(longest.iter().all(|time| *time <= 1500), "{load:?} {longest:?}");
     }
@@ -113,7 +114,8 @@
 
 #[test]
 fn a_primary_that_hears_nothing_for_less_than_its_lease_keeps_it() {
-    // It probes from 225 ms on, asks for the lease again with the first answer, and nobody campaigns.
+    // The primary sends probes from 225 ms on, and requests the lease again after the first reply. Nobody
+    // campaigns.
     three(
         "time | P            | B       | C       | *
             0 | partition-in |         |         |
@@ -127,7 +129,8 @@
 
 #[test]
 fn heartbeats_without_the_lease_do_not_prevent_an_election() {
-    // The others hear the primary all the time, and yet they elect another, who is then left alone.
+    // The others receive the heartbeats of the primary all the time. They still elect another primary, which
+    // then remains the primary.
     for seed in 0..SEEDS {
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
         let primary = cluster.names[0].1;
@@ -159,7 +162,7 @@
 
 #[test]
 fn a_backup_that_nobody_hears_names_the_primary_while_the_connection_from_that_one_stands() {
-    // Without acknowledgements the primary gives the connection up after a second.
+    // Without acknowledgements the primary closes the connection after 1 s.
     three(
         "time | P               | B                 | C       | *
             0 |                 | partition-out     |         |
@@ -171,8 +174,8 @@
     );
 }
 
-/// Cuts a machine off for twenty seconds and joins it again; returns the longest time until it names the primary, and
-/// checks that meanwhile and for long after nobody deposes that one.
+/// Partitions a machine for 20 s and ends the partition. Checks that the primary remains the primary for the
+/// next 10 s. Returns the maximum time over all seeds until the machine names that primary.
 fn longest_time_to_return(who: usize, how: Partition) -> u64 {
     let times = (0..SEEDS).map(|seed| {
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
@@ -180,13 +183,18 @@
         let world = &mut cluster.world;
         isolate(world, machine, how);
         world.run_for(CUT_MS);
-        let leader = world.leader().expect("a primary beside the cut");
+        let leader = world.leader().expect("no primary during the partition");
         world.network.heal_all();
-        let time =
-            time_until(world, 3000, "it names the primary", |w| w.hinted_primary(machine) == Some(leader));
+        let time = time_until(world, 3000, "the machine names the primary", |w| {
+            w.hinted_primary(machine) == Some(leader)
+        });
         world.run_until(10_000, |world| world.leader() != Some(leader));
-        assert_eq!(world.leader(), Some(leader), "deposed\n{}", world.trace.join("\n"));
-        assert!(world.members().contains(&machine), "not added again\n{}", world.trace.join("\n"));
+        assert_eq!(world.leader(), Some(leader), "the primary was deposed\n{}", world.trace.join("\n"));
+        assert!(
+            world.members().contains(&machine),
+            "the machine was not added again\n{}",
+            world.trace.join("\n")
+        );
         time
     });
     times.max().unwrap_or_default()
@@ -197,14 +205,15 @@
     for (who, name) in [(0, "the old primary"), (1, "a backup")] {
         let longest =
             [Partition::Both, Partition::In, Partition::Out].map(|how| longest_time_to_return(who, how));
-        println!("{name} names the primary after at most {longest:?} ms");
+        println!("{name} names the primary within {longest:?} ms");
         assert!(longest.into_iter().all(|time| time <= 400), "{name}: {longest:?}");
     }
 }
 
 #[test]
 fn a_round_that_began_before_a_freeze_gives_no_lease_after_it() {
-    // Both directions stand still for longer than the lease: what was in flight is accepted, and counts from before.
+    // The primary is frozen for longer than its lease. Grants that were in flight are handled after it
+    // resumes, and count from the time of their requests.
     for seed in 0..SEEDS {
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
         let primary = cluster.names[0].1;
--- a/crates/replication/tests/replication/scenarios/partitions_and_disks.rs
+++ b/crates/replication/tests/replication/scenarios/partitions_and_disks.rs
@@ -1,4 +1,4 @@
-//! Machines that are frozen or partitioned, and disks that hang or are full.
+//! Frozen or partitioned machines, and disks that hang or are full.
 
 use super::{five, three};
 
--- a/crates/replication/tests/replication/scenarios/quota.rs
+++ b/crates/replication/tests/replication/scenarios/quota.rs
@@ -1,4 +1,5 @@
-//! Processes that work for a tenth of each tenth of a second, and stand still for the rest of it.
+//! Processes with a CPU quota of a tenth of a core: in each period of 100 ms they run for 10 ms and are then
+//! throttled.
 
 use crate::harness::quota::Quota;
 use crate::harness::{World, WorldOptions};
@@ -7,7 +8,8 @@
 const WORKING_MS: u64 = 10;
 const COMMANDS: u64 = 8;
 const PAUSE_MS: u64 = 700;
-/// A command takes several steps of several processes, each of which may wait for its next period.
+/// The maximum time until a command is acknowledged. It takes several steps of several processes, each of
+/// which may have to wait for its next quota period.
 const ANSWER_MS: u64 = 1000;
 
 fn limit(world: &mut World, machine: usize) {
@@ -15,18 +17,18 @@
     world.machines[machine].quota = Some(Quota { working_ms: WORKING_MS, offset_ms });
 }
 
-/// Plays a run in which all of three machines are limited from a moment on. Returns how many elections it had beside
-/// the first one.
+/// Limits all three machines once they are members and witnesses, and sends commands. Returns how many of the
+/// commands were sent while the first primary did not lead.
 fn elections_under_quota(seed: u64) -> usize {
     let mut world = World::first_start(WorldOptions { seed, ..WorldOptions::default() }, 3, 3);
     assert!(world.run_until(6000, |world| world.members().len() == 3 && world.witnesses().len() == 3));
     (0..3).for_each(|machine| limit(&mut world, machine));
-    let leader = world.leader().expect("a primary");
+    let leader = world.leader().expect("no primary");
     let mut elections = 0;
     for _ in 0..COMMANDS {
         world.run_for(PAUSE_MS);
         elections += usize::from(world.leader() != Some(leader));
-        assert_eq!(world.members().len(), 3, "a member is dropped\n{}", world.trace.join("\n"));
+        assert_eq!(world.members().len(), 3, "a member was dropped\n{}", world.trace.join("\n"));
         let command = world.propose(leader);
         let acknowledged = world.run_until(ANSWER_MS, |world| world.is_acknowledged(command));
         assert!(acknowledged, "seed {seed}\n{}", world.trace.join("\n"));
@@ -46,7 +48,7 @@
         let mut world = World::first_start(WorldOptions { seed, ..WorldOptions::default() }, 3, 3);
         assert!(world.run_until(6000, |world| world.members().len() == 3 && world.witnesses().len() == 3));
         (0..3).for_each(|machine| limit(&mut world, machine));
-        let leader = world.leader().expect("a primary");
+        let leader = world.leader().expect("no primary");
         world.run_for(300);
         world.kill(leader, true);
         let elsewhere = |world: &World| world.leader().is_some_and(|other| other != leader);
--- a/crates/replication/tests/replication/scenarios/restarts.rs
+++ b/crates/replication/tests/replication/scenarios/restarts.rs
@@ -1,4 +1,4 @@
-//! Processes that are killed, signalled to shut down, and started again.
+//! Processes that are killed or signalled to shut down, and restarted.
 
 use super::{three, StableCluster, SEEDS};
 use crate::harness::World;
@@ -138,8 +138,7 @@
     );
 }
 
-//    P |         |        | nothing is proposed
-//    B | killed  | starts | has the state of P
+/// B is killed and restarted while nothing is proposed, and still has to reach the state of P.
 #[test]
 fn a_backup_that_restarts_has_the_newest_state_without_a_new_command() {
     for seed in 0..SEEDS {
@@ -155,12 +154,13 @@
                 Some(world.machines[machine].replica.as_ref()?.applied_index())
             };
             let has_all = |world: &World| applied(world, backup) == applied(world, primary);
-            assert!(world.run_until(3000, has_all), "seed {seed}, started after {pause} ms");
+            assert!(world.run_until(3000, has_all), "seed {seed}, restarted after {pause} ms");
         }
     }
 }
 
-/// With the seeds that are listed, two candidates gave way to each other, and both then waited for a whole lease.
+/// Guards against a fault that the listed seeds have shown: two candidates yielded to each other, and both
+/// then waited for a whole lease.
 #[test]
 fn two_candidates_that_yield_to_each_other_try_again_soon() {
     for seed in (0..200).chain([307, 1983, 2495, 2585, 2776, 3020]) {
--- a/crates/replication/tests/replication/scenarios/second_failure.rs
+++ b/crates/replication/tests/replication/scenarios/second_failure.rs
@@ -1,4 +1,4 @@
-//! A second failure right after a repair or a replacement, and at every step of one.
+//! A second failure right after a repair or a replacement, or at any moment during one.
 
 use quillpulley_replication::Faults;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -6,18 +6,19 @@
 use super::{three_and_a_spare, StableCluster, SEEDS};
 use crate::harness::{World, WorldOptions};
 
-/// Stops a machine, and takes it away for good as soon as it may end.
+/// Signals a machine to shut down, and removes it as soon as it may exit.
 fn shut_down_and_remove(world: &mut World, machine: usize) {
     world.shut_down(machine);
     let can_exit = world.run_until(3000, |world| world.can_exit(machine));
-    assert!(can_exit, "{} may never exit\n{}", world.machines[machine].name, world.trace.join("\n"));
+    assert!(can_exit, "{} is not allowed to exit\n{}", world.machines[machine].name, world.trace.join("\n"));
     world.remove(machine);
 }
 
+/// Checks that a machine leads within 4 s, and that a command is acknowledged soon.
 fn assert_serves_again(world: &mut World) {
     let is_led = world.run_until(4000, |world| world.leader().is_some());
-    assert!(is_led, "no one leads\n{}", world.trace.join("\n"));
-    // Whoever led when the loss came may not know of it yet.
+    assert!(is_led, "no machine leads\n{}", world.trace.join("\n"));
+    // The machine that led when the disk was lost may not have detected the loss yet.
     let is_accepted = (0..4).any(|_| {
         let Some(leader) = world.leader() else {
             world.run_for(1000);
@@ -26,10 +27,10 @@
         let command = world.propose(leader);
         world.run_until(1500, |world| world.is_acknowledged(command))
     });
-    assert!(is_accepted, "commands are not accepted again\n{}", world.trace.join("\n"));
+    assert!(is_accepted, "no command is acknowledged\n{}", world.trace.join("\n"));
 }
 
-/// Three machines and a fourth that has joined as member and witness.
+/// Returns a cluster of three machines and a fourth one that has joined as a member and a witness.
 fn with_a_fourth(seed: u64) -> StableCluster<3> {
     let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
     cluster.names.push(("S", cluster.world.add_spare()));
@@ -47,7 +48,7 @@
                 let mut cluster = with_a_fourth(seed);
                 let (retired, lost) = (cluster.names[retired].1, cluster.names[lost].1);
                 let world = &mut cluster.world;
-                let leader = world.leader().expect("a primary");
+                let leader = world.leader().expect("no primary");
                 let command = world.propose(leader);
                 assert!(world.run_until(500, |world| world.is_acknowledged(command)));
                 shut_down_and_remove(world, retired);
@@ -84,14 +85,16 @@
     }
 }
 
-/// What happens at some moment of a change, to whom, and what has to hold afterwards.
+/// Adds a node to three machines, injects a fault after each of many delays, and checks that the cluster
+/// serves again and that all machines become members. `disturb` receives the simulation, a backup and the
+/// node that joins.
 fn disturb_while_a_node_joins(disturb: impl Fn(&mut World, usize, usize)) {
     for delay in (0..1500).step_by(25) {
         let mut cluster = StableCluster::new(delay, 1, ["P", "B", "C"]);
         cluster.names.push(("S", cluster.world.add_spare()));
         let (backup, spare) = (cluster.names[1].1, cluster.names[3].1);
         let world = &mut cluster.world;
-        let leader = world.leader().expect("a primary");
+        let leader = world.leader().expect("no primary");
         let command = world.propose(leader);
         world.run_for(delay);
         disturb(world, backup, spare);
@@ -159,6 +162,7 @@
     }
 }
 
+/// Returns a simulation with injected faults in which all three machines are members.
 fn started(faults: Faults, seed: u64) -> World {
     let mut world = World::first_start(WorldOptions { seed, faults, ..WorldOptions::default() }, 3, 3);
     let is_complete = |world: &World| world.members().len() == 3;
@@ -167,10 +171,10 @@
     world
 }
 
-/// A backup comes back with an empty disk, and at some moment the primary hands over.
+/// A backup restarts with an empty disk, and `delay` ms later the primary is signalled to shut down.
 fn hand_over_while_a_wiped_node_returns(faults: Faults, delay: u64) {
     let mut world = started(faults, delay);
-    let leader = world.leader().expect("a primary");
+    let leader = world.leader().expect("no primary");
     let backup = (leader + 1) % 3;
     for _ in 0..3 {
         world.propose(leader);
@@ -186,11 +190,12 @@
     assert_serves_again(&mut world);
 }
 
-/// A lost witness is replaced, and in the middle of it the other backup is cut off together with the lost one, which
-/// comes back: the two are a majority of the witnesses before the change.
+/// A lost witness is replaced. During the replacement the other backup is partitioned from the primary and
+/// the new node, together with the lost witness, which restarts. These two are a majority of the old
+/// witnesses.
 fn split_at_a_replacement(faults: Faults, delay: u64) {
     let mut world = started(faults, delay);
-    let leader = world.leader().expect("a primary");
+    let leader = world.leader().expect("no primary");
     let (backup, lost) = ((leader + 1) % 3, (leader + 2) % 3);
     world.kill(lost, true);
     world.run_for(900);
@@ -216,7 +221,7 @@
     assert_serves_again(&mut world);
 }
 
-/// Whether an invariant is broken, and not only the service late, with some delay.
+/// Returns whether a safety invariant, and not only liveness, is violated with some delay.
 fn is_caught(faults: Faults, play: fn(Faults, u64)) -> bool {
     (0..1000).step_by(10).any(|delay| {
         let played = catch_unwind(AssertUnwindSafe(|| play(faults, delay)));
--- a/crates/replication/tests/replication/scenarios/slow_links.rs
+++ b/crates/replication/tests/replication/scenarios/slow_links.rs
@@ -1,9 +1,9 @@
-//! Machines far from each other: answers come after later heartbeats were sent.
+//! Links with a high latency: replies arrive after later heartbeats were sent.
 
 use super::{StableCluster, SEEDS};
 use crate::harness::{NetworkOptions, WorldOptions};
 
-/// A round trip takes longer than the time between two heartbeats.
+/// A round trip takes longer than the interval between two heartbeats.
 const FAR: NetworkOptions =
     NetworkOptions { min_delay: 80, max_delay: 110, lost: 0, duplicated: 0, delayed: 0, late: 0 };
 
--- a/crates/replication/tests/replication/scenarios/state_transfer.rs
+++ b/crates/replication/tests/replication/scenarios/state_transfer.rs
@@ -1,24 +1,24 @@
-//! A member that receives a state transfer and crashes in any of its writes.
+//! Members that receive a state transfer and crash in one of their writes.
 
 use super::StableCluster;
 
-/// Enough commands that logs have been compacted and the state goes as a snapshot.
+/// Enough commands for the log to be compacted, so that the state is transferred as a snapshot.
 const COMMANDS: usize = 30;
-/// So many writes there are until it is a member and a witness again.
+/// The number of writes until the machine is a member and a witness again.
 const WRITES: u64 = 7;
 
-/// The member dies in the write, then the primary loses power as well; both come back.
+/// A wiped member crashes in its write number `write`, and 10 ms later the primary loses power. Both restart.
 fn play(seed: u64, write: u64, power: bool) {
     let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
     for _ in 0..COMMANDS {
-        let leader = cluster.world.leader().expect("a primary");
+        let leader = cluster.world.leader().expect("no primary");
         cluster.world.propose(leader);
         cluster.world.run_for(60);
     }
     cluster.play("time | B\n 0 | power-loss wipe\n 100 | start");
     let member = cluster.names[1].1;
     let is_writing = |world: &crate::harness::World| world.write_count(member) >= write;
-    assert!(cluster.world.run_until(5000, is_writing), "there is no write {write}");
+    assert!(cluster.world.run_until(5000, is_writing), "the member does not start write {write}");
     let end = if power { "power-loss" } else { "kill" };
     cluster.play(&format!(
         "time | P              | B              | C              | *
@@ -29,7 +29,7 @@
          4200 |                |                |                | acked=1
          8000 | member witness | member witness | member witness |"
     ));
-    let end = cluster.world.applied_index(cluster.world.leader().expect("a primary"));
+    let end = cluster.world.applied_index(cluster.world.leader().expect("no primary"));
     assert!((0..3).all(|machine| cluster.world.applied_index(machine) >= end));
 }
 
--- a/crates/replication/tests/replication/seeded.rs
+++ b/crates/replication/tests/replication/seeded.rs
@@ -1,16 +1,17 @@
-//! Long runs: five machines in five zones and three regions, of which any two may be lost with their disks, and
-//! machines that come in the place of others. The invariants are checked after every event, and every now and then
-//! the faults end for a while: then a command is acknowledged soon, every machine is added, and all of them reach
-//! the end of the log.
+//! Long random runs of five machines in five zones and three regions. Any two machines may be lost with their
+//! disks, and lost machines may be replaced by new ones. The safety invariants are checked after every event.
+//! After every [`STEPS_TO_RECOVERY`] steps the faults end, and liveness is checked: a command is acknowledged
+//! in time, every machine becomes a member and a witness, and all machines reach the end of the log.
 //!
-//! The test plays [`RUNS`] runs of [`STEPS`] steps. `SEEDED_RUNS`, `SEEDED_FIRST` and `SEEDED_STEPS` set other
-//! bounds, best with `--release`:
+//! The test executes [`RUNS`] runs of [`STEPS`] steps. The environment variables `SEEDED_RUNS`,
+//! `SEEDED_FIRST` (the first seed) and `SEEDED_STEPS` override this, preferably with `--release`:
 //!
 //! ```text
 //! SEEDED_RUNS=1000 cargo test --release -p quillpulley-replication seeded:: -- --nocapture
 //! ```
 //!
-//! What is not tolerated is not done: a third disk is not lost before the view does without the first two.
+//! A run loses only as many disks as are tolerated: no third disk before the view excludes the first two lost
+//! nodes.
 
 use std::ops::AddAssign;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -26,14 +27,14 @@
 const MACHINES: usize = 5;
 const SEEDS_OF_SYSTEM: usize = 3;
 const TOLERATED: usize = 2;
-/// Clocks run up to so many thousandths too fast or too slow.
+/// The maximum deviation of clock rates, per thousand, in either direction.
 const CLOCK_DRIFT: u64 = 30;
-/// How many steps there are between two fault-free periods.
+/// The number of steps between two fault-free periods.
 const STEPS_TO_RECOVERY: u64 = 100;
-/// How soon after that all have applied all that is acknowledged.
+/// The maximum time in which all machines, once they are members, reach the end of the leader's log.
 const CATCH_UP_MS: u64 = 1000;
 
-/// How often each operation comes, in shares.
+/// The weight of each operation in the random choice.
 const OPERATIONS: [(Operation, u32); 30] = [
     (Operation::Propose, 20),
     (Operation::ProposeConflicting, 8),
@@ -67,7 +68,7 @@
     (Operation::KillAll, 1),
 ];
 
-/// What runs have covered.
+/// The totals of one or several runs.
 #[derive(Clone, Copy, Debug, Default)]
 struct Coverage {
     runs: u64,
@@ -126,7 +127,7 @@
     World::first_start(options, MACHINES, SEEDS_OF_SYSTEM)
 }
 
-/// Plays a run; panics if an invariant does not hold.
+/// Executes a run. Panics if an invariant does not hold.
 fn play(seed: u64, steps: u64, options: &WorldOptions) -> Coverage {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut world = start(seed, options);
@@ -158,14 +159,20 @@
     }
 }
 
-/// The faults end: a command is acknowledged soon, everyone is added, and everyone reaches the log's end.
+/// Ends all faults, and checks that a command is acknowledged, that all machines become members and witnesses
+/// and reach the end of the log, each in time, and that the outcome of every proposal is reported.
 fn check_recovery(world: &mut World) {
     check_acknowledgement(world);
     let is_complete = world.run_until(JOIN_MS, |world| {
         world.members() == world.present() && world.witnesses() == world.present()
     });
-    assert!(is_complete, "members are {:?}, witnesses {:?}", world.members(), world.witnesses());
-    let leader = world.leader().expect("a primary in a fault-free period");
+    assert!(
+        is_complete,
+        "not all machines have joined: members {:?}, witnesses {:?}",
+        world.members(),
+        world.witnesses()
+    );
+    let leader = world.leader().expect("no primary in a fault-free period");
     let end = world.applied_index(leader);
     let all_there =
         |world: &World| world.present().into_iter().all(|machine| world.applied_index(machine) >= end);
@@ -174,7 +181,7 @@
     assert!(unresolved.is_empty(), "the outcome of proposals {unresolved:?} is not reported");
 }
 
-/// What a run says that breaks an invariant.
+/// Returns the panic message of a run; `None` if no invariant was violated.
 pub fn failure(seed: u64, steps: u64, options: &WorldOptions) -> Option<String> {
     let panic = catch_unwind(AssertUnwindSafe(|| play(seed, steps, options))).err()?;
     let text = panic.downcast_ref::<String>().cloned();
@@ -185,7 +192,7 @@
     std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(otherwise)
 }
 
-/// Plays every `THREADS`th seed of a range; returns what was covered, and the seeds that failed.
+/// Executes the runs of every `THREADS`th seed of a range. Returns their totals, and the seeds that failed.
 fn play_share(seeds: std::ops::Range<u64>, share: u64, steps: u64) -> (Coverage, Vec<u64>) {
     let mut coverage = Coverage::default();
     let mut failed = Vec::new();
@@ -215,7 +222,7 @@
     let mut covered = Coverage::default();
     let mut failed = Vec::new();
     for thread in threads {
-        let (coverage, seeds) = thread.join().expect("a share of the runs");
+        let (coverage, seeds) = thread.join().expect("a thread of the test panicked");
         covered += coverage;
         failed.extend(seeds);
     }
