--- a/crates/replication/tests/replication/harness/clients.rs
+++ b/crates/replication/tests/replication/harness/clients.rs
@@ -4,14 +4,14 @@
 use quillpulley_replication::{Event, Role};
 
 use super::command_history::Command;
-use super::world::{ScheduledEvent, World};
+use super::simulation::{ScheduledEvent, Simulation};
 
 /// The maximum padding of a payload in bytes.
 const PADDING: usize = 300;
 /// The maximum time from a read to its response, unless the process is frozen in between.
 const MAX_READ_MS: u64 = 5;
 
-impl World {
+impl Simulation {
     /// Sends a new command to a machine, with the version of its state as the base. Returns the number of the
     /// command.
     pub fn propose(&mut self, machine: usize) -> u64 {
--- a/crates/replication/tests/replication/harness/faults.rs
+++ b/crates/replication/tests/replication/harness/faults.rs
@@ -8,9 +8,9 @@
 use super::command_history::CommandHistory;
 use super::disk::{DiskImage, DiskMode};
 use super::network::NetworkOptions;
-use super::world::{
-    address, Machine, ScheduledEvent, World, WorldOptions, COMPACT_BYTES, CONNECT_MS, DETECTION_MS, DISK_MS,
-    ZONES,
+use super::simulation::{
+    address, Machine, ScheduledEvent, Simulation, SimulationOptions, COMPACT_BYTES, CONNECT_MS, DETECTION_MS,
+    DISK_MS, ZONES,
 };
 
 /// Returns the name of a machine: a letter, or from the 27th machine on `m` and its number.
@@ -21,21 +21,21 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// Creates a simulation of `count` machines that start for the first time, all within 300 ms. The first
     /// `seeds` of them are the bootstrap witnesses.
-    pub fn first_start(options: WorldOptions, count: usize, seeds: usize) -> Self {
-        let mut world = World::new(options);
+    pub fn first_start(options: SimulationOptions, count: usize, seeds: usize) -> Self {
+        let mut simulation = Simulation::new(options);
         let witnesses: Vec<NodeId> = (0..seeds).map(|machine| NodeId::new(address(machine), 0)).collect();
         for machine in 0..count {
-            world.add(NodeId::new(address(machine), 0), Some(witnesses.clone()));
+            simulation.add(NodeId::new(address(machine), 0), Some(witnesses.clone()));
         }
         for machine in 0..count {
-            let pause = world.random.u64(0..300 / count as u64);
-            world.run_for(pause);
-            world.start(machine);
+            let pause = simulation.random.u64(0..300 / count as u64);
+            simulation.run_for(pause);
+            simulation.start(machine);
         }
-        world
+        simulation
     }
 
     /// Adds a machine without a process. Returns its number.
@@ -75,7 +75,7 @@
         self.add_spare_in(self.machines.len() % ZONES)
     }
 
-    /// Adds a machine like [`World::add_spare`], in the given zone.
+    /// Adds a machine like [`Simulation::add_spare`], in the given zone.
     pub fn add_spare_in(&mut self, zone: usize) -> usize {
         let incarnation = self.random.u64(1..);
         let number = self.add(NodeId::new(address(self.machines.len()), incarnation), None);
--- a/crates/replication/tests/replication/harness/inspect.rs
+++ b/crates/replication/tests/replication/harness/inspect.rs
@@ -6,7 +6,7 @@
 
 use super::disk::DiskImage;
 use super::durability::{self, Survivor};
-use super::world::{traces, Machine, World, REGION_OF};
+use super::simulation::{traces, Machine, Simulation, REGION_OF};
 
 /// The duration of a granted lease.
 const LEASE_MS: u64 = 900;
@@ -15,7 +15,7 @@
 /// The minimum time for which a lost node counts as lost: by then its replacement has caught up.
 const CATCH_UP_MS: u64 = 4000;
 
-impl World {
+impl Simulation {
     /// Returns whether the loss of a machine's disk would still be a tolerated loss. A lost node counts for
     /// `CATCH_UP_MS`, and longer while a view that may be the newest names it.
     pub fn tolerates_loss_of(&self, machine: usize) -> bool {
--- a/crates/replication/tests/replication/harness/mod.rs
+++ b/crates/replication/tests/replication/harness/mod.rs
@@ -10,9 +10,9 @@
 pub mod messages;
 pub mod network;
 pub mod quota;
+pub mod simulation;
 pub mod timeline;
-pub mod world;
 
 pub use disk::DiskMode;
 pub use network::NetworkOptions;
-pub use world::{World, WorldOptions};
+pub use simulation::{Simulation, SimulationOptions};
--- a/crates/replication/tests/replication/harness/world.rs
+++ b/crates/replication/tests/replication/harness/simulation.rs
@@ -30,7 +30,7 @@
 pub(super) const COMPACT_BYTES: usize = 1500;
 
 #[derive(Clone, Debug)]
-pub struct WorldOptions {
+pub struct SimulationOptions {
     pub seed: u64,
     pub tolerated: usize,
     pub tolerated_zones: usize,
@@ -55,10 +55,10 @@
     pub keeps_identity: bool,
 }
 
-impl Default for WorldOptions {
+impl Default for SimulationOptions {
     fn default() -> Self {
         let network = NetworkOptions::default();
-        WorldOptions {
+        SimulationOptions {
             seed: 1,
             tolerated: 1,
             tolerated_zones: 0,
@@ -159,8 +159,8 @@
     },
 }
 
-pub struct World {
-    pub options: WorldOptions,
+pub struct Simulation {
+    pub options: SimulationOptions,
     pub now: u64,
     pub machines: Vec<Machine>,
     pub network: Network,
@@ -184,14 +184,14 @@
     pub trace: Vec<String>,
 }
 
-impl World {
-    pub fn new(options: WorldOptions) -> Self {
+impl Simulation {
+    pub fn new(options: SimulationOptions) -> Self {
         if traces() {
             // Only the first call in the process succeeds.
             let _ = log::set_logger(&Printer).map(|()| log::set_max_level(log::LevelFilter::Info));
         }
         let network = Network::new(options.network);
-        World {
+        Simulation {
             now: 0,
             machines: Vec::new(),
             network,
@@ -215,7 +215,7 @@
     }
 
     /// Runs until a condition holds, for at most `milliseconds`. Returns whether it holds.
-    pub fn run_until(&mut self, milliseconds: u64, holds: impl Fn(&World) -> bool) -> bool {
+    pub fn run_until(&mut self, milliseconds: u64, holds: impl Fn(&Simulation) -> bool) -> bool {
         let end = self.now + milliseconds;
         while !holds(self) {
             match self.queue.peek() {
--- a/crates/replication/tests/replication/harness/timeline.rs
+++ b/crates/replication/tests/replication/harness/timeline.rs
@@ -29,7 +29,7 @@
 //! The column `*` stands for the machine that leads at that time.
 
 use super::disk::DiskMode;
-use super::world::World;
+use super::simulation::Simulation;
 use quillpulley_replication::Role;
 use std::collections::BTreeMap;
 
@@ -37,7 +37,7 @@
 const LEADER: &str = "*";
 
 /// Runs a timeline. `names` maps the names of columns to machines.
-pub fn play(world: &mut World, names: &[(&str, usize)], text: &str) {
+pub fn play(simulation: &mut Simulation, names: &[(&str, usize)], text: &str) {
     let mut lines = text.lines().map(str::trim).filter(|line| !line.is_empty());
     let header: Vec<&str> = cells(lines.next().expect("the timeline has no header"));
     let machine_of = |name: &str| {
@@ -46,15 +46,15 @@
     };
     let machines: Vec<Option<usize>> =
         header[1..].iter().map(|name| (*name != LEADER).then(|| machine_of(name))).collect();
-    let begin = world.now;
-    let mut player = Player { world, machine_of: &machine_of, commands: BTreeMap::new() };
+    let begin = simulation.now;
+    let mut player = Player { simulation, machine_of: &machine_of, commands: BTreeMap::new() };
     for line in lines {
         let row = cells(line);
         let time: u64 = row[0].parse().expect("the time of a row is not a number of milliseconds");
-        player.world.run_for((begin + time).saturating_sub(player.world.now));
+        player.simulation.run_for((begin + time).saturating_sub(player.simulation.now));
         for (machine, cell) in machines.iter().zip(&row[1..]) {
             for word in cell.split_whitespace() {
-                let machine = machine.or_else(|| player.world.leader());
+                let machine = machine.or_else(|| player.simulation.leader());
                 let machine =
                     machine.unwrap_or_else(|| panic!("no machine leads in `{line}`\n{}", player.trace()));
                 player.play(machine, word, line);
@@ -68,7 +68,7 @@
 }
 
 struct Player<'a> {
-    world: &'a mut World,
+    simulation: &'a mut Simulation,
     machine_of: &'a dyn Fn(&str) -> usize,
     /// The number that the simulation has given to each command of the timeline.
     commands: BTreeMap<u64, u64>,
@@ -84,48 +84,48 @@
     }
 
     fn trace(&self) -> String {
-        self.world.trace.join("\n")
+        self.simulation.trace.join("\n")
     }
 
     /// Performs an operation. Returns `false` if the verb is not an operation.
     fn perform(&mut self, machine: usize, verb: &str, argument: &str) -> bool {
-        let world = &mut *self.world;
+        let simulation = &mut *self.simulation;
         match verb {
-            "start" => world.start(machine),
-            "kill" => world.kill(machine, false),
-            "power-loss" => world.kill(machine, true),
-            "wipe" => world.wipe(machine),
-            "shutdown" => world.shut_down(machine),
-            "freeze" => world.freeze(machine),
-            "pause" => world.pause(machine),
-            "resume" => world.resume(machine),
-            "hang" => world.set_disk(machine, DiskMode::Hangs),
-            "slow" => world.set_disk(machine, DiskMode::Slow),
-            "full" => world.set_disk(machine, DiskMode::Full),
-            "repair" => world.set_disk(machine, DiskMode::Healthy),
+            "start" => simulation.start(machine),
+            "kill" => simulation.kill(machine, false),
+            "power-loss" => simulation.kill(machine, true),
+            "wipe" => simulation.wipe(machine),
+            "shutdown" => simulation.shut_down(machine),
+            "freeze" => simulation.freeze(machine),
+            "pause" => simulation.pause(machine),
+            "resume" => simulation.resume(machine),
+            "hang" => simulation.set_disk(machine, DiskMode::Hangs),
+            "slow" => simulation.set_disk(machine, DiskMode::Slow),
+            "full" => simulation.set_disk(machine, DiskMode::Full),
+            "repair" => simulation.set_disk(machine, DiskMode::Healthy),
             "partition" | "partition-in" | "partition-out" | "heal" => {
                 let others: Vec<usize> = match argument {
-                    "" => (0..world.machines.len()).filter(|other| *other != machine).collect(),
+                    "" => (0..simulation.machines.len()).filter(|other| *other != machine).collect(),
                     name => vec![(self.machine_of)(name)],
                 };
                 self.change_links(machine, verb, &others);
             }
             "propose" => {
-                let number = world.propose(machine);
+                let number = simulation.propose(machine);
                 self.commands.insert(argument.parse().expect("the argument is not a number"), number);
             }
             "resend" => {
                 let number = self.commands[&argument.parse().expect("the argument is not a number")];
-                world.propose_again(machine, number);
+                simulation.propose_again(machine, number);
             }
-            "read" => world.read(machine),
+            "read" => simulation.read(machine),
             _ => return false,
         }
         true
     }
 
     fn change_links(&mut self, machine: usize, verb: &str, others: &[usize]) {
-        let network = &mut self.world.network;
+        let network = &mut self.simulation.network;
         for other in others {
             if matches!(verb, "partition" | "partition-in") {
                 network.partition(*other, machine);
@@ -138,29 +138,31 @@
                 network.heal(*other, machine);
             }
         }
-        self.world.detect_partitions();
+        self.simulation.detect_partitions();
     }
 
     fn holds(&self, machine: usize, verb: &str, argument: &str) -> bool {
-        let world = &*self.world;
-        let acknowledged =
-            || world.is_acknowledged(self.commands[&argument.parse().expect("the argument is not a number")]);
+        let simulation = &*self.simulation;
+        let acknowledged = || {
+            simulation
+                .is_acknowledged(self.commands[&argument.parse().expect("the argument is not a number")])
+        };
         match verb {
-            "leads" => world.leader() == Some(machine),
+            "leads" => simulation.leader() == Some(machine),
             "follows" => {
-                matches!(world.role(machine), Some(Role::Follower { primary: Some(primary) })
-                    if Some(primary) == world.leader().map(|leader| world.machines[leader].id))
+                matches!(simulation.role(machine), Some(Role::Follower { primary: Some(primary) })
+                    if Some(primary) == simulation.leader().map(|leader| simulation.machines[leader].id))
             }
-            "deposed" => !matches!(world.role(machine), Some(Role::Primary { .. })),
-            "hints" => world.hinted_primary(machine) == Some((self.machine_of)(argument)),
-            "no-hint" => world.hinted_primary(machine).is_none(),
-            "no-lease" => !matches!(world.role(machine), Some(Role::Primary { holds_lease: true, .. })),
-            "member" => world.members().contains(&machine),
-            "no-member" => !world.members().contains(&machine),
-            "witness" => world.witnesses().contains(&machine),
-            "no-witness" => !world.witnesses().contains(&machine),
+            "deposed" => !matches!(simulation.role(machine), Some(Role::Primary { .. })),
+            "hints" => simulation.hinted_primary(machine) == Some((self.machine_of)(argument)),
+            "no-hint" => simulation.hinted_primary(machine).is_none(),
+            "no-lease" => !matches!(simulation.role(machine), Some(Role::Primary { holds_lease: true, .. })),
+            "member" => simulation.members().contains(&machine),
+            "no-member" => !simulation.members().contains(&machine),
+            "witness" => simulation.witnesses().contains(&machine),
+            "no-witness" => !simulation.witnesses().contains(&machine),
             "acked" => acknowledged(),
-            "rejected" => world
+            "rejected" => simulation
                 .checker
                 .is_rejected(self.commands[&argument.parse().expect("the argument is not a number")]),
             "unresolved" => !acknowledged(),
--- a/crates/replication/tests/replication/injected_faults.rs
+++ b/crates/replication/tests/replication/injected_faults.rs
@@ -3,7 +3,7 @@
 use quillpulley_replication::Faults;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-use crate::harness::{DiskMode, World, WorldOptions};
+use crate::harness::{DiskMode, Simulation, SimulationOptions};
 use crate::random::{check, Schedule};
 use crate::scenarios::{operators, StableCluster};
 use crate::seeded;
@@ -12,7 +12,7 @@
 const SCHEDULES: u64 = 2000;
 
 /// Returns the message of the first schedule that violates a safety invariant; `None` if there is none.
-fn first_failure(options: &WorldOptions) -> Option<String> {
+fn first_failure(options: &SimulationOptions) -> Option<String> {
     (0..SCHEDULES).find_map(|seed| {
         let schedule = Schedule::from_seed(seed);
         let play = AssertUnwindSafe(|| check(&schedule, 3, options.clone()));
@@ -34,13 +34,13 @@
 
 /// Returns the options of a simulation with faults that the invariants on states, disks and leases have to
 /// detect.
-fn with_faults(faults: Faults) -> WorldOptions {
-    WorldOptions { faults, checks_messages: false, ..WorldOptions::default() }
+fn with_faults(faults: Faults) -> SimulationOptions {
+    SimulationOptions { faults, checks_messages: false, ..SimulationOptions::default() }
 }
 
 #[test]
 fn a_wiped_node_that_keeps_its_identity_is_caught() {
-    let options = WorldOptions { keeps_identity: true, ..WorldOptions::default() };
+    let options = SimulationOptions { keeps_identity: true, ..SimulationOptions::default() };
     assert!(first_failure(&options).is_some());
 }
 
@@ -66,23 +66,23 @@
 /// snapshot is stored. B, which holds the state, starts only then. A view of P and C may be formed only once
 /// C has stored the snapshot.
 fn election_with_an_installation(seed: u64, faults: Faults) {
-    let mut world = World::first_start(WorldOptions { seed, ..with_faults(faults) }, 3, 3);
-    assert!(world.run_until(6000, |world| world.members().len() == 3));
-    let primary = world.leader().expect("no primary");
+    let mut simulation = Simulation::first_start(SimulationOptions { seed, ..with_faults(faults) }, 3, 3);
+    assert!(simulation.run_until(6000, |simulation| simulation.members().len() == 3));
+    let primary = simulation.leader().expect("no primary");
     let (backup, away) = ((primary + 1) % 3, (primary + 2) % 3);
-    world.kill(away, false);
+    simulation.kill(away, false);
     for _ in 0..30 {
-        let command = world.propose(primary);
-        assert!(world.run_until(3000, |world| world.is_acknowledged(command)));
+        let command = simulation.propose(primary);
+        assert!(simulation.run_until(3000, |simulation| simulation.is_acknowledged(command)));
     }
-    world.kill(primary, false);
-    world.kill(backup, false);
-    world.start(primary);
-    world.start(away);
-    assert!(world.run_until(4000, |world| world.is_installing(away)));
-    world.set_disk(away, DiskMode::Hangs);
-    world.start(backup);
-    world.run_for(1000);
+    simulation.kill(primary, false);
+    simulation.kill(backup, false);
+    simulation.start(primary);
+    simulation.start(away);
+    assert!(simulation.run_until(4000, |simulation| simulation.is_installing(away)));
+    simulation.set_disk(away, DiskMode::Hangs);
+    simulation.start(backup);
+    simulation.run_for(1000);
 }
 
 #[test]
@@ -151,7 +151,7 @@
 /// Returns the message of the first long run that violates a safety invariant, or that sends a message before
 /// its requirement is durable, or that holds a lease without enough grants; `None` if there is none.
 fn first_broken_rule(faults: Faults) -> Option<String> {
-    let options = WorldOptions { faults, ..WorldOptions::default() };
+    let options = SimulationOptions { faults, ..SimulationOptions::default() };
     (0..RUNS).find_map(|seed| {
         let message = seeded::failure(seed, STEPS, &options)?;
         println!("run {seed}: {message}");
--- a/crates/replication/tests/replication/operations.rs
+++ b/crates/replication/tests/replication/operations.rs
@@ -1,7 +1,7 @@
 //! The operations of random runs: what clients do, and the faults that are injected into machines and links.
 
-use crate::harness::world::REGION_OF;
-use crate::harness::{DiskMode, World};
+use crate::harness::simulation::REGION_OF;
+use crate::harness::{DiskMode, Simulation};
 
 /// The maximum number of machines in a run, including those that were removed.
 const MACHINES: usize = 60;
@@ -63,168 +63,170 @@
 }
 
 /// Performs an operation on a machine. Does nothing if the state of the machine does not allow the operation.
-pub fn perform(world: &mut World, operation: Operation, machine: usize) {
-    let runs = world.is_running(machine);
+pub fn perform(simulation: &mut Simulation, operation: Operation, machine: usize) {
+    let runs = simulation.is_running(machine);
     match operation {
         Operation::Propose => {
-            if let Some(leader) = world.leader() {
-                world.propose(leader);
+            if let Some(leader) = simulation.leader() {
+                simulation.propose(leader);
             }
         }
         Operation::ProposeAnywhere if runs => {
-            world.propose(machine);
+            simulation.propose(machine);
         }
-        Operation::Kill => world.kill(machine, false),
-        Operation::PowerLoss => world.kill(machine, true),
-        Operation::Wipe if world.tolerates_loss_of(machine) => {
-            world.kill(machine, true);
-            world.wipe(machine);
+        Operation::Kill => simulation.kill(machine, false),
+        Operation::PowerLoss => simulation.kill(machine, true),
+        Operation::Wipe if simulation.tolerates_loss_of(machine) => {
+            simulation.kill(machine, true);
+            simulation.wipe(machine);
         }
-        Operation::Replace if may_replace(world, machine) => replace(world, machine),
-        Operation::Start if !runs => world.start(machine),
+        Operation::Replace if may_replace(simulation, machine) => replace(simulation, machine),
+        Operation::Start if !runs => simulation.start(machine),
         Operation::RestartAtOnce if runs => {
-            world.kill(machine, false);
-            let pause = world.random.u64(1..RESTART_MS);
-            world.run_for(pause);
-            world.start(machine);
+            simulation.kill(machine, false);
+            let pause = simulation.random.u64(1..RESTART_MS);
+            simulation.run_for(pause);
+            simulation.start(machine);
         }
-        Operation::RestartUnderLease => restart_under_lease(world),
-        Operation::ShutDown if runs => world.shut_down(machine),
-        Operation::Freeze if runs => world.freeze(machine),
-        Operation::Pause if runs => world.pause(machine),
-        Operation::Resume if runs => world.resume(machine),
-        Operation::HangDisk => world.set_disk(machine, DiskMode::Hangs),
-        Operation::FillDisk => world.set_disk(machine, DiskMode::Full),
-        Operation::RepairDisk => world.set_disk(machine, DiskMode::Healthy),
-        Operation::Isolate => isolate(world, machine, true),
-        Operation::IsolateOutbound => isolate(world, machine, false),
-        Operation::PartitionPair => world.partition_pair(machine, (machine + 1) % world.machines.len()),
-        Operation::HealPartitions => world.network.heal_all(),
+        Operation::RestartUnderLease => restart_under_lease(simulation),
+        Operation::ShutDown if runs => simulation.shut_down(machine),
+        Operation::Freeze if runs => simulation.freeze(machine),
+        Operation::Pause if runs => simulation.pause(machine),
+        Operation::Resume if runs => simulation.resume(machine),
+        Operation::HangDisk => simulation.set_disk(machine, DiskMode::Hangs),
+        Operation::FillDisk => simulation.set_disk(machine, DiskMode::Full),
+        Operation::RepairDisk => simulation.set_disk(machine, DiskMode::Healthy),
+        Operation::Isolate => isolate(simulation, machine, true),
+        Operation::IsolateOutbound => isolate(simulation, machine, false),
+        Operation::PartitionPair => {
+            simulation.partition_pair(machine, (machine + 1) % simulation.machines.len())
+        }
+        Operation::HealPartitions => simulation.network.heal_all(),
         Operation::KillAll => {
-            for machine in world.present() {
-                world.kill(machine, machine % 2 == 0);
+            for machine in simulation.present() {
+                simulation.kill(machine, machine % 2 == 0);
             }
         }
         Operation::StartAll => {
-            for machine in world.present() {
-                if !world.is_running(machine) {
-                    world.start(machine);
+            for machine in simulation.present() {
+                if !simulation.is_running(machine) {
+                    simulation.start(machine);
                 }
             }
         }
-        Operation::ProposeConflicting => propose_conflicting(world, machine),
-        Operation::ProposeAgain if runs => propose_again(world, machine),
+        Operation::ProposeConflicting => propose_conflicting(simulation, machine),
+        Operation::ProposeAgain if runs => propose_again(simulation, machine),
         Operation::Read => {
-            for asked in world.leader().into_iter().chain([machine]) {
-                world.read(asked);
+            for asked in simulation.leader().into_iter().chain([machine]) {
+                simulation.read(asked);
             }
         }
-        Operation::SlowDisk => world.set_disk(machine, DiskMode::Slow),
-        Operation::PartitionRegion => partition_region(world, region(world, machine)),
+        Operation::SlowDisk => simulation.set_disk(machine, DiskMode::Slow),
+        Operation::PartitionRegion => partition_region(simulation, region(simulation, machine)),
         Operation::RegionPowerLoss => {
-            for other in machines_in(world, region(world, machine)) {
-                world.kill(other, true);
+            for other in machines_in(simulation, region(simulation, machine)) {
+                simulation.kill(other, true);
             }
         }
-        Operation::WipeRegion => wipe_region(world, region(world, machine)),
-        Operation::ShutDownAndReplace if runs && may_replace(world, machine) => {
-            world.shut_down(machine);
-            world.run_for(SHUTDOWN_MS);
-            if world.tolerates_loss_of(machine) {
-                replace(world, machine);
+        Operation::WipeRegion => wipe_region(simulation, region(simulation, machine)),
+        Operation::ShutDownAndReplace if runs && may_replace(simulation, machine) => {
+            simulation.shut_down(machine);
+            simulation.run_for(SHUTDOWN_MS);
+            if simulation.tolerates_loss_of(machine) {
+                replace(simulation, machine);
             }
         }
         _ => {}
     }
 }
 
-fn restart_under_lease(world: &mut World) {
-    let Some(leader) = world.leader() else { return };
-    let others: Vec<usize> = world.present().into_iter().filter(|machine| *machine != leader).collect();
+fn restart_under_lease(simulation: &mut Simulation) {
+    let Some(leader) = simulation.leader() else { return };
+    let others: Vec<usize> = simulation.present().into_iter().filter(|machine| *machine != leader).collect();
     let (campaigning, granting) = others.split_at(others.len() / 2);
     for machine in campaigning {
-        world.partition_pair(leader, *machine);
+        simulation.partition_pair(leader, *machine);
     }
-    world.run_for(CAMPAIGN_MS);
-    let Some(witness) = granting.first().copied().filter(|machine| world.is_running(*machine)) else {
+    simulation.run_for(CAMPAIGN_MS);
+    let Some(witness) = granting.first().copied().filter(|machine| simulation.is_running(*machine)) else {
         return;
     };
-    world.partition_pair(leader, witness);
-    world.kill(witness, false);
-    world.start(witness);
+    simulation.partition_pair(leader, witness);
+    simulation.kill(witness, false);
+    simulation.start(witness);
 }
 
-fn may_replace(world: &World, machine: usize) -> bool {
-    world.machines.len() < MACHINES && world.tolerates_loss_of(machine)
+fn may_replace(simulation: &Simulation, machine: usize) -> bool {
+    simulation.machines.len() < MACHINES && simulation.tolerates_loss_of(machine)
 }
 
-fn replace(world: &mut World, machine: usize) {
-    let zone = world.machines[machine].zone;
-    world.remove(machine);
-    world.add_spare_in(zone);
+fn replace(simulation: &mut Simulation, machine: usize) {
+    let zone = simulation.machines[machine].zone;
+    simulation.remove(machine);
+    simulation.add_spare_in(zone);
 }
 
 /// Sends two commands on the same base to the leader, and a third one to `machine` if that is another one and
 /// runs. Does nothing without a leader.
-fn propose_conflicting(world: &mut World, machine: usize) {
-    let Some(leader) = world.leader() else { return };
-    world.propose(leader);
-    world.propose(leader);
-    if machine != leader && world.is_running(machine) {
-        world.propose(machine);
+fn propose_conflicting(simulation: &mut Simulation, machine: usize) {
+    let Some(leader) = simulation.leader() else { return };
+    simulation.propose(leader);
+    simulation.propose(leader);
+    if machine != leader && simulation.is_running(machine) {
+        simulation.propose(machine);
     }
 }
 
-fn propose_again(world: &mut World, machine: usize) {
-    let count = world.command_count();
+fn propose_again(simulation: &mut Simulation, machine: usize) {
+    let count = simulation.command_count();
     if count == 0 {
         return;
     }
-    let number = count - world.random.u64(0..count.min(LATEST_COMMANDS));
-    let to_leader = world.random.bool();
-    let target = world.leader().filter(|_| to_leader).unwrap_or(machine);
-    world.propose_again(target, number);
+    let number = count - simulation.random.u64(0..count.min(LATEST_COMMANDS));
+    let to_leader = simulation.random.bool();
+    let target = simulation.leader().filter(|_| to_leader).unwrap_or(machine);
+    simulation.propose_again(target, number);
 }
 
-fn region(world: &World, machine: usize) -> usize {
-    REGION_OF[world.machines[machine].zone]
+fn region(simulation: &Simulation, machine: usize) -> usize {
+    REGION_OF[simulation.machines[machine].zone]
 }
 
-fn machines_in(world: &World, region: usize) -> Vec<usize> {
-    let in_region = |machine: &usize| REGION_OF[world.machines[*machine].zone] == region;
-    world.present().into_iter().filter(in_region).collect()
+fn machines_in(simulation: &Simulation, region: usize) -> Vec<usize> {
+    let in_region = |machine: &usize| REGION_OF[simulation.machines[*machine].zone] == region;
+    simulation.present().into_iter().filter(in_region).collect()
 }
 
-fn partition_region(world: &mut World, region: usize) {
-    let inside = machines_in(world, region);
-    let all = world.present();
+fn partition_region(simulation: &mut Simulation, region: usize) {
+    let inside = machines_in(simulation, region);
+    let all = simulation.present();
     for machine in &inside {
         for other in all.iter().filter(|other| !inside.contains(other)) {
-            world.network.partition(*machine, *other);
-            world.network.partition(*other, *machine);
+            simulation.network.partition(*machine, *other);
+            simulation.network.partition(*other, *machine);
         }
     }
-    world.detect_partitions();
+    simulation.detect_partitions();
 }
 
 /// Cuts the power of all machines of a region, and wipes their disks as long as the losses are tolerated.
-fn wipe_region(world: &mut World, region: usize) {
-    for machine in machines_in(world, region) {
-        world.kill(machine, true);
-        if world.tolerates_loss_of(machine) {
-            world.wipe(machine);
+fn wipe_region(simulation: &mut Simulation, region: usize) {
+    for machine in machines_in(simulation, region) {
+        simulation.kill(machine, true);
+        if simulation.tolerates_loss_of(machine) {
+            simulation.wipe(machine);
         }
     }
 }
 
-fn isolate(world: &mut World, machine: usize, both: bool) {
-    for other in (0..world.machines.len()).filter(|other| *other != machine) {
-        world.network.partition(machine, other);
+fn isolate(simulation: &mut Simulation, machine: usize, both: bool) {
+    for other in (0..simulation.machines.len()).filter(|other| *other != machine) {
+        simulation.network.partition(machine, other);
         if both {
-            world.network.partition(other, machine);
+            simulation.network.partition(other, machine);
         }
     }
     if both {
-        world.detect_partitions();
+        simulation.detect_partitions();
     }
 }
--- a/crates/replication/tests/replication/random.rs
+++ b/crates/replication/tests/replication/random.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
-use crate::harness::{NetworkOptions, World, WorldOptions};
+use crate::harness::{NetworkOptions, Simulation, SimulationOptions};
 use crate::operations::{perform, Operation};
 use crate::recovery::{check_acknowledgement, JOIN_MS};
 
@@ -102,48 +102,48 @@
     }
 }
 
-fn run(schedule: &Schedule, count: usize, options: WorldOptions) -> World {
+fn run(schedule: &Schedule, count: usize, options: SimulationOptions) -> Simulation {
     let network = if schedule.lossy {
         NetworkOptions { min_delay: 1, max_delay: 60, lost: 20, duplicated: 30, delayed: 20, late: 30 }
     } else {
         NetworkOptions::default()
     };
-    let options = WorldOptions { seed: schedule.seed, network, ..options };
-    let mut world = World::first_start(options, count, 3);
+    let options = SimulationOptions { seed: schedule.seed, network, ..options };
+    let mut simulation = Simulation::first_start(options, count, 3);
     for step in &schedule.steps {
-        world.run_for(step.pause);
-        let present = world.present();
+        simulation.run_for(step.pause);
+        let present = simulation.present();
         let machine = present[step.machine % present.len()];
-        perform(&mut world, step.operation, machine);
+        perform(&mut simulation, step.operation, machine);
     }
-    world
+    simulation
 }
 
 /// Ends all faults, and checks that a command is acknowledged in time, that all machines become members and
 /// witnesses in time, and that the outcome of every proposal is reported.
-fn check_recovery(world: &mut World) {
-    check_acknowledgement(world);
-    let all_joined = |world: &World| {
-        world.members() == world.present() && {
-            let witnesses = world.witnesses();
-            world.present().iter().all(|machine| witnesses.contains(machine))
+fn check_recovery(simulation: &mut Simulation) {
+    check_acknowledgement(simulation);
+    let all_joined = |simulation: &Simulation| {
+        simulation.members() == simulation.present() && {
+            let witnesses = simulation.witnesses();
+            simulation.present().iter().all(|machine| witnesses.contains(machine))
         }
     };
-    let is_complete = world.run_until(JOIN_MS, all_joined);
-    let unresolved = world.unresolved_proposals();
+    let is_complete = simulation.run_until(JOIN_MS, all_joined);
+    let unresolved = simulation.unresolved_proposals();
     assert!(unresolved.is_empty(), "the outcome of proposals {unresolved:?} is not reported");
     assert!(
         is_complete,
         "not all machines have joined: members {:?}, witnesses {:?}",
-        world.members(),
-        world.witnesses()
+        simulation.members(),
+        simulation.witnesses()
     );
 }
 
 /// Runs a schedule. Panics if an invariant does not hold.
-pub fn check(schedule: &Schedule, count: usize, options: WorldOptions) {
-    let mut world = run(schedule, count, options);
-    check_recovery(&mut world);
+pub fn check(schedule: &Schedule, count: usize, options: SimulationOptions) {
+    let mut simulation = run(schedule, count, options);
+    check_recovery(&mut simulation);
 }
 
 /// Runs as many random schedules as the environment variable `QUICKCHECK_TESTS` states, or `tests` if it is
@@ -156,7 +156,7 @@
 #[test]
 fn three_machines_of_which_one_may_be_lost() {
     fn property(schedule: Schedule) -> bool {
-        check(&schedule, 3, WorldOptions { tolerated: 1, ..WorldOptions::default() });
+        check(&schedule, 3, SimulationOptions { tolerated: 1, ..SimulationOptions::default() });
         true
     }
     check_random(property, 300);
@@ -165,7 +165,7 @@
 #[test]
 fn five_machines_of_which_two_may_be_lost() {
     fn property(schedule: Schedule) -> bool {
-        check(&schedule, 5, WorldOptions { tolerated: 2, ..WorldOptions::default() });
+        check(&schedule, 5, SimulationOptions { tolerated: 2, ..SimulationOptions::default() });
         true
     }
     check_random(property, 150);
--- a/crates/replication/tests/replication/reads.rs
+++ b/crates/replication/tests/replication/reads.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::harness::{NetworkOptions, World, WorldOptions};
+use crate::harness::{NetworkOptions, Simulation, SimulationOptions};
 
 const SCHEDULES: u64 = 150;
 const STEPS: usize = 60;
@@ -87,7 +87,7 @@
 }
 
 struct Callers {
-    world: World,
+    simulation: Simulation,
     random: fastrand::Rng,
     /// Whether a response is written only if the lease has not ended by then.
     checks_clock: bool,
@@ -101,11 +101,12 @@
         let lossy =
             NetworkOptions { min_delay: 1, max_delay: 60, lost: 20, duplicated: 30, delayed: 20, late: 0 };
         let network = if seed.is_multiple_of(2) { NetworkOptions::default() } else { lossy };
-        let options = WorldOptions { seed, tolerated: count / 2, network, ..WorldOptions::default() };
-        let mut world = World::first_start(options, count, 3);
-        world.run_for(3000);
+        let options =
+            SimulationOptions { seed, tolerated: count / 2, network, ..SimulationOptions::default() };
+        let mut simulation = Simulation::first_start(options, count, 3);
+        simulation.run_for(3000);
         Callers {
-            world,
+            simulation,
             random: fastrand::Rng::with_seed(seed),
             checks_clock,
             waiting: Vec::new(),
@@ -120,7 +121,7 @@
             let pause = self.random.u64(0..longest);
             self.run_for(pause);
             let operation = OPERATIONS[self.random.usize(0..OPERATIONS.len())];
-            let machine = self.random.usize(0..self.world.machines.len());
+            let machine = self.random.usize(0..self.simulation.machines.len());
             self.act(operation, machine);
         }
         self.counts
@@ -128,84 +129,86 @@
 
     /// Runs for some milliseconds, and checks redirects and writes due responses every few milliseconds.
     fn run_for(&mut self, time: u64) {
-        let end = self.world.now + time;
-        while self.world.now < end {
-            let step = self.random.u64(1..20).min(end - self.world.now);
-            self.world.run_for(step);
+        let end = self.simulation.now + time;
+        while self.simulation.now < end {
+            let step = self.random.u64(1..20).min(end - self.simulation.now);
+            self.simulation.run_for(step);
             self.check_redirects();
             self.write_due();
         }
     }
 
     fn act(&mut self, operation: Operation, machine: usize) {
-        let world = &mut self.world;
-        let runs = world.is_running(machine);
+        let simulation = &mut self.simulation;
+        let runs = simulation.is_running(machine);
         match operation {
             Operation::Propose => {
-                if let Some(leader) = world.leader() {
-                    let command = world.propose(leader);
+                if let Some(leader) = simulation.leader() {
+                    let command = simulation.propose(leader);
                     self.proposers.insert(command, leader);
                 }
             }
-            Operation::Read => (0..world.machines.len()).for_each(|machine| self.decide(machine)),
+            Operation::Read => (0..simulation.machines.len()).for_each(|machine| self.decide(machine)),
             Operation::ReadAndFreeze => {
-                let machine = world.leader().unwrap_or(machine);
+                let machine = simulation.leader().unwrap_or(machine);
                 self.decide(machine);
-                if self.world.is_running(machine) {
-                    self.world.freeze(machine);
+                if self.simulation.is_running(machine) {
+                    self.simulation.freeze(machine);
                 }
             }
-            Operation::Freeze if runs => world.freeze(machine),
-            Operation::Resume => (0..world.machines.len()).for_each(|machine| self.resume(machine)),
+            Operation::Freeze if runs => simulation.freeze(machine),
+            Operation::Resume => (0..simulation.machines.len()).for_each(|machine| self.resume(machine)),
             Operation::Isolate => self.isolate(machine, true, true),
             Operation::IsolateInbound => self.isolate(machine, true, false),
             Operation::IsolateOutbound => self.isolate(machine, false, true),
-            Operation::PartitionPair => world.partition_pair(machine, (machine + 1) % world.machines.len()),
-            Operation::HealPartitions => world.network.heal_all(),
-            Operation::Kill => world.kill(machine, false),
+            Operation::PartitionPair => {
+                simulation.partition_pair(machine, (machine + 1) % simulation.machines.len())
+            }
+            Operation::HealPartitions => simulation.network.heal_all(),
+            Operation::Kill => simulation.kill(machine, false),
             Operation::Start => {
-                for machine in 0..world.machines.len() {
-                    if !world.is_running(machine) {
-                        world.start(machine);
+                for machine in 0..simulation.machines.len() {
+                    if !simulation.is_running(machine) {
+                        simulation.start(machine);
                     }
                 }
             }
             Operation::ShutDown if runs => {
-                world.shut_down(machine);
-                world.run_for(300);
-                world.kill(machine, false);
+                simulation.shut_down(machine);
+                simulation.run_for(300);
+                simulation.kill(machine, false);
             }
             _ => {}
         }
     }
 
     fn isolate(&mut self, machine: usize, hears_nothing: bool, is_not_heard: bool) {
-        for other in (0..self.world.machines.len()).filter(|other| *other != machine) {
+        for other in (0..self.simulation.machines.len()).filter(|other| *other != machine) {
             if hears_nothing {
-                self.world.network.partition(other, machine);
+                self.simulation.network.partition(other, machine);
             }
             if is_not_heard {
-                self.world.network.partition(machine, other);
+                self.simulation.network.partition(machine, other);
             }
         }
-        self.world.detect_partitions();
+        self.simulation.detect_partitions();
     }
 
     /// Prepares the response to a read on a machine, if that holds its lease.
     fn decide(&mut self, machine: usize) {
-        if self.world.machines[machine].frozen {
+        if self.simulation.machines[machine].frozen {
             return;
         }
-        let now = self.world.clock(machine);
-        let slot = &self.world.machines[machine];
+        let now = self.simulation.clock(machine);
+        let slot = &self.simulation.machines[machine];
         let Some(replica) = &slot.replica else { return };
         let Some(valid_until) = replica.lease_until(now) else { return };
         let history = replica.state();
         let accepted = history.entries.iter().filter(|applied| applied.accepted_on.is_some());
         let waiting = Waiting {
             machine,
-            incarnation: self.world.process(machine),
-            due: self.world.now + self.random.u64(0..LONGEST_WAIT_MS),
+            incarnation: self.simulation.process(machine),
+            due: self.simulation.now + self.random.u64(0..LONGEST_WAIT_MS),
             valid_until,
             accepted: accepted.map(|applied| applied.command).collect(),
         };
@@ -215,21 +218,21 @@
 
     /// Resumes a process. Its threads that write responses may run before its main thread.
     fn resume(&mut self, machine: usize) {
-        if self.world.is_running(machine) && self.world.machines[machine].frozen {
-            self.world.machines[machine].frozen = false;
+        if self.simulation.is_running(machine) && self.simulation.machines[machine].frozen {
+            self.simulation.machines[machine].frozen = false;
             self.write_due();
-            self.world.resume(machine);
+            self.simulation.resume(machine);
         }
     }
 
     fn write_due(&mut self) {
         let waiting = std::mem::take(&mut self.waiting);
         for answer in waiting {
-            let runs = self.world.is_running(answer.machine);
-            if !runs || self.world.process(answer.machine) != answer.incarnation {
+            let runs = self.simulation.is_running(answer.machine);
+            if !runs || self.simulation.process(answer.machine) != answer.incarnation {
                 continue;
             }
-            if self.world.machines[answer.machine].frozen || answer.due > self.world.now {
+            if self.simulation.machines[answer.machine].frozen || answer.due > self.simulation.now {
                 self.waiting.push(answer);
             } else {
                 self.write(&answer);
@@ -238,24 +241,24 @@
     }
 
     fn write(&mut self, answer: &Waiting) {
-        if self.checks_clock && self.world.clock(answer.machine) >= answer.valid_until {
+        if self.checks_clock && self.simulation.clock(answer.machine) >= answer.valid_until {
             self.counts.too_late += 1;
             return;
         }
         self.counts.written += 1;
-        for command in &self.world.checker.acknowledged {
+        for command in &self.simulation.checker.acknowledged {
             let own = self.proposers.get(command) == Some(&answer.machine);
             assert!(
                 own || answer.accepted.contains(command),
                 "{PAST} lacks command {command}\n{}",
-                self.world.trace.join("\n")
+                self.simulation.trace.join("\n")
             );
         }
     }
 
     fn check_redirects(&mut self) {
-        for machine in 0..self.world.machines.len() {
-            let way = self.world.redirects(machine);
+        for machine in 0..self.simulation.machines.len() {
+            let way = self.simulation.redirects(machine);
             let last = way[way.len() - 1];
             assert!(!way[..way.len() - 1].contains(&last), "the redirects form a loop: {way:?}");
             self.counts.looks += 1;
--- a/crates/replication/tests/replication/scenarios/clock_jumps.rs
+++ b/crates/replication/tests/replication/scenarios/clock_jumps.rs
@@ -4,7 +4,7 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 use super::{three, StableCluster, SEEDS};
-use crate::harness::WorldOptions;
+use crate::harness::SimulationOptions;
 
 /// The primary is paused until another one leads, and resumes with most of its lease left by its own clock.
 const REPLACED: &str = "
@@ -24,7 +24,7 @@
 #[test]
 fn a_primary_that_does_not_notice_that_its_clock_stood_still_is_caught() {
     let is_caught = |seed| {
-        let options = WorldOptions { seed, notices_clock_jumps: false, ..WorldOptions::default() };
+        let options = SimulationOptions { seed, notices_clock_jumps: false, ..SimulationOptions::default() };
         let play = || StableCluster::with(options, ["P", "B", "C"]).play(REPLACED);
         catch_unwind(AssertUnwindSafe(play)).is_err()
     };
--- a/crates/replication/tests/replication/scenarios/failure_domains.rs
+++ b/crates/replication/tests/replication/scenarios/failure_domains.rs
@@ -10,7 +10,7 @@
 
 use super::SEEDS;
 use crate::harness::command_history::CommandHistory;
-use crate::harness::{DiskMode, World, WorldOptions};
+use crate::harness::{DiskMode, Simulation, SimulationOptions};
 
 /// The time within which a command has to be acknowledged: the default of `AckMs`.
 const ACKNOWLEDGED_WITHIN_MS: u64 = 5000;
@@ -23,78 +23,84 @@
 
 /// Returns a simulation of machines in these zones and regions, all of them members. One machine, one zone or
 /// one region may be lost.
-fn world(seed: u64, localities: &[(&'static str, &'static str)]) -> World {
-    let options = WorldOptions {
+fn simulation(seed: u64, localities: &[(&'static str, &'static str)]) -> Simulation {
+    let options = SimulationOptions {
         seed,
         tolerated_zones: 1,
         tolerated_regions: 1,
         localities: localities.to_vec(),
-        ..WorldOptions::default()
+        ..SimulationOptions::default()
     };
-    let mut world = World::first_start(options, localities.len(), 3);
-    let is_complete = |world: &World| world.members().len() == localities.len();
-    assert!(world.run_until(6000, is_complete), "{}", world.trace.join("\n"));
-    world.run_for(2000 + seed * 37 % 150);
-    world
+    let mut simulation = Simulation::first_start(options, localities.len(), 3);
+    let is_complete = |simulation: &Simulation| simulation.members().len() == localities.len();
+    assert!(simulation.run_until(6000, is_complete), "{}", simulation.trace.join("\n"));
+    simulation.run_for(2000 + seed * 37 % 150);
+    simulation
 }
 
 /// Proposes a command. Returns whether it is acknowledged within `within` ms; `false` without a leader.
-fn acknowledged(world: &mut World, within: u64) -> bool {
-    let Some(leader) = world.leader() else { return false };
-    let command = world.propose(leader);
-    world.run_until(within, |world| world.is_acknowledged(command))
+fn acknowledged(simulation: &mut Simulation, within: u64) -> bool {
+    let Some(leader) = simulation.leader() else { return false };
+    let command = simulation.propose(leader);
+    simulation.run_until(within, |simulation| simulation.is_acknowledged(command))
 }
 
-fn assert_serves_again(world: &mut World) {
-    let is_led = world.run_until(4000, |world| world.leader().is_some());
-    assert!(is_led, "no machine leads\n{}", world.trace.join("\n"));
-    assert!(acknowledged(world, 3000), "{}", world.trace.join("\n"));
+fn assert_serves_again(simulation: &mut Simulation) {
+    let is_led = simulation.run_until(4000, |simulation| simulation.leader().is_some());
+    assert!(is_led, "no machine leads\n{}", simulation.trace.join("\n"));
+    assert!(acknowledged(simulation, 3000), "{}", simulation.trace.join("\n"));
 }
 
 #[test]
 fn a_command_waits_for_a_node_elsewhere_that_is_about_to_join() {
     for seed in 0..SEEDS {
-        let mut world = world(seed, &[A, A2, B]);
-        world.kill(2, false);
-        world.run_for(2500);
-        let durability = world.durability().expect("no view");
+        let mut simulation = simulation(seed, &[A, A2, B]);
+        simulation.kill(2, false);
+        simulation.run_for(2500);
+        let durability = simulation.durability().expect("no view");
         assert!(durability.members.regions && !durability.members.zones && !durability.members.machines);
         assert!(
-            acknowledged(&mut world, 200),
+            acknowledged(&mut simulation, 200),
             "a command waits although no node in another region could join"
         );
 
-        world.start(2);
-        let leader = world.leader().expect("no primary");
-        let id = world.machines[2].id;
-        let knows = |world: &World| {
-            let replica = world.machines[leader].replica.as_ref();
-            replica.is_some_and(|replica| replica.locality_of(id).is_some()) && world.is_running(2)
+        simulation.start(2);
+        let leader = simulation.leader().expect("no primary");
+        let id = simulation.machines[2].id;
+        let knows = |simulation: &Simulation| {
+            let replica = simulation.machines[leader].replica.as_ref();
+            replica.is_some_and(|replica| replica.locality_of(id).is_some()) && simulation.is_running(2)
         };
-        assert!(world.run_until(1000, knows));
-        world.run_for(250);
-        assert!(!world.members().contains(&2), "the machine in the other region is a member too early");
-        let command = world.propose(leader);
-        assert!(world.run_until(ACKNOWLEDGED_WITHIN_MS, |world| world.is_acknowledged(command)));
+        assert!(simulation.run_until(1000, knows));
+        simulation.run_for(250);
+        assert!(!simulation.members().contains(&2), "the machine in the other region is a member too early");
+        let command = simulation.propose(leader);
         assert!(
-            world.members().contains(&2),
+            simulation.run_until(ACKNOWLEDGED_WITHIN_MS, |simulation| simulation.is_acknowledged(command))
+        );
+        assert!(
+            simulation.members().contains(&2),
             "the command was acknowledged in one region only\n{}",
-            world.trace.join("\n")
+            simulation.trace.join("\n")
         );
-        assert!(world.durability().is_some_and(|durability| durability.members.is_empty()));
+        assert!(simulation.durability().is_some_and(|durability| durability.members.is_empty()));
     }
 }
 
 #[test]
 fn a_command_does_not_wait_for_long_for_a_node_that_cannot_join() {
     for seed in 0..SEEDS {
-        let mut world = world(seed, &[A, A2, B]);
-        world.set_disk(2, DiskMode::Full);
-        acknowledged(&mut world, 500);
-        world.run_for(3000);
+        let mut simulation = simulation(seed, &[A, A2, B]);
+        simulation.set_disk(2, DiskMode::Full);
+        acknowledged(&mut simulation, 500);
+        simulation.run_for(3000);
         for _ in 0..8 {
-            assert!(acknowledged(&mut world, ACKNOWLEDGED_WITHIN_MS - 2000), "{}", world.trace.join("\n"));
-            world.run_for(130);
+            assert!(
+                acknowledged(&mut simulation, ACKNOWLEDGED_WITHIN_MS - 2000),
+                "{}",
+                simulation.trace.join("\n")
+            );
+            simulation.run_for(130);
         }
     }
 }
@@ -102,28 +108,33 @@
 #[test]
 fn a_command_waits_only_shortly_for_a_node_that_answers_and_cannot_store() {
     for seed in 0..SEEDS {
-        let mut world = world(seed, &[A, A2, B]);
-        world.kill(2, false);
-        world.run_for(2500);
-        world.start(2);
+        let mut simulation = simulation(seed, &[A, A2, B]);
+        simulation.kill(2, false);
+        simulation.run_for(2500);
+        simulation.start(2);
         // After the machine has promised the epoch, it answers the primary even while its disk hangs.
-        let epoch = |world: &World| {
-            let leader = world.leader().and_then(|leader| world.machines[leader].replica.as_ref())?;
+        let epoch = |simulation: &Simulation| {
+            let leader =
+                simulation.leader().and_then(|leader| simulation.machines[leader].replica.as_ref())?;
             leader.view().map(|view| view.epoch)
         };
-        let has_promised = |world: &World| {
-            let record = world.machines[2].disk.record.as_ref();
-            record.map(|record| record.promised) == epoch(world)
+        let has_promised = |simulation: &Simulation| {
+            let record = simulation.machines[2].disk.record.as_ref();
+            record.map(|record| record.promised) == epoch(simulation)
         };
-        assert!(world.run_until(1000, has_promised));
-        world.set_disk(2, DiskMode::Hangs);
-        world.run_for(200);
-        let begin = world.now;
-        assert!(acknowledged(&mut world, ACKNOWLEDGED_WITHIN_MS - 2000), "{}", world.trace.join("\n"));
-        assert!(world.now > begin + 500, "the command did not wait for the node");
+        assert!(simulation.run_until(1000, has_promised));
+        simulation.set_disk(2, DiskMode::Hangs);
+        simulation.run_for(200);
+        let begin = simulation.now;
+        assert!(
+            acknowledged(&mut simulation, ACKNOWLEDGED_WITHIN_MS - 2000),
+            "{}",
+            simulation.trace.join("\n")
+        );
+        assert!(simulation.now > begin + 500, "the command did not wait for the node");
         // The wait is not repeated for every command.
         for _ in 0..5 {
-            assert!(acknowledged(&mut world, 200), "{}", world.trace.join("\n"));
+            assert!(acknowledged(&mut simulation, 200), "{}", simulation.trace.join("\n"));
         }
     }
 }
@@ -131,9 +142,9 @@
 #[test]
 fn a_core_in_one_region_goes_on_in_a_degraded_state() {
     for seed in 0..SEEDS {
-        let mut world = world(seed, &[A, A, A]);
-        assert!(acknowledged(&mut world, 200));
-        let durability = world.durability().expect("no view");
+        let mut simulation = simulation(seed, &[A, A, A]);
+        assert!(acknowledged(&mut simulation, 200));
+        let durability = simulation.durability().expect("no view");
         assert!(durability.members.zones && durability.members.regions && !durability.members.machines);
         assert!(durability.witnesses.zones && durability.witnesses.regions);
     }
@@ -142,65 +153,69 @@
 #[test]
 fn a_region_with_two_of_four_machines_may_be_lost() {
     for seed in 0..SEEDS {
-        let mut world = world(seed, &[A, B, C, A2]);
+        let mut simulation = simulation(seed, &[A, B, C, A2]);
         assert!(
-            world.durability().is_some_and(|durability| durability.is_covered()),
+            simulation.durability().is_some_and(|durability| durability.is_covered()),
             "{}",
-            world.trace.join("\n")
+            simulation.trace.join("\n")
         );
-        assert!(acknowledged(&mut world, 500));
-        world.remove(0);
-        world.remove(3);
-        assert_serves_again(&mut world);
+        assert!(acknowledged(&mut simulation, 500));
+        simulation.remove(0);
+        simulation.remove(3);
+        assert_serves_again(&mut simulation);
     }
 }
 
 #[test]
 fn witnesses_are_spread_over_regions_as_machines_come() {
     for seed in 0..SEEDS {
-        let mut world = world(seed, &[A, A2, B, C]);
+        let mut simulation = simulation(seed, &[A, A2, B, C]);
         assert!(
-            world.durability().is_some_and(|durability| durability.is_covered()),
+            simulation.durability().is_some_and(|durability| durability.is_covered()),
             "{}",
-            world.trace.join("\n")
+            simulation.trace.join("\n")
         );
-        assert!(acknowledged(&mut world, 500));
-        world.kill(0, true);
-        world.kill(1, true);
-        world.wipe(0);
-        world.wipe(1);
-        assert_serves_again(&mut world);
+        assert!(acknowledged(&mut simulation, 500));
+        simulation.kill(0, true);
+        simulation.kill(1, true);
+        simulation.wipe(0);
+        simulation.wipe(1);
+        assert_serves_again(&mut simulation);
     }
 }
 
 /// Signals a machine to shut down. Returns the time in milliseconds until it may exit.
-fn time_to_exit(world: &mut World, machine: usize) -> u64 {
-    let signalled_at = world.now;
-    world.shut_down(machine);
-    assert!(world.run_until(7000, |world| world.can_exit(machine)), "{}", world.trace.join("\n"));
-    world.now - signalled_at
+fn time_to_exit(simulation: &mut Simulation, machine: usize) -> u64 {
+    let signalled_at = simulation.now;
+    simulation.shut_down(machine);
+    assert!(
+        simulation.run_until(7000, |simulation| simulation.can_exit(machine)),
+        "{}",
+        simulation.trace.join("\n")
+    );
+    simulation.now - signalled_at
 }
 
 /// The only member of a region is signalled to shut down, 200 ms and `delay` ms after another machine was
 /// started in the same region. Checks that it may exit only when that machine is a member.
 fn exits_once_its_successor_has_joined(seed: u64, delay: u64) {
-    let mut world = world(seed, &[A, A2, B]);
-    let command = world.propose(world.leader().expect("no primary"));
-    world.options.localities.push(B2);
-    let successor = world.add_spare();
-    world.run_for(200 + delay);
-    time_to_exit(&mut world, 2);
-    world.remove(2);
-    assert!(world.is_acknowledged(command), "{}", world.trace.join("\n"));
+    let mut simulation = simulation(seed, &[A, A2, B]);
+    let command = simulation.propose(simulation.leader().expect("no primary"));
+    simulation.options.localities.push(B2);
+    let successor = simulation.add_spare();
+    simulation.run_for(200 + delay);
+    time_to_exit(&mut simulation, 2);
+    simulation.remove(2);
+    assert!(simulation.is_acknowledged(command), "{}", simulation.trace.join("\n"));
     // If both machines of the other region lost their disks now, the successor would still hold all
     // acknowledged entries. A primary that was elected just now may not hold its lease yet.
-    let leads = |machine: &usize| matches!(world.role(*machine), Some(Role::Primary { .. }));
-    let leaders = (0..world.machines.len()).filter(leads);
-    let views = leaders.filter_map(|machine| world.machines[machine].replica.as_ref()?.view());
+    let leads = |machine: &usize| matches!(simulation.role(*machine), Some(Role::Primary { .. }));
+    let leaders = (0..simulation.machines.len()).filter(leads);
+    let views = leaders.filter_map(|machine| simulation.machines[machine].replica.as_ref()?.view());
     let view = views.max_by_key(|view| view.epoch);
-    let successor = world.machines[successor].id;
+    let successor = simulation.machines[successor].id;
     let is_member = view.is_some_and(|view| view.primary == successor || view.backups.contains(&successor));
-    assert!(is_member, "seed {seed}, {delay} ms\n{}", world.trace.join("\n"));
+    assert!(is_member, "seed {seed}, {delay} ms\n{}", simulation.trace.join("\n"));
 }
 
 #[test]
@@ -224,12 +239,12 @@
 #[test]
 fn the_only_member_of_a_region_ends_soon_where_it_has_no_successor() {
     for seed in 0..SEEDS {
-        let mut world = world(seed, &[A, A2, B]);
-        let time = time_to_exit(&mut world, 2);
-        assert!(time < 1000, "{time} ms\n{}", world.trace.join("\n"));
-        world.kill(2, false);
-        world.run_for(500);
-        assert!(acknowledged(&mut world, 1000), "{}", world.trace.join("\n"));
+        let mut simulation = simulation(seed, &[A, A2, B]);
+        let time = time_to_exit(&mut simulation, 2);
+        assert!(time < 1000, "{time} ms\n{}", simulation.trace.join("\n"));
+        simulation.kill(2, false);
+        simulation.run_for(500);
+        assert!(acknowledged(&mut simulation, 1000), "{}", simulation.trace.join("\n"));
     }
 }
 
--- a/crates/replication/tests/replication/scenarios/graceful_shutdown.rs
+++ b/crates/replication/tests/replication/scenarios/graceful_shutdown.rs
@@ -1,24 +1,27 @@
 //! Graceful shutdown: a process may exit once its data is safe on other nodes.
 
 use super::{three, StableCluster, SEEDS};
-use crate::harness::{World, WorldOptions};
+use crate::harness::{Simulation, SimulationOptions};
 use quillpulley_replication::Faults;
 
 /// Proposes a command to the leader, and checks that it is acknowledged within 2 s. Returns its number.
-fn acknowledge(world: &mut World) -> u64 {
-    let leader = world.leader().unwrap_or_else(|| panic!("no machine leads\n{}", world.trace.join("\n")));
-    let command = world.propose(leader);
-    let is_acknowledged = world.run_until(2000, |world| world.is_acknowledged(command));
-    assert!(is_acknowledged, "{}", world.trace.join("\n"));
+fn acknowledge(simulation: &mut Simulation) -> u64 {
+    let leader =
+        simulation.leader().unwrap_or_else(|| panic!("no machine leads\n{}", simulation.trace.join("\n")));
+    let command = simulation.propose(leader);
+    let is_acknowledged = simulation.run_until(2000, |simulation| simulation.is_acknowledged(command));
+    assert!(is_acknowledged, "{}", simulation.trace.join("\n"));
     command
 }
 
 /// Signals a machine to shut down. Returns the time in milliseconds until it may exit; `None` if it may not
 /// within 7 s.
-fn time_to_exit(world: &mut World, machine: usize) -> Option<u64> {
-    let signalled_at = world.now;
-    world.shut_down(machine);
-    world.run_until(7000, |world| world.can_exit(machine)).then(|| world.now - signalled_at)
+fn time_to_exit(simulation: &mut Simulation, machine: usize) -> Option<u64> {
+    let signalled_at = simulation.now;
+    simulation.shut_down(machine);
+    simulation
+        .run_until(7000, |simulation| simulation.can_exit(machine))
+        .then(|| simulation.now - signalled_at)
 }
 
 #[test]
@@ -27,9 +30,9 @@
         for (index, within) in [(1, 400), (2, 400), (0, 800)] {
             let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
             let machine = cluster.names[index].1;
-            let time = time_to_exit(&mut cluster.world, machine)
+            let time = time_to_exit(&mut cluster.simulation, machine)
                 .expect("the machine is not allowed to exit in time");
-            assert!(time <= within, "{time} ms\n{}", cluster.world.trace.join("\n"));
+            assert!(time <= within, "{time} ms\n{}", cluster.simulation.trace.join("\n"));
         }
     }
 }
@@ -38,17 +41,21 @@
 fn the_core_ends_and_starts_again_one_machine_after_the_other() {
     for seed in 0..SEEDS {
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
-        let world = &mut cluster.world;
+        let simulation = &mut cluster.simulation;
         for machine in [0, 1, 2, 0, 1, 2] {
-            acknowledge(world);
-            let time = time_to_exit(world, machine).expect("the machine is not allowed to exit in time");
-            assert!(time <= 2500, "{time} ms\n{}", world.trace.join("\n"));
-            world.kill(machine, false);
-            world.run_for(300);
-            world.start(machine);
-            assert!(world.run_until(1500, |world| world.leader().is_some()), "{}", world.trace.join("\n"));
+            acknowledge(simulation);
+            let time = time_to_exit(simulation, machine).expect("the machine is not allowed to exit in time");
+            assert!(time <= 2500, "{time} ms\n{}", simulation.trace.join("\n"));
+            simulation.kill(machine, false);
+            simulation.run_for(300);
+            simulation.start(machine);
+            assert!(
+                simulation.run_until(1500, |simulation| simulation.leader().is_some()),
+                "{}",
+                simulation.trace.join("\n")
+            );
         }
-        acknowledge(world);
+        acknowledge(simulation);
     }
 }
 
@@ -59,33 +66,37 @@
             let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
             let (wiped, shutting_down) = (cluster.names[1].1, cluster.names[shutting_down].1);
             let stays = 3 - wiped - shutting_down;
-            let world = &mut cluster.world;
-            let command = acknowledge(world);
-            world.kill(wiped, true);
-            world.wipe(wiped);
-            world.run_for(1500);
-            world.shut_down(shutting_down);
-            world.run_for(3000);
+            let simulation = &mut cluster.simulation;
+            let command = acknowledge(simulation);
+            simulation.kill(wiped, true);
+            simulation.wipe(wiped);
+            simulation.run_for(1500);
+            simulation.shut_down(shutting_down);
+            simulation.run_for(3000);
             assert!(
-                !world.can_exit(shutting_down),
+                !simulation.can_exit(shutting_down),
                 "a machine may exit although only two have the data\n{}",
-                world.trace.join("\n")
+                simulation.trace.join("\n")
             );
-            assert!(world.leader().is_some(), "{}", world.trace.join("\n"));
-            acknowledge(world);
-            world.start(wiped);
+            assert!(simulation.leader().is_some(), "{}", simulation.trace.join("\n"));
+            acknowledge(simulation);
+            simulation.start(wiped);
             assert!(
-                world.run_until(3000, |world| world.can_exit(shutting_down)),
+                simulation.run_until(3000, |simulation| simulation.can_exit(shutting_down)),
                 "{}",
-                world.trace.join("\n")
+                simulation.trace.join("\n")
             );
             // The other machine that held the data is killed right after this one was removed.
-            world.remove(shutting_down);
-            world.kill(stays, true);
-            assert!(world.is_acknowledged(command));
-            world.run_for(500);
-            world.start(stays);
-            assert!(world.run_until(3000, |world| world.leader().is_some()), "{}", world.trace.join("\n"));
+            simulation.remove(shutting_down);
+            simulation.kill(stays, true);
+            assert!(simulation.is_acknowledged(command));
+            simulation.run_for(500);
+            simulation.start(stays);
+            assert!(
+                simulation.run_until(3000, |simulation| simulation.leader().is_some()),
+                "{}",
+                simulation.trace.join("\n")
+            );
         }
     }
 }
@@ -96,23 +107,32 @@
         for (one, other) in [(1, 2), (0, 1)] {
             let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
             let pair = [cluster.names[one].1, cluster.names[other].1];
-            let world = &mut cluster.world;
-            acknowledge(world);
-            pair.iter().for_each(|machine| world.shut_down(*machine));
-            let ended = |world: &World| pair.into_iter().find(|machine| world.can_exit(*machine));
-            assert!(world.run_until(2000, |world| ended(world).is_some()), "{}", world.trace.join("\n"));
-            let first = ended(world).expect("neither machine is allowed to exit");
+            let simulation = &mut cluster.simulation;
+            acknowledge(simulation);
+            pair.iter().for_each(|machine| simulation.shut_down(*machine));
+            let ended =
+                |simulation: &Simulation| pair.into_iter().find(|machine| simulation.can_exit(*machine));
+            assert!(
+                simulation.run_until(2000, |simulation| ended(simulation).is_some()),
+                "{}",
+                simulation.trace.join("\n")
+            );
+            let first = ended(simulation).expect("neither machine is allowed to exit");
             let second = pair[0] + pair[1] - first;
-            world.run_for(100);
-            acknowledge(world);
-            world.kill(first, false);
-            world.run_for(1000);
-            assert!(!world.can_exit(second), "{}", world.trace.join("\n"));
-            acknowledge(world);
-            world.start(first);
-            assert!(world.run_until(3000, |world| world.can_exit(second)), "{}", world.trace.join("\n"));
-            world.remove(second);
-            acknowledge(world);
+            simulation.run_for(100);
+            acknowledge(simulation);
+            simulation.kill(first, false);
+            simulation.run_for(1000);
+            assert!(!simulation.can_exit(second), "{}", simulation.trace.join("\n"));
+            acknowledge(simulation);
+            simulation.start(first);
+            assert!(
+                simulation.run_until(3000, |simulation| simulation.can_exit(second)),
+                "{}",
+                simulation.trace.join("\n")
+            );
+            simulation.remove(second);
+            acknowledge(simulation);
         }
     }
 }
@@ -121,15 +141,19 @@
 fn all_that_are_signalled_to_shut_down_at_once_end_at_once() {
     for seed in 0..SEEDS {
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
-        let world = &mut cluster.world;
-        let command = acknowledge(world);
-        (0..3).for_each(|machine| world.shut_down(machine));
-        let can_exit = |world: &World| (0..3).all(|machine| world.can_exit(machine));
-        assert!(world.run_until(400, can_exit), "{}", world.trace.join("\n"));
-        (0..3).for_each(|machine| world.kill(machine, false));
-        (0..3).for_each(|machine| world.start(machine));
-        assert!(world.run_until(3000, |world| world.leader().is_some()), "{}", world.trace.join("\n"));
-        assert!(world.is_acknowledged(command));
+        let simulation = &mut cluster.simulation;
+        let command = acknowledge(simulation);
+        (0..3).for_each(|machine| simulation.shut_down(machine));
+        let can_exit = |simulation: &Simulation| (0..3).all(|machine| simulation.can_exit(machine));
+        assert!(simulation.run_until(400, can_exit), "{}", simulation.trace.join("\n"));
+        (0..3).for_each(|machine| simulation.kill(machine, false));
+        (0..3).for_each(|machine| simulation.start(machine));
+        assert!(
+            simulation.run_until(3000, |simulation| simulation.leader().is_some()),
+            "{}",
+            simulation.trace.join("\n")
+        );
+        assert!(simulation.is_acknowledged(command));
     }
 }
 
@@ -137,16 +161,20 @@
 fn the_last_one_that_runs_stays() {
     for seed in 0..SEEDS {
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
-        let world = &mut cluster.world;
-        acknowledge(world);
-        world.kill(0, true);
-        world.kill(1, true);
-        world.shut_down(2);
-        world.run_for(5000);
-        assert!(!world.can_exit(2), "{}", world.trace.join("\n"));
-        world.start(0);
-        world.start(1);
-        assert!(world.run_until(5000, |world| world.can_exit(2)), "{}", world.trace.join("\n"));
+        let simulation = &mut cluster.simulation;
+        acknowledge(simulation);
+        simulation.kill(0, true);
+        simulation.kill(1, true);
+        simulation.shut_down(2);
+        simulation.run_for(5000);
+        assert!(!simulation.can_exit(2), "{}", simulation.trace.join("\n"));
+        simulation.start(0);
+        simulation.start(1);
+        assert!(
+            simulation.run_until(5000, |simulation| simulation.can_exit(2)),
+            "{}",
+            simulation.trace.join("\n")
+        );
     }
 }
 
@@ -155,24 +183,25 @@
     for delay in (0..1500).step_by(25) {
         for shutting_down in [0, 2] {
             let mut cluster = StableCluster::new(delay, 1, ["P", "B", "C"]);
-            cluster.names.push(("S", cluster.world.add_spare()));
+            cluster.names.push(("S", cluster.simulation.add_spare()));
             let (shutting_down, lost) = (cluster.names[shutting_down].1, cluster.names[1].1);
-            let world = &mut cluster.world;
-            acknowledge(world);
-            world.run_for(delay);
-            world.shut_down(shutting_down);
+            let simulation = &mut cluster.simulation;
+            acknowledge(simulation);
+            simulation.run_for(delay);
+            simulation.shut_down(shutting_down);
             assert!(
-                world.run_until(4000, |world| world.can_exit(shutting_down)),
+                simulation.run_until(4000, |simulation| simulation.can_exit(shutting_down)),
                 "{}",
-                world.trace.join("\n")
+                simulation.trace.join("\n")
             );
-            world.remove(shutting_down);
+            simulation.remove(shutting_down);
             // The spare has joined, and has had the time to take over.
-            world.run_for(1500);
-            world.remove(lost);
-            assert!(world.run_until(4000, |world| world.leader().is_some_and(|leader| leader != lost)));
-            world.run_for(1500);
-            acknowledge(world);
+            simulation.run_for(1500);
+            simulation.remove(lost);
+            assert!(simulation
+                .run_until(4000, |simulation| simulation.leader().is_some_and(|leader| leader != lost)));
+            simulation.run_for(1500);
+            acknowledge(simulation);
         }
     }
 }
@@ -181,17 +210,19 @@
 /// down, and is signalled to shut down before it is a member again. Returns whether it may exit while the
 /// others are the only two members, which are too few under its own settings.
 fn exits_beside_two_members(seed: u64, faults: Faults) -> bool {
-    let mut cluster =
-        StableCluster::with(WorldOptions { seed, faults, ..WorldOptions::default() }, ["P", "B", "C"]);
+    let mut cluster = StableCluster::with(
+        SimulationOptions { seed, faults, ..SimulationOptions::default() },
+        ["P", "B", "C"],
+    );
     let away = cluster.names[2].1;
-    let world = &mut cluster.world;
-    world.kill(away, false);
-    assert!(world.run_until(3000, |world| world.members().len() == 2));
-    world.options.tolerated = 2;
-    world.start(away);
-    world.run_for(100);
-    world.shut_down(away);
-    world.run_until(500, |world| world.can_exit(away) && world.members().len() == 2)
+    let simulation = &mut cluster.simulation;
+    simulation.kill(away, false);
+    assert!(simulation.run_until(3000, |simulation| simulation.members().len() == 2));
+    simulation.options.tolerated = 2;
+    simulation.start(away);
+    simulation.run_for(100);
+    simulation.shut_down(away);
+    simulation.run_until(500, |simulation| simulation.can_exit(away) && simulation.members().len() == 2)
 }
 
 #[test]
@@ -224,8 +255,8 @@
     for seed in 0..SEEDS {
         let mut cluster = StableCluster::new(seed, 2, ["P", "B", "C", "D", "E"]);
         let machine = cluster.names[4].1;
-        let time =
-            time_to_exit(&mut cluster.world, machine).expect("the machine is not allowed to exit in time");
-        assert!(time <= 600, "{time} ms\n{}", cluster.world.trace.join("\n"));
+        let time = time_to_exit(&mut cluster.simulation, machine)
+            .expect("the machine is not allowed to exit in time");
+        assert!(time <= 600, "{time} ms\n{}", cluster.simulation.trace.join("\n"));
     }
 }
--- a/crates/replication/tests/replication/scenarios/loss_orders.rs
+++ b/crates/replication/tests/replication/scenarios/loss_orders.rs
@@ -1,28 +1,31 @@
 //! All orders in which machines can be lost permanently, one after the other: how many losses the cluster
 //! survives, and whether the number of spare witnesses predicts the outcome of each loss.
 
-use crate::harness::{World, WorldOptions};
+use crate::harness::{Simulation, SimulationOptions};
 
 /// The time between two losses: enough for the primary to change the view and the set of witnesses.
 const PAUSE_MS: u64 = 4500;
 /// The maximum time of an election, and then of an acknowledgement.
 const ANSWER_MS: u64 = 3000;
 
-fn stable_world(count: usize, tolerated: usize) -> World {
-    let mut world = World::first_start(WorldOptions { tolerated, ..WorldOptions::default() }, count, 3);
-    let is_complete = |world: &World| world.members().len() == count && world.witnesses().len() == count;
-    assert!(world.run_until(15_000, is_complete), "{}", world.trace.join("\n"));
-    world
+fn stable_simulation(count: usize, tolerated: usize) -> Simulation {
+    let mut simulation =
+        Simulation::first_start(SimulationOptions { tolerated, ..SimulationOptions::default() }, count, 3);
+    let is_complete = |simulation: &Simulation| {
+        simulation.members().len() == count && simulation.witnesses().len() == count
+    };
+    assert!(simulation.run_until(15_000, is_complete), "{}", simulation.trace.join("\n"));
+    simulation
 }
 
 /// Returns whether a primary is elected and acknowledges a command in time.
-fn acknowledges(world: &mut World) -> bool {
-    if !world.run_until(ANSWER_MS, |world| world.leader().is_some()) {
+fn acknowledges(simulation: &mut Simulation) -> bool {
+    if !simulation.run_until(ANSWER_MS, |simulation| simulation.leader().is_some()) {
         return false;
     }
-    let leader = world.leader().expect("no primary");
-    let command = world.propose(leader);
-    world.run_until(ANSWER_MS, |world| world.is_acknowledged(command))
+    let leader = simulation.leader().expect("no primary");
+    let command = simulation.propose(leader);
+    simulation.run_until(ANSWER_MS, |simulation| simulation.is_acknowledged(command))
 }
 
 /// Returns all ordered selections of `length` of the `count` machines.
@@ -42,21 +45,21 @@
 /// that the number of spare witnesses predicts each outcome. Returns the number of killed machines; one more
 /// than all of `order` if commands are acknowledged to the end.
 fn losses_until_stopped(count: usize, tolerated: usize, order: &[usize]) -> usize {
-    let mut world = stable_world(count, tolerated);
+    let mut simulation = stable_simulation(count, tolerated);
     for (lost, machine) in order.iter().enumerate() {
-        let spare = world.spare_witnesses().expect("no primary");
-        world.kill(*machine, true);
-        let goes_on = acknowledges(&mut world);
+        let spare = simulation.spare_witnesses().expect("no primary");
+        simulation.kill(*machine, true);
+        let goes_on = acknowledges(&mut simulation);
         assert_eq!(
             goes_on,
             spare > 0,
             "order {order:?}, loss {lost}, spare {spare}\n{}",
-            world.trace.join("\n")
+            simulation.trace.join("\n")
         );
         if !goes_on {
             return lost + 1;
         }
-        world.run_for(PAUSE_MS);
+        simulation.run_for(PAUSE_MS);
     }
     order.len() + 1
 }
--- a/crates/replication/tests/replication/scenarios/lost_machines.rs
+++ b/crates/replication/tests/replication/scenarios/lost_machines.rs
@@ -1,7 +1,7 @@
 //! Lost disks, replaced machines and added nodes.
 
 use super::{five, play, three, three_and_a_spare, StableCluster, SEEDS};
-use crate::harness::{World, WorldOptions};
+use crate::harness::{Simulation, SimulationOptions};
 
 #[test]
 fn a_command_outlives_a_lost_disk_and_a_loss_of_power_of_all() {
@@ -84,7 +84,7 @@
              2500 |            |   |   | propose=1
              2700 |            |   |   | acked=1",
         );
-        cluster.names.push(("S", cluster.world.add_spare()));
+        cluster.names.push(("S", cluster.simulation.add_spare()));
         cluster.play(
             "time | P                    | B | C               | S       | *
              1500 |                      |   |                 | member  |
@@ -99,21 +99,23 @@
 #[test]
 fn all_of_nine_machines_are_added() {
     for seed in 0..SEEDS {
-        let options = WorldOptions { seed, tolerated: 2, ..WorldOptions::default() };
-        let mut world = World::first_start(options, 9, 3);
-        let is_complete = |world: &World| world.members().len() == 9 && world.witnesses().len() == 9;
-        assert!(world.run_until(5000, is_complete), "{}", world.trace.join("\n"));
+        let options = SimulationOptions { seed, tolerated: 2, ..SimulationOptions::default() };
+        let mut simulation = Simulation::first_start(options, 9, 3);
+        let is_complete =
+            |simulation: &Simulation| simulation.members().len() == 9 && simulation.witnesses().len() == 9;
+        assert!(simulation.run_until(5000, is_complete), "{}", simulation.trace.join("\n"));
     }
 }
 
 #[test]
 fn a_first_start_without_one_of_the_seeds() {
     for seed in 0..SEEDS {
-        let mut world = World::first_start(WorldOptions { seed, ..WorldOptions::default() }, 4, 3);
-        world.remove(0);
+        let mut simulation =
+            Simulation::first_start(SimulationOptions { seed, ..SimulationOptions::default() }, 4, 3);
+        simulation.remove(0);
         let names = [("B", 1), ("C", 2), ("D", 3)];
         play(
-            &mut world,
+            &mut simulation,
             &names,
             "time | B              | C              | D              | *
              1500 |                |                |                | propose=1
@@ -127,8 +129,8 @@
 fn a_primary_killed_at_any_moment_of_adding_a_node() {
     for delay in (0..1500).step_by(20) {
         let mut cluster = StableCluster::new(delay, 1, ["P", "B", "C"]);
-        cluster.names.push(("S", cluster.world.add_spare()));
-        cluster.world.run_for(delay);
+        cluster.names.push(("S", cluster.simulation.add_spare()));
+        cluster.simulation.run_for(delay);
         cluster.play(
             "time | P              | B              | C              | S              | *
                 0 | propose=1      |                |                |                |
@@ -146,7 +148,7 @@
     for delay in (300..1200).step_by(15) {
         let mut cluster = StableCluster::new(delay, 1, ["P", "B", "C"]);
         cluster.play("time | B\n 0 | kill");
-        cluster.world.run_for(delay);
+        cluster.simulation.run_for(delay);
         cluster.play(
             "time | P              | B              | C              | *
                 0 | power-loss     | start          |                |
@@ -164,8 +166,8 @@
 fn two_disks_are_lost_after_two_machines_were_replaced_fast() {
     for seed in 0..SEEDS {
         let mut cluster = StableCluster::new(seed, 2, ["P", "B", "C", "D", "E"]);
-        cluster.names.push(("S", cluster.world.add_spare()));
-        cluster.names.push(("T", cluster.world.add_spare()));
+        cluster.names.push(("S", cluster.simulation.add_spare()));
+        cluster.names.push(("T", cluster.simulation.add_spare()));
         cluster.play(
             "time | P               | B               | C                    | D                    | E | S              | T              | *
              2500 |                 |                 |                      |                      |   | member witness | member witness |
--- a/crates/replication/tests/replication/scenarios/mod.rs
+++ b/crates/replication/tests/replication/scenarios/mod.rs
@@ -16,39 +16,40 @@
 mod state_transfer;
 
 use crate::harness::timeline::play;
-use crate::harness::{World, WorldOptions};
+use crate::harness::{Simulation, SimulationOptions};
 
 /// The number of seeds with which each scenario runs.
 pub const SEEDS: u64 = 12;
 
 /// A cluster in which all machines are members and witnesses.
 pub struct StableCluster<const N: usize> {
-    pub world: World,
+    pub simulation: Simulation,
     /// The names of the machines in timelines, and their numbers. The first one is the primary.
     pub names: Vec<(&'static str, usize)>,
 }
 
 impl<const N: usize> StableCluster<N> {
     pub fn new(seed: u64, tolerated: usize, names: [&'static str; N]) -> Self {
-        Self::with(WorldOptions { seed, tolerated, ..WorldOptions::default() }, names)
+        Self::with(SimulationOptions { seed, tolerated, ..SimulationOptions::default() }, names)
     }
 
-    pub fn with(options: WorldOptions, names: [&'static str; N]) -> Self {
+    pub fn with(options: SimulationOptions, names: [&'static str; N]) -> Self {
         let seed = options.seed;
-        let mut world = World::first_start(options, N, 3);
-        let is_complete = |world: &World| world.members().len() == N && world.witnesses().len() == N;
-        assert!(world.run_until(6000, is_complete), "{}", world.trace.join("\n"));
+        let mut simulation = Simulation::first_start(options, N, 3);
+        let is_complete =
+            |simulation: &Simulation| simulation.members().len() == N && simulation.witnesses().len() == N;
+        assert!(simulation.run_until(6000, is_complete), "{}", simulation.trace.join("\n"));
         // Each seed starts at a different point between two heartbeats.
-        world.run_for(500 + seed * 37 % 150);
-        let leader = world.leader().expect("no primary");
+        simulation.run_for(500 + seed * 37 % 150);
+        let leader = simulation.leader().expect("no primary");
         let mut machines: Vec<usize> = (0..N).collect();
         machines.sort_by_key(|machine| *machine != leader);
         let names = names.into_iter().zip(machines).collect();
-        StableCluster { world, names }
+        StableCluster { simulation, names }
     }
 
     pub fn play(&mut self, text: &str) {
-        play(&mut self.world, &self.names, text);
+        play(&mut self.simulation, &self.names, text);
     }
 }
 
@@ -71,7 +72,7 @@
 pub fn three_and_a_spare(text: &str) {
     for seed in 0..SEEDS {
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
-        cluster.names.push(("S", cluster.world.add_spare()));
+        cluster.names.push(("S", cluster.simulation.add_spare()));
         cluster.play(text);
     }
 }
--- a/crates/replication/tests/replication/scenarios/operators.rs
+++ b/crates/replication/tests/replication/scenarios/operators.rs
@@ -51,11 +51,11 @@
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
         cluster.play("time | P\n 0 | propose=1\n 200 | acked=1");
         for _ in 0..40 {
-            let leader = cluster.world.leader().expect("no primary");
-            cluster.world.propose(leader);
-            cluster.world.run_for(100);
+            let leader = cluster.simulation.leader().expect("no primary");
+            cluster.simulation.propose(leader);
+            cluster.simulation.run_for(100);
         }
-        cluster.world.propose_again(0, 1);
+        cluster.simulation.propose_again(0, 1);
         cluster.play(
             "time | P          | B          | C          | *
                 0 | power-loss | power-loss | power-loss |
@@ -63,11 +63,11 @@
              2800 |            |            |            | propose=2
              3200 |            |            |            | acked=2",
         );
-        let leader = cluster.world.leader().expect("no primary");
-        cluster.world.propose_again(leader, 1);
-        cluster.world.run_for(500);
-        assert!(cluster.world.is_acknowledged(1));
-        assert!(!cluster.world.checker.is_rejected(1));
+        let leader = cluster.simulation.leader().expect("no primary");
+        cluster.simulation.propose_again(leader, 1);
+        cluster.simulation.run_for(500);
+        assert!(cluster.simulation.is_acknowledged(1));
+        assert!(!cluster.simulation.checker.is_rejected(1));
     }
 }
 
--- a/crates/replication/tests/replication/scenarios/partition_times.rs
+++ b/crates/replication/tests/replication/scenarios/partition_times.rs
@@ -2,7 +2,7 @@
 //! what happens after the partition has ended. Times count from the start or from the end of the partition.
 
 use super::{three, StableCluster, SEEDS};
-use crate::harness::World;
+use crate::harness::Simulation;
 
 const CUT_MS: u64 = 20_000;
 /// The part of its lease that a primary relies on, from the request of the last round that was granted.
@@ -20,25 +20,30 @@
     Out,
 }
 
-fn isolate(world: &mut World, machine: usize, partition: Partition) {
-    for other in (0..world.machines.len()).filter(|other| *other != machine) {
+fn isolate(simulation: &mut Simulation, machine: usize, partition: Partition) {
+    for other in (0..simulation.machines.len()).filter(|other| *other != machine) {
         if partition != Partition::Out {
-            world.network.partition(other, machine);
+            simulation.network.partition(other, machine);
         }
         if partition != Partition::In {
-            world.network.partition(machine, other);
+            simulation.network.partition(machine, other);
         }
     }
-    world.detect_partitions();
+    simulation.detect_partitions();
 }
 
 /// Runs until a condition holds, which must happen within `limit` ms. Returns the time until then in
 /// milliseconds.
-fn time_until(world: &mut World, limit: u64, what: &str, holds: impl Fn(&World) -> bool) -> u64 {
-    let began = world.now;
-    let held = world.run_until(limit, holds);
-    assert!(held, "does not happen within {limit} ms: {what}\n{}", world.trace.join("\n"));
-    world.now - began
+fn time_until(
+    simulation: &mut Simulation,
+    limit: u64,
+    what: &str,
+    holds: impl Fn(&Simulation) -> bool,
+) -> u64 {
+    let began = simulation.now;
+    let held = simulation.run_until(limit, holds);
+    assert!(held, "does not happen within {limit} ms: {what}\n{}", simulation.trace.join("\n"));
+    simulation.now - began
 }
 
 /// What a primary does while it is partitioned.
@@ -54,13 +59,13 @@
     let times = (0..SEEDS).map(|seed| {
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
         let primary = cluster.names[0].1;
-        let world = &mut cluster.world;
-        isolate(world, primary, how);
+        let simulation = &mut cluster.simulation;
+        isolate(simulation, primary, how);
         if load == Load::Command {
-            world.propose(primary);
+            simulation.propose(primary);
         }
-        let elsewhere = |world: &World| world.leader().is_some_and(|leader| leader != primary);
-        time_until(world, 5000, "another primary", elsewhere)
+        let elsewhere = |simulation: &Simulation| simulation.leader().is_some_and(|leader| leader != primary);
+        time_until(simulation, 5000, "another primary", elsewhere)
     });
     times.max().unwrap_or_default()
 }
@@ -134,13 +139,13 @@
     for seed in 0..SEEDS {
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
         let primary = cluster.names[0].1;
-        let world = &mut cluster.world;
-        isolate(world, primary, Partition::In);
-        let elsewhere = |world: &World| world.leader().is_some_and(|leader| leader != primary);
-        time_until(world, 1500, "another primary", elsewhere);
-        let leader = world.leader();
-        world.run_until(CUT_MS, |world| world.leader() != leader);
-        assert_eq!(world.leader(), leader, "{}", world.trace.join("\n"));
+        let simulation = &mut cluster.simulation;
+        isolate(simulation, primary, Partition::In);
+        let elsewhere = |simulation: &Simulation| simulation.leader().is_some_and(|leader| leader != primary);
+        time_until(simulation, 1500, "another primary", elsewhere);
+        let leader = simulation.leader();
+        simulation.run_until(CUT_MS, |simulation| simulation.leader() != leader);
+        assert_eq!(simulation.leader(), leader, "{}", simulation.trace.join("\n"));
     }
 }
 
@@ -180,20 +185,25 @@
     let times = (0..SEEDS).map(|seed| {
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
         let machine = cluster.names[who].1;
-        let world = &mut cluster.world;
-        isolate(world, machine, how);
-        world.run_for(CUT_MS);
-        let leader = world.leader().expect("no primary during the partition");
-        world.network.heal_all();
-        let time = time_until(world, 3000, "the machine names the primary", |w| {
+        let simulation = &mut cluster.simulation;
+        isolate(simulation, machine, how);
+        simulation.run_for(CUT_MS);
+        let leader = simulation.leader().expect("no primary during the partition");
+        simulation.network.heal_all();
+        let time = time_until(simulation, 3000, "the machine names the primary", |w| {
             w.hinted_primary(machine) == Some(leader)
         });
-        world.run_until(10_000, |world| world.leader() != Some(leader));
-        assert_eq!(world.leader(), Some(leader), "the primary was deposed\n{}", world.trace.join("\n"));
+        simulation.run_until(10_000, |simulation| simulation.leader() != Some(leader));
+        assert_eq!(
+            simulation.leader(),
+            Some(leader),
+            "the primary was deposed\n{}",
+            simulation.trace.join("\n")
+        );
         assert!(
-            world.members().contains(&machine),
+            simulation.members().contains(&machine),
             "the machine was not added again\n{}",
-            world.trace.join("\n")
+            simulation.trace.join("\n")
         );
         time
     });
@@ -217,13 +227,13 @@
     for seed in 0..SEEDS {
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
         let primary = cluster.names[0].1;
-        let world = &mut cluster.world;
+        let simulation = &mut cluster.simulation;
         let time = 1 + seed * 13 % 150;
-        world.run_for(time);
-        world.freeze(primary);
-        world.run_for(USED_LEASE_MS + LONGEST_DELAY_MS);
-        world.resume(primary);
-        assert_ne!(world.leader(), Some(primary), "{}", world.trace.join("\n"));
-        assert_ne!(world.hinted_primary(primary), Some(primary));
+        simulation.run_for(time);
+        simulation.freeze(primary);
+        simulation.run_for(USED_LEASE_MS + LONGEST_DELAY_MS);
+        simulation.resume(primary);
+        assert_ne!(simulation.leader(), Some(primary), "{}", simulation.trace.join("\n"));
+        assert_ne!(simulation.hinted_primary(primary), Some(primary));
     }
 }
--- a/crates/replication/tests/replication/scenarios/quota.rs
+++ b/crates/replication/tests/replication/scenarios/quota.rs
@@ -2,7 +2,7 @@
 //! throttled.
 
 use crate::harness::quota::Quota;
-use crate::harness::{World, WorldOptions};
+use crate::harness::{Simulation, SimulationOptions};
 
 const RUNS: u64 = 1000;
 const WORKING_MS: u64 = 10;
@@ -12,26 +12,28 @@
 /// which may have to wait for its next quota period.
 const ANSWER_MS: u64 = 1000;
 
-fn limit(world: &mut World, machine: usize) {
-    let offset_ms = world.random.u64(0..100);
-    world.machines[machine].quota = Some(Quota { working_ms: WORKING_MS, offset_ms });
+fn limit(simulation: &mut Simulation, machine: usize) {
+    let offset_ms = simulation.random.u64(0..100);
+    simulation.machines[machine].quota = Some(Quota { working_ms: WORKING_MS, offset_ms });
 }
 
 /// Limits all three machines once they are members and witnesses, and sends commands. Returns how many of the
 /// commands were sent while the first primary did not lead.
 fn elections_under_quota(seed: u64) -> usize {
-    let mut world = World::first_start(WorldOptions { seed, ..WorldOptions::default() }, 3, 3);
-    assert!(world.run_until(6000, |world| world.members().len() == 3 && world.witnesses().len() == 3));
-    (0..3).for_each(|machine| limit(&mut world, machine));
-    let leader = world.leader().expect("no primary");
+    let mut simulation =
+        Simulation::first_start(SimulationOptions { seed, ..SimulationOptions::default() }, 3, 3);
+    assert!(simulation
+        .run_until(6000, |simulation| simulation.members().len() == 3 && simulation.witnesses().len() == 3));
+    (0..3).for_each(|machine| limit(&mut simulation, machine));
+    let leader = simulation.leader().expect("no primary");
     let mut elections = 0;
     for _ in 0..COMMANDS {
-        world.run_for(PAUSE_MS);
-        elections += usize::from(world.leader() != Some(leader));
-        assert_eq!(world.members().len(), 3, "a member was dropped\n{}", world.trace.join("\n"));
-        let command = world.propose(leader);
-        let acknowledged = world.run_until(ANSWER_MS, |world| world.is_acknowledged(command));
-        assert!(acknowledged, "seed {seed}\n{}", world.trace.join("\n"));
+        simulation.run_for(PAUSE_MS);
+        elections += usize::from(simulation.leader() != Some(leader));
+        assert_eq!(simulation.members().len(), 3, "a member was dropped\n{}", simulation.trace.join("\n"));
+        let command = simulation.propose(leader);
+        let acknowledged = simulation.run_until(ANSWER_MS, |simulation| simulation.is_acknowledged(command));
+        assert!(acknowledged, "seed {seed}\n{}", simulation.trace.join("\n"));
     }
     elections
 }
@@ -45,13 +47,15 @@
 #[test]
 fn a_killed_primary_is_replaced_under_a_quota() {
     for seed in 0..100 {
-        let mut world = World::first_start(WorldOptions { seed, ..WorldOptions::default() }, 3, 3);
-        assert!(world.run_until(6000, |world| world.members().len() == 3 && world.witnesses().len() == 3));
-        (0..3).for_each(|machine| limit(&mut world, machine));
-        let leader = world.leader().expect("no primary");
-        world.run_for(300);
-        world.kill(leader, true);
-        let elsewhere = |world: &World| world.leader().is_some_and(|other| other != leader);
-        assert!(world.run_until(4000, elsewhere), "seed {seed}\n{}", world.trace.join("\n"));
+        let mut simulation =
+            Simulation::first_start(SimulationOptions { seed, ..SimulationOptions::default() }, 3, 3);
+        assert!(simulation.run_until(6000, |simulation| simulation.members().len() == 3
+            && simulation.witnesses().len() == 3));
+        (0..3).for_each(|machine| limit(&mut simulation, machine));
+        let leader = simulation.leader().expect("no primary");
+        simulation.run_for(300);
+        simulation.kill(leader, true);
+        let elsewhere = |simulation: &Simulation| simulation.leader().is_some_and(|other| other != leader);
+        assert!(simulation.run_until(4000, elsewhere), "seed {seed}\n{}", simulation.trace.join("\n"));
     }
 }
--- a/crates/replication/tests/replication/scenarios/restarts.rs
+++ b/crates/replication/tests/replication/scenarios/restarts.rs
@@ -1,7 +1,7 @@
 //! Processes that are killed or signalled to shut down, and restarted.
 
 use super::{three, StableCluster, SEEDS};
-use crate::harness::World;
+use crate::harness::Simulation;
 
 #[test]
 fn commands_are_acknowledged_and_one_wins_on_each_base() {
@@ -146,15 +146,16 @@
             let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
             cluster.play("time | P\n 0 | propose=1\n 300 | acked=1");
             let (primary, backup) = (cluster.names[0].1, cluster.names[1].1);
-            let world = &mut cluster.world;
-            world.kill(backup, false);
-            world.run_for(pause);
-            world.start(backup);
-            let applied = |world: &World, machine: usize| {
-                Some(world.machines[machine].replica.as_ref()?.applied_index())
+            let simulation = &mut cluster.simulation;
+            simulation.kill(backup, false);
+            simulation.run_for(pause);
+            simulation.start(backup);
+            let applied = |simulation: &Simulation, machine: usize| {
+                Some(simulation.machines[machine].replica.as_ref()?.applied_index())
             };
-            let has_all = |world: &World| applied(world, backup) == applied(world, primary);
-            assert!(world.run_until(3000, has_all), "seed {seed}, restarted after {pause} ms");
+            let has_all =
+                |simulation: &Simulation| applied(simulation, backup) == applied(simulation, primary);
+            assert!(simulation.run_until(3000, has_all), "seed {seed}, restarted after {pause} ms");
         }
     }
 }
@@ -166,7 +167,7 @@
     for seed in (0..200).chain([307, 1983, 2495, 2585, 2776, 3020]) {
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
         cluster.play("time | P\n 0 | shutdown");
-        let has_leader = cluster.world.run_until(700, |world| world.leader().is_some());
-        assert!(has_leader, "seed {seed}\n{}", cluster.world.trace.join("\n"));
+        let has_leader = cluster.simulation.run_until(700, |simulation| simulation.leader().is_some());
+        assert!(has_leader, "seed {seed}\n{}", cluster.simulation.trace.join("\n"));
     }
 }
--- a/crates/replication/tests/replication/scenarios/second_failure.rs
+++ b/crates/replication/tests/replication/scenarios/second_failure.rs
@@ -4,39 +4,45 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 use super::{three_and_a_spare, StableCluster, SEEDS};
-use crate::harness::{World, WorldOptions};
+use crate::harness::{Simulation, SimulationOptions};
 
 /// Signals a machine to shut down, and removes it as soon as it may exit.
-fn shut_down_and_remove(world: &mut World, machine: usize) {
-    world.shut_down(machine);
-    let can_exit = world.run_until(3000, |world| world.can_exit(machine));
-    assert!(can_exit, "{} is not allowed to exit\n{}", world.machines[machine].name, world.trace.join("\n"));
-    world.remove(machine);
+fn shut_down_and_remove(simulation: &mut Simulation, machine: usize) {
+    simulation.shut_down(machine);
+    let can_exit = simulation.run_until(3000, |simulation| simulation.can_exit(machine));
+    assert!(
+        can_exit,
+        "{} is not allowed to exit\n{}",
+        simulation.machines[machine].name,
+        simulation.trace.join("\n")
+    );
+    simulation.remove(machine);
 }
 
 /// Checks that a machine leads within 4 s, and that a command is acknowledged soon.
-fn assert_serves_again(world: &mut World) {
-    let is_led = world.run_until(4000, |world| world.leader().is_some());
-    assert!(is_led, "no machine leads\n{}", world.trace.join("\n"));
+fn assert_serves_again(simulation: &mut Simulation) {
+    let is_led = simulation.run_until(4000, |simulation| simulation.leader().is_some());
+    assert!(is_led, "no machine leads\n{}", simulation.trace.join("\n"));
     // The machine that led when the disk was lost may not have detected the loss yet.
     let is_accepted = (0..4).any(|_| {
-        let Some(leader) = world.leader() else {
-            world.run_for(1000);
+        let Some(leader) = simulation.leader() else {
+            simulation.run_for(1000);
             return false;
         };
-        let command = world.propose(leader);
-        world.run_until(1500, |world| world.is_acknowledged(command))
+        let command = simulation.propose(leader);
+        simulation.run_until(1500, |simulation| simulation.is_acknowledged(command))
     });
-    assert!(is_accepted, "no command is acknowledged\n{}", world.trace.join("\n"));
+    assert!(is_accepted, "no command is acknowledged\n{}", simulation.trace.join("\n"));
 }
 
 /// Returns a cluster of three machines and a fourth one that has joined as a member and a witness.
 fn with_a_fourth(seed: u64) -> StableCluster<3> {
     let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
-    cluster.names.push(("S", cluster.world.add_spare()));
-    let has_joined = |world: &World| world.members().len() == 4 && world.witnesses().len() == 4;
-    assert!(cluster.world.run_until(4000, has_joined), "{}", cluster.world.trace.join("\n"));
-    cluster.world.run_for(300 + seed * 37 % 150);
+    cluster.names.push(("S", cluster.simulation.add_spare()));
+    let has_joined =
+        |simulation: &Simulation| simulation.members().len() == 4 && simulation.witnesses().len() == 4;
+    assert!(cluster.simulation.run_until(4000, has_joined), "{}", cluster.simulation.trace.join("\n"));
+    cluster.simulation.run_for(300 + seed * 37 % 150);
     cluster
 }
 
@@ -47,13 +53,13 @@
             for lost in (0..4).filter(|lost| *lost != retired) {
                 let mut cluster = with_a_fourth(seed);
                 let (retired, lost) = (cluster.names[retired].1, cluster.names[lost].1);
-                let world = &mut cluster.world;
-                let leader = world.leader().expect("no primary");
-                let command = world.propose(leader);
-                assert!(world.run_until(500, |world| world.is_acknowledged(command)));
-                shut_down_and_remove(world, retired);
-                world.remove(lost);
-                assert_serves_again(world);
+                let simulation = &mut cluster.simulation;
+                let leader = simulation.leader().expect("no primary");
+                let command = simulation.propose(leader);
+                assert!(simulation.run_until(500, |simulation| simulation.is_acknowledged(command)));
+                shut_down_and_remove(simulation, retired);
+                simulation.remove(lost);
+                assert_serves_again(simulation);
             }
         }
     }
@@ -88,53 +94,53 @@
 /// Adds a node to three machines, injects a fault after each of many delays, and checks that the cluster
 /// serves again and that all machines become members. `disturb` receives the simulation, a backup and the
 /// node that joins.
-fn disturb_while_a_node_joins(disturb: impl Fn(&mut World, usize, usize)) {
+fn disturb_while_a_node_joins(disturb: impl Fn(&mut Simulation, usize, usize)) {
     for delay in (0..1500).step_by(25) {
         let mut cluster = StableCluster::new(delay, 1, ["P", "B", "C"]);
-        cluster.names.push(("S", cluster.world.add_spare()));
+        cluster.names.push(("S", cluster.simulation.add_spare()));
         let (backup, spare) = (cluster.names[1].1, cluster.names[3].1);
-        let world = &mut cluster.world;
-        let leader = world.leader().expect("no primary");
-        let command = world.propose(leader);
-        world.run_for(delay);
-        disturb(world, backup, spare);
-        world.run_for(1500);
-        assert_serves_again(world);
-        assert!(world.is_acknowledged(command) || delay < 100, "{}", world.trace.join("\n"));
-        world.heal();
-        let is_complete = |world: &World| world.members().len() == world.present().len();
-        assert!(world.run_until(6000, is_complete), "{}", world.trace.join("\n"));
-        assert_serves_again(world);
+        let simulation = &mut cluster.simulation;
+        let leader = simulation.leader().expect("no primary");
+        let command = simulation.propose(leader);
+        simulation.run_for(delay);
+        disturb(simulation, backup, spare);
+        simulation.run_for(1500);
+        assert_serves_again(simulation);
+        assert!(simulation.is_acknowledged(command) || delay < 100, "{}", simulation.trace.join("\n"));
+        simulation.heal();
+        let is_complete = |simulation: &Simulation| simulation.members().len() == simulation.present().len();
+        assert!(simulation.run_until(6000, is_complete), "{}", simulation.trace.join("\n"));
+        assert_serves_again(simulation);
     }
 }
 
 #[test]
 fn a_backup_loses_its_disk_at_any_moment_of_adding_a_node() {
-    disturb_while_a_node_joins(|world, backup, _| {
-        world.kill(backup, true);
-        world.wipe(backup);
+    disturb_while_a_node_joins(|simulation, backup, _| {
+        simulation.kill(backup, true);
+        simulation.wipe(backup);
     });
 }
 
 #[test]
 fn a_backup_is_gone_for_good_at_any_moment_of_adding_a_node() {
-    disturb_while_a_node_joins(|world, backup, _| world.remove(backup));
+    disturb_while_a_node_joins(|simulation, backup, _| simulation.remove(backup));
 }
 
 #[test]
 fn the_node_that_joins_loses_its_disk_at_any_moment() {
-    disturb_while_a_node_joins(|world, _, spare| {
-        world.kill(spare, true);
-        world.wipe(spare);
+    disturb_while_a_node_joins(|simulation, _, spare| {
+        simulation.kill(spare, true);
+        simulation.wipe(spare);
     });
 }
 
 #[test]
 fn the_primary_loses_its_disk_at_any_moment_of_adding_a_node() {
-    disturb_while_a_node_joins(|world, _, _| {
-        let Some(leader) = world.leader() else { return };
-        world.kill(leader, true);
-        world.wipe(leader);
+    disturb_while_a_node_joins(|simulation, _, _| {
+        let Some(leader) = simulation.leader() else { return };
+        simulation.kill(leader, true);
+        simulation.wipe(leader);
     });
 }
 
@@ -144,81 +150,82 @@
         for lost in [0, 1, 3] {
             let mut cluster = with_a_fourth(delay);
             let (shutting_down, lost) = (cluster.names[2].1, cluster.names[lost].1);
-            let world = &mut cluster.world;
-            world.shut_down(shutting_down);
-            let end = world.now + delay;
-            if world.run_until(delay, |world| world.can_exit(shutting_down)) {
-                world.remove(shutting_down);
-                world.run_for(end.saturating_sub(world.now));
+            let simulation = &mut cluster.simulation;
+            simulation.shut_down(shutting_down);
+            let end = simulation.now + delay;
+            if simulation.run_until(delay, |simulation| simulation.can_exit(shutting_down)) {
+                simulation.remove(shutting_down);
+                simulation.run_for(end.saturating_sub(simulation.now));
             }
-            world.remove(lost);
-            if world.is_running(shutting_down) {
-                let can_exit = world.run_until(7000, |world| world.can_exit(shutting_down));
-                assert!(can_exit, "{}", world.trace.join("\n"));
-                world.remove(shutting_down);
+            simulation.remove(lost);
+            if simulation.is_running(shutting_down) {
+                let can_exit = simulation.run_until(7000, |simulation| simulation.can_exit(shutting_down));
+                assert!(can_exit, "{}", simulation.trace.join("\n"));
+                simulation.remove(shutting_down);
             }
-            assert_serves_again(world);
+            assert_serves_again(simulation);
         }
     }
 }
 
 /// Returns a simulation with injected faults in which all three machines are members.
-fn started(faults: Faults, seed: u64) -> World {
-    let mut world = World::first_start(WorldOptions { seed, faults, ..WorldOptions::default() }, 3, 3);
-    let is_complete = |world: &World| world.members().len() == 3;
-    assert!(world.run_until(6000, is_complete), "{}", world.trace.join("\n"));
-    world.run_for(500);
-    world
+fn started(faults: Faults, seed: u64) -> Simulation {
+    let mut simulation =
+        Simulation::first_start(SimulationOptions { seed, faults, ..SimulationOptions::default() }, 3, 3);
+    let is_complete = |simulation: &Simulation| simulation.members().len() == 3;
+    assert!(simulation.run_until(6000, is_complete), "{}", simulation.trace.join("\n"));
+    simulation.run_for(500);
+    simulation
 }
 
 /// A backup restarts with an empty disk, and `delay` ms later the primary is signalled to shut down.
 fn hand_over_while_a_wiped_node_returns(faults: Faults, delay: u64) {
-    let mut world = started(faults, delay);
-    let leader = world.leader().expect("no primary");
+    let mut simulation = started(faults, delay);
+    let leader = simulation.leader().expect("no primary");
     let backup = (leader + 1) % 3;
     for _ in 0..3 {
-        world.propose(leader);
-        world.run_for(150);
+        simulation.propose(leader);
+        simulation.run_for(150);
     }
-    world.kill(backup, true);
-    world.wipe(backup);
-    world.run_for(1500);
-    world.start(backup);
-    world.run_for(delay);
-    world.shut_down(leader);
-    world.run_for(2000);
-    assert_serves_again(&mut world);
+    simulation.kill(backup, true);
+    simulation.wipe(backup);
+    simulation.run_for(1500);
+    simulation.start(backup);
+    simulation.run_for(delay);
+    simulation.shut_down(leader);
+    simulation.run_for(2000);
+    assert_serves_again(&mut simulation);
 }
 
 /// A lost witness is replaced. During the replacement the other backup is partitioned from the primary and
 /// the new node, together with the lost witness, which restarts. These two are a majority of the old
 /// witnesses.
 fn split_at_a_replacement(faults: Faults, delay: u64) {
-    let mut world = started(faults, delay);
-    let leader = world.leader().expect("no primary");
+    let mut simulation = started(faults, delay);
+    let leader = simulation.leader().expect("no primary");
     let (backup, lost) = ((leader + 1) % 3, (leader + 2) % 3);
-    world.kill(lost, true);
-    world.run_for(900);
-    let spare = world.add_spare();
-    world.run_for(300 + delay);
+    simulation.kill(lost, true);
+    simulation.run_for(900);
+    let spare = simulation.add_spare();
+    simulation.run_for(300 + delay);
     for other in [leader, spare] {
         for (from, to) in [(backup, other), (other, backup), (lost, other), (other, lost)] {
-            world.network.partition(from, to);
+            simulation.network.partition(from, to);
         }
     }
-    world.detect_partitions();
-    world.start(lost);
+    simulation.detect_partitions();
+    simulation.start(lost);
     for _ in 0..30 {
         for machine in [leader, backup] {
-            if world.is_running(machine) {
-                world.propose(machine);
+            if simulation.is_running(machine) {
+                simulation.propose(machine);
             }
         }
-        world.run_for(100);
+        simulation.run_for(100);
     }
-    world.heal();
-    world.run_for(4000);
-    assert_serves_again(&mut world);
+    simulation.heal();
+    simulation.run_for(4000);
+    assert_serves_again(&mut simulation);
 }
 
 /// Returns whether a safety invariant, and not only liveness, is violated with some delay.
--- a/crates/replication/tests/replication/scenarios/slow_links.rs
+++ b/crates/replication/tests/replication/scenarios/slow_links.rs
@@ -1,7 +1,7 @@
 //! Links with a high latency: replies arrive after later heartbeats were sent.
 
 use super::{StableCluster, SEEDS};
-use crate::harness::{NetworkOptions, WorldOptions};
+use crate::harness::{NetworkOptions, SimulationOptions};
 
 /// A round trip takes longer than the interval between two heartbeats.
 const FAR: NetworkOptions =
@@ -9,7 +9,7 @@
 
 fn far_apart(text: &str) {
     for seed in 0..SEEDS {
-        let options = WorldOptions { seed, network: FAR, ..WorldOptions::default() };
+        let options = SimulationOptions { seed, network: FAR, ..SimulationOptions::default() };
         StableCluster::with(options, ["P", "B", "C"]).play(text);
     }
 }
--- a/crates/replication/tests/replication/scenarios/state_transfer.rs
+++ b/crates/replication/tests/replication/scenarios/state_transfer.rs
@@ -11,14 +11,14 @@
 fn play(seed: u64, write: u64, power: bool) {
     let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
     for _ in 0..COMMANDS {
-        let leader = cluster.world.leader().expect("no primary");
-        cluster.world.propose(leader);
-        cluster.world.run_for(60);
+        let leader = cluster.simulation.leader().expect("no primary");
+        cluster.simulation.propose(leader);
+        cluster.simulation.run_for(60);
     }
     cluster.play("time | B\n 0 | power-loss wipe\n 100 | start");
     let member = cluster.names[1].1;
-    let is_writing = |world: &crate::harness::World| world.write_count(member) >= write;
-    assert!(cluster.world.run_until(5000, is_writing), "the member does not start write {write}");
+    let is_writing = |simulation: &crate::harness::Simulation| simulation.write_count(member) >= write;
+    assert!(cluster.simulation.run_until(5000, is_writing), "the member does not start write {write}");
     let end = if power { "power-loss" } else { "kill" };
     cluster.play(&format!(
         "time | P              | B              | C              | *
@@ -29,8 +29,8 @@
          4200 |                |                |                | acked=1
          8000 | member witness | member witness | member witness |"
     ));
-    let end = cluster.world.applied_index(cluster.world.leader().expect("no primary"));
-    assert!((0..3).all(|machine| cluster.world.applied_index(machine) >= end));
+    let end = cluster.simulation.applied_index(cluster.simulation.leader().expect("no primary"));
+    assert!((0..3).all(|machine| cluster.simulation.applied_index(machine) >= end));
 }
 
 #[test]
--- a/crates/replication/tests/replication/seeded.rs
+++ b/crates/replication/tests/replication/seeded.rs
@@ -17,7 +17,7 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::thread;
 
-use crate::harness::{NetworkOptions, World, WorldOptions};
+use crate::harness::{NetworkOptions, Simulation, SimulationOptions};
 use crate::operations::{perform, Operation};
 use crate::recovery::{check_acknowledgement, JOIN_MS};
 
@@ -108,13 +108,13 @@
     Operation::Read
 }
 
-fn start(seed: u64, options: &WorldOptions) -> World {
+fn start(seed: u64, options: &SimulationOptions) -> Simulation {
     let network = if seed.is_multiple_of(2) {
         NetworkOptions { min_delay: 1, max_delay: 60, lost: 20, duplicated: 30, delayed: 20, late: 30 }
     } else {
         NetworkOptions::default()
     };
-    let options = WorldOptions {
+    let options = SimulationOptions {
         seed,
         network,
         tolerated: TOLERATED,
@@ -124,65 +124,66 @@
         clock_drift: CLOCK_DRIFT,
         ..options.clone()
     };
-    World::first_start(options, MACHINES, SEEDS_OF_SYSTEM)
+    Simulation::first_start(options, MACHINES, SEEDS_OF_SYSTEM)
 }
 
 /// Executes a run. Panics if an invariant does not hold.
-fn play(seed: u64, steps: u64, options: &WorldOptions) -> Coverage {
+fn play(seed: u64, steps: u64, options: &SimulationOptions) -> Coverage {
     let mut random = fastrand::Rng::with_seed(seed);
-    let mut world = start(seed, options);
-    let network = world.network.options;
+    let mut simulation = start(seed, options);
+    let network = simulation.network.options;
     let mut recoveries = 0;
     for step in 1..=steps {
         let longest = [10, 40, 100, 100, 300, 1000][random.usize(0..6)];
-        world.run_for(random.u64(0..longest));
-        let present = world.present();
+        simulation.run_for(random.u64(0..longest));
+        let present = simulation.present();
         let machine = present[random.usize(0..present.len())];
         let operation = pick(&mut random);
-        perform(&mut world, operation, machine);
+        perform(&mut simulation, operation, machine);
         if step % STEPS_TO_RECOVERY == 0 {
-            check_recovery(&mut world);
-            world.network.options = network;
+            check_recovery(&mut simulation);
+            simulation.network.options = network;
             recoveries += 1;
         }
     }
     Coverage {
         runs: 1,
         steps,
-        seconds: world.now / 1000,
-        commands: world.command_count(),
-        acknowledged: world.checker.acknowledged.len() as u64,
-        reads: world.reads,
-        primaries: world.checker.epochs() as u64,
-        lost_disks: world.lost_count(),
+        seconds: simulation.now / 1000,
+        commands: simulation.command_count(),
+        acknowledged: simulation.checker.acknowledged.len() as u64,
+        reads: simulation.reads,
+        primaries: simulation.checker.epochs() as u64,
+        lost_disks: simulation.lost_count(),
         recoveries,
     }
 }
 
 /// Ends all faults, and checks that a command is acknowledged, that all machines become members and witnesses
 /// and reach the end of the log, each in time, and that the outcome of every proposal is reported.
-fn check_recovery(world: &mut World) {
-    check_acknowledgement(world);
-    let is_complete = world.run_until(JOIN_MS, |world| {
-        world.members() == world.present() && world.witnesses() == world.present()
+fn check_recovery(simulation: &mut Simulation) {
+    check_acknowledgement(simulation);
+    let is_complete = simulation.run_until(JOIN_MS, |simulation| {
+        simulation.members() == simulation.present() && simulation.witnesses() == simulation.present()
     });
     assert!(
         is_complete,
         "not all machines have joined: members {:?}, witnesses {:?}",
-        world.members(),
-        world.witnesses()
+        simulation.members(),
+        simulation.witnesses()
     );
-    let leader = world.leader().expect("no primary in a fault-free period");
-    let end = world.applied_index(leader);
-    let all_there =
-        |world: &World| world.present().into_iter().all(|machine| world.applied_index(machine) >= end);
-    assert!(world.run_until(CATCH_UP_MS, all_there), "a machine does not reach the end of the log");
-    let unresolved = world.unresolved_proposals();
+    let leader = simulation.leader().expect("no primary in a fault-free period");
+    let end = simulation.applied_index(leader);
+    let all_there = |simulation: &Simulation| {
+        simulation.present().into_iter().all(|machine| simulation.applied_index(machine) >= end)
+    };
+    assert!(simulation.run_until(CATCH_UP_MS, all_there), "a machine does not reach the end of the log");
+    let unresolved = simulation.unresolved_proposals();
     assert!(unresolved.is_empty(), "the outcome of proposals {unresolved:?} is not reported");
 }
 
 /// Returns the panic message of a run; `None` if no invariant was violated.
-pub fn failure(seed: u64, steps: u64, options: &WorldOptions) -> Option<String> {
+pub fn failure(seed: u64, steps: u64, options: &SimulationOptions) -> Option<String> {
     let panic = catch_unwind(AssertUnwindSafe(|| play(seed, steps, options))).err()?;
     let text = panic.downcast_ref::<String>().cloned();
     Some(text.unwrap_or_else(|| panic.downcast_ref::<&str>().copied().unwrap_or_default().into()))
@@ -197,7 +198,7 @@
     let mut coverage = Coverage::default();
     let mut failed = Vec::new();
     for seed in seeds.filter(|seed| seed % THREADS == share) {
-        match catch_unwind(|| play(seed, steps, &WorldOptions::default())) {
+        match catch_unwind(|| play(seed, steps, &SimulationOptions::default())) {
             Ok(run) => coverage += run,
             Err(_) => {
                 eprintln!("seed {seed} failed");
