--- a/crates/replication/tests/replication/injected_faults.rs
+++ b/crates/replication/tests/replication/injected_faults.rs
@@ -39,25 +39,25 @@
 }
 
 #[test]
-fn a_wiped_node_that_keeps_its_identity_is_caught() {
+fn a_wiped_node_that_keeps_its_identity_is_detected() {
     let options = SimulationOptions { keeps_identity: true, ..SimulationOptions::default() };
     assert!(first_failure(&options).is_some());
 }
 
 #[test]
-fn an_acknowledgement_without_every_member_is_caught() {
+fn an_acknowledgement_by_a_majority_of_the_members_is_detected() {
     let options = with_faults(Faults { acknowledge_by_majority: true, ..Faults::default() });
     assert!(first_failure(&options).is_some());
 }
 
 #[test]
-fn a_primary_that_does_not_check_its_lease_is_caught() {
+fn a_primary_that_does_not_check_its_lease_is_detected() {
     let options = with_faults(Faults { ignore_own_lease: true, ..Faults::default() });
     assert!(first_failure(&options).is_some());
 }
 
 #[test]
-fn a_promise_under_the_lease_of_another_is_caught() {
+fn a_promise_while_another_lease_is_valid_is_detected() {
     let options = with_faults(Faults { promise_under_lease: true, ..Faults::default() });
     assert!(first_failure(&options).is_some());
 }
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn an_installation_that_counts_before_it_is_complete_is_caught() {
+fn an_install_acknowledged_before_it_is_durable_is_detected() {
     let broken = Faults { install_before_complete: true, ..Faults::default() };
     let is_caught = |seed| {
         let play = AssertUnwindSafe(|| election_with_an_installation(seed, broken));
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn an_answer_before_the_sync_is_caught() {
+fn a_reply_before_the_record_is_durable_is_detected() {
     let options = with_faults(Faults { answer_before_sync: true, ..Faults::default() });
     assert!(first_failure(&options).is_some());
 }
@@ -119,25 +119,25 @@
 }
 
 #[test]
-fn a_learner_that_is_counted_early_is_caught() {
+fn a_learner_that_becomes_a_member_too_early_is_detected() {
     let faults = Faults { count_learner_early: true, ..Faults::default() };
     assert!(first_failure_of_a_long_run(faults).is_some_and(|message| message.contains("lost")));
 }
 
 #[test]
-fn witnesses_that_are_all_replaced_at_once_are_caught() {
+fn a_replacement_of_all_witnesses_at_once_is_detected() {
     let faults = Faults { replace_all_witnesses: true, ..Faults::default() };
     assert!(first_failure_of_a_long_run(faults).is_some());
 }
 
 #[test]
-fn a_leader_from_a_stale_snapshot_is_caught() {
+fn a_primary_elected_with_a_stale_state_is_detected() {
     let faults = Faults { elect_from_stale_snapshot: true, ..Faults::default() };
     assert!(first_failure_of_a_long_run(faults).is_some());
 }
 
 #[test]
-fn an_answer_without_a_lease_check_is_caught() {
+fn a_read_without_a_lease_check_is_detected() {
     let faults = Faults { answer_without_lease_check: true, ..Faults::default() };
     let message = first_failure_of_a_long_run(faults);
     assert!(message.is_some_and(|message| message.contains("a read response")));
@@ -162,13 +162,13 @@
 }
 
 #[test]
-fn a_witness_that_forgets_its_lease_at_a_restart_is_found_by_long_runs() {
+fn a_witness_that_forgets_its_lease_in_a_restart_is_detected() {
     let faults = Faults { forget_lease_at_restart: true, ..Faults::default() };
     assert!(first_broken_rule(faults).is_some());
 }
 
 #[test]
-fn a_claim_that_counts_before_it_is_durable_is_found_by_long_runs() {
+fn a_claim_used_before_it_is_durable_is_detected() {
     let faults = Faults { prepare_before_claim: true, ..Faults::default() };
     assert!(first_broken_rule(faults)
         .is_some_and(|message| message.contains("before its requirement is durable")));
--- a/crates/replication/tests/replication/model/late_messages.rs
+++ b/crates/replication/tests/replication/model/late_messages.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_grant_of_an_earlier_leadership_gives_no_lease() {
+fn a_grant_from_an_earlier_epoch_gives_no_lease() {
     assert!(!is_leased_by_a_late_grant(Faults::default()));
     let faults = Faults { ignore_epoch_of_grant: true, ..Faults::default() };
     assert!(is_leased_by_a_late_grant(faults), "the injected fault is not detected");
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn no_lease_is_granted_in_a_prepared_epoch_beside_that_of_another() {
+fn no_lease_is_granted_in_a_prepared_epoch_while_another_lease_is_valid() {
     let counts = |faults: Faults| -> Vec<usize> {
         let holders =
             (0..14).filter_map(|step| holders_after_a_contested_request(faults, step * 3 * SHORT_TICK_MS));
--- a/crates/replication/tests/replication/model/mod.rs
+++ b/crates/replication/tests/replication/model/mod.rs
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn from_the_moments_of_a_failover() {
+fn all_paths_during_a_failover() {
     let mut cluster = stable_cluster(3, Faults::default(), COMPACT_LATE);
     let frozen = cluster.leaders()[0];
     let is_replaced = |cluster: &Cluster| cluster.leaders().iter().any(|leader| *leader != frozen);
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn from_the_moments_of_a_failover_of_four_nodes() {
+fn all_paths_during_a_failover_of_four_nodes() {
     let mut cluster = stable_cluster(4, Faults::default(), COMPACT_LATE);
     let frozen = cluster.leaders()[0];
     let is_replaced = |cluster: &Cluster| cluster.leaders().iter().any(|leader| *leader != frozen);
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn from_the_moments_of_the_return_of_a_wiped_machine() {
+fn all_paths_during_the_return_of_a_wiped_node() {
     let mut cluster = stable_cluster(3, Faults::default(), COMPACT_LATE);
     let leader = cluster.leaders()[0];
     cluster.perform(Step::Wipe((leader + 1) % 3));
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn from_the_moments_of_a_replacement_at_a_new_address() {
+fn all_paths_during_a_replacement_at_a_new_address() {
     let mut cluster = stable_cluster(3, Faults::default(), COMPACT_LATE);
     let leader = cluster.leaders()[0];
     cluster.replace((leader + 1) % 3);
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn from_the_moments_of_the_removal_of_a_witness() {
+fn all_paths_during_the_removal_of_a_witness() {
     let mut cluster = stable_cluster(4, Faults::default(), COMPACT_LATE);
     let leader = cluster.leaders()[0];
     cluster.remove((leader + 1) % 4);
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn from_the_moments_of_an_install_with_a_crash_in_any_write() {
+fn all_paths_during_an_install_with_a_crash_in_any_write() {
     let mut cluster = stable_cluster(3, Faults::default(), COMPACT_AT_ONCE);
     let leader = cluster.leaders()[0];
     cluster.perform(Step::Wipe((leader + 1) % 3));
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn from_the_moments_of_a_failover_with_commands_that_are_sent_again() {
+fn all_paths_during_a_failover_with_resent_commands() {
     let mut cluster = stable_cluster(3, Faults::default(), COMPACT_LATE);
     let frozen = cluster.leaders()[0];
     cluster.perform(Step::Propose(frozen));
@@ -232,14 +232,14 @@
 }
 
 #[test]
-fn a_learner_that_is_counted_early_is_found() {
+fn a_learner_that_becomes_a_member_too_early_is_detected() {
     let faults = Faults { count_learner_early: true, ..Faults::default() };
     let found = explore(replacement(faults), Extra::Nothing, 4).discoveries();
     assert!(found.contains_key(NOTHING_LOST));
 }
 
 #[test]
-fn an_answer_without_a_lease_check_is_found() {
+fn a_read_without_a_lease_check_is_detected() {
     let faults = Faults { answer_without_lease_check: true, ..Faults::default() };
     let mut cluster = stable_cluster(3, faults, COMPACT_LATE);
     let frozen = cluster.leaders()[0];
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn an_acknowledgement_without_every_member_is_found() {
+fn an_acknowledgement_by_a_majority_of_the_members_is_detected() {
     let faults = Faults { acknowledge_by_majority: true, ..Faults::default() };
     let initial_states = vec![stable_cluster(3, faults, COMPACT_LATE)];
     let found = explore(initial_states, Extra::Nothing, 5).discoveries();
--- a/crates/replication/tests/replication/random.rs
+++ b/crates/replication/tests/replication/random.rs
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn three_machines_of_which_one_may_be_lost() {
+fn random_schedules_of_three_machines_that_tolerate_one_loss() {
     fn property(schedule: Schedule) -> bool {
         check(&schedule, 3, SimulationOptions { tolerated: 1, ..SimulationOptions::default() });
         true
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn five_machines_of_which_two_may_be_lost() {
+fn random_schedules_of_five_machines_that_tolerate_two_losses() {
     fn property(schedule: Schedule) -> bool {
         check(&schedule, 5, SimulationOptions { tolerated: 2, ..SimulationOptions::default() });
         true
--- a/crates/replication/tests/replication/reads.rs
+++ b/crates/replication/tests/replication/reads.rs
@@ -285,19 +285,19 @@
 }
 
 #[test]
-fn no_answer_of_three_machines_is_from_the_past() {
+fn reads_from_three_machines_are_never_stale() {
     let sum = play_all(3);
     assert!(sum.written > 0 && sum.too_late > 0, "{sum:?}");
 }
 
 #[test]
-fn no_answer_of_five_machines_is_from_the_past() {
+fn reads_from_five_machines_are_never_stale() {
     let sum = play_all(5);
     assert!(sum.written > 0 && sum.too_late > 0, "{sum:?}");
 }
 
 #[test]
-fn a_read_without_a_lease_check_when_it_is_written_is_caught() {
+fn a_response_written_without_a_lease_check_is_detected() {
     let is_caught = |seed| {
         let Err(panic) = std::panic::catch_unwind(|| play(seed, 3, false)) else { return false };
         panic.downcast_ref::<String>().is_some_and(|message| message.starts_with(PAST))
--- a/crates/replication/tests/replication/scenarios/clock_jumps.rs
+++ b/crates/replication/tests/replication/scenarios/clock_jumps.rs
@@ -17,12 +17,12 @@
     4000 | deposed  |   |   |";
 
 #[test]
-fn a_primary_whose_clock_stood_still_has_no_lease_when_it_wakes() {
+fn a_primary_whose_clock_was_stopped_has_no_lease_when_it_resumes() {
     three(REPLACED);
 }
 
 #[test]
-fn a_primary_that_does_not_notice_that_its_clock_stood_still_is_caught() {
+fn a_primary_that_misses_a_clock_jump_is_detected() {
     let is_caught = |seed| {
         let options = SimulationOptions { seed, notices_clock_jumps: false, ..SimulationOptions::default() };
         let play = || StableCluster::with(options, ["P", "B", "C"]).play(REPLACED);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_primary_that_nobody_has_replaced_goes_on_after_a_round_trip() {
+fn a_primary_that_was_not_replaced_regains_its_lease_in_a_round_trip() {
     three(
         "time | P               | B       | C       | *
             0 | pause           |         |         |
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_command_beside_a_step_of_the_time_of_day_is_acknowledged() {
+fn a_command_in_flight_during_a_clock_jump_is_acknowledged() {
     three(
         "time | P                        | B | C
             0 | propose=1 pause resume   |   |
--- a/crates/replication/tests/replication/scenarios/failure_domains.rs
+++ b/crates/replication/tests/replication/scenarios/failure_domains.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_command_waits_for_a_node_elsewhere_that_is_about_to_join() {
+fn a_command_waits_for_a_node_in_another_region_that_is_joining() {
     for seed in 0..SEEDS {
         let mut simulation = simulation(seed, &[A, A2, B]);
         simulation.kill(2, false);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_command_does_not_wait_for_long_for_a_node_that_cannot_join() {
+fn a_command_does_not_wait_long_for_a_node_that_cannot_join() {
     for seed in 0..SEEDS {
         let mut simulation = simulation(seed, &[A, A2, B]);
         simulation.set_disk(2, DiskMode::Full);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_command_waits_only_shortly_for_a_node_that_answers_and_cannot_store() {
+fn a_command_waits_only_briefly_for_a_node_that_replies_but_cannot_store() {
     for seed in 0..SEEDS {
         let mut simulation = simulation(seed, &[A, A2, B]);
         simulation.kill(2, false);
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_core_in_one_region_goes_on_in_a_degraded_state() {
+fn a_cluster_in_one_region_acknowledges_commands_in_a_degraded_state() {
     for seed in 0..SEEDS {
         let mut simulation = simulation(seed, &[A, A, A]);
         assert!(acknowledged(&mut simulation, 200));
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn witnesses_are_spread_over_regions_as_machines_come() {
+fn witnesses_are_spread_over_the_regions() {
     for seed in 0..SEEDS {
         let mut simulation = simulation(seed, &[A, A2, B, C]);
         assert!(
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn the_only_member_of_a_region_ends_once_its_successor_has_joined() {
+fn the_only_member_of_a_region_exits_once_its_successor_has_joined() {
     for seed in 0..SEEDS {
         for delay in (0..900).step_by(60) {
             exits_once_its_successor_has_joined(seed, delay);
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn the_only_member_of_a_region_stays_at_any_moment_of_adding_its_successor() {
+fn the_only_member_of_a_region_does_not_exit_while_its_successor_joins() {
     for seed in 40..46 {
         for delay in (0..600).step_by(5) {
             exits_once_its_successor_has_joined(seed, delay);
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn the_only_member_of_a_region_ends_soon_where_it_has_no_successor() {
+fn the_only_member_of_a_region_exits_soon_without_a_successor() {
     for seed in 0..SEEDS {
         let mut simulation = simulation(seed, &[A, A2, B]);
         let time = time_to_exit(&mut simulation, 2);
@@ -297,7 +297,7 @@
 }
 
 #[test]
-fn the_losses_that_a_view_does_not_survive_are_those_found_by_trying() {
+fn uncovered_failures_match_an_exhaustive_search() {
     fn holds(localities: Vec<(u8, u8)>, machines: u8, zones: u8, regions: u8) -> TestResult {
         if localities.is_empty() {
             return TestResult::discard();
--- a/crates/replication/tests/replication/scenarios/graceful_shutdown.rs
+++ b/crates/replication/tests/replication/scenarios/graceful_shutdown.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_backup_can_exit_at_once_and_a_primary_after_the_handover() {
+fn a_backup_can_exit_at_once_and_a_primary_after_a_handover() {
     for seed in 0..SEEDS {
         for (index, within) in [(1, 400), (2, 400), (0, 800)] {
             let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn the_core_ends_and_starts_again_one_machine_after_the_other() {
+fn a_rolling_restart_of_all_machines() {
     for seed in 0..SEEDS {
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
         let simulation = &mut cluster.simulation;
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_member_that_is_needed_stays_until_another_holds_its_data() {
+fn a_member_exits_only_once_enough_others_hold_its_data() {
     for seed in 0..SEEDS {
         for shutting_down in [0, 2] {
             let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn of_two_that_are_signalled_to_shut_down_one_stays_until_the_other_is_back() {
+fn of_two_members_that_shut_down_one_stays_until_the_other_restarts() {
     for seed in 0..SEEDS {
         for (one, other) in [(1, 2), (0, 1)] {
             let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn all_that_are_signalled_to_shut_down_at_once_end_at_once() {
+fn all_machines_can_exit_at_once_if_all_shut_down() {
     for seed in 0..SEEDS {
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
         let simulation = &mut cluster.simulation;
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn the_last_one_that_runs_stays() {
+fn the_last_running_machine_does_not_exit() {
     for seed in 0..SEEDS {
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
         let simulation = &mut cluster.simulation;
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn a_node_stays_beside_fewer_members_than_its_own_settings_ask_for() {
+fn a_node_does_not_exit_if_its_own_settings_require_more_members() {
     for seed in 0..SEEDS {
         assert!(!exits_beside_two_members(seed, Faults::default()));
     }
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn a_node_that_goes_on_running_after_its_signal_is_not_added_again() {
+fn a_node_that_keeps_running_after_the_shutdown_signal_is_not_added_again() {
     three(
         "time | P         | B | C         | *
             0 |           |   | shutdown  |
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn one_of_five_can_exit_at_once_as_a_witness() {
+fn a_backup_of_five_can_exit_at_once() {
     for seed in 0..SEEDS {
         let mut cluster = StableCluster::new(seed, 2, ["P", "B", "C", "D", "E"]);
         let machine = cluster.names[4].1;
--- a/crates/replication/tests/replication/scenarios/loss_orders.rs
+++ b/crates/replication/tests/replication/scenarios/loss_orders.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn in_every_order_the_status_tells_which_loss_stops_the_core() {
+fn spare_witnesses_predict_the_outcome_of_losses_in_every_order() {
     for (count, tolerated, stopped_by) in [(3, 1, 2), (5, 2, 3)] {
         for order in orders(count, stopped_by) {
             assert_eq!(losses_until_stopped(count, tolerated, &order), stopped_by, "{order:?}");
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_larger_core_goes_on_with_as_many_as_it_tolerates_and_one_more() {
+fn seven_machines_survive_more_successive_losses_than_tolerated_at_once() {
     // Two of the seven machines may be lost at once, but four are lost one after the other, since the set of
     // witnesses shrinks after every two losses.
     for order in [[0, 1, 2, 3], [6, 5, 4, 3], [0, 2, 4, 6], [3, 0, 6, 1]] {
--- a/crates/replication/tests/replication/scenarios/lost_machines.rs
+++ b/crates/replication/tests/replication/scenarios/lost_machines.rs
@@ -4,7 +4,7 @@
 use crate::harness::{Simulation, SimulationOptions};
 
 #[test]
-fn a_command_outlives_a_lost_disk_and_a_loss_of_power_of_all() {
+fn a_command_survives_a_lost_disk_and_a_power_loss_of_all() {
     for column in ["P", "B", "C"] {
         let cell = |name: &str| if name == column { "power-loss wipe" } else { "power-loss" };
         three(&format!(
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_command_outlives_two_lost_disks_of_five() {
+fn a_command_survives_two_lost_disks_of_five() {
     for columns in [["P", "B"], ["P", "E"], ["C", "D"]] {
         let cell = |name: &str| if columns.contains(&name) { "power-loss wipe" } else { "power-loss" };
         five(&format!(
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_wiped_backup_comes_back_as_another_node() {
+fn a_wiped_backup_rejoins_as_a_new_node() {
     three(
         "time | P         | B               | C               | *
             0 | propose=1 | power-loss wipe |                 |
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_machine_is_replaced_by_one_that_comes_first() {
+fn a_machine_is_replaced_by_one_added_before() {
     three_and_a_spare(
         "time | P                    | B               | C       | S              | *
          1500 |                      |                 |         | member witness |
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_machine_that_is_gone_is_replaced_later() {
+fn a_machine_is_replaced_by_one_added_after_its_loss() {
     for seed in 0..SEEDS {
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
         cluster.play(
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn all_of_nine_machines_are_added() {
+fn all_nine_machines_become_members_and_witnesses() {
     for seed in 0..SEEDS {
         let options = SimulationOptions { seed, tolerated: 2, ..SimulationOptions::default() };
         let mut simulation = Simulation::first_start(options, 9, 3);
@@ -163,7 +163,7 @@
 /// Two machines are replaced so quickly that the new machines become witnesses before the old ones are
 /// dropped. Two more disks may be lost once the old machines are neither members nor witnesses.
 #[test]
-fn two_disks_are_lost_after_two_machines_were_replaced_fast() {
+fn two_disks_are_lost_after_two_quick_replacements() {
     for seed in 0..SEEDS {
         let mut cluster = StableCluster::new(seed, 2, ["P", "B", "C", "D", "E"]);
         cluster.names.push(("S", cluster.simulation.add_spare()));
--- a/crates/replication/tests/replication/scenarios/operators.rs
+++ b/crates/replication/tests/replication/scenarios/operators.rs
@@ -3,7 +3,7 @@
 use super::{three, StableCluster, SEEDS};
 
 #[test]
-fn a_command_whose_acknowledgement_was_lost_is_sent_again_across_a_failover() {
+fn a_command_resent_after_a_failover_is_acknowledged_again() {
     three(
         "time | P                  | B        | C        | *
             0 | propose=1          |          |          |
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_command_of_unknown_outcome_that_is_sent_again_takes_effect_once() {
+fn a_resent_command_of_unknown_outcome_takes_effect_once() {
     for pause in [0, 10, 20, 40, 80] {
         three(&format!(
             "time | P         | B | C | *
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn of_two_commands_on_one_base_one_wins_also_when_they_are_sent_again() {
+fn one_of_two_commands_on_a_base_is_accepted_even_if_both_are_resent() {
     three(
         "time | P                           | B | C | *
             0 | propose=1 propose=2         |   |   |
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_command_is_recognized_after_a_compaction_and_a_restart_of_all() {
+fn a_resent_command_is_recognized_after_a_compaction_and_a_restart() {
     for seed in 0..SEEDS {
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
         cluster.play("time | P\n 0 | propose=1\n 200 | acked=1");
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_read_that_comes_before_a_process_stands_still_gets_no_answer_from_the_past() {
+fn a_read_received_before_a_freeze_gets_no_stale_response() {
     three(STANDS_STILL);
 }
 
--- a/crates/replication/tests/replication/scenarios/overlapping_losses.rs
+++ b/crates/replication/tests/replication/scenarios/overlapping_losses.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_cut_into_halves_shows_no_older_state_on_either_side() {
+fn a_partition_into_halves_causes_no_stale_reads() {
     let mut reads = 0;
     for seed in 0..RUNS {
         let mut simulation = start(seed);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn processes_that_are_lost_beyond_the_tolerance_lose_nothing() {
+fn killing_more_processes_than_tolerated_loses_no_commands() {
     for seed in 0..RUNS {
         let mut simulation = start(seed);
         for _ in 0..6 {
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn power_lost_by_all_as_disks_are_lost_loses_nothing() {
+fn a_power_loss_of_all_with_lost_disks_loses_no_commands() {
     for seed in 0..RUNS {
         let mut simulation = start(seed);
         for _ in 0..5 {
--- a/crates/replication/tests/replication/scenarios/partition_times.rs
+++ b/crates/replication/tests/replication/scenarios/partition_times.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_primary_that_is_cut_off_stops_in_the_time_of_its_lease() {
+fn a_partitioned_primary_stops_when_its_lease_expires() {
     three(
         "time | P                    | B       | C       | *
             0 | partition            |         |         |
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_primary_that_hears_nothing_stops_in_the_time_of_its_lease() {
+fn a_primary_that_receives_nothing_stops_when_its_lease_expires() {
     three(
         "time | P                | B | C | *
             0 | partition-in     |   |   |
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_primary_that_nobody_hears_stops_in_the_time_of_its_lease() {
+fn a_primary_whose_messages_are_lost_stops_when_its_lease_expires() {
     three(
         "time | P             | B | C | *
             0 | partition-out |   |   |
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn another_primary_is_elected_after_a_cut_of_any_kind() {
+fn another_primary_is_elected_after_any_kind_of_partition() {
     for load in [Load::Idle, Load::Command] {
         let longest = [Partition::Both, Partition::In, Partition::Out]
             .map(|partition| longest_time_to_another(partition, load));
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_primary_that_hears_nothing_for_less_than_its_lease_keeps_it() {
+fn a_primary_that_receives_nothing_for_less_than_its_lease_keeps_it() {
     // The primary sends probes from 225 ms on, and requests the lease again after the first reply. Nobody
     // campaigns.
     three(
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_backup_that_is_cut_off_names_no_primary_once_it_has_heard_none_for_a_lease() {
+fn a_partitioned_backup_names_no_primary_after_the_time_of_a_lease() {
     for how in ["partition", "partition-in"] {
         three(&format!(
             "time | P               | B              | C       | *
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_backup_that_nobody_hears_names_the_primary_while_the_connection_from_that_one_stands() {
+fn a_backup_whose_messages_are_lost_names_the_primary_while_connected() {
     // Without acknowledgements the primary closes the connection after 1 s.
     three(
         "time | P               | B                 | C       | *
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn who_returns_from_a_cut_names_the_primary_soon_and_deposes_nobody() {
+fn a_machine_that_rejoins_names_the_primary_soon_and_does_not_depose_it() {
     for (who, name) in [(0, "the old primary"), (1, "a backup")] {
         let longest =
             [Partition::Both, Partition::In, Partition::Out].map(|how| longest_time_to_return(who, how));
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn a_round_that_began_before_a_freeze_gives_no_lease_after_it() {
+fn a_lease_round_from_before_a_freeze_gives_no_lease_after_it() {
     // The primary is frozen for longer than its lease. Grants that were in flight are handled after it
     // resumes, and count from the time of their requests.
     for seed in 0..SEEDS {
--- a/crates/replication/tests/replication/scenarios/partitions_and_disks.rs
+++ b/crates/replication/tests/replication/scenarios/partitions_and_disks.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_primary_that_is_cut_off_is_replaced_and_comes_back() {
+fn a_partitioned_primary_is_replaced_and_rejoins() {
     three(
         "time | P                                   | B | C | *
             0 | partition                           |   |   |
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_primary_that_hears_nothing_steps_down_and_does_not_keep_others_away() {
+fn a_primary_that_receives_nothing_steps_down_and_prevents_no_election() {
     three(
         "time | P              | B | C | *
             0 | partition-in   |   |   |
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_primary_that_reaches_no_one_is_replaced() {
+fn a_primary_whose_messages_are_lost_is_replaced() {
     three(
         "time | P              | B | C | *
             0 | partition-out  |   |   |
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_backup_cut_off_from_the_primary_only_does_not_depose_it() {
+fn a_backup_partitioned_from_the_primary_only_does_not_depose_it() {
     three(
         "time | P         | B              | C       | *
             0 |           | partition:P    |         |
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn of_five_partitioned_into_two_and_three_the_three_continue() {
+fn three_of_five_continue_when_partitioned_from_two() {
     five(
         "time | P                                   | B                                   | C      | D      | E      | *
             0 | partition:C partition:D partition:E | partition:C partition:D partition:E |        |        |        |
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_full_disk_comes_back_by_itself() {
+fn a_machine_rejoins_once_its_disk_is_no_longer_full() {
     three(
         "time | P              | B                | C | *
             0 | full propose=1 |                  |   |
--- a/crates/replication/tests/replication/scenarios/restarts.rs
+++ b/crates/replication/tests/replication/scenarios/restarts.rs
@@ -4,7 +4,7 @@
 use crate::harness::Simulation;
 
 #[test]
-fn commands_are_acknowledged_and_one_wins_on_each_base() {
+fn one_command_on_each_base_is_acknowledged() {
     three(
         "time | P                    | B                    | C
             0 | propose=1 propose=2  | propose=3            |
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_backup_that_is_signalled_to_shut_down_holds_no_command_up() {
+fn a_backup_that_is_signalled_to_shut_down_delays_no_command() {
     three(
         "time | P         | B              | C
             0 |           | shutdown       |
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_killed_backup_holds_commands_up_only_shortly() {
+fn a_killed_backup_delays_commands_only_briefly() {
     three(
         "time | P             | B              | C
             0 |               | kill           |
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn after_a_kill_of_all_the_old_primary_leads_without_waiting_for_its_own_lease() {
+fn after_a_restart_of_all_the_old_primary_does_not_wait_for_its_own_lease() {
     for operation in ["kill", "power-loss"] {
         three(&format!(
             "time | P                   | B           | C           | *
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn after_a_kill_of_all_without_the_old_primary_its_lease_is_waited_for() {
+fn after_a_restart_without_the_old_primary_its_lease_has_to_expire() {
     three(
         "time | P            | B        | C        | *
             0 | propose=1    |          |          |
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_primary_that_is_killed_and_comes_back_within_its_lease_leads_on() {
+fn a_primary_that_restarts_within_its_lease_leads_again() {
     three(
         "time | P               | B | C | *
             0 | kill            |   |   |
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_witness_that_restarts_keeps_to_the_lease_that_it_granted() {
+fn a_restarted_witness_respects_the_lease_that_it_granted() {
     three(
         "time | P           | B | C     | *
             0 | partition:B |   |       |
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn all_killed_at_once_again_and_again() {
+fn all_machines_are_killed_at_once_repeatedly() {
     three(
         "time | P          | B          | C          | *
             0 | propose=1  |            |            |
@@ -140,7 +140,7 @@
 
 /// B is killed and restarted while nothing is proposed, and still has to reach the state of P.
 #[test]
-fn a_backup_that_restarts_has_the_newest_state_without_a_new_command() {
+fn a_restarted_backup_catches_up_without_a_new_command() {
     for seed in 0..SEEDS {
         for pause in [1, 20, 50, 100, 200, 350] {
             let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
@@ -163,7 +163,7 @@
 /// Guards against a fault that the listed seeds have shown: two candidates yielded to each other, and both
 /// then waited for a whole lease.
 #[test]
-fn two_candidates_that_yield_to_each_other_try_again_soon() {
+fn two_candidates_that_yield_to_each_other_retry_soon() {
     for seed in (0..200).chain([307, 1983, 2495, 2585, 2776, 3020]) {
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
         cluster.play("time | P\n 0 | shutdown");
--- a/crates/replication/tests/replication/scenarios/second_failure.rs
+++ b/crates/replication/tests/replication/scenarios/second_failure.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn after_a_planned_replacement_the_next_loss_may_come_at_once() {
+fn a_machine_may_be_lost_right_after_a_planned_replacement() {
     for seed in 0..SEEDS {
         for retired in 0..3 {
             for lost in (0..4).filter(|lost| *lost != retired) {
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_lost_witness_is_replaced_within_two_seconds_by_a_machine_that_comes_at_once() {
+fn a_lost_witness_is_replaced_by_a_spare_within_two_seconds() {
     three_and_a_spare(
         "time | P | B          | C          | S              | *
             0 |   |            | power-loss |                |
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn an_unresponsive_witness_leaves_a_set_of_four_before_the_next_is_lost() {
+fn an_unresponsive_witness_of_four_is_dropped_before_the_next_loss() {
     for seed in 0..SEEDS {
         with_a_fourth(seed).play(
             "time | P | B          | C          | S | *
@@ -123,12 +123,12 @@
 }
 
 #[test]
-fn a_backup_is_gone_for_good_at_any_moment_of_adding_a_node() {
+fn a_backup_is_removed_at_any_moment_of_adding_a_node() {
     disturb_while_a_node_joins(|simulation, backup, _| simulation.remove(backup));
 }
 
 #[test]
-fn the_node_that_joins_loses_its_disk_at_any_moment() {
+fn the_joining_node_loses_its_disk_at_any_moment() {
     disturb_while_a_node_joins(|simulation, _, spare| {
         simulation.kill(spare, true);
         simulation.wipe(spare);
@@ -238,27 +238,27 @@
 }
 
 #[test]
-fn a_wiped_node_that_returns_at_a_handover_is_no_member_before_it_holds_the_log() {
+fn a_wiped_node_that_rejoins_during_a_handover_is_no_member_before_it_holds_the_log() {
     for delay in (0..1000).step_by(10) {
         hand_over_while_a_wiped_node_returns(Faults::default(), delay);
     }
 }
 
 #[test]
-fn the_witnesses_before_a_replacement_cannot_go_their_own_way() {
+fn the_old_witnesses_cannot_decide_alone_during_a_replacement() {
     for delay in (0..1000).step_by(10) {
         split_at_a_replacement(Faults::default(), delay);
     }
 }
 
 #[test]
-fn a_set_of_witnesses_changed_in_one_step_is_caught() {
+fn a_witness_change_without_the_old_majority_is_detected() {
     let faults = Faults { change_witnesses_in_one_step: true, ..Faults::default() };
     assert!(is_caught(faults, split_at_a_replacement));
 }
 
 #[test]
-fn a_learner_counted_before_it_holds_the_log_is_caught() {
+fn a_learner_that_becomes_a_member_without_the_log_is_detected() {
     let faults = Faults { count_learner_early: true, ..Faults::default() };
     assert!(is_caught(faults, hand_over_while_a_wiped_node_returns));
 }
--- a/crates/replication/tests/replication/scenarios/slow_links.rs
+++ b/crates/replication/tests/replication/scenarios/slow_links.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn the_lease_is_held_though_answers_come_after_later_heartbeats() {
+fn the_lease_is_kept_though_replies_arrive_after_later_heartbeats() {
     far_apart(
         "time | P               | B       | C       | *
             0 | leads propose=1 | hints:P | hints:P |
--- a/crates/replication/tests/replication/scenarios/state_transfer.rs
+++ b/crates/replication/tests/replication/scenarios/state_transfer.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_member_dies_in_any_write_of_an_install() {
+fn a_member_crashes_in_any_write_of_an_install() {
     for write in 1..=WRITES {
         for seed in 0..6 {
             play(seed, write, seed % 2 == 0);
--- a/crates/replication/tests/replication/seeded.rs
+++ b/crates/replication/tests/replication/seeded.rs
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn five_machines_in_three_regions_through_thousands_of_troubles() {
+fn long_runs_of_five_machines_in_three_regions() {
     let first = setting("SEEDED_FIRST", 0);
     let seeds = first..first + setting("SEEDED_RUNS", RUNS);
     let steps = setting("SEEDED_STEPS", STEPS);
