--- a/crates/replication/tests/replication/harness/checker.rs
+++ b/crates/replication/tests/replication/harness/checker.rs
@@ -23,7 +23,7 @@
     /// The acknowledged commands.
     pub acknowledged: BTreeSet<u64>,
     /// The acknowledged commands in the order of their acknowledgements.
-    in_sequence: Vec<u64>,
+    in_order_of_acknowledgement: Vec<u64>,
     /// The positions of the acknowledged commands, sorted by index.
     pub positions: Vec<Position>,
     /// Proposals whose outcome was reported.
@@ -41,12 +41,12 @@
 }
 
 impl Checker {
-    /// Checks that a state which had `seen` entries before has not lost any, and that its entries are those
+    /// Checks that a state which had `checked_entries` entries before has not lost any, and that its entries are those
     /// that other states have at the same indexes.
-    pub fn check_state(&mut self, history: &CommandHistory, seen: usize) {
+    pub fn check_state(&mut self, history: &CommandHistory, checked_entries: usize) {
         let length = history.entries.len();
-        assert!(length >= seen, "the state goes back from {seen} entries to {length}");
-        for applied in &history.entries[seen..] {
+        assert!(length >= checked_entries, "the state goes back from {checked_entries} entries to {length}");
+        for applied in &history.entries[checked_entries..] {
             let known = self.applied.entry(applied.position.index).or_insert(*applied);
             assert_eq!(known, applied, "the states of two replicas differ at an index");
             assert!(!self.not_appended.contains(&applied.proposal), "a rejected proposal is applied");
@@ -87,7 +87,7 @@
             return;
         };
         if self.acknowledged.insert(command) {
-            self.in_sequence.push(command);
+            self.in_order_of_acknowledgement.push(command);
             let position = self.positions.partition_point(|other| other.index < accepted.position.index);
             self.positions.insert(position, accepted.position);
         }
@@ -128,16 +128,16 @@
     /// Checks that the state of the lease holder contains all acknowledged commands. The first `checked` of
     /// them were checked before. Returns how many are checked now.
     pub fn check_nothing_lost(&self, history: &CommandHistory, checked: usize) -> usize {
-        for command in &self.in_sequence[checked..] {
+        for command in &self.in_order_of_acknowledgement[checked..] {
             assert!(history.has_accepted(*command), "the acknowledged command {command} is lost");
         }
-        self.in_sequence.len()
+        self.in_order_of_acknowledgement.len()
     }
 
     /// Checks that a read is served by the holder of the lease, from a state that contains all acknowledged
     /// commands.
     pub fn check_read(&self, history: &CommandHistory, has_lease: bool) {
-        for command in self.in_sequence.iter().rev() {
+        for command in self.in_order_of_acknowledgement.iter().rev() {
             assert!(
                 history.has_accepted(*command),
                 "a read response lacks the acknowledged command {command}"
--- a/crates/replication/tests/replication/harness/clients.rs
+++ b/crates/replication/tests/replication/harness/clients.rs
@@ -40,8 +40,8 @@
         let proposal = self.proposals.len() as u64;
         let mut payload = command.payload(proposal);
         payload.resize(payload.len() + self.random.usize(0..=PADDING), 0);
-        self.proposed.push((proposal, machine, self.machines[machine].process));
-        self.note(machine, &format!("receives command {} on base {}", command.number, command.base));
+        self.received_proposals.push((proposal, machine, self.machines[machine].process));
+        self.trace_event(machine, &format!("receives command {} on base {}", command.number, command.base));
         self.handle(machine, Event::Propose { proposal, payload });
     }
 
@@ -54,7 +54,7 @@
     pub fn read(&mut self, machine: usize) {
         let delay = self.random.u64(0..=MAX_READ_MS);
         let process = self.machines[machine].process;
-        self.note(machine, "receives a read");
+        self.trace_event(machine, "receives a read");
         self.schedule(delay, ScheduledEvent::Read { machine, process });
     }
 
@@ -71,7 +71,7 @@
 
     /// Serves a read and checks it, unless the replica refuses to answer reads.
     pub(super) fn serve_read(&mut self, machine: usize) {
-        let now = self.local(machine);
+        let now = self.local_time(machine);
         let has_lease = matches!(self.role(machine), Some(Role::Primary { holds_lease: true, .. }));
         let Some(replica) = &self.machines[machine].replica else { return };
         if replica.can_answer(now) {
--- a/crates/replication/tests/replication/harness/durability.rs
+++ b/crates/replication/tests/replication/harness/durability.rs
@@ -44,7 +44,7 @@
         let chosen = (0..survivors.len()).filter(|index| subset & (1 << index) != 0);
         let quorum: Vec<Survivor> = chosen.map(|index| survivors[index]).collect();
         let view = deciding_view(&quorum)?;
-        missing_from(&view, survivors, acknowledged).or_else(|| too_few(&view, tolerated))
+        missing_entry(&view, survivors, acknowledged).or_else(|| too_few_members(&view, tolerated))
     })
 }
 
@@ -60,14 +60,14 @@
 }
 
 /// Returns a description of the violation if a view has so few members that all may be lost at once.
-fn too_few(view: &View, tolerated: usize) -> Option<String> {
+fn too_few_members(view: &View, tolerated: usize) -> Option<String> {
     let is_small = view.backups.len() < tolerated;
     is_small.then(|| format!("all acknowledged entries could be lost with {tolerated} members of {view:?}"))
 }
 
 /// Returns a description of the violation if no member of the view remains, or one lacks an acknowledged
 /// entry.
-fn missing_from(view: &View, survivors: &[Survivor], acknowledged: &[Position]) -> Option<String> {
+fn missing_entry(view: &View, survivors: &[Survivor], acknowledged: &[Position]) -> Option<String> {
     let is_member = |id: NodeId| view.primary == id || view.backups.contains(&id);
     let members: Vec<&Survivor> = survivors.iter().filter(|survivor| is_member(survivor.id)).collect();
     if members.is_empty() {
@@ -85,12 +85,12 @@
 /// Returns the accepted views on these disks, any of which may be the newest, after `lost` nodes were lost.
 /// Views older than a decided one are left out. An activated view counts as decided if more disks hold it or
 /// a newer view than half of its witnesses plus `lost`.
-pub fn newest_views<'a>(disks: &[&'a DiskImage], lost: usize) -> Vec<&'a View> {
+pub fn possibly_newest_views<'a>(disks: &[&'a DiskImage], lost: usize) -> Vec<&'a View> {
     let records = disks.iter().filter_map(|disk| disk.record.as_ref());
     let views: Vec<&View> = records.filter_map(|record| record.accepted.as_deref()).collect();
-    let knows =
+    let holds_it_or_newer =
         |other: &View, view: &View| other.epoch > view.epoch || other.epoch == view.epoch && other.activated;
-    let holders = |view: &View| views.iter().filter(|other| knows(other, view)).count();
+    let holders = |view: &View| views.iter().filter(|other| holds_it_or_newer(other, view)).count();
     let is_decided = |view: &&&View| view.activated && holders(view) > view.witnesses.len() / 2 + lost;
     let decided = views.iter().filter(is_decided).map(|view| view.epoch).max().unwrap_or(0);
     views.into_iter().filter(|view| view.epoch >= decided).collect()
@@ -105,6 +105,6 @@
 /// Returns whether a view keeps a majority of its witnesses after the tolerated losses. While the view is not
 /// activated, its previous witnesses count. The bootstrap view, which has epoch 0, never has enough.
 pub fn has_enough_witnesses(view: &View, tolerated: usize) -> bool {
-    let fewest = if view.activated { &view.witnesses } else { &view.previous_witnesses };
-    view.epoch > 0 && fewest.len() > 2 * tolerated
+    let counted_witnesses = if view.activated { &view.witnesses } else { &view.previous_witnesses };
+    view.epoch > 0 && counted_witnesses.len() > 2 * tolerated
 }
--- a/crates/replication/tests/replication/harness/faults.rs
+++ b/crates/replication/tests/replication/harness/faults.rs
@@ -46,7 +46,7 @@
             id,
             bootstrap,
             disk: DiskImage::default(),
-            mode: DiskMode::Healthy,
+            disk_mode: DiskMode::Healthy,
             replica: None,
             process: 0,
             started_at: 0,
@@ -56,7 +56,7 @@
             buffered: VecDeque::new(),
             write: None,
             connections: BTreeMap::new(),
-            seen: 0,
+            checked_entries: 0,
             verified_commands: 0,
             buffered_reads: 0,
             writes: 0,
@@ -113,7 +113,7 @@
         slot.started_at = now;
         slot.replica = Some(replica);
         slot.frozen = false;
-        slot.seen = 0;
+        slot.checked_entries = 0;
         slot.verified_commands = 0;
         slot.buffered_reads = 0;
         slot.writes = 0;
@@ -122,7 +122,7 @@
         slot.postponed.clear();
         slot.paused_at = None;
         let process = slot.process;
-        self.note(machine, "starts");
+        self.trace_event(machine, "starts");
         self.check_state(machine);
         self.schedule(1, ScheduledEvent::Tick { machine, process });
         self.reconnect(machine);
@@ -131,14 +131,14 @@
     /// Kills the process. The other machines detect this after `CONNECT_MS`, or after `DETECTION_MS` if the
     /// machine lost power, since then it does not close its connections.
     pub fn kill(&mut self, machine: usize, power: bool) {
-        self.note(machine, if power { "loses power" } else { "is killed" });
+        self.trace_event(machine, if power { "loses power" } else { "is killed" });
         let torn = self.random.usize(0..4);
         let slot = &mut self.machines[machine];
         if slot.replica.take().is_none() {
             return;
         }
         if let Some((_, write)) = slot.write.take() {
-            if slot.mode != DiskMode::Full {
+            if slot.disk_mode != DiskMode::Full {
                 slot.disk.apply_torn(write, torn);
             }
         }
@@ -153,13 +153,13 @@
     /// Erases the disk of a machine whose process does not run. The machine returns as a new node, unless the
     /// option `keeps_identity` is set.
     pub fn wipe(&mut self, machine: usize) {
-        self.note(machine, "loses its disk");
+        self.trace_event(machine, "loses its disk");
         let incarnation = self.random.u64(1..);
         self.lost.push((self.machines[machine].id, self.now));
         let slot = &mut self.machines[machine];
         assert!(slot.replica.is_none());
         slot.disk = DiskImage::default();
-        slot.mode = DiskMode::Healthy;
+        slot.disk_mode = DiskMode::Healthy;
         if !self.options.keeps_identity {
             slot.id.incarnation = incarnation;
         }
@@ -169,13 +169,13 @@
     /// Removes a machine permanently, with its disk.
     pub fn remove(&mut self, machine: usize) {
         self.kill(machine, true);
-        self.note(machine, "is removed");
+        self.trace_event(machine, "is removed");
         self.lost.push((self.machines[machine].id, self.now));
         self.machines[machine].removed = true;
     }
 
     /// Ends all faults: afterwards every machine that was not removed runs and reaches every other.
-    pub fn heal(&mut self) {
+    pub fn end_all_faults(&mut self) {
         self.trace.push(format!("{:>7} all faults end", self.now));
         self.network.heal_all();
         self.network.options = NetworkOptions::default();
@@ -183,7 +183,7 @@
             if self.machines[machine].removed {
                 continue;
             }
-            if self.machines[machine].mode != DiskMode::Healthy {
+            if self.machines[machine].disk_mode != DiskMode::Healthy {
                 self.set_disk(machine, DiskMode::Healthy);
             }
             if self.machines[machine].frozen {
@@ -199,7 +199,7 @@
     }
 
     pub fn freeze(&mut self, machine: usize) {
-        self.note(machine, "freezes");
+        self.trace_event(machine, "freezes");
         self.machines[machine].frozen = true;
     }
 
@@ -222,7 +222,7 @@
     }
 
     pub fn resume(&mut self, machine: usize) {
-        self.note(machine, "resumes");
+        self.trace_event(machine, "resumes");
         self.machines[machine].frozen = false;
         self.end_pause(machine);
         // Responses that were about to be written when the process froze are written first.
@@ -234,11 +234,11 @@
         }
     }
 
-    pub fn set_disk(&mut self, machine: usize, mode: DiskMode) {
-        self.note(machine, &format!("has its disk in mode {mode:?}"));
+    pub fn set_disk(&mut self, machine: usize, disk_mode: DiskMode) {
+        self.trace_event(machine, &format!("has its disk in mode {disk_mode:?}"));
         let slot = &mut self.machines[machine];
-        slot.mode = mode;
-        if let (Some((ticket, _)), true) = (&slot.write, mode != DiskMode::Hangs) {
+        slot.disk_mode = disk_mode;
+        if let (Some((ticket, _)), true) = (&slot.write, disk_mode != DiskMode::Hangs) {
             let done = ScheduledEvent::WriteDone { machine, process: slot.process, ticket: *ticket };
             self.schedule(DISK_MS, done);
         }
@@ -246,7 +246,7 @@
 
     /// Sends the shutdown signal to the process.
     pub fn shut_down(&mut self, machine: usize) {
-        self.note(machine, "is signalled to shut down");
+        self.trace_event(machine, "is signalled to shut down");
         self.handle(machine, Event::Shutdown);
     }
 
@@ -271,7 +271,7 @@
     pub fn detect_partitions(&mut self) {
         for one in 0..self.machines.len() {
             for other in 0..self.machines.len() {
-                if one != other && !self.network.is_open(one, other) {
+                if one != other && !self.network.can_exchange(one, other) {
                     self.schedule_disconnect(one, other, DETECTION_MS);
                 }
             }
--- a/crates/replication/tests/replication/harness/inspect.rs
+++ b/crates/replication/tests/replication/harness/inspect.rs
@@ -6,7 +6,7 @@
 
 use super::disk::DiskImage;
 use super::durability::{self, Survivor};
-use super::simulation::{traces, Machine, Simulation, REGION_OF};
+use super::simulation::{prints_trace, Machine, Simulation, REGION_OF};
 
 /// The duration of a granted lease.
 const LEASE_MS: u64 = 900;
@@ -21,7 +21,7 @@
     pub fn tolerates_loss_of(&self, machine: usize) -> bool {
         let present = self.machines.iter().filter(|machine| !machine.removed);
         let disks: Vec<&DiskImage> = present.map(|machine| &machine.disk).collect();
-        let newest = durability::newest_views(&disks, self.lost.len());
+        let newest = durability::possibly_newest_views(&disks, self.lost.len());
         let counts = |(node, at): &&(NodeId, u64)| {
             self.now < at + CATCH_UP_MS || newest.iter().any(|view| durability::includes(view, *node))
         };
@@ -43,7 +43,7 @@
         let is_open = |(proposal, machine, process): &&(u64, usize, u64)| {
             self.runs_process(*machine, *process) && !self.checker.is_resolved(*proposal)
         };
-        self.proposed.iter().filter(is_open).map(|(proposal, ..)| *proposal).collect()
+        self.received_proposals.iter().filter(is_open).map(|(proposal, ..)| *proposal).collect()
     }
 
     /// Returns the zone and region of a machine; both are empty if it has none.
@@ -65,7 +65,10 @@
     /// leader.
     pub fn spare_witnesses(&self) -> Option<usize> {
         let leader = self.leader()?;
-        self.machines[leader].replica.as_ref().and_then(|replica| replica.spare_witnesses(self.local(leader)))
+        self.machines[leader]
+            .replica
+            .as_ref()
+            .and_then(|replica| replica.spare_witnesses(self.local_time(leader)))
     }
 
     /// Returns whether a process that is shutting down may exit.
@@ -84,7 +87,7 @@
 
     /// Returns the role of a machine; `None` if its process does not run.
     pub fn role(&self, machine: usize) -> Option<Role> {
-        let now = self.local(machine);
+        let now = self.local_time(machine);
         self.machines[machine].replica.as_ref().map(|replica| replica.role(now))
     }
 
@@ -99,7 +102,7 @@
 
     /// Returns the machine that a machine names to its clients as the primary.
     pub fn hinted_primary(&self, machine: usize) -> Option<usize> {
-        let now = self.local(machine);
+        let now = self.local_time(machine);
         let replica = self.machines[machine].replica.as_ref()?;
         let primary = replica.primary_hint(now)?;
         self.machines.iter().position(|other| other.id == primary)
@@ -107,19 +110,19 @@
 
     /// Returns the machines that a client visits if it starts at `machine` and follows the redirects. The
     /// path ends at a machine that names no primary or itself, or at the first machine that is visited twice.
-    pub fn redirects(&self, machine: usize) -> Vec<usize> {
-        let mut passed = vec![machine];
-        while let Some(next) = self.hinted_primary(passed[passed.len() - 1]) {
-            let is_there = next == passed[passed.len() - 1];
-            let is_loop = passed.contains(&next);
-            if !is_there {
-                passed.push(next);
+    pub fn redirect_path(&self, machine: usize) -> Vec<usize> {
+        let mut path = vec![machine];
+        while let Some(next) = self.hinted_primary(path[path.len() - 1]) {
+            let names_itself = next == path[path.len() - 1];
+            let is_loop = path.contains(&next);
+            if !names_itself {
+                path.push(next);
             }
-            if is_there || is_loop {
+            if names_itself || is_loop {
                 break;
             }
         }
-        passed
+        path
     }
 
     /// Returns the number of the process that runs on a machine, or ran last.
@@ -129,7 +132,7 @@
 
     /// Returns the time since the start of the process, by the machine's own clock.
     pub fn clock(&self, machine: usize) -> Duration {
-        self.local(machine)
+        self.local_time(machine)
     }
 
     /// Returns the members of the leader's view; empty without a leader.
@@ -178,9 +181,9 @@
         let slot = &mut self.machines[machine];
         let Some(replica) = &slot.replica else { return };
         let history = replica.state();
-        if history.entries.len() != slot.seen {
-            self.checker.check_state(history, slot.seen);
-            slot.seen = history.entries.len();
+        if history.entries.len() != slot.checked_entries {
+            self.checker.check_state(history, slot.checked_entries);
+            slot.checked_entries = history.entries.len();
         }
     }
 
@@ -196,9 +199,9 @@
     pub(super) fn check_leases(&mut self) {
         let mut holders = Vec::new();
         // A machine whose clock is paused does nothing before it has learned of the clock jump.
-        let awake = |machine: &usize| self.machines[*machine].paused_at.is_none();
-        let awake: Vec<usize> = (0..self.machines.len()).filter(awake).collect();
-        for machine in awake.iter().copied() {
+        let unpaused = |machine: &usize| self.machines[*machine].paused_at.is_none();
+        let unpaused: Vec<usize> = (0..self.machines.len()).filter(unpaused).collect();
+        for machine in unpaused.iter().copied() {
             if let Some(Role::Primary { epoch, holds_lease: true }) = self.role(machine) {
                 let slot = &mut self.machines[machine];
                 holders.push((slot.name.clone(), epoch));
@@ -210,7 +213,7 @@
         }
         self.checker.check_holders(&holders);
         if self.options.checks_messages {
-            awake.into_iter().for_each(|machine| self.check_grants(machine));
+            unpaused.into_iter().for_each(|machine| self.check_grants(machine));
         }
     }
 
@@ -246,16 +249,16 @@
         }
     }
 
-    pub(super) fn local(&self, machine: usize) -> Duration {
+    pub(super) fn local_time(&self, machine: usize) -> Duration {
         let Machine { started_at, clock_rate, clock_lag, paused_at, .. } = self.machines[machine];
         let now = paused_at.unwrap_or(self.now);
         Duration::from_micros((now - started_at - clock_lag) * clock_rate)
     }
 
-    pub fn note(&mut self, machine: usize, what: &str) {
+    pub fn trace_event(&mut self, machine: usize, what: &str) {
         let name = &self.machines[machine].name;
         self.trace.push(format!("{:>7} {name} {what}", self.now));
-        if traces() {
+        if prints_trace() {
             eprintln!("{}", self.trace[self.trace.len() - 1]);
         }
     }
--- a/crates/replication/tests/replication/harness/network.rs
+++ b/crates/replication/tests/replication/harness/network.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeSet;
 
 /// The delay of the late copies of replies.
-const LATE_MS: std::ops::Range<u64> = 500..3000;
+const LATE_DELAY_MS: std::ops::Range<u64> = 500..3000;
 
 /// The delays of messages in milliseconds, and the rates of faults per thousand messages.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkOptions {
-    pub min_delay: u64,
-    pub max_delay: u64,
+    pub min_delay_ms: u64,
+    pub max_delay_ms: u64,
     /// Messages per thousand that are lost.
     pub lost: u32,
     /// Messages per thousand that arrive twice.
@@ -23,7 +23,7 @@
 
 impl Default for NetworkOptions {
     fn default() -> Self {
-        NetworkOptions { min_delay: 5, max_delay: 25, lost: 0, duplicated: 0, delayed: 0, late: 0 }
+        NetworkOptions { min_delay_ms: 5, max_delay_ms: 25, lost: 0, duplicated: 0, delayed: 0, late: 0 }
     }
 }
 
@@ -52,30 +52,30 @@
         self.partitions.clear();
     }
 
-    pub fn passes(&self, from: usize, to: usize) -> bool {
+    pub fn can_send(&self, from: usize, to: usize) -> bool {
         !self.partitions.contains(&(from, to))
     }
 
-    pub fn is_open(&self, one: usize, other: usize) -> bool {
-        self.passes(one, other) && self.passes(other, one)
+    pub fn can_exchange(&self, one: usize, other: usize) -> bool {
+        self.can_send(one, other) && self.can_send(other, one)
     }
 
     /// Returns the delay of the late copy of a reply in milliseconds; `None` if there is no such copy.
-    pub fn late_delivery(&self, from: usize, to: usize, random: &mut fastrand::Rng) -> Option<u64> {
+    pub fn late_copy_delay(&self, from: usize, to: usize, random: &mut fastrand::Rng) -> Option<u64> {
         let is_late = self.options.late > 0 && random.u32(0..1000) < self.options.late;
-        (is_late && self.passes(from, to)).then(|| random.u64(LATE_MS))
+        (is_late && self.can_send(from, to)).then(|| random.u64(LATE_DELAY_MS))
     }
 
     /// Returns the delay of each copy of a message in milliseconds; empty if the message is lost.
-    pub fn deliveries(&self, from: usize, to: usize, random: &mut fastrand::Rng) -> Vec<u64> {
+    pub fn delivery_delays(&self, from: usize, to: usize, random: &mut fastrand::Rng) -> Vec<u64> {
         let options = &self.options;
-        if !self.passes(from, to) || random.u32(0..1000) < options.lost {
+        if !self.can_send(from, to) || random.u32(0..1000) < options.lost {
             return Vec::new();
         }
         let copies = if random.u32(0..1000) < options.duplicated { 2 } else { 1 };
         let mut delay = || {
             let late = if random.u32(0..1000) < options.delayed { random.u64(0..1000) } else { 0 };
-            late + random.u64(options.min_delay..=options.max_delay)
+            late + random.u64(options.min_delay_ms..=options.max_delay_ms)
         };
         (0..copies).map(|_| delay()).collect()
     }
--- a/crates/replication/tests/replication/harness/quota.rs
+++ b/crates/replication/tests/replication/harness/quota.rs
@@ -8,15 +8,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Quota {
     /// The time for which the process may run in each period.
-    pub working_ms: u64,
+    pub runtime_ms: u64,
     pub offset_ms: u64,
 }
 
 impl Quota {
     /// Returns how long a process is throttled from the time `now` on, in milliseconds; 0 if it may run.
-    pub fn wait_at(self, now: u64) -> u64 {
+    pub fn throttled_for(self, now: u64) -> u64 {
         let phase = (now + PERIOD_MS - self.offset_ms % PERIOD_MS) % PERIOD_MS;
-        if phase < self.working_ms {
+        if phase < self.runtime_ms {
             0
         } else {
             PERIOD_MS - phase
--- a/crates/replication/tests/replication/harness/simulation.rs
+++ b/crates/replication/tests/replication/harness/simulation.rs
@@ -82,7 +82,7 @@
     pub id: NodeId,
     pub(super) bootstrap: Option<Vec<NodeId>>,
     pub disk: DiskImage,
-    pub mode: DiskMode,
+    pub disk_mode: DiskMode,
     pub replica: Option<Replica<CommandHistory>>,
     /// The number of processes that were started on this machine; identifies the current one.
     pub(super) process: u64,
@@ -99,7 +99,7 @@
     /// The connections of the process: the node at the other end, by machine.
     pub(super) connections: BTreeMap<usize, NodeId>,
     /// The number of entries of the state that were checked.
-    pub(super) seen: usize,
+    pub(super) checked_entries: usize,
     /// The number of acknowledged commands that the state was verified to hold.
     pub(super) verified_commands: usize,
     /// The number of reads that became due while the process was frozen.
@@ -171,7 +171,7 @@
     /// The command of each proposal; proposal number `n` is at index `n - 1`.
     pub(super) proposals: Vec<Command>,
     /// The number of each proposal, and the machine and the process that received it.
-    pub(super) proposed: Vec<(u64, usize, u64)>,
+    pub(super) received_proposals: Vec<(u64, usize, u64)>,
     /// The epoch and the time of the last lease that was granted, by witness and grantee.
     pub(super) grants: BTreeMap<(NodeId, NodeId), (u64, u64)>,
     /// The number of reads that were served.
@@ -186,9 +186,9 @@
 
 impl Simulation {
     pub fn new(options: SimulationOptions) -> Self {
-        if traces() {
+        if prints_trace() {
             // Only the first call in the process succeeds.
-            let _ = log::set_logger(&Printer).map(|()| log::set_max_level(log::LevelFilter::Info));
+            let _ = log::set_logger(&StderrLogger).map(|()| log::set_max_level(log::LevelFilter::Info));
         }
         let network = Network::new(options.network);
         Simulation {
@@ -199,7 +199,7 @@
             random: fastrand::Rng::with_seed(options.seed),
             commands: Vec::new(),
             proposals: Vec::new(),
-            proposed: Vec::new(),
+            received_proposals: Vec::new(),
             grants: BTreeMap::new(),
             reads: 0,
             lost: Vec::new(),
@@ -215,14 +215,14 @@
     }
 
     /// Runs until a condition holds, for at most `milliseconds`. Returns whether it holds.
-    pub fn run_until(&mut self, milliseconds: u64, holds: impl Fn(&Simulation) -> bool) -> bool {
+    pub fn run_until(&mut self, milliseconds: u64, condition: impl Fn(&Simulation) -> bool) -> bool {
         let end = self.now + milliseconds;
-        while !holds(self) {
+        while !condition(self) {
             match self.queue.peek() {
                 Some(Reverse((at, ..))) if *at <= end => {}
                 _ => {
                     self.now = end;
-                    return holds(self);
+                    return condition(self);
                 }
             }
             let Some(Reverse((at, _, scheduled))) = self.queue.pop() else { continue };
@@ -280,8 +280,8 @@
     /// starts again.
     pub(super) fn connect(&mut self, machine: usize, other: usize) {
         let id = self.machines[other].id;
-        let is_there = self.is_running(other) && self.network.is_open(machine, other);
-        if !is_there {
+        let is_reachable = self.is_running(other) && self.network.can_exchange(machine, other);
+        if !is_reachable {
             let process = self.machines[machine].process;
             if self.machines[other].replica.is_some() || self.machines[other].process == 0 {
                 self.schedule(CONNECT_MS * 2, ScheduledEvent::Connect { machine, process, other });
@@ -292,8 +292,8 @@
         if before == Some(id) {
             return;
         }
-        if let Some(gone) = before {
-            self.handle(machine, Event::Disconnected(gone));
+        if let Some(previous) = before {
+            self.handle(machine, Event::Disconnected(previous));
         }
         let locality = self.locality_of(other);
         self.handle(machine, Event::LocalityLearned { node: id, locality });
@@ -303,13 +303,13 @@
     fn write_done(&mut self, machine: usize, process: u64, ticket: u64) {
         let is_due = self.runs_process(machine, process)
             && self.machines[machine].write.as_ref().is_some_and(|(current, _)| *current == ticket)
-            && self.machines[machine].mode != DiskMode::Hangs;
+            && self.machines[machine].disk_mode != DiskMode::Hangs;
         if !is_due {
             return;
         }
         let slot = &mut self.machines[machine];
         let Some((_, write)) = slot.write.take() else { return };
-        let result = if slot.mode == DiskMode::Full {
+        let result = if slot.disk_mode == DiskMode::Full {
             Err(WriteFailed)
         } else {
             slot.disk.apply(write);
@@ -320,7 +320,7 @@
     }
 
     pub(super) fn handle(&mut self, machine: usize, event: Event) {
-        let now = self.local(machine);
+        let now = self.local_time(machine);
         if self.postpone(machine, &event) {
             return;
         }
@@ -333,7 +333,7 @@
         let mut actions = Vec::new();
         replica.handle(now, event, &mut actions);
         for action in actions {
-            self.act(machine, action);
+            self.perform_action(machine, action);
         }
         self.check_state(machine);
         self.check_leases();
@@ -342,7 +342,7 @@
     /// Postpones an event to the next quota period if the process is throttled. Returns whether it does.
     fn postpone(&mut self, machine: usize, event: &Event) -> bool {
         let slot = &mut self.machines[machine];
-        let wait = slot.quota.map_or(0, |quota| quota.wait_at(self.now));
+        let wait = slot.quota.map_or(0, |quota| quota.throttled_for(self.now));
         if wait == 0 || slot.replica.is_none() {
             return false;
         }
@@ -355,7 +355,7 @@
     }
 
     /// Carries out an action of a replica.
-    fn act(&mut self, machine: usize, action: Action) {
+    fn perform_action(&mut self, machine: usize, action: Action) {
         match action {
             Action::Send { to, body } => self.send(machine, to, body),
             Action::Store { ticket, write } => {
@@ -364,13 +364,13 @@
                 slot.write = Some((ticket, write));
                 slot.writes += 1;
                 let done = ScheduledEvent::WriteDone { machine, process: slot.process, ticket };
-                let slowness = if slot.mode == DiskMode::Slow { SLOW_DISK } else { 1 };
-                let delay = (DISK_MS + self.random.u64(0..4)) * slowness;
+                let factor = if slot.disk_mode == DiskMode::Slow { SLOW_DISK } else { 1 };
+                let delay = (DISK_MS + self.random.u64(0..4)) * factor;
                 self.schedule(delay, done);
             }
             Action::Committed { proposal } => {
                 let command = self.command_of(proposal);
-                self.note(machine, &format!("acknowledges command {command}"));
+                self.trace_event(machine, &format!("acknowledges command {command}"));
                 if let Some(replica) = &self.machines[machine].replica {
                     self.checker.acknowledge(proposal, command, replica.state());
                 }
@@ -378,7 +378,7 @@
             }
             Action::Rejected { proposal, reason } => {
                 let command = self.command_of(proposal);
-                self.note(machine, &format!("rejects command {command}: {reason:?}"));
+                self.trace_event(machine, &format!("rejects command {command}: {reason:?}"));
                 self.checker.reject(proposal, matches!(reason, RejectReason::NotPrimary { .. }));
             }
             Action::RoleChanged(role) => {
@@ -387,7 +387,7 @@
                     Role::Primary { epoch, .. } => elected_in.or(Some(epoch)),
                     _ => None,
                 };
-                self.note(machine, &format!("{role:?}"));
+                self.trace_event(machine, &format!("{role:?}"));
             }
             Action::Applied { .. } => {}
         }
@@ -407,11 +407,11 @@
         self.record_grant(from, to, &body);
         let is_answer = matches!(body, Body::Promise(_) | Body::LeaseGrant(_) | Body::Accepted(_));
         let late = match is_answer {
-            true => self.network.late_delivery(machine, target, &mut self.random),
+            true => self.network.late_copy_delay(machine, target, &mut self.random),
             false => None,
         };
-        let deliveries = self.network.deliveries(machine, target, &mut self.random);
-        for delay in deliveries.into_iter().chain(late) {
+        let delivery_delays = self.network.delivery_delays(machine, target, &mut self.random);
+        for delay in delivery_delays.into_iter().chain(late) {
             let body = body.clone();
             self.schedule(delay, ScheduledEvent::Deliver { to: target, id: to, from, body });
         }
@@ -424,14 +424,14 @@
 }
 
 /// Returns whether events are printed, which the environment variable `TRACE` enables.
-pub(super) fn traces() -> bool {
+pub(super) fn prints_trace() -> bool {
     std::env::var_os("TRACE").is_some()
 }
 
 /// Prints the log messages of the replicas to standard error.
-struct Printer;
+struct StderrLogger;
 
-impl log::Log for Printer {
+impl log::Log for StderrLogger {
     fn enabled(&self, _: &log::Metadata) -> bool {
         true
     }
--- a/crates/replication/tests/replication/harness/timeline.rs
+++ b/crates/replication/tests/replication/harness/timeline.rs
@@ -37,7 +37,7 @@
 const LEADER: &str = "*";
 
 /// Runs a timeline. `names` maps the names of columns to machines.
-pub fn play(simulation: &mut Simulation, names: &[(&str, usize)], text: &str) {
+pub fn run_timeline(simulation: &mut Simulation, names: &[(&str, usize)], text: &str) {
     let mut lines = text.lines().map(str::trim).filter(|line| !line.is_empty());
     let header: Vec<&str> = cells(lines.next().expect("the timeline has no header"));
     let machine_of = |name: &str| {
@@ -46,18 +46,18 @@
     };
     let machines: Vec<Option<usize>> =
         header[1..].iter().map(|name| (*name != LEADER).then(|| machine_of(name))).collect();
-    let begin = simulation.now;
-    let mut player = Player { simulation, machine_of: &machine_of, commands: BTreeMap::new() };
+    let started_at = simulation.now;
+    let mut runner = TimelineRunner { simulation, machine_of: &machine_of, commands: BTreeMap::new() };
     for line in lines {
         let row = cells(line);
         let time: u64 = row[0].parse().expect("the time of a row is not a number of milliseconds");
-        player.simulation.run_for((begin + time).saturating_sub(player.simulation.now));
+        runner.simulation.run_for((started_at + time).saturating_sub(runner.simulation.now));
         for (machine, cell) in machines.iter().zip(&row[1..]) {
             for word in cell.split_whitespace() {
-                let machine = machine.or_else(|| player.simulation.leader());
+                let machine = machine.or_else(|| runner.simulation.leader());
                 let machine =
-                    machine.unwrap_or_else(|| panic!("no machine leads in `{line}`\n{}", player.trace()));
-                player.play(machine, word, line);
+                    machine.unwrap_or_else(|| panic!("no machine leads in `{line}`\n{}", runner.trace()));
+                runner.run_entry(machine, word, line);
             }
         }
     }
@@ -67,15 +67,15 @@
     line.split('|').map(str::trim).collect()
 }
 
-struct Player<'a> {
+struct TimelineRunner<'a> {
     simulation: &'a mut Simulation,
     machine_of: &'a dyn Fn(&str) -> usize,
     /// The number that the simulation has given to each command of the timeline.
     commands: BTreeMap<u64, u64>,
 }
 
-impl Player<'_> {
-    fn play(&mut self, machine: usize, word: &str, line: &str) {
+impl TimelineRunner<'_> {
+    fn run_entry(&mut self, machine: usize, word: &str, line: &str) {
         let (verb, argument) = word.split_once(['=', ':']).unwrap_or((word, ""));
         if !self.perform(machine, verb, argument) {
             let holds = self.holds(machine, verb, argument);
--- a/crates/replication/tests/replication/injected_faults.rs
+++ b/crates/replication/tests/replication/injected_faults.rs
@@ -15,8 +15,8 @@
 fn first_failure(options: &SimulationOptions) -> Option<String> {
     (0..SCHEDULES).find_map(|seed| {
         let schedule = Schedule::from_seed(seed);
-        let play = AssertUnwindSafe(|| check(&schedule, 3, options.clone()));
-        let panic = catch_unwind(play).err()?;
+        let run = AssertUnwindSafe(|| check(&schedule, 3, options.clone()));
+        let panic = catch_unwind(run).err()?;
         let text = panic.downcast_ref::<String>().cloned();
         let message =
             text.unwrap_or_else(|| panic.downcast_ref::<&str>().copied().unwrap_or_default().into());
@@ -65,7 +65,7 @@
 /// C was down for so long that it receives a whole snapshot during an election, and its disk hangs before the
 /// snapshot is stored. B, which holds the state, starts only then. A view of P and C may be formed only once
 /// C has stored the snapshot.
-fn election_with_an_installation(seed: u64, faults: Faults) {
+fn election_with_an_install(seed: u64, faults: Faults) {
     let mut simulation = Simulation::first_start(SimulationOptions { seed, ..with_faults(faults) }, 3, 3);
     assert!(simulation.run_until(6000, |simulation| simulation.members().len() == 3));
     let primary = simulation.leader().expect("no primary");
@@ -87,16 +87,16 @@
 
 #[test]
 fn an_install_acknowledged_before_it_is_durable_is_detected() {
-    let broken = Faults { install_before_complete: true, ..Faults::default() };
-    let is_caught = |seed| {
-        let play = AssertUnwindSafe(|| election_with_an_installation(seed, broken));
-        let Err(panic) = catch_unwind(play) else { return false };
+    let faults = Faults { install_before_complete: true, ..Faults::default() };
+    let is_detected = |seed| {
+        let run = AssertUnwindSafe(|| election_with_an_install(seed, faults));
+        let Err(panic) = catch_unwind(run) else { return false };
         let message = panic.downcast_ref::<String>().cloned().unwrap_or_default();
         println!("seed {seed}: {message}");
         message.contains("lost") || message.contains("lacks")
     };
-    assert!((0..40).any(is_caught));
-    (0..40).for_each(|seed| election_with_an_installation(seed, Faults::default()));
+    assert!((0..40).any(is_detected));
+    (0..40).for_each(|seed| election_with_an_install(seed, Faults::default()));
 }
 
 #[test]
@@ -141,35 +141,37 @@
     let faults = Faults { answer_without_lease_check: true, ..Faults::default() };
     let message = first_failure_of_a_long_run(faults);
     assert!(message.is_some_and(|message| message.contains("a read response")));
-    let stands_still =
-        || StableCluster::with(with_faults(faults), ["P", "B", "C"]).play(operators::STANDS_STILL);
-    let panic = catch_unwind(stands_still).expect_err("a stale read response is not detected");
+    let freeze_during_read = || {
+        StableCluster::with(with_faults(faults), ["P", "B", "C"]).run_timeline(operators::FREEZE_DURING_READ)
+    };
+    let panic = catch_unwind(freeze_during_read).expect_err("a stale read response is not detected");
     let message = panic.downcast_ref::<String>().cloned().unwrap_or_default();
     assert!(message.contains("a read response lacks the acknowledged command"), "{message}");
 }
 
 /// Returns the message of the first long run that violates a safety invariant, or that sends a message before
 /// its requirement is durable, or that holds a lease without enough grants; `None` if there is none.
-fn first_broken_rule(faults: Faults) -> Option<String> {
+fn first_violation(faults: Faults) -> Option<String> {
     let options = SimulationOptions { faults, ..SimulationOptions::default() };
     (0..RUNS).find_map(|seed| {
         let message = seeded::failure(seed, STEPS, &options)?;
         println!("run {seed}: {message}");
-        let breaks_rule =
+        let violates_rule =
             ["before its requirement is durable", "holds a lease"].iter().any(|rule| message.contains(rule));
-        (breaks_rule || is_about_safety(&message)).then_some(message)
+        (violates_rule || is_about_safety(&message)).then_some(message)
     })
 }
 
 #[test]
 fn a_witness_that_forgets_its_lease_in_a_restart_is_detected() {
     let faults = Faults { forget_lease_at_restart: true, ..Faults::default() };
-    assert!(first_broken_rule(faults).is_some());
+    assert!(first_violation(faults).is_some());
 }
 
 #[test]
 fn a_claim_used_before_it_is_durable_is_detected() {
     let faults = Faults { prepare_before_claim: true, ..Faults::default() };
-    assert!(first_broken_rule(faults)
-        .is_some_and(|message| message.contains("before its requirement is durable")));
+    assert!(
+        first_violation(faults).is_some_and(|message| message.contains("before its requirement is durable"))
+    );
 }
--- a/crates/replication/tests/replication/model/cluster.rs
+++ b/crates/replication/tests/replication/model/cluster.rs
@@ -65,17 +65,17 @@
     pub accepted_on: BTreeMap<u64, u64>,
     /// The epochs of the views that were activated.
     pub activated_epochs: BTreeSet<u64>,
-    pub faulty: Faults,
+    pub injected_faults: Faults,
     compact_entries: usize,
     /// A description of the invariant that a step violated; `None` if there is none.
-    pub broken: Option<String>,
+    pub violated_invariant: Option<String>,
 }
 
 impl Cluster {
     fn key(&self) -> impl Hash + PartialEq + '_ {
         let nodes: Vec<_> = self.nodes.iter().map(|node| (node.fingerprint, node.crash)).collect();
         let outcomes = (&self.acknowledged, &self.rejected);
-        (self.now, nodes, &self.links, self.faults, &self.proposals, outcomes, &self.broken)
+        (self.now, nodes, &self.links, self.faults, &self.proposals, outcomes, &self.violated_invariant)
     }
 }
 
@@ -97,7 +97,7 @@
         for node in &self.nodes {
             write!(formatter, " | {:?} {:?}", node.replica.role(self.time()), node.disk)?;
         }
-        write!(formatter, " | {:?}", self.broken)
+        write!(formatter, " | {:?}", self.violated_invariant)
     }
 }
 
@@ -120,7 +120,7 @@
 impl Cluster {
     /// Creates `count` nodes that start for the first time. A log is compacted once it has more than
     /// `compact_entries`.
-    pub fn new(count: usize, faulty: Faults, compact_entries: usize) -> Self {
+    pub fn new(count: usize, injected_faults: Faults, compact_entries: usize) -> Self {
         let ids: Vec<NodeId> = (0..count).map(|node| NodeId::new(address(node), 0)).collect();
         let mut cluster = Cluster {
             now: 0,
@@ -134,9 +134,9 @@
             rejected: BTreeSet::new(),
             accepted_on: BTreeMap::new(),
             activated_epochs: BTreeSet::new(),
-            faulty,
+            injected_faults,
             compact_entries,
-            broken: None,
+            violated_invariant: None,
         };
         for id in &ids {
             let seeds = ids[..SEEDS].to_vec();
@@ -153,7 +153,7 @@
             me: id,
             bootstrap,
             seed: u64::from(id.ip),
-            faults: self.faulty,
+            faults: self.injected_faults,
             fault_tolerance: FaultTolerance { machines: TOLERATED, zones: 0, regions: 0 },
             compact_entries: self.compact_entries,
             ..Options::default()
@@ -197,7 +197,7 @@
                     self.crash(node, action);
                     return;
                 }
-                events.extend(self.act(node, action));
+                events.extend(self.perform_action(node, action));
             }
         }
         self.nodes[node].update_fingerprint();
@@ -205,7 +205,7 @@
 
     /// Carries out an action of a replica. A write is durable at once. Returns the event that results, if
     /// any.
-    fn act(&mut self, node: usize, action: Action) -> Option<Event> {
+    fn perform_action(&mut self, node: usize, action: Action) -> Option<Event> {
         match action {
             Action::Send { to, body } => {
                 if let Some(target) = self.nodes.iter().position(|other| other.id == to) {
@@ -333,31 +333,31 @@
     }
 
     /// Returns the first link with a message in flight.
-    pub fn pending(&self) -> Option<Link> {
+    pub fn first_pending_link(&self) -> Option<Link> {
         self.links.iter().find(|(_, link)| !link.is_empty()).map(|(link, _)| *link)
     }
 
     /// Runs without faults until a condition holds. The nodes in `frozen` receive no events. Returns the
     /// state after each step.
-    pub fn run(&mut self, frozen: &[usize], holds: impl Fn(&Cluster) -> bool) -> Vec<Cluster> {
-        let mut passed = Vec::new();
+    pub fn run(&mut self, frozen: &[usize], condition: impl Fn(&Cluster) -> bool) -> Vec<Cluster> {
+        let mut states = Vec::new();
         let limit = self.now + 10_000;
-        while !holds(self) {
+        while !condition(self) {
             assert!(self.now < limit, "the condition does not hold within 10 s: {self:?}");
-            let is_awake = |link: &Link| !frozen.contains(&link.0) && !frozen.contains(&link.1);
-            let next = self.links.iter().find(|(link, queue)| is_awake(link) && !queue.is_empty());
+            let is_active = |link: &Link| !frozen.contains(&link.0) && !frozen.contains(&link.1);
+            let next = self.links.iter().find(|(link, queue)| is_active(link) && !queue.is_empty());
             if let Some(link) = next.map(|(link, _)| *link) {
                 self.perform(Step::Deliver(link));
-                passed.push(self.clone());
+                states.push(self.clone());
                 continue;
             }
             self.now += TICK_MS;
             for node in self.present().into_iter().filter(|node| !frozen.contains(node)) {
                 self.perform(Step::Tick(node));
             }
-            passed.push(self.clone());
+            states.push(self.clone());
         }
-        passed
+        states
     }
 }
 
--- a/crates/replication/tests/replication/model/inspect.rs
+++ b/crates/replication/tests/replication/model/inspect.rs
@@ -6,7 +6,9 @@
 
 use super::cluster::{Cluster, Node, TOLERATED};
 use crate::harness::disk::DiskImage;
-use crate::harness::durability::{has_enough_witnesses, includes, newest_views, violation, Survivor};
+use crate::harness::durability::{
+    has_enough_witnesses, includes, possibly_newest_views, violation, Survivor,
+};
 
 impl Cluster {
     pub fn leaders(&self) -> Vec<usize> {
@@ -19,16 +21,16 @@
     /// Returns the number of redirects that a client follows from a node until it reaches one that names no
     /// primary, or itself. Returns `None` if the redirects form a loop.
     pub fn redirects_from(&self, node: usize) -> Option<usize> {
-        let mut passed = vec![node];
+        let mut path = vec![node];
         loop {
-            let last = passed[passed.len() - 1];
+            let last = path[path.len() - 1];
             let hint = self.nodes[last].replica.primary_hint(self.time());
             let next =
                 hint.and_then(|hint| self.present().into_iter().find(|node| self.nodes[*node].id == hint));
             match next.filter(|next| *next != last) {
-                None => return Some(passed.len() - 1),
-                Some(next) if passed.contains(&next) => return None,
-                Some(next) => passed.push(next),
+                None => return Some(path.len() - 1),
+                Some(next) if path.contains(&next) => return None,
+                Some(next) => path.push(next),
             }
         }
     }
@@ -39,7 +41,7 @@
         let command = self.proposals[proposal as usize - 1];
         let state = self.nodes[node].replica.state();
         if state.find(command).is_none() {
-            self.broken = Some(format!("command {command} is acknowledged but not applied"));
+            self.violated_invariant = Some(format!("command {command} is acknowledged but not applied"));
             return;
         }
         let known =
@@ -47,17 +49,18 @@
         let Some(accepted) = state.find_accepted(command).copied() else {
             self.rejected.insert(command);
             if known.is_some() {
-                self.broken =
+                self.violated_invariant =
                     Some(format!("command {command} was accepted, and is rejected when it is sent again"));
             }
             return;
         };
         if self.rejected.contains(&command) || known.is_some_and(|position| position != accepted.position) {
-            self.broken = Some(format!("command {command} takes effect twice, or after it was rejected"));
+            self.violated_invariant =
+                Some(format!("command {command} takes effect twice, or after it was rejected"));
         }
         let base = accepted.accepted_on.unwrap_or_default();
         if *self.accepted_on.entry(base).or_insert(command) != command {
-            self.broken = Some(format!("two commands on base {base} are acknowledged"));
+            self.violated_invariant = Some(format!("two commands on base {base} are acknowledged"));
         }
         if known.is_none() {
             self.acknowledged.push((accepted.position, command));
@@ -75,10 +78,10 @@
             .collect();
         let positions: Vec<Position> = self.acknowledged.iter().map(|(position, _)| *position).collect();
         let on_disk = || violation(&survivors, &positions, TOLERATED);
-        self.broken.clone().or_else(on_disk).or_else(|| self.outdated_answer())
+        self.violated_invariant.clone().or_else(on_disk).or_else(|| self.stale_read())
     }
 
-    fn outdated_answer(&self) -> Option<String> {
+    fn stale_read(&self) -> Option<String> {
         let may_answer = |node: &&Node| !node.is_removed && node.replica.can_answer(self.time());
         self.nodes.iter().filter(may_answer).find_map(|node| {
             let state = node.replica.state();
@@ -92,7 +95,7 @@
     /// that may be the newest names it.
     pub fn tolerates_loss(&self) -> bool {
         let disks: Vec<&DiskImage> = self.present().iter().map(|node| &self.nodes[*node].disk).collect();
-        let newest = newest_views(&disks, self.lost.len());
+        let newest = possibly_newest_views(&disks, self.lost.len());
         let is_included = |node: &&NodeId| newest.iter().any(|view| includes(view, **node));
         let lost = self.lost.iter().filter(is_included).count() + 1;
         lost <= TOLERATED && newest.iter().all(|view| has_enough_witnesses(view, TOLERATED))
--- a/crates/replication/tests/replication/model/late_messages.rs
+++ b/crates/replication/tests/replication/model/late_messages.rs
@@ -88,7 +88,7 @@
 fn holders_after_a_contested_request(faults: Faults, delay_ms: u64) -> Option<Vec<usize>> {
     let mut cluster = stable_cluster(3, faults, COMPACT_LATE);
     let former = cluster.leaders()[0];
-    let [gone, third] = others(former);
+    let [dropped, third] = others(former);
     let epoch = cluster.nodes[former].replica.view().expect("no view").epoch;
     let answer = LeaseGrant {
         epoch,
@@ -109,13 +109,13 @@
         .any(|prepared| prepared > epoch)
     };
     while !is_preparing(&cluster) {
-        cluster.links.retain(|(from, to), _| *from != gone && *to != gone);
+        cluster.links.retain(|(from, to), _| *from != dropped && *to != dropped);
         exchange(&mut cluster, former, third);
         cluster.now += SHORT_TICK_MS;
         cluster.perform(Step::Tick(former));
     }
     let former_id = cluster.nodes[former].id;
-    for other in [gone, third] {
+    for other in [dropped, third] {
         cluster.handle(other, Event::Disconnected(former_id));
     }
     let is_replaced = |cluster: &Cluster| cluster.leaders().iter().any(|leader| *leader != former);
@@ -123,12 +123,12 @@
     while !is_replaced(&cluster) {
         cluster.links.retain(|(from, to), _| *from != former && *to != former);
         cluster.now += SHORT_TICK_MS;
-        for node in [gone, third, former] {
-            if node != gone || cluster.now >= campaigns_at {
+        for node in [dropped, third, former] {
+            if node != dropped || cluster.now >= campaigns_at {
                 cluster.perform(Step::Tick(node));
             }
         }
-        exchange(&mut cluster, gone, third);
+        exchange(&mut cluster, dropped, third);
     }
     if !leads(&cluster, former) {
         return None;
@@ -151,13 +151,13 @@
 
 #[test]
 fn no_lease_is_granted_in_a_prepared_epoch_while_another_lease_is_valid() {
-    let counts = |faults: Faults| -> Vec<usize> {
+    let count_holders = |faults: Faults| -> Vec<usize> {
         let holders =
             (0..14).filter_map(|step| holders_after_a_contested_request(faults, step * 3 * SHORT_TICK_MS));
         holders.map(|holders| holders.len()).collect()
     };
-    let without_fault = counts(Faults::default());
+    let without_fault = count_holders(Faults::default());
     assert!(without_fault.len() > 5 && without_fault.iter().all(|count| *count <= 1), "{without_fault:?}");
     let faults = Faults { grant_under_lease: true, ..Faults::default() };
-    assert!(counts(faults).contains(&2), "the injected fault is not detected");
+    assert!(count_holders(faults).contains(&2), "the injected fault is not detected");
 }
--- a/crates/replication/tests/replication/model/mod.rs
+++ b/crates/replication/tests/replication/model/mod.rs
@@ -23,7 +23,7 @@
 use cluster::{Cluster, Crash, Step};
 
 /// The maximum number of faults in a path: restarts, wipes, lost messages, time jumps, crashes in writes.
-const FAULTS: u8 = 2;
+const MAX_FAULTS: u8 = 2;
 const THREADS: usize = 3;
 /// The number of entries above which the log is compacted: more than a test ever has.
 const COMPACT_LATE: usize = 256;
@@ -37,7 +37,7 @@
 
 /// Steps in addition to messages, ticks, commands, restarts, time jumps, lost messages and lost disks.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Extra {
+enum ExtraSteps {
     Nothing,
     /// Processes crash in a write.
     CrashInWrite,
@@ -48,7 +48,7 @@
 /// The model: all sequences of steps from the initial states.
 struct ClusterModel {
     initial_states: Vec<Cluster>,
-    extra: Extra,
+    extra_steps: ExtraSteps,
 }
 
 impl Model for ClusterModel {
@@ -68,16 +68,16 @@
         }
         steps.extend(present.iter().copied().map(Step::Tick));
         steps.extend(state.leaders().into_iter().map(Step::Propose));
-        if self.extra == Extra::Resend && state.proposal_count() < MAX_PROPOSALS {
+        if self.extra_steps == ExtraSteps::Resend && state.proposal_count() < MAX_PROPOSALS {
             steps.extend(state.leaders().into_iter().map(Step::Resend));
         }
-        if state.faults >= FAULTS {
+        if state.faults >= MAX_FAULTS {
             return;
         }
         steps.push(Step::AdvanceTime);
         steps.extend(present.iter().copied().map(Step::Restart));
-        steps.extend(state.pending().map(Step::Lose));
-        if self.extra == Extra::CrashInWrite {
+        steps.extend(state.first_pending_link().map(Step::Lose));
+        if self.extra_steps == ExtraSteps::CrashInWrite {
             let crashes = [Crash::Before, Crash::After];
             steps.extend(
                 present.iter().flat_map(|node| crashes.map(|crash| Step::CrashInWrite(*node, crash))),
@@ -118,7 +118,7 @@
     cluster.run(&[], Cluster::is_complete);
     let leader = cluster.leaders()[0];
     cluster.perform(Step::Propose(leader));
-    cluster.run(&[], |cluster| cluster.acknowledged.len() == 1 && cluster.pending().is_none());
+    cluster.run(&[], |cluster| cluster.acknowledged.len() == 1 && cluster.first_pending_link().is_none());
     cluster
 }
 
@@ -140,14 +140,18 @@
 }
 
 /// Explores all paths of `depth` states, or of `MODEL_DEPTH` states if that is set.
-fn explore(mut initial_states: Vec<Cluster>, extra: Extra, depth: usize) -> impl Checker<ClusterModel> {
+fn explore(
+    mut initial_states: Vec<Cluster>,
+    extra_steps: ExtraSteps,
+    depth: usize,
+) -> impl Checker<ClusterModel> {
     for state in &mut initial_states {
         state.activated_epochs.clear();
         state.faults = 0;
     }
     let count = initial_states.len();
     let depth = requested_depth().unwrap_or(depth);
-    let checker = ClusterModel { initial_states, extra }
+    let checker = ClusterModel { initial_states, extra_steps }
         .checker()
         .threads(THREADS)
         .target_max_depth(depth)
@@ -163,7 +167,7 @@
     let frozen = cluster.leaders()[0];
     let is_replaced = |cluster: &Cluster| cluster.leaders().iter().any(|leader| *leader != frozen);
     let initial_states = cluster.run(&[frozen], is_replaced);
-    explore(sample(initial_states, 2), Extra::Nothing, 5).assert_properties();
+    explore(sample(initial_states, 2), ExtraSteps::Nothing, 5).assert_properties();
 }
 
 #[test]
@@ -172,7 +176,7 @@
     let frozen = cluster.leaders()[0];
     let is_replaced = |cluster: &Cluster| cluster.leaders().iter().any(|leader| *leader != frozen);
     let initial_states = cluster.run(&[frozen], is_replaced);
-    explore(sample_changes(initial_states, 2), Extra::Nothing, 4).assert_properties();
+    explore(sample_changes(initial_states, 2), ExtraSteps::Nothing, 4).assert_properties();
 }
 
 #[test]
@@ -182,7 +186,7 @@
     cluster.perform(Step::Wipe((leader + 1) % 3));
     let mut initial_states = sample(cluster.run(&[], |cluster| cluster.members() == 3), 2);
     initial_states.extend(sample_changes(cluster.run(&[], Cluster::is_complete), 2));
-    explore(initial_states, Extra::Nothing, 5).assert_properties();
+    explore(initial_states, ExtraSteps::Nothing, 5).assert_properties();
 }
 
 #[test]
@@ -191,7 +195,7 @@
     let leader = cluster.leaders()[0];
     cluster.replace((leader + 1) % 3);
     let initial_states = cluster.run(&[], Cluster::is_complete);
-    explore(sample_changes(initial_states, 2), Extra::Nothing, 5).assert_properties();
+    explore(sample_changes(initial_states, 2), ExtraSteps::Nothing, 5).assert_properties();
 }
 
 #[test]
@@ -200,7 +204,7 @@
     let leader = cluster.leaders()[0];
     cluster.remove((leader + 1) % 4);
     let initial_states = cluster.run(&[], Cluster::is_complete);
-    explore(sample_changes(initial_states, 2), Extra::Nothing, 5).assert_properties();
+    explore(sample_changes(initial_states, 2), ExtraSteps::Nothing, 5).assert_properties();
 }
 
 #[test]
@@ -209,7 +213,7 @@
     let leader = cluster.leaders()[0];
     cluster.perform(Step::Wipe((leader + 1) % 3));
     let initial_states = cluster.run(&[], Cluster::is_complete);
-    explore(sample_changes(initial_states, 2), Extra::CrashInWrite, 5).assert_properties();
+    explore(sample_changes(initial_states, 2), ExtraSteps::CrashInWrite, 5).assert_properties();
 }
 
 #[test]
@@ -220,7 +224,7 @@
     let mut initial_states = cluster.run(&[], |cluster| cluster.acknowledged.len() == 2);
     let is_replaced = |cluster: &Cluster| cluster.leaders().iter().any(|leader| *leader != frozen);
     initial_states.extend(cluster.run(&[frozen], is_replaced));
-    explore(sample(initial_states, 1), Extra::Resend, 5).assert_properties();
+    explore(sample(initial_states, 1), ExtraSteps::Resend, 5).assert_properties();
 }
 
 /// Returns the states during a replacement with the injected `faults`.
@@ -234,7 +238,7 @@
 #[test]
 fn a_learner_that_becomes_a_member_too_early_is_detected() {
     let faults = Faults { count_learner_early: true, ..Faults::default() };
-    let found = explore(replacement(faults), Extra::Nothing, 4).discoveries();
+    let found = explore(replacement(faults), ExtraSteps::Nothing, 4).discoveries();
     assert!(found.contains_key(NOTHING_LOST));
 }
 
@@ -255,6 +259,6 @@
 fn an_acknowledgement_by_a_majority_of_the_members_is_detected() {
     let faults = Faults { acknowledge_by_majority: true, ..Faults::default() };
     let initial_states = vec![stable_cluster(3, faults, COMPACT_LATE)];
-    let found = explore(initial_states, Extra::Nothing, 5).discoveries();
+    let found = explore(initial_states, ExtraSteps::Nothing, 5).discoveries();
     assert!(found.contains_key(NOTHING_LOST));
 }
--- a/crates/replication/tests/replication/operations.rs
+++ b/crates/replication/tests/replication/operations.rs
@@ -4,7 +4,7 @@
 use crate::harness::{DiskMode, Simulation};
 
 /// The maximum number of machines in a run, including those that were removed.
-const MACHINES: usize = 60;
+const MAX_MACHINES: usize = 60;
 /// The time that a machine has to shut down.
 const SHUTDOWN_MS: u64 = 1500;
 /// The maximum downtime of a process that is restarted at once.
@@ -157,7 +157,7 @@
 }
 
 fn may_replace(simulation: &Simulation, machine: usize) -> bool {
-    simulation.machines.len() < MACHINES && simulation.tolerates_loss_of(machine)
+    simulation.machines.len() < MAX_MACHINES && simulation.tolerates_loss_of(machine)
 }
 
 fn replace(simulation: &mut Simulation, machine: usize) {
--- a/crates/replication/tests/replication/random.rs
+++ b/crates/replication/tests/replication/random.rs
@@ -65,9 +65,9 @@
 
 impl Step {
     fn random(random: &mut fastrand::Rng) -> Self {
-        let longest = [20, 150, 400, 400, 1000, 2500][random.usize(0..6)];
+        let max_pause = [20, 150, 400, 400, 1000, 2500][random.usize(0..6)];
         Step {
-            pause: random.u64(0..longest),
+            pause: random.u64(0..max_pause),
             operation: OPERATIONS[random.usize(0..OPERATIONS.len())],
             machine: random.usize(0..60),
         }
@@ -104,7 +104,7 @@
 
 fn run(schedule: &Schedule, count: usize, options: SimulationOptions) -> Simulation {
     let network = if schedule.lossy {
-        NetworkOptions { min_delay: 1, max_delay: 60, lost: 20, duplicated: 30, delayed: 20, late: 30 }
+        NetworkOptions { min_delay_ms: 1, max_delay_ms: 60, lost: 20, duplicated: 30, delayed: 20, late: 30 }
     } else {
         NetworkOptions::default()
     };
--- a/crates/replication/tests/replication/reads.rs
+++ b/crates/replication/tests/replication/reads.rs
@@ -12,10 +12,10 @@
 const SCHEDULES: u64 = 150;
 const STEPS: usize = 60;
 /// The maximum time from the preparation of a response until it is written, while the process runs.
-const LONGEST_WAIT_MS: u64 = 30;
+const MAX_WRITE_DELAY_MS: u64 = 30;
 
 /// The start of the message if a response lacks an acknowledged command.
-const PAST: &str = "a stale read response";
+const STALE_RESPONSE: &str = "a stale read response";
 
 /// The operation of a step.
 #[derive(Clone, Copy)]
@@ -64,9 +64,9 @@
 ];
 
 /// A prepared response that is not written yet.
-struct Waiting {
+struct PendingResponse {
     machine: usize,
-    incarnation: u64,
+    process: u64,
     due: u64,
     /// The end of the lease by the machine's own clock.
     valid_until: Duration,
@@ -77,52 +77,58 @@
 /// The counters of a run.
 #[derive(Default, Debug, Clone, Copy)]
 struct Counts {
-    decided: usize,
+    prepared: usize,
     written: usize,
-    too_late: usize,
+    expired: usize,
     /// The number of checks of the redirects from a machine.
-    looks: usize,
+    redirect_checks: usize,
     /// The maximum number of machines that a client visits.
-    longest_way: usize,
+    longest_path: usize,
 }
 
-struct Callers {
+struct ReadRun {
     simulation: Simulation,
     random: fastrand::Rng,
     /// Whether a response is written only if the lease has not ended by then.
-    checks_clock: bool,
-    waiting: Vec<Waiting>,
+    checks_lease_end: bool,
+    pending: Vec<PendingResponse>,
     proposers: BTreeMap<u64, usize>,
     counts: Counts,
 }
 
-impl Callers {
-    fn new(seed: u64, count: usize, checks_clock: bool) -> Self {
-        let lossy =
-            NetworkOptions { min_delay: 1, max_delay: 60, lost: 20, duplicated: 30, delayed: 20, late: 0 };
+impl ReadRun {
+    fn new(seed: u64, count: usize, checks_lease_end: bool) -> Self {
+        let lossy = NetworkOptions {
+            min_delay_ms: 1,
+            max_delay_ms: 60,
+            lost: 20,
+            duplicated: 30,
+            delayed: 20,
+            late: 0,
+        };
         let network = if seed.is_multiple_of(2) { NetworkOptions::default() } else { lossy };
         let options =
             SimulationOptions { seed, tolerated: count / 2, network, ..SimulationOptions::default() };
         let mut simulation = Simulation::first_start(options, count, 3);
         simulation.run_for(3000);
-        Callers {
+        ReadRun {
             simulation,
             random: fastrand::Rng::with_seed(seed),
-            checks_clock,
-            waiting: Vec::new(),
+            checks_lease_end,
+            pending: Vec::new(),
             proposers: BTreeMap::new(),
             counts: Counts::default(),
         }
     }
 
-    fn play(mut self) -> Counts {
+    fn run(mut self) -> Counts {
         for _ in 0..STEPS {
-            let longest = [20, 150, 400, 1000, 2500][self.random.usize(0..5)];
-            let pause = self.random.u64(0..longest);
+            let max_pause = [20, 150, 400, 1000, 2500][self.random.usize(0..5)];
+            let pause = self.random.u64(0..max_pause);
             self.run_for(pause);
             let operation = OPERATIONS[self.random.usize(0..OPERATIONS.len())];
             let machine = self.random.usize(0..self.simulation.machines.len());
-            self.act(operation, machine);
+            self.perform(operation, machine);
         }
         self.counts
     }
@@ -134,11 +140,11 @@
             let step = self.random.u64(1..20).min(end - self.simulation.now);
             self.simulation.run_for(step);
             self.check_redirects();
-            self.write_due();
+            self.write_due_responses();
         }
     }
 
-    fn act(&mut self, operation: Operation, machine: usize) {
+    fn perform(&mut self, operation: Operation, machine: usize) {
         let simulation = &mut self.simulation;
         let runs = simulation.is_running(machine);
         match operation {
@@ -148,10 +154,12 @@
                     self.proposers.insert(command, leader);
                 }
             }
-            Operation::Read => (0..simulation.machines.len()).for_each(|machine| self.decide(machine)),
+            Operation::Read => {
+                (0..simulation.machines.len()).for_each(|machine| self.prepare_response(machine))
+            }
             Operation::ReadAndFreeze => {
                 let machine = simulation.leader().unwrap_or(machine);
-                self.decide(machine);
+                self.prepare_response(machine);
                 if self.simulation.is_running(machine) {
                     self.simulation.freeze(machine);
                 }
@@ -182,12 +190,12 @@
         }
     }
 
-    fn isolate(&mut self, machine: usize, hears_nothing: bool, is_not_heard: bool) {
+    fn isolate(&mut self, machine: usize, inbound: bool, outbound: bool) {
         for other in (0..self.simulation.machines.len()).filter(|other| *other != machine) {
-            if hears_nothing {
+            if inbound {
                 self.simulation.network.partition(other, machine);
             }
-            if is_not_heard {
+            if outbound {
                 self.simulation.network.partition(machine, other);
             }
         }
@@ -195,7 +203,7 @@
     }
 
     /// Prepares the response to a read on a machine, if that holds its lease.
-    fn decide(&mut self, machine: usize) {
+    fn prepare_response(&mut self, machine: usize) {
         if self.simulation.machines[machine].frozen {
             return;
         }
@@ -205,52 +213,52 @@
         let Some(valid_until) = replica.lease_until(now) else { return };
         let history = replica.state();
         let accepted = history.entries.iter().filter(|applied| applied.accepted_on.is_some());
-        let waiting = Waiting {
+        let pending = PendingResponse {
             machine,
-            incarnation: self.simulation.process(machine),
-            due: self.simulation.now + self.random.u64(0..LONGEST_WAIT_MS),
+            process: self.simulation.process(machine),
+            due: self.simulation.now + self.random.u64(0..MAX_WRITE_DELAY_MS),
             valid_until,
             accepted: accepted.map(|applied| applied.command).collect(),
         };
-        self.counts.decided += 1;
-        self.waiting.push(waiting);
+        self.counts.prepared += 1;
+        self.pending.push(pending);
     }
 
     /// Resumes a process. Its threads that write responses may run before its main thread.
     fn resume(&mut self, machine: usize) {
         if self.simulation.is_running(machine) && self.simulation.machines[machine].frozen {
             self.simulation.machines[machine].frozen = false;
-            self.write_due();
+            self.write_due_responses();
             self.simulation.resume(machine);
         }
     }
 
-    fn write_due(&mut self) {
-        let waiting = std::mem::take(&mut self.waiting);
-        for answer in waiting {
-            let runs = self.simulation.is_running(answer.machine);
-            if !runs || self.simulation.process(answer.machine) != answer.incarnation {
+    fn write_due_responses(&mut self) {
+        let pending = std::mem::take(&mut self.pending);
+        for response in pending {
+            let runs = self.simulation.is_running(response.machine);
+            if !runs || self.simulation.process(response.machine) != response.process {
                 continue;
             }
-            if self.simulation.machines[answer.machine].frozen || answer.due > self.simulation.now {
-                self.waiting.push(answer);
+            if self.simulation.machines[response.machine].frozen || response.due > self.simulation.now {
+                self.pending.push(response);
             } else {
-                self.write(&answer);
+                self.write_response(&response);
             }
         }
     }
 
-    fn write(&mut self, answer: &Waiting) {
-        if self.checks_clock && self.simulation.clock(answer.machine) >= answer.valid_until {
-            self.counts.too_late += 1;
+    fn write_response(&mut self, response: &PendingResponse) {
+        if self.checks_lease_end && self.simulation.clock(response.machine) >= response.valid_until {
+            self.counts.expired += 1;
             return;
         }
         self.counts.written += 1;
         for command in &self.simulation.checker.acknowledged {
-            let own = self.proposers.get(command) == Some(&answer.machine);
+            let is_own = self.proposers.get(command) == Some(&response.machine);
             assert!(
-                own || answer.accepted.contains(command),
-                "{PAST} lacks command {command}\n{}",
+                is_own || response.accepted.contains(command),
+                "{STALE_RESPONSE} lacks command {command}\n{}",
                 self.simulation.trace.join("\n")
             );
         }
@@ -258,27 +266,27 @@
 
     fn check_redirects(&mut self) {
         for machine in 0..self.simulation.machines.len() {
-            let way = self.simulation.redirects(machine);
-            let last = way[way.len() - 1];
-            assert!(!way[..way.len() - 1].contains(&last), "the redirects form a loop: {way:?}");
-            self.counts.looks += 1;
-            self.counts.longest_way = self.counts.longest_way.max(way.len());
+            let path = self.simulation.redirect_path(machine);
+            let last = path[path.len() - 1];
+            assert!(!path[..path.len() - 1].contains(&last), "the redirects form a loop: {path:?}");
+            self.counts.redirect_checks += 1;
+            self.counts.longest_path = self.counts.longest_path.max(path.len());
         }
     }
 }
 
-fn play(seed: u64, count: usize, checks_clock: bool) -> Counts {
-    Callers::new(seed, count, checks_clock).play()
+fn run_schedule(seed: u64, count: usize, checks_lease_end: bool) -> Counts {
+    ReadRun::new(seed, count, checks_lease_end).run()
 }
 
-fn play_all(count: usize) -> Counts {
-    let runs = (0..SCHEDULES).map(|seed| play(seed, count, true));
+fn run_schedules(count: usize) -> Counts {
+    let runs = (0..SCHEDULES).map(|seed| run_schedule(seed, count, true));
     let sum = runs.fold(Counts::default(), |sum, run| Counts {
-        decided: sum.decided + run.decided,
+        prepared: sum.prepared + run.prepared,
         written: sum.written + run.written,
-        too_late: sum.too_late + run.too_late,
-        looks: sum.looks + run.looks,
-        longest_way: sum.longest_way.max(run.longest_way),
+        expired: sum.expired + run.expired,
+        redirect_checks: sum.redirect_checks + run.redirect_checks,
+        longest_path: sum.longest_path.max(run.longest_path),
     });
     println!("{count} machines, {SCHEDULES} schedules of {STEPS} steps: {sum:?}");
     sum
@@ -286,21 +294,21 @@
 
 #[test]
 fn reads_from_three_machines_are_never_stale() {
-    let sum = play_all(3);
-    assert!(sum.written > 0 && sum.too_late > 0, "{sum:?}");
+    let sum = run_schedules(3);
+    assert!(sum.written > 0 && sum.expired > 0, "{sum:?}");
 }
 
 #[test]
 fn reads_from_five_machines_are_never_stale() {
-    let sum = play_all(5);
-    assert!(sum.written > 0 && sum.too_late > 0, "{sum:?}");
+    let sum = run_schedules(5);
+    assert!(sum.written > 0 && sum.expired > 0, "{sum:?}");
 }
 
 #[test]
 fn a_response_written_without_a_lease_check_is_detected() {
-    let is_caught = |seed| {
-        let Err(panic) = std::panic::catch_unwind(|| play(seed, 3, false)) else { return false };
-        panic.downcast_ref::<String>().is_some_and(|message| message.starts_with(PAST))
+    let is_detected = |seed| {
+        let Err(panic) = std::panic::catch_unwind(|| run_schedule(seed, 3, false)) else { return false };
+        panic.downcast_ref::<String>().is_some_and(|message| message.starts_with(STALE_RESPONSE))
     };
-    assert!((0..SCHEDULES).any(is_caught));
+    assert!((0..SCHEDULES).any(is_detected));
 }
--- a/crates/replication/tests/replication/recovery.rs
+++ b/crates/replication/tests/replication/recovery.rs
@@ -11,7 +11,7 @@
 
 /// Ends all faults, and checks that a primary is elected and acknowledges a command in time.
 pub fn check_acknowledgement(simulation: &mut Simulation) {
-    simulation.heal();
+    simulation.end_all_faults();
     simulation.run_for(RECOVERY_MS);
     let leader = simulation.leader().expect("no primary after a fault-free period");
     let command = simulation.propose(leader);
--- a/crates/replication/tests/replication/scenarios/clock_jumps.rs
+++ b/crates/replication/tests/replication/scenarios/clock_jumps.rs
@@ -7,7 +7,7 @@
 use crate::harness::SimulationOptions;
 
 /// The primary is paused until another one leads, and resumes with most of its lease left by its own clock.
-const REPLACED: &str = "
+const REPLACED_WHILE_PAUSED: &str = "
     time | P        | B | C | *
        0 | pause    |   |   |
     2500 |          |   |   | propose=1
@@ -18,17 +18,17 @@
 
 #[test]
 fn a_primary_whose_clock_was_stopped_has_no_lease_when_it_resumes() {
-    three(REPLACED);
+    three(REPLACED_WHILE_PAUSED);
 }
 
 #[test]
 fn a_primary_that_misses_a_clock_jump_is_detected() {
-    let is_caught = |seed| {
+    let is_detected = |seed| {
         let options = SimulationOptions { seed, notices_clock_jumps: false, ..SimulationOptions::default() };
-        let play = || StableCluster::with(options, ["P", "B", "C"]).play(REPLACED);
-        catch_unwind(AssertUnwindSafe(play)).is_err()
+        let run = || StableCluster::with(options, ["P", "B", "C"]).run_timeline(REPLACED_WHILE_PAUSED);
+        catch_unwind(AssertUnwindSafe(run)).is_err()
     };
-    assert!((0..SEEDS).all(is_caught));
+    assert!((0..SEEDS).all(is_detected));
 }
 
 #[test]
--- a/crates/replication/tests/replication/scenarios/failure_domains.rs
+++ b/crates/replication/tests/replication/scenarios/failure_domains.rs
@@ -13,7 +13,7 @@
 use crate::harness::{DiskMode, Simulation, SimulationOptions};
 
 /// The time within which a command has to be acknowledged: the default of `AckMs`.
-const ACKNOWLEDGED_WITHIN_MS: u64 = 5000;
+const ACKNOWLEDGE_TIMEOUT_MS: u64 = 5000;
 
 const A: (&str, &str) = ("zone-a", "east");
 const A2: (&str, &str) = ("zone-a2", "east");
@@ -39,7 +39,7 @@
 }
 
 /// Proposes a command. Returns whether it is acknowledged within `within` ms; `false` without a leader.
-fn acknowledged(simulation: &mut Simulation, within: u64) -> bool {
+fn acknowledges(simulation: &mut Simulation, within: u64) -> bool {
     let Some(leader) = simulation.leader() else { return false };
     let command = simulation.propose(leader);
     simulation.run_until(within, |simulation| simulation.is_acknowledged(command))
@@ -48,7 +48,7 @@
 fn assert_serves_again(simulation: &mut Simulation) {
     let is_led = simulation.run_until(4000, |simulation| simulation.leader().is_some());
     assert!(is_led, "no machine leads\n{}", simulation.trace.join("\n"));
-    assert!(acknowledged(simulation, 3000), "{}", simulation.trace.join("\n"));
+    assert!(acknowledges(simulation, 3000), "{}", simulation.trace.join("\n"));
 }
 
 #[test]
@@ -60,7 +60,7 @@
         let durability = simulation.durability().expect("no view");
         assert!(durability.members.regions && !durability.members.zones && !durability.members.machines);
         assert!(
-            acknowledged(&mut simulation, 200),
+            acknowledges(&mut simulation, 200),
             "a command waits although no node in another region could join"
         );
 
@@ -76,7 +76,7 @@
         assert!(!simulation.members().contains(&2), "the machine in the other region is a member too early");
         let command = simulation.propose(leader);
         assert!(
-            simulation.run_until(ACKNOWLEDGED_WITHIN_MS, |simulation| simulation.is_acknowledged(command))
+            simulation.run_until(ACKNOWLEDGE_TIMEOUT_MS, |simulation| simulation.is_acknowledged(command))
         );
         assert!(
             simulation.members().contains(&2),
@@ -92,11 +92,11 @@
     for seed in 0..SEEDS {
         let mut simulation = simulation(seed, &[A, A2, B]);
         simulation.set_disk(2, DiskMode::Full);
-        acknowledged(&mut simulation, 500);
+        acknowledges(&mut simulation, 500);
         simulation.run_for(3000);
         for _ in 0..8 {
             assert!(
-                acknowledged(&mut simulation, ACKNOWLEDGED_WITHIN_MS - 2000),
+                acknowledges(&mut simulation, ACKNOWLEDGE_TIMEOUT_MS - 2000),
                 "{}",
                 simulation.trace.join("\n")
             );
@@ -127,14 +127,14 @@
         simulation.run_for(200);
         let begin = simulation.now;
         assert!(
-            acknowledged(&mut simulation, ACKNOWLEDGED_WITHIN_MS - 2000),
+            acknowledges(&mut simulation, ACKNOWLEDGE_TIMEOUT_MS - 2000),
             "{}",
             simulation.trace.join("\n")
         );
         assert!(simulation.now > begin + 500, "the command did not wait for the node");
         // The wait is not repeated for every command.
         for _ in 0..5 {
-            assert!(acknowledged(&mut simulation, 200), "{}", simulation.trace.join("\n"));
+            assert!(acknowledges(&mut simulation, 200), "{}", simulation.trace.join("\n"));
         }
     }
 }
@@ -143,7 +143,7 @@
 fn a_cluster_in_one_region_acknowledges_commands_in_a_degraded_state() {
     for seed in 0..SEEDS {
         let mut simulation = simulation(seed, &[A, A, A]);
-        assert!(acknowledged(&mut simulation, 200));
+        assert!(acknowledges(&mut simulation, 200));
         let durability = simulation.durability().expect("no view");
         assert!(durability.members.zones && durability.members.regions && !durability.members.machines);
         assert!(durability.witnesses.zones && durability.witnesses.regions);
@@ -159,7 +159,7 @@
             "{}",
             simulation.trace.join("\n")
         );
-        assert!(acknowledged(&mut simulation, 500));
+        assert!(acknowledges(&mut simulation, 500));
         simulation.remove(0);
         simulation.remove(3);
         assert_serves_again(&mut simulation);
@@ -175,7 +175,7 @@
             "{}",
             simulation.trace.join("\n")
         );
-        assert!(acknowledged(&mut simulation, 500));
+        assert!(acknowledges(&mut simulation, 500));
         simulation.kill(0, true);
         simulation.kill(1, true);
         simulation.wipe(0);
@@ -198,7 +198,7 @@
 
 /// The only member of a region is signalled to shut down, 200 ms and `delay` ms after another machine was
 /// started in the same region. Checks that it may exit only when that machine is a member.
-fn exits_once_its_successor_has_joined(seed: u64, delay: u64) {
+fn check_exit_waits_for_successor(seed: u64, delay: u64) {
     let mut simulation = simulation(seed, &[A, A2, B]);
     let command = simulation.propose(simulation.leader().expect("no primary"));
     simulation.options.localities.push(B2);
@@ -222,7 +222,7 @@
 fn the_only_member_of_a_region_exits_once_its_successor_has_joined() {
     for seed in 0..SEEDS {
         for delay in (0..900).step_by(60) {
-            exits_once_its_successor_has_joined(seed, delay);
+            check_exit_waits_for_successor(seed, delay);
         }
     }
 }
@@ -231,7 +231,7 @@
 fn the_only_member_of_a_region_does_not_exit_while_its_successor_joins() {
     for seed in 40..46 {
         for delay in (0..600).step_by(5) {
-            exits_once_its_successor_has_joined(seed, delay);
+            check_exit_waits_for_successor(seed, delay);
         }
     }
 }
@@ -244,7 +244,7 @@
         assert!(time < 1000, "{time} ms\n{}", simulation.trace.join("\n"));
         simulation.kill(2, false);
         simulation.run_for(500);
-        assert!(acknowledged(&mut simulation, 1000), "{}", simulation.trace.join("\n"));
+        assert!(acknowledges(&mut simulation, 1000), "{}", simulation.trace.join("\n"));
     }
 }
 
--- a/crates/replication/tests/replication/scenarios/graceful_shutdown.rs
+++ b/crates/replication/tests/replication/scenarios/graceful_shutdown.rs
@@ -5,7 +5,7 @@
 use quillpulley_replication::Faults;
 
 /// Proposes a command to the leader, and checks that it is acknowledged within 2 s. Returns its number.
-fn acknowledge(simulation: &mut Simulation) -> u64 {
+fn propose_and_wait(simulation: &mut Simulation) -> u64 {
     let leader =
         simulation.leader().unwrap_or_else(|| panic!("no machine leads\n{}", simulation.trace.join("\n")));
     let command = simulation.propose(leader);
@@ -43,7 +43,7 @@
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
         let simulation = &mut cluster.simulation;
         for machine in [0, 1, 2, 0, 1, 2] {
-            acknowledge(simulation);
+            propose_and_wait(simulation);
             let time = time_to_exit(simulation, machine).expect("the machine is not allowed to exit in time");
             assert!(time <= 2500, "{time} ms\n{}", simulation.trace.join("\n"));
             simulation.kill(machine, false);
@@ -55,7 +55,7 @@
                 simulation.trace.join("\n")
             );
         }
-        acknowledge(simulation);
+        propose_and_wait(simulation);
     }
 }
 
@@ -65,9 +65,9 @@
         for shutting_down in [0, 2] {
             let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
             let (wiped, shutting_down) = (cluster.names[1].1, cluster.names[shutting_down].1);
-            let stays = 3 - wiped - shutting_down;
+            let remaining = 3 - wiped - shutting_down;
             let simulation = &mut cluster.simulation;
-            let command = acknowledge(simulation);
+            let command = propose_and_wait(simulation);
             simulation.kill(wiped, true);
             simulation.wipe(wiped);
             simulation.run_for(1500);
@@ -79,7 +79,7 @@
                 simulation.trace.join("\n")
             );
             assert!(simulation.leader().is_some(), "{}", simulation.trace.join("\n"));
-            acknowledge(simulation);
+            propose_and_wait(simulation);
             simulation.start(wiped);
             assert!(
                 simulation.run_until(3000, |simulation| simulation.can_exit(shutting_down)),
@@ -88,10 +88,10 @@
             );
             // The other machine that held the data is killed right after this one was removed.
             simulation.remove(shutting_down);
-            simulation.kill(stays, true);
+            simulation.kill(remaining, true);
             assert!(simulation.is_acknowledged(command));
             simulation.run_for(500);
-            simulation.start(stays);
+            simulation.start(remaining);
             assert!(
                 simulation.run_until(3000, |simulation| simulation.leader().is_some()),
                 "{}",
@@ -108,23 +108,23 @@
             let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
             let pair = [cluster.names[one].1, cluster.names[other].1];
             let simulation = &mut cluster.simulation;
-            acknowledge(simulation);
+            propose_and_wait(simulation);
             pair.iter().for_each(|machine| simulation.shut_down(*machine));
-            let ended =
+            let first_to_exit =
                 |simulation: &Simulation| pair.into_iter().find(|machine| simulation.can_exit(*machine));
             assert!(
-                simulation.run_until(2000, |simulation| ended(simulation).is_some()),
+                simulation.run_until(2000, |simulation| first_to_exit(simulation).is_some()),
                 "{}",
                 simulation.trace.join("\n")
             );
-            let first = ended(simulation).expect("neither machine is allowed to exit");
+            let first = first_to_exit(simulation).expect("neither machine is allowed to exit");
             let second = pair[0] + pair[1] - first;
             simulation.run_for(100);
-            acknowledge(simulation);
+            propose_and_wait(simulation);
             simulation.kill(first, false);
             simulation.run_for(1000);
             assert!(!simulation.can_exit(second), "{}", simulation.trace.join("\n"));
-            acknowledge(simulation);
+            propose_and_wait(simulation);
             simulation.start(first);
             assert!(
                 simulation.run_until(3000, |simulation| simulation.can_exit(second)),
@@ -132,7 +132,7 @@
                 simulation.trace.join("\n")
             );
             simulation.remove(second);
-            acknowledge(simulation);
+            propose_and_wait(simulation);
         }
     }
 }
@@ -142,7 +142,7 @@
     for seed in 0..SEEDS {
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
         let simulation = &mut cluster.simulation;
-        let command = acknowledge(simulation);
+        let command = propose_and_wait(simulation);
         (0..3).for_each(|machine| simulation.shut_down(machine));
         let can_exit = |simulation: &Simulation| (0..3).all(|machine| simulation.can_exit(machine));
         assert!(simulation.run_until(400, can_exit), "{}", simulation.trace.join("\n"));
@@ -162,7 +162,7 @@
     for seed in 0..SEEDS {
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
         let simulation = &mut cluster.simulation;
-        acknowledge(simulation);
+        propose_and_wait(simulation);
         simulation.kill(0, true);
         simulation.kill(1, true);
         simulation.shut_down(2);
@@ -186,7 +186,7 @@
             cluster.names.push(("S", cluster.simulation.add_spare()));
             let (shutting_down, lost) = (cluster.names[shutting_down].1, cluster.names[1].1);
             let simulation = &mut cluster.simulation;
-            acknowledge(simulation);
+            propose_and_wait(simulation);
             simulation.run_for(delay);
             simulation.shut_down(shutting_down);
             assert!(
@@ -201,7 +201,7 @@
             assert!(simulation
                 .run_until(4000, |simulation| simulation.leader().is_some_and(|leader| leader != lost)));
             simulation.run_for(1500);
-            acknowledge(simulation);
+            propose_and_wait(simulation);
         }
     }
 }
--- a/crates/replication/tests/replication/scenarios/loss_orders.rs
+++ b/crates/replication/tests/replication/scenarios/loss_orders.rs
@@ -49,14 +49,14 @@
     for (lost, machine) in order.iter().enumerate() {
         let spare = simulation.spare_witnesses().expect("no primary");
         simulation.kill(*machine, true);
-        let goes_on = acknowledges(&mut simulation);
+        let acknowledged = acknowledges(&mut simulation);
         assert_eq!(
-            goes_on,
+            acknowledged,
             spare > 0,
             "order {order:?}, loss {lost}, spare {spare}\n{}",
             simulation.trace.join("\n")
         );
-        if !goes_on {
+        if !acknowledged {
             return lost + 1;
         }
         simulation.run_for(PAUSE_MS);
--- a/crates/replication/tests/replication/scenarios/lost_machines.rs
+++ b/crates/replication/tests/replication/scenarios/lost_machines.rs
@@ -1,6 +1,6 @@
 //! Lost disks, replaced machines and added nodes.
 
-use super::{five, play, three, three_and_a_spare, StableCluster, SEEDS};
+use super::{five, run_timeline, three, three_and_a_spare, StableCluster, SEEDS};
 use crate::harness::{Simulation, SimulationOptions};
 
 #[test]
@@ -78,14 +78,14 @@
 fn a_machine_is_replaced_by_one_added_after_its_loss() {
     for seed in 0..SEEDS {
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
-        cluster.play(
+        cluster.run_timeline(
             "time | P          | B | C | *
                 0 | power-loss |   |   |
              2500 |            |   |   | propose=1
              2700 |            |   |   | acked=1",
         );
         cluster.names.push(("S", cluster.simulation.add_spare()));
-        cluster.play(
+        cluster.run_timeline(
             "time | P                    | B | C               | S       | *
              1500 |                      |   |                 | member  |
              4000 | no-member no-witness |   |                 | witness |
@@ -114,7 +114,7 @@
             Simulation::first_start(SimulationOptions { seed, ..SimulationOptions::default() }, 4, 3);
         simulation.remove(0);
         let names = [("B", 1), ("C", 2), ("D", 3)];
-        play(
+        run_timeline(
             &mut simulation,
             &names,
             "time | B              | C              | D              | *
@@ -131,7 +131,7 @@
         let mut cluster = StableCluster::new(delay, 1, ["P", "B", "C"]);
         cluster.names.push(("S", cluster.simulation.add_spare()));
         cluster.simulation.run_for(delay);
-        cluster.play(
+        cluster.run_timeline(
             "time | P              | B              | C              | S              | *
                 0 | propose=1      |                |                |                |
                30 | kill           |                |                |                |
@@ -147,9 +147,9 @@
 fn a_primary_killed_at_any_moment_of_dropping_a_node() {
     for delay in (300..1200).step_by(15) {
         let mut cluster = StableCluster::new(delay, 1, ["P", "B", "C"]);
-        cluster.play("time | B\n 0 | kill");
+        cluster.run_timeline("time | B\n 0 | kill");
         cluster.simulation.run_for(delay);
-        cluster.play(
+        cluster.run_timeline(
             "time | P              | B              | C              | *
                 0 | power-loss     | start          |                |
              3000 |                |                |                | propose=1
@@ -168,7 +168,7 @@
         let mut cluster = StableCluster::new(seed, 2, ["P", "B", "C", "D", "E"]);
         cluster.names.push(("S", cluster.simulation.add_spare()));
         cluster.names.push(("T", cluster.simulation.add_spare()));
-        cluster.play(
+        cluster.run_timeline(
             "time | P               | B               | C                    | D                    | E | S              | T              | *
              2500 |                 |                 |                      |                      |   | member witness | member witness |
              2500 |                 |                 | power-loss           | power-loss           |   |                |                | propose=1
--- a/crates/replication/tests/replication/scenarios/mod.rs
+++ b/crates/replication/tests/replication/scenarios/mod.rs
@@ -15,7 +15,7 @@
 mod slow_links;
 mod state_transfer;
 
-use crate::harness::timeline::play;
+use crate::harness::timeline::run_timeline;
 use crate::harness::{Simulation, SimulationOptions};
 
 /// The number of seeds with which each scenario runs.
@@ -48,22 +48,22 @@
         StableCluster { simulation, names }
     }
 
-    pub fn play(&mut self, text: &str) {
-        play(&mut self.simulation, &self.names, text);
+    pub fn run_timeline(&mut self, text: &str) {
+        run_timeline(&mut self.simulation, &self.names, text);
     }
 }
 
 /// Runs a timeline on three machines, of which one may be lost.
 pub fn three(text: &str) {
     for seed in 0..SEEDS {
-        StableCluster::new(seed, 1, ["P", "B", "C"]).play(text);
+        StableCluster::new(seed, 1, ["P", "B", "C"]).run_timeline(text);
     }
 }
 
 /// Runs a timeline on five machines, of which two may be lost.
 pub fn five(text: &str) {
     for seed in 0..SEEDS {
-        StableCluster::new(seed, 2, ["P", "B", "C", "D", "E"]).play(text);
+        StableCluster::new(seed, 2, ["P", "B", "C", "D", "E"]).run_timeline(text);
     }
 }
 
@@ -73,6 +73,6 @@
     for seed in 0..SEEDS {
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
         cluster.names.push(("S", cluster.simulation.add_spare()));
-        cluster.play(text);
+        cluster.run_timeline(text);
     }
 }
--- a/crates/replication/tests/replication/scenarios/operators.rs
+++ b/crates/replication/tests/replication/scenarios/operators.rs
@@ -49,14 +49,14 @@
 fn a_resent_command_is_recognized_after_a_compaction_and_a_restart() {
     for seed in 0..SEEDS {
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
-        cluster.play("time | P\n 0 | propose=1\n 200 | acked=1");
+        cluster.run_timeline("time | P\n 0 | propose=1\n 200 | acked=1");
         for _ in 0..40 {
             let leader = cluster.simulation.leader().expect("no primary");
             cluster.simulation.propose(leader);
             cluster.simulation.run_for(100);
         }
         cluster.simulation.propose_again(0, 1);
-        cluster.play(
+        cluster.run_timeline(
             "time | P          | B          | C          | *
                 0 | power-loss | power-loss | power-loss |
               200 | start      | start      | start      |
@@ -73,11 +73,11 @@
 
 #[test]
 fn a_read_received_before_a_freeze_gets_no_stale_response() {
-    three(STANDS_STILL);
+    three(FREEZE_DURING_READ);
 }
 
 /// A machine receives a read and freezes, and another one becomes the primary before it resumes.
-pub const STANDS_STILL: &str = "time | P           | B | C | *
+pub const FREEZE_DURING_READ: &str = "time | P           | B | C | *
                                    0 | read freeze |   |   |
                                 2000 |             |   |   | propose=1
                                 3000 | resume      |   |   | acked=1 read
--- a/crates/replication/tests/replication/scenarios/overlapping_losses.rs
+++ b/crates/replication/tests/replication/scenarios/overlapping_losses.rs
@@ -26,7 +26,7 @@
 }
 
 /// Sends a read to every running machine, and a command to the leader.
-fn use_all(simulation: &mut Simulation) {
+fn read_and_propose(simulation: &mut Simulation) {
     for machine in simulation.present() {
         if simulation.is_running(machine) {
             simulation.read(machine);
@@ -38,7 +38,7 @@
     simulation.run_for(STEP_MS);
 }
 
-fn shuffled(simulation: &mut Simulation) -> Vec<usize> {
+fn shuffled_machines(simulation: &mut Simulation) -> Vec<usize> {
     let mut machines = simulation.present();
     simulation.random.shuffle(&mut machines);
     machines
@@ -49,14 +49,14 @@
     let mut reads = 0;
     for seed in 0..RUNS {
         let mut simulation = start(seed);
-        use_all(&mut simulation);
-        let machines = shuffled(&mut simulation);
+        read_and_propose(&mut simulation);
+        let machines = shuffled_machines(&mut simulation);
         let (one, other) = machines.split_at(machines.len() / 2);
         for machine in one {
             other.iter().for_each(|there| simulation.partition_pair(*machine, *there));
         }
         for _ in 0..simulation.random.u64(10..60) {
-            use_all(&mut simulation);
+            read_and_propose(&mut simulation);
         }
         reads += simulation.reads;
         check_acknowledgement(&mut simulation);
@@ -69,8 +69,8 @@
     for seed in 0..RUNS {
         let mut simulation = start(seed);
         for _ in 0..6 {
-            use_all(&mut simulation);
-            let machines = shuffled(&mut simulation);
+            read_and_propose(&mut simulation);
+            let machines = shuffled_machines(&mut simulation);
             let lost = simulation.random.usize(1..=machines.len());
             for machine in &machines[..lost] {
                 let power = simulation.random.bool();
@@ -95,10 +95,10 @@
     for seed in 0..RUNS {
         let mut simulation = start(seed);
         for _ in 0..5 {
-            use_all(&mut simulation);
+            read_and_propose(&mut simulation);
         }
         let acknowledged = simulation.checker.acknowledged.len();
-        let machines = shuffled(&mut simulation);
+        let machines = shuffled_machines(&mut simulation);
         let tolerated = simulation.options.tolerated;
         for machine in &machines {
             simulation.kill(*machine, true);
--- a/crates/replication/tests/replication/scenarios/partition_times.rs
+++ b/crates/replication/tests/replication/scenarios/partition_times.rs
@@ -4,11 +4,11 @@
 use super::{three, StableCluster, SEEDS};
 use crate::harness::Simulation;
 
-const CUT_MS: u64 = 20_000;
+const PARTITION_MS: u64 = 20_000;
 /// The part of its lease that a primary relies on, from the request of the last round that was granted.
 const USED_LEASE_MS: u64 = 810;
 /// The maximum time after the start of a partition at which a message sent before it arrives.
-const LONGEST_DELAY_MS: u64 = 25;
+const MAX_DELAY_MS: u64 = 25;
 
 /// The directions in which a machine is partitioned from all others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,10 +38,10 @@
     simulation: &mut Simulation,
     limit: u64,
     what: &str,
-    holds: impl Fn(&Simulation) -> bool,
+    condition: impl Fn(&Simulation) -> bool,
 ) -> u64 {
     let began = simulation.now;
-    let held = simulation.run_until(limit, holds);
+    let held = simulation.run_until(limit, condition);
     assert!(held, "does not happen within {limit} ms: {what}\n{}", simulation.trace.join("\n"));
     simulation.now - began
 }
@@ -55,17 +55,18 @@
 }
 
 /// Partitions the primary. Returns the maximum time over all seeds until another machine leads.
-fn longest_time_to_another(how: Partition, load: Load) -> u64 {
+fn max_time_until_another_leads(partition: Partition, load: Load) -> u64 {
     let times = (0..SEEDS).map(|seed| {
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
         let primary = cluster.names[0].1;
         let simulation = &mut cluster.simulation;
-        isolate(simulation, primary, how);
+        isolate(simulation, primary, partition);
         if load == Load::Command {
             simulation.propose(primary);
         }
-        let elsewhere = |simulation: &Simulation| simulation.leader().is_some_and(|leader| leader != primary);
-        time_until(simulation, 5000, "another primary", elsewhere)
+        let another_leads =
+            |simulation: &Simulation| simulation.leader().is_some_and(|leader| leader != primary);
+        time_until(simulation, 5000, "another primary", another_leads)
     });
     times.max().unwrap_or_default()
 }
@@ -108,12 +109,12 @@
 #[test]
 fn another_primary_is_elected_after_any_kind_of_partition() {
     for load in [Load::Idle, Load::Command] {
-        let longest = [Partition::Both, Partition::In, Partition::Out]
-            .map(|partition| longest_time_to_another(partition, load));
+        let max_times = [Partition::Both, Partition::In, Partition::Out]
+            .map(|partition| max_time_until_another_leads(partition, load));
         println!(
-            "{load:?}: maximum times until another primary leads, partitioned in both directions, inbound, outbound: {longest:?} ms"
+            "{load:?}: maximum times until another primary leads, partitioned in both directions, inbound, outbound: {max_times:?} ms"
         );
-        assert!(longest.iter().all(|time| *time <= 1500), "{load:?} {longest:?}");
+        assert!(max_times.iter().all(|time| *time <= 1500), "{load:?} {max_times:?}");
     }
 }
 
@@ -141,20 +142,21 @@
         let primary = cluster.names[0].1;
         let simulation = &mut cluster.simulation;
         isolate(simulation, primary, Partition::In);
-        let elsewhere = |simulation: &Simulation| simulation.leader().is_some_and(|leader| leader != primary);
-        time_until(simulation, 1500, "another primary", elsewhere);
+        let another_leads =
+            |simulation: &Simulation| simulation.leader().is_some_and(|leader| leader != primary);
+        time_until(simulation, 1500, "another primary", another_leads);
         let leader = simulation.leader();
-        simulation.run_until(CUT_MS, |simulation| simulation.leader() != leader);
+        simulation.run_until(PARTITION_MS, |simulation| simulation.leader() != leader);
         assert_eq!(simulation.leader(), leader, "{}", simulation.trace.join("\n"));
     }
 }
 
 #[test]
 fn a_partitioned_backup_names_no_primary_after_the_time_of_a_lease() {
-    for how in ["partition", "partition-in"] {
+    for partition in ["partition", "partition-in"] {
         three(&format!(
             "time | P               | B              | C       | *
-                0 |                 | {how}          |         |
+                0 |                 | {partition}          |         |
               800 | leads           |                | hints:P |
               925 | leads           | no-hint        | hints:P |
             10000 | leads propose=1 | no-hint        | hints:P |
@@ -181,13 +183,13 @@
 
 /// Partitions a machine for 20 s and ends the partition. Checks that the primary remains the primary for the
 /// next 10 s. Returns the maximum time over all seeds until the machine names that primary.
-fn longest_time_to_return(who: usize, how: Partition) -> u64 {
+fn max_time_until_primary_is_named(who: usize, partition: Partition) -> u64 {
     let times = (0..SEEDS).map(|seed| {
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
         let machine = cluster.names[who].1;
         let simulation = &mut cluster.simulation;
-        isolate(simulation, machine, how);
-        simulation.run_for(CUT_MS);
+        isolate(simulation, machine, partition);
+        simulation.run_for(PARTITION_MS);
         let leader = simulation.leader().expect("no primary during the partition");
         simulation.network.heal_all();
         let time = time_until(simulation, 3000, "the machine names the primary", |w| {
@@ -213,10 +215,10 @@
 #[test]
 fn a_machine_that_rejoins_names_the_primary_soon_and_does_not_depose_it() {
     for (who, name) in [(0, "the old primary"), (1, "a backup")] {
-        let longest =
-            [Partition::Both, Partition::In, Partition::Out].map(|how| longest_time_to_return(who, how));
-        println!("{name} names the primary within {longest:?} ms");
-        assert!(longest.into_iter().all(|time| time <= 400), "{name}: {longest:?}");
+        let max_times = [Partition::Both, Partition::In, Partition::Out]
+            .map(|partition| max_time_until_primary_is_named(who, partition));
+        println!("{name} names the primary within {max_times:?} ms");
+        assert!(max_times.into_iter().all(|time| time <= 400), "{name}: {max_times:?}");
     }
 }
 
@@ -231,7 +233,7 @@
         let time = 1 + seed * 13 % 150;
         simulation.run_for(time);
         simulation.freeze(primary);
-        simulation.run_for(USED_LEASE_MS + LONGEST_DELAY_MS);
+        simulation.run_for(USED_LEASE_MS + MAX_DELAY_MS);
         simulation.resume(primary);
         assert_ne!(simulation.leader(), Some(primary), "{}", simulation.trace.join("\n"));
         assert_ne!(simulation.hinted_primary(primary), Some(primary));
--- a/crates/replication/tests/replication/scenarios/quota.rs
+++ b/crates/replication/tests/replication/scenarios/quota.rs
@@ -5,16 +5,16 @@
 use crate::harness::{Simulation, SimulationOptions};
 
 const RUNS: u64 = 1000;
-const WORKING_MS: u64 = 10;
+const RUNTIME_MS: u64 = 10;
 const COMMANDS: u64 = 8;
 const PAUSE_MS: u64 = 700;
 /// The maximum time until a command is acknowledged. It takes several steps of several processes, each of
 /// which may have to wait for its next quota period.
 const ANSWER_MS: u64 = 1000;
 
-fn limit(simulation: &mut Simulation, machine: usize) {
+fn set_quota(simulation: &mut Simulation, machine: usize) {
     let offset_ms = simulation.random.u64(0..100);
-    simulation.machines[machine].quota = Some(Quota { working_ms: WORKING_MS, offset_ms });
+    simulation.machines[machine].quota = Some(Quota { runtime_ms: RUNTIME_MS, offset_ms });
 }
 
 /// Limits all three machines once they are members and witnesses, and sends commands. Returns how many of the
@@ -24,7 +24,7 @@
         Simulation::first_start(SimulationOptions { seed, ..SimulationOptions::default() }, 3, 3);
     assert!(simulation
         .run_until(6000, |simulation| simulation.members().len() == 3 && simulation.witnesses().len() == 3));
-    (0..3).for_each(|machine| limit(&mut simulation, machine));
+    (0..3).for_each(|machine| set_quota(&mut simulation, machine));
     let leader = simulation.leader().expect("no primary");
     let mut elections = 0;
     for _ in 0..COMMANDS {
@@ -51,11 +51,12 @@
             Simulation::first_start(SimulationOptions { seed, ..SimulationOptions::default() }, 3, 3);
         assert!(simulation.run_until(6000, |simulation| simulation.members().len() == 3
             && simulation.witnesses().len() == 3));
-        (0..3).for_each(|machine| limit(&mut simulation, machine));
+        (0..3).for_each(|machine| set_quota(&mut simulation, machine));
         let leader = simulation.leader().expect("no primary");
         simulation.run_for(300);
         simulation.kill(leader, true);
-        let elsewhere = |simulation: &Simulation| simulation.leader().is_some_and(|other| other != leader);
-        assert!(simulation.run_until(4000, elsewhere), "seed {seed}\n{}", simulation.trace.join("\n"));
+        let another_leads =
+            |simulation: &Simulation| simulation.leader().is_some_and(|other| other != leader);
+        assert!(simulation.run_until(4000, another_leads), "seed {seed}\n{}", simulation.trace.join("\n"));
     }
 }
--- a/crates/replication/tests/replication/scenarios/restarts.rs
+++ b/crates/replication/tests/replication/scenarios/restarts.rs
@@ -144,7 +144,7 @@
     for seed in 0..SEEDS {
         for pause in [1, 20, 50, 100, 200, 350] {
             let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
-            cluster.play("time | P\n 0 | propose=1\n 300 | acked=1");
+            cluster.run_timeline("time | P\n 0 | propose=1\n 300 | acked=1");
             let (primary, backup) = (cluster.names[0].1, cluster.names[1].1);
             let simulation = &mut cluster.simulation;
             simulation.kill(backup, false);
@@ -166,7 +166,7 @@
 fn two_candidates_that_yield_to_each_other_retry_soon() {
     for seed in (0..200).chain([307, 1983, 2495, 2585, 2776, 3020]) {
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
-        cluster.play("time | P\n 0 | shutdown");
+        cluster.run_timeline("time | P\n 0 | shutdown");
         let has_leader = cluster.simulation.run_until(700, |simulation| simulation.leader().is_some());
         assert!(has_leader, "seed {seed}\n{}", cluster.simulation.trace.join("\n"));
     }
--- a/crates/replication/tests/replication/scenarios/second_failure.rs
+++ b/crates/replication/tests/replication/scenarios/second_failure.rs
@@ -36,7 +36,7 @@
 }
 
 /// Returns a cluster of three machines and a fourth one that has joined as a member and a witness.
-fn with_a_fourth(seed: u64) -> StableCluster<3> {
+fn cluster_of_four(seed: u64) -> StableCluster<3> {
     let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
     cluster.names.push(("S", cluster.simulation.add_spare()));
     let has_joined =
@@ -51,7 +51,7 @@
     for seed in 0..SEEDS {
         for retired in 0..3 {
             for lost in (0..4).filter(|lost| *lost != retired) {
-                let mut cluster = with_a_fourth(seed);
+                let mut cluster = cluster_of_four(seed);
                 let (retired, lost) = (cluster.names[retired].1, cluster.names[lost].1);
                 let simulation = &mut cluster.simulation;
                 let leader = simulation.leader().expect("no primary");
@@ -80,7 +80,7 @@
 #[test]
 fn an_unresponsive_witness_of_four_is_dropped_before_the_next_loss() {
     for seed in 0..SEEDS {
-        with_a_fourth(seed).play(
+        cluster_of_four(seed).run_timeline(
             "time | P | B          | C          | S | *
                 0 |   |            | power-loss |   |
              1500 |   |            | no-witness |   | propose=1
@@ -92,9 +92,9 @@
 }
 
 /// Adds a node to three machines, injects a fault after each of many delays, and checks that the cluster
-/// serves again and that all machines become members. `disturb` receives the simulation, a backup and the
+/// serves again and that all machines become members. `inject` receives the simulation, a backup and the
 /// node that joins.
-fn disturb_while_a_node_joins(disturb: impl Fn(&mut Simulation, usize, usize)) {
+fn inject_while_a_node_joins(inject: impl Fn(&mut Simulation, usize, usize)) {
     for delay in (0..1500).step_by(25) {
         let mut cluster = StableCluster::new(delay, 1, ["P", "B", "C"]);
         cluster.names.push(("S", cluster.simulation.add_spare()));
@@ -103,11 +103,11 @@
         let leader = simulation.leader().expect("no primary");
         let command = simulation.propose(leader);
         simulation.run_for(delay);
-        disturb(simulation, backup, spare);
+        inject(simulation, backup, spare);
         simulation.run_for(1500);
         assert_serves_again(simulation);
         assert!(simulation.is_acknowledged(command) || delay < 100, "{}", simulation.trace.join("\n"));
-        simulation.heal();
+        simulation.end_all_faults();
         let is_complete = |simulation: &Simulation| simulation.members().len() == simulation.present().len();
         assert!(simulation.run_until(6000, is_complete), "{}", simulation.trace.join("\n"));
         assert_serves_again(simulation);
@@ -116,7 +116,7 @@
 
 #[test]
 fn a_backup_loses_its_disk_at_any_moment_of_adding_a_node() {
-    disturb_while_a_node_joins(|simulation, backup, _| {
+    inject_while_a_node_joins(|simulation, backup, _| {
         simulation.kill(backup, true);
         simulation.wipe(backup);
     });
@@ -124,12 +124,12 @@
 
 #[test]
 fn a_backup_is_removed_at_any_moment_of_adding_a_node() {
-    disturb_while_a_node_joins(|simulation, backup, _| simulation.remove(backup));
+    inject_while_a_node_joins(|simulation, backup, _| simulation.remove(backup));
 }
 
 #[test]
 fn the_joining_node_loses_its_disk_at_any_moment() {
-    disturb_while_a_node_joins(|simulation, _, spare| {
+    inject_while_a_node_joins(|simulation, _, spare| {
         simulation.kill(spare, true);
         simulation.wipe(spare);
     });
@@ -137,7 +137,7 @@
 
 #[test]
 fn the_primary_loses_its_disk_at_any_moment_of_adding_a_node() {
-    disturb_while_a_node_joins(|simulation, _, _| {
+    inject_while_a_node_joins(|simulation, _, _| {
         let Some(leader) = simulation.leader() else { return };
         simulation.kill(leader, true);
         simulation.wipe(leader);
@@ -148,7 +148,7 @@
 fn another_loss_at_any_moment_after_a_member_is_signalled_to_shut_down() {
     for delay in (0..900).step_by(15) {
         for lost in [0, 1, 3] {
-            let mut cluster = with_a_fourth(delay);
+            let mut cluster = cluster_of_four(delay);
             let (shutting_down, lost) = (cluster.names[2].1, cluster.names[lost].1);
             let simulation = &mut cluster.simulation;
             simulation.shut_down(shutting_down);
@@ -169,7 +169,7 @@
 }
 
 /// Returns a simulation with injected faults in which all three machines are members.
-fn started(faults: Faults, seed: u64) -> Simulation {
+fn started_simulation(faults: Faults, seed: u64) -> Simulation {
     let mut simulation =
         Simulation::first_start(SimulationOptions { seed, faults, ..SimulationOptions::default() }, 3, 3);
     let is_complete = |simulation: &Simulation| simulation.members().len() == 3;
@@ -180,7 +180,7 @@
 
 /// A backup restarts with an empty disk, and `delay` ms later the primary is signalled to shut down.
 fn hand_over_while_a_wiped_node_returns(faults: Faults, delay: u64) {
-    let mut simulation = started(faults, delay);
+    let mut simulation = started_simulation(faults, delay);
     let leader = simulation.leader().expect("no primary");
     let backup = (leader + 1) % 3;
     for _ in 0..3 {
@@ -200,8 +200,8 @@
 /// A lost witness is replaced. During the replacement the other backup is partitioned from the primary and
 /// the new node, together with the lost witness, which restarts. These two are a majority of the old
 /// witnesses.
-fn split_at_a_replacement(faults: Faults, delay: u64) {
-    let mut simulation = started(faults, delay);
+fn partition_during_a_replacement(faults: Faults, delay: u64) {
+    let mut simulation = started_simulation(faults, delay);
     let leader = simulation.leader().expect("no primary");
     let (backup, lost) = ((leader + 1) % 3, (leader + 2) % 3);
     simulation.kill(lost, true);
@@ -223,16 +223,16 @@
         }
         simulation.run_for(100);
     }
-    simulation.heal();
+    simulation.end_all_faults();
     simulation.run_for(4000);
     assert_serves_again(&mut simulation);
 }
 
 /// Returns whether a safety invariant, and not only liveness, is violated with some delay.
-fn is_caught(faults: Faults, play: fn(Faults, u64)) -> bool {
+fn is_detected(faults: Faults, scenario: fn(Faults, u64)) -> bool {
     (0..1000).step_by(10).any(|delay| {
-        let played = catch_unwind(AssertUnwindSafe(|| play(faults, delay)));
-        let message = played.err().and_then(|panic| panic.downcast_ref::<String>().cloned());
+        let result = catch_unwind(AssertUnwindSafe(|| scenario(faults, delay)));
+        let message = result.err().and_then(|panic| panic.downcast_ref::<String>().cloned());
         message.is_some_and(|text| ["lost", "two ", "gap", "differ"].iter().any(|word| text.contains(word)))
     })
 }
@@ -247,18 +247,18 @@
 #[test]
 fn the_old_witnesses_cannot_decide_alone_during_a_replacement() {
     for delay in (0..1000).step_by(10) {
-        split_at_a_replacement(Faults::default(), delay);
+        partition_during_a_replacement(Faults::default(), delay);
     }
 }
 
 #[test]
 fn a_witness_change_without_the_old_majority_is_detected() {
     let faults = Faults { change_witnesses_in_one_step: true, ..Faults::default() };
-    assert!(is_caught(faults, split_at_a_replacement));
+    assert!(is_detected(faults, partition_during_a_replacement));
 }
 
 #[test]
 fn a_learner_that_becomes_a_member_without_the_log_is_detected() {
     let faults = Faults { count_learner_early: true, ..Faults::default() };
-    assert!(is_caught(faults, hand_over_while_a_wiped_node_returns));
+    assert!(is_detected(faults, hand_over_while_a_wiped_node_returns));
 }
--- a/crates/replication/tests/replication/scenarios/slow_links.rs
+++ b/crates/replication/tests/replication/scenarios/slow_links.rs
@@ -4,19 +4,19 @@
 use crate::harness::{NetworkOptions, SimulationOptions};
 
 /// A round trip takes longer than the interval between two heartbeats.
-const FAR: NetworkOptions =
-    NetworkOptions { min_delay: 80, max_delay: 110, lost: 0, duplicated: 0, delayed: 0, late: 0 };
+const SLOW_LINKS: NetworkOptions =
+    NetworkOptions { min_delay_ms: 80, max_delay_ms: 110, lost: 0, duplicated: 0, delayed: 0, late: 0 };
 
-fn far_apart(text: &str) {
+fn with_slow_links(text: &str) {
     for seed in 0..SEEDS {
-        let options = SimulationOptions { seed, network: FAR, ..SimulationOptions::default() };
-        StableCluster::with(options, ["P", "B", "C"]).play(text);
+        let options = SimulationOptions { seed, network: SLOW_LINKS, ..SimulationOptions::default() };
+        StableCluster::with(options, ["P", "B", "C"]).run_timeline(text);
     }
 }
 
 #[test]
 fn the_lease_is_kept_though_replies_arrive_after_later_heartbeats() {
-    far_apart(
+    with_slow_links(
         "time | P               | B       | C       | *
             0 | leads propose=1 | hints:P | hints:P |
           900 | leads acked=1   | hints:P | hints:P |
@@ -29,7 +29,7 @@
 
 #[test]
 fn a_killed_primary_is_replaced_over_slow_links() {
-    far_apart(
+    with_slow_links(
         "time | P    | B | C | *
             0 | kill |   |   |
          2800 |      |   |   | propose=1
--- a/crates/replication/tests/replication/scenarios/state_transfer.rs
+++ b/crates/replication/tests/replication/scenarios/state_transfer.rs
@@ -8,19 +8,19 @@
 const WRITES: u64 = 7;
 
 /// A wiped member crashes in its write number `write`, and 10 ms later the primary loses power. Both restart.
-fn play(seed: u64, write: u64, power: bool) {
+fn crash_in_write(seed: u64, write: u64, power: bool) {
     let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
     for _ in 0..COMMANDS {
         let leader = cluster.simulation.leader().expect("no primary");
         cluster.simulation.propose(leader);
         cluster.simulation.run_for(60);
     }
-    cluster.play("time | B\n 0 | power-loss wipe\n 100 | start");
+    cluster.run_timeline("time | B\n 0 | power-loss wipe\n 100 | start");
     let member = cluster.names[1].1;
     let is_writing = |simulation: &crate::harness::Simulation| simulation.write_count(member) >= write;
     assert!(cluster.simulation.run_until(5000, is_writing), "the member does not start write {write}");
     let end = if power { "power-loss" } else { "kill" };
-    cluster.play(&format!(
+    cluster.run_timeline(&format!(
         "time | P              | B              | C              | *
             0 |                | {end}          |                |
            10 | power-loss     |                |                |
@@ -37,7 +37,7 @@
 fn a_member_crashes_in_any_write_of_an_install() {
     for write in 1..=WRITES {
         for seed in 0..6 {
-            play(seed, write, seed % 2 == 0);
+            crash_in_write(seed, write, seed % 2 == 0);
         }
     }
 }
--- a/crates/replication/tests/replication/seeded.rs
+++ b/crates/replication/tests/replication/seeded.rs
@@ -25,7 +25,7 @@
 const STEPS: u64 = 3000;
 const THREADS: u64 = 3;
 const MACHINES: usize = 5;
-const SEEDS_OF_SYSTEM: usize = 3;
+const BOOTSTRAP_WITNESSES: usize = 3;
 const TOLERATED: usize = 2;
 /// The maximum deviation of clock rates, per thousand, in either direction.
 const CLOCK_DRIFT: u64 = 30;
@@ -110,7 +110,7 @@
 
 fn start(seed: u64, options: &SimulationOptions) -> Simulation {
     let network = if seed.is_multiple_of(2) {
-        NetworkOptions { min_delay: 1, max_delay: 60, lost: 20, duplicated: 30, delayed: 20, late: 30 }
+        NetworkOptions { min_delay_ms: 1, max_delay_ms: 60, lost: 20, duplicated: 30, delayed: 20, late: 30 }
     } else {
         NetworkOptions::default()
     };
@@ -124,18 +124,18 @@
         clock_drift: CLOCK_DRIFT,
         ..options.clone()
     };
-    Simulation::first_start(options, MACHINES, SEEDS_OF_SYSTEM)
+    Simulation::first_start(options, MACHINES, BOOTSTRAP_WITNESSES)
 }
 
 /// Executes a run. Panics if an invariant does not hold.
-fn play(seed: u64, steps: u64, options: &SimulationOptions) -> Coverage {
+fn run(seed: u64, steps: u64, options: &SimulationOptions) -> Coverage {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut simulation = start(seed, options);
     let network = simulation.network.options;
     let mut recoveries = 0;
     for step in 1..=steps {
-        let longest = [10, 40, 100, 100, 300, 1000][random.usize(0..6)];
-        simulation.run_for(random.u64(0..longest));
+        let max_pause = [10, 40, 100, 100, 300, 1000][random.usize(0..6)];
+        simulation.run_for(random.u64(0..max_pause));
         let present = simulation.present();
         let machine = present[random.usize(0..present.len())];
         let operation = pick(&mut random);
@@ -174,31 +174,31 @@
     );
     let leader = simulation.leader().expect("no primary in a fault-free period");
     let end = simulation.applied_index(leader);
-    let all_there = |simulation: &Simulation| {
+    let all_caught_up = |simulation: &Simulation| {
         simulation.present().into_iter().all(|machine| simulation.applied_index(machine) >= end)
     };
-    assert!(simulation.run_until(CATCH_UP_MS, all_there), "a machine does not reach the end of the log");
+    assert!(simulation.run_until(CATCH_UP_MS, all_caught_up), "a machine does not reach the end of the log");
     let unresolved = simulation.unresolved_proposals();
     assert!(unresolved.is_empty(), "the outcome of proposals {unresolved:?} is not reported");
 }
 
 /// Returns the panic message of a run; `None` if no invariant was violated.
 pub fn failure(seed: u64, steps: u64, options: &SimulationOptions) -> Option<String> {
-    let panic = catch_unwind(AssertUnwindSafe(|| play(seed, steps, options))).err()?;
+    let panic = catch_unwind(AssertUnwindSafe(|| run(seed, steps, options))).err()?;
     let text = panic.downcast_ref::<String>().cloned();
     Some(text.unwrap_or_else(|| panic.downcast_ref::<&str>().copied().unwrap_or_default().into()))
 }
 
-fn setting(name: &str, otherwise: u64) -> u64 {
-    std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(otherwise)
+fn setting(name: &str, default: u64) -> u64 {
+    std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
 /// Executes the runs of every `THREADS`th seed of a range. Returns their totals, and the seeds that failed.
-fn play_share(seeds: std::ops::Range<u64>, share: u64, steps: u64) -> (Coverage, Vec<u64>) {
+fn run_share(seeds: std::ops::Range<u64>, share: u64, steps: u64) -> (Coverage, Vec<u64>) {
     let mut coverage = Coverage::default();
     let mut failed = Vec::new();
     for seed in seeds.filter(|seed| seed % THREADS == share) {
-        match catch_unwind(|| play(seed, steps, &SimulationOptions::default())) {
+        match catch_unwind(|| run(seed, steps, &SimulationOptions::default())) {
             Ok(run) => coverage += run,
             Err(_) => {
                 eprintln!("seed {seed} failed");
@@ -217,7 +217,7 @@
     let threads: Vec<_> = (0..THREADS)
         .map(|share| {
             let seeds = seeds.clone();
-            thread::spawn(move || play_share(seeds, share, steps))
+            thread::spawn(move || run_share(seeds, share, steps))
         })
         .collect();
     let mut covered = Coverage::default();
