--- a/crates/replication/tests/replication/harness/simulation.rs
+++ b/crates/replication/tests/replication/harness/simulation.rs
@@ -405,8 +405,8 @@
         let from = self.machines[machine].id;
         let Some(target) = self.machines.iter().position(|other| other.id == to) else { return };
         self.record_grant(from, to, &body);
-        let is_answer = matches!(body, Body::Promise(_) | Body::LeaseGrant(_) | Body::Accepted(_));
-        let late = match is_answer {
+        let is_reply = matches!(body, Body::Promise(_) | Body::LeaseGrant(_) | Body::Accepted(_));
+        let late = match is_reply {
             true => self.network.late_copy_delay(machine, target, &mut self.random),
             false => None,
         };
--- a/crates/replication/tests/replication/model/late_messages.rs
+++ b/crates/replication/tests/replication/model/late_messages.rs
@@ -90,7 +90,7 @@
     let former = cluster.leaders()[0];
     let [dropped, third] = others(former);
     let epoch = cluster.nodes[former].replica.view().expect("no view").epoch;
-    let answer = LeaseGrant {
+    let reply = LeaseGrant {
         epoch,
         round: PROBE_ROUND,
         granted: true,
@@ -99,7 +99,7 @@
         member: true,
         witness: true,
     };
-    inject(&mut cluster, third, former, Body::LeaseGrant(Box::new(answer)));
+    inject(&mut cluster, third, former, Body::LeaseGrant(Box::new(reply)));
     let is_preparing = |cluster: &Cluster| {
         let sent = cluster.links.values().flatten();
         sent.filter_map(|(_, body)| match body {
--- a/crates/replication/tests/replication/reads.rs
+++ b/crates/replication/tests/replication/reads.rs
@@ -22,7 +22,8 @@
 enum Operation {
     Propose,
     Read,
-    /// The leader receives a read, and freezes before it has written the response.
+    /// The leader, or this machine if there is none, receives a read and freezes before it has written the
+    /// response.
     ReadAndFreeze,
     Freeze,
     Resume,
@@ -86,6 +87,7 @@
     longest_path: usize,
 }
 
+/// A simulation with random operations, and the responses that are not written yet.
 struct ReadRun {
     simulation: Simulation,
     random: fastrand::Rng,
--- a/crates/replication/tests/replication/scenarios/failure_domains.rs
+++ b/crates/replication/tests/replication/scenarios/failure_domains.rs
@@ -23,7 +23,7 @@
 
 /// Returns a simulation of machines in these zones and regions, all of them members. One machine, one zone or
 /// one region may be lost.
-fn simulation(seed: u64, localities: &[(&'static str, &'static str)]) -> Simulation {
+fn start_simulation(seed: u64, localities: &[(&'static str, &'static str)]) -> Simulation {
     let options = SimulationOptions {
         seed,
         tolerated_zones: 1,
@@ -54,7 +54,7 @@
 #[test]
 fn a_command_waits_for_a_node_in_another_region_that_is_joining() {
     for seed in 0..SEEDS {
-        let mut simulation = simulation(seed, &[A, A2, B]);
+        let mut simulation = start_simulation(seed, &[A, A2, B]);
         simulation.kill(2, false);
         simulation.run_for(2500);
         let durability = simulation.durability().expect("no view");
@@ -90,7 +90,7 @@
 #[test]
 fn a_command_does_not_wait_long_for_a_node_that_cannot_join() {
     for seed in 0..SEEDS {
-        let mut simulation = simulation(seed, &[A, A2, B]);
+        let mut simulation = start_simulation(seed, &[A, A2, B]);
         simulation.set_disk(2, DiskMode::Full);
         acknowledges(&mut simulation, 500);
         simulation.run_for(3000);
@@ -108,7 +108,7 @@
 #[test]
 fn a_command_waits_only_briefly_for_a_node_that_replies_but_cannot_store() {
     for seed in 0..SEEDS {
-        let mut simulation = simulation(seed, &[A, A2, B]);
+        let mut simulation = start_simulation(seed, &[A, A2, B]);
         simulation.kill(2, false);
         simulation.run_for(2500);
         simulation.start(2);
@@ -142,7 +142,7 @@
 #[test]
 fn a_cluster_in_one_region_acknowledges_commands_in_a_degraded_state() {
     for seed in 0..SEEDS {
-        let mut simulation = simulation(seed, &[A, A, A]);
+        let mut simulation = start_simulation(seed, &[A, A, A]);
         assert!(acknowledges(&mut simulation, 200));
         let durability = simulation.durability().expect("no view");
         assert!(durability.members.zones && durability.members.regions && !durability.members.machines);
@@ -153,7 +153,7 @@
 #[test]
 fn a_region_with_two_of_four_machines_may_be_lost() {
     for seed in 0..SEEDS {
-        let mut simulation = simulation(seed, &[A, B, C, A2]);
+        let mut simulation = start_simulation(seed, &[A, B, C, A2]);
         assert!(
             simulation.durability().is_some_and(|durability| durability.is_covered()),
             "{}",
@@ -169,7 +169,7 @@
 #[test]
 fn witnesses_are_spread_over_the_regions() {
     for seed in 0..SEEDS {
-        let mut simulation = simulation(seed, &[A, A2, B, C]);
+        let mut simulation = start_simulation(seed, &[A, A2, B, C]);
         assert!(
             simulation.durability().is_some_and(|durability| durability.is_covered()),
             "{}",
@@ -199,7 +199,7 @@
 /// The only member of a region is signalled to shut down, 200 ms and `delay` ms after another machine was
 /// started in the same region. Checks that it may exit only when that machine is a member.
 fn check_exit_waits_for_successor(seed: u64, delay: u64) {
-    let mut simulation = simulation(seed, &[A, A2, B]);
+    let mut simulation = start_simulation(seed, &[A, A2, B]);
     let command = simulation.propose(simulation.leader().expect("no primary"));
     simulation.options.localities.push(B2);
     let successor = simulation.add_spare();
@@ -239,7 +239,7 @@
 #[test]
 fn the_only_member_of_a_region_exits_soon_without_a_successor() {
     for seed in 0..SEEDS {
-        let mut simulation = simulation(seed, &[A, A2, B]);
+        let mut simulation = start_simulation(seed, &[A, A2, B]);
         let time = time_to_exit(&mut simulation, 2);
         assert!(time < 1000, "{time} ms\n{}", simulation.trace.join("\n"));
         simulation.kill(2, false);
--- a/crates/replication/tests/replication/scenarios/loss_orders.rs
+++ b/crates/replication/tests/replication/scenarios/loss_orders.rs
@@ -6,7 +6,7 @@
 /// The time between two losses: enough for the primary to change the view and the set of witnesses.
 const PAUSE_MS: u64 = 4500;
 /// The maximum time of an election, and then of an acknowledgement.
-const ANSWER_MS: u64 = 3000;
+const TIMEOUT_MS: u64 = 3000;
 
 fn stable_simulation(count: usize, tolerated: usize) -> Simulation {
     let mut simulation =
@@ -20,12 +20,12 @@
 
 /// Returns whether a primary is elected and acknowledges a command in time.
 fn acknowledges(simulation: &mut Simulation) -> bool {
-    if !simulation.run_until(ANSWER_MS, |simulation| simulation.leader().is_some()) {
+    if !simulation.run_until(TIMEOUT_MS, |simulation| simulation.leader().is_some()) {
         return false;
     }
     let leader = simulation.leader().expect("no primary");
     let command = simulation.propose(leader);
-    simulation.run_until(ANSWER_MS, |simulation| simulation.is_acknowledged(command))
+    simulation.run_until(TIMEOUT_MS, |simulation| simulation.is_acknowledged(command))
 }
 
 /// Returns all ordered selections of `length` of the `count` machines.
@@ -75,8 +75,8 @@
 
 #[test]
 fn seven_machines_survive_more_successive_losses_than_tolerated_at_once() {
-    // Two of the seven machines may be lost at once, but four are lost one after the other, since the set of
-    // witnesses shrinks after every two losses.
+    // Two of the seven machines may be lost at once. Here four are lost one after the other, so that three
+    // remain: the set of witnesses shrinks after every two losses.
     for order in [[0, 1, 2, 3], [6, 5, 4, 3], [0, 2, 4, 6], [3, 0, 6, 1]] {
         let stopped_by = losses_until_stopped(7, 2, &order);
         assert!(stopped_by >= 4, "{order:?}: {stopped_by}");
--- a/crates/replication/tests/replication/scenarios/partition_times.rs
+++ b/crates/replication/tests/replication/scenarios/partition_times.rs
@@ -183,17 +183,17 @@
 
 /// Partitions a machine for 20 s and ends the partition. Checks that the primary remains the primary for the
 /// next 10 s. Returns the maximum time over all seeds until the machine names that primary.
-fn max_time_until_primary_is_named(who: usize, partition: Partition) -> u64 {
+fn max_time_until_primary_is_named(index: usize, partition: Partition) -> u64 {
     let times = (0..SEEDS).map(|seed| {
         let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
-        let machine = cluster.names[who].1;
+        let machine = cluster.names[index].1;
         let simulation = &mut cluster.simulation;
         isolate(simulation, machine, partition);
         simulation.run_for(PARTITION_MS);
         let leader = simulation.leader().expect("no primary during the partition");
         simulation.network.heal_all();
-        let time = time_until(simulation, 3000, "the machine names the primary", |w| {
-            w.hinted_primary(machine) == Some(leader)
+        let time = time_until(simulation, 3000, "the machine names the primary", |simulation| {
+            simulation.hinted_primary(machine) == Some(leader)
         });
         simulation.run_until(10_000, |simulation| simulation.leader() != Some(leader));
         assert_eq!(
@@ -214,9 +214,9 @@
 
 #[test]
 fn a_machine_that_rejoins_names_the_primary_soon_and_does_not_depose_it() {
-    for (who, name) in [(0, "the old primary"), (1, "a backup")] {
+    for (index, name) in [(0, "the old primary"), (1, "a backup")] {
         let max_times = [Partition::Both, Partition::In, Partition::Out]
-            .map(|partition| max_time_until_primary_is_named(who, partition));
+            .map(|partition| max_time_until_primary_is_named(index, partition));
         println!("{name} names the primary within {max_times:?} ms");
         assert!(max_times.into_iter().all(|time| time <= 400), "{name}: {max_times:?}");
     }
--- a/crates/replication/tests/replication/scenarios/quota.rs
+++ b/crates/replication/tests/replication/scenarios/quota.rs
@@ -10,7 +10,7 @@
 const PAUSE_MS: u64 = 700;
 /// The maximum time until a command is acknowledged. It takes several steps of several processes, each of
 /// which may have to wait for its next quota period.
-const ANSWER_MS: u64 = 1000;
+const ACKNOWLEDGE_MS: u64 = 1000;
 
 fn set_quota(simulation: &mut Simulation, machine: usize) {
     let offset_ms = simulation.random.u64(0..100);
@@ -32,7 +32,8 @@
         elections += usize::from(simulation.leader() != Some(leader));
         assert_eq!(simulation.members().len(), 3, "a member was dropped\n{}", simulation.trace.join("\n"));
         let command = simulation.propose(leader);
-        let acknowledged = simulation.run_until(ANSWER_MS, |simulation| simulation.is_acknowledged(command));
+        let acknowledged =
+            simulation.run_until(ACKNOWLEDGE_MS, |simulation| simulation.is_acknowledged(command));
         assert!(acknowledged, "seed {seed}\n{}", simulation.trace.join("\n"));
     }
     elections
