--- a/crates/quillpulley/src/control/api/http.rs
+++ b/crates/quillpulley/src/control/api/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server for operators and for clients that look for a proxy.
+//! A small HTTP server for operators and for clients that resolve proxy addresses.
 
 use crate::HostError;
 use socket2::{SockRef, TcpKeepalive};
@@ -9,19 +9,20 @@
 use std::time::Duration;
 use tiny_http::{Request, Server, StatusCode};
 
-/// A connection whose peer acknowledges nothing for this long is reset.
+/// A connection is reset if sent data stays unacknowledged for this long (`TCP_USER_TIMEOUT`).
 const USER_TIMEOUT: Duration = Duration::from_secs(10);
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(10);
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(3);
 const KEEPALIVE_PROBES: u32 = 3;
-/// How long after a failure to accept, such as a lack of descriptors, the server is started again.
+/// Delay before the server is restarted after it failed to accept a connection, for example for lack of file
+/// descriptors.
 const RESTART_DELAY: Duration = Duration::from_millis(100);
 
-/// Responds to a request. Called by several threads.
+/// Responds to a request. It is called by several threads.
 pub type Handler = Arc<dyn Fn(Request) + Send + Sync>;
 
-/// Sets options that accepted connections inherit: no delay of small writes, and detection of peers that are gone.
-/// Failures are logged only, as connections work without them.
+/// Sets socket options that accepted connections inherit: `TCP_NODELAY`, and keepalive and user timeouts that
+/// detect unreachable peers. Failures are only logged, because connections work without these options.
 pub fn tune(listener: &TcpListener) {
     let socket = SockRef::from(listener);
     let keepalive = TcpKeepalive::new()
@@ -34,7 +35,7 @@
         socket.set_tcp_user_timeout(Some(USER_TIMEOUT)),
     ];
     for error in set.into_iter().filter_map(Result::err) {
-        log::debug!(error:% = error; "a listening socket lacks an option");
+        log::debug!(error:% = error; "failed to set an option of a listening socket");
     }
 }
 
@@ -57,8 +58,8 @@
     Server::from_listener(listener, None).map_err(|error| HostError::Runtime(io::Error::other(error)))
 }
 
-/// The threads of a server, and the server from which they receive requests. One that has stopped accepting is
-/// replaced.
+/// The state that the threads of a server share: the server from which they receive requests. A server that
+/// has stopped accepting connections is replaced.
 struct Pool {
     listener: TcpListener,
     threads: usize,
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Starts a new server in place of `stopped`, unless another thread has done so.
+    /// Starts a new server in place of `stopped`, unless another thread has already done so.
     fn replace(&self, stopped: &Arc<Server>, error: &io::Error) {
         let mut current = self.current.lock().unwrap_or_else(PoisonError::into_inner);
         if !Arc::ptr_eq(&current, stopped) {
@@ -86,7 +87,7 @@
         thread::sleep(RESTART_DELAY);
         match start_server(&self.listener) {
             Ok(server) => *current = Arc::new(server),
-            Err(error) => log::warn!(error:% = error; "the HTTP server could not be restarted"),
+            Err(error) => log::warn!(error:% = error; "failed to restart the HTTP server"),
         }
         for _ in 1..self.threads {
             stopped.unblock();
@@ -94,9 +95,10 @@
     }
 }
 
-/// A response with a JSON body, after which the caller has to close the connection.
+/// A response with a JSON body and the header `Connection: close`.
 ///
-/// `tiny_http` has a thread for each connection, and may leave a new connection waiting for the end of another one.
+/// The connection is closed because `tiny_http` uses a thread for each connection, and may leave a new
+/// connection waiting until another one ends.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JsonResponse {
     status: u16,
@@ -105,12 +107,12 @@
 }
 
 impl JsonResponse {
-    /// Creates a response without further headers.
+    /// Creates a response without additional headers.
     pub fn new(status: u16, body: Vec<u8>) -> Self {
         JsonResponse { status, headers: Vec::new(), body }
     }
 
-    /// Adds a header. Its value must be text without line breaks.
+    /// Adds a header. The value must not contain line breaks.
     pub fn with_header(mut self, name: &'static str, value: impl Into<String>) -> Self {
         self.headers.push((name, value.into()));
         self
@@ -134,22 +136,23 @@
     }
 }
 
-/// Writes a response. A caller that has closed its connection is no error.
+/// Writes a response. A failure, such as a connection that the caller has closed, is only logged.
 pub fn respond(request: Request, response: JsonResponse) {
     let mut writer = request.into_writer();
     let written = writer.write_all(&response.into_bytes()).and_then(|()| writer.flush());
     if let Err(error) = written {
-        log::debug!(error:% = error; "a response was not delivered");
+        log::debug!(error:% = error; "failed to write a response");
     }
 }
 
-/// Returns the first value of a header.
+/// Returns the value of the first header of this name, or `None` if there is none.
 pub fn header<'a>(request: &'a Request, name: &'static str) -> Option<&'a str> {
     let found = request.headers().iter().find(|header| header.field.equiv(name))?;
     Some(found.value.as_str())
 }
 
-/// Decodes percent-encoding such as `%41` in a part of a URL.
+/// Decodes percent-encoding such as `%41` in a part of a URL. A `%` without two hexadecimal digits after it
+/// is kept.
 pub fn percent_decode(text: &str) -> String {
     let mut decoded = Vec::with_capacity(text.len());
     let mut bytes = text.bytes();
@@ -170,7 +173,7 @@
     u8::try_from(high * 16 + low).ok()
 }
 
-/// Returns the decoded value of a query parameter of a URL.
+/// Returns the decoded value of the first query parameter of this name, or `None` if the URL has none.
 pub fn query_parameter(url: &str, name: &str) -> Option<String> {
     let (_, query) = url.split_once('?')?;
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
--- a/crates/quillpulley/src/control/api/mod.rs
+++ b/crates/quillpulley/src/control/api/mod.rs
@@ -1,8 +1,9 @@
-//! The operator's API: reads requests, hands them to the main thread, and writes its responses.
+//! The operator API: reads requests, passes them to the main thread, and writes its responses.
 //!
-//! A few threads read requests; none of them waits for a response. The main thread decides, and a few other threads
-//! write, so that neither a slow caller nor a command in flight holds up the rest. Right before a response is written
-//! the writer checks the clock: once the lease on which the response relies has ended, the caller is asked to retry.
+//! Reader threads parse requests and never wait for a response. The main thread decides the responses, and
+//! writer threads write them, so that neither a slow caller nor a command in flight delays other requests.
+//! Immediately before a response is written, the writer checks the clock: if the lease on which the response
+//! relies has ended, the caller is asked to retry.
 
 pub mod http;
 mod render;
@@ -25,17 +26,17 @@
 const READER_THREADS: usize = 6;
 const WRITER_THREADS: usize = 2;
 
-/// A request of an operator, and what responds to it.
+/// A request from an operator, with the handle through which it is answered.
 pub struct ApiRequest {
-    /// What is asked for.
+    /// The requested operation.
     pub operation: Operation,
-    /// When its head had been read.
+    /// The time at which the request head had been read.
     pub received_at: Duration,
-    /// Responds to the caller.
+    /// The handle through which the caller is answered.
     pub responder: Responder,
 }
 
-/// Responds to one request. If it is dropped unused, the caller gets a 500.
+/// Sends the response to one request. If it is dropped unused, the caller gets status 500.
 pub struct Responder {
     request: Request,
     responses: Sender<PendingResponse>,
@@ -47,17 +48,18 @@
 }
 
 impl Responder {
-    /// Has another thread write the response, if that is still valid then.
+    /// Passes the response to a writer thread, which writes it if it is still valid by then, and asks the
+    /// caller to retry otherwise.
     pub fn send(self, response: TimedResponse) {
         let pending = PendingResponse { request: self.request, response };
         if self.responses.send(pending).is_err() {
-            log::warn!("no thread is left to write responses to operators");
+            log::warn!("a response to an operator is lost: all writer threads have ended");
         }
     }
 }
 
 quillpulley_fault_injection::define_faults! {
-    /// The faults of the API.
+    /// Faults that tests inject into the API.
     #[doc(hidden)]
     Faults {
         /// Responses are written without checking whether the lease has ended.
@@ -65,8 +67,8 @@
     }
 }
 
-/// Serves the API on `listener`. `deliver` hands a request to the main thread, and gives it back if that is overloaded.
-/// Responses expire by `clock`.
+/// Serves the API on `listener`. `deliver` passes a request to the main thread, or returns it if the main
+/// thread is overloaded. The expiry of responses is checked against `clock`.
 ///
 /// # Errors
 /// [`HostError::Runtime`] if the threads cannot be started.
@@ -77,7 +79,7 @@
     serve_with_faults(listener, clock, Faults::default(), deliver)
 }
 
-/// Serves with deliberate faults.
+/// Serves the API with injected `faults`, for tests.
 #[doc(hidden)]
 pub fn serve_with_faults<D>(
     listener: TcpListener,
@@ -100,7 +102,7 @@
     http::serve(listener, READER_THREADS, handler)
 }
 
-/// What the threads that write responses share.
+/// The state that the writer threads share.
 #[derive(Clone)]
 struct Writer {
     pending: Arc<Mutex<Receiver<PendingResponse>>>,
@@ -143,7 +145,7 @@
             }
         }
         Err(RequestError::Incomplete(reason)) => {
-            log::debug!(reason = reason.as_str(); "a request of an operator was incomplete");
+            log::debug!(reason = reason.as_str(); "received an incomplete request from an operator");
         }
         Err(error) => http::respond(request, render::error(error.status(), &error.to_string())),
     }
--- a/crates/quillpulley/src/control/api/render.rs
+++ b/crates/quillpulley/src/control/api/render.rs
@@ -1,13 +1,13 @@
-//! Rendering of responses as HTTP.
+//! Conversion of responses to HTTP.
 
 use super::http::JsonResponse;
 use crate::control::response::Response;
 use simd_json::prelude::Writable;
 
-/// When a caller without a clear outcome should retry, in seconds.
+/// Delay after which a caller whose outcome is unknown should retry, in seconds.
 const RETRY_AFTER_S: &str = "0.2";
 
-/// Renders the response to a request for `url`.
+/// Converts the response to a request for `url` to HTTP.
 pub(super) fn render(url: &str, response: Response) -> JsonResponse {
     match response {
         Response::Acknowledged => JsonResponse::new(200, b"{}".to_vec()),
@@ -29,7 +29,7 @@
     }
 }
 
-/// Renders an error with its reason.
+/// Returns a response with an error status and the reason as its JSON body.
 pub(super) fn error(status: u16, reason: &str) -> JsonResponse {
     let body = simd_json::json!({ "Error": reason });
     JsonResponse::new(status, body.encode().into_bytes())
--- a/crates/quillpulley/src/control/api/request.rs
+++ b/crates/quillpulley/src/control/api/request.rs
@@ -1,4 +1,4 @@
-//! Parsing of an operator's requests.
+//! Parsing of operator requests.
 
 use super::http;
 use crate::control::commands::Command;
@@ -6,22 +6,22 @@
 use std::io::Read;
 use tiny_http::{Method, Request};
 
-/// The longest body of a request, in bytes.
+/// Maximum length of a request body, in bytes.
 pub const MAX_BODY_BYTES: usize = 4_500_000;
 const BASE_HEADER: &str = "Quillpulley-If-Config-Version";
 
-/// What an operator asks for.
+/// The operation that an operator requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Operation {
     /// Executes a command.
     Execute(Command),
     /// Reads the newest configuration.
     ReadConfiguration,
-    /// Reads what this process knows of the control nodes.
+    /// Reads the status of the control nodes as far as this process knows it.
     ReadStatus,
 }
 
-/// Why a request is rejected.
+/// The reason why a request is rejected.
 #[derive(Debug, Display)]
 pub(super) enum RequestError {
     /// there is no {0}: see the operator's API
@@ -39,7 +39,7 @@
 }
 
 impl RequestError {
-    /// Returns the HTTP status.
+    /// Returns the HTTP status code of the response.
     pub fn status(&self) -> u16 {
         match self {
             RequestError::UnknownPath(_) => 404,
@@ -50,7 +50,7 @@
     }
 }
 
-/// Reads a request.
+/// Parses a request, and reads its body if the operation has one.
 pub(super) fn parse(request: &mut Request) -> Result<Operation, RequestError> {
     let path = http::path(request.url()).to_string();
     let method = request.method().clone();
@@ -94,7 +94,7 @@
     Ok(Operation::Execute(Command::Evacuate { zone, active }))
 }
 
-/// Reads a complete body. One that ends before its length is never used.
+/// Reads a complete body. A body that ends before its announced length is rejected.
 fn read_body(request: &mut Request) -> Result<Vec<u8>, RequestError> {
     let length = request.body_length();
     if length.is_some_and(|length| length > MAX_BODY_BYTES) {
--- a/crates/quillpulley/src/control/clock.rs
+++ b/crates/quillpulley/src/control/clock.rs
@@ -1,27 +1,30 @@
 //! The monotonic clock that all threads of a control node share.
 //!
-//! A monotonic clock may stand still with its whole machine: a virtual machine that is paused, or moved to another host.
-//! Then the time of day, which its host or a time server sets, advances by more than the monotonic clock does. Such a
-//! jump is counted, so that a lease that was granted before it does not count any more. A machine both of whose clocks
-//! stood still cannot notice that by itself.
+//! A monotonic clock may stop while the whole machine is stopped, for example while a virtual machine is
+//! paused or migrated to another host. The time of day, which is set by the host or by a time server, then
+//! advances by more than the monotonic clock does. [`Clock`] counts such jumps, so that a lease that was
+//! granted before a jump is no longer relied on. If both clocks of the machine stopped, the process cannot
+//! detect it.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Differences below this are left to the safety margin of the lease, of which it is a part.
+/// Minimum difference that counts as a jump. Smaller differences are covered by the safety margin of the
+/// lease, of which this threshold is a part.
 const JUMP_THRESHOLD: Duration = Duration::from_millis(50);
 
-/// What both clocks of the machine show.
+/// A reading of both clocks of the machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockReading {
     /// The time since the start of the process, by the monotonic clock.
     pub monotonic: Duration,
-    /// The time of day, since any fixed moment.
+    /// The time of day, measured from an arbitrary fixed point in time.
     pub time_of_day: Duration,
 }
 
 impl ClockReading {
-    /// Returns by how much the time of day has advanced more than the monotonic clock since an earlier reading.
+    /// Returns by how much more the time of day has advanced than the monotonic clock since `earlier`; zero
+    /// if it has advanced less.
     fn gain_since(&self, earlier: ClockReading) -> Duration {
         let by_monotonic = self.monotonic.saturating_sub(earlier.monotonic);
         let by_time_of_day = self.time_of_day.saturating_sub(earlier.time_of_day);
@@ -29,7 +32,7 @@
     }
 }
 
-/// The jumps that readings in a row have shown.
+/// Counts the jumps that consecutive readings show.
 #[derive(Debug)]
 struct JumpCounter {
     last: ClockReading,
@@ -48,7 +51,8 @@
     }
 }
 
-/// A monotonic clock that goes on while the process is suspended, and counts when it stood still with the machine.
+/// A monotonic clock that keeps running while the process is suspended, and that counts how often it stopped
+/// together with the machine.
 #[derive(Clone)]
 pub struct Clock {
     read: Arc<dyn Fn() -> ClockReading + Send + Sync>,
@@ -65,7 +69,7 @@
         })
     }
 
-    /// Creates a clock that returns what `read` returns, and never jumps.
+    /// Creates a clock that returns the time that `read` returns, and that never jumps.
     pub fn reading(read: impl Fn() -> Duration + Send + Sync + 'static) -> Self {
         Clock::reading_both(move || {
             let now = read();
@@ -73,21 +77,23 @@
         })
     }
 
-    /// Creates a clock that returns what `read` returns.
+    /// Creates a clock that takes the readings of both clocks from `read`.
     pub fn reading_both(read: impl Fn() -> ClockReading + Send + Sync + 'static) -> Self {
         let counter = JumpCounter { last: read(), jumps: 0 };
         Clock { read: Arc::new(read), counter: Arc::new(Mutex::new(counter)) }
     }
 
-    /// Returns the time since the start.
+    /// Returns the time since the start, by the monotonic clock.
     pub fn now(&self) -> Duration {
         (self.read)().monotonic
     }
 
-    /// Returns how often the monotonic clock has stood still with the machine since the start.
+    /// Reads both clocks and returns the number of jumps since the start, that is, how often the monotonic
+    /// clock has stopped together with the machine.
     pub fn jumps(&self) -> u64 {
         let mut counter = self.counter.lock().unwrap_or_else(PoisonError::into_inner);
-        // Read under the lock, so that readings are observed in their order.
+        // The clocks are read under the lock so that readings are observed in the order in which they were
+        // taken.
         counter.observe((self.read)())
     }
 }
--- a/crates/quillpulley/src/control/commands.rs
+++ b/crates/quillpulley/src/control/commands.rs
@@ -1,9 +1,10 @@
-//! Commands of operators: decided one after the other against the committed state, and then replicated.
+//! Operator commands. Each command is decided against the committed state and then replicated, one at a time.
 //!
-//! Invariant: there is one command in flight at a time, and the next one is decided on a state that has every command
-//! of the log. So of two configurations with one base exactly one is applied, and a command without a clear outcome
-//! takes effect before the next one is answered, or never. Commands on the evacuation of a zone take effect in the order
-//! in which they were received; one that is overtaken by a later one is left without a clear outcome.
+//! Invariant: at most one command is in flight, and the next one is decided only once the state includes
+//! every command in the log. Therefore exactly one of two configurations with the same base version is
+//! applied, and a command whose outcome is unknown takes effect before the next command is answered, or
+//! never. Evacuation commands for a zone take effect in the order in which they were received. One that is
+//! superseded by a later command is answered with [`Response::Unavailable`]: its outcome is unknown.
 
 use crate::control::evacuation_order::EvacuationOrder;
 use crate::control::response::Response;
@@ -13,26 +14,27 @@
 use std::fmt;
 use std::time::Duration;
 
-/// How long a command may wait for its response.
+/// Maximum time that a command waits for its response.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
-/// The bytes of queued configurations beyond which callers are asked to retry.
+/// Maximum total size of the queued commands in bytes. A command that exceeds it is not queued, and its
+/// caller is asked to retry.
 const MAX_QUEUED_BYTES: usize = 32 * 1024 * 1024;
 
-/// A command of an operator.
+/// A command from an operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
     /// Activates a complete configuration.
     Replace {
-        /// The version that it builds on.
+        /// The configuration version on which this configuration is based.
         base: u64,
-        /// The configuration as it was sent.
+        /// The configuration, byte for byte as it was sent.
         body: Vec<u8>,
     },
-    /// Begins or ends the evacuation of a zone.
+    /// Starts or ends the evacuation of a zone.
     Evacuate {
         /// The zone's name.
         zone: String,
-        /// Whether the evacuation begins.
+        /// `true` starts the evacuation, `false` ends it.
         active: bool,
     },
 }
@@ -41,9 +43,9 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Command::Replace { base, body } => {
-                write!(formatter, "replace version {base} by {} bytes", body.len())
+                write!(formatter, "replace configuration version {base} ({} bytes)", body.len())
             }
-            Command::Evacuate { zone, active: true } => write!(formatter, "evacuate {zone}"),
+            Command::Evacuate { zone, active: true } => write!(formatter, "start evacuation of {zone}"),
             Command::Evacuate { zone, active: false } => write!(formatter, "end evacuation of {zone}"),
         }
     }
@@ -58,10 +60,10 @@
     }
 }
 
-/// A command as it is proposed to the replicas.
+/// A command in the form in which it is proposed to the replicas.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Proposal {
-    /// The number under which its outcome is reported.
+    /// The number by which [`CommandQueue::committed`] and [`CommandQueue::failed`] identify the proposal.
     pub number: u64,
     /// The payload of its log entry.
     pub payload: Vec<u8>,
@@ -77,12 +79,12 @@
 struct InFlight<R> {
     number: u64,
     command: Command,
-    /// None once the caller has the response that the outcome is unknown.
+    /// `None` once the caller has been told that the outcome is unknown.
     responder: Option<R>,
     expires_at: Duration,
 }
 
-/// The commands that have no response yet. `R` responds to a caller.
+/// The commands that have not been answered yet. `R` is the handle through which a caller is answered.
 pub struct CommandQueue<R> {
     queued: VecDeque<QueuedCommand<R>>,
     in_flight: Option<InFlight<R>>,
@@ -104,8 +106,10 @@
 }
 
 impl<R> CommandQueue<R> {
-    /// Queues a command whose head was received at `received_at`. The time to read the body of a configuration does not
-    /// count as waiting.
+    /// Queues a command whose request head was received at `received_at`. Responds with
+    /// [`Response::Unavailable`] at once if the queue is full. A configuration expires [`RESPONSE_TIMEOUT`]
+    /// after `now`, so that the time to read its body does not count as waiting; an evacuation command
+    /// expires [`RESPONSE_TIMEOUT`] after `received_at`.
     pub fn push(&mut self, now: Duration, received_at: Duration, command: Command, responder: R) {
         let queued: usize = self.queued.iter().map(|queued| queued.command.bytes()).sum();
         if queued + command.bytes() > MAX_QUEUED_BYTES {
@@ -120,8 +124,9 @@
         self.queued.push_back(QueuedCommand { command, responder, received_at, expires_at });
     }
 
-    /// Decides queued commands up to the first that has to be replicated, and returns that. Decides none while the log
-    /// of the replica has a command that its state lacks, also one whose caller got no clear outcome. Must be called
+    /// Decides queued commands until one has to be replicated, and returns the proposal for that command.
+    /// Decides no command while the replica's log contains a command that has not been applied to its state,
+    /// even if the caller of that command has already been told that the outcome is unknown. Must be called
     /// only while the lease is held.
     pub fn next_for(&mut self, replica: &Replica<ControlState>) -> Option<Proposal> {
         if replica.has_unresolved_proposals() {
@@ -130,8 +135,9 @@
         self.next_proposal(replica.state())
     }
 
-    /// Decides queued commands against the committed `state` up to the first that has to be replicated, and returns
-    /// that. Must be called only if [`CommandQueue::next_for`] would.
+    /// Decides queued commands against the committed `state` until one has to be replicated, and returns the
+    /// proposal for that command. The preconditions of [`CommandQueue::next_for`] must hold: the lease is
+    /// held, and the state includes every command in the log.
     pub fn next_proposal(&mut self, state: &ControlState) -> Option<Proposal> {
         while self.in_flight.is_none() {
             let queued = self.queued.pop_front()?;
@@ -148,13 +154,13 @@
         None
     }
 
-    /// Decides a command, unless it would undo one that was received after it.
+    /// Decides a command. Rejects an evacuation command that would undo one that was received later.
     fn decide_in_order(&mut self, state: &ControlState, queued: &QueuedCommand<R>) -> Decision {
         let decision = decide(state, &queued.command);
         let Command::Evacuate { zone, .. } = &queued.command else { return decision };
         let would_change = matches!(decision, Decision::Propose(_));
         if would_change && self.evacuations.is_superseded(zone, queued.received_at) {
-            log::info!(command:% = queued.command; "command overtaken by a later one on its zone");
+            log::info!(command:% = queued.command; "command superseded by a later command for the same zone");
             return Decision::Respond(Response::Unavailable);
         }
         self.evacuations.record(zone, queued.received_at);
@@ -169,8 +175,9 @@
         Proposal { number, payload }
     }
 
-    /// Handles that a proposal is committed and applied to `state`. Its command is acknowledged if it is in effect now:
-    /// an entry of an earlier epoch may have come before it. Without the lease the outcome is not clear.
+    /// Handles a proposal that has been committed and applied to `state`. Its command is acknowledged only if
+    /// it is in effect now, because an entry of an earlier epoch may have been applied before it. Without the
+    /// lease the outcome is reported as unknown.
     pub fn committed(&mut self, number: u64, state: &ControlState, holds_lease: bool) {
         let Some(command) = self.in_flight.take_if(|command| command.number == number) else { return };
         let is_in_effect =
@@ -181,14 +188,15 @@
         self.responses.extend(command.responder.map(|responder| (responder, response)));
     }
 
-    /// Handles that the outcome of a proposal is unknown.
+    /// Handles a proposal whose outcome is unknown.
     pub fn failed(&mut self, number: u64) {
         let failed = self.in_flight.take_if(|command| command.number == number);
         let responder = failed.and_then(|command| command.responder);
         self.responses.extend(responder.map(|responder| (responder, Response::Unavailable)));
     }
 
-    /// Responds to everything that has waited too long. The command in flight stays in flight.
+    /// Responds with [`Response::Unavailable`] to every command that has expired at `now`. An expired command
+    /// in flight stays in flight, so that no other command is decided before its outcome is known.
     pub fn expire(&mut self, now: Duration) {
         if let Some(command) = self.in_flight.as_mut().filter(|command| command.expires_at <= now) {
             let responder = command.responder.take();
@@ -202,8 +210,8 @@
         self.evacuations.forget_before(now.saturating_sub(RESPONSE_TIMEOUT));
     }
 
-    /// Handles that this process is no longer the primary: responds to the queued commands with `response`, and to the
-    /// one in flight that its outcome is unknown.
+    /// Handles the loss of the primary role. Queued commands are answered with `response`, the command in
+    /// flight with [`Response::Unavailable`], as its outcome is unknown.
     pub fn abandon(&mut self, response: &Response) {
         if let Some(command) = self.in_flight.take() {
             let responder = command.responder;
@@ -213,12 +221,12 @@
         self.responses.extend(queued.into_iter().map(|queued| (queued.responder, response.clone())));
     }
 
-    /// Returns whether nothing is queued and nothing in flight.
+    /// Returns whether no command is queued or in flight.
     pub fn is_idle(&self) -> bool {
         self.queued.is_empty() && self.in_flight.is_none()
     }
 
-    /// Removes and returns the responses since the last call.
+    /// Removes and returns the responses that were produced since the last call.
     pub fn take_responses(&mut self) -> Vec<(R, Response)> {
         std::mem::take(&mut self.responses)
     }
--- a/crates/quillpulley/src/control/directory/builder.rs
+++ b/crates/quillpulley/src/control/directory/builder.rs
@@ -1,8 +1,9 @@
-//! Builds the directory from the published proxy endpoints and those that report to this process.
+//! Builds the directory from the published proxy endpoints and from those that report to this process.
 //!
-//! While the published state is fresh it alone counts: all endpoints are reported to the primary. Once it has not moved
-//! for a second, the endpoints that report to this process itself are added, and after [`STALE_AFTER`] only
-//! these count: whether others still run is not known.
+//! While the published state is fresh, only published endpoints are used, because all endpoints are reported
+//! to the primary. Once the published state has not advanced for a second, the endpoints that report to this
+//! process are added. After [`STALE_AFTER`] only the latter are used, because it is unknown whether other
+//! endpoints still run.
 
 use super::reported_endpoints::ReportedEndpoints;
 use super::{Coverage, Directory};
@@ -16,30 +17,32 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a process that has just started waits for more endpoints once it knows any, unless the published state is
-/// fresh.
+/// Time that a process waits for more endpoints after it has learned of the first one, unless the published
+/// state is fresh.
 const INITIAL_WAIT: Duration = Duration::from_millis(1500);
-/// How long published endpoints count after the revision has advanced last. An election takes less.
+/// Time after which published endpoints are no longer used, measured from the last advance of the published
+/// state. An election takes less time.
 pub const STALE_AFTER: Duration = Duration::from_secs(3);
-/// How long after the start or an election some endpoints may not have been reported to the primary yet.
+/// Time after the start or an election during which some endpoints may not have been reported to the primary
+/// yet.
 pub const SETTLING_TIME: Duration = Duration::from_secs(3);
 
-/// What the directory is built from.
+/// The state from which the directory is built.
 pub struct DirectoryInputs<'a> {
     /// Whether the published state is up to date.
     pub fresh: bool,
-    /// When the published state moved last, if it has.
+    /// The time at which the published state last advanced; `None` if it never has.
     pub last_moved: Option<Duration>,
     /// The epoch of the published state.
     pub epoch: u64,
     /// The published state.
     pub store: &'a Store,
-    /// What is reported to this process.
+    /// The reports that this process has received from its subtree of the relay tree.
     pub subtree: &'a SubtreeState,
 }
 
 impl<'a> DirectoryInputs<'a> {
-    /// Returns what a node of the relay tree knows at `now`.
+    /// Returns the state of a node of the relay tree at `now`.
     pub fn at<Child: Copy + Eq + Hash + Ord>(now: Duration, feed: &'a SyncNode<Child>) -> Self {
         DirectoryInputs {
             fresh: feed.is_fresh(now),
@@ -55,7 +58,7 @@
     }
 }
 
-/// Builds directories, and keeps track of whether enough endpoints are known.
+/// Builds directories, and tracks whether enough endpoints are known to answer clients.
 #[derive(Default)]
 pub struct DirectoryBuilder {
     first_known_at: Option<Duration>,
@@ -68,14 +71,14 @@
     was_fresh: bool,
 }
 
-/// The epoch of the published state, and when it began here.
+/// An epoch of the published state, and the time at which this process first saw it.
 #[derive(Clone, Copy)]
 struct Epoch {
     number: u64,
     began_at: Duration,
 }
 
-/// The home regions of the published routes.
+/// The home regions of the published routes, recomputed after the routes have changed.
 #[derive(Default)]
 struct HomeCache {
     table: Arc<HomeTable>,
@@ -106,7 +109,7 @@
         }
     }
 
-    /// Notes that published items have changed. Returns whether that may change the directory.
+    /// Records that published items have changed. Returns whether that may change the directory.
     pub fn items_changed(&mut self, changed: &[ChangedKey]) -> bool {
         let has = |prefix: &str| changed.iter().any(|changed| changed.key.starts_with(prefix));
         let routes_changed = has(ROUTE_PREFIX);
@@ -114,7 +117,8 @@
         routes_changed || has(ENDPOINT_PREFIX)
     }
 
-    /// Returns whether time alone may change the directory. `is_fresh` is whether the published state is fresh.
+    /// Returns whether the directory may change merely because time passes. `is_fresh` tells whether the
+    /// published state is fresh.
     pub fn depends_on_time(&self, is_fresh: bool) -> bool {
         !(self.coverage == Coverage::All && self.was_fresh && is_fresh)
     }
@@ -168,7 +172,8 @@
         .map(|endpoint| (endpoint.name.clone(), endpoint))
 }
 
-/// Ranks what is known of an endpoint: a later incarnation is newer, and within one the state that comes later.
+/// Returns the rank of an endpoint's reported state: the higher rank is the newer state. A later incarnation
+/// is newer, and within an incarnation the later lifecycle state.
 fn rank(endpoint: &ProxyEndpoint) -> (u64, u8) {
     let progress = match endpoint.state {
         EndpointState::Starting => 0,
--- a/crates/quillpulley/src/control/directory/mod.rs
+++ b/crates/quillpulley/src/control/directory/mod.rs
@@ -1,7 +1,7 @@
-//! The directory: which proxy endpoints a client is sent to.
+//! The directory: selects the proxy endpoints that a client connects to.
 //!
-//! The main thread builds a [`Directory`] and puts it into a [`DirectoryHandle`]; the threads that serve clients read
-//! that, and need no other thread.
+//! The main thread builds a [`Directory`] and stores it in a [`DirectoryHandle`]. The threads that serve
+//! clients read it from there, without waiting for the main thread.
 
 pub mod builder;
 pub mod reported_endpoints;
@@ -16,36 +16,38 @@
 use selection::Selection;
 use std::sync::{Arc, PoisonError, RwLock};
 
-/// The most addresses in a response.
+/// Maximum number of addresses in a response.
 const MAX_ADDRESSES: usize = 64;
 
-/// Which endpoints a directory knows.
+/// Describes which of the system's endpoints a directory contains.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Coverage {
-    /// Too few to answer: the process has just started.
+    /// Too few to answer clients: the process has just started.
     #[default]
     TooFew,
-    /// All that were reported since the start or the latest election; others may still be reported.
+    /// All endpoints that have been reported since the start or the latest election; some may not have been
+    /// reported yet.
     Settling,
-    /// All of the system.
+    /// All endpoints of the system.
     All,
-    /// Those that report to this process, which is out of touch with the primary.
+    /// Only the endpoints that report to this process, because it has lost contact with the primary.
     OwnReports,
 }
 
-/// The endpoints that are known.
+/// The known endpoints, and what is needed to select among them.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Directory {
     /// The known endpoints.
     pub endpoints: Vec<ProxyEndpoint>,
-    /// Which endpoints these are.
+    /// Which of the system's endpoints `endpoints` contains.
     pub coverage: Coverage,
     /// The home regions of each host.
     pub homes: Arc<HomeTable>,
 }
 
 impl Directory {
-    /// Returns the addresses for a client of `host` at `locality`; none if it should ask elsewhere.
+    /// Returns at most `MAX_ADDRESSES` addresses for a client of `host` at `locality`. Returns none if the
+    /// client should ask another control node.
     pub fn choose(&self, host: &str, locality: &Locality) -> Vec<String> {
         if self.coverage == Coverage::TooFew {
             return Vec::new();
@@ -59,7 +61,7 @@
     }
 }
 
-/// The newest directory, shared between the main thread and those that serve clients.
+/// The newest directory, shared between the main thread and the threads that serve clients.
 #[derive(Clone, Default)]
 pub struct DirectoryHandle(Arc<RwLock<Arc<Directory>>>);
 
--- a/crates/quillpulley/src/control/directory/reported_endpoints.rs
+++ b/crates/quillpulley/src/control/directory/reported_endpoints.rs
@@ -1,4 +1,4 @@
-//! The proxy endpoints that report to this control node, or did until just now.
+//! The proxy endpoints that report to this control node, or did so until recently.
 
 use crate::control::distribution::endpoint_registry::is_suspected;
 use quillpulley_protocol::ProxyEndpoint;
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long an endpoint that is no longer reported still counts: its agent may be changing its parent, as all agents do
-/// in turn while there is no primary.
+/// Time for which an endpoint is kept after its last report. Its agent may be changing its parent, as all
+/// agents do in turn while there is no primary.
 pub const RETENTION: Duration = Duration::from_secs(2);
 
 struct Reported {
@@ -22,8 +22,9 @@
 }
 
 impl ReportedEndpoints {
-    /// Updates the reports of `now`, without endpoints that their monitors suspect. While the published state is fresh
-    /// nothing is retained: the primary knows better.
+    /// Updates the endpoints from the reports in `subtree` at `now`, and removes those that enough monitors
+    /// suspect. While the published state is fresh, endpoints without a current report are not retained,
+    /// because the primary has newer information.
     pub fn update(&mut self, now: Duration, subtree: &SubtreeState, is_fresh: bool) {
         let retention = if is_fresh { Duration::ZERO } else { RETENTION };
         self.endpoints.retain(|_, reported| now < reported.reported_at + retention);
@@ -34,7 +35,7 @@
         self.endpoints.retain(|name, _| !is_suspected(subtree, name));
     }
 
-    /// Returns the endpoints that count.
+    /// Returns the current and the retained endpoints.
     pub fn endpoints(&self) -> impl Iterator<Item = &ProxyEndpoint> {
         self.endpoints.values().map(|reported| &reported.endpoint)
     }
--- a/crates/quillpulley/src/control/directory/selection.rs
+++ b/crates/quillpulley/src/control/directory/selection.rs
@@ -1,4 +1,4 @@
-//! The selection of endpoints for a client: near ones first, within the home regions of its host.
+//! Selects endpoints for a client: nearby endpoints first, within the home regions of the requested host.
 
 use super::{Coverage, Directory};
 use quillpulley_load_balancer::{HostHomes, ServedIn};
@@ -6,14 +6,16 @@
 use quillpulley_replication::Locality;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// With fewer ready endpoints in the client's zone, those of its region are added.
+/// Minimum number of ready endpoints in the client's zone. With fewer, all ready endpoints of its region are
+/// used.
 const MIN_IN_ZONE: usize = 2;
 
-/// The endpoints among which is chosen for a client.
+/// Selects the endpoints for one client.
 ///
-/// Requests with homes are kept out of regions that are neither a home nor the client's own: a client is sent to
-/// another region only if that is a home of every route of its host that has homes, or if no endpoint is known in such
-/// a region or in its own.
+/// Requests for routes with home regions are kept out of regions that are neither a home region nor the
+/// client's own region. A client is sent to another region only in two cases: that region is a home region of
+/// every route of the host that has home regions, or no endpoint is known in such a region or in the client's
+/// own.
 pub(super) struct Selection<'a> {
     directory: &'a Directory,
     homes: &'a HostHomes,
@@ -25,7 +27,7 @@
         Selection { directory, homes: directory.homes.of(host), locality }
     }
 
-    /// Returns the endpoints for the client; none if it should ask elsewhere.
+    /// Returns the endpoints for the client. Returns none if it should ask another control node.
     pub fn choose(&self) -> Vec<&'a ProxyEndpoint> {
         let elsewhere = self.ready_elsewhere();
         if !elsewhere.is_empty() || self.should_ask_elsewhere() {
@@ -42,7 +44,7 @@
         choices.find(|endpoints| !endpoints.is_empty()).unwrap_or_default()
     }
 
-    /// Returns the endpoints of other regions where the client is served better.
+    /// Returns ready endpoints of other regions in which the client is served better than in its own.
     fn ready_elsewhere(&self) -> Vec<&'a ProxyEndpoint> {
         match self.homes.served_in(&self.locality.region) {
             ServedIn::All => Vec::new(),
@@ -54,8 +56,9 @@
         }
     }
 
-    /// Returns whether the client is served better in regions of which this process, cut off from the primary, does not
-    /// hear. The endpoints here are cut off from the servers there as well.
+    /// Returns whether the client is served better in other regions whose endpoints are unknown because this
+    /// process has lost contact with the primary. The endpoints that report to this process have lost contact
+    /// with the servers of those regions as well.
     fn should_ask_elsewhere(&self) -> bool {
         self.directory.coverage == Coverage::OwnReports
             && match self.homes.served_in(&self.locality.region) {
@@ -71,7 +74,7 @@
         preferred
     }
 
-    /// Returns none if they are too few to share the load.
+    /// Returns the ready endpoints of the client's zone, or none if they are too few to share the load.
     fn ready_in_zone(&self) -> Vec<&'a ProxyEndpoint> {
         let in_zone = self.ready(|endpoint| endpoint.zone == self.locality.zone);
         if in_zone.len() < MIN_IN_ZONE {
@@ -88,7 +91,8 @@
         self.ready(|endpoint| self.is_common_home(endpoint))
     }
 
-    /// Returns also those that start or drain: they serve, or reject at once.
+    /// Returns endpoints in any state. Starting and draining endpoints are included, since they either serve
+    /// a request or reject it at once.
     fn any_in_region_or_homes(&self) -> Vec<&'a ProxyEndpoint> {
         let endpoints = self.directory.endpoints.iter();
         endpoints.filter(|endpoint| self.is_near(endpoint) || self.is_common_home(endpoint)).collect()
@@ -120,7 +124,7 @@
     }
 }
 
-/// Returns the regions that at least half of these endpoints prefer over their own.
+/// Returns the regions that at least half of the endpoints prefer to their own region.
 fn preferred_by_majority<'a>(endpoints: &[&'a ProxyEndpoint]) -> BTreeSet<&'a str> {
     let mut votes: BTreeMap<&str, usize> = BTreeMap::new();
     for endpoint in endpoints {
--- a/crates/quillpulley/src/control/directory/server.rs
+++ b/crates/quillpulley/src/control/directory/server.rs
@@ -9,14 +9,14 @@
 use std::sync::Arc;
 use tiny_http::{Method, Request};
 
-/// How long clients may keep a response, in seconds, unless the deployment allows less.
+/// Time for which clients may cache a response, in seconds, unless the settings allow less.
 const TIME_TO_LIVE_S: f64 = 2.0;
-/// When a client that got no address should retry, in seconds.
+/// Delay after which a client that received no address should retry, in seconds.
 const RETRY_AFTER_S: &str = "0.2";
 const THREADS: usize = 2;
 
-/// Serves the directory on `listener`. `max_time_to_live_s` is the longest that clients may keep a response, in
-/// seconds.
+/// Serves the directory on `listener`. `max_time_to_live_s` is the maximum time for which clients may cache a
+/// response, in seconds.
 ///
 /// # Errors
 /// [`HostError::Runtime`] if the threads cannot be started.
--- a/crates/quillpulley/src/control/discovery/fetcher.rs
+++ b/crates/quillpulley/src/control/discovery/fetcher.rs
@@ -1,4 +1,4 @@
-//! The thread that fetches pages of the platform's list, one at a time.
+//! A thread that fetches pages of the platform's list, one at a time.
 
 use super::page;
 use super::reader::{Fetch, FetchError};
@@ -9,21 +9,21 @@
 use std::time::Duration;
 use ureq::Agent;
 
-/// The longest time for one request.
+/// Timeout of one request, including its response body.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
-/// The longest page that is read, in bytes.
+/// Maximum size of a page in bytes.
 const MAX_PAGE_BYTES: u64 = 16 * 1024 * 1024;
 
 /// The outcome of a fetch.
 pub type Fetched = Result<page::Page, FetchError>;
 
-/// The handle of the thread.
+/// The handle of the fetching thread.
 pub struct Fetcher {
     fetches: Sender<Fetch>,
 }
 
 impl Fetcher {
-    /// Starts the thread; `deliver` is called with each outcome.
+    /// Starts the thread, which fetches pages from `platform` and calls `deliver` with each outcome.
     ///
     /// # Errors
     /// [`HostError::Runtime`] if the thread cannot be started.
@@ -38,10 +38,10 @@
         Ok(Fetcher { fetches })
     }
 
-    /// Has a page fetched, after those before it.
+    /// Queues a page to be fetched. Pages are fetched in the order of the calls.
     pub fn fetch(&self, fetch: Fetch) {
         if self.fetches.send(fetch).is_err() {
-            log::error!("the thread that fetches the platform's list has ended: restart the process");
+            log::error!("the thread that fetches the platform's list has exited: restart the process");
         }
     }
 }
--- a/crates/quillpulley/src/control/discovery/mod.rs
+++ b/crates/quillpulley/src/control/discovery/mod.rs
@@ -1,8 +1,8 @@
-//! Service discovery: the servers on the platform's list.
+//! Service discovery: polls the platform's list of servers.
 //!
-//! [`ListReader`] decides when which page is fetched and which readings are believed, [`Fetcher`] fetches in a thread
-//! of its own, [`page`] parses, and [`PublishedServers`](published_servers::PublishedServers) finds out what has
-//! changed.
+//! [`ListReader`] schedules the page requests and validates the results, [`Fetcher`] performs the requests in
+//! its own thread, [`page`] parses pages, and [`PublishedServers`](published_servers::PublishedServers)
+//! computes the changes to publish.
 
 pub mod fetcher;
 pub mod page;
@@ -14,31 +14,32 @@
 use reader::{Fetch, ListReader, Outcome, ReaderOptions};
 use std::time::Duration;
 
-/// The interval between readings of the list, if the platform's rate allows it.
+/// Interval between the starts of two readings of the list, if the platform's rate limit allows it.
 const READING_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Reads the platform's list while this process leads.
+/// Reads the platform's list repeatedly while this process is the leader.
 pub struct ServiceDiscovery {
     reader: ListReader,
-    /// The thread that fetches; none without a list.
+    /// The thread that fetches pages; `None` if no list is configured.
     fetcher: Option<Fetcher>,
-    /// How many entries of the last reading could not be parsed.
+    /// The number of entries of the last complete reading that could not be parsed.
     unreadable_entries: usize,
 }
 
 impl ServiceDiscovery {
-    /// Creates a reader of a list that accepts `rate_per_s` calls a second from all machines together.
+    /// Creates a reader of a list whose platform accepts `rate_per_s` requests per second from all machines
+    /// together.
     pub fn new(fetcher: Option<Fetcher>, rate_per_s: f64) -> Self {
         let reader = ListReader::new(ReaderOptions { interval: READING_INTERVAL, rate_per_s });
         ServiceDiscovery { reader, fetcher, unreadable_entries: 0 }
     }
 
-    /// Begins again, since this process has begun to lead.
+    /// Discards the reading in progress and starts a new one, as this process has become the leader.
     pub fn reset(&mut self, now: Duration) {
         self.reader.reset(now);
     }
 
-    /// Fetches the page that is due.
+    /// Fetches the first page if a reading is due.
     pub fn tick(&mut self, now: Duration, is_leader: bool) {
         if self.fetcher.is_some() {
             let due = self.reader.tick(now, is_leader);
@@ -46,8 +47,8 @@
         }
     }
 
-    /// Handles a page, or the failure to get one. Returns a complete reading. `published` is the number of servers that
-    /// are published.
+    /// Handles a fetched page or the failure to fetch it. Returns the reading if this completes it.
+    /// `published` is the number of published servers.
     pub fn handle_page(
         &mut self,
         now: Duration,
@@ -63,10 +64,10 @@
                 return Some(reading);
             }
             Outcome::Failed { error, first: true } => {
-                log::warn!(error:% = error; "reading the platform's list failed")
+                log::warn!(error:% = error; "failed to read the platform's list of servers")
             }
             Outcome::Failed { error, first: false } => {
-                log::debug!(error:% = error; "reading the platform's list failed again");
+                log::debug!(error:% = error; "failed again to read the platform's list of servers");
             }
         }
         None
@@ -82,7 +83,7 @@
         let unreadable = &reading.unreadable;
         if unreadable.len() != self.unreadable_entries {
             self.unreadable_entries = unreadable.len();
-            log::warn!(entries:? = unreadable; "entries of the platform's list are skipped");
+            log::warn!(entries:? = unreadable; "skipping entries of the platform's list that cannot be parsed");
         }
     }
 }
--- a/crates/quillpulley/src/control/discovery/page.rs
+++ b/crates/quillpulley/src/control/discovery/page.rs
@@ -10,9 +10,9 @@
 pub struct Page {
     /// The servers that could be parsed.
     pub servers: Vec<Server>,
-    /// The ids of entries that could not be parsed; empty for those without one.
+    /// The ids of the entries that could not be parsed; an empty string for an entry without an id.
     pub unreadable: Vec<String>,
-    /// The token of the next page; none on the last one.
+    /// The token of the next page; `None` on the last page.
     pub next_token: Option<String>,
 }
 
@@ -21,25 +21,25 @@
 pub struct Reading {
     /// The servers on the list.
     pub servers: Vec<Server>,
-    /// The ids of entries that could not be parsed: what was published of these stays.
+    /// The ids of the entries that could not be parsed. What was published for these servers stays published.
     pub unreadable: Vec<String>,
 }
 
-/// Why a page cannot be parsed.
+/// The reason why a page cannot be parsed.
 #[derive(Debug, Display, PartialEq, Eq)]
 pub enum PageError {
-    /// the list is no JSON ({0}): check the platform's address in the settings file
+    /// the list is not valid JSON ({0}): check the platform's address in the settings file
     NotJson(String),
-    /// the list has no {0}: check that the platform speaks this version of the protocol
+    /// the list lacks {0}: check that the platform uses this version of the protocol
     Missing(&'static str),
 }
 
 impl std::error::Error for PageError {}
 
-/// Parses a page. Entries that lack something are reported as unreadable, unknown fields are ignored.
+/// Parses a page. Entries that lack a required field are reported as unreadable; unknown fields are ignored.
 ///
 /// # Errors
-/// [`PageError`] if it is no page of this protocol.
+/// [`PageError`] if `body` is not a page of this protocol.
 pub fn parse_page(body: &mut [u8]) -> Result<Page, PageError> {
     let value = simd_json::to_borrowed_value(body).map_err(|error| PageError::NotJson(error.to_string()))?;
     let entries = value.get_array("Instances").ok_or(PageError::Missing("Instances"))?;
@@ -58,7 +58,7 @@
         None => Ok(None),
         Some(token) if token.is_null() => Ok(None),
         Some(token) => {
-            let token = token.as_str().ok_or(PageError::Missing("NextToken that is text or null"))?;
+            let token = token.as_str().ok_or(PageError::Missing("a NextToken that is a string or null"))?;
             Ok(Some(token.to_string()).filter(|token| !token.is_empty()))
         }
     }
@@ -80,7 +80,8 @@
     })
 }
 
-/// Returns the platform knows `ready` and `draining`. A server in any other state gets no new requests either.
+/// Parses a server state. The platform defines `ready` and `draining`; any other state except an empty one
+/// counts as draining, so that the server gets no new requests.
 fn parse_state(state: &str) -> Option<ServerState> {
     match state {
         "ready" => Some(ServerState::Ready),
@@ -89,7 +90,8 @@
     }
 }
 
-/// Returns a number of milliseconds that may come as a fraction.
+/// Returns a non-negative number as an integer, rounded down and limited to [`u32::MAX`]; `None` for a
+/// negative number or any other value.
 fn as_millis(value: &BorrowedValue<'_>) -> Option<u32> {
     let number = value.cast_f64()?;
     (number >= 0.0).then(|| number.min(f64::from(u32::MAX)) as u32)
--- a/crates/quillpulley/src/control/discovery/published_servers.rs
+++ b/crates/quillpulley/src/control/discovery/published_servers.rs
@@ -1,4 +1,5 @@
-//! The servers that the primary has published, and what a newer reading of the platform's list changes.
+//! The servers that the primary has published, and the changes to publish after a newer reading of the
+//! platform's list.
 
 use super::page::Reading;
 use quillpulley_protocol::{decode_value, encode_value, Server, ServerRef};
@@ -7,12 +8,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A published countdown stays as long as a newer reading does not differ from it by more.
+/// Maximum excess of a listed warm-up over the published countdown, and maximum shortfall of a listed
+/// remaining time. Beyond it, the server is published again.
 const COUNTDOWN_TOLERANCE: Duration = Duration::from_millis(300);
 
 struct Published {
     server: Server,
-    /// When its countdowns began; none if another primary has published it.
+    /// The time at which its countdowns started; `None` if another primary published the server.
     published_at: Option<Duration>,
 }
 
@@ -23,7 +25,7 @@
 }
 
 impl PublishedServers {
-    /// Begins with what another primary has published, given as keys and values of items.
+    /// Takes over what another primary has published, given as keys and values of items.
     pub fn inherit<'a>(items: impl Iterator<Item = (&'a str, &'a [u8])>) -> Self {
         let servers = items
             .filter(|(key, _)| matches!(PublishedKey::parse(key), Some(PublishedKey::Server(_))))
@@ -42,7 +44,7 @@
         self.servers.is_empty()
     }
 
-    /// Returns the changes for a complete reading of `now`.
+    /// Returns the changes to publish for a complete reading at `now`.
     pub fn update(&mut self, now: Duration, reading: Reading) -> Vec<Change> {
         let listed: BTreeSet<&str> = reading.servers.iter().map(|server| server.id.as_str()).collect();
         let unreadable: BTreeSet<&str> = reading.unreadable.iter().map(String::as_str).collect();
@@ -71,7 +73,7 @@
 }
 
 impl Published {
-    /// Returns whether the published entry still says what `listed` says.
+    /// Returns whether the published server still matches `listed`.
     fn is_current(&self, now: Duration, listed: &Server) -> bool {
         self.same_static_fields(listed)
             && self.same_warmup(now, listed)
@@ -87,8 +89,8 @@
             && known.state == listed.state
     }
 
-    /// Compares the warm-ups. The end of one is published too, so that a proxy that starts later does not count it
-    /// again.
+    /// Returns whether the published warm-up still matches. The end of a warm-up is published too, so that a
+    /// proxy that starts later does not restart the countdown.
     fn same_warmup(&self, now: Duration, listed: &Server) -> bool {
         match (self.server.warmup_remaining_ms, listed.warmup_remaining_ms) {
             (0, 0) => true,
@@ -112,7 +114,8 @@
         }
     }
 
-    /// Returns what remains by now of a countdown that began with the publication, if that time is known.
+    /// Returns the time that remains at `now` of a countdown that started when the server was published;
+    /// `None` if that time is unknown.
     fn remaining(&self, now: Duration, published_ms: u32) -> Option<Duration> {
         let elapsed = now.saturating_sub(self.published_at?);
         Some(millis(published_ms).saturating_sub(elapsed))
--- a/crates/quillpulley/src/control/discovery/reader.rs
+++ b/crates/quillpulley/src/control/discovery/reader.rs
@@ -1,30 +1,32 @@
-//! When which page of the platform's list is fetched, and which readings are believed. Pure: the host fetches.
+//! Schedules the requests for the platform's list and validates the results. This module performs no I/O: the
+//! host fetches the pages.
 //!
-//! Only the holder of the lease reads. A reading begins again if its pages do not belong together, and one that lacks
-//! more than half of the published servers has to be confirmed by a second one.
+//! Only the node that holds the lease reads the list. A reading fails and is retried if a page token occurs
+//! twice or there are too many pages. A reading that lacks more than half of the published servers is used
+//! only if a second reading of the same size confirms it.
 
 use super::page::{Page, Reading};
 use displaydoc::Display;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The divisor of the platform's rate that the primary uses at most.
+/// The primary uses at most the platform's rate limit divided by this number.
 const RATE_DIVISOR: f64 = 4.0;
-/// How soon an implausible reading is repeated.
+/// Delay before an implausible reading is repeated.
 const CONFIRM_AFTER: Duration = Duration::from_millis(100);
-/// The longest backoff after consecutive failures.
+/// Maximum backoff after consecutive failures.
 const LONGEST_BACKOFF: Duration = Duration::from_secs(2);
-/// More pages than any list has.
+/// Maximum number of pages, which exceeds that of any real list. It ends a reading whose pages never end.
 const MAX_PAGES: usize = 10_000;
 
-/// Why a page was not fetched.
+/// The reason why a page could not be fetched.
 #[derive(Debug, Display, Clone, PartialEq, Eq)]
 pub enum FetchError {
-    /// the platform asks for fewer calls: lower the rate of reading
+    /// the platform limits the request rate: reduce the configured rate
     RateLimited,
-    /// the platform answered {0}: see its own log
+    /// the platform responded with status {0}: check the platform's log
     Status(u16),
-    /// the platform did not answer ({0}): check the network and its address in the settings file
+    /// the platform did not respond ({0}): check the network and the platform's address in the settings file
     Failed(String),
     /// the page cannot be read: {0}
     Unreadable(String),
@@ -32,28 +34,28 @@
 
 impl std::error::Error for FetchError {}
 
-/// A page to be fetched.
+/// A page to fetch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fetch {
-    /// The token of the page; none for the first.
+    /// The token of the page; `None` for the first page.
     pub token: Option<String>,
 }
 
-/// How the list is read.
+/// Options for reading the list.
 #[derive(Debug, Clone, Copy)]
 pub struct ReaderOptions {
-    /// The time between the beginnings of two readings, if the platform's rate allows it.
+    /// Time between the starts of two readings, if the platform's rate limit allows it.
     pub interval: Duration,
-    /// The calls a second that the platform accepts from all machines together.
+    /// Requests per second that the platform accepts from all machines together; 0 if there is no limit.
     pub rate_per_s: f64,
 }
 
 enum ReaderState {
-    /// The next reading begins at this time.
+    /// The next reading starts at this time.
     RequestQueue(Duration),
     /// A page is being fetched.
     Reading(PartialReading),
-    /// A page is being fetched that will not be used.
+    /// A page is being fetched whose result will be discarded.
     Discarding,
 }
 
@@ -65,17 +67,17 @@
     tokens: BTreeSet<String>,
 }
 
-/// Reads the platform's list again and again while the lease is held.
+/// Reads the platform's list repeatedly while the lease is held.
 pub struct ListReader {
     options: ReaderOptions,
     state: ReaderState,
     failures: u32,
-    /// The size of an implausible reading, which another one has to confirm.
+    /// The size of an implausible reading, which a second reading has to confirm.
     unconfirmed_size: Option<usize>,
 }
 
 impl ListReader {
-    /// Creates a reader that begins at once.
+    /// Creates a reader that starts its first reading at the next tick.
     pub fn new(options: ReaderOptions) -> Self {
         ListReader {
             options,
@@ -85,7 +87,8 @@
         }
     }
 
-    /// Begins again, as after an election. A page that is being fetched will not be used.
+    /// Starts a new reading, as after an election. The result of a page that is being fetched will be
+    /// discarded.
     pub fn reset(&mut self, now: Duration) {
         self.unconfirmed_size = None;
         self.state = match self.state {
@@ -94,7 +97,8 @@
         };
     }
 
-    /// Returns the page to fetch at `now`, if a reading is due. `is_leader` is whether the lease is held.
+    /// Returns the first page to fetch if a reading is due at `now`. `is_leader` tells whether the lease is
+    /// held.
     pub fn tick(&mut self, now: Duration, is_leader: bool) -> Option<Fetch> {
         match self.state {
             ReaderState::RequestQueue(at) if is_leader && at <= now => {
@@ -106,7 +110,7 @@
         }
     }
 
-    /// Handles the outcome of a fetch. `published` is the number of servers that are published.
+    /// Handles the outcome of a fetch. `published` is the number of published servers.
     pub fn handle_page(
         &mut self,
         now: Duration,
@@ -142,7 +146,8 @@
                 self.state = ReaderState::Reading(partial);
                 Outcome::Fetch(Fetch { token: Some(token) })
             }
-            Some(token) => self.fail(now, FetchError::Unreadable(format!("page {token} comes twice"))),
+            Some(token) => self
+                .fail(now, FetchError::Unreadable(format!("page {token} repeats, or the list is too long"))),
         }
     }
 
@@ -168,7 +173,7 @@
         Outcome::Complete(partial.reading)
     }
 
-    /// Returns the interval in which reading this many pages stays within the allowed rate.
+    /// Returns the shortest interval at which reading this many pages stays within the allowed rate.
     fn interval_for(&self, pages: usize) -> Duration {
         if self.options.rate_per_s <= 0.0 {
             return self.options.interval;
@@ -179,20 +184,20 @@
     }
 }
 
-/// What follows from a fetch.
+/// The consequence of a fetch.
 #[derive(Debug, PartialEq)]
 pub enum Outcome {
-    /// Nothing before the next tick.
+    /// There is nothing to do before the next tick.
     Nothing,
     /// This page has to be fetched next.
     Fetch(Fetch),
-    /// The list is read completely and is believed.
+    /// The list was read completely and passed validation.
     Complete(Reading),
-    /// The reading has failed and will be retried.
+    /// The reading failed and will be retried.
     Failed {
-        /// Why.
+        /// The cause of the failure.
         error: FetchError,
-        /// Whether the previous reading was complete.
+        /// Whether this is the first of consecutive failures.
         first: bool,
     },
 }
--- a/crates/quillpulley/src/control/distribution/control_topology.rs
+++ b/crates/quillpulley/src/control/distribution/control_topology.rs
@@ -1,23 +1,23 @@
-//! The position of this process among the control nodes of the relay tree: its parent, and its children.
+//! The position of this process among the control nodes of the relay tree: its parent and its children.
 //!
-//! Only the root has control nodes as children: two that each took the other for their parent would count each other's
-//! reports. A node that learns of a new primary may subscribe before that primary knows of its own election; its
-//! messages are kept until then.
+//! Only the root has control nodes as children. If two control nodes were each other's parent, each would
+//! count the other's reports as its own. A node that learns of a new primary may subscribe before that
+//! primary learns of its own election. Its messages are kept until then.
 
 use quillpulley_protocol::{Body, NodeId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A parent whose published state does not move for this long is subscribed to again.
+/// Time after which this process subscribes to its parent again if the published state does not advance.
 const RESUBSCRIBE_AFTER: Duration = Duration::from_secs(1);
-/// The most reports that are kept of a pending child.
+/// Maximum number of reports that are kept for a pending child.
 const MAX_PENDING_REPORTS: usize = 64;
 
-/// The messages of a control node that is no child yet.
+/// The messages of a control node that is not a child yet.
 #[derive(Default)]
 struct PendingChild {
     subscription: Option<Body>,
-    /// A complete report and those that build on it.
+    /// A complete report and the incremental reports that build on it.
     reports: Vec<Body>,
 }
 
@@ -40,18 +40,18 @@
 /// A change of the parent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ParentChange {
-    /// There is another parent, or the same one is subscribed to again.
+    /// The parent is a different node, or this process subscribes to the same parent again.
     Up,
-    /// There is no parent any more.
+    /// There is no longer a parent.
     Down,
 }
 
-/// A message that a child sends.
+/// The result of handling a message that only children send.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ChildMessage {
-    /// It comes from a child.
+    /// The sender is a child: the message has to be processed.
     FromChild(Body),
-    /// It is kept until its sender becomes a child.
+    /// The sender is not a child: the message is kept until it becomes one.
     Pending,
 }
 
@@ -60,21 +60,22 @@
 pub struct ControlTopology {
     parent: Option<NodeId>,
     subscribed_at: Duration,
-    /// Whether the link from the parent was replaced since the last subscription.
+    /// Whether the link from the parent has been replaced since the last subscription.
     is_link_replaced: bool,
     children: BTreeSet<NodeId>,
     pending: BTreeMap<NodeId, PendingChild>,
 }
 
 impl ControlTopology {
-    /// Returns the parent.
+    /// Returns the parent; `None` if this process is the root or no parent is reachable.
     pub fn parent(&self) -> Option<NodeId> {
         self.parent
     }
 
-    /// Chooses the parent: `primary` if one has sent a heartbeat recently and can be reached, else the previous parent
-    /// while it
-    /// `is_reachable`. The root has none. `moved_at` is when the published state moved last.
+    /// Chooses the parent: `primary` if it is reachable, or else the previous parent if that is reachable.
+    /// `primary` is the node that has recently sent a heartbeat as primary, and `moved_at` is the time at
+    /// which the published state last advanced. Returns `None` if nothing has to change. Must not be called
+    /// at the root, which has no parent.
     pub fn choose_parent(
         &mut self,
         now: Duration,
@@ -99,23 +100,24 @@
         now.saturating_sub(latest) >= RESUBSCRIBE_AFTER
     }
 
-    /// Records that the link from a control node was replaced. The parent is subscribed to again.
+    /// Records that the link from a control node was replaced. If the node is the parent, this process
+    /// subscribes to it again.
     pub fn link_replaced(&mut self, node: NodeId) {
         self.is_link_replaced |= self.parent == Some(node);
     }
 
-    /// Makes this process the root.
+    /// Makes this process the root, which has no parent.
     pub fn become_root(&mut self) {
         self.parent = None;
     }
 
-    /// Makes this process no root any more. Returns the nodes that were its children.
+    /// Ends the role of root. Returns the nodes that were children.
     pub fn leave_root(&mut self) -> Vec<NodeId> {
         self.pending.clear();
         std::mem::take(&mut self.children).into_iter().collect()
     }
 
-    /// Handles a message that only children send.
+    /// Handles a message that only children send. Keeps it if the sender is not a child yet.
     pub fn handle_child_message(&mut self, node: NodeId, body: Body) -> ChildMessage {
         if self.children.contains(&node) {
             return ChildMessage::FromChild(body);
@@ -124,8 +126,8 @@
         ChildMessage::Pending
     }
 
-    /// Makes children of the pending nodes that can be reached, and returns them with their messages. Only the root
-    /// does so.
+    /// Admits as children the pending nodes that are reachable and have sent both a subscription and a
+    /// complete report. Returns them with their messages. Must be called only at the root.
     pub fn admit_pending(&mut self, is_reachable: impl Fn(NodeId) -> bool) -> Vec<(NodeId, Vec<Body>)> {
         let ready = |(node, child): (&NodeId, &PendingChild)| {
             (child.is_complete() && is_reachable(*node)).then_some(*node)
@@ -140,7 +142,7 @@
         admitted
     }
 
-    /// Removes a control node that cannot be reached any more. Returns whether it was a child.
+    /// Removes a control node that is no longer reachable. Returns whether it was a child.
     pub fn remove(&mut self, node: NodeId) -> bool {
         self.pending.remove(&node);
         self.children.remove(&node)
--- a/crates/quillpulley/src/control/distribution/endpoint_registry.rs
+++ b/crates/quillpulley/src/control/distribution/endpoint_registry.rs
@@ -1,4 +1,4 @@
-//! The proxy endpoints that the primary publishes: those that agents report, without those that cannot be reached.
+//! The proxy endpoints that the primary publishes: those that agents report, except unreachable ones.
 
 use quillpulley_protocol::{decode_value, encode_value, ProxyEndpoint, ProxyEndpointRef};
 use quillpulley_serving_config::published::{endpoint_key, PublishedKey};
@@ -6,16 +6,17 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// An endpoint that is no longer reported stays published for this long: its agent may be changing its parent.
+/// Time for which an endpoint stays published after it is no longer reported. Its agent may be changing its
+/// parent.
 pub const ABSENCE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The same after an election, when all agents change their parents.
+/// The same time after an election, when all agents change their parents.
 pub const ABSENCE_TIMEOUT_AFTER_ELECTION: Duration = Duration::from_secs(3);
-/// So many monitors have to suspect an endpoint before it counts as unreachable.
+/// Minimum number of monitors that must suspect an endpoint before it counts as unreachable.
 const SUSPECTING_MONITORS: usize = 2;
 
 struct Published {
     endpoint: ProxyEndpoint,
-    /// When it is removed unless it is reported again; none while it is reported.
+    /// The time at which the endpoint is removed unless it is reported again; `None` while it is reported.
     removal_at: Option<Duration>,
 }
 
@@ -26,7 +27,7 @@
 }
 
 impl EndpointRegistry {
-    /// Begins with what another primary has published, given as keys and values of items.
+    /// Takes over what another primary has published, given as keys and values of items.
     pub fn inherit<'a>(now: Duration, items: impl Iterator<Item = (&'a str, &'a [u8])>) -> Self {
         let removal_at = Some(now + ABSENCE_TIMEOUT_AFTER_ELECTION);
         let endpoints = items
@@ -36,7 +37,7 @@
         EndpointRegistry { endpoints: endpoints.collect() }
     }
 
-    /// Returns the changes for the reports of the whole tree at `now`.
+    /// Returns the changes to publish for the reports of the whole tree at `now`.
     pub fn update(&mut self, now: Duration, tree: &SubtreeState) -> Vec<Change> {
         let mut changes = Vec::new();
         for endpoint in tree.endpoints.values().filter(|endpoint| !is_suspected(tree, &endpoint.name)) {
@@ -65,7 +66,7 @@
         self.endpoints.insert(endpoint.name.clone(), published);
     }
 
-    /// Returns the removals of endpoints that have been absent for too long.
+    /// Returns the removals of endpoints whose removal is due at `now`.
     pub fn tick(&mut self, now: Duration) -> Vec<Change> {
         let mut changes = Vec::new();
         self.endpoints.retain(|name, published| {
@@ -79,7 +80,7 @@
     }
 }
 
-/// Returns whether enough monitors suspect an endpoint.
+/// Returns whether at least `SUSPECTING_MONITORS` monitors suspect an endpoint.
 pub(in crate::control) fn is_suspected(tree: &SubtreeState, name: &str) -> bool {
     tree.suspicions.get(name).is_some_and(|monitors| monitors.len() >= SUSPECTING_MONITORS)
 }
--- a/crates/quillpulley/src/control/distribution/leader_publisher.rs
+++ b/crates/quillpulley/src/control/distribution/leader_publisher.rs
@@ -1,4 +1,4 @@
-//! The primary as publisher: it is the root of the relay tree while it holds the lease.
+//! Publishing by the primary, which is the root of the relay tree while it holds the lease.
 
 use super::published_state::{control_node_changes, state_changes, PublishedState};
 use super::relay_node::RelayNode;
@@ -8,35 +8,35 @@
 use quillpulley_state_sync::{Change, Event};
 use std::time::Duration;
 
-/// The longest time between two published revisions.
+/// Maximum time between two published revisions.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A change of the leadership.
+/// A change of leadership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeadershipChange {
-    /// Nothing has changed.
+    /// Neither the leadership nor its epoch has changed.
     Unchanged,
-    /// This process leads from now on, or leads in a later epoch.
+    /// This process has become the leader, or is the leader in a later epoch.
     Gained,
-    /// This process does not lead any more.
+    /// This process is no longer the leader.
     Lost,
 }
 
-/// What has changed since the last publication, apart from the reports of the tree.
+/// Which state has changed since the last publication, apart from the reports of the relay tree.
 #[derive(Debug, Default)]
 struct PendingChanges {
     state: bool,
     control_nodes: bool,
 }
 
-/// An epoch in which this process leads.
+/// An epoch in which this process is the leader.
 struct Term {
     epoch: u64,
     published: PublishedState,
     published_at: Duration,
 }
 
-/// Publishes while this process is the primary and holds the lease.
+/// Publishes state while this process is the leader, that is, the primary with a valid lease.
 #[derive(Default)]
 pub struct LeaderPublisher {
     term: Option<Term>,
@@ -44,27 +44,27 @@
 }
 
 impl LeaderPublisher {
-    /// Returns whether this process leads.
+    /// Returns whether this process is the leader.
     pub fn is_leader(&self) -> bool {
         self.term.is_some()
     }
 
-    /// Returns the number of published servers; 0 if this process does not lead.
+    /// Returns the number of published servers; 0 if this process is not the leader.
     pub fn server_count(&self) -> usize {
         self.term.as_ref().map_or(0, |term| term.published.server_count())
     }
 
-    /// Notes that the committed state has changed.
+    /// Records that the committed state has changed.
     pub fn state_changed(&mut self) {
         self.pending.state = true;
     }
 
-    /// Notes that the known control nodes have changed.
+    /// Records that the set of known control nodes has changed.
     pub fn control_nodes_changed(&mut self) {
         self.pending.control_nodes = true;
     }
 
-    /// Gains or loses the leadership: this process leads in `epoch`, or does not lead.
+    /// Updates the leadership: this process is the leader in `epoch`, or not the leader if that is `None`.
     pub fn update(
         &mut self,
         now: Duration,
@@ -79,7 +79,7 @@
         let before = self.term.take();
         match epoch {
             Some(epoch) => {
-                log::info!(epoch; "publishing as primary");
+                log::info!(epoch; "started publishing as primary");
                 self.begin_term(now, epoch, before, relay);
                 relay.become_root(epoch, links);
                 let changes = self.collect_changes(now, state, relay, links);
@@ -87,14 +87,14 @@
                 LeadershipChange::Gained
             }
             None => {
-                log::info!("no longer publishing as primary");
+                log::info!("stopped publishing as primary");
                 relay.leave_root(links);
                 LeadershipChange::Lost
             }
         }
     }
 
-    /// Begins a term. Its first revision is published together with all that the previous root has omitted.
+    /// Starts a term. Its first revision contains everything that the previous root has not published.
     fn begin_term(&mut self, now: Duration, epoch: u64, before: Option<Term>, relay: &mut RelayNode) {
         let published = match before {
             Some(before) => before.published,
@@ -105,7 +105,7 @@
         relay.mark_reports_changed();
     }
 
-    /// Publishes what has changed and admits children, if this process leads.
+    /// Publishes the pending changes and admits children, if this process is the leader.
     pub fn publish_changes(
         &mut self,
         now: Duration,
@@ -141,7 +141,7 @@
         changes
     }
 
-    /// Publishes a complete reading of the platform's list, if this process leads.
+    /// Publishes the changes of a complete reading of the platform's list, if this process is the leader.
     pub fn publish_list(
         &mut self,
         now: Duration,
@@ -154,7 +154,8 @@
         self.publish(now, changes, relay, links);
     }
 
-    /// Publishes what time alone has changed, or else a heartbeat if one is due, if this process leads.
+    /// Publishes changes that are due merely because time has passed, and a heartbeat if nothing has been
+    /// published for `HEARTBEAT_INTERVAL`. Does nothing if this process is not the leader.
     pub fn tick(&mut self, now: Duration, relay: &mut RelayNode, links: &mut Links) {
         let Some(term) = &mut self.term else { return };
         let changes = term.published.tick(now);
--- a/crates/quillpulley/src/control/distribution/mod.rs
+++ b/crates/quillpulley/src/control/distribution/mod.rs
@@ -1,4 +1,5 @@
-//! Distribution of published state: what the primary publishes, and the place of this process in the relay tree.
+//! Distribution of the published state: what the primary publishes, and the position of this process in the
+//! relay tree.
 
 pub mod control_topology;
 pub mod endpoint_registry;
--- a/crates/quillpulley/src/control/distribution/published_state.rs
+++ b/crates/quillpulley/src/control/distribution/published_state.rs
@@ -1,4 +1,4 @@
-//! What the root of the relay tree has published, and which changes bring that up to date.
+//! The items that the root of the relay tree has published, and the changes that bring them up to date.
 
 use super::endpoint_registry::EndpointRegistry;
 use crate::control::discovery::page::Reading;
@@ -19,7 +19,7 @@
 }
 
 impl PublishedState {
-    /// Begins with what the previous root has published.
+    /// Takes over what the previous root has published.
     pub fn inherit(now: Duration, store: &Store) -> Self {
         let servers = PublishedServers::inherit(store.iter());
         PublishedState { servers, endpoints: EndpointRegistry::inherit(now, store.iter()) }
@@ -30,28 +30,28 @@
         self.servers.len()
     }
 
-    /// Returns the changes for a complete reading of the platform's list.
+    /// Returns the changes to publish for a complete reading of the platform's list.
     pub fn update_servers(&mut self, now: Duration, reading: Reading) -> Vec<Change> {
         self.servers.update(now, reading)
     }
 
-    /// Returns the changes for the reports of the whole tree.
+    /// Returns the changes to publish for the reports of the whole tree.
     pub fn update_endpoints(&mut self, now: Duration, tree: &SubtreeState) -> Vec<Change> {
         self.endpoints.update(now, tree)
     }
 
-    /// Returns the changes that time alone has brought.
+    /// Returns the changes to publish merely because time has passed.
     pub fn tick(&mut self, now: Duration) -> Vec<Change> {
         self.endpoints.tick(now)
     }
 }
 
-/// Returns the changes that bring the store up to the committed configuration and evacuations.
+/// Returns the changes that bring `store` up to date with the committed configuration and evacuations.
 pub fn state_changes(store: &Store, state: &ControlState) -> Vec<Change> {
     differences(store, published_items(state), is_from_state)
 }
 
-/// Returns the changes that bring the store up to these control nodes.
+/// Returns the changes that bring `store` up to date with `control_nodes`.
 pub fn control_node_changes(store: &Store, control_nodes: Vec<ControlNode>) -> Vec<Change> {
     let item = |node: ControlNode| (control_node_key(Ipv4Addr::from_bits(node.ip)), encode_value(&node));
     differences(store, control_nodes.into_iter().map(item).collect(), is_control_node)
@@ -65,7 +65,7 @@
     matches!(key, PublishedKey::ControlNode(_))
 }
 
-/// Returns the changes that make the published items of some kinds equal to those that are wanted.
+/// Returns the changes that make the published items of the selected kinds equal to `wanted`.
 fn differences(
     store: &Store,
     wanted: BTreeMap<String, Vec<u8>>,
--- a/crates/quillpulley/src/control/distribution/relay_node.rs
+++ b/crates/quillpulley/src/control/distribution/relay_node.rs
@@ -1,4 +1,5 @@
-//! The node of the relay tree: its published state, its position among the control nodes, and its frames on the links.
+//! The node of this process in the relay tree: its published state, its position among the control nodes, and
+//! its messages on the links.
 
 use super::control_topology::{ChildMessage, ControlTopology, ParentChange};
 use crate::control::clock::Clock;
@@ -13,9 +14,9 @@
 /// A child in the relay tree.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Child {
-    /// Another control node: it gets its frames on the link that this process opened.
+    /// Another control node. Messages are sent to it on the link that this process opened.
     ControlNode(NodeId),
-    /// An agent, on the link that it opened.
+    /// An agent. Messages are sent to it on the link that the agent opened.
     Agent(LinkId),
 }
 
@@ -32,7 +33,8 @@
 }
 
 impl RelayNode {
-    /// Creates a node without published state and without a parent. `link_mbps` is the speed of the machine's link.
+    /// Creates a node without published state and without a parent. `link_mbps` is the speed of the machine's
+    /// network link in Mbit/s.
     pub fn new(clock: Clock, name: &str, link_mbps: f64) -> Self {
         RelayNode {
             clock,
@@ -49,12 +51,12 @@
         self.feed.store()
     }
 
-    /// Returns the reports of this process and of all below it.
+    /// Returns the reports of this process and of its subtree.
     pub fn subtree(&self) -> &SubtreeState {
         self.feed.subtree()
     }
 
-    /// Has the reports published with the next changes.
+    /// Marks the reports as changed, so that the next publication includes them.
     pub fn mark_reports_changed(&mut self) {
         self.reports_changed = true;
     }
@@ -64,14 +66,14 @@
         std::mem::take(&mut self.reports_changed)
     }
 
-    /// Returns the directory at `now`, if it may have changed since the last call.
+    /// Returns the directory at `now` if it may have changed since the last call.
     pub fn changed_directory(&mut self, now: Duration) -> Option<Directory> {
         let inputs = DirectoryInputs::at(now, &self.feed);
         let has_changed = std::mem::take(&mut self.directory_changed);
         has_changed.then(|| self.directory.build(now, &inputs))
     }
 
-    /// Notes that time has passed, which alone may change the directory.
+    /// Marks the directory as changed if it may change merely because time passes.
     pub fn tick_directory(&mut self, now: Duration) {
         self.directory_changed |= self.directory.depends_on_time(self.feed.is_fresh(now));
     }
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Drops a child. A control node that is dropped notices that nothing new comes, and subscribes again.
+    /// Drops a child. A dropped control node detects that it receives no more updates, and subscribes again.
     fn drop_child(&mut self, child: Child, links: &mut Links) {
         match child {
             Child::ControlNode(node) => drop(self.topology.remove(node)),
@@ -118,7 +120,8 @@
         }
     }
 
-    /// Handles a message of another control node, or gives it back if it is no frame of the tree.
+    /// Handles a message from another control node. Returns the message if it does not belong to the relay
+    /// tree.
     pub fn handle_control_node_message(
         &mut self,
         node: NodeId,
@@ -142,20 +145,20 @@
         }
     }
 
-    /// Handles that a control node can no longer be reached, or no longer sends anything.
+    /// Handles the loss of a control node, to which or from which no message can be sent any more.
     pub fn control_node_lost(&mut self, node: NodeId, links: &mut Links) {
         if self.topology.remove(node) {
             self.handle(Event::ChildDown(Child::ControlNode(node)), links);
         }
     }
 
-    /// Handles that another link has taken the place of the one from a control node. If that is the parent, it may have
+    /// Handles the replacement of the link from a control node. If the node is the parent, it may have
     /// dropped this process as a child.
     pub fn control_node_link_replaced(&mut self, node: NodeId) {
         self.topology.link_replaced(node);
     }
 
-    /// Chooses the parent: the primary if it can be reached. Must not be called at the root.
+    /// Updates the parent: the primary if it is reachable. Must not be called at the root.
     pub fn update_parent(&mut self, now: Duration, primary: Option<NodeId>, links: &mut Links) {
         let is_reachable = |node| links.exchanges_with(node);
         match self.topology.choose_parent(now, primary, self.feed.last_advanced(), is_reachable) {
@@ -165,13 +168,13 @@
         }
     }
 
-    /// Makes this process the root, in an epoch.
+    /// Makes this process the root in `epoch`.
     pub fn become_root(&mut self, epoch: u64, links: &mut Links) {
         self.topology.become_root();
         self.handle(Event::BecomeRoot { epoch }, links);
     }
 
-    /// Makes this process no root any more, without control nodes as children.
+    /// Ends the role of root, and removes the children that are control nodes.
     pub fn leave_root(&mut self, links: &mut Links) {
         self.handle(Event::LeaveRoot, links);
         for node in self.topology.leave_root() {
@@ -179,7 +182,7 @@
         }
     }
 
-    /// Admits the control nodes that have subscribed to this process, which is the root.
+    /// Admits as children the control nodes that have subscribed. Must be called only at the root.
     pub fn admit_children(&mut self, links: &mut Links) {
         for (node, messages) in self.topology.admit_pending(|node| links.sends_to(node)) {
             self.handle(Event::ChildUp(Child::ControlNode(node)), links);
--- a/crates/quillpulley/src/control/mod.rs
+++ b/crates/quillpulley/src/control/mod.rs
@@ -1,16 +1,19 @@
-//! The control role: the operator's API, the directory, the replicated control state, and the root of the relay tree.
+//! The control role: the operator API, the directory, the replicated control state and the root of the relay
+//! tree.
 //!
-//! One thread, that of the [`ControlHost`](replica_host::host::ControlHost), owns all state. The others wait: for the
-//! disk, for the platform, for operators and for clients. They exchange messages with it and share nothing else.
+//! All state is owned by the main thread, which runs the [`ControlHost`](replica_host::host::ControlHost).
+//! The other threads perform blocking work: disk writes, requests to the platform, and HTTP connections of
+//! operators and clients. They exchange messages with the main thread; apart from these, they share only the
+//! [`DirectoryHandle`](directory::DirectoryHandle) and the [`Clock`](clock::Clock).
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | [`api`] | HTTP: parsing of an operator's requests, writing of responses |
-//! | [`commands`] | commands of operators, decided one after the other and replicated |
-//! | [`discovery`] | the platform's list of servers |
-//! | [`distribution`] | what the primary publishes, and the place of this process in the relay tree |
-//! | [`directory`] | which proxies a client is sent to |
-//! | [`replica_host`] | the process: event loop, replica, disk, links to other control nodes |
+//! | [`api`] | the operator API over HTTP: parses requests and writes responses |
+//! | [`commands`] | operator commands, which are decided and replicated one at a time |
+//! | [`discovery`] | polling of the platform's list of servers |
+//! | [`distribution`] | the state that the primary publishes, and the position of this process in the relay tree |
+//! | [`directory`] | selection of the proxy endpoints for a client |
+//! | [`replica_host`] | the process: event loop, replica, storage thread and links to other control nodes |
 
 pub mod api;
 pub mod clock;
--- a/crates/quillpulley/src/control/replica_host/components.rs
+++ b/crates/quillpulley/src/control/replica_host/components.rs
@@ -1,4 +1,4 @@
-//! The components that a process opens for its host.
+//! The components that a process creates for its host.
 
 use super::storage_thread::StorageThread;
 use crate::control::clock::Clock;
@@ -10,9 +10,9 @@
 use quillpulley_replication::Replica;
 use std::rc::Rc;
 
-/// What a [`ControlHost`](super::host::ControlHost) is built from.
+/// The components from which a [`ControlHost`](super::host::ControlHost) is built.
 pub struct Components {
-    /// The time since the start of the process.
+    /// The clock that all threads of the process share.
     pub clock: Clock,
     /// The identity of this process.
     pub me: NodeId,
@@ -20,10 +20,10 @@
     pub peers: Rc<Peers>,
     /// The replica of the control state.
     pub replica: Replica<ControlState>,
-    /// The thread that writes to the disk.
+    /// The thread that writes to disk.
     pub storage: StorageThread,
-    /// The thread that fetches the platform's list, if there is one.
+    /// The thread that fetches the platform's list; `None` if no platform is configured.
     pub fetcher: Option<Fetcher>,
-    /// The directory that clients are served from.
+    /// The directory from which clients are served.
     pub directory: DirectoryHandle,
 }
--- a/crates/quillpulley/src/control/replica_host/host.rs
+++ b/crates/quillpulley/src/control/replica_host/host.rs
@@ -1,7 +1,7 @@
-//! The event loop of a control node: it owns all state, and handles all events.
+//! The state of a control node, and the handlers of all its events.
 //!
-//! After each event `ControlHost::advance` brings everything in line with the new state: the leadership, the position
-//! in the relay tree, what is published, commands and responses, the directory, and the links.
+//! After each event, `ControlHost::advance` updates everything that depends on the state: the leadership, the
+//! position in the relay tree, the published state, commands and responses, the directory, and the links.
 
 use super::components::Components;
 use super::links::{LinkEvent, Links};
@@ -26,10 +26,10 @@
 use quillpulley_state_sync as state_sync;
 use std::time::Duration;
 
-/// The state of a control node.
+/// A control node. It owns the node's whole state.
 pub struct ControlHost {
     clock: Clock,
-    /// The jumps of the clock that the replica knows of.
+    /// The number of clock jumps of which the replica has been notified.
     known_jumps: u64,
     me: NodeId,
     settings: Settings,
@@ -45,7 +45,7 @@
 }
 
 impl ControlHost {
-    /// Creates a host that is connected to no other node yet.
+    /// Creates a host that is not connected to any other node yet.
     pub fn new(settings: Settings, components: Components) -> Self {
         let Components { clock, me, peers, replica, storage, fetcher, directory } = components;
         let now = clock.now();
@@ -71,7 +71,7 @@
         host
     }
 
-    /// Handles the outcome of a write to the disk.
+    /// Handles the outcome of a disk write.
     pub fn handle_write_completed(&mut self, completion: WriteCompletion) {
         self.observe_clock();
         let WriteCompletion { ticket, result } = completion;
@@ -79,7 +79,7 @@
         self.advance();
     }
 
-    /// Handles a request of an operator.
+    /// Handles a request from an operator.
     pub fn handle_request(&mut self, request: ApiRequest) {
         self.observe_clock();
         let now = self.clock.now();
@@ -98,7 +98,7 @@
         self.advance();
     }
 
-    /// Handles a page of the platform's list, or the failure to get one.
+    /// Handles a page of the platform's list, or the failure to fetch it.
     pub fn handle_page(&mut self, fetched: Fetched) {
         self.observe_clock();
         let now = self.clock.now();
@@ -111,7 +111,7 @@
         self.advance();
     }
 
-    /// Handles an event of the sockets.
+    /// Handles a socket event.
     pub fn handle_peer_event(&mut self, event: PeerEvent) {
         self.observe_clock();
         for event in self.links.handle(self.clock.now(), event) {
@@ -154,7 +154,7 @@
         self.relay.handle(event, &mut self.links);
     }
 
-    /// Notes that time has passed. Due every 50 ms.
+    /// Performs the work that is due because time has passed. Must be called every 50 ms.
     pub fn tick(&mut self) {
         self.observe_clock();
         let now = self.clock.now();
@@ -173,7 +173,8 @@
         self.advance();
     }
 
-    /// Has the replica forget a lease that was granted before the clock stood still. Due before anything is decided.
+    /// Makes the replica discard a lease that was granted before a clock jump. Must be called before anything
+    /// is decided.
     fn observe_clock(&mut self) {
         let jumps = self.clock.jumps();
         if jumps != self.known_jumps {
@@ -182,18 +183,19 @@
         }
     }
 
-    /// Begins a graceful shutdown: hands over the leadership.
+    /// Starts a graceful shutdown: hands over the leadership.
     pub fn begin_shutdown(&mut self) {
         self.replicate(Event::Shutdown);
         self.advance();
     }
 
-    /// Returns whether a process that shuts down may exit, since its data is safe elsewhere.
+    /// Returns whether a process that shuts down may exit: its data is safe on other nodes, or no other node
+    /// could take it over.
     pub fn can_exit(&self) -> bool {
         self.replica.can_exit()
     }
 
-    /// Returns how long after SIGTERM the process is killed.
+    /// Returns the time between SIGTERM and SIGKILL.
     pub fn grace(&self) -> Duration {
         self.settings.bounds.grace
     }
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Has the replica handle an event, and performs the resulting actions.
+    /// Passes an event to the replica and performs the resulting actions.
     fn replicate(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.replica.handle(self.clock.now(), event, &mut actions);
@@ -241,7 +243,8 @@
             Action::Applied { .. } => self.publisher.state_changed(),
             Action::Committed { proposal } => self.handle_committed(proposal),
             Action::Rejected { proposal, .. } => self.commands.failed(proposal),
-            // The leadership follows the role and the lease at every moment; the replica itself logs its roles.
+            // `update_leadership` reads the role and the lease whenever they are needed, and the replica logs
+            // its role changes itself.
             Action::RoleChanged(_) => {}
         }
     }
@@ -252,19 +255,20 @@
         self.send_responses(lease_end.unwrap_or_default());
     }
 
-    /// Brings everything in line with what has happened.
+    /// Updates everything that depends on the state of the replica and the links.
     fn advance(&mut self) {
         let now = self.clock.now();
         self.update_leadership(now);
         self.update_relay(now);
         self.propose_commands();
-        // Without a lease no remaining response can be clear.
+        // Any remaining response is not covered by a lease, so it expires at once and the outcome is reported
+        // as unknown.
         self.send_responses(Duration::ZERO);
         self.update_directory(now);
         self.links.connect_due(now, self.settings.control_port());
     }
 
-    /// Gains or loses the leadership as the replica and its lease say.
+    /// Updates the leadership from the role and the lease of the replica.
     fn update_leadership(&mut self, now: Duration) {
         let epoch = match self.replica.role(now) {
             Role::Primary { epoch, holds_lease: true } => Some(epoch),
@@ -282,7 +286,7 @@
         }
     }
 
-    /// Publishes what has changed as the primary, or else chooses a parent.
+    /// Publishes pending changes if this process is the leader, and chooses a parent otherwise.
     fn update_relay(&mut self, now: Duration) {
         let (relay, links) = (&mut self.relay, &mut self.links);
         if self.publisher.is_leader() {
@@ -302,7 +306,7 @@
         }
     }
 
-    /// Sends the responses that were decided under a lease that ends at `lease_end`.
+    /// Sends the responses that were decided under a lease which ends at `lease_end`.
     fn send_responses(&mut self, lease_end: Duration) {
         for (responder, response) in self.commands.take_responses() {
             self.respond(responder, TimedResponse::until(lease_end, response));
--- a/crates/quillpulley/src/control/replica_host/links.rs
+++ b/crates/quillpulley/src/control/replica_host/links.rs
@@ -1,7 +1,7 @@
-//! The links of a control node: which other control nodes and agents are connected, and what they send.
+//! The links of a control node to other control nodes and to agents, and the messages received on them.
 //!
-//! What happens is reported as [`LinkEvent`]s. What that means for the replica and the relay tree is the host's to
-//! decide.
+//! Changes are reported as [`LinkEvent`]s. The host decides what they mean for the replica and the relay
+//! tree.
 
 use super::peer_table::{PeerChange, PeerTable};
 use crate::peer::{LinkId, PeerEvent, Peers};
@@ -12,17 +12,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What has happened on the links.
+/// A change of the links, or a message received on them.
 #[derive(Debug)]
 pub enum LinkEvent {
-    /// Messages can be sent to a control node in these failure domains.
+    /// A control node has become reachable. Contains its failure domains.
     Connected(NodeId, Locality),
-    /// Nothing more can be sent to a control node.
+    /// A control node is no longer reachable.
     Disconnected(NodeId),
-    /// Nothing more comes from a control node.
+    /// The link on which messages from a control node were received has closed.
     ReceiverLost(NodeId),
-    /// A control node has opened another link in the place of one that had not been closed: what was sent on that one may
-    /// be lost.
+    /// A control node has opened a link that replaces one that had not been closed. Messages sent on the
+    /// replaced link may be lost.
     ReceiverReplaced(NodeId),
     /// A control node has sent a message.
     ControlNodeMessage(NodeId, Body),
@@ -40,18 +40,18 @@
     peers: Rc<Peers>,
     table: PeerTable<LinkId>,
     agents: BTreeSet<LinkId>,
-    /// The control nodes that were announced to the others last.
+    /// The addresses of the reachable control nodes, as they were last announced to the other control nodes.
     announced: Vec<u32>,
 }
 
 impl Links {
-    /// Creates the links of the node that describes itself as `me`; none is open yet.
+    /// Creates the links of the node that `me` describes. No link is open yet.
     pub fn new(me: ControlNode, peers: Rc<Peers>) -> Self {
         let table = PeerTable::new(Ipv4Addr::from_bits(me.ip));
         Links { me, peers, table, agents: BTreeSet::new(), announced: Vec::new() }
     }
 
-    /// Handles an event of the sockets and returns what it means.
+    /// Handles a socket event and returns the resulting link events.
     pub fn handle(&mut self, now: Duration, event: PeerEvent) -> Vec<LinkEvent> {
         match event {
             PeerEvent::Opened { link, hello, incoming: true, .. } => {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Sends a message to a control node, if it can be reached.
+    /// Sends a message to a control node. Drops it if the node is not reachable.
     pub fn send_to_control_node(&self, node: NodeId, body: &Body) {
         if let Some(link) = self.table.link_to(node) {
             self.peers.send(link, body);
@@ -148,17 +148,18 @@
         self.table.link_to(node).is_some()
     }
 
-    /// Returns whether messages can be sent to a control node and can come from it.
+    /// Returns whether messages can be sent to a control node and received from it.
     pub fn exchanges_with(&self, node: NodeId) -> bool {
         self.sends_to(node) && self.table.receives_from(node)
     }
 
-    /// Returns whether nothing can be sent to any control node.
+    /// Returns whether no control node is reachable.
     pub fn has_no_connection(&self) -> bool {
         self.table.connected().next().is_none()
     }
 
-    /// Returns the control nodes that agents should know: this one, and those that were reached and are not forgotten.
+    /// Returns the control nodes that agents should know: this one, and those that were reached and have not
+    /// been forgotten since.
     pub fn known_control_nodes(&self) -> Vec<ControlNode> {
         let others = self.table.known().map(|hello| ControlNode {
             ip: hello.node.ip,
@@ -168,15 +169,15 @@
         std::iter::once(self.me.clone()).chain(others).collect()
     }
 
-    /// Learns addresses of control nodes, which are connected to at once.
+    /// Adds addresses of control nodes. New ones are due to be connected to at once.
     pub fn learn(&mut self, now: Duration, addresses: impl IntoIterator<Item = Ipv4Addr>) {
         for address in addresses {
             self.table.learn(now, address);
         }
     }
 
-    /// Forgets the control nodes that have long been unreachable, except those in the view, which it learns. Returns
-    /// whether any was forgotten.
+    /// Forgets the control nodes that have been unreachable for a long time, except those that are `in_view`,
+    /// whose addresses it adds. Returns whether any reached node was forgotten.
     pub fn forget_unreachable(&mut self, now: Duration, in_view: &[NodeId]) -> bool {
         let in_view: Vec<Ipv4Addr> = in_view.iter().map(NodeId::address).collect();
         let known_before = self.table.known().count();
@@ -186,7 +187,7 @@
         has_forgotten
     }
 
-    /// Connects to the control nodes that are due, at this port.
+    /// Connects to the control nodes whose next attempt is due, at `port`.
     pub fn connect_due(&mut self, now: Duration, port: u16) {
         for address in self.table.due(now) {
             let link = self.peers.connect(SocketAddr::from((address, port)));
@@ -194,8 +195,8 @@
         }
     }
 
-    /// Announces which control nodes can be reached: to the one whose link has just opened, and to all if that has
-    /// changed.
+    /// Announces the addresses of the reachable control nodes: to the node at the end of the link `opened`,
+    /// and to all nodes if the addresses have changed.
     fn announce_control_nodes(&mut self, opened: Option<LinkId>) {
         let addresses: Vec<u32> = self.table.reachable().into_iter().map(Ipv4Addr::to_bits).collect();
         let has_changed = addresses != self.announced;
--- a/crates/quillpulley/src/control/replica_host/mod.rs
+++ b/crates/quillpulley/src/control/replica_host/mod.rs
@@ -1,4 +1,5 @@
-//! The process of a control node: its event loop, and the parts that own sockets, timers, threads and files.
+//! The process of a control node: its event loop, and the modules that own sockets, timers, threads and
+//! files.
 
 pub mod components;
 pub mod host;
--- a/crates/quillpulley/src/control/replica_host/peer_table.rs
+++ b/crates/quillpulley/src/control/replica_host/peer_table.rs
@@ -1,27 +1,27 @@
-//! The known control nodes and the links to them. Pure: the host owns the sockets.
+//! The known control nodes and the links to them. This module performs no I/O: the host owns the sockets.
 //!
-//! Between two control nodes there are two links: each sends only on the link that it opened itself, and reads on the
-//! other's. A node counts as connected while the link to it is open.
+//! Two control nodes are connected by two links. Each node sends only on the link that it opened itself, and
+//! receives on the other one. A node counts as connected while the link to it is open.
 
 use quillpulley_protocol::{Hello, NodeId, PeerKind};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// The backoff after the first failure to connect; each further failure doubles it.
+/// Backoff after the first failure to connect. Each further failure doubles it.
 const FIRST_BACKOFF: Duration = Duration::from_millis(100);
-/// The longest backoff.
+/// Maximum backoff, without jitter.
 const LONGEST_BACKOFF: Duration = Duration::from_secs(1);
-/// An address that is unreachable for this long, and belongs to no view, is forgotten.
+/// Time after which an unreachable address that belongs to no view is forgotten.
 const FORGET_AFTER: Duration = Duration::from_secs(30);
 
-/// The link that this process opened to a peer.
+/// The state of the link that this process opens to a peer.
 enum Outgoing<L> {
-    /// The next attempt is due at this time.
+    /// The next connection attempt is due at this time.
     RequestQueue(Duration),
     Connecting {
         link: L,
-        /// It replaces a connection that may have hung.
+        /// Whether this attempt replaces an earlier one that may hang.
         is_replacement: bool,
     },
     Open(L, NodeId),
@@ -29,9 +29,9 @@
 
 struct Peer<L> {
     outgoing: Outgoing<L>,
-    /// Its last `Hello`.
+    /// The last `Hello` of the peer; `None` if it has never been reached.
     hello: Option<Hello>,
-    /// The next connection replaces one that may hang.
+    /// Whether the next attempt replaces one that may hang.
     next_is_replacement: bool,
     failures: u32,
     unreachable_since: Option<Duration>,
@@ -40,13 +40,13 @@
 /// A change of the connections.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PeerChange {
-    /// Messages can be sent to this node.
+    /// The node has become reachable.
     Connected(NodeId),
-    /// Nothing more can be sent to this node.
+    /// The node is no longer reachable.
     Disconnected(NodeId),
 }
 
-/// The control nodes that this one knows, by address. `L` names a link.
+/// The control nodes that this node knows, by address. `L` identifies a link.
 pub struct PeerTable<L> {
     me: Ipv4Addr,
     peers: BTreeMap<Ipv4Addr, Peer<L>>,
@@ -54,12 +54,12 @@
 }
 
 impl<L: Copy + Ord> PeerTable<L> {
-    /// Creates the table of the node at `me`, which knows no other.
+    /// Creates the table of the node at `me`, which knows no other node yet.
     pub fn new(me: Ipv4Addr) -> Self {
         PeerTable { me, peers: BTreeMap::new(), incoming: BTreeMap::new() }
     }
 
-    /// Learns an address, which is connected to at once.
+    /// Adds an address, unless it is known already. The first connection attempt is due at once.
     pub fn learn(&mut self, now: Duration, address: Ipv4Addr) {
         if address == self.me || address.is_unspecified() {
             return;
@@ -73,13 +73,14 @@
         });
     }
 
-    /// Returns the addresses to connect to now. The host has to call [`PeerTable::connecting`] for each.
+    /// Returns the addresses whose next connection attempt is due. The host has to call
+    /// [`PeerTable::connecting`] for each of them.
     pub fn due(&self, now: Duration) -> Vec<Ipv4Addr> {
         let is_due = |peer: &Peer<L>| matches!(peer.outgoing, Outgoing::RequestQueue(at) if at <= now);
         self.peers.iter().filter(|(_, peer)| is_due(peer)).map(|(address, _)| *address).collect()
     }
 
-    /// Records that a connection to `address` was begun as `link`.
+    /// Records that the host has started to connect to `address` on `link`.
     pub fn connecting(&mut self, address: Ipv4Addr, link: L) {
         if let Some(peer) = self.peers.get_mut(&address) {
             let is_replacement = std::mem::take(&mut peer.next_is_replacement);
@@ -87,12 +88,16 @@
         }
     }
 
-    /// Records that a link of this node has opened. Returns none if the link is not known, or leads elsewhere.
+    /// Records that a link of this node has opened. Returns `None` if the link is unknown or leads to an
+    /// unexpected node, and the host then has to close it.
     pub fn opened(&mut self, link: L, hello: Hello) -> Option<PeerChange> {
         let (address, peer) = self.peer_of(link)?;
         if hello.kind != PeerKind::Control || hello.node.address() != address {
             let name = hello.name.as_str();
-            log::warn!(peer:% = address, node:% = hello.node, name; "unexpected identity: check the addresses");
+            log::warn!(
+                peer:% = address, node:% = hello.node, name;
+                "a peer has an unexpected identity: check the configured addresses"
+            );
             return None;
         }
         let node = hello.node;
@@ -103,10 +108,13 @@
         Some(PeerChange::Connected(node))
     }
 
-    /// Records that another control node has opened a link. Returns the links to be closed: an older one of the same
-    /// machine, and a connection to it that is still being made. That one may have been begun before the process ran,
-    /// and then it hangs; another one is due at once. Links are numbered as their connections came, and the `Hello` on
-    /// an older one may come last: then that link is the one to be closed, and nothing on it is read.
+    /// Records that another control node has opened a link. Returns the links that the host has to close: an
+    /// older link from the same machine, and a connection attempt to that machine that is still in progress.
+    /// The attempt may have been started before the remote process ran, in which case it hangs; another
+    /// attempt is due at once.
+    ///
+    /// Links are numbered in the order in which their connections were accepted, but the `Hello` on an older
+    /// link may arrive last. In that case the older link is the one to close, and nothing is read from it.
     pub fn accepted(&mut self, now: Duration, link: L, node: NodeId) -> Vec<L> {
         let is_same_machine = |other: &NodeId| other.ip == node.ip;
         let known = self.incoming.iter().find(|(_, other)| is_same_machine(other)).map(|(link, _)| *link);
@@ -122,8 +130,8 @@
         known.into_iter().chain(abandoned).collect()
     }
 
-    /// Ends the backoff of a machine whose process is known to run, and abandons a connection that is still being made,
-    /// once.
+    /// Ends the backoff of a machine whose process is known to run. Abandons a connection attempt that is in
+    /// progress, unless that attempt itself replaced an abandoned one. Returns the abandoned link.
     fn reconnect(&mut self, now: Duration, address: Ipv4Addr) -> Option<L> {
         let peer = self.peers.get_mut(&address)?;
         match peer.outgoing {
@@ -140,7 +148,8 @@
         }
     }
 
-    /// Records that a link has closed or did not open. `jitter` between 0 and 1 spreads the next attempt.
+    /// Records that a link has closed or failed to open. `jitter` between 0 and 1 lengthens the backoff by up
+    /// to half, in order to spread the attempts of several nodes. Returns the change if the link was open.
     pub fn closed(&mut self, now: Duration, link: L, jitter: f64) -> Option<PeerChange> {
         self.incoming.remove(&link);
         let (_, peer) = self.peer_of(link)?;
@@ -163,7 +172,8 @@
         self.peers.iter_mut().find(|(_, peer)| has_link(peer)).map(|(address, peer)| (*address, peer))
     }
 
-    /// Forgets the addresses that have long been unreachable, except those that are `in_view`.
+    /// Forgets the addresses that have been unreachable for `FORGET_AFTER`, except those that are
+    /// `in_view`.
     pub fn forget(&mut self, now: Duration, in_view: impl Fn(Ipv4Addr) -> bool) {
         self.peers.retain(|address, peer| {
             let is_unreachable = peer.unreachable_since.is_some_and(|since| now >= since + FORGET_AFTER);
@@ -171,12 +181,14 @@
         });
     }
 
-    /// Returns the node at the other end of a link that it opened.
+    /// Returns the node that opened `link`; `None` if `link` is not an open incoming link from a control
+    /// node.
     pub fn sender(&self, link: L) -> Option<NodeId> {
         self.incoming.get(&link).copied()
     }
 
-    /// Returns the link on which messages to `node` are sent, if it is open and still leads to that node.
+    /// Returns the link on which messages to `node` are sent, if it is open and its other end is still the
+    /// same incarnation of the node.
     pub fn link_to(&self, node: NodeId) -> Option<L> {
         match &self.peers.get(&node.address())?.outgoing {
             Outgoing::Open(link, other) if *other == node => Some(*link),
@@ -184,12 +196,12 @@
         }
     }
 
-    /// Returns whether messages can come from `node`.
+    /// Returns whether `node` has an open link on which messages from it are received.
     pub fn receives_from(&self, node: NodeId) -> bool {
         self.incoming.values().any(|sender| *sender == node)
     }
 
-    /// Returns the links on which messages can be sent, and to which.
+    /// Returns the links on which messages can be sent, with the nodes at their other ends.
     pub fn connected(&self) -> impl Iterator<Item = (L, NodeId)> + '_ {
         self.peers.values().filter_map(|peer| match peer.outgoing {
             Outgoing::Open(link, node) => Some((link, node)),
@@ -197,12 +209,12 @@
         })
     }
 
-    /// Returns the last `Hello` of the nodes that were reached once and are not forgotten.
+    /// Returns the last `Hello` of each node that was reached and has not been forgotten since.
     pub fn known(&self) -> impl Iterator<Item = &Hello> {
         self.peers.values().filter_map(|peer| peer.hello.as_ref())
     }
 
-    /// Returns the addresses to announce: this node and those it is connected to.
+    /// Returns the addresses to announce: that of this node and those of the nodes to which it is connected.
     pub fn reachable(&self) -> Vec<Ipv4Addr> {
         std::iter::once(self.me).chain(self.connected().map(|(_, node)| node.address())).collect()
     }
--- a/crates/quillpulley/src/control/replica_host/process.rs
+++ b/crates/quillpulley/src/control/replica_host/process.rs
@@ -1,4 +1,4 @@
-//! The start of a control node, and the loop that feeds events to its host.
+//! Start of a control node, and the loop that passes events to its host.
 
 use super::components::Components;
 use super::host::ControlHost;
@@ -18,24 +18,26 @@
 use tokio::sync::mpsc::{channel, unbounded_channel, Receiver, UnboundedReceiver, UnboundedSender};
 use tokio::time::{interval, sleep_until, Instant, MissedTickBehavior};
 
-/// How often the host handles that time has passed.
+/// Interval between the ticks of the host.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a process handles events after SIGTERM at least, to hand over and to send what is queued.
+/// Minimum time for which a process handles events after SIGTERM, in order to hand over the leadership and to
+/// send queued messages.
 const MIN_SHUTDOWN_TIME: Duration = Duration::from_millis(400);
-/// How long before it is killed a process exits, even if its data is safe nowhere else.
+/// A process that shuts down exits at the latest this long before it is killed, even if its data is not safe
+/// on another node.
 const KILL_MARGIN: Duration = Duration::from_secs(1);
-/// The exit code after a panic.
+/// Exit code after a panic.
 const PANIC_EXIT_CODE: i32 = 101;
-/// The requests of operators that may wait for the main thread.
+/// Maximum number of operator requests that wait for the main thread.
 const REQUEST_QUEUE: usize = 16;
 
-/// What other threads report to the main thread.
+/// An event that another thread sends to the main thread.
 enum ThreadEvent {
     WriteCompleted(WriteCompletion),
     Fetched(Fetched),
 }
 
-/// Where the events of the host come from.
+/// The sources of the host's events.
 struct EventSources {
     peers: UnboundedReceiver<PeerEvent>,
     threads: UnboundedReceiver<ThreadEvent>,
@@ -56,7 +58,8 @@
     })
 }
 
-/// Has a panic of any thread end the process: it would serve only in part, and the platform starts it again.
+/// Makes a panic in any thread end the process. Otherwise the process would keep serving only in part; the
+/// platform restarts a process that has ended.
 fn exit_on_panic() {
     let print = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
@@ -99,7 +102,8 @@
     Ok((ControlHost::new(settings, components), sources))
 }
 
-/// When a process that shuts down exits: between these times, as soon as it can.
+/// The time in which a process that shuts down exits: after `earliest` as soon as the host permits it, and at
+/// `latest` in any case.
 #[derive(Clone, Copy)]
 struct ExitWindow {
     earliest: Instant,
@@ -161,15 +165,16 @@
     })
 }
 
-/// Sends an event to the main thread. If that has ended, the process ends too.
+/// Sends an event to the main thread. A failure is only logged: once the main thread has ended, the process
+/// ends too.
 fn send(events: &UnboundedSender<ThreadEvent>, event: ThreadEvent) {
     if events.send(event).is_err() {
-        log::debug!("the main thread has ended");
+        log::debug!("an event is dropped: the main thread has exited");
     }
 }
 
-/// Returns the identity of this process. A disk keeps its incarnation; an empty one has incarnation 0 only at the first
-/// start of the system.
+/// Returns the identity of this process. The incarnation is read from the disk. If the disk is empty, the
+/// incarnation is 0 for a seed at the first start of the whole system, and random otherwise.
 fn identity(settings: &Settings, recovered: &Recovered) -> NodeId {
     let incarnation = match &recovered.record {
         Some(record) => record.incarnation,
@@ -179,7 +184,8 @@
     NodeId::new(settings.ip, incarnation)
 }
 
-/// Returns the first witnesses, at the first start of the whole system.
+/// Returns the initial witnesses, which are the seeds, if the settings declare the first start of the whole
+/// system. Returns none otherwise.
 fn first_witnesses(settings: &Settings) -> Vec<NodeId> {
     if !settings.bootstrap {
         return Vec::new();
@@ -218,7 +224,7 @@
     })
 }
 
-/// Opens a blocking socket, for threads.
+/// Opens a listening socket in blocking mode, for use by threads.
 async fn listen(address: SocketAddr) -> Result<TcpListener, HostError> {
     let unusable = |error| HostError::Listen { address, error };
     let listener = bind(address).await?.into_std().map_err(unusable)?;
--- a/crates/quillpulley/src/control/replica_host/status.rs
+++ b/crates/quillpulley/src/control/replica_host/status.rs
@@ -1,7 +1,7 @@
-//! `GET /v1/Control.Status`: what a control node knows of the view.
+//! `GET /v1/Control.Status`: the status of the control nodes as far as this node knows it.
 //!
-//! Only a primary surely knows the failure domains of all members. Another node counts one whose domains it has not
-//! received as lost with any zone or region.
+//! Only a primary is certain to know the failure domains of all members. Any other node assumes that a member
+//! whose failure domains it has not received is lost with any zone or region.
 
 use super::status_snapshot::StatusSnapshot;
 use crate::control::response::{Response, TimedResponse};
@@ -11,7 +11,7 @@
 use simd_json::{json, OwnedValue};
 use std::time::Duration;
 
-/// Returns the status, for as long as the primary that it names may be named.
+/// Returns the status. It is valid for as long as the primary that it names may be named.
 pub fn response(snapshot: &StatusSnapshot<'_>, now: Duration) -> TimedResponse {
     snapshot.while_primary_is_known(now, Response::Status(to_json(snapshot, now)))
 }
--- a/crates/quillpulley/src/control/replica_host/status_snapshot.rs
+++ b/crates/quillpulley/src/control/replica_host/status_snapshot.rs
@@ -1,4 +1,4 @@
-//! What this process can tell operators of the control state and of the primary.
+//! The responses that this process can give operators about the control state and the primary.
 
 use crate::control::response::{Response, TimedResponse};
 use quillpulley_control_state::ControlState;
@@ -7,13 +7,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What this process knows at a moment.
+/// The state of this process at one moment.
 pub struct StatusSnapshot<'a> {
     /// The name of this machine.
     pub name: &'a str,
     /// The identity of this process.
     pub me: NodeId,
-    /// The port of the operator's API on all control machines.
+    /// The port of the operator API, which is the same on all control machines; `None` if it is not
+    /// configured.
     pub control_port: Option<u16>,
     /// The replica of the control state.
     pub replica: &'a Replica<ControlState>,
@@ -27,7 +28,8 @@
         TimedResponse::until(lease_end, response)
     }
 
-    /// Returns a response that holds for as long as the primary that is known now may be named.
+    /// Returns a response that is valid for as long as the currently known primary may be named. It does not
+    /// expire if no primary is known.
     pub fn while_primary_is_known(&self, now: Duration, response: Response) -> TimedResponse {
         match self.replica.primary_until(now) {
             Some((_, until)) => TimedResponse::until(until, response),
@@ -35,7 +37,9 @@
         }
     }
 
-    /// Returns a redirect to the primary, for as long as its lease is known to run.
+    /// Returns a redirect to the primary, which is valid for as long as the primary's lease is known to last.
+    /// Returns [`Response::Unavailable`] if no other node is known to be the primary, or if the control port
+    /// is not configured.
     pub fn redirect(&self, now: Duration) -> TimedResponse {
         let primary = self.replica.primary_hint(now).filter(|primary| *primary != self.me);
         match (primary, self.control_port) {
--- a/crates/quillpulley/src/control/replica_host/storage_thread.rs
+++ b/crates/quillpulley/src/control/replica_host/storage_thread.rs
@@ -1,4 +1,4 @@
-//! The thread that owns the disk. A faulty disk hangs for seconds: no other thread waits for it.
+//! The thread that owns the disk. A faulty disk may block for seconds, so no other thread waits for it.
 
 use crate::HostError;
 use quillpulley_protocol::{decode_value, encode_value, WitnessRecord, WitnessRecordRef};
@@ -11,9 +11,9 @@
 /// The outcome of a write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WriteCompletion {
-    /// The ticket of the write.
+    /// The ticket that identifies the write.
     pub ticket: u64,
-    /// Whether it is durable.
+    /// `Ok` if the write is durable.
     pub result: Result<(), WriteFailed>,
 }
 
@@ -22,14 +22,14 @@
     write: Write,
 }
 
-/// The handle of the thread.
+/// The handle of the storage thread.
 pub struct StorageThread {
     writes: Sender<QueuedWrite>,
 }
 
 impl StorageThread {
-    /// Starts the thread, which opens the storage in `folder`, and waits for what that holds. `deliver` is called with
-    /// the outcome of each write.
+    /// Starts the thread, which opens the storage in `folder`, and waits for the data recovered from there.
+    /// `deliver` is called with the outcome of each write.
     ///
     /// # Errors
     /// [`HostError::Storage`] or [`HostError::WitnessRecord`] if the folder cannot be read, [`HostError::Runtime`] if
@@ -49,15 +49,15 @@
             Err(error) => drop(opened.send(Err(error))),
         };
         thread::Builder::new().spawn(work).map_err(HostError::Runtime)?;
-        let ended = |_| HostError::Runtime(std::io::Error::other("the storage thread has ended"));
+        let ended = |_| HostError::Runtime(std::io::Error::other("the storage thread has exited"));
         let recovered = outcome.recv().map_err(ended)??;
         Ok((StorageThread { writes }, recovered))
     }
 
-    /// Has a write made durable, after those before it.
+    /// Queues a write to be made durable. Writes are processed in the order of the calls.
     pub fn store(&self, ticket: u64, write: Write) {
         if self.writes.send(QueuedWrite { ticket, write }).is_err() {
-            log::error!("the storage thread has ended: restart the process");
+            log::error!("the storage thread has exited: restart the process");
         }
     }
 }
@@ -87,10 +87,10 @@
     }
 }
 
-/// Logs the first of several failures, and when they are over.
+/// Logs the first of consecutive failures, and the first success after them.
 fn log_outcome(outcome: &Result<(), StorageError>, is_failing: &mut bool) {
     match outcome {
-        Err(error) if !*is_failing => log::warn!(error:% = error; "a write to the disk failed"),
+        Err(error) if !*is_failing => log::warn!(error:% = error; "failed to write to the disk"),
         Ok(()) if *is_failing => log::info!("the disk accepts writes again"),
         _ => {}
     }
--- a/crates/quillpulley/src/control/response.rs
+++ b/crates/quillpulley/src/control/response.rs
@@ -1,49 +1,51 @@
-//! Responses to operators, and until when they may be given.
+//! Responses to operators, and how long they remain valid.
 //!
-//! Only the primary knows the newest state, and only while its lease runs. A response is decided by one thread and
-//! written by another, and the process may be suspended between the two. So a response carries the end of the lease
-//! under which it was decided, and the writer checks the clock again.
+//! Only the primary knows the newest state, and only while it holds the lease. A response is decided by one
+//! thread and written by another, and the process may be suspended between the two steps. Each response
+//! therefore carries the end of the lease under which it was decided, and the writer checks the clock again.
 
 use crate::control::clock::Clock;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A response of the operator's API.
+/// A response of the operator API.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Response {
-    /// The command is in effect, and survives the failures that the deployment tolerates.
+    /// The command is in effect and survives the failures that the deployment tolerates.
     Acknowledged,
-    /// The newest configuration, as it was sent. Responses that wait for slow callers share it.
+    /// The newest configuration, byte for byte as it was sent. Responses that wait for slow callers share one
+    /// copy.
     Configuration(Arc<[u8]>),
-    /// What this process knows of the control nodes, as JSON.
+    /// The status of the control nodes as far as this process knows it, encoded as JSON.
     Status(Vec<u8>),
-    /// There is no configuration yet.
+    /// No configuration has been activated yet.
     NoConfiguration,
-    /// The configuration builds on another version than the active one.
+    /// The configuration is based on another version than the active one.
     Conflict {
         /// The active version.
         current: u64,
     },
-    /// Whether the configuration was applied is not known any more: it builds on a version older than the history.
+    /// It is no longer known whether the configuration was applied: its base version is older than the
+    /// history.
     HistoryExpired {
-        /// The oldest base that the history still has.
+        /// The oldest base version in the history.
         oldest: u64,
     },
-    /// The command is invalid, for this reason.
+    /// The command is invalid. Contains the reason.
     Invalid(String),
-    /// Another process is the primary.
+    /// Another process is the primary. Contains the address of its operator API.
     Redirect(SocketAddr),
-    /// The outcome is not known: the caller has to send the command again, here or elsewhere.
+    /// The outcome is unknown: the caller has to send the command again, to this node or to another one.
     Unavailable,
 }
 
-/// A response that may be given until a certain time.
+/// A response that is valid until a certain time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TimedResponse {
     response: Response,
     expires_at: Duration,
-    /// How many jumps of the clock were known when it was decided.
+    /// The number of clock jumps that were known when the response was decided.
     known_jumps: u64,
 }
 
@@ -58,22 +60,22 @@
         TimedResponse { response, expires_at: Duration::MAX, known_jumps: 0 }
     }
 
-    /// Returns the same response, decided when so many jumps of the clock were known.
+    /// Returns the same response, marked as decided when `known_jumps` clock jumps were known.
     pub fn decided_after(self, known_jumps: u64) -> Self {
         TimedResponse { known_jumps, ..self }
     }
 
-    /// Returns the response as it was decided.
+    /// Returns the response without checking whether it is still valid.
     pub fn decided(&self) -> &Response {
         &self.response
     }
 
-    /// Returns until when it may be given.
+    /// Returns the time at which the response expires; [`Duration::MAX`] if it relies on no lease.
     pub fn expires_at(&self) -> Duration {
         self.expires_at
     }
 
-    /// Returns the response at `now`: [`Response::Unavailable`] once the lease has ended.
+    /// Returns the response if it is valid at `now`, or [`Response::Unavailable`] if it has expired.
     pub fn at(self, now: Duration) -> Response {
         if now < self.expires_at {
             self.response
@@ -82,8 +84,8 @@
         }
     }
 
-    /// Returns the response at this moment of a clock. After a jump of the clock nothing is known of a lease that was
-    /// held before.
+    /// Returns the response if it is still valid by `clock`, or [`Response::Unavailable`] otherwise. After a
+    /// clock jump, a lease that was granted before the jump is no longer relied on.
     pub fn by(self, clock: &Clock) -> Response {
         let relies_on_lease = self.expires_at != Duration::MAX;
         if relies_on_lease && clock.jumps() != self.known_jumps {
