--- a/crates/quillpulley/src/control/discovery/mod.rs
+++ b/crates/quillpulley/src/control/discovery/mod.rs
@@ -11,7 +11,7 @@
 
 use fetcher::{Fetched, Fetcher};
 use page::Reading;
-use reader::{Fetch, ListReader, Outcome, ReaderOptions};
+use reader::{Fetch, ListReader, ReaderAction, ReaderOptions};
 use std::time::Duration;
 
 /// Interval between the starts of two readings of the list, if the platform's rate limit allows it.
@@ -57,16 +57,16 @@
         fetched: Fetched,
     ) -> Option<Reading> {
         match self.reader.handle_page(now, is_leader, published, fetched) {
-            Outcome::Nothing => {}
-            Outcome::Fetch(fetch) => self.fetch(Some(fetch)),
-            Outcome::Complete(reading) => {
+            ReaderAction::Nothing => {}
+            ReaderAction::Fetch(fetch) => self.fetch(Some(fetch)),
+            ReaderAction::Complete(reading) => {
                 self.log_unreadable(&reading);
                 return Some(reading);
             }
-            Outcome::Failed { error, first: true } => {
+            ReaderAction::Failed { error, first: true } => {
                 log::warn!(error:% = error; "failed to read the platform's list of servers")
             }
-            Outcome::Failed { error, first: false } => {
+            ReaderAction::Failed { error, first: false } => {
                 log::debug!(error:% = error; "failed again to read the platform's list of servers");
             }
         }
--- a/crates/quillpulley/src/control/discovery/reader.rs
+++ b/crates/quillpulley/src/control/discovery/reader.rs
@@ -117,11 +117,11 @@
         is_leader: bool,
         published: usize,
         outcome: Result<Page, FetchError>,
-    ) -> Outcome {
+    ) -> ReaderAction {
         match std::mem::replace(&mut self.state, ReaderState::RequestQueue(now)) {
             ReaderState::Reading(partial) if is_leader => self.add_page(now, published, partial, outcome),
             ReaderState::Reading(_) | ReaderState::Discarding | ReaderState::RequestQueue(_) => {
-                Outcome::Nothing
+                ReaderAction::Nothing
             }
         }
     }
@@ -132,7 +132,7 @@
         published: usize,
         mut partial: PartialReading,
         outcome: Result<Page, FetchError>,
-    ) -> Outcome {
+    ) -> ReaderAction {
         let page = match outcome {
             Ok(page) => page,
             Err(error) => return self.fail(now, error),
@@ -144,33 +144,33 @@
             None => self.complete(now, published, partial),
             Some(token) if partial.pages < MAX_PAGES && partial.tokens.insert(token.clone()) => {
                 self.state = ReaderState::Reading(partial);
-                Outcome::Fetch(Fetch { token: Some(token) })
+                ReaderAction::Fetch(Fetch { token: Some(token) })
             }
             Some(token) => self
                 .fail(now, FetchError::Unreadable(format!("page {token} repeats, or the list is too long"))),
         }
     }
 
-    fn fail(&mut self, now: Duration, error: FetchError) -> Outcome {
+    fn fail(&mut self, now: Duration, error: FetchError) -> ReaderAction {
         let backoff = self.options.interval * 2u32.saturating_pow(self.failures.min(16));
         self.failures += 1;
         self.state = ReaderState::RequestQueue(now + backoff.min(LONGEST_BACKOFF));
-        Outcome::Failed { error, first: self.failures == 1 }
+        ReaderAction::Failed { error, first: self.failures == 1 }
     }
 
-    fn complete(&mut self, now: Duration, published: usize, partial: PartialReading) -> Outcome {
+    fn complete(&mut self, now: Duration, published: usize, partial: PartialReading) -> ReaderAction {
         self.failures = 0;
         let size = partial.reading.servers.len() + partial.reading.unreadable.len();
         let is_implausible = size * 2 < published;
         if is_implausible && self.unconfirmed_size != Some(size) {
             self.unconfirmed_size = Some(size);
             self.state = ReaderState::RequestQueue(now + CONFIRM_AFTER);
-            return Outcome::Nothing;
+            return ReaderAction::Nothing;
         }
         self.unconfirmed_size = None;
         let next = partial.started + self.interval_for(partial.pages);
         self.state = ReaderState::RequestQueue(next.max(now));
-        Outcome::Complete(partial.reading)
+        ReaderAction::Complete(partial.reading)
     }
 
     /// Returns the shortest interval at which reading this many pages stays within the allowed rate.
@@ -186,7 +186,7 @@
 
 /// The consequence of a fetch.
 #[derive(Debug, PartialEq)]
-pub enum Outcome {
+pub enum ReaderAction {
     /// There is nothing to do before the next tick.
     Nothing,
     /// This page has to be fetched next.
--- a/crates/quillpulley/tests/control/reader.rs
+++ b/crates/quillpulley/tests/control/reader.rs
@@ -9,7 +9,7 @@
 //! - Results: `first`, `next T`, `complete N`, `failed` (after a success), `failed again`, `-`.
 
 use quillpulley::control::discovery::page::{Page, PageError};
-use quillpulley::control::discovery::reader::{Fetch, FetchError, ListReader, Outcome, ReaderOptions};
+use quillpulley::control::discovery::reader::{Fetch, FetchError, ListReader, ReaderAction, ReaderOptions};
 use quillpulley_protocol::{Server, ServerState};
 use std::time::Duration;
 
@@ -48,11 +48,11 @@
 impl Harness {
     fn handle_page(&mut self, now: Duration, leading: bool, outcome: Result<Page, FetchError>) -> String {
         match self.reader.handle_page(now, leading, self.published, outcome) {
-            Outcome::Nothing => "-".to_string(),
-            Outcome::Fetch(fetch) => show(&fetch),
-            Outcome::Complete(reading) => format!("complete {}", reading.servers.len()),
-            Outcome::Failed { first: true, .. } => "failed".to_string(),
-            Outcome::Failed { first: false, .. } => "failed again".to_string(),
+            ReaderAction::Nothing => "-".to_string(),
+            ReaderAction::Fetch(fetch) => show(&fetch),
+            ReaderAction::Complete(reading) => format!("complete {}", reading.servers.len()),
+            ReaderAction::Failed { first: true, .. } => "failed".to_string(),
+            ReaderAction::Failed { first: false, .. } => "failed again".to_string(),
         }
     }
 
