--- a/crates/quillpulley/src/control/directory/builder.rs
+++ b/crates/quillpulley/src/control/directory/builder.rs
@@ -32,7 +32,7 @@
     /// Whether the published state is up to date.
     pub fresh: bool,
     /// The time at which the published state last advanced; `None` if it never has.
-    pub last_moved: Option<Duration>,
+    pub last_advanced: Option<Duration>,
     /// The epoch of the published state.
     pub epoch: u64,
     /// The published state.
@@ -46,7 +46,7 @@
     pub fn at<Child: Copy + Eq + Hash + Ord>(now: Duration, feed: &'a SyncNode<Child>) -> Self {
         DirectoryInputs {
             fresh: feed.is_fresh(now),
-            last_moved: feed.last_advanced(),
+            last_advanced: feed.last_advanced(),
             epoch: feed.revision().epoch,
             store: feed.store(),
             subtree: feed.subtree(),
@@ -54,7 +54,7 @@
     }
 
     fn is_stale(&self, now: Duration) -> bool {
-        !self.fresh && self.last_moved.is_none_or(|moved| now >= moved + STALE_AFTER)
+        !self.fresh && self.last_advanced.is_none_or(|moved| now >= moved + STALE_AFTER)
     }
 }
 
--- a/crates/quillpulley/tests/control/directory_view.rs
+++ b/crates/quillpulley/tests/control/directory_view.rs
@@ -70,7 +70,7 @@
     root.handle(Duration::ZERO, Event::Publish(changes), &mut Vec::new());
     let known = DirectoryInputs {
         fresh: moment.fresh,
-        last_moved: Some(Duration::from_millis(moment.moved)),
+        last_advanced: Some(Duration::from_millis(moment.moved)),
         epoch: moment.epoch,
         store: root.store(),
         subtree: &subtree(moment.reported),
