--- a/crates/quillpulley/src/control/distribution/control_topology.rs
+++ b/crates/quillpulley/src/control/distribution/control_topology.rs
@@ -73,19 +73,19 @@
     }
 
     /// Chooses the parent: `primary` if it is reachable, or else the previous parent if that is reachable.
-    /// `primary` is the node that has recently sent a heartbeat as primary, and `moved_at` is the time at
+    /// `primary` is the node that has recently sent a heartbeat as primary, and `advanced_at` is the time at
     /// which the published state last advanced. Returns `None` if nothing has to change. Must not be called
     /// at the root, which has no parent.
     pub fn choose_parent(
         &mut self,
         now: Duration,
         primary: Option<NodeId>,
-        moved_at: Option<Duration>,
+        advanced_at: Option<Duration>,
         is_reachable: impl Fn(NodeId) -> bool,
     ) -> Option<ParentChange> {
         let chosen = primary.filter(|node| is_reachable(*node));
         let chosen = chosen.or(self.parent.filter(|node| is_reachable(*node)));
-        let is_outdated = self.is_link_replaced || self.is_stale(now, moved_at);
+        let is_outdated = self.is_link_replaced || self.is_stale(now, advanced_at);
         if chosen == self.parent && !(chosen.is_some() && is_outdated) {
             return None;
         }
@@ -95,8 +95,8 @@
         Some(if chosen.is_some() { ParentChange::Up } else { ParentChange::Down })
     }
 
-    fn is_stale(&self, now: Duration, moved_at: Option<Duration>) -> bool {
-        let latest = moved_at.unwrap_or_default().max(self.subscribed_at);
+    fn is_stale(&self, now: Duration, advanced_at: Option<Duration>) -> bool {
+        let latest = advanced_at.unwrap_or_default().max(self.subscribed_at);
         now.saturating_sub(latest) >= RESUBSCRIBE_AFTER
     }
 
