--- a/crates/quillpulley/src/control/replica_host/links.rs
+++ b/crates/quillpulley/src/control/replica_host/links.rs
@@ -68,7 +68,7 @@
     fn accepted(&mut self, now: Duration, link: LinkId, hello: Hello) -> Option<LinkEvent> {
         match hello.kind {
             PeerKind::Control if hello.node.ip != self.me.ip => {
-                let was_receiving = self.table.receives_from(hello.node);
+                let was_receiving = self.table.can_receive_from(hello.node);
                 for superseded in self.table.accepted(now, link, hello.node) {
                     self.peers.close(superseded);
                 }
@@ -150,7 +150,7 @@
 
     /// Returns whether messages can be sent to a control node and received from it.
     pub fn exchanges_with(&self, node: NodeId) -> bool {
-        self.sends_to(node) && self.table.receives_from(node)
+        self.sends_to(node) && self.table.can_receive_from(node)
     }
 
     /// Returns whether no control node is reachable.
--- a/crates/quillpulley/src/control/replica_host/peer_table.rs
+++ b/crates/quillpulley/src/control/replica_host/peer_table.rs
@@ -197,7 +197,7 @@
     }
 
     /// Returns whether `node` has an open link on which messages from it are received.
-    pub fn receives_from(&self, node: NodeId) -> bool {
+    pub fn can_receive_from(&self, node: NodeId) -> bool {
         self.incoming.values().any(|sender| *sender == node)
     }
 
--- a/crates/quillpulley/tests/control/peer_table.rs
+++ b/crates/quillpulley/tests/control/peer_table.rs
@@ -109,7 +109,7 @@
         assert_eq!(peer_table.accepted(at(5), 9, late), [9], "{late}");
         assert_eq!((peer_table.sender(9), peer_table.sender(10)), (None, Some(after)));
         peer_table.closed(at(6), 9, NO_JITTER);
-        assert!(peer_table.receives_from(after));
+        assert!(peer_table.can_receive_from(after));
     }
 }
 
