--- a/crates/quillpulley/src/control/replica_host/links.rs
+++ b/crates/quillpulley/src/control/replica_host/links.rs
@@ -20,7 +20,7 @@
     /// A control node is no longer reachable.
     Disconnected(NodeId),
     /// The link on which messages from a control node were received has closed.
-    ReceiverLost(NodeId),
+    IncomingLinkLost(NodeId),
     /// A control node has opened a link that replaces one that had not been closed. Messages sent on the
     /// replaced link may be lost.
     ReceiverReplaced(NodeId),
@@ -102,7 +102,7 @@
         if self.agents.remove(&link) {
             events.push(LinkEvent::AgentDisconnected(link));
         }
-        events.extend(self.table.sender(link).map(LinkEvent::ReceiverLost));
+        events.extend(self.table.sender(link).map(LinkEvent::IncomingLinkLost));
         if let Some(PeerChange::Disconnected(node)) = self.table.closed(now, link, fastrand::f64()) {
             log::debug!(peer:% = node; "disconnected");
             self.announce_control_nodes(None);
