--- a/crates/quillpulley/src/control/replica_host/host.rs
+++ b/crates/quillpulley/src/control/replica_host/host.rs
@@ -132,7 +132,7 @@
                 self.replicate(Event::Disconnected(node));
             }
             LinkEvent::IncomingLinkLost(node) => self.relay.control_node_lost(node, &mut self.links),
-            LinkEvent::ReceiverReplaced(node) => self.relay.control_node_link_replaced(node),
+            LinkEvent::IncomingLinkReplaced(node) => self.relay.control_node_link_replaced(node),
             LinkEvent::ControlNodeMessage(node, body) => {
                 if let Some(body) = self.relay.handle_control_node_message(node, body, &mut self.links) {
                     self.replicate(Event::Message { from: node, body });
--- a/crates/quillpulley/src/control/replica_host/links.rs
+++ b/crates/quillpulley/src/control/replica_host/links.rs
@@ -23,7 +23,7 @@
     IncomingLinkLost(NodeId),
     /// A control node has opened a link that replaces one that had not been closed. Messages sent on the
     /// replaced link may be lost.
-    ReceiverReplaced(NodeId),
+    IncomingLinkReplaced(NodeId),
     /// A control node has sent a message.
     ControlNodeMessage(NodeId, Body),
     /// An agent has connected.
@@ -73,7 +73,7 @@
                     self.peers.close(superseded);
                 }
                 let is_current = self.table.sender(link) == Some(hello.node);
-                (was_receiving && is_current).then_some(LinkEvent::ReceiverReplaced(hello.node))
+                (was_receiving && is_current).then_some(LinkEvent::IncomingLinkReplaced(hello.node))
             }
             PeerKind::Agent => {
                 self.agents.insert(link);
