--- a/crates/quillpulley/src/control/distribution/relay_node.rs
+++ b/crates/quillpulley/src/control/distribution/relay_node.rs
@@ -184,7 +184,7 @@
 
     /// Admits as children the control nodes that have subscribed. Must be called only at the root.
     pub fn admit_children(&mut self, links: &mut Links) {
-        for (node, messages) in self.topology.admit_pending(|node| links.sends_to(node)) {
+        for (node, messages) in self.topology.admit_pending(|node| links.can_send_to(node)) {
             self.handle(Event::ChildUp(Child::ControlNode(node)), links);
             for message in messages {
                 self.handle(Event::ChildFrame(Child::ControlNode(node), message), links);
--- a/crates/quillpulley/src/control/replica_host/links.rs
+++ b/crates/quillpulley/src/control/replica_host/links.rs
@@ -144,13 +144,13 @@
     }
 
     /// Returns whether messages can be sent to a control node.
-    pub fn sends_to(&self, node: NodeId) -> bool {
+    pub fn can_send_to(&self, node: NodeId) -> bool {
         self.table.link_to(node).is_some()
     }
 
     /// Returns whether messages can be sent to a control node and received from it.
     pub fn exchanges_with(&self, node: NodeId) -> bool {
-        self.sends_to(node) && self.table.can_receive_from(node)
+        self.can_send_to(node) && self.table.can_receive_from(node)
     }
 
     /// Returns whether no control node is reachable.
