--- a/crates/quillpulley/src/control/distribution/relay_node.rs
+++ b/crates/quillpulley/src/control/distribution/relay_node.rs
@@ -160,7 +160,7 @@
 
     /// Updates the parent: the primary if it is reachable. Must not be called at the root.
     pub fn update_parent(&mut self, now: Duration, primary: Option<NodeId>, links: &mut Links) {
-        let is_reachable = |node| links.exchanges_with(node);
+        let is_reachable = |node| links.can_exchange_with(node);
         match self.topology.choose_parent(now, primary, self.feed.last_advanced(), is_reachable) {
             Some(ParentChange::Up) => self.handle(Event::ParentUp, links),
             Some(ParentChange::Down) => self.handle(Event::ParentDown, links),
--- a/crates/quillpulley/src/control/replica_host/links.rs
+++ b/crates/quillpulley/src/control/replica_host/links.rs
@@ -149,7 +149,7 @@
     }
 
     /// Returns whether messages can be sent to a control node and received from it.
-    pub fn exchanges_with(&self, node: NodeId) -> bool {
+    pub fn can_exchange_with(&self, node: NodeId) -> bool {
         self.can_send_to(node) && self.table.can_receive_from(node)
     }
 
