--- a/crates/quillpulley/src/control/commands.rs
+++ b/crates/quillpulley/src/control/commands.rs
@@ -128,7 +128,7 @@
     /// Decides no command while the replica's log contains a command that has not been applied to its state,
     /// even if the caller of that command has already been told that the outcome is unknown. Must be called
     /// only while the lease is held.
-    pub fn next_for(&mut self, replica: &Replica<ControlState>) -> Option<Proposal> {
+    pub fn next_proposal_for(&mut self, replica: &Replica<ControlState>) -> Option<Proposal> {
         if replica.has_unresolved_proposals() {
             return None;
         }
@@ -136,7 +136,7 @@
     }
 
     /// Decides queued commands against the committed `state` until one has to be replicated, and returns the
-    /// proposal for that command. The preconditions of [`CommandQueue::next_for`] must hold: the lease is
+    /// proposal for that command. The preconditions of [`CommandQueue::next_proposal_for`] must hold: the lease is
     /// held, and the state includes every command in the log.
     pub fn next_proposal(&mut self, state: &ControlState) -> Option<Proposal> {
         while self.in_flight.is_none() {
--- a/crates/quillpulley/src/control/replica_host/host.rs
+++ b/crates/quillpulley/src/control/replica_host/host.rs
@@ -299,7 +299,7 @@
 
     fn propose_commands(&mut self) {
         while let Some(lease_end) = self.replica.lease_until(self.clock.now()) {
-            let proposal = self.commands.next_for(&self.replica);
+            let proposal = self.commands.next_proposal_for(&self.replica);
             self.send_responses(lease_end);
             let Some(proposal) = proposal else { return };
             self.replicate(Event::Propose { proposal: proposal.number, payload: proposal.payload });
--- a/crates/quillpulley/tests/operators/node.rs
+++ b/crates/quillpulley/tests/operators/node.rs
@@ -161,7 +161,7 @@
                 self.commands.next_proposal(self.replica.state())
             }
             Fault::NoLease | Fault::BesideUnresolved => None,
-            _ if self.holds_lease(now) => self.commands.next_for(&self.replica),
+            _ if self.holds_lease(now) => self.commands.next_proposal_for(&self.replica),
             _ => None,
         }
     }
