--- a/crates/quillpulley/src/control/replica_host/host.rs
+++ b/crates/quillpulley/src/control/replica_host/host.rs
@@ -314,7 +314,7 @@
     }
 
     fn respond(&self, responder: Responder, response: TimedResponse) {
-        responder.send(response.decided_after(self.known_jumps));
+        responder.send(response.with_known_jumps(self.known_jumps));
     }
 
     fn update_directory(&mut self, now: Duration) {
--- a/crates/quillpulley/src/control/response.rs
+++ b/crates/quillpulley/src/control/response.rs
@@ -61,7 +61,7 @@
     }
 
     /// Returns the same response, marked as decided when `known_jumps` clock jumps were known.
-    pub fn decided_after(self, known_jumps: u64) -> Self {
+    pub fn with_known_jumps(self, known_jumps: u64) -> Self {
         TimedResponse { known_jumps, ..self }
     }
 
--- a/crates/quillpulley/tests/control/clock.rs
+++ b/crates/quillpulley/tests/control/clock.rs
@@ -91,7 +91,7 @@
     assert_eq!(status_after_a_jump(decided(), Faults::default()), 503);
     assert_eq!(status_after_a_jump(decided(), Faults { skip_lease_check: true }), 412);
     // The host had noticed the jump, and held the lease again, when it decided this one.
-    assert_eq!(status_after_a_jump(decided().decided_after(1), Faults::default()), 412);
+    assert_eq!(status_after_a_jump(decided().with_known_jumps(1), Faults::default()), 412);
     let without_lease = TimedResponse::without_expiry(Response::Invalid("no number".to_string()));
     assert_eq!(status_after_a_jump(without_lease, Faults::default()), 400);
 }
