--- a/crates/quillpulley/src/control/api/http.rs
+++ b/crates/quillpulley/src/control/api/http.rs
@@ -23,7 +23,7 @@
 
 /// Sets socket options that accepted connections inherit: `TCP_NODELAY`, and keepalive and user timeouts that
 /// detect unreachable peers. Failures are only logged, because connections work without these options.
-pub fn tune(listener: &TcpListener) {
+pub fn set_socket_options(listener: &TcpListener) {
     let socket = SockRef::from(listener);
     let keepalive = TcpKeepalive::new()
         .with_time(KEEPALIVE_IDLE)
--- a/crates/quillpulley/src/control/replica_host/process.rs
+++ b/crates/quillpulley/src/control/replica_host/process.rs
@@ -229,7 +229,7 @@
     let unusable = |error| HostError::Listen { address, error };
     let listener = bind(address).await?.into_std().map_err(unusable)?;
     listener.set_nonblocking(false).map_err(unusable)?;
-    http::tune(&listener);
+    http::set_socket_options(&listener);
     Ok(listener)
 }
 
