--- a/crates/quillpulley/src/control/clock.rs
+++ b/crates/quillpulley/src/control/clock.rs
@@ -63,7 +63,7 @@
     /// Creates a clock that starts at zero now.
     pub fn start() -> Self {
         let start = Instant::now();
-        Clock::reading_both(move || ClockReading {
+        Clock::from_readings(move || ClockReading {
             monotonic: start.elapsed(),
             time_of_day: SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default(),
         })
@@ -71,14 +71,14 @@
 
     /// Creates a clock that returns the time that `read` returns, and that never jumps.
     pub fn reading(read: impl Fn() -> Duration + Send + Sync + 'static) -> Self {
-        Clock::reading_both(move || {
+        Clock::from_readings(move || {
             let now = read();
             ClockReading { monotonic: now, time_of_day: now }
         })
     }
 
     /// Creates a clock that takes the readings of both clocks from `read`.
-    pub fn reading_both(read: impl Fn() -> ClockReading + Send + Sync + 'static) -> Self {
+    pub fn from_readings(read: impl Fn() -> ClockReading + Send + Sync + 'static) -> Self {
         let counter = JumpCounter { last: read(), jumps: 0 };
         Clock { read: Arc::new(read), counter: Arc::new(Mutex::new(counter)) }
     }
--- a/crates/quillpulley/tests/control/clock.rs
+++ b/crates/quillpulley/tests/control/clock.rs
@@ -22,7 +22,7 @@
     fn clock(&self) -> Clock {
         let clocks = self.clone();
         let read = |clock: &AtomicU64| Duration::from_millis(clock.load(Ordering::SeqCst));
-        Clock::reading_both(move || ClockReading {
+        Clock::from_readings(move || ClockReading {
             monotonic: read(&clocks.monotonic),
             time_of_day: read(&clocks.time_of_day),
         })
