--- a/crates/quillpulley/src/control/clock.rs
+++ b/crates/quillpulley/src/control/clock.rs
@@ -70,7 +70,7 @@
     }
 
     /// Creates a clock that returns the time that `read` returns, and that never jumps.
-    pub fn reading(read: impl Fn() -> Duration + Send + Sync + 'static) -> Self {
+    pub fn from_fn(read: impl Fn() -> Duration + Send + Sync + 'static) -> Self {
         Clock::from_readings(move || {
             let now = read();
             ClockReading { monotonic: now, time_of_day: now }
--- a/crates/quillpulley/tests/control/clock.rs
+++ b/crates/quillpulley/tests/control/clock.rs
@@ -62,7 +62,7 @@
 fn a_clock_of_one_reading_never_jumps() {
     let clocks = Clocks::default();
     let monotonic = clocks.monotonic.clone();
-    let clock = Clock::reading(move || Duration::from_millis(monotonic.load(Ordering::SeqCst)));
+    let clock = Clock::from_fn(move || Duration::from_millis(monotonic.load(Ordering::SeqCst)));
     for time in [10, 5_000, 100_000] {
         clocks.set(time, 0);
         assert_eq!(clock.jumps(), 0);
--- a/crates/quillpulley/tests/control/expired_lease.rs
+++ b/crates/quillpulley/tests/control/expired_lease.rs
@@ -20,7 +20,7 @@
     let address = listener.local_addr().expect("an address");
     let milliseconds = Arc::new(AtomicU64::new(0));
     let shown = milliseconds.clone();
-    let clock = Clock::reading(move || Duration::from_millis(shown.load(Ordering::SeqCst)));
+    let clock = Clock::from_fn(move || Duration::from_millis(shown.load(Ordering::SeqCst)));
     let (deliver, requests) = mpsc::channel();
     let deliver = move |call| deliver.send(call).map_err(|rejected| rejected.0);
     api::serve_with_faults(listener, clock, faults, deliver).expect("a server");
--- a/crates/quillpulley/tests/control/frozen_host.rs
+++ b/crates/quillpulley/tests/control/frozen_host.rs
@@ -146,7 +146,7 @@
 /// The clock of the test's own thread, which is the main thread of the host; writers may be late.
 fn main_clock(now: Arc<AtomicU64>, writers_late: Arc<AtomicU64>) -> Clock {
     let main = thread::current().id();
-    Clock::reading(move || {
+    Clock::from_fn(move || {
         let late = if thread::current().id() == main { 0 } else { writers_late.load(Ordering::SeqCst) };
         Duration::from_millis(now.load(Ordering::SeqCst) + late)
     })
