--- a/crates/quillpulley/src/control/replica_host/host.rs
+++ b/crates/quillpulley/src/control/replica_host/host.rs
@@ -309,7 +309,7 @@
     /// Sends the responses that were decided under a lease which ends at `lease_end`.
     fn send_responses(&mut self, lease_end: Duration) {
         for (responder, response) in self.commands.take_responses() {
-            self.respond(responder, TimedResponse::until(lease_end, response));
+            self.respond(responder, TimedResponse::expiring_at(lease_end, response));
         }
     }
 
--- a/crates/quillpulley/src/control/replica_host/status_snapshot.rs
+++ b/crates/quillpulley/src/control/replica_host/status_snapshot.rs
@@ -25,14 +25,14 @@
     pub fn configuration(&self, lease_end: Duration) -> TimedResponse {
         let body = self.replica.state().shared_body();
         let response = body.map_or(Response::NoConfiguration, Response::Configuration);
-        TimedResponse::until(lease_end, response)
+        TimedResponse::expiring_at(lease_end, response)
     }
 
     /// Returns a response that is valid for as long as the currently known primary may be named. It does not
     /// expire if no primary is known.
     pub fn while_primary_is_known(&self, now: Duration, response: Response) -> TimedResponse {
         match self.replica.primary_until(now) {
-            Some((_, until)) => TimedResponse::until(until, response),
+            Some((_, until)) => TimedResponse::expiring_at(until, response),
             None => TimedResponse::without_expiry(response),
         }
     }
--- a/crates/quillpulley/src/control/response.rs
+++ b/crates/quillpulley/src/control/response.rs
@@ -51,7 +51,7 @@
 
 impl TimedResponse {
     /// Creates a response that relies on a lease which ends at `expires_at`.
-    pub fn until(expires_at: Duration, response: Response) -> Self {
+    pub fn expiring_at(expires_at: Duration, response: Response) -> Self {
         TimedResponse { response, expires_at, known_jumps: 0 }
     }
 
--- a/crates/quillpulley/tests/control/clock.rs
+++ b/crates/quillpulley/tests/control/clock.rs
@@ -87,7 +87,7 @@
 #[test]
 fn nothing_that_relies_on_a_lease_is_written_after_a_jump() {
     let lease_end = Duration::from_millis(810);
-    let decided = || TimedResponse::until(lease_end, Response::Conflict { current: 5 });
+    let decided = || TimedResponse::expiring_at(lease_end, Response::Conflict { current: 5 });
     assert_eq!(status_after_a_jump(decided(), Faults::default()), 503);
     assert_eq!(status_after_a_jump(decided(), Faults { skip_lease_check: true }), 412);
     // The host had noticed the jump, and held the lease again, when it decided this one.
--- a/crates/quillpulley/tests/control/expired_lease.rs
+++ b/crates/quillpulley/tests/control/expired_lease.rs
@@ -26,7 +26,7 @@
     api::serve_with_faults(listener, clock, faults, deliver).expect("a server");
     let caller = std::thread::spawn(move || send(address, &call("GET", "/v1/Config.Get")));
     let request = requests.recv_timeout(TIMEOUT).expect("a call");
-    let decided = TimedResponse::until(Duration::from_millis(LEASE_END_MS), answer);
+    let decided = TimedResponse::expiring_at(Duration::from_millis(LEASE_END_MS), answer);
     // Here the process freezes.
     milliseconds.store(written_at_ms, Ordering::SeqCst);
     request.responder.send(decided);
