--- a/crates/quillpulley/src/control/api/mod.rs
+++ b/crates/quillpulley/src/control/api/mod.rs
@@ -122,7 +122,7 @@
     fn write(&self, request: Request, response: TimedResponse) {
         let response = match self.faults.skip_lease_check() {
             true => response.decided().clone(),
-            false => response.by(&self.clock),
+            false => response.checked_by(&self.clock),
         };
         let response = render::render(request.url(), response);
         http::respond(request, response);
--- a/crates/quillpulley/src/control/response.rs
+++ b/crates/quillpulley/src/control/response.rs
@@ -86,7 +86,7 @@
 
     /// Returns the response if it is still valid by `clock`, or [`Response::Unavailable`] otherwise. After a
     /// clock jump, a lease that was granted before the jump is no longer relied on.
-    pub fn by(self, clock: &Clock) -> Response {
+    pub fn checked_by(self, clock: &Clock) -> Response {
         let relies_on_lease = self.expires_at != Duration::MAX;
         if relies_on_lease && clock.jumps() != self.known_jumps {
             return Response::Unavailable;
