--- a/crates/quillpulley/src/control/response.rs
+++ b/crates/quillpulley/src/control/response.rs
@@ -76,7 +76,7 @@
     }
 
     /// Returns the response if it is valid at `now`, or [`Response::Unavailable`] if it has expired.
-    pub fn at(self, now: Duration) -> Response {
+    pub fn checked_at(self, now: Duration) -> Response {
         if now < self.expires_at {
             self.response
         } else {
@@ -91,6 +91,6 @@
         if relies_on_lease && clock.jumps() != self.known_jumps {
             return Response::Unavailable;
         }
-        self.at(clock.now())
+        self.checked_at(clock.now())
     }
 }
--- a/crates/quillpulley/tests/control/expired_lease.rs
+++ b/crates/quillpulley/tests/control/expired_lease.rs
@@ -79,5 +79,8 @@
 #[test]
 fn responses_without_expiry_are_written_at_any_time() {
     let without_expiry = TimedResponse::without_expiry(Response::Invalid("no number".to_string()));
-    assert_eq!(without_expiry.at(Duration::from_secs(86_400)), Response::Invalid("no number".to_string()));
+    assert_eq!(
+        without_expiry.checked_at(Duration::from_secs(86_400)),
+        Response::Invalid("no number".to_string())
+    );
 }
