--- a/crates/quillpulley/src/control/api/mod.rs
+++ b/crates/quillpulley/src/control/api/mod.rs
@@ -121,7 +121,7 @@
 
     fn write(&self, request: Request, response: TimedResponse) {
         let response = match self.faults.skip_lease_check() {
-            true => response.decided().clone(),
+            true => response.unchecked().clone(),
             false => response.checked_by(&self.clock),
         };
         let response = render::render(request.url(), response);
--- a/crates/quillpulley/src/control/replica_host/host.rs
+++ b/crates/quillpulley/src/control/replica_host/host.rs
@@ -280,7 +280,7 @@
             LeadershipChange::Gained => self.discovery.reset(now),
             LeadershipChange::Lost => {
                 let redirect = self.snapshot().redirect(now);
-                self.commands.abandon(redirect.decided());
+                self.commands.abandon(redirect.unchecked());
                 self.send_responses(redirect.expires_at());
             }
         }
--- a/crates/quillpulley/src/control/response.rs
+++ b/crates/quillpulley/src/control/response.rs
@@ -66,7 +66,7 @@
     }
 
     /// Returns the response without checking whether it is still valid.
-    pub fn decided(&self) -> &Response {
+    pub fn unchecked(&self) -> &Response {
         &self.response
     }
 
