--- a/crates/quillpulley/src/control/replica_host/host.rs
+++ b/crates/quillpulley/src/control/replica_host/host.rs
@@ -196,7 +196,7 @@
     }
 
     /// Returns the time between SIGTERM and SIGKILL.
-    pub fn grace(&self) -> Duration {
+    pub fn grace_period(&self) -> Duration {
         self.settings.bounds.grace
     }
 
--- a/crates/quillpulley/src/control/replica_host/process.rs
+++ b/crates/quillpulley/src/control/replica_host/process.rs
@@ -151,7 +151,7 @@
     log::info!("SIGTERM received, shutting down");
     host.begin_shutdown();
     let now = Instant::now();
-    let latest = host.grace().saturating_sub(KILL_MARGIN).max(MIN_SHUTDOWN_TIME);
+    let latest = host.grace_period().saturating_sub(KILL_MARGIN).max(MIN_SHUTDOWN_TIME);
     ExitWindow { earliest: now + MIN_SHUTDOWN_TIME, latest: now + latest }
 }
 
