--- a/crates/quillpulley/src/control/api/http.rs
+++ b/crates/quillpulley/src/control/api/http.rs
@@ -45,10 +45,10 @@
 /// [`HostError::Runtime`] if the threads cannot be started.
 pub fn serve(listener: TcpListener, threads: usize, handler: Handler) -> Result<(), HostError> {
     let server = start_server(&listener)?;
-    let pool = Arc::new(Pool { listener, threads, current: Mutex::new(Arc::new(server)) });
+    let shared = Arc::new(SharedServer { listener, threads, current: Mutex::new(Arc::new(server)) });
     for _ in 0..threads {
-        let (pool, handler) = (pool.clone(), handler.clone());
-        thread::Builder::new().spawn(move || pool.work(&handler)).map_err(HostError::Runtime)?;
+        let (shared, handler) = (shared.clone(), handler.clone());
+        thread::Builder::new().spawn(move || shared.run_thread(&handler)).map_err(HostError::Runtime)?;
     }
     Ok(())
 }
@@ -60,25 +60,25 @@
 
 /// The state that the threads of a server share: the server from which they receive requests. A server that
 /// has stopped accepting connections is replaced.
-struct Pool {
+struct SharedServer {
     listener: TcpListener,
     threads: usize,
     current: Mutex<Arc<Server>>,
 }
 
-impl Pool {
-    fn work(&self, handler: &Handler) {
+impl SharedServer {
+    fn run_thread(&self, handler: &Handler) {
         loop {
             let server = self.current.lock().unwrap_or_else(PoisonError::into_inner).clone();
             match server.recv() {
                 Ok(request) => handler(request),
-                Err(error) => self.replace(&server, &error),
+                Err(error) => self.restart(&server, &error),
             }
         }
     }
 
     /// Starts a new server in place of `stopped`, unless another thread has already done so.
-    fn replace(&self, stopped: &Arc<Server>, error: &io::Error) {
+    fn restart(&self, stopped: &Arc<Server>, error: &io::Error) {
         let mut current = self.current.lock().unwrap_or_else(PoisonError::into_inner);
         if !Arc::ptr_eq(&current, stopped) {
             return;
--- a/crates/quillpulley/src/control/commands.rs
+++ b/crates/quillpulley/src/control/commands.rs
@@ -52,7 +52,7 @@
 }
 
 impl Command {
-    fn bytes(&self) -> usize {
+    fn size(&self) -> usize {
         match self {
             Command::Replace { body, .. } => body.len(),
             Command::Evacuate { zone, .. } => zone.len(),
@@ -111,16 +111,16 @@
     /// after `now`, so that the time to read its body does not count as waiting; an evacuation command
     /// expires [`RESPONSE_TIMEOUT`] after `received_at`.
     pub fn push(&mut self, now: Duration, received_at: Duration, command: Command, responder: R) {
-        let queued: usize = self.queued.iter().map(|queued| queued.command.bytes()).sum();
-        if queued + command.bytes() > MAX_QUEUED_BYTES {
+        let queued: usize = self.queued.iter().map(|queued| queued.command.size()).sum();
+        if queued + command.size() > MAX_QUEUED_BYTES {
             self.responses.push((responder, Response::Unavailable));
             return;
         }
-        let waits_since = match &command {
+        let waiting_since = match &command {
             Command::Replace { .. } => now,
             Command::Evacuate { .. } => received_at,
         };
-        let expires_at = waits_since + RESPONSE_TIMEOUT;
+        let expires_at = waiting_since + RESPONSE_TIMEOUT;
         self.queued.push_back(QueuedCommand { command, responder, received_at, expires_at });
     }
 
--- a/crates/quillpulley/src/control/directory/builder.rs
+++ b/crates/quillpulley/src/control/directory/builder.rs
@@ -43,13 +43,13 @@
 
 impl<'a> DirectoryInputs<'a> {
     /// Returns the state of a node of the relay tree at `now`.
-    pub fn at<Child: Copy + Eq + Hash + Ord>(now: Duration, feed: &'a SyncNode<Child>) -> Self {
+    pub fn at<Child: Copy + Eq + Hash + Ord>(now: Duration, sync_node: &'a SyncNode<Child>) -> Self {
         DirectoryInputs {
-            fresh: feed.is_fresh(now),
-            last_advanced: feed.last_advanced(),
-            epoch: feed.revision().epoch,
-            store: feed.store(),
-            subtree: feed.subtree(),
+            fresh: sync_node.is_fresh(now),
+            last_advanced: sync_node.last_advanced(),
+            epoch: sync_node.revision().epoch,
+            store: sync_node.store(),
+            subtree: sync_node.subtree(),
         }
     }
 
--- a/crates/quillpulley/src/control/discovery/page.rs
+++ b/crates/quillpulley/src/control/discovery/page.rs
@@ -66,15 +66,15 @@
 
 fn parse_server(entry: &BorrowedValue<'_>) -> Option<Server> {
     let text = |name: &str| entry.get_str(name).filter(|text| !text.is_empty()).map(str::to_string);
-    let time_remaining = entry.get("TimeLeftMs").and_then(as_millis);
+    let time_remaining = entry.get("TimeLeftMs").and_then(as_u32);
     Some(Server {
         id: text("Id")?,
         service: text("Service")?,
         address: text("Address")?,
         zone: text("Zone")?,
-        slots: entry.get("Slots").and_then(as_millis).unwrap_or(1).max(1),
+        slots: entry.get("Slots").and_then(as_u32).unwrap_or(1).max(1),
         state: parse_state(entry.get_str("State")?)?,
-        warmup_remaining_ms: entry.get("WarmupLeftMs").and_then(as_millis).unwrap_or(0),
+        warmup_remaining_ms: entry.get("WarmupLeftMs").and_then(as_u32).unwrap_or(0),
         time_remaining_ms: time_remaining.unwrap_or(0),
         has_time_remaining: time_remaining.is_some(),
     })
@@ -92,7 +92,7 @@
 
 /// Returns a non-negative number as an integer, rounded down and limited to [`u32::MAX`]; `None` for a
 /// negative number or any other value.
-fn as_millis(value: &BorrowedValue<'_>) -> Option<u32> {
+fn as_u32(value: &BorrowedValue<'_>) -> Option<u32> {
     let number = value.cast_f64()?;
     (number >= 0.0).then(|| number.min(f64::from(u32::MAX)) as u32)
 }
--- a/crates/quillpulley/src/control/discovery/published_servers.rs
+++ b/crates/quillpulley/src/control/discovery/published_servers.rs
@@ -51,11 +51,11 @@
         let is_removed = |id: &str| !listed.contains(id) && !unreadable.contains(id);
         let mut changes = Vec::new();
         self.servers.retain(|id, _| {
-            let stays = !is_removed(id);
-            if !stays {
+            let is_kept = !is_removed(id);
+            if !is_kept {
                 changes.push(Change { key: server_key(id), value: None });
             }
-            stays
+            is_kept
         });
         for server in reading.servers {
             self.update_server(now, server, &mut changes);
--- a/crates/quillpulley/src/control/discovery/reader.rs
+++ b/crates/quillpulley/src/control/discovery/reader.rs
@@ -13,9 +13,9 @@
 /// The primary uses at most the platform's rate limit divided by this number.
 const RATE_DIVISOR: f64 = 4.0;
 /// Delay before an implausible reading is repeated.
-const CONFIRM_AFTER: Duration = Duration::from_millis(100);
+const CONFIRMATION_DELAY: Duration = Duration::from_millis(100);
 /// Maximum backoff after consecutive failures.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(2);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 /// Maximum number of pages, which exceeds that of any real list. It ends a reading whose pages never end.
 const MAX_PAGES: usize = 10_000;
 
@@ -52,7 +52,7 @@
 
 enum ReaderState {
     /// The next reading starts at this time.
-    RequestQueue(Duration),
+    WaitingUntil(Duration),
     /// A page is being fetched.
     Reading(PartialReading),
     /// A page is being fetched whose result will be discarded.
@@ -81,7 +81,7 @@
     pub fn new(options: ReaderOptions) -> Self {
         ListReader {
             options,
-            state: ReaderState::RequestQueue(Duration::ZERO),
+            state: ReaderState::WaitingUntil(Duration::ZERO),
             failures: 0,
             unconfirmed_size: None,
         }
@@ -93,7 +93,7 @@
         self.unconfirmed_size = None;
         self.state = match self.state {
             ReaderState::Reading(_) | ReaderState::Discarding => ReaderState::Discarding,
-            ReaderState::RequestQueue(_) => ReaderState::RequestQueue(now),
+            ReaderState::WaitingUntil(_) => ReaderState::WaitingUntil(now),
         };
     }
 
@@ -101,7 +101,7 @@
     /// held.
     pub fn tick(&mut self, now: Duration, is_leader: bool) -> Option<Fetch> {
         match self.state {
-            ReaderState::RequestQueue(at) if is_leader && at <= now => {
+            ReaderState::WaitingUntil(at) if is_leader && at <= now => {
                 self.state =
                     ReaderState::Reading(PartialReading { started: now, ..PartialReading::default() });
                 Some(Fetch { token: None })
@@ -118,9 +118,9 @@
         published: usize,
         outcome: Result<Page, FetchError>,
     ) -> ReaderAction {
-        match std::mem::replace(&mut self.state, ReaderState::RequestQueue(now)) {
+        match std::mem::replace(&mut self.state, ReaderState::WaitingUntil(now)) {
             ReaderState::Reading(partial) if is_leader => self.add_page(now, published, partial, outcome),
-            ReaderState::Reading(_) | ReaderState::Discarding | ReaderState::RequestQueue(_) => {
+            ReaderState::Reading(_) | ReaderState::Discarding | ReaderState::WaitingUntil(_) => {
                 ReaderAction::Nothing
             }
         }
@@ -154,7 +154,7 @@
     fn fail(&mut self, now: Duration, error: FetchError) -> ReaderAction {
         let backoff = self.options.interval * 2u32.saturating_pow(self.failures.min(16));
         self.failures += 1;
-        self.state = ReaderState::RequestQueue(now + backoff.min(LONGEST_BACKOFF));
+        self.state = ReaderState::WaitingUntil(now + backoff.min(MAX_BACKOFF));
         ReaderAction::Failed { error, first: self.failures == 1 }
     }
 
@@ -164,12 +164,12 @@
         let is_implausible = size * 2 < published;
         if is_implausible && self.unconfirmed_size != Some(size) {
             self.unconfirmed_size = Some(size);
-            self.state = ReaderState::RequestQueue(now + CONFIRM_AFTER);
+            self.state = ReaderState::WaitingUntil(now + CONFIRMATION_DELAY);
             return ReaderAction::Nothing;
         }
         self.unconfirmed_size = None;
         let next = partial.started + self.interval_for(partial.pages);
-        self.state = ReaderState::RequestQueue(next.max(now));
+        self.state = ReaderState::WaitingUntil(next.max(now));
         ReaderAction::Complete(partial.reading)
     }
 
@@ -178,9 +178,9 @@
         if self.options.rate_per_s <= 0.0 {
             return self.options.interval;
         }
-        let least = pages as f64 * RATE_DIVISOR / self.options.rate_per_s;
-        let least = Duration::try_from_secs_f64(least).unwrap_or(Duration::MAX);
-        self.options.interval.max(least)
+        let min_interval_s = pages as f64 * RATE_DIVISOR / self.options.rate_per_s;
+        let min_interval = Duration::try_from_secs_f64(min_interval_s).unwrap_or(Duration::MAX);
+        self.options.interval.max(min_interval)
     }
 }
 
--- a/crates/quillpulley/src/control/distribution/endpoint_registry.rs
+++ b/crates/quillpulley/src/control/distribution/endpoint_registry.rs
@@ -12,7 +12,7 @@
 /// The same time after an election, when all agents change their parents.
 pub const ABSENCE_TIMEOUT_AFTER_ELECTION: Duration = Duration::from_secs(3);
 /// Minimum number of monitors that must suspect an endpoint before it counts as unreachable.
-const SUSPECTING_MONITORS: usize = 2;
+const MIN_SUSPECTING_MONITORS: usize = 2;
 
 struct Published {
     endpoint: ProxyEndpoint,
@@ -70,17 +70,17 @@
     pub fn tick(&mut self, now: Duration) -> Vec<Change> {
         let mut changes = Vec::new();
         self.endpoints.retain(|name, published| {
-            let stays = published.removal_at.is_none_or(|at| at > now);
-            if !stays {
+            let is_kept = published.removal_at.is_none_or(|at| at > now);
+            if !is_kept {
                 changes.push(Change { key: endpoint_key(name), value: None });
             }
-            stays
+            is_kept
         });
         changes
     }
 }
 
-/// Returns whether at least `SUSPECTING_MONITORS` monitors suspect an endpoint.
+/// Returns whether at least `MIN_SUSPECTING_MONITORS` monitors suspect an endpoint.
 pub(in crate::control) fn is_suspected(tree: &SubtreeState, name: &str) -> bool {
-    tree.suspicions.get(name).is_some_and(|monitors| monitors.len() >= SUSPECTING_MONITORS)
+    tree.suspicions.get(name).is_some_and(|monitors| monitors.len() >= MIN_SUSPECTING_MONITORS)
 }
--- a/crates/quillpulley/src/control/distribution/leader_publisher.rs
+++ b/crates/quillpulley/src/control/distribution/leader_publisher.rs
@@ -76,11 +76,11 @@
         if epoch == self.term.as_ref().map(|term| term.epoch) {
             return LeadershipChange::Unchanged;
         }
-        let before = self.term.take();
+        let previous_term = self.term.take();
         match epoch {
             Some(epoch) => {
                 log::info!(epoch; "started publishing as primary");
-                self.begin_term(now, epoch, before, relay);
+                self.begin_term(now, epoch, previous_term, relay);
                 relay.become_root(epoch, links);
                 let changes = self.collect_changes(now, state, relay, links);
                 relay.handle(Event::Publish(changes), links);
@@ -95,9 +95,9 @@
     }
 
     /// Starts a term. Its first revision contains everything that the previous root has not published.
-    fn begin_term(&mut self, now: Duration, epoch: u64, before: Option<Term>, relay: &mut RelayNode) {
-        let published = match before {
-            Some(before) => before.published,
+    fn begin_term(&mut self, now: Duration, epoch: u64, previous_term: Option<Term>, relay: &mut RelayNode) {
+        let published = match previous_term {
+            Some(previous_term) => previous_term.published,
             None => PublishedState::inherit(now, relay.store()),
         };
         self.term = Some(Term { epoch, published, published_at: now });
--- a/crates/quillpulley/src/control/distribution/relay_node.rs
+++ b/crates/quillpulley/src/control/distribution/relay_node.rs
@@ -23,7 +23,7 @@
 /// The node of this process in the relay tree.
 pub struct RelayNode {
     clock: Clock,
-    feed: SyncNode<Child>,
+    sync_node: SyncNode<Child>,
     topology: ControlTopology,
     directory: DirectoryBuilder,
     /// Whether reports of the subtree have changed since they were last published.
@@ -38,7 +38,7 @@
     pub fn new(clock: Clock, name: &str, link_mbps: f64) -> Self {
         RelayNode {
             clock,
-            feed: SyncNode::new(Options::control_node(name).with_link_mbps(link_mbps)),
+            sync_node: SyncNode::new(Options::control_node(name).with_link_mbps(link_mbps)),
             topology: ControlTopology::default(),
             directory: DirectoryBuilder::default(),
             reports_changed: false,
@@ -48,12 +48,12 @@
 
     /// Returns the published state.
     pub fn store(&self) -> &Store {
-        self.feed.store()
+        self.sync_node.store()
     }
 
     /// Returns the reports of this process and of its subtree.
     pub fn subtree(&self) -> &SubtreeState {
-        self.feed.subtree()
+        self.sync_node.subtree()
     }
 
     /// Marks the reports as changed, so that the next publication includes them.
@@ -68,20 +68,20 @@
 
     /// Returns the directory at `now` if it may have changed since the last call.
     pub fn changed_directory(&mut self, now: Duration) -> Option<Directory> {
-        let inputs = DirectoryInputs::at(now, &self.feed);
+        let inputs = DirectoryInputs::at(now, &self.sync_node);
         let has_changed = std::mem::take(&mut self.directory_changed);
         has_changed.then(|| self.directory.build(now, &inputs))
     }
 
     /// Marks the directory as changed if it may change merely because time passes.
     pub fn tick_directory(&mut self, now: Duration) {
-        self.directory_changed |= self.directory.depends_on_time(self.feed.is_fresh(now));
+        self.directory_changed |= self.directory.depends_on_time(self.sync_node.is_fresh(now));
     }
 
     /// Handles an event and performs the resulting actions.
     pub fn handle(&mut self, event: Event<Child>, links: &mut Links) {
         let mut actions = Vec::new();
-        self.feed.handle(self.clock.now(), event, &mut actions);
+        self.sync_node.handle(self.clock.now(), event, &mut actions);
         for action in actions {
             self.perform(action, links);
         }
@@ -161,7 +161,7 @@
     /// Updates the parent: the primary if it is reachable. Must not be called at the root.
     pub fn update_parent(&mut self, now: Duration, primary: Option<NodeId>, links: &mut Links) {
         let is_reachable = |node| links.can_exchange_with(node);
-        match self.topology.choose_parent(now, primary, self.feed.last_advanced(), is_reachable) {
+        match self.topology.choose_parent(now, primary, self.sync_node.last_advanced(), is_reachable) {
             Some(ParentChange::Up) => self.handle(Event::ParentUp, links),
             Some(ParentChange::Down) => self.handle(Event::ParentDown, links),
             None => {}
--- a/crates/quillpulley/src/control/replica_host/host.rs
+++ b/crates/quillpulley/src/control/replica_host/host.rs
@@ -1,6 +1,6 @@
 //! The state of a control node, and the handlers of all its events.
 //!
-//! After each event, `ControlHost::advance` updates everything that depends on the state: the leadership, the
+//! After each event, `ControlHost::reconcile` updates everything that depends on the state: the leadership, the
 //! position in the relay tree, the published state, commands and responses, the directory, and the links.
 
 use super::components::Components;
@@ -67,7 +67,7 @@
             publisher: LeaderPublisher::default(),
         };
         host.learn_control_nodes(now);
-        host.advance();
+        host.reconcile();
         host
     }
 
@@ -75,8 +75,8 @@
     pub fn handle_write_completed(&mut self, completion: WriteCompletion) {
         self.observe_clock();
         let WriteCompletion { ticket, result } = completion;
-        self.replicate(Event::WriteCompleted { ticket, result });
-        self.advance();
+        self.handle_replica_event(Event::WriteCompleted { ticket, result });
+        self.reconcile();
     }
 
     /// Handles a request from an operator.
@@ -95,7 +95,7 @@
                 self.respond(responder, self.snapshot().configuration(lease_end));
             }
         }
-        self.advance();
+        self.reconcile();
     }
 
     /// Handles a page of the platform's list, or the failure to fetch it.
@@ -108,7 +108,7 @@
         if let Some(reading) = reading {
             self.publisher.publish_list(now, reading, &mut self.relay, &mut self.links);
         }
-        self.advance();
+        self.reconcile();
     }
 
     /// Handles a socket event.
@@ -117,40 +117,40 @@
         for event in self.links.handle(self.clock.now(), event) {
             self.handle_link_event(event);
         }
-        self.advance();
+        self.reconcile();
     }
 
     fn handle_link_event(&mut self, event: LinkEvent) {
         match event {
             LinkEvent::Connected(node, locality) => {
                 self.publisher.control_nodes_changed();
-                self.replicate(Event::LocalityLearned { node, locality });
-                self.replicate(Event::Connected(node));
+                self.handle_replica_event(Event::LocalityLearned { node, locality });
+                self.handle_replica_event(Event::Connected(node));
             }
             LinkEvent::Disconnected(node) => {
                 self.relay.control_node_lost(node, &mut self.links);
-                self.replicate(Event::Disconnected(node));
+                self.handle_replica_event(Event::Disconnected(node));
             }
             LinkEvent::IncomingLinkLost(node) => self.relay.control_node_lost(node, &mut self.links),
             LinkEvent::IncomingLinkReplaced(node) => self.relay.control_node_link_replaced(node),
             LinkEvent::ControlNodeMessage(node, body) => {
                 if let Some(body) = self.relay.handle_control_node_message(node, body, &mut self.links) {
-                    self.replicate(Event::Message { from: node, body });
+                    self.handle_replica_event(Event::Message { from: node, body });
                 }
             }
             LinkEvent::AgentConnected(link) => {
-                self.sync(state_sync::Event::ChildUp(Child::Agent(link)));
+                self.handle_sync_event(state_sync::Event::ChildUp(Child::Agent(link)));
             }
             LinkEvent::AgentDisconnected(link) => {
-                self.sync(state_sync::Event::ChildDown(Child::Agent(link)));
+                self.handle_sync_event(state_sync::Event::ChildDown(Child::Agent(link)));
             }
             LinkEvent::AgentMessage(link, body) => {
-                self.sync(state_sync::Event::ChildFrame(Child::Agent(link), body));
+                self.handle_sync_event(state_sync::Event::ChildFrame(Child::Agent(link), body));
             }
         }
     }
 
-    fn sync(&mut self, event: state_sync::Event<Child>) {
+    fn handle_sync_event(&mut self, event: state_sync::Event<Child>) {
         self.relay.handle(event, &mut self.links);
     }
 
@@ -158,9 +158,9 @@
     pub fn tick(&mut self) {
         self.observe_clock();
         let now = self.clock.now();
-        self.replicate(Event::Tick);
+        self.handle_replica_event(Event::Tick);
         self.update_leadership(now);
-        self.sync(state_sync::Event::Tick);
+        self.handle_sync_event(state_sync::Event::Tick);
         self.commands.expire(now);
         self.publisher.tick(now, &mut self.relay, &mut self.links);
         self.discovery.tick(now, self.publisher.is_leader());
@@ -170,7 +170,7 @@
         if self.seeds.is_reload_due(now, is_isolated) {
             self.reload_seeds();
         }
-        self.advance();
+        self.reconcile();
     }
 
     /// Makes the replica discard a lease that was granted before a clock jump. Must be called before anything
@@ -179,14 +179,14 @@
         let jumps = self.clock.jumps();
         if jumps != self.known_jumps {
             self.known_jumps = jumps;
-            self.replicate(Event::ClockJumped);
+            self.handle_replica_event(Event::ClockJumped);
         }
     }
 
     /// Starts a graceful shutdown: hands over the leadership.
     pub fn begin_shutdown(&mut self) {
-        self.replicate(Event::Shutdown);
-        self.advance();
+        self.handle_replica_event(Event::Shutdown);
+        self.reconcile();
     }
 
     /// Returns whether a process that shuts down may exit: its data is safe on other nodes, or no other node
@@ -204,7 +204,7 @@
     pub fn reload_seeds(&mut self) {
         self.seeds.reload();
         self.learn_control_nodes(self.clock.now());
-        self.advance();
+        self.reconcile();
     }
 
     fn learn_control_nodes(&mut self, now: Duration) {
@@ -228,7 +228,7 @@
     }
 
     /// Passes an event to the replica and performs the resulting actions.
-    fn replicate(&mut self, event: Event) {
+    fn handle_replica_event(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.replica.handle(self.clock.now(), event, &mut actions);
         for action in actions {
@@ -256,7 +256,7 @@
     }
 
     /// Updates everything that depends on the state of the replica and the links.
-    fn advance(&mut self) {
+    fn reconcile(&mut self) {
         let now = self.clock.now();
         self.update_leadership(now);
         self.update_relay(now);
@@ -302,7 +302,10 @@
             let proposal = self.commands.next_proposal_for(&self.replica);
             self.send_responses(lease_end);
             let Some(proposal) = proposal else { return };
-            self.replicate(Event::Propose { proposal: proposal.number, payload: proposal.payload });
+            self.handle_replica_event(Event::Propose {
+                proposal: proposal.number,
+                payload: proposal.payload,
+            });
         }
     }
 
--- a/crates/quillpulley/src/control/replica_host/peer_table.rs
+++ b/crates/quillpulley/src/control/replica_host/peer_table.rs
@@ -9,16 +9,16 @@
 use std::time::Duration;
 
 /// Backoff after the first failure to connect. Each further failure doubles it.
-const FIRST_BACKOFF: Duration = Duration::from_millis(100);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 /// Maximum backoff, without jitter.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(1);
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 /// Time after which an unreachable address that belongs to no view is forgotten.
 const FORGET_AFTER: Duration = Duration::from_secs(30);
 
 /// The state of the link that this process opens to a peer.
 enum Outgoing<L> {
     /// The next connection attempt is due at this time.
-    RequestQueue(Duration),
+    WaitingUntil(Duration),
     Connecting {
         link: L,
         /// Whether this attempt replaces an earlier one that may hang.
@@ -65,7 +65,7 @@
             return;
         }
         self.peers.entry(address).or_insert_with(|| Peer {
-            outgoing: Outgoing::RequestQueue(now),
+            outgoing: Outgoing::WaitingUntil(now),
             hello: None,
             next_is_replacement: false,
             failures: 0,
@@ -76,7 +76,7 @@
     /// Returns the addresses whose next connection attempt is due. The host has to call
     /// [`PeerTable::connecting`] for each of them.
     pub fn due(&self, now: Duration) -> Vec<Ipv4Addr> {
-        let is_due = |peer: &Peer<L>| matches!(peer.outgoing, Outgoing::RequestQueue(at) if at <= now);
+        let is_due = |peer: &Peer<L>| matches!(peer.outgoing, Outgoing::WaitingUntil(at) if at <= now);
         self.peers.iter().filter(|(_, peer)| is_due(peer)).map(|(address, _)| *address).collect()
     }
 
@@ -91,7 +91,7 @@
     /// Records that a link of this node has opened. Returns `None` if the link is unknown or leads to an
     /// unexpected node, and the host then has to close it.
     pub fn opened(&mut self, link: L, hello: Hello) -> Option<PeerChange> {
-        let (address, peer) = self.peer_of(link)?;
+        let (address, peer) = self.peer_with_link(link)?;
         if hello.kind != PeerKind::Control || hello.node.address() != address {
             let name = hello.name.as_str();
             log::warn!(
@@ -135,12 +135,12 @@
     fn reconnect(&mut self, now: Duration, address: Ipv4Addr) -> Option<L> {
         let peer = self.peers.get_mut(&address)?;
         match peer.outgoing {
-            Outgoing::RequestQueue(_) => {
-                peer.outgoing = Outgoing::RequestQueue(now);
+            Outgoing::WaitingUntil(_) => {
+                peer.outgoing = Outgoing::WaitingUntil(now);
                 None
             }
             Outgoing::Connecting { link, is_replacement: false } => {
-                peer.outgoing = Outgoing::RequestQueue(now);
+                peer.outgoing = Outgoing::WaitingUntil(now);
                 peer.next_is_replacement = true;
                 Some(link)
             }
@@ -152,22 +152,22 @@
     /// to half, in order to spread the attempts of several nodes. Returns the change if the link was open.
     pub fn closed(&mut self, now: Duration, link: L, jitter: f64) -> Option<PeerChange> {
         self.incoming.remove(&link);
-        let (_, peer) = self.peer_of(link)?;
-        let backoff = LONGEST_BACKOFF.min(FIRST_BACKOFF * 2u32.saturating_pow(peer.failures.min(8)));
+        let (_, peer) = self.peer_with_link(link)?;
+        let backoff = MAX_BACKOFF.min(INITIAL_BACKOFF * 2u32.saturating_pow(peer.failures.min(8)));
         let next = now + backoff.mul_f64(1.0 + jitter.clamp(0.0, 1.0) / 2.0);
-        let before = std::mem::replace(&mut peer.outgoing, Outgoing::RequestQueue(next));
+        let previous = std::mem::replace(&mut peer.outgoing, Outgoing::WaitingUntil(next));
         peer.failures += 1;
         peer.unreachable_since.get_or_insert(now);
-        match before {
+        match previous {
             Outgoing::Open(_, node) => Some(PeerChange::Disconnected(node)),
-            Outgoing::Connecting { .. } | Outgoing::RequestQueue(_) => None,
+            Outgoing::Connecting { .. } | Outgoing::WaitingUntil(_) => None,
         }
     }
 
-    fn peer_of(&mut self, link: L) -> Option<(Ipv4Addr, &mut Peer<L>)> {
+    fn peer_with_link(&mut self, link: L) -> Option<(Ipv4Addr, &mut Peer<L>)> {
         let has_link = |peer: &Peer<L>| match &peer.outgoing {
             Outgoing::Connecting { link: other, .. } | Outgoing::Open(other, _) => *other == link,
-            Outgoing::RequestQueue(_) => false,
+            Outgoing::WaitingUntil(_) => false,
         };
         self.peers.iter_mut().find(|(_, peer)| has_link(peer)).map(|(address, peer)| (*address, peer))
     }
@@ -205,7 +205,7 @@
     pub fn connected(&self) -> impl Iterator<Item = (L, NodeId)> + '_ {
         self.peers.values().filter_map(|peer| match peer.outgoing {
             Outgoing::Open(link, node) => Some((link, node)),
-            Outgoing::RequestQueue(_) | Outgoing::Connecting { .. } => None,
+            Outgoing::WaitingUntil(_) | Outgoing::Connecting { .. } => None,
         })
     }
 
--- a/crates/quillpulley/src/control/replica_host/process.rs
+++ b/crates/quillpulley/src/control/replica_host/process.rs
@@ -29,7 +29,7 @@
 /// Exit code after a panic.
 const PANIC_EXIT_CODE: i32 = 101;
 /// Maximum number of operator requests that wait for the main thread.
-const REQUEST_QUEUE: usize = 16;
+const REQUEST_QUEUE_CAPACITY: usize = 16;
 
 /// An event that another thread sends to the main thread.
 enum ThreadEvent {
@@ -70,35 +70,35 @@
 
 async fn start(settings: Settings) -> Result<(ControlHost, EventSources), HostError> {
     let clock = Clock::start();
-    let (event, threads) = unbounded_channel();
-    let (storage, recovered) = open_storage(&settings, event.clone())?;
+    let (event_sender, threads) = unbounded_channel();
+    let (storage, recovered) = open_storage(&settings, event_sender.clone())?;
     let me = identity(&settings, &recovered);
     let index = last_index(&recovered);
     log::info!(node:% = me, name = settings.node_name.as_str(), index; "control node started");
 
-    let (links, peers) = Peers::new(hello(&settings, me)?);
-    links.listen(bind(SocketAddr::from((settings.ip, settings.control_port()))).await?);
+    let (peers, peer_events) = Peers::new(hello(&settings, me)?);
+    peers.listen(bind(SocketAddr::from((settings.ip, settings.control_port()))).await?);
     let directory = DirectoryHandle::default();
     if let Some(address) = settings.listen.directory {
         let max_time_to_live_s = settings.bounds.ttl_max.as_secs_f64();
         directory::serve(listen(address).await?, directory.clone(), max_time_to_live_s)?;
     }
-    let (request, requests) = channel(REQUEST_QUEUE);
+    let (request_sender, requests) = channel(REQUEST_QUEUE_CAPACITY);
     let address = settings.control_address()?;
-    api::serve(listen(address).await?, clock.clone(), move |parsed| {
-        request.try_send(parsed).map_err(|rejected| rejected.into_inner())
+    api::serve(listen(address).await?, clock.clone(), move |request| {
+        request_sender.try_send(request).map_err(|rejected| rejected.into_inner())
     })?;
 
     let fetcher = match &settings.platform {
-        Some(platform) => {
-            Some(Fetcher::start(platform.address, move |page| send(&event, ThreadEvent::Fetched(page)))?)
-        }
+        Some(platform) => Some(Fetcher::start(platform.address, move |page| {
+            send(&event_sender, ThreadEvent::Fetched(page))
+        })?),
         None => None,
     };
     let now = clock.now();
     let replica = Replica::new(options(&settings, me), recovered, ControlState::default(), now)?;
-    let components = Components { clock, me, peers: links, replica, storage, fetcher, directory };
-    let sources = EventSources { peers, threads, requests, signals: signals::subscribe()? };
+    let components = Components { clock, me, peers, replica, storage, fetcher, directory };
+    let sources = EventSources { peers: peer_events, threads, requests, signals: signals::subscribe()? };
     Ok((ControlHost::new(settings, components), sources))
 }
 
@@ -157,18 +157,18 @@
 
 fn open_storage(
     settings: &Settings,
-    event: UnboundedSender<ThreadEvent>,
+    event_sender: UnboundedSender<ThreadEvent>,
 ) -> Result<(StorageThread, Recovered), HostError> {
     let folder = settings.required_data_folder()?;
     StorageThread::open(folder.to_path_buf(), move |completion| {
-        send(&event, ThreadEvent::WriteCompleted(completion));
+        send(&event_sender, ThreadEvent::WriteCompleted(completion));
     })
 }
 
 /// Sends an event to the main thread. A failure is only logged: once the main thread has ended, the process
 /// ends too.
-fn send(events: &UnboundedSender<ThreadEvent>, event: ThreadEvent) {
-    if events.send(event).is_err() {
+fn send(event_sender: &UnboundedSender<ThreadEvent>, event: ThreadEvent) {
+    if event_sender.send(event).is_err() {
         log::debug!("an event is dropped: the main thread has exited");
     }
 }
@@ -226,9 +226,9 @@
 
 /// Opens a listening socket in blocking mode, for use by threads.
 async fn listen(address: SocketAddr) -> Result<TcpListener, HostError> {
-    let unusable = |error| HostError::Listen { address, error };
-    let listener = bind(address).await?.into_std().map_err(unusable)?;
-    listener.set_nonblocking(false).map_err(unusable)?;
+    let listen_error = |error| HostError::Listen { address, error };
+    let listener = bind(address).await?.into_std().map_err(listen_error)?;
+    listener.set_nonblocking(false).map_err(listen_error)?;
     http::set_socket_options(&listener);
     Ok(listener)
 }
--- a/crates/quillpulley/src/control/replica_host/storage_thread.rs
+++ b/crates/quillpulley/src/control/replica_host/storage_thread.rs
@@ -38,19 +38,19 @@
     where
         D: Fn(WriteCompletion) + Send + 'static,
     {
-        let (opened, outcome) = mpsc::channel();
+        let (result_sender, result_receiver) = mpsc::channel();
         let (writes, queue) = mpsc::channel();
         let work = move || match open(&folder) {
             Ok((storage, recovered)) => {
-                if opened.send(Ok(recovered)).is_ok() {
+                if result_sender.send(Ok(recovered)).is_ok() {
                     store_all(storage, &queue, deliver);
                 }
             }
-            Err(error) => drop(opened.send(Err(error))),
+            Err(error) => drop(result_sender.send(Err(error))),
         };
         thread::Builder::new().spawn(work).map_err(HostError::Runtime)?;
-        let ended = |_| HostError::Runtime(std::io::Error::other("the storage thread has exited"));
-        let recovered = outcome.recv().map_err(ended)??;
+        let thread_exited = |_| HostError::Runtime(std::io::Error::other("the storage thread has exited"));
+        let recovered = result_receiver.recv().map_err(thread_exited)??;
         Ok((StorageThread { writes }, recovered))
     }
 
