--- a/crates/quillpulley/src/control/discovery/reader.rs
+++ b/crates/quillpulley/src/control/discovery/reader.rs
@@ -184,7 +184,7 @@
     }
 }
 
-/// The consequence of a fetch.
+/// The action or the result that follows from a fetch.
 #[derive(Debug, PartialEq)]
 pub enum ReaderAction {
     /// There is nothing to do before the next tick.
--- a/crates/quillpulley/src/control/distribution/relay_node.rs
+++ b/crates/quillpulley/src/control/distribution/relay_node.rs
@@ -145,7 +145,8 @@
         }
     }
 
-    /// Handles the loss of a control node, to which or from which no message can be sent any more.
+    /// Handles the loss of a control node: messages can no longer be sent to it, or no longer be received
+    /// from it.
     pub fn control_node_lost(&mut self, node: NodeId, links: &mut Links) {
         if self.topology.remove(node) {
             self.handle(Event::ChildDown(Child::ControlNode(node)), links);
