--- a/crates/quillpulley/src/control/replica_host/links.rs
+++ b/crates/quillpulley/src/control/replica_host/links.rs
@@ -189,7 +189,7 @@
 
     /// Connects to the control nodes whose next attempt is due, at `port`.
     pub fn connect_due(&mut self, now: Duration, port: u16) {
-        for address in self.table.due(now) {
+        for address in self.table.addresses_due(now) {
             let link = self.peers.connect(SocketAddr::from((address, port)));
             self.table.connecting(address, link);
         }
--- a/crates/quillpulley/src/control/replica_host/peer_table.rs
+++ b/crates/quillpulley/src/control/replica_host/peer_table.rs
@@ -75,7 +75,7 @@
 
     /// Returns the addresses whose next connection attempt is due. The host has to call
     /// [`PeerTable::connecting`] for each of them.
-    pub fn due(&self, now: Duration) -> Vec<Ipv4Addr> {
+    pub fn addresses_due(&self, now: Duration) -> Vec<Ipv4Addr> {
         let is_due = |peer: &Peer<L>| matches!(peer.outgoing, Outgoing::WaitingUntil(at) if at <= now);
         self.peers.iter().filter(|(_, peer)| is_due(peer)).map(|(address, _)| *address).collect()
     }
--- a/crates/quillpulley/tests/control/peer_table.rs
+++ b/crates/quillpulley/tests/control/peer_table.rs
@@ -29,9 +29,9 @@
 fn dialling() -> PeerTable<u32> {
     let mut peer_table = PeerTable::new(ME);
     peer_table.learn(at(0), OTHER);
-    assert_eq!(peer_table.due(at(0)), [OTHER]);
+    assert_eq!(peer_table.addresses_due(at(0)), [OTHER]);
     peer_table.connecting(OTHER, 1);
-    assert!(peer_table.due(at(0)).is_empty());
+    assert!(peer_table.addresses_due(at(0)).is_empty());
     peer_table
 }
 
@@ -67,22 +67,22 @@
     let mut now = 0;
     for delay in [100, 200, 400, 800, 1000, 1000] {
         assert_eq!(peer_table.closed(at(now), 1, NO_JITTER), None);
-        assert!(peer_table.due(at(now + delay - 1)).is_empty(), "{delay}");
+        assert!(peer_table.addresses_due(at(now + delay - 1)).is_empty(), "{delay}");
         now += delay;
-        assert_eq!(peer_table.due(at(now)), [OTHER], "{delay}");
+        assert_eq!(peer_table.addresses_due(at(now)), [OTHER], "{delay}");
         peer_table.connecting(OTHER, 1);
     }
     peer_table.opened(1, hello(NodeId::new(OTHER, 7)));
     peer_table.closed(at(now), 1, NO_JITTER);
-    assert_eq!(peer_table.due(at(now + 100)), [OTHER]);
+    assert_eq!(peer_table.addresses_due(at(now + 100)), [OTHER]);
 }
 
 #[test]
 fn jitter_makes_the_delay_half_as_long_again_at_most() {
     let mut peer_table = dialling();
     peer_table.closed(at(0), 1, 1.0);
-    assert!(peer_table.due(at(149)).is_empty());
-    assert_eq!(peer_table.due(at(150)), [OTHER]);
+    assert!(peer_table.addresses_due(at(149)).is_empty());
+    assert_eq!(peer_table.addresses_due(at(150)), [OTHER]);
 }
 
 #[test]
@@ -91,7 +91,7 @@
     let node = NodeId::new(THIRD, 3);
     assert!(peer_table.accepted(at(0), 9, node).is_empty());
     assert_eq!(peer_table.sender(9), Some(node));
-    assert_eq!(peer_table.due(at(0)), [THIRD]);
+    assert_eq!(peer_table.addresses_due(at(0)), [THIRD]);
     // Its next link takes the place of the one before.
     let again = NodeId::new(THIRD, 4);
     assert_eq!(peer_table.accepted(at(5), 10, again), [9]);
@@ -119,27 +119,27 @@
     let mut peer_table = dialling();
     let node = NodeId::new(OTHER, 7);
     assert_eq!(peer_table.accepted(at(20), 9, node), [1]);
-    assert_eq!(peer_table.due(at(20)), [OTHER]);
+    assert_eq!(peer_table.addresses_due(at(20)), [OTHER]);
     peer_table.connecting(OTHER, 2);
     assert_eq!(peer_table.closed(at(21), 1, NO_JITTER), None);
     // Once is enough: both sides would call off each other's attempts for ever.
     assert_eq!(peer_table.accepted(at(30), 10, node), [9]);
-    assert!(peer_table.due(at(30)).is_empty());
+    assert!(peer_table.addresses_due(at(30)).is_empty());
     assert_eq!(peer_table.opened(2, hello(node)), Some(PeerChange::Connected(node)));
     assert_eq!(peer_table.accepted(at(40), 11, node), [10]);
     assert_eq!(peer_table.link_to(node), Some(2));
     // A delay after a failure ends.
     peer_table.closed(at(50), 2, NO_JITTER);
-    assert!(peer_table.due(at(60)).is_empty());
+    assert!(peer_table.addresses_due(at(60)).is_empty());
     peer_table.accepted(at(60), 12, node);
-    assert_eq!(peer_table.due(at(60)), [OTHER]);
+    assert_eq!(peer_table.addresses_due(at(60)), [OTHER]);
 }
 
 #[test]
 fn the_own_address_is_never_dialled() {
     let mut peer_table: PeerTable<u32> = PeerTable::new(ME);
     peer_table.learn(at(0), ME);
-    assert!(peer_table.due(at(0)).is_empty());
+    assert!(peer_table.addresses_due(at(0)).is_empty());
 }
 
 #[test]
@@ -157,12 +157,12 @@
     peer_table.learn(at(0), THIRD);
     peer_table.opened(1, hello(NodeId::new(OTHER, 7)));
     peer_table.forget(at(60_000), |_| false);
-    assert_eq!(peer_table.due(at(60_000)), Vec::<Ipv4Addr>::new());
+    assert_eq!(peer_table.addresses_due(at(60_000)), Vec::<Ipv4Addr>::new());
     peer_table.closed(at(60_000), 1, NO_JITTER);
     peer_table.forget(at(89_999), |_| false);
-    assert_eq!(peer_table.due(at(89_999)), [OTHER]);
+    assert_eq!(peer_table.addresses_due(at(89_999)), [OTHER]);
     peer_table.forget(at(90_000), |address| address == OTHER);
-    assert_eq!(peer_table.due(at(90_000)), [OTHER]);
+    assert_eq!(peer_table.addresses_due(at(90_000)), [OTHER]);
     peer_table.forget(at(90_000), |_| false);
-    assert!(peer_table.due(at(90_000)).is_empty());
+    assert!(peer_table.addresses_due(at(90_000)).is_empty());
 }
