--- a/crates/quillpulley/src/control/replica_host/process.rs
+++ b/crates/quillpulley/src/control/replica_host/process.rs
@@ -178,7 +178,7 @@
 fn identity(settings: &Settings, recovered: &Recovered) -> NodeId {
     let incarnation = match &recovered.record {
         Some(record) => record.incarnation,
-        None if first_witnesses(settings).contains(&NodeId::new(settings.ip, 0)) => 0,
+        None if initial_witnesses(settings).contains(&NodeId::new(settings.ip, 0)) => 0,
         None => fastrand::u64(1..),
     };
     NodeId::new(settings.ip, incarnation)
@@ -186,7 +186,7 @@
 
 /// Returns the initial witnesses, which are the seeds, if the settings declare the first start of the whole
 /// system. Returns none otherwise.
-fn first_witnesses(settings: &Settings) -> Vec<NodeId> {
+fn initial_witnesses(settings: &Settings) -> Vec<NodeId> {
     if !settings.bootstrap {
         return Vec::new();
     }
@@ -198,11 +198,11 @@
 }
 
 fn options(settings: &Settings, me: NodeId) -> Options {
-    let first_witnesses = first_witnesses(settings);
+    let initial_witnesses = initial_witnesses(settings);
     Options {
         me,
         locality: Locality { zone: settings.zone.clone(), region: settings.region.clone() },
-        bootstrap: Some(first_witnesses).filter(|witnesses| witnesses.contains(&me)),
+        bootstrap: Some(initial_witnesses).filter(|witnesses| witnesses.contains(&me)),
         fault_tolerance: FaultTolerance {
             machines: settings.fault_tolerance.machines as usize,
             zones: settings.fault_tolerance.zones as usize,
