--- a/crates/quillpulley/src/control/directory/builder.rs
+++ b/crates/quillpulley/src/control/directory/builder.rs
@@ -54,7 +54,7 @@
     }
 
     fn is_stale(&self, now: Duration) -> bool {
-        !self.fresh && self.last_advanced.is_none_or(|moved| now >= moved + STALE_AFTER)
+        !self.fresh && self.last_advanced.is_none_or(|advanced| now >= advanced + STALE_AFTER)
     }
 }
 
