--- a/crates/quillpulley/tests/operators/random.rs
+++ b/crates/quillpulley/tests/operators/random.rs
@@ -27,7 +27,7 @@
 pub fn play(seed: u64, count: usize, fault: Fault) -> World {
     let mut random = fastrand::Rng::with_seed(seed);
     let network = if random.bool() {
-        NetworkOptions { min_delay: 1, max_delay: 60, lost: 20, duplicated: 30, delayed: 20, late: 0 }
+        NetworkOptions { min_delay_ms: 1, max_delay_ms: 60, lost: 20, duplicated: 30, delayed: 20, late: 0 }
     } else {
         NetworkOptions::default()
     };
--- a/crates/quillpulley/tests/operators/world.rs
+++ b/crates/quillpulley/tests/operators/world.rs
@@ -209,7 +209,7 @@
     fn check_connections(&mut self, machine: usize) {
         for other in (0..self.machines.len()).filter(|other| *other != machine) {
             let target = &self.machines[other];
-            let is_open = target.node.is_some() && self.network.is_open(machine, other);
+            let is_open = target.node.is_some() && self.network.can_exchange(machine, other);
             let wanted = is_open.then_some((target.id, target.process));
             let slot = &mut self.machines[machine];
             let current = slot.connections.get(&other).copied();
@@ -275,7 +275,7 @@
     fn send(&mut self, machine: usize, to: NodeId, body: Body) {
         let from = self.machines[machine].id;
         let Some(target) = self.machines.iter().position(|other| other.id == to) else { return };
-        for delay in self.network.deliveries(machine, target, &mut self.random) {
+        for delay in self.network.delivery_delays(machine, target, &mut self.random) {
             let body = body.clone();
             self.schedule(delay, ScheduledEvent::Deliver { to: target, id: to, from, body });
         }
