--- a/crates/quillpulley/src/agent/drain.rs
+++ b/crates/quillpulley/src/agent/drain.rs
@@ -1,65 +1,68 @@
 //! The drain of an agent: a pure state machine.
 //!
-//! A draining agent rejects new children at once, closes the links of its child agents a little later, so that they
-//! find other parents, and relays to its proxy for as long as that serves clients.
+//! A draining agent rejects new children at once. Shortly afterwards it closes the links to its child agents, so that
+//! they connect to other parents. It continues to relay published state to the proxy of its machine until the proxy
+//! has disconnected, or until shortly before the process would be killed.
 
 use std::time::Duration;
 
-/// How long child agents are kept, so that the agents of a zone that is shut down do not all move at once.
+/// The time from the begin of a drain until the links to child agents are closed. The delay keeps the agents of a zone
+/// that is shut down as a whole from changing their parents all at the same time.
 const CHILD_AGENT_GRACE: Duration = Duration::from_millis(200);
-/// How long an agent without a proxy stays, so that its parent learns that the proxy's endpoint is removed.
+/// How long a draining agent keeps running after its proxy has disconnected, so that it can still report to its parent
+/// that the endpoint of the proxy is removed.
 const PUBLISH_TIME: Duration = Duration::from_millis(300);
-/// How long before the kill the agent exits.
+/// The agent exits this long before the end of the grace period, when it would be killed.
 const EXIT_MARGIN: Duration = Duration::from_secs(1);
 
-/// An action for the host.
+/// An action that the event loop has to perform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Accept no new children.
+    /// Stop accepting connections from children.
     StopListening,
-    /// Close the links of child agents.
+    /// Close the links to all child agents. The link to the proxy stays open.
     CloseChildAgents,
-    /// Exit now.
+    /// Exit the process now.
     Exit,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DrainState {
     Serving,
-    /// The drain began at this time, and new children are rejected.
+    /// The drain began at `since`. New children are rejected, and existing ones are still served.
     RejectingChildren {
         since: Duration,
     },
-    /// Only the proxy is served.
+    /// The links to child agents are closed, and only the proxy is served. The drain began at `since`.
     ProxyOnly {
         since: Duration,
     },
     Finished,
 }
 
-/// The drain of an agent. Times are since the start of the process.
+/// The drain of an agent. All times are measured from the start of the process.
 pub struct AgentDrain {
     state: DrainState,
-    /// The time between the signal and the kill.
+    /// The time between SIGTERM and SIGKILL.
     grace: Duration,
-    /// When the proxy disconnected.
+    /// Since when no proxy has been connected; `None` while one is.
     without_proxy_since: Option<Duration>,
 }
 
 impl AgentDrain {
-    /// Creates the state of an agent that serves, and is killed `grace` after its drain begins.
+    /// Creates the state of an agent that is not draining, and that will be killed `grace` after its drain begins.
     pub fn new(grace: Duration) -> AgentDrain {
         AgentDrain { state: DrainState::Serving, grace, without_proxy_since: Some(Duration::ZERO) }
     }
 
-    /// Begins the drain.
+    /// Begins the drain. Has no effect if it has already begun.
     pub fn begin(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if self.state == DrainState::Serving {
             self.change(DrainState::RejectingChildren { since: now }, actions);
         }
     }
 
-    /// Advances the drain after time has passed, or the proxy has connected or disconnected.
+    /// Advances the drain. Must be called after time has passed, and after the proxy has connected or disconnected.
     pub fn update(&mut self, now: Duration, has_proxy: bool, actions: &mut Vec<Action>) {
         self.without_proxy_since = match has_proxy {
             true => None,
@@ -75,7 +78,7 @@
         }
     }
 
-    /// Returns when [`AgentDrain::update`] is due.
+    /// Returns when [`AgentDrain::update`] must be called next, or `Duration::MAX` if no timer is running.
     pub fn next_tick(&self) -> Duration {
         match self.state {
             DrainState::RejectingChildren { since } => self.finish_at().min(since + CHILD_AGENT_GRACE),
@@ -83,17 +86,17 @@
         }
     }
 
-    /// Returns whether new children are rejected.
+    /// Returns whether new children must be rejected, which is the case from the begin of the drain.
     pub fn rejects_children(&self) -> bool {
         self.state != DrainState::Serving
     }
 
-    /// Returns whether the agent exits.
+    /// Returns whether the drain has finished and the agent must exit.
     pub fn is_finished(&self) -> bool {
         self.state == DrainState::Finished
     }
 
-    /// Returns when the drain finishes if the proxy neither connects nor disconnects.
+    /// Returns when the drain finishes, provided that the proxy neither connects nor disconnects until then.
     fn finish_at(&self) -> Duration {
         let (DrainState::RejectingChildren { since } | DrainState::ProxyOnly { since }) = self.state else {
             return Duration::MAX;
@@ -105,7 +108,7 @@
         }
     }
 
-    /// Changes the state. Every change happens here.
+    /// Changes the state and adds the resulting action. All state transitions go through this function.
     fn change(&mut self, next: DrainState, actions: &mut Vec<Action>) {
         self.state = next;
         actions.push(match next {
--- a/crates/quillpulley/src/agent/host/links.rs
+++ b/crates/quillpulley/src/agent/host/links.rs
@@ -1,4 +1,5 @@
-//! Events of links: which process is at the other end, and which state machine its messages are for.
+//! Handles the events of links: identifies the process at the other end, and passes its messages to the state machine
+//! that they are for.
 
 use super::Host;
 use crate::agent::children::Added;
@@ -10,7 +11,7 @@
 use std::net::SocketAddr;
 
 impl Host {
-    /// Handles an event and all that are queued behind it.
+    /// Handles an event, and then all further events that are already queued.
     pub(super) fn handle_peer_events(&mut self, first: PeerEvent) {
         self.handle_peer_event(first);
         while let Ok(event) = self.events.try_recv() {
--- a/crates/quillpulley/src/agent/host/mod.rs
+++ b/crates/quillpulley/src/agent/host/mod.rs
@@ -24,14 +24,16 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::{sleep_until, Instant};
 
-/// Timers are rounded up to a multiple of this, so that one wake-up serves several.
+/// Timers are rounded up to the next multiple of this interval, so that one wake-up can handle several of them.
 const TIMER_GRANULARITY: Duration = Duration::from_millis(25);
-/// How often the settings are loaded again while there is no parent: the seeds may have changed without a signal.
+/// How often the settings are reloaded while the agent has no parent, because the list of seeds may change without a
+/// SIGHUP.
 const SEEDS_INTERVAL: Duration = Duration::from_secs(3);
-/// The most links of children: those of the tree, and some that move.
+/// The maximum number of incoming links: enough for the children in the relay tree, and for some more that are changing
+/// their parent.
 const MAX_CHILDREN: usize = 128;
 
-/// A running agent.
+/// The event loop of an agent, with its state machines and sockets.
 pub struct Host {
     started_at: Instant,
     settings: Settings,
@@ -47,17 +49,17 @@
     children: Children,
     local_state: LocalState,
     peer_directory: PeerDirectory,
-    /// Whether the peer directory has to be refreshed.
+    /// Whether published items or seeds have changed since the peer directory was last read.
     directory_changed: bool,
-    /// The failed candidates at the latest update of the candidates.
+    /// The candidates that had a penalty when the list of candidates was last updated.
     failed: Vec<ParentCandidate>,
-    /// The latest parent that was logged.
+    /// The parent that was last logged, so that each change of the parent is logged once.
     logged_parent: Option<ParentCandidate>,
     seeds_read_at: Duration,
 }
 
 impl Host {
-    /// Starts an agent, which accepts children from now on.
+    /// Creates an agent, and starts to accept connections from children.
     pub fn start(settings: Settings, sockets: AgentSockets, load_settings: LoadSettings) -> Host {
         let options = PeerOptions { max_incoming: MAX_CHILDREN, ..PeerOptions::default() };
         let (peers, events) = Peers::with_options(hello(&settings), options);
@@ -89,7 +91,7 @@
         }
     }
 
-    /// Runs the event loop until the agent has drained.
+    /// Runs the event loop until the drain has finished.
     pub async fn serve(mut self, mut signals: UnboundedReceiver<ProcessSignal>) {
         self.tick();
         while !self.drain.is_finished() {
@@ -109,7 +111,7 @@
         self.started_at.elapsed()
     }
 
-    /// Returns when a state machine has a timer due.
+    /// Returns when the next timer of any state machine is due, rounded up to [`TIMER_GRANULARITY`].
     fn next_wake(&self) -> Instant {
         let due = [
             self.node.next_tick(),
@@ -123,7 +125,7 @@
         self.started_at + TIMER_GRANULARITY * u32::try_from(steps).unwrap_or(u32::MAX)
     }
 
-    /// Handles the timers that are due.
+    /// Handles all timers that are due.
     fn tick(&mut self) {
         let now = self.now();
         if now >= self.node.next_tick() {
@@ -159,8 +161,8 @@
 
     fn report_suspects(&mut self, suspects: Vec<String>) {
         match suspects.is_empty() {
-            true => info!("all monitored peers respond"),
-            false => info!(suspects:? = suspects; "monitored peers do not respond"),
+            true => info!("all monitored peers are responding"),
+            false => info!(suspects:? = suspects; "monitored peers are not responding"),
         }
         self.local_state.set_suspects(suspects);
         self.report_local();
@@ -181,7 +183,7 @@
         let now = self.now();
         let Some(since) = self.parent_search.searching_since() else { return };
         if now >= self.seeds_read_at.max(since) + SEEDS_INTERVAL {
-            warn!(seconds = (now - since).as_secs(); "no parent to receive published state from");
+            warn!(seconds = (now - since).as_secs(); "no parent found that sends current published state; reloading the seeds");
             self.reload_seeds();
         }
     }
@@ -193,7 +195,7 @@
                 self.peer_directory.set_seeds(&settings);
                 self.directory_changed = true;
             }
-            Err(error) => warn!(error:% = error; "settings not reloaded"),
+            Err(error) => warn!(error:% = error; "cannot reload the settings; keeping the current ones"),
         }
     }
 
--- a/crates/quillpulley/src/agent/host/tree.rs
+++ b/crates/quillpulley/src/agent/host/tree.rs
@@ -1,4 +1,4 @@
-//! The relay tree: performs the actions of the sync node and of the search for a parent.
+//! Performs the actions of the two state machines that maintain the relay tree: the sync node and the parent search.
 
 use super::Host;
 use crate::agent::parent_search;
@@ -53,7 +53,7 @@
                 self.parents.add(candidate, link);
             }
             parent_search::Action::Use(candidate) => {
-                debug!(address:% = self.address(candidate); "parent chosen");
+                debug!(address:% = self.address(candidate); "parent selected");
                 self.parents.set_parent(candidate);
                 self.handle_sync(state_sync::Event::ParentUp);
             }
@@ -83,7 +83,8 @@
         }
     }
 
-    /// Updates the candidates and the monitored peers after published processes or failures have changed.
+    /// Updates the candidates for the parent and the monitored peers, if the published processes, the seeds or the set
+    /// of failed candidates have changed.
     pub(super) fn refresh_directory(&mut self) {
         let failed = self.parent_search.failed(self.now());
         if !self.directory_changed && failed == self.failed {
--- a/crates/quillpulley/src/agent/local_state.rs
+++ b/crates/quillpulley/src/agent/local_state.rs
@@ -1,9 +1,10 @@
-//! The state that an agent reports itself: the endpoint of its machine's proxy, and the peers that it suspects.
+//! The part of an agent's reports that originates at the agent: the endpoint of the proxy on its machine, and the peers
+//! that it suspects to have failed.
 
 use quillpulley_protocol::{ProxyEndpoint, Report};
 use quillpulley_state_sync::LocalReport;
 
-/// The state that an agent reports itself.
+/// The state that an agent reports to its parent in addition to the reports of its children.
 #[derive(Default)]
 pub struct LocalState {
     endpoint: Option<ProxyEndpoint>,
@@ -11,8 +12,9 @@
 }
 
 impl LocalState {
-    /// Moves the endpoint out of a report of the proxy, as the agent reports for its machine. Returns whether the
-    /// endpoint has changed.
+    /// Moves the proxy's endpoint, or its removal, out of a report of the proxy, because the agent reports it on behalf
+    /// of its machine. A complete report (one that is not a delta) without an endpoint counts as a removal. Returns
+    /// whether the endpoint has changed.
     pub fn take_endpoint(&mut self, report: &mut Report) -> bool {
         let reported = std::mem::take(&mut report.endpoints).pop();
         let is_removed = !std::mem::take(&mut report.removed_endpoints).is_empty() || !report.delta;
@@ -24,17 +26,17 @@
         is_new
     }
 
-    /// Removes the endpoint of a proxy that has disconnected. Returns whether there was one.
+    /// Removes the endpoint after the proxy has disconnected. Returns whether there was one.
     pub fn forget_endpoint(&mut self) -> bool {
         self.endpoint.take().is_some()
     }
 
-    /// Sets the peers that do not respond.
+    /// Sets the names of the monitored peers that do not respond.
     pub fn set_suspects(&mut self, suspects: Vec<String>) {
         self.suspects = suspects;
     }
 
-    /// Returns the report.
+    /// Returns the report for the sync node.
     pub fn report(&self) -> LocalReport {
         LocalReport {
             endpoint: self.endpoint.clone(),
--- a/crates/quillpulley/src/agent/mod.rs
+++ b/crates/quillpulley/src/agent/mod.rs
@@ -1,18 +1,19 @@
-//! The agent role: a node of the relay tree, which connects the proxy of its machine with the control plane.
+//! The agent role: a node of the relay tree that connects the proxy of its machine with the control plane.
 //!
-//! An agent receives published state from its parent, a control node or another agent that [`parent_search`] finds,
-//! and relays it to its children: other agents, and the proxy of its machine. Reports go the other way. With a few
-//! peers it exchanges pings as datagrams, and it reports those that do not respond.
+//! An agent receives published state from its parent, which is a control node or another agent and is selected by
+//! [`parent_search`]. It relays the state to its children: other agents, and the proxy of its machine. Reports travel
+//! in the opposite direction. The agent also exchanges pings with a few peers over UDP, and reports the peers that do
+//! not respond.
 //!
-//! | module | concern |
+//! | module | responsibility |
 //! | --- | --- |
 //! | `host` | the event loop: passes events to the state machines and performs their actions |
-//! | [`parent_search`] | which parent the agent receives published state from |
-//! | [`drain`] | what the agent still does after a shutdown signal |
-//! | `children`, `parent_links` | which link leads to which process |
+//! | [`parent_search`] | selects the parent from which the agent receives published state |
+//! | [`drain`] | the shutdown sequence after SIGTERM |
+//! | `children`, `parent_links` | map links to the processes at their other ends |
 //! | `peer_directory` | the published processes: candidates for the parent, and peers to be monitored |
-//! | `local_state` | what the agent reports itself |
-//! | `datagrams` | pings on the network |
+//! | `local_state` | the part of the reports that originates at this agent |
+//! | `datagrams` | sends and receives pings |
 
 mod children;
 mod datagrams;
@@ -32,21 +33,21 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// Loads the settings again.
+/// A function that reloads the settings.
 pub type LoadSettings = Box<dyn Fn() -> Result<Settings, SettingsError>>;
 
-/// The sockets that an agent listens on.
+/// The bound sockets of an agent.
 pub struct AgentSockets {
-    /// Child agents.
+    /// Accepts connections from child agents.
     pub agents: TcpListener,
-    /// The proxy of the machine.
+    /// Accepts connections from the proxy of the machine.
     pub proxy: TcpListener,
-    /// Pings.
+    /// Sends and receives pings.
     pub datagrams: UdpSocket,
 }
 
 impl AgentSockets {
-    /// Binds the addresses of the settings.
+    /// Binds the addresses that the settings specify. The proxy socket is bound to the loopback interface only.
     ///
     /// # Errors
     /// [`HostError::Listen`] if an address cannot be bound.
@@ -61,7 +62,7 @@
     }
 }
 
-/// Runs an agent until the process is signalled to shut down.
+/// Runs an agent until the process receives a shutdown signal and the agent has drained.
 ///
 /// # Errors
 /// [`HostError`] if the agent cannot start.
@@ -74,8 +75,8 @@
     })
 }
 
-/// Relays published state until a shutdown is signalled and the agent has drained. Must be awaited on a tokio
-/// `LocalSet`.
+/// Runs an agent on sockets that are already bound, until it receives [`ProcessSignal::Shutdown`] and has drained. Must
+/// be awaited on a tokio `LocalSet`.
 pub async fn serve(
     settings: Settings,
     sockets: AgentSockets,
--- a/crates/quillpulley/src/agent/parent_links.rs
+++ b/crates/quillpulley/src/agent/parent_links.rs
@@ -1,10 +1,10 @@
-//! The links to the parent, and to candidates for it.
+//! The links that this agent has opened: to its parent, and to candidates for the parent.
 
 use crate::peer::LinkId;
 use quillpulley_state_sync::parent_selection::ParentCandidate;
 use std::collections::BTreeMap;
 
-/// The links to candidates, one of which is the parent.
+/// The links to candidates, at most one of which is the parent.
 #[derive(Default)]
 pub struct ParentLinks {
     links: BTreeMap<ParentCandidate, LinkId>,
@@ -12,22 +12,22 @@
 }
 
 impl ParentLinks {
-    /// Adds a link that is being established.
+    /// Adds a link to a candidate, which may still be connecting.
     pub fn add(&mut self, candidate: ParentCandidate, link: LinkId) {
         self.links.insert(candidate, link);
     }
 
-    /// Returns the candidate that a link leads to.
+    /// Returns the candidate at the other end of a link, or `None` if the link is not one to a candidate.
     pub fn candidate(&self, link: LinkId) -> Option<ParentCandidate> {
         self.links.iter().find(|(_, known)| **known == link).map(|(candidate, _)| *candidate)
     }
 
-    /// Makes a candidate the parent.
+    /// Makes a candidate the parent. Its link must have been added.
     pub fn set_parent(&mut self, candidate: ParentCandidate) {
         self.parent = self.links.get(&candidate).copied();
     }
 
-    /// Removes the link to a candidate, and returns it.
+    /// Removes and returns the link to a candidate. If the candidate was the parent, there is no parent afterwards.
     pub fn remove(&mut self, candidate: ParentCandidate) -> Option<LinkId> {
         let link = self.links.remove(&candidate)?;
         if self.parent == Some(link) {
@@ -36,7 +36,7 @@
         Some(link)
     }
 
-    /// Returns the link to the parent.
+    /// Returns the link to the parent, if there is one.
     pub fn parent(&self) -> Option<LinkId> {
         self.parent
     }
--- a/crates/quillpulley/src/agent/parent_search/mod.rs
+++ b/crates/quillpulley/src/agent/parent_search/mod.rs
@@ -1,8 +1,9 @@
-//! Which process an agent receives published state from: a pure state machine.
+//! Selects the parent from which an agent receives published state: a pure state machine.
 //!
-//! Candidates are ordered, best first. The search connects to the best one that works. It looks for another one when
-//! the link closes, or when the revision of the published state stalls; in that case the new link is open before the
-//! old one is closed. While it has a parent, it checks every few seconds whether a better candidate works.
+//! The candidates are ordered by preference, best first. The search connects to the best candidate that is reachable.
+//! It searches for another parent when the link to the parent closes, or when the revision of the published state
+//! stalls. After a stall, the link to the old parent is closed only once the link to the new one is open. While the
+//! agent has a parent, the search tries every few seconds to connect to a better candidate.
 
 mod penalties;
 
@@ -10,56 +11,62 @@
 use quillpulley_state_sync::parent_selection::ParentCandidate;
 use std::time::Duration;
 
-/// How long the revision may stall, by the kind of the parent. Below an agent it is longer, so that the children of an
-/// agent that changes its parent wait for it.
+/// How long the revision may stall before another parent is searched for, by the kind of the parent. The timeout is
+/// longer if the parent is an agent, so that the children of an agent that is changing its own parent wait for it.
 const CONTROL_NODE_TIMEOUT: Duration = Duration::from_millis(1_000);
 const AGENT_TIMEOUT: Duration = Duration::from_millis(1_300);
-/// The most that is added to these at random, so that siblings do not change their parent together.
+/// The maximum random time that is added to these timeouts, so that siblings do not change their parent at the same
+/// time.
 const TIMEOUT_JITTER: Duration = Duration::from_millis(200);
-/// How long a candidate is tried alone, until the next one is tried concurrently.
+/// The delay between connection attempts. If a candidate has not connected within this time, the next one is tried
+/// concurrently.
 const ATTEMPT_STAGGER: Duration = Duration::from_millis(250);
-/// The most candidates that are tried concurrently.
+/// The maximum number of concurrent connection attempts.
 const MAX_CONCURRENT_ATTEMPTS: usize = 3;
-/// The backoff after a failure, which doubles up to the second figure, with a jitter of a half.
+/// The backoff after a failed attempt. It doubles with each consecutive failure from the minimum to the maximum, and is
+/// randomized by up to half of itself in either direction.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_millis(400);
-/// How often a better parent is looked for, with a jitter of a quarter.
+/// How often the search tries a candidate that is better than the parent. The interval is randomized by up to a quarter
+/// of itself in either direction.
 const REVIEW_INTERVAL: Duration = Duration::from_secs(3);
-/// A parent whose revision has advanced for this long has no penalties left.
+/// The penalties of a parent are cleared if its revision still advances this long after it became the parent.
 const PROVEN_AFTER: Duration = Duration::from_secs(10);
 
 /// An event for a [`ParentSearch`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// All candidates, best first.
+    /// The list of candidates has changed. It contains all candidates, best first.
     Candidates(Vec<ParentCandidate>),
     /// The link to a candidate is open.
     Opened(ParentCandidate),
-    /// The link to a candidate did not open, or closed.
+    /// The link to a candidate could not be opened, or has closed.
     Lost(ParentCandidate),
     /// The revision of the published state has advanced.
     RevisionAdvanced,
-    /// Time has passed. Due at [`ParentSearch::next_tick`] or a little later.
+    /// A timer may be due. Must be sent at [`ParentSearch::next_tick`], or shortly afterwards.
     Tick,
 }
 
-/// An action for the host.
+/// An action that the event loop has to perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Begin to connect.
+    /// Start to connect to this candidate.
     Connect(ParentCandidate),
-    /// Receive published state from this candidate, whose link is open, and from no other.
+    /// Make this candidate the parent: receive published state from it, and from no other process. Its link is open.
     Use(ParentCandidate),
-    /// Close the link, or cancel the connection.
+    /// Close the link to this candidate, or cancel the connection attempt.
     Close(ParentCandidate),
 }
 
-/// The state of the search.
+/// Whether the search has a working parent.
 #[derive(Copy, Clone, Debug, PartialEq, Eq)]
 enum SearchState {
-    /// There is no parent, or its revision has stalled.
+    /// There is no parent, or its revision has stalled. The search began at `since`, and the next connection attempt is
+    /// due at `next_connect`.
     Searching { since: Duration, next_connect: Duration },
-    /// There is a parent whose revision advances, or has time left to.
+    /// There is a parent, and its revision has advanced within the stall timeout. The next attempt to connect to a
+    /// better candidate is due at `next_review`.
     Attached { next_review: Duration },
 }
 
@@ -70,11 +77,11 @@
     stall_timeout: Duration,
 }
 
-/// The search of one agent.
+/// The search for the parent of one agent. All times are measured from the start of the process.
 pub struct ParentSearch {
     state: SearchState,
     candidates: Vec<ParentCandidate>,
-    /// Candidates whose links are being established.
+    /// The candidates to which a connection attempt is in progress.
     attempts: Vec<ParentCandidate>,
     parent: Option<Parent>,
     revision_advanced: Duration,
@@ -84,7 +91,8 @@
 }
 
 impl ParentSearch {
-    /// Creates a search without candidates, at the start of the process.
+    /// Creates a search without candidates, which starts at the start of the process. `seed` is the seed of the random
+    /// numbers.
     pub fn new(seed: u64) -> ParentSearch {
         ParentSearch {
             state: SearchState::Searching { since: Duration::ZERO, next_connect: Duration::ZERO },
@@ -98,7 +106,7 @@
         }
     }
 
-    /// Handles an event, and adds the resulting actions. `now` is the time since the start of the process.
+    /// Handles an event, and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Candidates(candidates) => self.candidates = candidates,
@@ -110,7 +118,7 @@
         self.advance(now, actions);
     }
 
-    /// Returns when an [`Event::Tick`] is due.
+    /// Returns when the next [`Event::Tick`] is due, or `Duration::MAX` if no timer is running.
     pub fn next_tick(&self) -> Duration {
         match self.state {
             SearchState::Searching { .. } if self.attempts.len() >= MAX_CONCURRENT_ATTEMPTS => Duration::MAX,
@@ -119,12 +127,12 @@
         }
     }
 
-    /// Returns the parent, whose revision may have stalled.
+    /// Returns the current parent, if there is one. Its revision may have stalled.
     pub fn parent(&self) -> Option<ParentCandidate> {
         self.parent.map(|parent| parent.candidate)
     }
 
-    /// Returns when the search began, if there is no parent whose revision advances.
+    /// Returns when the search for a parent began, or `None` if there is a parent whose revision has not stalled.
     pub fn searching_since(&self) -> Option<Duration> {
         match self.state {
             SearchState::Searching { since, .. } => Some(since),
@@ -132,7 +140,7 @@
         }
     }
 
-    /// Returns the candidates that have failed recently.
+    /// Returns the candidates whose penalties have not expired.
     pub fn failed(&self, now: Duration) -> Vec<ParentCandidate> {
         self.penalties.active(now).collect()
     }
@@ -215,8 +223,8 @@
         }
     }
 
-    /// Connects to the best candidate without a penalty, or else to the one whose penalty expires first. Returns the
-    /// time until another one may be tried.
+    /// Connects to the best candidate without a penalty. If all have penalties, connects to the one whose penalty
+    /// expires first. Returns the delay until the next attempt.
     fn try_next(&mut self, now: Duration, actions: &mut Vec<Action>) -> Duration {
         if self.attempts.len() < MAX_CONCURRENT_ATTEMPTS {
             let untried = self.candidates.iter().copied().filter(|candidate| !self.is_in_use(*candidate));
@@ -226,7 +234,7 @@
         ATTEMPT_STAGGER
     }
 
-    /// Connects to the best candidate without a penalty, if it is better than the parent.
+    /// Connects to the best candidate without a penalty, if it is better than the parent and no attempt is in progress.
     fn try_better(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let Some(parent) = self.parent else { return };
         let mut free = self.candidates.iter().filter(|c| self.penalties.remaining(now, **c).is_zero());
@@ -241,7 +249,7 @@
         actions.push(Action::Connect(candidate));
     }
 
-    /// Keeps the parent, and cancels the attempts that would not lead to a better one.
+    /// Ends the search with the current parent, and cancels the attempts to connect to candidates that are not better.
     fn keep_parent(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let Some(parent) = self.parent else { return };
         let attempts = std::mem::take(&mut self.attempts);
@@ -258,12 +266,12 @@
         self.change(SearchState::Searching { since, next_connect });
     }
 
-    /// Changes the state. Every change happens here.
+    /// Changes the state. All state transitions go through this function.
     fn change(&mut self, next: SearchState) {
         self.state = next;
     }
 
-    /// Removes an attempt. Returns whether there was one.
+    /// Removes the connection attempt to a candidate. Returns whether there was one.
     fn take_attempt(&mut self, candidate: ParentCandidate) -> bool {
         let attempts = self.attempts.len();
         self.attempts.retain(|attempt| *attempt != candidate);
@@ -274,7 +282,8 @@
         self.parent() == Some(candidate) || self.attempts.contains(&candidate)
     }
 
-    /// Returns whether a candidate is better than another. One that is no longer a candidate is the worst.
+    /// Returns whether one candidate is better than another. A process that is no longer a candidate ranks below all
+    /// candidates.
     fn is_better(&self, candidate: ParentCandidate, other: ParentCandidate) -> bool {
         self.rank(candidate) < self.rank(other)
     }
@@ -284,7 +293,7 @@
         rank.unwrap_or(usize::MAX)
     }
 
-    /// Returns when the parent counts as stalled, if the revision does not advance.
+    /// Returns when the parent will be considered stalled, unless the revision advances before.
     fn deadline(&self) -> Duration {
         let Some(parent) = self.parent else { return Duration::MAX };
         self.revision_advanced.max(parent.since) + parent.stall_timeout
@@ -298,18 +307,18 @@
         least + self.jitter(TIMEOUT_JITTER)
     }
 
-    /// Returns the backoff after the latest of several failures.
+    /// Returns the backoff after the latest of the consecutive failures.
     fn backoff(&mut self) -> Duration {
         let doublings = self.failures.saturating_sub(1).min(8);
         self.around((MIN_BACKOFF * 2u32.pow(doublings)).min(MAX_BACKOFF), 0.5)
     }
 
-    /// Returns a random time up to a limit.
+    /// Returns a random duration between zero and `limit`.
     fn jitter(&mut self, limit: Duration) -> Duration {
         limit.mul_f64(self.random.f64())
     }
 
-    /// Returns a random time that differs from this one by up to a fraction of it.
+    /// Returns a random duration that differs from `time` by at most `fraction` of it, in either direction.
     fn around(&mut self, time: Duration, fraction: f64) -> Duration {
         time.mul_f64(1.0 - fraction + 2.0 * fraction * self.random.f64())
     }
--- a/crates/quillpulley/src/agent/parent_search/penalties.rs
+++ b/crates/quillpulley/src/agent/parent_search/penalties.rs
@@ -1,13 +1,13 @@
-//! Penalties of candidates that have failed: they are avoided for some time.
+//! Penalties of candidates that have failed. A candidate with a penalty is avoided until the penalty expires.
 
 use quillpulley_state_sync::parent_selection::ParentCandidate;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The penalty of a first failure, which doubles with each further one up to the second figure.
+/// The length of a candidate's penalty. It doubles with each further failure from the minimum to the maximum.
 const MIN_PENALTY: Duration = Duration::from_secs(2);
 const MAX_PENALTY: Duration = Duration::from_secs(30);
-/// The most candidates that are remembered.
+/// Expired penalties are discarded when this many candidates are recorded.
 const MAX_REMEMBERED: usize = 256;
 
 struct Penalty {
@@ -15,14 +15,14 @@
     length: Duration,
 }
 
-/// The penalties of all candidates that have failed recently.
+/// The penalties of candidates that have failed. All times are measured from the start of the process.
 #[derive(Default)]
 pub struct Penalties {
     by_candidate: BTreeMap<ParentCandidate, Penalty>,
 }
 
 impl Penalties {
-    /// Adds a penalty after a failure.
+    /// Records a failure of a candidate: starts a penalty, which is twice as long as the previous one.
     pub fn add(&mut self, now: Duration, candidate: ParentCandidate) {
         if self.by_candidate.len() >= MAX_REMEMBERED {
             self.by_candidate.retain(|_, penalty| penalty.until > now);
@@ -32,25 +32,25 @@
         self.by_candidate.insert(candidate, Penalty { until: now + length, length });
     }
 
-    /// Ends the penalty of a candidate that works again. Its next penalty is longer all the same.
+    /// Ends the penalty of a candidate that works again. The length is kept, so that the next penalty is still longer.
     pub fn expire(&mut self, now: Duration, candidate: ParentCandidate) {
         if let Some(penalty) = self.by_candidate.get_mut(&candidate) {
             penalty.until = penalty.until.min(now);
         }
     }
 
-    /// Forgets the penalties of a candidate that has worked for long enough.
+    /// Clears the history of a candidate that has worked for long enough: its next penalty has the minimum length.
     pub fn clear(&mut self, candidate: ParentCandidate) {
         self.by_candidate.remove(&candidate);
     }
 
-    /// Returns the candidates whose penalty has not expired.
+    /// Returns the candidates whose penalties have not expired.
     pub fn active(&self, now: Duration) -> impl Iterator<Item = ParentCandidate> + '_ {
         let active = self.by_candidate.iter().filter(move |(_, penalty)| penalty.until > now);
         active.map(|(candidate, _)| *candidate)
     }
 
-    /// Returns the time until a candidate's penalty expires.
+    /// Returns the time until the penalty of a candidate expires; zero if it has none.
     pub fn remaining(&self, now: Duration, candidate: ParentCandidate) -> Duration {
         let until = self.by_candidate.get(&candidate).map_or(Duration::ZERO, |penalty| penalty.until);
         until.saturating_sub(now)
--- a/crates/quillpulley/src/agent/peer_directory.rs
+++ b/crates/quillpulley/src/agent/peer_directory.rs
@@ -1,5 +1,5 @@
-//! The published proxies and control nodes, as an agent uses them: as candidates for its parent, and as peers to be
-//! monitored.
+//! The published proxies and control nodes, from which an agent derives the candidates for its parent and the peers
+//! that it monitors.
 
 use crate::Settings;
 use log::warn;
@@ -21,7 +21,7 @@
 }
 
 impl PeerDirectory {
-    /// Sets the seeds from the settings.
+    /// Replaces the seeds by those of the settings. Seeds with IPv6 addresses are ignored.
     pub fn set_seeds(&mut self, settings: &Settings) {
         let ipv4 = |seed: &SocketAddr| match seed.ip() {
             IpAddr::V4(ip) => Some(ip),
@@ -30,7 +30,7 @@
         self.seeds = settings.seeds.iter().filter_map(ipv4).collect();
     }
 
-    /// Returns whether any changed item is a proxy or a control node.
+    /// Returns whether any of the changed items is a proxy or a control node.
     pub fn is_affected_by(changed: &[ChangedKey]) -> bool {
         let kinds = changed.iter().filter_map(|item| PublishedKey::parse(&item.key));
         kinds
@@ -38,7 +38,7 @@
             .any(|key| matches!(key, PublishedKey::ProxyEndpoint(_) | PublishedKey::ControlNode(_)))
     }
 
-    /// Reads the published items again.
+    /// Reads all published proxies and control nodes from the store, and replaces the previous ones.
     pub fn read(&mut self, store: &Store) {
         self.endpoints =
             read_all(store, ENDPOINT_PREFIX, decode_value::<ProxyEndpointRef<'_>, ProxyEndpoint>);
@@ -46,7 +46,8 @@
             read_all(store, CONTROL_NODE_PREFIX, decode_value::<ControlNodeRef<'_>, ControlNode>);
     }
 
-    /// Returns the candidates for the parent of the agent with these settings, best first.
+    /// Returns the candidates for the parent of the agent with these settings, best first. `failed` lists the candidates
+    /// that have failed recently.
     pub fn candidates(&self, settings: &Settings, failed: &[ParentCandidate]) -> Vec<ParentCandidate> {
         parent_candidates(&TreeTopology {
             name: &settings.node_name,
@@ -59,7 +60,7 @@
         })
     }
 
-    /// Returns the agents that do not drain, as peers to be monitored.
+    /// Returns the peers to be monitored: the agents on the machines of all proxies that are not draining.
     pub fn peers(&self, agent_port: u16) -> Vec<Peer> {
         let remaining = self.endpoints.iter().filter(|endpoint| endpoint.state != EndpointState::Draining);
         let peer = |endpoint: &ProxyEndpoint| Peer {
@@ -70,7 +71,7 @@
     }
 }
 
-/// Returns the values of all items with a prefix. Invalid ones are skipped.
+/// Returns the decoded values of all items whose keys have a prefix. Invalid values are logged and skipped.
 fn read_all<'a, T>(
     store: &'a Store,
     prefix: &'a str,
@@ -78,7 +79,7 @@
 ) -> Vec<T> {
     let read = |(key, value)| {
         let decoded = decode(value);
-        decoded.inspect_err(|error| warn!(key, error:% = error; "invalid published item")).ok()
+        decoded.inspect_err(|error| warn!(key, error:% = error; "skipping an invalid published item")).ok()
     };
     store.with_prefix(prefix).filter_map(read).collect()
 }
--- a/crates/quillpulley/src/check.rs
+++ b/crates/quillpulley/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks files before they are used: settings, and configurations of the operator.
+//! The subcommand `check`: validates settings files and serving configurations before they are used.
 
 use displaydoc::Display;
 use quillpulley::Settings;
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// What a valid file holds.
+/// The kind of a valid file.
 #[derive(Debug, Display)]
 enum CheckedFile {
     /// settings of {0}
@@ -17,7 +17,7 @@
     Configuration(u64),
 }
 
-/// Why a file cannot be used.
+/// Why a file is invalid.
 #[derive(Debug, Display)]
 enum CheckError {
     /// {0}
@@ -26,7 +26,7 @@
     Configuration(ConfigurationError),
 }
 
-/// Checks each file and prints the result. The exit code tells whether all files are valid.
+/// Checks each file and prints the result. The exit code is 0 if all files are valid, and 1 otherwise.
 pub fn run(files: &[PathBuf]) -> ExitCode {
     let mut all_valid = true;
     for file in files {
@@ -45,7 +45,7 @@
     }
 }
 
-/// Checks a file, whose kind is told by its contents.
+/// Checks a file. A file whose text begins with `{` is a serving configuration, any other one is a settings file.
 fn check(file: &Path) -> Result<CheckedFile, CheckError> {
     let unreadable = |error| SettingsError::Unreadable { path: file.to_path_buf(), error: Box::new(error) };
     let text = fs::read_to_string(file).map_err(|error| CheckError::Settings(unreadable(error)))?;
@@ -63,7 +63,7 @@
     Ok(CheckedFile::Settings(settings.node_name))
 }
 
-/// Checks that the settings hold what a process needs that serves a kind of callers.
+/// Checks that the settings contain the keys that a process needs to serve this kind of caller.
 fn check_required(settings: &Settings, caller: &str) -> Result<(), SettingsError> {
     match caller {
         "front" => {
--- a/crates/quillpulley/src/command_line/mod.rs
+++ b/crates/quillpulley/src/command_line/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: parses the arguments, and runs what they ask for.
+//! The command line: parses the arguments, and runs the requested role or check.
 
 mod help;
 
@@ -13,11 +13,11 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The exit code of a process that could not start.
+/// The exit code if the arguments are invalid, or if a role cannot start.
 const CANNOT_START: u8 = 2;
 const VERSION: &str = env!("CARGO_PKG_VERSION");
 
-/// What the arguments ask for.
+/// A parsed command line.
 enum Invocation {
     Help(&'static str),
     Version,
@@ -25,10 +25,10 @@
     Check(Vec<PathBuf>),
 }
 
-/// The options of a role.
+/// The command-line options of a role.
 struct RunOptions {
     log_level: LevelFilter,
-    /// What an experiment changes; nothing in a released program.
+    /// The mechanisms of the proxy that are switched off for an experiment; none in a released program.
     experiment: Experiment,
 }
 
@@ -43,19 +43,19 @@
 /// Why the arguments are invalid.
 #[derive(Debug, Display)]
 enum UsageError {
-    /// a subcommand is missing: see quillpulley --help
+    /// missing subcommand: see quillpulley --help
     NoSubcommand,
-    /// {0} is no subcommand: see quillpulley --help
+    /// unknown subcommand {0}: see quillpulley --help
     UnknownSubcommand(String),
-    /// {0:?} is not understood: see quillpulley {1} --help
+    /// unexpected argument {0:?}: see quillpulley {1} --help
     Unexpected(OsString, &'static str),
     /// {0}: see quillpulley {1} --help
     Option(pico_args::Error, &'static str),
-    /// no file is named: see quillpulley check --help
+    /// missing file: see quillpulley check --help
     NoFile,
 }
 
-/// Runs what the arguments ask for. They are those without the name of the program.
+/// Parses the arguments and runs the requested role or check. `arguments` does not include the name of the program.
 pub fn run(arguments: Vec<OsString>) -> ExitCode {
     match parse(Arguments::from_vec(arguments)) {
         Ok(Invocation::Help(text)) => print(text),
@@ -106,7 +106,7 @@
     Ok(Invocation::Run(role, RunOptions { log_level, experiment }))
 }
 
-/// Reads the mechanisms that an experiment leaves out of a proxy (`--without NAME`, several times).
+/// Reads the names of the mechanisms that an experiment switches off in the proxy (`--without NAME`, repeatable).
 #[cfg(feature = "fault-injection")]
 fn parse_experiment(role: Role, arguments: &mut Arguments) -> Result<Experiment, UsageError> {
     let mut experiment = Experiment::default();
@@ -119,7 +119,8 @@
     Ok(experiment)
 }
 
-/// Returns no experiment: a released program contains all mechanisms.
+/// Returns an experiment that switches off nothing. Only programs that are built with the feature `fault-injection` can
+/// switch off mechanisms.
 #[cfg(not(feature = "fault-injection"))]
 fn parse_experiment(_role: Role, _arguments: &mut Arguments) -> Result<Experiment, UsageError> {
     Ok(Experiment::default())
@@ -140,7 +141,7 @@
     arguments.contains(["-h", "--help"])
 }
 
-/// Checks that no argument is left over.
+/// Fails if there are arguments that were not parsed.
 fn finish(arguments: Arguments, subcommand: &'static str) -> Result<(), UsageError> {
     match arguments.finish().into_iter().next() {
         Some(unexpected) => Err(UsageError::Unexpected(unexpected, subcommand)),
@@ -178,7 +179,7 @@
 }
 
 fn print(text: &str) -> ExitCode {
-    // A reader may close the pipe early.
+    // Writing fails if the reader has closed the pipe, which is not an error of this program.
     let _ = io::stdout().write_all(text.as_bytes());
     ExitCode::SUCCESS
 }
--- a/crates/quillpulley/src/error.rs
+++ b/crates/quillpulley/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a host cannot run.
+//! The errors that keep a process from starting or running.
 
 use displaydoc::Display;
 use quillpulley_protocol::ProtocolError;
@@ -8,14 +8,14 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// A failure that ends a host. Its process exits with code 2.
+/// An error that ends a process, which then exits with code 2.
 #[derive(Debug, Display)]
 pub enum HostError {
     /// cannot listen on {address} ({error}): free the port, or correct the address in the settings file
     Listen {
         /// The address to listen on.
         address: SocketAddr,
-        /// The error of the system.
+        /// The error that the operating system reported.
         error: io::Error,
     },
     /// cannot start the runtime ({0}): raise the limits of open files and threads
--- a/crates/quillpulley/src/lib.rs
+++ b/crates/quillpulley/src/lib.rs
@@ -1,7 +1,8 @@
-//! The programs of quillpulley: the only code with sockets, timers, threads and files.
+//! The hosts of quillpulley: event loops that connect the state machines of the other crates to sockets, timers, threads
+//! and files.
 //!
-//! Each role of the deploy file has a module with a `run` function, which serves until the process is signalled to shut
-//! down: [`control`], [`agent`] and [`proxy`]. They share the links between processes ([`peer`]).
+//! Each role has a module with a `run` function, which serves until the process receives a shutdown signal:
+//! [`control`], [`agent`] and [`proxy`]. The roles communicate over the links of the module [`peer`].
 #![forbid(unsafe_code)]
 
 pub mod agent;
--- a/crates/quillpulley/src/main.rs
+++ b/crates/quillpulley/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `quillpulley`: its command line, and one role or check that it asks for.
+//! The program `quillpulley`: parses the command line, and runs one role or checks files.
 #![forbid(unsafe_code)]
 
 mod check;
--- a/crates/quillpulley/src/peer/link.rs
+++ b/crates/quillpulley/src/peer/link.rs
@@ -1,4 +1,4 @@
-//! The task of a link: reads and writes frames.
+//! The tasks that accept connections, and that read and write the frames of one link.
 
 use super::link_table::SharedOutbound;
 use super::{socket, LinkId, Shared};
@@ -18,40 +18,40 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
 
-/// A connection must be established within this time. The first packet to a machine without power is lost, and the
-/// kernel retransmits it only after a second.
+/// The maximum time to establish a TCP connection. Waiting a little longer would not help: if the first packet is lost,
+/// as with a machine without power, the kernel retransmits it only after one second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The peer's `Hello` must arrive within this time after that.
+/// The maximum time from the establishment of a connection until the `Hello` of the peer has arrived.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
-/// The delay after a failure to accept, which most likely means that no descriptors are left.
+/// The delay after `accept` has failed. The most likely cause is that the process has run out of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// The most bytes of one read.
+/// The maximum number of bytes in one read.
 const READ_SIZE: usize = 16 * 1024;
 
 /// Why a link closed.
 #[derive(Debug, Display)]
 enum CloseReason {
-    /// the peer closed it
+    /// closed by the peer
     ClosedByPeer,
-    /// closed here
+    /// closed by this side
     ClosedLocally,
     /// {0}
     Io(io::Error),
     /// {0}
     Protocol(ProtocolError),
-    /// the first message is no hello: check that the peer speaks this protocol
+    /// the first message is not a Hello: check that the peer speaks this protocol
     NoHello,
-    /// nothing came in time
+    /// timed out
     TimedOut,
 }
 
-/// Accepts connections until its task is aborted.
+/// Accepts connections until the task is aborted.
 pub async fn accept(shared: Rc<Shared>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, address)) => accept_stream(&shared, stream, address),
             Err(error) => {
-                warn!(error:% = error; "cannot accept a connection: raise the limit of open files");
+                warn!(error:% = error; "cannot accept a connection: the limit of open files may be too low");
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -60,7 +60,7 @@
 
 fn accept_stream(shared: &Rc<Shared>, stream: TcpStream, address: SocketAddr) {
     if shared.incoming.get() >= shared.options.max_incoming {
-        debug!(address:% = address; "too many connections, closed one");
+        debug!(address:% = address; "too many incoming connections; closing a new one");
         return;
     }
     shared.incoming.set(shared.incoming.get() + 1);
@@ -73,7 +73,7 @@
     });
 }
 
-/// Connects, and serves the link until it closes.
+/// Connects to a peer, and runs the link until it closes.
 pub async fn connect(shared: Rc<Shared>, link: LinkId, outbound: SharedOutbound, address: SocketAddr) {
     let connecting = async {
         tokio::select! {
@@ -89,7 +89,7 @@
     finish(&shared, link, address, end);
 }
 
-/// Waits until the link is to be closed.
+/// Waits until this side requests that the link be closed.
 async fn ended(outbound: &SharedOutbound) {
     poll_fn(|context| {
         let mut outbound = outbound.borrow_mut();
@@ -138,17 +138,18 @@
     }
 }
 
-/// A socket, with the part of the next frame that was read, and the queue of frames to be written.
+/// A socket, the decoder that holds the part of the next frame that was received so far, and the queue of frames to be
+/// written.
 struct Connection {
     stream: TcpStream,
     decoder: FrameDecoder,
     outbound: SharedOutbound,
-    /// When anything was received last.
+    /// When any bytes were last received.
     last_received_at: Instant,
 }
 
 impl Connection {
-    /// Returns the first frame.
+    /// Returns the first message, which must be a `Hello` and must arrive within [`HELLO_TIMEOUT`].
     async fn hello(&mut self) -> Result<Hello, CloseReason> {
         let first = poll_fn(|context| self.poll_frame(context));
         match timeout(HELLO_TIMEOUT, first).await {
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Returns the next frame, or an error if nothing at all is received for the idle timeout.
+    /// Returns the next message. Fails if no bytes are received for the idle timeout.
     async fn frame(&mut self, idle_timeout: Option<Duration>) -> Result<Body, CloseReason> {
         let Some(limit) = idle_timeout else {
             return poll_fn(|context| self.poll_frame(context)).await;
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Writes the queue, and reads until there is a complete frame.
+    /// Writes queued frames as far as the socket accepts them, and reads until a message is complete.
     fn poll_frame(&mut self, context: &mut Context<'_>) -> Poll<Result<Body, CloseReason>> {
         self.write(context)?;
         loop {
@@ -188,7 +189,8 @@
         }
     }
 
-    /// Acknowledges received chunks to the peer, and applies the acknowledgements that it sent.
+    /// Acknowledges the received chunks to the peer, and applies the acknowledgements that the peer has sent. Enables
+    /// compression once the peer has announced that it can decompress.
     fn exchange_chunk_credit(&mut self, context: &mut Context<'_>) -> Result<(), CloseReason> {
         if self.decoder.peer_decompresses() {
             self.outbound.borrow_mut().enable_compression();
@@ -201,7 +203,8 @@
         self.write(context)
     }
 
-    /// Writes as much as the socket accepts.
+    /// Writes queued frames until the socket accepts no more bytes or the queue is empty. Fails with
+    /// [`CloseReason::ClosedLocally`] if the link is to be closed.
     fn write(&mut self, context: &mut Context<'_>) -> Result<(), CloseReason> {
         let mut outbound = self.outbound.borrow_mut();
         outbound.register_waker(context);
--- a/crates/quillpulley/src/peer/link_table.rs
+++ b/crates/quillpulley/src/peer/link_table.rs
@@ -1,4 +1,4 @@
-//! The state of all links. Every change of state, and every event, originates here.
+//! The state of all links of a process. All state transitions and all events of links originate in this module.
 
 use super::outbound::Outbound;
 use super::{LinkId, PeerEvent};
@@ -10,18 +10,18 @@
 use std::rc::Rc;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// The queue of a link, shared with its task.
+/// The queue of a link, which the link table shares with the task of the link.
 pub type SharedOutbound = Rc<RefCell<Outbound>>;
 
 /// The state of a link.
 pub enum LinkState {
-    /// This side connects, and the peer has not sent `Hello`.
+    /// This side initiated the connection, and the `Hello` of the peer has not arrived yet.
     Connecting,
-    /// The peer has connected, and has not sent `Hello`.
+    /// The peer initiated the connection, and its `Hello` has not arrived yet.
     Accepted,
-    /// Both sides may send messages.
+    /// The `Hello` of the peer has arrived, and messages may be exchanged.
     Open,
-    /// The link is closed.
+    /// The link is closed and is removed from the table.
     Closed,
 }
 
@@ -40,17 +40,17 @@
 }
 
 impl LinkTable {
-    /// No links.
+    /// Creates an empty table. Events are sent to `events`; `max_queued_bytes` is the limit for the queue of each link.
     pub fn new(events: UnboundedSender<PeerEvent>, max_queued_bytes: usize) -> LinkTable {
         LinkTable { links: BTreeMap::new(), next: 1, events, max_queued_bytes }
     }
 
-    /// Adds a link that this side establishes.
+    /// Adds a link that this side initiates.
     pub fn add_outgoing(&mut self, address: SocketAddr) -> (LinkId, SharedOutbound) {
         self.add(LinkState::Connecting, address)
     }
 
-    /// Adds a link that the peer establishes.
+    /// Adds a link that the peer has initiated.
     pub fn add_incoming(&mut self, address: SocketAddr) -> (LinkId, SharedOutbound) {
         self.add(LinkState::Accepted, address)
     }
@@ -63,17 +63,18 @@
         (link, outbound)
     }
 
-    /// Handles the `Hello` of the peer.
+    /// Opens a link after the `Hello` of the peer has arrived.
     pub fn open(&mut self, link: LinkId, hello: Hello) {
         self.change_state(link, LinkState::Open, Some(hello));
     }
 
-    /// Handles the end of the link's task.
+    /// Removes a link whose task has ended.
     pub fn closed(&mut self, link: LinkId) {
         self.change_state(link, LinkState::Closed, None);
     }
 
-    /// Changes the state of a link, and emits the resulting event. Every change happens here.
+    /// Changes the state of a link, and emits the resulting event, if any. All state transitions go through this
+    /// function.
     fn change_state(&mut self, link: LinkId, next: LinkState, hello: Option<Hello>) {
         let Some(entry) = self.links.get_mut(&link) else { return };
         let address = entry.address;
@@ -93,38 +94,38 @@
             LinkState::Closed => drop(self.links.remove(&link)),
             next => entry.state = next,
         }
-        debug!(link:% = link, address:% = address; "link {}", event.as_ref().map_or("never opened", event_name));
+        debug!(link:% = link, address:% = address; "link {}", event.as_ref().map_or("closed before it was open", event_name));
         event.into_iter().for_each(|event| self.emit(event));
     }
 
-    /// Emits a received message.
+    /// Emits the event for a received message.
     pub fn frame(&mut self, link: LinkId, body: Body) {
         self.emit(PeerEvent::Frame { link, body });
     }
 
-    /// Queues an encoded message.
+    /// Queues an encoded message. Closes the link if its queue is full.
     pub fn send_message(&mut self, link: LinkId, lane: Lane, message: &[u8]) {
         let Some(entry) = self.links.get(&link) else { return };
         let mut outbound = entry.outbound.borrow_mut();
         if outbound.push(lane, message, self.max_queued_bytes).is_err() {
-            warn!(link:% = link, address:% = entry.address; "link closed, the peer reads too slowly: check its load");
+            warn!(link:% = link, address:% = entry.address; "closing the link: the peer reads too slowly; check its load");
             outbound.end();
         }
     }
 
-    /// Closes a link.
+    /// Requests that a link be closed. Its task ends soon afterwards.
     pub fn close(&mut self, link: LinkId) {
         if let Some(entry) = self.links.get(&link) {
             entry.outbound.borrow_mut().end();
         }
     }
 
-    /// Closes all links.
+    /// Requests that all links be closed.
     pub fn close_all(&mut self) {
         self.links.values().for_each(|entry| entry.outbound.borrow_mut().end());
     }
 
-    /// Emits an event. A host that no longer receives events is exiting.
+    /// Emits an event. The event is dropped if the receiver is gone, which means that the host is exiting.
     fn emit(&self, event: PeerEvent) {
         let _ = self.events.send(event);
     }
@@ -135,6 +136,6 @@
         PeerEvent::Opened { .. } => "opened",
         PeerEvent::Frame { .. } => "message",
         PeerEvent::Closed { .. } => "closed",
-        PeerEvent::ConnectFailed { .. } => "no connection",
+        PeerEvent::ConnectFailed { .. } => "could not be established",
     }
 }
--- a/crates/quillpulley/src/peer/mod.rs
+++ b/crates/quillpulley/src/peer/mod.rs
@@ -1,10 +1,10 @@
-//! Links between the processes of the system: framed messages over TCP, on one thread.
+//! Links between the processes of the system: framed messages over TCP, handled on one thread.
 //!
-//! Both sides of a link first send a `Hello`. After that either side sends messages at any time. Messages arrive
-//! complete, and in order with those of their [`Lane`], or the link closes. Of queued messages with log entries or
-//! state, a later one replaces an earlier one that was not begun. The host receives [`PeerEvent`]s on one channel.
+//! Each side of a link first sends a `Hello`. After that, either side may send messages at any time. Messages of one
+//! [`Lane`] are delivered complete and in order, or else the link closes. On [`Lane::State`], a new message replaces a
+//! queued one whose transmission has not begun. The host receives [`PeerEvent`]s on one channel.
 //!
-//! Functions that start a task (listen, connect) must be called on a tokio `LocalSet`.
+//! Functions that spawn a task ([`Peers::listen`], [`Peers::connect`]) must be called on a tokio `LocalSet`.
 
 mod link;
 mod link_table;
@@ -24,7 +24,7 @@
 
 pub use socket::{bind, bind_datagrams};
 
-/// Identifies a link. It is unique within a process, and never reused.
+/// The identifier of a link. It is unique within the process and never reused; later links have greater identifiers.
 #[derive(Copy, Clone, Eq, PartialEq, Ord, PartialOrd, Hash, Debug)]
 pub struct LinkId(u64);
 
@@ -36,48 +36,50 @@
 
 /// An event of a link.
 ///
-/// Each call of [`Peers::connect`] leads to exactly one of `Opened` and `ConnectFailed`, and each `Opened` is followed
-/// by exactly one `Closed`, also if this side closed the link. An incoming connection without a `Hello` has no event.
+/// Each call of [`Peers::connect`] results in exactly one `Opened` or `ConnectFailed`. Each `Opened` is followed by
+/// exactly one `Closed`, even if this side closed the link. An incoming connection on which no `Hello` arrives causes no
+/// event.
 #[derive(Debug)]
 pub enum PeerEvent {
-    /// The link is open, and the peer has introduced itself.
+    /// The link is open, and the `Hello` of the peer has arrived.
     Opened {
-        /// The new link, or the one that `connect` returned.
+        /// The link that `connect` returned, or a new one if the peer initiated the connection.
         link: LinkId,
-        /// The introduction of the peer.
+        /// The `Hello` of the peer, which identifies it.
         hello: Hello,
-        /// Whether the peer connected.
+        /// Whether the peer initiated the connection.
         incoming: bool,
-        /// The address of the peer.
+        /// The remote address.
         address: SocketAddr,
     },
     /// A message was received.
     Frame {
-        /// The link that it was received on.
+        /// The link on which it was received.
         link: LinkId,
         /// The message.
         body: Body,
     },
-    /// The link is closed. Messages that were sent shortly before may be lost.
+    /// An open link has closed. Messages that either side sent shortly before may be lost.
     Closed {
         /// The link that is closed.
         link: LinkId,
     },
-    /// No connection was established, or the peer sent no `Hello` in time.
+    /// An outgoing link did not open: no connection was established, the peer sent no `Hello` in time, or this side
+    /// closed the link before.
     ConnectFailed {
         /// The link that `connect` returned.
         link: LinkId,
     },
 }
 
-/// The limits of all links of a process.
+/// The limits that apply to the links of a process.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerOptions {
-    /// A link on which nothing was received for this long is closed.
+    /// A link on which no bytes were received for this long is closed. `None` means no limit.
     pub idle_timeout: Option<Duration>,
-    /// The most incoming connections. Further ones are closed at once.
+    /// The maximum number of incoming connections. Further ones are closed at once.
     pub max_incoming: usize,
-    /// The most queued bytes of a link, without log and state of the replication. A single message may exceed it if
+    /// The maximum number of queued bytes of each link, not counting [`Lane::State`]. A single message may exceed it if
     /// nothing else is queued.
     pub max_queued_bytes: usize,
 }
@@ -88,13 +90,13 @@
     }
 }
 
-/// All links of a process. Dropping it closes them.
+/// All links of a process. Dropping this closes them.
 pub struct Peers {
     shared: Rc<Shared>,
     accepting: RefCell<Vec<AbortHandle>>,
 }
 
-/// What the tasks of all links share.
+/// State that the tasks of all links share.
 struct Shared {
     /// The encoded `Hello` of this process.
     hello: Vec<u8>,
@@ -105,12 +107,14 @@
 }
 
 impl Peers {
-    /// Creates the links of a process that introduces itself by `hello`, with default limits.
+    /// Creates an empty set of links with default limits, and the receiver of their events. This process sends `hello`
+    /// as the first message on each link.
     pub fn new(hello: Hello) -> (Rc<Peers>, UnboundedReceiver<PeerEvent>) {
         Peers::with_options(hello, PeerOptions::default())
     }
 
-    /// Creates the links of a process that introduces itself by `hello`.
+    /// Creates an empty set of links, and the receiver of their events. This process sends `hello` as the first message
+    /// on each link.
     pub fn with_options(hello: Hello, options: PeerOptions) -> (Rc<Peers>, UnboundedReceiver<PeerEvent>) {
         let (events, receiver) = unbounded_channel();
         let mut encoder = FrameEncoder::default();
@@ -126,31 +130,30 @@
         (Rc::new(Peers { shared: Rc::new(shared), accepting: RefCell::default() }), receiver)
     }
 
-    /// Accepts connections until this is dropped, or [`Peers::stop_listening`] is called.
+    /// Accepts connections until this value is dropped, or [`Peers::stop_listening`] is called.
     pub fn listen(&self, listener: TcpListener) {
         let task = spawn_local(link::accept(self.shared.clone(), listener));
         self.accepting.borrow_mut().push(task.abort_handle());
     }
 
-    /// Closes all listeners. Links stay open.
+    /// Closes all listeners. Established links stay open.
     pub fn stop_listening(&self) {
         self.accepting.borrow_mut().drain(..).for_each(|task| task.abort());
     }
 
-    /// Begins to connect. Messages that are sent before the link is open are queued.
+    /// Starts to connect to an address. Messages that are sent before the link is open are queued.
     pub fn connect(&self, address: SocketAddr) -> LinkId {
         let (link, outbound) = self.shared.link_table.borrow_mut().add_outgoing(address);
         spawn_local(link::connect(self.shared.clone(), link, outbound, address));
         link
     }
 
-    /// Queues a message, without blocking. If too many bytes are queued the link closes. On a closed link it does
-    /// nothing.
+    /// Queues a message without blocking. If too many bytes are queued, the link closes. Has no effect on a closed link.
     pub fn send(&self, link: LinkId, body: &Body) {
         self.send_all(&[link], body);
     }
 
-    /// Queues a message on several links, and encodes it only once.
+    /// Queues a message on several links. The message is encoded only once.
     pub fn send_all(&self, links: &[LinkId], body: &Body) {
         let encoder = &mut self.shared.encoder.borrow_mut();
         let message = encoder.message(body);
@@ -159,7 +162,7 @@
         links.iter().for_each(|link| link_table.send_message(*link, lane, message));
     }
 
-    /// Closes a link. The queue is written as far as the socket accepts it at once.
+    /// Closes a link. Of the queued bytes, only those that the socket accepts without blocking are still sent.
     pub fn close(&self, link: LinkId) {
         self.shared.link_table.borrow_mut().close(link);
     }
--- a/crates/quillpulley/src/peer/outbound.rs
+++ b/crates/quillpulley/src/peer/outbound.rs
@@ -1,27 +1,27 @@
-//! The queue of messages to be written on a link.
+//! The queue of outgoing messages of one link.
 
 use quillpulley_protocol::{FrameQueue, Lane, QueueFull};
 use std::task::{Context, Waker};
 
-/// The queue of a link, and the waker of the task that writes it.
+/// The queue of outgoing messages of a link, and the waker of the task that writes them.
 #[derive(Default)]
 pub struct Outbound {
     queue: FrameQueue,
     ended: bool,
-    /// Wakes the link's task.
+    /// The waker of the link's task, if it is registered.
     waker: Option<Waker>,
 }
 
 impl Outbound {
-    /// Inserts bytes before the queue. Must be called before anything was written.
+    /// Inserts bytes at the front of the queue. Must be called before any bytes were written.
     pub fn prepend(&mut self, bytes: &[u8]) {
         self.queue.prepend(bytes);
     }
 
-    /// Adds an encoded message, unless the link is closing.
+    /// Queues an encoded message. Drops it if the link is closing.
     ///
     /// # Errors
-    /// [`QueueFull`] if too many bytes are queued.
+    /// [`QueueFull`] if more than `max_bytes` would be queued.
     pub fn push(&mut self, lane: Lane, message: &[u8], max_bytes: usize) -> Result<(), QueueFull> {
         if self.ended {
             return Ok(());
@@ -31,28 +31,29 @@
         Ok(())
     }
 
-    /// Has the link closed.
+    /// Requests that the task close the link.
     pub fn end(&mut self) {
         self.ended = true;
         self.wake();
     }
 
-    /// Returns whether the link is closing.
+    /// Returns whether the link is to be closed.
     pub fn is_closing(&self) -> bool {
         self.ended
     }
 
-    /// Returns the next bytes to be written.
+    /// Returns the next bytes to be written; empty if nothing may be sent now.
     pub fn pending(&mut self) -> &[u8] {
         self.queue.pending()
     }
 
-    /// Records that this many bytes were written.
+    /// Removes this many bytes from the front of the queue after they were written.
     pub fn advance(&mut self, written: usize) {
         self.queue.advance(written);
     }
 
-    /// Records the chunks that were received here, and those that the peer has acknowledged.
+    /// Queues an acknowledgement of the chunk bytes that this side has received (`here`), and records the chunk bytes
+    /// that the peer has acknowledged (`there`).
     pub fn record_chunks(&mut self, here: usize, there: usize) {
         if here > 0 {
             self.queue.acknowledge_chunks(here);
@@ -60,12 +61,12 @@
         self.queue.receive_credit(there);
     }
 
-    /// Has long log entries and states compressed, which the peer can decompress.
+    /// Enables compression of long log entries and states. The peer must have announced that it can decompress them.
     pub fn enable_compression(&mut self) {
         self.queue.enable_compression();
     }
 
-    /// Registers the task to be woken when there is something to write.
+    /// Registers the task to be woken when a message is queued, or when the link is to be closed.
     pub fn register_waker(&mut self, context: &Context<'_>) {
         match &mut self.waker {
             Some(waker) => waker.clone_from(context.waker()),
--- a/crates/quillpulley/src/peer/socket.rs
+++ b/crates/quillpulley/src/peer/socket.rs
@@ -1,4 +1,4 @@
-//! Options of sockets.
+//! Binds listeners and datagram sockets, and sets the options of TCP connections.
 
 use crate::HostError;
 use log::debug;
@@ -9,18 +9,19 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::time::{sleep, Instant};
 
-/// A connection closes if bytes stay unacknowledged for this long, as with a machine without power.
+/// The kernel closes a connection if sent bytes stay unacknowledged for this long, for example because the other machine
+/// has lost power.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// The time until an idle connection is probed, and between probes.
+/// The idle time after which TCP keepalive probes are sent, and the interval between probes.
 const KEEPALIVE: Duration = Duration::from_secs(1);
-/// How long binding is retried while an address is in use by a process that is exiting.
+/// How long binding is retried while the address is in use, because a previous process may still be exiting.
 const BIND_TIMEOUT: Duration = Duration::from_secs(2);
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// The most connections in the kernel's queue.
+/// The maximum number of connections that wait in the kernel to be accepted.
 const BACKLOG: i32 = 256;
 
-/// Sets the options of a connection between processes of the system. Without them it takes longer to detect the loss of
-/// the other machine.
+/// Sets the options of a connection between processes of the system: no delay for small messages, and timeouts that
+/// detect the loss of the other machine sooner than the defaults of the kernel. Failures are only logged.
 pub fn tune(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new().with_time(KEEPALIVE).with_interval(KEEPALIVE);
@@ -34,18 +35,18 @@
     }
 }
 
-/// Listens at an address. Retries for up to two seconds while it is in use.
+/// Listens on a TCP address. Retries for up to two seconds if binding fails.
 ///
 /// # Errors
-/// [`HostError::Listen`].
+/// [`HostError::Listen`] if binding still fails after that time.
 pub async fn bind(address: SocketAddr) -> Result<TcpListener, HostError> {
     bind_with_retry(address, || listen(address)).await
 }
 
-/// Binds a datagram socket. Retries for up to two seconds while its address is in use.
+/// Binds a UDP socket. Retries for up to two seconds if binding fails.
 ///
 /// # Errors
-/// [`HostError::Listen`].
+/// [`HostError::Listen`] if binding still fails after that time.
 pub async fn bind_datagrams(address: SocketAddr) -> Result<UdpSocket, HostError> {
     bind_with_retry(address, || open_datagrams(address)).await
 }
--- a/crates/quillpulley/src/settings.rs
+++ b/crates/quillpulley/src/settings.rs
@@ -1,3 +1,3 @@
-//! The settings of a process, as the hosts use them.
+//! Re-exports the settings of a process.
 
 pub use quillpulley_settings::Settings;
--- a/crates/quillpulley/src/signals.rs
+++ b/crates/quillpulley/src/signals.rs
@@ -1,11 +1,11 @@
-//! The signals that a host handles.
+//! The Unix signals that a host handles.
 
 use crate::HostError;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::task::spawn_local;
 
-/// A signal, as a host understands it.
+/// The meaning of a received signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessSignal {
     /// Drain and exit (SIGTERM, SIGINT).
@@ -14,7 +14,8 @@
     Reload,
 }
 
-/// Subscribes to the signals of this process. Must be called on a tokio `LocalSet`.
+/// Installs handlers for SIGTERM, SIGINT and SIGHUP, and returns the receiver of their meanings. Must be called on a
+/// tokio `LocalSet`.
 ///
 /// # Errors
 /// [`HostError::Runtime`] if a handler cannot be installed.
--- a/crates/quillpulley/tests/command_line.rs
+++ b/crates/quillpulley/tests/command_line.rs
@@ -81,12 +81,12 @@
 #[test]
 fn wrong_arguments_end_with_code_2_and_point_to_the_help() {
     for (arguments, part) in [
-        (&[][..], "a subcommand is missing: see quillpulley --help"),
-        (&["serve"], "serve is no subcommand"),
-        (&["--verbose"], "\"--verbose\" is not understood"),
+        (&[][..], "missing subcommand: see quillpulley --help"),
+        (&["serve"], "unknown subcommand serve"),
+        (&["--verbose"], "unexpected argument \"--verbose\""),
         (&["agent", "extra"], "see quillpulley agent --help"),
         (&["agent", "--log", "loud"], "see quillpulley agent --help"),
-        (&["check"], "no file is named"),
+        (&["check"], "missing file: see quillpulley check --help"),
     ] {
         let output = quillpulley(arguments);
         assert_eq!(output.status.code(), Some(2), "{arguments:?}");
