--- a/crates/quillpulley/src/agent/children.rs
+++ b/crates/quillpulley/src/agent/children.rs
@@ -13,7 +13,7 @@
 
 /// The result of [`Children::add`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Added {
+pub enum AddResult {
     /// The child had no other link.
     New,
     /// The new link replaces this older one, which the caller must close.
@@ -32,16 +32,16 @@
     /// Adds a link. A child is identified by its kind and name, and keeps only its most recent connection. Link ids
     /// increase in the order in which connections are accepted, so that a `Hello` which arrives late on an older
     /// connection does not replace a more recent link.
-    pub fn add(&mut self, link: LinkId, hello: &Hello) -> Added {
+    pub fn add(&mut self, link: LinkId, hello: &Hello) -> AddResult {
         let child = Child { kind: hello.kind, name: hello.name.clone() };
         let previous = self.by_link.iter().find(|(_, known)| **known == child).map(|(link, _)| *link);
         match previous {
-            Some(later) if later > link => return Added::Outdated,
+            Some(later) if later > link => return AddResult::Outdated,
             Some(previous) => self.remove(previous),
             None => {}
         }
         self.by_link.insert(link, child);
-        previous.map_or(Added::New, Added::Replaced)
+        previous.map_or(AddResult::New, AddResult::Replaced)
     }
 
     /// Removes a link, if it is one from a child.
--- a/crates/quillpulley/src/agent/drain.rs
+++ b/crates/quillpulley/src/agent/drain.rs
@@ -11,7 +11,7 @@
 const CHILD_AGENT_GRACE: Duration = Duration::from_millis(200);
 /// How long a draining agent keeps running after its proxy has disconnected, so that it can still report to its parent
 /// that the endpoint of the proxy is removed.
-const PUBLISH_TIME: Duration = Duration::from_millis(300);
+const ENDPOINT_REMOVAL_GRACE: Duration = Duration::from_millis(300);
 /// The agent exits this long before the end of the grace period, when it would be killed.
 const EXIT_MARGIN: Duration = Duration::from_secs(1);
 
@@ -58,7 +58,7 @@
     /// Begins the drain. Has no effect if it has already begun.
     pub fn begin(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if self.state == DrainState::Serving {
-            self.change(DrainState::RejectingChildren { since: now }, actions);
+            self.change_state(DrainState::RejectingChildren { since: now }, actions);
         }
     }
 
@@ -70,11 +70,11 @@
         };
         if let DrainState::RejectingChildren { since } = self.state {
             if now >= since + CHILD_AGENT_GRACE {
-                self.change(DrainState::ProxyOnly { since }, actions);
+                self.change_state(DrainState::ProxyOnly { since }, actions);
             }
         }
         if now >= self.finish_at() {
-            self.change(DrainState::Finished, actions);
+            self.change_state(DrainState::Finished, actions);
         }
     }
 
@@ -103,13 +103,14 @@
         };
         let latest = since + self.grace.saturating_sub(EXIT_MARGIN);
         match self.without_proxy_since {
-            Some(alone) => (alone.max(since) + PUBLISH_TIME).min(latest.max(since + PUBLISH_TIME)),
+            Some(proxy_lost_at) => (proxy_lost_at.max(since) + ENDPOINT_REMOVAL_GRACE)
+                .min(latest.max(since + ENDPOINT_REMOVAL_GRACE)),
             None => latest,
         }
     }
 
     /// Changes the state and adds the resulting action. All state transitions go through this function.
-    fn change(&mut self, next: DrainState, actions: &mut Vec<Action>) {
+    fn change_state(&mut self, next: DrainState, actions: &mut Vec<Action>) {
         self.state = next;
         actions.push(match next {
             DrainState::Serving => return,
--- a/crates/quillpulley/src/agent/host/links.rs
+++ b/crates/quillpulley/src/agent/host/links.rs
@@ -2,7 +2,7 @@
 //! that they are for.
 
 use super::Host;
-use crate::agent::children::Added;
+use crate::agent::children::AddResult;
 use crate::agent::parent_search;
 use crate::peer::{LinkId, PeerEvent};
 use log::{debug, info};
@@ -36,12 +36,12 @@
             return;
         }
         match self.children.add(link, hello) {
-            Added::New => {}
-            Added::Replaced(previous) => {
+            AddResult::New => {}
+            AddResult::Replaced(previous) => {
                 self.peers.close(previous);
                 self.handle_sync(state_sync::Event::ChildDown(previous));
             }
-            Added::Outdated => return self.peers.close(link),
+            AddResult::Outdated => return self.peers.close(link),
         }
         match hello.kind {
             PeerKind::Proxy => info!(name = hello.name, address:% = address; "proxy connected"),
@@ -72,7 +72,7 @@
 
     fn link_closed(&mut self, link: LinkId) {
         if self.children.contains(link) {
-            self.forget_child(link);
+            self.remove_child(link);
             self.handle_sync(state_sync::Event::ChildDown(link));
         } else if let Some(candidate) = self.parents.candidate(link) {
             if self.parents.parent() == Some(link) {
@@ -83,10 +83,10 @@
         }
     }
 
-    pub(super) fn forget_child(&mut self, link: LinkId) {
+    pub(super) fn remove_child(&mut self, link: LinkId) {
         if self.children.is_proxy(link) {
             info!("proxy disconnected");
-            if self.local_state.forget_endpoint() {
+            if self.local_state.remove_endpoint() {
                 self.report_local();
             }
         }
--- a/crates/quillpulley/src/agent/host/mod.rs
+++ b/crates/quillpulley/src/agent/host/mod.rs
@@ -52,7 +52,7 @@
     /// Whether published items or seeds have changed since the peer directory was last read.
     directory_changed: bool,
     /// The candidates that had a penalty when the list of candidates was last updated.
-    failed: Vec<ParentCandidate>,
+    failed_candidates: Vec<ParentCandidate>,
     /// The parent that was last logged, so that each change of the parent is logged once.
     logged_parent: Option<ParentCandidate>,
     seeds_read_at: Duration,
@@ -83,7 +83,7 @@
             local_state: LocalState::default(),
             peer_directory,
             directory_changed: true,
-            failed: Vec::new(),
+            failed_candidates: Vec::new(),
             logged_parent: None,
             seeds_read_at: Duration::ZERO,
             settings,
--- a/crates/quillpulley/src/agent/host/tree.rs
+++ b/crates/quillpulley/src/agent/host/tree.rs
@@ -30,7 +30,7 @@
             state_sync::Action::SendChild(child, body) => self.peers.send(child, &body),
             state_sync::Action::SendChildren(children, body) => self.peers.send_all(&children, &body),
             state_sync::Action::DropChild(child) => {
-                self.forget_child(child);
+                self.remove_child(child);
                 self.peers.close(child);
             }
             state_sync::Action::Changed(changed) => {
@@ -86,8 +86,8 @@
     /// Updates the candidates for the parent and the monitored peers, if the published processes, the seeds or the set
     /// of failed candidates have changed.
     pub(super) fn refresh_directory(&mut self) {
-        let failed = self.parent_search.failed(self.now());
-        if !self.directory_changed && failed == self.failed {
+        let failed_candidates = self.parent_search.failed_candidates(self.now());
+        if !self.directory_changed && failed_candidates == self.failed_candidates {
             return;
         }
         if std::mem::take(&mut self.directory_changed) {
@@ -95,8 +95,8 @@
             let peers = self.peer_directory.peers(self.settings.agent_port());
             self.handle_membership(membership::Event::Peers(peers));
         }
-        let candidates = self.peer_directory.candidates(&self.settings, &failed);
-        self.failed = failed;
+        let candidates = self.peer_directory.candidates(&self.settings, &failed_candidates);
+        self.failed_candidates = failed_candidates;
         self.handle_parent_search(parent_search::Event::Candidates(candidates));
     }
 }
--- a/crates/quillpulley/src/agent/local_state.rs
+++ b/crates/quillpulley/src/agent/local_state.rs
@@ -27,7 +27,7 @@
     }
 
     /// Removes the endpoint after the proxy has disconnected. Returns whether there was one.
-    pub fn forget_endpoint(&mut self) -> bool {
+    pub fn remove_endpoint(&mut self) -> bool {
         self.endpoint.take().is_some()
     }
 
--- a/crates/quillpulley/src/agent/parent_search/mod.rs
+++ b/crates/quillpulley/src/agent/parent_search/mod.rs
@@ -31,7 +31,7 @@
 /// of itself in either direction.
 const REVIEW_INTERVAL: Duration = Duration::from_secs(3);
 /// The penalties of a parent are cleared if its revision still advances this long after it became the parent.
-const PROVEN_AFTER: Duration = Duration::from_secs(10);
+const PENALTY_RESET_AFTER: Duration = Duration::from_secs(10);
 
 /// An event for a [`ParentSearch`].
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -141,12 +141,12 @@
     }
 
     /// Returns the candidates whose penalties have not expired.
-    pub fn failed(&self, now: Duration) -> Vec<ParentCandidate> {
+    pub fn failed_candidates(&self, now: Duration) -> Vec<ParentCandidate> {
         self.penalties.active(now).collect()
     }
 
     fn link_opened(&mut self, now: Duration, candidate: ParentCandidate, actions: &mut Vec<Action>) {
-        if !self.take_attempt(candidate) {
+        if !self.remove_attempt(candidate) {
             return;
         }
         self.failures = 0;
@@ -171,7 +171,7 @@
     }
 
     fn link_lost(&mut self, now: Duration, candidate: ParentCandidate) {
-        if self.take_attempt(candidate) {
+        if self.remove_attempt(candidate) {
             self.penalties.add(now, candidate);
             self.failures = self.failures.saturating_add(1);
             self.schedule_retry(now);
@@ -187,13 +187,13 @@
         let SearchState::Searching { since, next_connect } = self.state else { return };
         let retry_at = now + self.backoff();
         let next_connect = if self.attempts.is_empty() { retry_at } else { next_connect.min(retry_at) };
-        self.change(SearchState::Searching { since, next_connect });
+        self.change_state(SearchState::Searching { since, next_connect });
     }
 
     fn revision_advanced(&mut self, now: Duration, actions: &mut Vec<Action>) {
         self.revision_advanced = now;
         let Some(parent) = self.parent else { return };
-        match now.saturating_sub(parent.since) >= PROVEN_AFTER {
+        match now.saturating_sub(parent.since) >= PENALTY_RESET_AFTER {
             true => self.penalties.clear(parent.candidate),
             false => self.penalties.expire(now, parent.candidate),
         }
@@ -211,13 +211,13 @@
         }
         match self.state {
             SearchState::Searching { since, next_connect } if now >= next_connect => {
-                let next_connect = now + self.try_next(now, actions);
-                self.change(SearchState::Searching { since, next_connect });
+                let next_connect = now + self.connect_to_next(now, actions);
+                self.change_state(SearchState::Searching { since, next_connect });
             }
             SearchState::Attached { next_review } if now >= next_review => {
-                self.try_better(now, actions);
-                let next_review = now + self.around(REVIEW_INTERVAL, 0.25);
-                self.change(SearchState::Attached { next_review });
+                self.connect_to_better(now, actions);
+                let next_review = now + self.randomized(REVIEW_INTERVAL, 0.25);
+                self.change_state(SearchState::Attached { next_review });
             }
             _ => {}
         }
@@ -225,7 +225,7 @@
 
     /// Connects to the best candidate without a penalty. If all have penalties, connects to the one whose penalty
     /// expires first. Returns the delay until the next attempt.
-    fn try_next(&mut self, now: Duration, actions: &mut Vec<Action>) -> Duration {
+    fn connect_to_next(&mut self, now: Duration, actions: &mut Vec<Action>) -> Duration {
         if self.attempts.len() < MAX_CONCURRENT_ATTEMPTS {
             let untried = self.candidates.iter().copied().filter(|candidate| !self.is_in_use(*candidate));
             let next = untried.min_by_key(|candidate| self.penalties.remaining(now, *candidate));
@@ -235,7 +235,7 @@
     }
 
     /// Connects to the best candidate without a penalty, if it is better than the parent and no attempt is in progress.
-    fn try_better(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    fn connect_to_better(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let Some(parent) = self.parent else { return };
         let mut free = self.candidates.iter().filter(|c| self.penalties.remaining(now, **c).is_zero());
         let Some(best) = free.next().copied() else { return };
@@ -257,22 +257,22 @@
             attempts.into_iter().partition(|attempt| self.is_better(*attempt, parent.candidate));
         self.attempts = kept;
         actions.extend(worse.into_iter().map(Action::Close));
-        let next_review = now + self.around(REVIEW_INTERVAL, 0.25);
-        self.change(SearchState::Attached { next_review });
+        let next_review = now + self.randomized(REVIEW_INTERVAL, 0.25);
+        self.change_state(SearchState::Attached { next_review });
     }
 
     fn start_search(&mut self, now: Duration, next_connect: Duration) {
         let since = self.searching_since().unwrap_or(now);
-        self.change(SearchState::Searching { since, next_connect });
+        self.change_state(SearchState::Searching { since, next_connect });
     }
 
     /// Changes the state. All state transitions go through this function.
-    fn change(&mut self, next: SearchState) {
+    fn change_state(&mut self, next: SearchState) {
         self.state = next;
     }
 
     /// Removes the connection attempt to a candidate. Returns whether there was one.
-    fn take_attempt(&mut self, candidate: ParentCandidate) -> bool {
+    fn remove_attempt(&mut self, candidate: ParentCandidate) -> bool {
         let attempts = self.attempts.len();
         self.attempts.retain(|attempt| *attempt != candidate);
         self.attempts.len() < attempts
@@ -300,17 +300,17 @@
     }
 
     fn stall_timeout(&mut self, candidate: ParentCandidate) -> Duration {
-        let least = match candidate {
+        let minimum = match candidate {
             ParentCandidate::ControlNode(_) => CONTROL_NODE_TIMEOUT,
             ParentCandidate::Agent(_) => AGENT_TIMEOUT,
         };
-        least + self.jitter(TIMEOUT_JITTER)
+        minimum + self.jitter(TIMEOUT_JITTER)
     }
 
     /// Returns the backoff after the latest of the consecutive failures.
     fn backoff(&mut self) -> Duration {
         let doublings = self.failures.saturating_sub(1).min(8);
-        self.around((MIN_BACKOFF * 2u32.pow(doublings)).min(MAX_BACKOFF), 0.5)
+        self.randomized((MIN_BACKOFF * 2u32.pow(doublings)).min(MAX_BACKOFF), 0.5)
     }
 
     /// Returns a random duration between zero and `limit`.
@@ -319,7 +319,7 @@
     }
 
     /// Returns a random duration that differs from `time` by at most `fraction` of it, in either direction.
-    fn around(&mut self, time: Duration, fraction: f64) -> Duration {
+    fn randomized(&mut self, time: Duration, fraction: f64) -> Duration {
         time.mul_f64(1.0 - fraction + 2.0 * fraction * self.random.f64())
     }
 }
--- a/crates/quillpulley/src/agent/parent_search/penalties.rs
+++ b/crates/quillpulley/src/agent/parent_search/penalties.rs
@@ -8,11 +8,11 @@
 const MIN_PENALTY: Duration = Duration::from_secs(2);
 const MAX_PENALTY: Duration = Duration::from_secs(30);
 /// Expired penalties are discarded when this many candidates are recorded.
-const MAX_REMEMBERED: usize = 256;
+const CLEANUP_THRESHOLD: usize = 256;
 
 struct Penalty {
-    until: Duration,
-    length: Duration,
+    expires_at: Duration,
+    duration: Duration,
 }
 
 /// The penalties of candidates that have failed. All times are measured from the start of the process.
@@ -24,18 +24,18 @@
 impl Penalties {
     /// Records a failure of a candidate: starts a penalty, which is twice as long as the previous one.
     pub fn add(&mut self, now: Duration, candidate: ParentCandidate) {
-        if self.by_candidate.len() >= MAX_REMEMBERED {
-            self.by_candidate.retain(|_, penalty| penalty.until > now);
+        if self.by_candidate.len() >= CLEANUP_THRESHOLD {
+            self.by_candidate.retain(|_, penalty| penalty.expires_at > now);
         }
-        let before = self.by_candidate.get(&candidate).map(|penalty| penalty.length);
-        let length = before.map_or(MIN_PENALTY, |length| (length * 2).min(MAX_PENALTY));
-        self.by_candidate.insert(candidate, Penalty { until: now + length, length });
+        let before = self.by_candidate.get(&candidate).map(|penalty| penalty.duration);
+        let duration = before.map_or(MIN_PENALTY, |duration| (duration * 2).min(MAX_PENALTY));
+        self.by_candidate.insert(candidate, Penalty { expires_at: now + duration, duration });
     }
 
     /// Ends the penalty of a candidate that works again. The length is kept, so that the next penalty is still longer.
     pub fn expire(&mut self, now: Duration, candidate: ParentCandidate) {
         if let Some(penalty) = self.by_candidate.get_mut(&candidate) {
-            penalty.until = penalty.until.min(now);
+            penalty.expires_at = penalty.expires_at.min(now);
         }
     }
 
@@ -46,13 +46,14 @@
 
     /// Returns the candidates whose penalties have not expired.
     pub fn active(&self, now: Duration) -> impl Iterator<Item = ParentCandidate> + '_ {
-        let active = self.by_candidate.iter().filter(move |(_, penalty)| penalty.until > now);
+        let active = self.by_candidate.iter().filter(move |(_, penalty)| penalty.expires_at > now);
         active.map(|(candidate, _)| *candidate)
     }
 
     /// Returns the time until the penalty of a candidate expires; zero if it has none.
     pub fn remaining(&self, now: Duration, candidate: ParentCandidate) -> Duration {
-        let until = self.by_candidate.get(&candidate).map_or(Duration::ZERO, |penalty| penalty.until);
-        until.saturating_sub(now)
+        let expires_at =
+            self.by_candidate.get(&candidate).map_or(Duration::ZERO, |penalty| penalty.expires_at);
+        expires_at.saturating_sub(now)
     }
 }
--- a/crates/quillpulley/src/command_line/mod.rs
+++ b/crates/quillpulley/src/command_line/mod.rs
@@ -14,7 +14,7 @@
 use std::process::ExitCode;
 
 /// The exit code if the arguments are invalid, or if a role cannot start.
-const CANNOT_START: u8 = 2;
+const EXIT_CODE_CANNOT_START: u8 = 2;
 const VERSION: &str = env!("CARGO_PKG_VERSION");
 
 /// A parsed command line.
@@ -70,8 +70,8 @@
 }
 
 fn parse(mut arguments: Arguments) -> Result<Invocation, UsageError> {
-    let usage = |error| UsageError::Option(error, "");
-    let Some(subcommand) = arguments.subcommand().map_err(usage)? else {
+    let usage_error = |error| UsageError::Option(error, "");
+    let Some(subcommand) = arguments.subcommand().map_err(usage_error)? else {
         return parse_without_subcommand(arguments);
     };
     match subcommand.as_str() {
@@ -91,7 +91,7 @@
     if arguments.contains(["-V", "--version"]) {
         return Ok(Invocation::Version);
     }
-    finish(arguments, "")?;
+    expect_no_arguments(arguments, "")?;
     Err(UsageError::NoSubcommand)
 }
 
@@ -99,10 +99,10 @@
     if wants_help(&mut arguments) {
         return Ok(Invocation::Help(role.help()));
     }
-    let usage = |error| UsageError::Option(error, role.name());
-    let log_level = arguments.opt_value_from_str("--log").map_err(usage)?.unwrap_or(LevelFilter::Info);
+    let usage_error = |error| UsageError::Option(error, role.name());
+    let log_level = arguments.opt_value_from_str("--log").map_err(usage_error)?.unwrap_or(LevelFilter::Info);
     let experiment = parse_experiment(role, &mut arguments)?;
-    finish(arguments, role.name())?;
+    expect_no_arguments(arguments, role.name())?;
     Ok(Invocation::Run(role, RunOptions { log_level, experiment }))
 }
 
@@ -110,8 +110,8 @@
 #[cfg(feature = "fault-injection")]
 fn parse_experiment(role: Role, arguments: &mut Arguments) -> Result<Experiment, UsageError> {
     let mut experiment = Experiment::default();
-    let usage = |error| UsageError::Option(error, role.name());
-    while let Some(name) = arguments.opt_value_from_str::<_, String>("--without").map_err(usage)? {
+    let usage_error = |error| UsageError::Option(error, role.name());
+    while let Some(name) = arguments.opt_value_from_str::<_, String>("--without").map_err(usage_error)? {
         if !experiment.switch_on(&name) {
             return Err(UsageError::Unexpected(name.into(), role.name()));
         }
@@ -142,7 +142,7 @@
 }
 
 /// Fails if there are arguments that were not parsed.
-fn finish(arguments: Arguments, subcommand: &'static str) -> Result<(), UsageError> {
+fn expect_no_arguments(arguments: Arguments, subcommand: &'static str) -> Result<(), UsageError> {
     match arguments.finish().into_iter().next() {
         Some(unexpected) => Err(UsageError::Unexpected(unexpected, subcommand)),
         None => Ok(()),
@@ -186,5 +186,5 @@
 
 fn cannot_start(reason: &str) -> ExitCode {
     eprintln!("quillpulley: {reason}");
-    ExitCode::from(CANNOT_START)
+    ExitCode::from(EXIT_CODE_CANNOT_START)
 }
--- a/crates/quillpulley/src/peer/link.rs
+++ b/crates/quillpulley/src/peer/link.rs
@@ -59,17 +59,17 @@
 }
 
 fn accept_stream(shared: &Rc<Shared>, stream: TcpStream, address: SocketAddr) {
-    if shared.incoming.get() >= shared.options.max_incoming {
+    if shared.incoming_count.get() >= shared.options.max_incoming {
         debug!(address:% = address; "too many incoming connections; closing a new one");
         return;
     }
-    shared.incoming.set(shared.incoming.get() + 1);
+    shared.incoming_count.set(shared.incoming_count.get() + 1);
     let (link, outbound) = shared.link_table.borrow_mut().add_incoming(address);
     let shared = shared.clone();
     spawn_local(async move {
-        let end = run(&shared, link, outbound, stream).await;
-        shared.incoming.set(shared.incoming.get() - 1);
-        finish(&shared, link, address, end);
+        let reason = run(&shared, link, outbound, stream).await;
+        shared.incoming_count.set(shared.incoming_count.get() - 1);
+        finish(&shared, link, address, reason);
     });
 }
 
@@ -78,19 +78,19 @@
     let connecting = async {
         tokio::select! {
             connected = TcpStream::connect(address) => connected.map_err(CloseReason::Io),
-            () = ended(&outbound) => Err(CloseReason::ClosedLocally),
+            () = close_requested(&outbound) => Err(CloseReason::ClosedLocally),
         }
     };
-    let end = match timeout(CONNECT_TIMEOUT, connecting).await {
+    let reason = match timeout(CONNECT_TIMEOUT, connecting).await {
         Ok(Ok(stream)) => run(&shared, link, outbound, stream).await,
-        Ok(Err(end)) => end,
+        Ok(Err(reason)) => reason,
         Err(_) => CloseReason::TimedOut,
     };
-    finish(&shared, link, address, end);
+    finish(&shared, link, address, reason);
 }
 
 /// Waits until this side requests that the link be closed.
-async fn ended(outbound: &SharedOutbound) {
+async fn close_requested(outbound: &SharedOutbound) {
     poll_fn(|context| {
         let mut outbound = outbound.borrow_mut();
         outbound.register_waker(context);
@@ -103,25 +103,25 @@
     .await;
 }
 
-fn finish(shared: &Shared, link: LinkId, address: SocketAddr, end: CloseReason) {
-    match end {
+fn finish(shared: &Shared, link: LinkId, address: SocketAddr, reason: CloseReason) {
+    match reason {
         CloseReason::Protocol(_) | CloseReason::NoHello => {
-            warn!(link:% = link, address:% = address, reason:% = end; "link closed")
+            warn!(link:% = link, address:% = address, reason:% = reason; "link closed")
         }
-        _ => debug!(link:% = link, address:% = address, reason:% = end; "link closed"),
+        _ => debug!(link:% = link, address:% = address, reason:% = reason; "link closed"),
     }
-    shared.link_table.borrow_mut().closed(link);
+    shared.link_table.borrow_mut().link_closed(link);
 }
 
 async fn run(shared: &Shared, link: LinkId, outbound: SharedOutbound, stream: TcpStream) -> CloseReason {
-    socket::tune(&stream);
+    socket::set_options(&stream);
     outbound.borrow_mut().prepend(&compression_announcement());
     outbound.borrow_mut().prepend(&shared.hello);
     let connection =
         Connection { stream, decoder: FrameDecoder::default(), outbound, last_received_at: Instant::now() };
     match serve(shared, link, connection).await {
         Ok(never) => match never {},
-        Err(end) => end,
+        Err(reason) => reason,
     }
 }
 
@@ -130,11 +130,11 @@
     link: LinkId,
     mut connection: Connection,
 ) -> Result<std::convert::Infallible, CloseReason> {
-    let hello = connection.hello().await?;
-    shared.link_table.borrow_mut().open(link, hello);
+    let hello = connection.receive_hello().await?;
+    shared.link_table.borrow_mut().hello_received(link, hello);
     loop {
-        let body = connection.frame(shared.options.idle_timeout).await?;
-        shared.link_table.borrow_mut().frame(link, body);
+        let body = connection.receive_frame(shared.options.idle_timeout).await?;
+        shared.link_table.borrow_mut().frame_received(link, body);
     }
 }
 
@@ -150,18 +150,18 @@
 
 impl Connection {
     /// Returns the first message, which must be a `Hello` and must arrive within [`HELLO_TIMEOUT`].
-    async fn hello(&mut self) -> Result<Hello, CloseReason> {
+    async fn receive_hello(&mut self) -> Result<Hello, CloseReason> {
         let first = poll_fn(|context| self.poll_frame(context));
         match timeout(HELLO_TIMEOUT, first).await {
             Ok(Ok(Body::Hello(hello))) => Ok(*hello),
             Ok(Ok(_)) => Err(CloseReason::NoHello),
-            Ok(Err(end)) => Err(end),
+            Ok(Err(reason)) => Err(reason),
             Err(_) => Err(CloseReason::TimedOut),
         }
     }
 
     /// Returns the next message. Fails if no bytes are received for the idle timeout.
-    async fn frame(&mut self, idle_timeout: Option<Duration>) -> Result<Body, CloseReason> {
+    async fn receive_frame(&mut self, idle_timeout: Option<Duration>) -> Result<Body, CloseReason> {
         let Some(limit) = idle_timeout else {
             return poll_fn(|context| self.poll_frame(context)).await;
         };
@@ -195,11 +195,12 @@
         if self.decoder.peer_decompresses() {
             self.outbound.borrow_mut().enable_compression();
         }
-        let (here, there) = (self.decoder.take_received(), self.decoder.take_credited());
-        if here == 0 && there == 0 {
+        let (received_bytes, acknowledged_bytes) =
+            (self.decoder.take_received(), self.decoder.take_credited());
+        if received_bytes == 0 && acknowledged_bytes == 0 {
             return Ok(());
         }
-        self.outbound.borrow_mut().record_chunks(here, there);
+        self.outbound.borrow_mut().record_chunks(received_bytes, acknowledged_bytes);
         self.write(context)
     }
 
--- a/crates/quillpulley/src/peer/link_table.rs
+++ b/crates/quillpulley/src/peer/link_table.rs
@@ -34,7 +34,7 @@
 /// All links that are not closed.
 pub struct LinkTable {
     links: BTreeMap<LinkId, LinkEntry>,
-    next: u64,
+    next_id: u64,
     events: UnboundedSender<PeerEvent>,
     max_queued_bytes: usize,
 }
@@ -42,7 +42,7 @@
 impl LinkTable {
     /// Creates an empty table. Events are sent to `events`; `max_queued_bytes` is the limit for the queue of each link.
     pub fn new(events: UnboundedSender<PeerEvent>, max_queued_bytes: usize) -> LinkTable {
-        LinkTable { links: BTreeMap::new(), next: 1, events, max_queued_bytes }
+        LinkTable { links: BTreeMap::new(), next_id: 1, events, max_queued_bytes }
     }
 
     /// Adds a link that this side initiates.
@@ -56,20 +56,20 @@
     }
 
     fn add(&mut self, state: LinkState, address: SocketAddr) -> (LinkId, SharedOutbound) {
-        let link = LinkId(self.next);
-        self.next += 1;
+        let link = LinkId(self.next_id);
+        self.next_id += 1;
         let outbound = SharedOutbound::default();
         self.links.insert(link, LinkEntry { state, address, outbound: outbound.clone() });
         (link, outbound)
     }
 
     /// Opens a link after the `Hello` of the peer has arrived.
-    pub fn open(&mut self, link: LinkId, hello: Hello) {
+    pub fn hello_received(&mut self, link: LinkId, hello: Hello) {
         self.change_state(link, LinkState::Open, Some(hello));
     }
 
     /// Removes a link whose task has ended.
-    pub fn closed(&mut self, link: LinkId) {
+    pub fn link_closed(&mut self, link: LinkId) {
         self.change_state(link, LinkState::Closed, None);
     }
 
@@ -99,7 +99,7 @@
     }
 
     /// Emits the event for a received message.
-    pub fn frame(&mut self, link: LinkId, body: Body) {
+    pub fn frame_received(&mut self, link: LinkId, body: Body) {
         self.emit(PeerEvent::Frame { link, body });
     }
 
@@ -109,20 +109,20 @@
         let mut outbound = entry.outbound.borrow_mut();
         if outbound.push(lane, message, self.max_queued_bytes).is_err() {
             warn!(link:% = link, address:% = entry.address; "closing the link: the peer reads too slowly; check its load");
-            outbound.end();
+            outbound.close();
         }
     }
 
     /// Requests that a link be closed. Its task ends soon afterwards.
     pub fn close(&mut self, link: LinkId) {
         if let Some(entry) = self.links.get(&link) {
-            entry.outbound.borrow_mut().end();
+            entry.outbound.borrow_mut().close();
         }
     }
 
     /// Requests that all links be closed.
     pub fn close_all(&mut self) {
-        self.links.values().for_each(|entry| entry.outbound.borrow_mut().end());
+        self.links.values().for_each(|entry| entry.outbound.borrow_mut().close());
     }
 
     /// Emits an event. The event is dropped if the receiver is gone, which means that the host is exiting.
--- a/crates/quillpulley/src/peer/mod.rs
+++ b/crates/quillpulley/src/peer/mod.rs
@@ -93,7 +93,7 @@
 /// All links of a process. Dropping this closes them.
 pub struct Peers {
     shared: Rc<Shared>,
-    accepting: RefCell<Vec<AbortHandle>>,
+    accept_tasks: RefCell<Vec<AbortHandle>>,
 }
 
 /// State that the tasks of all links share.
@@ -103,7 +103,7 @@
     options: PeerOptions,
     link_table: RefCell<LinkTable>,
     encoder: RefCell<FrameEncoder>,
-    incoming: Cell<usize>,
+    incoming_count: Cell<usize>,
 }
 
 impl Peers {
@@ -125,20 +125,20 @@
             options,
             link_table: RefCell::new(LinkTable::new(events, options.max_queued_bytes)),
             encoder: RefCell::new(encoder),
-            incoming: Cell::new(0),
+            incoming_count: Cell::new(0),
         };
-        (Rc::new(Peers { shared: Rc::new(shared), accepting: RefCell::default() }), receiver)
+        (Rc::new(Peers { shared: Rc::new(shared), accept_tasks: RefCell::default() }), receiver)
     }
 
     /// Accepts connections until this value is dropped, or [`Peers::stop_listening`] is called.
     pub fn listen(&self, listener: TcpListener) {
         let task = spawn_local(link::accept(self.shared.clone(), listener));
-        self.accepting.borrow_mut().push(task.abort_handle());
+        self.accept_tasks.borrow_mut().push(task.abort_handle());
     }
 
     /// Closes all listeners. Established links stay open.
     pub fn stop_listening(&self) {
-        self.accepting.borrow_mut().drain(..).for_each(|task| task.abort());
+        self.accept_tasks.borrow_mut().drain(..).for_each(|task| task.abort());
     }
 
     /// Starts to connect to an address. Messages that are sent before the link is open are queued.
--- a/crates/quillpulley/src/peer/outbound.rs
+++ b/crates/quillpulley/src/peer/outbound.rs
@@ -7,7 +7,7 @@
 #[derive(Default)]
 pub struct Outbound {
     queue: FrameQueue,
-    ended: bool,
+    closing: bool,
     /// The waker of the link's task, if it is registered.
     waker: Option<Waker>,
 }
@@ -23,7 +23,7 @@
     /// # Errors
     /// [`QueueFull`] if more than `max_bytes` would be queued.
     pub fn push(&mut self, lane: Lane, message: &[u8], max_bytes: usize) -> Result<(), QueueFull> {
-        if self.ended {
+        if self.closing {
             return Ok(());
         }
         self.queue.push(lane, message, max_bytes)?;
@@ -32,14 +32,14 @@
     }
 
     /// Requests that the task close the link.
-    pub fn end(&mut self) {
-        self.ended = true;
+    pub fn close(&mut self) {
+        self.closing = true;
         self.wake();
     }
 
     /// Returns whether the link is to be closed.
     pub fn is_closing(&self) -> bool {
-        self.ended
+        self.closing
     }
 
     /// Returns the next bytes to be written; empty if nothing may be sent now.
@@ -52,13 +52,13 @@
         self.queue.advance(written);
     }
 
-    /// Queues an acknowledgement of the chunk bytes that this side has received (`here`), and records the chunk bytes
-    /// that the peer has acknowledged (`there`).
-    pub fn record_chunks(&mut self, here: usize, there: usize) {
-        if here > 0 {
-            self.queue.acknowledge_chunks(here);
+    /// Queues an acknowledgement of the chunks that this side has received, and records the chunks that the peer has
+    /// acknowledged. Both are counted in bytes.
+    pub fn record_chunks(&mut self, received_bytes: usize, acknowledged_bytes: usize) {
+        if received_bytes > 0 {
+            self.queue.acknowledge_chunks(received_bytes);
         }
-        self.queue.receive_credit(there);
+        self.queue.receive_credit(acknowledged_bytes);
     }
 
     /// Enables compression of long log entries and states. The peer must have announced that it can decompress them.
--- a/crates/quillpulley/src/peer/socket.rs
+++ b/crates/quillpulley/src/peer/socket.rs
@@ -13,7 +13,7 @@
 /// has lost power.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// The idle time after which TCP keepalive probes are sent, and the interval between probes.
-const KEEPALIVE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// How long binding is retried while the address is in use, because a previous process may still be exiting.
 const BIND_TIMEOUT: Duration = Duration::from_secs(2);
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(100);
@@ -22,15 +22,15 @@
 
 /// Sets the options of a connection between processes of the system: no delay for small messages, and timeouts that
 /// detect the loss of the other machine sooner than the defaults of the kernel. Failures are only logged.
-pub fn tune(stream: &TcpStream) {
+pub fn set_options(stream: &TcpStream) {
     let socket = SockRef::from(stream);
-    let keepalive = TcpKeepalive::new().with_time(KEEPALIVE).with_interval(KEEPALIVE);
-    let set = [
+    let keepalive = TcpKeepalive::new().with_time(KEEPALIVE_INTERVAL).with_interval(KEEPALIVE_INTERVAL);
+    let results = [
         socket.set_tcp_nodelay(true),
         socket.set_tcp_user_timeout(Some(USER_TIMEOUT)),
         socket.set_tcp_keepalive(&keepalive),
     ];
-    for error in set.into_iter().filter_map(Result::err) {
+    for error in results.into_iter().filter_map(Result::err) {
         debug!(error:% = error; "cannot set a socket option");
     }
 }
--- a/crates/quillpulley/src/signals.rs
+++ b/crates/quillpulley/src/signals.rs
@@ -32,9 +32,9 @@
     Ok(receiver)
 }
 
-async fn forward(mut signals: Signal, signal: ProcessSignal, sender: UnboundedSender<ProcessSignal>) {
+async fn forward(mut signals: Signal, meaning: ProcessSignal, sender: UnboundedSender<ProcessSignal>) {
     while signals.recv().await.is_some() {
-        if sender.send(signal).is_err() {
+        if sender.send(meaning).is_err() {
             return;
         }
     }
--- a/crates/quillpulley/tests/parent_search.rs
+++ b/crates/quillpulley/tests/parent_search.rs
@@ -226,7 +226,7 @@
     let mut happens = |milliseconds: u64, text: &str| {
         let now = Duration::from_millis(milliseconds);
         parent_search.handle(now, event(text), &mut Vec::new());
-        parent_search.failed(now).into_iter().map(name).collect::<Vec<_>>().join(" ")
+        parent_search.failed_candidates(now).into_iter().map(name).collect::<Vec<_>>().join(" ")
     };
     assert_eq!(happens(0, "candidates A1 C1"), "");
     assert_eq!(happens(10, "lost A1"), "A1");
