--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,17 +1,19 @@
-//! Deliberate faults, with which tests prove that they would notice a mistake, and mechanisms that experiments leave
-//! out to measure what they are worth.
+//! Fault injection: switches for deliberate faults, with which tests verify that they detect such faults, and switches
+//! that disable a mechanism, so that an experiment can measure its effect.
 //!
-//! A crate that uses [`define_faults`] needs a feature `fault-injection`, which its own tests enable. Without it no
-//! fault can be switched on: the type has no fields, and each of its methods is constant.
+//! A crate that uses [`define_faults`] needs a Cargo feature `fault-injection`, which its own tests enable. Without the
+//! feature, no fault can be switched on: the generated type has no fields, and all its methods return the constant
+//! `false`.
 #![forbid(unsafe_code)]
 
-/// Defines a type `Faults` with a public switch, and a method within the crate, for each fault.
+/// Defines a type with one switch for each fault: a public field of type `bool`, and a method of the same name that is
+/// visible within the crate and returns whether the fault is switched on.
 ///
 /// ```ignore
 /// quillpulley_fault_injection::define_faults! {
 ///     /// The faults of a cache.
 ///     Faults {
-///         /// Expired entries are returned.
+///         /// Returns expired entries.
 ///         return_expired,
 ///     }
 /// }
@@ -44,7 +46,7 @@
                 }
             )*
 
-            /// Switches on the fault of this name. Returns false if there is none.
+            /// Switches on the fault with this name. Returns false if there is no such fault.
             #[cfg(feature = "fault-injection")]
             pub fn switch_on(&mut self, name: &str) -> bool {
                 match name {
--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -1,6 +1,6 @@
-//! The log format of all programs: a line for each record, `LEVEL module: message key=value ...`, on standard error.
+//! The log format of all programs: one line for each record, `LEVEL module: message key=value ...`, on standard error.
 //!
-//! A line that cannot be written is lost: a closed standard error ends no process.
+//! A line that cannot be written is dropped, so that a process keeps running after its standard error was closed.
 #![forbid(unsafe_code)]
 
 use env_logger::Builder;
@@ -8,13 +8,13 @@
 use log::{LevelFilter, Record};
 use std::io::{self, Write};
 
-/// The prefixes of modules that a line does not show.
+/// Module prefixes that are omitted from log lines.
 const HIDDEN_PREFIXES: [&str; 3] = ["quillpulley::", "quillpulley_", "rate_limiter::"];
 
-/// Logs records of at least this level from now on.
+/// Installs the logger, which writes records of this level and of more severe ones.
 ///
 /// # Panics
-/// If the logger was started before.
+/// If a logger is already installed.
 pub fn start(level: LevelFilter) {
     Builder::new().filter_level(level).format(write_record).init();
 }
@@ -26,7 +26,7 @@
     writeln!(line)
 }
 
-/// Writes fields as ` key=value`.
+/// Writes each key-value pair of a record as ` key=value`.
 struct FieldWriter<'a, W> {
     line: &'a mut W,
 }
@@ -37,7 +37,7 @@
     }
 }
 
-/// Returns the module that logs, without its hidden prefix.
+/// Returns the module that logs the record, without a hidden prefix.
 fn module<'a>(record: &'a Record<'_>) -> &'a str {
     let target = record.target();
     HIDDEN_PREFIXES.iter().find_map(|prefix| target.strip_prefix(prefix)).unwrap_or(target)
--- a/crates/protocol/src/framing.rs
+++ b/crates/protocol/src/framing.rs
@@ -1,4 +1,4 @@
-//! Length-prefixed frames on a byte stream, and flatbuffers on their own.
+//! Encoding and decoding of frames on a byte stream, and of stand-alone flatbuffers.
 
 use crate::compression::decompress;
 use crate::lane::{Lane, LANES};
@@ -6,22 +6,25 @@
 use displaydoc::Display;
 use planus::{Builder, ReadAsRoot, WriteAsOffset};
 
-/// The most bytes that one frame may hold, its length prefix aside. A complete configuration and what is
-/// published beside it fit.
+/// The maximum length of a message, not counting the prefix. It is large enough for a complete configuration together
+/// with the other published items.
 pub const MAX_FRAME_BYTES: usize = 32 * 1024 * 1024;
-/// The most bytes of a chunk.
+/// The maximum length of a chunk, not counting the prefix.
 pub const MAX_CHUNK_BYTES: usize = 64 * 1024;
+/// The length of a frame prefix.
 pub(crate) const PREFIX: usize = 4;
-/// The length has the low bits of a prefix. The kind of the frame and, for chunks, the lane are in the bits above.
+/// The number of low bits of a prefix that hold the length of the frame. The bits above hold the lane and the kind of the
+/// frame.
 const LENGTH_BITS: u32 = 26;
 const LANE_SHIFT: u32 = LENGTH_BITS;
 const KIND_SHIFT: u32 = LANE_SHIFT + 2;
-/// Consumed bytes are removed from the buffer in units of this size; an idle buffer keeps no more memory than this.
+/// Consumed bytes are removed from the buffer once there are more than this, or no others. The capacity of the buffer is
+/// then reduced to this, or to its length if that is greater.
 const COMPACT_AT: usize = 64 * 1024;
-/// An encoder that has written a longer message than this gives its memory back.
+/// An encoder releases its memory after it has written a message longer than this.
 const RETAINED_BUILDER_BYTES: usize = 64 * 1024;
 
-/// Why bytes are no frame or no value.
+/// Why received or stored bytes cannot be decoded.
 #[derive(Debug, Display, PartialEq, Eq)]
 pub enum ProtocolError {
     /// a frame of {0} bytes is over the limit: close the connection and check that the peer speaks this protocol
@@ -38,7 +41,7 @@
     }
 }
 
-/// One message as it goes on a stream, with its length in front.
+/// Encodes a message as one frame, with the prefix.
 pub fn encode_frame(body: Body) -> Vec<u8> {
     let mut builder = Builder::new();
     let bytes = builder.finish(Frame { body: Some(body) }, None);
@@ -48,14 +51,14 @@
     framed
 }
 
-/// Writes messages without taking them and without a new buffer for each.
+/// Encodes messages by reference, and reuses one buffer for all of them.
 #[derive(Default)]
 pub struct FrameEncoder {
     builder: Builder,
 }
 
 impl FrameEncoder {
-    /// One message without its length, as a datagram carries it.
+    /// Encodes a message without a prefix, as it is sent in a datagram.
     pub fn message(&mut self, body: &Body) -> &[u8] {
         if self.builder.len() > RETAINED_BUILDER_BYTES {
             self.builder = Builder::new();
@@ -64,38 +67,38 @@
         self.builder.finish(Frame::builder().body(body), None)
     }
 
-    /// Adds one message to what goes on a stream, with its length in front.
+    /// Encodes a message as one frame, with the prefix, and appends it to `stream`.
     pub fn append(&mut self, body: &Body, stream: &mut Vec<u8>) {
         frame_message(self.message(body), stream);
     }
 }
 
-/// Adds a message as [`FrameEncoder::message`] gave it to what goes on a stream, with its length in front.
+/// Appends a frame with the prefix to `stream`, from a message that [`FrameEncoder::message`] has encoded.
 pub fn frame_message(message: &[u8], stream: &mut Vec<u8>) {
     stream.reserve(PREFIX + message.len());
     stream.extend_from_slice(&(message.len() as u32).to_le_bytes());
     stream.extend_from_slice(message);
 }
 
-/// Reads one message, without its length: a datagram, or what a [`FrameDecoder`] has cut out.
+/// Decodes a message without a prefix, such as a datagram.
 ///
 /// # Errors
-/// [`ProtocolError`].
+/// [`ProtocolError::Malformed`] if the bytes are not a message.
 pub fn decode_frame(bytes: &[u8]) -> Result<Body, ProtocolError> {
     let frame = FrameRef::read_as_root(bytes)?;
-    let body = frame.body()?.ok_or_else(|| ProtocolError::Malformed("an empty frame".to_string()))?;
+    let body = frame.body()?.ok_or_else(|| ProtocolError::Malformed("frame without a body".to_string()))?;
     Ok(Body::try_from(body)?)
 }
 
-/// Encodes a table on its own, such as the value of an item.
+/// Encodes a stand-alone flatbuffers table, such as the value of a published item.
 pub fn encode_value<T>(value: impl WriteAsOffset<T>) -> Vec<u8> {
     Builder::new().finish(value, None).to_vec()
 }
 
-/// Decodes a table on its own: `decode_value::<ServerRef, Server>(bytes)`.
+/// Decodes a stand-alone flatbuffers table: `decode_value::<ServerRef, Server>(bytes)`.
 ///
 /// # Errors
-/// [`ProtocolError`].
+/// [`ProtocolError::Malformed`] if the bytes are not such a table.
 pub fn decode_value<'a, R, T>(bytes: &'a [u8]) -> Result<T, ProtocolError>
 where
     R: ReadAsRoot<'a>,
@@ -104,24 +107,24 @@
     Ok(T::try_from(R::read_as_root(bytes)?)?)
 }
 
-/// What a frame on a stream holds.
+/// The kind of a frame on a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FrameKind {
-    /// A message.
+    /// A complete message.
     Complete,
-    /// A chunk of a message. More follow on the same lane, with other frames between them.
+    /// A chunk of a message. More chunks follow on the same lane; other frames may be sent between them.
     Chunk,
-    /// The last chunk of a message.
+    /// The last chunk of an uncompressed message.
     LastChunk,
-    /// An acknowledgement of chunks: their bytes, as four bytes. On the lane for state, which carries no
-    /// acknowledgements, it announces that its sender can decompress messages; releases that cannot take it for an
-    /// acknowledgement of nothing.
+    /// An acknowledgement of chunks: the number of their bytes, as a four-byte little-endian integer. Acknowledgements are
+    /// sent on [`Lane::Control`]. On [`Lane::State`], this frame with the number 0 announces that its sender can decompress
+    /// messages; earlier releases without compression ignore the lane and read it as an acknowledgement of 0 bytes.
     Credit,
     /// The last chunk of a compressed message.
     LastCompressedChunk,
 }
 
-/// The four bytes before a frame.
+/// The prefix of a frame, which is encoded in four bytes.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Prefix {
     pub kind: FrameKind,
@@ -154,12 +157,12 @@
     }
 }
 
-/// Splits a byte stream into messages, and joins messages that come in chunks.
+/// Splits a byte stream into frames, and joins chunks into messages.
 #[derive(Default)]
 pub struct FrameDecoder {
     buffer: Vec<u8>,
     consumed: usize,
-    /// The received part of a message on each lane.
+    /// For each lane, the chunks of the current message that were received so far.
     unfinished: [Vec<u8>; LANES],
     received: usize,
     receive_credit: usize,
@@ -177,10 +180,11 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Returns the next complete message, if there is one. After an error the stream is of no further use.
+    /// Returns the next complete message, or `None` if more bytes are needed. After an error, the rest of the stream cannot
+    /// be decoded.
     ///
     /// # Errors
-    /// [`ProtocolError`].
+    /// [`ProtocolError`] if a frame is invalid or a message is too long.
     pub fn next_frame(&mut self) -> Result<Option<Body>, ProtocolError> {
         loop {
             let pending = &self.buffer[self.consumed..];
@@ -214,7 +218,8 @@
         }
     }
 
-    /// Returns the bytes of chunks that were received since the last call, which must be acknowledged.
+    /// Returns the number of bytes of chunks that were received since the last call. The caller must acknowledge them to
+    /// the peer.
     pub fn take_received(&mut self) -> usize {
         std::mem::take(&mut self.received)
     }
@@ -224,13 +229,13 @@
         self.peer_decompresses
     }
 
-    /// Returns the bytes of chunks that the peer has acknowledged since the last call.
+    /// Returns the number of bytes of chunks that the peer has acknowledged since the last call.
     pub fn take_credited(&mut self) -> usize {
         std::mem::take(&mut self.receive_credit)
     }
 }
 
-/// Returns the frame by which a process announces that it can decompress messages. It follows the introduction.
+/// Returns the frame that announces that this process can decompress messages. It is sent directly after the `Hello`.
 pub fn compression_announcement() -> Vec<u8> {
     let nothing = 0u32.to_le_bytes();
     let prefix = Prefix { kind: FrameKind::Credit, lane: Lane::State, length: nothing.len() };
@@ -239,6 +244,6 @@
 
 fn read_credit(bytes: &[u8]) -> Result<usize, ProtocolError> {
     let bytes =
-        bytes.try_into().map_err(|_| ProtocolError::Malformed("a credit without a number".to_string()))?;
+        bytes.try_into().map_err(|_| ProtocolError::Malformed("credit frame without a count".to_string()))?;
     Ok(u32::from_le_bytes(bytes) as usize)
 }
--- a/crates/protocol/src/lane.rs
+++ b/crates/protocol/src/lane.rs
@@ -1,18 +1,20 @@
-//! The lanes of a link: messages of one lane keep their order, those of different lanes may pass each other.
+//! The lanes of a link. Messages of the same lane are delivered in order; messages of different lanes may overtake each
+//! other.
 
 use crate::Body;
 
-/// How many lanes there are.
+/// The number of lanes.
 pub(crate) const LANES: usize = 3;
 
-/// Where a message goes on a link.
+/// The lane of a link on which a message is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lane {
-    /// Leases, votes and acknowledgements of the replication: short, and sent before all that waits.
+    /// Leases, votes and acknowledgements of the replication protocol. They are short, and are sent before all queued
+    /// messages of the other lanes.
     Control,
-    /// Everything that relies on its order, such as published state.
+    /// All messages that must be delivered in order, such as updates of published state.
     Ordered,
-    /// Log and state of the replication, which may be long and may be lost.
+    /// Log entries and snapshots of the replication protocol. They may be long, and the protocol tolerates their loss.
     State,
 }
 
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,9 +1,10 @@
 //! The internal protocol of quillpulley: typed messages (generated from `protocol.fbs`) and their framing.
 //!
-//! A frame on a stream is its length as four bytes, least significant first, and then one flatbuffer of the type
-//! [`Frame`]. The bits above the length distinguish chunks of long messages from complete ones ([`FrameQueue`] splits
-//! them, [`FrameDecoder`] joins them). Published values and log entries are flatbuffers of their own, read and
-//! written by [`encode_value`] and [`decode_value`].
+//! A frame on a stream consists of a four-byte little-endian prefix and a payload. The low bits of the prefix are the
+//! length of the payload. The bits above tell whether the payload is a complete message (a flatbuffer of the type
+//! [`Frame`]), a chunk of a long message, or an acknowledgement of chunks. [`FrameQueue`] splits long messages into
+//! chunks, and [`FrameDecoder`] joins them. Published values and log entries are separate flatbuffers, which are written
+//! by [`encode_value`] and read by [`decode_value`].
 
 #[rustfmt::skip]
 #[allow(clippy::all, missing_docs)]
--- a/crates/protocol/src/queue.rs
+++ b/crates/protocol/src/queue.rs
@@ -1,7 +1,8 @@
-//! What waits to be sent on one link.
+//! The queue of outgoing messages of one link.
 //!
-//! Long messages are split into chunks, and are sent only as fast as the peer acknowledges chunks. So there is never
-//! much of them between the two processes, and a heartbeat that is sent behind them is not held up.
+//! Long messages are split into chunks, and chunks are sent only as fast as the peer acknowledges them. This limits the
+//! bytes that are in flight or in socket buffers, so that a heartbeat which is sent after a long message is not delayed
+//! by it.
 
 use crate::compression::compress;
 use crate::framing::{frame_message, FrameKind, Prefix, MAX_CHUNK_BYTES};
@@ -9,13 +10,13 @@
 use displaydoc::Display;
 use std::collections::VecDeque;
 
-/// The most bytes of chunks that are not acknowledged.
+/// No further chunk is sent while at least this many bytes of chunks are unacknowledged.
 pub const CHUNK_WINDOW_BYTES: usize = 512 * 1024;
-/// Written bytes are removed from the buffer in units of this size, and an empty buffer keeps no more memory than
-/// this.
+/// Written bytes are removed from the buffer once there are more than this, and an empty buffer retains at most this
+/// capacity.
 const RETAINED_BUFFER_BYTES: usize = 64 * 1024;
 
-/// more bytes wait than the bound allows: check the load of the peer
+/// the queue of outgoing messages is full: check the load of the peer
 #[derive(Debug, Display, PartialEq, Eq)]
 pub struct QueueFull;
 
@@ -32,40 +33,42 @@
     }
 }
 
-/// Messages on their way to one peer.
+/// The queue of outgoing messages to one peer.
 #[derive(Default)]
 pub struct FrameQueue {
-    /// Frames in the order in which they go out.
+    /// Encoded frames in the order in which they are written.
     ready: Vec<u8>,
     written: usize,
-    /// Messages that are sent in chunks.
+    /// Queued messages of [`Lane::Ordered`], which are sent in chunks.
     ordered: VecDeque<Message>,
-    /// Of these one may be sent in part, and one may wait behind it.
+    /// Queued messages of [`Lane::State`]: at most one that has been sent in part, and one behind it.
     states: VecDeque<Message>,
-    /// The lane that is next.
+    /// Whether the latest chunk was taken from [`Lane::State`] if that lane had any. It alternates with each chunk, so
+    /// that the two lanes share the link.
     states_next: bool,
-    /// Bytes of chunks that the peer has not acknowledged.
+    /// The bytes of sent chunks that the peer has not acknowledged yet.
     in_flight: usize,
     /// Whether the peer can decompress messages.
     compresses: bool,
 }
 
 impl FrameQueue {
-    /// Puts bytes before all that waits; nothing may have been written yet.
+    /// Inserts bytes at the front of the queue. Must be called before any bytes were written.
     pub fn prepend(&mut self, bytes: &[u8]) {
         self.ready.splice(..0, bytes.iter().copied());
     }
 
-    /// Has long log entries and states compressed from now on. The peer must have announced that it can decompress them.
+    /// Enables compression of long messages of [`Lane::State`]. The peer must have announced that it can decompress them.
     pub fn enable_compression(&mut self) {
         self.compresses = true;
     }
 
-    /// Adds an encoded message. On the lane for state it replaces one that has not been begun; on the others it is
-    /// refused if more bytes than `maximum` would wait, unless nothing waits before it.
+    /// Queues an encoded message. A message of [`Lane::State`] replaces a queued one whose transmission has not begun, and
+    /// is always accepted. On the other lanes, a message is rejected if the queue would then hold more than `maximum`
+    /// bytes, unless the queue is empty. Messages of [`Lane::State`] that wait to be sent do not count.
     ///
     /// # Errors
-    /// [`QueueFull`].
+    /// [`QueueFull`] if the message is rejected.
     pub fn push(&mut self, lane: Lane, message: &[u8], maximum: usize) -> Result<(), QueueFull> {
         if lane == Lane::State {
             self.states.retain(|pending| pending.sent > 0);
@@ -97,7 +100,8 @@
         Ok(())
     }
 
-    /// Returns the next bytes to write; empty if nothing may be sent now.
+    /// Returns the next bytes to be written. Empty if the queue is empty, or if only chunks are queued and the window of
+    /// unacknowledged chunks is full.
     pub fn pending(&mut self) -> &[u8] {
         while self.ready_bytes() < MAX_CHUNK_BYTES && self.in_flight < CHUNK_WINDOW_BYTES {
             let Some(message) = self.next_message() else { break };
@@ -106,7 +110,7 @@
         &self.ready[self.written..]
     }
 
-    /// So many of the waiting bytes were written.
+    /// Records that this many of the [`FrameQueue::pending`] bytes were written.
     pub fn advance(&mut self, written: usize) {
         self.written += written;
         if self.written == self.ready.len() {
@@ -119,7 +123,7 @@
         }
     }
 
-    /// Acknowledges this many bytes of the peer's chunks.
+    /// Queues an acknowledgement of this many bytes of chunks from the peer.
     pub fn acknowledge_chunks(&mut self, bytes: usize) {
         let credit = (bytes as u32).to_le_bytes();
         let prefix = Prefix { kind: FrameKind::Credit, lane: Lane::Control, length: credit.len() };
@@ -127,12 +131,12 @@
         self.ready.extend_from_slice(&credit);
     }
 
-    /// Handles that the peer has acknowledged this many bytes of chunks.
+    /// Records that the peer has acknowledged this many bytes of chunks.
     pub fn receive_credit(&mut self, bytes: usize) {
         self.in_flight = self.in_flight.saturating_sub(bytes);
     }
 
-    /// Returns bytes held for this link.
+    /// Returns the total number of queued bytes.
     pub fn bytes(&self) -> usize {
         self.bounded_bytes() + self.states.iter().map(Message::remaining).sum::<usize>()
     }
@@ -145,7 +149,7 @@
         self.ready_bytes() + self.ordered.iter().map(Message::remaining).sum::<usize>()
     }
 
-    /// Takes the message that is next out of its lane.
+    /// Removes the message that the next chunk is taken from. The lanes alternate if both have queued messages.
     fn next_message(&mut self) -> Option<Message> {
         self.states_next = !self.states_next;
         if self.states_next {
@@ -155,7 +159,7 @@
         }
     }
 
-    /// Prepares the next chunk of a message, and keeps the rest of the message.
+    /// Moves the next chunk of a message to `ready`, and puts the rest of the message back at the front of its lane.
     fn take_chunk(&mut self, mut message: Message) {
         let length = message.remaining().min(MAX_CHUNK_BYTES);
         let kind = match (length == message.remaining(), message.is_compressed) {
