--- a/crates/protocol/src/compression.rs
+++ b/crates/protocol/src/compression.rs
@@ -4,13 +4,13 @@
 use lz4_flex::block::{compress_prepend_size, decompress_size_prepended};
 
 /// A message is sent compressed only if that saves more than this fraction of its length: one eighth.
-const LEAST_GAIN_DIVISOR: usize = 8;
+const MIN_SAVING_DIVISOR: usize = 8;
 
 /// Returns the compressed message with its original length in front, or `None` if compression saves too little.
 pub(crate) fn compress(message: &[u8]) -> Option<Vec<u8>> {
     let compressed = compress_prepend_size(message);
-    let worthwhile = message.len() - message.len() / LEAST_GAIN_DIVISOR;
-    (compressed.len() < worthwhile).then_some(compressed)
+    let max_compressed_length = message.len() - message.len() / MIN_SAVING_DIVISOR;
+    (compressed.len() < max_compressed_length).then_some(compressed)
 }
 
 /// Decompresses a message. A message whose decompressed length exceeds [`MAX_FRAME_BYTES`] is rejected before memory is
--- a/crates/protocol/src/framing.rs
+++ b/crates/protocol/src/framing.rs
@@ -1,7 +1,7 @@
 //! Encoding and decoding of frames on a byte stream, and of stand-alone flatbuffers.
 
 use crate::compression::decompress;
-use crate::lane::{Lane, LANES};
+use crate::lane::{Lane, LANE_COUNT};
 use crate::{Body, Frame, FrameRef};
 use displaydoc::Display;
 use planus::{Builder, ReadAsRoot, WriteAsOffset};
@@ -12,7 +12,7 @@
 /// The maximum length of a chunk, not counting the prefix.
 pub const MAX_CHUNK_BYTES: usize = 64 * 1024;
 /// The length of a frame prefix.
-pub(crate) const PREFIX: usize = 4;
+pub(crate) const PREFIX_BYTES: usize = 4;
 /// The number of low bits of a prefix that hold the length of the frame. The bits above hold the lane and the kind of the
 /// frame.
 const LENGTH_BITS: u32 = 26;
@@ -20,7 +20,7 @@
 const KIND_SHIFT: u32 = LANE_SHIFT + 2;
 /// Consumed bytes are removed from the buffer once there are more than this, or no others. The capacity of the buffer is
 /// then reduced to this, or to its length if that is greater.
-const COMPACT_AT: usize = 64 * 1024;
+const COMPACTION_THRESHOLD_BYTES: usize = 64 * 1024;
 /// An encoder releases its memory after it has written a message longer than this.
 const RETAINED_BUILDER_BYTES: usize = 64 * 1024;
 
@@ -45,7 +45,7 @@
 pub fn encode_frame(body: Body) -> Vec<u8> {
     let mut builder = Builder::new();
     let bytes = builder.finish(Frame { body: Some(body) }, None);
-    let mut framed = Vec::with_capacity(PREFIX + bytes.len());
+    let mut framed = Vec::with_capacity(PREFIX_BYTES + bytes.len());
     framed.extend_from_slice(&(bytes.len() as u32).to_le_bytes());
     framed.extend_from_slice(bytes);
     framed
@@ -75,7 +75,7 @@
 
 /// Appends a frame with the prefix to `stream`, from a message that [`FrameEncoder::message`] has encoded.
 pub fn frame_message(message: &[u8], stream: &mut Vec<u8>) {
-    stream.reserve(PREFIX + message.len());
+    stream.reserve(PREFIX_BYTES + message.len());
     stream.extend_from_slice(&(message.len() as u32).to_le_bytes());
     stream.extend_from_slice(message);
 }
@@ -133,19 +133,19 @@
 }
 
 impl Prefix {
-    pub fn encode(self) -> [u8; PREFIX] {
+    pub fn encode(self) -> [u8; PREFIX_BYTES] {
         let (kind, lane) = (self.kind as u32, self.lane as u32);
         (self.length as u32 | lane << LANE_SHIFT | kind << KIND_SHIFT).to_le_bytes()
     }
 
-    fn decode(bytes: [u8; PREFIX]) -> Result<Self, ProtocolError> {
+    fn decode(bytes: [u8; PREFIX_BYTES]) -> Result<Self, ProtocolError> {
         let word = u32::from_le_bytes(bytes);
         let length = (word & ((1 << LENGTH_BITS) - 1)) as usize;
         let (kind, limit) = match word >> KIND_SHIFT {
             0 => (FrameKind::Complete, MAX_FRAME_BYTES),
             1 => (FrameKind::Chunk, MAX_CHUNK_BYTES),
             2 => (FrameKind::LastChunk, MAX_CHUNK_BYTES),
-            3 => (FrameKind::Credit, PREFIX),
+            3 => (FrameKind::Credit, PREFIX_BYTES),
             4 => (FrameKind::LastCompressedChunk, MAX_CHUNK_BYTES),
             _ => return Err(ProtocolError::TooLong(word as usize)),
         };
@@ -163,18 +163,18 @@
     buffer: Vec<u8>,
     consumed: usize,
     /// For each lane, the chunks of the current message that were received so far.
-    unfinished: [Vec<u8>; LANES],
-    received: usize,
-    receive_credit: usize,
+    partial_messages: [Vec<u8>; LANE_COUNT],
+    received_bytes: usize,
+    acknowledged_bytes: usize,
     peer_decompresses: bool,
 }
 
 impl FrameDecoder {
     /// Adds received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
-        if self.consumed > COMPACT_AT || self.consumed == self.buffer.len() {
+        if self.consumed > COMPACTION_THRESHOLD_BYTES || self.consumed == self.buffer.len() {
             self.buffer.drain(..self.consumed);
-            self.buffer.shrink_to(COMPACT_AT);
+            self.buffer.shrink_to(COMPACTION_THRESHOLD_BYTES);
             self.consumed = 0;
         }
         self.buffer.extend_from_slice(bytes);
@@ -188,27 +188,27 @@
     pub fn next_frame(&mut self) -> Result<Option<Body>, ProtocolError> {
         loop {
             let pending = &self.buffer[self.consumed..];
-            let Some((prefix, rest)) = pending.split_first_chunk::<PREFIX>() else { return Ok(None) };
+            let Some((prefix, rest)) = pending.split_first_chunk::<PREFIX_BYTES>() else { return Ok(None) };
             let Prefix { kind, lane, length } = Prefix::decode(*prefix)?;
             let Some(bytes) = rest.get(..length) else { return Ok(None) };
-            self.consumed += PREFIX + length;
+            self.consumed += PREFIX_BYTES + length;
             match kind {
                 FrameKind::Complete => return decode_frame(bytes).map(Some),
                 FrameKind::Credit => {
-                    self.receive_credit += read_credit(bytes)?;
+                    self.acknowledged_bytes += read_credit(bytes)?;
                     self.peer_decompresses |= lane == Lane::State;
                 }
                 FrameKind::Chunk | FrameKind::LastChunk | FrameKind::LastCompressedChunk => {
-                    self.received += length;
-                    let unfinished = &mut self.unfinished[lane as usize];
-                    if unfinished.len() + length > MAX_FRAME_BYTES {
-                        return Err(ProtocolError::TooLong(unfinished.len() + length));
+                    self.received_bytes += length;
+                    let partial = &mut self.partial_messages[lane as usize];
+                    if partial.len() + length > MAX_FRAME_BYTES {
+                        return Err(ProtocolError::TooLong(partial.len() + length));
                     }
-                    unfinished.extend_from_slice(bytes);
+                    partial.extend_from_slice(bytes);
                     match kind {
-                        FrameKind::LastChunk => return decode_frame(&std::mem::take(unfinished)).map(Some),
+                        FrameKind::LastChunk => return decode_frame(&std::mem::take(partial)).map(Some),
                         FrameKind::LastCompressedChunk => {
-                            let message = decompress(&std::mem::take(unfinished))?;
+                            let message = decompress(&std::mem::take(partial))?;
                             return decode_frame(&message).map(Some);
                         }
                         _ => {}
@@ -221,7 +221,7 @@
     /// Returns the number of bytes of chunks that were received since the last call. The caller must acknowledge them to
     /// the peer.
     pub fn take_received(&mut self) -> usize {
-        std::mem::take(&mut self.received)
+        std::mem::take(&mut self.received_bytes)
     }
 
     /// Returns whether the peer has announced that it can decompress messages.
@@ -231,7 +231,7 @@
 
     /// Returns the number of bytes of chunks that the peer has acknowledged since the last call.
     pub fn take_credited(&mut self) -> usize {
-        std::mem::take(&mut self.receive_credit)
+        std::mem::take(&mut self.acknowledged_bytes)
     }
 }
 
--- a/crates/protocol/src/lane.rs
+++ b/crates/protocol/src/lane.rs
@@ -4,7 +4,7 @@
 use crate::Body;
 
 /// The number of lanes.
-pub(crate) const LANES: usize = 3;
+pub(crate) const LANE_COUNT: usize = 3;
 
 /// The lane of a link on which a message is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/protocol/src/queue.rs
+++ b/crates/protocol/src/queue.rs
@@ -45,11 +45,11 @@
     states: VecDeque<Message>,
     /// Whether the latest chunk was taken from [`Lane::State`] if that lane had any. It alternates with each chunk, so
     /// that the two lanes share the link.
-    states_next: bool,
+    prefer_state_lane: bool,
     /// The bytes of sent chunks that the peer has not acknowledged yet.
     in_flight: usize,
     /// Whether the peer can decompress messages.
-    compresses: bool,
+    compression_enabled: bool,
 }
 
 impl FrameQueue {
@@ -60,21 +60,21 @@
 
     /// Enables compression of long messages of [`Lane::State`]. The peer must have announced that it can decompress them.
     pub fn enable_compression(&mut self) {
-        self.compresses = true;
+        self.compression_enabled = true;
     }
 
     /// Queues an encoded message. A message of [`Lane::State`] replaces a queued one whose transmission has not begun, and
-    /// is always accepted. On the other lanes, a message is rejected if the queue would then hold more than `maximum`
+    /// is always accepted. On the other lanes, a message is rejected if the queue would then hold more than `max_bytes`
     /// bytes, unless the queue is empty. Messages of [`Lane::State`] that wait to be sent do not count.
     ///
     /// # Errors
     /// [`QueueFull`] if the message is rejected.
-    pub fn push(&mut self, lane: Lane, message: &[u8], maximum: usize) -> Result<(), QueueFull> {
+    pub fn push(&mut self, lane: Lane, message: &[u8], max_bytes: usize) -> Result<(), QueueFull> {
         if lane == Lane::State {
             self.states.retain(|pending| pending.sent > 0);
         } else {
             let before = self.bounded_bytes();
-            if before > 0 && before + message.len() > maximum {
+            if before > 0 && before + message.len() > max_bytes {
                 return Err(QueueFull);
             }
         }
@@ -88,7 +88,8 @@
             frame_message(message, &mut self.ready);
             return Ok(());
         }
-        let is_compressible = self.compresses && lane == Lane::State && message.len() > MAX_CHUNK_BYTES;
+        let is_compressible =
+            self.compression_enabled && lane == Lane::State && message.len() > MAX_CHUNK_BYTES;
         let compressed = is_compressible.then(|| compress(message)).flatten();
         let is_compressed = compressed.is_some();
         let bytes = compressed.unwrap_or_else(|| message.to_vec());
@@ -151,8 +152,8 @@
 
     /// Removes the message that the next chunk is taken from. The lanes alternate if both have queued messages.
     fn next_message(&mut self) -> Option<Message> {
-        self.states_next = !self.states_next;
-        if self.states_next {
+        self.prefer_state_lane = !self.prefer_state_lane;
+        if self.prefer_state_lane {
             self.states.pop_front().or_else(|| self.ordered.pop_front())
         } else {
             self.ordered.pop_front().or_else(|| self.states.pop_front())
--- a/crates/protocol/tests/sizes.rs
+++ b/crates/protocol/tests/sizes.rs
@@ -9,7 +9,7 @@
 
 const NAME: &str = "front-zona-10-1";
 /// What goes before a message on a stream, and not in a datagram.
-const PREFIX: usize = 4;
+const PREFIX_BYTES: usize = 4;
 
 fn lease_request(nodes: u8) -> usize {
     let node = |number| NodeId::new(Ipv4Addr::new(10, 1, 0, number), 77);
@@ -29,7 +29,7 @@
 #[test]
 fn a_ping_takes_72_bytes() {
     let ping = Ping { name: NAME.to_string(), sequence: 7_000 };
-    assert_eq!(encode_frame(Body::Ping(Box::new(ping))).len() - PREFIX, 72);
+    assert_eq!(encode_frame(Body::Ping(Box::new(ping))).len() - PREFIX_BYTES, 72);
 }
 
 #[test]
