--- a/crates/serving-config/src/fields.rs
+++ b/crates/serving-config/src/fields.rs
@@ -1,4 +1,4 @@
-//! Typed access to the fields of a JSON object. A field that is null counts as missing.
+//! Typed access to the fields of a JSON object. A field with the value null is treated as missing.
 
 use super::ConfigurationError;
 use simd_json::prelude::*;
@@ -12,11 +12,11 @@
 const A_NUMBER: &str = "a number, 0 or above";
 const AN_INTEGER: &str = "a whole number, 0 or above";
 
-/// No time of a configuration is longer than this.
+/// Longer durations are clamped to this one: seven days.
 const LONGEST: Duration = Duration::from_secs(7 * 24 * 3600);
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
-/// The fields of an object, and what to call the object in errors.
+/// The fields of a JSON object, and the description of the object that is used in errors.
 pub(super) struct Fields<'tape, 'input> {
     object: Object<'tape, 'input>,
     pub location: String,
@@ -38,7 +38,7 @@
         self.object.get(field).filter(|value| !value.is_null())
     }
 
-    /// Returns the elements of a list that must be there.
+    /// Returns the elements of a required list, each converted by `read`, which also gets the index of the element.
     pub fn each<T>(
         &self,
         field: &'static str,
@@ -50,7 +50,7 @@
         self.each_if_any(field, read)
     }
 
-    /// Returns the elements of a list; none if it is missing.
+    /// Returns the elements of an optional list, each converted by `read`. Returns an empty list if the field is missing.
     pub fn each_if_any<T>(
         &self,
         field: &'static str,
@@ -71,18 +71,18 @@
         self.text(field)?.ok_or_else(|| self.missing(field))
     }
 
-    /// Returns a text, or the default if it is anything else.
+    /// Returns a string, or the default if the field is missing or is not a string.
     pub fn text_or(&self, field: &str, default: &str) -> String {
         let text = self.optional(field).and_then(Value::into_string);
         text.unwrap_or(default).to_string()
     }
 
-    /// Returns whether the field is true.
+    /// Returns whether the field is true. A missing field, and one that is not a boolean, counts as false.
     pub fn flag(&self, field: &str) -> bool {
         self.optional(field).and_then(|value| value.as_bool()).unwrap_or(false)
     }
 
-    /// Texts that are not empty: a list of them, or one alone.
+    /// Returns the strings of a field that is a list of strings or a single string. Empty strings are omitted.
     pub fn texts(&self, field: &'static str) -> Result<Vec<String>, ConfigurationError> {
         let Some(value) = self.optional(field) else { return Ok(Vec::new()) };
         let texts: Option<Vec<&str>> = match (value.as_str(), value.as_array()) {
@@ -100,7 +100,7 @@
         Ok(Some(number.ok_or_else(|| self.wrong_kind(field, A_NUMBER))?))
     }
 
-    /// Returns a complete number; a higher one than fits counts as the highest.
+    /// Returns an integer, or the default if the field is missing. Greater values than `u32::MAX` are clamped.
     pub fn count(&self, field: &'static str, default: u32) -> Result<u32, ConfigurationError> {
         let number = self.number(field)?.unwrap_or(f64::from(default));
         if number.fract() == 0.0 {
@@ -109,7 +109,7 @@
         Err(self.wrong_kind(field, AN_INTEGER))
     }
 
-    /// Returns a complete number that must be there, exact up to the highest.
+    /// Returns a required integer. Integers up to `u64::MAX` are exact; numbers such as `7.0` are accepted.
     pub fn required_integer(&self, field: &'static str) -> Result<u64, ConfigurationError> {
         let value = self.optional(field).ok_or_else(|| self.missing(field))?;
         if let Some(number) = value.as_u64() {
@@ -142,7 +142,7 @@
     ConfigurationError::WrongKind { location: location.to_string(), field, expected: A_LIST }
 }
 
-/// How times are written: for `serialize_with`.
+/// Serializes durations as numbers. For use in `serialize_with`.
 pub(super) mod written {
     use super::MILLISECONDS_PER_SECOND;
     use serde::{Serialize, Serializer};
--- a/crates/serving-config/src/json.rs
+++ b/crates/serving-config/src/json.rs
@@ -1,10 +1,11 @@
-//! Reading and writing JSON.
+//! Parsing and serialization of JSON.
 
 use super::ConfigurationError;
 use serde::Serialize;
 use simd_json::tape::Value;
 
-/// Reads a JSON text. The values live as long as the call: the text is copied, as it is read in place.
+/// Parses a JSON text and passes its root value to `read`. The parser modifies its input, so it gets a copy of the text,
+/// which lives until `read` returns.
 pub(super) fn read<T>(
     text: &[u8],
     read: impl FnOnce(Value<'_, '_>) -> Result<T, ConfigurationError>,
@@ -15,7 +16,7 @@
     read(tape.as_value())
 }
 
-/// Serializes a part of a configuration. Equal parts give equal texts.
+/// Serializes a part of a configuration. Equal parts are serialized to equal bytes.
 pub(crate) fn write(part: &impl Serialize) -> Vec<u8> {
-    simd_json::to_vec(part).expect("texts, numbers and lists of them have a JSON form")
+    simd_json::to_vec(part).expect("strings, numbers and lists can be serialized")
 }
--- a/crates/serving-config/src/lib.rs
+++ b/crates/serving-config/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operator's configurations: routes, services and limits.
+//! The serving configuration that the operator sends: routes, services and limits.
 //!
-//! Only what makes a configuration invalid is checked: unknown fields and kinds are ignored, and missing ones get a
-//! default wherever there is a sensible one.
+//! Parsing is lenient: unknown fields and values of unknown kinds are ignored, and missing fields get a default value
+//! wherever there is a sensible one. Only what cannot be used is an error.
 
 #![forbid(unsafe_code)]
 
@@ -24,24 +24,24 @@
 use simd_json::prelude::*;
 use std::collections::BTreeMap;
 
-/// A complete and valid configuration. Whether it may follow another is checked by [`Configuration::check_follows`].
+/// A complete and valid configuration. [`Configuration::check_follows`] checks whether it may replace the current one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Configuration {
-    /// Its version.
+    /// The version, which increases with each configuration.
     pub version: u64,
-    /// Its routes, ordered by host and prefix.
+    /// The routes, ordered by host and path prefix. No two routes have the same host and prefix.
     pub routes: Vec<Route>,
-    /// Its services by name.
+    /// The services by their names. They include all services that routes refer to.
     pub services: BTreeMap<String, Service>,
-    /// What clients may send.
+    /// The limits for client requests and connections.
     pub limits: Limits,
 }
 
 impl Configuration {
-    /// Parses a configuration as the operator sent it.
+    /// Parses a configuration in the JSON format in which the operator sends it.
     ///
     /// # Errors
-    /// [`ConfigurationError`].
+    /// [`ConfigurationError`] if it is invalid.
     pub fn parse(body: &[u8]) -> Result<Configuration, ConfigurationError> {
         json::read(body, |value| {
             let fields = Fields::of(value, "the configuration")?;
@@ -55,7 +55,7 @@
         })
     }
 
-    /// Assembles a configuration and checks it. Of two services with one name the later one counts.
+    /// Assembles a configuration and validates it. If several services have the same name, the last one is used.
     pub(crate) fn new(
         version: u64,
         mut routes: Vec<Route>,
@@ -70,10 +70,10 @@
         Ok(configuration)
     }
 
-    /// Checks that its version is above the current one.
+    /// Checks that the version of this configuration is greater than the current one.
     ///
     /// # Errors
-    /// [`ConfigurationError`].
+    /// [`ConfigurationError::VersionNotAbove`] if it is not.
     pub fn check_follows(&self, current: u64) -> Result<(), ConfigurationError> {
         if self.version > current {
             return Ok(());
@@ -93,7 +93,7 @@
         Ok(())
     }
 
-    /// Checks that no two routes have the same host and prefix. Such routes are neighbours, as routes are sorted.
+    /// Checks that no two routes have the same host and prefix. The routes are sorted, so only neighbors are compared.
     fn check_unique(&self) -> Result<(), ConfigurationError> {
         let pairs = self.routes.iter().zip(self.routes.iter().skip(1));
         for (one, other) in pairs {
@@ -110,7 +110,7 @@
     }
 }
 
-/// Returns the services of a published configuration.
+/// Parses the services of a published configuration.
 pub(crate) fn read_services(json: &[u8]) -> Result<Vec<Service>, ConfigurationError> {
     json::read(json, |value| {
         let services = value.as_array().ok_or_else(|| fields::not_a_list("the configuration", "Services"))?;
@@ -118,12 +118,12 @@
     })
 }
 
-/// One route of a published configuration.
+/// Parses one route of a published configuration.
 pub(crate) fn read_route(json: &[u8]) -> Result<Route, ConfigurationError> {
     json::read(json, |value| Route::read(value, 0))
 }
 
-/// Returns the limits of a published configuration.
+/// Parses the limits of a published configuration.
 pub(crate) fn read_limits(json: &[u8]) -> Result<Limits, ConfigurationError> {
     json::read(json, Limits::read)
 }
--- a/crates/serving-config/src/limits.rs
+++ b/crates/serving-config/src/limits.rs
@@ -1,4 +1,4 @@
-//! What clients may send, and how long they may take.
+//! Limits for client requests and connections.
 
 use super::fields::{written, Fields};
 use super::ConfigurationError;
@@ -6,18 +6,18 @@
 use simd_json::tape::Value;
 use std::time::Duration;
 
-/// What clients may send, and how long they may take. A limit that is missing or 0 has its default.
+/// The limits for client requests and connections. A limit that is missing or 0 has its default value.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Limits {
-    /// The most bytes of a request's head; 16 KiB.
+    /// The maximum size of a request's head, in bytes. Defaults to 16 KiB.
     pub max_header_bytes: u32,
-    /// The most bytes of a request's body; 4 MiB.
+    /// The maximum size of a request's body, in bytes. Defaults to 4 MiB.
     pub max_body_bytes: u32,
-    /// The longest time for a request's head; 3 s.
+    /// The maximum time to receive a request's head. Defaults to 3 s.
     #[serde(rename = "HeaderTimeoutMs", serialize_with = "written::milliseconds")]
     pub header_timeout: Duration,
-    /// The longest rest of a connection; 15 s.
+    /// The maximum time for which a connection may be idle between requests. Defaults to 15 s.
     #[serde(rename = "IdleTimeoutMs", serialize_with = "written::milliseconds")]
     pub idle_timeout: Duration,
 }
--- a/crates/serving-config/src/published/items.rs
+++ b/crates/serving-config/src/published/items.rs
@@ -1,4 +1,4 @@
-//! Conversion of a configuration to published items and back.
+//! Conversion of a configuration to published items, and back.
 
 use super::{route_key, PublishedKey, CONFIG_KEY};
 use crate::{read_limits, read_route, read_services, write_json};
@@ -6,7 +6,7 @@
 use quillpulley_protocol::{decode_value, encode_value, ConfigHead, ConfigHeadRef};
 use std::collections::BTreeMap;
 
-/// Returns the route of a published item; none for items of other kinds, and for one that cannot be read.
+/// Returns the route that a published item contains, or `None` if the item is of another kind or is invalid.
 pub fn route_of(key: &str, value: &[u8]) -> Option<Route> {
     match PublishedKey::parse(key)? {
         PublishedKey::Route(_) => read_route(value).ok(),
@@ -15,7 +15,7 @@
 }
 
 impl Configuration {
-    /// Its head and its routes by their keys.
+    /// Returns the published items of this configuration by their keys: its head, and its routes.
     pub fn to_items(&self) -> BTreeMap<String, Vec<u8>> {
         let services: Vec<&Service> = self.services.values().collect();
         let head = ConfigHead {
@@ -31,11 +31,11 @@
         items
     }
 
-    /// Reads a published configuration: the value of [`CONFIG_KEY`] and those of all keys that begin with
-    /// [`ROUTE_PREFIX`](super::ROUTE_PREFIX).
+    /// Reads a published configuration. `head` is the value of [`CONFIG_KEY`], and `routes` are the values of all keys that
+    /// begin with [`ROUTE_PREFIX`](super::ROUTE_PREFIX).
     ///
     /// # Errors
-    /// [`ConfigurationError`].
+    /// [`ConfigurationError`] if an item is invalid, or if the number of routes is not the one that the head gives.
     pub fn from_items<'a>(
         head: &[u8],
         routes: impl Iterator<Item = &'a [u8]>,
--- a/crates/serving-config/src/published/key.rs
+++ b/crates/serving-config/src/published/key.rs
@@ -2,9 +2,9 @@
 
 use std::net::Ipv4Addr;
 
-/// The key of the head of the configuration, a `protocol::ConfigHead`.
+/// The key of the head of the configuration. Its value is a `ConfigHead` of the protocol.
 pub const CONFIG_KEY: &str = "config";
-/// The prefix of the keys of routes, whose values are JSON texts.
+/// The prefix of the keys of routes. Their values are JSON.
 pub const ROUTE_PREFIX: &str = "route/";
 /// The prefix of the keys of evacuated zones.
 pub const EVACUATED_PREFIX: &str = "evacuated/";
@@ -14,25 +14,25 @@
 /// The prefix of the keys of control nodes.
 pub const CONTROL_NODE_PREFIX: &str = "core/";
 
-/// A parsed key.
+/// The parsed key of a published item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PublishedKey<'a> {
     /// The head of the configuration.
     Config,
-    /// A route, by its host and prefix as [`route_key`] encodes them.
+    /// A route; contains its host and path prefix as encoded by [`route_key`].
     Route(&'a str),
-    /// A zone that is evacuated; its value is empty.
+    /// An evacuated zone, by its name. The value is empty.
     Evacuated(&'a str),
-    /// A server by its id; its value is a `Server` of the protocol.
+    /// A server, by its id. The value is a `Server` of the protocol.
     Server(&'a str),
-    /// A machine that serves clients by its name; its value is a `protocol::ProxyEndpoint`.
+    /// A proxy, by the name of its machine. The value is a `ProxyEndpoint` of the protocol.
     ProxyEndpoint(&'a str),
-    /// A control node by its address; its value is a `ControlNode` of the protocol.
+    /// A control node, by its address. The value is a `ControlNode` of the protocol.
     ControlNode(Ipv4Addr),
 }
 
 impl<'a> PublishedKey<'a> {
-    /// Parses a key. Returns none for an unknown kind.
+    /// Parses a key. Returns `None` if the kind of the key is unknown.
     pub fn parse(key: &'a str) -> Option<PublishedKey<'a>> {
         if key == CONFIG_KEY {
             return Some(PublishedKey::Config);
@@ -49,13 +49,14 @@
     }
 }
 
-/// Returns the key of a route. Routes of one configuration differ in host or prefix, and so in their keys.
+/// Returns the key of a route. The key is unique within a configuration: `/` and `%` in the host are escaped, so that
+/// different pairs of host and prefix never have the same key.
 pub fn route_key(host: &str, path_prefix: &str) -> String {
     let host = host.replace('%', "%25").replace('/', "%2F");
     format!("{ROUTE_PREFIX}{host}/{path_prefix}")
 }
 
-/// Returns the key of a zone that is evacuated.
+/// Returns the key of an evacuated zone.
 pub fn evacuated_key(zone: &str) -> String {
     format!("{EVACUATED_PREFIX}{zone}")
 }
@@ -65,7 +66,7 @@
     format!("{SERVER_PREFIX}{id}")
 }
 
-/// Returns the key of a machine that serves clients.
+/// Returns the key of a proxy, given the name of its machine.
 pub fn endpoint_key(name: &str) -> String {
     format!("{ENDPOINT_PREFIX}{name}")
 }
--- a/crates/serving-config/src/published/mod.rs
+++ b/crates/serving-config/src/published/mod.rs
@@ -1,7 +1,7 @@
-//! The items that the control state is published as, and the way back to a configuration.
+//! The published items of the control state, and their conversion from and to a configuration.
 //!
-//! A configuration is published as a head and one item for each route, in a normal form: a route that did not
-//! change is the same item, byte by byte, in the next configuration.
+//! A configuration is published as a head and one item for each route. The encoding is deterministic: a route that does
+//! not change has the same bytes in the next configuration.
 
 mod items;
 mod key;
--- a/crates/serving-config/src/route.rs
+++ b/crates/serving-config/src/route.rs
@@ -1,4 +1,4 @@
-//! Routes: which requests go to which services, and how.
+//! Routes: which requests are sent to which services, and how.
 
 use super::fields::{written, Fields};
 use super::ConfigurationError;
@@ -6,24 +6,24 @@
 use simd_json::tape::Value;
 use std::time::Duration;
 
-/// For a route that has no `TimeoutMs`.
+/// The timeout of a route without `TimeoutMs`.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
-/// For a route that has no `Priority`: what servers take for a request without one.
+/// The priority of a route without `Priority`. Servers assume the same value for a request without a priority.
 const DEFAULT_PRIORITY: u32 = 5;
 const DEFAULT_ATTEMPTS: u32 = 1;
 const DEFAULT_WEIGHT: f64 = 1.0;
-/// The highest weight, so that sums stay finite.
+/// Greater weights are reduced to this one, so that the sum of the weights of a route is finite.
 const HIGHEST_WEIGHT: f64 = 1e12;
 
-/// How often a request of a route may execute.
+/// Whether a request of a route may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteKind {
-    /// It may execute more than once.
+    /// The request may be executed more than once.
     Idempotent,
-    /// It may execute once at most for each attempt of a client. Unknown kinds count as this one.
+    /// The request may be executed at most once for each attempt of a client. Unknown kinds are treated as this one.
     NonIdempotent,
-    /// Its response is a stream of events; it may execute once at most unless it is resumable.
+    /// The response is a stream of events. The request may be executed at most once, unless the route is resumable.
     Streaming,
 }
 
@@ -37,56 +37,57 @@
     }
 }
 
-/// A service of a route, with its weight.
+/// A service to which a route sends a share of its requests.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct WeightedService {
     /// The name of the service.
     pub service: String,
-    /// Its weight: it gets this fraction of the sum of the route's weights.
+    /// The weight. The service receives the fraction of the requests that its weight is of the sum of the route's weights.
     pub weight: f64,
 }
 
-/// A route.
+/// A route: the requests to one host with a path prefix, and how they are forwarded.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Route {
-    /// Its name; host and prefix for a route that has none.
+    /// The name. Defaults to the host followed by the path prefix.
     pub name: String,
     /// The host, in lower case.
     pub host: String,
-    /// The prefix of the paths that it matches.
+    /// The prefix of the paths that the route matches. Never empty.
     pub path_prefix: String,
-    /// How often its requests may execute.
+    /// Whether its requests may be executed more than once.
     pub kind: RouteKind,
-    /// The longest time that a request may be held; above 0.
+    /// The maximum time that a request may take; greater than 0.
     #[serde(rename = "TimeoutMs", serialize_with = "written::milliseconds")]
     pub timeout: Duration,
-    /// The time within which a response earns its full value; the time-out if it is missing.
+    /// The latency up to which a response has its full value. Defaults to the timeout.
     #[serde(rename = "TargetLatencyMs", serialize_with = "written::milliseconds")]
     pub target_latency: Duration,
-    /// Its rank; 0 is the highest.
+    /// The priority; 0 is the highest.
     pub priority: u32,
-    /// The services that it goes to, whose weights add up to more than 0.
+    /// The services that receive the requests. The sum of their weights is greater than 0.
     #[serde(rename = "TrafficSplit")]
     pub split: Vec<WeightedService>,
-    /// The most servers to which one attempt of a client may be sent; 1 at least.
+    /// The maximum number of servers to which one attempt of a client may be sent, at least 1.
     pub max_attempts: u32,
-    /// Whether its requests name the segments of their prompts.
+    /// Whether the requests identify the segments of their prompts, by which they can be routed to servers that have
+    /// processed them before.
     pub sticky: bool,
-    /// Whether a stream may be resumed at another server.
+    /// Whether a stream may be resumed on another server.
     pub resumable: bool,
-    /// The longest pause between events that still keeps a response in time.
+    /// The maximum time between two events of a response that is considered to be on time; `None` if there is no target.
     #[serde(rename = "gap_aim_ms", serialize_with = "written::optional_milliseconds")]
     pub inter_token_target: Option<Duration>,
-    /// The only regions in which its requests may be served; none for any.
+    /// The regions in which the requests may be served. Empty if all regions are allowed.
     pub home_regions: Vec<String>,
-    /// The most requests a second, if they are limited.
+    /// The maximum number of requests per second; `None` if the rate is not limited.
     pub rate_per_s: Option<f64>,
 }
 
 impl Route {
-    /// Returns whether a request may execute more than once.
+    /// Returns whether a request may be executed more than once.
     pub fn is_idempotent(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
@@ -95,12 +96,12 @@
         }
     }
 
-    /// Host and prefix, which no other route of a configuration has.
+    /// Returns the host and the path prefix, which together identify the route in a configuration.
     pub fn location(&self) -> (&str, &str) {
         (&self.host, &self.path_prefix)
     }
 
-    /// `index` names the route in errors until its name is known.
+    /// Parses a route. Errors identify it by `index` until its name is known.
     pub(super) fn read(value: Value<'_, '_>, index: usize) -> Result<Route, ConfigurationError> {
         let mut fields = Fields::of(value, &format!("route {index} of the list"))?;
         let host = fields.required_text("Host")?.to_ascii_lowercase();
@@ -138,7 +139,8 @@
     Ok(timeout)
 }
 
-/// `TrafficSplit`, or else all to `Service`. A service beside a split gets nothing, but must be known.
+/// Returns the services of `TrafficSplit`, or else `Service` alone. If a route has both, `Service` is added with the
+/// weight 0: it receives no requests, but must be a known service.
 fn read_split(fields: &Fields<'_, '_>, name: &str) -> Result<Vec<WeightedService>, ConfigurationError> {
     let service = fields.text("Service")?;
     if service.is_none() && fields.optional("TrafficSplit").is_none() {
--- a/crates/serving-config/src/service.rs
+++ b/crates/serving-config/src/service.rs
@@ -1,4 +1,4 @@
-//! Services: what the system must know of the servers that a route goes to.
+//! Services: groups of servers to which routes send requests.
 
 use super::fields::{written, Fields};
 use super::ConfigurationError;
@@ -11,58 +11,58 @@
 const DEFAULT_CONNECTIONS: u32 = 64;
 const DEFAULT_PROTOCOL: &str = "h1";
 
-/// A service.
+/// A service: the common properties of a group of servers.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Service {
-    /// Its name.
+    /// The name, by which routes refer to the service.
     pub name: String,
-    /// The path of a server's health check; `/health` if it is missing.
+    /// The path of the servers' health check. Defaults to `/health`.
     pub health_path: String,
-    /// The connections that a server accepts from all callers together; 64 if it is missing, 1 at least.
+    /// The number of connections that a server accepts from all callers together, at least 1. Defaults to 64.
     pub max_connections: u32,
-    /// The protocol of its servers; `h1` if it is missing.
+    /// The protocol of the servers. Defaults to `h1`.
     pub protocol: String,
-    /// Whether its servers want TLS.
+    /// Whether the servers require TLS.
     pub tls: bool,
-    /// How long a server warms up after a start during traffic; 0 if it is missing.
+    /// The time for which a server warms up after it was started while there is traffic. Defaults to 0.
     #[serde(rename = "WarmupS", serialize_with = "written::seconds")]
     pub warmup: Duration,
-    /// The requests a second that a cold server bears; 0 if it is missing.
+    /// The requests per second that a server can handle while it warms up. Defaults to 0.
     pub warmup_per_s: f64,
-    /// The engine of its servers, if it serves a model.
+    /// The inference engine of the servers; `None` if the service serves no models.
     pub engine: Option<Engine>,
 }
 
-/// The engine of a service's servers.
+/// The inference engine of the servers of a service.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Engine {
-    /// Requests that run at once; 1 at least.
+    /// The number of requests that a server executes concurrently, at least 1.
     pub slots: u32,
-    /// Tokens that a server's memory holds; 0 where it is not known.
+    /// The number of tokens that fit into a server's key-value cache. 0 if unknown.
     pub kv_capacity_tokens: u32,
-    /// Bytes of memory for each token; 0 where it is not known.
+    /// The bytes of the key-value cache that each token takes. 0 if unknown.
     pub kv_token_bytes: u32,
-    /// The speed of a server's link in megabits a second; 0 where it is not known.
+    /// The bandwidth of a server's network link, in megabits per second. 0 if unknown.
     pub link_mbps: f64,
-    /// Tokens in one event of a stream; 1 at least.
+    /// The number of tokens in one event of a stream, at least 1.
     #[serde(rename = "stride")]
     pub stride: u32,
-    /// The models that it serves.
+    /// The models that the engine serves.
     pub models: Vec<Model>,
 }
 
-/// A model.
+/// A model that an engine serves.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Model {
-    /// Its name.
+    /// The name, by which requests select the model.
     pub name: String,
 }
 
 impl Service {
-    /// `index` names the service in errors until its name is known.
+    /// Parses a service. Errors identify it by `index` until its name is known.
     pub(super) fn read(value: Value<'_, '_>, index: usize) -> Result<Service, ConfigurationError> {
         let mut fields = Fields::of(value, &format!("service {index} of the list"))?;
         let name = fields.required_text("Name")?;
@@ -80,7 +80,7 @@
     }
 }
 
-/// Returns the engine of a service. Anything but an object counts as none.
+/// Returns the engine of a service, or `None` if the field is not an object.
 fn read_engine(service: &Fields<'_, '_>) -> Result<Option<Engine>, ConfigurationError> {
     let Some(value) = service.optional("Engine").filter(Value::is_object) else { return Ok(None) };
     let fields = Fields::of(value, &format!("the engine of {}", service.location))?;
@@ -94,7 +94,7 @@
     }))
 }
 
-/// Returns the models that have a name, and ignores others.
+/// Returns the models of an engine. Models without a name are ignored.
 fn read_models(engine: &Fields<'_, '_>) -> Vec<Model> {
     let Some(models) = engine.optional("Models").and_then(|models| models.as_array()) else {
         return Vec::new();
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,42 +1,42 @@
-//! Why settings cannot be used.
+//! The errors of settings files.
 
 use displaydoc::Display;
 use std::io;
 use std::path::PathBuf;
 
-/// Why settings cannot be used, and what to do about it.
+/// Why settings cannot be used. The message also says how to correct them.
 #[derive(Debug, Display)]
 pub enum SettingsError {
     /// QUILLPULLEY_CONFIG is not set: set it to the path of the settings file
     NoPath,
     /// the settings file {path} cannot be read ({error}): check that it exists and may be read by this user
     Unreadable {
-        /// The file.
+        /// The path of the settings file.
         path: PathBuf,
-        /// What the system said.
+        /// The error that the operating system reported.
         error: Box<io::Error>,
     },
     /// the settings are no TOML (line {line}: {reason}): correct that line
     NotToml {
-        /// The line, from 1.
+        /// The number of the line, counted from 1.
         line: usize,
-        /// What the parser said.
+        /// The message of the TOML parser.
         reason: String,
     },
     /// the settings lack {key}: add it as {expected}
     Missing {
-        /// The key with its section.
+        /// The key, preceded by the name of its table.
         key: String,
-        /// What belongs there.
+        /// A description of the expected value.
         expected: &'static str,
     },
     /// {key} cannot be {found}: give it as {expected}
     WrongKind {
-        /// The key with its section.
+        /// The key, preceded by the name of its table.
         key: String,
-        /// The value that is there.
+        /// The invalid value.
         found: String,
-        /// What belongs there.
+        /// A description of the expected value.
         expected: &'static str,
     },
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! The settings of a process: a TOML file whose path is in an environment variable.
+//! The settings of a process: a TOML file whose path is given by an environment variable.
 //!
-//! Fields that are not known are ignored. A key that may be missing may also be empty (`""` or `[]`), and a
-//! bound that is `true` or `false` counts as missing. The defaults are those of [`Bounds`], [`ProcessLimits`],
+//! Unknown keys are ignored. An empty value (`""` or `[]`) is treated as a missing key, and so is a boolean where a
+//! number is expected. The default values are documented at the fields of [`Settings`], [`Bounds`], [`ProcessLimits`],
 //! [`FaultTolerance`] and [`Platform`].
 
 #![forbid(unsafe_code)]
@@ -28,53 +28,53 @@
 /// The settings of a process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// `NodeName`: the name of the machine; its address where it is missing.
+    /// `NodeName`: the name of the machine. Defaults to its address.
     pub node_name: String,
-    /// `Role`: the name of the role in the deploy file; may be empty.
+    /// `Role`: the name of the role in the deploy file. Empty if it is missing.
     pub role: String,
-    /// `MachineClass`: the class of the machine; may be empty.
+    /// `MachineClass`: the class of the machine. Empty if it is missing.
     pub machine_class: String,
-    /// `Serves`: who may call the process from outside.
+    /// `Serves`: the kinds of external callers that the process serves, such as `front` or `control`.
     pub serves: Vec<String>,
     /// `Ip`: the address of the machine.
     pub ip: Ipv4Addr,
     /// `Zone`: the zone of the machine.
     pub zone: String,
-    /// `Region`: the region of the machine; what `Zones` says of its zone where it is missing.
+    /// `Region`: the region of the machine. Defaults to the region that `Zones` gives for its zone.
     pub region: String,
-    /// `PortRange`: the ports for traffic between the processes.
+    /// `PortRange`: the ports for traffic between the processes of the system.
     pub ports: PortRange,
-    /// `Seeds`: `Control` addresses of some control machines.
+    /// `Seeds`: the `Control` addresses of some control nodes, through which a process finds the others.
     pub seeds: Vec<SocketAddr>,
-    /// `Bootstrap`: whether the whole system starts for the first time; false where it is missing.
+    /// `Bootstrap`: whether the whole system is being started for the first time. Defaults to false.
     pub bootstrap: bool,
-    /// `CountsForQuorum`: whether the machine is one of those that `FaultTolerance.Machines` counts.
+    /// `CountsForQuorum`: whether the machine is one of those that `FaultTolerance.Machines` refers to. Defaults to false.
     pub counts_for_quorum: bool,
-    /// `DataDir`: the folder for durable data, on machines with a disk.
+    /// `DataDir`: the directory for durable data; `None` on machines without a disk.
     pub data_folder: Option<PathBuf>,
-    /// `HeartbeatMs`; a second where it is missing.
+    /// `HeartbeatMs`: the heartbeat interval, in milliseconds in the file. Defaults to one second.
     pub heartbeat: Duration,
-    /// `Contracts`: the parts of the rules that are active.
+    /// `Contracts`: the names of the contracts that are in force.
     pub contracts: Vec<String>,
     /// `Zones`: the region of each zone.
     pub zones: BTreeMap<String, String>,
-    /// `Listen`: the addresses for what the process serves.
+    /// `Listen`: the addresses on which the process serves external callers.
     pub listen: Listen,
-    /// `Limits`: what the process may use.
+    /// `Limits`: the resources that the process may use.
     pub limits: ProcessLimits,
-    /// `FaultTolerance`: what may be lost at once.
+    /// `FaultTolerance`: the losses that the system must tolerate at the same time.
     pub fault_tolerance: FaultTolerance,
-    /// `Bounds`: the figures of the rules.
+    /// `Bounds`: the time limits and rates of the contracts.
     pub bounds: Bounds,
-    /// `Platform`: the platform's list of servers; none where it has no `Address`.
+    /// `Cloud`: the API of the platform that lists the servers; `None` if the table has no `Address`.
     pub platform: Option<Platform>,
 }
 
 impl Settings {
-    /// Reads the file that [`PATH_VARIABLE`] names.
+    /// Reads the settings file whose path is in [`PATH_VARIABLE`].
     ///
     /// # Errors
-    /// [`SettingsError`].
+    /// [`SettingsError`] if the variable is not set, or the file cannot be read or is invalid.
     pub fn from_environment() -> Result<Settings, SettingsError> {
         let path = env::var_os(PATH_VARIABLE).ok_or(SettingsError::NoPath)?;
         Settings::load(Path::new(&path))
@@ -83,17 +83,17 @@
     /// Reads a settings file.
     ///
     /// # Errors
-    /// [`SettingsError`].
+    /// [`SettingsError`] if the file cannot be read or is invalid.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let unreadable =
             |error| SettingsError::Unreadable { path: path.to_path_buf(), error: Box::new(error) };
         Settings::parse(&fs::read_to_string(path).map_err(unreadable)?)
     }
 
-    /// Reads the text of a settings file.
+    /// Parses the text of a settings file.
     ///
     /// # Errors
-    /// [`SettingsError`].
+    /// [`SettingsError`] if the text is invalid.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
         let table = text.parse().map_err(|error| reader::not_toml(text, &error))?;
         let root = Section::root(&table);
@@ -124,62 +124,62 @@
         })
     }
 
-    /// Returns the port on which control nodes talk to each other and to agents.
+    /// Returns the port on which control nodes accept connections from each other and from agents.
     pub fn control_port(&self) -> u16 {
         self.ports.first
     }
 
-    /// Returns the port on which agents talk to each other.
+    /// Returns the port on which an agent accepts connections and pings from other agents.
     pub fn agent_port(&self) -> u16 {
         self.ports.first + 1
     }
 
-    /// Returns the port on which an agent feeds the proxy of its machine.
+    /// Returns the port on which an agent accepts connections from the proxy of its machine.
     pub fn proxy_port(&self) -> u16 {
         self.ports.first + 2
     }
 
-    /// Returns the region of a zone, if `Zones` names it.
+    /// Returns the region of a zone, or `None` if `Zones` does not list the zone.
     pub fn region_of(&self, zone: &str) -> Option<&str> {
         self.zones.get(zone).map(String::as_str)
     }
 
-    /// `Listen.Front`, or an error that asks for it.
+    /// Returns `Listen.Front`, which the caller requires.
     ///
     /// # Errors
-    /// [`SettingsError`].
+    /// [`SettingsError::Missing`] if it is not set.
     pub fn front_address(&self) -> Result<SocketAddr, SettingsError> {
         required_address("Listen.Front", self.listen.front)
     }
 
-    /// `Listen.Ready`, or an error that asks for it.
+    /// Returns `Listen.Ready`, which the caller requires.
     ///
     /// # Errors
-    /// [`SettingsError`].
+    /// [`SettingsError::Missing`] if it is not set.
     pub fn ready_address(&self) -> Result<SocketAddr, SettingsError> {
         required_address("Listen.Ready", self.listen.ready)
     }
 
-    /// `Listen.Control`, or an error that asks for it.
+    /// Returns `Listen.Control`, which the caller requires.
     ///
     /// # Errors
-    /// [`SettingsError`].
+    /// [`SettingsError::Missing`] if it is not set.
     pub fn control_address(&self) -> Result<SocketAddr, SettingsError> {
         required_address("Listen.Control", self.listen.control)
     }
 
-    /// `Listen.Directory`, or an error that asks for it.
+    /// Returns `Listen.Directory`, which the caller requires.
     ///
     /// # Errors
-    /// [`SettingsError`].
+    /// [`SettingsError::Missing`] if it is not set.
     pub fn directory_address(&self) -> Result<SocketAddr, SettingsError> {
         required_address("Listen.Directory", self.listen.directory)
     }
 
-    /// `DataDir`, or an error that asks for it.
+    /// Returns `DataDir`, which the caller requires.
     ///
     /// # Errors
-    /// [`SettingsError`].
+    /// [`SettingsError::Missing`] if it is not set.
     pub fn required_data_folder(&self) -> Result<&Path, SettingsError> {
         let missing = || SettingsError::missing("DataDir", reader::A_FOLDER);
         self.data_folder.as_deref().ok_or_else(missing)
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,4 +1,4 @@
-//! Typed access to the values of a settings file. Errors name the key and what belongs there.
+//! Typed access to the values of a settings file. Errors name the key and the expected kind of value.
 
 use super::SettingsError;
 use std::collections::BTreeMap;
@@ -16,10 +16,10 @@
 const A_FLAG: &str = "true or false";
 const A_TABLE: &str = "a table, with its keys below";
 
-/// No setting that is a time is longer than this.
+/// Longer durations are clamped to this one: 365 days.
 const LONGEST: Duration = Duration::from_secs(365 * 24 * 3600);
 
-/// One table of the file; a missing table reads as an empty one.
+/// One table of the file. A missing table is treated as an empty one.
 pub(super) struct Section<'a> {
     name: Option<&'static str>,
     table: Option<&'a Table>,
@@ -56,7 +56,7 @@
         self.list(key, TEXTS, text)
     }
 
-    /// Returns all keys of the section, each with a text, which may be empty.
+    /// Returns all keys of the section with their values, which must be strings and may be empty.
     pub fn all_texts(&self) -> Result<BTreeMap<String, String>, SettingsError> {
         let mut texts = BTreeMap::new();
         for key in self.table.into_iter().flat_map(Table::keys) {
@@ -81,7 +81,8 @@
         self.list(key, AN_ADDRESS, address)
     }
 
-    /// Returns the value as a list, each element read by `read`.
+    /// Returns the elements of an array, each converted by `read`, or an empty list if the key is missing. `expected`
+    /// describes the array in the error if the value is not an array or `read` returns `None` for an element.
     pub fn list<T>(
         &self,
         key: &str,
@@ -132,7 +133,7 @@
         Ok(duration(self.number(key, default.as_secs_f64())?))
     }
 
-    /// Returns the value of a key; an empty one counts as missing.
+    /// Returns the value of a key, or `None` if it is missing, an empty string or an empty array.
     fn value(&self, key: &str) -> Option<&'a Value> {
         self.table?.get(key).filter(|value| match value {
             Value::String(text) => !text.is_empty(),
@@ -157,7 +158,7 @@
     }
 }
 
-/// Returns the error for a text that is no TOML.
+/// Returns the error for a text that is not valid TOML.
 pub(super) fn not_toml(text: &str, error: &toml::de::Error) -> SettingsError {
     let start = error.span().map_or(0, |span| span.start);
     let before = text.bytes().take(start);
--- a/crates/settings/src/sections.rs
+++ b/crates/settings/src/sections.rs
@@ -1,4 +1,4 @@
-//! The tables of a settings file.
+//! The tables of a settings file, and the range of ports.
 
 use super::reader::Section;
 use super::SettingsError;
@@ -7,10 +7,10 @@
 use toml::Value;
 
 const TWO_PORTS: &str = "the first and the last of three ports or more, such as [7720, 7735]";
-/// The fewest ports that the processes of a machine need.
+/// The minimum number of ports that the processes of a machine need.
 const LEAST_PORTS: u16 = 3;
 
-/// Ports that are free for traffic between the processes, both ends included: three at least.
+/// A range of at least three ports, reserved for traffic between the processes of the system. Both ends are included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PortRange {
     /// The first port.
@@ -36,16 +36,16 @@
     port.filter(|port| *port > 0)
 }
 
-/// `Listen`: the addresses for what the process serves.
+/// `Listen`: the addresses on which the process serves external callers. Each is `None` if it is missing.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listen {
-    /// `Front`: for clients.
+    /// `Front`: serves client requests.
     pub front: Option<SocketAddr>,
-    /// `Ready`: for the platform's checks.
+    /// `Ready`: serves the readiness checks of the platform.
     pub ready: Option<SocketAddr>,
-    /// `Control`: for the operator.
+    /// `Control`: serves the API of the operator.
     pub control: Option<SocketAddr>,
-    /// `Directory`: for clients that ask where to go.
+    /// `Directory`: serves clients that resolve a name to the addresses of proxies.
     pub directory: Option<SocketAddr>,
 }
 
@@ -60,20 +60,20 @@
     }
 }
 
-/// `Limits`: what the process may use.
+/// `Limits`: the resources that the process may use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProcessLimits {
-    /// `CpuShare`: the share of a core; 1.
+    /// `CpuShare`: the share of a CPU core. Defaults to 1.
     pub cpu_share: f64,
-    /// `Cores`: the cores that are shown; 1.
+    /// `Cores`: the number of CPU cores that are visible to the process. Defaults to 1.
     pub cpu_cores: u32,
-    /// `MemoryMb`: the most memory, in megabytes; 256.
+    /// `MemoryMb`: the maximum memory, in megabytes. Defaults to 256.
     pub memory_mb: u32,
-    /// `MaxFds`: the most descriptors; 1,024.
+    /// `MaxFds`: the maximum number of open file descriptors. Defaults to 1,024.
     pub max_descriptors: u32,
-    /// `LinkMbps`: the speed of the machine's link, in megabits a second; 1,000.
+    /// `LinkMbps`: the bandwidth of the machine's network link, in megabits per second. Defaults to 1,000.
     pub link_mbps: f64,
-    /// `DiskMb`: the size of the disk, in megabytes; 0, for none.
+    /// `DiskMb`: the size of the disk, in megabytes. Defaults to 0, which means that there is no disk.
     pub disk_mb: u32,
 }
 
@@ -90,14 +90,14 @@
     }
 }
 
-/// `FaultTolerance`: what may be lost at once.
+/// `FaultTolerance`: the losses that the system must tolerate at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FaultTolerance {
-    /// `Machines`: of those that count for the quorum; 1.
+    /// `Machines`: the number of machines, of those with `CountsForQuorum`. Defaults to 1.
     pub machines: u32,
-    /// `Zones`; 0.
+    /// `Zones`: the number of zones. Defaults to 0.
     pub zones: u32,
-    /// `Regions`; 0.
+    /// `Regions`: the number of regions. Defaults to 0.
     pub regions: u32,
 }
 
@@ -111,50 +111,52 @@
     }
 }
 
-/// `Bounds`: the figures of the rules.
+/// `Bounds`: the time limits and rates of the contracts. The suffixes `Ms` and `S` of the keys give the units in the file:
+/// milliseconds and seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// `SeedLagS`: how old the list of seeds may be; 3 s.
+    /// `SeedLagS`: the maximum age of the list of seeds. Defaults to 3 s.
     pub seed_lag: Duration,
-    /// `ReuseAfterS`: when the address of a server that has ended may be given to another; 2 s.
+    /// `ReuseAfterS`: the time after which the address of a terminated server may be assigned to another. Defaults to 2 s.
     pub reuse_after: Duration,
-    /// `ContactMs`: how long a fault-free period must have lasted; 4 s.
+    /// `ContactMs`: the minimum length of a fault-free period. Defaults to 4 s.
     pub contact: Duration,
-    /// `AckMs`: within which an order is to be acknowledged; 5 s.
+    /// `AckMs`: the time within which a command of the operator must be acknowledged. Defaults to 5 s.
     pub acknowledge: Duration,
-    /// `CatchUpS`: for which a machine that is back still counts as lost; 4 s.
+    /// `CatchUpS`: the time for which a machine that has come back still counts as lost. Defaults to 4 s.
     pub catch_up: Duration,
-    /// `DrainMs`: after which a draining server must get nothing more; 3 s.
+    /// `DrainMs`: the time after which a draining server must receive no more requests. Defaults to 3 s.
     pub drain: Duration,
-    /// `GraceS`: from SIGTERM to SIGKILL; 8 s.
+    /// `GraceS`: the time between SIGTERM and SIGKILL. Defaults to 8 s.
     pub grace: Duration,
-    /// `LossSlackMs`: after which a request that was read must be answered; 0.2 s.
+    /// `LossSlackMs`: the time after which a request that was read must be answered. Defaults to 0.2 s.
     pub loss_slack: Duration,
-    /// `ConfigMs`: within which a configuration must be active everywhere; 2.5 s.
+    /// `ConfigMs`: the time within which a configuration must be active on all machines. Defaults to 2.5 s.
     pub configuration: Duration,
-    /// `RollbackSlackMs`: after which nobody may go back to an older configuration; 0.25 s.
+    /// `RollbackSlackMs`: the time after which no process may return to an older configuration. Defaults to 0.25 s.
     pub rollback_slack: Duration,
-    /// `MaxSkewMs`: by which bounds grow while the core is not stable; 6 s.
+    /// `MaxSkewMs`: the time by which bounds are extended while the control nodes are not stable. Defaults to 6 s.
     pub max_skew: Duration,
-    /// `RetryBudgetRatio`: retries for each request; 0.2.
+    /// `RetryBudgetRatio`: the maximum ratio of retries to requests. Defaults to 0.2.
     pub retry_budget_ratio: f64,
-    /// `BudgetWindowS`: the window of the retry budget; 10 s.
+    /// `BudgetWindowS`: the length of the window of the retry budget. Defaults to 10 s.
     pub budget_window: Duration,
-    /// `RetrySlack`: retries beyond the ratio in a window; 10.
+    /// `RetrySlack`: the number of retries beyond the ratio that are allowed in a window. Defaults to 10.
     pub retry_slack: f64,
-    /// `WarmupOvershoot`: the factor on what a cold server bears; 1.5.
+    /// `WarmupOvershoot`: the factor by which the request rate of a server that is warming up may exceed its configured
+    /// rate. Defaults to 1.5.
     pub warmup_overshoot: f64,
-    /// `WarmupSlack`: requests a second beyond that; 5.
+    /// `WarmupSlack`: the requests per second that are allowed beyond that. Defaults to 5.
     pub warmup_slack: f64,
-    /// `EvacMs`: within which an evacuation must be active everywhere; 5 s.
+    /// `EvacMs`: the time within which an evacuation must be active on all machines. Defaults to 5 s.
     pub evacuation: Duration,
-    /// `RecoveryS`: within which the system must serve again after the whole of it was lost; 12 s.
+    /// `RecoveryS`: the time within which the system must serve again after all of its machines were lost. Defaults to 12 s.
     pub recovery: Duration,
-    /// `pass_ms`: within which an event must be forwarded; 0.25 s.
+    /// `pass_ms`: the time within which an event of a stream must be forwarded. Defaults to 0.25 s.
     pub pass: Duration,
-    /// `again_s`: within which a part of a prompt should not be read again; 10 s.
+    /// `again_s`: the time within which the same part of a prompt should not be processed again. Defaults to 10 s.
     pub again: Duration,
-    /// `ttl_max_s`: the most of a directory's time to live that counts; 5 s.
+    /// `ttl_max_s`: the upper limit that is applied to the time to live of directory responses. Defaults to 5 s.
     pub ttl_max: Duration,
 }
 
@@ -188,21 +190,21 @@
     }
 }
 
-/// `Platform`: the platform's list of servers.
+/// `Cloud`: the API of the platform that lists the servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Platform {
-    /// `Address`: where the list is asked for.
+    /// `Address`: the address of the API.
     pub address: SocketAddr,
-    /// `RatePerS`: calls a second that all machines may make together; 1.
+    /// `RatePerS`: the maximum number of calls per second by all machines together. Defaults to 1.
     pub rate_per_s: f64,
-    /// `Duties`: reserved; none.
+    /// `Duties`: reserved. Defaults to an empty list.
     pub duties: Vec<String>,
-    /// `MaxLagMs`: how far the list may be behind; 1 s.
+    /// `MaxLagMs`: the maximum time by which the list may be out of date. Defaults to 1 s.
     pub max_lag: Duration,
 }
 
 impl Platform {
-    /// None without an address.
+    /// Reads the table. Returns `None` if it has no address.
     pub(super) fn read(section: &Section<'_>) -> Result<Option<Platform>, SettingsError> {
         let Some(address) = section.address("Address")? else { return Ok(None) };
         Ok(Some(Platform {
