--- a/crates/serving-config/src/fields.rs
+++ b/crates/serving-config/src/fields.rs
@@ -13,7 +13,7 @@
 const AN_INTEGER: &str = "a whole number, 0 or above";
 
 /// Longer durations are clamped to this one: seven days.
-const LONGEST: Duration = Duration::from_secs(7 * 24 * 3600);
+const MAX_DURATION: Duration = Duration::from_secs(7 * 24 * 3600);
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
 /// The fields of a JSON object, and the description of the object that is used in errors.
@@ -39,7 +39,7 @@
     }
 
     /// Returns the elements of a required list, each converted by `read`, which also gets the index of the element.
-    pub fn each<T>(
+    pub fn required_list<T>(
         &self,
         field: &'static str,
         read: impl Fn(Value<'_, '_>, usize) -> Result<T, ConfigurationError>,
@@ -47,11 +47,11 @@
         if self.optional(field).is_none() {
             return Err(self.missing(field));
         }
-        self.each_if_any(field, read)
+        self.optional_list(field, read)
     }
 
     /// Returns the elements of an optional list, each converted by `read`. Returns an empty list if the field is missing.
-    pub fn each_if_any<T>(
+    pub fn optional_list<T>(
         &self,
         field: &'static str,
         read: impl Fn(Value<'_, '_>, usize) -> Result<T, ConfigurationError>,
@@ -61,18 +61,18 @@
         elements.iter().enumerate().map(|(index, element)| read(element, index)).collect()
     }
 
-    pub fn text(&self, field: &'static str) -> Result<Option<String>, ConfigurationError> {
+    pub fn string(&self, field: &'static str) -> Result<Option<String>, ConfigurationError> {
         let Some(value) = self.optional(field) else { return Ok(None) };
         let text = value.as_str().ok_or_else(|| self.wrong_kind(field, A_TEXT))?;
         Ok(Some(text.to_string()))
     }
 
-    pub fn required_text(&self, field: &'static str) -> Result<String, ConfigurationError> {
-        self.text(field)?.ok_or_else(|| self.missing(field))
+    pub fn required_string(&self, field: &'static str) -> Result<String, ConfigurationError> {
+        self.string(field)?.ok_or_else(|| self.missing(field))
     }
 
     /// Returns a string, or the default if the field is missing or is not a string.
-    pub fn text_or(&self, field: &str, default: &str) -> String {
+    pub fn string_or(&self, field: &str, default: &str) -> String {
         let text = self.optional(field).and_then(Value::into_string);
         text.unwrap_or(default).to_string()
     }
@@ -83,15 +83,15 @@
     }
 
     /// Returns the strings of a field that is a list of strings or a single string. Empty strings are omitted.
-    pub fn texts(&self, field: &'static str) -> Result<Vec<String>, ConfigurationError> {
+    pub fn strings(&self, field: &'static str) -> Result<Vec<String>, ConfigurationError> {
         let Some(value) = self.optional(field) else { return Ok(Vec::new()) };
-        let texts: Option<Vec<&str>> = match (value.as_str(), value.as_array()) {
+        let strings: Option<Vec<&str>> = match (value.as_str(), value.as_array()) {
             (Some(text), _) => Some(vec![text]),
             (None, Some(elements)) => elements.iter().map(Value::into_string).collect(),
             (None, None) => None,
         };
-        let texts = texts.ok_or_else(|| self.wrong_kind(field, TEXTS))?;
-        Ok(texts.into_iter().filter(|text| !text.is_empty()).map(str::to_string).collect())
+        let strings = strings.ok_or_else(|| self.wrong_kind(field, TEXTS))?;
+        Ok(strings.into_iter().filter(|text| !text.is_empty()).map(str::to_string).collect())
     }
 
     pub fn number(&self, field: &'static str) -> Result<Option<f64>, ConfigurationError> {
@@ -166,5 +166,5 @@
 }
 
 fn duration(seconds: f64) -> Duration {
-    Duration::try_from_secs_f64(seconds).unwrap_or(LONGEST).min(LONGEST)
+    Duration::try_from_secs_f64(seconds).unwrap_or(MAX_DURATION).min(MAX_DURATION)
 }
--- a/crates/serving-config/src/lib.rs
+++ b/crates/serving-config/src/lib.rs
@@ -45,8 +45,8 @@
     pub fn parse(body: &[u8]) -> Result<Configuration, ConfigurationError> {
         json::read(body, |value| {
             let fields = Fields::of(value, "the configuration")?;
-            let routes = fields.each("Routes", Route::read)?;
-            let services = fields.each("Services", Service::read)?;
+            let routes = fields.required_list("Routes", Route::read)?;
+            let services = fields.required_list("Services", Service::read)?;
             let limits = match fields.optional("Limits") {
                 Some(limits) => Limits::read(limits)?,
                 None => Limits::default(),
--- a/crates/serving-config/src/route.rs
+++ b/crates/serving-config/src/route.rs
@@ -10,10 +10,10 @@
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
 /// The priority of a route without `Priority`. Servers assume the same value for a request without a priority.
 const DEFAULT_PRIORITY: u32 = 5;
-const DEFAULT_ATTEMPTS: u32 = 1;
+const DEFAULT_MAX_ATTEMPTS: u32 = 1;
 const DEFAULT_WEIGHT: f64 = 1.0;
 /// Greater weights are reduced to this one, so that the sum of the weights of a route is finite.
-const HIGHEST_WEIGHT: f64 = 1e12;
+const MAX_WEIGHT: f64 = 1e12;
 
 /// Whether a request of a route may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -104,9 +104,9 @@
     /// Parses a route. Errors identify it by `index` until its name is known.
     pub(super) fn read(value: Value<'_, '_>, index: usize) -> Result<Route, ConfigurationError> {
         let mut fields = Fields::of(value, &format!("route {index} of the list"))?;
-        let host = fields.required_text("Host")?.to_ascii_lowercase();
-        let path_prefix = fields.required_text("PathPrefix")?;
-        let name = fields.text_or("Name", &format!("{host}{path_prefix}"));
+        let host = fields.required_string("Host")?.to_ascii_lowercase();
+        let path_prefix = fields.required_string("PathPrefix")?;
+        let name = fields.string_or("Name", &format!("{host}{path_prefix}"));
         fields.location = format!("route {name}");
         if path_prefix.is_empty() {
             return Err(ConfigurationError::NoPrefix { route: name });
@@ -115,16 +115,16 @@
         Ok(Route {
             host,
             path_prefix,
-            kind: RouteKind::named(&fields.text_or("Kind", "")),
+            kind: RouteKind::named(&fields.string_or("Kind", "")),
             timeout,
             target_latency: fields.milliseconds("TargetLatencyMs")?.unwrap_or(timeout),
             priority: fields.count("Priority", DEFAULT_PRIORITY)?,
             split: read_split(&fields, &name)?,
-            max_attempts: fields.count("MaxAttempts", DEFAULT_ATTEMPTS)?.max(1),
+            max_attempts: fields.count("MaxAttempts", DEFAULT_MAX_ATTEMPTS)?.max(1),
             sticky: fields.flag("Sticky"),
             resumable: fields.flag("Resumable"),
             inter_token_target: fields.milliseconds("gap_aim_ms")?,
-            home_regions: fields.texts("HomeRegions")?,
+            home_regions: fields.strings("HomeRegions")?,
             rate_per_s: fields.number("RatePerS")?,
             name,
         })
@@ -142,11 +142,11 @@
 /// Returns the services of `TrafficSplit`, or else `Service` alone. If a route has both, `Service` is added with the
 /// weight 0: it receives no requests, but must be a known service.
 fn read_split(fields: &Fields<'_, '_>, name: &str) -> Result<Vec<WeightedService>, ConfigurationError> {
-    let service = fields.text("Service")?;
+    let service = fields.string("Service")?;
     if service.is_none() && fields.optional("TrafficSplit").is_none() {
         return Err(fields.missing("Service or TrafficSplit"));
     }
-    let mut split = fields.each_if_any("TrafficSplit", |value, _| read_share(value, &fields.location))?;
+    let mut split = fields.optional_list("TrafficSplit", |value, _| read_share(value, &fields.location))?;
     if let Some(service) = service {
         let weight = if split.is_empty() { DEFAULT_WEIGHT } else { 0.0 };
         split.push(WeightedService { service, weight });
@@ -159,6 +159,6 @@
 
 fn read_share(value: Value<'_, '_>, location: &str) -> Result<WeightedService, ConfigurationError> {
     let fields = Fields::of(value, &format!("the traffic split of {location}"))?;
-    let weight = fields.number("Weight")?.unwrap_or(DEFAULT_WEIGHT).min(HIGHEST_WEIGHT);
-    Ok(WeightedService { service: fields.required_text("Service")?, weight })
+    let weight = fields.number("Weight")?.unwrap_or(DEFAULT_WEIGHT).min(MAX_WEIGHT);
+    Ok(WeightedService { service: fields.required_string("Service")?, weight })
 }
--- a/crates/serving-config/src/service.rs
+++ b/crates/serving-config/src/service.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 const DEFAULT_HEALTH_PATH: &str = "/health";
-const DEFAULT_CONNECTIONS: u32 = 64;
+const DEFAULT_MAX_CONNECTIONS: u32 = 64;
 const DEFAULT_PROTOCOL: &str = "h1";
 
 /// A service: the common properties of a group of servers.
@@ -65,12 +65,12 @@
     /// Parses a service. Errors identify it by `index` until its name is known.
     pub(super) fn read(value: Value<'_, '_>, index: usize) -> Result<Service, ConfigurationError> {
         let mut fields = Fields::of(value, &format!("service {index} of the list"))?;
-        let name = fields.required_text("Name")?;
+        let name = fields.required_string("Name")?;
         fields.location = format!("service {name}");
         Ok(Service {
-            health_path: fields.text_or("HealthPath", DEFAULT_HEALTH_PATH),
-            max_connections: fields.count("MaxConnections", DEFAULT_CONNECTIONS)?.max(1),
-            protocol: fields.text_or("Protocol", DEFAULT_PROTOCOL),
+            health_path: fields.string_or("HealthPath", DEFAULT_HEALTH_PATH),
+            max_connections: fields.count("MaxConnections", DEFAULT_MAX_CONNECTIONS)?.max(1),
+            protocol: fields.string_or("Protocol", DEFAULT_PROTOCOL),
             tls: fields.flag("Tls"),
             warmup: fields.seconds("WarmupS")?.unwrap_or_default(),
             warmup_per_s: fields.number("WarmupPerS")?.unwrap_or_default(),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -98,13 +98,13 @@
         let table = text.parse().map_err(|error| reader::not_toml(text, &error))?;
         let root = Section::root(&table);
         let ip = root.required_ip("Ip")?;
-        let zone = root.required_text("Zone")?;
-        let zones = root.section("Zones")?.all_texts()?;
+        let zone = root.required_string("Zone")?;
+        let zones = root.section("Zones")?.all_strings()?;
         Ok(Settings {
-            node_name: root.text("NodeName")?.unwrap_or_else(|| ip.to_string()),
-            role: root.text("Role")?.unwrap_or_default(),
-            machine_class: root.text("MachineClass")?.unwrap_or_default(),
-            serves: root.texts("Serves")?,
+            node_name: root.string("NodeName")?.unwrap_or_else(|| ip.to_string()),
+            role: root.string("Role")?.unwrap_or_default(),
+            machine_class: root.string("MachineClass")?.unwrap_or_default(),
+            serves: root.strings("Serves")?,
             ip,
             region: region(&root, &zones, &zone)?,
             zone,
@@ -112,9 +112,9 @@
             seeds: root.addresses("Seeds")?,
             bootstrap: root.flag("Bootstrap")?,
             counts_for_quorum: root.flag("CountsForQuorum")?,
-            data_folder: root.text("DataDir")?.map(PathBuf::from),
+            data_folder: root.string("DataDir")?.map(PathBuf::from),
             heartbeat: root.milliseconds("HeartbeatMs", DEFAULT_HEARTBEAT)?,
-            contracts: root.texts("Contracts")?,
+            contracts: root.strings("Contracts")?,
             zones,
             listen: Listen::read(&root.section("Listen")?)?,
             limits: ProcessLimits::read(&root.section("Limits")?)?,
@@ -187,10 +187,10 @@
 }
 
 fn region(root: &Section<'_>, zones: &BTreeMap<String, String>, zone: &str) -> Result<String, SettingsError> {
-    match (root.text("Region")?, zones.get(zone)) {
+    match (root.string("Region")?, zones.get(zone)) {
         (Some(region), _) => Ok(region),
         (None, Some(region)) => Ok(region.clone()),
-        (None, None) => root.required_text("Region"),
+        (None, None) => root.required_string("Region"),
     }
 }
 
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -17,7 +17,7 @@
 const A_TABLE: &str = "a table, with its keys below";
 
 /// Longer durations are clamped to this one: 365 days.
-const LONGEST: Duration = Duration::from_secs(365 * 24 * 3600);
+const MAX_DURATION: Duration = Duration::from_secs(365 * 24 * 3600);
 
 /// One table of the file. A missing table is treated as an empty one.
 pub(super) struct Section<'a> {
@@ -39,7 +39,7 @@
         Ok(Section { name: Some(key), table })
     }
 
-    pub fn text(&self, key: &str) -> Result<Option<String>, SettingsError> {
+    pub fn string(&self, key: &str) -> Result<Option<String>, SettingsError> {
         match self.value(key) {
             Some(Value::String(text)) => Ok(Some(text.clone())),
             Some(other) => Err(self.wrong_kind(key, other, A_TEXT)),
@@ -47,22 +47,22 @@
         }
     }
 
-    pub fn required_text(&self, key: &str) -> Result<String, SettingsError> {
-        self.text(key)?.ok_or_else(|| self.missing(key, A_TEXT))
+    pub fn required_string(&self, key: &str) -> Result<String, SettingsError> {
+        self.string(key)?.ok_or_else(|| self.missing(key, A_TEXT))
     }
 
-    pub fn texts(&self, key: &str) -> Result<Vec<String>, SettingsError> {
+    pub fn strings(&self, key: &str) -> Result<Vec<String>, SettingsError> {
         let text = |value: &Value| value.as_str().map(str::to_string);
         self.list(key, TEXTS, text)
     }
 
     /// Returns all keys of the section with their values, which must be strings and may be empty.
-    pub fn all_texts(&self) -> Result<BTreeMap<String, String>, SettingsError> {
-        let mut texts = BTreeMap::new();
+    pub fn all_strings(&self) -> Result<BTreeMap<String, String>, SettingsError> {
+        let mut strings = BTreeMap::new();
         for key in self.table.into_iter().flat_map(Table::keys) {
-            texts.insert(key.clone(), self.text(key)?.unwrap_or_default());
+            strings.insert(key.clone(), self.string(key)?.unwrap_or_default());
         }
-        Ok(texts)
+        Ok(strings)
     }
 
     pub fn required_ip(&self, key: &str) -> Result<Ipv4Addr, SettingsError> {
@@ -143,7 +143,7 @@
     }
 
     pub fn wrong_kind(&self, key: &str, found: &Value, expected: &'static str) -> SettingsError {
-        SettingsError::WrongKind { key: self.path(key), found: shown(found), expected }
+        SettingsError::WrongKind { key: self.path(key), found: display_value(found), expected }
     }
 
     pub fn missing(&self, key: &str, expected: &'static str) -> SettingsError {
@@ -171,10 +171,10 @@
 }
 
 fn duration(seconds: f64) -> Duration {
-    Duration::try_from_secs_f64(seconds).unwrap_or(LONGEST).min(LONGEST)
+    Duration::try_from_secs_f64(seconds).unwrap_or(MAX_DURATION).min(MAX_DURATION)
 }
 
-fn shown(value: &Value) -> String {
+fn display_value(value: &Value) -> String {
     match value {
         Value::String(text) => format!("{text:?}"),
         Value::Integer(number) => number.to_string(),
--- a/crates/settings/src/sections.rs
+++ b/crates/settings/src/sections.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 use toml::Value;
 
-const TWO_PORTS: &str = "the first and the last of three ports or more, such as [7720, 7735]";
+const PORT_RANGE: &str = "the first and the last of three ports or more, such as [7720, 7735]";
 /// The minimum number of ports that the processes of a machine need.
-const LEAST_PORTS: u16 = 3;
+const MIN_PORTS: u16 = 3;
 
 /// A range of at least three ports, reserved for traffic between the processes of the system. Both ends are included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -22,11 +22,11 @@
 impl PortRange {
     pub(super) fn read(root: &Section<'_>) -> Result<PortRange, SettingsError> {
         const KEY: &str = "PortRange";
-        let ports = root.list(KEY, TWO_PORTS, port)?;
+        let ports = root.list(KEY, PORT_RANGE, port)?;
         match ports[..] {
-            [] => Err(root.missing(KEY, TWO_PORTS)),
-            [first, last] if last.saturating_sub(first) >= LEAST_PORTS - 1 => Ok(PortRange { first, last }),
-            _ => Err(root.wrong_kind(KEY, &Value::Array(Vec::new()), TWO_PORTS)),
+            [] => Err(root.missing(KEY, PORT_RANGE)),
+            [first, last] if last.saturating_sub(first) >= MIN_PORTS - 1 => Ok(PortRange { first, last }),
+            _ => Err(root.wrong_kind(KEY, &Value::Array(Vec::new()), PORT_RANGE)),
         }
     }
 }
@@ -120,9 +120,9 @@
     /// `ReuseAfterS`: the time after which the address of a terminated server may be assigned to another. Defaults to 2 s.
     pub reuse_after: Duration,
     /// `ContactMs`: the minimum length of a fault-free period. Defaults to 4 s.
-    pub contact: Duration,
+    pub fault_free_period: Duration,
     /// `AckMs`: the time within which a command of the operator must be acknowledged. Defaults to 5 s.
-    pub acknowledge: Duration,
+    pub acknowledge_deadline: Duration,
     /// `CatchUpS`: the time for which a machine that has come back still counts as lost. Defaults to 4 s.
     pub catch_up: Duration,
     /// `DrainMs`: the time after which a draining server must receive no more requests. Defaults to 3 s.
@@ -132,7 +132,7 @@
     /// `LossSlackMs`: the time after which a request that was read must be answered. Defaults to 0.2 s.
     pub loss_slack: Duration,
     /// `ConfigMs`: the time within which a configuration must be active on all machines. Defaults to 2.5 s.
-    pub configuration: Duration,
+    pub configuration_deadline: Duration,
     /// `RollbackSlackMs`: the time after which no process may return to an older configuration. Defaults to 0.25 s.
     pub rollback_slack: Duration,
     /// `MaxSkewMs`: the time by which bounds are extended while the control nodes are not stable. Defaults to 6 s.
@@ -149,13 +149,13 @@
     /// `WarmupSlack`: the requests per second that are allowed beyond that. Defaults to 5.
     pub warmup_slack: f64,
     /// `EvacMs`: the time within which an evacuation must be active on all machines. Defaults to 5 s.
-    pub evacuation: Duration,
+    pub evacuation_deadline: Duration,
     /// `RecoveryS`: the time within which the system must serve again after all of its machines were lost. Defaults to 12 s.
-    pub recovery: Duration,
+    pub recovery_deadline: Duration,
     /// `pass_ms`: the time within which an event of a stream must be forwarded. Defaults to 0.25 s.
-    pub pass: Duration,
+    pub forward_deadline: Duration,
     /// `again_s`: the time within which the same part of a prompt should not be processed again. Defaults to 10 s.
-    pub again: Duration,
+    pub prompt_reuse_window: Duration,
     /// `ttl_max_s`: the upper limit that is applied to the time to live of directory responses. Defaults to 5 s.
     pub ttl_max: Duration,
 }
@@ -167,13 +167,13 @@
         Ok(Bounds {
             seed_lag: seconds("SeedLagS", 3)?,
             reuse_after: seconds("ReuseAfterS", 2)?,
-            contact: milliseconds("ContactMs", 4000)?,
-            acknowledge: milliseconds("AckMs", 5000)?,
+            fault_free_period: milliseconds("ContactMs", 4000)?,
+            acknowledge_deadline: milliseconds("AckMs", 5000)?,
             catch_up: seconds("CatchUpS", 4)?,
             drain: milliseconds("DrainMs", 3000)?,
             grace: seconds("GraceS", 8)?,
             loss_slack: milliseconds("LossSlackMs", 200)?,
-            configuration: milliseconds("ConfigMs", 2500)?,
+            configuration_deadline: milliseconds("ConfigMs", 2500)?,
             rollback_slack: milliseconds("RollbackSlackMs", 250)?,
             max_skew: milliseconds("MaxSkewMs", 6000)?,
             retry_budget_ratio: section.number("RetryBudgetRatio", 0.2)?,
@@ -181,10 +181,10 @@
             retry_slack: section.number("RetrySlack", 10.0)?,
             warmup_overshoot: section.number("WarmupOvershoot", 1.5)?,
             warmup_slack: section.number("WarmupSlack", 5.0)?,
-            evacuation: milliseconds("EvacMs", 5000)?,
-            recovery: seconds("RecoveryS", 12)?,
-            pass: milliseconds("pass_ms", 250)?,
-            again: seconds("again_s", 10)?,
+            evacuation_deadline: milliseconds("EvacMs", 5000)?,
+            recovery_deadline: seconds("RecoveryS", 12)?,
+            forward_deadline: milliseconds("pass_ms", 250)?,
+            prompt_reuse_window: seconds("again_s", 10)?,
             ttl_max: seconds("ttl_max_s", 5)?,
         })
     }
@@ -210,7 +210,7 @@
         Ok(Some(Platform {
             address,
             rate_per_s: section.number("RatePerS", 1.0)?,
-            duties: section.texts("Duties")?,
+            duties: section.strings("Duties")?,
             max_lag: section.milliseconds("MaxLagMs", Duration::from_secs(1))?,
         }))
     }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -98,7 +98,7 @@
     assert_eq!(settings.limits.max_descriptors, 4100);
     assert_eq!(settings.fault_tolerance.machines, 1);
     assert_eq!(settings.bounds.drain, Duration::from_secs(3));
-    assert_eq!(settings.bounds.again, Duration::from_millis(10_500));
+    assert_eq!(settings.bounds.prompt_reuse_window, Duration::from_millis(10_500));
     assert_eq!(settings.bounds.retry_slack, 56.0);
     let platform = settings.platform.expect("a cloud");
     assert_eq!(platform.address, address("10.200.0.79:8169"));
@@ -149,7 +149,7 @@
     for oddity in oddities {
         let settings = parse(&format!("{LEAST}{oddity}"));
         assert_eq!(settings.bounds.drain, Duration::from_secs(3), "{oddity}");
-        assert_eq!(settings.bounds.evacuation, Duration::from_secs(5), "{oddity}");
+        assert_eq!(settings.bounds.evacuation_deadline, Duration::from_secs(5), "{oddity}");
     }
 }
 
