--- a/crates/protocol/tests/compatibility.rs
+++ b/crates/protocol/tests/compatibility.rs
@@ -1,7 +1,7 @@
-//! The bytes of every message and stored value are those that earlier releases write and read.
+//! Compatibility with earlier releases: the encoding of every message and stored value must not change.
 //!
-//! `fixtures/messages.hex` and `fixtures/values.hex` were written by the program at commit 0b0971f. Each line holds
-//! a name and the bytes in hexadecimal. Names in the schema may change; these bytes may not.
+//! `fixtures/messages.hex` and `fixtures/values.hex` were written by the program at commit 0b0971f. Each line contains a
+//! name and the encoded bytes in hexadecimal. Names in the schema may change, but these bytes may not.
 
 use quillpulley_protocol::*;
 use std::collections::BTreeMap;
@@ -59,7 +59,7 @@
     vec![ServerLoad { server: 0xfeed_beef, running: 5, waiting: 2, prompt_tokens: 1_900, failures: 1 }]
 }
 
-/// One message of each kind.
+/// Returns one message of each kind.
 fn messages() -> Vec<(&'static str, Body)> {
     let hello = Hello {
         kind: PeerKind::Agent,
@@ -171,7 +171,7 @@
     ]
 }
 
-/// One value of each kind that is published or stored on its own.
+/// Returns one encoded value of each kind that is published or stored as a stand-alone flatbuffer.
 fn values() -> Vec<(&'static str, Vec<u8>)> {
     let server = Server {
         id: "i-7f3a91c2".to_string(),
--- a/crates/protocol/tests/framing.rs
+++ b/crates/protocol/tests/framing.rs
@@ -1,4 +1,4 @@
-//! Framing: frames are decoded as they were encoded, however the stream is split, and no input makes the decoder panic.
+//! Framing: frames are decoded correctly however the stream is split, and no input makes the decoder panic.
 
 use quickcheck::quickcheck;
 use quillpulley_protocol::{
--- a/crates/protocol/tests/queue.rs
+++ b/crates/protocol/tests/queue.rs
@@ -1,4 +1,4 @@
-//! Long messages are sent in pieces, and delay neither short ones nor those of other lanes.
+//! The queue of a link: long messages are sent in chunks, and delay neither short messages nor those of other lanes.
 
 use quickcheck::quickcheck;
 use quillpulley_protocol::{
@@ -29,13 +29,13 @@
     Body::Update(Box::new(Update { revision, items, ..Update::default() }))
 }
 
-/// The two ends of a link, with nothing between them.
+/// The sender's queue and the receiver's decoder of a link, without a network between them.
 #[derive(Default)]
 struct Ends {
     queue: FrameQueue,
     encoder: FrameEncoder,
     decoder: FrameDecoder,
-    /// The way back, on which pieces are told of.
+    /// The opposite direction, in which chunks are acknowledged.
     back: FrameQueue,
     back_decoder: FrameDecoder,
     came: Vec<Body>,
@@ -46,7 +46,7 @@
         self.queue.push(Lane::of(body), self.encoder.message(body), MAXIMUM).expect("room");
     }
 
-    /// Passes on at most this many bytes; says how many there were.
+    /// Transfers at most `most` bytes to the receiver. Returns how many were transferred.
     fn pass(&mut self, most: usize) -> usize {
         let bytes = self.queue.pending();
         let count = bytes.len().min(most);
@@ -90,7 +90,7 @@
         ends.acknowledge_back();
     }
     assert_eq!(ends.came, [grant(1)]);
-    assert!(between <= 2 * MAX_CHUNK_BYTES + 1_000, "{between} bytes went first");
+    assert!(between <= 2 * MAX_CHUNK_BYTES + 1_000, "{between} bytes were sent before the short message");
     ends.pass_all();
     assert_eq!(ends.came, [grant(1), long]);
 }
@@ -109,7 +109,7 @@
     assert!((CHUNK_WINDOW_BYTES..CHUNK_WINDOW_BYTES + MAX_CHUNK_BYTES).contains(&sent), "{sent} bytes");
     ends.send(&grant(2));
     ends.pass(1_000);
-    assert_eq!(ends.came, [grant(2)], "a full window does not hold up control messages");
+    assert_eq!(ends.came, [grant(2)], "control messages are sent although the window is full");
     ends.acknowledge_back();
     assert!(ends.pass(50_000) > 0);
 }
@@ -126,7 +126,7 @@
         passed += ends.pass(10_000);
         ends.acknowledge_back();
     }
-    assert_eq!(ends.came, [update(1, 200_000), update(2, 10)], "in their order");
+    assert_eq!(ends.came, [update(1, 200_000), update(2, 10)], "the messages arrive in order");
     assert!(passed < 800_000, "{passed}");
 }
 
@@ -153,7 +153,9 @@
     }
     let mut refused = FrameQueue::default();
     let long = vec![0; MAXIMUM];
-    refused.push(Lane::Ordered, &long, MAXIMUM).expect("the first of all");
+    refused
+        .push(Lane::Ordered, &long, MAXIMUM)
+        .expect("a message may exceed the limit if the queue is empty");
     assert!(refused.push(Lane::Ordered, &[0; 100], MAXIMUM).is_err());
     assert!(refused.push(Lane::State, &long, MAXIMUM).is_ok());
 }
@@ -184,17 +186,17 @@
     assert!(fails);
     let mut decoder = FrameDecoder::default();
     decoder.push(b"GET / HTTP/1.1\r\n");
-    assert!(decoder.next_frame().is_err(), "another protocol is told at once");
+    assert!(decoder.next_frame().is_err(), "a different protocol is rejected at once");
 }
 
-/// Two ends whose receiver has announced that it can decompress.
+/// Returns a link whose receiver has announced that it can decompress messages.
 fn compressing() -> Ends {
     let mut ends = Ends::default();
     ends.queue.enable_compression();
     ends
 }
 
-/// Text of one form, with numbers of its own.
+/// Returns a log entry with a compressible text: similar lines with random numbers.
 fn text(bytes: usize) -> Body {
     let mut random = fastrand::Rng::with_seed(7);
     let mut payload = Vec::new();
@@ -256,7 +258,7 @@
 fn the_announcement_is_an_acknowledgement_of_nothing() {
     let mut decoder = FrameDecoder::default();
     assert!(!decoder.peer_decompresses());
-    // As releases that know of no compression read it: kind 3 with four bytes, on whatever lane.
+    // Releases without compression read it as a frame of kind 3 with four bytes, and ignore the lane.
     assert_eq!(compression_announcement(), [&(4u32 | 2 << 26 | 3 << 28).to_le_bytes()[..], &[0; 4]].concat());
     decoder.push(&compression_announcement());
     assert_eq!(decoder.next_frame(), Ok(None));
@@ -267,7 +269,7 @@
     queue.acknowledge_chunks(9);
     other.push(queue.pending());
     assert_eq!(other.next_frame(), Ok(None));
-    assert!(!other.peer_decompresses(), "an acknowledgement is no announcement");
+    assert!(!other.peer_decompresses(), "an ordinary acknowledgement does not announce decompression");
 }
 
 #[test]
@@ -281,7 +283,7 @@
     assert!(compressed(&[]).is_err());
     assert!(compressed(&[1, 0]).is_err());
     assert!(compressed(&[100, 0, 0, 0, 1, 2, 3]).is_err());
-    // Four gigabytes are announced: no memory is taken for them.
+    // The message claims to decompress to four gigabytes. It must be rejected before memory is allocated.
     assert!(compressed(&[255, 255, 255, 255, 1, 2, 3]).is_err());
 }
 
@@ -318,7 +320,7 @@
                 2 => grant(place),
                 _ => update(place, size),
             };
-            // A state that waits is replaced by the next one, so each goes out before the next.
+            // A queued state message is replaced by the next one, so each one is transferred before the next is sent.
             ends.send(&body);
             sent.push(body);
             ends.pass(usize::from(*cuts.next().unwrap_or(&9)));
--- a/crates/protocol/tests/sizes.rs
+++ b/crates/protocol/tests/sizes.rs
@@ -1,4 +1,4 @@
-//! The sizes of messages and published values: the figures of `docs/CAPACITY.md` hold.
+//! Checks the sizes of messages and published values that `docs/CAPACITY.md` states.
 
 use quillpulley_protocol::View;
 use quillpulley_protocol::{encode_frame, encode_value, Body};
@@ -8,7 +8,7 @@
 use std::net::Ipv4Addr;
 
 const NAME: &str = "front-zona-10-1";
-/// What goes before a message on a stream, and not in a datagram.
+/// The length of the frame prefix, which is present on a stream but not in a datagram.
 const PREFIX_BYTES: usize = 4;
 
 fn lease_request(nodes: u8) -> usize {
--- a/crates/quillpulley/tests/agent.rs
+++ b/crates/quillpulley/tests/agent.rs
@@ -1,4 +1,4 @@
-//! Agents between control nodes and proxies, on loopback. Each machine of a test has an address of its own.
+//! Runs agents between simulated control nodes and proxies, on loopback. Each machine of a test has its own address.
 
 mod common;
 
@@ -18,7 +18,7 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
 use tokio::task::{spawn_local, JoinHandle};
 
-/// The machines of one test, which have addresses that no other test uses.
+/// The machines of one test. Their addresses are not used by any other test.
 struct Machines {
     network: u8,
 }
@@ -37,12 +37,12 @@
         Ipv4Addr::new(127, self.network, 1, number)
     }
 
-    /// What the proxy of a machine reports.
+    /// Returns the endpoint that the proxy of a machine reports.
     fn report(&self, number: u8) -> ProxyEndpoint {
         endpoint(&format!("front-{number}"), self.endpoint(number), "zone-a")
     }
 
-    /// The value of a published proxy.
+    /// Returns the published item of a proxy.
     fn published(&self, number: u8) -> Vec<u8> {
         encode_value::<ProxyEndpoint>(&self.report(number))
     }
@@ -60,7 +60,7 @@
     }
 }
 
-/// Listeners at the same port of all addresses.
+/// Finds a port that is free on all addresses. Returns the port and a listener for each address.
 async fn same_ports<const N: usize>(addresses: [Ipv4Addr; N]) -> (u16, [TcpListener; N]) {
     loop {
         let probe = TcpListener::bind((addresses[0], 0)).await.expect("a free port");
@@ -76,13 +76,13 @@
     }
 }
 
-/// An agent that runs beside the test.
+/// An agent that runs in a task of its own.
 struct Agent {
     commands: UnboundedSender<ProcessSignal>,
     task: JoinHandle<()>,
-    /// Where its proxy connects.
+    /// The address on which the agent accepts its proxy.
     proxy: SocketAddr,
-    /// What it reads when it reads its settings again.
+    /// The settings that the agent gets when it reloads its settings.
     settings: Rc<RefCell<Settings>>,
 }
 
@@ -122,11 +122,11 @@
         control_node.publish("route/x", b"second".to_vec());
         proxy.until("the second state", |state| state.holds("route/x", b"second")).await;
         control_node
-            .until("the front", |state| state.endpoints.contains_key("front-1") && state.proxies == 1)
+            .until("the proxy", |state| state.endpoints.contains_key("front-1") && state.proxies == 1)
             .await;
         drop(proxy);
-        control_node.until("no front", |state| state.endpoints.is_empty() && state.proxies == 0).await;
-        assert!(control_node.state().children.contains("front-1"), "the agent stays");
+        control_node.until("no proxy", |state| state.endpoints.is_empty() && state.proxies == 0).await;
+        assert!(control_node.state().children.contains("front-1"), "the agent stays connected");
     });
 }
 
@@ -138,13 +138,13 @@
         let control_node = Node::control_node(listener, 1);
         control_node.publish("route/x", b"first".to_vec());
         let agent = Agent::start(machines.settings(1, port, &[machines.control_node(1)])).await;
-        // Its introduction comes late.
+        // This connection is accepted first, but its `Hello` arrives last.
         let mut older = TcpStream::connect(agent.proxy).await.expect("a connection");
         let mut proxy = Node::proxy(agent.proxy, machines.report(1));
         proxy.until("the first state", |state| state.holds("route/x", b"first")).await;
         let introduction = Body::Hello(Box::new(hello(PeerKind::Proxy, "front-1")));
-        older.write_all(&encode_frame(introduction)).await.expect("a hello");
-        expect("the end of the older one", read_to_end(&mut older)).await;
+        older.write_all(&encode_frame(introduction)).await.expect("the hello is sent");
+        expect("the older connection to close", read_to_end(&mut older)).await;
         control_node.publish("route/x", b"second".to_vec());
         proxy.until("the second state", |state| state.holds("route/x", b"second")).await;
         assert_eq!(proxy.state().parents_lost, 0);
@@ -165,7 +165,7 @@
         let (dies, mut stays) = if is_below_a { (control_a, control_b) } else { (control_b, control_a) };
         drop(dies);
         stays.until("the agent", |state| state.children.contains("front-1")).await;
-        stays.until("the front", |state| state.endpoints.contains_key("front-1")).await;
+        stays.until("the proxy", |state| state.endpoints.contains_key("front-1")).await;
         assert_eq!(proxy.state().parents_lost, 0);
     });
 }
@@ -185,7 +185,7 @@
         let mut control_b = Node::control_node(listener_b, 2);
         control_b.publish("route/x", b"newer".to_vec());
         proxy.until("newer state", |state| state.holds("route/x", b"newer")).await;
-        control_b.until("the front", |state| state.endpoints.contains_key("front-1")).await;
+        control_b.until("the proxy", |state| state.endpoints.contains_key("front-1")).await;
         control_a.until("no agent", |state| state.children.is_empty()).await;
         assert_eq!(proxy.state().parents_lost, 0);
     });
@@ -212,7 +212,7 @@
         }
         control_node.until("both agents", |state| state.children.len() == 2).await;
         let state = control_node.until("one agent below the other", |state| state.children.len() == 1).await;
-        control_node.until("both fronts", |state| state.endpoints.len() == 2 && state.proxies == 2).await;
+        control_node.until("both proxies", |state| state.endpoints.len() == 2 && state.proxies == 2).await;
         control_node.publish("route/x", b"down the tree".to_vec());
         for proxy in &mut proxies {
             proxy.until("the state", |state| state.holds("route/x", b"down the tree")).await;
@@ -234,10 +234,10 @@
         proxy.until("fresh state", |state| state.fresh).await;
         agent.command(ProcessSignal::Shutdown);
         control_node.publish("route/x", b"late".to_vec());
-        proxy.until("late state", |state| state.holds("route/x", b"late")).await;
+        proxy.until("the state that was published late", |state| state.holds("route/x", b"late")).await;
         assert!(!agent.task.is_finished());
         drop(proxy);
-        expect("the end", &mut agent.task).await.expect("no panic");
+        expect("the agent to exit", &mut agent.task).await.expect("the agent does not panic");
     });
 }
 
@@ -248,7 +248,7 @@
         let (port, _) = same_ports([machines.control_node(1)]).await;
         let agent = Agent::start(machines.settings(1, port, &[])).await;
         agent.command(ProcessSignal::Shutdown);
-        expect("the end", agent.task).await.expect("no panic");
+        expect("the agent to exit", agent.task).await.expect("the agent does not panic");
     });
 }
 
--- a/crates/quillpulley/tests/agent_drain.rs
+++ b/crates/quillpulley/tests/agent_drain.rs
@@ -1,5 +1,5 @@
-//! How an agent ends, as timelines: the time in milliseconds, what happens, whether there is a proxy, and what is
-//! done. It would be killed 8 s after SIGTERM.
+//! The drain of an agent, tested with timelines. The columns of a timeline are: the time in milliseconds, the event,
+//! whether a proxy is connected, and the expected actions. The agent would be killed 8 s after SIGTERM.
 
 use quillpulley::agent::drain::{Action, AgentDrain};
 use std::time::Duration;
@@ -8,7 +8,7 @@
     match action {
         Action::StopListening => "stop listening",
         Action::CloseChildAgents => "close agents",
-        Action::Exit => "end",
+        Action::Exit => "exit",
     }
 }
 
@@ -16,7 +16,7 @@
     let mut drain = AgentDrain::new(Duration::from_secs(8));
     for line in timeline.lines().map(str::trim).filter(|line| !line.is_empty()) {
         let [time, happens, proxy, expected] = line.split('|').map(str::trim).collect::<Vec<_>>()[..] else {
-            panic!("four columns: {line}");
+            panic!("a line must have four columns: {line}");
         };
         let now = Duration::from_millis(time.parse().expect("milliseconds"));
         let mut actions = Vec::new();
@@ -49,7 +49,7 @@
             5199 |      |  |
             5200 |      |  | close agents
             5299 |      |  |
-            5300 |      |  | end
+            5300 |      |  | exit
             5400 |      |  |
         ",
     );
@@ -65,7 +65,7 @@
             9000 |      | proxy |
             9100 |      |       |
             9399 |      |       |
-            9400 |      |       | end
+            9400 |      |       | exit
         ",
     );
 }
@@ -78,7 +78,7 @@
             5000 | stop | proxy | stop listening
             5200 | stop | proxy | close agents
            11999 |      | proxy |
-           12000 |      | proxy | end
+           12000 |      | proxy | exit
         ",
     );
 }
--- a/crates/quillpulley/tests/catch_up/disk.rs
+++ b/crates/quillpulley/tests/catch_up/disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that counts what it holds, and what a machine's real one would need for it.
+//! An in-memory disk that records its usage, and estimates the time that writes would take on a real disk.
 
 use quillpulley_protocol::{decode_value, encode_value, WitnessRecord, WitnessRecordRef};
 use quillpulley_replication::{Recovered, Write, WriteFailed};
@@ -30,7 +30,7 @@
     }
 }
 
-/// A folder whose contents outlive processes.
+/// An in-memory directory. Its contents persist when a process is killed.
 #[derive(Clone, Default)]
 pub struct MemoryFolder(Rc<Shared>);
 
@@ -104,18 +104,18 @@
     }
 }
 
-/// How fast a disk is.
+/// The speed of a disk.
 #[derive(Clone, Copy, Debug)]
 pub struct Speed {
     pub sync_us: u64,
     pub bytes_per_us: f64,
 }
 
-/// 0.5 ms a sync, 120 MB a second.
+/// The usual speed: 0.5 ms per sync, and 120 MB/s.
 pub const USUAL: Speed = Speed { sync_us: 500, bytes_per_us: 120.0 };
-/// Thirty times as slow.
+/// A disk that is thirty times slower than the usual one.
 pub const SLOW: Speed = Speed { sync_us: 15_000, bytes_per_us: 4.0 };
-/// The size of the disks.
+/// The capacity of each disk.
 pub const DISK_BYTES: usize = 128_000_000;
 
 /// The disk of one machine.
@@ -132,7 +132,7 @@
         Disk { folder, storage: None, speed: USUAL }
     }
 
-    /// What a new process finds.
+    /// Opens the storage as a new process does, and returns the recovered data.
     pub fn open(&mut self) -> Recovered {
         let (storage, found) =
             Storage::open_in(self.folder.clone(), Options::default()).expect("a sound folder");
@@ -142,7 +142,7 @@
         Recovered { record, snapshot: found.snapshot, entries: found.entries }
     }
 
-    /// Makes a write; gives how it ended and how long it takes.
+    /// Performs a write. Returns its result, and the time that it would take on a real disk, in microseconds.
     pub fn write(&mut self, write: Write) -> (Result<(), WriteFailed>, u64) {
         let shared = &self.folder.0;
         let before = (shared.syncs.get(), shared.written.get());
@@ -159,13 +159,13 @@
         (outcome.map_err(|_| WriteFailed), time)
     }
 
-    /// Whether it takes no more bytes than it has.
+    /// Sets whether the disk is full, in which case files cannot grow.
     pub fn set_full(&mut self, full: bool) {
         let shared = &self.folder.0;
         shared.capacity.set(if full { 0 } else { DISK_BYTES });
     }
 
-    /// The most bytes that it ever held.
+    /// Returns the maximum number of bytes that the disk has held.
     pub fn peak(&self) -> usize {
         self.folder.0.peak.get()
     }
--- a/crates/quillpulley/tests/catch_up/main.rs
+++ b/crates/quillpulley/tests/catch_up/main.rs
@@ -1,4 +1,5 @@
-//! Members that were away, on links of 86 Mbit/s and disks of 128 MB: they catch up, and delay nobody meanwhile.
+//! Members that were down or slow catch up in time, and do not delay the other members meanwhile. The links have a
+//! bandwidth of 86 Mbit/s, and the disks a capacity of 128 MB.
 
 mod disk;
 mod world;
@@ -6,21 +7,22 @@
 use disk::SLOW;
 use world::{Links, World};
 
-/// The largest body that is taken.
+/// The size of the largest command, in bytes.
 const LARGEST: usize = quillpulley::control::api::MAX_BODY_BYTES;
-/// So many of them go through the log: it is compacted after every four.
+/// The number of commands of the largest size in the test. The log is compacted after every four of them.
 const LARGEST_CHANGES: usize = 100;
-/// Within which a member that comes back has to be a member again (`CatchUpS`).
+/// The time within which a restarted machine must be a member again (`CatchUpS`).
 const CATCH_UP_MS: u64 = 4_000;
-/// The same for five machines, each of which sends the largest commands to four others meanwhile.
+/// The same limit for five machines while commands of the largest size are replicated to all of them.
 const LARGE_SYSTEM_MS: u64 = 6_000;
-/// What a heartbeat may take: the pieces before it, and its way.
+/// The maximum time until a heartbeat arrives. It includes the time to send the chunks that are already in flight, and
+/// the latency of the link.
 const HEARTBEAT_US: u64 = 300_000;
-/// What a control node may have on disk, and in its log and on its links.
+/// The maximum number of bytes that a control node may have on its disk, and in memory in its log and on its links.
 const DISK_BOUND: usize = 44_000_000;
 const MEMORY_BOUND: usize = 64_000_000;
 
-/// A machine that is no primary.
+/// Returns a machine that is not the primary.
 fn backup(world: &World) -> usize {
     let leader = world.leader().expect("a primary");
     (0..world.machines.len()).find(|machine| *machine != leader).expect("another")
@@ -33,7 +35,8 @@
     assert!(world.peak_memory < MEMORY_BOUND, "{} bytes in memory", world.peak_memory);
 }
 
-/// Runs until a machine is a member, with commands each 100 ms after the one before; gives how long that time.
+/// Runs until a machine is a member, and sends a command 100 ms after each previous one. Returns how long that took, in
+/// milliseconds.
 fn time_to_catch_up(world: &mut World, machine: usize, command_bytes: usize) -> u64 {
     let started = world.now;
     let is_member = |world: &World| world.members().contains(&machine);
@@ -49,7 +52,7 @@
     world.run_until(5_000, World::is_idle);
     world.run_for(500);
     let leader = world.leader().expect("a primary");
-    assert_eq!(world.count(machine), world.count(leader), "it has all commands");
+    assert_eq!(world.count(machine), world.count(leader), "the member has applied all commands");
     time
 }
 
@@ -71,7 +74,7 @@
     assert!(world.slowest_heartbeat < HEARTBEAT_US, "{} us", world.slowest_heartbeat);
 }
 
-/// Has a machine miss 300 changes, and measures from when it comes back.
+/// Lets a machine miss 300 commands, and restarts it. The measurements begin at the restart. `prepare` is called before.
 fn after_300_changes(count: usize, prepare: impl Fn(&mut World, usize)) -> (World, usize) {
     let mut world = World::new(count);
     world.change(3, LARGEST);
@@ -120,8 +123,8 @@
     assert!(time < CATCH_UP_MS, "{time} ms");
     let epoch = world.view_epoch();
     world.change(200, 2_000);
-    assert_eq!((world.view_epoch(), world.members().len()), (epoch, 3), "it stays a member");
-    // Each entry takes its disk more than a second.
+    assert_eq!((world.view_epoch(), world.members().len()), (epoch, 3), "the machine stays a member");
+    // Each of these commands takes more than one second to write to the slow disk.
     world.slowest_command = 0;
     let started = world.now;
     world.change(40, LARGEST);
@@ -148,7 +151,7 @@
     world.change(100, 2_000);
     world.change(10, LARGEST);
     world.run_for(20_000);
-    assert_eq!(world.members().len(), 2, "commands go on without it");
+    assert_eq!(world.members().len(), 2, "commands are processed without the member");
     assert!(world.view_epoch() <= epoch + 2, "epoch {} after {epoch}", world.view_epoch());
     assert!(world.slowest_command < 3_000_000, "{} us", world.slowest_command);
     world.machines[full].disk.set_full(false);
@@ -158,7 +161,8 @@
     check_bounds(&world);
 }
 
-// One second with room on the disk, two without, for a minute: every return costs the commands a pause.
+// The disk has room for one second and is full for two, repeatedly for a minute. Commands pause each time the member is
+// added again, so it must not be added every time.
 #[test]
 fn a_member_whose_disk_is_full_again_and_again_is_added_less_and_less_often() {
     let mut world = World::new(3);
--- a/crates/quillpulley/tests/catch_up/world.rs
+++ b/crates/quillpulley/tests/catch_up/world.rs
@@ -1,4 +1,5 @@
-//! Control nodes in virtual time on links of limited bandwidth, with the storage and the queues that are in use.
+//! A simulation of control nodes in virtual time, with links of limited bandwidth. It uses the real replicas, storage
+//! and link queues.
 
 use super::disk::Disk;
 use quillpulley_protocol::{Body, Entry, FrameDecoder, FrameEncoder, FrameQueue, Lane, NodeId};
@@ -10,17 +11,18 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// 86 Mbit/s, for what a machine sends to all others.
+/// The bandwidth of a machine for everything that it sends to the others: 86 Mbit/s.
 const BYTES_PER_US: f64 = 10.75;
 const LATENCY_US: u64 = 12_000;
 const TICK_US: u64 = 50_000;
-/// What the kernel takes of a connection before it is sent.
+/// The number of bytes that the kernel buffers for a connection before they are sent.
 const SOCKET_BUFFER: usize = 2 * 1024 * 1024;
 const PACKET: usize = 16 * 1024;
 const MAX_QUEUED_BYTES: usize = 8 * 1024 * 1024;
 const CONNECT_US: u64 = 50_000;
 
-/// How many bodies there were, and the latest of the longest: a state that stays large under short commands.
+/// A state machine that stores the number of commands and the latest of the longest payloads, so that its state stays
+/// large even if short commands follow.
 #[derive(Clone, Debug, Default)]
 pub struct Counter {
     pub count: u64,
@@ -46,17 +48,17 @@
     }
 }
 
-/// One direction between two machines.
+/// One direction of the connection between two machines.
 #[derive(Default)]
 struct Pipe {
-    /// Counts the connections, so that nothing of an earlier one arrives.
+    /// The number of the current connection. Bytes of earlier connections are discarded.
     connection: u64,
     open: bool,
     queue: FrameQueue,
-    /// Packets that the kernel holds.
+    /// Packets in the socket buffer of the sender.
     socket: VecDeque<Vec<u8>>,
     decoder: FrameDecoder,
-    /// When the heartbeats that are in flight were sent.
+    /// The times at which the heartbeats that are in flight were sent.
     heartbeats: VecDeque<u64>,
 }
 
@@ -79,7 +81,7 @@
     Connect { one: usize, other: usize },
 }
 
-/// Whether the processes compress long messages.
+/// Whether links compress long messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Links {
     Plain,
@@ -96,15 +98,15 @@
     witnesses: Vec<NodeId>,
     faults: Faults,
     links: Links,
-    /// Commands that were acknowledged, and those that may be active or not.
+    /// The number of acknowledged commands, and of rejected commands that may nevertheless take effect.
     pub acknowledged: u64,
     pub unknown_outcomes: u64,
     next_command: u64,
     in_flight: Option<(u64, u64)>,
-    /// The longest that a command and a heartbeat time, in microseconds.
+    /// The longest time that a command and a heartbeat have taken, in microseconds.
     pub slowest_command: u64,
     pub slowest_heartbeat: u64,
-    /// The most bytes that one machine's links and log held.
+    /// The maximum number of bytes that the queues of the links and the log of one machine have held.
     pub peak_memory: usize,
 }
 
@@ -113,8 +115,8 @@
         World::with_links(count, Links::Plain)
     }
 
-    /// Machines whose links carry long messages as they are, or compressed. In the second case commands are like
-    /// configurations: text of one form with other names and numbers.
+    /// Creates and starts machines. If the links compress long messages, the commands are compressible texts that resemble
+    /// configurations.
     pub fn with_links(count: usize, links: Links) -> Self {
         let node = |machine| NodeId::new(Ipv4Addr::new(10, 0, 0, 1 + machine as u8), 0);
         let witnesses: Vec<NodeId> = (0..count).map(node).collect();
@@ -150,7 +152,7 @@
         world
     }
 
-    /// Starts a process on a machine, with what its disk holds.
+    /// Starts a process on a machine, which recovers from its disk.
     pub fn start(&mut self, machine: usize) {
         let slot = &mut self.machines[machine];
         slot.incarnation += 1;
@@ -172,7 +174,7 @@
         }
     }
 
-    /// Ends a process at once.
+    /// Kills the process on a machine.
     pub fn kill(&mut self, machine: usize) {
         self.machines[machine].replica = None;
         self.machines[machine].incarnation += 1;
@@ -264,7 +266,7 @@
         let mut bodies = Vec::new();
         while let Some(body) = pipe.decoder.next_frame().expect("messages") {
             if is_heartbeat(&body) {
-                let sent_at = pipe.heartbeats.pop_front().expect("one that was sent");
+                let sent_at = pipe.heartbeats.pop_front().expect("a heartbeat was sent");
                 self.slowest_heartbeat = self.slowest_heartbeat.max(self.now - sent_at);
             }
             bodies.push(body);
@@ -283,7 +285,7 @@
         }
     }
 
-    /// Sends the next packet of a machine, from one connection after the other.
+    /// Sends the next packet of a machine. The connections of the machine take turns.
     fn send_packet(&mut self, machine: usize) {
         if self.machines[machine].sending {
             return;
@@ -372,7 +374,7 @@
         self.queue.push(Reverse((self.now + delay, self.sequence, scheduled)));
     }
 
-    /// Sends a command of this many bytes to the primary; says whether there was one.
+    /// Sends a command of this many bytes to the primary. Returns whether there is a primary.
     pub fn propose(&mut self, bytes: usize) -> bool {
         let Some(leader) = self.leader() else { return false };
         let command = self.next_command;
@@ -389,12 +391,16 @@
         }
     }
 
-    /// Sends commands one after the other, until so many more are acknowledged.
+    /// Sends commands one after the other until `count` more are acknowledged.
     pub fn change(&mut self, count: u64, bytes: usize) {
         let goal = self.acknowledged + count;
         let end = self.now + 600_000_000;
         while self.acknowledged < goal {
-            assert!(self.now < end, "{} of {goal} changes in ten minutes", self.acknowledged);
+            assert!(
+                self.now < end,
+                "only {} of {goal} commands were acknowledged within ten minutes",
+                self.acknowledged
+            );
             if self.in_flight.is_none() && !self.propose(bytes) {
                 self.run_for(10);
                 continue;
@@ -403,7 +409,7 @@
         }
     }
 
-    /// Whether no command is in flight.
+    /// Returns whether no command is in flight.
     pub fn is_idle(&self) -> bool {
         self.in_flight.is_none()
     }
@@ -420,7 +426,7 @@
         slot.replica.as_ref().map(|replica| replica.role(now))
     }
 
-    /// The machines in the view of the primary.
+    /// Returns the machines in the primary's view.
     pub fn members(&self) -> Vec<usize> {
         let replica = self.leader().and_then(|leader| self.machines[leader].replica.as_ref());
         let Some(view) = replica.and_then(Replica::view) else { return Vec::new() };
@@ -431,13 +437,13 @@
         (0..self.machines.len()).filter(is_member).collect()
     }
 
-    /// The epoch of the primary's view.
+    /// Returns the epoch of the primary's view, or 0 if there is no primary.
     pub fn view_epoch(&self) -> u64 {
         let replica = self.leader().and_then(|leader| self.machines[leader].replica.as_ref());
         replica.and_then(Replica::view).map_or(0, |view| view.epoch)
     }
 
-    /// How many commands a machine has applied.
+    /// Returns the number of commands that a machine has applied.
     pub fn count(&self, machine: usize) -> u64 {
         self.machines[machine].replica.as_ref().map_or(0, |replica| replica.state().count)
     }
@@ -447,7 +453,7 @@
     matches!(body, Body::LeaseRequest(_) | Body::LeaseGrant(_))
 }
 
-/// Text like that of a configuration: routes of one form, with names and numbers of their own.
+/// Returns a text that resembles a configuration: similar routes with random names and numbers.
 fn configuration_like(seed: u64, bytes: usize) -> Vec<u8> {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut text = String::with_capacity(bytes + 300);
--- a/crates/quillpulley/tests/command_line.rs
+++ b/crates/quillpulley/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! What the program prints and exits with.
+//! The output and the exit codes of the program.
 
 use std::ffi::OsStr;
 use std::fs;
@@ -38,7 +38,7 @@
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-/// A file of this name and contents, in a folder of the test build.
+/// Writes a file with this name and these contents to the temporary directory of the build. Returns its path.
 fn file(name: &str, contents: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     fs::write(&path, contents).expect("a file");
--- a/crates/quillpulley/tests/common/mod.rs
+++ b/crates/quillpulley/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the hosts share: a runtime, guarded waits, and stand-ins for processes.
+//! Utilities that the tests of the hosts share: a runtime, waits with a timeout, and simulated processes.
 #![allow(dead_code)]
 
 pub mod tree;
@@ -14,34 +14,34 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::task::LocalSet;
 
-/// A wait that takes longer than this has failed.
+/// A test fails if a wait takes longer than this.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Runs a test on one thread, as the hosts do.
+/// Runs a test on a single-threaded runtime, as the hosts do.
 pub fn run<T>(test: impl Future<Output = T>) -> T {
     let mut logs = env_logger::Builder::new();
-    // Another test of the same program may have set them up already.
+    // Initialization fails if another test of the same process has already done it.
     let _ = logs.is_test(true).filter_module("quillpulley", log::LevelFilter::Debug).try_init();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, test)
 }
 
-/// Waits for what must come.
+/// Waits for a future, and panics if it does not complete in time.
 pub async fn expect<T>(what: &str, awaited: impl Future<Output = T>) -> T {
     match tokio::time::timeout(TIMEOUT, awaited).await {
         Ok(value) => value,
-        Err(_) => panic!("{what} did not come"),
+        Err(_) => panic!("timed out waiting for {what}"),
     }
 }
 
-/// A listener on a free port of this address.
+/// Returns a listener on a free port of this address, and its socket address.
 pub async fn listener(ip: Ipv4Addr) -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind((ip, 0)).await.expect("a free port");
     let address = listener.local_addr().expect("an address");
     (listener, address)
 }
 
-/// The introduction of a stand-in.
+/// Returns the `Hello` of a simulated process.
 pub fn hello(kind: PeerKind, name: &str) -> Hello {
     Hello {
         kind,
@@ -53,27 +53,27 @@
     }
 }
 
-/// One end of links, with its events.
+/// The links of one simulated process, and their events.
 pub struct Side {
     /// The links.
     pub peers: Rc<Peers>,
-    /// What happens to them.
+    /// The events of the links.
     pub events: UnboundedReceiver<PeerEvent>,
 }
 
 impl Side {
-    /// An end that introduces itself by this name.
+    /// Creates a process of this kind and name, without links.
     pub fn new(kind: PeerKind, name: &str) -> Side {
         let (peers, events) = Peers::new(hello(kind, name));
         Side { peers, events }
     }
 
-    /// The next event.
+    /// Returns the next event.
     pub async fn event(&mut self) -> PeerEvent {
-        expect("an event", self.events.recv()).await.expect("the links live")
+        expect("an event", self.events.recv()).await.expect("the links exist")
     }
 
-    /// The next event, which must be a link that opens.
+    /// Returns the link and the `Hello` of the next event, which must be [`PeerEvent::Opened`].
     pub async fn opened(&mut self) -> (LinkId, Hello) {
         match self.event().await {
             PeerEvent::Opened { link, hello, .. } => (link, hello),
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The next event, which must be a message.
+    /// Returns the link and the message of the next event, which must be [`PeerEvent::Frame`].
     pub async fn frame(&mut self) -> (LinkId, Body) {
         match self.event().await {
             PeerEvent::Frame { link, body } => (link, body),
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The next event, which must be the end of this link.
+    /// Waits for the next event, which must be [`PeerEvent::Closed`] for this link.
     pub async fn closed(&mut self, awaited: LinkId) {
         match self.event().await {
             PeerEvent::Closed { link } => assert_eq!(link, awaited),
@@ -98,7 +98,7 @@
     }
 }
 
-/// The next message on a bare connection; `None` at its end.
+/// Returns the next message on a raw connection, or `None` if the connection is closed.
 pub async fn read_message(stream: &mut TcpStream, decoder: &mut FrameDecoder) -> Option<Body> {
     loop {
         if let Some(body) = decoder.next_frame().expect("messages") {
@@ -112,7 +112,7 @@
     }
 }
 
-/// Reads a bare connection to its end.
+/// Reads a raw connection until it is closed.
 pub async fn read_to_end(stream: &mut TcpStream) {
     let mut decoder = FrameDecoder::default();
     while read_message(stream, &mut decoder).await.is_some() {}
--- a/crates/quillpulley/tests/common/tree.rs
+++ b/crates/quillpulley/tests/common/tree.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for ends of the relay tree: a control node that publishes, and a proxy.
+//! Simulated nodes at the root and at the leaves of the relay tree: a control node that publishes, and a proxy.
 
 use super::{expect, hello};
 use quillpulley::peer::{LinkId, PeerEvent, Peers};
@@ -16,27 +16,27 @@
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The state of a node.
+/// The state of a simulated node, as a test observes it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NodeState {
     /// The published items.
     pub items: BTreeMap<String, Vec<u8>>,
-    /// The names of the proxies that were reported, with their states.
+    /// The states of the reported proxies by their names.
     pub endpoints: BTreeMap<String, EndpointState>,
-    /// The proxies that are suspected.
+    /// The names of the suspected proxies.
     pub suspects: BTreeSet<String>,
-    /// The proxies that were reported.
+    /// The number of reported proxies.
     pub proxies: u32,
     /// The names of the children.
     pub children: BTreeSet<String>,
-    /// Whether the revision moves.
+    /// Whether the revision of the published state has advanced recently.
     pub fresh: bool,
-    /// How many links to a parent were lost.
+    /// The number of links to a parent that were lost.
     pub parents_lost: u32,
 }
 
 impl NodeState {
-    /// Whether an item has this value.
+    /// Returns whether an item has this value.
     pub fn holds(&self, key: &str, value: &[u8]) -> bool {
         self.items.get(key).is_some_and(|held| held == value)
     }
@@ -48,7 +48,7 @@
     StopHeartbeats,
 }
 
-/// A node that runs beside the test; dropping it closes its links.
+/// A simulated node that runs in a task of its own. Dropping it closes its links.
 pub struct Node {
     instructions: UnboundedSender<Instruction>,
     state: watch::Receiver<NodeState>,
@@ -62,7 +62,7 @@
 }
 
 impl Node {
-    /// A control node that publishes in this epoch.
+    /// Starts a control node that publishes in this epoch.
     pub fn control_node(listener: TcpListener, epoch: u64) -> Node {
         let (peers, events) = Peers::new(hello(PeerKind::Control, "core"));
         peers.listen(listener);
@@ -70,7 +70,7 @@
         Node::start(Running::new(peers, events, node, None), Some(epoch))
     }
 
-    /// A proxy of the agent at this address, with its endpoint.
+    /// Starts a proxy with this endpoint, which connects to the agent at this address.
     pub fn proxy(agent: SocketAddr, endpoint: ProxyEndpoint) -> Node {
         let (peers, events) = Peers::new(hello(PeerKind::Proxy, &endpoint.name));
         let parent = peers.connect(agent);
@@ -95,23 +95,23 @@
         self.instruct(Instruction::Publish(vec![Change { key: key.to_string(), value: Some(value) }]));
     }
 
-    /// Reports from now on.
+    /// Replaces the report of the node.
     pub fn report(&self, report: LocalReport) {
         self.instruct(Instruction::Report(report));
     }
 
-    /// Publishes no more revisions, like a primary that has lost its lease.
+    /// Stops advancing the revision, like a primary that has lost its lease.
     pub fn stop_heartbeats(&self) {
         self.instruct(Instruction::StopHeartbeats);
     }
 
-    /// Waits until its state is as the test expects.
+    /// Waits until the state of the node satisfies `holds`, and returns that state.
     pub async fn until(&mut self, what: &str, mut holds: impl FnMut(&NodeState) -> bool) -> NodeState {
         let state = expect(what, self.state.wait_for(|state| holds(state))).await;
         state.expect("the node runs").clone()
     }
 
-    /// Returns its present state.
+    /// Returns the current state of the node.
     pub fn state(&self) -> NodeState {
         self.state.borrow().clone()
     }
@@ -121,7 +121,7 @@
     }
 }
 
-/// A proxy of a machine of the tests.
+/// Returns the endpoint of a simulated proxy.
 pub fn endpoint(name: &str, ip: Ipv4Addr, zone: &str) -> ProxyEndpoint {
     ProxyEndpoint {
         name: name.to_string(),
--- a/crates/quillpulley/tests/documentation.rs
+++ b/crates/quillpulley/tests/documentation.rs
@@ -1,13 +1,13 @@
-//! Checks that what the pages in `docs/` name exists: functions, tests, types and modules.
+//! Checks that the functions, tests, types and modules that the pages in `docs/` refer to exist.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The folders that paths on the architecture page are given from.
+/// The directories to which paths on the architecture page are relative.
 const BASES: [&str; 2] = ["crates", "crates/quillpulley/src"];
-/// A quoted name with at least this many underscores is that of a test.
+/// A quoted name with at least this many underscores is the name of a test.
 const MIN_TEST_UNDERSCORES: usize = 4;
-/// Stands for the rest of a name.
+/// Marks the omitted beginning or end of an abbreviated name.
 const ELLIPSIS: &str = "...";
 
 fn root() -> PathBuf {
@@ -18,7 +18,7 @@
     fs::read_to_string(root().join("docs").join(name)).expect("the page")
 }
 
-/// Returns the texts that a page quotes as code.
+/// Returns the texts between backticks on a page.
 fn quoted(page: &str) -> impl Iterator<Item = &str> {
     page.split('`').skip(1).step_by(2)
 }
@@ -47,7 +47,7 @@
 }
 
 impl SourceFile {
-    /// Returns whether the file is the module, or lies in its folder.
+    /// Returns whether the file is this module, or is in the directory of the module.
     fn belongs_to(&self, module: &str) -> bool {
         let components = self.path.components().rev().take(3);
         components.into_iter().any(|component| {
@@ -56,7 +56,7 @@
         })
     }
 
-    /// Returns the names that are defined with a keyword, such as `fn`.
+    /// Returns the names that the file defines with a keyword such as `fn`.
     fn defined<'a>(&'a self, keyword: &'a str) -> impl Iterator<Item = &'a str> {
         let starts = self.text.match_indices(keyword).map(move |(at, _)| at + keyword.len());
         starts.filter_map(|start| {
@@ -71,7 +71,7 @@
     }
 }
 
-/// Returns whether a name is the one that a page gives, whose beginning or end it may leave out.
+/// Returns whether `given`, which may omit the beginning or the end of a name, refers to `name`.
 fn is_abbreviated_by(name: &str, given: &str) -> bool {
     match (given.strip_prefix(ELLIPSIS), given.strip_suffix(ELLIPSIS)) {
         (Some(end), Some(_)) => name.contains(end.trim_end_matches('.')),
@@ -112,7 +112,7 @@
             modules.split("::").filter(|module| !module.is_empty()).all(|module| file.belongs_to(module))
         };
         let mut files = files.iter().filter(belongs);
-        // A deliberate fault is named in the list of its crate.
+        // The name may also be that of an injected fault, which the module `faults` of its crate lists.
         let lists_fault =
             |file: &SourceFile| file.belongs_to("faults") && file.text.contains(&format!("{test},"));
         !files.any(|file| file.defines("fn", |name| is_abbreviated_by(name, test)) || lists_fault(file))
--- a/crates/quillpulley/tests/parent_search.rs
+++ b/crates/quillpulley/tests/parent_search.rs
@@ -1,5 +1,6 @@
-//! How an agent finds its parent, as timelines: the time in milliseconds, what happens, what is done. A line
-//! without an event is a tick. `C` are control nodes, `A` are agents, in the order in which they are preferred.
+//! The search of an agent for its parent, tested with timelines. The columns of a timeline are: the time in
+//! milliseconds, the event, and the expected actions. A line without an event is a tick. `C1` is a control node and
+//! `A1` is an agent. Candidates are listed in the order of preference.
 
 use quickcheck::quickcheck;
 use quillpulley::agent::parent_search::{Action, Event, ParentSearch};
@@ -9,7 +10,7 @@
 
 fn candidate(name: &str) -> ParentCandidate {
     let (kind, number) = name.split_at(1);
-    let number = number.parse().expect("a name such as C1");
+    let number = number.parse().expect("a name consists of a letter and a number, such as C1");
     match kind {
         "C" => ParentCandidate::ControlNode(Ipv4Addr::new(10, 0, 0, number)),
         _ => ParentCandidate::Agent(Ipv4Addr::new(10, 0, 0, number)),
@@ -30,8 +31,8 @@
         "candidates" => Event::Candidates(rest.split_whitespace().map(candidate).collect()),
         "opened" => Event::Opened(candidate(rest)),
         "lost" => Event::Lost(candidate(rest)),
-        "moved" => Event::RevisionAdvanced,
-        _ => panic!("{verb} is no event"),
+        "advanced" => Event::RevisionAdvanced,
+        _ => panic!("unknown event {verb}"),
     }
 }
 
@@ -43,13 +44,13 @@
     }
 }
 
-/// Plays a timeline with several seeds and compares what is done.
+/// Runs a timeline with several random seeds, and compares the actions with the expected ones.
 fn play(timeline: &str) {
     for seed in 0..20 {
         let mut parent_search = ParentSearch::new(seed);
         for line in timeline.lines().map(str::trim).filter(|line| !line.is_empty()) {
             let [time, happens, expected] = line.split('|').map(str::trim).collect::<Vec<_>>()[..] else {
-                panic!("three columns: {line}");
+                panic!("a line must have three columns: {line}");
             };
             let now = Duration::from_millis(time.parse().expect("milliseconds"));
             let mut actions = Vec::new();
@@ -66,7 +67,7 @@
         "
             0 | candidates C1 C2 C3 | connect C1
            30 | opened C1           | use C1
-           40 | moved               |
+           40 | advanced            |
         ",
     );
 }
@@ -81,7 +82,7 @@
           500 |                        | connect C3
           750 |                        |
           800 | opened C2              | use C2, close C3
-          810 | moved                  |
+          810 | advanced               |
           900 | opened C1              | use C1, close C2
         ",
     );
@@ -110,7 +111,7 @@
         "
             0 | candidates A1 A2 C1 | connect A1
            10 | opened A1           | use A1
-         1000 | moved               |
+         1000 | advanced            |
          1200 | lost A1             |
          1250 |                     | connect A2
          1260 | opened A2           | use A2
@@ -124,11 +125,11 @@
         "
             0 | candidates C1 C2 | connect C1
            10 | opened C1        | use C1
-          800 | moved            |
+          800 | advanced         |
          1790 |                  |
          2000 |                  | connect C2
          2050 | opened C2        | use C2, close C1
-         2060 | moved            |
+         2060 | advanced         |
         ",
     );
 }
@@ -140,7 +141,7 @@
             0 | candidates C1 C2 C3 | connect C1
            10 | opened C1           | use C1
          1210 |                     | connect C2
-         1300 | moved               | close C2
+         1300 | advanced            | close C2
          2200 |                     |
         ",
     );
@@ -179,11 +180,11 @@
         "
             0 | candidates C1 C2       | connect C1
            10 | opened C1              | use C1
-          500 | moved                  |
+          500 | advanced               |
           510 | candidates A1 A2 C1 C2 |
-         1300 | moved                  |
-         2200 | moved                  |
-         3770 | moved                  | connect A1
+         1300 | advanced               |
+         2200 | advanced               |
+         3770 | advanced               | connect A1
          3800 | opened A1              | use A1, close C1
         ",
     );
@@ -196,13 +197,13 @@
             0 | candidates C1       | connect C1
            10 | opened C1           | use C1
           500 | candidates A1 C1    |
-          900 | moved               |
-         1800 | moved               |
-         3770 | moved               | connect A1
+          900 | advanced            |
+         1800 | advanced            |
+         3770 | advanced            | connect A1
          3780 | lost A1             |
-         4500 | moved               |
-         5200 | moved               |
-         5700 | moved               |
+         4500 | advanced            |
+         5200 | advanced            |
+         5700 | advanced            |
         ",
     );
 }
@@ -234,12 +235,12 @@
     assert_eq!(happens(600, "opened C1"), "A1");
     assert_eq!(happens(2_000, ""), "C1 A1");
     assert_eq!(happens(2_010, ""), "C1");
-    assert_eq!(happens(2_020, "moved"), "");
+    assert_eq!(happens(2_020, "advanced"), "");
 }
 
 quickcheck! {
-    /// Whatever happens: no more than three attempts, one parent at most, which has opened, and nothing closed
-    /// that is not connected or connecting.
+    /// For any sequence of events: there are at most three concurrent attempts and at most one parent, whose link is
+    /// open, and only links that are open or connecting are closed.
     fn links_are_accounted_for(seed: u64, steps: Vec<(u8, u8, u8)>) -> bool {
         let names = ["A1", "A2", "C1", "C2", "C3"];
         let mut parent_search = ParentSearch::new(seed);
@@ -277,13 +278,13 @@
                     }
                     Action::Close(candidate) => {
                         let known = closing.contains(&candidate) || connecting.contains(&candidate);
-                        assert!(known, "{candidate:?} is not open");
+                        assert!(known, "{candidate:?} is neither open nor connecting");
                         closing.retain(|other| *other != candidate);
                         connecting.retain(|other| *other != candidate);
                     }
                 }
             }
-            assert!(closing.is_empty(), "a former parent stays open");
+            assert!(closing.is_empty(), "the link to the previous parent was not closed");
             assert!(connecting.len() <= 3);
             assert_eq!(parent_search.parent(), parent);
         }
--- a/crates/quillpulley/tests/peer.rs
+++ b/crates/quillpulley/tests/peer.rs
@@ -1,4 +1,4 @@
-//! Links between processes: which events are reported, and what closes them.
+//! Links between processes: which events they emit, and what closes them.
 
 mod common;
 
@@ -34,7 +34,7 @@
     Side { peers, events }
 }
 
-/// A bare connection that has said `Hello` and has been let in.
+/// Opens a raw connection to `side`, sends a `Hello`, and waits until the link is open.
 async fn bare(side: &mut Side, address: SocketAddr) -> (TcpStream, quillpulley::peer::LinkId) {
     let mut stream = TcpStream::connect(address).await.expect("a connection");
     stream.write_all(&greeting("bare")).await.expect("a hello");
@@ -259,8 +259,8 @@
         while !came.contains(&install(20)) {
             came.push(member.frame().await.1);
         }
-        assert!(came[..20].iter().all(|body| *body == grant), "heartbeats came after state");
-        assert!(came.len() < 30, "what was superseded was sent");
+        assert!(came[..20].iter().all(|body| *body == grant), "heartbeats were delayed by state");
+        assert!(came.len() < 30, "superseded state was sent");
     });
 }
 
@@ -314,7 +314,7 @@
 fn an_address_in_use_is_waited_for_and_then_reported() {
     run(async {
         let (taken, address) = listener(HERE).await;
-        let refused = expect("a verdict", quillpulley::peer::bind(address)).await;
+        let refused = expect("the result", quillpulley::peer::bind(address)).await;
         assert!(refused.is_err_and(|error| error.to_string().contains(&address.to_string())));
         let (freed, ()) = tokio::join!(quillpulley::peer::bind(address), async { drop(taken) });
         assert!(freed.is_ok());
--- a/crates/quillpulley/tests/system/http.rs
+++ b/crates/quillpulley/tests/system/http.rs
@@ -1,4 +1,4 @@
-//! A client's side of HTTP/1.1, one request for each connection.
+//! A minimal HTTP/1.1 client that opens a new connection for each request.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -6,10 +6,10 @@
 
 const CONNECT: Duration = Duration::from_secs(1);
 const ANSWER: Duration = Duration::from_secs(4);
-/// Redirections that are followed.
+/// The maximum number of redirects that are followed.
 const MOST_REDIRECTIONS: usize = 2;
 
-/// A request.
+/// An HTTP request.
 #[derive(Clone)]
 pub struct Request {
     method: &'static str,
@@ -19,18 +19,18 @@
     body: String,
 }
 
-/// What came back.
+/// An HTTP response.
 #[derive(Debug)]
 pub struct Answer {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// The whole body.
+    /// The complete body.
     pub body: String,
     head: String,
 }
 
 impl Request {
-    /// A request without a body.
+    /// Creates a GET request.
     pub fn get(path: &str) -> Request {
         Request {
             method: "GET",
@@ -41,12 +41,12 @@
         }
     }
 
-    /// A request with a body.
+    /// Creates a POST request with a body.
     pub fn post(path: &str, body: &str) -> Request {
         Request { method: "POST", body: body.to_string(), ..Request::get(path) }
     }
 
-    /// Names another host than the address.
+    /// Sets the `Host` header, which defaults to the address of the server.
     pub fn host(&mut self, host: &str) {
         self.host = Some(host.to_string());
     }
@@ -56,7 +56,7 @@
         self.headers += &format!("{name}: {value}\r\n");
     }
 
-    /// Sends it. `None` where no whole answer comes.
+    /// Sends the request. Returns `None` if no complete response arrives.
     pub fn send(&self, to: SocketAddr) -> Option<Answer> {
         let mut stream = TcpStream::connect_timeout(&to, CONNECT).ok()?;
         stream.set_read_timeout(Some(ANSWER)).ok()?;
@@ -66,7 +66,7 @@
         Answer::read(&String::from_utf8(bytes).ok()?)
     }
 
-    /// Sends it, and sends it again where the answer says so.
+    /// Sends the request, and follows redirects.
     pub fn send_following(&self, to: SocketAddr) -> Option<Answer> {
         let mut answer = self.send(to)?;
         for _ in 0..MOST_REDIRECTIONS {
@@ -94,7 +94,7 @@
 }
 
 impl Answer {
-    /// The value of a header.
+    /// Returns the value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         let headers = self.head.lines().skip(1).filter_map(|line| line.split_once(':'));
         let mut matching = headers.filter(|(known, _)| known.eq_ignore_ascii_case(name));
--- a/crates/quillpulley/tests/system/machines.rs
+++ b/crates/quillpulley/tests/system/machines.rs
@@ -6,12 +6,12 @@
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU8, Ordering};
 
-/// The numbers of the core machines.
+/// The numbers of the control nodes.
 pub const CORES: RangeInclusive<u8> = 1..=3;
-/// The ports that a machine uses: those between the processes, and three for callers.
+/// The number of ports that a machine uses: those for traffic between the processes, and those for external callers.
 const PORTS: u16 = 20;
 
-/// The machines of one test, which have addresses that no other test uses.
+/// The machines of one test. Their addresses are not used by any other test.
 pub struct Machines {
     network: u8,
     first_port: u16,
@@ -19,47 +19,47 @@
 }
 
 impl Machines {
-    /// New addresses, free ports, and empty disks.
+    /// Allocates addresses and ports, and creates an empty directory for settings files and disks.
     pub fn new(name: &str) -> Machines {
         static NEXT: AtomicU8 = AtomicU8::new(101);
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("system").join(name);
-        // An earlier run may have left it.
+        // The directory may be left over from an earlier run.
         let _ = fs::remove_dir_all(&folder);
         fs::create_dir_all(&folder).expect("a folder");
         Machines { network: NEXT.fetch_add(1, Ordering::Relaxed), first_port: free_ports(), folder }
     }
 
-    /// Where the platform's list is.
+    /// Returns the address of the platform's API.
     pub fn platform(&self) -> SocketAddr {
         self.address(3, 1, 0)
     }
 
-    /// Where a server is.
+    /// Returns the address of a server.
     pub fn server(&self, number: u8) -> SocketAddr {
         self.address(2, number, 0)
     }
 
-    /// Where clients find the proxy.
+    /// Returns the address on which the proxy serves clients.
     pub fn front(&self) -> SocketAddr {
         self.address(1, 1, 16)
     }
 
-    /// Where the proxy says whether it is ready.
+    /// Returns the address of the proxy's readiness check.
     pub fn ready(&self) -> SocketAddr {
         self.address(1, 1, 17)
     }
 
-    /// Where the operator finds the control nodes.
+    /// Returns the addresses of the control API of all control nodes.
     pub fn controls(&self) -> Vec<SocketAddr> {
         CORES.map(|number| self.address(0, number, 16)).collect()
     }
 
-    /// Where clients ask where to go.
+    /// Returns the addresses of the directories of all control nodes.
     pub fn directories(&self) -> Vec<SocketAddr> {
         CORES.map(|number| self.address(0, number, 17)).collect()
     }
 
-    /// The settings file of a control node.
+    /// Writes the settings file of a control node. Returns its path.
     pub fn core_settings(&self, number: u8) -> PathBuf {
         let disk = self.folder.join(format!("disk-{number}"));
         fs::create_dir_all(&disk).expect("a folder");
@@ -72,7 +72,7 @@
         self.settings(&format!("core-{number}"), self.ip(0, number), number, &own)
     }
 
-    /// The settings file of the processes of the front machine.
+    /// Writes the settings file of the agent and the proxy, which run on the same machine. Returns its path.
     pub fn front_settings(&self) -> PathBuf {
         let own = format!(
             "Serves = [\"front\"]\n[Listen]\nFront = \"{}\"\nReady = \"{}\"\n",
@@ -112,7 +112,7 @@
     }
 }
 
-/// The first of so many ports that are free on the address that all machines share.
+/// Returns the first of [`PORTS`] consecutive ports that are free on localhost.
 fn free_ports() -> u16 {
     loop {
         let probe = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
--- a/crates/quillpulley/tests/system/main.rs
+++ b/crates/quillpulley/tests/system/main.rs
@@ -1,5 +1,5 @@
-//! The whole system as real processes on loopback: three control nodes, an agent and a proxy, with a stand-in
-//! platform, stand-in servers, an operator and a client. Each machine has an address of its own.
+//! Runs the whole system as real processes on loopback: three control nodes, an agent and a proxy. The platform and the
+//! servers are simulated, and the test acts as the operator and the client. Each machine has its own address.
 
 mod http;
 mod machines;
@@ -16,7 +16,7 @@
 
 const HOST: &str = "cards.example";
 
-/// A configuration with a route for plain requests, one for streams, and others.
+/// Returns a configuration with a route for non-idempotent requests, one for streams, and `more_routes`.
 fn configuration(version: u64, more_routes: &[&str]) -> String {
     let mut routes = vec![
         r#"{"Name":"cards","Host":"cards.example","PathPrefix":"/cards/","Kind":"non_idempotent",
@@ -47,7 +47,7 @@
     )
 }
 
-/// The whole system, started.
+/// The running system.
 struct System {
     machines: Machines,
     cores: Vec<Process>,
@@ -72,7 +72,7 @@
         System { machines, cores, agent, proxy, cards, writers, platform }
     }
 
-    /// Sends a configuration to one control node after the other until one takes it.
+    /// Sends a configuration to the control nodes in turn until one acknowledges it.
     fn configure(&mut self, base: u64, body: &str) {
         let controls = self.machines.controls();
         let mut order = Request::post("/v1/Config.Replace", body);
@@ -84,13 +84,13 @@
         });
     }
 
-    /// Waits until the proxy takes clients.
+    /// Waits until the proxy reports that it is ready.
     fn until_ready(&mut self) {
         let ready = self.machines.ready();
         self.proxy.until("readiness", || Request::get("/v1/ready").send(ready).filter(|a| a.status == 200));
     }
 
-    /// Sends a client's request to the proxy.
+    /// Sends a client request to the proxy.
     fn ask(&self, id: &str, path: &str) -> Option<Answer> {
         let mut request = Request::post(path, "{\"text\":\"hello\"}");
         request.host(HOST);
@@ -102,7 +102,7 @@
         request.send(self.machines.front())
     }
 
-    /// Waits until requests to this path are answered by a server.
+    /// Waits until a request to this path is served successfully.
     fn until_served(&mut self, path: &str) -> Answer {
         let mut tries = 0;
         let front = self.machines.front();
@@ -132,7 +132,7 @@
     let (directory, front) = (system.machines.directories()[0], system.machines.front().to_string());
     system
         .proxy
-        .until("the front in the directory", || resolve(directory).filter(|body| body.contains(&front)));
+        .until("the proxy in the directory", || resolve(directory).filter(|body| body.contains(&front)));
 
     let served = system.until_served("/cards/1");
     assert_eq!(served.header("Quillpulley-Response-Seal"), Some("seal-i-cards"));
--- a/crates/quillpulley/tests/system/platform.rs
+++ b/crates/quillpulley/tests/system/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list of servers.
+//! A simulated platform API that lists the servers.
 
 use crate::server::Server;
 use std::net::SocketAddr;
@@ -7,13 +7,13 @@
 use std::thread;
 use tiny_http::{Header, Response};
 
-/// A list that is served until the test ends.
+/// An HTTP server with the list of servers, which runs until the test process ends.
 pub struct Platform {
     calls: Arc<AtomicU64>,
 }
 
 impl Platform {
-    /// Lists these servers.
+    /// Starts an API that lists these servers.
     pub fn start(address: SocketAddr, servers: &[&Server]) -> Platform {
         let entries: Vec<String> = servers.iter().map(|server| server.entry()).collect();
         let list = format!("{{\"Instances\":[{}],\"NextToken\":null}}", entries.join(","));
@@ -30,7 +30,7 @@
         Platform { calls }
     }
 
-    /// How often the list was asked for.
+    /// Returns the number of requests for the list.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
--- a/crates/quillpulley/tests/system/processes.rs
+++ b/crates/quillpulley/tests/system/processes.rs
@@ -1,4 +1,4 @@
-//! The processes of the system, and waits for what they do.
+//! Starts and stops the processes of the system, and waits for conditions.
 
 use std::io::{BufRead, BufReader};
 use std::path::Path;
@@ -7,12 +7,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A wait that takes longer than this has failed.
+/// A test fails if a wait takes longer than this.
 const TIMEOUT: Duration = Duration::from_secs(30);
-/// What is awaited is looked for after each line that a process logs, and at least this often.
+/// The maximum interval between checks of an awaited condition, which is also checked after each line that a process
+/// logs.
 const LOOK_EVERY: Duration = Duration::from_millis(50);
 
-/// A process of the system. Its logs go to the test's output.
+/// A process of the system. Its log is copied to the output of the test.
 pub struct Process {
     role: &'static str,
     child: Child,
@@ -20,12 +21,12 @@
 }
 
 impl Process {
-    /// Starts a role with a settings file.
+    /// Starts a process in a role, with a settings file.
     pub fn start(role: &'static str, settings: &Path) -> Process {
         let mut command = Command::new(env!("CARGO_BIN_EXE_quillpulley"));
         command.args([role, "--log", "debug"]).env("QUILLPULLEY_CONFIG", settings).stderr(Stdio::piped());
         let mut child = command.spawn().expect("the program starts");
-        let stderr = child.stderr.take().expect("its standard error");
+        let stderr = child.stderr.take().expect("standard error is piped");
         let (sender, lines) = channel();
         thread::spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
@@ -37,46 +38,46 @@
         Process { role, child, lines }
     }
 
-    /// Waits until `look` finds what is awaited.
+    /// Calls `look` until it returns a value, and returns that value.
     pub fn until<T>(&mut self, what: &str, mut look: impl FnMut() -> Option<T>) -> T {
         let started = Instant::now();
         loop {
             if let Some(found) = look() {
                 return found;
             }
-            assert!(started.elapsed() < TIMEOUT, "{what} did not come");
+            assert!(started.elapsed() < TIMEOUT, "timed out waiting for {what}");
             self.next_line();
         }
     }
 
-    /// Prints the next line of its log, if one comes soon.
+    /// Prints the next line of the log, if one arrives within [`LOOK_EVERY`].
     fn next_line(&self) {
         if let Ok(line) = self.lines.recv_timeout(LOOK_EVERY) {
             println!("{}: {line}", self.role);
         }
     }
 
-    /// Kills it.
+    /// Kills the process with SIGKILL.
     pub fn kill(&mut self) {
-        // It may have ended already.
+        // Killing fails if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Tells it to end.
+    /// Sends SIGTERM to the process.
     pub fn terminate(&self) {
         let kill = Command::new("kill").args(["-TERM", &self.child.id().to_string()]).status();
         assert!(kill.expect("kill starts").success());
     }
 
-    /// Waits for its end; its exit code.
+    /// Waits until the process has exited. Returns its exit code.
     pub fn ended(&mut self) -> Option<i32> {
         let started = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().expect("its status") {
                 return status.code();
             }
-            assert!(started.elapsed() < TIMEOUT, "{} does not end", self.role);
+            assert!(started.elapsed() < TIMEOUT, "{} does not exit", self.role);
             self.next_line();
         }
     }
--- a/crates/quillpulley/tests/system/server.rs
+++ b/crates/quillpulley/tests/system/server.rs
@@ -1,4 +1,4 @@
-//! A server that responds with a card or a stream of events.
+//! A simulated server that responds with a short text or a stream of events.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,14 +6,14 @@
 use std::thread;
 use tiny_http::{Header, Request, Response, StatusCode};
 
-/// The stream that is answered on paths with `copy`.
+/// The events of the response to requests for paths below `/copy/`.
 pub const EVENTS: [&str; 3] =
     ["id: 1\ndata: one\n\n", "id: 2\ndata: two\n\n", "id: 3\nevent: done\ndata: three\n\n"];
 
-/// How often each request was run, by its id.
+/// The number of executions of each request, by request id.
 type Runs = Arc<Mutex<BTreeMap<String, u32>>>;
 
-/// A server that runs until the test ends.
+/// An HTTP server that runs until the test process ends.
 pub struct Server {
     id: &'static str,
     service: &'static str,
@@ -22,7 +22,7 @@
 }
 
 impl Server {
-    /// Starts one.
+    /// Starts a server with four threads.
     pub fn start(address: SocketAddr, id: &'static str, service: &'static str) -> Server {
         let http = Arc::new(tiny_http::Server::http(address).expect("a free port"));
         let runs = Runs::default();
@@ -33,7 +33,7 @@
         Server { id, service, address, runs }
     }
 
-    /// Its entry in the platform's list.
+    /// Returns the entry of the server in the platform's list.
     pub fn entry(&self) -> String {
         format!(
             "{{\"Service\":\"{}\",\"Address\":\"{}\",\"Zone\":\"zone-1\",\"Version\":\"v1\",\"Slots\":64,\
@@ -42,7 +42,7 @@
         )
     }
 
-    /// How often it ran a request.
+    /// Returns how often the server has executed a request.
     pub fn runs(&self, request_id: &str) -> u32 {
         self.runs.lock().expect("no panic").get(request_id).copied().unwrap_or(0)
     }
@@ -62,7 +62,7 @@
         *runs.lock().expect("no panic").entry(request_id.clone()).or_default() += u32::from(whole);
         served(&url, id).with_header(field("Quillpulley-Request-Id", &request_id))
     };
-    // A client that has gone needs no answer.
+    // Responding fails if the client has disconnected.
     let _ = request.respond(response);
 }
 
--- a/crates/serving-config/tests/configuration.rs
+++ b/crates/serving-config/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Reading and checking of the operator's configurations.
+//! Parsing and validation of serving configurations.
 
 mod common;
 
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Reading of the settings file of a process.
+//! Parsing of settings files.
 
 use quickcheck::quickcheck;
 use quillpulley_settings::{Settings, SettingsError};
@@ -68,7 +68,7 @@
 MaxLagMs = 800
 "#;
 
-/// The least that a process can start with.
+/// Settings with only the required keys.
 const LEAST: &str = "Ip = \"10.0.0.1\"\nZone = \"a\"\nRegion = \"r\"\nPortRange = [7720, 7722]\n";
 
 fn parse(text: &str) -> Settings {
