--- a/crates/protocol/tests/framing.rs
+++ b/crates/protocol/tests/framing.rs
@@ -20,7 +20,7 @@
 }
 
 quickcheck! {
-    fn frames_survive_any_split(payloads: Vec<Vec<u8>>, cuts: Vec<u8>) -> bool {
+    fn frames_are_decoded_however_the_stream_is_split(payloads: Vec<Vec<u8>>, cuts: Vec<u8>) -> bool {
         let sent: Vec<Body> = payloads.iter().map(|p| append(std::slice::from_ref(p))).collect();
         let stream: Vec<u8> = sent.iter().cloned().flat_map(encode_frame).collect();
         let mut decoder = FrameDecoder::default();
@@ -38,7 +38,7 @@
         received == sent
     }
 
-    fn an_encoder_writes_what_encode_frame_writes(payloads: Vec<Vec<u8>>) -> bool {
+    fn frame_encoder_and_encode_frame_write_the_same_bytes(payloads: Vec<Vec<u8>>) -> bool {
         let mut encoder = FrameEncoder::default();
         let mut stream = Vec::new();
         let bodies: Vec<Body> = payloads.iter().map(|p| append(std::slice::from_ref(p))).collect();
@@ -48,12 +48,12 @@
         stream == bodies.into_iter().flat_map(encode_frame).collect::<Vec<u8>>()
     }
 
-    fn no_bytes_make_it_panic(bytes: Vec<u8>) -> bool {
+    fn decoding_arbitrary_bytes_never_panics(bytes: Vec<u8>) -> bool {
         let _ = decode_frame(&bytes);
         true
     }
 
-    fn no_damage_makes_it_panic(payload: Vec<u8>, at: usize, byte: u8) -> bool {
+    fn decoding_a_corrupted_frame_never_panics(payload: Vec<u8>, at: usize, byte: u8) -> bool {
         let mut framed = encode_frame(append(&[payload]));
         let at = 4 + at % (framed.len() - 4);
         framed[at] = byte;
--- a/crates/protocol/tests/queue.rs
+++ b/crates/protocol/tests/queue.rs
@@ -31,125 +31,125 @@
 
 /// The sender's queue and the receiver's decoder of a link, without a network between them.
 #[derive(Default)]
-struct Ends {
+struct TestLink {
     queue: FrameQueue,
     encoder: FrameEncoder,
     decoder: FrameDecoder,
     /// The opposite direction, in which chunks are acknowledged.
-    back: FrameQueue,
-    back_decoder: FrameDecoder,
-    came: Vec<Body>,
+    reverse_queue: FrameQueue,
+    reverse_decoder: FrameDecoder,
+    received: Vec<Body>,
 }
 
-impl Ends {
+impl TestLink {
     fn send(&mut self, body: &Body) {
         self.queue.push(Lane::of(body), self.encoder.message(body), MAXIMUM).expect("room");
     }
 
-    /// Transfers at most `most` bytes to the receiver. Returns how many were transferred.
-    fn pass(&mut self, most: usize) -> usize {
+    /// Transfers at most `max_bytes` bytes to the receiver. Returns how many were transferred.
+    fn transfer(&mut self, max_bytes: usize) -> usize {
         let bytes = self.queue.pending();
-        let count = bytes.len().min(most);
+        let count = bytes.len().min(max_bytes);
         self.decoder.push(&bytes[..count]);
         self.queue.advance(count);
         while let Some(body) = self.decoder.next_frame().expect("messages") {
-            self.came.push(body);
+            self.received.push(body);
         }
         count
     }
 
-    fn acknowledge_back(&mut self) {
-        let arrived = self.decoder.take_received();
-        if arrived > 0 {
-            self.back.acknowledge_chunks(arrived);
+    fn acknowledge(&mut self) {
+        let received_bytes = self.decoder.take_received();
+        if received_bytes > 0 {
+            self.reverse_queue.acknowledge_chunks(received_bytes);
         }
-        let told = self.back.pending().to_vec();
-        self.back.advance(told.len());
-        self.back_decoder.push(&told);
-        assert!(self.back_decoder.next_frame().expect("no message").is_none());
-        self.queue.receive_credit(self.back_decoder.take_credited());
+        let acknowledgements = self.reverse_queue.pending().to_vec();
+        self.reverse_queue.advance(acknowledgements.len());
+        self.reverse_decoder.push(&acknowledgements);
+        assert!(self.reverse_decoder.next_frame().expect("no message").is_none());
+        self.queue.receive_credit(self.reverse_decoder.take_credited());
     }
 
-    fn pass_all(&mut self) {
-        while self.pass(10_000) > 0 {
-            self.acknowledge_back();
+    fn transfer_all(&mut self) {
+        while self.transfer(10_000) > 0 {
+            self.acknowledge();
         }
     }
 }
 
 #[test]
-fn a_short_message_passes_between_the_pieces_of_a_long_one() {
-    let mut ends = Ends::default();
+fn a_short_message_is_sent_between_the_chunks_of_a_long_one() {
+    let mut link = TestLink::default();
     let long = install(9_000_000);
-    ends.send(&long);
-    ends.pass(100_000);
-    ends.send(&grant(1));
+    link.send(&long);
+    link.transfer(100_000);
+    link.send(&grant(1));
     let mut between = 0;
-    while ends.came.is_empty() {
-        between += ends.pass(1_000);
-        ends.acknowledge_back();
+    while link.received.is_empty() {
+        between += link.transfer(1_000);
+        link.acknowledge();
     }
-    assert_eq!(ends.came, [grant(1)]);
+    assert_eq!(link.received, [grant(1)]);
     assert!(between <= 2 * MAX_CHUNK_BYTES + 1_000, "{between} bytes were sent before the short message");
-    ends.pass_all();
-    assert_eq!(ends.came, [grant(1), long]);
+    link.transfer_all();
+    assert_eq!(link.received, [grant(1), long]);
 }
 
 #[test]
 fn no_more_chunks_are_sent_than_the_window_until_they_are_acknowledged() {
-    let mut ends = Ends::default();
-    ends.send(&install(9_000_000));
+    let mut link = TestLink::default();
+    link.send(&install(9_000_000));
     let mut sent = 0;
     loop {
-        match ends.pass(50_000) {
+        match link.transfer(50_000) {
             0 => break,
             count => sent += count,
         }
     }
     assert!((CHUNK_WINDOW_BYTES..CHUNK_WINDOW_BYTES + MAX_CHUNK_BYTES).contains(&sent), "{sent} bytes");
-    ends.send(&grant(2));
-    ends.pass(1_000);
-    assert_eq!(ends.came, [grant(2)], "control messages are sent although the window is full");
-    ends.acknowledge_back();
-    assert!(ends.pass(50_000) > 0);
+    link.send(&grant(2));
+    link.transfer(1_000);
+    assert_eq!(link.received, [grant(2)], "control messages are sent although the window is full");
+    link.acknowledge();
+    assert!(link.transfer(50_000) > 0);
 }
 
 #[test]
-fn published_state_and_a_long_installation_take_turns() {
-    let mut ends = Ends::default();
-    ends.send(&install(9_000_000));
-    ends.pass(100_000);
-    ends.send(&update(1, 200_000));
-    ends.send(&update(2, 10));
-    let mut passed = 0;
-    while ends.came.len() < 2 {
-        passed += ends.pass(10_000);
-        ends.acknowledge_back();
+fn chunks_of_published_state_and_of_a_snapshot_alternate() {
+    let mut link = TestLink::default();
+    link.send(&install(9_000_000));
+    link.transfer(100_000);
+    link.send(&update(1, 200_000));
+    link.send(&update(2, 10));
+    let mut transferred = 0;
+    while link.received.len() < 2 {
+        transferred += link.transfer(10_000);
+        link.acknowledge();
     }
-    assert_eq!(ends.came, [update(1, 200_000), update(2, 10)], "the messages arrive in order");
-    assert!(passed < 800_000, "{passed}");
+    assert_eq!(link.received, [update(1, 200_000), update(2, 10)], "the messages arrive in order");
+    assert!(transferred < 800_000, "{transferred}");
 }
 
 #[test]
-fn a_message_with_state_replaces_one_that_was_not_begun() {
-    let mut ends = Ends::default();
-    ends.send(&install(5_000_000));
-    ends.pass(100_000);
+fn a_state_message_replaces_a_queued_one_that_has_not_begun() {
+    let mut link = TestLink::default();
+    link.send(&install(5_000_000));
+    link.transfer(100_000);
     for index in 1..100 {
-        ends.send(&append(index, 4_500_000));
-        assert!(ends.queue.bytes() < 9_700_000, "{}", ends.queue.bytes());
+        link.send(&append(index, 4_500_000));
+        assert!(link.queue.bytes() < 9_700_000, "{}", link.queue.bytes());
     }
-    ends.pass_all();
-    assert_eq!(ends.came, [install(5_000_000), append(99, 4_500_000)]);
+    link.transfer_all();
+    assert_eq!(link.received, [install(5_000_000), append(99, 4_500_000)]);
 }
 
 #[test]
-fn state_that_waits_does_not_count_for_the_bound_of_other_messages() {
-    let mut ends = Ends::default();
-    ends.send(&install(9_000_000));
-    ends.send(&append(1, 9_000_000));
+fn queued_state_messages_do_not_count_towards_the_queue_limit() {
+    let mut link = TestLink::default();
+    link.send(&install(9_000_000));
+    link.send(&append(1, 9_000_000));
     for round in 0..1_000 {
-        ends.send(&grant(round));
+        link.send(&grant(round));
     }
     let mut refused = FrameQueue::default();
     let long = vec![0; MAXIMUM];
@@ -161,26 +161,26 @@
 }
 
 #[test]
-fn half_a_message_is_no_message() {
-    let mut ends = Ends::default();
-    ends.send(&install(1_000_000));
+fn an_incomplete_message_is_not_delivered() {
+    let mut link = TestLink::default();
+    link.send(&install(1_000_000));
     let mut left = 1_000_000;
     while left > 0 {
-        left -= ends.pass(left.min(10_000));
-        ends.acknowledge_back();
-        assert!(ends.came.is_empty());
+        left -= link.transfer(left.min(10_000));
+        link.acknowledge();
+        assert!(link.received.is_empty());
     }
-    ends.pass_all();
-    assert_eq!(ends.came, [install(1_000_000)]);
+    link.transfer_all();
+    assert_eq!(link.received, [install(1_000_000)]);
 }
 
 #[test]
-fn pieces_that_never_end_are_an_error() {
+fn too_many_chunks_of_one_message_are_an_error() {
     let mut decoder = FrameDecoder::default();
-    let piece =
+    let chunk =
         [&(MAX_CHUNK_BYTES as u32 | 2 << 26 | 1 << 28).to_le_bytes()[..], &vec![0; MAX_CHUNK_BYTES]].concat();
     let fails = (0..=512).any(|_| {
-        decoder.push(&piece);
+        decoder.push(&chunk);
         decoder.next_frame().is_err()
     });
     assert!(fails);
@@ -190,14 +190,14 @@
 }
 
 /// Returns a link whose receiver has announced that it can decompress messages.
-fn compressing() -> Ends {
-    let mut ends = Ends::default();
-    ends.queue.enable_compression();
-    ends
+fn link_with_compression() -> TestLink {
+    let mut link = TestLink::default();
+    link.queue.enable_compression();
+    link
 }
 
 /// Returns a log entry with a compressible text: similar lines with random numbers.
-fn text(bytes: usize) -> Body {
+fn compressible_entry(bytes: usize) -> Body {
     let mut random = fastrand::Rng::with_seed(7);
     let mut payload = Vec::new();
     while payload.len() < bytes {
@@ -211,51 +211,51 @@
     Body::Append(Box::new(Append { epoch: 1, previous: Position::default(), entries, committed: 0 }))
 }
 
-fn bytes_on_the_wire(ends: &mut Ends, body: &Body) -> usize {
-    ends.send(body);
+fn transferred_bytes(link: &mut TestLink, body: &Body) -> usize {
+    link.send(body);
     let mut bytes = 0;
     loop {
-        let passed = ends.pass(10_000);
-        bytes += passed;
-        ends.acknowledge_back();
-        if passed == 0 {
+        let transferred = link.transfer(10_000);
+        bytes += transferred;
+        link.acknowledge();
+        if transferred == 0 {
             return bytes;
         }
     }
 }
 
 #[test]
-fn long_entries_are_compressed_once_the_peer_has_announced_that_it_can_read_them() {
-    let body = text(4_500_000);
-    let mut plain = Ends::default();
-    assert!(bytes_on_the_wire(&mut plain, &body) > 4_500_000);
-    let mut ends = compressing();
-    let bytes = bytes_on_the_wire(&mut ends, &body);
+fn long_entries_are_compressed_if_the_peer_can_decompress_them() {
+    let body = compressible_entry(4_500_000);
+    let mut plain = TestLink::default();
+    assert!(transferred_bytes(&mut plain, &body) > 4_500_000);
+    let mut link = link_with_compression();
+    let bytes = transferred_bytes(&mut link, &body);
     println!("{bytes} bytes");
     assert!(bytes < 2_000_000, "{bytes}");
-    assert_eq!((&plain.came, &ends.came), (&vec![body.clone()], &vec![body]));
+    assert_eq!((&plain.received, &link.received), (&vec![body.clone()], &vec![body]));
 }
 
 #[test]
-fn what_does_not_get_shorter_is_sent_as_it_is() {
+fn incompressible_messages_are_sent_uncompressed() {
     let mut random = fastrand::Rng::with_seed(1);
     let snapshot: Vec<u8> = (0..200_000).map(|_| random.u8(..)).collect();
     let snapshot_last = Position { epoch: 1, index: 1 };
-    let noise = Body::Install(Box::new(Install { epoch: 1, snapshot_last, snapshot, entries: Vec::new() }));
-    let mut ends = compressing();
-    let bytes = bytes_on_the_wire(&mut ends, &noise);
+    let message = Body::Install(Box::new(Install { epoch: 1, snapshot_last, snapshot, entries: Vec::new() }));
+    let mut link = link_with_compression();
+    let bytes = transferred_bytes(&mut link, &message);
     assert!((200_000..201_000).contains(&bytes), "{bytes}");
-    assert_eq!(ends.came, [noise]);
+    assert_eq!(link.received, [message]);
 }
 
 #[test]
 fn published_state_is_not_compressed() {
-    let mut ends = compressing();
-    assert!(bytes_on_the_wire(&mut ends, &update(1, 300_000)) > 300_000);
+    let mut link = link_with_compression();
+    assert!(transferred_bytes(&mut link, &update(1, 300_000)) > 300_000);
 }
 
 #[test]
-fn the_announcement_is_an_acknowledgement_of_nothing() {
+fn the_compression_announcement_is_an_acknowledgement_of_0_bytes() {
     let mut decoder = FrameDecoder::default();
     assert!(!decoder.peer_decompresses());
     // Releases without compression read it as a frame of kind 3 with four bytes, and ignore the lane.
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn a_compressed_message_that_is_none_is_an_error() {
+fn an_invalid_compressed_message_is_an_error() {
     let compressed = |bytes: &[u8]| {
         let prefix = bytes.len() as u32 | 2 << 26 | 4 << 28;
         let mut decoder = FrameDecoder::default();
@@ -289,27 +289,27 @@
 
 quickcheck! {
     fn each_lane_keeps_its_order(sizes: Vec<(u8, u16)>, cuts: Vec<u16>) -> bool {
-        let mut ends = Ends::default();
+        let mut link = TestLink::default();
         let mut sent = Vec::new();
         let mut cuts = cuts.iter().cycle();
         for (place, (kind, size)) in sizes.iter().enumerate() {
             let (place, size) = (place as u64, usize::from(*size) * 3);
             let body = if kind % 2 == 0 { update(place, size) } else { grant(place) };
-            ends.send(&body);
+            link.send(&body);
             sent.push(body);
-            ends.pass(usize::from(*cuts.next().unwrap_or(&9)));
-            ends.acknowledge_back();
+            link.transfer(usize::from(*cuts.next().unwrap_or(&9)));
+            link.acknowledge();
         }
-        ends.pass_all();
+        link.transfer_all();
         let lane = |bodies: &[Body], lane| -> Vec<Body> {
             bodies.iter().filter(|body| Lane::of(body) == lane).cloned().collect()
         };
-        lane(&sent, Lane::Ordered) == lane(&ends.came, Lane::Ordered)
-            && lane(&sent, Lane::Control) == lane(&ends.came, Lane::Control)
+        lane(&sent, Lane::Ordered) == lane(&link.received, Lane::Ordered)
+            && lane(&sent, Lane::Control) == lane(&link.received, Lane::Control)
     }
 
-    fn compressed_and_plain_messages_come_as_they_were_sent(sizes: Vec<(u8, u16)>, cuts: Vec<u16>) -> bool {
-        let mut ends = compressing();
+    fn compressed_and_uncompressed_messages_arrive_unchanged(sizes: Vec<(u8, u16)>, cuts: Vec<u16>) -> bool {
+        let mut link = link_with_compression();
         let mut sent = Vec::new();
         let mut cuts = cuts.iter().cycle();
         for (place, (kind, size)) in sizes.iter().enumerate() {
@@ -321,15 +321,15 @@
                 _ => update(place, size),
             };
             // A queued state message is replaced by the next one, so each one is transferred before the next is sent.
-            ends.send(&body);
+            link.send(&body);
             sent.push(body);
-            ends.pass(usize::from(*cuts.next().unwrap_or(&9)));
-            ends.pass_all();
+            link.transfer(usize::from(*cuts.next().unwrap_or(&9)));
+            link.transfer_all();
         }
-        ends.came == sent
+        link.received == sent
     }
 
-    fn no_stream_makes_the_decoder_panic(bytes: Vec<u8>) -> bool {
+    fn decoding_an_arbitrary_stream_never_panics(bytes: Vec<u8>) -> bool {
         let mut decoder = FrameDecoder::default();
         decoder.push(&bytes);
         while let Ok(Some(_)) = decoder.next_frame() {}
--- a/crates/quillpulley/tests/agent.rs
+++ b/crates/quillpulley/tests/agent.rs
@@ -61,7 +61,7 @@
 }
 
 /// Finds a port that is free on all addresses. Returns the port and a listener for each address.
-async fn same_ports<const N: usize>(addresses: [Ipv4Addr; N]) -> (u16, [TcpListener; N]) {
+async fn bind_same_port<const N: usize>(addresses: [Ipv4Addr; N]) -> (u16, [TcpListener; N]) {
     loop {
         let probe = TcpListener::bind((addresses[0], 0)).await.expect("a free port");
         let port = probe.local_addr().expect("an address").port();
@@ -98,8 +98,8 @@
         };
         let (commands, receiver) = unbounded_channel();
         let shared = Rc::new(RefCell::new(settings.clone()));
-        let reread = shared.clone();
-        let load = Box::new(move || Ok(reread.borrow().clone()));
+        let shared_settings = shared.clone();
+        let load = Box::new(move || Ok(shared_settings.borrow().clone()));
         let task = spawn_local(serve(settings, sockets, receiver, load));
         Agent { commands, task, proxy: proxy_address, settings: shared }
     }
@@ -110,10 +110,10 @@
 }
 
 #[test]
-fn state_goes_down_to_the_proxy_and_its_endpoint_up_to_the_control_node() {
+fn state_is_relayed_to_the_proxy_and_its_endpoint_is_reported_to_the_control_node() {
     run(async {
         let machines = Machines::new();
-        let (port, [listener]) = same_ports([machines.control_node(1)]).await;
+        let (port, [listener]) = bind_same_port([machines.control_node(1)]).await;
         let mut control_node = Node::control_node(listener, 1);
         control_node.publish("route/x", b"first".to_vec());
         let agent = Agent::start(machines.settings(1, port, &[machines.control_node(1)])).await;
@@ -131,10 +131,10 @@
 }
 
 #[test]
-fn an_older_connection_of_a_child_does_not_replace_its_later_one() {
+fn a_late_hello_on_an_older_connection_does_not_replace_the_newer_link() {
     run(async {
         let machines = Machines::new();
-        let (port, [listener]) = same_ports([machines.control_node(1)]).await;
+        let (port, [listener]) = bind_same_port([machines.control_node(1)]).await;
         let control_node = Node::control_node(listener, 1);
         control_node.publish("route/x", b"first".to_vec());
         let agent = Agent::start(machines.settings(1, port, &[machines.control_node(1)])).await;
@@ -156,16 +156,17 @@
     run(async {
         let machines = Machines::new();
         let seeds = [machines.control_node(1), machines.control_node(2)];
-        let (port, [listener_a, listener_b]) = same_ports(seeds).await;
+        let (port, [listener_a, listener_b]) = bind_same_port(seeds).await;
         let (control_a, control_b) = (Node::control_node(listener_a, 1), Node::control_node(listener_b, 2));
         let agent = Agent::start(machines.settings(1, port, &seeds)).await;
         let mut proxy = Node::proxy(agent.proxy, machines.report(1));
         proxy.until("fresh state", |state| state.fresh).await;
         let is_below_a = control_a.state().children.contains("front-1");
-        let (dies, mut stays) = if is_below_a { (control_a, control_b) } else { (control_b, control_a) };
-        drop(dies);
-        stays.until("the agent", |state| state.children.contains("front-1")).await;
-        stays.until("the proxy", |state| state.endpoints.contains_key("front-1")).await;
+        let (failed_node, mut remaining_node) =
+            if is_below_a { (control_a, control_b) } else { (control_b, control_a) };
+        drop(failed_node);
+        remaining_node.until("the agent", |state| state.children.contains("front-1")).await;
+        remaining_node.until("the proxy", |state| state.endpoints.contains_key("front-1")).await;
         assert_eq!(proxy.state().parents_lost, 0);
     });
 }
@@ -175,7 +176,7 @@
     run(async {
         let machines = Machines::new();
         let seeds = [machines.control_node(1), machines.control_node(2)];
-        let (port, [listener_a, listener_b]) = same_ports(seeds).await;
+        let (port, [listener_a, listener_b]) = bind_same_port(seeds).await;
         let mut control_a = Node::control_node(listener_a, 1);
         let agent = Agent::start(machines.settings(1, port, &seeds)).await;
         let mut proxy = Node::proxy(agent.proxy, machines.report(1));
@@ -195,15 +196,17 @@
 fn an_agent_receives_state_from_its_parent_agent() {
     run(async {
         let machines = Machines::new();
-        let (port, [listener]) = same_ports([machines.control_node(1)]).await;
+        let (port, [listener]) = bind_same_port([machines.control_node(1)]).await;
         let mut control_node = Node::control_node(listener, 1);
-        let elsewhere = ControlNode {
+        let control_node_item = ControlNode {
             ip: machines.control_node(1).to_bits(),
             zone: "zone-b".into(),
             region: "region-a".into(),
         };
-        control_node
-            .publish(&control_node_key(machines.control_node(1)), encode_value::<ControlNode>(&elsewhere));
+        control_node.publish(
+            &control_node_key(machines.control_node(1)),
+            encode_value::<ControlNode>(&control_node_item),
+        );
         let (mut agents, mut proxies) = (Vec::new(), Vec::new());
         for number in [1, 2] {
             control_node.publish(&endpoint_key(&format!("front-{number}")), machines.published(number));
@@ -224,10 +227,10 @@
 }
 
 #[test]
-fn a_draining_agent_serves_its_proxy_until_that_has_exited() {
+fn a_draining_agent_serves_its_proxy_until_the_proxy_has_exited() {
     run(async {
         let machines = Machines::new();
-        let (port, [listener]) = same_ports([machines.control_node(1)]).await;
+        let (port, [listener]) = bind_same_port([machines.control_node(1)]).await;
         let control_node = Node::control_node(listener, 1);
         let mut agent = Agent::start(machines.settings(1, port, &[machines.control_node(1)])).await;
         let mut proxy = Node::proxy(agent.proxy, machines.report(1));
@@ -242,10 +245,10 @@
 }
 
 #[test]
-fn an_agent_without_a_proxy_ends_at_once() {
+fn an_agent_without_a_proxy_exits_when_it_is_signalled() {
     run(async {
         let machines = Machines::new();
-        let (port, _) = same_ports([machines.control_node(1)]).await;
+        let (port, _) = bind_same_port([machines.control_node(1)]).await;
         let agent = Agent::start(machines.settings(1, port, &[])).await;
         agent.command(ProcessSignal::Shutdown);
         expect("the agent to exit", agent.task).await.expect("the agent does not panic");
@@ -256,7 +259,7 @@
 fn new_seeds_apply_when_settings_are_reloaded() {
     run(async {
         let machines = Machines::new();
-        let (port, [listener]) = same_ports([machines.control_node(1)]).await;
+        let (port, [listener]) = bind_same_port([machines.control_node(1)]).await;
         let mut control_node = Node::control_node(listener, 1);
         let agent = Agent::start(machines.settings(1, port, &[machines.control_node(2)])).await;
         *agent.settings.borrow_mut() = machines.settings(1, port, &[machines.control_node(1)]);
@@ -266,10 +269,10 @@
 }
 
 #[test]
-fn new_seeds_are_found_without_a_signal() {
+fn new_seeds_are_loaded_without_a_signal_while_there_is_no_parent() {
     run(async {
         let machines = Machines::new();
-        let (port, [listener]) = same_ports([machines.control_node(1)]).await;
+        let (port, [listener]) = bind_same_port([machines.control_node(1)]).await;
         let mut control_node = Node::control_node(listener, 1);
         let agent = Agent::start(machines.settings(1, port, &[machines.control_node(2)])).await;
         *agent.settings.borrow_mut() = machines.settings(1, port, &[machines.control_node(1)]);
@@ -278,10 +281,10 @@
 }
 
 #[test]
-fn a_proxy_that_does_not_answer_is_suspected() {
+fn a_machine_that_does_not_respond_to_pings_is_suspected() {
     run(async {
         let machines = Machines::new();
-        let (port, [listener]) = same_ports([machines.control_node(1)]).await;
+        let (port, [listener]) = bind_same_port([machines.control_node(1)]).await;
         let mut control_node = Node::control_node(listener, 1);
         for number in [1, 2, 3] {
             control_node.publish(&endpoint_key(&format!("front-{number}")), machines.published(number));
--- a/crates/quillpulley/tests/agent_drain.rs
+++ b/crates/quillpulley/tests/agent_drain.rs
@@ -4,7 +4,7 @@
 use quillpulley::agent::drain::{Action, AgentDrain};
 use std::time::Duration;
 
-fn shown(action: &Action) -> &'static str {
+fn action_text(action: &Action) -> &'static str {
     match action {
         Action::StopListening => "stop listening",
         Action::CloseChildAgents => "close agents",
@@ -12,25 +12,26 @@
     }
 }
 
-fn play(timeline: &str) {
+fn run_timeline(timeline: &str) {
     let mut drain = AgentDrain::new(Duration::from_secs(8));
     for line in timeline.lines().map(str::trim).filter(|line| !line.is_empty()) {
-        let [time, happens, proxy, expected] = line.split('|').map(str::trim).collect::<Vec<_>>()[..] else {
+        let [time, event_name, proxy, expected] = line.split('|').map(str::trim).collect::<Vec<_>>()[..]
+        else {
             panic!("a line must have four columns: {line}");
         };
         let now = Duration::from_millis(time.parse().expect("milliseconds"));
         let mut actions = Vec::new();
-        if happens == "stop" {
+        if event_name == "stop" {
             drain.begin(now, &mut actions);
         }
         drain.update(now, proxy == "proxy", &mut actions);
-        assert_eq!(actions.iter().map(shown).collect::<Vec<_>>().join(", "), expected, "{line}");
+        assert_eq!(actions.iter().map(action_text).collect::<Vec<_>>().join(", "), expected, "{line}");
     }
 }
 
 #[test]
-fn an_agent_that_is_not_signalled_to_shut_down_serves_on() {
-    play(
+fn an_agent_keeps_serving_until_it_is_signalled_to_shut_down() {
+    run_timeline(
         "
                0 |  |       |
              500 |  | proxy |
@@ -41,8 +42,8 @@
 }
 
 #[test]
-fn without_a_proxy_it_ends_soon() {
-    play(
+fn a_draining_agent_without_a_proxy_exits_soon() {
+    run_timeline(
         "
                0 |      |  |
             5000 | stop |  | stop listening
@@ -56,8 +57,8 @@
 }
 
 #[test]
-fn it_relays_until_its_proxy_has_ended() {
-    play(
+fn a_draining_agent_exits_soon_after_its_proxy_has_disconnected() {
+    run_timeline(
         "
                0 |      | proxy |
             5000 | stop | proxy | stop listening
@@ -71,8 +72,8 @@
 }
 
 #[test]
-fn an_agent_exits_a_second_before_the_end_while_its_proxy_stays() {
-    play(
+fn a_draining_agent_exits_one_second_before_the_kill_if_its_proxy_stays_connected() {
+    run_timeline(
         "
                0 |      | proxy |
             5000 | stop | proxy | stop listening
@@ -84,7 +85,7 @@
 }
 
 #[test]
-fn its_next_tick_is_when_something_is_due() {
+fn next_tick_is_when_the_next_state_transition_is_due() {
     let mut drain = AgentDrain::new(Duration::from_secs(8));
     assert_eq!(drain.next_tick(), Duration::MAX);
     let mut actions = Vec::new();
--- a/crates/quillpulley/tests/catch_up/main.rs
+++ b/crates/quillpulley/tests/catch_up/main.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_hundred_of_the_largest_changes_stay_within_the_bounds() {
+fn a_hundred_commands_of_the_largest_size_stay_within_the_resource_limits() {
     let mut world = World::new(3);
     for _ in 0..LARGEST_CHANGES {
         world.change(1, LARGEST);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_member_that_was_away_for_300_changes_catches_up_in_time() {
+fn a_member_that_missed_300_commands_catches_up_in_time() {
     for count in [3, 5] {
         for command_bytes in [2_000, LARGEST] {
             let (mut world, away) = after_300_changes(count, |_, _| {});
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_member_with_a_full_disk_is_dropped_and_comes_back_once() {
+fn a_member_with_a_full_disk_is_removed_and_rejoins_once() {
     let mut world = World::new(3);
     world.change(3, LARGEST);
     let full = backup(&world);
@@ -164,7 +164,7 @@
 // The disk has room for one second and is full for two, repeatedly for a minute. Commands pause each time the member is
 // added again, so it must not be added every time.
 #[test]
-fn a_member_whose_disk_is_full_again_and_again_is_added_less_and_less_often() {
+fn a_member_whose_disk_is_repeatedly_full_is_added_again_at_growing_intervals() {
     let mut world = World::new(3);
     world.change(3, LARGEST);
     let full = backup(&world);
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn five_machines_catch_up_in_half_the_time_where_links_compress() {
+fn five_machines_catch_up_in_half_the_time_with_compression() {
     let mut world = World::with_links(5, Links::Compressed);
     world.change(3, LARGEST);
     let away = backup(&world);
--- a/crates/quillpulley/tests/command_line.rs
+++ b/crates/quillpulley/tests/command_line.rs
@@ -64,7 +64,7 @@
 
 /// The texts in `fixtures/help` were printed by the program at commit 0b0971f.
 #[test]
-fn the_help_is_printed_as_before() {
+fn the_help_text_is_unchanged() {
     for (subcommand, text) in [
         (None, include_str!("fixtures/help/program.txt")),
         (Some("proxy"), include_str!("fixtures/help/proxy.txt")),
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn wrong_arguments_end_with_code_2_and_point_to_the_help() {
+fn invalid_arguments_exit_with_code_2_and_refer_to_the_help() {
     for (arguments, part) in [
         (&[][..], "missing subcommand: see quillpulley --help"),
         (&["serve"], "unknown subcommand serve"),
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn check_accepts_what_is_fine() {
+fn check_accepts_valid_files() {
     let settings = file("fine.toml", SETTINGS);
     let configuration = file("fine.json", CONFIGURATION);
     let output = quillpulley(&[OsStr::new("check"), settings.as_os_str(), configuration.as_os_str()]);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn check_names_each_bad_file_and_the_remedy() {
+fn check_reports_each_invalid_file_and_how_to_correct_it() {
     let fine = file("fine-too.toml", SETTINGS);
     let no_ip = file("no-ip.toml", &SETTINGS.replace("Ip = ", "Address = "));
     let no_toml = file("no-toml.toml", "Ip = ");
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn check_asks_for_what_those_need_who_are_served() {
+fn check_requires_the_keys_for_the_callers_that_are_served() {
     let listen = |addresses: &str| format!("[Listen]\n{addresses}\n");
     let all = "Front = \"127.0.0.1:8161\"\nReady = \"127.0.0.1:8167\"\nControl = \"127.0.0.1:8166\"\n\
                Directory = \"127.0.0.1:8168\"";
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn a_mechanism_that_does_not_exist_cannot_be_left_out() {
+fn an_unknown_mechanism_cannot_be_disabled() {
     let output = quillpulley(&["proxy", "--without", "nothing_of_this_name"]);
     assert_eq!(output.status.code(), Some(2));
     assert!(err(&output).contains("see quillpulley proxy --help"), "{}", err(&output));
--- a/crates/quillpulley/tests/common/mod.rs
+++ b/crates/quillpulley/tests/common/mod.rs
@@ -27,8 +27,8 @@
 }
 
 /// Waits for a future, and panics if it does not complete in time.
-pub async fn expect<T>(what: &str, awaited: impl Future<Output = T>) -> T {
-    match tokio::time::timeout(TIMEOUT, awaited).await {
+pub async fn expect<T>(what: &str, expected_link: impl Future<Output = T>) -> T {
+    match tokio::time::timeout(TIMEOUT, expected_link).await {
         Ok(value) => value,
         Err(_) => panic!("timed out waiting for {what}"),
     }
@@ -54,18 +54,18 @@
 }
 
 /// The links of one simulated process, and their events.
-pub struct Side {
+pub struct TestProcess {
     /// The links.
     pub peers: Rc<Peers>,
     /// The events of the links.
     pub events: UnboundedReceiver<PeerEvent>,
 }
 
-impl Side {
+impl TestProcess {
     /// Creates a process of this kind and name, without links.
-    pub fn new(kind: PeerKind, name: &str) -> Side {
+    pub fn new(kind: PeerKind, name: &str) -> TestProcess {
         let (peers, events) = Peers::new(hello(kind, name));
-        Side { peers, events }
+        TestProcess { peers, events }
     }
 
     /// Returns the next event.
@@ -90,9 +90,9 @@
     }
 
     /// Waits for the next event, which must be [`PeerEvent::Closed`] for this link.
-    pub async fn closed(&mut self, awaited: LinkId) {
+    pub async fn closed(&mut self, expected_link: LinkId) {
         match self.event().await {
-            PeerEvent::Closed { link } => assert_eq!(link, awaited),
+            PeerEvent::Closed { link } => assert_eq!(link, expected_link),
             other => panic!("{other:?} instead of a closed link"),
         }
     }
--- a/crates/quillpulley/tests/common/tree.rs
+++ b/crates/quillpulley/tests/common/tree.rs
@@ -42,7 +42,7 @@
     }
 }
 
-enum Instruction {
+enum Command {
     Publish(Vec<Change>),
     Report(LocalReport),
     StopHeartbeats,
@@ -50,7 +50,7 @@
 
 /// A simulated node that runs in a task of its own. Dropping it closes its links.
 pub struct Node {
-    instructions: UnboundedSender<Instruction>,
+    commands: UnboundedSender<Command>,
     state: watch::Receiver<NodeState>,
     task: AbortHandle,
 }
@@ -67,7 +67,7 @@
         let (peers, events) = Peers::new(hello(PeerKind::Control, "core"));
         peers.listen(listener);
         let node = SyncNode::new(Options::control_node("core"));
-        Node::start(Running::new(peers, events, node, None), Some(epoch))
+        Node::start(SimulatedNode::new(peers, events, node, None), Some(epoch))
     }
 
     /// Starts a proxy with this endpoint, which connects to the agent at this address.
@@ -77,32 +77,32 @@
         let mut node = SyncNode::new(Options::new(&endpoint.name));
         let report = LocalReport { endpoint: Some(endpoint), proxies: 1, ..LocalReport::default() };
         node.handle(Duration::ZERO, Event::LocalReport(report), &mut Vec::new());
-        Node::start(Running::new(peers, events, node, Some(parent)), None)
+        Node::start(SimulatedNode::new(peers, events, node, Some(parent)), None)
     }
 
-    fn start(mut running: Running, epoch: Option<u64>) -> Node {
-        let (instructions, receiver) = unbounded_channel();
+    fn start(mut running: SimulatedNode, epoch: Option<u64>) -> Node {
+        let (commands, receiver) = unbounded_channel();
         let state = running.state.subscribe();
         if let Some(epoch) = epoch {
             running.handle(Event::BecomeRoot { epoch });
         }
         let task = spawn_local(running.run(receiver, epoch.is_some())).abort_handle();
-        Node { instructions, state, task }
+        Node { commands, state, task }
     }
 
     /// Publishes an item.
     pub fn publish(&self, key: &str, value: Vec<u8>) {
-        self.instruct(Instruction::Publish(vec![Change { key: key.to_string(), value: Some(value) }]));
+        self.send_command(Command::Publish(vec![Change { key: key.to_string(), value: Some(value) }]));
     }
 
     /// Replaces the report of the node.
     pub fn report(&self, report: LocalReport) {
-        self.instruct(Instruction::Report(report));
+        self.send_command(Command::Report(report));
     }
 
     /// Stops advancing the revision, like a primary that has lost its lease.
     pub fn stop_heartbeats(&self) {
-        self.instruct(Instruction::StopHeartbeats);
+        self.send_command(Command::StopHeartbeats);
     }
 
     /// Waits until the state of the node satisfies `holds`, and returns that state.
@@ -116,8 +116,8 @@
         self.state.borrow().clone()
     }
 
-    fn instruct(&self, instruction: Instruction) {
-        assert!(self.instructions.send(instruction).is_ok(), "the node runs");
+    fn send_command(&self, command: Command) {
+        assert!(self.commands.send(command).is_ok(), "the node runs");
     }
 }
 
@@ -135,7 +135,7 @@
     }
 }
 
-struct Running {
+struct SimulatedNode {
     started: Instant,
     peers: Rc<Peers>,
     events: UnboundedReceiver<PeerEvent>,
@@ -146,27 +146,36 @@
     state: watch::Sender<NodeState>,
 }
 
-impl Running {
+impl SimulatedNode {
     fn new(
         peers: Rc<Peers>,
         events: UnboundedReceiver<PeerEvent>,
         node: SyncNode<LinkId>,
         parent: Option<LinkId>,
-    ) -> Running {
+    ) -> SimulatedNode {
         let state = watch::Sender::new(NodeState::default());
         let children = BTreeMap::new();
-        Running { started: Instant::now(), peers, events, node, parent, children, parents_lost: 0, state }
+        SimulatedNode {
+            started: Instant::now(),
+            peers,
+            events,
+            node,
+            parent,
+            children,
+            parents_lost: 0,
+            state,
+        }
     }
 
-    async fn run(mut self, mut instructions: UnboundedReceiver<Instruction>, mut revisions: bool) {
+    async fn run(mut self, mut commands: UnboundedReceiver<Command>, mut revisions: bool) {
         let mut ticks = interval(HEARTBEAT_INTERVAL);
         loop {
             tokio::select! {
                 Some(event) = self.events.recv() => self.peer_event(event),
-                Some(instruction) = instructions.recv() => match instruction {
-                    Instruction::Publish(changes) => self.handle(Event::Publish(changes)),
-                    Instruction::Report(report) => self.handle(Event::LocalReport(report)),
-                    Instruction::StopHeartbeats => revisions = false,
+                Some(command) = commands.recv() => match command {
+                    Command::Publish(changes) => self.handle(Event::Publish(changes)),
+                    Command::Report(report) => self.handle(Event::LocalReport(report)),
+                    Command::StopHeartbeats => revisions = false,
                 },
                 _ = ticks.tick() => {
                     self.handle(Event::Tick);
--- a/crates/quillpulley/tests/parent_search.rs
+++ b/crates/quillpulley/tests/parent_search.rs
@@ -36,7 +36,7 @@
     }
 }
 
-fn shown(action: &Action) -> String {
+fn action_text(action: &Action) -> String {
     match action {
         Action::Connect(candidate) => format!("connect {}", name(*candidate)),
         Action::Use(candidate) => format!("use {}", name(*candidate)),
@@ -45,7 +45,7 @@
 }
 
 /// Runs a timeline with several random seeds, and compares the actions with the expected ones.
-fn play(timeline: &str) {
+fn run_timeline(timeline: &str) {
     for seed in 0..20 {
         let mut parent_search = ParentSearch::new(seed);
         for line in timeline.lines().map(str::trim).filter(|line| !line.is_empty()) {
@@ -55,15 +55,15 @@
             let now = Duration::from_millis(time.parse().expect("milliseconds"));
             let mut actions = Vec::new();
             parent_search.handle(now, event(happens), &mut actions);
-            let done: Vec<String> = actions.iter().map(shown).collect();
+            let done: Vec<String> = actions.iter().map(action_text).collect();
             assert_eq!(done.join(", "), expected, "seed {seed}: {line}");
         }
     }
 }
 
 #[test]
-fn the_best_candidate_that_opens_is_used() {
-    play(
+fn the_best_candidate_becomes_the_parent_when_its_link_opens() {
+    run_timeline(
         "
             0 | candidates C1 C2 C3 | connect C1
            30 | opened C1           | use C1
@@ -73,8 +73,8 @@
 }
 
 #[test]
-fn a_candidate_that_hangs_is_tried_side_by_side_with_the_next() {
-    play(
+fn the_next_candidate_is_tried_concurrently_if_a_connection_hangs() {
+    run_timeline(
         "
             0 | candidates C1 C2 C3 C4 | connect C1
           249 |                        |
@@ -89,8 +89,8 @@
 }
 
 #[test]
-fn the_next_one_is_tried_soon_after_a_failure_and_all_of_them_in_turn() {
-    play(
+fn after_failures_all_candidates_are_tried_in_turn_with_backoff() {
+    run_timeline(
         "
             0 | candidates C1 C2 C3 | connect C1
             1 | lost C1             |
@@ -107,7 +107,7 @@
 
 #[test]
 fn a_parent_that_is_lost_is_replaced_at_once() {
-    play(
+    run_timeline(
         "
             0 | candidates A1 A2 C1 | connect A1
            10 | opened A1           | use A1
@@ -121,7 +121,7 @@
 
 #[test]
 fn a_parent_with_a_stalled_revision_is_kept_until_another_is_connected() {
-    play(
+    run_timeline(
         "
             0 | candidates C1 C2 | connect C1
            10 | opened C1        | use C1
@@ -136,7 +136,7 @@
 
 #[test]
 fn a_parent_whose_revision_advances_again_is_kept() {
-    play(
+    run_timeline(
         "
             0 | candidates C1 C2 C3 | connect C1
            10 | opened C1           | use C1
@@ -148,8 +148,8 @@
 }
 
 #[test]
-fn below_an_agent_the_timeout_is_longer() {
-    play(
+fn the_stall_timeout_is_longer_if_the_parent_is_an_agent() {
+    run_timeline(
         "
             0 | candidates A1 C1 | connect A1
            10 | opened A1        | use A1
@@ -160,8 +160,8 @@
 }
 
 #[test]
-fn while_no_revision_advances_all_are_tried_in_turn() {
-    play(
+fn all_candidates_are_tried_in_turn_while_no_revision_advances() {
+    run_timeline(
         "
             0 | candidates C1 C2 | connect C1
            10 | opened C1        | use C1
@@ -175,8 +175,8 @@
 }
 
 #[test]
-fn a_better_candidate_becomes_the_parent_once_it_works() {
-    play(
+fn a_better_candidate_becomes_the_parent_once_its_link_opens() {
+    run_timeline(
         "
             0 | candidates C1 C2       | connect C1
            10 | opened C1              | use C1
@@ -192,7 +192,7 @@
 
 #[test]
 fn a_better_candidate_that_fails_changes_nothing_and_gets_a_penalty() {
-    play(
+    run_timeline(
         "
             0 | candidates C1       | connect C1
            10 | opened C1           | use C1
@@ -210,7 +210,7 @@
 
 #[test]
 fn events_of_unknown_candidates_change_nothing() {
-    play(
+    run_timeline(
         "
             0 | candidates C1 | connect C1
            10 | opened C2     |
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn a_failed_candidate_is_reported_until_its_penalty_is_over_or_its_revision_moves_again() {
+fn a_failed_candidate_is_reported_until_its_penalty_expires_or_its_revision_advances() {
     let mut parent_search = ParentSearch::new(1);
     let mut happens = |milliseconds: u64, text: &str| {
         let now = Duration::from_millis(milliseconds);
@@ -241,7 +241,7 @@
 quickcheck! {
     /// For any sequence of events: there are at most three concurrent attempts and at most one parent, whose link is
     /// open, and only links that are open or connecting are closed.
-    fn links_are_accounted_for(seed: u64, steps: Vec<(u8, u8, u8)>) -> bool {
+    fn the_parent_and_the_attempts_match_the_actions(seed: u64, steps: Vec<(u8, u8, u8)>) -> bool {
         let names = ["A1", "A2", "C1", "C2", "C3"];
         let mut parent_search = ParentSearch::new(seed);
         let (mut connecting, mut parent) = (Vec::new(), None);
--- a/crates/quillpulley/tests/system/http.rs
+++ b/crates/quillpulley/tests/system/http.rs
@@ -21,7 +21,7 @@
 
 /// An HTTP response.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     /// The status code.
     pub status: u16,
     /// The complete body.
@@ -57,17 +57,17 @@
     }
 
     /// Sends the request. Returns `None` if no complete response arrives.
-    pub fn send(&self, to: SocketAddr) -> Option<Answer> {
+    pub fn send(&self, to: SocketAddr) -> Option<Response> {
         let mut stream = TcpStream::connect_timeout(&to, CONNECT).ok()?;
         stream.set_read_timeout(Some(ANSWER)).ok()?;
         stream.write_all(self.text(to).as_bytes()).ok()?;
         let mut bytes = Vec::new();
         stream.read_to_end(&mut bytes).ok()?;
-        Answer::read(&String::from_utf8(bytes).ok()?)
+        Response::read(&String::from_utf8(bytes).ok()?)
     }
 
     /// Sends the request, and follows redirects.
-    pub fn send_following(&self, to: SocketAddr) -> Option<Answer> {
+    pub fn send_following(&self, to: SocketAddr) -> Option<Response> {
         let mut answer = self.send(to)?;
         for _ in 0..MOST_REDIRECTIONS {
             if answer.status != 307 {
@@ -93,7 +93,7 @@
     }
 }
 
-impl Answer {
+impl Response {
     /// Returns the value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         let headers = self.head.lines().skip(1).filter_map(|line| line.split_once(':'));
@@ -101,10 +101,10 @@
         matching.next().map(|(_, value)| value.trim())
     }
 
-    fn read(text: &str) -> Option<Answer> {
+    fn read(text: &str) -> Option<Response> {
         let (head, body) = text.split_once("\r\n\r\n")?;
         let status = head.split(' ').nth(1)?.parse().ok()?;
-        let mut answer = Answer { status, body: String::new(), head: head.to_string() };
+        let mut answer = Response { status, body: String::new(), head: head.to_string() };
         let chunked = answer.header("Transfer-Encoding").is_some_and(|v| v.eq_ignore_ascii_case("chunked"));
         answer.body = if chunked { unchunked(body)? } else { body.to_string() };
         Some(answer)
--- a/crates/quillpulley/tests/system/main.rs
+++ b/crates/quillpulley/tests/system/main.rs
@@ -7,7 +7,7 @@
 mod processes;
 mod server;
 
-use http::{Answer, Request};
+use http::{Request, Response};
 use machines::Machines;
 use platform::Platform;
 use processes::Process;
@@ -91,7 +91,7 @@
     }
 
     /// Sends a client request to the proxy.
-    fn ask(&self, id: &str, path: &str) -> Option<Answer> {
+    fn ask(&self, id: &str, path: &str) -> Option<Response> {
         let mut request = Request::post(path, "{\"text\":\"hello\"}");
         request.host(HOST);
         request.header("Quillpulley-Request-Id", id);
@@ -103,7 +103,7 @@
     }
 
     /// Waits until a request to this path is served successfully.
-    fn until_served(&mut self, path: &str) -> Answer {
+    fn until_served(&mut self, path: &str) -> Response {
         let mut tries = 0;
         let front = self.machines.front();
         let mut request = Request::post(path, "");
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_request_is_served_from_the_directory_to_the_server_and_back() {
+fn a_request_is_served_end_to_end() {
     let mut system = System::start("served");
     system.configure(0, &configuration(1, &[]));
     system.until_ready();
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_new_configuration_reaches_the_proxy_also_after_the_loss_of_control_nodes() {
+fn a_new_configuration_reaches_the_proxy_after_the_loss_of_a_control_node() {
     let mut system = System::start("failover");
     system.configure(0, &configuration(1, &[]));
     system.until_served("/cards/1");
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn the_proxy_serves_on_without_any_control_node_and_without_its_agent() {
+fn the_proxy_keeps_serving_without_control_nodes_and_agent() {
     let mut system = System::start("alone");
     system.configure(0, &configuration(1, &[]));
     system.until_served("/cards/1");
--- a/crates/serving-config/tests/configuration.rs
+++ b/crates/serving-config/tests/configuration.rs
@@ -8,7 +8,7 @@
 use quillpulley_serving_config::{Limits, RouteKind, WeightedService};
 use std::time::Duration;
 
-const WHOLE: &str = r#"{"Version":7,"Routes":[{"Name":"r-1","Host":"ficu95.example","PathPrefix":"/lohu930/",
+const COMPLETE_CONFIGURATION: &str = r#"{"Version":7,"Routes":[{"Name":"r-1","Host":"ficu95.example","PathPrefix":"/lohu930/",
 "Kind":"streaming","TimeoutMs":5000,"TargetLatencyMs":800,"Priority":0,"TrafficSplit":[{"Service":"huvo","Weight":90},
 {"Service":"wuno","Weight":10}],"MaxAttempts":2,"Sticky":true,"Resumable":true,"gap_aim_ms":400,"HomeRegions":[]},
 {"Name":"r-2","Host":"ficu95.example","PathPrefix":"/pufi791/","Kind":"idempotent","TimeoutMs":15000.5,
@@ -21,7 +21,7 @@
 
 #[test]
 fn reads_every_field() {
-    let configuration = parse(WHOLE.as_bytes());
+    let configuration = parse(COMPLETE_CONFIGURATION.as_bytes());
     assert_eq!(configuration.version, 7);
     let [first, second] = &configuration.routes[..] else { panic!("two routes") };
     assert_eq!((first.name.as_str(), first.location()), ("r-1", ("ficu95.example", "/lohu930/")));
@@ -58,8 +58,8 @@
 
 #[test]
 fn a_configuration_that_cannot_be_parsed_is_invalid() {
-    for end in 0..WHOLE.len() {
-        assert!(Configuration::parse(&WHOLE.as_bytes()[..end]).is_err(), "cut at {end}");
+    for end in 0..COMPLETE_CONFIGURATION.len() {
+        assert!(Configuration::parse(&COMPLETE_CONFIGURATION.as_bytes()[..end]).is_err(), "cut at {end}");
     }
     for text in ["", "null", "[]", "7", "{}", "{\"Version\":7}", "\u{feff}{}", "{} {}"] {
         assert!(Configuration::parse(text.as_bytes()).is_err(), "{text}");
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn timeouts_and_prefixes_must_be_there() {
+fn timeouts_must_not_be_0_and_prefixes_must_not_be_empty() {
     let none = ConfigurationError::NoTimeout { route: "h.example/a/".to_string() };
     assert_eq!(route_error(r#","Service":"s","TimeoutMs":0"#), none);
     assert_eq!(route_error(r#","Service":"s","TimeoutMs":0.0"#), none);
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn negative_numbers_and_what_is_no_number_are_invalid() {
+fn negative_and_non_numeric_values_are_invalid() {
     for field in ["TimeoutMs", "TargetLatencyMs", "Priority", "MaxAttempts", "gap_aim_ms", "RatePerS"] {
         for value in ["-1", "-0.5", "\"5\"", "[]", "{}", "true"] {
             let error = route_error(&format!(",\"Service\":\"s\",\"{field}\":{value}"));
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn homes_that_cannot_be_read_are_invalid() {
+fn invalid_home_regions_are_rejected() {
     for value in ["[1]", "{}", "7"] {
         let error = route_error(&format!(",\"Service\":\"s\",\"HomeRegions\":{value}"));
         assert!(matches!(error, ConfigurationError::WrongKind { .. }), "{value}: {error}");
@@ -170,8 +170,8 @@
 }
 
 #[test]
-fn oddities_are_valid() {
-    let oddities = [
+fn unknown_fields_and_values_of_unknown_kinds_are_accepted() {
+    let unusual_fields = [
         r#","Name":7"#,
         r#","Name":null,"Kind":null,"TimeoutMs":null,"TrafficSplit":null,"HomeRegions":null,"gap_aim_ms":null"#,
         r#","Kind":"of the future","Sticky":"maybe","Resumable":1"#,
@@ -179,10 +179,10 @@
         r#","TrafficSplit":[]"#,
         r#","Fresh":{"deep":[[[[{"er":123456789012345678901234567890}]]]]},"Text":"\u00e9\ud83d\ude00""#,
     ];
-    for oddity in oddities {
-        let route = one_route(&format!(",\"Service\":\"s\"{oddity}"));
-        assert_eq!((route.name.as_str(), route.max_attempts), ("h.example/a/", 1), "{oddity}");
-        assert!(!route.timeout.is_zero() && route.split[0].weight == 1.0, "{oddity}");
+    for field in unusual_fields {
+        let route = one_route(&format!(",\"Service\":\"s\"{field}"));
+        assert_eq!((route.name.as_str(), route.max_attempts), ("h.example/a/", 1), "{field}");
+        assert!(!route.timeout.is_zero() && route.split[0].weight == 1.0, "{field}");
     }
     let services = [
         r#"{"Name":"s"}"#,
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn deep_nesting_is_read_or_rejected() {
+fn parsing_deeply_nested_values_never_panics() {
     let depth = 1_000_000;
     let nested = format!("{}{}", "[".repeat(depth), "]".repeat(depth));
     let text = format!("{{\"Version\":1,\"Routes\":[],\"Services\":[],\"Fresh\":{nested}}}");
@@ -214,13 +214,13 @@
 }
 
 quickcheck! {
-    fn any_bytes_are_read_or_rejected(bytes: Vec<u8>) -> bool {
+    fn parsing_arbitrary_bytes_never_panics(bytes: Vec<u8>) -> bool {
         let _ = Configuration::parse(&bytes);
         true
     }
 
-    fn any_damage_is_read_or_rejected(damage: Vec<(u16, u8)>) -> bool {
-        let mut text = WHOLE.as_bytes().to_vec();
+    fn parsing_a_corrupted_configuration_never_panics(damage: Vec<(u16, u8)>) -> bool {
+        let mut text = COMPLETE_CONFIGURATION.as_bytes().to_vec();
         for (location, byte) in damage {
             let location = usize::from(location) % text.len();
             text[location] = byte;
@@ -229,14 +229,14 @@
         true
     }
 
-    fn any_value_is_read_or_refused(location: u16, number: i64, kind: u8) -> bool {
+    fn parsing_any_value_of_a_key_never_panics(location: u16, number: i64, kind: u8) -> bool {
         let values = [number.to_string(), format!("{number}.5e30"), format!("\"{number}\""), "{}".to_string(),
             "[]".to_string(), "null".to_string(), "true".to_string(), "[{}]".to_string()];
-        let colons: Vec<usize> = WHOLE.match_indices(':').map(|(at, _)| at + 1).collect();
+        let colons: Vec<usize> = COMPLETE_CONFIGURATION.match_indices(':').map(|(at, _)| at + 1).collect();
         let start = colons[usize::from(location) % colons.len()];
-        let length = WHOLE[start..].find([',', '}', ']']).unwrap_or(0);
+        let length = COMPLETE_CONFIGURATION[start..].find([',', '}', ']']).unwrap_or(0);
         let value = &values[usize::from(kind) % values.len()];
-        let text = format!("{}{value}{}", &WHOLE[..start], &WHOLE[start + length..]);
+        let text = format!("{}{value}{}", &COMPLETE_CONFIGURATION[..start], &COMPLETE_CONFIGURATION[start + length..]);
         let _ = Configuration::parse(text.as_bytes());
         true
     }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-const FRONT: &str = r#"
+const PROXY_SETTINGS: &str = r#"
 NodeName = "front-zona-10-1"
 Role = "my-front"
 MachineClass = "front"
@@ -69,7 +69,7 @@
 "#;
 
 /// Settings with only the required keys.
-const LEAST: &str = "Ip = \"10.0.0.1\"\nZone = \"a\"\nRegion = \"r\"\nPortRange = [7720, 7722]\n";
+const MINIMAL_SETTINGS: &str = "Ip = \"10.0.0.1\"\nZone = \"a\"\nRegion = \"r\"\nPortRange = [7720, 7722]\n";
 
 fn parse(text: &str) -> Settings {
     Settings::parse(text).expect("usable settings")
@@ -85,7 +85,7 @@
 
 #[test]
 fn reads_every_key() {
-    let settings = parse(FRONT);
+    let settings = parse(PROXY_SETTINGS);
     assert_eq!(settings.node_name, "front-zona-10-1");
     assert_eq!(settings.ip, Ipv4Addr::new(10, 1, 0, 13));
     assert_eq!((settings.zone.as_str(), settings.region.as_str()), ("zona-10", "gt-central"));
@@ -107,15 +107,15 @@
 
 #[test]
 fn derives_ports_and_regions() {
-    let settings = parse(FRONT);
+    let settings = parse(PROXY_SETTINGS);
     assert_eq!((settings.control_port(), settings.agent_port(), settings.proxy_port()), (7720, 7721, 7722));
     assert_eq!(settings.region_of("xela-hall"), Some("gt-occidente"));
     assert_eq!(settings.region_of("nowhere"), None);
 }
 
 #[test]
-fn names_what_a_role_needs_and_does_not_find() {
-    let settings = parse(FRONT);
+fn missing_required_keys_are_reported() {
+    let settings = parse(PROXY_SETTINGS);
     assert_eq!(settings.front_address().expect("an address"), address("10.1.0.13:8161"));
     let missing = settings.control_address().expect_err("no address").to_string();
     assert_eq!(
@@ -126,60 +126,66 @@
 }
 
 #[test]
-fn defaults_fill_what_is_missing() {
-    let settings = parse(LEAST);
+fn missing_keys_have_default_values() {
+    let settings = parse(MINIMAL_SETTINGS);
     assert_eq!(settings.node_name, "10.0.0.1");
     assert_eq!(settings.bounds.drain, Duration::from_secs(3));
     assert_eq!(settings.limits.memory_mb, 256);
     assert_eq!(settings.platform, None);
     assert!(settings.seeds.is_empty() && !settings.bootstrap);
-    let by_zone = LEAST.replace("Region = \"r\"\n", "") + "[Zones]\na = \"of the zone\"\n";
+    let by_zone = MINIMAL_SETTINGS.replace("Region = \"r\"\n", "") + "[Zones]\na = \"of the zone\"\n";
     assert_eq!(parse(&by_zone).region, "of the zone");
 }
 
 #[test]
-fn unknown_and_empty_keys_are_passed_over() {
-    let oddities = [
+fn unknown_and_empty_keys_are_ignored() {
+    let ignored_keys = [
         "Fresh = { a = 1 }\n",
         "NodeName = \"\"\nContracts = []\nSeeds = []\nDataDir = \"\"\nHeartbeatMs = \"\"\n",
         "[Bounds]\nClosed = true\nDrainMs = 3000.0\nEvacMs = false\nKnown = \"?\"\n",
         "[Cloud]\nAddress = \"\"\n",
         "[Zones]\nb = \"\"\n",
     ];
-    for oddity in oddities {
-        let settings = parse(&format!("{LEAST}{oddity}"));
-        assert_eq!(settings.bounds.drain, Duration::from_secs(3), "{oddity}");
-        assert_eq!(settings.bounds.evacuation_deadline, Duration::from_secs(5), "{oddity}");
+    for ignored in ignored_keys {
+        let settings = parse(&format!("{MINIMAL_SETTINGS}{ignored}"));
+        assert_eq!(settings.bounds.drain, Duration::from_secs(3), "{ignored}");
+        assert_eq!(settings.bounds.evacuation_deadline, Duration::from_secs(5), "{ignored}");
     }
 }
 
 #[test]
-fn errors_name_the_key_and_the_remedy() {
+fn errors_name_the_key_and_the_expected_value() {
     let cases = [
-        (LEAST.replace("Ip = \"10.0.0.1\"\n", ""), "the settings lack Ip: add it as an IPv4 address"),
-        (LEAST.replace("10.0.0.1", "here"), "Ip cannot be \"here\": give it as an IPv4 address"),
-        (LEAST.replace("Region = \"r\"\n", ""), "the settings lack Region"),
         (
-            LEAST.replace("[7720, 7722]", "[7720, 7721]"),
+            MINIMAL_SETTINGS.replace("Ip = \"10.0.0.1\"\n", ""),
+            "the settings lack Ip: add it as an IPv4 address",
+        ),
+        (MINIMAL_SETTINGS.replace("10.0.0.1", "here"), "Ip cannot be \"here\": give it as an IPv4 address"),
+        (MINIMAL_SETTINGS.replace("Region = \"r\"\n", ""), "the settings lack Region"),
+        (
+            MINIMAL_SETTINGS.replace("[7720, 7722]", "[7720, 7721]"),
             "PortRange cannot be that list: give it as the first",
         ),
-        (LEAST.replace("[7720, 7722]", "[7720, 77220]"), "PortRange cannot be"),
-        (LEAST.replace("PortRange = [7720, 7722]\n", ""), "the settings lack PortRange"),
-        (format!("{LEAST}Bootstrap = 1\n"), "Bootstrap cannot be 1: give it as true or false"),
+        (MINIMAL_SETTINGS.replace("[7720, 7722]", "[7720, 77220]"), "PortRange cannot be"),
+        (MINIMAL_SETTINGS.replace("PortRange = [7720, 7722]\n", ""), "the settings lack PortRange"),
+        (format!("{MINIMAL_SETTINGS}Bootstrap = 1\n"), "Bootstrap cannot be 1: give it as true or false"),
         (
-            format!("{LEAST}Seeds = [\"a:b\"]\n"),
+            format!("{MINIMAL_SETTINGS}Seeds = [\"a:b\"]\n"),
             "Seeds cannot be that list: give it as an address with its port",
         ),
-        (format!("{LEAST}Bounds = 3\n"), "Bounds cannot be 3: give it as a table"),
+        (format!("{MINIMAL_SETTINGS}Bounds = 3\n"), "Bounds cannot be 3: give it as a table"),
         (
-            format!("{LEAST}[Bounds]\nDrainMs = -1\n"),
+            format!("{MINIMAL_SETTINGS}[Bounds]\nDrainMs = -1\n"),
             "Bounds.DrainMs cannot be -1: give it as a number, 0 or",
         ),
-        (format!("{LEAST}[Bounds]\nDrainMs = nan\n"), "Bounds.DrainMs cannot be NaN"),
-        (format!("{LEAST}[Bounds]\nDrainMs = \"x\"\n"), "Bounds.DrainMs cannot be \"x\""),
-        (format!("{LEAST}[Limits]\nCores = 1.5\n"), "Limits.Cores cannot be 1.5: give it as a whole number"),
-        (format!("{LEAST}[Cloud]\nAddress = \"x\"\n"), "Cloud.Address cannot be \"x\""),
-        (format!("{LEAST}oh no"), "the settings are no TOML (line 5: "),
+        (format!("{MINIMAL_SETTINGS}[Bounds]\nDrainMs = nan\n"), "Bounds.DrainMs cannot be NaN"),
+        (format!("{MINIMAL_SETTINGS}[Bounds]\nDrainMs = \"x\"\n"), "Bounds.DrainMs cannot be \"x\""),
+        (
+            format!("{MINIMAL_SETTINGS}[Limits]\nCores = 1.5\n"),
+            "Limits.Cores cannot be 1.5: give it as a whole number",
+        ),
+        (format!("{MINIMAL_SETTINGS}[Cloud]\nAddress = \"x\"\n"), "Cloud.Address cannot be \"x\""),
+        (format!("{MINIMAL_SETTINGS}oh no"), "the settings are no TOML (line 5: "),
     ];
     for (text, expected) in cases {
         let error = error(&text);
@@ -189,29 +195,29 @@
 
 #[test]
 fn an_excessive_duration_is_clamped() {
-    let settings = parse(&format!("{LEAST}[Bounds]\nDrainMs = 1e300\n"));
+    let settings = parse(&format!("{MINIMAL_SETTINGS}[Bounds]\nDrainMs = 1e300\n"));
     assert_eq!(settings.bounds.drain, Duration::from_secs(365 * 24 * 3600));
 }
 
 #[test]
-fn a_file_that_cannot_be_read_is_named() {
+fn an_unreadable_file_is_named_in_the_error() {
     let error = Settings::load(Path::new("no/such/file.toml")).expect_err("no such file");
     assert!(matches!(error, SettingsError::Unreadable { .. }));
     assert!(error.to_string().contains("no/such/file.toml"), "{error}");
 }
 
 quickcheck! {
-    fn any_text_is_read_or_rejected(text: String) -> bool {
+    fn parsing_arbitrary_text_never_panics(text: String) -> bool {
         let _ = Settings::parse(&text);
         true
     }
 
-    fn any_value_is_read_or_refused(place: u8, value: String, number: f64) -> bool {
-        let lines: Vec<&str> = FRONT.lines().collect();
+    fn parsing_any_value_of_a_key_never_panics(place: u8, value: String, number: f64) -> bool {
+        let lines: Vec<&str> = PROXY_SETTINGS.lines().collect();
         let line = lines[usize::from(place) % lines.len()];
         let key = line.split(" = ").next().unwrap_or_default();
         for new in [format!("{key} = {value:?}"), format!("{key} = {number:?}"), format!("{key} = []")] {
-            let _ = Settings::parse(&FRONT.replace(line, &new));
+            let _ = Settings::parse(&PROXY_SETTINGS.replace(line, &new));
         }
         true
     }
