--- a/crates/quillpulley/tests/catch_up/main.rs
+++ b/crates/quillpulley/tests/catch_up/main.rs
@@ -8,31 +8,31 @@
 use world::{Links, World};
 
 /// The size of the largest command, in bytes.
-const LARGEST: usize = quillpulley::control::api::MAX_BODY_BYTES;
+const MAX_COMMAND_BYTES: usize = quillpulley::control::api::MAX_BODY_BYTES;
 /// The number of commands of the largest size in the test. The log is compacted after every four of them.
-const LARGEST_CHANGES: usize = 100;
+const LARGE_COMMAND_COUNT: usize = 100;
 /// The time within which a restarted machine must be a member again (`CatchUpS`).
-const CATCH_UP_MS: u64 = 4_000;
+const MAX_CATCH_UP_MS: u64 = 4_000;
 /// The same limit for five machines while commands of the largest size are replicated to all of them.
-const LARGE_SYSTEM_MS: u64 = 6_000;
+const MAX_CATCH_UP_FIVE_MACHINES_MS: u64 = 6_000;
 /// The maximum time until a heartbeat arrives. It includes the time to send the chunks that are already in flight, and
 /// the latency of the link.
-const HEARTBEAT_US: u64 = 300_000;
+const MAX_HEARTBEAT_US: u64 = 300_000;
 /// The maximum number of bytes that a control node may have on its disk, and in memory in its log and on its links.
-const DISK_BOUND: usize = 44_000_000;
-const MEMORY_BOUND: usize = 64_000_000;
+const MAX_DISK_BYTES: usize = 44_000_000;
+const MAX_MEMORY_BYTES: usize = 64_000_000;
 
 /// Returns a machine that is not the primary.
-fn backup(world: &World) -> usize {
-    let leader = world.leader().expect("a primary");
-    (0..world.machines.len()).find(|machine| *machine != leader).expect("another")
+fn backup_machine(world: &World) -> usize {
+    let primary = world.primary().expect("a primary");
+    (0..world.machines.len()).find(|machine| *machine != primary).expect("another")
 }
 
 fn check_bounds(world: &World) {
     for machine in &world.machines {
-        assert!(machine.disk.peak() < DISK_BOUND, "{} bytes on disk", machine.disk.peak());
+        assert!(machine.disk.peak() < MAX_DISK_BYTES, "{} bytes on disk", machine.disk.peak());
     }
-    assert!(world.peak_memory < MEMORY_BOUND, "{} bytes in memory", world.peak_memory);
+    assert!(world.peak_memory < MAX_MEMORY_BYTES, "{} bytes in memory", world.peak_memory);
 }
 
 /// Runs until a machine is a member, and sends a command 100 ms after each previous one. Returns how long that took, in
@@ -51,16 +51,16 @@
     let time = (world.now - started) / 1_000;
     world.run_until(5_000, World::is_idle);
     world.run_for(500);
-    let leader = world.leader().expect("a primary");
-    assert_eq!(world.count(machine), world.count(leader), "the member has applied all commands");
+    let primary = world.primary().expect("a primary");
+    assert_eq!(world.count(machine), world.count(primary), "the member has applied all commands");
     time
 }
 
 #[test]
 fn a_hundred_commands_of_the_largest_size_stay_within_the_resource_limits() {
     let mut world = World::new(3);
-    for _ in 0..LARGEST_CHANGES {
-        world.change(1, LARGEST);
+    for _ in 0..LARGE_COMMAND_COUNT {
+        world.run_commands(1, MAX_COMMAND_BYTES);
         check_bounds(&world);
     }
     println!(
@@ -71,22 +71,22 @@
         world.slowest_heartbeat / 1_000
     );
     assert_eq!(world.members().len(), 3);
-    assert!(world.slowest_heartbeat < HEARTBEAT_US, "{} us", world.slowest_heartbeat);
+    assert!(world.slowest_heartbeat < MAX_HEARTBEAT_US, "{} us", world.slowest_heartbeat);
 }
 
 /// Lets a machine miss 300 commands, and restarts it. The measurements begin at the restart. `prepare` is called before.
-fn after_300_changes(count: usize, prepare: impl Fn(&mut World, usize)) -> (World, usize) {
+fn restart_after_300_commands(count: usize, prepare: impl Fn(&mut World, usize)) -> (World, usize) {
     let mut world = World::new(count);
-    world.change(3, LARGEST);
-    let away = backup(&world);
-    world.kill(away);
-    world.change(296, 2_000);
-    world.change(4, LARGEST);
-    prepare(&mut world, away);
-    world.start(away);
+    world.run_commands(3, MAX_COMMAND_BYTES);
+    let absent = backup_machine(&world);
+    world.kill(absent);
+    world.run_commands(296, 2_000);
+    world.run_commands(4, MAX_COMMAND_BYTES);
+    prepare(&mut world, absent);
+    world.start(absent);
     world.slowest_command = 0;
     world.slowest_heartbeat = 0;
-    (world, away)
+    (world, absent)
 }
 
 fn report(world: &World, time: u64) {
@@ -101,14 +101,18 @@
 #[test]
 fn a_member_that_missed_300_commands_catches_up_in_time() {
     for count in [3, 5] {
-        for command_bytes in [2_000, LARGEST] {
-            let (mut world, away) = after_300_changes(count, |_, _| {});
-            let time = time_to_catch_up(&mut world, away, command_bytes);
+        for command_bytes in [2_000, MAX_COMMAND_BYTES] {
+            let (mut world, absent) = restart_after_300_commands(count, |_, _| {});
+            let time = time_to_catch_up(&mut world, absent, command_bytes);
             report(&world, time);
-            let limit = if count == 5 && command_bytes == LARGEST { LARGE_SYSTEM_MS } else { CATCH_UP_MS };
+            let limit = if count == 5 && command_bytes == MAX_COMMAND_BYTES {
+                MAX_CATCH_UP_FIVE_MACHINES_MS
+            } else {
+                MAX_CATCH_UP_MS
+            };
             assert!(time < limit, "{time} ms");
-            assert!(world.slowest_heartbeat < HEARTBEAT_US, "{} us", world.slowest_heartbeat);
-            let limit = if command_bytes == LARGEST { 3_000_000 } else { 1_000_000 };
+            assert!(world.slowest_heartbeat < MAX_HEARTBEAT_US, "{} us", world.slowest_heartbeat);
+            let limit = if command_bytes == MAX_COMMAND_BYTES { 3_000_000 } else { 1_000_000 };
             assert!(world.slowest_command < limit, "{} us", world.slowest_command);
             check_bounds(&world);
         }
@@ -117,17 +121,18 @@
 
 #[test]
 fn a_member_with_a_slow_disk_catches_up_in_time() {
-    let (mut world, away) = after_300_changes(3, |world, away| world.machines[away].disk.speed = SLOW);
-    let time = time_to_catch_up(&mut world, away, 2_000);
+    let (mut world, absent) =
+        restart_after_300_commands(3, |world, absent| world.machines[absent].disk.speed = SLOW);
+    let time = time_to_catch_up(&mut world, absent, 2_000);
     report(&world, time);
-    assert!(time < CATCH_UP_MS, "{time} ms");
+    assert!(time < MAX_CATCH_UP_MS, "{time} ms");
     let epoch = world.view_epoch();
-    world.change(200, 2_000);
+    world.run_commands(200, 2_000);
     assert_eq!((world.view_epoch(), world.members().len()), (epoch, 3), "the machine stays a member");
     // Each of these commands takes more than one second to write to the slow disk.
     world.slowest_command = 0;
     let started = world.now;
-    world.change(40, LARGEST);
+    world.run_commands(40, MAX_COMMAND_BYTES);
     let view_changes = world.view_epoch() - epoch;
     println!(
         "{view_changes} view changes in {} s, slowest command {} ms",
@@ -136,20 +141,20 @@
     );
     assert!(view_changes <= 12, "{view_changes} view changes");
     assert!(world.slowest_command < 5_000_000, "{} us", world.slowest_command);
-    let time = time_to_catch_up(&mut world, away, 2_000);
-    assert!(time < 2 * CATCH_UP_MS, "{time} ms");
+    let time = time_to_catch_up(&mut world, absent, 2_000);
+    assert!(time < 2 * MAX_CATCH_UP_MS, "{time} ms");
     check_bounds(&world);
 }
 
 #[test]
 fn a_member_with_a_full_disk_is_removed_and_rejoins_once() {
     let mut world = World::new(3);
-    world.change(3, LARGEST);
-    let full = backup(&world);
+    world.run_commands(3, MAX_COMMAND_BYTES);
+    let full = backup_machine(&world);
     let epoch = world.view_epoch();
     world.machines[full].disk.set_full(true);
-    world.change(100, 2_000);
-    world.change(10, LARGEST);
+    world.run_commands(100, 2_000);
+    world.run_commands(10, MAX_COMMAND_BYTES);
     world.run_for(20_000);
     assert_eq!(world.members().len(), 2, "commands are processed without the member");
     assert!(world.view_epoch() <= epoch + 2, "epoch {} after {epoch}", world.view_epoch());
@@ -157,7 +162,7 @@
     world.machines[full].disk.set_full(false);
     let time = time_to_catch_up(&mut world, full, 2_000);
     report(&world, time);
-    assert!(time < CATCH_UP_MS, "{time} ms");
+    assert!(time < MAX_CATCH_UP_MS, "{time} ms");
     check_bounds(&world);
 }
 
@@ -166,22 +171,22 @@
 #[test]
 fn a_member_whose_disk_is_repeatedly_full_is_added_again_at_growing_intervals() {
     let mut world = World::new(3);
-    world.change(3, LARGEST);
-    let full = backup(&world);
+    world.run_commands(3, MAX_COMMAND_BYTES);
+    let full = backup_machine(&world);
     let (epoch, started) = (world.view_epoch(), world.now);
     while world.now < started + 60_000_000 {
         for (is_full, time) in [(true, 2_000_000), (false, 1_000_000)] {
             world.machines[full].disk.set_full(is_full);
             let end = world.now + time;
             while world.now < end {
-                world.change(1, 2_000);
+                world.run_commands(1, 2_000);
                 world.run_for(50);
             }
         }
     }
-    let changes = world.view_epoch() - epoch;
-    println!("{changes} view changes in a minute, {} commands", world.acknowledged);
-    assert!(changes <= 26, "{changes} view changes in a minute");
+    let view_changes = world.view_epoch() - epoch;
+    println!("{view_changes} view changes in a minute, {} commands", world.acknowledged);
+    assert!(view_changes <= 26, "{view_changes} view changes in a minute");
     assert!(world.acknowledged > 450, "{} commands in a minute", world.acknowledged);
     assert!(world.slowest_command < 1_500_000, "{} us", world.slowest_command);
 }
@@ -189,17 +194,17 @@
 #[test]
 fn five_machines_catch_up_in_half_the_time_with_compression() {
     let mut world = World::with_links(5, Links::Compressed);
-    world.change(3, LARGEST);
-    let away = backup(&world);
-    world.kill(away);
-    world.change(296, 2_000);
-    world.change(4, LARGEST);
-    world.start(away);
+    world.run_commands(3, MAX_COMMAND_BYTES);
+    let absent = backup_machine(&world);
+    world.kill(absent);
+    world.run_commands(296, 2_000);
+    world.run_commands(4, MAX_COMMAND_BYTES);
+    world.start(absent);
     world.slowest_command = 0;
     world.slowest_heartbeat = 0;
-    let time = time_to_catch_up(&mut world, away, LARGEST);
+    let time = time_to_catch_up(&mut world, absent, MAX_COMMAND_BYTES);
     report(&world, time);
-    assert!(time < CATCH_UP_MS / 2, "{time} ms");
-    assert!(world.slowest_heartbeat < HEARTBEAT_US, "{} us", world.slowest_heartbeat);
+    assert!(time < MAX_CATCH_UP_MS / 2, "{time} ms");
+    assert!(world.slowest_heartbeat < MAX_HEARTBEAT_US, "{} us", world.slowest_heartbeat);
     check_bounds(&world);
 }
--- a/crates/quillpulley/tests/catch_up/world.rs
+++ b/crates/quillpulley/tests/catch_up/world.rs
@@ -16,8 +16,8 @@
 const LATENCY_US: u64 = 12_000;
 const TICK_US: u64 = 50_000;
 /// The number of bytes that the kernel buffers for a connection before they are sent.
-const SOCKET_BUFFER: usize = 2 * 1024 * 1024;
-const PACKET: usize = 16 * 1024;
+const SOCKET_BUFFER_BYTES: usize = 2 * 1024 * 1024;
+const PACKET_BYTES: usize = 16 * 1024;
 const MAX_QUEUED_BYTES: usize = 8 * 1024 * 1024;
 const CONNECT_US: u64 = 50_000;
 
@@ -154,19 +154,19 @@
 
     /// Starts a process on a machine, which recovers from its disk.
     pub fn start(&mut self, machine: usize) {
-        let slot = &mut self.machines[machine];
-        slot.incarnation += 1;
-        slot.started_at = self.now;
-        let (incarnation, bootstrap) = (slot.incarnation, Some(self.witnesses.clone()));
+        let machine_state = &mut self.machines[machine];
+        machine_state.incarnation += 1;
+        machine_state.started_at = self.now;
+        let (incarnation, bootstrap) = (machine_state.incarnation, Some(self.witnesses.clone()));
         let options = Options {
-            me: slot.id,
+            me: machine_state.id,
             bootstrap,
             seed: incarnation * 31 + machine as u64,
             faults: self.faults,
             ..Options::default()
         };
-        let recovered = slot.disk.open();
-        slot.replica =
+        let recovered = machine_state.disk.open();
+        machine_state.replica =
             Some(Replica::new(options, recovered, Counter::default(), Duration::ZERO).expect("a start"));
         self.schedule(TICK_US, ScheduledEvent::Tick { machine, incarnation });
         for other in 0..self.machines.len() {
@@ -271,12 +271,13 @@
             }
             bodies.push(body);
         }
-        let (here, there) = (pipe.decoder.take_received(), pipe.decoder.take_credited());
-        if let Some(back) = self.pipes.get_mut(&(to, from)) {
-            if here > 0 {
-                back.queue.acknowledge_chunks(here);
+        let (received_bytes, acknowledged_bytes) =
+            (pipe.decoder.take_received(), pipe.decoder.take_credited());
+        if let Some(reverse) = self.pipes.get_mut(&(to, from)) {
+            if received_bytes > 0 {
+                reverse.queue.acknowledge_chunks(received_bytes);
             }
-            back.queue.receive_credit(there);
+            reverse.queue.receive_credit(acknowledged_bytes);
         }
         self.send_packet(to);
         let from = self.machines[from].id;
@@ -295,14 +296,14 @@
             let to = self.machines[machine].next_target;
             self.machines[machine].next_target = (to + 1) % count;
             let Some(pipe) = self.pipes.get_mut(&(machine, to)) else { continue };
-            while pipe.socket.len() < SOCKET_BUFFER / PACKET {
-                let waiting = pipe.queue.pending();
-                let taken = waiting.len().min(PACKET);
-                if taken == 0 {
+            while pipe.socket.len() < SOCKET_BUFFER_BYTES / PACKET_BYTES {
+                let pending = pipe.queue.pending();
+                let length = pending.len().min(PACKET_BYTES);
+                if length == 0 {
                     break;
                 }
-                pipe.socket.push_back(waiting[..taken].to_vec());
-                pipe.queue.advance(taken);
+                pipe.socket.push_back(pending[..length].to_vec());
+                pipe.queue.advance(length);
             }
             let Some(bytes) = pipe.socket.pop_front() else { continue };
             let length = bytes.len();
@@ -321,37 +322,41 @@
         let mut actions = Vec::new();
         replica.handle(now, event, &mut actions);
         for action in actions {
-            self.act(machine, action);
+            self.perform(machine, action);
         }
         let queued = self.pipes.range((machine, 0)..(machine + 1, 0)).map(|(_, pipe)| pipe.queue.bytes());
         let log = self.machines[machine].replica.as_ref().map_or(0, Replica::log_bytes);
         self.peak_memory = self.peak_memory.max(log + queued.sum::<usize>());
     }
 
-    fn act(&mut self, machine: usize, action: Action) {
+    fn perform(&mut self, machine: usize, action: Action) {
         match action {
             Action::Send { to, body } => self.send(machine, to, &body),
             Action::Store { ticket, write } => {
-                let slot = &mut self.machines[machine];
-                let (result, time) = slot.disk.write(write);
+                let machine_state = &mut self.machines[machine];
+                let (result, time) = machine_state.disk.write(write);
                 let result = result.map_err(|_| ());
-                let stored =
-                    ScheduledEvent::Stored { machine, incarnation: slot.incarnation, ticket, result };
+                let stored = ScheduledEvent::Stored {
+                    machine,
+                    incarnation: machine_state.incarnation,
+                    ticket,
+                    result,
+                };
                 self.schedule(time, stored);
             }
             Action::Committed { proposal } => {
                 self.acknowledged += 1;
-                self.resolved(proposal);
+                self.command_finished(proposal);
             }
             Action::Rejected { proposal, reason } => {
                 self.unknown_outcomes += u64::from(reason == RejectReason::OutcomeUnknown);
-                self.resolved(proposal);
+                self.command_finished(proposal);
             }
             Action::Applied { .. } | Action::RoleChanged(_) => {}
         }
     }
 
-    fn resolved(&mut self, command: u64) {
+    fn command_finished(&mut self, command: u64) {
         if let Some((_, at)) = self.in_flight.take_if(|(in_flight, _)| *in_flight == command) {
             self.slowest_command = self.slowest_command.max(self.now - at);
         }
@@ -376,11 +381,11 @@
 
     /// Sends a command of this many bytes to the primary. Returns whether there is a primary.
     pub fn propose(&mut self, bytes: usize) -> bool {
-        let Some(leader) = self.leader() else { return false };
+        let Some(primary) = self.primary() else { return false };
         let command = self.next_command;
         self.next_command += 1;
         self.in_flight = Some((command, self.now));
-        self.handle(leader, Event::Propose { proposal: command, payload: self.payload(command, bytes) });
+        self.handle(primary, Event::Propose { proposal: command, payload: self.payload(command, bytes) });
         true
     }
 
@@ -392,13 +397,13 @@
     }
 
     /// Sends commands one after the other until `count` more are acknowledged.
-    pub fn change(&mut self, count: u64, bytes: usize) {
-        let goal = self.acknowledged + count;
+    pub fn run_commands(&mut self, count: u64, bytes: usize) {
+        let target = self.acknowledged + count;
         let end = self.now + 600_000_000;
-        while self.acknowledged < goal {
+        while self.acknowledged < target {
             assert!(
                 self.now < end,
-                "only {} of {goal} commands were acknowledged within ten minutes",
+                "only {} of {target} commands were acknowledged within ten minutes",
                 self.acknowledged
             );
             if self.in_flight.is_none() && !self.propose(bytes) {
@@ -414,21 +419,21 @@
         self.in_flight.is_none()
     }
 
-    pub fn leader(&self) -> Option<usize> {
+    pub fn primary(&self) -> Option<usize> {
         let leads =
             |machine: &usize| matches!(self.role(*machine), Some(Role::Primary { holds_lease: true, .. }));
         (0..self.machines.len()).find(leads)
     }
 
     fn role(&self, machine: usize) -> Option<Role> {
-        let slot = &self.machines[machine];
-        let now = Duration::from_micros(self.now - slot.started_at);
-        slot.replica.as_ref().map(|replica| replica.role(now))
+        let machine_state = &self.machines[machine];
+        let now = Duration::from_micros(self.now - machine_state.started_at);
+        machine_state.replica.as_ref().map(|replica| replica.role(now))
     }
 
     /// Returns the machines in the primary's view.
     pub fn members(&self) -> Vec<usize> {
-        let replica = self.leader().and_then(|leader| self.machines[leader].replica.as_ref());
+        let replica = self.primary().and_then(|primary| self.machines[primary].replica.as_ref());
         let Some(view) = replica.and_then(Replica::view) else { return Vec::new() };
         let is_member = |machine: &usize| {
             let id = self.machines[*machine].id;
@@ -439,7 +444,7 @@
 
     /// Returns the epoch of the primary's view, or 0 if there is no primary.
     pub fn view_epoch(&self) -> u64 {
-        let replica = self.leader().and_then(|leader| self.machines[leader].replica.as_ref());
+        let replica = self.primary().and_then(|primary| self.machines[primary].replica.as_ref());
         replica.and_then(Replica::view).map_or(0, |view| view.epoch)
     }
 
--- a/crates/quillpulley/tests/system/http.rs
+++ b/crates/quillpulley/tests/system/http.rs
@@ -4,10 +4,10 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-const CONNECT: Duration = Duration::from_secs(1);
-const ANSWER: Duration = Duration::from_secs(4);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 /// The maximum number of redirects that are followed.
-const MOST_REDIRECTIONS: usize = 2;
+const MAX_REDIRECTS: usize = 2;
 
 /// An HTTP request.
 #[derive(Clone)]
@@ -58,8 +58,8 @@
 
     /// Sends the request. Returns `None` if no complete response arrives.
     pub fn send(&self, to: SocketAddr) -> Option<Response> {
-        let mut stream = TcpStream::connect_timeout(&to, CONNECT).ok()?;
-        stream.set_read_timeout(Some(ANSWER)).ok()?;
+        let mut stream = TcpStream::connect_timeout(&to, CONNECT_TIMEOUT).ok()?;
+        stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).ok()?;
         stream.write_all(self.text(to).as_bytes()).ok()?;
         let mut bytes = Vec::new();
         stream.read_to_end(&mut bytes).ok()?;
@@ -68,16 +68,16 @@
 
     /// Sends the request, and follows redirects.
     pub fn send_following(&self, to: SocketAddr) -> Option<Response> {
-        let mut answer = self.send(to)?;
-        for _ in 0..MOST_REDIRECTIONS {
-            if answer.status != 307 {
+        let mut response = self.send(to)?;
+        for _ in 0..MAX_REDIRECTS {
+            if response.status != 307 {
                 break;
             }
-            let location = answer.header("Location")?.strip_prefix("http://")?.to_string();
+            let location = response.header("Location")?.strip_prefix("http://")?.to_string();
             let (address, _) = location.split_once('/')?;
-            answer = self.send(address.parse().ok()?)?;
+            response = self.send(address.parse().ok()?)?;
         }
-        Some(answer)
+        Some(response)
     }
 
     fn text(&self, to: SocketAddr) -> String {
@@ -104,14 +104,14 @@
     fn read(text: &str) -> Option<Response> {
         let (head, body) = text.split_once("\r\n\r\n")?;
         let status = head.split(' ').nth(1)?.parse().ok()?;
-        let mut answer = Response { status, body: String::new(), head: head.to_string() };
-        let chunked = answer.header("Transfer-Encoding").is_some_and(|v| v.eq_ignore_ascii_case("chunked"));
-        answer.body = if chunked { unchunked(body)? } else { body.to_string() };
-        Some(answer)
+        let mut response = Response { status, body: String::new(), head: head.to_string() };
+        let chunked = response.header("Transfer-Encoding").is_some_and(|v| v.eq_ignore_ascii_case("chunked"));
+        response.body = if chunked { decode_chunked(body)? } else { body.to_string() };
+        Some(response)
     }
 }
 
-fn unchunked(mut rest: &str) -> Option<String> {
+fn decode_chunked(mut rest: &str) -> Option<String> {
     let mut body = String::new();
     loop {
         let (size, after) = rest.split_once("\r\n")?;
--- a/crates/quillpulley/tests/system/machines.rs
+++ b/crates/quillpulley/tests/system/machines.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 
 /// The numbers of the control nodes.
-pub const CORES: RangeInclusive<u8> = 1..=3;
+pub const CONTROL_NODES: RangeInclusive<u8> = 1..=3;
 /// The number of ports that a machine uses: those for traffic between the processes, and those for external callers.
 const PORTS: u16 = 20;
 
@@ -40,7 +40,7 @@
     }
 
     /// Returns the address on which the proxy serves clients.
-    pub fn front(&self) -> SocketAddr {
+    pub fn proxy(&self) -> SocketAddr {
         self.address(1, 1, 16)
     }
 
@@ -50,44 +50,44 @@
     }
 
     /// Returns the addresses of the control API of all control nodes.
-    pub fn controls(&self) -> Vec<SocketAddr> {
-        CORES.map(|number| self.address(0, number, 16)).collect()
+    pub fn control_addresses(&self) -> Vec<SocketAddr> {
+        CONTROL_NODES.map(|number| self.address(0, number, 16)).collect()
     }
 
     /// Returns the addresses of the directories of all control nodes.
-    pub fn directories(&self) -> Vec<SocketAddr> {
-        CORES.map(|number| self.address(0, number, 17)).collect()
+    pub fn directory_addresses(&self) -> Vec<SocketAddr> {
+        CONTROL_NODES.map(|number| self.address(0, number, 17)).collect()
     }
 
     /// Writes the settings file of a control node. Returns its path.
-    pub fn core_settings(&self, number: u8) -> PathBuf {
+    pub fn control_node_settings(&self, number: u8) -> PathBuf {
         let disk = self.folder.join(format!("disk-{number}"));
         fs::create_dir_all(&disk).expect("a folder");
         let (control, directory) = (self.address(0, number, 16), self.address(0, number, 17));
-        let own = format!(
+        let specific_settings = format!(
             "Serves = [\"control\", \"directory\"]\nCountsForQuorum = true\nDataDir = {:?}\n\
              [Listen]\nControl = \"{control}\"\nDirectory = \"{directory}\"\n",
             disk.display().to_string()
         );
-        self.settings(&format!("core-{number}"), self.ip(0, number), number, &own)
+        self.settings(&format!("core-{number}"), self.ip(0, number), number, &specific_settings)
     }
 
     /// Writes the settings file of the agent and the proxy, which run on the same machine. Returns its path.
-    pub fn front_settings(&self) -> PathBuf {
-        let own = format!(
+    pub fn proxy_settings(&self) -> PathBuf {
+        let specific_settings = format!(
             "Serves = [\"front\"]\n[Listen]\nFront = \"{}\"\nReady = \"{}\"\n",
-            self.front(),
+            self.proxy(),
             self.ready()
         );
-        self.settings("front-1", self.ip(1, 1), 1, &own)
+        self.settings("front-1", self.ip(1, 1), 1, &specific_settings)
     }
 
-    fn settings(&self, name: &str, ip: Ipv4Addr, zone: u8, own: &str) -> PathBuf {
-        let seeds: Vec<String> = self.controls().iter().map(|seed| format!("\"{seed}\"")).collect();
+    fn settings(&self, name: &str, ip: Ipv4Addr, zone: u8, specific_settings: &str) -> PathBuf {
+        let seeds: Vec<String> = self.control_addresses().iter().map(|seed| format!("\"{seed}\"")).collect();
         let text = format!(
             "NodeName = \"{name}\"\nIp = \"{ip}\"\nZone = \"zone-{zone}\"\nRegion = \"region-a\"\n\
              PortRange = [{}, {}]\nSeeds = [{}]\nBootstrap = true\nHeartbeatMs = 1200\n\
-             {own}\
+             {specific_settings}\
              [Zones]\nzone-1 = \"region-a\"\nzone-2 = \"region-a\"\nzone-3 = \"region-a\"\n\
              [Limits]\nCpuShare = 0.6\nMemoryMb = 256\nMaxFds = 4096\nDiskMb = 128\n\
              [FaultTolerance]\nMachines = 1\n\
--- a/crates/quillpulley/tests/system/main.rs
+++ b/crates/quillpulley/tests/system/main.rs
@@ -50,7 +50,7 @@
 /// The running system.
 struct System {
     machines: Machines,
-    cores: Vec<Process>,
+    control_nodes: Vec<Process>,
     agent: Process,
     proxy: Process,
     cards: Server,
@@ -64,23 +64,23 @@
         let cards = Server::start(machines.server(1), "i-cards", "cards");
         let writers = Server::start(machines.server(2), "i-writers", "writers");
         let platform = Platform::start(machines.platform(), &[&cards, &writers]);
-        let core = |number| Process::start("control", &machines.core_settings(number));
-        let cores = machines::CORES.map(core).collect();
-        let settings = machines.front_settings();
+        let core = |number| Process::start("control", &machines.control_node_settings(number));
+        let control_nodes = machines::CONTROL_NODES.map(core).collect();
+        let settings = machines.proxy_settings();
         let agent = Process::start("agent", &settings);
         let proxy = Process::start("proxy", &settings);
-        System { machines, cores, agent, proxy, cards, writers, platform }
+        System { machines, control_nodes, agent, proxy, cards, writers, platform }
     }
 
     /// Sends a configuration to the control nodes in turn until one acknowledges it.
     fn configure(&mut self, base: u64, body: &str) {
-        let controls = self.machines.controls();
-        let mut order = Request::post("/v1/Config.Replace", body);
-        order.header("Quillpulley-If-Config-Version", &base.to_string());
-        let mut tries = controls.iter().cycle();
+        let control_addresses = self.machines.control_addresses();
+        let mut request = Request::post("/v1/Config.Replace", body);
+        request.header("Quillpulley-If-Config-Version", &base.to_string());
+        let mut attempts = control_addresses.iter().cycle();
         self.proxy.until("an acknowledgement", || {
-            let answer = tries.next().and_then(|control| order.send_following(*control));
-            answer.filter(|answer| answer.status == 200).map(|_| ())
+            let response = attempts.next().and_then(|control| request.send_following(*control));
+            response.filter(|response| response.status == 200).map(|_| ())
         });
     }
 
@@ -91,7 +91,7 @@
     }
 
     /// Sends a client request to the proxy.
-    fn ask(&self, id: &str, path: &str) -> Option<Response> {
+    fn send_request(&self, id: &str, path: &str) -> Option<Response> {
         let mut request = Request::post(path, "{\"text\":\"hello\"}");
         request.host(HOST);
         request.header("Quillpulley-Request-Id", id);
@@ -99,29 +99,29 @@
         request.header("Quillpulley-Model-Name", "m");
         request.header("Quillpulley-Token-Count", "100,20");
         request.header("Quillpulley-Prompt-Prefix", "5c1e07a2:60,91bd3f06:40");
-        request.send(self.machines.front())
+        request.send(self.machines.proxy())
     }
 
     /// Waits until a request to this path is served successfully.
     fn until_served(&mut self, path: &str) -> Response {
-        let mut tries = 0;
-        let front = self.machines.front();
+        let mut attempts = 0;
+        let front = self.machines.proxy();
         let mut request = Request::post(path, "");
         request.host(HOST);
         self.proxy.until("a served request", || {
-            tries += 1;
+            attempts += 1;
             let mut request = request.clone();
-            request.header("Quillpulley-Request-Id", &format!("try-{path}-{tries}"));
+            request.header("Quillpulley-Request-Id", &format!("try-{path}-{attempts}"));
             request.header("Quillpulley-Deadline-Ms", "3000");
-            request.send(front).filter(|answer| answer.status == 200)
+            request.send(front).filter(|response| response.status == 200)
         })
     }
 }
 
 fn resolve(directory: SocketAddr) -> Option<String> {
-    let answer =
+    let response =
         Request::get("/v1/resolve?Name=cards.example&Region=region-a&Zone=zone-a").send(directory)?;
-    (answer.status == 200).then_some(answer.body)
+    (response.status == 200).then_some(response.body)
 }
 
 #[test]
@@ -129,7 +129,7 @@
     let mut system = System::start("served");
     system.configure(0, &configuration(1, &[]));
     system.until_ready();
-    let (directory, front) = (system.machines.directories()[0], system.machines.front().to_string());
+    let (directory, front) = (system.machines.directory_addresses()[0], system.machines.proxy().to_string());
     system
         .proxy
         .until("the proxy in the directory", || resolve(directory).filter(|body| body.contains(&front)));
@@ -138,14 +138,14 @@
     assert_eq!(served.header("Quillpulley-Response-Seal"), Some("seal-i-cards"));
     assert_eq!(served.body, "a card");
 
-    let stream = system.ask("stream-1", "/copy/1").expect("an answer");
+    let stream = system.send_request("stream-1", "/copy/1").expect("an answer");
     assert_eq!((stream.status, stream.header("Quillpulley-Response-Seal")), (200, Some("seal-i-writers")));
     assert_eq!(stream.body, EVENTS.concat());
-    assert_eq!(system.writers.runs("stream-1"), 1);
+    assert_eq!(system.writers.executions("stream-1"), 1);
 
-    let unknown = system.ask("unknown-1", "/nowhere/1").expect("an answer");
+    let unknown = system.send_request("unknown-1", "/nowhere/1").expect("an answer");
     assert_eq!(unknown.status, 404);
-    assert_eq!(system.cards.runs("unknown-1"), 0);
+    assert_eq!(system.cards.executions("unknown-1"), 0);
     assert!(system.platform.calls() > 0);
 }
 
@@ -154,17 +154,17 @@
     let mut system = System::start("failover");
     system.configure(0, &configuration(1, &[]));
     system.until_served("/cards/1");
-    for (killed, version) in [(0, 2), (1, 4)] {
-        system.cores[killed].kill();
+    for (index, version) in [(0, 2), (1, 4)] {
+        system.control_nodes[index].kill();
         let route = format!("more{version}");
         system.configure(version - 1, &configuration(version, &[&route]));
         system.until_served(&format!("/{route}/1"));
-        let settings = system.machines.core_settings(killed as u8 + 1);
-        system.cores[killed] = Process::start("control", &settings);
+        let settings = system.machines.control_node_settings(index as u8 + 1);
+        system.control_nodes[index] = Process::start("control", &settings);
         system.configure(version, &configuration(version + 1, &[&route]));
     }
-    let controls = system.machines.controls();
-    for control in controls {
+    let control_addresses = system.machines.control_addresses();
+    for control in control_addresses {
         system.proxy.until("the newest configuration", || {
             Request::get("/v1/Config.Get")
                 .send_following(control)
@@ -178,10 +178,10 @@
     let mut system = System::start("alone");
     system.configure(0, &configuration(1, &[]));
     system.until_served("/cards/1");
-    system.cores.iter_mut().for_each(Process::kill);
+    system.control_nodes.iter_mut().for_each(Process::kill);
     system.agent.kill();
-    assert_eq!(system.ask("alone-1", "/cards/2").map(|answer| answer.status), Some(200));
-    assert_eq!(system.cards.runs("alone-1"), 1);
+    assert_eq!(system.send_request("alone-1", "/cards/2").map(|response| response.status), Some(200));
+    assert_eq!(system.cards.executions("alone-1"), 1);
 }
 
 #[test]
@@ -191,10 +191,10 @@
     system.until_served("/cards/1");
     system.proxy.terminate();
     system.agent.terminate();
-    assert_eq!(system.proxy.ended(), Some(0));
-    assert_eq!(system.agent.ended(), Some(0));
-    for core in &mut system.cores {
+    assert_eq!(system.proxy.wait_for_exit(), Some(0));
+    assert_eq!(system.agent.wait_for_exit(), Some(0));
+    for core in &mut system.control_nodes {
         core.terminate();
-        assert_eq!(core.ended(), Some(0));
+        assert_eq!(core.wait_for_exit(), Some(0));
     }
 }
--- a/crates/quillpulley/tests/system/processes.rs
+++ b/crates/quillpulley/tests/system/processes.rs
@@ -11,7 +11,7 @@
 const TIMEOUT: Duration = Duration::from_secs(30);
 /// The maximum interval between checks of an awaited condition, which is also checked after each line that a process
 /// logs.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A process of the system. Its log is copied to the output of the test.
 pub struct Process {
@@ -38,11 +38,11 @@
         Process { role, child, lines }
     }
 
-    /// Calls `look` until it returns a value, and returns that value.
-    pub fn until<T>(&mut self, what: &str, mut look: impl FnMut() -> Option<T>) -> T {
+    /// Calls `poll` until it returns a value, and returns that value.
+    pub fn until<T>(&mut self, what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
         let started = Instant::now();
         loop {
-            if let Some(found) = look() {
+            if let Some(found) = poll() {
                 return found;
             }
             assert!(started.elapsed() < TIMEOUT, "timed out waiting for {what}");
@@ -50,9 +50,9 @@
         }
     }
 
-    /// Prints the next line of the log, if one arrives within [`LOOK_EVERY`].
+    /// Prints the next line of the log, if one arrives within [`POLL_INTERVAL`].
     fn next_line(&self) {
-        if let Ok(line) = self.lines.recv_timeout(LOOK_EVERY) {
+        if let Ok(line) = self.lines.recv_timeout(POLL_INTERVAL) {
             println!("{}: {line}", self.role);
         }
     }
@@ -71,7 +71,7 @@
     }
 
     /// Waits until the process has exited. Returns its exit code.
-    pub fn ended(&mut self) -> Option<i32> {
+    pub fn wait_for_exit(&mut self) -> Option<i32> {
         let started = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().expect("its status") {
@@ -86,7 +86,7 @@
 impl Drop for Process {
     fn drop(&mut self) {
         self.kill();
-        while let Ok(line) = self.lines.recv_timeout(LOOK_EVERY) {
+        while let Ok(line) = self.lines.recv_timeout(POLL_INTERVAL) {
             println!("{}: {line}", self.role);
         }
     }
