--- a/crates/quillpulley/src/agent/local_state.rs
+++ b/crates/quillpulley/src/agent/local_state.rs
@@ -21,9 +21,9 @@
         if reported.is_none() && !is_removed {
             return false;
         }
-        let is_new = reported != self.endpoint;
+        let is_changed = reported != self.endpoint;
         self.endpoint = reported;
-        is_new
+        is_changed
     }
 
     /// Removes the endpoint after the proxy has disconnected. Returns whether there was one.
--- a/crates/quillpulley/tests/agent.rs
+++ b/crates/quillpulley/tests/agent.rs
@@ -98,8 +98,8 @@
         };
         let (commands, receiver) = unbounded_channel();
         let shared = Rc::new(RefCell::new(settings.clone()));
-        let shared_settings = shared.clone();
-        let load = Box::new(move || Ok(shared_settings.borrow().clone()));
+        let current_settings = shared.clone();
+        let load = Box::new(move || Ok(current_settings.borrow().clone()));
         let task = spawn_local(serve(settings, sockets, receiver, load));
         Agent { commands, task, proxy: proxy_address, settings: shared }
     }
--- a/crates/quillpulley/tests/common/mod.rs
+++ b/crates/quillpulley/tests/common/mod.rs
@@ -27,8 +27,8 @@
 }
 
 /// Waits for a future, and panics if it does not complete in time.
-pub async fn expect<T>(what: &str, expected_link: impl Future<Output = T>) -> T {
-    match tokio::time::timeout(TIMEOUT, expected_link).await {
+pub async fn expect<T>(what: &str, future: impl Future<Output = T>) -> T {
+    match tokio::time::timeout(TIMEOUT, future).await {
         Ok(value) => value,
         Err(_) => panic!("timed out waiting for {what}"),
     }
--- a/crates/quillpulley/tests/documentation.rs
+++ b/crates/quillpulley/tests/documentation.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 /// The directories to which paths on the architecture page are relative.
-const BASES: [&str; 2] = ["crates", "crates/quillpulley/src"];
+const BASE_DIRECTORIES: [&str; 2] = ["crates", "crates/quillpulley/src"];
 /// A quoted name with at least this many underscores is the name of a test.
 const MIN_TEST_UNDERSCORES: usize = 4;
 /// Marks the omitted beginning or end of an abbreviated name.
@@ -71,13 +71,13 @@
     }
 }
 
-/// Returns whether `given`, which may omit the beginning or the end of a name, refers to `name`.
-fn is_abbreviated_by(name: &str, given: &str) -> bool {
-    match (given.strip_prefix(ELLIPSIS), given.strip_suffix(ELLIPSIS)) {
+/// Returns whether `abbreviation`, which may omit the beginning or the end of a name, refers to `name`.
+fn is_abbreviated_by(name: &str, abbreviation: &str) -> bool {
+    match (abbreviation.strip_prefix(ELLIPSIS), abbreviation.strip_suffix(ELLIPSIS)) {
         (Some(end), Some(_)) => name.contains(end.trim_end_matches('.')),
         (Some(end), None) => name.ends_with(end),
         (None, Some(beginning)) => name.starts_with(beginning),
-        (None, None) => name == given,
+        (None, None) => name == abbreviation,
     }
 }
 
@@ -87,7 +87,7 @@
     let references: Vec<(&str, &str)> = quoted(&page).filter_map(|text| text.split_once(".rs::")).collect();
     assert!(references.len() >= 40, "{} references", references.len());
     let is_missing = |(file, function): &&(&str, &str)| {
-        let paths = BASES.iter().map(|base| root().join(base).join(format!("{file}.rs")));
+        let paths = BASE_DIRECTORIES.iter().map(|base| root().join(base).join(format!("{file}.rs")));
         let Some(path) = paths.into_iter().find(|path| path.is_file()) else { return true };
         let text = fs::read_to_string(&path).expect("a source file");
         !SourceFile { path, text }.defines("fn", |name| name == *function)
