--- a/crates/quillpulley/src/agent/drain.rs
+++ b/crates/quillpulley/src/agent/drain.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-/// The time from the begin of a drain until the links to child agents are closed. The delay keeps the agents of a zone
+/// The time from the start of a drain until the links to child agents are closed. The delay keeps the agents of a zone
 /// that is shut down as a whole from changing their parents all at the same time.
 const CHILD_AGENT_GRACE: Duration = Duration::from_millis(200);
 /// How long a draining agent keeps running after its proxy has disconnected, so that it can still report to its parent
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Returns whether new children must be rejected, which is the case from the begin of the drain.
+    /// Returns whether new children must be rejected, which is the case from the start of the drain.
     pub fn rejects_children(&self) -> bool {
         self.state != DrainState::Serving
     }
--- a/crates/quillpulley/src/error.rs
+++ b/crates/quillpulley/src/error.rs
@@ -24,7 +24,7 @@
     Settings(SettingsError),
     /// the data folder cannot be used: {0}
     Storage(StorageError),
-    /// the data folder cannot be used: record.slots is unreadable ({0}): empty the folder, so that this machine joins anew
+    /// the data folder cannot be used: record.slots is unreadable ({0}): empty the folder, so that this machine joins as a new one
     WitnessRecord(ProtocolError),
     /// the data folder cannot be used: {0}
     Replica(StartError),
--- a/crates/serving-config/src/lib.rs
+++ b/crates/serving-config/src/lib.rs
@@ -1,7 +1,7 @@
 //! The serving configuration that the operator sends: routes, services and limits.
 //!
 //! Parsing is lenient: unknown fields and values of unknown kinds are ignored, and missing fields get a default value
-//! wherever there is a sensible one. Only what cannot be used is an error.
+//! wherever there is a sensible one. Anything else that is invalid is an error.
 
 #![forbid(unsafe_code)]
 
