--- a/crates/protocol/tests/framing.rs
+++ b/crates/protocol/tests/framing.rs
@@ -31,7 +31,7 @@
             let (part, left) = rest.split_at(sizes.next().unwrap_or(1).min(rest.len()));
             decoder.push(part);
             rest = left;
-            while let Some(body) = decoder.next_frame().expect("frames as they were written") {
+            while let Some(body) = decoder.next_frame().expect("valid frames") {
                 received.push(body);
             }
         }
--- a/crates/protocol/tests/queue.rs
+++ b/crates/protocol/tests/queue.rs
@@ -9,7 +9,7 @@
 const MAXIMUM: usize = 8 * 1024 * 1024;
 
 fn install(bytes: usize) -> Body {
-    let snapshot = (0..bytes).map(|place| (place % 251) as u8).collect();
+    let snapshot = (0..bytes).map(|index| (index % 251) as u8).collect();
     let snapshot_last = Position { epoch: 1, index: bytes as u64 };
     Body::Install(Box::new(Install { epoch: 1, snapshot_last, snapshot, entries: Vec::new() }))
 }
@@ -43,7 +43,7 @@
 
 impl TestLink {
     fn send(&mut self, body: &Body) {
-        self.queue.push(Lane::of(body), self.encoder.message(body), MAXIMUM).expect("room");
+        self.queue.push(Lane::of(body), self.encoder.message(body), MAXIMUM).expect("the queue has room");
     }
 
     /// Transfers at most `max_bytes` bytes to the receiver. Returns how many were transferred.
@@ -292,9 +292,9 @@
         let mut link = TestLink::default();
         let mut sent = Vec::new();
         let mut cuts = cuts.iter().cycle();
-        for (place, (kind, size)) in sizes.iter().enumerate() {
-            let (place, size) = (place as u64, usize::from(*size) * 3);
-            let body = if kind % 2 == 0 { update(place, size) } else { grant(place) };
+        for (index, (kind, size)) in sizes.iter().enumerate() {
+            let (index, size) = (index as u64, usize::from(*size) * 3);
+            let body = if kind % 2 == 0 { update(index, size) } else { grant(index) };
             link.send(&body);
             sent.push(body);
             link.transfer(usize::from(*cuts.next().unwrap_or(&9)));
@@ -312,13 +312,13 @@
         let mut link = link_with_compression();
         let mut sent = Vec::new();
         let mut cuts = cuts.iter().cycle();
-        for (place, (kind, size)) in sizes.iter().enumerate() {
-            let (place, size) = (place as u64, usize::from(*size) * 3);
+        for (index, (kind, size)) in sizes.iter().enumerate() {
+            let (index, size) = (index as u64, usize::from(*size) * 3);
             let body = match kind % 4 {
-                0 => append(place, size),
+                0 => append(index, size),
                 1 => install(size),
-                2 => grant(place),
-                _ => update(place, size),
+                2 => grant(index),
+                _ => update(index, size),
             };
             // A queued state message is replaced by the next one, so each one is transferred before the next is sent.
             link.send(&body);
--- a/crates/quillpulley/src/agent/parent_search/mod.rs
+++ b/crates/quillpulley/src/agent/parent_search/mod.rs
@@ -293,7 +293,7 @@
         rank.unwrap_or(usize::MAX)
     }
 
-    /// Returns when the parent will be considered stalled, unless the revision advances before.
+    /// Returns when the parent will be considered stalled, unless the revision advances before then.
     fn deadline(&self) -> Duration {
         let Some(parent) = self.parent else { return Duration::MAX };
         self.revision_advanced.max(parent.since) + parent.stall_timeout
--- a/crates/quillpulley/src/peer/mod.rs
+++ b/crates/quillpulley/src/peer/mod.rs
@@ -65,7 +65,7 @@
         link: LinkId,
     },
     /// An outgoing link did not open: no connection was established, the peer sent no `Hello` in time, or this side
-    /// closed the link before.
+    /// closed the link before it was open.
     ConnectFailed {
         /// The link that `connect` returned.
         link: LinkId,
--- a/crates/quillpulley/tests/catch_up/disk.rs
+++ b/crates/quillpulley/tests/catch_up/disk.rs
@@ -135,7 +135,7 @@
     /// Opens the storage as a new process does, and returns the recovered data.
     pub fn open(&mut self) -> Recovered {
         let (storage, found) =
-            Storage::open_in(self.folder.clone(), Options::default()).expect("a sound folder");
+            Storage::open_in(self.folder.clone(), Options::default()).expect("valid files");
         self.storage = Some(storage);
         let record = found.record.as_deref().map(decode_value::<WitnessRecordRef, WitnessRecord>);
         let record = record.transpose().expect("a record");
--- a/crates/quillpulley/tests/catch_up/main.rs
+++ b/crates/quillpulley/tests/catch_up/main.rs
@@ -25,7 +25,7 @@
 /// Returns a machine that is not the primary.
 fn backup_machine(world: &World) -> usize {
     let primary = world.primary().expect("a primary");
-    (0..world.machines.len()).find(|machine| *machine != primary).expect("another")
+    (0..world.machines.len()).find(|machine| *machine != primary).expect("another machine")
 }
 
 fn check_bounds(world: &World) {
--- a/crates/quillpulley/tests/catch_up/world.rs
+++ b/crates/quillpulley/tests/catch_up/world.rs
@@ -148,7 +148,10 @@
             peak_memory: 0,
         };
         (0..count).for_each(|machine| world.start(machine));
-        assert!(world.run_until(5_000, |world| world.members().len() == count), "a first view");
+        assert!(
+            world.run_until(5_000, |world| world.members().len() == count),
+            "the first view has all members"
+        );
         world
     }
 
@@ -166,8 +169,9 @@
             ..Options::default()
         };
         let recovered = machine_state.disk.open();
-        machine_state.replica =
-            Some(Replica::new(options, recovered, Counter::default(), Duration::ZERO).expect("a start"));
+        machine_state.replica = Some(
+            Replica::new(options, recovered, Counter::default(), Duration::ZERO).expect("the replica starts"),
+        );
         self.schedule(TICK_US, ScheduledEvent::Tick { machine, incarnation });
         for other in 0..self.machines.len() {
             self.schedule(CONNECT_US, ScheduledEvent::Connect { one: machine, other });
--- a/crates/quillpulley/tests/system/main.rs
+++ b/crates/quillpulley/tests/system/main.rs
@@ -64,8 +64,8 @@
         let cards = Server::start(machines.server(1), "i-cards", "cards");
         let writers = Server::start(machines.server(2), "i-writers", "writers");
         let platform = Platform::start(machines.platform(), &[&cards, &writers]);
-        let core = |number| Process::start("control", &machines.control_node_settings(number));
-        let control_nodes = machines::CONTROL_NODES.map(core).collect();
+        let control_node = |number| Process::start("control", &machines.control_node_settings(number));
+        let control_nodes = machines::CONTROL_NODES.map(control_node).collect();
         let settings = machines.proxy_settings();
         let agent = Process::start("agent", &settings);
         let proxy = Process::start("proxy", &settings);
@@ -105,7 +105,7 @@
     /// Waits until a request to this path is served successfully.
     fn until_served(&mut self, path: &str) -> Response {
         let mut attempts = 0;
-        let front = self.machines.proxy();
+        let proxy_address = self.machines.proxy();
         let mut request = Request::post(path, "");
         request.host(HOST);
         self.proxy.until("a served request", || {
@@ -113,7 +113,7 @@
             let mut request = request.clone();
             request.header("Quillpulley-Request-Id", &format!("try-{path}-{attempts}"));
             request.header("Quillpulley-Deadline-Ms", "3000");
-            request.send(front).filter(|response| response.status == 200)
+            request.send(proxy_address).filter(|response| response.status == 200)
         })
     }
 }
@@ -129,21 +129,22 @@
     let mut system = System::start("served");
     system.configure(0, &configuration(1, &[]));
     system.until_ready();
-    let (directory, front) = (system.machines.directory_addresses()[0], system.machines.proxy().to_string());
-    system
-        .proxy
-        .until("the proxy in the directory", || resolve(directory).filter(|body| body.contains(&front)));
+    let (directory, proxy_address) =
+        (system.machines.directory_addresses()[0], system.machines.proxy().to_string());
+    system.proxy.until("the proxy in the directory", || {
+        resolve(directory).filter(|body| body.contains(&proxy_address))
+    });
 
     let served = system.until_served("/cards/1");
     assert_eq!(served.header("Quillpulley-Response-Seal"), Some("seal-i-cards"));
     assert_eq!(served.body, "a card");
 
-    let stream = system.send_request("stream-1", "/copy/1").expect("an answer");
+    let stream = system.send_request("stream-1", "/copy/1").expect("a response");
     assert_eq!((stream.status, stream.header("Quillpulley-Response-Seal")), (200, Some("seal-i-writers")));
     assert_eq!(stream.body, EVENTS.concat());
     assert_eq!(system.writers.executions("stream-1"), 1);
 
-    let unknown = system.send_request("unknown-1", "/nowhere/1").expect("an answer");
+    let unknown = system.send_request("unknown-1", "/nowhere/1").expect("a response");
     assert_eq!(unknown.status, 404);
     assert_eq!(system.cards.executions("unknown-1"), 0);
     assert!(system.platform.calls() > 0);
@@ -193,8 +194,8 @@
     system.agent.terminate();
     assert_eq!(system.proxy.wait_for_exit(), Some(0));
     assert_eq!(system.agent.wait_for_exit(), Some(0));
-    for core in &mut system.control_nodes {
-        core.terminate();
-        assert_eq!(core.wait_for_exit(), Some(0));
+    for control_node in &mut system.control_nodes {
+        control_node.terminate();
+        assert_eq!(control_node.wait_for_exit(), Some(0));
     }
 }
--- a/crates/serving-config/src/route.rs
+++ b/crates/serving-config/src/route.rs
@@ -43,7 +43,8 @@
 pub struct WeightedService {
     /// The name of the service.
     pub service: String,
-    /// The weight. The service receives the fraction of the requests that its weight is of the sum of the route's weights.
+    /// The weight. The service receives a share of the requests that is its weight divided by the sum of the route's
+    /// weights.
     pub weight: f64,
 }
 
