--- a/crates/quillpulley/tests/proxy/limits.rs
+++ b/crates/quillpulley/tests/proxy/limits.rs
@@ -1,8 +1,9 @@
-//! The limits of clients' requests.
+//! Tests of the checks and limits that the proxy applies to client requests.
 
 use crate::support::client::request;
 use crate::support::{configuration, route, run, FakeServer, Proxy};
 
+/// Starts a proxy with one server.
 async fn start() -> (Proxy, FakeServer) {
     let one = FakeServer::start("i-1", "one").await;
     let proxy = Proxy::start(&configuration(1, &[&route("a", "idempotent", "")]), &[&one]).await;
@@ -81,7 +82,7 @@
         let proxy = Proxy::start_unready("").await;
         let answer = proxy.client().await.ask(&request("GET /a/b", "id-1", "", "")).await;
         assert_eq!(answer.status(), 503);
-        // Which time it is for which age is checked by the test of the proxy's lifecycle.
+        // `proxy_lifecycle.rs` tests the exact value, which depends on how long the proxy has run.
         let retry_after: f64 = answer.header("retry-after").expect("advice").parse().expect("a number");
         assert!((1.0..=1.6).contains(&retry_after), "{retry_after} s");
         assert_eq!(proxy.ready_status().await, 503);
@@ -100,15 +101,15 @@
             client.send(&request("GET /a/b", &format!("id-{}", served.len()), "", "")).await;
             tokio::select! {
                 call = one.call() => served.push((client, call)),
-                // The first may come before the server is listed.
+                // The first requests may be rejected before the proxy knows the server.
                 answer = client.answer() => if !served.is_empty() { break answer },
             }
         };
         assert_eq!(refused.status(), 503);
         assert!(refused.header("retry-after").is_some());
-        assert!((4..8).contains(&served.len()), "{} at once", served.len());
+        assert!((4..8).contains(&served.len()), "{} concurrent requests", served.len());
 
-        // One that waits gets the place that becomes free.
+        // A queued request gets the capacity that becomes free.
         let mut waiting = proxy.client().await;
         waiting.send(&request("GET /a/b", "id-waits", "", "")).await;
         let (mut client, call) = served.remove(0);
@@ -136,7 +137,7 @@
         }
         let mut waiting = proxy.client().await;
         waiting.send(&request("GET /a/b", "id-waits", "", "")).await;
-        // Its copy is refused because it is open.
+        // A duplicate is rejected, because the request with this id is open.
         let copy = proxy.client().await.ask(&request("GET /a/b", "id-waits", "", "")).await;
         assert_eq!(copy.status(), 503);
         drop(waiting);
--- a/crates/quillpulley/tests/proxy/main.rs
+++ b/crates/quillpulley/tests/proxy/main.rs
@@ -1,4 +1,4 @@
-//! The host of proxies on loopback sockets, between clients, servers and an agent that the tests play.
+//! Tests of the proxy process on loopback sockets. The tests implement its clients, servers and agent.
 
 mod support;
 
--- a/crates/quillpulley/tests/proxy/preferred_regions.rs
+++ b/crates/quillpulley/tests/proxy/preferred_regions.rs
@@ -1,9 +1,9 @@
-//! The regions that a proxy prefers for its clients.
+//! Tests of the preferred regions that a proxy reports for its clients.
 
 use crate::support::client::request;
 use crate::support::{configuration, route, run, Client, Proxy};
 
-/// Sends requests that nobody can serve, as no server is in their homes, and does not wait for their answers.
+/// Sends requests that cannot be served, because there is no server, and does not wait for the responses.
 async fn send(proxy: &Proxy, host: &str, path: &str, count: usize) -> Vec<Client> {
     let mut clients = Vec::new();
     for number in 0..count {
@@ -15,8 +15,9 @@
     clients
 }
 
-/// For a host none of whose requests may be served here the directory needs nobody to count them, and they say
-/// nothing of other hosts.
+/// Requests to a host that may not be served in the proxy's region at all are not counted: the directory
+/// knows from the configuration where to send their clients, and they must not affect the preference for
+/// other hosts.
 #[test]
 fn only_requests_of_hosts_with_and_without_homes_elsewhere_are_counted() {
     run(async {
--- a/crates/quillpulley/tests/proxy/process_lifecycle.rs
+++ b/crates/quillpulley/tests/proxy/process_lifecycle.rs
@@ -1,4 +1,4 @@
-//! Startup, published state from the agent, and shutdown.
+//! Tests of the proxy process: startup, published state from the agent, configuration changes and shutdown.
 
 use crate::support::client::request;
 use crate::support::{configuration, route, run, FakeServer, Proxy};
@@ -42,7 +42,7 @@
         let proxy = Proxy::start(&configuration(5, &[&to_one]), &[&one, &two]).await;
         let mut client = proxy.client().await;
         proxy.agent.publish_configuration(&configuration(7, &[&to_two]));
-        // Until it is there, requests go where they went before.
+        // Until the new configuration is active, requests are routed by the previous one.
         let mut asked = 0;
         loop {
             asked += 1;
@@ -57,7 +57,8 @@
             }
         }
         proxy.agent.publish_configuration(&configuration(6, &[&to_one]));
-        // What is published behind it is taken in behind it.
+        // Changes are applied in the order of their publication: once version 8 is active, version 6 has been
+        // handled.
         proxy.agent.publish_configuration(&configuration(
             8,
             &[&to_two, &route("b", "idempotent", "\"Service\":\"none\"")],
@@ -94,7 +95,7 @@
         assert!(!proxy.ended.is_finished());
         call.serve("finished").await;
         assert_eq!(busy.answer().await.text(), "finished");
-        proxy.ended.await.expect("it ends by itself");
+        proxy.ended.await.expect("the proxy exits on its own");
     });
 }
 
@@ -121,7 +122,7 @@
         proxy.commands.send(ProcessSignal::Shutdown).expect("the proxy runs");
         proxy.agent.until_endpoint(EndpointState::Draining).await;
 
-        // The time-out of its route is after the end of the process: it is not forwarded.
+        // The timeout of the route ends after the process exits, so the request is not forwarded.
         let mut client = proxy.client().await;
         let answer = client.ask(&request("POST /a/b", "long", "", "work")).await;
         assert_eq!(answer.status(), 503);
@@ -134,7 +135,7 @@
         client.send(&request("POST /a/b", "short", "Quillpulley-Deadline-Ms: 500\r\n", "work")).await;
         one.call().await.serve("in time").await;
         assert_eq!(client.answer().await.text(), "in time");
-        proxy.ended.await.expect("it ends by itself");
+        proxy.ended.await.expect("the proxy exits on its own");
     });
 }
 
@@ -148,10 +149,10 @@
         silent.send(&request("POST /a/b", "silent", "", "work")).await;
         let call = one.call().await;
         proxy.commands.send(ProcessSignal::Shutdown).expect("the proxy runs");
-        // It may have run, so that the answer promises nothing.
+        // The request may have executed, so the response must not promise that it has not.
         assert_eq!(silent.answer().await.status(), 504);
         call.left().await;
-        proxy.ended.await.expect("it ends by itself");
+        proxy.ended.await.expect("the proxy exits on its own");
     });
 }
 
@@ -200,7 +201,8 @@
         one.call().await.serve("ok").await;
         assert_eq!(idle.answer().await.status(), 200);
 
-        // The one route is gone, the other goes elsewhere with the least time-out, and so do idle connections end.
+        // The new configuration removes one route, gives the other another service and a timeout of 1 ms, and
+        // sets the idle timeout of client connections to 1 ms.
         let elsewhere = route("s", "streaming", "\"Service\":\"none\",\"TimeoutMs\":1");
         let least_idle =
             configuration(2, &[&elsewhere]).replace("\"IdleTimeoutMs\":15000", "\"IdleTimeoutMs\":1");
--- a/crates/quillpulley/tests/proxy/retries.rs
+++ b/crates/quillpulley/tests/proxy/retries.rs
@@ -1,4 +1,4 @@
-//! Which failures are retried, which are not, and the response to the client.
+//! Tests of retries: which failures are retried, which are not, and which response the client receives.
 
 use crate::support::client::request;
 use crate::support::server::entry;
@@ -8,17 +8,19 @@
 const NOT_EXECUTED: &str = "Quillpulley-Not-Executed: full\r\nQuillpulley-Response-Seal: seal\r\n";
 const SEAL: &str = "Quillpulley-Response-Seal: seal\r\n";
 
-/// A proxy between a client and two servers.
+/// A proxy between a client and two servers of the same service.
 struct Scene {
     proxy: Proxy,
     one: FakeServer,
     two: FakeServer,
     client: Client,
+    /// The number of requests sent so far, from which request ids are derived.
     asked: u32,
 }
 
 impl Scene {
-    /// With the routes `/once/` and `/again/`, the latter idempotent, of two attempts each, and `/single/` of one.
+    /// Starts a proxy with three routes: `/once/` and `/single/` are not idempotent, `/again/` is. `/single/`
+    /// allows one attempt, the others allow two.
     async fn start() -> Scene {
         let one = FakeServer::start("i-1", "one").await;
         let two = FakeServer::start("i-2", "one").await;
@@ -31,7 +33,7 @@
         let proxy = Proxy::start(&configuration(1, &routes), &[&one, &two]).await;
         let client = proxy.client().await;
         let mut scene = Scene { proxy, one, two, client, asked: 0 };
-        // The budget of a service has no rate before its first request.
+        // The retry budget of a service allows no retries before a request to it has been counted.
         scene.ask("/once/x").await;
         scene.is_served().await;
         scene.proxy.agent.until_counted("one").await;
@@ -48,6 +50,7 @@
         self.client.send(&request(&format!("POST {path}"), &id, headers, "work")).await;
     }
 
+    /// Waits for the next request, whichever server receives it.
     async fn call(&mut self) -> Call {
         tokio::select! {
             call = self.one.call() => call,
@@ -59,7 +62,7 @@
         self.client.answer().await
     }
 
-    /// The client gets a 502 without a seal, and no server has got the request again.
+    /// Checks that the client receives a 502 without a seal, and that the request is not sent again.
     async fn has_failed(&mut self) {
         let answer = self.answer().await;
         assert_eq!(answer.status(), 502);
@@ -67,7 +70,7 @@
         assert!(!self.one.has_call() && !self.two.has_call());
     }
 
-    /// The request goes to a server, which serves it.
+    /// Has a server respond to the next request, and checks that the client receives the response.
     async fn is_served(&mut self) {
         self.call().await.serve("done").await;
         let answer = self.answer().await;
@@ -153,7 +156,7 @@
         }
         assert_eq!(scene.answer().await.status(), 503);
 
-        // Once it may have run, no promise is given.
+        // The first server may have executed the request: a 503 would promise that it did not execute.
         scene.ask("/again/x").await;
         scene.call().await.reset();
         scene.call().await.answer("503 Service Unavailable", NOT_EXECUTED, "").await;
@@ -192,7 +195,7 @@
         call.close();
         scene.has_failed().await;
 
-        // What failed before has taken servers out of service.
+        // A new proxy is needed, since the failures above have ejected the servers of the first one.
         let mut scene = Scene::start().await;
         scene.ask("/again/x").await;
         scene.call().await.answer("200 OK", &other, "another's").await;
@@ -207,7 +210,7 @@
         for (rest, end) in [
             (format!("{SEAL}Content-Length: 9\r\n\r\nhal"), Call::close as fn(Call)),
             (format!("{SEAL}Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"), Call::close),
-            // Its proper end would be that of the answer.
+            // An orderly close would mark the end of this response.
             (format!("{SEAL}\r\nof unknown length"), Call::reset),
             ("Content-Length: 4\r\n\r\nbare".to_string(), Call::close),
             (format!("{SEAL}Content-Encoding: gzip\r\nContent-Length: 4\r\n\r\nzipd"), Call::close),
@@ -305,7 +308,7 @@
             scene.call().await.reset();
             scene.has_failed().await;
         }
-        // A late answer to a request says nothing of the server.
+        // A response that carries a request id belongs to an earlier request: the health check fails.
         let late = format!("Quillpulley-Request-Id: id-1\r\n{NOT_EXECUTED}");
         scene.one.call().await.answer_check("503 Full", &late).await;
         let check = scene.one.call().await;
@@ -318,7 +321,7 @@
 }
 
 impl Scene {
-    /// Asks until the route is there. The answer is still to be read.
+    /// Sends requests to a route until it is active, and one more, whose response is still to be read.
     async fn until_route(&mut self, path: &str) {
         loop {
             let mut probe = self.proxy.client().await;
--- a/crates/quillpulley/tests/proxy/routing.rs
+++ b/crates/quillpulley/tests/proxy/routing.rs
@@ -1,4 +1,5 @@
-//! The service that a request is routed to, and what is forwarded of it.
+//! Tests of routing: which service a request is routed to, and which parts of the request and of the response
+//! are forwarded.
 
 use crate::support::client::request;
 use crate::support::{configuration, route, run, FakeServer, Proxy};
--- a/crates/quillpulley/tests/proxy/streams.rs
+++ b/crates/quillpulley/tests/proxy/streams.rs
@@ -1,11 +1,11 @@
-//! Streams of events: forwarded as they come, truncated, resumed elsewhere.
+//! Tests of streams of events: forwarding, truncation, and resumption at another server.
 
 use crate::support::client::request;
 use crate::support::{configuration, route, run, Client, FakeServer, Proxy};
 
 const RESUMABLE: &str = "\"Resumable\":true,\"MaxAttempts\":3";
 
-/// A proxy with two servers and the streaming routes `/s/` and, resumable, `/r/`.
+/// Starts a proxy with two servers and two streaming routes: `/s/` is not resumable, `/r/` is.
 async fn start() -> (Proxy, FakeServer, FakeServer) {
     let one = FakeServer::start("i-1", "one").await;
     let two = FakeServer::start("i-2", "one").await;
@@ -14,13 +14,14 @@
     (proxy, one, two)
 }
 
+/// Sends a request on a new connection.
 async fn asked(proxy: &Proxy, path: &str, headers: &str) -> Client {
     let mut client = proxy.client().await;
     client.send(&request(&format!("POST {path}"), "id-1", headers, "prompt")).await;
     client
 }
 
-/// The next request, whichever server it reaches.
+/// Waits for the next request, whichever server receives it.
 async fn next_call(one: &mut FakeServer, two: &mut FakeServer) -> crate::support::Call {
     tokio::select! {
         call = one.call() => call,
@@ -39,7 +40,7 @@
         assert_eq!(head.status(), 200);
         assert_eq!(head.header("quillpulley-response-seal"), Some("seal"));
         assert_eq!(head.header("content-type"), Some("text/event-stream"));
-        // Not even whole events are waited for.
+        // The stream is not resumable, so incomplete events are forwarded too.
         for piece in ["id: 1\nda", "ta: a\n\n", "id: 2\ndata: b\n\n"] {
             call.chunk(piece).await;
             assert_eq!(client.chunk().await.as_deref(), Some(piece));
@@ -95,7 +96,7 @@
         call.begin_stream().await;
         call.chunk("id: 5\ndata: a\n\nid: 6\nda").await;
         client.head().await;
-        // The half event is held back.
+        // The incomplete event is not forwarded.
         assert_eq!(client.chunk().await.as_deref(), Some("id: 5\ndata: a\n\n"));
         call.reset();
 
@@ -140,7 +141,7 @@
         call.begin_stream().await;
         client.head().await;
         call.reset();
-        // The only other server declines.
+        // The only other server reports that it did not execute the request.
         let call = next_call(&mut one, &mut two).await;
         call.answer("503 Service Unavailable", "Quillpulley-Not-Executed: full\r\n", "").await;
         assert!(client.breaks_off().await);
@@ -178,7 +179,7 @@
         let _client = asked(&proxy, "/s/x", "").await;
         let mut call = one.call().await;
         call.begin_stream().await;
-        // Until all buffers on the way are full, and the connection is closed.
+        // The writes fill all buffers on the path, until the proxy closes the connection at the deadline.
         call.write_until_closed(&format!("id: 1\ndata: {}\n\n", "x".repeat(60_000))).await;
     });
 }
@@ -194,7 +195,7 @@
         client.head().await;
         client.chunk().await;
         call.reset();
-        // The second server has it, and has answered nothing.
+        // The second server has received the request and has not responded.
         let call = next_call(&mut one, &mut two).await;
         drop(client);
         call.left().await;
--- a/crates/quillpulley/tests/proxy/support/agent.rs
+++ b/crates/quillpulley/tests/proxy/support/agent.rs
@@ -1,4 +1,4 @@
-//! An agent, whose published state the test sets.
+//! A fake agent that publishes the state that a test sets.
 
 use quillpulley::peer::{LinkId, PeerEvent, Peers};
 use quillpulley_protocol::{
@@ -17,7 +17,7 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, Instant};
 
-/// The root of the tree, with the proxy as its only child.
+/// An agent that is the root of the synchronization tree, with the proxy as its only child.
 pub struct FakeAgent {
     shared: Rc<Shared>,
     port: u16,
@@ -29,7 +29,7 @@
     peers: Rc<Peers>,
     node: RefCell<SyncNode<LinkId>>,
     routes: RefCell<Vec<String>>,
-    /// Whether the proxy was sent totals.
+    /// Whether complete totals that include a proxy were sent.
     totals_sent: Cell<bool>,
     changed: Notify,
 }
@@ -69,7 +69,7 @@
         self.port
     }
 
-    /// Publishes a configuration in the place of the one before.
+    /// Publishes a configuration, which replaces the previous one.
     pub fn publish_configuration(&self, json: &str) {
         let configuration = Configuration::parse(json.as_bytes()).expect("a configuration");
         let items = configuration.to_items();
@@ -90,19 +90,19 @@
         self.shared.handle(Event::Publish(vec![Change { key: server_key(id), value: None }]));
     }
 
-    /// What the proxy reports of its endpoint.
+    /// Returns the endpoint that the proxy reported last. `None` before its first report.
     pub fn endpoint(&self) -> Option<ProxyEndpoint> {
         self.shared.node.borrow().subtree().endpoints.values().next().cloned()
     }
 
-    /// Waits until the proxy has reported an endpoint like this.
+    /// Waits until the proxy reports an endpoint that satisfies the predicate.
     pub async fn until(&self, is_wanted: impl Fn(&ProxyEndpoint) -> bool) {
         while !self.endpoint().is_some_and(|endpoint| is_wanted(&endpoint)) {
             self.shared.changed.notified().await;
         }
     }
 
-    /// Waits until the proxy has reported this state.
+    /// Waits until the proxy reports an endpoint in this state.
     pub async fn until_endpoint(&self, state: EndpointState) {
         self.until(|endpoint| endpoint.state == state).await;
     }
@@ -111,14 +111,14 @@
         self.until_endpoint(EndpointState::Ready).await;
     }
 
-    /// Waits until the proxy has been sent totals that include itself: retry budgets need them.
+    /// Waits until the proxy has been sent totals that include itself, which its retry budgets need.
     pub async fn until_totals(&self) {
         while !self.shared.totals_sent.get() {
             self.shared.changed.notified().await;
         }
     }
 
-    /// Waits until the proxy has reported a request for a service.
+    /// Waits until the proxy reports a request to a service.
     pub async fn until_counted(&self, service: &str) {
         let counted = || self.shared.node.borrow().subtree().counters.services.contains_key(service);
         while !counted() {
@@ -126,14 +126,15 @@
         }
     }
 
-    /// Ends it, links and all.
+    /// Stops the agent and closes its links.
     pub async fn kill(self) {
         self.serving.abort();
         let _ = self.serving.await;
     }
 }
 
-/// Stamps now and then, as a root does.
+/// Handles the events of links, and publishes a heartbeat after 50 ms without an event, as a root does
+/// periodically.
 async fn serve(shared: Rc<Shared>, mut events: UnboundedReceiver<PeerEvent>) {
     loop {
         tokio::select! {
--- a/crates/quillpulley/tests/proxy/support/client.rs
+++ b/crates/quillpulley/tests/proxy/support/client.rs
@@ -1,4 +1,4 @@
-//! A client's connection.
+//! A fake client.
 
 use super::message::{read_chunk, Message};
 use std::net::SocketAddr;
@@ -6,6 +6,7 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::TcpStream;
 
+/// A connection of a client to the proxy.
 pub struct Client {
     reader: BufReader<OwnedReadHalf>,
     writer: OwnedWriteHalf,
@@ -23,60 +24,62 @@
         self.writer.write_all(text.as_bytes()).await.expect("write");
     }
 
-    /// The next answer, whole.
+    /// Reads the next response completely.
     pub async fn answer(&mut self) -> Message {
-        Message::read(&mut self.reader).await.expect("a whole answer")
+        Message::read(&mut self.reader).await.expect("a complete response")
     }
 
-    /// The head of the next answer.
+    /// Reads the head of the next response.
     pub async fn head(&mut self) -> Message {
-        Message::read_head(&mut self.reader).await.expect("a head")
+        Message::read_head(&mut self.reader).await.expect("a response head")
     }
 
-    /// The head of the next answer, or none where the connection ends first.
+    /// Reads the head of the next response. `None` if the connection ends first.
     pub async fn try_head(&mut self) -> Option<Message> {
         Message::read_head(&mut self.reader).await
     }
 
-    /// The body of an answer whose head says how long it is.
+    /// Reads the body of a response with `Content-Length`.
     pub async fn body(&mut self, head: &Message) -> Vec<u8> {
         let length = head.header("content-length").and_then(|length| length.parse().ok()).unwrap_or(0);
         let mut body = vec![0; length];
-        self.reader.read_exact(&mut body).await.expect("a whole body");
+        self.reader.read_exact(&mut body).await.expect("a complete body");
         body
     }
 
-    /// The next chunk of an answer, `Some(None)` at its proper end, and none where it is truncated.
+    /// Reads the next chunk of a response. `Some(None)` if the response is complete, `None` if it is
+    /// truncated.
     pub async fn try_chunk(&mut self) -> Option<Option<String>> {
         let chunk = read_chunk(&mut self.reader).await?;
         Some(chunk.map(|chunk| String::from_utf8_lossy(&chunk).into_owned()))
     }
 
-    /// The next chunk of an answer, or none at its proper end. Panics where it is truncated.
+    /// Reads the next chunk of a response. `None` if the response is complete. Panics if it is truncated.
     pub async fn chunk(&mut self) -> Option<String> {
-        let chunk = read_chunk(&mut self.reader).await.expect("a chunk or the end");
+        let chunk = read_chunk(&mut self.reader).await.expect("a chunk or the end of the response");
         chunk.map(|chunk| String::from_utf8_lossy(&chunk).into_owned())
     }
 
-    /// Whether the answer is truncated here.
+    /// Returns whether the response is truncated here.
     pub async fn breaks_off(&mut self) -> bool {
         read_chunk(&mut self.reader).await.is_none()
     }
 
-    /// Whether the connection is closed, with nothing left to read.
+    /// Waits until the proxy closes the connection. Returns whether it sent no more data.
     pub async fn is_closed(&mut self) -> bool {
         let mut rest = Vec::new();
         self.reader.read_to_end(&mut rest).await.is_err() || rest.is_empty()
     }
 
-    /// Sends a request and waits for the whole answer.
+    /// Sends a request and reads the complete response.
     pub async fn ask(&mut self, request: &str) -> Message {
         self.send(request).await;
         self.answer().await
     }
 }
 
-/// A request with the usual headers and more, each ending with a line break.
+/// Returns a request with a host, an id and, unless the body is empty, `Content-Length`. Each of the
+/// additional headers must end with a line break.
 pub fn request(line: &str, id: &str, headers: &str, body: &str) -> String {
     let length = if body.is_empty() { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
     format!(
--- a/crates/quillpulley/tests/proxy/support/message.rs
+++ b/crates/quillpulley/tests/proxy/support/message.rs
@@ -1,26 +1,29 @@
-//! HTTP messages as they are on the wire.
+//! Parses HTTP messages.
 
 use std::fmt::Debug;
 use tokio::io::{AsyncBufRead, AsyncBufReadExt, AsyncReadExt};
 
-/// A message: its first line, headers in lower case, body.
+/// A request or a response. The names of headers are in lower case.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
+    /// The request line or the status line.
     pub first: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
 
 impl Message {
+    /// Returns the first value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
     }
 
-    /// All values of a header, in their order.
+    /// Returns all values of a header, in their order.
     pub fn all(&self, name: &str) -> Vec<&str> {
         self.headers.iter().filter(|(n, _)| n == name).map(|(_, value)| value.as_str()).collect()
     }
 
+    /// Returns the status of a response, or 0 if there is none.
     pub fn status(&self) -> u16 {
         self.first.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
     }
@@ -29,7 +32,7 @@
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// Reads a head; none where the connection ends first.
+    /// Reads a head. `None` if the connection ends first.
     pub async fn read_head(from: &mut (impl AsyncBufRead + Unpin)) -> Option<Message> {
         let mut message = Message { first: read_line(from).await?, ..Message::default() };
         loop {
@@ -39,7 +42,7 @@
         }
     }
 
-    /// Reads a message; none where the connection ends before it is whole.
+    /// Reads a message. `None` if the connection ends before the message is complete.
     pub async fn read(from: &mut (impl AsyncBufRead + Unpin)) -> Option<Message> {
         let mut message = Message::read_head(from).await?;
         if message.header("transfer-encoding").is_some() {
@@ -55,7 +58,7 @@
     }
 }
 
-/// Reads a chunk; `Some(None)` for the last one, and `None` where the connection ends first.
+/// Reads a chunk. `Some(None)` for the empty last chunk, `None` if the connection ends first.
 pub async fn read_chunk(from: &mut (impl AsyncBufRead + Unpin)) -> Option<Option<Vec<u8>>> {
     let length = usize::from_str_radix(&read_line(from).await?, 16).ok()?;
     let mut chunk = vec![0; length];
--- a/crates/quillpulley/tests/proxy/support/mod.rs
+++ b/crates/quillpulley/tests/proxy/support/mod.rs
@@ -23,41 +23,45 @@
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 use tokio::time::timeout;
 
-/// The longest that anything is waited for.
+/// Maximum duration of a test.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Bounds that no test comes to.
+/// Settings of the retry budget that no test exhausts.
 const UNLIMITED_RETRIES: &str = "RetrySlack = 1000000\nRetryBudgetRatio = 1000000";
 
-/// Runs a test on a runtime of its own.
+/// Runs a test on its own single-threaded runtime.
 pub fn run(test: impl Future<Output = ()>) {
     let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let test = async { timeout(TIMEOUT, test).await.expect("the test ends in time") };
+    let test = async { timeout(TIMEOUT, test).await.expect("the test timed out") };
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// A proxy that is ready, with its agent.
+/// A running proxy, with its agent.
 pub struct Proxy {
+    /// The address that clients connect to.
     pub endpoint: SocketAddr,
+    /// The address of the readiness checks.
     pub ready: SocketAddr,
     pub agent: FakeAgent,
+    /// Sends process signals to the proxy.
     pub commands: UnboundedSender<ProcessSignal>,
+    /// The task of the proxy, which ends when the process would exit.
     pub ended: JoinHandle<()>,
 }
 
 impl Proxy {
-    /// With a configuration and servers, once it is ready.
+    /// Starts a proxy with a configuration and servers, and waits until it is ready.
     pub async fn start(configuration: &str, servers: &[&FakeServer]) -> Proxy {
         Proxy::start_with("", configuration, servers).await
     }
 
-    /// The same with other bounds, a line each.
+    /// Starts a proxy with additional lines of the section `Bounds` of its settings.
     pub async fn start_with(bounds: &str, configuration: &str, servers: &[&FakeServer]) -> Proxy {
         let servers: Vec<Server> = servers.iter().map(|server| server.entry()).collect();
         Proxy::start_with_faults(bounds, configuration, &servers, Faults::default()).await
     }
 
-    /// The same with servers by their entries, and with deliberate faults.
+    /// Starts a proxy with injected faults. `servers` are the published entries of the servers.
     pub async fn start_with_faults(
         bounds: &str,
         configuration: &str,
@@ -65,7 +69,8 @@
         faults: Faults,
     ) -> Proxy {
         let proxy = Proxy::start_process(&format!("{UNLIMITED_RETRIES}\n{bounds}"), faults).await;
-        // What comes later on the same link is taken in later.
+        // The link preserves the order of messages, so a proxy that has the configuration also has the totals that
+        // its retry budgets need.
         proxy.agent.until_totals().await;
         proxy.agent.publish_configuration(configuration);
         servers.iter().for_each(|server| proxy.agent.publish_server(server));
@@ -73,7 +78,7 @@
         proxy
     }
 
-    /// That knows nothing yet.
+    /// Starts a proxy that has no configuration and no servers.
     pub async fn start_unready(bounds: &str) -> Proxy {
         Proxy::start_process(bounds, Faults::default()).await
     }
@@ -95,7 +100,7 @@
         Client::connect(self.endpoint).await
     }
 
-    /// The status of `GET /v1/ready`.
+    /// Returns the status of `GET /v1/ready`.
     pub async fn ready_status(&self) -> u16 {
         let mut client = Client::connect(self.ready).await;
         client.send("GET /v1/ready HTTP/1.1\r\nHost: x\r\n\r\n").await;
@@ -113,7 +118,7 @@
     Settings::parse(&text).expect("settings")
 }
 
-/// A configuration with these routes and the services `one`, `two` and `none`.
+/// Returns a configuration with these routes and the services `one`, `two` and `none`.
 pub fn configuration(version: u64, routes: &[&str]) -> String {
     let routes = routes.join(",");
     format!(
@@ -124,7 +129,8 @@
     )
 }
 
-/// A route at `/{name}/` to the service `one`, with more fields.
+/// Returns a route with the path prefix `/{name}/`. Unless `fields` sets them, its service is `one` and its
+/// timeout is 5 s.
 pub fn route(name: &str, kind: &str, fields: &str) -> String {
     let comma = if fields.is_empty() { "" } else { "," };
     let service = if fields.contains("Service") { "" } else { ",\"Service\":\"one\"" };
--- a/crates/quillpulley/tests/proxy/support/script.rs
+++ b/crates/quillpulley/tests/proxy/support/script.rs
@@ -1,20 +1,30 @@
-//! Servers that play a script on each connection, a word a step.
+//! Fake servers that run a script on each connection. Each word of a script is a step:
 //!
 //! | word | step |
 //! | --- | --- |
-//! | `request`, `head`, `body` | reads a request, or one part of it |
-//! | `ok`, `last`, `chunked`, `bare` | answers: with a length, with `Connection: close`, in chunks, with no length |
-//! | `half-head`, `half-body`, `half-chunk` | begins an answer |
-//! | `other`, `noise`, `switch` | the answer to another request, no HTTP, a status that nobody asked for |
-//! | `hint` | an answer before the answer |
-//! | `failed`, `plain-503` and the like | a failure of its own; a status that promises without the mark |
-//! | `declined`, `misdirected` | did not run it |
-//! | `stream`, `bare-stream`, `event:N`, `part:N`, `end` | the head of a stream, its events, a part of one, its end |
-//! | `raw:N` | an event of a stream with no length |
-//! | `until:head`, `until:N` | waits until the client has got the head, or the event |
-//! | `reset`, `close` | ends the connection |
-//! | `mute` | reads until the other side has closed, which may bring the rest of the body and nothing else |
-//! | `forget` | meets whatever comes next with a reset, unread |
+//! | `request` | reads a complete request |
+//! | `head`, `body` | reads the head or the body of a request |
+//! | `ok` | responds with 200 and `Content-Length` |
+//! | `last` | responds like `ok`, with `Connection: close` |
+//! | `chunked` | responds with 200 and a chunked body |
+//! | `bare` | responds with 200 and a body that extends to the end of the connection |
+//! | `half-head`, `half-body`, `half-chunk` | writes an incomplete response that ends in this part |
+//! | `other` | writes the response to another request |
+//! | `noise` | writes data that is not HTTP |
+//! | `switch` | responds with 101, which the request did not ask for |
+//! | `hint` | writes an informational response (103), which precedes the final response |
+//! | `failed` | responds with 500 |
+//! | `plain-503`, `plain-429`, `plain-408` | responds with this status without `Quillpulley-Not-Executed` |
+//! | `declined` | responds with 503 and `Quillpulley-Not-Executed`: the request did not execute |
+//! | `misdirected` | responds with 421: the request did not execute |
+//! | `stream` | writes the head of a chunked stream of events |
+//! | `event:N`, `part:N`, `end` | writes event N, the beginning of event N, or the last chunk of that stream |
+//! | `bare-stream` | writes the head of a stream that extends to the end of the connection |
+//! | `raw:N` | writes event N of that stream |
+//! | `until:head`, `until:N` | waits until the client has received the response head, or event N |
+//! | `reset`, `close` | closes the connection with a RST, or with a FIN |
+//! | `mute` | reads until the proxy closes the connection; only the rest of the body may arrive |
+//! | `forget` | waits for data, and resets the connection without reading the data |
 
 use super::message::Message;
 use super::server::entry;
@@ -29,47 +39,50 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// The byte that bodies of requests are made of.
+/// The byte that request bodies consist of.
 pub const BODY_BYTE: u8 = b'w';
 const SEAL: &str = "Quillpulley-Response-Seal: seal\r\n";
 
-/// What the servers have seen.
+/// The state that the scripted servers share with the test: the scripts and what was observed.
 #[derive(Default)]
 pub struct Seen {
+    /// The scripts that no connection has started yet.
     scripts: RefCell<VecDeque<String>>,
-    /// The ids of requests that may have run, once for each time.
+    /// The id of every request that may have executed, once per execution.
     runs: RefCell<Vec<String>>,
+    /// What the proxy did that no script allows.
     faults: RefCell<Vec<String>>,
-    /// What clients have got, in the words of `until`.
+    /// What clients have received, as the arguments of `until`: `head` or the id of an event.
     received: RefCell<Vec<String>>,
+    /// The number of scripts that have started and not ended.
     playing: Cell<usize>,
     changed: Notify,
 }
 
 impl Seen {
-    /// How often a request may have run.
+    /// Returns how often a request may have executed.
     pub fn runs_of(&self, id: &str) -> usize {
         self.runs.borrow().iter().filter(|run| *run == id).count()
     }
 
-    /// What came that no script expects.
+    /// Returns what the proxy did that no script allows.
     pub fn faults(&self) -> Vec<String> {
         self.faults.borrow().clone()
     }
 
-    /// Scripts for which no connection has come.
+    /// Returns the number of scripts that no connection has started.
     pub fn unplayed(&self) -> usize {
         self.scripts.borrow().len()
     }
 
-    /// Waits until every script that was begun is over.
+    /// Waits until every script that has started has ended.
     pub async fn until_played(&self) {
         while self.playing.get() > 0 {
             self.changed.notified().await;
         }
     }
 
-    /// A client has got a head, or an event.
+    /// Records that a client has received a response head or an event, as the argument of `until`.
     pub fn received(&self, what: &str) {
         self.received.borrow_mut().push(what.to_string());
         self.changed.notify_waiters();
@@ -86,7 +99,8 @@
     }
 }
 
-/// Three servers of the service `one` that share scripts, a connection a script, in the order of connections.
+/// Three servers of the service `one`. Each connection to any of them runs the next script; a health check
+/// does not use up its script.
 pub struct ScriptedServers {
     pub seen: Rc<Seen>,
     pub entries: Vec<protocol::Server>,
@@ -110,7 +124,7 @@
     while let Ok((stream, _)) = listener.accept().await {
         stream.set_nodelay(true).expect("nodelay");
         let Some(script) = seen.scripts.borrow_mut().pop_front() else {
-            seen.fault("a connection without a script");
+            seen.fault("the proxy opened a connection that no script was left for");
             continue;
         };
         seen.playing.set(seen.playing.get() + 1);
@@ -120,21 +134,21 @@
     }
 }
 
-/// How a script leaves its connection.
+/// What happens to the connection when its script ends.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Ended {
     Reset,
     Closed,
-    /// Open, until the other side closes it.
+    /// The connection stays open until the proxy closes it.
     Stays,
 }
 
 struct Connection {
     stream: BufReader<TcpStream>,
     seen: Rc<Seen>,
-    /// Of the request at hand.
+    /// The id of the current request.
     id: String,
-    /// The length of its body.
+    /// The number of bytes of its body that have not been read.
     length: usize,
 }
 
@@ -185,7 +199,7 @@
                 }
             };
             if !read {
-                self.seen.fault(format!("{script}: the connection ended at {word}"));
+                self.seen.fault(format!("{script}: the connection ended during the step {word}"));
                 return Ended::Closed;
             }
         }
@@ -203,31 +217,34 @@
         self.seen.runs.borrow_mut().push(self.id.clone());
     }
 
-    /// Reads the body; false where it does not come whole.
+    /// Reads the body of the request. Returns false if the connection ends first.
     async fn body(&mut self) -> bool {
         let mut body = vec![0; std::mem::take(&mut self.length)];
         let whole = self.stream.read_exact(&mut body).await.is_ok();
         if whole && body.iter().any(|byte| *byte != BODY_BYTE) {
-            self.seen.fault(format!("another body for {}", self.id));
+            self.seen.fault(format!("the body of {} was changed", self.id));
         }
         whole
     }
 
+    /// Reads until the proxy closes the connection, and checks that only the rest of the body arrives.
     async fn mute(&mut self) {
         let mut rest = Vec::new();
         let _ = self.stream.read_to_end(&mut rest).await;
         if rest.len() > self.length || rest.iter().any(|byte| *byte != BODY_BYTE) {
             let rest = String::from_utf8_lossy(&rest[rest.len().saturating_sub(300)..]).into_owned();
-            self.seen.fault(format!("bytes that are not the body of {}: {rest}", self.id));
+            self.seen.fault(format!("received data that is not the body of {}: {rest}", self.id));
         }
     }
 
+    /// Removes the latest execution of the current request, which the response says was not executed.
     fn did_not_run(&self) {
         let mut runs = self.seen.runs.borrow_mut();
         let at = runs.iter().rposition(|run| *run == self.id);
         at.into_iter().for_each(|at| drop(runs.remove(at)));
     }
 
+    /// Performs a step that writes a response or a part of it, or waits for the client.
     async fn answer(&mut self, word: &str) {
         if let Some(what) = word.strip_prefix("until:") {
             return self.seen.until_received(what).await;
@@ -275,12 +292,12 @@
             "part" => chunk(&event[..event.len() - 3]),
             "raw" => event,
             "end" => "0\r\n\r\n".to_string(),
-            _ => panic!("no step: {word}"),
+            _ => panic!("unknown step: {word}"),
         };
         self.write(&text).await;
     }
 
-    /// The other side may have closed already.
+    /// Writes to the connection. Errors are ignored, since the proxy may have closed it already.
     async fn write(&mut self, text: &str) {
         let _ = self.stream.get_mut().write_all(text.as_bytes()).await;
     }
--- a/crates/quillpulley/tests/proxy/support/server.rs
+++ b/crates/quillpulley/tests/proxy/support/server.rs
@@ -1,4 +1,4 @@
-//! A server whose responses the test writes.
+//! A fake server whose responses the test writes.
 
 use super::message::Message;
 use quillpulley_protocol as protocol;
@@ -9,6 +9,7 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::task::spawn_local;
 
+/// A server that hands every request that it receives to the test.
 pub struct FakeServer {
     pub id: String,
     pub service: String,
@@ -21,10 +22,11 @@
     writer: OwnedWriteHalf,
 }
 
-/// A request that has reached a server.
+/// A request that a server received, with its connection.
 pub struct Call {
     pub request: Message,
     connection: Connection,
+    /// Returns the connection to the server, which reads the next request from it.
     give_back: UnboundedSender<Connection>,
 }
 
@@ -46,23 +48,23 @@
         FakeServer { id: id.to_string(), service: service.to_string(), address, calls }
     }
 
-    /// Its entry in the published list.
+    /// Returns the entry of the server in the published state.
     pub fn entry(&self) -> protocol::Server {
         entry(&self.id, &self.service, self.address)
     }
 
-    /// The next request.
+    /// Waits for the next request.
     pub async fn call(&mut self) -> Call {
         self.calls.recv().await.expect("a request")
     }
 
-    /// Whether a request has come that the test has not taken.
+    /// Returns whether the server has received a request that the test has not taken.
     pub fn has_call(&mut self) -> bool {
         !self.calls.is_empty()
     }
 }
 
-/// The entry of a server with many slots.
+/// Returns the published entry of a server with 64 slots.
 pub fn entry(id: &str, service: &str, address: SocketAddr) -> protocol::Server {
     protocol::Server {
         id: id.to_string(),
@@ -100,30 +102,30 @@
         self.request.header("quillpulley-request-id").expect("an id")
     }
 
-    /// Writes as it is.
+    /// Writes raw bytes to the connection.
     pub async fn write(&mut self, text: &str) {
         self.connection.writer.write_all(text.as_bytes()).await.expect("write");
     }
 
-    /// Answers 200 with a seal, and takes the next request on the connection.
+    /// Responds with 200 and a seal, and keeps the connection open.
     pub async fn serve(self, body: &str) {
         self.answer("200 OK", "Quillpulley-Response-Seal: seal\r\n", body).await;
     }
 
-    /// Answers, and takes the next request on the connection.
+    /// Responds, and keeps the connection open.
     pub async fn answer(mut self, status: &str, headers: &str, body: &str) {
         let text = format!("{}{body}", self.head_text(status, headers, Some(body.len())));
         self.write(&text).await;
         let _ = self.give_back.send(self.connection);
     }
 
-    /// Answers a health check, which has no id.
+    /// Responds to a health check, which has no request id, and keeps the connection open.
     pub async fn answer_check(mut self, status: &str, headers: &str) {
         self.write(&format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n{headers}\r\n")).await;
         let _ = self.give_back.send(self.connection);
     }
 
-    /// Writes the head of an answer in chunks.
+    /// Writes the head of a chunked stream of events.
     pub async fn begin_stream(&mut self) {
         let head = self.head_text(
             "200 OK",
@@ -137,34 +139,36 @@
         self.write(&format!("{:x}\r\n{text}\r\n", text.len())).await;
     }
 
-    /// Sends this chunk again and again until the other side has closed.
+    /// Writes this chunk repeatedly until the proxy closes the connection.
     pub async fn write_until_closed(mut self, text: &str) {
         let chunk = format!("{:x}\r\n{text}\r\n", text.len());
         while self.connection.writer.write_all(chunk.as_bytes()).await.is_ok() {}
     }
 
+    /// Writes the last chunk, and keeps the connection open.
     pub async fn end_stream(mut self) {
         self.write("0\r\n\r\n").await;
         let _ = self.give_back.send(self.connection);
     }
 
-    /// Ends the connection properly.
+    /// Closes the connection with a FIN.
     pub fn close(self) {}
 
-    /// Ends it with a reset.
+    /// Closes the connection with a RST.
     pub fn reset(self) {
         let Connection { reader, writer } = self.connection;
-        let stream = reader.into_inner().reunite(writer).expect("halves of one stream");
+        let stream = reader.into_inner().reunite(writer).expect("two halves of one stream");
         socket2::SockRef::from(&stream).set_linger(Some(std::time::Duration::ZERO)).expect("linger");
     }
 
-    /// Waits until the other side has closed.
+    /// Waits until the proxy closes the connection. Panics if it sends more data before.
     pub async fn left(mut self) {
         let mut rest = Vec::new();
         let _ = self.connection.reader.read_to_end(&mut rest).await;
-        assert!(rest.is_empty(), "more came: {}", String::from_utf8_lossy(&rest));
+        assert!(rest.is_empty(), "the proxy sent more data: {}", String::from_utf8_lossy(&rest));
     }
 
+    /// Returns the head of a response. For `length` `None` its body is chunked.
     fn head_text(&self, status: &str, headers: &str, length: Option<usize>) -> String {
         let framing = match length {
             Some(length) => format!("Content-Length: {length}\r\n"),
--- a/crates/quillpulley/tests/proxy/tables.rs
+++ b/crates/quillpulley/tests/proxy/tables.rs
@@ -1,11 +1,23 @@
-//! The tables of `timelines.rs`: one case a line.
+//! The test cases of `timelines.rs`, one per line.
 //!
-//! A line holds what the client asks for and gets, one request after the other on one connection, and what servers
-//! do, a connection a script (see `support/script.rs`). `once` may not be repeated, `again` may, `stream` may not,
-//! `resume` may be resumed. `+long` sends a long body, `idle` waits until a connection to a server may
-//! be reused, `over` until all scripts are over.
+//! The left column lists the steps of the client, one request after the other on one connection. A step
+//! `route=result` sends a request to a route and gives the expected result:
+//!
+//! | route | meaning |
+//! | --- | --- |
+//! | `once`, `again` | a route that is not idempotent, and one that is |
+//! | `brief`, `brief-again` | the same with a timeout of 300 ms |
+//! | `stream`, `resume` | a streaming route that is not resumable, and one that is |
+//! | `...+long` | the request has a body that does not fit into the socket buffers |
+//!
+//! A result is `ok`, an error status, or the ids of the events that the client receives, with `cut` at the
+//! end if the response is truncated or missing. The step `idle` waits until a connection to a server may be
+//! reused, and the step `over` waits until all started scripts have ended.
+//!
+//! The right column lists the scripts of the servers (see `support/script.rs`), separated by `;`. Each
+//! connection runs the next one.
 
-/// Responses that are complete, truncated, or missing.
+/// Responses that are not streamed: complete, truncated or missing.
 pub const PLAIN: &str = "
     once=ok                     | request ok
     once=ok                     | request chunked
@@ -53,7 +65,7 @@
     brief-again=504 over                | request mute
 ";
 
-/// Second requests on connections that were kept.
+/// Second requests on connections to servers that were kept open.
 pub const REUSED: &str = "
     once=ok idle once=ok        | request ok request ok
     once=ok idle once=502       | request ok forget
@@ -68,7 +80,7 @@
     once=500 idle once=ok       | request failed request ok
 ";
 
-/// Answers that come before the body of the request was read.
+/// Responses that arrive before the server has read the body of the request.
 pub const EARLY: &str = "
     once=ok idle once=ok        | head ok body request ok
     once+long=ok over           | head ok mute
@@ -84,7 +96,7 @@
     stream+long=1,2 idle once=ok over   | head stream event:1 event:2 end mute ; request ok
 ";
 
-/// Streams, and streams that are resumed.
+/// Streams of events that are not resumable, and those that are.
 pub const STREAMS: &str = "
     stream=1,2                  | request stream event:1 event:2 end
     stream=1,2                  | request bare-stream raw:1 raw:2 close
--- a/crates/quillpulley/tests/proxy/timelines.rs
+++ b/crates/quillpulley/tests/proxy/timelines.rs
@@ -1,4 +1,5 @@
-//! The responses to clients, and how often requests execute, when connections to servers fail at every point.
+//! Tests of failures at every point of the connections to servers: which responses the client receives, and
+//! how often its requests execute. The test cases are in `tables.rs`.
 
 use crate::support::client::request;
 use crate::support::message::Message;
@@ -11,21 +12,23 @@
 use std::time::{Duration, Instant};
 use tokio::task::{spawn_local, JoinHandle};
 
-/// Longer than the kernel's buffers hold of a connection that nobody reads.
+/// Number of bytes that exceeds what the kernel buffers for a connection that is not read.
 const LONG_BODY: usize = 8 * 1024 * 1024;
-/// Longer than connections to servers rest.
+/// Longer than the reuse delay of connections to servers, which is 10 ms.
 const REST: Duration = Duration::from_millis(15);
 
-/// A line of a table.
+/// A test case: one line of a table.
 #[derive(Clone, Debug)]
 struct Case {
+    /// The steps of the client.
     client: String,
+    /// The scripts of the servers, in the order of their connections.
     scripts: Vec<String>,
 }
 
 impl Case {
     fn parse(line: &str) -> Case {
-        let (client, scripts) = line.split_once('|').expect("client | servers");
+        let (client, scripts) = line.split_once('|').expect("a line of the form `client | scripts`");
         let scripts = scripts.split(';').map(|script| script.trim().to_string()).collect();
         Case { client: client.trim().to_string(), scripts }
     }
@@ -35,16 +38,17 @@
     table.lines().filter(|line| !line.trim().is_empty()).map(Case::parse).collect()
 }
 
-/// Plays a case. Gives what each request got, or what is wrong whatever was expected.
+/// Runs a case. Returns the result of each request, or an error if the case violates an invariant, whatever
+/// results it expects.
 async fn play(case: Case, faults: Faults) -> Result<Vec<String>, String> {
     let first = "request last".to_string();
     let servers = ScriptedServers::start(std::iter::once(first).chain(case.scripts.clone())).await;
     let seen = servers.seen.clone();
-    // A second request goes to a connection that was kept where there is but one server.
+    // With a single server, a second request reuses the connection of the first one.
     let known = if case.client.contains("idle") { &servers.entries[..1] } else { &servers.entries[..] };
     let proxy = Proxy::start_with_faults("", &served(), known, faults).await;
     let mut client = proxy.client().await;
-    // The budget of a service has no rate before its first request.
+    // The retry budget of a service allows no retries before a request to it has been counted.
     ask(&mut client, &seen, "once", "first", "w").await;
     proxy.agent.until_counted("one").await;
     let mut results = Vec::new();
@@ -76,7 +80,7 @@
     let _ = proxy.ended.await;
     match seen.faults().first() {
         Some(fault) => Err(fault.clone()),
-        None if seen.unplayed() > 0 => Err(format!("{} scripts were not played", seen.unplayed())),
+        None if seen.unplayed() > 0 => Err(format!("{} scripts were not run", seen.unplayed())),
         None => Ok(results),
     }
 }
@@ -94,15 +98,16 @@
     configuration(1, &routes).replace("100000", "100000000")
 }
 
-/// What a client got.
+/// The outcome of a request for its client.
 struct Outcome {
-    /// In the words of the tables.
+    /// The result, as the tables write it.
     text: String,
     head: Message,
-    /// The connection is of no further use.
+    /// Whether the connection cannot be used for another request.
     closed: bool,
 }
 
+/// Sends a request and reads the response, as far as it arrives.
 async fn ask(client: &mut Client, seen: &Seen, route: &str, id: &str, body: &str) -> Outcome {
     client.send(&request(&format!("POST /{route}/x"), id, "", body)).await;
     let Some(mut head) = client.try_head().await else {
@@ -113,7 +118,7 @@
         head.body = client.body(&head).await;
         let text = match (head.status(), head.text() == id) {
             (200, true) => "ok".to_string(),
-            (200, false) => format!("the answer to {}", head.text()),
+            (200, false) => format!("the response to {}", head.text()),
             (status, _) => status.to_string(),
         };
         let closed = head.header("connection") == Some("close");
@@ -138,7 +143,7 @@
     Outcome { text: events.join(","), head, closed }
 }
 
-/// The ids of events; what is no whole event is named so.
+/// Returns the ids of the events in a text. An incomplete event is given as `part of` its id.
 fn numbers_of(text: &str) -> Vec<String> {
     let mut numbers = Vec::new();
     for event in text.split_inclusive("\n\n") {
@@ -149,22 +154,22 @@
     numbers
 }
 
-/// What must hold of every request, whatever happened.
+/// Checks the invariants that hold for every request, whatever the servers do.
 fn check(route: &str, id: &str, outcome: &Outcome, seen: &Seen) -> Result<(), String> {
     let runs = seen.runs_of(id);
     let status = outcome.head.status();
     let ended = outcome.head.first.is_empty();
     let may_repeat = matches!(route, "again" | "brief-again" | "resume");
     if !may_repeat && runs > 1 {
-        return Err(format!("{id} on {route} ran {runs} times"));
+        return Err(format!("{id} on {route} executed {runs} times"));
     }
     if runs > 2 {
-        return Err(format!("{id} on {route} ran on more servers than MaxAttempts"));
+        return Err(format!("{id} on {route} executed on more servers than MaxAttempts allows"));
     }
     if matches!(status, 408 | 421 | 429 | 503) && runs > 0 {
-        return Err(format!("{id} on {route} got {status} although it may have run"));
+        return Err(format!("{id} on {route} got {status} although it may have executed"));
     }
-    if outcome.text.starts_with("the answer to") {
+    if outcome.text.starts_with("the response to") {
         return Err(format!("{id} on {route} got {}", outcome.text));
     }
     let sealed = outcome.head.header("quillpulley-response-seal").is_some();
@@ -172,12 +177,12 @@
         return Err(format!("{id} on {route} got {status}, sealed: {sealed}"));
     }
     if sealed && outcome.head.header("quillpulley-request-id") != Some(id) {
-        return Err(format!("{id} on {route} got the head of another answer"));
+        return Err(format!("{id} on {route} got the head of the response to another request"));
     }
     Ok(())
 }
 
-/// Waits until the reuse delay of connections to servers is over.
+/// Sends requests without a route until the reuse delay of connections to servers has passed.
 async fn rest(client: &mut Client) {
     let begun = Instant::now();
     while begun.elapsed() < REST {
@@ -185,17 +190,18 @@
     }
 }
 
-/// Plays all cases at once.
+/// Runs all cases concurrently.
 async fn play_all(cases: Vec<Case>, faults: Faults) -> Vec<(Case, Result<Vec<String>, String>)> {
     let begin = |case: Case| (case.clone(), spawn_local(play(case, faults)));
     let playing: Vec<(Case, JoinHandle<_>)> = cases.into_iter().map(begin).collect();
     let mut played = Vec::new();
     for (case, playing) in playing {
-        played.push((case, playing.await.expect("the case ends")));
+        played.push((case, playing.await.expect("the case panicked")));
     }
     played
 }
 
+/// Runs all cases of a table, and checks that each has the results that it expects.
 fn assert_outcomes(table: &'static str) {
     run(async move {
         for (case, result) in play_all(cases(table), Faults::default()).await {
@@ -232,7 +238,7 @@
     run(async {
         let faults = Faults { retry_after_reset: true, ..Faults::default() };
         let case = Case::parse("once=502 | request reset ; request ok");
-        assert_eq!(play(case, faults).await, Err("id-0 on once ran 2 times".to_string()));
+        assert_eq!(play(case, faults).await, Err("id-0 on once executed 2 times".to_string()));
         let case = Case::parse("once=502 | request reset ; request declined");
         assert_eq!(play(case, faults).await, Ok(vec!["once=502".to_string()]));
     });
@@ -243,11 +249,11 @@
     run(async {
         let faults = Faults { ignore_response_ids: true, ..Faults::default() };
         let case = Case::parse("once=502 | request other");
-        assert_eq!(play(case, faults).await, Err("id-0 on once got the answer to another".to_string()));
+        assert_eq!(play(case, faults).await, Err("id-0 on once got the response to another".to_string()));
     });
 }
 
-/// Any route, and any two things that servers may do.
+/// A random case: one request to a random route, and scripts with random responses.
 #[derive(Clone, Debug)]
 struct AnyCase(Case);
 
@@ -296,7 +302,7 @@
         let name = *g.choose(&["once", "again", "stream", "resume"]).expect("some");
         let answers: &[&str] = if name.starts_with('s') || name == "resume" { &streams } else { &plain };
         let reading = *g.choose(&["request", "request", "head"]).expect("some");
-        // The last script is played by whatever comes once the others are over.
+        // The last script is for connections that the proxy opens after those of the random scripts.
         let mut script = |reading: &str| format!("{reading} {}", g.choose(answers).expect("some"));
         let scripts = vec![script(reading), script("request"), script("request"), "request ok".to_string()];
         AnyCase(Case { client: format!("{name}=?"), scripts })
@@ -311,7 +317,7 @@
         let seen = failed.clone();
         run(async move {
             for (case, result) in play_all(cases, Faults::default()).await {
-                let wrong = result.err().filter(|error| !error.ends_with("scripts were not played"));
+                let wrong = result.err().filter(|error| !error.ends_with("scripts were not run"));
                 if let Some(error) = wrong {
                     eprintln!("{error}: {case:?}");
                     seen.set(true);
--- a/crates/quillpulley/tests/proxy/upstream_requests.rs
+++ b/crates/quillpulley/tests/proxy/upstream_requests.rs
@@ -1,4 +1,4 @@
-//! What servers receive of a request, with its first attempt and with retries.
+//! Tests of the requests that servers receive, in the first attempt and in retries.
 
 use crate::support::client::request;
 use crate::support::script::ScriptedServers;
@@ -6,12 +6,13 @@
 use quillpulley::proxy::Faults;
 use std::time::{Duration, Instant};
 
-/// So long must pass between two sends for the second one's deadline to be seen to be shorter.
+/// Minimum time between two attempts, so that the deadline of the second is measurably shorter.
 const IDLE_TIME: Duration = Duration::from_millis(20);
 const CLIENTS_DEADLINE: u64 = 3000;
 const ROUTES_TIMEOUT: u64 = 5000;
 
-/// A proxy between two servers and a client, with a route of each kind that may be sent again.
+/// Starts a proxy between a client and two servers, with a route of each kind: not idempotent, idempotent and
+/// resumable.
 async fn start() -> (Proxy, FakeServer, FakeServer, Client) {
     let mut one = FakeServer::start("i-1", "one").await;
     let mut two = FakeServer::start("i-2", "one").await;
@@ -23,7 +24,7 @@
     let routes: Vec<&str> = routes.iter().map(String::as_str).collect();
     let proxy = Proxy::start(&configuration(1, &routes), &[&one, &two]).await;
     let mut client = proxy.client().await;
-    // The budget of a service has no rate before its first request.
+    // The retry budget of a service allows no retries before a request to it has been counted.
     client.send(&request("POST /once/x", "first", "", "work")).await;
     next_call(&mut one, &mut two).await.serve("done").await;
     client.answer().await;
@@ -31,6 +32,7 @@
     (proxy, one, two, client)
 }
 
+/// Waits for the next request, whichever server receives it.
 async fn next_call(one: &mut FakeServer, two: &mut FakeServer) -> Call {
     tokio::select! {
         call = one.call() => call,
@@ -38,7 +40,7 @@
     }
 }
 
-/// Lets some time go by, while other requests are answered.
+/// Sends requests without a route until `IDLE_TIME` has passed.
 async fn pause(proxy: &Proxy) {
     let mut client = proxy.client().await;
     let begun = Instant::now();
@@ -47,7 +49,8 @@
     }
 }
 
-/// Has the first send of a request fail after a while, in the way of its kind. Gives what both servers got.
+/// Sends a request whose first attempt fails, after a pause, with a failure that its route allows to retry.
+/// Returns the requests that the two servers received.
 async fn two_sends(path: &str, headers: &str) -> [Message; 2] {
     let (proxy, mut one, mut two, mut client) = start().await;
     client.send(&request(&format!("POST {path}"), "id-1", headers, "work")).await;
@@ -69,6 +72,7 @@
     [first, second]
 }
 
+/// Returns the deadline that a request carries, in milliseconds.
 fn deadline(sent: &Message) -> u64 {
     let values = sent.all("quillpulley-deadline-ms");
     assert_eq!(values.len(), 1, "{values:?}");
@@ -144,7 +148,7 @@
         }
         seen.received("both");
         pause(&proxy).await;
-        // Nobody can say that the request was not read.
+        // The server may have read the request, so it is not retried.
         assert_eq!(clients[0].ask(&once("id-2")).await.status(), 502);
         assert_eq!(clients[0].ask(&once("id-3")).await.status(), 200);
         assert_eq!(seen.faults(), Vec::<String>::new());
@@ -158,7 +162,7 @@
         let cut = "request stream event:1 until:1 reset".to_string();
         let mut servers =
             ScriptedServers::start([first, cut, "request stream event:2 end".to_string()]).await;
-        // The zone of the others is in no region that is a home.
+        // The zone of the other servers does not belong to the home region of the route.
         servers.entries[1..].iter_mut().for_each(|entry| entry.zone = "elsewhere".to_string());
         let seen = servers.seen.clone();
         let fields = "\"MaxAttempts\":3,\"Resumable\":true,\"HomeRegions\":[\"r\"]";
--- a/crates/quillpulley/tests/proxy_drain_deadline.rs
+++ b/crates/quillpulley/tests/proxy_drain_deadline.rs
@@ -1,13 +1,14 @@
-//! What a proxy that has received SIGTERM still accepts, as timelines.
+//! Tests of `DrainDeadline`: which requests a draining proxy still accepts, and when it exits.
 
 use quickcheck::quickcheck;
 use quillpulley::proxy::shutdown::drain_deadline::DrainDeadline;
 use std::time::Duration;
 
-/// A proxy receives SIGTERM at 1,000 ms and would be killed 8,000 ms later. A column each: when a request comes, the
-/// time-out of its route, the deadline of its client, and whether it is taken.
+/// The proxy receives SIGTERM at 1,000 ms and would receive SIGKILL 8,000 ms later. The columns are the time
+/// at which a request arrives, the timeout of its route, the deadline of its client, and whether it is
+/// accepted. Times are in milliseconds.
 const GRACE_OF_8_S: &str = "
-    came | time-out | deadline | accepted
+    arrived | timeout | deadline | accepted
     1000 |    15000 |    15000 | yes
     3900 |    15000 |    15000 | yes
     3901 |    15000 |    15000 | no
@@ -24,27 +25,27 @@
     9500 |      100 |      100 | no
 ";
 
-/// The same where it would be killed 4,000 ms later.
+/// The same with SIGKILL 4,000 ms after SIGTERM.
 const GRACE_OF_4_S: &str = "
-    came | time-out | deadline | accepted
+    arrived | timeout | deadline | accepted
     2000 |    15000 |    15000 | yes
     2001 |    15000 |    15000 | no
     2001 |     2399 |    15000 | yes
     2001 |     2400 |    15000 | no
 ";
 
-/// The same where it would be killed 1,000 ms later.
+/// The same with SIGKILL 1,000 ms after SIGTERM.
 const GRACE_OF_1_S: &str = "
-    came | time-out | deadline | accepted
+    arrived | timeout | deadline | accepted
     1000 |    15000 |    15000 | yes
     1001 |    15000 |    15000 | no
     1001 |      399 |    15000 | yes
     1001 |    15000 |      400 | no
 ";
 
-/// The same where it is killed at once.
+/// The same with SIGKILL immediately after SIGTERM.
 const NO_GRACE: &str = "
-    came | time-out | deadline | accepted
+    arrived | timeout | deadline | accepted
     1001 |    15000 |        1 | no
 ";
 
@@ -71,7 +72,8 @@
 }
 
 quickcheck! {
-    /// What came later than 3 s after the order to end is over before the process ends, for any grace.
+    /// A request that arrives more than 3 s after SIGTERM and is accepted ends before the process exits, for
+    /// any grace period.
     fn late_requests_are_not_aborted(signalled: u16, grace: u16, came_after: u16, lasts: u16) -> bool {
         let [signalled, grace, came_after, lasts] =
             [signalled, grace, came_after, lasts].map(|time| Duration::from_millis(time.into()));
@@ -81,7 +83,7 @@
         !(late && deadline.accepts(came, due)) || due < deadline.exits_at()
     }
 
-    /// Once a request is refused, none that lasts as long is taken later.
+    /// After a request has been rejected, no later request with the same duration is accepted.
     fn a_rejected_request_stays_rejected(grace: u16, came_after: u16, later: u16, lasts: u16) -> bool {
         let [grace, came_after, later, lasts] =
             [grace, came_after, later, lasts].map(|time| Duration::from_millis(time.into()));
--- a/crates/quillpulley/tests/proxy_event_splitter.rs
+++ b/crates/quillpulley/tests/proxy_event_splitter.rs
@@ -1,10 +1,10 @@
-//! Streams of events, cut at the ends of events.
+//! Tests of `EventSplitter`: a stream is split at the ends of events.
 
 use bytes::Bytes;
 use quickcheck::{quickcheck, Arbitrary, Gen};
 use quillpulley::proxy::streaming::event_splitter::{EventSplitter, Position};
 
-/// A stream of some events with rising ids, and places to cut it at.
+/// A stream of up to seven events with increasing ids, and sorted byte offsets at which it is cut.
 #[derive(Clone, Debug)]
 struct Cuts {
     events: Vec<String>,
@@ -33,6 +33,7 @@
         self.events.concat()
     }
 
+    /// Returns the stream, cut into pieces.
     fn pieces(&self) -> Vec<String> {
         let text = self.text();
         let ends = self.places.iter().copied().chain([text.len()]);
@@ -46,7 +47,7 @@
 }
 
 quickcheck! {
-    /// However the bytes come, all of them are forwarded, and only whole events before the end.
+    /// Wherever the stream is cut, all of its bytes are forwarded, and only complete events before the end.
     fn chunks_give_complete_events(cuts: Cuts) -> bool {
         let mut splitter = EventSplitter::new(None);
         let mut passed = String::new();
@@ -61,7 +62,8 @@
         passed == cuts.text()
     }
 
-    /// Cut anywhere and resumed after the last whole event, each event is forwarded once.
+    /// If the stream breaks anywhere and is resumed after the last complete event, each event is forwarded
+    /// once.
     fn a_stream_resumes_after_the_last_complete_event(cuts: Cuts) -> bool {
         cuts.places.iter().all(|place| {
             let mut splitter = EventSplitter::new(None);
--- a/crates/quillpulley/tests/proxy_lifecycle.rs
+++ b/crates/quillpulley/tests/proxy_lifecycle.rs
@@ -1,10 +1,11 @@
-//! When a proxy accepts clients, as timelines.
+//! Tests of `Lifecycle`: which state a proxy publishes and when it is ready.
 
 use quillpulley::proxy::shutdown::lifecycle::{startup_retry_after, Event, Lifecycle};
 use quillpulley_protocol::EndpointState;
 use std::time::Duration;
 
-/// Each line: what happens at which millisecond, the millisecond at which it is looked at, and the state.
+/// The columns are events, each after its time, the time at which the state is read, and the expected state.
+/// Times are in milliseconds since the start of the process.
 const TIMELINES: &str = "
                                  |    0 | starting
     100 configuration            |  100 | starting
@@ -43,7 +44,7 @@
         "configuration" => Event::ConfigurationKnown,
         "fresh" => Event::Fresh,
         "stop" => Event::Drain,
-        _ => panic!("no event: {word}"),
+        _ => panic!("unknown event: {word}"),
     }
 }
 
@@ -61,8 +62,8 @@
     assert_eq!([0, 300, 600, 1_600, 10_000].map(after_ms), [1_600, 1_300, 1_000, 1_000, 1_000]);
 }
 
-/// What the control plane and the operator may do to a proxy, however often: restarts of the agent, of its parents and
-/// of all control nodes end in one of these events.
+/// All events. Every action of the control plane or of an operator, including restarts of the agent, of its
+/// parents and of all control nodes, reaches the lifecycle as one of them.
 const EVENTS: [Event; 3] = [Event::ConfigurationKnown, Event::Fresh, Event::Drain];
 
 quickcheck::quickcheck! {
--- a/crates/quillpulley/tests/proxy_retry_state.rs
+++ b/crates/quillpulley/tests/proxy_retry_state.rs
@@ -1,9 +1,11 @@
-//! The attempts of one request, as timelines: events and the resulting actions.
+//! Tests of `RetryState`: whether a request is sent again, and which final response its client gets.
 
 use quickcheck::{quickcheck, Arbitrary, Gen};
 use quillpulley::proxy::retry::retry_state::{Event, FinalResponse, RetryPolicy, RetryState, Step};
 
-/// Each line: the rules (`once` or `again`, with the attempts), the events, and how it ends (`-`: not yet).
+/// The columns are the retry policy, the events, and the final response. In a policy, `once` is a request
+/// that is not idempotent and `again` one that is, each with its maximum number of attempts. `-` means that
+/// the request has no final response yet.
 const TIMELINES: &str = "
     once  1 | send answer                                       | served
     once  1 | unplaced                                          | refused
@@ -51,7 +53,7 @@
         "broken" => vec![Event::ConnectionBroken],
         "failed" => vec![Event::UpstreamFailed],
         "time-up" => vec![Event::DeadlineReached],
-        _ => panic!("no event: {word}"),
+        _ => panic!("unknown event: {word}"),
     }
 }
 
@@ -68,7 +70,7 @@
 }
 
 fn rules(words: &str) -> RetryPolicy {
-    let (kind, attempts) = words.trim().split_once(' ').expect("a kind and a number");
+    let (kind, attempts) = words.trim().split_once(' ').expect("`once` or `again`, and a number of attempts");
     RetryPolicy {
         is_idempotent: kind == "again",
         max_attempts: attempts.trim().parse().expect("a number"),
@@ -83,7 +85,7 @@
         let mut attempts = RetryState::new(rules(columns[0]));
         let mut ending = None;
         for event in columns[1].split_whitespace().flat_map(events) {
-            assert_eq!(ending, None, "ended early: {line}");
+            assert_eq!(ending, None, "events follow the final response: {line}");
             if let Step::Finish(end) = attempts.handle(event) {
                 ending = Some(end);
             }
@@ -92,7 +94,7 @@
     }
 }
 
-/// What may come of a send.
+/// An event that ends an attempt without a response to forward.
 #[derive(Clone, Copy, Debug)]
 struct Result(Event);
 
@@ -110,7 +112,8 @@
     }
 }
 
-/// Whether a request is not sent again once it may have run, nor is said not to have.
+/// Returns whether a request is not sent again after it may have executed, and its client gets no response
+/// which promises that it has not.
 fn runs_once(rules: RetryPolicy, results: &[Result]) -> bool {
     let mut attempts = RetryState::new(rules);
     let mut may_have_run = false;
@@ -136,14 +139,15 @@
 }
 
 quickcheck! {
-    /// Whatever happens: what may not be repeated is not sent again once it may have run, and then no answer
+    /// A request that is not idempotent is not sent again after it may have executed, and then no response
     /// promises that it has not.
     fn nothing_runs_twice(results: Vec<Result>, max_attempts: u8) -> bool {
         let rules = RetryPolicy { is_idempotent: false, max_attempts: u32::from(max_attempts), retries_after_reset: false };
         runs_once(rules, &results)
     }
 
-    /// No more sends than the route allows beside those that reached no server's work, and no more than four.
+    /// A request is sent at most four times. Sends that reach the intended server are at most the attempts
+    /// that the route allows.
     fn sends_are_bounded(results: Vec<Result>, max_attempts: u8, is_idempotent: bool) -> bool {
         let max_attempts = u32::from(max_attempts).max(1);
         let mut attempts = RetryState::new(RetryPolicy { is_idempotent, max_attempts, retries_after_reset: false });
