--- a/crates/quillpulley/tests/proxy_drain_deadline.rs
+++ b/crates/quillpulley/tests/proxy_drain_deadline.rs
@@ -8,45 +8,45 @@
 /// at which a request arrives, the timeout of its route, the deadline of its client, and whether it is
 /// accepted. Times are in milliseconds.
 const GRACE_OF_8_S: &str = "
-    arrived | timeout | deadline | accepted
-    1000 |    15000 |    15000 | yes
-    3900 |    15000 |    15000 | yes
-    3901 |    15000 |    15000 | no
-    3901 |     4499 |    15000 | yes
-    3901 |     4500 |    15000 | no
-    3901 |    15000 |     4499 | yes
-    3901 |    15000 |     4500 | no
-    6400 |     3000 |     3000 | no
-    5400 |     3000 |     3000 | yes
-    8300 |      100 |    15000 | yes
-    8301 |      100 |    15000 | no
-    8399 |    15000 |        1 | yes
-    8400 |    15000 |        1 | no
-    9500 |      100 |      100 | no
+    arrived |  timeout | deadline | accepted
+       1000 |    15000 |    15000 | yes
+       3900 |    15000 |    15000 | yes
+       3901 |    15000 |    15000 | no
+       3901 |     4499 |    15000 | yes
+       3901 |     4500 |    15000 | no
+       3901 |    15000 |     4499 | yes
+       3901 |    15000 |     4500 | no
+       6400 |     3000 |     3000 | no
+       5400 |     3000 |     3000 | yes
+       8300 |      100 |    15000 | yes
+       8301 |      100 |    15000 | no
+       8399 |    15000 |        1 | yes
+       8400 |    15000 |        1 | no
+       9500 |      100 |      100 | no
 ";
 
 /// The same with SIGKILL 4,000 ms after SIGTERM.
 const GRACE_OF_4_S: &str = "
-    arrived | timeout | deadline | accepted
-    2000 |    15000 |    15000 | yes
-    2001 |    15000 |    15000 | no
-    2001 |     2399 |    15000 | yes
-    2001 |     2400 |    15000 | no
+    arrived |  timeout | deadline | accepted
+       2000 |    15000 |    15000 | yes
+       2001 |    15000 |    15000 | no
+       2001 |     2399 |    15000 | yes
+       2001 |     2400 |    15000 | no
 ";
 
 /// The same with SIGKILL 1,000 ms after SIGTERM.
 const GRACE_OF_1_S: &str = "
-    arrived | timeout | deadline | accepted
-    1000 |    15000 |    15000 | yes
-    1001 |    15000 |    15000 | no
-    1001 |      399 |    15000 | yes
-    1001 |    15000 |      400 | no
+    arrived |  timeout | deadline | accepted
+       1000 |    15000 |    15000 | yes
+       1001 |    15000 |    15000 | no
+       1001 |      399 |    15000 | yes
+       1001 |    15000 |      400 | no
 ";
 
 /// The same with SIGKILL immediately after SIGTERM.
 const NO_GRACE: &str = "
-    arrived | timeout | deadline | accepted
-    1001 |    15000 |        1 | no
+    arrived |  timeout | deadline | accepted
+       1001 |    15000 |        1 | no
 ";
 
 const SIGNALLED: Duration = Duration::from_millis(1_000);
--- a/crates/quillpulley/tests/proxy_retry_state.rs
+++ b/crates/quillpulley/tests/proxy_retry_state.rs
@@ -94,7 +94,7 @@
     }
 }
 
-/// An event that ends an attempt without a response to forward.
+/// An event that ends an attempt without a successful response.
 #[derive(Clone, Copy, Debug)]
 struct Result(Event);
 
