--- a/crates/quillpulley/tests/proxy/limits.rs
+++ b/crates/quillpulley/tests/proxy/limits.rs
@@ -16,7 +16,8 @@
         let (proxy, _one) = start().await;
         for headers in ["", "Quillpulley-Request-Id: a\r\nQuillpulley-Request-Id: b\r\n"] {
             let mut client = proxy.client().await;
-            let answer = client.ask(&format!("GET /a/b HTTP/1.1\r\nHost: h.example\r\n{headers}\r\n")).await;
+            let answer =
+                client.fetch(&format!("GET /a/b HTTP/1.1\r\nHost: h.example\r\n{headers}\r\n")).await;
             assert_eq!(answer.status(), 400);
         }
     });
@@ -27,18 +28,18 @@
     run(async {
         let (proxy, _one) = start().await;
         let long = format!("X-Long: {}\r\n", "x".repeat(17_000));
-        let answer = proxy.client().await.ask(&request("GET /a/b", "id-1", &long, "")).await;
+        let answer = proxy.client().await.fetch(&request("GET /a/b", "id-1", &long, "")).await;
         assert_eq!(answer.status(), 431);
 
         let too_long = "Content-Length: 100001\r\n";
-        let answer = proxy.client().await.ask(&request("POST /a/b", "id-2", too_long, "")).await;
+        let answer = proxy.client().await.fetch(&request("POST /a/b", "id-2", too_long, "")).await;
         assert_eq!(answer.status(), 413);
 
         let mut client = proxy.client().await;
         client.send(&request("POST /a/b", "id-3", "Transfer-Encoding: chunked\r\n", "")).await;
         let chunk = "x".repeat(60_000);
         client.send(&format!("{:x}\r\n{chunk}\r\n{:x}\r\n{chunk}\r\n0\r\n\r\n", 60_000, 60_000)).await;
-        assert_eq!(client.answer().await.status(), 413);
+        assert_eq!(client.read_response().await.status(), 413);
         assert!(client.is_closed().await);
     });
 }
@@ -52,10 +53,10 @@
         client.send(&request("POST /a/b", "id-1", both, "")).await;
         client.send("4\r\nbody\r\n0\r\n\r\n").await;
         client.send(&request("GET /a/smuggled", "id-2", "", "")).await;
-        let call = one.call().await;
+        let call = one.next_call().await;
         assert_eq!(call.request.text(), "body");
-        call.serve("ok").await;
-        assert_eq!(client.answer().await.status(), 200);
+        call.respond_ok("ok").await;
+        assert_eq!(client.read_response().await.status(), 200);
         assert!(client.is_closed().await);
         assert!(!one.has_call());
     });
@@ -67,11 +68,11 @@
         let (proxy, mut one) = start().await;
         let mut client = proxy.client().await;
         client.send(&request("GET /a/b", "id-1", "", "")).await;
-        let call = one.call().await;
-        let answer = proxy.client().await.ask(&request("GET /a/b", "id-1", "", "")).await;
+        let call = one.next_call().await;
+        let answer = proxy.client().await.fetch(&request("GET /a/b", "id-1", "", "")).await;
         assert_eq!(answer.status(), 503);
-        call.serve("ok").await;
-        assert_eq!(client.answer().await.status(), 200);
+        call.respond_ok("ok").await;
+        assert_eq!(client.read_response().await.status(), 200);
         assert!(!one.has_call());
     });
 }
@@ -80,7 +81,7 @@
 fn requests_before_any_configuration_are_rejected() {
     run(async {
         let proxy = Proxy::start_unready("").await;
-        let answer = proxy.client().await.ask(&request("GET /a/b", "id-1", "", "")).await;
+        let answer = proxy.client().await.fetch(&request("GET /a/b", "id-1", "", "")).await;
         assert_eq!(answer.status(), 503);
         // `proxy_lifecycle.rs` tests the exact value, which depends on how long the proxy has run.
         let retry_after: f64 = answer.header("retry-after").expect("advice").parse().expect("a number");
@@ -100,9 +101,9 @@
             let mut client = proxy.client().await;
             client.send(&request("GET /a/b", &format!("id-{}", served.len()), "", "")).await;
             tokio::select! {
-                call = one.call() => served.push((client, call)),
+                call = one.next_call() => served.push((client, call)),
                 // The first requests may be rejected before the proxy knows the server.
-                answer = client.answer() => if !served.is_empty() { break answer },
+                answer = client.read_response() => if !served.is_empty() { break answer },
             }
         };
         assert_eq!(refused.status(), 503);
@@ -113,10 +114,10 @@
         let mut waiting = proxy.client().await;
         waiting.send(&request("GET /a/b", "id-waits", "", "")).await;
         let (mut client, call) = served.remove(0);
-        call.serve("first").await;
-        assert_eq!(client.answer().await.text(), "first");
-        one.call().await.serve("second").await;
-        assert_eq!(waiting.answer().await.text(), "second");
+        call.respond_ok("first").await;
+        assert_eq!(client.read_response().await.text(), "first");
+        one.next_call().await.respond_ok("second").await;
+        assert_eq!(waiting.read_response().await.text(), "second");
     });
 }
 
@@ -131,26 +132,26 @@
             let mut client = proxy.client().await;
             client.send(&request("GET /a/b", &format!("id-{}", served.len()), "", "")).await;
             tokio::select! {
-                call = one.call() => served.push((client, call)),
-                _ = client.answer() => if !served.is_empty() { break },
+                call = one.next_call() => served.push((client, call)),
+                _ = client.read_response() => if !served.is_empty() { break },
             }
         }
         let mut waiting = proxy.client().await;
         waiting.send(&request("GET /a/b", "id-waits", "", "")).await;
         // A duplicate is rejected, because the request with this id is open.
-        let copy = proxy.client().await.ask(&request("GET /a/b", "id-waits", "", "")).await;
+        let copy = proxy.client().await.fetch(&request("GET /a/b", "id-waits", "", "")).await;
         assert_eq!(copy.status(), 503);
         drop(waiting);
         for (mut client, call) in served {
-            call.serve("ok").await;
-            assert_eq!(client.answer().await.status(), 200);
+            call.respond_ok("ok").await;
+            assert_eq!(client.read_response().await.status(), 200);
         }
         let mut last = proxy.client().await;
         last.send(&request("GET /a/b", "id-last", "", "")).await;
-        let call = one.call().await;
+        let call = one.next_call().await;
         assert_eq!(call.id(), "id-last");
-        call.serve("ok").await;
-        assert_eq!(last.answer().await.status(), 200);
+        call.respond_ok("ok").await;
+        assert_eq!(last.read_response().await.status(), 200);
         assert!(!one.has_call());
     });
 }
@@ -165,10 +166,10 @@
         drop(leaving);
         let mut last = proxy.client().await;
         last.send(&request("GET /a/b", "id-last", "", "")).await;
-        let call = one.call().await;
+        let call = one.next_call().await;
         assert_eq!(call.id(), "id-last");
-        call.serve("ok").await;
-        assert_eq!(last.answer().await.status(), 200);
+        call.respond_ok("ok").await;
+        assert_eq!(last.read_response().await.status(), 200);
         assert!(!one.has_call());
     });
 }
@@ -182,7 +183,7 @@
         let mut client = proxy.client().await;
         client.send(&request("POST /a/b", "id-1", "Content-Length: 10\r\n", "")).await;
         client.send("half").await;
-        assert_eq!(client.answer().await.status(), 408);
+        assert_eq!(client.read_response().await.status(), 408);
         assert!(!one.has_call());
     });
 }
--- a/crates/quillpulley/tests/proxy/preferred_regions.rs
+++ b/crates/quillpulley/tests/proxy/preferred_regions.rs
@@ -28,7 +28,7 @@
         let proxy = Proxy::start(&configuration(1, &[&bound, &free, &elsewhere]), &[]).await;
         let _others = send(&proxy, "g.example", "/all/", 30).await;
         let _counted = send(&proxy, "h.example", "/bound/", 25).await;
-        proxy.agent.until(|endpoint| !endpoint.preferred_regions.is_empty()).await;
+        proxy.agent.wait_for_endpoint(|endpoint| !endpoint.preferred_regions.is_empty()).await;
         assert_eq!(proxy.agent.endpoint().expect("a front").preferred_regions, ["west"]);
     });
 }
--- a/crates/quillpulley/tests/proxy/process_lifecycle.rs
+++ b/crates/quillpulley/tests/proxy/process_lifecycle.rs
@@ -9,13 +9,13 @@
 fn it_is_ready_once_a_configuration_is_active() {
     run(async {
         let proxy = Proxy::start_unready("").await;
-        proxy.agent.until_endpoint(EndpointState::Starting).await;
+        proxy.agent.wait_for_state(EndpointState::Starting).await;
         assert_eq!(proxy.ready_status().await, 503);
         proxy.agent.publish_configuration(&configuration(1, &[&route("a", "idempotent", "")]));
-        proxy.agent.until_ready().await;
+        proxy.agent.wait_for_ready().await;
         assert_eq!(proxy.ready_status().await, 200);
         let endpoint = proxy.agent.endpoint().expect("a front");
-        assert_eq!((endpoint.name.as_str(), endpoint.address), ("front-1", proxy.endpoint.to_string()));
+        assert_eq!((endpoint.name.as_str(), endpoint.address), ("front-1", proxy.client_address.to_string()));
     });
 }
 
@@ -27,8 +27,8 @@
         let mut client = proxy.client().await;
         proxy.agent.kill().await;
         client.send(&request("GET /a/b", "id-1", "", "")).await;
-        one.call().await.serve("ok").await;
-        assert_eq!(client.answer().await.status(), 200);
+        one.next_call().await.respond_ok("ok").await;
+        assert_eq!(client.read_response().await.status(), 200);
     });
 }
 
@@ -43,15 +43,15 @@
         let mut client = proxy.client().await;
         proxy.agent.publish_configuration(&configuration(7, &[&to_two]));
         // Until the new configuration is active, requests are routed by the previous one.
-        let mut asked = 0;
+        let mut request_count = 0;
         loop {
-            asked += 1;
-            client.send(&request("GET /a/b", &format!("id-{asked}"), "", "")).await;
+            request_count += 1;
+            client.send(&request("GET /a/b", &format!("id-{request_count}"), "", "")).await;
             let by_two = tokio::select! {
-                call = one.call() => { call.serve("one").await; false }
-                call = two.call() => { call.serve("two").await; true }
+                call = one.next_call() => { call.respond_ok("one").await; false }
+                call = two.next_call() => { call.respond_ok("two").await; true }
             };
-            client.answer().await;
+            client.read_response().await;
             if by_two {
                 break;
             }
@@ -63,10 +63,10 @@
             8,
             &[&to_two, &route("b", "idempotent", "\"Service\":\"none\"")],
         ));
-        while client.ask(&request("GET /b/b", "probe", "", "")).await.status() == 404 {}
+        while client.fetch(&request("GET /b/b", "probe", "", "")).await.status() == 404 {}
         client.send(&request("GET /a/b", "id-last", "", "")).await;
-        two.call().await.serve("two").await;
-        assert_eq!(client.answer().await.text(), "two");
+        two.next_call().await.respond_ok("two").await;
+        assert_eq!(client.read_response().await.text(), "two");
     });
 }
 
@@ -75,27 +75,27 @@
     run(async {
         let mut one = FakeServer::start("i-1", "one").await;
         let configuration = configuration(1, &[&route("a", "idempotent", "")]);
-        let proxy = Proxy::start_with("GraceS = 4", &configuration, &[&one]).await;
+        let proxy = Proxy::start_with_bounds("GraceS = 4", &configuration, &[&one]).await;
         let mut idle = proxy.client().await;
         let mut busy = proxy.client().await;
         busy.send(&request("GET /a/b", "id-1", "", "")).await;
-        let call = one.call().await;
+        let call = one.next_call().await;
 
-        proxy.commands.send(ProcessSignal::Shutdown).expect("the proxy runs");
-        proxy.agent.until_endpoint(EndpointState::Draining).await;
+        proxy.signals.send(ProcessSignal::Shutdown).expect("the proxy runs");
+        proxy.agent.wait_for_state(EndpointState::Draining).await;
         assert_eq!(proxy.ready_status().await, 503);
         for (number, client) in [&mut idle, &mut proxy.client().await].into_iter().enumerate() {
             client.send(&request("GET /a/b", &format!("late-{number}"), "", "")).await;
-            one.call().await.serve("late").await;
-            let answer = client.answer().await;
+            one.next_call().await.respond_ok("late").await;
+            let answer = client.read_response().await;
             assert_eq!(answer.text(), "late");
             assert_eq!(answer.header("connection"), Some("close"));
             assert!(client.is_closed().await);
         }
-        assert!(!proxy.ended.is_finished());
-        call.serve("finished").await;
-        assert_eq!(busy.answer().await.text(), "finished");
-        proxy.ended.await.expect("the proxy exits on its own");
+        assert!(!proxy.process.is_finished());
+        call.respond_ok("finished").await;
+        assert_eq!(busy.read_response().await.text(), "finished");
+        proxy.process.await.expect("the proxy exits on its own");
     });
 }
 
@@ -106,10 +106,10 @@
         let proxy = Proxy::start(&configuration(1, &[&route("a", "idempotent", "")]), &[&one]).await;
         let mut client = proxy.client().await;
         client.send(&request("GET /a/b", "id-1", "", "")).await;
-        let call = one.call().await;
-        proxy.commands.send(ProcessSignal::Reload).expect("the proxy runs");
-        call.serve("ok").await;
-        assert_eq!(client.answer().await.text(), "ok");
+        let call = one.next_call().await;
+        proxy.signals.send(ProcessSignal::Reload).expect("the proxy runs");
+        call.respond_ok("ok").await;
+        assert_eq!(client.read_response().await.text(), "ok");
     });
 }
 
@@ -118,13 +118,13 @@
     run(async {
         let mut one = FakeServer::start("i-1", "one").await;
         let configuration = configuration(1, &[&route("a", "non_idempotent", "")]);
-        let proxy = Proxy::start_with("GraceS = 3", &configuration, &[&one]).await;
-        proxy.commands.send(ProcessSignal::Shutdown).expect("the proxy runs");
-        proxy.agent.until_endpoint(EndpointState::Draining).await;
+        let proxy = Proxy::start_with_bounds("GraceS = 3", &configuration, &[&one]).await;
+        proxy.signals.send(ProcessSignal::Shutdown).expect("the proxy runs");
+        proxy.agent.wait_for_state(EndpointState::Draining).await;
 
         // The timeout of the route ends after the process exits, so the request is not forwarded.
         let mut client = proxy.client().await;
-        let answer = client.ask(&request("POST /a/b", "long", "", "work")).await;
+        let answer = client.fetch(&request("POST /a/b", "long", "", "work")).await;
         assert_eq!(answer.status(), 503);
         assert_eq!(answer.header("retry-after"), Some("0.000"));
         assert_eq!(answer.header("connection"), Some("close"));
@@ -133,9 +133,9 @@
 
         let mut client = proxy.client().await;
         client.send(&request("POST /a/b", "short", "Quillpulley-Deadline-Ms: 500\r\n", "work")).await;
-        one.call().await.serve("in time").await;
-        assert_eq!(client.answer().await.text(), "in time");
-        proxy.ended.await.expect("the proxy exits on its own");
+        one.next_call().await.respond_ok("in time").await;
+        assert_eq!(client.read_response().await.text(), "in time");
+        proxy.process.await.expect("the proxy exits on its own");
     });
 }
 
@@ -144,15 +144,15 @@
     run(async {
         let mut one = FakeServer::start("i-1", "one").await;
         let configuration = configuration(1, &[&route("a", "non_idempotent", "\"TimeoutMs\":60000")]);
-        let proxy = Proxy::start_with("GraceS = 1", &configuration, &[&one]).await;
+        let proxy = Proxy::start_with_bounds("GraceS = 1", &configuration, &[&one]).await;
         let mut silent = proxy.client().await;
         silent.send(&request("POST /a/b", "silent", "", "work")).await;
-        let call = one.call().await;
-        proxy.commands.send(ProcessSignal::Shutdown).expect("the proxy runs");
+        let call = one.next_call().await;
+        proxy.signals.send(ProcessSignal::Shutdown).expect("the proxy runs");
         // The request may have executed, so the response must not promise that it has not.
-        assert_eq!(silent.answer().await.status(), 504);
-        call.left().await;
-        proxy.ended.await.expect("the proxy exits on its own");
+        assert_eq!(silent.read_response().await.status(), 504);
+        call.wait_until_closed().await;
+        proxy.process.await.expect("the proxy exits on its own");
     });
 }
 
@@ -163,12 +163,12 @@
         let proxy = Proxy::start(&configuration(1, &[&route("a", "idempotent", "")]), &[&one]).await;
         let mut client = proxy.client().await;
         let unknown = |number: usize| request("GET /new/x", &format!("unknown-{number}"), "", "");
-        assert_eq!(client.ask(&unknown(0)).await.status(), 404);
+        assert_eq!(client.fetch(&unknown(0)).await.status(), 404);
         proxy.agent.kill().await;
-        let mut asked = 0;
+        let mut request_count = 0;
         let refusal = loop {
-            asked += 1;
-            let answer = client.ask(&unknown(asked)).await;
+            request_count += 1;
+            let answer = client.fetch(&unknown(request_count)).await;
             if answer.status() != 404 {
                 break answer;
             }
@@ -176,8 +176,8 @@
         assert_eq!(refusal.status(), 503);
         assert_eq!(refusal.header("retry-after"), Some("0.500"));
         client.send(&request("GET /a/b", "known", "", "")).await;
-        one.call().await.serve("ok").await;
-        assert_eq!(client.answer().await.status(), 200);
+        one.next_call().await.respond_ok("ok").await;
+        assert_eq!(client.read_response().await.status(), 200);
     });
 }
 
@@ -190,16 +190,16 @@
         let proxy = Proxy::start(&configuration(1, &[&routes[0], &routes[1]]), &[&one]).await;
         let mut plain = proxy.client().await;
         plain.send(&request("POST /a/b", "plain", "", "work")).await;
-        let plain_call = one.call().await;
+        let plain_call = one.next_call().await;
         let mut streamed = proxy.client().await;
         streamed.send(&request("POST /s/b", "streamed", "", "work")).await;
-        let mut stream_call = one.call().await;
+        let mut stream_call = one.next_call().await;
         stream_call.begin_stream().await;
-        assert_eq!(streamed.head().await.status(), 200);
+        assert_eq!(streamed.read_head().await.status(), 200);
         let mut idle = proxy.client().await;
         idle.send(&request("POST /a/b", "idle", "", "work")).await;
-        one.call().await.serve("ok").await;
-        assert_eq!(idle.answer().await.status(), 200);
+        one.next_call().await.respond_ok("ok").await;
+        assert_eq!(idle.read_response().await.status(), 200);
 
         // The new configuration removes one route, gives the other another service and a timeout of 1 ms, and
         // sets the idle timeout of client connections to 1 ms.
@@ -209,11 +209,11 @@
         proxy.agent.publish_configuration(&least_idle);
         assert!(idle.is_closed().await);
 
-        plain_call.serve("done").await;
-        assert_eq!(plain.answer().await.text(), "done");
-        stream_call.chunk("id: 1\ndata: a\n\n").await;
-        assert!(streamed.chunk().await.is_some());
+        plain_call.respond_ok("done").await;
+        assert_eq!(plain.read_response().await.text(), "done");
+        stream_call.write_chunk("id: 1\ndata: a\n\n").await;
+        assert!(streamed.read_chunk().await.is_some());
         stream_call.end_stream().await;
-        assert_eq!(streamed.chunk().await, None);
+        assert_eq!(streamed.read_chunk().await, None);
     });
 }
--- a/crates/quillpulley/tests/proxy/routing.rs
+++ b/crates/quillpulley/tests/proxy/routing.rs
@@ -15,16 +15,16 @@
         let mut client = proxy.client().await;
 
         client.send(&request("GET /a/b/c?q=1", "id-1", "", "")).await;
-        let call = two.call().await;
-        assert_eq!(call.request.first, "GET /a/b/c?q=1 HTTP/1.1");
-        call.serve("from two").await;
-        assert_eq!(client.answer().await.text(), "from two");
+        let call = two.next_call().await;
+        assert_eq!(call.request.first_line, "GET /a/b/c?q=1 HTTP/1.1");
+        call.respond_ok("from two").await;
+        assert_eq!(client.read_response().await.text(), "from two");
 
         client.send(&request("GET /a/c", "id-2", "", "")).await;
-        one.call().await.serve("from one").await;
-        assert_eq!(client.answer().await.text(), "from one");
+        one.next_call().await.respond_ok("from one").await;
+        assert_eq!(client.read_response().await.text(), "from one");
 
-        assert_eq!(client.ask(&request("GET /c/", "id-3", "", "")).await.status(), 404);
+        assert_eq!(client.fetch(&request("GET /c/", "id-3", "", "")).await.status(), 404);
     });
 }
 
@@ -39,7 +39,7 @@
                        Keep-Alive: timeout=3\r\n";
         client.send(&request("POST /a/b", "id-1", headers, "the body")).await;
 
-        let call = one.call().await;
+        let call = one.next_call().await;
         let header = |name| call.request.header(name);
         assert_eq!(header("host"), Some("h.example"));
         assert_eq!(header("quillpulley-request-id"), Some("id-1"));
@@ -51,8 +51,8 @@
         assert!((1..4000).contains(&left), "{left} ms");
         assert_eq!(call.request.text(), "the body");
 
-        call.answer("201 Created", "Quillpulley-Response-Seal: s1\r\nX-Answer: yes\r\n", "done").await;
-        let answer = client.answer().await;
+        call.respond("201 Created", "Quillpulley-Response-Seal: s1\r\nX-Answer: yes\r\n", "done").await;
+        let answer = client.read_response().await;
         assert_eq!(answer.status(), 201);
         assert_eq!(answer.header("quillpulley-response-seal"), Some("s1"));
         assert_eq!(answer.header("quillpulley-request-id"), Some("id-1"));
@@ -69,10 +69,10 @@
         let mut client = proxy.client().await;
         client.send(&request("POST /a/b", "id-1", "Transfer-Encoding: chunked\r\n", "")).await;
         client.send("4\r\nthe \r\n4\r\nbody\r\n0\r\n\r\n").await;
-        let call = one.call().await;
+        let call = one.next_call().await;
         assert_eq!(call.request.text(), "the body");
-        call.serve("ok").await;
-        assert_eq!(client.answer().await.status(), 200);
+        call.respond_ok("ok").await;
+        assert_eq!(client.read_response().await.status(), 200);
     });
 }
 
@@ -84,8 +84,8 @@
         let mut client = proxy.client().await;
         for number in 0..3 {
             client.send(&request("GET /a/b", &format!("id-{number}"), "", "")).await;
-            one.call().await.serve("ok").await;
-            assert_eq!(client.answer().await.status(), 200);
+            one.next_call().await.respond_ok("ok").await;
+            assert_eq!(client.read_response().await.status(), 200);
         }
     });
 }
--- a/crates/quillpulley/tests/proxy/streams.rs
+++ b/crates/quillpulley/tests/proxy/streams.rs
@@ -15,7 +15,7 @@
 }
 
 /// Sends a request on a new connection.
-async fn asked(proxy: &Proxy, path: &str, headers: &str) -> Client {
+async fn send_request(proxy: &Proxy, path: &str, headers: &str) -> Client {
     let mut client = proxy.client().await;
     client.send(&request(&format!("POST {path}"), "id-1", headers, "prompt")).await;
     client
@@ -24,8 +24,8 @@
 /// Waits for the next request, whichever server receives it.
 async fn next_call(one: &mut FakeServer, two: &mut FakeServer) -> crate::support::Call {
     tokio::select! {
-        call = one.call() => call,
-        call = two.call() => call,
+        call = one.next_call() => call,
+        call = two.next_call() => call,
     }
 }
 
@@ -33,20 +33,20 @@
 fn events_are_passed_on_as_they_come() {
     run(async {
         let (proxy, mut one, mut two) = start().await;
-        let mut client = asked(&proxy, "/s/x", "").await;
+        let mut client = send_request(&proxy, "/s/x", "").await;
         let mut call = next_call(&mut one, &mut two).await;
         call.begin_stream().await;
-        let head = client.head().await;
+        let head = client.read_head().await;
         assert_eq!(head.status(), 200);
         assert_eq!(head.header("quillpulley-response-seal"), Some("seal"));
         assert_eq!(head.header("content-type"), Some("text/event-stream"));
         // The stream is not resumable, so incomplete events are forwarded too.
         for piece in ["id: 1\nda", "ta: a\n\n", "id: 2\ndata: b\n\n"] {
-            call.chunk(piece).await;
-            assert_eq!(client.chunk().await.as_deref(), Some(piece));
+            call.write_chunk(piece).await;
+            assert_eq!(client.read_chunk().await.as_deref(), Some(piece));
         }
         call.end_stream().await;
-        assert_eq!(client.chunk().await, None);
+        assert_eq!(client.read_chunk().await, None);
     });
 }
 
@@ -54,14 +54,14 @@
 fn a_stream_that_its_server_breaks_off_does_not_look_complete() {
     run(async {
         let (proxy, mut one, mut two) = start().await;
-        let mut client = asked(&proxy, "/s/x", "").await;
+        let mut client = send_request(&proxy, "/s/x", "").await;
         let mut call = next_call(&mut one, &mut two).await;
         call.begin_stream().await;
-        call.chunk("id: 1\ndata: a\n\n").await;
-        client.head().await;
-        client.chunk().await;
+        call.write_chunk("id: 1\ndata: a\n\n").await;
+        client.read_head().await;
+        client.read_chunk().await;
         call.close();
-        assert!(client.breaks_off().await);
+        assert!(client.is_truncated().await);
         assert!(!one.has_call() && !two.has_call());
     });
 }
@@ -71,18 +71,18 @@
     run(async {
         let (proxy, mut one, mut two) = start().await;
         for path in ["/s/x", "/r/x"] {
-            let mut client = asked(&proxy, path, "").await;
+            let mut client = send_request(&proxy, path, "").await;
             let mut call = next_call(&mut one, &mut two).await;
             call.begin_stream().await;
-            call.chunk("id: 1\ndata: a\n\n").await;
-            client.head().await;
+            call.write_chunk("id: 1\ndata: a\n\n").await;
+            client.read_head().await;
             drop(client);
-            call.left().await;
+            call.wait_until_closed().await;
         }
-        let client = asked(&proxy, "/s/x", "").await;
+        let client = send_request(&proxy, "/s/x", "").await;
         let call = next_call(&mut one, &mut two).await;
         drop(client);
-        call.left().await;
+        call.wait_until_closed().await;
     });
 }
 
@@ -90,14 +90,14 @@
 fn a_resumable_stream_goes_on_at_another_server() {
     run(async {
         let (proxy, mut one, mut two) = start().await;
-        let mut client = asked(&proxy, "/r/x", "Last-Event-Id: 4\r\n").await;
+        let mut client = send_request(&proxy, "/r/x", "Last-Event-Id: 4\r\n").await;
         let mut call = next_call(&mut one, &mut two).await;
         assert_eq!(call.request.header("last-event-id"), Some("4"));
         call.begin_stream().await;
-        call.chunk("id: 5\ndata: a\n\nid: 6\nda").await;
-        client.head().await;
+        call.write_chunk("id: 5\ndata: a\n\nid: 6\nda").await;
+        client.read_head().await;
         // The incomplete event is not forwarded.
-        assert_eq!(client.chunk().await.as_deref(), Some("id: 5\ndata: a\n\n"));
+        assert_eq!(client.read_chunk().await.as_deref(), Some("id: 5\ndata: a\n\n"));
         call.reset();
 
         let mut call = next_call(&mut one, &mut two).await;
@@ -105,10 +105,10 @@
         assert_eq!(call.request.header("quillpulley-request-id"), Some("id-1"));
         assert_eq!(call.request.text(), "prompt");
         call.begin_stream().await;
-        call.chunk("id: 6\ndata: b\n\n").await;
-        assert_eq!(client.chunk().await.as_deref(), Some("id: 6\ndata: b\n\n"));
+        call.write_chunk("id: 6\ndata: b\n\n").await;
+        assert_eq!(client.read_chunk().await.as_deref(), Some("id: 6\ndata: b\n\n"));
         call.end_stream().await;
-        assert_eq!(client.chunk().await, None);
+        assert_eq!(client.read_chunk().await, None);
     });
 }
 
@@ -116,19 +116,19 @@
 fn a_resumable_stream_without_an_event_restarts() {
     run(async {
         let (proxy, mut one, mut two) = start().await;
-        let mut client = asked(&proxy, "/r/x", "").await;
+        let mut client = send_request(&proxy, "/r/x", "").await;
         let mut call = next_call(&mut one, &mut two).await;
         call.begin_stream().await;
-        call.chunk("id: 1\nda").await;
-        client.head().await;
+        call.write_chunk("id: 1\nda").await;
+        client.read_head().await;
         call.reset();
         let mut call = next_call(&mut one, &mut two).await;
         assert_eq!(call.request.header("last-event-id"), None);
         call.begin_stream().await;
-        call.chunk("id: 1\ndata: a\n\n").await;
-        assert_eq!(client.chunk().await.as_deref(), Some("id: 1\ndata: a\n\n"));
+        call.write_chunk("id: 1\ndata: a\n\n").await;
+        assert_eq!(client.read_chunk().await.as_deref(), Some("id: 1\ndata: a\n\n"));
         call.end_stream().await;
-        assert_eq!(client.chunk().await, None);
+        assert_eq!(client.read_chunk().await, None);
     });
 }
 
@@ -136,15 +136,15 @@
 fn a_resumable_stream_breaks_off_once_its_attempts_are_used_up() {
     run(async {
         let (proxy, mut one, mut two) = start().await;
-        let mut client = asked(&proxy, "/r/x", "").await;
+        let mut client = send_request(&proxy, "/r/x", "").await;
         let mut call = next_call(&mut one, &mut two).await;
         call.begin_stream().await;
-        client.head().await;
+        client.read_head().await;
         call.reset();
         // The only other server reports that it did not execute the request.
         let call = next_call(&mut one, &mut two).await;
-        call.answer("503 Service Unavailable", "Quillpulley-Not-Executed: full\r\n", "").await;
-        assert!(client.breaks_off().await);
+        call.respond("503 Service Unavailable", "Quillpulley-Not-Executed: full\r\n", "").await;
+        assert!(client.is_truncated().await);
     });
 }
 
@@ -158,14 +158,14 @@
         ];
         let proxy = Proxy::start(&configuration(1, &[&routes[0], &routes[1]]), &[&one]).await;
         for path in ["/s/x", "/r/x"] {
-            let mut client = asked(&proxy, path, "").await;
-            let mut call = one.call().await;
+            let mut client = send_request(&proxy, path, "").await;
+            let mut call = one.next_call().await;
             call.begin_stream().await;
-            call.chunk("id: 1\ndata: a\n\n").await;
-            client.head().await;
-            assert!(client.chunk().await.is_some());
-            assert!(client.breaks_off().await);
-            call.left().await;
+            call.write_chunk("id: 1\ndata: a\n\n").await;
+            client.read_head().await;
+            assert!(client.read_chunk().await.is_some());
+            assert!(client.is_truncated().await);
+            call.wait_until_closed().await;
         }
     });
 }
@@ -176,8 +176,8 @@
         let mut one = FakeServer::start("i-1", "one").await;
         let routes = [route("s", "streaming", "\"TimeoutMs\":1000")];
         let proxy = Proxy::start(&configuration(1, &[&routes[0]]), &[&one]).await;
-        let _client = asked(&proxy, "/s/x", "").await;
-        let mut call = one.call().await;
+        let _client = send_request(&proxy, "/s/x", "").await;
+        let mut call = one.next_call().await;
         call.begin_stream().await;
         // The writes fill all buffers on the path, until the proxy closes the connection at the deadline.
         call.write_until_closed(&format!("id: 1\ndata: {}\n\n", "x".repeat(60_000))).await;
@@ -188,17 +188,17 @@
 fn a_client_that_disconnects_during_a_resumption_cancels_it() {
     run(async {
         let (proxy, mut one, mut two) = start().await;
-        let mut client = asked(&proxy, "/r/x", "").await;
+        let mut client = send_request(&proxy, "/r/x", "").await;
         let mut call = next_call(&mut one, &mut two).await;
         call.begin_stream().await;
-        call.chunk("id: 1\ndata: a\n\n").await;
-        client.head().await;
-        client.chunk().await;
+        call.write_chunk("id: 1\ndata: a\n\n").await;
+        client.read_head().await;
+        client.read_chunk().await;
         call.reset();
         // The second server has received the request and has not responded.
         let call = next_call(&mut one, &mut two).await;
         drop(client);
-        call.left().await;
+        call.wait_until_closed().await;
         assert!(!one.has_call() && !two.has_call());
     });
 }
--- a/crates/quillpulley/tests/proxy/support/agent.rs
+++ b/crates/quillpulley/tests/proxy/support/agent.rs
@@ -37,10 +37,10 @@
 impl FakeAgent {
     pub async fn listen() -> FakeAgent {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("bind");
-        FakeAgent::on(listener)
+        FakeAgent::with_listener(listener)
     }
 
-    fn on(listener: TcpListener) -> FakeAgent {
+    fn with_listener(listener: TcpListener) -> FakeAgent {
         let port = listener.local_addr().expect("address").port();
         let hello = Hello {
             kind: PeerKind::Agent,
@@ -73,10 +73,10 @@
     pub fn publish_configuration(&self, json: &str) {
         let configuration = Configuration::parse(json.as_bytes()).expect("a configuration");
         let items = configuration.to_items();
-        let mut former = self.shared.routes.borrow_mut();
-        let gone = former.drain(..).filter(|key| !items.contains_key(key));
-        let mut changes: Vec<Change> = gone.map(|key| Change { key, value: None }).collect();
-        former.extend(items.keys().cloned());
+        let mut published_keys = self.shared.routes.borrow_mut();
+        let removed = published_keys.drain(..).filter(|key| !items.contains_key(key));
+        let mut changes: Vec<Change> = removed.map(|key| Change { key, value: None }).collect();
+        published_keys.extend(items.keys().cloned());
         changes.extend(items.into_iter().map(|(key, value)| Change { key, value: Some(value) }));
         self.shared.handle(Event::Publish(changes));
     }
@@ -96,32 +96,32 @@
     }
 
     /// Waits until the proxy reports an endpoint that satisfies the predicate.
-    pub async fn until(&self, is_wanted: impl Fn(&ProxyEndpoint) -> bool) {
-        while !self.endpoint().is_some_and(|endpoint| is_wanted(&endpoint)) {
+    pub async fn wait_for_endpoint(&self, predicate: impl Fn(&ProxyEndpoint) -> bool) {
+        while !self.endpoint().is_some_and(|endpoint| predicate(&endpoint)) {
             self.shared.changed.notified().await;
         }
     }
 
     /// Waits until the proxy reports an endpoint in this state.
-    pub async fn until_endpoint(&self, state: EndpointState) {
-        self.until(|endpoint| endpoint.state == state).await;
+    pub async fn wait_for_state(&self, state: EndpointState) {
+        self.wait_for_endpoint(|endpoint| endpoint.state == state).await;
     }
 
-    pub async fn until_ready(&self) {
-        self.until_endpoint(EndpointState::Ready).await;
+    pub async fn wait_for_ready(&self) {
+        self.wait_for_state(EndpointState::Ready).await;
     }
 
     /// Waits until the proxy has been sent totals that include itself, which its retry budgets need.
-    pub async fn until_totals(&self) {
+    pub async fn wait_for_totals(&self) {
         while !self.shared.totals_sent.get() {
             self.shared.changed.notified().await;
         }
     }
 
     /// Waits until the proxy reports a request to a service.
-    pub async fn until_counted(&self, service: &str) {
-        let counted = || self.shared.node.borrow().subtree().counters.services.contains_key(service);
-        while !counted() {
+    pub async fn wait_for_request_count(&self, service: &str) {
+        let is_counted = || self.shared.node.borrow().subtree().counters.services.contains_key(service);
+        while !is_counted() {
             self.shared.changed.notified().await;
         }
     }
--- a/crates/quillpulley/tests/proxy/support/client.rs
+++ b/crates/quillpulley/tests/proxy/support/client.rs
@@ -25,22 +25,22 @@
     }
 
     /// Reads the next response completely.
-    pub async fn answer(&mut self) -> Message {
+    pub async fn read_response(&mut self) -> Message {
         Message::read(&mut self.reader).await.expect("a complete response")
     }
 
     /// Reads the head of the next response.
-    pub async fn head(&mut self) -> Message {
+    pub async fn read_head(&mut self) -> Message {
         Message::read_head(&mut self.reader).await.expect("a response head")
     }
 
     /// Reads the head of the next response. `None` if the connection ends first.
-    pub async fn try_head(&mut self) -> Option<Message> {
+    pub async fn try_read_head(&mut self) -> Option<Message> {
         Message::read_head(&mut self.reader).await
     }
 
     /// Reads the body of a response with `Content-Length`.
-    pub async fn body(&mut self, head: &Message) -> Vec<u8> {
+    pub async fn read_body(&mut self, head: &Message) -> Vec<u8> {
         let length = head.header("content-length").and_then(|length| length.parse().ok()).unwrap_or(0);
         let mut body = vec![0; length];
         self.reader.read_exact(&mut body).await.expect("a complete body");
@@ -49,19 +49,19 @@
 
     /// Reads the next chunk of a response. `Some(None)` if the response is complete, `None` if it is
     /// truncated.
-    pub async fn try_chunk(&mut self) -> Option<Option<String>> {
+    pub async fn try_read_chunk(&mut self) -> Option<Option<String>> {
         let chunk = read_chunk(&mut self.reader).await?;
         Some(chunk.map(|chunk| String::from_utf8_lossy(&chunk).into_owned()))
     }
 
     /// Reads the next chunk of a response. `None` if the response is complete. Panics if it is truncated.
-    pub async fn chunk(&mut self) -> Option<String> {
+    pub async fn read_chunk(&mut self) -> Option<String> {
         let chunk = read_chunk(&mut self.reader).await.expect("a chunk or the end of the response");
         chunk.map(|chunk| String::from_utf8_lossy(&chunk).into_owned())
     }
 
     /// Returns whether the response is truncated here.
-    pub async fn breaks_off(&mut self) -> bool {
+    pub async fn is_truncated(&mut self) -> bool {
         read_chunk(&mut self.reader).await.is_none()
     }
 
@@ -72,9 +72,9 @@
     }
 
     /// Sends a request and reads the complete response.
-    pub async fn ask(&mut self, request: &str) -> Message {
+    pub async fn fetch(&mut self, request: &str) -> Message {
         self.send(request).await;
-        self.answer().await
+        self.read_response().await
     }
 }
 
--- a/crates/quillpulley/tests/proxy/support/mod.rs
+++ b/crates/quillpulley/tests/proxy/support/mod.rs
@@ -24,7 +24,7 @@
 use tokio::time::timeout;
 
 /// Maximum duration of a test.
-const TIMEOUT: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Settings of the retry budget that no test exhausts.
 const UNLIMITED_RETRIES: &str = "RetrySlack = 1000000\nRetryBudgetRatio = 1000000";
@@ -32,31 +32,31 @@
 /// Runs a test on its own single-threaded runtime.
 pub fn run(test: impl Future<Output = ()>) {
     let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let test = async { timeout(TIMEOUT, test).await.expect("the test timed out") };
+    let test = async { timeout(TEST_TIMEOUT, test).await.expect("the test timed out") };
     LocalSet::new().block_on(&runtime, test);
 }
 
 /// A running proxy, with its agent.
 pub struct Proxy {
     /// The address that clients connect to.
-    pub endpoint: SocketAddr,
+    pub client_address: SocketAddr,
     /// The address of the readiness checks.
-    pub ready: SocketAddr,
+    pub readiness_address: SocketAddr,
     pub agent: FakeAgent,
     /// Sends process signals to the proxy.
-    pub commands: UnboundedSender<ProcessSignal>,
+    pub signals: UnboundedSender<ProcessSignal>,
     /// The task of the proxy, which ends when the process would exit.
-    pub ended: JoinHandle<()>,
+    pub process: JoinHandle<()>,
 }
 
 impl Proxy {
     /// Starts a proxy with a configuration and servers, and waits until it is ready.
     pub async fn start(configuration: &str, servers: &[&FakeServer]) -> Proxy {
-        Proxy::start_with("", configuration, servers).await
+        Proxy::start_with_bounds("", configuration, servers).await
     }
 
     /// Starts a proxy with additional lines of the section `Bounds` of its settings.
-    pub async fn start_with(bounds: &str, configuration: &str, servers: &[&FakeServer]) -> Proxy {
+    pub async fn start_with_bounds(bounds: &str, configuration: &str, servers: &[&FakeServer]) -> Proxy {
         let servers: Vec<Server> = servers.iter().map(|server| server.entry()).collect();
         Proxy::start_with_faults(bounds, configuration, &servers, Faults::default()).await
     }
@@ -71,10 +71,10 @@
         let proxy = Proxy::start_process(&format!("{UNLIMITED_RETRIES}\n{bounds}"), faults).await;
         // The link preserves the order of messages, so a proxy that has the configuration also has the totals that
         // its retry budgets need.
-        proxy.agent.until_totals().await;
+        proxy.agent.wait_for_totals().await;
         proxy.agent.publish_configuration(configuration);
         servers.iter().for_each(|server| proxy.agent.publish_server(server));
-        proxy.agent.until_ready().await;
+        proxy.agent.wait_for_ready().await;
         proxy
     }
 
@@ -89,22 +89,22 @@
         let bind = || TcpListener::bind("127.0.0.1:0");
         let listeners =
             Listeners { clients: bind().await.expect("front"), readiness: bind().await.expect("ready") };
-        let endpoint = listeners.clients.local_addr().expect("front");
-        let ready = listeners.readiness.local_addr().expect("ready");
-        let (commands, receiver) = unbounded_channel();
-        let ended = spawn_local(serve_experiment(settings, listeners, receiver, faults.into()));
-        Proxy { endpoint, ready, agent, commands, ended }
+        let client_address = listeners.clients.local_addr().expect("front");
+        let readiness_address = listeners.readiness.local_addr().expect("ready");
+        let (signals, receiver) = unbounded_channel();
+        let process = spawn_local(serve_experiment(settings, listeners, receiver, faults.into()));
+        Proxy { client_address, readiness_address, agent, signals, process }
     }
 
     pub async fn client(&self) -> Client {
-        Client::connect(self.endpoint).await
+        Client::connect(self.client_address).await
     }
 
     /// Returns the status of `GET /v1/ready`.
     pub async fn ready_status(&self) -> u16 {
-        let mut client = Client::connect(self.ready).await;
+        let mut client = Client::connect(self.readiness_address).await;
         client.send("GET /v1/ready HTTP/1.1\r\nHost: x\r\n\r\n").await;
-        client.answer().await.status()
+        client.read_response().await.status()
     }
 }
 
--- a/crates/quillpulley/tests/proxy/support/script.rs
+++ b/crates/quillpulley/tests/proxy/support/script.rs
@@ -181,7 +181,7 @@
                     return Ended::Reset;
                 }
                 "request" | "head" => match Message::read_head(&mut self.stream).await {
-                    Some(head) if head.first.starts_with("GET /health") => {
+                    Some(head) if head.first_line.starts_with("GET /health") => {
                         self.seen.scripts.borrow_mut().push_front(script.to_string());
                         self.answer_check(instance).await;
                         return Ended::Closed;
--- a/crates/quillpulley/tests/proxy/support/server.rs
+++ b/crates/quillpulley/tests/proxy/support/server.rs
@@ -27,7 +27,7 @@
     pub request: Message,
     connection: Connection,
     /// Returns the connection to the server, which reads the next request from it.
-    give_back: UnboundedSender<Connection>,
+    idle_sender: UnboundedSender<Connection>,
 }
 
 impl FakeServer {
@@ -35,14 +35,14 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let address = listener.local_addr().expect("address");
         let (calls_sender, calls) = unbounded_channel();
-        let (give_back, mut returned) = unbounded_channel();
+        let (idle_sender, mut idle) = unbounded_channel();
         spawn_local(async move {
             loop {
                 let connection = tokio::select! {
                     accepted = listener.accept() => Connection::new(accepted.expect("accept").0),
-                    Some(connection) = returned.recv() => connection,
+                    Some(connection) = idle.recv() => connection,
                 };
-                spawn_local(read(connection, calls_sender.clone(), give_back.clone()));
+                spawn_local(read_request(connection, calls_sender.clone(), idle_sender.clone()));
             }
         });
         FakeServer { id: id.to_string(), service: service.to_string(), address, calls }
@@ -54,7 +54,7 @@
     }
 
     /// Waits for the next request.
-    pub async fn call(&mut self) -> Call {
+    pub async fn next_call(&mut self) -> Call {
         self.calls.recv().await.expect("a request")
     }
 
@@ -79,13 +79,13 @@
     }
 }
 
-async fn read(
+async fn read_request(
     mut connection: Connection,
     calls: UnboundedSender<Call>,
-    give_back: UnboundedSender<Connection>,
+    idle_sender: UnboundedSender<Connection>,
 ) {
     if let Some(request) = Message::read(&mut connection.reader).await {
-        let _ = calls.send(Call { request, connection, give_back });
+        let _ = calls.send(Call { request, connection, idle_sender });
     }
 }
 
@@ -108,21 +108,21 @@
     }
 
     /// Responds with 200 and a seal, and keeps the connection open.
-    pub async fn serve(self, body: &str) {
-        self.answer("200 OK", "Quillpulley-Response-Seal: seal\r\n", body).await;
+    pub async fn respond_ok(self, body: &str) {
+        self.respond("200 OK", "Quillpulley-Response-Seal: seal\r\n", body).await;
     }
 
     /// Responds, and keeps the connection open.
-    pub async fn answer(mut self, status: &str, headers: &str, body: &str) {
+    pub async fn respond(mut self, status: &str, headers: &str, body: &str) {
         let text = format!("{}{body}", self.head_text(status, headers, Some(body.len())));
         self.write(&text).await;
-        let _ = self.give_back.send(self.connection);
+        let _ = self.idle_sender.send(self.connection);
     }
 
     /// Responds to a health check, which has no request id, and keeps the connection open.
-    pub async fn answer_check(mut self, status: &str, headers: &str) {
+    pub async fn respond_to_health_check(mut self, status: &str, headers: &str) {
         self.write(&format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n{headers}\r\n")).await;
-        let _ = self.give_back.send(self.connection);
+        let _ = self.idle_sender.send(self.connection);
     }
 
     /// Writes the head of a chunked stream of events.
@@ -135,7 +135,7 @@
         self.write(&head).await;
     }
 
-    pub async fn chunk(&mut self, text: &str) {
+    pub async fn write_chunk(&mut self, text: &str) {
         self.write(&format!("{:x}\r\n{text}\r\n", text.len())).await;
     }
 
@@ -148,7 +148,7 @@
     /// Writes the last chunk, and keeps the connection open.
     pub async fn end_stream(mut self) {
         self.write("0\r\n\r\n").await;
-        let _ = self.give_back.send(self.connection);
+        let _ = self.idle_sender.send(self.connection);
     }
 
     /// Closes the connection with a FIN.
@@ -162,7 +162,7 @@
     }
 
     /// Waits until the proxy closes the connection. Panics if it sends more data before.
-    pub async fn left(mut self) {
+    pub async fn wait_until_closed(mut self) {
         let mut rest = Vec::new();
         let _ = self.connection.reader.read_to_end(&mut rest).await;
         assert!(rest.is_empty(), "the proxy sent more data: {}", String::from_utf8_lossy(&rest));
--- a/crates/quillpulley/tests/proxy/timelines.rs
+++ b/crates/quillpulley/tests/proxy/timelines.rs
@@ -49,8 +49,8 @@
     let proxy = Proxy::start_with_faults("", &served(), known, faults).await;
     let mut client = proxy.client().await;
     // The retry budget of a service allows no retries before a request to it has been counted.
-    ask(&mut client, &seen, "once", "first", "w").await;
-    proxy.agent.until_counted("one").await;
+    fetch(&mut client, &seen, "once", "first", "w").await;
+    proxy.agent.wait_for_request_count("one").await;
     let mut results = Vec::new();
     for (number, step) in case.client.split_whitespace().enumerate() {
         match step {
@@ -68,16 +68,16 @@
         let (name, long) = wanted.strip_suffix("+long").map_or((wanted, false), |name| (name, true));
         let body = if long { "w".repeat(LONG_BODY) } else { "wwww".to_string() };
         let id = format!("id-{number}");
-        let outcome = ask(&mut client, &seen, name, &id, &body).await;
+        let outcome = fetch(&mut client, &seen, name, &id, &body).await;
         check(name, &id, &outcome, &seen)?;
         results.push(format!("{wanted}={}", outcome.text));
         if outcome.closed {
             client = proxy.client().await;
         }
     }
-    drop((client, proxy.commands));
-    proxy.ended.abort();
-    let _ = proxy.ended.await;
+    drop((client, proxy.signals));
+    proxy.process.abort();
+    let _ = proxy.process.await;
     match seen.faults().first() {
         Some(fault) => Err(fault.clone()),
         None if seen.unplayed() > 0 => Err(format!("{} scripts were not run", seen.unplayed())),
@@ -108,14 +108,14 @@
 }
 
 /// Sends a request and reads the response, as far as it arrives.
-async fn ask(client: &mut Client, seen: &Seen, route: &str, id: &str, body: &str) -> Outcome {
+async fn fetch(client: &mut Client, seen: &Seen, route: &str, id: &str, body: &str) -> Outcome {
     client.send(&request(&format!("POST /{route}/x"), id, "", body)).await;
-    let Some(mut head) = client.try_head().await else {
+    let Some(mut head) = client.try_read_head().await else {
         return Outcome { text: "cut".to_string(), head: Message::default(), closed: true };
     };
     seen.received("head");
     if head.header("transfer-encoding").is_none() {
-        head.body = client.body(&head).await;
+        head.body = client.read_body(&head).await;
         let text = match (head.status(), head.text() == id) {
             (200, true) => "ok".to_string(),
             (200, false) => format!("the response to {}", head.text()),
@@ -127,7 +127,7 @@
     let mut events: Vec<String> = Vec::new();
     let mut text = String::new();
     let closed = loop {
-        match client.try_chunk().await {
+        match client.try_read_chunk().await {
             Some(Some(chunk)) => {
                 text.push_str(&chunk);
                 numbers_of(&text).iter().for_each(|number| seen.received(number));
@@ -158,7 +158,7 @@
 fn check(route: &str, id: &str, outcome: &Outcome, seen: &Seen) -> Result<(), String> {
     let runs = seen.runs_of(id);
     let status = outcome.head.status();
-    let ended = outcome.head.first.is_empty();
+    let ended = outcome.head.first_line.is_empty();
     let may_repeat = matches!(route, "again" | "brief-again" | "resume");
     if !may_repeat && runs > 1 {
         return Err(format!("{id} on {route} executed {runs} times"));
@@ -184,9 +184,9 @@
 
 /// Sends requests without a route until the reuse delay of connections to servers has passed.
 async fn rest(client: &mut Client) {
-    let begun = Instant::now();
-    while begun.elapsed() < REST {
-        assert_eq!(client.ask(&request("GET /nothing/", "id-rest", "", "")).await.status(), 404);
+    let started = Instant::now();
+    while started.elapsed() < REST {
+        assert_eq!(client.fetch(&request("GET /nothing/", "id-rest", "", "")).await.status(), 404);
     }
 }
 
--- a/crates/quillpulley/tests/proxy/upstream_requests.rs
+++ b/crates/quillpulley/tests/proxy/upstream_requests.rs
@@ -7,9 +7,9 @@
 use std::time::{Duration, Instant};
 
 /// Minimum time between two attempts, so that the deadline of the second is measurably shorter.
-const IDLE_TIME: Duration = Duration::from_millis(20);
-const CLIENTS_DEADLINE: u64 = 3000;
-const ROUTES_TIMEOUT: u64 = 5000;
+const ATTEMPT_INTERVAL: Duration = Duration::from_millis(20);
+const CLIENT_DEADLINE_MS: u64 = 3000;
+const ROUTE_TIMEOUT_MS: u64 = 5000;
 
 /// Starts a proxy between a client and two servers, with a route of each kind: not idempotent, idempotent and
 /// resumable.
@@ -26,45 +26,45 @@
     let mut client = proxy.client().await;
     // The retry budget of a service allows no retries before a request to it has been counted.
     client.send(&request("POST /once/x", "first", "", "work")).await;
-    next_call(&mut one, &mut two).await.serve("done").await;
-    client.answer().await;
-    proxy.agent.until_counted("one").await;
+    next_call(&mut one, &mut two).await.respond_ok("done").await;
+    client.read_response().await;
+    proxy.agent.wait_for_request_count("one").await;
     (proxy, one, two, client)
 }
 
 /// Waits for the next request, whichever server receives it.
 async fn next_call(one: &mut FakeServer, two: &mut FakeServer) -> Call {
     tokio::select! {
-        call = one.call() => call,
-        call = two.call() => call,
+        call = one.next_call() => call,
+        call = two.next_call() => call,
     }
 }
 
-/// Sends requests without a route until `IDLE_TIME` has passed.
+/// Sends requests without a route until `ATTEMPT_INTERVAL` has interval_ms.
 async fn pause(proxy: &Proxy) {
     let mut client = proxy.client().await;
-    let begun = Instant::now();
-    while begun.elapsed() < IDLE_TIME {
-        client.ask(&request("GET /nothing/", "id-pause", "", "")).await;
+    let started = Instant::now();
+    while started.elapsed() < ATTEMPT_INTERVAL {
+        client.fetch(&request("GET /nothing/", "id-pause", "", "")).await;
     }
 }
 
 /// Sends a request whose first attempt fails, after a pause, with a failure that its route allows to retry.
 /// Returns the requests that the two servers received.
-async fn two_sends(path: &str, headers: &str) -> [Message; 2] {
+async fn two_attempts(path: &str, headers: &str) -> [Message; 2] {
     let (proxy, mut one, mut two, mut client) = start().await;
     client.send(&request(&format!("POST {path}"), "id-1", headers, "work")).await;
     let mut call = next_call(&mut one, &mut two).await;
     let first = call.request.clone();
     pause(&proxy).await;
     match path {
-        "/once/x" => call.answer("503 Full", "Quillpulley-Not-Executed: full\r\n", "").await,
+        "/once/x" => call.respond("503 Full", "Quillpulley-Not-Executed: full\r\n", "").await,
         "/again/x" => call.reset(),
         _ => {
             call.begin_stream().await;
-            call.chunk("id: 1\ndata: a\n\n").await;
-            client.head().await;
-            client.chunk().await;
+            call.write_chunk("id: 1\ndata: a\n\n").await;
+            client.read_head().await;
+            client.read_chunk().await;
             call.reset();
         }
     }
@@ -74,7 +74,7 @@
 
 /// Returns the deadline that a request carries, in milliseconds.
 fn deadline(sent: &Message) -> u64 {
-    let values = sent.all("quillpulley-deadline-ms");
+    let values = sent.header_values("quillpulley-deadline-ms");
     assert_eq!(values.len(), 1, "{values:?}");
     values[0].parse().expect("a whole number")
 }
@@ -82,20 +82,20 @@
 #[test]
 fn every_attempt_carries_the_remaining_time() {
     run(async {
-        let clients = format!("Quillpulley-Deadline-Ms: {CLIENTS_DEADLINE}\r\n");
-        let twice = format!("{clients}{clients}");
+        let client_deadline = format!("Quillpulley-Deadline-Ms: {CLIENT_DEADLINE_MS}\r\n");
+        let duplicate_deadline = format!("{client_deadline}{client_deadline}");
         for path in ["/once/x", "/again/x", "/resume/x"] {
-            for (headers, most) in [
-                (clients.as_str(), CLIENTS_DEADLINE),
-                ("", ROUTES_TIMEOUT),
-                ("Quillpulley-Deadline-Ms: 60000\r\n", ROUTES_TIMEOUT),
-                ("Quillpulley-Deadline-Ms: soon\r\n", ROUTES_TIMEOUT),
-                (twice.as_str(), ROUTES_TIMEOUT),
+            for (headers, max_deadline_ms) in [
+                (client_deadline.as_str(), CLIENT_DEADLINE_MS),
+                ("", ROUTE_TIMEOUT_MS),
+                ("Quillpulley-Deadline-Ms: 60000\r\n", ROUTE_TIMEOUT_MS),
+                ("Quillpulley-Deadline-Ms: soon\r\n", ROUTE_TIMEOUT_MS),
+                (duplicate_deadline.as_str(), ROUTE_TIMEOUT_MS),
             ] {
-                let [first, second] = two_sends(path, headers).await.map(|sent| deadline(&sent));
-                assert!(first <= most, "{path} {headers}: {first}");
-                let passed = IDLE_TIME.as_millis() as u64;
-                assert!(second + passed <= first + 1, "{path} {headers}: {first}, then {second}");
+                let [first, second] = two_attempts(path, headers).await.map(|sent| deadline(&sent));
+                assert!(first <= max_deadline_ms, "{path} {headers}: {first}");
+                let interval_ms = ATTEMPT_INTERVAL.as_millis() as u64;
+                assert!(second + interval_ms <= first + 1, "{path} {headers}: {first}, then {second}");
             }
         }
     });
@@ -112,13 +112,13 @@
                        X-Hop: 1\r\n\
                        Last-Event-Id: 0\r\n";
         for path in ["/once/x", "/again/x", "/resume/x"] {
-            for sent in two_sends(path, headers).await {
-                assert_eq!(sent.all("quillpulley-model-name"), ["My Model; v=\"1\""]);
-                assert_eq!(sent.all("quillpulley-token-count"), ["1460 , 80", "many"]);
+            for sent in two_attempts(path, headers).await {
+                assert_eq!(sent.header_values("quillpulley-model-name"), ["My Model; v=\"1\""]);
+                assert_eq!(sent.header_values("quillpulley-token-count"), ["1460 , 80", "many"]);
                 let prefix = "5C1E07A2:800,, 91bd3f06:0410 ,no:number";
-                assert_eq!(sent.all("quillpulley-prompt-prefix"), [prefix]);
-                assert_eq!(sent.all("quillpulley-request-id"), ["id-1"]);
-                assert_eq!(sent.all("last-event-id").len(), 1);
+                assert_eq!(sent.header_values("quillpulley-prompt-prefix"), [prefix]);
+                assert_eq!(sent.header_values("quillpulley-request-id"), ["id-1"]);
+                assert_eq!(sent.header_values("last-event-id").len(), 1);
                 assert_eq!(sent.header("x-hop"), None);
                 assert_eq!(sent.text(), "work");
             }
@@ -134,23 +134,23 @@
         let servers = ScriptedServers::start(scripts).await;
         let seen = servers.seen.clone();
         let routes = route("once", "non_idempotent", "");
-        let only = &servers.entries[..1];
+        let only_server = &servers.entries[..1];
         let proxy =
-            Proxy::start_with_faults("", &configuration(1, &[&routes]), only, Faults::default()).await;
+            Proxy::start_with_faults("", &configuration(1, &[&routes]), only_server, Faults::default()).await;
         let mut clients = [proxy.client().await, proxy.client().await];
         let once = |id: &str| request("POST /once/x", id, "", "wwww");
-        assert_eq!(clients[0].ask(&once("id-0")).await.status(), 200);
+        assert_eq!(clients[0].fetch(&once("id-0")).await.status(), 200);
         for (number, client) in clients.iter_mut().enumerate() {
             client.send(&once(&format!("id-1{number}"))).await;
         }
         for client in &mut clients {
-            assert_eq!(client.answer().await.status(), 200);
+            assert_eq!(client.read_response().await.status(), 200);
         }
         seen.received("both");
         pause(&proxy).await;
         // The server may have read the request, so it is not retried.
-        assert_eq!(clients[0].ask(&once("id-2")).await.status(), 502);
-        assert_eq!(clients[0].ask(&once("id-3")).await.status(), 200);
+        assert_eq!(clients[0].fetch(&once("id-2")).await.status(), 502);
+        assert_eq!(clients[0].fetch(&once("id-3")).await.status(), 200);
         assert_eq!(seen.faults(), Vec::<String>::new());
     });
 }
@@ -172,13 +172,13 @@
             Proxy::start_with_faults("", &configuration(1, &[&routes]), entries, Faults::default()).await;
         let mut client = proxy.client().await;
         let resume = |id: &str| request("POST /resume/x", id, "", "wwww");
-        client.ask(&resume("id-0")).await;
-        proxy.agent.until_counted("one").await;
+        client.fetch(&resume("id-0")).await;
+        proxy.agent.wait_for_request_count("one").await;
         client.send(&resume("id-1")).await;
-        client.head().await;
-        assert_eq!(client.chunk().await.as_deref(), Some("id: 1\ndata: 1\n\n"));
+        client.read_head().await;
+        assert_eq!(client.read_chunk().await.as_deref(), Some("id: 1\ndata: 1\n\n"));
         seen.received("1");
-        assert!(client.breaks_off().await);
+        assert!(client.is_truncated().await);
         assert_eq!((seen.runs_of("id-1"), seen.unplayed()), (1, 1));
     });
 }
