--- a/crates/quillpulley/tests/proxy/limits.rs
+++ b/crates/quillpulley/tests/proxy/limits.rs
@@ -16,24 +16,24 @@
         let (proxy, _one) = start().await;
         for headers in ["", "Quillpulley-Request-Id: a\r\nQuillpulley-Request-Id: b\r\n"] {
             let mut client = proxy.client().await;
-            let answer =
+            let response =
                 client.fetch(&format!("GET /a/b HTTP/1.1\r\nHost: h.example\r\n{headers}\r\n")).await;
-            assert_eq!(answer.status(), 400);
+            assert_eq!(response.status(), 400);
         }
     });
 }
 
 #[test]
-fn heads_and_bodies_have_a_limit() {
+fn oversized_heads_and_bodies_are_rejected() {
     run(async {
         let (proxy, _one) = start().await;
         let long = format!("X-Long: {}\r\n", "x".repeat(17_000));
-        let answer = proxy.client().await.fetch(&request("GET /a/b", "id-1", &long, "")).await;
-        assert_eq!(answer.status(), 431);
+        let response = proxy.client().await.fetch(&request("GET /a/b", "id-1", &long, "")).await;
+        assert_eq!(response.status(), 431);
 
         let too_long = "Content-Length: 100001\r\n";
-        let answer = proxy.client().await.fetch(&request("POST /a/b", "id-2", too_long, "")).await;
-        assert_eq!(answer.status(), 413);
+        let response = proxy.client().await.fetch(&request("POST /a/b", "id-2", too_long, "")).await;
+        assert_eq!(response.status(), 413);
 
         let mut client = proxy.client().await;
         client.send(&request("POST /a/b", "id-3", "Transfer-Encoding: chunked\r\n", "")).await;
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_body_of_two_lengths_ends_its_connection() {
+fn a_request_with_conflicting_body_lengths_closes_its_connection() {
     run(async {
         let (proxy, mut one) = start().await;
         let mut client = proxy.client().await;
@@ -63,14 +63,14 @@
 }
 
 #[test]
-fn a_copy_of_a_request_that_is_open_is_rejected() {
+fn a_duplicate_of_an_open_request_is_rejected() {
     run(async {
         let (proxy, mut one) = start().await;
         let mut client = proxy.client().await;
         client.send(&request("GET /a/b", "id-1", "", "")).await;
         let call = one.next_call().await;
-        let answer = proxy.client().await.fetch(&request("GET /a/b", "id-1", "", "")).await;
-        assert_eq!(answer.status(), 503);
+        let response = proxy.client().await.fetch(&request("GET /a/b", "id-1", "", "")).await;
+        assert_eq!(response.status(), 503);
         call.respond_ok("ok").await;
         assert_eq!(client.read_response().await.status(), 200);
         assert!(!one.has_call());
@@ -81,10 +81,10 @@
 fn requests_before_any_configuration_are_rejected() {
     run(async {
         let proxy = Proxy::start_unready("").await;
-        let answer = proxy.client().await.fetch(&request("GET /a/b", "id-1", "", "")).await;
-        assert_eq!(answer.status(), 503);
+        let response = proxy.client().await.fetch(&request("GET /a/b", "id-1", "", "")).await;
+        assert_eq!(response.status(), 503);
         // `proxy_lifecycle.rs` tests the exact value, which depends on how long the proxy has run.
-        let retry_after: f64 = answer.header("retry-after").expect("advice").parse().expect("a number");
+        let retry_after: f64 = response.header("retry-after").expect("advice").parse().expect("a number");
         assert!((1.0..=1.6).contains(&retry_after), "{retry_after} s");
         assert_eq!(proxy.ready_status().await, 503);
     });
@@ -97,17 +97,17 @@
         let proxy = Proxy::start(&configuration(1, &[&route("a", "idempotent", "")]), &[]).await;
         proxy.agent.publish_server(&quillpulley_protocol::Server { slots: 4, ..one.entry() });
         let mut served = Vec::new();
-        let refused = loop {
+        let rejected = loop {
             let mut client = proxy.client().await;
             client.send(&request("GET /a/b", &format!("id-{}", served.len()), "", "")).await;
             tokio::select! {
                 call = one.next_call() => served.push((client, call)),
                 // The first requests may be rejected before the proxy knows the server.
-                answer = client.read_response() => if !served.is_empty() { break answer },
+                response = client.read_response() => if !served.is_empty() { break response },
             }
         };
-        assert_eq!(refused.status(), 503);
-        assert!(refused.header("retry-after").is_some());
+        assert_eq!(rejected.status(), 503);
+        assert!(rejected.header("retry-after").is_some());
         assert!((4..8).contains(&served.len()), "{} concurrent requests", served.len());
 
         // A queued request gets the capacity that becomes free.
@@ -139,8 +139,8 @@
         let mut waiting = proxy.client().await;
         waiting.send(&request("GET /a/b", "id-waits", "", "")).await;
         // A duplicate is rejected, because the request with this id is open.
-        let copy = proxy.client().await.fetch(&request("GET /a/b", "id-waits", "", "")).await;
-        assert_eq!(copy.status(), 503);
+        let duplicate = proxy.client().await.fetch(&request("GET /a/b", "id-waits", "", "")).await;
+        assert_eq!(duplicate.status(), 503);
         drop(waiting);
         for (mut client, call) in served {
             call.respond_ok("ok").await;
@@ -157,13 +157,13 @@
 }
 
 #[test]
-fn a_client_that_disconnects_within_its_body_reaches_no_server() {
+fn a_request_with_an_incomplete_body_reaches_no_server() {
     run(async {
         let (proxy, mut one) = start().await;
-        let mut leaving = proxy.client().await;
-        leaving.send(&request("POST /a/b", "id-leaves", "Content-Length: 10\r\n", "")).await;
-        leaving.send("half").await;
-        drop(leaving);
+        let mut disconnecting = proxy.client().await;
+        disconnecting.send(&request("POST /a/b", "id-leaves", "Content-Length: 10\r\n", "")).await;
+        disconnecting.send("half").await;
+        drop(disconnecting);
         let mut last = proxy.client().await;
         last.send(&request("GET /a/b", "id-last", "", "")).await;
         let call = one.next_call().await;
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_body_that_does_not_end_is_answered_when_the_time_of_its_route_is_over() {
+fn an_incomplete_body_gets_a_408_after_the_timeout_of_its_route() {
     run(async {
         let mut one = FakeServer::start("i-1", "one").await;
         let short = route("a", "non_idempotent", "\"TimeoutMs\":200");
--- a/crates/quillpulley/tests/proxy/preferred_regions.rs
+++ b/crates/quillpulley/tests/proxy/preferred_regions.rs
@@ -19,13 +19,13 @@
 /// knows from the configuration where to send their clients, and they must not affect the preference for
 /// other hosts.
 #[test]
-fn only_requests_of_hosts_with_and_without_homes_elsewhere_are_counted() {
+fn only_requests_to_hosts_that_are_partly_served_in_this_region_are_counted() {
     run(async {
-        let bound = route("bound", "idempotent", "\"HomeRegions\":[\"west\"]");
+        let homed = route("bound", "idempotent", "\"HomeRegions\":[\"west\"]");
         let free = route("free", "idempotent", "");
         let elsewhere =
             route("all", "idempotent", "\"HomeRegions\":[\"north\"]").replace("h.example", "g.example");
-        let proxy = Proxy::start(&configuration(1, &[&bound, &free, &elsewhere]), &[]).await;
+        let proxy = Proxy::start(&configuration(1, &[&homed, &free, &elsewhere]), &[]).await;
         let _others = send(&proxy, "g.example", "/all/", 30).await;
         let _counted = send(&proxy, "h.example", "/bound/", 25).await;
         proxy.agent.wait_for_endpoint(|endpoint| !endpoint.preferred_regions.is_empty()).await;
--- a/crates/quillpulley/tests/proxy/process_lifecycle.rs
+++ b/crates/quillpulley/tests/proxy/process_lifecycle.rs
@@ -6,7 +6,7 @@
 use quillpulley_protocol::EndpointState;
 
 #[test]
-fn it_is_ready_once_a_configuration_is_active() {
+fn a_proxy_is_ready_once_a_configuration_is_active() {
     run(async {
         let proxy = Proxy::start_unready("").await;
         proxy.agent.wait_for_state(EndpointState::Starting).await;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn it_serves_on_without_its_agent() {
+fn a_proxy_keeps_serving_without_its_agent() {
     run(async {
         let mut one = FakeServer::start("i-1", "one").await;
         let proxy = Proxy::start(&configuration(1, &[&route("a", "idempotent", "")]), &[&one]).await;
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_later_configuration_replaces_an_earlier_one_and_never_the_reverse() {
+fn a_configuration_is_replaced_only_by_a_later_version() {
     run(async {
         let mut one = FakeServer::start("i-1", "one").await;
         let mut two = FakeServer::start("i-2", "two").await;
@@ -87,9 +87,9 @@
         for (number, client) in [&mut idle, &mut proxy.client().await].into_iter().enumerate() {
             client.send(&request("GET /a/b", &format!("late-{number}"), "", "")).await;
             one.next_call().await.respond_ok("late").await;
-            let answer = client.read_response().await;
-            assert_eq!(answer.text(), "late");
-            assert_eq!(answer.header("connection"), Some("close"));
+            let response = client.read_response().await;
+            assert_eq!(response.text(), "late");
+            assert_eq!(response.header("connection"), Some("close"));
             assert!(client.is_closed().await);
         }
         assert!(!proxy.process.is_finished());
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn changed_settings_disturb_no_request() {
+fn a_reload_signal_does_not_affect_open_requests() {
     run(async {
         let mut one = FakeServer::start("i-1", "one").await;
         let proxy = Proxy::start(&configuration(1, &[&route("a", "idempotent", "")]), &[&one]).await;
@@ -124,10 +124,10 @@
 
         // The timeout of the route ends after the process exits, so the request is not forwarded.
         let mut client = proxy.client().await;
-        let answer = client.fetch(&request("POST /a/b", "long", "", "work")).await;
-        assert_eq!(answer.status(), 503);
-        assert_eq!(answer.header("retry-after"), Some("0.000"));
-        assert_eq!(answer.header("connection"), Some("close"));
+        let response = client.fetch(&request("POST /a/b", "long", "", "work")).await;
+        assert_eq!(response.status(), 503);
+        assert_eq!(response.header("retry-after"), Some("0.000"));
+        assert_eq!(response.header("connection"), Some("close"));
         assert!(client.is_closed().await);
         assert!(!one.has_call());
 
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn without_fresh_state_no_unknown_route_gets_a_404() {
+fn an_unknown_route_gets_a_503_while_the_published_state_is_stale() {
     run(async {
         let mut one = FakeServer::start("i-1", "one").await;
         let proxy = Proxy::start(&configuration(1, &[&route("a", "idempotent", "")]), &[&one]).await;
@@ -166,15 +166,15 @@
         assert_eq!(client.fetch(&unknown(0)).await.status(), 404);
         proxy.agent.kill().await;
         let mut request_count = 0;
-        let refusal = loop {
+        let rejection = loop {
             request_count += 1;
-            let answer = client.fetch(&unknown(request_count)).await;
-            if answer.status() != 404 {
-                break answer;
+            let response = client.fetch(&unknown(request_count)).await;
+            if response.status() != 404 {
+                break response;
             }
         };
-        assert_eq!(refusal.status(), 503);
-        assert_eq!(refusal.header("retry-after"), Some("0.500"));
+        assert_eq!(rejection.status(), 503);
+        assert_eq!(rejection.header("retry-after"), Some("0.500"));
         client.send(&request("GET /a/b", "known", "", "")).await;
         one.next_call().await.respond_ok("ok").await;
         assert_eq!(client.read_response().await.status(), 200);
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn a_configuration_change_aborts_nothing_in_flight() {
+fn a_configuration_change_aborts_no_open_request() {
     run(async {
         let mut one = FakeServer::start("i-1", "one").await;
         let long = "\"TimeoutMs\":15000";
--- a/crates/quillpulley/tests/proxy/retries.rs
+++ b/crates/quillpulley/tests/proxy/retries.rs
@@ -36,7 +36,7 @@
         // The retry budget of a service allows no retries before a request to it has been counted.
         fixture.send("/once/x").await;
         fixture.expect_served().await;
-        fixture.proxy.agent.wait_for_request_count("one").await;
+        fixture.proxy.agent.wait_for_reported_request("one").await;
         fixture
     }
 
@@ -64,22 +64,22 @@
 
     /// Checks that the client receives a 502 without a seal, and that the request is not sent again.
     async fn expect_bad_gateway(&mut self) {
-        let answer = self.read_response().await;
-        assert_eq!(answer.status(), 502);
-        assert_eq!(answer.header("quillpulley-response-seal"), None);
+        let response = self.read_response().await;
+        assert_eq!(response.status(), 502);
+        assert_eq!(response.header("quillpulley-response-seal"), None);
         assert!(!self.one.has_call() && !self.two.has_call());
     }
 
     /// Has a server respond to the next request, and checks that the client receives the response.
     async fn expect_served(&mut self) {
         self.next_call().await.respond_ok("done").await;
-        let answer = self.read_response().await;
-        assert_eq!((answer.status(), answer.text().as_str()), (200, "done"));
+        let response = self.read_response().await;
+        assert_eq!((response.status(), response.text().as_str()), (200, "done"));
     }
 }
 
 #[test]
-fn what_found_no_connection_goes_to_another_server() {
+fn a_request_that_finds_no_connection_is_sent_to_another_server() {
     run(async {
         let mut fixture = Fixture::start().await;
         let closed = TcpListener::bind("127.0.0.1:0").await.expect("bind");
@@ -96,22 +96,22 @@
 }
 
 #[test]
-fn what_no_server_can_be_reached_for_has_not_run() {
+fn requests_without_any_server_are_rejected_with_retry_after() {
     run(async {
         let mut fixture = Fixture::start().await;
         fixture.proxy.agent.remove_server("i-1");
         fixture.proxy.agent.remove_server("i-2");
         fixture.proxy.agent.publish_configuration(&configuration(2, &[&route("new", "non_idempotent", "")]));
         fixture.wait_for_route("/new/x").await;
-        let answer = fixture.read_response().await;
-        assert_eq!(answer.status(), 503);
-        let retry_after: f64 = answer.header("retry-after").expect("advice").parse().expect("a number");
+        let response = fixture.read_response().await;
+        assert_eq!(response.status(), 503);
+        let retry_after: f64 = response.header("retry-after").expect("advice").parse().expect("a number");
         assert!(retry_after > 0.0 && retry_after < 5.0);
     });
 }
 
 #[test]
-fn what_may_have_run_is_retried_only_if_it_is_idempotent() {
+fn a_request_that_may_have_executed_is_retried_only_if_it_is_idempotent() {
     run(async {
         for close_connection in [Call::reset, Call::close] {
             let mut fixture = Fixture::start().await;
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn what_a_server_declined_goes_to_another_if_the_route_allows_it() {
+fn a_request_that_was_not_executed_is_retried_if_the_route_allows_it() {
     run(async {
         let mut fixture = Fixture::start().await;
         for status in ["503 Service Unavailable", "429 Too Many Requests"] {
@@ -138,16 +138,16 @@
             }
             fixture.send("/single/x").await;
             fixture.next_call().await.respond(status, NOT_EXECUTED, "full").await;
-            let answer = fixture.read_response().await;
-            assert_eq!(answer.status(), 503);
-            assert!(answer.header("retry-after").is_some());
-            assert_eq!(answer.header("quillpulley-response-seal"), None);
+            let response = fixture.read_response().await;
+            assert_eq!(response.status(), 503);
+            assert!(response.header("retry-after").is_some());
+            assert_eq!(response.header("quillpulley-response-seal"), None);
         }
     });
 }
 
 #[test]
-fn what_all_servers_declined_has_not_run() {
+fn a_request_that_no_server_executed_is_rejected() {
     run(async {
         let mut fixture = Fixture::start().await;
         fixture.send("/once/x").await;
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn what_reached_another_server_than_was_meant_counts_as_no_attempt() {
+fn a_misdirected_request_does_not_count_as_an_attempt() {
     run(async {
         for path in ["/once/x", "/again/x", "/single/x"] {
             let mut fixture = Fixture::start().await;
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn answers_that_belong_to_no_request_are_not_passed_on() {
+fn responses_to_other_requests_are_not_forwarded() {
     run(async {
         let mut fixture = Fixture::start().await;
         let other = format!("Quillpulley-Request-Id: other\r\n{SEAL}");
@@ -230,22 +230,22 @@
 }
 
 #[test]
-fn a_servers_own_failure_is_passed_on_as_it_is() {
+fn error_responses_of_servers_are_forwarded_unchanged() {
     run(async {
         let mut fixture = Fixture::start().await;
         for status in ["500 Internal Server Error", "504 Gateway Timeout", "404 Not Found"] {
             fixture.send("/once/x").await;
             fixture.next_call().await.respond(status, SEAL, "sorry").await;
-            let answer = fixture.read_response().await;
-            assert!(status.starts_with(&answer.status().to_string()), "{status}");
-            assert_eq!(answer.header("quillpulley-response-seal"), Some("seal"));
-            assert_eq!(answer.text(), "sorry");
+            let response = fixture.read_response().await;
+            assert!(status.starts_with(&response.status().to_string()), "{status}");
+            assert_eq!(response.header("quillpulley-response-seal"), Some("seal"));
+            assert_eq!(response.text(), "sorry");
         }
     });
 }
 
 #[test]
-fn a_broken_promise_of_a_server_is_not_forwarded() {
+fn rejections_without_the_not_executed_header_are_not_forwarded() {
     run(async {
         let mut fixture = Fixture::start().await;
         for status in ["503 Service Unavailable", "429 Too Many Requests", "408 Request Timeout"] {
@@ -257,15 +257,15 @@
 }
 
 #[test]
-fn bytes_behind_an_answer_end_the_use_of_its_connection() {
+fn a_connection_with_data_after_its_response_is_not_reused() {
     run(async {
         let mut fixture = Fixture::start().await;
         fixture.send("/once/x").await;
         let mut call = fixture.next_call().await;
         let id = call.id().to_string();
-        let answer =
+        let response =
             format!("HTTP/1.1 200 OK\r\nQuillpulley-Request-Id: {id}\r\n{SEAL}Content-Length: 2\r\n\r\n");
-        call.write(&format!("{answer}ok{answer}no")).await;
+        call.write(&format!("{response}ok{response}no")).await;
         assert_eq!(fixture.read_response().await.text(), "ok");
         fixture.send("/once/x").await;
         fixture.expect_served().await;
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn an_unresponsive_server_has_the_complete_request_timeout() {
+fn a_request_to_an_unresponsive_server_times_out_at_its_deadline() {
     run(async {
         let mut fixture = Fixture::start().await;
         fixture.send_with_headers("/once/x", "Quillpulley-Deadline-Ms: 150\r\n").await;
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn a_removed_server_aborts_idempotent_requests() {
+fn idempotent_requests_to_a_removed_server_are_retried() {
     run(async {
         let mut fixture = Fixture::start().await;
         fixture.send("/again/x").await;
--- a/crates/quillpulley/tests/proxy/routing.rs
+++ b/crates/quillpulley/tests/proxy/routing.rs
@@ -52,12 +52,12 @@
         assert_eq!(call.request.text(), "the body");
 
         call.respond("201 Created", "Quillpulley-Response-Seal: s1\r\nX-Answer: yes\r\n", "done").await;
-        let answer = client.read_response().await;
-        assert_eq!(answer.status(), 201);
-        assert_eq!(answer.header("quillpulley-response-seal"), Some("s1"));
-        assert_eq!(answer.header("quillpulley-request-id"), Some("id-1"));
-        assert_eq!(answer.header("x-answer"), Some("yes"));
-        assert_eq!(answer.text(), "done");
+        let response = client.read_response().await;
+        assert_eq!(response.status(), 201);
+        assert_eq!(response.header("quillpulley-response-seal"), Some("s1"));
+        assert_eq!(response.header("quillpulley-request-id"), Some("id-1"));
+        assert_eq!(response.header("x-answer"), Some("yes"));
+        assert_eq!(response.text(), "done");
     });
 }
 
--- a/crates/quillpulley/tests/proxy/streams.rs
+++ b/crates/quillpulley/tests/proxy/streams.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn events_are_passed_on_as_they_come() {
+fn data_is_forwarded_as_it_arrives() {
     run(async {
         let (proxy, mut one, mut two) = start().await;
         let mut client = send_request(&proxy, "/s/x", "").await;
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_stream_that_its_server_breaks_off_does_not_look_complete() {
+fn a_stream_that_its_server_truncates_is_truncated_for_the_client() {
     run(async {
         let (proxy, mut one, mut two) = start().await;
         let mut client = send_request(&proxy, "/s/x", "").await;
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_client_that_disconnects_cancels_the_work_at_the_server() {
+fn a_client_that_disconnects_cancels_its_request_at_the_server() {
     run(async {
         let (proxy, mut one, mut two) = start().await;
         for path in ["/s/x", "/r/x"] {
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_resumable_stream_goes_on_at_another_server() {
+fn a_resumable_stream_is_resumed_at_another_server() {
     run(async {
         let (proxy, mut one, mut two) = start().await;
         let mut client = send_request(&proxy, "/r/x", "Last-Event-Id: 4\r\n").await;
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_resumable_stream_breaks_off_once_its_attempts_are_used_up() {
+fn a_resumable_stream_is_truncated_if_no_server_resumes_it() {
     run(async {
         let (proxy, mut one, mut two) = start().await;
         let mut client = send_request(&proxy, "/r/x", "").await;
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_stream_whose_time_is_over_ends_then_and_does_not_look_complete() {
+fn a_stream_is_truncated_at_its_deadline() {
     run(async {
         let mut one = FakeServer::start("i-1", "one").await;
         let routes = [
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn a_stream_that_its_client_does_not_read_ends_when_its_time_is_over() {
+fn a_stream_that_its_client_does_not_read_ends_at_its_deadline() {
     run(async {
         let mut one = FakeServer::start("i-1", "one").await;
         let routes = [route("s", "streaming", "\"TimeoutMs\":1000")];
--- a/crates/quillpulley/tests/proxy/support/agent.rs
+++ b/crates/quillpulley/tests/proxy/support/agent.rs
@@ -28,7 +28,8 @@
     started: Instant,
     peers: Rc<Peers>,
     node: RefCell<SyncNode<LinkId>>,
-    routes: RefCell<Vec<String>>,
+    /// The keys of the items of the published configuration.
+    configuration_keys: RefCell<Vec<String>>,
     /// Whether complete totals that include a proxy were sent.
     totals_sent: Cell<bool>,
     changed: Notify,
@@ -56,7 +57,7 @@
             started: Instant::now(),
             peers,
             node: RefCell::new(SyncNode::new(Options::control_node("agent"))),
-            routes: RefCell::default(),
+            configuration_keys: RefCell::default(),
             totals_sent: Cell::new(false),
             changed: Notify::new(),
         });
@@ -73,7 +74,7 @@
     pub fn publish_configuration(&self, json: &str) {
         let configuration = Configuration::parse(json.as_bytes()).expect("a configuration");
         let items = configuration.to_items();
-        let mut published_keys = self.shared.routes.borrow_mut();
+        let mut published_keys = self.shared.configuration_keys.borrow_mut();
         let removed = published_keys.drain(..).filter(|key| !items.contains_key(key));
         let mut changes: Vec<Change> = removed.map(|key| Change { key, value: None }).collect();
         published_keys.extend(items.keys().cloned());
@@ -119,7 +120,7 @@
     }
 
     /// Waits until the proxy reports a request to a service.
-    pub async fn wait_for_request_count(&self, service: &str) {
+    pub async fn wait_for_reported_request(&self, service: &str) {
         let is_counted = || self.shared.node.borrow().subtree().counters.services.contains_key(service);
         while !is_counted() {
             self.shared.changed.notified().await;
--- a/crates/quillpulley/tests/proxy/support/script.rs
+++ b/crates/quillpulley/tests/proxy/support/script.rs
@@ -45,249 +45,254 @@
 
 /// The state that the scripted servers share with the test: the scripts and what was observed.
 #[derive(Default)]
-pub struct Seen {
+pub struct ScriptState {
     /// The scripts that no connection has started yet.
     scripts: RefCell<VecDeque<String>>,
     /// The id of every request that may have executed, once per execution.
-    runs: RefCell<Vec<String>>,
+    executions: RefCell<Vec<String>>,
     /// What the proxy did that no script allows.
-    faults: RefCell<Vec<String>>,
+    violations: RefCell<Vec<String>>,
     /// What clients have received, as the arguments of `until`: `head` or the id of an event.
     received: RefCell<Vec<String>>,
     /// The number of scripts that have started and not ended.
-    playing: Cell<usize>,
+    running_scripts: Cell<usize>,
     changed: Notify,
 }
 
-impl Seen {
+impl ScriptState {
     /// Returns how often a request may have executed.
-    pub fn runs_of(&self, id: &str) -> usize {
-        self.runs.borrow().iter().filter(|run| *run == id).count()
+    pub fn execution_count(&self, id: &str) -> usize {
+        self.executions.borrow().iter().filter(|executed| *executed == id).count()
     }
 
     /// Returns what the proxy did that no script allows.
-    pub fn faults(&self) -> Vec<String> {
-        self.faults.borrow().clone()
+    pub fn violations(&self) -> Vec<String> {
+        self.violations.borrow().clone()
     }
 
     /// Returns the number of scripts that no connection has started.
-    pub fn unplayed(&self) -> usize {
+    pub fn unplayed_scripts(&self) -> usize {
         self.scripts.borrow().len()
     }
 
     /// Waits until every script that has started has ended.
-    pub async fn until_played(&self) {
-        while self.playing.get() > 0 {
+    pub async fn wait_until_scripts_end(&self) {
+        while self.running_scripts.get() > 0 {
             self.changed.notified().await;
         }
     }
 
     /// Records that a client has received a response head or an event, as the argument of `until`.
-    pub fn received(&self, what: &str) {
+    pub fn record_received(&self, what: &str) {
         self.received.borrow_mut().push(what.to_string());
         self.changed.notify_waiters();
     }
 
-    async fn until_received(&self, what: &str) {
-        while !self.received.borrow().iter().any(|got| got == what) {
+    async fn wait_until_received(&self, what: &str) {
+        while !self.received.borrow().iter().any(|item| item == what) {
             self.changed.notified().await;
         }
     }
 
-    fn fault(&self, what: impl Into<String>) {
-        self.faults.borrow_mut().push(what.into());
+    fn record_violation(&self, what: impl Into<String>) {
+        self.violations.borrow_mut().push(what.into());
     }
 }
 
 /// Three servers of the service `one`. Each connection to any of them runs the next script; a health check
 /// does not use up its script.
 pub struct ScriptedServers {
-    pub seen: Rc<Seen>,
+    pub state: Rc<ScriptState>,
     pub entries: Vec<protocol::Server>,
 }
 
 impl ScriptedServers {
     pub async fn start(scripts: impl IntoIterator<Item = String>) -> ScriptedServers {
-        let seen = Rc::new(Seen::default());
-        seen.scripts.borrow_mut().extend(scripts);
+        let state = Rc::new(ScriptState::default());
+        state.scripts.borrow_mut().extend(scripts);
         let mut entries = Vec::new();
         for id in ["i-1", "i-2", "i-3"] {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
             entries.push(entry(id, "one", listener.local_addr().expect("address")));
-            spawn_local(accept(listener, id, seen.clone()));
+            spawn_local(accept(listener, id, state.clone()));
         }
-        ScriptedServers { seen, entries }
+        ScriptedServers { state, entries }
     }
 }
 
-async fn accept(listener: TcpListener, instance: &'static str, seen: Rc<Seen>) {
+async fn accept(listener: TcpListener, instance: &'static str, state: Rc<ScriptState>) {
     while let Ok((stream, _)) = listener.accept().await {
         stream.set_nodelay(true).expect("nodelay");
-        let Some(script) = seen.scripts.borrow_mut().pop_front() else {
-            seen.fault("the proxy opened a connection that no script was left for");
+        let Some(script) = state.scripts.borrow_mut().pop_front() else {
+            state.record_violation("the proxy opened a connection that no script was left for");
             continue;
         };
-        seen.playing.set(seen.playing.get() + 1);
-        let connection =
-            Connection { stream: BufReader::new(stream), seen: seen.clone(), id: String::new(), length: 0 };
+        state.running_scripts.set(state.running_scripts.get() + 1);
+        let connection = Connection {
+            stream: BufReader::new(stream),
+            state: state.clone(),
+            id: String::new(),
+            remaining_body_bytes: 0,
+        };
         spawn_local(connection.serve(script, instance));
     }
 }
 
 /// What happens to the connection when its script ends.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Ended {
+enum ScriptEnd {
     Reset,
     Closed,
     /// The connection stays open until the proxy closes it.
-    Stays,
+    Open,
 }
 
 struct Connection {
     stream: BufReader<TcpStream>,
-    seen: Rc<Seen>,
+    state: Rc<ScriptState>,
     /// The id of the current request.
     id: String,
     /// The number of bytes of its body that have not been read.
-    length: usize,
+    remaining_body_bytes: usize,
 }
 
 impl Connection {
     async fn serve(mut self, script: String, instance: &'static str) {
-        let seen = self.seen.clone();
-        let ended = self.play(&script, instance).await;
-        if ended == Ended::Reset {
+        let state = self.state.clone();
+        let end = self.run_script(&script, instance).await;
+        if end == ScriptEnd::Reset {
             SockRef::from(self.stream.get_ref()).set_linger(Some(Duration::ZERO)).expect("linger");
         }
-        let stays = (ended == Ended::Stays).then_some(self);
-        seen.playing.set(seen.playing.get() - 1);
-        seen.changed.notify_waiters();
-        if let Some(mut connection) = stays {
-            connection.mute().await;
+        let left_open = (end == ScriptEnd::Open).then_some(self);
+        state.running_scripts.set(state.running_scripts.get() - 1);
+        state.changed.notify_waiters();
+        if let Some(mut connection) = left_open {
+            connection.read_to_end_checked().await;
         }
     }
 
-    async fn play(&mut self, script: &str, instance: &str) -> Ended {
+    async fn run_script(&mut self, script: &str, instance: &str) -> ScriptEnd {
         for word in script.split_whitespace() {
             let read = match word {
-                "reset" => return Ended::Reset,
-                "close" => return Ended::Closed,
+                "reset" => return ScriptEnd::Reset,
+                "close" => return ScriptEnd::Closed,
                 "mute" => {
-                    self.mute().await;
-                    return Ended::Closed;
+                    self.read_to_end_checked().await;
+                    return ScriptEnd::Closed;
                 }
                 "forget" => {
                     let _ = self.stream.get_ref().peek(&mut [0]).await;
-                    return Ended::Reset;
+                    return ScriptEnd::Reset;
                 }
                 "request" | "head" => match Message::read_head(&mut self.stream).await {
                     Some(head) if head.first_line.starts_with("GET /health") => {
-                        self.seen.scripts.borrow_mut().push_front(script.to_string());
-                        self.answer_check(instance).await;
-                        return Ended::Closed;
+                        self.state.scripts.borrow_mut().push_front(script.to_string());
+                        self.respond_to_health_check(instance).await;
+                        return ScriptEnd::Closed;
                     }
                     Some(head) => {
-                        self.begin(head);
-                        word == "head" || self.body().await
+                        self.begin_request(head);
+                        word == "head" || self.read_body().await
                     }
                     None => false,
                 },
-                "body" => self.body().await,
+                "body" => self.read_body().await,
                 word => {
-                    self.answer(word).await;
+                    self.write_step(word).await;
                     true
                 }
             };
             if !read {
-                self.seen.fault(format!("{script}: the connection ended during the step {word}"));
-                return Ended::Closed;
+                self.state.record_violation(format!("{script}: the connection ended during the step {word}"));
+                return ScriptEnd::Closed;
             }
         }
-        Ended::Stays
+        ScriptEnd::Open
     }
 
-    async fn answer_check(&mut self, instance: &str) {
+    async fn respond_to_health_check(&mut self, instance: &str) {
         let head = format!("HTTP/1.1 200 OK\r\nQuillpulley-Instance-Id: {instance}\r\n");
         self.write(&format!("{head}Content-Length: 0\r\nConnection: close\r\n\r\n")).await;
     }
 
-    fn begin(&mut self, head: Message) {
+    fn begin_request(&mut self, head: Message) {
         self.id = head.header("quillpulley-request-id").unwrap_or_default().to_string();
-        self.length = head.header("content-length").and_then(|length| length.parse().ok()).unwrap_or(0);
-        self.seen.runs.borrow_mut().push(self.id.clone());
+        self.remaining_body_bytes =
+            head.header("content-length").and_then(|length| length.parse().ok()).unwrap_or(0);
+        self.state.executions.borrow_mut().push(self.id.clone());
     }
 
     /// Reads the body of the request. Returns false if the connection ends first.
-    async fn body(&mut self) -> bool {
-        let mut body = vec![0; std::mem::take(&mut self.length)];
-        let whole = self.stream.read_exact(&mut body).await.is_ok();
-        if whole && body.iter().any(|byte| *byte != BODY_BYTE) {
-            self.seen.fault(format!("the body of {} was changed", self.id));
+    async fn read_body(&mut self) -> bool {
+        let mut body = vec![0; std::mem::take(&mut self.remaining_body_bytes)];
+        let is_complete = self.stream.read_exact(&mut body).await.is_ok();
+        if is_complete && body.iter().any(|byte| *byte != BODY_BYTE) {
+            self.state.record_violation(format!("the body of {} was changed", self.id));
         }
-        whole
+        is_complete
     }
 
     /// Reads until the proxy closes the connection, and checks that only the rest of the body arrives.
-    async fn mute(&mut self) {
+    async fn read_to_end_checked(&mut self) {
         let mut rest = Vec::new();
         let _ = self.stream.read_to_end(&mut rest).await;
-        if rest.len() > self.length || rest.iter().any(|byte| *byte != BODY_BYTE) {
+        if rest.len() > self.remaining_body_bytes || rest.iter().any(|byte| *byte != BODY_BYTE) {
             let rest = String::from_utf8_lossy(&rest[rest.len().saturating_sub(300)..]).into_owned();
-            self.seen.fault(format!("received data that is not the body of {}: {rest}", self.id));
+            self.state.record_violation(format!("received data that is not the body of {}: {rest}", self.id));
         }
     }
 
     /// Removes the latest execution of the current request, which the response says was not executed.
-    fn did_not_run(&self) {
-        let mut runs = self.seen.runs.borrow_mut();
-        let at = runs.iter().rposition(|run| *run == self.id);
-        at.into_iter().for_each(|at| drop(runs.remove(at)));
+    fn remove_execution(&self) {
+        let mut executions = self.state.executions.borrow_mut();
+        let at = executions.iter().rposition(|executed| *executed == self.id);
+        at.into_iter().for_each(|at| drop(executions.remove(at)));
     }
 
     /// Performs a step that writes a response or a part of it, or waits for the client.
-    async fn answer(&mut self, word: &str) {
+    async fn write_step(&mut self, word: &str) {
         if let Some(what) = word.strip_prefix("until:") {
-            return self.seen.until_received(what).await;
+            return self.state.wait_until_received(what).await;
         }
         let id = self.id.clone();
-        let own = format!("Quillpulley-Request-Id: {id}\r\n");
-        let sealed = format!("HTTP/1.1 200 OK\r\n{own}{SEAL}");
+        let id_header = format!("Quillpulley-Request-Id: {id}\r\n");
+        let sealed_head = format!("HTTP/1.1 200 OK\r\n{id_header}{SEAL}");
         let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
-        let length = |text: &str| format!("Content-Length: {}\r\n\r\n{text}", text.len());
+        let sized = |text: &str| format!("Content-Length: {}\r\n\r\n{text}", text.len());
         let (name, number) = word.split_once(':').unwrap_or((word, ""));
         let event = format!("id: {number}\ndata: {number}\n\n");
         let text = match name {
-            "ok" => format!("{sealed}Keep-Alive: timeout=60\r\n{}", length(&id)),
-            "last" => format!("{sealed}Connection: close\r\n{}", length(&id)),
-            "chunked" => format!("{sealed}Transfer-Encoding: chunked\r\n\r\n{}0\r\n\r\n", chunk(&id)),
-            "bare" => format!("{sealed}\r\n{id}"),
+            "ok" => format!("{sealed_head}Keep-Alive: timeout=60\r\n{}", sized(&id)),
+            "last" => format!("{sealed_head}Connection: close\r\n{}", sized(&id)),
+            "chunked" => format!("{sealed_head}Transfer-Encoding: chunked\r\n\r\n{}0\r\n\r\n", chunk(&id)),
+            "bare" => format!("{sealed_head}\r\n{id}"),
             "half-head" => "HTTP/1.1 200 OK\r\nQuillpulley-Re".to_string(),
-            "half-body" => format!("{sealed}Content-Length: 100\r\n\r\n{id}"),
-            "half-chunk" => format!("{sealed}Transfer-Encoding: chunked\r\n\r\n{}", chunk(&id)),
+            "half-body" => format!("{sealed_head}Content-Length: 100\r\n\r\n{id}"),
+            "half-chunk" => format!("{sealed_head}Transfer-Encoding: chunked\r\n\r\n{}", chunk(&id)),
             "other" => {
-                format!("HTTP/1.1 200 OK\r\nQuillpulley-Request-Id: another\r\n{SEAL}{}", length("another"))
+                format!("HTTP/1.1 200 OK\r\nQuillpulley-Request-Id: another\r\n{SEAL}{}", sized("another"))
             }
             "noise" => "no HTTP at all\r\n\r\n".to_string(),
-            "switch" => format!("HTTP/1.1 101 Switching Protocols\r\n{own}{SEAL}\r\n"),
+            "switch" => format!("HTTP/1.1 101 Switching Protocols\r\n{id_header}{SEAL}\r\n"),
             "hint" => "HTTP/1.1 103 Early Hints\r\n\r\n".to_string(),
-            "failed" => format!("HTTP/1.1 500 Internal Server Error\r\n{own}{SEAL}{}", length(&id)),
+            "failed" => format!("HTTP/1.1 500 Internal Server Error\r\n{id_header}{SEAL}{}", sized(&id)),
             "plain-503" | "plain-429" | "plain-408" => {
                 let status = &name["plain-".len()..];
-                format!("HTTP/1.1 {status} No\r\n{own}{SEAL}{}", length(&id))
+                format!("HTTP/1.1 {status} No\r\n{id_header}{SEAL}{}", sized(&id))
             }
             "declined" => {
-                self.did_not_run();
-                let mark = "Quillpulley-Not-Executed: full\r\n";
-                format!("HTTP/1.1 503 Service Unavailable\r\n{own}{mark}{}", length("full"))
+                self.remove_execution();
+                let not_executed = "Quillpulley-Not-Executed: full\r\n";
+                format!("HTTP/1.1 503 Service Unavailable\r\n{id_header}{not_executed}{}", sized("full"))
             }
             "misdirected" => {
-                self.did_not_run();
-                format!("HTTP/1.1 421 Misdirected Request\r\n{own}{}", length(""))
+                self.remove_execution();
+                format!("HTTP/1.1 421 Misdirected Request\r\n{id_header}{}", sized(""))
             }
             "stream" => {
-                format!("{sealed}Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
+                format!("{sealed_head}Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
             }
-            "bare-stream" => format!("{sealed}Content-Type: text/event-stream\r\n\r\n"),
+            "bare-stream" => format!("{sealed_head}Content-Type: text/event-stream\r\n\r\n"),
             "event" => chunk(&event),
             "part" => chunk(&event[..event.len() - 3]),
             "raw" => event,
--- a/crates/quillpulley/tests/proxy/tables.rs
+++ b/crates/quillpulley/tests/proxy/tables.rs
@@ -18,7 +18,7 @@
 //! connection runs the next one.
 
 /// Responses that are not streamed: complete, truncated or missing.
-pub const PLAIN: &str = "
+pub const UNSTREAMED: &str = "
     once=ok                     | request ok
     once=ok                     | request chunked
     once=ok                     | request last
--- a/crates/quillpulley/tests/proxy/timelines.rs
+++ b/crates/quillpulley/tests/proxy/timelines.rs
@@ -3,9 +3,9 @@
 
 use crate::support::client::request;
 use crate::support::message::Message;
-use crate::support::script::{ScriptedServers, Seen};
+use crate::support::script::{ScriptState, ScriptedServers};
 use crate::support::{configuration, route, run, Client, Proxy};
-use crate::tables::{EARLY, PLAIN, REUSED, STREAMS};
+use crate::tables::{EARLY, REUSED, STREAMS, UNSTREAMED};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use quillpulley::proxy::Faults;
 use std::rc::Rc;
@@ -13,9 +13,9 @@
 use tokio::task::{spawn_local, JoinHandle};
 
 /// Number of bytes that exceeds what the kernel buffers for a connection that is not read.
-const LONG_BODY: usize = 8 * 1024 * 1024;
+const LONG_BODY_BYTES: usize = 8 * 1024 * 1024;
 /// Longer than the reuse delay of connections to servers, which is 10 ms.
-const REST: Duration = Duration::from_millis(15);
+const REUSE_WAIT: Duration = Duration::from_millis(15);
 
 /// A test case: one line of a table.
 #[derive(Clone, Debug)]
@@ -40,52 +40,55 @@
 
 /// Runs a case. Returns the result of each request, or an error if the case violates an invariant, whatever
 /// results it expects.
-async fn play(case: Case, faults: Faults) -> Result<Vec<String>, String> {
+async fn run_case(case: Case, faults: Faults) -> Result<Vec<String>, String> {
     let first = "request last".to_string();
     let servers = ScriptedServers::start(std::iter::once(first).chain(case.scripts.clone())).await;
-    let seen = servers.seen.clone();
+    let state = servers.state.clone();
     // With a single server, a second request reuses the connection of the first one.
-    let known = if case.client.contains("idle") { &servers.entries[..1] } else { &servers.entries[..] };
-    let proxy = Proxy::start_with_faults("", &served(), known, faults).await;
+    let listed_servers =
+        if case.client.contains("idle") { &servers.entries[..1] } else { &servers.entries[..] };
+    let proxy = Proxy::start_with_faults("", &case_configuration(), listed_servers, faults).await;
     let mut client = proxy.client().await;
     // The retry budget of a service allows no retries before a request to it has been counted.
-    fetch(&mut client, &seen, "once", "first", "w").await;
-    proxy.agent.wait_for_request_count("one").await;
+    fetch(&mut client, &state, "once", "first", "w").await;
+    proxy.agent.wait_for_reported_request("one").await;
     let mut results = Vec::new();
     for (number, step) in case.client.split_whitespace().enumerate() {
         match step {
             "idle" => {
-                rest(&mut client).await;
+                wait_for_reuse(&mut client).await;
                 continue;
             }
             "over" => {
-                seen.until_played().await;
+                state.wait_until_scripts_end().await;
                 continue;
             }
             _ => {}
         }
         let wanted = step.split('=').next().unwrap_or_default();
         let (name, long) = wanted.strip_suffix("+long").map_or((wanted, false), |name| (name, true));
-        let body = if long { "w".repeat(LONG_BODY) } else { "wwww".to_string() };
+        let body = if long { "w".repeat(LONG_BODY_BYTES) } else { "wwww".to_string() };
         let id = format!("id-{number}");
-        let outcome = fetch(&mut client, &seen, name, &id, &body).await;
-        check(name, &id, &outcome, &seen)?;
+        let outcome = fetch(&mut client, &state, name, &id, &body).await;
+        check_invariants(name, &id, &outcome, &state)?;
         results.push(format!("{wanted}={}", outcome.text));
-        if outcome.closed {
+        if outcome.is_closed {
             client = proxy.client().await;
         }
     }
     drop((client, proxy.signals));
     proxy.process.abort();
     let _ = proxy.process.await;
-    match seen.faults().first() {
-        Some(fault) => Err(fault.clone()),
-        None if seen.unplayed() > 0 => Err(format!("{} scripts were not run", seen.unplayed())),
+    match state.violations().first() {
+        Some(violation) => Err(violation.clone()),
+        None if state.unplayed_scripts() > 0 => {
+            Err(format!("{} scripts were not run", state.unplayed_scripts()))
+        }
         None => Ok(results),
     }
 }
 
-fn served() -> String {
+fn case_configuration() -> String {
     let routes = [
         route("once", "non_idempotent", "\"MaxAttempts\":2"),
         route("again", "idempotent", "\"MaxAttempts\":2"),
@@ -104,16 +107,16 @@
     text: String,
     head: Message,
     /// Whether the connection cannot be used for another request.
-    closed: bool,
+    is_closed: bool,
 }
 
 /// Sends a request and reads the response, as far as it arrives.
-async fn fetch(client: &mut Client, seen: &Seen, route: &str, id: &str, body: &str) -> Outcome {
+async fn fetch(client: &mut Client, state: &ScriptState, route: &str, id: &str, body: &str) -> Outcome {
     client.send(&request(&format!("POST /{route}/x"), id, "", body)).await;
     let Some(mut head) = client.try_read_head().await else {
-        return Outcome { text: "cut".to_string(), head: Message::default(), closed: true };
+        return Outcome { text: "cut".to_string(), head: Message::default(), is_closed: true };
     };
-    seen.received("head");
+    state.record_received("head");
     if head.header("transfer-encoding").is_none() {
         head.body = client.read_body(&head).await;
         let text = match (head.status(), head.text() == id) {
@@ -121,59 +124,59 @@
             (200, false) => format!("the response to {}", head.text()),
             (status, _) => status.to_string(),
         };
-        let closed = head.header("connection") == Some("close");
-        return Outcome { text, head, closed };
+        let is_closed = head.header("connection") == Some("close");
+        return Outcome { text, head, is_closed };
     }
     let mut events: Vec<String> = Vec::new();
     let mut text = String::new();
-    let closed = loop {
+    let is_closed = loop {
         match client.try_read_chunk().await {
             Some(Some(chunk)) => {
                 text.push_str(&chunk);
-                numbers_of(&text).iter().for_each(|number| seen.received(number));
+                event_ids(&text).iter().for_each(|number| state.record_received(number));
             }
             Some(None) => break false,
             None => break true,
         }
     };
-    events.extend(numbers_of(&text));
-    if closed {
+    events.extend(event_ids(&text));
+    if is_closed {
         events.push("cut".to_string());
     }
-    Outcome { text: events.join(","), head, closed }
+    Outcome { text: events.join(","), head, is_closed }
 }
 
 /// Returns the ids of the events in a text. An incomplete event is given as `part of` its id.
-fn numbers_of(text: &str) -> Vec<String> {
-    let mut numbers = Vec::new();
+fn event_ids(text: &str) -> Vec<String> {
+    let mut ids = Vec::new();
     for event in text.split_inclusive("\n\n") {
         let number = event.strip_prefix("id: ").and_then(|rest| rest.split('\n').next()).unwrap_or("?");
-        let whole = event == format!("id: {number}\ndata: {number}\n\n");
-        numbers.push(if whole { number.to_string() } else { format!("part of {number}") });
+        let is_complete = event == format!("id: {number}\ndata: {number}\n\n");
+        ids.push(if is_complete { number.to_string() } else { format!("part of {number}") });
     }
-    numbers
+    ids
 }
 
 /// Checks the invariants that hold for every request, whatever the servers do.
-fn check(route: &str, id: &str, outcome: &Outcome, seen: &Seen) -> Result<(), String> {
-    let runs = seen.runs_of(id);
+fn check_invariants(route: &str, id: &str, outcome: &Outcome, state: &ScriptState) -> Result<(), String> {
+    let executions = state.execution_count(id);
     let status = outcome.head.status();
-    let ended = outcome.head.first_line.is_empty();
-    let may_repeat = matches!(route, "again" | "brief-again" | "resume");
-    if !may_repeat && runs > 1 {
-        return Err(format!("{id} on {route} executed {runs} times"));
+    let has_no_head = outcome.head.first_line.is_empty();
+    let may_execute_again = matches!(route, "again" | "brief-again" | "resume");
+    if !may_execute_again && executions > 1 {
+        return Err(format!("{id} on {route} executed {executions} times"));
     }
-    if runs > 2 {
+    if executions > 2 {
         return Err(format!("{id} on {route} executed on more servers than MaxAttempts allows"));
     }
-    if matches!(status, 408 | 421 | 429 | 503) && runs > 0 {
+    if matches!(status, 408 | 421 | 429 | 503) && executions > 0 {
         return Err(format!("{id} on {route} got {status} although it may have executed"));
     }
     if outcome.text.starts_with("the response to") {
         return Err(format!("{id} on {route} got {}", outcome.text));
     }
     let sealed = outcome.head.header("quillpulley-response-seal").is_some();
-    if !ended && sealed != matches!(status, 200 | 500) {
+    if !has_no_head && sealed != matches!(status, 200 | 500) {
         return Err(format!("{id} on {route} got {status}, sealed: {sealed}"));
     }
     if sealed && outcome.head.header("quillpulley-request-id") != Some(id) {
@@ -183,28 +186,28 @@
 }
 
 /// Sends requests without a route until the reuse delay of connections to servers has passed.
-async fn rest(client: &mut Client) {
+async fn wait_for_reuse(client: &mut Client) {
     let started = Instant::now();
-    while started.elapsed() < REST {
+    while started.elapsed() < REUSE_WAIT {
         assert_eq!(client.fetch(&request("GET /nothing/", "id-rest", "", "")).await.status(), 404);
     }
 }
 
 /// Runs all cases concurrently.
-async fn play_all(cases: Vec<Case>, faults: Faults) -> Vec<(Case, Result<Vec<String>, String>)> {
-    let begin = |case: Case| (case.clone(), spawn_local(play(case, faults)));
-    let playing: Vec<(Case, JoinHandle<_>)> = cases.into_iter().map(begin).collect();
-    let mut played = Vec::new();
-    for (case, playing) in playing {
-        played.push((case, playing.await.expect("the case panicked")));
+async fn run_all(cases: Vec<Case>, faults: Faults) -> Vec<(Case, Result<Vec<String>, String>)> {
+    let start = |case: Case| (case.clone(), spawn_local(run_case(case, faults)));
+    let running: Vec<(Case, JoinHandle<_>)> = cases.into_iter().map(start).collect();
+    let mut finished = Vec::new();
+    for (case, running) in running {
+        finished.push((case, running.await.expect("the case panicked")));
     }
-    played
+    finished
 }
 
 /// Runs all cases of a table, and checks that each has the results that it expects.
 fn assert_outcomes(table: &'static str) {
     run(async move {
-        for (case, result) in play_all(cases(table), Faults::default()).await {
+        for (case, result) in run_all(cases(table), Faults::default()).await {
             let expected: Vec<&str> =
                 case.client.split_whitespace().filter(|step| step.contains('=')).collect();
             let result = result.map(|results| results.join(" "));
@@ -214,8 +217,8 @@
 }
 
 #[test]
-fn plain_answers() {
-    assert_outcomes(PLAIN);
+fn unstreamed_responses() {
+    assert_outcomes(UNSTREAMED);
 }
 
 #[test]
@@ -224,7 +227,7 @@
 }
 
 #[test]
-fn early_answers() {
+fn early_responses() {
     assert_outcomes(EARLY);
 }
 
@@ -234,22 +237,22 @@
 }
 
 #[test]
-fn a_proxy_that_retries_after_a_reset_is_caught() {
+fn the_invariants_detect_a_retry_after_a_reset() {
     run(async {
         let faults = Faults { retry_after_reset: true, ..Faults::default() };
         let case = Case::parse("once=502 | request reset ; request ok");
-        assert_eq!(play(case, faults).await, Err("id-0 on once executed 2 times".to_string()));
+        assert_eq!(run_case(case, faults).await, Err("id-0 on once executed 2 times".to_string()));
         let case = Case::parse("once=502 | request reset ; request declined");
-        assert_eq!(play(case, faults).await, Ok(vec!["once=502".to_string()]));
+        assert_eq!(run_case(case, faults).await, Ok(vec!["once=502".to_string()]));
     });
 }
 
 #[test]
-fn a_proxy_that_accepts_another_requests_response_is_caught() {
+fn the_invariants_detect_a_response_to_another_request() {
     run(async {
         let faults = Faults { ignore_response_ids: true, ..Faults::default() };
         let case = Case::parse("once=502 | request other");
-        assert_eq!(play(case, faults).await, Err("id-0 on once got the response to another".to_string()));
+        assert_eq!(run_case(case, faults).await, Err("id-0 on once got the response to another".to_string()));
     });
 }
 
@@ -259,7 +262,7 @@
 
 impl Arbitrary for AnyCase {
     fn arbitrary(g: &mut Gen) -> Self {
-        let plain = [
+        let unstreamed = [
             "ok",
             "last",
             "chunked",
@@ -300,27 +303,28 @@
             "failed",
         ];
         let name = *g.choose(&["once", "again", "stream", "resume"]).expect("some");
-        let answers: &[&str] = if name.starts_with('s') || name == "resume" { &streams } else { &plain };
+        let responses: &[&str] =
+            if name.starts_with('s') || name == "resume" { &streams } else { &unstreamed };
         let reading = *g.choose(&["request", "request", "head"]).expect("some");
         // The last script is for connections that the proxy opens after those of the random scripts.
-        let mut script = |reading: &str| format!("{reading} {}", g.choose(answers).expect("some"));
+        let mut script = |reading: &str| format!("{reading} {}", g.choose(responses).expect("some"));
         let scripts = vec![script(reading), script("request"), script("request"), "request ok".to_string()];
         AnyCase(Case { client: format!("{name}=?"), scripts })
     }
 }
 
 #[test]
-fn invariants_hold_whatever_servers_do() {
+fn the_invariants_hold_for_random_cases() {
     fn holds(cases: Vec<AnyCase>) -> bool {
         let cases: Vec<Case> = cases.into_iter().map(|AnyCase(case)| case).collect();
         let failed = Rc::new(std::cell::Cell::new(false));
-        let seen = failed.clone();
+        let failed_in_run = failed.clone();
         run(async move {
-            for (case, result) in play_all(cases, Faults::default()).await {
-                let wrong = result.err().filter(|error| !error.ends_with("scripts were not run"));
-                if let Some(error) = wrong {
+            for (case, result) in run_all(cases, Faults::default()).await {
+                let violation = result.err().filter(|error| !error.ends_with("scripts were not run"));
+                if let Some(error) = violation {
                     eprintln!("{error}: {case:?}");
-                    seen.set(true);
+                    failed_in_run.set(true);
                 }
             }
         });
--- a/crates/quillpulley/tests/proxy/upstream_requests.rs
+++ b/crates/quillpulley/tests/proxy/upstream_requests.rs
@@ -28,7 +28,7 @@
     client.send(&request("POST /once/x", "first", "", "work")).await;
     next_call(&mut one, &mut two).await.respond_ok("done").await;
     client.read_response().await;
-    proxy.agent.wait_for_request_count("one").await;
+    proxy.agent.wait_for_reported_request("one").await;
     (proxy, one, two, client)
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// Sends requests without a route until `ATTEMPT_INTERVAL` has interval_ms.
+/// Sends requests without a route until `ATTEMPT_INTERVAL` has passed.
 async fn pause(proxy: &Proxy) {
     let mut client = proxy.client().await;
     let started = Instant::now();
@@ -73,7 +73,7 @@
 }
 
 /// Returns the deadline that a request carries, in milliseconds.
-fn deadline(sent: &Message) -> u64 {
+fn deadline_ms(sent: &Message) -> u64 {
     let values = sent.header_values("quillpulley-deadline-ms");
     assert_eq!(values.len(), 1, "{values:?}");
     values[0].parse().expect("a whole number")
@@ -92,7 +92,7 @@
                 ("Quillpulley-Deadline-Ms: soon\r\n", ROUTE_TIMEOUT_MS),
                 (duplicate_deadline.as_str(), ROUTE_TIMEOUT_MS),
             ] {
-                let [first, second] = two_attempts(path, headers).await.map(|sent| deadline(&sent));
+                let [first, second] = two_attempts(path, headers).await.map(|sent| deadline_ms(&sent));
                 assert!(first <= max_deadline_ms, "{path} {headers}: {first}");
                 let interval_ms = ATTEMPT_INTERVAL.as_millis() as u64;
                 assert!(second + interval_ms <= first + 1, "{path} {headers}: {first}, then {second}");
@@ -127,12 +127,12 @@
 }
 
 #[test]
-fn a_server_that_forgot_one_idle_connection_gets_no_more_on_the_others() {
+fn a_reset_idle_connection_closes_the_other_idle_connections_to_its_server() {
     run(async {
         let forgotten = "request ok until:both forget".to_string();
         let scripts = ["request last".to_string(), forgotten.clone(), forgotten, "request ok".to_string()];
         let servers = ScriptedServers::start(scripts).await;
-        let seen = servers.seen.clone();
+        let state = servers.state.clone();
         let routes = route("once", "non_idempotent", "");
         let only_server = &servers.entries[..1];
         let proxy =
@@ -146,17 +146,17 @@
         for client in &mut clients {
             assert_eq!(client.read_response().await.status(), 200);
         }
-        seen.received("both");
+        state.record_received("both");
         pause(&proxy).await;
         // The server may have read the request, so it is not retried.
         assert_eq!(clients[0].fetch(&once("id-2")).await.status(), 502);
         assert_eq!(clients[0].fetch(&once("id-3")).await.status(), 200);
-        assert_eq!(seen.faults(), Vec::<String>::new());
+        assert_eq!(state.violations(), Vec::<String>::new());
     });
 }
 
 #[test]
-fn a_stream_with_homes_is_resumed_in_these_only() {
+fn a_stream_is_resumed_only_in_its_home_regions() {
     run(async {
         let first = "request last".to_string();
         let cut = "request stream event:1 until:1 reset".to_string();
@@ -164,7 +164,7 @@
             ScriptedServers::start([first, cut, "request stream event:2 end".to_string()]).await;
         // The zone of the other servers does not belong to the home region of the route.
         servers.entries[1..].iter_mut().for_each(|entry| entry.zone = "elsewhere".to_string());
-        let seen = servers.seen.clone();
+        let state = servers.state.clone();
         let fields = "\"MaxAttempts\":3,\"Resumable\":true,\"HomeRegions\":[\"r\"]";
         let routes = route("resume", "streaming", fields);
         let entries = &servers.entries;
@@ -173,12 +173,12 @@
         let mut client = proxy.client().await;
         let resume = |id: &str| request("POST /resume/x", id, "", "wwww");
         client.fetch(&resume("id-0")).await;
-        proxy.agent.wait_for_request_count("one").await;
+        proxy.agent.wait_for_reported_request("one").await;
         client.send(&resume("id-1")).await;
         client.read_head().await;
         assert_eq!(client.read_chunk().await.as_deref(), Some("id: 1\ndata: 1\n\n"));
-        seen.received("1");
+        state.record_received("1");
         assert!(client.is_truncated().await);
-        assert_eq!((seen.runs_of("id-1"), seen.unplayed()), (1, 1));
+        assert_eq!((state.execution_count("id-1"), state.unplayed_scripts()), (1, 1));
     });
 }
--- a/crates/quillpulley/tests/proxy_drain_deadline.rs
+++ b/crates/quillpulley/tests/proxy_drain_deadline.rs
@@ -49,24 +49,24 @@
        1001 |    15000 |        1 | no
 ";
 
-const SIGNALLED: Duration = Duration::from_millis(1_000);
+const SIGNALLED_AT: Duration = Duration::from_millis(1_000);
 
 #[test]
 fn late_requests_are_accepted_only_if_they_are_sure_to_end_in_time() {
     for (grace, timeline) in [(8, GRACE_OF_8_S), (4, GRACE_OF_4_S), (1, GRACE_OF_1_S), (0, NO_GRACE)] {
-        let deadline = DrainDeadline::new(SIGNALLED, Duration::from_secs(grace));
+        let deadline = DrainDeadline::new(SIGNALLED_AT, Duration::from_secs(grace));
         for line in timeline.lines().map(str::trim).filter(|line| !line.is_empty()).skip(1) {
             let columns: Vec<&str> = line.split('|').map(str::trim).collect();
-            let (came, timeout) = (milliseconds(columns[0]), milliseconds(columns[1]));
-            let due = came + timeout.min(milliseconds(columns[2]));
-            assert_eq!(deadline.accepts(came, due), columns[3] == "yes", "{grace} s: {line}");
+            let (arrived, timeout) = (milliseconds(columns[0]), milliseconds(columns[1]));
+            let ends_by = arrived + timeout.min(milliseconds(columns[2]));
+            assert_eq!(deadline.accepts(arrived, ends_by), columns[3] == "yes", "{grace} s: {line}");
         }
     }
 }
 
 #[test]
-fn it_ends_half_a_second_before_it_would_be_killed() {
-    let deadline = DrainDeadline::new(SIGNALLED, Duration::from_secs(8));
+fn the_proxy_exits_half_a_second_before_sigkill() {
+    let deadline = DrainDeadline::new(SIGNALLED_AT, Duration::from_secs(8));
     let times = [deadline.accepts_all_until(), deadline.response_cutoff(), deadline.exits_at()];
     assert_eq!(times.map(|time| time.as_millis()), [3_900, 8_400, 8_500]);
 }
@@ -74,22 +74,22 @@
 quickcheck! {
     /// A request that arrives more than 3 s after SIGTERM and is accepted ends before the process exits, for
     /// any grace period.
-    fn late_requests_are_not_aborted(signalled: u16, grace: u16, came_after: u16, lasts: u16) -> bool {
-        let [signalled, grace, came_after, lasts] =
-            [signalled, grace, came_after, lasts].map(|time| Duration::from_millis(time.into()));
-        let deadline = DrainDeadline::new(signalled, grace);
-        let (came, due) = (signalled + came_after, signalled + came_after + lasts);
-        let late = came_after > Duration::from_secs(3);
-        !(late && deadline.accepts(came, due)) || due < deadline.exits_at()
+    fn late_requests_are_not_aborted(signalled_at: u16, grace: u16, arrives_after: u16, duration: u16) -> bool {
+        let [signalled_at, grace, arrives_after, duration] =
+            [signalled_at, grace, arrives_after, duration].map(|time| Duration::from_millis(time.into()));
+        let deadline = DrainDeadline::new(signalled_at, grace);
+        let (arrived, ends_by) = (signalled_at + arrives_after, signalled_at + arrives_after + duration);
+        let late = arrives_after > Duration::from_secs(3);
+        !(late && deadline.accepts(arrived, ends_by)) || ends_by < deadline.exits_at()
     }
 
     /// After a request has been rejected, no later request with the same duration is accepted.
-    fn a_rejected_request_stays_rejected(grace: u16, came_after: u16, later: u16, lasts: u16) -> bool {
-        let [grace, came_after, later, lasts] =
-            [grace, came_after, later, lasts].map(|time| Duration::from_millis(time.into()));
-        let deadline = DrainDeadline::new(SIGNALLED, grace);
-        let taken = |after: Duration| deadline.accepts(SIGNALLED + after, SIGNALLED + after + lasts);
-        taken(came_after) || !taken(came_after + later)
+    fn a_rejected_request_stays_rejected(grace: u16, arrives_after: u16, later: u16, duration: u16) -> bool {
+        let [grace, arrives_after, later, duration] =
+            [grace, arrives_after, later, duration].map(|time| Duration::from_millis(time.into()));
+        let deadline = DrainDeadline::new(SIGNALLED_AT, grace);
+        let accepts = |after: Duration| deadline.accepts(SIGNALLED_AT + after, SIGNALLED_AT + after + duration);
+        accepts(arrives_after) || !accepts(arrives_after + later)
     }
 }
 
--- a/crates/quillpulley/tests/proxy_event_splitter.rs
+++ b/crates/quillpulley/tests/proxy_event_splitter.rs
@@ -6,12 +6,12 @@
 
 /// A stream of up to seven events with increasing ids, and sorted byte offsets at which it is cut.
 #[derive(Clone, Debug)]
-struct Cuts {
+struct CutStream {
     events: Vec<String>,
-    places: Vec<usize>,
+    offsets: Vec<usize>,
 }
 
-impl Arbitrary for Cuts {
+impl Arbitrary for CutStream {
     fn arbitrary(g: &mut Gen) -> Self {
         let line_end = if bool::arbitrary(g) { "\n" } else { "\r\n" };
         let count = u8::arbitrary(g) % 8;
@@ -21,14 +21,14 @@
         };
         let events: Vec<String> = (1..=usize::from(count)).map(event).collect();
         let length: usize = events.iter().map(String::len).sum();
-        let mut places: Vec<usize> =
+        let mut offsets: Vec<usize> =
             Vec::<usize>::arbitrary(g).into_iter().map(|at| at % (length + 1)).collect();
-        places.sort_unstable();
-        Cuts { events, places }
+        offsets.sort_unstable();
+        CutStream { events, offsets }
     }
 }
 
-impl Cuts {
+impl CutStream {
     fn text(&self) -> String {
         self.events.concat()
     }
@@ -36,8 +36,8 @@
     /// Returns the stream, cut into pieces.
     fn pieces(&self) -> Vec<String> {
         let text = self.text();
-        let ends = self.places.iter().copied().chain([text.len()]);
-        let starts = [0].into_iter().chain(self.places.iter().copied());
+        let ends = self.offsets.iter().copied().chain([text.len()]);
+        let starts = [0].into_iter().chain(self.offsets.iter().copied());
         starts.zip(ends).map(|(start, end)| text[start..end].to_string()).collect()
     }
 }
@@ -48,36 +48,36 @@
 
 quickcheck! {
     /// Wherever the stream is cut, all of its bytes are forwarded, and only complete events before the end.
-    fn chunks_give_complete_events(cuts: Cuts) -> bool {
+    fn chunks_give_complete_events(stream: CutStream) -> bool {
         let mut splitter = EventSplitter::new(None);
-        let mut passed = String::new();
-        for piece in cuts.pieces() {
-            passed += &text(splitter.push(piece.as_bytes()));
-            let whole = (0..=cuts.events.len()).any(|count| cuts.events[..count].concat() == passed);
-            if !whole {
+        let mut forwarded = String::new();
+        for piece in stream.pieces() {
+            forwarded += &text(splitter.push(piece.as_bytes()));
+            let is_complete = (0..=stream.events.len()).any(|count| stream.events[..count].concat() == forwarded);
+            if !is_complete {
                 return false;
             }
         }
-        passed += &text(splitter.finish());
-        passed == cuts.text()
+        forwarded += &text(splitter.finish());
+        forwarded == stream.text()
     }
 
     /// If the stream breaks anywhere and is resumed after the last complete event, each event is forwarded
     /// once.
-    fn a_stream_resumes_after_the_last_complete_event(cuts: Cuts) -> bool {
-        cuts.places.iter().all(|place| {
+    fn a_stream_resumes_after_the_last_complete_event(stream: CutStream) -> bool {
+        stream.offsets.iter().all(|offset| {
             let mut splitter = EventSplitter::new(None);
-            let mut passed = text(splitter.push(&cuts.text().as_bytes()[..*place]));
+            let mut forwarded = text(splitter.push(&stream.text().as_bytes()[..*offset]));
             if !splitter.restart() {
                 return false;
             }
-            let done = match splitter.position() {
+            let forwarded_count = match splitter.position() {
                 Position::Start => 0,
                 Position::After(id) => text(Some(id.clone())).parse().expect("a number"),
                 Position::WithoutId => return false,
             };
-            passed += &text(splitter.push(cuts.events[done..].concat().as_bytes()));
-            passed == cuts.text()
+            forwarded += &text(splitter.push(stream.events[forwarded_count..].concat().as_bytes()));
+            forwarded == stream.text()
         })
     }
 }
@@ -85,8 +85,8 @@
 #[test]
 fn events_that_were_forwarded_before_are_skipped() {
     let mut splitter = EventSplitter::new(Some(Bytes::from_static(b"7")));
-    let passed = splitter.push(b"id: 6\ndata: a\n\nid: 7\ndata: b\n\nid: 8\ndata: c\n\n");
-    assert_eq!(text(passed), "id: 8\ndata: c\n\n");
+    let forwarded = splitter.push(b"id: 6\ndata: a\n\nid: 7\ndata: b\n\nid: 8\ndata: c\n\n");
+    assert_eq!(text(forwarded), "id: 8\ndata: c\n\n");
 }
 
 #[test]
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn an_event_without_end_is_passed_on_all_the_same() {
+fn an_event_above_the_maximum_size_is_forwarded() {
     let mut splitter = EventSplitter::new(None);
     let piece = "x".repeat(40_000);
     assert_eq!(splitter.push(piece.as_bytes()), None);
--- a/crates/quillpulley/tests/proxy_lifecycle.rs
+++ b/crates/quillpulley/tests/proxy_lifecycle.rs
@@ -20,7 +20,7 @@
 ";
 
 #[test]
-fn timelines_end_as_they_should() {
+fn timelines_have_the_expected_state() {
     for line in TIMELINES.lines().filter(|line| !line.trim().is_empty()) {
         let columns: Vec<&str> = line.split('|').map(str::trim).collect();
         let mut lifecycle = Lifecycle::default();
@@ -29,7 +29,7 @@
             lifecycle.handle(milliseconds(pair[0]), event(pair[1]));
         }
         let state = lifecycle.endpoint_state(milliseconds(columns[1]));
-        assert_eq!(name(state), columns[2], "{line}");
+        assert_eq!(state_name(state), columns[2], "{line}");
         assert_eq!(lifecycle.is_ready(milliseconds(columns[1])), state == EndpointState::Ready, "{line}");
         assert_eq!(lifecycle.is_draining(), state == EndpointState::Draining, "{line}");
     }
@@ -48,7 +48,7 @@
     }
 }
 
-fn name(state: EndpointState) -> &'static str {
+fn state_name(state: EndpointState) -> &'static str {
     match state {
         EndpointState::Starting => "starting",
         EndpointState::Ready => "ready",
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn who_is_rejected_at_the_start_comes_back_when_the_start_is_over_and_never_too_soon() {
+fn the_startup_retry_after_ends_with_the_startup_and_has_a_minimum() {
     let after_ms = |age_ms| startup_retry_after(Duration::from_millis(age_ms)).as_millis();
     assert_eq!([0, 300, 600, 1_600, 10_000].map(after_ms), [1_600, 1_300, 1_000, 1_000, 1_000]);
 }
@@ -67,7 +67,7 @@
 const EVENTS: [Event; 3] = [Event::ConfigurationKnown, Event::Fresh, Event::Drain];
 
 quickcheck::quickcheck! {
-    fn once_ready_a_proxy_stays_so_until_it_drains(steps: Vec<(u8, u16)>) -> bool {
+    fn a_ready_proxy_stays_ready_until_it_drains(steps: Vec<(u8, u16)>) -> bool {
         let mut lifecycle = Lifecycle::default();
         let (mut now, mut was_ready) = (Duration::ZERO, false);
         for (event, pause_ms) in steps {
--- a/crates/quillpulley/tests/proxy_retry_state.rs
+++ b/crates/quillpulley/tests/proxy_retry_state.rs
@@ -57,8 +57,8 @@
     }
 }
 
-fn name(ending: Option<FinalResponse>) -> &'static str {
-    match ending {
+fn response_name(final_response: Option<FinalResponse>) -> &'static str {
+    match final_response {
         None => "-",
         Some(FinalResponse::Completed) => "served",
         Some(FinalResponse::UpstreamFailure) => "servers-failure",
@@ -69,7 +69,7 @@
     }
 }
 
-fn rules(words: &str) -> RetryPolicy {
+fn policy(words: &str) -> RetryPolicy {
     let (kind, attempts) = words.trim().split_once(' ').expect("`once` or `again`, and a number of attempts");
     RetryPolicy {
         is_idempotent: kind == "again",
@@ -79,26 +79,26 @@
 }
 
 #[test]
-fn timelines_end_as_they_should() {
+fn timelines_have_the_expected_final_response() {
     for line in TIMELINES.lines().filter(|line| !line.trim().is_empty()) {
         let columns: Vec<&str> = line.split('|').map(str::trim).collect();
-        let mut attempts = RetryState::new(rules(columns[0]));
-        let mut ending = None;
+        let mut state = RetryState::new(policy(columns[0]));
+        let mut final_response = None;
         for event in columns[1].split_whitespace().flat_map(events) {
-            assert_eq!(ending, None, "events follow the final response: {line}");
-            if let Step::Finish(end) = attempts.handle(event) {
-                ending = Some(end);
+            assert_eq!(final_response, None, "events follow the final response: {line}");
+            if let Step::Finish(response) = state.handle(event) {
+                final_response = Some(response);
             }
         }
-        assert_eq!(name(ending), columns[2], "{line}");
+        assert_eq!(response_name(final_response), columns[2], "{line}");
     }
 }
 
 /// An event that ends an attempt without a successful response.
 #[derive(Clone, Copy, Debug)]
-struct Result(Event);
+struct AttemptResult(Event);
 
-impl Arbitrary for Result {
+impl Arbitrary for AttemptResult {
     fn arbitrary(g: &mut Gen) -> Self {
         let results = [
             Event::NotSent,
@@ -108,23 +108,23 @@
             Event::UpstreamFailed,
             Event::DeadlineReached,
         ];
-        Result(*g.choose(&results).expect("some"))
+        AttemptResult(*g.choose(&results).expect("some"))
     }
 }
 
 /// Returns whether a request is not sent again after it may have executed, and its client gets no response
 /// which promises that it has not.
-fn runs_once(rules: RetryPolicy, results: &[Result]) -> bool {
-    let mut attempts = RetryState::new(rules);
-    let mut may_have_run = false;
-    for Result(event) in results {
-        attempts.handle(Event::UpstreamChosen);
-        attempts.handle(Event::Connected);
-        may_have_run |=
+fn executes_at_most_once(policy: RetryPolicy, results: &[AttemptResult]) -> bool {
+    let mut state = RetryState::new(policy);
+    let mut may_have_executed = false;
+    for AttemptResult(event) in results {
+        state.handle(Event::UpstreamChosen);
+        state.handle(Event::Connected);
+        may_have_executed |=
             matches!(event, Event::ConnectionBroken | Event::UpstreamFailed | Event::DeadlineReached);
-        match attempts.handle(*event) {
-            Step::Retry if may_have_run => return false,
-            Step::Finish(FinalResponse::Rejected) if may_have_run => return false,
+        match state.handle(*event) {
+            Step::Retry if may_have_executed => return false,
+            Step::Finish(FinalResponse::Rejected) if may_have_executed => return false,
             Step::Finish(_) => return true,
             Step::Retry | Step::Continue => {}
         }
@@ -133,31 +133,34 @@
 }
 
 #[test]
-fn a_policy_that_retries_after_a_reset_is_caught() {
-    let rules = RetryPolicy { is_idempotent: false, max_attempts: 3, retries_after_reset: true };
-    assert!(!runs_once(rules, &[Result(Event::ConnectionBroken), Result(Event::NotExecuted)]));
+fn a_policy_that_retries_after_a_reset_is_detected() {
+    let policy = RetryPolicy { is_idempotent: false, max_attempts: 3, retries_after_reset: true };
+    assert!(!executes_at_most_once(
+        policy,
+        &[AttemptResult(Event::ConnectionBroken), AttemptResult(Event::NotExecuted)]
+    ));
 }
 
 quickcheck! {
     /// A request that is not idempotent is not sent again after it may have executed, and then no response
     /// promises that it has not.
-    fn nothing_runs_twice(results: Vec<Result>, max_attempts: u8) -> bool {
-        let rules = RetryPolicy { is_idempotent: false, max_attempts: u32::from(max_attempts), retries_after_reset: false };
-        runs_once(rules, &results)
+    fn a_request_that_is_not_idempotent_executes_at_most_once(results: Vec<AttemptResult>, max_attempts: u8) -> bool {
+        let policy = RetryPolicy { is_idempotent: false, max_attempts: u32::from(max_attempts), retries_after_reset: false };
+        executes_at_most_once(policy, &results)
     }
 
     /// A request is sent at most four times. Sends that reach the intended server are at most the attempts
     /// that the route allows.
-    fn sends_are_bounded(results: Vec<Result>, max_attempts: u8, is_idempotent: bool) -> bool {
+    fn sends_and_attempts_are_limited(results: Vec<AttemptResult>, max_attempts: u8, is_idempotent: bool) -> bool {
         let max_attempts = u32::from(max_attempts).max(1);
-        let mut attempts = RetryState::new(RetryPolicy { is_idempotent, max_attempts, retries_after_reset: false });
+        let mut state = RetryState::new(RetryPolicy { is_idempotent, max_attempts, retries_after_reset: false });
         let (mut sends, mut counted) = (0, 0);
-        for Result(event) in results {
-            attempts.handle(Event::UpstreamChosen);
-            attempts.handle(Event::Connected);
+        for AttemptResult(event) in results {
+            state.handle(Event::UpstreamChosen);
+            state.handle(Event::Connected);
             sends += 1;
             counted += u32::from(!matches!(event, Event::NotSent | Event::Misdirected));
-            if let Step::Finish(_) = attempts.handle(event) {
+            if let Step::Finish(_) = state.handle(event) {
                 break;
             }
         }
