--- a/crates/quillpulley/tests/proxy/limits.rs
+++ b/crates/quillpulley/tests/proxy/limits.rs
@@ -84,7 +84,8 @@
         let response = proxy.client().await.fetch(&request("GET /a/b", "id-1", "", "")).await;
         assert_eq!(response.status(), 503);
         // `proxy_lifecycle.rs` tests the exact value, which depends on how long the proxy has run.
-        let retry_after: f64 = response.header("retry-after").expect("advice").parse().expect("a number");
+        let retry_after: f64 =
+            response.header("retry-after").expect("a Retry-After header").parse().expect("a number");
         assert!((1.0..=1.6).contains(&retry_after), "{retry_after} s");
         assert_eq!(proxy.ready_status().await, 503);
     });
--- a/crates/quillpulley/tests/proxy/retries.rs
+++ b/crates/quillpulley/tests/proxy/retries.rs
@@ -105,7 +105,8 @@
         fixture.wait_for_route("/new/x").await;
         let response = fixture.read_response().await;
         assert_eq!(response.status(), 503);
-        let retry_after: f64 = response.header("retry-after").expect("advice").parse().expect("a number");
+        let retry_after: f64 =
+            response.header("retry-after").expect("a Retry-After header").parse().expect("a number");
         assert!(retry_after > 0.0 && retry_after < 5.0);
     });
 }
--- a/crates/quillpulley/tests/proxy/support/client.rs
+++ b/crates/quillpulley/tests/proxy/support/client.rs
@@ -60,7 +60,7 @@
         chunk.map(|chunk| String::from_utf8_lossy(&chunk).into_owned())
     }
 
-    /// Returns whether the response is truncated here.
+    /// Reads on, and returns whether the response is truncated here.
     pub async fn is_truncated(&mut self) -> bool {
         read_chunk(&mut self.reader).await.is_none()
     }
--- a/crates/quillpulley/tests/proxy/support/mod.rs
+++ b/crates/quillpulley/tests/proxy/support/mod.rs
@@ -69,8 +69,8 @@
         faults: Faults,
     ) -> Proxy {
         let proxy = Proxy::start_process(&format!("{UNLIMITED_RETRIES}\n{bounds}"), faults).await;
-        // The link preserves the order of messages, so a proxy that has the configuration also has the totals that
-        // its retry budgets need.
+        // The link preserves the order of messages, so a proxy that has the configuration also has the totals
+        // that its retry budgets need.
         proxy.agent.wait_for_totals().await;
         proxy.agent.publish_configuration(configuration);
         servers.iter().for_each(|server| proxy.agent.publish_server(server));
--- a/crates/quillpulley/tests/proxy/support/script.rs
+++ b/crates/quillpulley/tests/proxy/support/script.rs
@@ -5,26 +5,26 @@
 //! | `request` | reads a complete request |
 //! | `head`, `body` | reads the head or the body of a request |
 //! | `ok` | responds with 200 and `Content-Length` |
-//! | `last` | responds like `ok`, with `Connection: close` |
+//! | `ok-close` | responds like `ok`, with `Connection: close` |
 //! | `chunked` | responds with 200 and a chunked body |
-//! | `bare` | responds with 200 and a body that extends to the end of the connection |
-//! | `half-head`, `half-body`, `half-chunk` | writes an incomplete response that ends in this part |
-//! | `other` | writes the response to another request |
-//! | `noise` | writes data that is not HTTP |
-//! | `switch` | responds with 101, which the request did not ask for |
-//! | `hint` | writes an informational response (103), which precedes the final response |
-//! | `failed` | responds with 500 |
-//! | `plain-503`, `plain-429`, `plain-408` | responds with this status without `Quillpulley-Not-Executed` |
-//! | `declined` | responds with 503 and `Quillpulley-Not-Executed`: the request did not execute |
+//! | `unframed` | responds with 200 and a body that extends to the end of the connection |
+//! | `partial-head`, `partial-body`, `partial-chunk` | writes an incomplete response that ends in this part |
+//! | `wrong-id` | writes the response to another request |
+//! | `not-http` | writes data that is not HTTP |
+//! | `status-101` | responds with 101, which the request did not ask for |
+//! | `status-103` | writes an informational response (103), which precedes the final response |
+//! | `status-500` | responds with 500 |
+//! | `unmarked-503`, `unmarked-429`, `unmarked-408` | responds without `Quillpulley-Not-Executed` |
+//! | `not-executed` | responds with 503 and `Quillpulley-Not-Executed`: the request did not execute |
 //! | `misdirected` | responds with 421: the request did not execute |
 //! | `stream` | writes the head of a chunked stream of events |
-//! | `event:N`, `part:N`, `end` | writes event N, the beginning of event N, or the last chunk of that stream |
-//! | `bare-stream` | writes the head of a stream that extends to the end of the connection |
+//! | `event:N`, `partial:N`, `end` | writes event N, its beginning, or the last chunk of that stream |
+//! | `unframed-stream` | writes the head of a stream that extends to the end of the connection |
 //! | `raw:N` | writes event N of that stream |
 //! | `until:head`, `until:N` | waits until the client has received the response head, or event N |
 //! | `reset`, `close` | closes the connection with a RST, or with a FIN |
-//! | `mute` | reads until the proxy closes the connection; only the rest of the body may arrive |
-//! | `forget` | waits for data, and resets the connection without reading the data |
+//! | `read-to-end` | reads until the proxy closes the connection; only the rest of the body may arrive |
+//! | `reset-unread` | waits for data, and resets the connection without reading the data |
 
 use super::message::Message;
 use super::server::entry;
@@ -48,7 +48,7 @@
 pub struct ScriptState {
     /// The scripts that no connection has started yet.
     scripts: RefCell<VecDeque<String>>,
-    /// The id of every request that may have executed, once per execution.
+    /// The ids of requests that may have executed, with one entry per execution.
     executions: RefCell<Vec<String>>,
     /// What the proxy did that no script allows.
     violations: RefCell<Vec<String>>,
@@ -71,7 +71,7 @@
     }
 
     /// Returns the number of scripts that no connection has started.
-    pub fn unplayed_scripts(&self) -> usize {
+    pub fn unstarted_scripts(&self) -> usize {
         self.scripts.borrow().len()
     }
 
@@ -176,11 +176,11 @@
             let read = match word {
                 "reset" => return ScriptEnd::Reset,
                 "close" => return ScriptEnd::Closed,
-                "mute" => {
+                "read-to-end" => {
                     self.read_to_end_checked().await;
                     return ScriptEnd::Closed;
                 }
-                "forget" => {
+                "reset-unread" => {
                     let _ = self.stream.get_ref().peek(&mut [0]).await;
                     return ScriptEnd::Reset;
                 }
@@ -263,24 +263,24 @@
         let event = format!("id: {number}\ndata: {number}\n\n");
         let text = match name {
             "ok" => format!("{sealed_head}Keep-Alive: timeout=60\r\n{}", sized(&id)),
-            "last" => format!("{sealed_head}Connection: close\r\n{}", sized(&id)),
+            "ok-close" => format!("{sealed_head}Connection: close\r\n{}", sized(&id)),
             "chunked" => format!("{sealed_head}Transfer-Encoding: chunked\r\n\r\n{}0\r\n\r\n", chunk(&id)),
-            "bare" => format!("{sealed_head}\r\n{id}"),
-            "half-head" => "HTTP/1.1 200 OK\r\nQuillpulley-Re".to_string(),
-            "half-body" => format!("{sealed_head}Content-Length: 100\r\n\r\n{id}"),
-            "half-chunk" => format!("{sealed_head}Transfer-Encoding: chunked\r\n\r\n{}", chunk(&id)),
-            "other" => {
+            "unframed" => format!("{sealed_head}\r\n{id}"),
+            "partial-head" => "HTTP/1.1 200 OK\r\nQuillpulley-Re".to_string(),
+            "partial-body" => format!("{sealed_head}Content-Length: 100\r\n\r\n{id}"),
+            "partial-chunk" => format!("{sealed_head}Transfer-Encoding: chunked\r\n\r\n{}", chunk(&id)),
+            "wrong-id" => {
                 format!("HTTP/1.1 200 OK\r\nQuillpulley-Request-Id: another\r\n{SEAL}{}", sized("another"))
             }
-            "noise" => "no HTTP at all\r\n\r\n".to_string(),
-            "switch" => format!("HTTP/1.1 101 Switching Protocols\r\n{id_header}{SEAL}\r\n"),
-            "hint" => "HTTP/1.1 103 Early Hints\r\n\r\n".to_string(),
-            "failed" => format!("HTTP/1.1 500 Internal Server Error\r\n{id_header}{SEAL}{}", sized(&id)),
-            "plain-503" | "plain-429" | "plain-408" => {
-                let status = &name["plain-".len()..];
+            "not-http" => "no HTTP at all\r\n\r\n".to_string(),
+            "status-101" => format!("HTTP/1.1 101 Switching Protocols\r\n{id_header}{SEAL}\r\n"),
+            "status-103" => "HTTP/1.1 103 Early Hints\r\n\r\n".to_string(),
+            "status-500" => format!("HTTP/1.1 500 Internal Server Error\r\n{id_header}{SEAL}{}", sized(&id)),
+            "unmarked-503" | "unmarked-429" | "unmarked-408" => {
+                let status = &name["unmarked-".len()..];
                 format!("HTTP/1.1 {status} No\r\n{id_header}{SEAL}{}", sized(&id))
             }
-            "declined" => {
+            "not-executed" => {
                 self.remove_execution();
                 let not_executed = "Quillpulley-Not-Executed: full\r\n";
                 format!("HTTP/1.1 503 Service Unavailable\r\n{id_header}{not_executed}{}", sized("full"))
@@ -292,9 +292,9 @@
             "stream" => {
                 format!("{sealed_head}Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
             }
-            "bare-stream" => format!("{sealed_head}Content-Type: text/event-stream\r\n\r\n"),
+            "unframed-stream" => format!("{sealed_head}Content-Type: text/event-stream\r\n\r\n"),
             "event" => chunk(&event),
-            "part" => chunk(&event[..event.len() - 3]),
+            "partial" => chunk(&event[..event.len() - 3]),
             "raw" => event,
             "end" => "0\r\n\r\n".to_string(),
             _ => panic!("unknown step: {word}"),
--- a/crates/quillpulley/tests/proxy/timelines.rs
+++ b/crates/quillpulley/tests/proxy/timelines.rs
@@ -41,12 +41,12 @@
 /// Runs a case. Returns the result of each request, or an error if the case violates an invariant, whatever
 /// results it expects.
 async fn run_case(case: Case, faults: Faults) -> Result<Vec<String>, String> {
-    let first = "request last".to_string();
+    let first = "request ok-close".to_string();
     let servers = ScriptedServers::start(std::iter::once(first).chain(case.scripts.clone())).await;
     let state = servers.state.clone();
     // With a single server, a second request reuses the connection of the first one.
     let listed_servers =
-        if case.client.contains("idle") { &servers.entries[..1] } else { &servers.entries[..] };
+        if case.client.contains("reuse-delay") { &servers.entries[..1] } else { &servers.entries[..] };
     let proxy = Proxy::start_with_faults("", &case_configuration(), listed_servers, faults).await;
     let mut client = proxy.client().await;
     // The retry budget of a service allows no retries before a request to it has been counted.
@@ -55,23 +55,24 @@
     let mut results = Vec::new();
     for (number, step) in case.client.split_whitespace().enumerate() {
         match step {
-            "idle" => {
+            "reuse-delay" => {
                 wait_for_reuse(&mut client).await;
                 continue;
             }
-            "over" => {
+            "scripts-ended" => {
                 state.wait_until_scripts_end().await;
                 continue;
             }
             _ => {}
         }
-        let wanted = step.split('=').next().unwrap_or_default();
-        let (name, long) = wanted.strip_suffix("+long").map_or((wanted, false), |name| (name, true));
+        let request_step = step.split('=').next().unwrap_or_default();
+        let (name, long) =
+            request_step.strip_suffix("+long").map_or((request_step, false), |name| (name, true));
         let body = if long { "w".repeat(LONG_BODY_BYTES) } else { "wwww".to_string() };
         let id = format!("id-{number}");
         let outcome = fetch(&mut client, &state, name, &id, &body).await;
         check_invariants(name, &id, &outcome, &state)?;
-        results.push(format!("{wanted}={}", outcome.text));
+        results.push(format!("{request_step}={}", outcome.text));
         if outcome.is_closed {
             client = proxy.client().await;
         }
@@ -81,8 +82,8 @@
     let _ = proxy.process.await;
     match state.violations().first() {
         Some(violation) => Err(violation.clone()),
-        None if state.unplayed_scripts() > 0 => {
-            Err(format!("{} scripts were not run", state.unplayed_scripts()))
+        None if state.unstarted_scripts() > 0 => {
+            Err(format!("{} scripts were not run", state.unstarted_scripts()))
         }
         None => Ok(results),
     }
@@ -114,7 +115,7 @@
 async fn fetch(client: &mut Client, state: &ScriptState, route: &str, id: &str, body: &str) -> Outcome {
     client.send(&request(&format!("POST /{route}/x"), id, "", body)).await;
     let Some(mut head) = client.try_read_head().await else {
-        return Outcome { text: "cut".to_string(), head: Message::default(), is_closed: true };
+        return Outcome { text: "truncated".to_string(), head: Message::default(), is_closed: true };
     };
     state.record_received("head");
     if head.header("transfer-encoding").is_none() {
@@ -133,7 +134,7 @@
         match client.try_read_chunk().await {
             Some(Some(chunk)) => {
                 text.push_str(&chunk);
-                event_ids(&text).iter().for_each(|number| state.record_received(number));
+                event_ids(&text).iter().for_each(|id| state.record_received(id));
             }
             Some(None) => break false,
             None => break true,
@@ -141,7 +142,7 @@
     };
     events.extend(event_ids(&text));
     if is_closed {
-        events.push("cut".to_string());
+        events.push("truncated".to_string());
     }
     Outcome { text: events.join(","), head, is_closed }
 }
@@ -150,9 +151,9 @@
 fn event_ids(text: &str) -> Vec<String> {
     let mut ids = Vec::new();
     for event in text.split_inclusive("\n\n") {
-        let number = event.strip_prefix("id: ").and_then(|rest| rest.split('\n').next()).unwrap_or("?");
-        let is_complete = event == format!("id: {number}\ndata: {number}\n\n");
-        ids.push(if is_complete { number.to_string() } else { format!("part of {number}") });
+        let id = event.strip_prefix("id: ").and_then(|rest| rest.split('\n').next()).unwrap_or("?");
+        let is_complete = event == format!("id: {id}\ndata: {id}\n\n");
+        ids.push(if is_complete { id.to_string() } else { format!("part of {id}") });
     }
     ids
 }
@@ -242,7 +243,7 @@
         let faults = Faults { retry_after_reset: true, ..Faults::default() };
         let case = Case::parse("once=502 | request reset ; request ok");
         assert_eq!(run_case(case, faults).await, Err("id-0 on once executed 2 times".to_string()));
-        let case = Case::parse("once=502 | request reset ; request declined");
+        let case = Case::parse("once=502 | request reset ; request not-executed");
         assert_eq!(run_case(case, faults).await, Ok(vec!["once=502".to_string()]));
     });
 }
@@ -251,7 +252,7 @@
 fn the_invariants_detect_a_response_to_another_request() {
     run(async {
         let faults = Faults { ignore_response_ids: true, ..Faults::default() };
-        let case = Case::parse("once=502 | request other");
+        let case = Case::parse("once=502 | request wrong-id");
         assert_eq!(run_case(case, faults).await, Err("id-0 on once got the response to another".to_string()));
     });
 }
@@ -264,24 +265,24 @@
     fn arbitrary(g: &mut Gen) -> Self {
         let unstreamed = [
             "ok",
-            "last",
+            "ok-close",
             "chunked",
-            "bare close",
-            "bare reset",
-            "half-head reset",
-            "half-body reset",
-            "half-body close",
-            "half-chunk reset",
-            "other",
-            "noise close",
-            "switch",
-            "hint reset",
-            "hint ok ok",
-            "failed",
-            "plain-503",
-            "plain-429",
-            "plain-408",
-            "declined",
+            "unframed close",
+            "unframed reset",
+            "partial-head reset",
+            "partial-body reset",
+            "partial-body close",
+            "partial-chunk reset",
+            "wrong-id",
+            "not-http close",
+            "status-101",
+            "status-103 reset",
+            "status-103 ok ok",
+            "status-500",
+            "unmarked-503",
+            "unmarked-429",
+            "unmarked-408",
+            "not-executed",
             "misdirected",
             "reset",
             "close",
@@ -289,18 +290,18 @@
         let streams = [
             "stream event:1 event:2 end",
             "stream event:1 reset",
-            "stream part:1 reset",
+            "stream partial:1 reset",
             "stream reset",
-            "stream event:1 part:2 close",
-            "bare-stream raw:1 close",
-            "bare-stream raw:1 reset",
-            "other",
-            "declined",
+            "stream event:1 partial:2 close",
+            "unframed-stream raw:1 close",
+            "unframed-stream raw:1 reset",
+            "wrong-id",
+            "not-executed",
             "misdirected",
             "reset",
-            "half-head reset",
-            "plain-503",
-            "failed",
+            "partial-head reset",
+            "unmarked-503",
+            "status-500",
         ];
         let name = *g.choose(&["once", "again", "stream", "resume"]).expect("some");
         let responses: &[&str] =
--- a/crates/quillpulley/tests/proxy/upstream_requests.rs
+++ b/crates/quillpulley/tests/proxy/upstream_requests.rs
@@ -129,8 +129,13 @@
 #[test]
 fn a_reset_idle_connection_closes_the_other_idle_connections_to_its_server() {
     run(async {
-        let forgotten = "request ok until:both forget".to_string();
-        let scripts = ["request last".to_string(), forgotten.clone(), forgotten, "request ok".to_string()];
+        let reset_when_reused = "request ok until:both reset-unread".to_string();
+        let scripts = [
+            "request ok-close".to_string(),
+            reset_when_reused.clone(),
+            reset_when_reused,
+            "request ok".to_string(),
+        ];
         let servers = ScriptedServers::start(scripts).await;
         let state = servers.state.clone();
         let routes = route("once", "non_idempotent", "");
@@ -158,10 +163,10 @@
 #[test]
 fn a_stream_is_resumed_only_in_its_home_regions() {
     run(async {
-        let first = "request last".to_string();
-        let cut = "request stream event:1 until:1 reset".to_string();
+        let first = "request ok-close".to_string();
+        let interrupted = "request stream event:1 until:1 reset".to_string();
         let mut servers =
-            ScriptedServers::start([first, cut, "request stream event:2 end".to_string()]).await;
+            ScriptedServers::start([first, interrupted, "request stream event:2 end".to_string()]).await;
         // The zone of the other servers does not belong to the home region of the route.
         servers.entries[1..].iter_mut().for_each(|entry| entry.zone = "elsewhere".to_string());
         let state = servers.state.clone();
@@ -179,6 +184,6 @@
         assert_eq!(client.read_chunk().await.as_deref(), Some("id: 1\ndata: 1\n\n"));
         state.record_received("1");
         assert!(client.is_truncated().await);
-        assert_eq!((state.execution_count("id-1"), state.unplayed_scripts()), (1, 1));
+        assert_eq!((state.execution_count("id-1"), state.unstarted_scripts()), (1, 1));
     });
 }
--- a/crates/quillpulley/tests/proxy_drain_deadline.rs
+++ b/crates/quillpulley/tests/proxy_drain_deadline.rs
@@ -74,7 +74,12 @@
 quickcheck! {
     /// A request that arrives more than 3 s after SIGTERM and is accepted ends before the process exits, for
     /// any grace period.
-    fn late_requests_are_not_aborted(signalled_at: u16, grace: u16, arrives_after: u16, duration: u16) -> bool {
+    fn late_requests_are_not_aborted(
+        signalled_at: u16,
+        grace: u16,
+        arrives_after: u16,
+        duration: u16
+    ) -> bool {
         let [signalled_at, grace, arrives_after, duration] =
             [signalled_at, grace, arrives_after, duration].map(|time| Duration::from_millis(time.into()));
         let deadline = DrainDeadline::new(signalled_at, grace);
@@ -88,7 +93,8 @@
         let [grace, arrives_after, later, duration] =
             [grace, arrives_after, later, duration].map(|time| Duration::from_millis(time.into()));
         let deadline = DrainDeadline::new(SIGNALLED_AT, grace);
-        let accepts = |after: Duration| deadline.accepts(SIGNALLED_AT + after, SIGNALLED_AT + after + duration);
+        let accepts =
+            |after: Duration| deadline.accepts(SIGNALLED_AT + after, SIGNALLED_AT + after + duration);
         accepts(arrives_after) || !accepts(arrives_after + later)
     }
 }
--- a/crates/quillpulley/tests/proxy_event_splitter.rs
+++ b/crates/quillpulley/tests/proxy_event_splitter.rs
@@ -53,8 +53,9 @@
         let mut forwarded = String::new();
         for piece in stream.pieces() {
             forwarded += &text(splitter.push(piece.as_bytes()));
-            let is_complete = (0..=stream.events.len()).any(|count| stream.events[..count].concat() == forwarded);
-            if !is_complete {
+            let only_complete_events =
+                (0..=stream.events.len()).any(|count| stream.events[..count].concat() == forwarded);
+            if !only_complete_events {
                 return false;
             }
         }
--- a/crates/quillpulley/tests/proxy_lifecycle.rs
+++ b/crates/quillpulley/tests/proxy_lifecycle.rs
@@ -14,8 +14,8 @@
     100 configuration            | 2599 | starting
     100 configuration            | 2600 | ready
     100 fresh                    | 9000 | starting
-    100 fresh 200 configuration 300 stop | 300 | leaving
-    100 stop 200 configuration 300 fresh | 9000 | leaving
+    100 fresh 200 configuration 300 drain | 300 | draining
+    100 drain 200 configuration 300 fresh | 9000 | draining
     100 fresh 200 configuration 300 configuration | 9000 | ready
 ";
 
@@ -43,7 +43,7 @@
     match word {
         "configuration" => Event::ConfigurationKnown,
         "fresh" => Event::Fresh,
-        "stop" => Event::Drain,
+        "drain" => Event::Drain,
         _ => panic!("unknown event: {word}"),
     }
 }
@@ -52,7 +52,7 @@
     match state {
         EndpointState::Starting => "starting",
         EndpointState::Ready => "ready",
-        EndpointState::Draining => "leaving",
+        EndpointState::Draining => "draining",
     }
 }
 
--- a/crates/quillpulley/tests/proxy_retry_state.rs
+++ b/crates/quillpulley/tests/proxy_retry_state.rs
@@ -7,52 +7,52 @@
 /// that is not idempotent and `again` one that is, each with its maximum number of attempts. `-` means that
 /// the request has no final response yet.
 const TIMELINES: &str = "
-    once  1 | send answer                                       | served
-    once  1 | unplaced                                          | refused
-    once  1 | choose unsent choose unsent choose unsent choose unsent | refused
-    once  1 | choose unsent send answer                         | served
-    once  1 | send misdirected send answer                      | served
-    once  1 | send declined                                     | refused
-    once  2 | send declined send answer                         | served
-    once  2 | send declined send declined                       | refused
-    once  2 | send declined send broken                         | failed
-    once  3 | send broken                                       | failed
-    once  3 | send failed                                       | servers-failure
-    once  3 | send unsent send answer                           | served
-    once  3 | send declined unplaced                            | refused
-    once  1 | time-up                                           | refused
-    once  1 | choose time-up                                    | refused
-    once  1 | send time-up                                      | timed-out
-    once  2 | send declined time-up                             | refused
-    once  1 | send head broken                                  | cut
-    once  1 | send head time-up                                 | cut
-    once  1 | send head answer                                  | served
-    again 1 | send broken                                       | failed
-    again 2 | send broken                                       | -
-    again 2 | send broken send answer                           | served
-    again 2 | send broken send declined                         | failed
-    again 2 | send broken unplaced                              | failed
-    again 2 | send broken time-up                               | timed-out
-    again 2 | send failed send failed                           | servers-failure
-    again 2 | send head broken send head answer                 | served
-    again 2 | send head broken send declined                    | cut
-    again 2 | send head broken send head broken                 | cut
-    again 9 | send broken send broken send broken send broken   | failed
+    once  1 | send completed                                                  | completed
+    once  1 | no-capacity                                                     | rejected
+    once  1 | chosen not-sent chosen not-sent chosen not-sent chosen not-sent | rejected
+    once  1 | chosen not-sent send completed                                  | completed
+    once  1 | send misdirected send completed                                 | completed
+    once  1 | send not-executed                                               | rejected
+    once  2 | send not-executed send completed                                | completed
+    once  2 | send not-executed send not-executed                             | rejected
+    once  2 | send not-executed send broken                                   | bad-gateway
+    once  3 | send broken                                                     | bad-gateway
+    once  3 | send upstream-failed                                            | upstream-failure
+    once  3 | send not-sent send completed                                    | completed
+    once  3 | send not-executed no-capacity                                   | rejected
+    once  1 | deadline                                                        | rejected
+    once  1 | chosen deadline                                                 | rejected
+    once  1 | send deadline                                                   | timed-out
+    once  2 | send not-executed deadline                                      | rejected
+    once  1 | send head broken                                                | truncated
+    once  1 | send head deadline                                              | truncated
+    once  1 | send head completed                                             | completed
+    again 1 | send broken                                                     | bad-gateway
+    again 2 | send broken                                                     | -
+    again 2 | send broken send completed                                      | completed
+    again 2 | send broken send not-executed                                   | bad-gateway
+    again 2 | send broken no-capacity                                         | bad-gateway
+    again 2 | send broken deadline                                            | timed-out
+    again 2 | send upstream-failed send upstream-failed                       | upstream-failure
+    again 2 | send head broken send head completed                            | completed
+    again 2 | send head broken send not-executed                              | truncated
+    again 2 | send head broken send head broken                               | truncated
+    again 9 | send broken send broken send broken send broken                 | bad-gateway
 ";
 
 fn events(word: &str) -> Vec<Event> {
     match word {
-        "choose" => vec![Event::UpstreamChosen],
+        "chosen" => vec![Event::UpstreamChosen],
         "send" => vec![Event::UpstreamChosen, Event::Connected],
-        "answer" => vec![Event::Completed],
+        "completed" => vec![Event::Completed],
         "head" => vec![Event::ResponseBegun],
-        "unplaced" => vec![Event::NoCapacity],
-        "unsent" => vec![Event::NotSent],
-        "declined" => vec![Event::NotExecuted],
+        "no-capacity" => vec![Event::NoCapacity],
+        "not-sent" => vec![Event::NotSent],
+        "not-executed" => vec![Event::NotExecuted],
         "misdirected" => vec![Event::Misdirected],
         "broken" => vec![Event::ConnectionBroken],
-        "failed" => vec![Event::UpstreamFailed],
-        "time-up" => vec![Event::DeadlineReached],
+        "upstream-failed" => vec![Event::UpstreamFailed],
+        "deadline" => vec![Event::DeadlineReached],
         _ => panic!("unknown event: {word}"),
     }
 }
@@ -60,12 +60,12 @@
 fn response_name(final_response: Option<FinalResponse>) -> &'static str {
     match final_response {
         None => "-",
-        Some(FinalResponse::Completed) => "served",
-        Some(FinalResponse::UpstreamFailure) => "servers-failure",
-        Some(FinalResponse::Rejected) => "refused",
-        Some(FinalResponse::BadGateway) => "failed",
+        Some(FinalResponse::Completed) => "completed",
+        Some(FinalResponse::UpstreamFailure) => "upstream-failure",
+        Some(FinalResponse::Rejected) => "rejected",
+        Some(FinalResponse::BadGateway) => "bad-gateway",
         Some(FinalResponse::TimedOut) => "timed-out",
-        Some(FinalResponse::Truncated) => "cut",
+        Some(FinalResponse::Truncated) => "truncated",
     }
 }
 
@@ -144,16 +144,28 @@
 quickcheck! {
     /// A request that is not idempotent is not sent again after it may have executed, and then no response
     /// promises that it has not.
-    fn a_request_that_is_not_idempotent_executes_at_most_once(results: Vec<AttemptResult>, max_attempts: u8) -> bool {
-        let policy = RetryPolicy { is_idempotent: false, max_attempts: u32::from(max_attempts), retries_after_reset: false };
+    fn a_request_that_is_not_idempotent_executes_at_most_once(
+        results: Vec<AttemptResult>,
+        max_attempts: u8
+    ) -> bool {
+        let policy = RetryPolicy {
+            is_idempotent: false,
+            max_attempts: u32::from(max_attempts),
+            retries_after_reset: false
+        };
         executes_at_most_once(policy, &results)
     }
 
     /// A request is sent at most four times. Sends that reach the intended server are at most the attempts
     /// that the route allows.
-    fn sends_and_attempts_are_limited(results: Vec<AttemptResult>, max_attempts: u8, is_idempotent: bool) -> bool {
+    fn sends_and_attempts_are_limited(
+        results: Vec<AttemptResult>,
+        max_attempts: u8,
+        is_idempotent: bool
+    ) -> bool {
         let max_attempts = u32::from(max_attempts).max(1);
-        let mut state = RetryState::new(RetryPolicy { is_idempotent, max_attempts, retries_after_reset: false });
+        let mut state =
+            RetryState::new(RetryPolicy { is_idempotent, max_attempts, retries_after_reset: false });
         let (mut sends, mut counted) = (0, 0);
         for AttemptResult(event) in results {
             state.handle(Event::UpstreamChosen);
