--- a/crates/quillpulley/tests/proxy/preferred_regions.rs
+++ b/crates/quillpulley/tests/proxy/preferred_regions.rs
@@ -29,6 +29,6 @@
         let _others = send(&proxy, "g.example", "/all/", 30).await;
         let _counted = send(&proxy, "h.example", "/bound/", 25).await;
         proxy.agent.wait_for_endpoint(|endpoint| !endpoint.preferred_regions.is_empty()).await;
-        assert_eq!(proxy.agent.endpoint().expect("a front").preferred_regions, ["west"]);
+        assert_eq!(proxy.agent.endpoint().expect("a reported endpoint").preferred_regions, ["west"]);
     });
 }
--- a/crates/quillpulley/tests/proxy/process_lifecycle.rs
+++ b/crates/quillpulley/tests/proxy/process_lifecycle.rs
@@ -14,7 +14,7 @@
         proxy.agent.publish_configuration(&configuration(1, &[&route("a", "idempotent", "")]));
         proxy.agent.wait_for_ready().await;
         assert_eq!(proxy.ready_status().await, 200);
-        let endpoint = proxy.agent.endpoint().expect("a front");
+        let endpoint = proxy.agent.endpoint().expect("a reported endpoint");
         assert_eq!((endpoint.name.as_str(), endpoint.address), ("front-1", proxy.client_address.to_string()));
     });
 }
