--- a/crates/rate-limiter/tests/clients.rs
+++ b/crates/rate-limiter/tests/clients.rs
@@ -1,4 +1,4 @@
-//! The real binary and its clients, well-behaved and not, over loopback sockets.
+//! The binary and its clients, well-behaved or not, on loopback sockets.
 mod common;
 
 use common::sockets::*;
@@ -15,10 +15,10 @@
     let limiter = Limiter::over(&[&server]);
     let mut client = limiter.client();
     client.send(&quote("roomy", 60_000));
-    wait_until("the request is out", || server.count() == 1);
+    wait_until("the request is forwarded", || server.count() == 1);
     client.close();
     wait_until("its attempt is closed", || server.ended() == 1);
-    assert_eq!(server.count(), 1, "nothing more goes out for it");
+    assert_eq!(server.count(), 1, "the request is not retried");
 }
 
 #[test]
@@ -26,27 +26,29 @@
     let server = Fake::new(|_| Reply::Silence);
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let mut settings = settings();
-    // So long that no deadline ends the attempt while the test waits.
+    // The deadline is so long that it does not end the attempt while the test waits.
     settings["classes"][0]["deadline-s"] = json!(120.0);
     let limiter = Limiter::start(settings, &discovery, counter().address);
     for (n, half) in [false, true].into_iter().enumerate() {
         let mut client = limiter.client();
         client.send(&(quote("roomy", 120_000) + &quote("roomy", 120_000) + &"x".repeat(100_000)));
-        wait_until("the request is out", || server.count() == n + 1);
+        wait_until("the request is forwarded", || server.count() == n + 1);
         if half {
-            // Whoever ends its sending has left: it may read no more.
+            // A client that shuts down its sending side counts as disconnected, since it may not read a
+            // response.
             client.end_sending();
         } else {
             client.close();
         }
         wait_until("its attempt is closed", || server.ended() == n as u32 + 1);
     }
-    assert_eq!(server.count(), 2, "what stood behind is not sent on");
+    assert_eq!(server.count(), 2, "the bytes after the requests are not forwarded");
 }
 
 #[test]
 fn a_client_that_disconnects_while_its_attempt_waits_for_a_connection_is_not_forwarded() {
-    // Whether or not the settings let the module call attempts off: this one has not been sent yet.
+    // The request has not been sent yet, so this holds whether or not the settings let the limiter cancel
+    // attempts.
     for cancel in [true, false] {
         for behind in ["", "GET /more"] {
             disconnects_while_connecting(cancel, behind);
@@ -62,15 +64,15 @@
     settings["limits"]["cancel"] = json!(cancel);
     settings["classes"][0]["deadline-s"] = json!(120.0);
     let limiter = Limiter::start(settings, &discovery, counter().address);
-    // What was sent before has been read once a later request is answered.
+    // Once a later request has its response, the limiter has read what was sent before.
     let all_read = || assert_eq!(limiter.client().ask("GET /up HTTP/1.1\r\n\r\n").status(), 200);
     let mut leaving = limiter.client();
     leaving.send(&(quote("roomy", 120_000) + behind));
     all_read();
     leaving.close();
     all_read();
-    // Now the connections come up. Those that the limiter still has would carry the requests at once: where it
-    // may not call attempts off, one comes up for nothing.
+    // Now the connections are established. Those that the limiter still needs get their requests at once. If
+    // the limiter may not cancel attempts, one connection is established and closed without a request.
     let others: Vec<_> = filled.iter().filter_map(|f| f.local_addr().ok()).collect();
     drop(filled);
     let mut client = limiter.client();
@@ -80,7 +82,7 @@
     listener.set_nonblocking(true).expect("set");
     let mut open: Vec<TcpStream> = Vec::new();
     let (mut came, mut ended, mut buffer) = (String::new(), 0, [0; 4096]);
-    wait_until("its request comes, and each other connection has ended or brought one", || {
+    wait_until("the last request arrives, and each other connection was closed or has received one", || {
         while let Ok((socket, peer)) = listener.accept() {
             if peer.as_socket().is_some_and(|peer| !others.contains(&peer)) {
                 let stream: TcpStream = socket.into();
@@ -109,7 +111,7 @@
 fn a_client_that_disconnected_before_it_was_accepted_is_not_forwarded() {
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
-    // Room for some twenty clients, all taken by those whose body does not come.
+    // There is room for about twenty clients, which is used up by clients whose bodies never arrive.
     let limiter = Limiter::with_sockets(72, settings(), &discovery, counter().address);
     let body = post("bind", "12345678");
     let busy: Vec<Client> = (0..60)
@@ -123,7 +125,7 @@
     let request = quote("roomy", 9000);
     left.send(&(request.clone() + "GET /more"));
     left.close();
-    // Connections are accepted in their order: this one comes behind the one that left.
+    // Connections are accepted in order, so this one is accepted after that of the disconnected client.
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200);
     let id = request.split("X-Correlation-Id: ").nth(1).and_then(|rest| rest.get(..16)).expect("an id");
     let own = server.seen().into_iter().filter(|m| m.header("x-correlation-id") == Some(id));
@@ -198,21 +200,21 @@
         assert_ne!(text, good);
         let mut client = limiter.client();
         assert_eq!(client.ask(&text).status(), status, "{}", &text[..text.len().min(400)]);
-        assert!(client.answer().is_none(), "the connection is closed after that");
+        assert!(client.answer().is_none(), "the connection is closed after the error response");
     }
-    // Half a request and a close.
+    // A client sends an incomplete request and disconnects.
     let mut client = limiter.client();
     client.send(&good[..good.len() - 1]);
     client.close();
     assert_eq!(server.count(), 0);
-    assert_eq!(limiter.client().ask(&good).status(), 200, "the limiter goes on");
+    assert_eq!(limiter.client().ask(&good).status(), 200, "the limiter still serves requests");
 }
 
 #[test]
 fn a_new_client_replaces_the_one_that_is_idle_longest() {
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
-    // So few descriptors leave room for some twenty clients.
+    // With so few sockets, there is room for about twenty clients.
     let limiter = Limiter::with_sockets(72, settings(), &discovery, counter().address);
     let mut clients: Vec<Client> = Vec::new();
     for n in 0..60 {
@@ -220,8 +222,8 @@
         assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200, "client {n}");
         clients.push(client);
     }
-    assert!(clients[0].answer().is_none(), "the first has been closed");
-    assert_eq!(clients[59].ask(&quote("roomy", 9000)).status(), 200, "the last has not");
+    assert!(clients[0].answer().is_none(), "the first connection was closed");
+    assert_eq!(clients[59].ask(&quote("roomy", 9000)).status(), 200, "the last connection is still open");
 }
 
 #[test]
@@ -234,12 +236,13 @@
     });
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let limiter = Limiter::with_sockets(40, settings(), &discovery, counter().address);
-    // Four clients may be connected: all are busy, and stay connected when they have been answered.
+    // At most four clients may be connected. All of them have an open request, and stay connected after its
+    // response.
     let mut clients: Vec<Client> = (0..12).map(|_| limiter.client()).collect();
     for client in &mut clients {
         client.send(&quote("roomy", 9000));
     }
-    wait_until("some requests are out", || server.count() > 0);
+    wait_until("some requests are forwarded", || server.count() > 0);
     go.store(true, Ordering::SeqCst);
     for client in &mut clients {
         assert!(matches!(client.answer(), Some(a) if a.status() == 200 || a.status() == 429));
@@ -257,10 +260,10 @@
         let mut client = limiter.client();
         let text = outer.replace("Content-Length: 0\r\n", &both) + "0\r\n\r\n" + &hidden;
         assert_eq!(client.ask(&text).status(), 400, "{both}");
-        assert!(client.answer().is_none(), "what stands behind it is not read");
+        assert!(client.answer().is_none(), "the bytes after the request are not read");
     }
-    assert_eq!(server.count(), 0, "neither reaches a server");
-    // Chunked alone is served; what stands behind it is not read as a request either.
+    assert_eq!(server.count(), 0, "neither request reaches a server");
+    // A request that is only chunked is served. The bytes after it are not read as a request either.
     let mut client = limiter.client();
     let text = outer.replace("Content-Length: 0\r\n", chunked) + "1\r\nx\r\n0\r\n\r\n" + &hidden;
     let answer = client.ask(&text);
@@ -280,12 +283,12 @@
     let limiter = Limiter::over(&[&server]);
     let (mut first, copy) = (limiter.client(), quote("roomy", 9000));
     first.send(&copy);
-    wait_until("the request is out", || server.count() == 1);
+    wait_until("the request is forwarded", || server.count() == 1);
     assert_eq!(limiter.client().ask(&copy).status(), 409);
     go.store(true, Ordering::SeqCst);
-    assert_eq!(first.answer().expect("an answer").status(), 200);
+    assert_eq!(first.answer().expect("a response").status(), 200);
     assert_eq!(server.count(), 1);
-    // Answered, the id is forgotten.
+    // After the final response, the id may be used again.
     assert_eq!(limiter.client().ask(&copy).status(), 200);
 }
 
@@ -302,17 +305,23 @@
         for _ in 0..5 {
             let mut client = limiter.client();
             client.send(&text);
-            // In pieces, so that bytes go on coming when the answer is out. A reset would end this.
+            // The bytes are sent in pieces, so that some arrive after the response was written. A reset would
+            // end this.
             for piece in junk.as_bytes().chunks(1024) {
                 client.send(std::str::from_utf8(piece).expect("text"));
             }
-            assert_eq!(client.answer().expect("the error, not a reset").status(), status, "{text}");
+            assert_eq!(
+                client.answer().expect("the error response instead of a reset").status(),
+                status,
+                "{text}"
+            );
         }
     }
     assert_eq!(server.count(), 0);
 }
 
-/// Connections that never bring a whole request, and what one of them goes on sending.
+/// Each case has the beginning of a request, and the bytes that the client sends repeatedly after it. No
+/// request is ever complete.
 #[test]
 fn clients_without_a_complete_request_are_disconnected_in_time() {
     let server = Fake::new(|_| ok("served"));
@@ -341,7 +350,7 @@
         .collect();
     for (n, end) in ends.into_iter().enumerate() {
         let elapsed = end.join().expect("joined");
-        // Counted from connect, however lively the bytes come: 3 s, and some for a slow machine.
+        // The time counts from the connect, however many bytes arrive: 3 s, and more for a slow machine.
         assert!(elapsed < Duration::from_secs(5), "case {n}: {elapsed:?}");
     }
     assert_eq!(server.count(), 0);
@@ -351,19 +360,23 @@
 fn connections_without_a_request_crowd_out_no_client() {
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
-    // Room for some twenty clients.
+    // There is room for about twenty clients.
     let limiter = Limiter::with_sockets(72, settings(), &discovery, counter().address);
     let mut usual: Vec<Client> = (0..8).map(|_| limiter.client()).collect();
     for client in &mut usual {
         assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
     }
     let _silent: Vec<Client> = (0..60).map(|_| limiter.client()).collect();
-    // One that comes behind them all is served before they are let go for their silence.
+    // A client that connects after all of them is served before they are disconnected by the timeout.
     let began = Instant::now();
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200);
     assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
     for client in &mut usual {
-        assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200, "those that ask keep their place");
+        assert_eq!(
+            client.ask(&quote("roomy", 9000)).status(),
+            200,
+            "clients that send requests stay connected"
+        );
     }
 }
 
@@ -374,7 +387,7 @@
     let mut client = limiter.client();
     assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
     let began = Instant::now();
-    assert!(client.answer().is_none(), "it is closed");
+    assert!(client.answer().is_none(), "the idle connection is closed");
     let idle = began.elapsed();
     assert!(idle > Duration::from_secs(2) && idle < Duration::from_secs(8), "{idle:?}");
 }
--- a/crates/rate-limiter/tests/common/mod.rs
+++ b/crates/rate-limiter/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A scripted host for one limiter.
+//! A test host that passes scripted events to one limiter.
 #![allow(dead_code)]
 pub mod sockets;
 
@@ -64,20 +64,23 @@
     }
 }
 
-/// Steps of a counter total below this are units used, those above units refused.
+/// A counter total is `admitted steps + PACK * rejected steps`. For the plans of these tests, a step is one
+/// unit.
 pub const PACK: f64 = 2_000.0;
 
 pub struct Host {
     pub limiter: Limiter,
     pub now: f64,
-    /// Counter calls made and not answered yet.
+    /// The names and amounts of the counter calls that are awaiting their responses.
     pub calls: Vec<(String, f64)>,
+    /// The number of limiters that receive requests of each tenant.
     pub tenant_limiters: u32,
     next: u64,
 }
 
 impl Host {
-    /// Two servers in the east, one in the west, all warm.
+    /// Creates a host whose limiter knows two servers in zone `east` and one in zone `west`, all of them
+    /// warm.
     pub fn new(settings: Settings) -> Self {
         Host::seeded(settings, 7)
     }
@@ -143,7 +146,7 @@
         }))
     }
 
-    /// Admits and serves at once; true if it was sent.
+    /// Submits a request and completes its attempt immediately. Returns whether the request was sent.
     pub fn served(&mut self, tenant: &str, plan: &str, units: f64) -> bool {
         let (id, out) = self.ask(tenant, plan, "read", units);
         let sent = sent_to(&out).is_some();
@@ -153,12 +156,13 @@
         sent
     }
 
-    /// Units served in one go, one at a time, until the first refusal.
+    /// Serves requests of one unit until one is rejected, at most 200. Returns the number of requests served.
     pub fn burst(&mut self, tenant: &str, plan: &str) -> u32 {
         (0..200).take_while(|_| self.served(tenant, plan, 1.0)).count() as u32
     }
 
-    /// Answers each counter call that is out, quickly; gives their number.
+    /// Responds to each pending counter call after 1 ms. `answer` returns the outcome and the total for the
+    /// amount of a call. Returns the number of calls.
     pub fn count(&mut self, answer: impl Fn(f64) -> (Outcome, f64)) -> usize {
         let calls = std::mem::take(&mut self.calls);
         for (name, add) in &calls {
@@ -173,7 +177,7 @@
         calls.len()
     }
 
-    /// Serves another customer for a while, so that a quick counter is called for every try.
+    /// Serves another tenant with a quick counter, until the limiter calls the counter for every request.
     pub fn warm(mut self) -> Self {
         for _ in 0..100 {
             self.now += 0.6;
@@ -184,6 +188,7 @@
     }
 }
 
+/// Returns the server of the first send in `out`.
 pub fn sent_to(out: &[Action]) -> Option<Arc<str>> {
     out.iter().find_map(|a| match a {
         Action::Send { server, .. } => Some(server.clone()),
@@ -191,10 +196,12 @@
     })
 }
 
+/// Returns the number of rejections in `out`.
 pub fn refused(out: &[Action]) -> usize {
     out.iter().filter(|a| matches!(a, Action::Reject { .. })).count()
 }
 
+/// Returns the number of failed requests in `out`.
 pub fn failed(out: &[Action]) -> usize {
     out.iter().filter(|a| matches!(a, Action::Fail { .. })).count()
 }
--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -1,4 +1,4 @@
-//! Fake peers on loopback sockets, and the real binary between them.
+//! Fake peers on loopback sockets, and the process of the binary that is connected to them.
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -8,18 +8,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The longest that any condition is waited for.
+/// Maximum time to wait for any condition.
 pub const TIMEOUT: Duration = Duration::from_secs(15);
 
+/// Waits until a condition holds. Panics after [`TIMEOUT`].
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let end = Instant::now() + TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < end, "waited in vain until {what}");
+        assert!(Instant::now() < end, "timeout while waiting until {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// Holds a response back until a gate is opened, or the time-out is over.
+/// Holds a response back until a gate is opened, at most for [`TIMEOUT`].
 pub fn wait_for_gate(gate: &AtomicBool) {
     let end = Instant::now() + TIMEOUT;
     while !gate.load(Ordering::SeqCst) && Instant::now() < end {
@@ -27,7 +28,7 @@
     }
 }
 
-/// A message as it came: its first line, headers in lower case, body.
+/// A received HTTP message: its first line, its headers with names in lower case, and its body.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     pub first: String,
@@ -48,7 +49,7 @@
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// Reads one; `None` where the connection ends first.
+    /// Reads a message. Returns `None` if the connection ends before the message is complete.
     pub fn read(from: &mut impl BufRead) -> Option<Message> {
         let mut line = || {
             let mut text = String::new();
@@ -68,22 +69,24 @@
     }
 }
 
-/// What a fake does about a request.
+/// How a fake peer responds to a request.
 pub enum Reply {
-    /// Writes this.
+    /// Writes this text.
     Raw(String),
-    /// Writes this and closes.
+    /// Writes this text and closes the connection.
     Last(String),
-    /// Writes these, each after a pause.
+    /// Writes these texts, each after a pause.
     Pieces(Vec<(Duration, String)>),
-    /// Says nothing until the other side closes.
+    /// Writes nothing, and waits until the limiter closes the connection.
     Silence,
 }
 
+/// Returns a response with status 200.
 pub fn ok(body: &str) -> Reply {
     Reply::Raw(raw("200 OK", "", body))
 }
 
+/// Returns the text of a response. Each line of `headers` ends with a line break.
 pub fn raw(status: &str, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n{headers}\r\n{body}", body.len())
 }
@@ -97,7 +100,8 @@
     let_go: Mutex<Vec<String>>,
 }
 
-/// A listener that answers each request by a rule, and remembers them.
+/// A fake peer that listens on a loopback socket, responds to each request by a rule, and records all
+/// requests.
 #[derive(Clone)]
 pub struct Fake {
     pub address: SocketAddr,
@@ -122,36 +126,40 @@
         fake
     }
 
+    /// Returns all requests so far.
     pub fn seen(&self) -> Vec<Message> {
         self.log.seen.lock().expect("lock").clone()
     }
 
+    /// Returns the number of requests so far.
     pub fn count(&self) -> usize {
         self.log.seen.lock().expect("lock").len()
     }
 
+    /// Returns the number of connections accepted so far.
     pub fn accepted(&self) -> u32 {
         self.log.accepted.load(Ordering::SeqCst)
     }
 
-    /// Connections that the limiter or the fake has ended.
+    /// Returns the number of connections that either side has closed.
     pub fn ended(&self) -> u32 {
         self.log.ended.load(Ordering::SeqCst)
     }
 
-    /// Ids of the requests on which it kept silent until the other side closed.
+    /// Returns the ids of the requests with [`Reply::Silence`] whose connections the limiter has closed.
     pub fn let_go(&self) -> Vec<String> {
         self.log.let_go.lock().expect("lock").clone()
     }
 
-    /// Writes to every connection that is open.
+    /// Writes to all open connections.
     pub fn push(&self, bytes: &str) {
         for mut stream in self.log.streams.lock().expect("lock").iter() {
             let _ = stream.write_all(bytes.as_bytes());
         }
     }
 
-    /// Writes a blank line to every watch now and then, as discovery does, for as long as a test may take.
+    /// Writes an empty line to each watch every 0.5 s for 30 s, as discovery does while nothing changes. That
+    /// is longer than any test takes.
     pub fn beat(&self) {
         let fake = self.clone();
         thread::spawn(move || {
@@ -162,7 +170,7 @@
         });
     }
 
-    /// Ends every connection.
+    /// Closes all connections.
     pub fn cut(&self) {
         for stream in self.log.streams.lock().expect("lock").drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
@@ -205,7 +213,7 @@
     let _ = stream.shutdown(Shutdown::Both);
 }
 
-/// A line of discovery as a chunk.
+/// Returns an HTTP chunk with a line of a watch.
 pub fn chunk(line: &str) -> String {
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
@@ -221,12 +229,13 @@
 
 pub const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Discovery that gives each watch this whole list; further lines are pushed.
+/// Starts a fake discovery service whose first message on each watch is the complete list of these instances.
+/// Tests push further messages.
 pub fn discovery(instances: Vec<Value>) -> Fake {
     Fake::new(move |_| Reply::Raw(format!("{WATCH_HEAD}{}", chunk(&update(10, true, &instances)))))
 }
 
-/// A counter that keeps its numbers.
+/// Starts a fake counter service, which keeps the total of each counter.
 pub fn counter() -> Fake {
     let numbers: Mutex<std::collections::HashMap<String, f64>> = Mutex::default();
     Fake::new(move |call| {
@@ -256,7 +265,7 @@
             "max-retry-after-s": 2.0, "may-probe": true, "retry-after": true, "second-copies": false}})
 }
 
-/// The real binary.
+/// A running process of the binary.
 pub struct Limiter {
     pub address: SocketAddr,
     child: Child,
@@ -267,7 +276,7 @@
     early: String,
 }
 
-/// A file in the build's own folder for temporary files, which no other test uses.
+/// Writes a text to a new file in Cargo's directory for temporary files, which no other test uses.
 pub fn scratch(text: &str) -> std::path::PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let name = format!("config-{}-{}.json", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
@@ -276,6 +285,7 @@
     file
 }
 
+/// Returns the command that starts the binary, without the environment variables that configure it.
 pub fn command() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_rate-limiter"));
     for name in ["ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY", "ROUTER_CONFIG"] {
@@ -285,17 +295,17 @@
 }
 
 impl Limiter {
-    /// Starts it and waits until it is ready.
+    /// Starts a limiter and waits until it is ready.
     pub fn start(settings: Value, discovery: &Fake, counter: SocketAddr) -> Limiter {
         Limiter::with_sockets(1024, settings, discovery, counter)
     }
 
-    /// The same with a limit on descriptors.
+    /// Starts a limiter with a maximum number of sockets.
     pub fn with_sockets(sockets: u32, settings: Value, discovery: &Fake, counter: SocketAddr) -> Limiter {
         Limiter::configured(json!({"limits": {"sockets": sockets}}), settings, discovery, counter)
     }
 
-    /// The same with the list of servers that it held last.
+    /// Starts a limiter with the last server list that it knew before it was restarted.
     pub fn with_known(known: Value, settings: Value, discovery: &Fake, counter: SocketAddr) -> Limiter {
         Limiter::configured(json!({"known": known}), settings, discovery, counter)
     }
@@ -309,14 +319,15 @@
         }
         let file = scratch(&config.to_string());
         let mut command = command();
-        // The environment repeats a part of the file, as in service.
+        // The environment repeats a part of the file, as it does in production.
         command.env("ROUTER_DISCOVERY", discovery.address.to_string()).env("ROUTER_CONFIG", &file);
         let mut child = command.stderr(Stdio::piped()).spawn().expect("start the limiter");
         let mut lines = BufReader::new(child.stderr.take().expect("stderr")).lines();
         let errors: Arc<Mutex<String>> = Arc::default();
         let mut early = String::new();
         let address = loop {
-            let line = lines.next().expect("it listens").expect("utf-8");
+            let line =
+                lines.next().expect("the line with the address on which the limiter listens").expect("utf-8");
             early += &(line.clone() + "\n");
             if let Some((_, address)) = line.split_once("listening for clients address=") {
                 break address.parse().expect("an address");
@@ -333,11 +344,13 @@
             }
         });
         let limiter = Limiter { address, child, errors, log_closed, file, config, early };
-        wait_until("the limiter is up", || limiter.client().ask("GET /up HTTP/1.1\r\n\r\n").status() == 200);
+        wait_until("the limiter is ready", || {
+            limiter.client().ask("GET /up HTTP/1.1\r\n\r\n").status() == 200
+        });
         limiter
     }
 
-    /// One with these servers, all in service, and a counter that works.
+    /// Starts a limiter with these servers, all in service, and with a working counter.
     pub fn over(servers: &[&Fake]) -> Limiter {
         let list = servers.iter().enumerate();
         let list = list.map(|(n, s)| instance(&format!("s-{n}"), s.address, "in_service")).collect();
@@ -359,7 +372,7 @@
         assert!(killed.expect("kill").success());
     }
 
-    /// Replaces the configuration file by one with these addresses, and tells the limiter.
+    /// Replaces the configuration file by one with these addresses, and sends SIGHUP.
     pub fn move_to(&self, discovery: SocketAddr, counter: SocketAddr) {
         let mut config = self.config.clone();
         config["discovery"] = json!(discovery.to_string());
@@ -370,28 +383,29 @@
         self.signal("-HUP");
     }
 
+    /// Waits until the process exits. Panics after [`TIMEOUT`].
     pub fn wait(&mut self) -> ExitStatus {
         let end = Instant::now() + TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().expect("wait") {
                 return status;
             }
-            assert!(Instant::now() < end, "the limiter did not end");
+            assert!(Instant::now() < end, "the limiter did not exit");
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Closes the reading end of its standard error, with the next line that it writes.
+    /// Closes the reading end of the limiter's standard error once it writes the next line.
     pub fn close_log(&self) {
         self.log_closed.store(true, Ordering::SeqCst);
     }
 
-    /// What it wrote to standard error until it listened.
+    /// Returns what the limiter wrote to standard error until it listened for clients.
     pub fn early(&self) -> &str {
         &self.early
     }
 
-    /// What it wrote to standard error since it was up.
+    /// Returns what the limiter has written to standard error since it listened for clients.
     pub fn errors(&self) -> String {
         self.errors.lock().expect("lock").clone()
     }
@@ -405,7 +419,7 @@
     }
 }
 
-/// A client's connection.
+/// A client with one connection to the limiter.
 pub struct Client {
     stream: TcpStream,
     reader: BufReader<TcpStream>,
@@ -416,7 +430,7 @@
         self.stream.write_all(text.as_bytes()).expect("send");
     }
 
-    /// Sends what still goes out: the other side may have closed.
+    /// Sends bytes and ignores errors, since the limiter may have closed the connection.
     pub fn send_quietly(&mut self, bytes: &[u8]) {
         let _ = self.stream.write_all(bytes);
     }
@@ -425,7 +439,7 @@
         self.stream.set_read_timeout(Some(time)).expect("set");
     }
 
-    /// Whether an answer has begun or the connection has been closed.
+    /// Returns whether a response has begun or the connection was closed.
     pub fn has_received(&mut self) -> bool {
         match self.stream.peek(&mut [0]) {
             Ok(_) => true,
@@ -433,13 +447,15 @@
         }
     }
 
+    /// Reads a response. Returns `None` if the connection ends before the response is complete.
     pub fn answer(&mut self) -> Option<Message> {
         Message::read(&mut self.reader)
     }
 
+    /// Sends a request and reads its response.
     pub fn ask(&mut self, text: &str) -> Message {
         self.send(text);
-        self.answer().expect("an answer")
+        self.answer().expect("a response")
     }
 
     pub fn close(self) {
@@ -453,7 +469,7 @@
 
 static NEXT_ID: AtomicU32 = AtomicU32::new(1);
 
-/// A request of class `quote`, safe to repeat.
+/// Returns a request of class `quote`, which is idempotent. `left_ms` is the time that its client has left.
 pub fn quote(plan: &str, left_ms: u32) -> String {
     let id = NEXT_ID.fetch_add(1, Ordering::SeqCst);
     format!(
@@ -462,7 +478,7 @@
     )
 }
 
-/// A request with a body, of class `bind` (keyed) or `once`.
+/// Returns a request with a body, of class `bind` (with an idempotency key) or `once` (not idempotent).
 pub fn post(class: &str, body: &str) -> String {
     let id = NEXT_ID.fetch_add(1, Ordering::SeqCst);
     format!(
@@ -473,7 +489,8 @@
     )
 }
 
-/// An address at which nobody listens, until the socket listens. It is held, so that no other test gets it.
+/// Returns a bound socket and its address, which refuses connections until the socket listens. The socket
+/// reserves the address, so that no other test gets it.
 pub fn nobody() -> (socket2::Socket, SocketAddr) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("socket");
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("bind");
@@ -481,7 +498,8 @@
     (socket, address)
 }
 
-/// A listener whose queue is full: connections to it neither come up nor fail.
+/// Returns a listener whose accept queue is full, so that connecting to it neither succeeds nor fails. The
+/// streams fill the queue.
 pub fn never_up() -> (socket2::Socket, SocketAddr, Vec<TcpStream>) {
     let (socket, address) = nobody();
     socket.listen(0).expect("listen");
--- a/crates/rate-limiter/tests/discovery.rs
+++ b/crates/rate-limiter/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! The real binary and the list of servers, over loopback sockets, between fake peers.
+//! The binary and the server list from discovery, with fake peers on loopback sockets.
 mod common;
 
 use common::sockets::*;
@@ -6,12 +6,12 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-/// A piece of a watch as a chunk of its own, with nothing added.
+/// Returns an HTTP chunk with exactly this text.
 fn piece(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// The same list as people write JSON: every part on a line of its own.
+/// Returns the same JSON, indented over several lines and with a line break at the end.
 fn indented(update: &str) -> String {
     let value: Value = serde_json::from_str(update).expect("JSON");
     serde_json::to_string_pretty(&value).expect("JSON") + "\n"
@@ -23,14 +23,14 @@
     let (second, third) = (Fake::new(|_| ok("second")), Fake::new(|_| ok("third")));
     let first = [instance("s-0", served.address, "in_service")];
     let list = indented(&update(10, true, &first));
-    // Each line of the whole list is a chunk, with a blank one between, and it ends without a line break.
+    // Each line of the complete list is a chunk of its own, and so is each line break.
     let lines: String = list.trim_end().lines().map(|l| piece(l) + &piece("\n")).collect();
     let discovery = Fake::new(move |_| Reply::Raw(format!("{WATCH_HEAD}{lines}")));
     let limiter = Limiter::start(settings(), &discovery, counter().address);
     let mut client = limiter.client();
     wait_until("the indented list is known", || client.ask(&quote("roomy", 9000)).text() == "first");
 
-    // Two messages at once, the end of one and the beginning of the next in one piece, byte by byte.
+    // One chunk has two complete messages and the beginning of a third, whose rest follows byte by byte.
     let gone = update(11, false, &[instance("s-0", served.address, "terminating")]);
     let two =
         indented(&gone) + &indented(&update(12, false, &[instance("s-1", second.address, "in_service")]));
@@ -41,8 +41,8 @@
     for byte in rest.chars() {
         discovery.push(&piece(&byte.to_string()));
     }
-    wait_until("the third is known", || client.ask(&quote("roomy", 9000)).text() == "third");
-    assert_eq!((discovery.count(), limiter.errors().as_str()), (1, ""), "all on one watch");
+    wait_until("the third message is known", || client.ask(&quote("roomy", 9000)).text() == "third");
+    assert_eq!((discovery.count(), limiter.errors().as_str()), (1, ""), "one watch received all messages");
 }
 
 #[test]
@@ -51,7 +51,7 @@
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let _limiter = Limiter::start(settings(), &discovery, counter().address);
     discovery.push(&piece("{\"generation\": 11, \"instances\": ["));
-    // Blank lines, within it as well as between messages, are no news.
+    // Empty lines do not extend the timeout within a message.
     wait_until("a second watch", || {
         discovery.push(&piece("\n"));
         discovery.count() == 2
@@ -61,8 +61,9 @@
 
 #[test]
 fn updates_arrive_in_time_when_two_watches_in_a_row_time_out() {
-    // What discovery publishes counts as known 6 s after the watch went idle. The watch goes idle, the call that
-    // replaces it is never answered, and the third brings the news: from the silence on, calls take so long.
+    // A change that discovery publishes takes effect 6 s after the watch became idle. Here the watch becomes
+    // idle, two calls in a row get no message, and the next one returns the change. The timeouts of these
+    // calls must leave enough time for that.
     let (old, new) = (Fake::new(|_| ok("old")), Fake::new(|_| ok("new")));
     let (before, after) = (
         chunk(&update(10, true, &[instance("s-0", old.address, "in_service")])),
@@ -71,7 +72,7 @@
     let calls = AtomicU32::new(0);
     let discovery = Fake::new(move |_| match calls.fetch_add(1, Ordering::SeqCst) {
         0 => Reply::Raw(format!("{WATCH_HEAD}{before}")),
-        // Accepted, with an answer begun or not, and silent from then on.
+        // Both calls are accepted and get no message: one gets the head of a response, the other one nothing.
         1 => Reply::Raw(WATCH_HEAD.into()),
         2 => Reply::Silence,
         _ => Reply::Raw(format!("{WATCH_HEAD}{after}")),
@@ -80,8 +81,8 @@
     wait_until("the list is known", || limiter.client().ask(&quote("roomy", 9000)).text() == "old");
     wait_until("the second watch", || discovery.count() == 2);
     let began = Instant::now();
-    wait_until("the news is known", || limiter.client().ask(&quote("roomy", 9000)).text() == "new");
-    // Two calls of a second at most and two pauses: twice of that on a slow machine, and less than it took
-    // where each call was waited for as long as a watch.
+    wait_until("the change is known", || limiter.client().ask(&quote("roomy", 9000)).text() == "new");
+    // Two calls of at most 1 s and two backoffs, doubled for a slow machine. It would take longer if each
+    // call had the timeout of an open watch.
     assert!(began.elapsed() < Duration::from_millis(5_500), "{:?}", began.elapsed());
 }
--- a/crates/rate-limiter/tests/heavy_hitters.rs
+++ b/crates/rate-limiter/tests/heavy_hitters.rs
@@ -1,20 +1,24 @@
-//! Hundreds of limiters that share a tenant: most of its requests arrive at one that does not know it.
+//! Hundreds of limiters that receive requests of the same tenant: most requests arrive at a limiter that has
+//! no totals for the tenant.
 mod common;
 use common::*;
 use rate_limiter::*;
 use std::collections::BTreeMap;
 
 const LIMITERS: usize = 300;
+/// The virtual time between two steps, in seconds.
 const STEP: f64 = 0.05;
 
-/// Limiters around one counter that answers a step later, so that their calls cross.
+/// Limiters that share one counter. The counter responds one step later, so that calls of different limiters
+/// overlap.
 struct Fleet {
     hosts: Vec<Host>,
     numbers: BTreeMap<String, f64>,
     rng: fastrand::Rng,
     now: f64,
-    /// Calls of all limiters, and the step in which most of them came.
+    /// The number of counter calls of all limiters.
     calls: usize,
+    /// The maximum number of counter calls in one step.
     busiest: usize,
 }
 
@@ -54,7 +58,8 @@
         self.busiest = self.busiest.max(self.calls - before);
     }
 
-    /// Units of so many requests of one unit that some limiters, chosen by chance, send on.
+    /// Submits requests of one unit, each at a random limiter. Returns the number of units that were sent to
+    /// servers.
     fn asked(&mut self, customer: &str, requests: u32) -> u32 {
         (0..requests)
             .filter(|_| self.hosts[self.rng.usize(..LIMITERS)].served(customer, "plain", 1.0))
@@ -69,7 +74,7 @@
     let steps = |seconds: f64| (seconds / STEP) as u32;
     for n in 0..steps(8.0) {
         fleet.step();
-        // 60 units a second of a quota of 10, and 5 of another.
+        // One tenant demands 60 units/s and another one 5 units/s, each with a quota of 10 units/s.
         let sent = fleet.asked("hot", 3);
         hot += if n >= steps(4.0) { sent } else { 0 };
         if n % 4 == 0 {
@@ -77,10 +82,11 @@
             asked += 1;
         }
     }
-    // 40 units in these 4 s, and as much again for what the limiters that know it let in.
+    // The quota is 40 units in these 4 s. As much again is allowed for what limiters with totals of the
+    // tenant admit.
     assert!(hot <= 80, "{hot} units in 4 s");
-    assert!(hot >= 12, "{hot} units in 4 s: it keeps its quota");
-    assert!(modest + 2 >= asked, "{modest} of {asked}: who keeps within its quota is held to nothing");
+    assert!(hot >= 12, "{hot} units in 4 s: the listed tenant is still served");
+    assert!(modest + 2 >= asked, "{modest} of {asked}: a tenant within its quota is not limited");
 }
 
 #[test]
@@ -95,10 +101,15 @@
     for _ in 0..100 {
         fleet.step();
     }
-    // Nobody asks any more: each looks at the end once in half a second at most, one after the other.
+    // No more requests arrive. Each limiter polls the end of the list at most once per half second, and their
+    // polls are spread over time.
     let looks = fleet.calls - reads;
-    assert!(looks <= LIMITERS * 10, "{looks} looks in 5 s");
-    assert!(fleet.busiest < LIMITERS / 2 && before < LIMITERS, "{} and {before} at once", fleet.busiest);
+    assert!(looks <= LIMITERS * 10, "{looks} polls in 5 s");
+    assert!(
+        fleet.busiest < LIMITERS / 2 && before < LIMITERS,
+        "{} and {before} calls in one step",
+        fleet.busiest
+    );
     let listed = fleet.numbers.iter().filter(|(name, total)| name.starts_with("heavy.") && **total != 0.0);
     assert!((1..=12).contains(&listed.count()), "{:?}", fleet.numbers.keys());
 }
@@ -106,7 +117,8 @@
 #[test]
 fn an_unreadable_entry_hides_no_other_and_blocks_nobody() {
     let mut fleet = Fleet::new();
-    // What is left where two wrote at once and the call that took one back was lost.
+    // The values that remain if two limiters add an entry at the same time, and the call that should undo one
+    // of the additions is lost.
     let (first, second) = ("heavy.5.0".to_string(), "heavy.5.1".to_string());
     fleet.numbers.insert(first.clone(), 5_000_007.5);
     fleet.numbers.insert(second, 9_999_999.0);
@@ -122,7 +134,7 @@
     }
     assert!((12..=80).contains(&hot), "{hot} units in 4 s");
     assert!(modest + 2 >= asked, "{modest} of {asked}");
-    assert_eq!(fleet.numbers[&first], 5_000_007.5, "nobody writes over it");
+    assert_eq!(fleet.numbers[&first], 5_000_007.5, "no limiter overwrites the invalid entry");
 }
 
 #[test]
@@ -132,7 +144,7 @@
         fleet.step();
         fleet.asked("hot", 3);
     }
-    // No call is answered any more, and the customer asks for little.
+    // The counter no longer responds to calls, and the tenant sends few requests.
     let (mut served, mut asked) = (0, 0);
     for n in 0..800 {
         fleet.now += STEP;
--- a/crates/rate-limiter/tests/invalid_responses.rs
+++ b/crates/rate-limiter/tests/invalid_responses.rs
@@ -1,4 +1,4 @@
-//! The real binary and servers whose responses are malformed, or are followed by further bytes.
+//! The binary and servers whose responses are malformed, or are followed by further bytes.
 mod common;
 
 use common::sockets::*;
@@ -25,13 +25,14 @@
             _ => ok("good"),
         });
         let limiter = Limiter::over(&[&server]);
-        // It may have run: sent again by its key alone, and within the time that the client still has.
+        // The request may have executed. It is retried only because of its idempotency key, and within the
+        // time that its client has left.
         let began = Instant::now();
         let answer = limiter.client().ask(&post("bind", "x"));
         assert_eq!((answer.status(), answer.text().as_str()), (200, "good"), "{fault:?}");
         assert!(began.elapsed() < Duration::from_millis(1500), "{fault:?}: {:?}", began.elapsed());
         assert_eq!(server.count(), 2);
-        wait_until("its connection is closed", || server.ended() >= 1);
+        wait_until("the connection is closed", || server.ended() >= 1);
     }
 }
 
@@ -58,7 +59,8 @@
 
 #[test]
 fn a_connection_rests_before_it_is_reused() {
-    // Longer than the latest second answer that was ever seen to come. A slow machine only shows it less often.
+    // The reuse delay is longer than the latest arrival of a second response ever observed. On a slow
+    // machine, the test only checks it less often.
     for _ in 0..5 {
         let server = Fake::new(|_| ok("served"));
         let limiter = Limiter::over(&[&server]);
@@ -68,12 +70,12 @@
         std::thread::sleep(Duration::from_millis(6));
         assert_eq!(client.ask(&post("once", "x")).status(), 200);
         if began.elapsed() < Duration::from_millis(9) {
-            assert_eq!(server.accepted(), 2, "the reuse delay of the first is not over");
+            assert_eq!(server.accepted(), 2, "the reuse delay of the first connection is not over");
         }
         std::thread::sleep(Duration::from_millis(50));
         let before = server.accepted();
         assert_eq!(client.ask(&post("once", "x")).status(), 200);
-        assert_eq!(server.accepted(), before, "rested, it is used again");
+        assert_eq!(server.accepted(), before, "a connection is reused after the reuse delay");
     }
 }
 
@@ -99,7 +101,7 @@
         let server = Fake::new(move |_| Reply::Raw(raw("200 OK", &headers, "served")));
         let limiter = Limiter::over(&[&server]);
         let mut client = limiter.client();
-        // A burst of four units.
+        // The plan has a burst of four units.
         for n in 0..4 {
             assert_eq!(client.ask(&quote("small", 9000)).status(), 200, "{figure}: request {n}");
         }
@@ -115,7 +117,7 @@
     let limiter = Limiter::over(&[&server]);
     let began = Instant::now();
     let answer = limiter.client().ask(&post("once", "x").replace("9000m", "1000m"));
-    assert_eq!(answer.status(), 502, "it may have run");
+    assert_eq!(answer.status(), 502, "the request may have executed");
     assert!(began.elapsed() < Duration::from_secs(3), "{:?}", began.elapsed());
     assert_eq!(limiter.client().ask("GET /up HTTP/1.1\r\n\r\n").status(), 200);
 }
--- a/crates/rate-limiter/tests/overload.rs
+++ b/crates/rate-limiter/tests/overload.rs
@@ -1,4 +1,5 @@
-//! The real binary before servers whose responses take long: by their own length, or because they are queued.
+//! The binary with slow servers: their responses take long because of their service time, or because requests
+//! are queued.
 mod common;
 
 use common::sockets::*;
@@ -11,10 +12,12 @@
 const CLIENTS: u32 = 6;
 const ROW: u32 = 60;
 
-/// Starts clients that ask without end, one of four for what is worth most, and ends them with the test.
+/// Clients that send requests until `end` is called. One request in four is of the class with the highest
+/// value, the others are quotes.
 struct Load {
-    /// Of the quotes: refused, and served one after the other since.
+    /// The number of rejected quotes.
     refused: Arc<AtomicU32>,
+    /// The number of quotes served since the last rejected one.
     row: Arc<AtomicU32>,
     done: Arc<AtomicBool>,
     clients: Vec<thread::JoinHandle<()>>,
@@ -50,7 +53,7 @@
     fn end(self) {
         self.done.store(true, Ordering::SeqCst);
         for client in self.clients {
-            client.join().expect("a client");
+            client.join().expect("a client thread");
         }
     }
 }
@@ -63,7 +66,8 @@
     Limiter::start(settings, &discovery(list), counter().address)
 }
 
-/// Their own length is a third of the aim. No smaller window makes such answers quicker.
+/// The service time is a third of the target latency. A lower in-flight limit would not make such responses
+/// faster.
 #[test]
 fn long_answers_that_never_wait_close_no_window() {
     let slow =
@@ -71,14 +75,15 @@
     let servers: Vec<Fake> = (0..6).map(|_| slow()).collect();
     let limiter = start(&servers);
     let load = Load::on(&limiter);
-    // Long enough for a window that answers like these close to be closed.
-    wait_until("much has been served", || servers.iter().map(Fake::count).sum::<usize>() > 100);
+    // Enough responses for an in-flight limit to be lowered, if such responses lowered it.
+    wait_until("many requests have been served", || servers.iter().map(Fake::count).sum::<usize>() > 100);
     load.row.store(0, Ordering::SeqCst);
-    wait_until("many quotes in a row are served", || load.row.load(Ordering::SeqCst) >= ROW);
+    wait_until("many consecutive quotes are served", || load.row.load(Ordering::SeqCst) >= ROW);
     load.end();
 }
 
-/// One after the other only: what is out waits, and what is worth least gives way.
+/// The server handles one request at a time. The others in flight wait, and those with the lowest value are
+/// rejected.
 #[test]
 fn answers_that_wait_still_close_the_window() {
     let turn = Mutex::new(());
@@ -89,8 +94,8 @@
     });
     let limiter = start(std::slice::from_ref(&server));
     let load = Load::on(&limiter);
-    wait_until("much has been served", || server.count() > 60);
+    wait_until("many requests have been served", || server.count() > 60);
     load.refused.store(0, Ordering::SeqCst);
-    wait_until("quotes are refused", || load.refused.load(Ordering::SeqCst) >= 20);
+    wait_until("quotes are rejected", || load.refused.load(Ordering::SeqCst) >= 20);
     load.end();
 }
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -1,4 +1,4 @@
-//! The real binary over loopback sockets, between fake peers.
+//! The binary with fake peers on loopback sockets.
 mod common;
 
 use common::sockets::*;
@@ -11,13 +11,14 @@
 
 const UNPROCESSED: &str = "X-Unprocessed: 1\r\n";
 
-/// A server that answers its first `n` requests by one rule, and all others well.
+/// Returns the rule of a server that responds to its first `n` requests by `rule`, and successfully to all
+/// others.
 fn at_first(n: u32, rule: impl Fn() -> Reply + Send + Sync + 'static) -> impl Fn(&Message) -> Reply {
     let count = AtomicU32::new(0);
     move |_| if count.fetch_add(1, Ordering::SeqCst) < n { rule() } else { ok("late but good") }
 }
 
-// ----- relaying -----
+// ----- forwarding -----
 
 #[test]
 fn a_request_goes_on_unchanged_and_its_answer_comes_back() {
@@ -27,7 +28,7 @@
     let sent = post("bind", "a policy");
     let answer = client.ask(&sent);
     assert_eq!((answer.status(), answer.text().as_str()), (200, "echo a policy"));
-    // The connection is reused after some milliseconds only.
+    // The connection is reused only after a delay of some milliseconds.
     std::thread::sleep(Duration::from_millis(50));
     let answer = client.ask(&quote("roomy", 1500));
     assert_eq!((answer.status(), answer.text().as_str()), (200, "echo "));
@@ -42,7 +43,7 @@
     assert_eq!(seen[1].first, "GET /quote/00000000b4d65521?from=tls&to=nce HTTP/1.1");
     let left = seen[1].header("x-time-left").and_then(|l| l.strip_suffix('u')?.parse::<u64>().ok());
     assert!((1..1_500_000).contains(&left.expect("microseconds")), "{left:?}");
-    assert_eq!(server.accepted(), 1, "the connection is used again");
+    assert_eq!(server.accepted(), 1, "the connection is reused");
 }
 
 #[test]
@@ -50,12 +51,13 @@
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let mut settings = settings();
-    // Advice needs totals of the counter: a slow machine must not make it look down.
+    // A Retry-After needs totals of the counter. With this timeout, the counter is not considered down on a
+    // slow machine.
     settings["family-info"]["count-limit-s"] = json!(5.0);
     let limiter = Limiter::start(settings, &discovery, counter().address);
     let (mut client, began) = (limiter.client(), Instant::now());
     let (mut served, mut refused) = (0, Vec::new());
-    wait_until("a refusal brings advice", || {
+    wait_until("a rejection has a Retry-After", || {
         let answer = client.ask(&quote("small", 9000));
         match answer.status() {
             200 => served += 1,
@@ -66,10 +68,10 @@
     });
     let advice = refused.pop().flatten();
     assert!(matches!(advice, Some(Ok(t)) if t > 0.0 && t <= 2.0), "{advice:?}");
-    assert_eq!(served, server.count(), "what is refused reaches no server");
-    // A burst of 4, one more each second; half as much again for what the module lends.
+    assert_eq!(served, server.count(), "rejected requests reach no server");
+    // A burst of 4 and one more each second. Half as much again is allowed for borrowing.
     let most = 6.0 + 2.0 * began.elapsed().as_secs_f64();
-    assert!(served >= 4 && served as f64 <= most, "{served} served, {most} at most");
+    assert!(served >= 4 && served as f64 <= most, "{served} served, maximum {most}");
 }
 
 #[test]
@@ -78,13 +80,13 @@
     let (discovery, counter) = (discovery(vec![instance("s-0", server.address, "in_service")]), counter());
     let mut settings = settings();
     settings["family-info"]["count-limit-s"] = json!(5.0);
-    // One of two limiters: a bucket of 80 units, filled by 20 to 40 a second.
+    // This is one of two limiters: its bucket holds 80 units, and is refilled at 20 to 40 units/s.
     settings["tariffs"][1] = json!({"name": "small", "rate": 40.0, "depth": 160.0, "pays": 1.0});
     let limiter = Limiter::start(settings, &discovery, counter.address);
     let request = || quote("small", 9000).replace("units=1,spread=1", "units=4,spread=2");
     let mut client = limiter.client();
     let (mut served, mut filled, began) = (0.0, 0.0, Instant::now());
-    wait_until("more is served than the bucket ever held", || {
+    wait_until("more units are served than the bucket held and was refilled with", || {
         served += if client.ask(&request()).status() == 200 { 4.0 } else { 0.0 };
         filled = 40.0 * began.elapsed().as_secs_f64();
         served > 80.0 + 8.0 + filled
@@ -93,12 +95,13 @@
         served += 4.0;
     }
     filled = 40.0 * began.elapsed().as_secs_f64();
-    assert!(served <= 80.0 + 48.0 + filled, "{served} units: no more than that part");
+    assert!(served <= 80.0 + 48.0 + filled, "{served} units: more than the limiter may borrow");
 }
 
 // ----- outcomes -----
 
-/// Has a request meet a fault first; gives the final answer and what all servers saw of it.
+/// Sends a request to a server whose first response is a fault. Returns the final response, and the requests
+/// that the server received.
 fn after(fault: impl Fn() -> Reply + Send + Sync + 'static, request: &str) -> (Message, Vec<Message>) {
     let server = Fake::new(at_first(1, fault));
     let limiter = Limiter::over(&[&server]);
@@ -136,7 +139,7 @@
 fn what_may_have_run_is_retried_only_if_its_class_permits() {
     let faults: [fn() -> Reply; 6] = [
         || Reply::Raw(raw("500 Internal Server Error", "", "oops")),
-        // Without its mark, a 503 does not say that the request never ran.
+        // Without the header `X-Unprocessed`, status 503 does not mean that the request was not executed.
         || Reply::Raw(raw("503 Service Unavailable", "", "")),
         || Reply::Last(String::new()),
         || Reply::Last("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly a part".into()),
@@ -146,9 +149,9 @@
     for (n, fault) in faults.into_iter().enumerate() {
         let (answer, seen) = after(fault, &post("bind", "x"));
         assert_eq!((answer.status(), seen.len()), (200, 2), "fault {n}: {}", answer.first);
-        assert_eq!(answer.text(), "late but good", "a broken answer never reaches a client");
+        assert_eq!(answer.text(), "late but good", "an invalid response is never forwarded to a client");
         let key = |m: &Message| (m.header("idempotency-key").map(String::from), m.body.clone());
-        assert_eq!(key(&seen[0]), key(&seen[1]), "the copy carries the same key");
+        assert_eq!(key(&seen[0]), key(&seen[1]), "the retry has the same idempotency key");
         let (answer, seen) = after(fault, &post("once", "x"));
         assert_eq!((answer.status(), seen.len()), (502, 1), "fault {n}: {}", answer.first);
     }
@@ -168,19 +171,21 @@
     let mut client = limiter.client();
     let request = post("bind", "x").replace("9000m", "120000m");
     client.send(&request);
-    wait_until("the request is out", || hung.count() == 1);
-    // It may have run when its connection breaks, and the one server left has yet to take a connection. That
-    // the list is known shows at a third server, which drains too: what is kept to it is closed.
+    wait_until("the request is forwarded", || hung.count() == 1);
+    // The request may have executed when its connection is lost, and the only server that is left does not
+    // accept a connection yet. A third server, which drains too, shows when the limiter knows the list: it
+    // then closes its idle connection to that server.
     let third = Fake::new(|_| ok("served"));
     discovery.push(&chunk(&update(11, false, &[instance("s-2", third.address, "in_service")])));
-    wait_until("the third is known", || limiter.client().ask(&quote("roomy", 200)).status() == 200);
+    wait_until("the third server is known", || limiter.client().ask(&quote("roomy", 200)).status() == 200);
     let drains = |n, fake: &Fake| instance(&format!("s-{n}"), fake.address, "terminating");
     let change = [drains(0, &hung), drains(2, &third), instance("s-1", stuck, "in_service")];
     discovery.push(&chunk(&update(12, false, &change)));
     wait_until("the change is known", || third.ended() == third.accepted());
     hung.cut();
-    // All servers drop repeats of this class, so that another try is harmless; past the window, too.
-    let answer = client.answer().expect("an answer while the connection is still to come up");
+    // All servers together deduplicate this class, so that a retry by the client is safe even after the
+    // window.
+    let answer = client.answer().expect("a response before the connection is established");
     assert_eq!(answer.status(), 429, "{}", answer.first);
     drop((listener, filled));
 }
@@ -199,8 +204,8 @@
 
 #[test]
 fn the_next_attempt_starts_only_when_the_one_before_is_closed() {
-    // Requests hang; the module calls attempts off and tries another server, which answers only once the
-    // first has seen its connection end, or notes that it did not.
+    // Requests hang, and the limiter cancels the attempts and retries at another server. That server responds
+    // only after the first one has seen its connection close, or records that it did not.
     let overlaps = Arc::new(AtomicU32::new(0));
     let hung = Fake::new(|_| Reply::Silence);
     let (first, noted) = (hung.clone(), overlaps.clone());
@@ -219,7 +224,7 @@
     let list = vec![instance("s-0", hung.address, "in_service")];
     let discovery = discovery(list);
     let limiter = Limiter::start(settings(), &discovery, counter().address);
-    // Two requests hang at the only server; then it gets company.
+    // Two requests hang at the only server, then a second server is listed.
     let clients: Vec<_> = (0..2)
         .map(|_| {
             let mut client = limiter.client();
@@ -229,15 +234,15 @@
         .collect();
     wait_until("both requests hang", || hung.count() == 2);
     discovery.push(&chunk(&update(11, false, &[instance("s-1", good.address, "in_service")])));
-    let answers: Vec<_> = clients.into_iter().map(|mut c| c.answer().expect("an answer").status()).collect();
+    let answers: Vec<_> = clients.into_iter().map(|mut c| c.answer().expect("a response").status()).collect();
     assert!(answers.contains(&200), "{answers:?}");
     assert!(good.count() >= 1);
-    assert_eq!(overlaps.load(Ordering::SeqCst), 0, "two attempts of a request were out at once");
+    assert_eq!(overlaps.load(Ordering::SeqCst), 0, "two attempts of a request were open at the same time");
 }
 
 #[test]
 fn a_reused_connection_that_its_server_closed_costs_no_request() {
-    // Every answer is followed by a close that no header announces.
+    // The server closes the connection after every response, without a header that announces it.
     let server = Fake::new(|_| Reply::Last(raw("200 OK", "", "bye")));
     let limiter = Limiter::over(&[&server]);
     let mut client = limiter.client();
@@ -265,17 +270,17 @@
         .collect();
     let list = servers.iter().enumerate();
     let list = list.map(|(n, s)| instance(&format!("s-{n}"), s.address, "in_service")).collect();
-    // So many limiters share the servers that this one may have two requests out at all four.
+    // With this number of limiters, the in-flight limit of this limiter is two at each of the four servers.
     let mut settings = settings();
     settings["peers-total"] = json!(8);
     let limiter = Limiter::start(settings, &discovery(list), counter().address);
     let mut clients: Vec<Client> = (0..4).map(|_| limiter.client()).collect();
-    // Enough for three failures at each: as many are left out as may be.
+    // These are three failures per server, so that the maximum number of servers is ejected.
     for _ in 0..12 {
         assert_eq!(clients[0].ask(&post("once", "x")).status(), 502);
     }
     failing.store(false, Ordering::SeqCst);
-    // Asks with so many at once, all held at the servers until every one of them is there or was refused.
+    // Sends `n` requests at once, which the servers hold until each of them has arrived or was rejected.
     let mut served_at_once = |n: usize| {
         let seen = || servers.iter().map(Fake::count).sum::<usize>();
         let before = seen();
@@ -286,17 +291,18 @@
             std::thread::sleep(Duration::from_millis(1));
         }
         go.store(true, Ordering::SeqCst);
-        clients[..n].iter_mut().all(|c| c.answer().expect("an answer").status() == 200)
+        clients[..n].iter_mut().all(|c| c.answer().expect("a response").status() == 200)
     };
-    // Past the time for which they are left out, each answers well again.
+    // After the ejections end, each server responds successfully again.
     std::thread::sleep(Duration::from_millis(1500));
     served_at_once(4);
-    // Few tries: each answer in time widens what may be out by a little, and would hide the loss in the end.
+    // The number of requests is small, because each response in time raises the in-flight limit a little,
+    // which would hide a permanent loss after a while.
     let both = (0..5).any(|_| {
         std::thread::sleep(Duration::from_millis(300));
         served_at_once(2)
     });
-    assert!(both, "what the servers left out could take never came back");
+    assert!(both, "the capacity of the ejected servers was never used again");
 }
 
 // ----- discovery -----
@@ -311,20 +317,23 @@
     let limiter = Limiter::start(settings, &discovery, counter().address);
     let mut client = limiter.client();
     client.send(&quote("roomy", 15_000));
-    // The other server is named once the request is on its way to the first.
+    // The other server is listed while the limiter is connecting to the first one.
     std::thread::sleep(Duration::from_millis(100));
     let began = Instant::now();
     let change = [instance("s-0", stuck, "terminating"), instance("s-1", good.address, "in_service")];
     discovery.push(&chunk(&update(11, false, &change)));
-    assert_eq!(client.answer().expect("an answer").status(), 200);
+    assert_eq!(client.answer().expect("a response").status(), 200);
     assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
     drop(filled);
-    // Whatever the kernel still had in its queue carries no request.
+    // The connections that are still in the kernel's accept queue have received no request.
     listener.set_nonblocking(true).expect("set");
     while let Ok((accepted, _)) = listener.accept() {
         let mut stream: TcpStream = accepted.into();
         stream.set_read_timeout(Some(Duration::from_millis(100))).expect("set");
-        assert!(!matches!(std::io::Read::read(&mut stream, &mut [0]), Ok(1..)), "something was sent");
+        assert!(
+            !matches!(std::io::Read::read(&mut stream, &mut [0]), Ok(1..)),
+            "a request was sent to the draining server"
+        );
     }
 }
 
@@ -332,20 +341,21 @@
 fn a_removed_server_loses_its_requests_in_flight() {
     let (hung, good) = (Fake::new(|_| Reply::Silence), Fake::new(|_| ok("served")));
     let discovery = discovery(vec![instance("s-0", hung.address, "in_service")]);
-    // One late answer alone never makes the module call an attempt off: only the news can end this one.
+    // A single late response does not make the limiter cancel the attempt, so only the update of the list can
+    // end it.
     let limiter = Limiter::start(settings(), &discovery, counter().address);
     let mut client = limiter.client();
     client.send(&post("bind", "x"));
-    wait_until("the request is out", || hung.count() == 1);
-    // A whole list without it says that it is gone; the line comes in pieces.
+    wait_until("the request is forwarded", || hung.count() == 1);
+    // A complete list without the server removes it. The line arrives in two parts.
     let line = chunk(&update(11, true, &[instance("s-1", good.address, "in_service")]));
     let (head, tail) = line.split_at(line.len() / 2);
     discovery.push(head);
     std::thread::sleep(Duration::from_millis(20));
     discovery.push(tail);
-    assert_eq!(client.answer().expect("an answer").status(), 200);
+    assert_eq!(client.answer().expect("a response").status(), 200);
     assert_eq!((hung.count(), good.count()), (1, 1));
-    wait_until("the lost attempt is closed", || hung.ended() == hung.accepted());
+    wait_until("the attempt at the removed server is closed", || hung.ended() == hung.accepted());
 }
 
 #[test]
@@ -355,7 +365,7 @@
     let limiter = Limiter::start(settings(), &discovery, counter().address);
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).text(), "old");
     discovery.push(&chunk(&update(11, false, &[instance("s-0", new.address, "in_service")])));
-    wait_until("the kept connection is closed", || old.ended() == 1);
+    wait_until("the idle connection is closed", || old.ended() == 1);
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).text(), "new");
     assert_eq!(old.count(), 1);
 }
@@ -366,8 +376,8 @@
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let limiter = Limiter::start(settings(), &discovery, counter().address);
     assert!(discovery.seen()[0].first.starts_with("GET /discovery/hosts?watch=1"));
-    wait_until("the first line is known", || limiter.client().ask(&quote("roomy", 9000)).status() == 200);
-    // It ends; then a message is no JSON; one never ends; one lacks what an entry needs.
+    wait_until("the first list is known", || limiter.client().ask(&quote("roomy", 9000)).status() == 200);
+    // The watch ends; a message is not JSON; a message never ends; an entry has no required fields.
     let bad = [
         "",
         "{\"generation\": 12, ]",
@@ -380,11 +390,11 @@
         } else {
             discovery.push(&chunk(bad));
         }
-        wait_until("the watch is back", || discovery.count() == n + 2);
+        wait_until("the watch is open again", || discovery.count() == n + 2);
         assert_eq!(discovery.seen()[n + 1].first, "GET /discovery/hosts?watch=1&after=10 HTTP/1.1");
-        assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200, "the old list holds");
+        assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200, "the last list still applies");
     }
-    wait_until("the faults are logged", || limiter.errors().matches("discovery: ").count() >= 4);
+    wait_until("the errors are logged", || limiter.errors().matches("discovery: ").count() >= 4);
 }
 
 #[test]
@@ -393,18 +403,18 @@
     let bad = json!({"instanceId": "s-bad", "hostPort": "nowhere", "lifecycle": "in_service"});
     let discovery = discovery(vec![bad, instance("s-0", server.address, "in_service")]);
     let limiter = Limiter::start(settings(), &discovery, counter().address);
-    wait_until("the other is known", || limiter.client().ask(&quote("roomy", 9000)).status() == 200);
-    assert_eq!(discovery.count(), 1, "the watch goes on");
+    wait_until("the valid entry is known", || limiter.client().ask(&quote("roomy", 9000)).status() == 200);
+    assert_eq!(discovery.count(), 1, "the watch stays open");
 }
 
 #[test]
 fn an_idle_watch_times_out() {
-    // A peer that is cut off never errs.
+    // A network partition causes no error.
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let _limiter = Limiter::start(settings(), &discovery, counter().address);
     wait_until("a second watch", || discovery.count() == 2);
-    wait_until("the first is closed", || discovery.ended() >= 1);
+    wait_until("the first watch is closed", || discovery.ended() >= 1);
 }
 
 // ----- the counter -----
@@ -416,7 +426,7 @@
     let limiter = Limiter::start(settings(), &discovery, counter.address);
     let mut client = limiter.client();
     for n in 0.. {
-        assert!(n < 50, "no call came");
+        assert!(n < 50, "the counter was not called");
         assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
         if counter.count() > 0 {
             break;
@@ -442,11 +452,12 @@
         let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
         let limiter = Limiter::start(settings(), &discovery, counter.address);
         let mut client = limiter.client();
-        wait_until("calls were made", || {
+        wait_until("the counter was called", || {
             assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200, "rule {n}");
             counter.count() >= 2
         });
-        // Its connection goes with such a call: a late answer must not be taken for that of the next one.
+        // The connection is closed after such a call, since a late response must not be read as that to the
+        // next call.
         assert!(counter.accepted() >= 2, "rule {n}");
         wait_until("the connections are closed", || counter.ended() >= 2);
     }
@@ -478,10 +489,10 @@
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let limiter = Limiter::start(settings(), &discovery, counter().address);
     limiter.close_log();
-    // Each broken watch is a line in the log: the first closes it, the others find it closed.
+    // Each broken watch writes a line to the log. The first line closes the log, the others find it closed.
     for watches in 2..5 {
         discovery.cut();
-        wait_until("the watch is back", || discovery.count() == watches);
+        wait_until("the watch is open again", || discovery.count() == watches);
     }
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200);
 }
@@ -494,7 +505,7 @@
         let limiter = Limiter::with_known(known.clone(), settings(), &discovery, counter().address);
         wait_until("the list is known", || limiter.client().ask(&quote("roomy", 9000)).status() == 200);
         assert!(limiter.early().contains("ROUTER_CONFIG") && limiter.early().contains("known"), "{known}");
-        // What version it has is not known either: it asks for the whole list.
+        // The version is not known either, so the limiter requests the complete list.
         assert_eq!(discovery.seen()[0].first, "GET /discovery/hosts?watch=1 HTTP/1.1");
     }
 }
--- a/crates/rate-limiter/tests/quota.rs
+++ b/crates/rate-limiter/tests/quota.rs
@@ -1,10 +1,12 @@
-//! Token buckets, the limit, counter totals, corrected units and the hard rate, on scripted events.
+//! Tenant quotas, with scripted events: token buckets, shares of the quota, counter totals, the correction of
+//! units, and the hard rate limit.
 mod common;
 use common::*;
 use rate_limiter::*;
 
-/// Feeds the limiter a customer's demand for some seconds; the counter answers that all limiters together
-/// had `all` times its demand and `used` of it was accepted (per unit of own demand).
+/// Submits a tenant's requests for 17 s, and responds to the counter calls with totals of all limiters: for
+/// each unit of demand at this limiter, `all` units of demand, of which `used` units were admitted. Returns
+/// the last total.
 fn settle(h: &mut Host, customer: &str, all: f64, used: f64) -> f64 {
     let (mut name_now, mut total_refused, mut total_used) = (String::new(), 0.0f64, 0.0f64);
     for _ in 0..170 {
@@ -31,7 +33,8 @@
     total_refused.round() * PACK + total_used.round()
 }
 
-/// The limit a customer now has, read off its bucket: drained, then refilled for a second.
+/// Returns this limiter's share of a tenant's quota in units per second, measured by draining the bucket and
+/// refilling it for one second.
 fn rate(h: &mut Host, customer: &str) -> u32 {
     h.burst(customer, "plain");
     h.now += 1.0;
@@ -41,7 +44,8 @@
 #[test]
 fn new_tenants_have_a_full_bucket_of_the_fallback() {
     let mut h = Host::new(settings());
-    // Quota 10, depth 20, two limiters: fallback 5, bucket 10.
+    // A quota of 10 units/s with a burst of 20, over two limiters: an even share is 5 units/s with a burst of
+    // 10.
     assert_eq!(h.burst("c", "plain"), 10);
     h.now += 1.0;
     assert_eq!(h.burst("c", "plain"), 5);
@@ -51,12 +55,12 @@
 fn the_limit_is_proportional_to_demand_when_the_quota_is_used() {
     let mut h = Host::new(settings()).warm();
     settle(&mut h, "c", 4.0, 4.0);
-    // All used, a quarter of the demand: 10 / 4, no boost.
+    // The quota is completely used, and this limiter has a quarter of the demand: 10 / 4, not raised.
     let limit = rate(&mut h, "c");
     assert!((2..=3).contains(&limit), "{limit}");
     let mut h = Host::new(settings()).warm();
     settle(&mut h, "c", 1.25, 1.0);
-    // Four fifths of the demand: above the fallback, by weight alone.
+    // Four fifths of the demand: more than an even share, in proportion to demand alone.
     let limit = rate(&mut h, "c");
     assert!((7..=8).contains(&limit), "{limit}");
 }
@@ -73,7 +77,8 @@
     let mut h = Host::new(settings()).warm();
     assert!(h.served("c", "plain", 1.0));
     h.now += 0.2;
-    // Others ask for a hundred times as much: the limit falls to a hundredth at once, the tokens stay.
+    // The other limiters have a hundred times the demand. The share shrinks to a hundredth at once, and the
+    // tokens are kept.
     assert_eq!(h.count(|add| (Outcome::Completed, add + add * 100.0 * PACK)), 1);
     assert!(h.burst("c", "plain") >= 9);
 }
@@ -84,7 +89,7 @@
     let (id, _) = h.ask("c", "plain", "read", 1.0);
     h.end(id, 0, Outcome::Completed, Some(14.0));
     assert!(!h.served("c", "plain", 1.0));
-    h.now += 0.9; // -4 + 4.5 < 1
+    h.now += 0.9; // The bucket holds -4 + 4.5 units, which is less than 1.
     assert!(!h.served("c", "plain", 1.0));
     h.now += 0.2;
     assert!(h.served("c", "plain", 1.0));
@@ -96,7 +101,7 @@
     let last = settle(&mut h, "c", 4.0, 4.0);
     h.now += 1.2;
     h.served("c", "plain", 1.0);
-    // The total has not even grown by the limiter's own part: back to the fallback of 5.
+    // The total has not even grown by this limiter's own units, so the even share of 5 applies.
     assert_eq!(h.count(|_| (Outcome::Completed, last)), 1);
     assert_eq!(rate(&mut h, "c"), 5);
 }
@@ -130,9 +135,9 @@
         }
         calls += h.count(|_| (Outcome::Timeout, 0.0));
     }
-    assert!((8..=24).contains(&calls), "{calls} calls in twenty periods of silence");
+    assert!((8..=24).contains(&calls), "{calls} calls in twenty report intervals without a response");
     assert_eq!(rate(&mut h, "c1"), 5);
-    // It answers again: calls come back, and with them totals.
+    // When the counter responds again, the limiter calls it often and gets totals.
     let calls: usize = (0..400)
         .map(|n| {
             h.now += 0.1;
@@ -140,12 +145,13 @@
             h.count(|add| (Outcome::Completed, add * 3.0))
         })
         .sum();
-    assert!(calls > 100, "{calls} calls after its return");
+    assert!(calls > 100, "{calls} calls after the counter recovered");
 }
 
 #[test]
 fn a_slow_counter_is_called_for_few_attempts_and_more_again_when_fast() {
-    // Guards against a counter crowded by hundreds of limiters, each with many rare customers.
+    // Guards against an overload of the counter by hundreds of limiters, each with many tenants that send few
+    // requests.
     let mut h = Host::new(settings()).warm();
     let calls = |h: &mut Host, from: u32, elapsed: f64| {
         let mut made = 0;
@@ -166,17 +172,18 @@
     };
     calls(&mut h, 0, 0.04);
     let slow = calls(&mut h, 400, 0.04);
-    assert!((1..=40).contains(&slow), "{slow} of 400 tries call a slow counter");
+    assert!((1..=40).contains(&slow), "{slow} of 400 requests call a slow counter");
     for round in 0..10 {
         calls(&mut h, 1000 + 400 * round, 0.001);
     }
-    assert!(calls(&mut h, 9000, 0.001) > 300, "a quick counter is called for most again");
+    assert!(calls(&mut h, 9000, 0.001) > 300, "a quick counter is called for most requests again");
 }
 
 #[test]
 fn no_demand_runs_from_one_packed_number_into_the_other() {
-    // Three hundred limiters' worth of one customer's calls, each with mass retries: no step of the refused
-    // may show as used, nor the sum pass its seven digits.
+    // Three hundred limiters report one tenant, whose clients retry in masses at each. The admitted steps
+    // must stay below the packing base, where they would be read as rejected steps, and the total must not
+    // exceed seven digits.
     let tenant_limiters = 300;
     let mut h = Host::new(Settings { limiter_count: tenant_limiters, ..settings() }).warm();
     h.tenant_limiters = tenant_limiters;
@@ -206,7 +213,8 @@
 
 #[test]
 fn an_idle_tenant_is_forgotten_only_when_its_bucket_would_be_full() {
-    // A request in two minutes is the fallback here: forgetting it sooner would give a full bucket anew.
+    // The even share is one request in two minutes. If the tenant were evicted sooner, it would get a full
+    // bucket again.
     let mut h = Host::new(Settings { limiter_count: 1200, ..settings() });
     h.tenant_limiters = 1200;
     assert!(h.served("c", "plain", 1.0));
@@ -215,7 +223,7 @@
         h.now += 0.05;
         h.event(Event::Timer { token: 0 });
     }
-    assert!(!h.served("c", "plain", 1.0), "eighty seconds on, at a request in 120 s");
+    assert!(!h.served("c", "plain", 1.0), "80 s later, at one request per 120 s");
     for _ in 0..1600 {
         h.now += 0.05;
         h.event(Event::Timer { token: 0 });
@@ -225,20 +233,21 @@
 
 #[test]
 fn an_idle_quota_lends_to_a_bucket_of_under_one_request() {
-    // The third objection: the bucket holds a tenth of a request, and the quota is known to be idle.
+    // The burst of an even share is a tenth of a unit, less than one request, and the quota is known to be
+    // idle.
     let mut h = Host::new(Settings { limiter_count: 200, ..settings() }).warm();
     h.tenant_limiters = 200;
     assert!(h.served("c", "plain", 2.0));
     h.count(|add| (Outcome::Completed, add));
     h.now += 1.0;
-    assert!(h.served("c", "plain", 2.0), "idle: lent");
+    assert!(h.served("c", "plain", 2.0), "the quota is idle: the bucket borrows");
     let mut h = Host::new(Settings { limiter_count: 200, ..settings() }).warm();
     h.tenant_limiters = 200;
     h.now = 210.0;
     assert!(h.served("c", "plain", 2.0));
     h.count(|add| (Outcome::Completed, add + 400.0));
     h.now += 1.0;
-    assert!(!h.served("c", "plain", 2.0), "used up: not lent");
+    assert!(!h.served("c", "plain", 2.0), "the quota is used up: the bucket cannot borrow");
 }
 
 #[test]
@@ -263,7 +272,8 @@
 
 #[test]
 fn the_rate_limit_holds_over_all_limiters_and_a_restart() {
-    // Two limiters; one restarts after five seconds. Ceiling: 4 a second, burst 8, slack 1.
+    // The hard rate limit is 4 units/s with a burst of 8 and a slack of 1. One of the two limiters restarts
+    // after 5 s.
     let mut hosts = [Host::new(settings()), Host::new(settings())];
     let (mut store, mut lowest) = (8.0f64, f64::MAX);
     for step in 0..1000 {
@@ -285,7 +295,7 @@
         }
     }
     assert!(lowest >= -1.0, "{lowest}");
-    assert!(lowest < 8.0, "something went through");
+    assert!(lowest < 8.0, "some requests were served");
 }
 
 #[test]
@@ -307,7 +317,7 @@
         is_retry: false,
         deadline: h.now + 1.0,
     };
-    assert!(sent_to(&h.event(Event::Request(request))).is_some(), "a bucket of 10, not of 20 / 50");
+    assert!(sent_to(&h.event(Event::Request(request))).is_some(), "a bucket of 20 / 2 units, not of 20 / 50");
     assert!(!h.served("c", "plain", 2.0));
 }
 
@@ -317,7 +327,8 @@
     let last = settle(&mut h, "c", 1.25, 1.0);
     h.now += 1.2;
     h.served("c", "plain", 1.0);
-    // The call was added many times over: for a while the share looks small.
+    // The counter added the report 40 times. Until the window ends, this limiter's part of the demand looks
+    // too small.
     assert_eq!(h.count(|add| (Outcome::Completed, last + add * 40.0)), 1);
     assert!(rate(&mut h, "c") < 7);
     settle(&mut h, "c", 1.25, 1.0);
@@ -340,14 +351,14 @@
         }
         called
     };
-    // The time-out is 50 ms.
+    // The counter timeout is 50 ms.
     let (near, far) = (calls(0.002, Outcome::Completed), calls(0.025, Outcome::Completed));
-    assert!(near > 190 && far > 190, "{near} and {far} of 200 tries");
+    assert!(near > 190 && far > 190, "{near} and {far} of 200 requests");
     let (crowded, full) = (calls(0.045, Outcome::Completed), calls(0.002, Outcome::Rejected));
-    assert!((1..40).contains(&crowded) && (1..40).contains(&full), "{crowded} and {full} of 200 tries");
+    assert!((1..40).contains(&crowded) && (1..40).contains(&full), "{crowded} and {full} of 200 requests");
 }
 
-/// A host among three hundred limiters, all of which a customer can come through.
+/// Returns a host whose limiter is one of 300, all of which receive requests of each tenant.
 fn among_hundreds() -> Host {
     let mut h = Host::new(Settings { limiter_count: 300, ..settings() }).warm();
     h.tenant_limiters = 300;
@@ -358,26 +369,26 @@
 fn of_hundreds_of_limiters_none_without_totals_permits_a_retry() {
     let ask = |h: &mut Host, customer, is_retry| h.ask_marked(customer, "plain", "read", 1.0, is_retry).1;
     let mut h = among_hundreds();
-    assert!(sent_to(&ask(&mut h, "a", false)).is_some(), "a new customer finds a full bucket");
+    assert!(sent_to(&ask(&mut h, "a", false)).is_some(), "a new tenant has a full bucket");
     let out = ask(&mut h, "b", true);
     let advice = out.iter().find_map(|a| match a {
         Action::Reject { retry_after, .. } => Some(*retry_after),
         _ => None,
     });
     assert!(sent_to(&out).is_none() && advice > Some(0.0), "{out:?}");
-    // Where a few share it, the bucket of each holds its part of the burst.
+    // With only two limiters, the bucket of each holds its part of the burst, so that a retry is admitted.
     h.tenant_limiters = 2;
     assert!(sent_to(&ask(&mut h, "c", true)).is_some());
 }
 
 #[test]
 fn the_first_totals_of_a_rare_tenant_are_used_unchanged() {
-    // Its totals say that others use more than the quota: with a mean that begins at nothing, a part of that
-    // would seem idle and would be lent.
+    // The first totals show that other limiters use more than the quota. If the moving average started at
+    // zero, a part of the quota would look idle, and the bucket would borrow it.
     let mut h = among_hundreds();
     h.now = (h.now / 20.0).ceil() * 20.0 + 10.0;
     assert!(h.served("c", "plain", 2.0));
-    // In the ten seconds of this name.
+    // 128 units in the 10 s since the counter window started.
     assert_eq!(h.count(|add| (Outcome::Completed, add + 128.0)), 1);
     h.now += 0.6;
     assert!(!h.served("c", "plain", 2.0), "the quota is used up");
--- a/crates/rate-limiter/tests/requests.rs
+++ b/crates/rate-limiter/tests/requests.rs
@@ -1,4 +1,5 @@
-//! Exactly one final response on every path, and which requests are retried by idempotency.
+//! Requests, with scripted events: each gets exactly one final response, and is retried only if its class
+//! permits.
 mod common;
 use common::*;
 use rate_limiter::*;
@@ -29,7 +30,7 @@
 fn overdue_request_fails_just_before_its_time_and_only_once() {
     let mut h = Host::new(settings());
     let (id, out) = h.ask("c", "plain", "read", 1.0);
-    let (at, token) = timer_of(&out, id, 1).expect("a timer before the end");
+    let (at, token) = timer_of(&out, id, 1).expect("a timer before the deadline");
     assert!(at < h.now + 4.0 && at > h.now + 3.9, "{at}");
     h.now = at;
     let out = h.event(Event::Timer { token });
@@ -86,7 +87,8 @@
     let (id, out) = h.ask("c", "plain", "keyed-zone", 1.0);
     let first = sent_to(&out).expect("sent");
     let other = if &*first == A { B } else { A };
-    // The only server left of the group drains: it may have run, so no other zone and no refusal.
+    // Both servers of the zone drain. The request may have executed, so it is neither sent to another zone
+    // nor rejected, since a rejection tells the client that it can safely retry.
     h.event(Event::ServerChanges(vec![
         server(other, "east", ServerState::Draining, None),
         server(&first, "east", ServerState::Draining, None),
@@ -98,7 +100,7 @@
     let (id, _) = h.ask("c", "plain", "keyed-all", 1.0);
     h.now += 1.9;
     let out = h.end(id, 0, Outcome::Reset, None);
-    assert_eq!((sent_to(&out), refused(&out)), (None, 1), "too near the end of the window");
+    assert_eq!((sent_to(&out), refused(&out)), (None, 1), "too close to the end of the deduplication window");
     let (id, _) = h.ask("c", "plain", "keyed-all", 1.0);
     h.now += 0.5;
     assert!(sent_to(&h.end(id, 0, Outcome::Reset, None)).is_some());
@@ -110,7 +112,7 @@
     let (first, out) = h.ask("c", "capped", "read", 1.0);
     assert!(sent_to(&out).is_some());
     let (_, out) = h.ask("c", "capped", "read", 1.0);
-    assert!(sent_to(&out).is_none() && refused(&out) == 1, "two open over two limiters is one each");
+    assert!(sent_to(&out).is_none() && refused(&out) == 1, "two in flight over two limiters are one each");
     h.end(first, 0, Outcome::Completed, None);
     assert!(sent_to(&h.ask("c", "capped", "read", 1.0).1).is_some());
 }
@@ -127,7 +129,8 @@
 
 #[test]
 fn one_open_attempt_is_called_off_only_after_two_late_ones_in_a_row() {
-    // Guards against the ejection spiral and against rare evidence read as silence: one late answer is slow.
+    // Guards against cascading ejections, and against taking a seldom used server for unresponsive: a single
+    // late response shows only that a server is slow.
     let late = |h: &mut Host, id: u64, out: &[Action]| {
         let (at, token) = timer_of(out, id, 2).expect("timeout");
         h.now = h.now.max(at);
@@ -137,7 +140,7 @@
         let mut h = Host::new(settings());
         h.event(Event::ServerList(vec![server(A, "east", ServerState::InService, None)]));
         let (id, out) = h.ask("c", "plain", "read", 1.0);
-        assert!(!late(&mut h, id, &out), "one late answer");
+        assert!(!late(&mut h, id, &out), "a single late attempt");
         if answered {
             h.end(id, 0, Outcome::Completed, None);
         }
@@ -148,7 +151,8 @@
 
 #[test]
 fn a_limiter_that_stood_still_blames_itself() {
-    // Guards against stalls: what is late after one is no server's fault; nothing is called off or struck.
+    // Guards against a stall of the limiter itself. Responses that look late after it are not the servers'
+    // fault, so no attempt is cancelled and no server is penalized.
     let run = |stalled: bool| {
         let mut h = Host::new(settings());
         h.event(Event::Timer { token: 0 });
@@ -175,7 +179,8 @@
 
 #[test]
 fn retries_without_marks_take_nothing_from_other_tenants() {
-    // One customer's clients repeat each refused try many times at once, without a mark.
+    // The clients of one tenant immediately retry each rejected request many times, without marking it as a
+    // retry.
     let served = |abuse: bool| {
         let mut h = Host::new(settings());
         let mut others = 0;
@@ -222,7 +227,7 @@
     for may_send_retry_after in [true, false] {
         let is_as_allowed = |advice: Option<f64>| advice.is_some_and(|a| (a > 0.0) == may_send_retry_after);
         let set = Settings { may_send_retry_after, max_retry_after: 2.0, ..settings() };
-        // All its attempts were turned away.
+        // All attempts of the request were rejected.
         let mut h = Host::new(set.clone());
         let (id, mut out) = h.ask("a", "plain", "read", 1.0);
         for n in 0.. {
@@ -231,14 +236,14 @@
             }
             out = h.end(id, n, Outcome::Rejected, None);
         }
-        assert!(is_as_allowed(advice(&out)), "given up: {out:?}");
-        // No server takes anything.
+        assert!(is_as_allowed(advice(&out)), "all attempts rejected: {out:?}");
+        // There is no server.
         h.event(Event::ServerList(Vec::new()));
         let (_, out) = h.ask("b", "plain", "read", 1.0);
         assert!(is_as_allowed(advice(&out)), "no server: {out:?}");
-        // The bucket is spent, and no totals are known.
+        // The bucket is empty, and no totals are known.
         let mut h = Host::new(set);
         let out = (0..200).map(|_| h.ask("c", "plain", "read", 4.0).1).find(|out| refused(out) > 0);
-        assert!(is_as_allowed(out.and_then(|out| advice(&out))), "beyond the bucket");
+        assert!(is_as_allowed(out.and_then(|out| advice(&out))), "empty bucket");
     }
 }
--- a/crates/rate-limiter/tests/server_load.rs
+++ b/crates/rate-limiter/tests/server_load.rs
@@ -1,4 +1,4 @@
-//! The load that servers report: the choice of a server, and load shedding.
+//! The load that servers report, with scripted events: the choice of a server, and load shedding.
 mod common;
 use common::*;
 use rate_limiter::*;
@@ -12,7 +12,8 @@
     (0..servers).map(entry).collect()
 }
 
-/// Serves a request, with a report of the server's queue; gives the server, or none where it was refused.
+/// Submits a request and completes it with a report of the server's queue length. Returns the server, or
+/// `None` if the request was rejected.
 fn serve(h: &mut Host, n: u32, queue: impl Fn(&str) -> Option<f64>) -> Option<String> {
     let (id, out) = h.ask(&format!("c{n}"), "free", "read", 1.0);
     let to = sent_to(&out)?.to_string();
@@ -32,22 +33,23 @@
 
 #[test]
 fn a_hundred_limiters_with_little_to_send_do_not_all_choose_the_largest() {
-    // Each has one request at a time: its own attempts show no difference between the servers but their size.
+    // Each limiter has one request in flight at a time, so its own attempts show no difference between the
+    // servers except their weight.
     let mut sent = BTreeMap::<String, f64>::new();
     for limiter_index in 0..100 {
         let mut h = Host::new(Settings { limiter_count: 100, limiter_index, ..settings() });
         h.event(Event::ServerList(fleet(60, |n| if n % 2 == 0 { 3.0 } else { 2.0 })));
         for n in 0..12 {
             h.now += 0.2;
-            let to = serve(&mut h, n, |_| None).expect("nothing is out");
+            let to = serve(&mut h, n, |_| None).expect("nothing is in flight");
             *sent.entry(to).or_default() += 1.0;
         }
     }
     let small: f64 = (0..60).filter(|n| n % 2 == 1).filter_map(|n| sent.get(&format!("10.0.1.{n}:1"))).sum();
-    // By their size they would get four tenths of 1,200.
-    assert!(small > 300.0, "{small} of 1200 at the half of the servers that is smaller");
+    // In proportion to their weight, they would get four tenths of 1,200 requests.
+    assert!(small > 300.0, "{small} of 1200 requests at the smaller half of the servers");
     let most = sent.values().fold(0.0, |a: f64, b| a.max(*b));
-    assert!(most <= 60.0, "{most} at one of 60 servers");
+    assert!(most <= 60.0, "{most} requests at one of 60 servers");
 }
 
 #[test]
@@ -66,7 +68,7 @@
         widest = widest.max(used.len());
         used.into_iter().for_each(|id| *users.entry(id).or_default() += 1);
     }
-    assert!(widest <= 10, "one limiter holds connections to {widest} of 60 servers");
+    assert!(widest <= 10, "one limiter uses {widest} of 60 servers");
     let (least, most) = (users.values().min(), users.values().max());
     assert!(users.len() == 60 && least >= Some(&4) && most <= Some(&24), "{users:?}");
 }
@@ -95,7 +97,7 @@
         h.now += 0.01;
         serve(&mut h, *n, |_| Some(0.0)).as_deref() == Some(A)
     });
-    assert!(again.count() >= 5, "what it once told holds for good");
+    assert!(again.count() >= 5, "an outdated report must not exclude the server");
 }
 
 #[test]
@@ -115,7 +117,7 @@
     };
     assert_eq!(refused(0.0), 0);
     let (some, most) = (refused(2.0), refused(30.0));
-    assert!(some > 20 && some < most && most < 200, "{some} and {most} of 200 refused");
+    assert!(some > 20 && some < most && most < 200, "{some} and {most} of 200 rejected");
 }
 
 #[test]
@@ -145,5 +147,8 @@
         refused
     };
     let (new, again) = (refused(false), refused(true));
-    assert!(new > 30 && again > 2 * new && again < 600, "{new} new ones and {again} repeats of 600 refused");
+    assert!(
+        new > 30 && again > 2 * new && again < 600,
+        "{new} new requests and {again} retries of 600 rejected"
+    );
 }
--- a/crates/rate-limiter/tests/servers.rs
+++ b/crates/rate-limiter/tests/servers.rs
@@ -1,4 +1,4 @@
-//! Draining servers, slow start, ejection, and the bound on ejected servers.
+//! Servers, with scripted events: draining, slow start, ejection, in-flight limits, and calls to discovery.
 mod common;
 use common::*;
 use rate_limiter::*;
@@ -7,7 +7,7 @@
 fn drained_and_missing_servers_get_nothing_new() {
     let mut h = Host::new(settings());
     h.event(Event::ServerChanges(vec![server(A, "east", ServerState::Draining, None)]));
-    // All are left open, so that an idle server would be chosen.
+    // The requests stay open, so that the next one would go to an idle server.
     let sent: Vec<_> =
         (0..4).filter_map(|n| sent_to(&h.ask(&format!("c{n}"), "plain", "read", 1.0).1)).collect();
     assert!(sent.len() > 1 && sent.iter().all(|s| &**s != A), "{sent:?}");
@@ -36,15 +36,15 @@
             h.end(id, 0, Outcome::Completed, None);
         }
     }
-    assert!(!sends.is_empty(), "a cold server warms by work");
+    assert!(!sends.is_empty(), "the cold server gets some requests");
     for start in &sends {
         let within = sends.iter().filter(|t| **t >= *start && **t < *start + 2.0).count() as f64;
         let warm = 200.0 * 2.0;
         let warmth = 0.2 + 0.8 * ((start + 2.0 - 100.0) / 20.0);
-        assert!(within <= 3.0 * warmth * warm, "{within} at {start}");
+        assert!(within <= 3.0 * warmth * warm, "{within} sends in the window from {start}");
     }
     let first = sends.iter().filter(|t| **t < 102.0).count();
-    assert!(first as f64 <= 3.0 * 0.28 * 400.0 * 0.7, "{first} in the first window");
+    assert!(first as f64 <= 3.0 * 0.28 * 400.0 * 0.7, "{first} sends in the first window");
 }
 
 #[test]
@@ -70,7 +70,7 @@
         sent += usize::from(sent_to(&out).is_some());
         h.end(id, 0, Outcome::Reset, None);
     }
-    assert!(sent > 20, "some are always left to send to: {sent}");
+    assert!(sent > 20, "some servers are never ejected: {sent} sent");
 }
 
 #[test]
@@ -78,18 +78,19 @@
     let mut h = Host::new(settings());
     let sent =
         (0..100).filter(|n| sent_to(&h.ask(&format!("c{n}"), "plain", "read", 1.0).1).is_some()).count();
-    assert!((3..=30).contains(&sent), "{sent} out at three servers that have shown nothing yet");
+    assert!((3..=30).contains(&sent), "{sent} in flight at three servers that have not responded yet");
 }
 
 #[test]
 fn an_attempt_that_hangs_fills_its_window_for_a_target_latency_at_most() {
-    // Guards against hung attempts (incident ief87c6): each would close a small window until its client left.
+    // Guards against hung attempts (incident ief87c6): each would fill a small in-flight limit until its
+    // client disconnected.
     let mut h = Host::new(Settings { limiter_count: 4, ..settings() });
     h.event(Event::ServerList(vec![server(A, "east", ServerState::InService, None)]));
     let (id, out) = h.ask("c", "plain", "unsafe", 1.0);
     assert!(sent_to(&out).is_some());
     assert!(sent_to(&h.ask("c", "plain", "unsafe", 1.0).1).is_some());
-    assert!(!h.served("d", "plain", 1.0), "the window of two is full");
+    assert!(!h.served("d", "plain", 1.0), "the in-flight limit of two is reached");
     h.now += 0.6;
     let out = h.event(Event::Timer { token: id * 4 + 2 });
     let at = out.iter().find_map(|a| match a {
@@ -97,14 +98,15 @@
         _ => None,
     });
     assert!(!h.served("d", "plain", 1.0));
-    h.now = at.expect("a second look");
+    h.now = at.expect("a second timer for the slow attempt");
     h.event(Event::Timer { token: id * 4 + 2 });
     assert!(h.served("d", "plain", 1.0));
 }
 
 #[test]
 fn hundreds_of_limiters_together_respect_a_slow_start_budget() {
-    // Guards against one send from each of them being too much; no warm server shows what it can take.
+    // Guards against an overload of the cold server by as little as one send from each limiter. There is no
+    // warm server whose load shows how much the cold one can take.
     for limiter_count in [2u32, 300] {
         let mut sent = 0;
         for limiter_index in 0..limiter_count {
@@ -115,14 +117,15 @@
                 sent += usize::from(h.served(&format!("c{n}"), "plain", 1.0));
             }
         }
-        // Four an overload window (2 s) over all limiters, and chance.
+        // Four sends per overload window (2 s) from all limiters together, plus random variation.
         assert!((1..=20).contains(&sent), "{sent} sends in two windows from {limiter_count} limiters");
     }
 }
 
 #[test]
 fn one_class_unanswered_moves_that_class_alone() {
-    // Guards against a server that leaves one class unanswered: heard on the others, it counts as alive.
+    // Guards against a server that does not respond to one class. It is not ejected, since it responds to the
+    // others.
     let mut h = Host::new(settings());
     let up = ServerState::InService;
     h.event(Event::ServerList(vec![server(A, "east", up, None), server(B, "east", up, None)]));
@@ -143,9 +146,13 @@
             }
         }
     }
-    assert!(unsafe_at_a <= 4, "{unsafe_at_a} of 40 of the unanswered class");
+    assert!(unsafe_at_a <= 4, "{unsafe_at_a} of 40 requests of the class without responses");
     h.event(Event::ServerChanges(vec![server(B, "east", ServerState::Draining, None)]));
-    assert_eq!(sent_to(&h.ask("z", "plain", "read", 1.0).1).as_deref(), Some(A), "it serves the others");
+    assert_eq!(
+        sent_to(&h.ask("z", "plain", "read", 1.0).1).as_deref(),
+        Some(A),
+        "it still serves the other classes"
+    );
 }
 
 #[test]
@@ -205,7 +212,8 @@
 
 #[test]
 fn a_hundred_limiters_whose_lists_failed_at_once_back_off_with_jitter() {
-    // Guards against calls in step at a discovery that is full: none of them would ever be answered.
+    // Guards against simultaneous calls to an overloaded discovery service, none of which would ever get a
+    // response.
     let set =
         Settings { discovery_on_request: true, discovery_deadline: 10.0, limiter_count: 100, ..settings() };
     let mut asked: Vec<f64> = Vec::new();
@@ -213,7 +221,7 @@
         let mut limiter = Limiter::new(set.clone(), seed, 100.0);
         let mut out = Vec::new();
         limiter.handle(100.0, Event::ServerList(Vec::new()), &mut out);
-        assert!(out.contains(&Action::WatchServers), "a list that comes on request is asked for at once");
+        assert!(out.contains(&Action::WatchServers), "a polled list is requested immediately");
         limiter.handle(100.0, Event::DiscoveryFailed, &mut out);
         let mut mine = Vec::new();
         for step in 1..=6000 {
@@ -230,14 +238,15 @@
         asked.extend(mine);
     }
     let within = |from: f64, to: f64| asked.iter().filter(|at| (from..to).contains(*at)).count();
-    assert!(within(130.0, 160.0) < 400, "{} calls in the second half minute", within(130.0, 160.0));
+    assert!(within(130.0, 160.0) < 400, "{} calls from 30 s to 60 s", within(130.0, 160.0));
     let busiest = (0..600).map(|n| 100.0 + f64::from(n) * 0.1).map(|at| within(at, at + 0.1)).max();
     assert!(busiest < Some(90), "{busiest:?} of 100 in one tenth of a second");
 }
 
 #[test]
 fn a_watched_list_is_requested_repeatedly_without_long_backoff() {
-    // What discovery tells when it is back counts at once: a pause on top of a call in vain must leave time.
+    // When discovery responds again, its changes must take effect without delay, so the backoff after a
+    // failed call is short.
     let mut limiter = Limiter::new(settings(), 7, 100.0);
     let mut now = 100.0;
     for call in 0..40 {
@@ -266,7 +275,7 @@
         assert!(ask(105.0 + f64::from(n) * 10.0, Event::Timer { token: 0 }));
     }
     ask(190.0, Event::ServerList(Vec::new()));
-    assert!(!ask(191.0, Event::Timer { token: 0 }), "the subscription holds");
+    assert!(!ask(191.0, Event::Timer { token: 0 }), "the watch is open");
     ask(192.0, Event::DiscoveryFailed);
-    assert!(ask(192.3, Event::Timer { token: 0 }), "the first pause is short again");
+    assert!(ask(192.3, Event::Timer { token: 0 }), "the first backoff is short again");
 }
--- a/crates/rate-limiter/tests/signals.rs
+++ b/crates/rate-limiter/tests/signals.rs
@@ -1,4 +1,4 @@
-//! The real binary and its signals, over loopback sockets, between fake peers.
+//! The binary and its signals, with fake peers on loopback sockets.
 mod common;
 
 use common::sockets::*;
@@ -23,19 +23,21 @@
     });
 
     limiter.move_to(discovery_2.address, counter_2.address);
-    wait_until("the news of the second watch holds", || client.ask(&quote("roomy", 9000)).text() == "new");
+    wait_until("the list of the second watch applies", || client.ask(&quote("roomy", 9000)).text() == "new");
     assert_eq!(discovery_2.seen()[0].first, "GET /discovery/hosts?watch=1&after=10 HTTP/1.1");
-    // The old ones are dropped from this side: they close what is left before long.
-    wait_until("the first watch is dropped", || discovery_1.ended() == discovery_1.accepted());
-    wait_until("the first counter is dropped", || counter_1.ended() == counter_1.accepted());
+    // The limiter closes its connections to the old addresses, and the old peers then close theirs.
+    wait_until("the first watch is closed", || discovery_1.ended() == discovery_1.accepted());
+    wait_until("the connections to the first counter are closed", || {
+        counter_1.ended() == counter_1.accepted()
+    });
     let calls = counter_1.count();
     wait_until("the second counter is called", || {
         assert_eq!(client.ask(&quote("roomy", 9000)).text(), "new");
         counter_2.count() > 0
     });
-    assert_eq!(counter_1.count(), calls, "nothing more goes to the first");
+    assert_eq!(counter_1.count(), calls, "the first counter gets no more calls");
 
-    // And back, twice in a row: the last one counts.
+    // Two changes back follow each other closely. The last one applies.
     limiter.move_to(discovery_1.address, counter_2.address);
     limiter.move_to(discovery_1.address, counter_1.address);
     wait_until("the first counter is called again", || {
@@ -56,13 +58,13 @@
             None => std::fs::remove_file(&limiter.file).expect("remove"),
         }
         limiter.signal("-HUP");
-        wait_until("it is logged", || limiter.errors().matches("SIGHUP").count() == n + 1);
+        wait_until("the error is logged", || limiter.errors().matches("SIGHUP").count() == n + 1);
         assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200);
     }
-    assert_eq!((discovery.count(), discovery.ended()), (1, 0), "the watch goes on");
+    assert_eq!((discovery.count(), discovery.ended()), (1, 0), "the watch stays open");
     limiter.terminate();
     limiter.signal("-HUP");
-    assert_eq!(limiter.wait().code(), Some(0), "SIGHUP after SIGTERM kills nothing");
+    assert_eq!(limiter.wait().code(), Some(0), "SIGHUP after SIGTERM does not kill the process");
 }
 
 // ----- SIGTERM -----
@@ -81,18 +83,18 @@
     let (mut busy, mut idle) = (limiter.client(), limiter.client());
     assert_eq!(idle.ask(&quote("roomy", 9000)).status(), 200);
     busy.send(&post("bind", "x"));
-    wait_until("the request is out", || server.count() == 2);
+    wait_until("the request is forwarded", || server.count() == 2);
 
     limiter.terminate();
     assert!(idle.answer().is_none(), "an idle connection is closed");
-    // Connections go on coming for a while.
+    // New connections are still accepted for a while.
     let answer = limiter.client().ask(&quote("roomy", 9000));
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     assert_eq!(limiter.client().ask("GET /up HTTP/1.1\r\n\r\n").status(), 503);
     go.store(true, Ordering::SeqCst);
-    let answer = busy.answer().expect("an answer");
+    let answer = busy.answer().expect("a response");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert!(busy.answer().is_none(), "and then its connection is closed");
+    assert!(busy.answer().is_none(), "the connection is closed after the response");
     assert_eq!(limiter.wait().code(), Some(0));
 }
 
@@ -107,19 +109,21 @@
     let (next, first) = (quote("roomy", 9000), post("bind", "12345678"));
     half.send(&next[..40]);
     fresh.send(&first[..40]);
-    // What was sent before has been read once a later request is answered.
+    // Once a later request has its response, the limiter has read what was sent before.
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200);
     limiter.terminate();
     assert!(idle.answer().is_none(), "an idle connection is closed");
-    // Past the time for which new connections are accepted in any case, whatever is idle is closed.
+    // This is longer than the time for which new connections are always accepted. After it, all idle
+    // connections are closed.
     std::thread::sleep(Duration::from_millis(1_000));
     half.send(&next[40..]);
     fresh.send(&first[40..first.len() - 1]);
-    let answer = half.answer().expect("an answer");
+    let answer = half.answer().expect("a response");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    // More than the rest of the request, unread when the answer is written: no reset may destroy that.
+    // These bytes exceed the rest of the request, and are unread when the response is written. The response
+    // must not be lost by a reset.
     fresh.send(&format!("8{}", "x".repeat(100_000)));
-    assert_eq!(fresh.answer().expect("an answer").status(), 200);
+    assert_eq!(fresh.answer().expect("a response").status(), 200);
     assert_eq!(limiter.wait().code(), Some(0));
 }
 
@@ -132,18 +136,18 @@
     let mut limiter = Limiter::start(settings, &discovery, counter().address);
     let mut client = limiter.client();
     limiter.terminate();
-    wait_until("it has begun to end", || limiter.errors().contains("SIGTERM"));
+    wait_until("the shutdown has begun", || limiter.errors().contains("SIGTERM"));
     let began = Instant::now();
     client.send(&quote("roomy", 60_000));
-    // 3 s stand for a longer deadline, and 0.7 s more; the machine may be slow.
+    // The deadline counts as at most 3 s, and 0.7 s are added. The rest is for a slow machine.
     assert!(client.answer().is_some_and(|answer| answer.status() >= 429));
     assert!(began.elapsed() < Duration::from_secs(8), "{:?}", began.elapsed());
     assert_eq!(limiter.wait().code(), Some(0));
 }
 
-/// Has idle clients send a request each, some tenths of a millisecond apart, from so long after their last
-/// answer on and while `end` runs: around the moment in which their connections are closed. Each is answered, or
-/// never sent on.
+/// Checks requests that are sent around the moment at which their idle connections are closed: each gets a
+/// response, or is never forwarded. Each of 32 clients sends one, `idle` after its last response or later,
+/// and 0.2 ms after the client before it. `end` runs at the same time.
 fn cross(server: &Fake, limiter: &Limiter, idle: Duration, end: impl FnOnce()) {
     let clients = (0..32).map(|_| {
         let mut client = limiter.client();
@@ -166,7 +170,7 @@
     let asked: Vec<_> = asked.into_iter().map(|t| t.join().expect("joined")).collect();
     for (request, _) in asked.iter().filter(|(_, answer)| answer.is_none()) {
         let known = |m: &Message| m.header("x-correlation-id").is_some_and(|id| request.contains(id));
-        assert!(!server.seen().iter().any(known), "it was sent on and not answered: {request}");
+        assert!(!server.seen().iter().any(known), "it was forwarded and got no response: {request}");
     }
 }
 
@@ -178,7 +182,7 @@
         cross(&server, &limiter, Duration::ZERO, || limiter.terminate());
         assert_eq!(limiter.wait().code(), Some(0));
     }
-    // One that goes on closes what has rested too long.
+    // A limiter that keeps running closes connections that have been idle for too long (2.5 s).
     let limiter = Limiter::over(&[&server]);
     cross(&server, &limiter, Duration::from_millis(2_498), || ());
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200);
--- a/crates/rate-limiter/tests/simulator_protocol.rs
+++ b/crates/rate-limiter/tests/simulator_protocol.rs
@@ -1,4 +1,5 @@
-//! The simulator's program as a process: lines in, lines out.
+//! Runs the program `rate-limiter-sim` as a process, and checks the lines that it writes in response to its
+//! input.
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
@@ -9,7 +10,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("start");
-    // A process that stops at a fault closes its input early; that is no error here.
+    // A process that exits with an error closes its input early, so that writing may fail.
     let _ = child.stdin.take().expect("stdin").write_all(input.as_bytes());
     child.wait_with_output().expect("run")
 }
@@ -38,7 +39,7 @@
     assert!(out.status.success(), "{text}");
     assert!(text.contains("FOLLOW 0 1\n"), "{text}");
     assert!(text.contains("ASSIGN 0 5 0 s:1\n"), "{text}");
-    // A new limiter calls for half of the tries, each standing for two.
+    // A new limiter calls the counter for half of the requests, and each call represents two.
     assert!(!text.contains("INCR 0 ") || text.contains(" 2 40\n"), "{text}");
     assert!(text.contains("DEFER 0 "), "{text}");
     assert!(text.ends_with("NEXT 3\n"), "{text}");
@@ -99,16 +100,18 @@
     let config = CONFIG.replace('\n', "");
     let list = "REGISTRY 0 stale_copy 1 1\nITEM s:1 a std 0 in_service 1 -\n";
     let submit = |id: u32| format!("SUBMIT 0 {id} 0 0 14.5 2 1 0 plain read key:a\n");
-    // In one batch: it gets a request, ends, and another starts under its number; a neighbour goes on.
+    // In one batch, instance 0 gets a request and is destroyed, and another one starts under the same number.
+    // Instance 1 keeps running.
     let out = run(&(start()
         + &format!("TURN 10.5 2\nPROVISION 1 7 {config}\n{}", list.replace("REGISTRY 0", "REGISTRY 1"))
         + &submit(5)
         + "SUBMIT 1 6 0 0 14.5 2 1 0 plain read key:a\nDESTROY 0\n"
         + &format!("PROVISION 0 8 {config}\n{list}{}OVER_TO_YOU\n", submit(7))
-        // A timer of the first, an outcome of its request, and one that nobody set.
+        // A timer of the first instance, the end of its attempt, and a timer that was never set.
         + "TURN 10.6 3\nALARM 0 0\nENDED 0 5 0 0 0 s:1 0.1 301 - -\nALARM 0 0.9\nOVER_TO_YOU\n"
         + "TURN 10.7 4\nALARM 0 0.1\nOVER_TO_YOU\n"
-        // And one that ends for good does nothing more, whatever it has just been asked.
+        // An instance that is destroyed and not replaced performs no further action, even for a request in
+        // the same batch.
         + &format!("TURN 10.8 5\n{}DESTROY 0\nOVER_TO_YOU\n", submit(8))));
     let text = stdout(&out);
     assert!(out.status.success(), "{text}");
@@ -116,11 +119,11 @@
         let after = text.split(&format!("NEXT {}\n", n - 1)).nth(1).unwrap_or_default();
         after.split(&format!("NEXT {n}\n")).next().unwrap_or_default().to_string()
     };
-    assert!(!batch(2).contains("ASSIGN 0 5 "), "the first is gone: {}", batch(2));
+    assert!(!batch(2).contains("ASSIGN 0 5 "), "the first instance is destroyed: {}", batch(2));
     for kept in ["ASSIGN 1 6 0 s:1\n", "ASSIGN 0 7 0 s:1\n", "DEFER 0 10.55 0.1\n"] {
         assert!(batch(2).contains(kept), "{kept}: {}", batch(2));
     }
-    assert_eq!(batch(3), "", "nothing of the first wakes the second");
-    assert!(batch(4).contains("DEFER 0 "), "its own timers do: {}", batch(4));
+    assert_eq!(batch(3), "", "no event of the first instance reaches the second one");
+    assert!(batch(4).contains("DEFER 0 "), "the second instance handles its own timers: {}", batch(4));
     assert_eq!(batch(5), "");
 }
