--- a/crates/rate-limiter/tests/clients.rs
+++ b/crates/rate-limiter/tests/clients.rs
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn what_is_malformed_reaches_no_server() {
+fn malformed_requests_reach_no_server() {
     let server = Fake::new(|_| ok("served"));
     let limiter = Limiter::over(&[&server]);
     let good = post("bind", "x");
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn a_new_client_replaces_the_one_that_is_idle_longest() {
+fn a_new_client_replaces_the_one_that_has_been_idle_longest() {
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     // With so few sockets, there is room for about twenty clients.
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn clients_beyond_the_budget_wait_until_others_are_answered() {
+fn clients_beyond_the_connection_limit_wait_until_others_get_their_responses() {
     let go = Arc::new(AtomicBool::new(false));
     let gate = go.clone();
     let server = Fake::new(move |_| {
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn a_request_with_two_lengths_hides_no_other() {
+fn a_request_with_two_lengths_hides_no_other_request() {
     let server = Fake::new(|_| ok("served"));
     let limiter = Limiter::over(&[&server]);
     let (hidden, outer) = (quote("roomy", 9000), post("bind", ""));
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn an_id_that_is_open_already_is_no_second_attempt() {
+fn a_request_whose_id_is_already_open_is_rejected() {
     let go = Arc::new(AtomicBool::new(false));
     let gate = go.clone();
     let server = Fake::new(move |_| {
@@ -357,7 +357,7 @@
 }
 
 #[test]
-fn connections_without_a_request_crowd_out_no_client() {
+fn connections_without_a_request_displace_no_client() {
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     // There is room for about twenty clients.
--- a/crates/rate-limiter/tests/discovery.rs
+++ b/crates/rate-limiter/tests/discovery.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_list_is_read_however_it_is_laid_out_and_split() {
+fn a_list_is_parsed_however_it_is_formatted_and_split_into_chunks() {
     let served = Fake::new(|_| ok("first"));
     let (second, third) = (Fake::new(|_| ok("second")), Fake::new(|_| ok("third")));
     let first = [instance("s-0", served.address, "in_service")];
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_message_that_never_ends_breaks_the_watch() {
+fn a_message_that_never_ends_ends_the_watch() {
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let _limiter = Limiter::start(settings(), &discovery, counter().address);
--- a/crates/rate-limiter/tests/heavy_hitters.rs
+++ b/crates/rate-limiter/tests/heavy_hitters.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_tenant_far_beyond_its_quota_is_limited_by_limiters_that_meet_it_for_the_first_time() {
+fn a_tenant_far_over_its_quota_is_limited_by_limiters_without_its_totals() {
     let mut fleet = Fleet::new();
     let (mut hot, mut modest, mut asked) = (0, 0, 0);
     let steps = |seconds: f64| (seconds / STEP) as u32;
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_list_is_read_once_by_each_limiter_and_then_looked_at_now_and_then() {
+fn each_limiter_reads_the_list_once_and_then_polls_its_end() {
     let mut fleet = Fleet::new();
     for n in 0..200 {
         fleet.step();
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn an_unreadable_entry_hides_no_other_and_blocks_nobody() {
+fn an_invalid_list_entry_hides_no_other_entry_and_blocks_no_tenant() {
     let mut fleet = Fleet::new();
     // The values that remain if two limiters add an entry at the same time, and the call that should undo one
     // of the additions is lost.
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn while_the_counter_is_down_its_old_totals_limit_nobody() {
+fn while_the_counter_is_down_old_totals_limit_no_tenant() {
     let mut fleet = Fleet::new();
     for _ in 0..100 {
         fleet.step();
--- a/crates/rate-limiter/tests/invalid_responses.rs
+++ b/crates/rate-limiter/tests/invalid_responses.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_spoilt_answer_fails_at_once_and_ends_its_connection() {
+fn an_invalid_response_fails_at_once_and_closes_its_connection() {
     let faults = [
         "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly a part",
         "HTTP/1.1 200 OK\r\nX-Endless: ",
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn what_stands_behind_an_answer_is_no_answer_to_the_next_request() {
+fn bytes_after_a_response_are_not_read_as_the_next_response() {
     let own = |m: &Message| m.header("x-correlation-id").unwrap_or_default().to_string();
     for pause in [None, Some(0), Some(1), Some(3)] {
         let server = Fake::new(move |m| {
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_connection_rests_before_it_is_reused() {
+fn a_connection_is_reused_only_after_a_delay() {
     // The reuse delay is longer than the latest arrival of a second response ever observed. On a slow
     // machine, the test only checks it less often.
     for _ in 0..5 {
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn an_impossible_figure_blocks_no_tenant() {
+fn an_invalid_number_in_a_response_blocks_no_tenant() {
     for figure in ["-5", "99999", "1e9", "NaN", "inf", "much"] {
         let headers = format!("X-Settled: {figure}\r\nX-Backend-Load: util={figure},queue=-1\r\n");
         let server = Fake::new(move |_| Reply::Raw(raw("200 OK", &headers, "served")));
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn informational_answers_without_end_hold_a_request_no_longer_than_its_client_waits() {
+fn endless_informational_responses_delay_a_request_no_longer_than_its_client_waits() {
     let server = Fake::new(|_| {
         let line = || (Duration::from_millis(10), "HTTP/1.1 103 Early Hints\r\n\r\n".to_string());
         Reply::Pieces((0..400).map(|_| line()).collect())
--- a/crates/rate-limiter/tests/overload.rs
+++ b/crates/rate-limiter/tests/overload.rs
@@ -69,7 +69,7 @@
 /// The service time is a third of the target latency. A lower in-flight limit would not make such responses
 /// faster.
 #[test]
-fn long_answers_that_never_wait_close_no_window() {
+fn slow_responses_that_are_not_queued_cause_no_rejections() {
     let slow =
         || Fake::new(|_| Reply::Pieces(vec![(Duration::from_millis(130), raw("200 OK", "", "served"))]));
     let servers: Vec<Fake> = (0..6).map(|_| slow()).collect();
@@ -85,7 +85,7 @@
 /// The server handles one request at a time. The others in flight wait, and those with the lowest value are
 /// rejected.
 #[test]
-fn answers_that_wait_still_close_the_window() {
+fn queued_responses_cause_rejections() {
     let turn = Mutex::new(());
     let server = Fake::new(move |_| {
         let _turn = turn.lock().expect("lock");
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -21,7 +21,7 @@
 // ----- forwarding -----
 
 #[test]
-fn a_request_goes_on_unchanged_and_its_answer_comes_back() {
+fn a_request_is_forwarded_unchanged_and_its_response_is_returned() {
     let server = Fake::new(|m| ok(&format!("echo {}", m.text())));
     let limiter = Limiter::over(&[&server]);
     let mut client = limiter.client();
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_bucket_that_is_spent_borrows_from_a_quota_that_lies_idle() {
+fn an_empty_bucket_borrows_from_an_idle_quota() {
     let server = Fake::new(|_| ok("served"));
     let (discovery, counter) = (discovery(vec![instance("s-0", server.address, "in_service")]), counter());
     let mut settings = settings();
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_refused_connection_executed_nothing_and_another_server_gets_the_request() {
+fn a_request_of_any_class_is_retried_at_another_server_after_a_refused_connection() {
     for request in [quote("roomy", 9000), post("bind", "x"), post("once", "x")] {
         let good = Fake::new(|_| ok("served"));
         let (one, other) = (nobody(), nobody());
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_request_rejected_unseen_is_retried_whatever_its_class() {
+fn a_request_rejected_without_execution_is_retried_whatever_its_class() {
     for status in ["503 Service Unavailable", "504 Gateway Timeout"] {
         for request in [quote("roomy", 9000), post("bind", "x"), post("once", "x")] {
             let (answer, seen) = after(move || Reply::Raw(raw(status, UNPROCESSED, "")), &request);
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_retried_only_if_its_class_permits() {
+fn a_request_that_may_have_executed_is_retried_only_if_its_class_permits() {
     let faults: [fn() -> Reply; 6] = [
         || Reply::Raw(raw("500 Internal Server Error", "", "oops")),
         // Without the header `X-Unprocessed`, status 503 does not mean that the request was not executed.
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_retry_that_still_waits_for_its_connection_when_its_window_ends_is_not_sent() {
+fn a_retry_that_is_still_connecting_when_its_deduplication_window_ends_is_not_sent() {
     let hung = Fake::new(|_| Reply::Silence);
     let (listener, stuck, filled) = never_up();
     let discovery = discovery(vec![instance("s-0", hung.address, "in_service")]);
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn an_answer_that_never_comes_fails_the_request_before_its_deadline() {
+fn a_request_without_a_response_fails_before_its_deadline() {
     let server = Fake::new(|_| Reply::Silence);
     let limiter = Limiter::over(&[&server]);
     let began = Instant::now();
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn the_next_attempt_starts_only_when_the_one_before_is_closed() {
+fn an_attempt_starts_only_after_the_previous_one_is_closed() {
     // Requests hang, and the limiter cancels the attempts and retries at another server. That server responds
     // only after the first one has seen its connection close, or records that it did not.
     let overlaps = Arc::new(AtomicU32::new(0));
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn a_reused_connection_that_its_server_closed_costs_no_request() {
+fn a_reused_connection_that_its_server_closed_loses_no_request() {
     // The server closes the connection after every response, without a header that announces it.
     let server = Fake::new(|_| Reply::Last(raw("200 OK", "", "bye")));
     let limiter = Limiter::over(&[&server]);
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn ejected_servers_return_later() {
+fn ejected_servers_are_used_again_later() {
     let (failing, go) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicBool::new(true)));
     let servers: Vec<Fake> = (0..4)
         .map(|_| {
@@ -308,7 +308,7 @@
 // ----- discovery -----
 
 #[test]
-fn a_server_that_drains_while_it_is_connected_to_gets_nothing() {
+fn a_server_that_starts_draining_during_a_connect_gets_no_request() {
     let (listener, stuck, filled) = never_up();
     let good = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", stuck, "in_service")]);
@@ -359,7 +359,7 @@
 }
 
 #[test]
-fn a_server_that_moved_is_found_at_its_new_address() {
+fn a_server_that_moved_is_used_at_its_new_address() {
     let (old, new) = (Fake::new(|_| ok("old")), Fake::new(|_| ok("new")));
     let discovery = discovery(vec![instance("s-0", old.address, "in_service")]);
     let limiter = Limiter::start(settings(), &discovery, counter().address);
@@ -371,7 +371,7 @@
 }
 
 #[test]
-fn a_broken_watch_resumes_where_it_ended() {
+fn a_broken_watch_resumes_after_the_last_received_version() {
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let limiter = Limiter::start(settings(), &discovery, counter().address);
@@ -398,7 +398,7 @@
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_hides_no_other() {
+fn an_invalid_server_entry_hides_no_other_entry() {
     let server = Fake::new(|_| ok("served"));
     let bad = json!({"instanceId": "s-bad", "hostPort": "nowhere", "lifecycle": "in_service"});
     let discovery = discovery(vec![bad, instance("s-0", server.address, "in_service")]);
@@ -484,7 +484,7 @@
 // ----- start and end -----
 
 #[test]
-fn a_log_that_is_closed_ends_nothing() {
+fn a_closed_log_does_not_end_the_limiter() {
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let limiter = Limiter::start(settings(), &discovery, counter().address);
@@ -498,7 +498,7 @@
 }
 
 #[test]
-fn a_known_list_that_cannot_be_read_keeps_no_limiter_from_starting() {
+fn an_invalid_known_list_does_not_prevent_the_start() {
     let server = Fake::new(|_| ok("served"));
     for known in [json!({"generation": "x"}), json!("none"), json!({"generation": 3, "instances": [{}]})] {
         let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
@@ -511,7 +511,7 @@
 }
 
 #[test]
-fn a_missing_or_bad_configuration_is_named_in_one_line() {
+fn a_missing_or_invalid_configuration_is_reported_in_one_line() {
     let whole = json!({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings()});
     let with = |key: &str, value: serde_json::Value| {
         let mut config = whole.clone();
--- a/crates/rate-limiter/tests/quota.rs
+++ b/crates/rate-limiter/tests/quota.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn new_tenants_have_a_full_bucket_of_the_fallback() {
+fn new_tenants_have_a_full_bucket_of_an_even_share() {
     let mut h = Host::new(settings());
     // A quota of 10 units/s with a burst of 20, over two limiters: an even share is 5 units/s with a burst of
     // 10.
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn the_limit_is_proportional_to_demand_when_the_quota_is_used() {
+fn the_share_is_proportional_to_demand_when_the_quota_is_used() {
     let mut h = Host::new(settings()).warm();
     settle(&mut h, "c", 4.0, 4.0);
     // The quota is completely used, and this limiter has a quarter of the demand: 10 / 4, not raised.
@@ -66,14 +66,14 @@
 }
 
 #[test]
-fn unused_quota_raises_a_low_limit_to_the_fallback_at_most() {
+fn unused_quota_raises_a_small_share_to_an_even_share_at_most() {
     let mut h = Host::new(settings()).warm();
     settle(&mut h, "c", 4.0, 0.2);
     assert!((4..=5).contains(&rate(&mut h, "c")));
 }
 
 #[test]
-fn tokens_survive_a_lower_limit() {
+fn tokens_are_kept_when_the_share_shrinks() {
     let mut h = Host::new(settings()).warm();
     assert!(h.served("c", "plain", 1.0));
     h.now += 0.2;
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn settlement_may_take_the_bucket_below_zero() {
+fn corrected_units_may_make_the_bucket_negative() {
     let mut h = Host::new(Settings { post_paid: true, ..settings() });
     let (id, _) = h.ask("c", "plain", "read", 1.0);
     h.end(id, 0, Outcome::Completed, Some(14.0));
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn lost_counts_are_missing_totals() {
+fn totals_are_missing_after_the_counter_lost_its_numbers() {
     let mut h = Host::new(settings()).warm();
     let last = settle(&mut h, "c", 4.0, 4.0);
     h.now += 1.2;
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn an_unanswered_report_is_not_added_again_and_a_rejected_one_is() {
+fn a_report_is_repeated_after_a_rejection_but_not_after_a_timeout() {
     for (outcome, again) in [(Outcome::Timeout, 0.0), (Outcome::Rejected, 1.0)] {
         let mut h = Host::new(settings()).warm();
         h.served("c", "plain", 1.0);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn an_unresponsive_counter_is_called_rarely_and_the_fallback_applies() {
+fn an_unresponsive_counter_is_called_rarely_and_even_shares_apply() {
     let mut h = Host::new(settings()).warm();
     for n in 0..50 {
         h.served(&format!("c{n}"), "plain", 1.0);
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_slow_counter_is_called_for_few_attempts_and_more_again_when_fast() {
+fn a_slow_counter_is_called_for_few_requests_and_a_quick_one_for_most_again() {
     // Guards against an overload of the counter by hundreds of limiters, each with many tenants that send few
     // requests.
     let mut h = Host::new(settings()).warm();
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn no_demand_runs_from_one_packed_number_into_the_other() {
+fn no_demand_overflows_a_packed_counter_total() {
     // Three hundred limiters report one tenant, whose clients retry in masses at each. The admitted steps
     // must stay below the packing base, where they would be read as rejected steps, and the total must not
     // exceed seven digits.
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn an_idle_tenant_is_forgotten_only_when_its_bucket_would_be_full() {
+fn an_idle_tenant_is_evicted_only_when_its_bucket_would_be_full() {
     // The even share is one request in two minutes. If the tenant were evicted sooner, it would get a full
     // bucket again.
     let mut h = Host::new(Settings { limiter_count: 1200, ..settings() });
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn an_idle_quota_lends_to_a_bucket_of_under_one_request() {
+fn a_bucket_smaller_than_one_request_borrows_from_an_idle_quota() {
     // The burst of an even share is a tenth of a unit, less than one request, and the quota is known to be
     // idle.
     let mut h = Host::new(Settings { limiter_count: 200, ..settings() }).warm();
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn the_rate_limit_holds_over_all_limiters_and_a_restart() {
+fn the_hard_rate_limit_holds_over_all_limiters_and_a_restart() {
     // The hard rate limit is 4 units/s with a burst of 8 and a slack of 1. One of the two limiters restarts
     // after 5 s.
     let mut hosts = [Host::new(settings()), Host::new(settings())];
@@ -305,7 +305,7 @@
 }
 
 #[test]
-fn width_beyond_the_limiters_counts_as_all_of_them() {
+fn tenant_limiters_are_clamped_to_the_number_of_limiters() {
     let mut h = Host::new(settings());
     let request = Request {
         id: 1,
@@ -322,7 +322,7 @@
 }
 
 #[test]
-fn a_doubled_add_heals_with_the_next_name() {
+fn the_effect_of_repeated_additions_ends_with_the_counter_window() {
     let mut h = Host::new(settings()).warm();
     let last = settle(&mut h, "c", 1.25, 1.0);
     h.now += 1.2;
@@ -337,7 +337,7 @@
 }
 
 #[test]
-fn a_far_counter_is_called_as_often_as_a_near_one_and_a_crowded_one_less() {
+fn a_distant_counter_is_called_as_often_as_a_near_one_and_an_overloaded_one_less() {
     let calls = |elapsed: f64, outcome: Outcome| {
         let mut h = Host::new(settings());
         let mut called = 0;
@@ -366,7 +366,7 @@
 }
 
 #[test]
-fn of_hundreds_of_limiters_none_without_totals_permits_a_retry() {
+fn none_of_hundreds_of_limiters_admits_a_retry_without_totals() {
     let ask = |h: &mut Host, customer, is_retry| h.ask_marked(customer, "plain", "read", 1.0, is_retry).1;
     let mut h = among_hundreds();
     assert!(sent_to(&ask(&mut h, "a", false)).is_some(), "a new tenant has a full bucket");
@@ -382,7 +382,7 @@
 }
 
 #[test]
-fn the_first_totals_of_a_rare_tenant_are_used_unchanged() {
+fn the_first_totals_of_a_rare_tenant_apply_at_once() {
     // The first totals show that other limiters use more than the quota. If the moving average started at
     // zero, a part of the quota would look idle, and the bucket would borrow it.
     let mut h = among_hundreds();
--- a/crates/rate-limiter/tests/requests.rs
+++ b/crates/rate-limiter/tests/requests.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn overdue_request_fails_just_before_its_time_and_only_once() {
+fn a_request_without_a_response_fails_once_just_before_its_deadline() {
     let mut h = Host::new(settings());
     let (id, out) = h.ask("c", "plain", "read", 1.0);
     let (at, token) = timer_of(&out, id, 1).expect("a timer before the deadline");
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn non_idempotent_requests_are_retried_only_if_they_never_ran() {
+fn non_idempotent_requests_are_retried_only_if_they_were_not_executed() {
     for outcome in [Outcome::Rejected, Outcome::ConnectFailed] {
         let mut h = Host::new(settings());
         let (id, _) = h.ask("c", "plain", "unsafe", 1.0);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn reads_are_retried_after_any_failure_until_attempts_run_out() {
+fn idempotent_requests_are_retried_after_any_failure_up_to_max_attempts() {
     for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Rejected] {
         let mut h = Host::new(settings());
         let (id, out) = h.ask("c", "plain", "read", 1.0);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn keyed_work_stays_in_its_group_and_window() {
+fn keyed_requests_are_retried_only_within_their_scope_and_deduplication_window() {
     let mut h = Host::new(settings());
     let (id, out) = h.ask("c", "plain", "keyed-zone", 1.0);
     let first = sent_to(&out).expect("sent");
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn open_cap_refuses_at_once_and_opens_with_an_answer() {
+fn the_in_flight_limit_of_a_plan_rejects_at_once_until_an_attempt_completes() {
     let mut h = Host::new(settings());
     let (first, out) = h.ask("c", "capped", "read", 1.0);
     assert!(sent_to(&out).is_some());
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_streamed_answer_has_no_deadline() {
+fn a_streamed_response_has_no_deadline() {
     let mut h = Host::new(settings());
     let (id, out) = h.ask("c", "plain", "read", 1.0);
     let (at, token) = timer_of(&out, id, 1).expect("timer");
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn one_open_attempt_is_called_off_only_after_two_late_ones_in_a_row() {
+fn an_attempt_is_cancelled_only_after_two_consecutive_late_attempts() {
     // Guards against cascading ejections, and against taking a seldom used server for unresponsive: a single
     // late response shows only that a server is slow.
     let late = |h: &mut Host, id: u64, out: &[Action]| {
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_limiter_that_stood_still_blames_itself() {
+fn delays_after_a_stall_of_the_limiter_are_not_attributed_to_servers() {
     // Guards against a stall of the limiter itself. Responses that look late after it are not the servers'
     // fault, so no attempt is cancelled and no server is penalized.
     let run = |stalled: bool| {
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn retries_without_marks_take_nothing_from_other_tenants() {
+fn unmarked_retries_take_nothing_from_other_tenants() {
     // The clients of one tenant immediately retry each rejected request many times, without marking it as a
     // retry.
     let served = |abuse: bool| {
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn every_rejection_has_a_retry_after() {
+fn every_rejection_has_a_retry_after_if_the_settings_allow_it() {
     let advice = |out: &[Action]| {
         out.iter().find_map(|a| match a {
             Action::Reject { retry_after, .. } => Some(*retry_after),
--- a/crates/rate-limiter/tests/server_load.rs
+++ b/crates/rate-limiter/tests/server_load.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_hundred_limiters_with_little_to_send_do_not_all_choose_the_largest() {
+fn a_hundred_limiters_with_few_requests_do_not_all_choose_the_largest_servers() {
     // Each limiter has one request in flight at a time, so its own attempts show no difference between the
     // servers except their weight.
     let mut sent = BTreeMap::<String, f64>::new();
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn each_of_a_hundred_limiters_keeps_to_few_servers_and_together_they_use_all() {
+fn each_of_a_hundred_limiters_uses_few_servers_and_together_they_use_all() {
     let (mut users, mut widest) = (BTreeMap::<String, u32>::new(), 0);
     for limiter_index in 0..100 {
         let mut h = Host::new(Settings { limiter_count: 100, limiter_index, ..settings() });
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_server_that_reports_a_queue_is_spared_until_the_report_is_old() {
+fn a_server_that_reports_a_queue_is_avoided_until_the_report_is_outdated() {
     let mut h = Host::new(settings());
     let up = ServerState::InService;
     let others = |state| vec![server(B, "east", state, None), server(C, "west", state, None)];
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn queues_everywhere_refuse_a_part_and_idle_servers_none() {
+fn queues_at_all_servers_cause_some_rejections_and_idle_servers_none() {
     let refused = |queue: f64| {
         let mut h = Host::new(settings());
         for n in 0..300 {
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_pressed_fleet_sheds_first_what_is_likely_beyond_its_quota() {
+fn load_shedding_first_rejects_requests_that_are_likely_over_quota() {
     let refused = |is_retry: bool| {
         let mut h = Host::new(settings());
         let mut refused = 0;
--- a/crates/rate-limiter/tests/servers.rs
+++ b/crates/rate-limiter/tests/servers.rs
@@ -4,7 +4,7 @@
 use rate_limiter::*;
 
 #[test]
-fn drained_and_missing_servers_get_nothing_new() {
+fn draining_and_removed_servers_get_no_new_requests() {
     let mut h = Host::new(settings());
     h.event(Event::ServerChanges(vec![server(A, "east", ServerState::Draining, None)]));
     // The requests stay open, so that the next one would go to an idle server.
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_warming_server_gets_a_budget_in_any_window() {
+fn sends_to_a_cold_server_are_limited_in_each_overload_window() {
     let mut h = Host::new(settings());
     let up = ServerState::InService;
     h.event(Event::ServerList(vec![server(A, "east", up, None), server(B, "east", up, Some(100.0))]));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_server_that_fails_in_a_row_is_ejected_but_never_all() {
+fn a_server_is_ejected_after_consecutive_failures_but_never_all_servers() {
     let mut h = Host::new(settings());
     let mut to_a = 0;
     for n in 0..10 {
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn what_is_out_at_a_server_is_bounded() {
+fn attempts_in_flight_at_a_server_are_limited() {
     let mut h = Host::new(settings());
     let sent =
         (0..100).filter(|n| sent_to(&h.ask(&format!("c{n}"), "plain", "read", 1.0).1).is_some()).count();
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn an_attempt_that_hangs_fills_its_window_for_a_target_latency_at_most() {
+fn a_hung_attempt_counts_as_in_flight_for_the_target_latency_at_most() {
     // Guards against hung attempts (incident ief87c6): each would fill a small in-flight limit until its
     // client disconnected.
     let mut h = Host::new(Settings { limiter_count: 4, ..settings() });
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn hundreds_of_limiters_together_respect_a_slow_start_budget() {
+fn hundreds_of_limiters_together_respect_a_slow_start_limit() {
     // Guards against an overload of the cold server by as little as one send from each limiter. There is no
     // warm server whose load shows how much the cold one can take.
     for limiter_count in [2u32, 300] {
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn one_class_unanswered_moves_that_class_alone() {
+fn a_class_without_responses_moves_to_another_server_alone() {
     // Guards against a server that does not respond to one class. It is not ejected, since it responds to the
     // others.
     let mut h = Host::new(settings());
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn settings_that_make_no_sense_end_in_refusals_and_no_panic() {
+fn invalid_settings_cause_rejections_and_no_panic() {
     let odd = [
         Settings::default(),
         Settings { classes: vec![Class { name: "read".into(), ..Class::default() }], ..settings() },
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn the_ticks_begin_with_the_first_event_however_late_it_comes() {
+fn ticks_start_with_the_first_event_however_late_it_arrives() {
     let mut limiter = Limiter::new(settings(), 7, 100.0);
     let mut out = Vec::new();
     limiter.handle(100.2, Event::ServerList(Vec::new()), &mut out);
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn a_hundred_limiters_whose_lists_failed_at_once_back_off_with_jitter() {
+fn a_hundred_limiters_whose_discovery_calls_failed_at_once_back_off_with_jitter() {
     // Guards against simultaneous calls to an overloaded discovery service, none of which would ever get a
     // response.
     let set =
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn a_watched_list_is_requested_repeatedly_without_long_backoff() {
+fn a_pushed_list_is_requested_again_without_a_long_backoff() {
     // When discovery responds again, its changes must take effect without delay, so the backoff after a
     // failed call is short.
     let mut limiter = Limiter::new(settings(), 7, 100.0);
--- a/crates/rate-limiter/tests/signals.rs
+++ b/crates/rate-limiter/tests/signals.rs
@@ -10,7 +10,7 @@
 // ----- SIGHUP -----
 
 #[test]
-fn sighup_moves_the_watch_and_the_counter_to_the_addresses_in_the_file() {
+fn sighup_switches_discovery_and_the_counter_to_the_addresses_in_the_file() {
     let (old, new) = (Fake::new(|_| ok("old")), Fake::new(|_| ok("new")));
     let (counter_1, counter_2) = (counter(), counter());
     let discovery_1 = discovery(vec![instance("s-0", old.address, "in_service")]);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn sighup_with_a_file_that_cannot_be_read_changes_nothing() {
+fn sighup_with_a_missing_or_invalid_file_changes_nothing() {
     let server = Fake::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let mut limiter = Limiter::start(settings(), &discovery, counter().address);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn sigterm_ends_no_connection_on_which_a_request_is_half_read() {
+fn sigterm_closes_no_connection_with_a_partly_received_request() {
     let server = Fake::new(|_| ok("served"));
     let mut limiter = Limiter::over(&[&server]);
     let (mut half, mut fresh, mut idle) = (limiter.client(), limiter.client(), limiter.client());
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn what_comes_after_sigterm_is_answered_before_sigkill() {
+fn requests_that_arrive_after_sigterm_get_responses_before_sigkill() {
     let server = Fake::new(|_| Reply::Silence);
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let mut settings = settings();
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_request_that_crosses_the_close_of_an_idle_connection_gets_a_response_or_is_not_forwarded() {
+fn a_request_sent_while_its_idle_connection_is_closed_gets_a_response_or_is_not_forwarded() {
     let server = Fake::new(|_| ok("served"));
     for _ in 0..4 {
         let mut limiter = Limiter::over(&[&server]);
--- a/crates/rate-limiter/tests/simulator_protocol.rs
+++ b/crates/rate-limiter/tests/simulator_protocol.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn every_other_event_is_understood() {
+fn all_other_events_are_accepted() {
     let out = run(&(start()
         + "TURN 11 2\nFIRST 0 5 0 s:1 0.1\nCLIENT_GONE 0 5\nTOTAL 0 3 100 0.002 x\nTOTAL 0 - 303 0.05 x\n"
         + "HEALTH_RESULT 0 s:1 0.001 100 busy:0.5\nINBOX 0 1 68\nALARM 0 someones\nNEW_KIND 0 1 2 3\n"
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn refusals_and_failures_are_worded() {
+fn rejections_and_failures_are_written() {
     let drained = "REGISTRY 0 patch 2 1\nITEM s:1 a std 0 terminating 1 -\n";
     let out = run(&(start()
         + "TURN 11 2\n"
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_restarted_server_inherits_no_state() {
+fn a_restarted_instance_inherits_no_state() {
     let config = CONFIG.replace('\n', "");
     let list = "REGISTRY 0 stale_copy 1 1\nITEM s:1 a std 0 in_service 1 -\n";
     let submit = |id: u32| format!("SUBMIT 0 {id} 0 0 14.5 2 1 0 plain read key:a\n");
