--- a/crates/rate-limiter/tests/common/mod.rs
+++ b/crates/rate-limiter/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use rate_limiter::*;
 use std::sync::Arc;
 
-pub const A: &str = "10.0.0.1:1";
+pub const EAST_1: &str = "10.0.0.1:1";
 pub const B: &str = "10.0.0.2:1";
 pub const C: &str = "10.0.0.3:1";
 
@@ -88,7 +88,7 @@
     pub fn seeded(settings: Settings, seed: u64) -> Self {
         let up = ServerState::InService;
         let list =
-            vec![server(A, "east", up, None), server(B, "east", up, None), server(C, "west", up, None)];
+            vec![server(EAST_1, "east", up, None), server(B, "east", up, None), server(C, "west", up, None)];
         let limiter = Limiter::new(settings, seed, 100.0);
         let mut host = Host { limiter, now: 100.0, calls: Vec::new(), tenant_limiters: 2, next: 0 };
         host.event(Event::ServerList(list));
--- a/crates/rate-limiter/tests/server_load.rs
+++ b/crates/rate-limiter/tests/server_load.rs
@@ -83,7 +83,7 @@
         serve(&mut h, n, |_| Some(0.0));
     }
     h.event(Event::ServerChanges(others(ServerState::Draining)));
-    assert_eq!(serve(&mut h, 0, |_| Some(20.0)).as_deref(), Some(A));
+    assert_eq!(serve(&mut h, 0, |_| Some(20.0)).as_deref(), Some(EAST_1));
     h.event(Event::ServerChanges(others(up)));
     let sent: Vec<_> = (0..100)
         .filter_map(|n| {
@@ -91,11 +91,11 @@
             serve(&mut h, n, |_| Some(0.0))
         })
         .collect();
-    assert!(sent.len() > 20 && sent.iter().all(|to| to != A), "{sent:?}");
+    assert!(sent.len() > 20 && sent.iter().all(|to| to != EAST_1), "{sent:?}");
     h.now += 20.0;
     let again = (0..60).filter(|n| {
         h.now += 0.01;
-        serve(&mut h, *n, |_| Some(0.0)).as_deref() == Some(A)
+        serve(&mut h, *n, |_| Some(0.0)).as_deref() == Some(EAST_1)
     });
     assert!(again.count() >= 5, "an outdated report must not exclude the server");
 }
--- a/crates/rate-limiter/tests/servers.rs
+++ b/crates/rate-limiter/tests/servers.rs
@@ -6,11 +6,11 @@
 #[test]
 fn draining_and_removed_servers_get_no_new_requests() {
     let mut h = Host::new(settings());
-    h.event(Event::ServerChanges(vec![server(A, "east", ServerState::Draining, None)]));
+    h.event(Event::ServerChanges(vec![server(EAST_1, "east", ServerState::Draining, None)]));
     // The requests stay open, so that the next one would go to an idle server.
     let sent: Vec<_> =
         (0..4).filter_map(|n| sent_to(&h.ask(&format!("c{n}"), "plain", "read", 1.0).1)).collect();
-    assert!(sent.len() > 1 && sent.iter().all(|s| &**s != A), "{sent:?}");
+    assert!(sent.len() > 1 && sent.iter().all(|s| &**s != EAST_1), "{sent:?}");
     h.event(Event::ServerList(vec![server(C, "west", ServerState::InService, None)]));
     let sent: Vec<_> =
         (0..4).filter_map(|n| sent_to(&h.ask(&format!("d{n}"), "plain", "read", 1.0).1)).collect();
@@ -21,7 +21,7 @@
 fn sends_to_a_cold_server_are_limited_in_each_overload_window() {
     let mut h = Host::new(settings());
     let up = ServerState::InService;
-    h.event(Event::ServerList(vec![server(A, "east", up, None), server(B, "east", up, Some(100.0))]));
+    h.event(Event::ServerList(vec![server(EAST_1, "east", up, None), server(B, "east", up, Some(100.0))]));
     let mut sends = Vec::new();
     let mut out_now = std::collections::VecDeque::new();
     for n in 0..2000 {
@@ -54,7 +54,7 @@
     for n in 0..10 {
         h.now += 0.01;
         let (id, out) = h.ask(&format!("c{n}"), "plain", "unsafe", 1.0);
-        let at_a = sent_to(&out).as_deref() == Some(A);
+        let at_a = sent_to(&out).as_deref() == Some(EAST_1);
         to_a += usize::from(at_a);
         if at_a {
             h.end(id, 0, Outcome::Reset, None);
@@ -86,7 +86,7 @@
     // Guards against hung attempts (incident ief87c6): each would fill a small in-flight limit until its
     // client disconnected.
     let mut h = Host::new(Settings { limiter_count: 4, ..settings() });
-    h.event(Event::ServerList(vec![server(A, "east", ServerState::InService, None)]));
+    h.event(Event::ServerList(vec![server(EAST_1, "east", ServerState::InService, None)]));
     let (id, out) = h.ask("c", "plain", "unsafe", 1.0);
     assert!(sent_to(&out).is_some());
     assert!(sent_to(&h.ask("c", "plain", "unsafe", 1.0).1).is_some());
@@ -128,14 +128,14 @@
     // others.
     let mut h = Host::new(settings());
     let up = ServerState::InService;
-    h.event(Event::ServerList(vec![server(A, "east", up, None), server(B, "east", up, None)]));
+    h.event(Event::ServerList(vec![server(EAST_1, "east", up, None), server(B, "east", up, None)]));
     let mut unsafe_at_a = 0;
     for n in 0..60 {
         for class in ["unsafe", "read"] {
             h.now += 0.05;
             let (id, out) = h.ask(&format!("{class}{n}"), "plain", class, 1.0);
             let Some(to) = sent_to(&out) else { continue };
-            if class == "unsafe" && &*to == A {
+            if class == "unsafe" && &*to == EAST_1 {
                 unsafe_at_a += u32::from(n >= 20);
                 h.now += 0.7;
                 h.event(Event::Timer { token: id * 4 + 2 });
@@ -150,7 +150,7 @@
     h.event(Event::ServerChanges(vec![server(B, "east", ServerState::Draining, None)]));
     assert_eq!(
         sent_to(&h.ask("z", "plain", "read", 1.0).1).as_deref(),
-        Some(A),
+        Some(EAST_1),
         "it still serves the other classes"
     );
 }
