--- a/crates/rate-limiter/tests/common/mod.rs
+++ b/crates/rate-limiter/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 pub const EAST_1: &str = "10.0.0.1:1";
-pub const B: &str = "10.0.0.2:1";
+pub const EAST_2: &str = "10.0.0.2:1";
 pub const C: &str = "10.0.0.3:1";
 
 pub fn settings() -> Settings {
@@ -87,8 +87,11 @@
 
     pub fn seeded(settings: Settings, seed: u64) -> Self {
         let up = ServerState::InService;
-        let list =
-            vec![server(EAST_1, "east", up, None), server(B, "east", up, None), server(C, "west", up, None)];
+        let list = vec![
+            server(EAST_1, "east", up, None),
+            server(EAST_2, "east", up, None),
+            server(C, "west", up, None),
+        ];
         let limiter = Limiter::new(settings, seed, 100.0);
         let mut host = Host { limiter, now: 100.0, calls: Vec::new(), tenant_limiters: 2, next: 0 };
         host.event(Event::ServerList(list));
--- a/crates/rate-limiter/tests/requests.rs
+++ b/crates/rate-limiter/tests/requests.rs
@@ -86,7 +86,7 @@
     let mut h = Host::new(settings());
     let (id, out) = h.ask("c", "plain", "keyed-zone", 1.0);
     let first = sent_to(&out).expect("sent");
-    let other = if &*first == EAST_1 { B } else { EAST_1 };
+    let other = if &*first == EAST_1 { EAST_2 } else { EAST_1 };
     // Both servers of the zone drain. The request may have executed, so it is neither sent to another zone
     // nor rejected, since a rejection tells the client that it can safely retry.
     h.event(Event::ServerChanges(vec![
--- a/crates/rate-limiter/tests/servers.rs
+++ b/crates/rate-limiter/tests/servers.rs
@@ -21,13 +21,16 @@
 fn sends_to_a_cold_server_are_limited_in_each_overload_window() {
     let mut h = Host::new(settings());
     let up = ServerState::InService;
-    h.event(Event::ServerList(vec![server(EAST_1, "east", up, None), server(B, "east", up, Some(100.0))]));
+    h.event(Event::ServerList(vec![
+        server(EAST_1, "east", up, None),
+        server(EAST_2, "east", up, Some(100.0)),
+    ]));
     let mut sends = Vec::new();
     let mut out_now = std::collections::VecDeque::new();
     for n in 0..2000 {
         h.now += 0.005;
         let (id, out) = h.ask(&format!("c{n}"), "plain", "read", 1.0);
-        if sent_to(&out).as_deref() == Some(B) {
+        if sent_to(&out).as_deref() == Some(EAST_2) {
             sends.push(h.now);
         }
         out_now.push_back(id);
@@ -111,7 +114,7 @@
         let mut sent = 0;
         for limiter_index in 0..limiter_count {
             let mut h = Host::new(Settings { limiter_count, limiter_index, ..settings() });
-            h.event(Event::ServerList(vec![server(B, "east", ServerState::InService, Some(100.0))]));
+            h.event(Event::ServerList(vec![server(EAST_2, "east", ServerState::InService, Some(100.0))]));
             for n in 0..200 {
                 h.now += 0.02;
                 sent += usize::from(h.served(&format!("c{n}"), "plain", 1.0));
@@ -128,7 +131,7 @@
     // others.
     let mut h = Host::new(settings());
     let up = ServerState::InService;
-    h.event(Event::ServerList(vec![server(EAST_1, "east", up, None), server(B, "east", up, None)]));
+    h.event(Event::ServerList(vec![server(EAST_1, "east", up, None), server(EAST_2, "east", up, None)]));
     let mut unsafe_at_a = 0;
     for n in 0..60 {
         for class in ["unsafe", "read"] {
@@ -147,7 +150,7 @@
         }
     }
     assert!(unsafe_at_a <= 4, "{unsafe_at_a} of 40 requests of the class without responses");
-    h.event(Event::ServerChanges(vec![server(B, "east", ServerState::Draining, None)]));
+    h.event(Event::ServerChanges(vec![server(EAST_2, "east", ServerState::Draining, None)]));
     assert_eq!(
         sent_to(&h.ask("z", "plain", "read", 1.0).1).as_deref(),
         Some(EAST_1),
@@ -184,7 +187,7 @@
             if empty {
                 h.event(Event::ServerList(Vec::new()));
             } else {
-                let cold = server(B, "east", ServerState::InService, Some(100.0));
+                let cold = server(EAST_2, "east", ServerState::InService, Some(100.0));
                 h.event(Event::ServerList(vec![cold]));
             }
             for n in 0..50 {
