--- a/crates/rate-limiter/tests/common/mod.rs
+++ b/crates/rate-limiter/tests/common/mod.rs
@@ -7,7 +7,7 @@
 
 pub const EAST_1: &str = "10.0.0.1:1";
 pub const EAST_2: &str = "10.0.0.2:1";
-pub const C: &str = "10.0.0.3:1";
+pub const WEST_1: &str = "10.0.0.3:1";
 
 pub fn settings() -> Settings {
     let class = |name: &str, idempotency, scope| Class {
@@ -90,7 +90,7 @@
         let list = vec![
             server(EAST_1, "east", up, None),
             server(EAST_2, "east", up, None),
-            server(C, "west", up, None),
+            server(WEST_1, "west", up, None),
         ];
         let limiter = Limiter::new(settings, seed, 100.0);
         let mut host = Host { limiter, now: 100.0, calls: Vec::new(), tenant_limiters: 2, next: 0 };
--- a/crates/rate-limiter/tests/server_load.rs
+++ b/crates/rate-limiter/tests/server_load.rs
@@ -77,7 +77,7 @@
 fn a_server_that_reports_a_queue_is_avoided_until_the_report_is_outdated() {
     let mut h = Host::new(settings());
     let up = ServerState::InService;
-    let others = |state| vec![server(EAST_2, "east", state, None), server(C, "west", state, None)];
+    let others = |state| vec![server(EAST_2, "east", state, None), server(WEST_1, "west", state, None)];
     for n in 0..20 {
         h.now += 0.2;
         serve(&mut h, n, |_| Some(0.0));
--- a/crates/rate-limiter/tests/servers.rs
+++ b/crates/rate-limiter/tests/servers.rs
@@ -11,10 +11,10 @@
     let sent: Vec<_> =
         (0..4).filter_map(|n| sent_to(&h.ask(&format!("c{n}"), "plain", "read", 1.0).1)).collect();
     assert!(sent.len() > 1 && sent.iter().all(|s| &**s != EAST_1), "{sent:?}");
-    h.event(Event::ServerList(vec![server(C, "west", ServerState::InService, None)]));
+    h.event(Event::ServerList(vec![server(WEST_1, "west", ServerState::InService, None)]));
     let sent: Vec<_> =
         (0..4).filter_map(|n| sent_to(&h.ask(&format!("d{n}"), "plain", "read", 1.0).1)).collect();
-    assert!(sent.iter().all(|s| &**s == C), "{sent:?}");
+    assert!(sent.iter().all(|s| &**s == WEST_1), "{sent:?}");
 }
 
 #[test]
