--- a/crates/rate-limiter/tests/common/mod.rs
+++ b/crates/rate-limiter/tests/common/mod.rs
@@ -52,7 +52,7 @@
     }
 }
 
-pub fn server(id: &str, zone: &str, state: ServerState, started_at: Option<f64>) -> ServerEntry {
+pub fn server_entry(id: &str, zone: &str, state: ServerState, started_at: Option<f64>) -> ServerEntry {
     ServerEntry {
         id: id.into(),
         zone: zone.into(),
@@ -88,9 +88,9 @@
     pub fn seeded(settings: Settings, seed: u64) -> Self {
         let up = ServerState::InService;
         let list = vec![
-            server(EAST_1, "east", up, None),
-            server(EAST_2, "east", up, None),
-            server(WEST_1, "west", up, None),
+            server_entry(EAST_1, "east", up, None),
+            server_entry(EAST_2, "east", up, None),
+            server_entry(WEST_1, "west", up, None),
         ];
         let limiter = Limiter::new(settings, seed, 100.0);
         let mut host = Host { limiter, now: 100.0, calls: Vec::new(), tenant_limiters: 2, next: 0 };
--- a/crates/rate-limiter/tests/quota.rs
+++ b/crates/rate-limiter/tests/quota.rs
@@ -284,7 +284,7 @@
             hosts[0].now = now;
             hosts[0].limiter = Limiter::new(settings(), 8, now);
             let up = ServerState::InService;
-            hosts[0].event(Event::ServerList(vec![server(EAST_1, "east", up, None)]));
+            hosts[0].event(Event::ServerList(vec![server_entry(EAST_1, "east", up, None)]));
         }
         for h in &mut hosts {
             h.now = now;
--- a/crates/rate-limiter/tests/requests.rs
+++ b/crates/rate-limiter/tests/requests.rs
@@ -90,8 +90,8 @@
     // Both servers of the zone drain. The request may have executed, so it is neither sent to another zone
     // nor rejected, since a rejection tells the client that it can safely retry.
     h.event(Event::ServerChanges(vec![
-        server(other, "east", ServerState::Draining, None),
-        server(&first, "east", ServerState::Draining, None),
+        server_entry(other, "east", ServerState::Draining, None),
+        server_entry(&first, "east", ServerState::Draining, None),
     ]));
     let out = h.end(id, 0, Outcome::Reset, None);
     assert_eq!((sent_to(&out), refused(&out), failed(&out)), (None, 0, 1));
@@ -138,7 +138,7 @@
     };
     for answered in [true, false] {
         let mut h = Host::new(settings());
-        h.event(Event::ServerList(vec![server(EAST_1, "east", ServerState::InService, None)]));
+        h.event(Event::ServerList(vec![server_entry(EAST_1, "east", ServerState::InService, None)]));
         let (id, out) = h.ask("c", "plain", "read", 1.0);
         assert!(!late(&mut h, id, &out), "a single late attempt");
         if answered {
@@ -156,7 +156,7 @@
     let run = |stalled: bool| {
         let mut h = Host::new(settings());
         h.event(Event::Timer { token: 0 });
-        h.event(Event::ServerList(vec![server(EAST_1, "east", ServerState::InService, None)]));
+        h.event(Event::ServerList(vec![server_entry(EAST_1, "east", ServerState::InService, None)]));
         let mut cancels = 0;
         for n in 0..2 {
             let (id, out) = h.ask(&format!("c{n}"), "plain", "read", 1.0);
--- a/crates/rate-limiter/tests/server_load.rs
+++ b/crates/rate-limiter/tests/server_load.rs
@@ -6,7 +6,7 @@
 
 fn fleet(servers: u32, weight: impl Fn(u32) -> f64) -> Vec<ServerEntry> {
     let entry = |n: u32| {
-        let up = server(&format!("10.0.1.{n}:1"), "east", ServerState::InService, None);
+        let up = server_entry(&format!("10.0.1.{n}:1"), "east", ServerState::InService, None);
         ServerEntry { weight: weight(n), ..up }
     };
     (0..servers).map(entry).collect()
@@ -77,7 +77,8 @@
 fn a_server_that_reports_a_queue_is_avoided_until_the_report_is_outdated() {
     let mut h = Host::new(settings());
     let up = ServerState::InService;
-    let others = |state| vec![server(EAST_2, "east", state, None), server(WEST_1, "west", state, None)];
+    let others =
+        |state| vec![server_entry(EAST_2, "east", state, None), server_entry(WEST_1, "west", state, None)];
     for n in 0..20 {
         h.now += 0.2;
         serve(&mut h, n, |_| Some(0.0));
--- a/crates/rate-limiter/tests/servers.rs
+++ b/crates/rate-limiter/tests/servers.rs
@@ -6,12 +6,12 @@
 #[test]
 fn draining_and_removed_servers_get_no_new_requests() {
     let mut h = Host::new(settings());
-    h.event(Event::ServerChanges(vec![server(EAST_1, "east", ServerState::Draining, None)]));
+    h.event(Event::ServerChanges(vec![server_entry(EAST_1, "east", ServerState::Draining, None)]));
     // The requests stay open, so that the next one would go to an idle server.
     let sent: Vec<_> =
         (0..4).filter_map(|n| sent_to(&h.ask(&format!("c{n}"), "plain", "read", 1.0).1)).collect();
     assert!(sent.len() > 1 && sent.iter().all(|s| &**s != EAST_1), "{sent:?}");
-    h.event(Event::ServerList(vec![server(WEST_1, "west", ServerState::InService, None)]));
+    h.event(Event::ServerList(vec![server_entry(WEST_1, "west", ServerState::InService, None)]));
     let sent: Vec<_> =
         (0..4).filter_map(|n| sent_to(&h.ask(&format!("d{n}"), "plain", "read", 1.0).1)).collect();
     assert!(sent.iter().all(|s| &**s == WEST_1), "{sent:?}");
@@ -22,8 +22,8 @@
     let mut h = Host::new(settings());
     let up = ServerState::InService;
     h.event(Event::ServerList(vec![
-        server(EAST_1, "east", up, None),
-        server(EAST_2, "east", up, Some(100.0)),
+        server_entry(EAST_1, "east", up, None),
+        server_entry(EAST_2, "east", up, Some(100.0)),
     ]));
     let mut sends = Vec::new();
     let mut out_now = std::collections::VecDeque::new();
@@ -89,7 +89,7 @@
     // Guards against hung attempts (incident ief87c6): each would fill a small in-flight limit until its
     // client disconnected.
     let mut h = Host::new(Settings { limiter_count: 4, ..settings() });
-    h.event(Event::ServerList(vec![server(EAST_1, "east", ServerState::InService, None)]));
+    h.event(Event::ServerList(vec![server_entry(EAST_1, "east", ServerState::InService, None)]));
     let (id, out) = h.ask("c", "plain", "unsafe", 1.0);
     assert!(sent_to(&out).is_some());
     assert!(sent_to(&h.ask("c", "plain", "unsafe", 1.0).1).is_some());
@@ -114,7 +114,12 @@
         let mut sent = 0;
         for limiter_index in 0..limiter_count {
             let mut h = Host::new(Settings { limiter_count, limiter_index, ..settings() });
-            h.event(Event::ServerList(vec![server(EAST_2, "east", ServerState::InService, Some(100.0))]));
+            h.event(Event::ServerList(vec![server_entry(
+                EAST_2,
+                "east",
+                ServerState::InService,
+                Some(100.0),
+            )]));
             for n in 0..200 {
                 h.now += 0.02;
                 sent += usize::from(h.served(&format!("c{n}"), "plain", 1.0));
@@ -131,7 +136,10 @@
     // others.
     let mut h = Host::new(settings());
     let up = ServerState::InService;
-    h.event(Event::ServerList(vec![server(EAST_1, "east", up, None), server(EAST_2, "east", up, None)]));
+    h.event(Event::ServerList(vec![
+        server_entry(EAST_1, "east", up, None),
+        server_entry(EAST_2, "east", up, None),
+    ]));
     let mut unsafe_at_a = 0;
     for n in 0..60 {
         for class in ["unsafe", "read"] {
@@ -150,7 +158,7 @@
         }
     }
     assert!(unsafe_at_a <= 4, "{unsafe_at_a} of 40 requests of the class without responses");
-    h.event(Event::ServerChanges(vec![server(EAST_2, "east", ServerState::Draining, None)]));
+    h.event(Event::ServerChanges(vec![server_entry(EAST_2, "east", ServerState::Draining, None)]));
     assert_eq!(
         sent_to(&h.ask("z", "plain", "read", 1.0).1).as_deref(),
         Some(EAST_1),
@@ -187,7 +195,7 @@
             if empty {
                 h.event(Event::ServerList(Vec::new()));
             } else {
-                let cold = server(EAST_2, "east", ServerState::InService, Some(100.0));
+                let cold = server_entry(EAST_2, "east", ServerState::InService, Some(100.0));
                 h.event(Event::ServerList(vec![cold]));
             }
             for n in 0..50 {
