--- a/crates/rate-limiter/tests/common/mod.rs
+++ b/crates/rate-limiter/tests/common/mod.rs
@@ -64,9 +64,9 @@
     }
 }
 
-/// A counter total is `admitted steps + PACK * rejected steps`. For the plans of these tests, a step is one
+/// A counter total is `admitted steps + PACKING_BASE * rejected steps`. For the plans of these tests, a step is one
 /// unit.
-pub const PACK: f64 = 2_000.0;
+pub const PACKING_BASE: f64 = 2_000.0;
 
 pub struct Host {
     pub limiter: Limiter,
--- a/crates/rate-limiter/tests/quota.rs
+++ b/crates/rate-limiter/tests/quota.rs
@@ -16,12 +16,12 @@
             if name != name_now {
                 (name_now, total_refused, total_used) = (name.clone(), 0.0, 0.0);
             }
-            let (own_used, own_refused) = (add % PACK, (add / PACK).floor());
+            let (own_used, own_refused) = (add % PACKING_BASE, (add / PACKING_BASE).floor());
             let own = own_used + own_refused;
             let others_used = (own * used - own_used).clamp(0.0, own * (all - 1.0));
             total_used += own_used + others_used;
             total_refused += own_refused + own * (all - 1.0) - others_used;
-            let total = total_refused.round() * PACK + total_used.round();
+            let total = total_refused.round() * PACKING_BASE + total_used.round();
             h.event(Event::CounterResponse(CounterResponse {
                 name,
                 outcome: Outcome::Completed,
@@ -30,7 +30,7 @@
             }));
         }
     }
-    total_refused.round() * PACK + total_used.round()
+    total_refused.round() * PACKING_BASE + total_used.round()
 }
 
 /// Returns this limiter's share of a tenant's quota in units per second, measured by draining the bucket and
@@ -79,7 +79,7 @@
     h.now += 0.2;
     // The other limiters have a hundred times the demand. The share shrinks to a hundredth at once, and the
     // tokens are kept.
-    assert_eq!(h.count(|add| (Outcome::Completed, add + add * 100.0 * PACK)), 1);
+    assert_eq!(h.count(|add| (Outcome::Completed, add + add * 100.0 * PACKING_BASE)), 1);
     assert!(h.burst("c", "plain") >= 9);
 }
 
@@ -116,7 +116,7 @@
         while h.calls.is_empty() {
             h.served("c", "plain", 0.0);
         }
-        assert_eq!(h.calls[0].1 % PACK, again, "{outcome:?}");
+        assert_eq!(h.calls[0].1 % PACKING_BASE, again, "{outcome:?}");
     }
 }
 
@@ -197,10 +197,13 @@
             if name != name_now {
                 (used, refused, name_now) = (0.0, 0.0, name.clone());
             }
-            used += add % PACK * f64::from(tenant_limiters);
-            refused += (add / PACK).floor() * f64::from(tenant_limiters);
-            assert!(used < PACK && refused + 1.0 < 10_000_000.0 / PACK, "{used} used, {refused} refused");
-            let total = used + refused * PACK;
+            used += add % PACKING_BASE * f64::from(tenant_limiters);
+            refused += (add / PACKING_BASE).floor() * f64::from(tenant_limiters);
+            assert!(
+                used < PACKING_BASE && refused + 1.0 < 10_000_000.0 / PACKING_BASE,
+                "{used} used, {refused} refused"
+            );
+            let total = used + refused * PACKING_BASE;
             h.event(Event::CounterResponse(CounterResponse {
                 name,
                 outcome: Outcome::Completed,
