--- a/crates/rate-limiter/tests/common/mod.rs
+++ b/crates/rate-limiter/tests/common/mod.rs
@@ -94,11 +94,11 @@
         ];
         let limiter = Limiter::new(settings, seed, 100.0);
         let mut host = Host { limiter, now: 100.0, calls: Vec::new(), tenant_limiters: 2, next: 0 };
-        host.event(Event::ServerList(list));
+        host.handle(Event::ServerList(list));
         host
     }
 
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.limiter.handle(self.now, event, &mut out);
         for action in &out {
@@ -132,13 +132,13 @@
             is_retry,
             deadline: self.now + 4.0,
         };
-        (self.next, self.event(Event::Request(request)))
+        (self.next, self.handle(Event::Request(request)))
     }
 
     pub fn end(&mut self, id: u64, attempt: u32, outcome: Outcome, units: Option<f64>) -> Vec<Action> {
         let finished = outcome == Outcome::Completed;
         let report = LoadReport::default();
-        self.event(Event::AttemptFinished(AttemptResult {
+        self.handle(Event::AttemptFinished(AttemptResult {
             id,
             attempt,
             finished,
@@ -170,7 +170,7 @@
         let calls = std::mem::take(&mut self.calls);
         for (name, add) in &calls {
             let (outcome, total) = answer(*add);
-            self.event(Event::CounterResponse(CounterResponse {
+            self.handle(Event::CounterResponse(CounterResponse {
                 name: name.clone(),
                 outcome,
                 total,
--- a/crates/rate-limiter/tests/heavy_hitters.rs
+++ b/crates/rate-limiter/tests/heavy_hitters.rs
@@ -45,7 +45,7 @@
                 let total = self.numbers.entry(name.clone()).or_default();
                 *total += add;
                 let total = *total;
-                host.event(Event::CounterResponse(CounterResponse {
+                host.handle(Event::CounterResponse(CounterResponse {
                     name,
                     outcome: Outcome::Completed,
                     total,
@@ -53,7 +53,7 @@
                 }));
                 self.calls += 1;
             }
-            host.event(Event::Timer { token: 0 });
+            host.handle(Event::Timer { token: 0 });
         }
         self.busiest = self.busiest.max(self.calls - before);
     }
@@ -151,14 +151,14 @@
         for host in &mut fleet.hosts {
             host.now = fleet.now;
             for (name, _) in std::mem::take(&mut host.calls) {
-                host.event(Event::CounterResponse(CounterResponse {
+                host.handle(Event::CounterResponse(CounterResponse {
                     name,
                     outcome: Outcome::Timeout,
                     total: 0.0,
                     elapsed: 0.05,
                 }));
             }
-            host.event(Event::Timer { token: 0 });
+            host.handle(Event::Timer { token: 0 });
         }
         if n >= 600 && n % 10 == 0 {
             served += fleet.asked("hot", 1);
--- a/crates/rate-limiter/tests/quota.rs
+++ b/crates/rate-limiter/tests/quota.rs
@@ -22,7 +22,7 @@
             total_used += own_used + others_used;
             total_refused += own_refused + own * (all - 1.0) - others_used;
             let total = total_refused.round() * PACKING_BASE + total_used.round();
-            h.event(Event::CounterResponse(CounterResponse {
+            h.handle(Event::CounterResponse(CounterResponse {
                 name,
                 outcome: Outcome::Completed,
                 total,
@@ -160,7 +160,7 @@
             h.served(&format!("c{n}"), "plain", 1.0);
             for (name, total) in std::mem::take(&mut h.calls) {
                 made += 1;
-                h.event(Event::CounterResponse(CounterResponse {
+                h.handle(Event::CounterResponse(CounterResponse {
                     name,
                     outcome: Outcome::Completed,
                     total,
@@ -204,7 +204,7 @@
                 "{used} used, {refused} refused"
             );
             let total = used + refused * PACKING_BASE;
-            h.event(Event::CounterResponse(CounterResponse {
+            h.handle(Event::CounterResponse(CounterResponse {
                 name,
                 outcome: Outcome::Completed,
                 total,
@@ -224,12 +224,12 @@
     assert!(!h.served("c", "plain", 1.0));
     for _ in 0..1600 {
         h.now += 0.05;
-        h.event(Event::Timer { token: 0 });
+        h.handle(Event::Timer { token: 0 });
     }
     assert!(!h.served("c", "plain", 1.0), "80 s later, at one request per 120 s");
     for _ in 0..1600 {
         h.now += 0.05;
-        h.event(Event::Timer { token: 0 });
+        h.handle(Event::Timer { token: 0 });
     }
     assert!(h.served("c", "plain", 1.0));
 }
@@ -258,14 +258,14 @@
     let mut h = Host::new(settings());
     let name = "0123456789abcdef.10".to_string();
     assert!(h
-        .event(Event::CounterResponse(CounterResponse {
+        .handle(Event::CounterResponse(CounterResponse {
             name,
             outcome: Outcome::Completed,
             total: 5.0,
             elapsed: 0.001
         }))
         .is_empty());
-    h.event(Event::CounterResponse(CounterResponse {
+    h.handle(Event::CounterResponse(CounterResponse {
         name: "no such form".into(),
         outcome: Outcome::Completed,
         total: 5.0,
@@ -287,7 +287,7 @@
             hosts[0].now = now;
             hosts[0].limiter = Limiter::new(settings(), 8, now);
             let up = ServerState::InService;
-            hosts[0].event(Event::ServerList(vec![server_entry(EAST_1, "east", up, None)]));
+            hosts[0].handle(Event::ServerList(vec![server_entry(EAST_1, "east", up, None)]));
         }
         for h in &mut hosts {
             h.now = now;
@@ -320,7 +320,10 @@
         is_retry: false,
         deadline: h.now + 1.0,
     };
-    assert!(sent_to(&h.event(Event::Request(request))).is_some(), "a bucket of 20 / 2 units, not of 20 / 50");
+    assert!(
+        sent_to(&h.handle(Event::Request(request))).is_some(),
+        "a bucket of 20 / 2 units, not of 20 / 50"
+    );
     assert!(!h.served("c", "plain", 2.0));
 }
 
@@ -349,7 +352,7 @@
             h.served(&format!("c{}", n % 40), "plain", 1.0);
             for (name, add) in std::mem::take(&mut h.calls) {
                 called += u32::from(n >= 200);
-                h.event(Event::CounterResponse(CounterResponse { name, outcome, total: add, elapsed }));
+                h.handle(Event::CounterResponse(CounterResponse { name, outcome, total: add, elapsed }));
             }
         }
         called
--- a/crates/rate-limiter/tests/requests.rs
+++ b/crates/rate-limiter/tests/requests.rs
@@ -14,7 +14,7 @@
 #[test]
 fn requests_without_any_server_are_rejected_once() {
     let mut h = Host::new(settings());
-    h.event(Event::ServerList(Vec::new()));
+    h.handle(Event::ServerList(Vec::new()));
     let (_, out) = h.ask("c", "plain", "unsafe", 1.0);
     assert_eq!((refused(&out), failed(&out), sent_to(&out)), (1, 0, None));
 }
@@ -33,19 +33,19 @@
     let (at, token) = timer_of(&out, id, 1).expect("a timer before the deadline");
     assert!(at < h.now + 4.0 && at > h.now + 3.9, "{at}");
     h.now = at;
-    let out = h.event(Event::Timer { token });
+    let out = h.handle(Event::Timer { token });
     assert_eq!(failed(&out), 1);
     h.now += 0.01;
     let late = h.end(id, 0, Outcome::Timeout, None);
     assert_eq!((failed(&late), refused(&late), sent_to(&late)), (0, 0, None));
-    assert!(h.event(Event::Timer { token }).is_empty());
+    assert!(h.handle(Event::Timer { token }).is_empty());
 }
 
 #[test]
 fn a_client_that_disconnects_cancels_all_attempts() {
     let mut h = Host::new(settings());
     let (id, _) = h.ask("c", "plain", "read", 1.0);
-    let out = h.event(Event::ClientClosed { id });
+    let out = h.handle(Event::ClientClosed { id });
     assert_eq!((failed(&out), refused(&out)), (0, 0));
     let out = h.end(id, 0, Outcome::ConnectFailed, None);
     assert_eq!((failed(&out), refused(&out), sent_to(&out)), (0, 0, None));
@@ -89,7 +89,7 @@
     let other = if &*first == EAST_1 { EAST_2 } else { EAST_1 };
     // Both servers of the zone drain. The request may have executed, so it is neither sent to another zone
     // nor rejected, since a rejection tells the client that it can safely retry.
-    h.event(Event::ServerChanges(vec![
+    h.handle(Event::ServerChanges(vec![
         server_entry(other, "east", ServerState::Draining, None),
         server_entry(&first, "east", ServerState::Draining, None),
     ]));
@@ -122,9 +122,9 @@
     let mut h = Host::new(settings());
     let (id, out) = h.ask("c", "plain", "read", 1.0);
     let (at, token) = timer_of(&out, id, 1).expect("timer");
-    h.event(Event::StreamStarted { id });
+    h.handle(Event::StreamStarted { id });
     h.now = at;
-    assert!(h.event(Event::Timer { token }).is_empty());
+    assert!(h.handle(Event::Timer { token }).is_empty());
 }
 
 #[test]
@@ -134,11 +134,11 @@
     let late = |h: &mut Host, id: u64, out: &[Action]| {
         let (at, token) = timer_of(out, id, 2).expect("timeout");
         h.now = h.now.max(at);
-        h.event(Event::Timer { token }).iter().any(|a| matches!(a, Action::Cancel { .. }))
+        h.handle(Event::Timer { token }).iter().any(|a| matches!(a, Action::Cancel { .. }))
     };
     for answered in [true, false] {
         let mut h = Host::new(settings());
-        h.event(Event::ServerList(vec![server_entry(EAST_1, "east", ServerState::InService, None)]));
+        h.handle(Event::ServerList(vec![server_entry(EAST_1, "east", ServerState::InService, None)]));
         let (id, out) = h.ask("c", "plain", "read", 1.0);
         assert!(!late(&mut h, id, &out), "a single late attempt");
         if answered {
@@ -155,8 +155,8 @@
     // fault, so no attempt is cancelled and no server is penalized.
     let run = |stalled: bool| {
         let mut h = Host::new(settings());
-        h.event(Event::Timer { token: 0 });
-        h.event(Event::ServerList(vec![server_entry(EAST_1, "east", ServerState::InService, None)]));
+        h.handle(Event::Timer { token: 0 });
+        h.handle(Event::ServerList(vec![server_entry(EAST_1, "east", ServerState::InService, None)]));
         let mut cancels = 0;
         for n in 0..2 {
             let (id, out) = h.ask(&format!("c{n}"), "plain", "read", 1.0);
@@ -164,13 +164,16 @@
             for step in 1..=10 {
                 if !stalled {
                     h.now = h.now.max(at - 0.5 + f64::from(step) * 0.05);
-                    h.event(Event::Timer { token: 0 });
+                    h.handle(Event::Timer { token: 0 });
                 }
             }
             h.now = h.now.max(at);
-            h.event(Event::Timer { token: 0 });
-            cancels +=
-                h.event(Event::Timer { token }).iter().filter(|a| matches!(a, Action::Cancel { .. })).count();
+            h.handle(Event::Timer { token: 0 });
+            cancels += h
+                .handle(Event::Timer { token })
+                .iter()
+                .filter(|a| matches!(a, Action::Cancel { .. }))
+                .count();
         }
         cancels
     };
@@ -209,7 +212,7 @@
             if n % 3 == 0 {
                 all.extend(h.end(id, 0, Outcome::Completed, None));
             }
-            all.extend(h.event(Event::Timer { token: 0 }));
+            all.extend(h.handle(Event::Timer { token: 0 }));
         }
         all
     };
@@ -238,7 +241,7 @@
         }
         assert!(is_as_allowed(advice(&out)), "all attempts rejected: {out:?}");
         // There is no server.
-        h.event(Event::ServerList(Vec::new()));
+        h.handle(Event::ServerList(Vec::new()));
         let (_, out) = h.ask("b", "plain", "read", 1.0);
         assert!(is_as_allowed(advice(&out)), "no server: {out:?}");
         // The bucket is empty, and no totals are known.
--- a/crates/rate-limiter/tests/server_load.rs
+++ b/crates/rate-limiter/tests/server_load.rs
@@ -19,7 +19,7 @@
     let to = sent_to(&out)?.to_string();
     let report = LoadReport { queue: queue(&to), busy: Some(0.9), ..LoadReport::default() };
     let (outcome, units) = (Outcome::Completed, None);
-    h.event(Event::AttemptFinished(AttemptResult {
+    h.handle(Event::AttemptFinished(AttemptResult {
         id,
         attempt: 0,
         finished: true,
@@ -38,7 +38,7 @@
     let mut sent = BTreeMap::<String, f64>::new();
     for limiter_index in 0..100 {
         let mut h = Host::new(Settings { limiter_count: 100, limiter_index, ..settings() });
-        h.event(Event::ServerList(fleet(60, |n| if n % 2 == 0 { 3.0 } else { 2.0 })));
+        h.handle(Event::ServerList(fleet(60, |n| if n % 2 == 0 { 3.0 } else { 2.0 })));
         for n in 0..12 {
             h.now += 0.2;
             let to = serve(&mut h, n, |_| None).expect("nothing is in flight");
@@ -57,7 +57,7 @@
     let (mut users, mut widest) = (BTreeMap::<String, u32>::new(), 0);
     for limiter_index in 0..100 {
         let mut h = Host::new(Settings { limiter_count: 100, limiter_index, ..settings() });
-        h.event(Event::ServerList(fleet(60, |_| 2.0)));
+        h.handle(Event::ServerList(fleet(60, |_| 2.0)));
         let mut used: Vec<String> = Vec::new();
         for n in 0..120 {
             h.now += 0.2;
@@ -83,9 +83,9 @@
         h.now += 0.2;
         serve(&mut h, n, |_| Some(0.0));
     }
-    h.event(Event::ServerChanges(others(ServerState::Draining)));
+    h.handle(Event::ServerChanges(others(ServerState::Draining)));
     assert_eq!(serve(&mut h, 0, |_| Some(20.0)).as_deref(), Some(EAST_1));
-    h.event(Event::ServerChanges(others(up)));
+    h.handle(Event::ServerChanges(others(up)));
     let sent: Vec<_> = (0..100)
         .filter_map(|n| {
             h.now += 0.01;
@@ -130,7 +130,7 @@
             h.now += 0.02;
             serve(&mut h, n, |_| Some(0.6));
             let (id, deadline) = (10_000 + u64::from(n), h.now + 4.0);
-            let out = h.event(Event::Request(Request {
+            let out = h.handle(Event::Request(Request {
                 id,
                 tenant: format!("other{n}").as_str().into(),
                 plan: "plain".into(),
--- a/crates/rate-limiter/tests/servers.rs
+++ b/crates/rate-limiter/tests/servers.rs
@@ -6,12 +6,12 @@
 #[test]
 fn draining_and_removed_servers_get_no_new_requests() {
     let mut h = Host::new(settings());
-    h.event(Event::ServerChanges(vec![server_entry(EAST_1, "east", ServerState::Draining, None)]));
+    h.handle(Event::ServerChanges(vec![server_entry(EAST_1, "east", ServerState::Draining, None)]));
     // The requests stay open, so that the next one would go to an idle server.
     let sent: Vec<_> =
         (0..4).filter_map(|n| sent_to(&h.ask(&format!("c{n}"), "plain", "read", 1.0).1)).collect();
     assert!(sent.len() > 1 && sent.iter().all(|s| &**s != EAST_1), "{sent:?}");
-    h.event(Event::ServerList(vec![server_entry(WEST_1, "west", ServerState::InService, None)]));
+    h.handle(Event::ServerList(vec![server_entry(WEST_1, "west", ServerState::InService, None)]));
     let sent: Vec<_> =
         (0..4).filter_map(|n| sent_to(&h.ask(&format!("d{n}"), "plain", "read", 1.0).1)).collect();
     assert!(sent.iter().all(|s| &**s == WEST_1), "{sent:?}");
@@ -21,7 +21,7 @@
 fn sends_to_a_cold_server_are_limited_in_each_overload_window() {
     let mut h = Host::new(settings());
     let up = ServerState::InService;
-    h.event(Event::ServerList(vec![
+    h.handle(Event::ServerList(vec![
         server_entry(EAST_1, "east", up, None),
         server_entry(EAST_2, "east", up, Some(100.0)),
     ]));
@@ -89,20 +89,20 @@
     // Guards against hung attempts (incident ief87c6): each would fill a small in-flight limit until its
     // client disconnected.
     let mut h = Host::new(Settings { limiter_count: 4, ..settings() });
-    h.event(Event::ServerList(vec![server_entry(EAST_1, "east", ServerState::InService, None)]));
+    h.handle(Event::ServerList(vec![server_entry(EAST_1, "east", ServerState::InService, None)]));
     let (id, out) = h.ask("c", "plain", "unsafe", 1.0);
     assert!(sent_to(&out).is_some());
     assert!(sent_to(&h.ask("c", "plain", "unsafe", 1.0).1).is_some());
     assert!(!h.served("d", "plain", 1.0), "the in-flight limit of two is reached");
     h.now += 0.6;
-    let out = h.event(Event::Timer { token: id * 4 + 2 });
+    let out = h.handle(Event::Timer { token: id * 4 + 2 });
     let at = out.iter().find_map(|a| match a {
         Action::SetTimer { at, .. } => Some(*at),
         _ => None,
     });
     assert!(!h.served("d", "plain", 1.0));
     h.now = at.expect("a second timer for the slow attempt");
-    h.event(Event::Timer { token: id * 4 + 2 });
+    h.handle(Event::Timer { token: id * 4 + 2 });
     assert!(h.served("d", "plain", 1.0));
 }
 
@@ -114,7 +114,7 @@
         let mut sent = 0;
         for limiter_index in 0..limiter_count {
             let mut h = Host::new(Settings { limiter_count, limiter_index, ..settings() });
-            h.event(Event::ServerList(vec![server_entry(
+            h.handle(Event::ServerList(vec![server_entry(
                 EAST_2,
                 "east",
                 ServerState::InService,
@@ -136,7 +136,7 @@
     // others.
     let mut h = Host::new(settings());
     let up = ServerState::InService;
-    h.event(Event::ServerList(vec![
+    h.handle(Event::ServerList(vec![
         server_entry(EAST_1, "east", up, None),
         server_entry(EAST_2, "east", up, None),
     ]));
@@ -149,8 +149,8 @@
             if class == "unsafe" && &*to == EAST_1 {
                 unsafe_at_a += u32::from(n >= 20);
                 h.now += 0.7;
-                h.event(Event::Timer { token: id * 4 + 2 });
-                h.event(Event::ClientClosed { id });
+                h.handle(Event::Timer { token: id * 4 + 2 });
+                h.handle(Event::ClientClosed { id });
                 h.end(id, 0, Outcome::Timeout, None);
             } else {
                 h.end(id, 0, Outcome::Completed, None);
@@ -158,7 +158,7 @@
         }
     }
     assert!(unsafe_at_a <= 4, "{unsafe_at_a} of 40 requests of the class without responses");
-    h.event(Event::ServerChanges(vec![server_entry(EAST_2, "east", ServerState::Draining, None)]));
+    h.handle(Event::ServerChanges(vec![server_entry(EAST_2, "east", ServerState::Draining, None)]));
     assert_eq!(
         sent_to(&h.ask("z", "plain", "read", 1.0).1).as_deref(),
         Some(EAST_1),
@@ -193,14 +193,14 @@
         for empty in [true, false] {
             let mut h = Host::new(set.clone());
             if empty {
-                h.event(Event::ServerList(Vec::new()));
+                h.handle(Event::ServerList(Vec::new()));
             } else {
                 let cold = server_entry(EAST_2, "east", ServerState::InService, Some(100.0));
-                h.event(Event::ServerList(vec![cold]));
+                h.handle(Event::ServerList(vec![cold]));
             }
             for n in 0..50 {
                 h.now += if n == 25 { 90.0 } else { 0.3 };
-                h.event(Event::Timer { token: 0 });
+                h.handle(Event::Timer { token: 0 });
                 let (id, out) = h.ask("c", "plain", "read", f64::from(n % 5) - 1.0);
                 assert!(refused(&out) + usize::from(sent_to(&out).is_some()) == 1);
                 if sent_to(&out).is_some() {
