--- a/crates/rate-limiter/tests/common/mod.rs
+++ b/crates/rate-limiter/tests/common/mod.rs
@@ -109,7 +109,7 @@
         out
     }
 
-    pub fn ask(&mut self, tenant: &str, plan: &str, class: &str, units: f64) -> (u64, Vec<Action>) {
+    pub fn submit(&mut self, tenant: &str, plan: &str, class: &str, units: f64) -> (u64, Vec<Action>) {
         self.ask_marked(tenant, plan, class, units, false)
     }
 
@@ -151,7 +151,7 @@
 
     /// Submits a request and completes its attempt immediately. Returns whether the request was sent.
     pub fn served(&mut self, tenant: &str, plan: &str, units: f64) -> bool {
-        let (id, out) = self.ask(tenant, plan, "read", units);
+        let (id, out) = self.submit(tenant, plan, "read", units);
         let sent = sent_to(&out).is_some();
         if sent {
             self.end(id, 0, Outcome::Completed, None);
--- a/crates/rate-limiter/tests/requests.rs
+++ b/crates/rate-limiter/tests/requests.rs
@@ -15,21 +15,21 @@
 fn requests_without_any_server_are_rejected_once() {
     let mut h = Host::new(settings());
     h.handle(Event::ServerList(Vec::new()));
-    let (_, out) = h.ask("c", "plain", "unsafe", 1.0);
+    let (_, out) = h.submit("c", "plain", "unsafe", 1.0);
     assert_eq!((refused(&out), failed(&out), sent_to(&out)), (1, 0, None));
 }
 
 #[test]
 fn unknown_class_or_plan_is_rejected_once() {
     let mut h = Host::new(settings());
-    assert_eq!(refused(&h.ask("c", "no such plan", "read", 1.0).1), 1);
-    assert_eq!(refused(&h.ask("c", "plain", "no such class", 1.0).1), 1);
+    assert_eq!(refused(&h.submit("c", "no such plan", "read", 1.0).1), 1);
+    assert_eq!(refused(&h.submit("c", "plain", "no such class", 1.0).1), 1);
 }
 
 #[test]
 fn a_request_without_a_response_fails_once_just_before_its_deadline() {
     let mut h = Host::new(settings());
-    let (id, out) = h.ask("c", "plain", "read", 1.0);
+    let (id, out) = h.submit("c", "plain", "read", 1.0);
     let (at, token) = timer_of(&out, id, 1).expect("a timer before the deadline");
     assert!(at < h.now + 4.0 && at > h.now + 3.9, "{at}");
     h.now = at;
@@ -44,7 +44,7 @@
 #[test]
 fn a_client_that_disconnects_cancels_all_attempts() {
     let mut h = Host::new(settings());
-    let (id, _) = h.ask("c", "plain", "read", 1.0);
+    let (id, _) = h.submit("c", "plain", "read", 1.0);
     let out = h.handle(Event::ClientClosed { id });
     assert_eq!((failed(&out), refused(&out)), (0, 0));
     let out = h.end(id, 0, Outcome::ConnectFailed, None);
@@ -55,12 +55,12 @@
 fn non_idempotent_requests_are_retried_only_if_they_were_not_executed() {
     for outcome in [Outcome::Rejected, Outcome::ConnectFailed] {
         let mut h = Host::new(settings());
-        let (id, _) = h.ask("c", "plain", "unsafe", 1.0);
+        let (id, _) = h.submit("c", "plain", "unsafe", 1.0);
         assert!(sent_to(&h.end(id, 0, outcome, None)).is_some(), "{outcome:?}");
     }
     for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Cancelled] {
         let mut h = Host::new(settings());
-        let (id, _) = h.ask("c", "plain", "unsafe", 1.0);
+        let (id, _) = h.submit("c", "plain", "unsafe", 1.0);
         let out = h.end(id, 0, outcome, None);
         assert_eq!((sent_to(&out), refused(&out), failed(&out)), (None, 0, 1), "{outcome:?}");
     }
@@ -70,7 +70,7 @@
 fn idempotent_requests_are_retried_after_any_failure_up_to_max_attempts() {
     for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Rejected] {
         let mut h = Host::new(settings());
-        let (id, out) = h.ask("c", "plain", "read", 1.0);
+        let (id, out) = h.submit("c", "plain", "read", 1.0);
         let first = sent_to(&out);
         let out = h.end(id, 0, outcome, None);
         assert!(sent_to(&out).is_some() && sent_to(&out) != first, "{outcome:?}");
@@ -84,7 +84,7 @@
 #[test]
 fn keyed_requests_are_retried_only_within_their_scope_and_deduplication_window() {
     let mut h = Host::new(settings());
-    let (id, out) = h.ask("c", "plain", "keyed-zone", 1.0);
+    let (id, out) = h.submit("c", "plain", "keyed-zone", 1.0);
     let first = sent_to(&out).expect("sent");
     let other = if &*first == EAST_1 { EAST_2 } else { EAST_1 };
     // Both servers of the zone drain. The request may have executed, so it is neither sent to another zone
@@ -97,11 +97,11 @@
     assert_eq!((sent_to(&out), refused(&out), failed(&out)), (None, 0, 1));
 
     let mut h = Host::new(settings());
-    let (id, _) = h.ask("c", "plain", "keyed-all", 1.0);
+    let (id, _) = h.submit("c", "plain", "keyed-all", 1.0);
     h.now += 1.9;
     let out = h.end(id, 0, Outcome::Reset, None);
     assert_eq!((sent_to(&out), refused(&out)), (None, 1), "too close to the end of the deduplication window");
-    let (id, _) = h.ask("c", "plain", "keyed-all", 1.0);
+    let (id, _) = h.submit("c", "plain", "keyed-all", 1.0);
     h.now += 0.5;
     assert!(sent_to(&h.end(id, 0, Outcome::Reset, None)).is_some());
 }
@@ -109,18 +109,18 @@
 #[test]
 fn the_in_flight_limit_of_a_plan_rejects_at_once_until_an_attempt_completes() {
     let mut h = Host::new(settings());
-    let (first, out) = h.ask("c", "capped", "read", 1.0);
+    let (first, out) = h.submit("c", "capped", "read", 1.0);
     assert!(sent_to(&out).is_some());
-    let (_, out) = h.ask("c", "capped", "read", 1.0);
+    let (_, out) = h.submit("c", "capped", "read", 1.0);
     assert!(sent_to(&out).is_none() && refused(&out) == 1, "two in flight over two limiters are one each");
     h.end(first, 0, Outcome::Completed, None);
-    assert!(sent_to(&h.ask("c", "capped", "read", 1.0).1).is_some());
+    assert!(sent_to(&h.submit("c", "capped", "read", 1.0).1).is_some());
 }
 
 #[test]
 fn a_streamed_response_has_no_deadline() {
     let mut h = Host::new(settings());
-    let (id, out) = h.ask("c", "plain", "read", 1.0);
+    let (id, out) = h.submit("c", "plain", "read", 1.0);
     let (at, token) = timer_of(&out, id, 1).expect("timer");
     h.handle(Event::StreamStarted { id });
     h.now = at;
@@ -139,12 +139,12 @@
     for answered in [true, false] {
         let mut h = Host::new(settings());
         h.handle(Event::ServerList(vec![server_entry(EAST_1, "east", ServerState::InService, None)]));
-        let (id, out) = h.ask("c", "plain", "read", 1.0);
+        let (id, out) = h.submit("c", "plain", "read", 1.0);
         assert!(!late(&mut h, id, &out), "a single late attempt");
         if answered {
             h.end(id, 0, Outcome::Completed, None);
         }
-        let (id, out) = h.ask("d", "plain", "read", 1.0);
+        let (id, out) = h.submit("d", "plain", "read", 1.0);
         assert_eq!(late(&mut h, id, &out), !answered);
     }
 }
@@ -159,7 +159,7 @@
         h.handle(Event::ServerList(vec![server_entry(EAST_1, "east", ServerState::InService, None)]));
         let mut cancels = 0;
         for n in 0..2 {
-            let (id, out) = h.ask(&format!("c{n}"), "plain", "read", 1.0);
+            let (id, out) = h.submit(&format!("c{n}"), "plain", "read", 1.0);
             let (at, token) = timer_of(&out, id, 2).expect("timeout");
             for step in 1..=10 {
                 if !stalled {
@@ -207,7 +207,7 @@
         let mut all = Vec::new();
         for n in 0..200u64 {
             h.now += 0.01;
-            let (id, out) = h.ask(&format!("c{}", n % 7), "plain", "read", 1.0);
+            let (id, out) = h.submit(&format!("c{}", n % 7), "plain", "read", 1.0);
             all.extend(out);
             if n % 3 == 0 {
                 all.extend(h.end(id, 0, Outcome::Completed, None));
@@ -232,7 +232,7 @@
         let set = Settings { may_send_retry_after, max_retry_after: 2.0, ..settings() };
         // All attempts of the request were rejected.
         let mut h = Host::new(set.clone());
-        let (id, mut out) = h.ask("a", "plain", "read", 1.0);
+        let (id, mut out) = h.submit("a", "plain", "read", 1.0);
         for n in 0.. {
             if sent_to(&out).is_none() {
                 break;
@@ -242,11 +242,11 @@
         assert!(is_as_allowed(advice(&out)), "all attempts rejected: {out:?}");
         // There is no server.
         h.handle(Event::ServerList(Vec::new()));
-        let (_, out) = h.ask("b", "plain", "read", 1.0);
+        let (_, out) = h.submit("b", "plain", "read", 1.0);
         assert!(is_as_allowed(advice(&out)), "no server: {out:?}");
         // The bucket is empty, and no totals are known.
         let mut h = Host::new(set);
-        let out = (0..200).map(|_| h.ask("c", "plain", "read", 4.0).1).find(|out| refused(out) > 0);
+        let out = (0..200).map(|_| h.submit("c", "plain", "read", 4.0).1).find(|out| refused(out) > 0);
         assert!(is_as_allowed(out.and_then(|out| advice(&out))), "empty bucket");
     }
 }
--- a/crates/rate-limiter/tests/server_load.rs
+++ b/crates/rate-limiter/tests/server_load.rs
@@ -15,7 +15,7 @@
 /// Submits a request and completes it with a report of the server's queue length. Returns the server, or
 /// `None` if the request was rejected.
 fn serve(h: &mut Host, n: u32, queue: impl Fn(&str) -> Option<f64>) -> Option<String> {
-    let (id, out) = h.ask(&format!("c{n}"), "free", "read", 1.0);
+    let (id, out) = h.submit(&format!("c{n}"), "free", "read", 1.0);
     let to = sent_to(&out)?.to_string();
     let report = LoadReport { queue: queue(&to), busy: Some(0.9), ..LoadReport::default() };
     let (outcome, units) = (Outcome::Completed, None);
--- a/crates/rate-limiter/tests/servers.rs
+++ b/crates/rate-limiter/tests/servers.rs
@@ -9,11 +9,11 @@
     h.handle(Event::ServerChanges(vec![server_entry(EAST_1, "east", ServerState::Draining, None)]));
     // The requests stay open, so that the next one would go to an idle server.
     let sent: Vec<_> =
-        (0..4).filter_map(|n| sent_to(&h.ask(&format!("c{n}"), "plain", "read", 1.0).1)).collect();
+        (0..4).filter_map(|n| sent_to(&h.submit(&format!("c{n}"), "plain", "read", 1.0).1)).collect();
     assert!(sent.len() > 1 && sent.iter().all(|s| &**s != EAST_1), "{sent:?}");
     h.handle(Event::ServerList(vec![server_entry(WEST_1, "west", ServerState::InService, None)]));
     let sent: Vec<_> =
-        (0..4).filter_map(|n| sent_to(&h.ask(&format!("d{n}"), "plain", "read", 1.0).1)).collect();
+        (0..4).filter_map(|n| sent_to(&h.submit(&format!("d{n}"), "plain", "read", 1.0).1)).collect();
     assert!(sent.iter().all(|s| &**s == WEST_1), "{sent:?}");
 }
 
@@ -29,7 +29,7 @@
     let mut out_now = std::collections::VecDeque::new();
     for n in 0..2000 {
         h.now += 0.005;
-        let (id, out) = h.ask(&format!("c{n}"), "plain", "read", 1.0);
+        let (id, out) = h.submit(&format!("c{n}"), "plain", "read", 1.0);
         if sent_to(&out).as_deref() == Some(EAST_2) {
             sends.push(h.now);
         }
@@ -56,7 +56,7 @@
     let mut to_a = 0;
     for n in 0..10 {
         h.now += 0.01;
-        let (id, out) = h.ask(&format!("c{n}"), "plain", "unsafe", 1.0);
+        let (id, out) = h.submit(&format!("c{n}"), "plain", "unsafe", 1.0);
         let at_a = sent_to(&out).as_deref() == Some(EAST_1);
         to_a += usize::from(at_a);
         if at_a {
@@ -69,7 +69,7 @@
     let mut sent = 0;
     for n in 0..60 {
         h.now += 0.01;
-        let (id, out) = h.ask(&format!("c{n}"), "plain", "unsafe", 1.0);
+        let (id, out) = h.submit(&format!("c{n}"), "plain", "unsafe", 1.0);
         sent += usize::from(sent_to(&out).is_some());
         h.end(id, 0, Outcome::Reset, None);
     }
@@ -80,7 +80,7 @@
 fn attempts_in_flight_at_a_server_are_limited() {
     let mut h = Host::new(settings());
     let sent =
-        (0..100).filter(|n| sent_to(&h.ask(&format!("c{n}"), "plain", "read", 1.0).1).is_some()).count();
+        (0..100).filter(|n| sent_to(&h.submit(&format!("c{n}"), "plain", "read", 1.0).1).is_some()).count();
     assert!((3..=30).contains(&sent), "{sent} in flight at three servers that have not responded yet");
 }
 
@@ -90,9 +90,9 @@
     // client disconnected.
     let mut h = Host::new(Settings { limiter_count: 4, ..settings() });
     h.handle(Event::ServerList(vec![server_entry(EAST_1, "east", ServerState::InService, None)]));
-    let (id, out) = h.ask("c", "plain", "unsafe", 1.0);
+    let (id, out) = h.submit("c", "plain", "unsafe", 1.0);
     assert!(sent_to(&out).is_some());
-    assert!(sent_to(&h.ask("c", "plain", "unsafe", 1.0).1).is_some());
+    assert!(sent_to(&h.submit("c", "plain", "unsafe", 1.0).1).is_some());
     assert!(!h.served("d", "plain", 1.0), "the in-flight limit of two is reached");
     h.now += 0.6;
     let out = h.handle(Event::Timer { token: id * 4 + 2 });
@@ -144,7 +144,7 @@
     for n in 0..60 {
         for class in ["unsafe", "read"] {
             h.now += 0.05;
-            let (id, out) = h.ask(&format!("{class}{n}"), "plain", class, 1.0);
+            let (id, out) = h.submit(&format!("{class}{n}"), "plain", class, 1.0);
             let Some(to) = sent_to(&out) else { continue };
             if class == "unsafe" && &*to == EAST_1 {
                 unsafe_at_a += u32::from(n >= 20);
@@ -160,7 +160,7 @@
     assert!(unsafe_at_a <= 4, "{unsafe_at_a} of 40 requests of the class without responses");
     h.handle(Event::ServerChanges(vec![server_entry(EAST_2, "east", ServerState::Draining, None)]));
     assert_eq!(
-        sent_to(&h.ask("z", "plain", "read", 1.0).1).as_deref(),
+        sent_to(&h.submit("z", "plain", "read", 1.0).1).as_deref(),
         Some(EAST_1),
         "it still serves the other classes"
     );
@@ -201,7 +201,7 @@
             for n in 0..50 {
                 h.now += if n == 25 { 90.0 } else { 0.3 };
                 h.handle(Event::Timer { token: 0 });
-                let (id, out) = h.ask("c", "plain", "read", f64::from(n % 5) - 1.0);
+                let (id, out) = h.submit("c", "plain", "read", f64::from(n % 5) - 1.0);
                 assert!(refused(&out) + usize::from(sent_to(&out).is_some()) == 1);
                 if sent_to(&out).is_some() {
                     h.end(id, 0, Outcome::Error, Some(-1.0));
