--- a/crates/rate-limiter/tests/common/mod.rs
+++ b/crates/rate-limiter/tests/common/mod.rs
@@ -110,10 +110,10 @@
     }
 
     pub fn submit(&mut self, tenant: &str, plan: &str, class: &str, units: f64) -> (u64, Vec<Action>) {
-        self.ask_marked(tenant, plan, class, units, false)
+        self.submit_with_retry_mark(tenant, plan, class, units, false)
     }
 
-    pub fn ask_marked(
+    pub fn submit_with_retry_mark(
         &mut self,
         tenant: &str,
         plan: &str,
--- a/crates/rate-limiter/tests/quota.rs
+++ b/crates/rate-limiter/tests/quota.rs
@@ -373,7 +373,9 @@
 
 #[test]
 fn none_of_hundreds_of_limiters_admits_a_retry_without_totals() {
-    let ask = |h: &mut Host, customer, is_retry| h.ask_marked(customer, "plain", "read", 1.0, is_retry).1;
+    let ask = |h: &mut Host, customer, is_retry| {
+        h.submit_with_retry_mark(customer, "plain", "read", 1.0, is_retry).1
+    };
     let mut h = among_hundreds();
     assert!(sent_to(&ask(&mut h, "a", false)).is_some(), "a new tenant has a full bucket");
     let out = ask(&mut h, "b", true);
