--- a/crates/rate-limiter/tests/common/mod.rs
+++ b/crates/rate-limiter/tests/common/mod.rs
@@ -135,7 +135,13 @@
         (self.next, self.handle(Event::Request(request)))
     }
 
-    pub fn end(&mut self, id: u64, attempt: u32, outcome: Outcome, units: Option<f64>) -> Vec<Action> {
+    pub fn end_attempt(
+        &mut self,
+        id: u64,
+        attempt: u32,
+        outcome: Outcome,
+        units: Option<f64>,
+    ) -> Vec<Action> {
         let finished = outcome == Outcome::Completed;
         let report = LoadReport::default();
         self.handle(Event::AttemptFinished(AttemptResult {
@@ -154,7 +160,7 @@
         let (id, out) = self.submit(tenant, plan, "read", units);
         let sent = sent_to(&out).is_some();
         if sent {
-            self.end(id, 0, Outcome::Completed, None);
+            self.end_attempt(id, 0, Outcome::Completed, None);
         }
         sent
     }
--- a/crates/rate-limiter/tests/quota.rs
+++ b/crates/rate-limiter/tests/quota.rs
@@ -87,7 +87,7 @@
 fn corrected_units_may_make_the_bucket_negative() {
     let mut h = Host::new(Settings { post_paid: true, ..settings() });
     let (id, _) = h.submit("c", "plain", "read", 1.0);
-    h.end(id, 0, Outcome::Completed, Some(14.0));
+    h.end_attempt(id, 0, Outcome::Completed, Some(14.0));
     assert!(!h.served("c", "plain", 1.0));
     h.now += 0.9; // The bucket holds -4 + 4.5 units, which is less than 1.
     assert!(!h.served("c", "plain", 1.0));
--- a/crates/rate-limiter/tests/requests.rs
+++ b/crates/rate-limiter/tests/requests.rs
@@ -36,7 +36,7 @@
     let out = h.handle(Event::Timer { token });
     assert_eq!(failed(&out), 1);
     h.now += 0.01;
-    let late = h.end(id, 0, Outcome::Timeout, None);
+    let late = h.end_attempt(id, 0, Outcome::Timeout, None);
     assert_eq!((failed(&late), refused(&late), sent_to(&late)), (0, 0, None));
     assert!(h.handle(Event::Timer { token }).is_empty());
 }
@@ -47,7 +47,7 @@
     let (id, _) = h.submit("c", "plain", "read", 1.0);
     let out = h.handle(Event::ClientClosed { id });
     assert_eq!((failed(&out), refused(&out)), (0, 0));
-    let out = h.end(id, 0, Outcome::ConnectFailed, None);
+    let out = h.end_attempt(id, 0, Outcome::ConnectFailed, None);
     assert_eq!((failed(&out), refused(&out), sent_to(&out)), (0, 0, None));
 }
 
@@ -56,12 +56,12 @@
     for outcome in [Outcome::Rejected, Outcome::ConnectFailed] {
         let mut h = Host::new(settings());
         let (id, _) = h.submit("c", "plain", "unsafe", 1.0);
-        assert!(sent_to(&h.end(id, 0, outcome, None)).is_some(), "{outcome:?}");
+        assert!(sent_to(&h.end_attempt(id, 0, outcome, None)).is_some(), "{outcome:?}");
     }
     for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Cancelled] {
         let mut h = Host::new(settings());
         let (id, _) = h.submit("c", "plain", "unsafe", 1.0);
-        let out = h.end(id, 0, outcome, None);
+        let out = h.end_attempt(id, 0, outcome, None);
         assert_eq!((sent_to(&out), refused(&out), failed(&out)), (None, 0, 1), "{outcome:?}");
     }
 }
@@ -72,11 +72,11 @@
         let mut h = Host::new(settings());
         let (id, out) = h.submit("c", "plain", "read", 1.0);
         let first = sent_to(&out);
-        let out = h.end(id, 0, outcome, None);
+        let out = h.end_attempt(id, 0, outcome, None);
         assert!(sent_to(&out).is_some() && sent_to(&out) != first, "{outcome:?}");
-        h.end(id, 1, outcome, None);
-        h.end(id, 2, outcome, None);
-        let out = h.end(id, 3, outcome, None);
+        h.end_attempt(id, 1, outcome, None);
+        h.end_attempt(id, 2, outcome, None);
+        let out = h.end_attempt(id, 3, outcome, None);
         assert_eq!((sent_to(&out), refused(&out) + failed(&out)), (None, 1), "{outcome:?}");
     }
 }
@@ -93,17 +93,17 @@
         server_entry(other, "east", ServerState::Draining, None),
         server_entry(&first, "east", ServerState::Draining, None),
     ]));
-    let out = h.end(id, 0, Outcome::Reset, None);
+    let out = h.end_attempt(id, 0, Outcome::Reset, None);
     assert_eq!((sent_to(&out), refused(&out), failed(&out)), (None, 0, 1));
 
     let mut h = Host::new(settings());
     let (id, _) = h.submit("c", "plain", "keyed-all", 1.0);
     h.now += 1.9;
-    let out = h.end(id, 0, Outcome::Reset, None);
+    let out = h.end_attempt(id, 0, Outcome::Reset, None);
     assert_eq!((sent_to(&out), refused(&out)), (None, 1), "too close to the end of the deduplication window");
     let (id, _) = h.submit("c", "plain", "keyed-all", 1.0);
     h.now += 0.5;
-    assert!(sent_to(&h.end(id, 0, Outcome::Reset, None)).is_some());
+    assert!(sent_to(&h.end_attempt(id, 0, Outcome::Reset, None)).is_some());
 }
 
 #[test]
@@ -113,7 +113,7 @@
     assert!(sent_to(&out).is_some());
     let (_, out) = h.submit("c", "capped", "read", 1.0);
     assert!(sent_to(&out).is_none() && refused(&out) == 1, "two in flight over two limiters are one each");
-    h.end(first, 0, Outcome::Completed, None);
+    h.end_attempt(first, 0, Outcome::Completed, None);
     assert!(sent_to(&h.submit("c", "capped", "read", 1.0).1).is_some());
 }
 
@@ -142,7 +142,7 @@
         let (id, out) = h.submit("c", "plain", "read", 1.0);
         assert!(!late(&mut h, id, &out), "a single late attempt");
         if answered {
-            h.end(id, 0, Outcome::Completed, None);
+            h.end_attempt(id, 0, Outcome::Completed, None);
         }
         let (id, out) = h.submit("d", "plain", "read", 1.0);
         assert_eq!(late(&mut h, id, &out), !answered);
@@ -210,7 +210,7 @@
             let (id, out) = h.submit(&format!("c{}", n % 7), "plain", "read", 1.0);
             all.extend(out);
             if n % 3 == 0 {
-                all.extend(h.end(id, 0, Outcome::Completed, None));
+                all.extend(h.end_attempt(id, 0, Outcome::Completed, None));
             }
             all.extend(h.handle(Event::Timer { token: 0 }));
         }
@@ -237,7 +237,7 @@
             if sent_to(&out).is_none() {
                 break;
             }
-            out = h.end(id, n, Outcome::Rejected, None);
+            out = h.end_attempt(id, n, Outcome::Rejected, None);
         }
         assert!(is_as_allowed(advice(&out)), "all attempts rejected: {out:?}");
         // There is no server.
--- a/crates/rate-limiter/tests/server_load.rs
+++ b/crates/rate-limiter/tests/server_load.rs
@@ -142,7 +142,7 @@
             }));
             refused += common::refused(&out);
             if sent_to(&out).is_some() {
-                h.end(id, 0, Outcome::Completed, None);
+                h.end_attempt(id, 0, Outcome::Completed, None);
             }
         }
         refused
--- a/crates/rate-limiter/tests/servers.rs
+++ b/crates/rate-limiter/tests/servers.rs
@@ -36,7 +36,7 @@
         out_now.push_back(id);
         if out_now.len() > 12 {
             let id = out_now.pop_front().expect("one");
-            h.end(id, 0, Outcome::Completed, None);
+            h.end_attempt(id, 0, Outcome::Completed, None);
         }
     }
     assert!(!sends.is_empty(), "the cold server gets some requests");
@@ -60,7 +60,7 @@
         let at_a = sent_to(&out).as_deref() == Some(EAST_1);
         to_a += usize::from(at_a);
         if at_a {
-            h.end(id, 0, Outcome::Reset, None);
+            h.end_attempt(id, 0, Outcome::Reset, None);
         }
     }
     assert!((1..=4).contains(&to_a), "{to_a} sent to a failing server");
@@ -71,7 +71,7 @@
         h.now += 0.01;
         let (id, out) = h.submit(&format!("c{n}"), "plain", "unsafe", 1.0);
         sent += usize::from(sent_to(&out).is_some());
-        h.end(id, 0, Outcome::Reset, None);
+        h.end_attempt(id, 0, Outcome::Reset, None);
     }
     assert!(sent > 20, "some servers are never ejected: {sent} sent");
 }
@@ -151,9 +151,9 @@
                 h.now += 0.7;
                 h.handle(Event::Timer { token: id * 4 + 2 });
                 h.handle(Event::ClientClosed { id });
-                h.end(id, 0, Outcome::Timeout, None);
+                h.end_attempt(id, 0, Outcome::Timeout, None);
             } else {
-                h.end(id, 0, Outcome::Completed, None);
+                h.end_attempt(id, 0, Outcome::Completed, None);
             }
         }
     }
@@ -204,7 +204,7 @@
                 let (id, out) = h.submit("c", "plain", "read", f64::from(n % 5) - 1.0);
                 assert!(refused(&out) + usize::from(sent_to(&out).is_some()) == 1);
                 if sent_to(&out).is_some() {
-                    h.end(id, 0, Outcome::Error, Some(-1.0));
+                    h.end_attempt(id, 0, Outcome::Error, Some(-1.0));
                 }
                 h.count(|_| (Outcome::Completed, -3.0));
             }
