--- a/crates/rate-limiter/tests/common/mod.rs
+++ b/crates/rate-limiter/tests/common/mod.rs
@@ -156,7 +156,7 @@
     }
 
     /// Submits a request and completes its attempt immediately. Returns whether the request was sent.
-    pub fn served(&mut self, tenant: &str, plan: &str, units: f64) -> bool {
+    pub fn serve(&mut self, tenant: &str, plan: &str, units: f64) -> bool {
         let (id, out) = self.submit(tenant, plan, "read", units);
         let sent = sent_to(&out).is_some();
         if sent {
@@ -167,7 +167,7 @@
 
     /// Serves requests of one unit until one is rejected, at most 200. Returns the number of requests served.
     pub fn burst(&mut self, tenant: &str, plan: &str) -> u32 {
-        (0..200).take_while(|_| self.served(tenant, plan, 1.0)).count() as u32
+        (0..200).take_while(|_| self.serve(tenant, plan, 1.0)).count() as u32
     }
 
     /// Responds to each pending counter call after 1 ms. `answer` returns the outcome and the total for the
@@ -190,7 +190,7 @@
     pub fn warm(mut self) -> Self {
         for _ in 0..100 {
             self.now += 0.6;
-            self.served("warm", "plain", 0.1);
+            self.serve("warm", "plain", 0.1);
             self.count(|add| (Outcome::Completed, add));
         }
         self
--- a/crates/rate-limiter/tests/heavy_hitters.rs
+++ b/crates/rate-limiter/tests/heavy_hitters.rs
@@ -61,9 +61,8 @@
     /// Submits requests of one unit, each at a random limiter. Returns the number of units that were sent to
     /// servers.
     fn asked(&mut self, customer: &str, requests: u32) -> u32 {
-        (0..requests)
-            .filter(|_| self.hosts[self.rng.usize(..LIMITERS)].served(customer, "plain", 1.0))
-            .count() as u32
+        (0..requests).filter(|_| self.hosts[self.rng.usize(..LIMITERS)].serve(customer, "plain", 1.0)).count()
+            as u32
     }
 }
 
--- a/crates/rate-limiter/tests/quota.rs
+++ b/crates/rate-limiter/tests/quota.rs
@@ -11,7 +11,7 @@
     let (mut name_now, mut total_refused, mut total_used) = (String::new(), 0.0f64, 0.0f64);
     for _ in 0..170 {
         h.now += 0.1;
-        h.served(customer, "plain", 1.0);
+        h.serve(customer, "plain", 1.0);
         for (name, add) in std::mem::take(&mut h.calls) {
             if name != name_now {
                 (name_now, total_refused, total_used) = (name.clone(), 0.0, 0.0);
@@ -75,7 +75,7 @@
 #[test]
 fn tokens_are_kept_when_the_share_shrinks() {
     let mut h = Host::new(settings()).warm();
-    assert!(h.served("c", "plain", 1.0));
+    assert!(h.serve("c", "plain", 1.0));
     h.now += 0.2;
     // The other limiters have a hundred times the demand. The share shrinks to a hundredth at once, and the
     // tokens are kept.
@@ -88,11 +88,11 @@
     let mut h = Host::new(Settings { post_paid: true, ..settings() });
     let (id, _) = h.submit("c", "plain", "read", 1.0);
     h.end_attempt(id, 0, Outcome::Completed, Some(14.0));
-    assert!(!h.served("c", "plain", 1.0));
+    assert!(!h.serve("c", "plain", 1.0));
     h.now += 0.9; // The bucket holds -4 + 4.5 units, which is less than 1.
-    assert!(!h.served("c", "plain", 1.0));
+    assert!(!h.serve("c", "plain", 1.0));
     h.now += 0.2;
-    assert!(h.served("c", "plain", 1.0));
+    assert!(h.serve("c", "plain", 1.0));
 }
 
 #[test]
@@ -100,7 +100,7 @@
     let mut h = Host::new(settings()).warm();
     let last = settle(&mut h, "c", 4.0, 4.0);
     h.now += 1.2;
-    h.served("c", "plain", 1.0);
+    h.serve("c", "plain", 1.0);
     // The total has not even grown by this limiter's own units, so the even share of 5 applies.
     assert_eq!(h.count(|_| (Outcome::Completed, last)), 1);
     assert_eq!(rate(&mut h, "c"), 5);
@@ -110,11 +110,11 @@
 fn a_report_is_repeated_after_a_rejection_but_not_after_a_timeout() {
     for (outcome, again) in [(Outcome::Timeout, 0.0), (Outcome::Rejected, 1.0)] {
         let mut h = Host::new(settings()).warm();
-        h.served("c", "plain", 1.0);
+        h.serve("c", "plain", 1.0);
         assert_eq!(h.count(|_| (outcome, 0.0)), 1);
         h.now += 1.2;
         while h.calls.is_empty() {
-            h.served("c", "plain", 0.0);
+            h.serve("c", "plain", 0.0);
         }
         assert_eq!(h.calls[0].1 % PACKING_BASE, again, "{outcome:?}");
     }
@@ -124,14 +124,14 @@
 fn an_unresponsive_counter_is_called_rarely_and_even_shares_apply() {
     let mut h = Host::new(settings()).warm();
     for n in 0..50 {
-        h.served(&format!("c{n}"), "plain", 1.0);
+        h.serve(&format!("c{n}"), "plain", 1.0);
     }
     assert_eq!(h.count(|_| (Outcome::Timeout, 0.0)), 50);
     let mut calls = 0;
     for _ in 0..100 {
         h.now += 0.1;
         for n in 0..50 {
-            h.served(&format!("c{n}"), "plain", 0.01);
+            h.serve(&format!("c{n}"), "plain", 0.01);
         }
         calls += h.count(|_| (Outcome::Timeout, 0.0));
     }
@@ -141,7 +141,7 @@
     let calls: usize = (0..400)
         .map(|n| {
             h.now += 0.1;
-            h.served(&format!("c{}", n % 50), "plain", 1.0);
+            h.serve(&format!("c{}", n % 50), "plain", 1.0);
             h.count(|add| (Outcome::Completed, add * 3.0))
         })
         .sum();
@@ -157,7 +157,7 @@
         let mut made = 0;
         for n in from..from + 400 {
             h.now += 0.05;
-            h.served(&format!("c{n}"), "plain", 1.0);
+            h.serve(&format!("c{n}"), "plain", 1.0);
             for (name, total) in std::mem::take(&mut h.calls) {
                 made += 1;
                 h.handle(Event::CounterResponse(CounterResponse {
@@ -191,7 +191,7 @@
     for _ in 0..3000 {
         h.now += 0.05;
         for _ in 0..20 {
-            h.served("c", "plain", 4.0);
+            h.serve("c", "plain", 4.0);
         }
         for (name, add) in std::mem::take(&mut h.calls) {
             if name != name_now {
@@ -220,18 +220,18 @@
     // bucket again.
     let mut h = Host::new(Settings { limiter_count: 1200, ..settings() });
     h.tenant_limiters = 1200;
-    assert!(h.served("c", "plain", 1.0));
-    assert!(!h.served("c", "plain", 1.0));
+    assert!(h.serve("c", "plain", 1.0));
+    assert!(!h.serve("c", "plain", 1.0));
     for _ in 0..1600 {
         h.now += 0.05;
         h.handle(Event::Timer { token: 0 });
     }
-    assert!(!h.served("c", "plain", 1.0), "80 s later, at one request per 120 s");
+    assert!(!h.serve("c", "plain", 1.0), "80 s later, at one request per 120 s");
     for _ in 0..1600 {
         h.now += 0.05;
         h.handle(Event::Timer { token: 0 });
     }
-    assert!(h.served("c", "plain", 1.0));
+    assert!(h.serve("c", "plain", 1.0));
 }
 
 #[test]
@@ -240,17 +240,17 @@
     // idle.
     let mut h = Host::new(Settings { limiter_count: 200, ..settings() }).warm();
     h.tenant_limiters = 200;
-    assert!(h.served("c", "plain", 2.0));
+    assert!(h.serve("c", "plain", 2.0));
     h.count(|add| (Outcome::Completed, add));
     h.now += 1.0;
-    assert!(h.served("c", "plain", 2.0), "the quota is idle: the bucket borrows");
+    assert!(h.serve("c", "plain", 2.0), "the quota is idle: the bucket borrows");
     let mut h = Host::new(Settings { limiter_count: 200, ..settings() }).warm();
     h.tenant_limiters = 200;
     h.now = 210.0;
-    assert!(h.served("c", "plain", 2.0));
+    assert!(h.serve("c", "plain", 2.0));
     h.count(|add| (Outcome::Completed, add + 400.0));
     h.now += 1.0;
-    assert!(!h.served("c", "plain", 2.0), "the quota is used up: the bucket cannot borrow");
+    assert!(!h.serve("c", "plain", 2.0), "the quota is used up: the bucket cannot borrow");
 }
 
 #[test]
@@ -291,7 +291,7 @@
         }
         for h in &mut hosts {
             h.now = now;
-            if h.served("c", "hard", 1.0) {
+            if h.serve("c", "hard", 1.0) {
                 store -= 1.0;
                 lowest = lowest.min(store);
             }
@@ -324,7 +324,7 @@
         sent_to(&h.handle(Event::Request(request))).is_some(),
         "a bucket of 20 / 2 units, not of 20 / 50"
     );
-    assert!(!h.served("c", "plain", 2.0));
+    assert!(!h.serve("c", "plain", 2.0));
 }
 
 #[test]
@@ -332,7 +332,7 @@
     let mut h = Host::new(settings()).warm();
     let last = settle(&mut h, "c", 1.25, 1.0);
     h.now += 1.2;
-    h.served("c", "plain", 1.0);
+    h.serve("c", "plain", 1.0);
     // The counter added the report 40 times. Until the window ends, this limiter's part of the demand looks
     // too small.
     assert_eq!(h.count(|add| (Outcome::Completed, last + add * 40.0)), 1);
@@ -349,7 +349,7 @@
         let mut called = 0;
         for n in 0..400 {
             h.now += 0.6;
-            h.served(&format!("c{}", n % 40), "plain", 1.0);
+            h.serve(&format!("c{}", n % 40), "plain", 1.0);
             for (name, add) in std::mem::take(&mut h.calls) {
                 called += u32::from(n >= 200);
                 h.handle(Event::CounterResponse(CounterResponse { name, outcome, total: add, elapsed }));
@@ -395,9 +395,9 @@
     // zero, a part of the quota would look idle, and the bucket would borrow it.
     let mut h = among_hundreds();
     h.now = (h.now / 20.0).ceil() * 20.0 + 10.0;
-    assert!(h.served("c", "plain", 2.0));
+    assert!(h.serve("c", "plain", 2.0));
     // 128 units in the 10 s since the counter window started.
     assert_eq!(h.count(|add| (Outcome::Completed, add + 128.0)), 1);
     h.now += 0.6;
-    assert!(!h.served("c", "plain", 2.0), "the quota is used up");
+    assert!(!h.serve("c", "plain", 2.0), "the quota is used up");
 }
--- a/crates/rate-limiter/tests/requests.rs
+++ b/crates/rate-limiter/tests/requests.rs
@@ -190,9 +190,9 @@
         for n in 0..600u32 {
             h.now += 0.05;
             for _ in 0..if abuse { 20 } else { 0 } {
-                h.served("abuser", "plain", 1.0);
+                h.serve("abuser", "plain", 1.0);
             }
-            others += u32::from(h.served(&format!("c{}", n % 10), "plain", 1.0));
+            others += u32::from(h.serve(&format!("c{}", n % 10), "plain", 1.0));
             h.count(|add| (Outcome::Completed, add));
         }
         others
--- a/crates/rate-limiter/tests/servers.rs
+++ b/crates/rate-limiter/tests/servers.rs
@@ -93,17 +93,17 @@
     let (id, out) = h.submit("c", "plain", "unsafe", 1.0);
     assert!(sent_to(&out).is_some());
     assert!(sent_to(&h.submit("c", "plain", "unsafe", 1.0).1).is_some());
-    assert!(!h.served("d", "plain", 1.0), "the in-flight limit of two is reached");
+    assert!(!h.serve("d", "plain", 1.0), "the in-flight limit of two is reached");
     h.now += 0.6;
     let out = h.handle(Event::Timer { token: id * 4 + 2 });
     let at = out.iter().find_map(|a| match a {
         Action::SetTimer { at, .. } => Some(*at),
         _ => None,
     });
-    assert!(!h.served("d", "plain", 1.0));
+    assert!(!h.serve("d", "plain", 1.0));
     h.now = at.expect("a second timer for the slow attempt");
     h.handle(Event::Timer { token: id * 4 + 2 });
-    assert!(h.served("d", "plain", 1.0));
+    assert!(h.serve("d", "plain", 1.0));
 }
 
 #[test]
@@ -122,7 +122,7 @@
             )]));
             for n in 0..200 {
                 h.now += 0.02;
-                sent += usize::from(h.served(&format!("c{n}"), "plain", 1.0));
+                sent += usize::from(h.serve(&format!("c{n}"), "plain", 1.0));
             }
         }
         // Four sends per overload window (2 s) from all limiters together, plus random variation.
