--- a/crates/rate-limiter/tests/common/mod.rs
+++ b/crates/rate-limiter/tests/common/mod.rs
@@ -166,7 +166,7 @@
     }
 
     /// Serves requests of one unit until one is rejected, at most 200. Returns the number of requests served.
-    pub fn burst(&mut self, tenant: &str, plan: &str) -> u32 {
+    pub fn serve_until_rejected(&mut self, tenant: &str, plan: &str) -> u32 {
         (0..200).take_while(|_| self.serve(tenant, plan, 1.0)).count() as u32
     }
 
--- a/crates/rate-limiter/tests/quota.rs
+++ b/crates/rate-limiter/tests/quota.rs
@@ -36,9 +36,9 @@
 /// Returns this limiter's share of a tenant's quota in units per second, measured by draining the bucket and
 /// refilling it for one second.
 fn rate(h: &mut Host, customer: &str) -> u32 {
-    h.burst(customer, "plain");
+    h.serve_until_rejected(customer, "plain");
     h.now += 1.0;
-    h.burst(customer, "plain")
+    h.serve_until_rejected(customer, "plain")
 }
 
 #[test]
@@ -46,9 +46,9 @@
     let mut h = Host::new(settings());
     // A quota of 10 units/s with a burst of 20, over two limiters: an even share is 5 units/s with a burst of
     // 10.
-    assert_eq!(h.burst("c", "plain"), 10);
+    assert_eq!(h.serve_until_rejected("c", "plain"), 10);
     h.now += 1.0;
-    assert_eq!(h.burst("c", "plain"), 5);
+    assert_eq!(h.serve_until_rejected("c", "plain"), 5);
 }
 
 #[test]
@@ -80,7 +80,7 @@
     // The other limiters have a hundred times the demand. The share shrinks to a hundredth at once, and the
     // tokens are kept.
     assert_eq!(h.count(|add| (Outcome::Completed, add + add * 100.0 * PACKING_BASE)), 1);
-    assert!(h.burst("c", "plain") >= 9);
+    assert!(h.serve_until_rejected("c", "plain") >= 9);
 }
 
 #[test]
@@ -304,7 +304,7 @@
 #[test]
 fn a_plan_without_a_rate_has_no_bucket() {
     let mut h = Host::new(settings());
-    assert_eq!(h.burst("c", "free"), 200);
+    assert_eq!(h.serve_until_rejected("c", "free"), 200);
 }
 
 #[test]
