--- a/crates/rate-limiter/tests/common/mod.rs
+++ b/crates/rate-limiter/tests/common/mod.rs
@@ -172,7 +172,7 @@
 
     /// Responds to each pending counter call after 1 ms. `answer` returns the outcome and the total for the
     /// amount of a call. Returns the number of calls.
-    pub fn count(&mut self, answer: impl Fn(f64) -> (Outcome, f64)) -> usize {
+    pub fn respond_to_counter_calls(&mut self, answer: impl Fn(f64) -> (Outcome, f64)) -> usize {
         let calls = std::mem::take(&mut self.calls);
         for (name, add) in &calls {
             let (outcome, total) = answer(*add);
@@ -191,7 +191,7 @@
         for _ in 0..100 {
             self.now += 0.6;
             self.serve("warm", "plain", 0.1);
-            self.count(|add| (Outcome::Completed, add));
+            self.respond_to_counter_calls(|add| (Outcome::Completed, add));
         }
         self
     }
--- a/crates/rate-limiter/tests/quota.rs
+++ b/crates/rate-limiter/tests/quota.rs
@@ -79,7 +79,7 @@
     h.now += 0.2;
     // The other limiters have a hundred times the demand. The share shrinks to a hundredth at once, and the
     // tokens are kept.
-    assert_eq!(h.count(|add| (Outcome::Completed, add + add * 100.0 * PACKING_BASE)), 1);
+    assert_eq!(h.respond_to_counter_calls(|add| (Outcome::Completed, add + add * 100.0 * PACKING_BASE)), 1);
     assert!(h.serve_until_rejected("c", "plain") >= 9);
 }
 
@@ -102,7 +102,7 @@
     h.now += 1.2;
     h.serve("c", "plain", 1.0);
     // The total has not even grown by this limiter's own units, so the even share of 5 applies.
-    assert_eq!(h.count(|_| (Outcome::Completed, last)), 1);
+    assert_eq!(h.respond_to_counter_calls(|_| (Outcome::Completed, last)), 1);
     assert_eq!(rate(&mut h, "c"), 5);
 }
 
@@ -111,7 +111,7 @@
     for (outcome, again) in [(Outcome::Timeout, 0.0), (Outcome::Rejected, 1.0)] {
         let mut h = Host::new(settings()).warm();
         h.serve("c", "plain", 1.0);
-        assert_eq!(h.count(|_| (outcome, 0.0)), 1);
+        assert_eq!(h.respond_to_counter_calls(|_| (outcome, 0.0)), 1);
         h.now += 1.2;
         while h.calls.is_empty() {
             h.serve("c", "plain", 0.0);
@@ -126,14 +126,14 @@
     for n in 0..50 {
         h.serve(&format!("c{n}"), "plain", 1.0);
     }
-    assert_eq!(h.count(|_| (Outcome::Timeout, 0.0)), 50);
+    assert_eq!(h.respond_to_counter_calls(|_| (Outcome::Timeout, 0.0)), 50);
     let mut calls = 0;
     for _ in 0..100 {
         h.now += 0.1;
         for n in 0..50 {
             h.serve(&format!("c{n}"), "plain", 0.01);
         }
-        calls += h.count(|_| (Outcome::Timeout, 0.0));
+        calls += h.respond_to_counter_calls(|_| (Outcome::Timeout, 0.0));
     }
     assert!((8..=24).contains(&calls), "{calls} calls in twenty report intervals without a response");
     assert_eq!(rate(&mut h, "c1"), 5);
@@ -142,7 +142,7 @@
         .map(|n| {
             h.now += 0.1;
             h.serve(&format!("c{}", n % 50), "plain", 1.0);
-            h.count(|add| (Outcome::Completed, add * 3.0))
+            h.respond_to_counter_calls(|add| (Outcome::Completed, add * 3.0))
         })
         .sum();
     assert!(calls > 100, "{calls} calls after the counter recovered");
@@ -241,14 +241,14 @@
     let mut h = Host::new(Settings { limiter_count: 200, ..settings() }).warm();
     h.tenant_limiters = 200;
     assert!(h.serve("c", "plain", 2.0));
-    h.count(|add| (Outcome::Completed, add));
+    h.respond_to_counter_calls(|add| (Outcome::Completed, add));
     h.now += 1.0;
     assert!(h.serve("c", "plain", 2.0), "the quota is idle: the bucket borrows");
     let mut h = Host::new(Settings { limiter_count: 200, ..settings() }).warm();
     h.tenant_limiters = 200;
     h.now = 210.0;
     assert!(h.serve("c", "plain", 2.0));
-    h.count(|add| (Outcome::Completed, add + 400.0));
+    h.respond_to_counter_calls(|add| (Outcome::Completed, add + 400.0));
     h.now += 1.0;
     assert!(!h.serve("c", "plain", 2.0), "the quota is used up: the bucket cannot borrow");
 }
@@ -335,7 +335,7 @@
     h.serve("c", "plain", 1.0);
     // The counter added the report 40 times. Until the window ends, this limiter's part of the demand looks
     // too small.
-    assert_eq!(h.count(|add| (Outcome::Completed, last + add * 40.0)), 1);
+    assert_eq!(h.respond_to_counter_calls(|add| (Outcome::Completed, last + add * 40.0)), 1);
     assert!(rate(&mut h, "c") < 7);
     settle(&mut h, "c", 1.25, 1.0);
     let limit = rate(&mut h, "c");
@@ -397,7 +397,7 @@
     h.now = (h.now / 20.0).ceil() * 20.0 + 10.0;
     assert!(h.serve("c", "plain", 2.0));
     // 128 units in the 10 s since the counter window started.
-    assert_eq!(h.count(|add| (Outcome::Completed, add + 128.0)), 1);
+    assert_eq!(h.respond_to_counter_calls(|add| (Outcome::Completed, add + 128.0)), 1);
     h.now += 0.6;
     assert!(!h.serve("c", "plain", 2.0), "the quota is used up");
 }
--- a/crates/rate-limiter/tests/requests.rs
+++ b/crates/rate-limiter/tests/requests.rs
@@ -193,7 +193,7 @@
                 h.serve("abuser", "plain", 1.0);
             }
             others += u32::from(h.serve(&format!("c{}", n % 10), "plain", 1.0));
-            h.count(|add| (Outcome::Completed, add));
+            h.respond_to_counter_calls(|add| (Outcome::Completed, add));
         }
         others
     };
--- a/crates/rate-limiter/tests/servers.rs
+++ b/crates/rate-limiter/tests/servers.rs
@@ -206,7 +206,7 @@
                 if sent_to(&out).is_some() {
                     h.end_attempt(id, 0, Outcome::Error, Some(-1.0));
                 }
-                h.count(|_| (Outcome::Completed, -3.0));
+                h.respond_to_counter_calls(|_| (Outcome::Completed, -3.0));
             }
         }
     }
