--- a/crates/rate-limiter/tests/common/mod.rs
+++ b/crates/rate-limiter/tests/common/mod.rs
@@ -187,7 +187,7 @@
     }
 
     /// Serves another tenant with a quick counter, until the limiter calls the counter for every request.
-    pub fn warm(mut self) -> Self {
+    pub fn with_quick_counter(mut self) -> Self {
         for _ in 0..100 {
             self.now += 0.6;
             self.serve("warm", "plain", 0.1);
--- a/crates/rate-limiter/tests/quota.rs
+++ b/crates/rate-limiter/tests/quota.rs
@@ -53,12 +53,12 @@
 
 #[test]
 fn the_share_is_proportional_to_demand_when_the_quota_is_used() {
-    let mut h = Host::new(settings()).warm();
+    let mut h = Host::new(settings()).with_quick_counter();
     settle(&mut h, "c", 4.0, 4.0);
     // The quota is completely used, and this limiter has a quarter of the demand: 10 / 4, not raised.
     let limit = rate(&mut h, "c");
     assert!((2..=3).contains(&limit), "{limit}");
-    let mut h = Host::new(settings()).warm();
+    let mut h = Host::new(settings()).with_quick_counter();
     settle(&mut h, "c", 1.25, 1.0);
     // Four fifths of the demand: more than an even share, in proportion to demand alone.
     let limit = rate(&mut h, "c");
@@ -67,14 +67,14 @@
 
 #[test]
 fn unused_quota_raises_a_small_share_to_an_even_share_at_most() {
-    let mut h = Host::new(settings()).warm();
+    let mut h = Host::new(settings()).with_quick_counter();
     settle(&mut h, "c", 4.0, 0.2);
     assert!((4..=5).contains(&rate(&mut h, "c")));
 }
 
 #[test]
 fn tokens_are_kept_when_the_share_shrinks() {
-    let mut h = Host::new(settings()).warm();
+    let mut h = Host::new(settings()).with_quick_counter();
     assert!(h.serve("c", "plain", 1.0));
     h.now += 0.2;
     // The other limiters have a hundred times the demand. The share shrinks to a hundredth at once, and the
@@ -97,7 +97,7 @@
 
 #[test]
 fn totals_are_missing_after_the_counter_lost_its_numbers() {
-    let mut h = Host::new(settings()).warm();
+    let mut h = Host::new(settings()).with_quick_counter();
     let last = settle(&mut h, "c", 4.0, 4.0);
     h.now += 1.2;
     h.serve("c", "plain", 1.0);
@@ -109,7 +109,7 @@
 #[test]
 fn a_report_is_repeated_after_a_rejection_but_not_after_a_timeout() {
     for (outcome, again) in [(Outcome::Timeout, 0.0), (Outcome::Rejected, 1.0)] {
-        let mut h = Host::new(settings()).warm();
+        let mut h = Host::new(settings()).with_quick_counter();
         h.serve("c", "plain", 1.0);
         assert_eq!(h.respond_to_counter_calls(|_| (outcome, 0.0)), 1);
         h.now += 1.2;
@@ -122,7 +122,7 @@
 
 #[test]
 fn an_unresponsive_counter_is_called_rarely_and_even_shares_apply() {
-    let mut h = Host::new(settings()).warm();
+    let mut h = Host::new(settings()).with_quick_counter();
     for n in 0..50 {
         h.serve(&format!("c{n}"), "plain", 1.0);
     }
@@ -152,7 +152,7 @@
 fn a_slow_counter_is_called_for_few_requests_and_a_quick_one_for_most_again() {
     // Guards against an overload of the counter by hundreds of limiters, each with many tenants that send few
     // requests.
-    let mut h = Host::new(settings()).warm();
+    let mut h = Host::new(settings()).with_quick_counter();
     let calls = |h: &mut Host, from: u32, elapsed: f64| {
         let mut made = 0;
         for n in from..from + 400 {
@@ -185,7 +185,7 @@
     // must stay below the packing base, where they would be read as rejected steps, and the total must not
     // exceed seven digits.
     let tenant_limiters = 300;
-    let mut h = Host::new(Settings { limiter_count: tenant_limiters, ..settings() }).warm();
+    let mut h = Host::new(Settings { limiter_count: tenant_limiters, ..settings() }).with_quick_counter();
     h.tenant_limiters = tenant_limiters;
     let (mut used, mut refused, mut name_now) = (0.0, 0.0, String::new());
     for _ in 0..3000 {
@@ -238,13 +238,13 @@
 fn a_bucket_smaller_than_one_request_borrows_from_an_idle_quota() {
     // The burst of an even share is a tenth of a unit, less than one request, and the quota is known to be
     // idle.
-    let mut h = Host::new(Settings { limiter_count: 200, ..settings() }).warm();
+    let mut h = Host::new(Settings { limiter_count: 200, ..settings() }).with_quick_counter();
     h.tenant_limiters = 200;
     assert!(h.serve("c", "plain", 2.0));
     h.respond_to_counter_calls(|add| (Outcome::Completed, add));
     h.now += 1.0;
     assert!(h.serve("c", "plain", 2.0), "the quota is idle: the bucket borrows");
-    let mut h = Host::new(Settings { limiter_count: 200, ..settings() }).warm();
+    let mut h = Host::new(Settings { limiter_count: 200, ..settings() }).with_quick_counter();
     h.tenant_limiters = 200;
     h.now = 210.0;
     assert!(h.serve("c", "plain", 2.0));
@@ -329,7 +329,7 @@
 
 #[test]
 fn the_effect_of_repeated_additions_ends_with_the_counter_window() {
-    let mut h = Host::new(settings()).warm();
+    let mut h = Host::new(settings()).with_quick_counter();
     let last = settle(&mut h, "c", 1.25, 1.0);
     h.now += 1.2;
     h.serve("c", "plain", 1.0);
@@ -366,7 +366,7 @@
 
 /// Returns a host whose limiter is one of 300, all of which receive requests of each tenant.
 fn among_hundreds() -> Host {
-    let mut h = Host::new(Settings { limiter_count: 300, ..settings() }).warm();
+    let mut h = Host::new(Settings { limiter_count: 300, ..settings() }).with_quick_counter();
     h.tenant_limiters = 300;
     h
 }
