--- a/crates/rate-limiter/tests/common/mod.rs
+++ b/crates/rate-limiter/tests/common/mod.rs
@@ -82,10 +82,10 @@
     /// Creates a host whose limiter knows two servers in zone `east` and one in zone `west`, all of them
     /// warm.
     pub fn new(settings: Settings) -> Self {
-        Host::seeded(settings, 7)
+        Host::with_seed(settings, 7)
     }
 
-    pub fn seeded(settings: Settings, seed: u64) -> Self {
+    pub fn with_seed(settings: Settings, seed: u64) -> Self {
         let up = ServerState::InService;
         let list = vec![
             server_entry(EAST_1, "east", up, None),
--- a/crates/rate-limiter/tests/heavy_hitters.rs
+++ b/crates/rate-limiter/tests/heavy_hitters.rs
@@ -27,7 +27,7 @@
         let hosts = (0..LIMITERS).map(|n| {
             let mut set = Settings { limiter_index: n as u32, limiter_count: LIMITERS as u32, ..settings() };
             set.plans.iter_mut().for_each(|plan| plan.excess_cost = 0.5);
-            let mut host = Host::seeded(set, n as u64);
+            let mut host = Host::with_seed(set, n as u64);
             host.tenant_limiters = LIMITERS as u32;
             host
         });
