--- a/crates/rate-limiter/tests/common/mod.rs
+++ b/crates/rate-limiter/tests/common/mod.rs
@@ -72,7 +72,7 @@
     pub limiter: Limiter,
     pub now: f64,
     /// The names and amounts of the counter calls that are awaiting their responses.
-    pub calls: Vec<(String, f64)>,
+    pub pending_calls: Vec<(String, f64)>,
     /// The number of limiters that receive requests of each tenant.
     pub tenant_limiters: u32,
     next: u64,
@@ -93,7 +93,7 @@
             server_entry(WEST_1, "west", up, None),
         ];
         let limiter = Limiter::new(settings, seed, 100.0);
-        let mut host = Host { limiter, now: 100.0, calls: Vec::new(), tenant_limiters: 2, next: 0 };
+        let mut host = Host { limiter, now: 100.0, pending_calls: Vec::new(), tenant_limiters: 2, next: 0 };
         host.handle(Event::ServerList(list));
         host
     }
@@ -103,7 +103,7 @@
         self.limiter.handle(self.now, event, &mut out);
         for action in &out {
             if let Action::AddToCounter { name, amount: add, .. } = action {
-                self.calls.push((name.clone(), *add));
+                self.pending_calls.push((name.clone(), *add));
             }
         }
         out
@@ -173,7 +173,7 @@
     /// Responds to each pending counter call after 1 ms. `answer` returns the outcome and the total for the
     /// amount of a call. Returns the number of calls.
     pub fn respond_to_counter_calls(&mut self, answer: impl Fn(f64) -> (Outcome, f64)) -> usize {
-        let calls = std::mem::take(&mut self.calls);
+        let calls = std::mem::take(&mut self.pending_calls);
         for (name, add) in &calls {
             let (outcome, total) = answer(*add);
             self.handle(Event::CounterResponse(CounterResponse {
--- a/crates/rate-limiter/tests/heavy_hitters.rs
+++ b/crates/rate-limiter/tests/heavy_hitters.rs
@@ -41,7 +41,7 @@
         let before = self.calls;
         for host in &mut self.hosts {
             host.now = self.now;
-            for (name, add) in std::mem::take(&mut host.calls) {
+            for (name, add) in std::mem::take(&mut host.pending_calls) {
                 let total = self.numbers.entry(name.clone()).or_default();
                 *total += add;
                 let total = *total;
@@ -149,7 +149,7 @@
         fleet.now += STEP;
         for host in &mut fleet.hosts {
             host.now = fleet.now;
-            for (name, _) in std::mem::take(&mut host.calls) {
+            for (name, _) in std::mem::take(&mut host.pending_calls) {
                 host.handle(Event::CounterResponse(CounterResponse {
                     name,
                     outcome: Outcome::Timeout,
--- a/crates/rate-limiter/tests/quota.rs
+++ b/crates/rate-limiter/tests/quota.rs
@@ -12,7 +12,7 @@
     for _ in 0..170 {
         h.now += 0.1;
         h.serve(customer, "plain", 1.0);
-        for (name, add) in std::mem::take(&mut h.calls) {
+        for (name, add) in std::mem::take(&mut h.pending_calls) {
             if name != name_now {
                 (name_now, total_refused, total_used) = (name.clone(), 0.0, 0.0);
             }
@@ -113,10 +113,10 @@
         h.serve("c", "plain", 1.0);
         assert_eq!(h.respond_to_counter_calls(|_| (outcome, 0.0)), 1);
         h.now += 1.2;
-        while h.calls.is_empty() {
+        while h.pending_calls.is_empty() {
             h.serve("c", "plain", 0.0);
         }
-        assert_eq!(h.calls[0].1 % PACKING_BASE, again, "{outcome:?}");
+        assert_eq!(h.pending_calls[0].1 % PACKING_BASE, again, "{outcome:?}");
     }
 }
 
@@ -158,7 +158,7 @@
         for n in from..from + 400 {
             h.now += 0.05;
             h.serve(&format!("c{n}"), "plain", 1.0);
-            for (name, total) in std::mem::take(&mut h.calls) {
+            for (name, total) in std::mem::take(&mut h.pending_calls) {
                 made += 1;
                 h.handle(Event::CounterResponse(CounterResponse {
                     name,
@@ -193,7 +193,7 @@
         for _ in 0..20 {
             h.serve("c", "plain", 4.0);
         }
-        for (name, add) in std::mem::take(&mut h.calls) {
+        for (name, add) in std::mem::take(&mut h.pending_calls) {
             if name != name_now {
                 (used, refused, name_now) = (0.0, 0.0, name.clone());
             }
@@ -350,7 +350,7 @@
         for n in 0..400 {
             h.now += 0.6;
             h.serve(&format!("c{}", n % 40), "plain", 1.0);
-            for (name, add) in std::mem::take(&mut h.calls) {
+            for (name, add) in std::mem::take(&mut h.pending_calls) {
                 called += u32::from(n >= 200);
                 h.handle(Event::CounterResponse(CounterResponse { name, outcome, total: add, elapsed }));
             }
