--- a/crates/rate-limiter/tests/common/mod.rs
+++ b/crates/rate-limiter/tests/common/mod.rs
@@ -206,7 +206,7 @@
 }
 
 /// Returns the number of rejections in `out`.
-pub fn refused(out: &[Action]) -> usize {
+pub fn rejected_count(out: &[Action]) -> usize {
     out.iter().filter(|a| matches!(a, Action::Reject { .. })).count()
 }
 
--- a/crates/rate-limiter/tests/requests.rs
+++ b/crates/rate-limiter/tests/requests.rs
@@ -16,14 +16,14 @@
     let mut h = Host::new(settings());
     h.handle(Event::ServerList(Vec::new()));
     let (_, out) = h.submit("c", "plain", "unsafe", 1.0);
-    assert_eq!((refused(&out), failed(&out), sent_to(&out)), (1, 0, None));
+    assert_eq!((rejected_count(&out), failed(&out), sent_to(&out)), (1, 0, None));
 }
 
 #[test]
 fn unknown_class_or_plan_is_rejected_once() {
     let mut h = Host::new(settings());
-    assert_eq!(refused(&h.submit("c", "no such plan", "read", 1.0).1), 1);
-    assert_eq!(refused(&h.submit("c", "plain", "no such class", 1.0).1), 1);
+    assert_eq!(rejected_count(&h.submit("c", "no such plan", "read", 1.0).1), 1);
+    assert_eq!(rejected_count(&h.submit("c", "plain", "no such class", 1.0).1), 1);
 }
 
 #[test]
@@ -37,7 +37,7 @@
     assert_eq!(failed(&out), 1);
     h.now += 0.01;
     let late = h.end_attempt(id, 0, Outcome::Timeout, None);
-    assert_eq!((failed(&late), refused(&late), sent_to(&late)), (0, 0, None));
+    assert_eq!((failed(&late), rejected_count(&late), sent_to(&late)), (0, 0, None));
     assert!(h.handle(Event::Timer { token }).is_empty());
 }
 
@@ -46,9 +46,9 @@
     let mut h = Host::new(settings());
     let (id, _) = h.submit("c", "plain", "read", 1.0);
     let out = h.handle(Event::ClientClosed { id });
-    assert_eq!((failed(&out), refused(&out)), (0, 0));
+    assert_eq!((failed(&out), rejected_count(&out)), (0, 0));
     let out = h.end_attempt(id, 0, Outcome::ConnectFailed, None);
-    assert_eq!((failed(&out), refused(&out), sent_to(&out)), (0, 0, None));
+    assert_eq!((failed(&out), rejected_count(&out), sent_to(&out)), (0, 0, None));
 }
 
 #[test]
@@ -62,7 +62,7 @@
         let mut h = Host::new(settings());
         let (id, _) = h.submit("c", "plain", "unsafe", 1.0);
         let out = h.end_attempt(id, 0, outcome, None);
-        assert_eq!((sent_to(&out), refused(&out), failed(&out)), (None, 0, 1), "{outcome:?}");
+        assert_eq!((sent_to(&out), rejected_count(&out), failed(&out)), (None, 0, 1), "{outcome:?}");
     }
 }
 
@@ -77,7 +77,7 @@
         h.end_attempt(id, 1, outcome, None);
         h.end_attempt(id, 2, outcome, None);
         let out = h.end_attempt(id, 3, outcome, None);
-        assert_eq!((sent_to(&out), refused(&out) + failed(&out)), (None, 1), "{outcome:?}");
+        assert_eq!((sent_to(&out), rejected_count(&out) + failed(&out)), (None, 1), "{outcome:?}");
     }
 }
 
@@ -94,13 +94,17 @@
         server_entry(&first, "east", ServerState::Draining, None),
     ]));
     let out = h.end_attempt(id, 0, Outcome::Reset, None);
-    assert_eq!((sent_to(&out), refused(&out), failed(&out)), (None, 0, 1));
+    assert_eq!((sent_to(&out), rejected_count(&out), failed(&out)), (None, 0, 1));
 
     let mut h = Host::new(settings());
     let (id, _) = h.submit("c", "plain", "keyed-all", 1.0);
     h.now += 1.9;
     let out = h.end_attempt(id, 0, Outcome::Reset, None);
-    assert_eq!((sent_to(&out), refused(&out)), (None, 1), "too close to the end of the deduplication window");
+    assert_eq!(
+        (sent_to(&out), rejected_count(&out)),
+        (None, 1),
+        "too close to the end of the deduplication window"
+    );
     let (id, _) = h.submit("c", "plain", "keyed-all", 1.0);
     h.now += 0.5;
     assert!(sent_to(&h.end_attempt(id, 0, Outcome::Reset, None)).is_some());
@@ -112,7 +116,10 @@
     let (first, out) = h.submit("c", "capped", "read", 1.0);
     assert!(sent_to(&out).is_some());
     let (_, out) = h.submit("c", "capped", "read", 1.0);
-    assert!(sent_to(&out).is_none() && refused(&out) == 1, "two in flight over two limiters are one each");
+    assert!(
+        sent_to(&out).is_none() && rejected_count(&out) == 1,
+        "two in flight over two limiters are one each"
+    );
     h.end_attempt(first, 0, Outcome::Completed, None);
     assert!(sent_to(&h.submit("c", "capped", "read", 1.0).1).is_some());
 }
@@ -246,7 +253,7 @@
         assert!(is_as_allowed(advice(&out)), "no server: {out:?}");
         // The bucket is empty, and no totals are known.
         let mut h = Host::new(set);
-        let out = (0..200).map(|_| h.submit("c", "plain", "read", 4.0).1).find(|out| refused(out) > 0);
+        let out = (0..200).map(|_| h.submit("c", "plain", "read", 4.0).1).find(|out| rejected_count(out) > 0);
         assert!(is_as_allowed(out.and_then(|out| advice(&out))), "empty bucket");
     }
 }
--- a/crates/rate-limiter/tests/server_load.rs
+++ b/crates/rate-limiter/tests/server_load.rs
@@ -140,7 +140,7 @@
                 is_retry,
                 deadline,
             }));
-            refused += common::refused(&out);
+            refused += common::rejected_count(&out);
             if sent_to(&out).is_some() {
                 h.end_attempt(id, 0, Outcome::Completed, None);
             }
--- a/crates/rate-limiter/tests/servers.rs
+++ b/crates/rate-limiter/tests/servers.rs
@@ -202,7 +202,7 @@
                 h.now += if n == 25 { 90.0 } else { 0.3 };
                 h.handle(Event::Timer { token: 0 });
                 let (id, out) = h.submit("c", "plain", "read", f64::from(n % 5) - 1.0);
-                assert!(refused(&out) + usize::from(sent_to(&out).is_some()) == 1);
+                assert!(rejected_count(&out) + usize::from(sent_to(&out).is_some()) == 1);
                 if sent_to(&out).is_some() {
                     h.end_attempt(id, 0, Outcome::Error, Some(-1.0));
                 }
