--- a/crates/rate-limiter/tests/common/mod.rs
+++ b/crates/rate-limiter/tests/common/mod.rs
@@ -211,6 +211,6 @@
 }
 
 /// Returns the number of failed requests in `out`.
-pub fn failed(out: &[Action]) -> usize {
+pub fn failed_count(out: &[Action]) -> usize {
     out.iter().filter(|a| matches!(a, Action::Fail { .. })).count()
 }
--- a/crates/rate-limiter/tests/requests.rs
+++ b/crates/rate-limiter/tests/requests.rs
@@ -16,7 +16,7 @@
     let mut h = Host::new(settings());
     h.handle(Event::ServerList(Vec::new()));
     let (_, out) = h.submit("c", "plain", "unsafe", 1.0);
-    assert_eq!((rejected_count(&out), failed(&out), sent_to(&out)), (1, 0, None));
+    assert_eq!((rejected_count(&out), failed_count(&out), sent_to(&out)), (1, 0, None));
 }
 
 #[test]
@@ -34,10 +34,10 @@
     assert!(at < h.now + 4.0 && at > h.now + 3.9, "{at}");
     h.now = at;
     let out = h.handle(Event::Timer { token });
-    assert_eq!(failed(&out), 1);
+    assert_eq!(failed_count(&out), 1);
     h.now += 0.01;
     let late = h.end_attempt(id, 0, Outcome::Timeout, None);
-    assert_eq!((failed(&late), rejected_count(&late), sent_to(&late)), (0, 0, None));
+    assert_eq!((failed_count(&late), rejected_count(&late), sent_to(&late)), (0, 0, None));
     assert!(h.handle(Event::Timer { token }).is_empty());
 }
 
@@ -46,9 +46,9 @@
     let mut h = Host::new(settings());
     let (id, _) = h.submit("c", "plain", "read", 1.0);
     let out = h.handle(Event::ClientClosed { id });
-    assert_eq!((failed(&out), rejected_count(&out)), (0, 0));
+    assert_eq!((failed_count(&out), rejected_count(&out)), (0, 0));
     let out = h.end_attempt(id, 0, Outcome::ConnectFailed, None);
-    assert_eq!((failed(&out), rejected_count(&out), sent_to(&out)), (0, 0, None));
+    assert_eq!((failed_count(&out), rejected_count(&out), sent_to(&out)), (0, 0, None));
 }
 
 #[test]
@@ -62,7 +62,7 @@
         let mut h = Host::new(settings());
         let (id, _) = h.submit("c", "plain", "unsafe", 1.0);
         let out = h.end_attempt(id, 0, outcome, None);
-        assert_eq!((sent_to(&out), rejected_count(&out), failed(&out)), (None, 0, 1), "{outcome:?}");
+        assert_eq!((sent_to(&out), rejected_count(&out), failed_count(&out)), (None, 0, 1), "{outcome:?}");
     }
 }
 
@@ -77,7 +77,7 @@
         h.end_attempt(id, 1, outcome, None);
         h.end_attempt(id, 2, outcome, None);
         let out = h.end_attempt(id, 3, outcome, None);
-        assert_eq!((sent_to(&out), rejected_count(&out) + failed(&out)), (None, 1), "{outcome:?}");
+        assert_eq!((sent_to(&out), rejected_count(&out) + failed_count(&out)), (None, 1), "{outcome:?}");
     }
 }
 
@@ -94,7 +94,7 @@
         server_entry(&first, "east", ServerState::Draining, None),
     ]));
     let out = h.end_attempt(id, 0, Outcome::Reset, None);
-    assert_eq!((sent_to(&out), rejected_count(&out), failed(&out)), (None, 0, 1));
+    assert_eq!((sent_to(&out), rejected_count(&out), failed_count(&out)), (None, 0, 1));
 
     let mut h = Host::new(settings());
     let (id, _) = h.submit("c", "plain", "keyed-all", 1.0);
