--- a/crates/rate-limiter/tests/common/mod.rs
+++ b/crates/rate-limiter/tests/common/mod.rs
@@ -64,8 +64,8 @@
     }
 }
 
-/// A counter total is `admitted steps + PACKING_BASE * rejected steps`. For the plans of these tests, a step is one
-/// unit.
+/// A counter total is `admitted steps + PACKING_BASE * rejected steps`. For the plans of these tests, a step
+/// is one unit.
 pub const PACKING_BASE: f64 = 2_000.0;
 
 pub struct Host {
@@ -75,7 +75,7 @@
     pub pending_calls: Vec<(String, f64)>,
     /// The number of limiters that receive requests of each tenant.
     pub tenant_limiters: u32,
-    next: u64,
+    last_id: u64,
 }
 
 impl Host {
@@ -86,27 +86,28 @@
     }
 
     pub fn with_seed(settings: Settings, seed: u64) -> Self {
-        let up = ServerState::InService;
+        let in_service = ServerState::InService;
         let list = vec![
-            server_entry(EAST_1, "east", up, None),
-            server_entry(EAST_2, "east", up, None),
-            server_entry(WEST_1, "west", up, None),
+            server_entry(EAST_1, "east", in_service, None),
+            server_entry(EAST_2, "east", in_service, None),
+            server_entry(WEST_1, "west", in_service, None),
         ];
         let limiter = Limiter::new(settings, seed, 100.0);
-        let mut host = Host { limiter, now: 100.0, pending_calls: Vec::new(), tenant_limiters: 2, next: 0 };
+        let mut host =
+            Host { limiter, now: 100.0, pending_calls: Vec::new(), tenant_limiters: 2, last_id: 0 };
         host.handle(Event::ServerList(list));
         host
     }
 
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.limiter.handle(self.now, event, &mut out);
-        for action in &out {
-            if let Action::AddToCounter { name, amount: add, .. } = action {
-                self.pending_calls.push((name.clone(), *add));
+        let mut actions = Vec::new();
+        self.limiter.handle(self.now, event, &mut actions);
+        for action in &actions {
+            if let Action::AddToCounter { name, amount, .. } = action {
+                self.pending_calls.push((name.clone(), *amount));
             }
         }
-        out
+        actions
     }
 
     pub fn submit(&mut self, tenant: &str, plan: &str, class: &str, units: f64) -> (u64, Vec<Action>) {
@@ -121,9 +122,9 @@
         units: f64,
         is_retry: bool,
     ) -> (u64, Vec<Action>) {
-        self.next += 1;
+        self.last_id += 1;
         let request = Request {
-            id: self.next,
+            id: self.last_id,
             tenant: tenant.into(),
             plan: plan.into(),
             class: class.into(),
@@ -132,7 +133,7 @@
             is_retry,
             deadline: self.now + 4.0,
         };
-        (self.next, self.handle(Event::Request(request)))
+        (self.last_id, self.handle(Event::Request(request)))
     }
 
     pub fn end_attempt(
@@ -157,8 +158,8 @@
 
     /// Submits a request and completes its attempt immediately. Returns whether the request was sent.
     pub fn serve(&mut self, tenant: &str, plan: &str, units: f64) -> bool {
-        let (id, out) = self.submit(tenant, plan, "read", units);
-        let sent = sent_to(&out).is_some();
+        let (id, actions) = self.submit(tenant, plan, "read", units);
+        let sent = sent_to(&actions).is_some();
         if sent {
             self.end_attempt(id, 0, Outcome::Completed, None);
         }
@@ -174,8 +175,8 @@
     /// amount of a call. Returns the number of calls.
     pub fn respond_to_counter_calls(&mut self, answer: impl Fn(f64) -> (Outcome, f64)) -> usize {
         let calls = std::mem::take(&mut self.pending_calls);
-        for (name, add) in &calls {
-            let (outcome, total) = answer(*add);
+        for (name, amount) in &calls {
+            let (outcome, total) = answer(*amount);
             self.handle(Event::CounterResponse(CounterResponse {
                 name: name.clone(),
                 outcome,
@@ -191,26 +192,26 @@
         for _ in 0..100 {
             self.now += 0.6;
             self.serve("warm", "plain", 0.1);
-            self.respond_to_counter_calls(|add| (Outcome::Completed, add));
+            self.respond_to_counter_calls(|amount| (Outcome::Completed, amount));
         }
         self
     }
 }
 
-/// Returns the server of the first send in `out`.
-pub fn sent_to(out: &[Action]) -> Option<Arc<str>> {
-    out.iter().find_map(|a| match a {
+/// Returns the server of the first send in `actions`.
+pub fn sent_to(actions: &[Action]) -> Option<Arc<str>> {
+    actions.iter().find_map(|a| match a {
         Action::Send { server, .. } => Some(server.clone()),
         _ => None,
     })
 }
 
-/// Returns the number of rejections in `out`.
-pub fn rejected_count(out: &[Action]) -> usize {
-    out.iter().filter(|a| matches!(a, Action::Reject { .. })).count()
+/// Returns the number of rejections in `actions`.
+pub fn rejected_count(actions: &[Action]) -> usize {
+    actions.iter().filter(|a| matches!(a, Action::Reject { .. })).count()
 }
 
-/// Returns the number of failed requests in `out`.
-pub fn failed_count(out: &[Action]) -> usize {
-    out.iter().filter(|a| matches!(a, Action::Fail { .. })).count()
+/// Returns the number of failed requests in `actions`.
+pub fn failed_count(actions: &[Action]) -> usize {
+    actions.iter().filter(|a| matches!(a, Action::Fail { .. })).count()
 }
--- a/crates/rate-limiter/tests/requests.rs
+++ b/crates/rate-limiter/tests/requests.rs
@@ -4,8 +4,8 @@
 use common::*;
 use rate_limiter::*;
 
-fn timer_of(out: &[Action], id: u64, kind: u64) -> Option<(f64, u64)> {
-    out.iter().find_map(|a| match a {
+fn find_timer(actions: &[Action], id: u64, kind: u64) -> Option<(f64, u64)> {
+    actions.iter().find_map(|a| match a {
         Action::SetTimer { at, token } if *token == id * 4 + kind => Some((*at, *token)),
         _ => None,
     })
@@ -13,146 +13,154 @@
 
 #[test]
 fn requests_without_any_server_are_rejected_once() {
-    let mut h = Host::new(settings());
-    h.handle(Event::ServerList(Vec::new()));
-    let (_, out) = h.submit("c", "plain", "unsafe", 1.0);
-    assert_eq!((rejected_count(&out), failed_count(&out), sent_to(&out)), (1, 0, None));
+    let mut host = Host::new(settings());
+    host.handle(Event::ServerList(Vec::new()));
+    let (_, actions) = host.submit("c", "plain", "unsafe", 1.0);
+    assert_eq!((rejected_count(&actions), failed_count(&actions), sent_to(&actions)), (1, 0, None));
 }
 
 #[test]
 fn unknown_class_or_plan_is_rejected_once() {
-    let mut h = Host::new(settings());
-    assert_eq!(rejected_count(&h.submit("c", "no such plan", "read", 1.0).1), 1);
-    assert_eq!(rejected_count(&h.submit("c", "plain", "no such class", 1.0).1), 1);
+    let mut host = Host::new(settings());
+    assert_eq!(rejected_count(&host.submit("c", "no such plan", "read", 1.0).1), 1);
+    assert_eq!(rejected_count(&host.submit("c", "plain", "no such class", 1.0).1), 1);
 }
 
 #[test]
 fn a_request_without_a_response_fails_once_just_before_its_deadline() {
-    let mut h = Host::new(settings());
-    let (id, out) = h.submit("c", "plain", "read", 1.0);
-    let (at, token) = timer_of(&out, id, 1).expect("a timer before the deadline");
-    assert!(at < h.now + 4.0 && at > h.now + 3.9, "{at}");
-    h.now = at;
-    let out = h.handle(Event::Timer { token });
-    assert_eq!(failed_count(&out), 1);
-    h.now += 0.01;
-    let late = h.end_attempt(id, 0, Outcome::Timeout, None);
+    let mut host = Host::new(settings());
+    let (id, actions) = host.submit("c", "plain", "read", 1.0);
+    let (at, token) = find_timer(&actions, id, 1).expect("a timer before the deadline");
+    assert!(at < host.now + 4.0 && at > host.now + 3.9, "{at}");
+    host.now = at;
+    let actions = host.handle(Event::Timer { token });
+    assert_eq!(failed_count(&actions), 1);
+    host.now += 0.01;
+    let late = host.end_attempt(id, 0, Outcome::Timeout, None);
     assert_eq!((failed_count(&late), rejected_count(&late), sent_to(&late)), (0, 0, None));
-    assert!(h.handle(Event::Timer { token }).is_empty());
+    assert!(host.handle(Event::Timer { token }).is_empty());
 }
 
 #[test]
 fn a_client_that_disconnects_cancels_all_attempts() {
-    let mut h = Host::new(settings());
-    let (id, _) = h.submit("c", "plain", "read", 1.0);
-    let out = h.handle(Event::ClientClosed { id });
-    assert_eq!((failed_count(&out), rejected_count(&out)), (0, 0));
-    let out = h.end_attempt(id, 0, Outcome::ConnectFailed, None);
-    assert_eq!((failed_count(&out), rejected_count(&out), sent_to(&out)), (0, 0, None));
+    let mut host = Host::new(settings());
+    let (id, _) = host.submit("c", "plain", "read", 1.0);
+    let actions = host.handle(Event::ClientClosed { id });
+    assert_eq!((failed_count(&actions), rejected_count(&actions)), (0, 0));
+    let actions = host.end_attempt(id, 0, Outcome::ConnectFailed, None);
+    assert_eq!((failed_count(&actions), rejected_count(&actions), sent_to(&actions)), (0, 0, None));
 }
 
 #[test]
 fn non_idempotent_requests_are_retried_only_if_they_were_not_executed() {
     for outcome in [Outcome::Rejected, Outcome::ConnectFailed] {
-        let mut h = Host::new(settings());
-        let (id, _) = h.submit("c", "plain", "unsafe", 1.0);
-        assert!(sent_to(&h.end_attempt(id, 0, outcome, None)).is_some(), "{outcome:?}");
+        let mut host = Host::new(settings());
+        let (id, _) = host.submit("c", "plain", "unsafe", 1.0);
+        assert!(sent_to(&host.end_attempt(id, 0, outcome, None)).is_some(), "{outcome:?}");
     }
     for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Cancelled] {
-        let mut h = Host::new(settings());
-        let (id, _) = h.submit("c", "plain", "unsafe", 1.0);
-        let out = h.end_attempt(id, 0, outcome, None);
-        assert_eq!((sent_to(&out), rejected_count(&out), failed_count(&out)), (None, 0, 1), "{outcome:?}");
+        let mut host = Host::new(settings());
+        let (id, _) = host.submit("c", "plain", "unsafe", 1.0);
+        let actions = host.end_attempt(id, 0, outcome, None);
+        assert_eq!(
+            (sent_to(&actions), rejected_count(&actions), failed_count(&actions)),
+            (None, 0, 1),
+            "{outcome:?}"
+        );
     }
 }
 
 #[test]
 fn idempotent_requests_are_retried_after_any_failure_up_to_max_attempts() {
     for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Rejected] {
-        let mut h = Host::new(settings());
-        let (id, out) = h.submit("c", "plain", "read", 1.0);
-        let first = sent_to(&out);
-        let out = h.end_attempt(id, 0, outcome, None);
-        assert!(sent_to(&out).is_some() && sent_to(&out) != first, "{outcome:?}");
-        h.end_attempt(id, 1, outcome, None);
-        h.end_attempt(id, 2, outcome, None);
-        let out = h.end_attempt(id, 3, outcome, None);
-        assert_eq!((sent_to(&out), rejected_count(&out) + failed_count(&out)), (None, 1), "{outcome:?}");
+        let mut host = Host::new(settings());
+        let (id, actions) = host.submit("c", "plain", "read", 1.0);
+        let first = sent_to(&actions);
+        let actions = host.end_attempt(id, 0, outcome, None);
+        assert!(sent_to(&actions).is_some() && sent_to(&actions) != first, "{outcome:?}");
+        host.end_attempt(id, 1, outcome, None);
+        host.end_attempt(id, 2, outcome, None);
+        let actions = host.end_attempt(id, 3, outcome, None);
+        assert_eq!(
+            (sent_to(&actions), rejected_count(&actions) + failed_count(&actions)),
+            (None, 1),
+            "{outcome:?}"
+        );
     }
 }
 
 #[test]
 fn keyed_requests_are_retried_only_within_their_scope_and_deduplication_window() {
-    let mut h = Host::new(settings());
-    let (id, out) = h.submit("c", "plain", "keyed-zone", 1.0);
-    let first = sent_to(&out).expect("sent");
+    let mut host = Host::new(settings());
+    let (id, actions) = host.submit("c", "plain", "keyed-zone", 1.0);
+    let first = sent_to(&actions).expect("sent");
     let other = if &*first == EAST_1 { EAST_2 } else { EAST_1 };
     // Both servers of the zone drain. The request may have executed, so it is neither sent to another zone
     // nor rejected, since a rejection tells the client that it can safely retry.
-    h.handle(Event::ServerChanges(vec![
+    host.handle(Event::ServerChanges(vec![
         server_entry(other, "east", ServerState::Draining, None),
         server_entry(&first, "east", ServerState::Draining, None),
     ]));
-    let out = h.end_attempt(id, 0, Outcome::Reset, None);
-    assert_eq!((sent_to(&out), rejected_count(&out), failed_count(&out)), (None, 0, 1));
+    let actions = host.end_attempt(id, 0, Outcome::Reset, None);
+    assert_eq!((sent_to(&actions), rejected_count(&actions), failed_count(&actions)), (None, 0, 1));
 
-    let mut h = Host::new(settings());
-    let (id, _) = h.submit("c", "plain", "keyed-all", 1.0);
-    h.now += 1.9;
-    let out = h.end_attempt(id, 0, Outcome::Reset, None);
+    let mut host = Host::new(settings());
+    let (id, _) = host.submit("c", "plain", "keyed-all", 1.0);
+    host.now += 1.9;
+    let actions = host.end_attempt(id, 0, Outcome::Reset, None);
     assert_eq!(
-        (sent_to(&out), rejected_count(&out)),
+        (sent_to(&actions), rejected_count(&actions)),
         (None, 1),
         "too close to the end of the deduplication window"
     );
-    let (id, _) = h.submit("c", "plain", "keyed-all", 1.0);
-    h.now += 0.5;
-    assert!(sent_to(&h.end_attempt(id, 0, Outcome::Reset, None)).is_some());
+    let (id, _) = host.submit("c", "plain", "keyed-all", 1.0);
+    host.now += 0.5;
+    assert!(sent_to(&host.end_attempt(id, 0, Outcome::Reset, None)).is_some());
 }
 
 #[test]
 fn the_in_flight_limit_of_a_plan_rejects_at_once_until_an_attempt_completes() {
-    let mut h = Host::new(settings());
-    let (first, out) = h.submit("c", "capped", "read", 1.0);
-    assert!(sent_to(&out).is_some());
-    let (_, out) = h.submit("c", "capped", "read", 1.0);
+    let mut host = Host::new(settings());
+    let (first, actions) = host.submit("c", "capped", "read", 1.0);
+    assert!(sent_to(&actions).is_some());
+    let (_, actions) = host.submit("c", "capped", "read", 1.0);
     assert!(
-        sent_to(&out).is_none() && rejected_count(&out) == 1,
+        sent_to(&actions).is_none() && rejected_count(&actions) == 1,
         "two in flight over two limiters are one each"
     );
-    h.end_attempt(first, 0, Outcome::Completed, None);
-    assert!(sent_to(&h.submit("c", "capped", "read", 1.0).1).is_some());
+    host.end_attempt(first, 0, Outcome::Completed, None);
+    assert!(sent_to(&host.submit("c", "capped", "read", 1.0).1).is_some());
 }
 
 #[test]
 fn a_streamed_response_has_no_deadline() {
-    let mut h = Host::new(settings());
-    let (id, out) = h.submit("c", "plain", "read", 1.0);
-    let (at, token) = timer_of(&out, id, 1).expect("timer");
-    h.handle(Event::StreamStarted { id });
-    h.now = at;
-    assert!(h.handle(Event::Timer { token }).is_empty());
+    let mut host = Host::new(settings());
+    let (id, actions) = host.submit("c", "plain", "read", 1.0);
+    let (at, token) = find_timer(&actions, id, 1).expect("timer");
+    host.handle(Event::StreamStarted { id });
+    host.now = at;
+    assert!(host.handle(Event::Timer { token }).is_empty());
 }
 
 #[test]
 fn an_attempt_is_cancelled_only_after_two_consecutive_late_attempts() {
     // Guards against cascading ejections, and against taking a seldom used server for unresponsive: a single
     // late response shows only that a server is slow.
-    let late = |h: &mut Host, id: u64, out: &[Action]| {
-        let (at, token) = timer_of(out, id, 2).expect("timeout");
-        h.now = h.now.max(at);
-        h.handle(Event::Timer { token }).iter().any(|a| matches!(a, Action::Cancel { .. }))
+    let is_cancelled = |host: &mut Host, id: u64, actions: &[Action]| {
+        let (at, token) = find_timer(actions, id, 2).expect("timeout");
+        host.now = host.now.max(at);
+        host.handle(Event::Timer { token }).iter().any(|a| matches!(a, Action::Cancel { .. }))
     };
-    for answered in [true, false] {
-        let mut h = Host::new(settings());
-        h.handle(Event::ServerList(vec![server_entry(EAST_1, "east", ServerState::InService, None)]));
-        let (id, out) = h.submit("c", "plain", "read", 1.0);
-        assert!(!late(&mut h, id, &out), "a single late attempt");
-        if answered {
-            h.end_attempt(id, 0, Outcome::Completed, None);
+    for is_completed in [true, false] {
+        let mut host = Host::new(settings());
+        host.handle(Event::ServerList(vec![server_entry(EAST_1, "east", ServerState::InService, None)]));
+        let (id, actions) = host.submit("c", "plain", "read", 1.0);
+        assert!(!is_cancelled(&mut host, id, &actions), "a single late attempt");
+        if is_completed {
+            host.end_attempt(id, 0, Outcome::Completed, None);
         }
-        let (id, out) = h.submit("d", "plain", "read", 1.0);
-        assert_eq!(late(&mut h, id, &out), !answered);
+        let (id, actions) = host.submit("d", "plain", "read", 1.0);
+        assert_eq!(is_cancelled(&mut host, id, &actions), !is_completed);
     }
 }
 
@@ -161,22 +169,22 @@
     // Guards against a stall of the limiter itself. Responses that look late after it are not the servers'
     // fault, so no attempt is cancelled and no server is penalized.
     let run = |stalled: bool| {
-        let mut h = Host::new(settings());
-        h.handle(Event::Timer { token: 0 });
-        h.handle(Event::ServerList(vec![server_entry(EAST_1, "east", ServerState::InService, None)]));
+        let mut host = Host::new(settings());
+        host.handle(Event::Timer { token: 0 });
+        host.handle(Event::ServerList(vec![server_entry(EAST_1, "east", ServerState::InService, None)]));
         let mut cancels = 0;
         for n in 0..2 {
-            let (id, out) = h.submit(&format!("c{n}"), "plain", "read", 1.0);
-            let (at, token) = timer_of(&out, id, 2).expect("timeout");
+            let (id, actions) = host.submit(&format!("c{n}"), "plain", "read", 1.0);
+            let (at, token) = find_timer(&actions, id, 2).expect("timeout");
             for step in 1..=10 {
                 if !stalled {
-                    h.now = h.now.max(at - 0.5 + f64::from(step) * 0.05);
-                    h.handle(Event::Timer { token: 0 });
+                    host.now = host.now.max(at - 0.5 + f64::from(step) * 0.05);
+                    host.handle(Event::Timer { token: 0 });
                 }
             }
-            h.now = h.now.max(at);
-            h.handle(Event::Timer { token: 0 });
-            cancels += h
+            host.now = host.now.max(at);
+            host.handle(Event::Timer { token: 0 });
+            cancels += host
                 .handle(Event::Timer { token })
                 .iter()
                 .filter(|a| matches!(a, Action::Cancel { .. }))
@@ -192,15 +200,15 @@
     // The clients of one tenant immediately retry each rejected request many times, without marking it as a
     // retry.
     let served = |abuse: bool| {
-        let mut h = Host::new(settings());
+        let mut host = Host::new(settings());
         let mut others = 0;
         for n in 0..600u32 {
-            h.now += 0.05;
+            host.now += 0.05;
             for _ in 0..if abuse { 20 } else { 0 } {
-                h.serve("abuser", "plain", 1.0);
+                host.serve("abuser", "plain", 1.0);
             }
-            others += u32::from(h.serve(&format!("c{}", n % 10), "plain", 1.0));
-            h.respond_to_counter_calls(|add| (Outcome::Completed, add));
+            others += u32::from(host.serve(&format!("c{}", n % 10), "plain", 1.0));
+            host.respond_to_counter_calls(|add| (Outcome::Completed, add));
         }
         others
     };
@@ -210,16 +218,16 @@
 #[test]
 fn identical_events_give_identical_actions() {
     let run = || {
-        let mut h = Host::new(settings());
+        let mut host = Host::new(settings());
         let mut all = Vec::new();
         for n in 0..200u64 {
-            h.now += 0.01;
-            let (id, out) = h.submit(&format!("c{}", n % 7), "plain", "read", 1.0);
-            all.extend(out);
+            host.now += 0.01;
+            let (id, actions) = host.submit(&format!("c{}", n % 7), "plain", "read", 1.0);
+            all.extend(actions);
             if n % 3 == 0 {
-                all.extend(h.end_attempt(id, 0, Outcome::Completed, None));
+                all.extend(host.end_attempt(id, 0, Outcome::Completed, None));
             }
-            all.extend(h.handle(Event::Timer { token: 0 }));
+            all.extend(host.handle(Event::Timer { token: 0 }));
         }
         all
     };
@@ -228,32 +236,35 @@
 
 #[test]
 fn every_rejection_has_a_retry_after_if_the_settings_allow_it() {
-    let advice = |out: &[Action]| {
-        out.iter().find_map(|a| match a {
+    let retry_after = |actions: &[Action]| {
+        actions.iter().find_map(|a| match a {
             Action::Reject { retry_after, .. } => Some(*retry_after),
             _ => None,
         })
     };
     for may_send_retry_after in [true, false] {
-        let is_as_allowed = |advice: Option<f64>| advice.is_some_and(|a| (a > 0.0) == may_send_retry_after);
-        let set = Settings { may_send_retry_after, max_retry_after: 2.0, ..settings() };
+        let is_as_allowed =
+            |retry_after: Option<f64>| retry_after.is_some_and(|a| (a > 0.0) == may_send_retry_after);
+        let settings = Settings { may_send_retry_after, max_retry_after: 2.0, ..settings() };
         // All attempts of the request were rejected.
-        let mut h = Host::new(set.clone());
-        let (id, mut out) = h.submit("a", "plain", "read", 1.0);
+        let mut host = Host::new(settings.clone());
+        let (id, mut actions) = host.submit("a", "plain", "read", 1.0);
         for n in 0.. {
-            if sent_to(&out).is_none() {
+            if sent_to(&actions).is_none() {
                 break;
             }
-            out = h.end_attempt(id, n, Outcome::Rejected, None);
+            actions = host.end_attempt(id, n, Outcome::Rejected, None);
         }
-        assert!(is_as_allowed(advice(&out)), "all attempts rejected: {out:?}");
+        assert!(is_as_allowed(retry_after(&actions)), "all attempts rejected: {actions:?}");
         // There is no server.
-        h.handle(Event::ServerList(Vec::new()));
-        let (_, out) = h.submit("b", "plain", "read", 1.0);
-        assert!(is_as_allowed(advice(&out)), "no server: {out:?}");
+        host.handle(Event::ServerList(Vec::new()));
+        let (_, actions) = host.submit("b", "plain", "read", 1.0);
+        assert!(is_as_allowed(retry_after(&actions)), "no server: {actions:?}");
         // The bucket is empty, and no totals are known.
-        let mut h = Host::new(set);
-        let out = (0..200).map(|_| h.submit("c", "plain", "read", 4.0).1).find(|out| rejected_count(out) > 0);
-        assert!(is_as_allowed(out.and_then(|out| advice(&out))), "empty bucket");
+        let mut host = Host::new(settings);
+        let actions = (0..200)
+            .map(|_| host.submit("c", "plain", "read", 4.0).1)
+            .find(|actions| rejected_count(actions) > 0);
+        assert!(is_as_allowed(actions.and_then(|actions| retry_after(&actions))), "empty bucket");
     }
 }
