--- a/crates/rate-limiter/tests/clients.rs
+++ b/crates/rate-limiter/tests/clients.rs
@@ -11,7 +11,7 @@
 
 #[test]
 fn a_client_that_disconnects_cancels_its_attempt() {
-    let server = Fake::new(|_| Reply::Silence);
+    let server = FakePeer::new(|_| Reply::Silence);
     let limiter = Limiter::over(&[&server]);
     let mut client = limiter.client();
     client.send(&quote("roomy", 60_000));
@@ -23,7 +23,7 @@
 
 #[test]
 fn bytes_after_a_request_do_not_hide_that_its_client_disconnected() {
-    let server = Fake::new(|_| Reply::Silence);
+    let server = FakePeer::new(|_| Reply::Silence);
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let mut settings = settings();
     // The deadline is so long that it does not end the attempt while the test waits.
@@ -109,7 +109,7 @@
 
 #[test]
 fn a_client_that_disconnected_before_it_was_accepted_is_not_forwarded() {
-    let server = Fake::new(|_| ok("served"));
+    let server = FakePeer::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     // There is room for about twenty clients, which is used up by clients whose bodies never arrive.
     let limiter = Limiter::with_sockets(72, settings(), &discovery, counter().address);
@@ -135,7 +135,7 @@
 
 #[test]
 fn a_request_past_its_deadline_is_rejected_and_not_forwarded() {
-    let server = Fake::new(|_| ok("served"));
+    let server = FakePeer::new(|_| ok("served"));
     let limiter = Limiter::over(&[&server]);
     for left_ms in [0, 1, 10] {
         assert_eq!(limiter.client().ask(&quote("roomy", left_ms)).status(), 429, "{left_ms} ms");
@@ -146,7 +146,7 @@
 
 #[test]
 fn malformed_requests_reach_no_server() {
-    let server = Fake::new(|_| ok("served"));
+    let server = FakePeer::new(|_| ok("served"));
     let limiter = Limiter::over(&[&server]);
     let good = post("bind", "x");
     let mut cases = vec![
@@ -212,7 +212,7 @@
 
 #[test]
 fn a_new_client_replaces_the_one_that_has_been_idle_longest() {
-    let server = Fake::new(|_| ok("served"));
+    let server = FakePeer::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     // With so few sockets, there is room for about twenty clients.
     let limiter = Limiter::with_sockets(72, settings(), &discovery, counter().address);
@@ -230,7 +230,7 @@
 fn clients_beyond_the_connection_limit_wait_until_others_get_their_responses() {
     let go = Arc::new(AtomicBool::new(false));
     let gate = go.clone();
-    let server = Fake::new(move |_| {
+    let server = FakePeer::new(move |_| {
         wait_for_gate(&gate);
         ok("served")
     });
@@ -251,7 +251,7 @@
 
 #[test]
 fn a_request_with_two_lengths_hides_no_other_request() {
-    let server = Fake::new(|_| ok("served"));
+    let server = FakePeer::new(|_| ok("served"));
     let limiter = Limiter::over(&[&server]);
     let (hidden, outer) = (quote("roomy", 9000), post("bind", ""));
     let length = format!("Content-Length: {}\r\n", hidden.len() + 5);
@@ -276,7 +276,7 @@
 fn a_request_whose_id_is_already_open_is_rejected() {
     let go = Arc::new(AtomicBool::new(false));
     let gate = go.clone();
-    let server = Fake::new(move |_| {
+    let server = FakePeer::new(move |_| {
         wait_for_gate(&gate);
         ok("served")
     });
@@ -294,7 +294,7 @@
 
 #[test]
 fn an_error_reaches_a_client_that_is_still_sending() {
-    let server = Fake::new(|_| ok("served"));
+    let server = FakePeer::new(|_| ok("served"));
     let limiter = Limiter::over(&[&server]);
     let junk = "x".repeat(128 * 1024);
     for (text, status) in [
@@ -324,7 +324,7 @@
 /// request is ever complete.
 #[test]
 fn clients_without_a_complete_request_are_disconnected_in_time() {
-    let server = Fake::new(|_| ok("served"));
+    let server = FakePeer::new(|_| ok("served"));
     let limiter = Limiter::over(&[&server]);
     let whole = post("bind", "12345678");
     let cases: [(&str, &str); 5] = [
@@ -358,7 +358,7 @@
 
 #[test]
 fn connections_without_a_request_displace_no_client() {
-    let server = Fake::new(|_| ok("served"));
+    let server = FakePeer::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     // There is room for about twenty clients.
     let limiter = Limiter::with_sockets(72, settings(), &discovery, counter().address);
@@ -382,7 +382,7 @@
 
 #[test]
 fn an_idle_client_frees_its_slot() {
-    let server = Fake::new(|_| ok("served"));
+    let server = FakePeer::new(|_| ok("served"));
     let limiter = Limiter::over(&[&server]);
     let mut client = limiter.client();
     assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -103,15 +103,15 @@
 /// A fake peer that listens on a loopback socket, responds to each request by a rule, and records all
 /// requests.
 #[derive(Clone)]
-pub struct Fake {
+pub struct FakePeer {
     pub address: SocketAddr,
     log: Arc<Log>,
 }
 
-impl Fake {
-    pub fn new(rule: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Fake {
+impl FakePeer {
+    pub fn new(rule: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> FakePeer {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
-        let fake = Fake { address: listener.local_addr().expect("address"), log: Arc::default() };
+        let fake = FakePeer { address: listener.local_addr().expect("address"), log: Arc::default() };
         let (log, rule) = (fake.log.clone(), Arc::new(rule));
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -231,14 +231,14 @@
 
 /// Starts a fake discovery service whose first message on each watch is the complete list of these instances.
 /// Tests push further messages.
-pub fn discovery(instances: Vec<Value>) -> Fake {
-    Fake::new(move |_| Reply::Raw(format!("{WATCH_HEAD}{}", chunk(&update(10, true, &instances)))))
+pub fn discovery(instances: Vec<Value>) -> FakePeer {
+    FakePeer::new(move |_| Reply::Raw(format!("{WATCH_HEAD}{}", chunk(&update(10, true, &instances)))))
 }
 
 /// Starts a fake counter service, which keeps the total of each counter.
-pub fn counter() -> Fake {
+pub fn counter() -> FakePeer {
     let numbers: Mutex<std::collections::HashMap<String, f64>> = Mutex::default();
-    Fake::new(move |call| {
+    FakePeer::new(move |call| {
         let target = call.first.split(' ').nth(1).unwrap_or("");
         let (name, query) = target.split_once('?').unwrap_or((target, ""));
         let add = query.split('&').find_map(|q| q.strip_prefix("n=")?.parse::<f64>().ok()).unwrap_or(0.0);
@@ -296,21 +296,21 @@
 
 impl Limiter {
     /// Starts a limiter and waits until it is ready.
-    pub fn start(settings: Value, discovery: &Fake, counter: SocketAddr) -> Limiter {
+    pub fn start(settings: Value, discovery: &FakePeer, counter: SocketAddr) -> Limiter {
         Limiter::with_sockets(1024, settings, discovery, counter)
     }
 
     /// Starts a limiter with a maximum number of sockets.
-    pub fn with_sockets(sockets: u32, settings: Value, discovery: &Fake, counter: SocketAddr) -> Limiter {
+    pub fn with_sockets(sockets: u32, settings: Value, discovery: &FakePeer, counter: SocketAddr) -> Limiter {
         Limiter::configured(json!({"limits": {"sockets": sockets}}), settings, discovery, counter)
     }
 
     /// Starts a limiter with the last server list that it knew before it was restarted.
-    pub fn with_known(known: Value, settings: Value, discovery: &Fake, counter: SocketAddr) -> Limiter {
+    pub fn with_known(known: Value, settings: Value, discovery: &FakePeer, counter: SocketAddr) -> Limiter {
         Limiter::configured(json!({"known": known}), settings, discovery, counter)
     }
 
-    fn configured(more: Value, settings: Value, discovery: &Fake, counter: SocketAddr) -> Limiter {
+    fn configured(more: Value, settings: Value, discovery: &FakePeer, counter: SocketAddr) -> Limiter {
         let mut config = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "00000000000000ff",
             "discovery": discovery.address.to_string(), "counter": counter.to_string(),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings});
@@ -351,7 +351,7 @@
     }
 
     /// Starts a limiter with these servers, all in service, and with a working counter.
-    pub fn over(servers: &[&Fake]) -> Limiter {
+    pub fn over(servers: &[&FakePeer]) -> Limiter {
         let list = servers.iter().enumerate();
         let list = list.map(|(n, s)| instance(&format!("s-{n}"), s.address, "in_service")).collect();
         Limiter::start(settings(), &discovery(list), counter().address)
--- a/crates/rate-limiter/tests/discovery.rs
+++ b/crates/rate-limiter/tests/discovery.rs
@@ -19,13 +19,13 @@
 
 #[test]
 fn a_list_is_parsed_however_it_is_formatted_and_split_into_chunks() {
-    let served = Fake::new(|_| ok("first"));
-    let (second, third) = (Fake::new(|_| ok("second")), Fake::new(|_| ok("third")));
+    let served = FakePeer::new(|_| ok("first"));
+    let (second, third) = (FakePeer::new(|_| ok("second")), FakePeer::new(|_| ok("third")));
     let first = [instance("s-0", served.address, "in_service")];
     let list = indented(&update(10, true, &first));
     // Each line of the complete list is a chunk of its own, and so is each line break.
     let lines: String = list.trim_end().lines().map(|l| piece(l) + &piece("\n")).collect();
-    let discovery = Fake::new(move |_| Reply::Raw(format!("{WATCH_HEAD}{lines}")));
+    let discovery = FakePeer::new(move |_| Reply::Raw(format!("{WATCH_HEAD}{lines}")));
     let limiter = Limiter::start(settings(), &discovery, counter().address);
     let mut client = limiter.client();
     wait_until("the indented list is known", || client.ask(&quote("roomy", 9000)).text() == "first");
@@ -47,7 +47,7 @@
 
 #[test]
 fn a_message_that_never_ends_ends_the_watch() {
-    let server = Fake::new(|_| ok("served"));
+    let server = FakePeer::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let _limiter = Limiter::start(settings(), &discovery, counter().address);
     discovery.push(&piece("{\"generation\": 11, \"instances\": ["));
@@ -64,13 +64,13 @@
     // A change that discovery publishes takes effect 6 s after the watch became idle. Here the watch becomes
     // idle, two calls in a row get no message, and the next one returns the change. The timeouts of these
     // calls must leave enough time for that.
-    let (old, new) = (Fake::new(|_| ok("old")), Fake::new(|_| ok("new")));
+    let (old, new) = (FakePeer::new(|_| ok("old")), FakePeer::new(|_| ok("new")));
     let (before, after) = (
         chunk(&update(10, true, &[instance("s-0", old.address, "in_service")])),
         chunk(&update(11, true, &[instance("s-1", new.address, "in_service")])),
     );
     let calls = AtomicU32::new(0);
-    let discovery = Fake::new(move |_| match calls.fetch_add(1, Ordering::SeqCst) {
+    let discovery = FakePeer::new(move |_| match calls.fetch_add(1, Ordering::SeqCst) {
         0 => Reply::Raw(format!("{WATCH_HEAD}{before}")),
         // Both calls are accepted and get no message: one gets the head of a response, the other one nothing.
         1 => Reply::Raw(WATCH_HEAD.into()),
--- a/crates/rate-limiter/tests/invalid_responses.rs
+++ b/crates/rate-limiter/tests/invalid_responses.rs
@@ -20,7 +20,7 @@
     ];
     for fault in faults {
         let count = AtomicU32::new(0);
-        let server = Fake::new(move |_| match count.fetch_add(1, Ordering::SeqCst) {
+        let server = FakePeer::new(move |_| match count.fetch_add(1, Ordering::SeqCst) {
             0 => Reply::Raw(fault.into()),
             _ => ok("good"),
         });
@@ -40,7 +40,7 @@
 fn bytes_after_a_response_are_not_read_as_the_next_response() {
     let own = |m: &Message| m.header("x-correlation-id").unwrap_or_default().to_string();
     for pause in [None, Some(0), Some(1), Some(3)] {
-        let server = Fake::new(move |m| {
+        let server = FakePeer::new(move |m| {
             let (good, copy) = (raw("200 OK", "", &own(m)), raw("200 OK", "", "a copy"));
             match pause {
                 None => Reply::Raw(good + &copy),
@@ -62,7 +62,7 @@
     // The reuse delay is longer than the latest arrival of a second response ever observed. On a slow
     // machine, the test only checks it less often.
     for _ in 0..5 {
-        let server = Fake::new(|_| ok("served"));
+        let server = FakePeer::new(|_| ok("served"));
         let limiter = Limiter::over(&[&server]);
         let mut client = limiter.client();
         let began = Instant::now();
@@ -81,7 +81,7 @@
 
 #[test]
 fn an_informational_response_is_skipped_however_long_the_final_one_takes() {
-    let server = Fake::new(|_| {
+    let server = FakePeer::new(|_| {
         Reply::Pieces(vec![
             (Duration::ZERO, "HTTP/1.1 102 Processing\r\n\r\n".into()),
             (Duration::from_millis(600), raw("200 OK", "", "served")),
@@ -98,7 +98,7 @@
 fn an_invalid_number_in_a_response_blocks_no_tenant() {
     for figure in ["-5", "99999", "1e9", "NaN", "inf", "much"] {
         let headers = format!("X-Settled: {figure}\r\nX-Backend-Load: util={figure},queue=-1\r\n");
-        let server = Fake::new(move |_| Reply::Raw(raw("200 OK", &headers, "served")));
+        let server = FakePeer::new(move |_| Reply::Raw(raw("200 OK", &headers, "served")));
         let limiter = Limiter::over(&[&server]);
         let mut client = limiter.client();
         // The plan has a burst of four units.
@@ -110,7 +110,7 @@
 
 #[test]
 fn endless_informational_responses_delay_a_request_no_longer_than_its_client_waits() {
-    let server = Fake::new(|_| {
+    let server = FakePeer::new(|_| {
         let line = || (Duration::from_millis(10), "HTTP/1.1 103 Early Hints\r\n\r\n".to_string());
         Reply::Pieces((0..400).map(|_| line()).collect())
     });
--- a/crates/rate-limiter/tests/overload.rs
+++ b/crates/rate-limiter/tests/overload.rs
@@ -58,7 +58,7 @@
     }
 }
 
-fn start(servers: &[Fake]) -> Limiter {
+fn start(servers: &[FakePeer]) -> Limiter {
     let mut settings = settings();
     settings["classes"][1]["worth"] = json!(4.0);
     let list = servers.iter().enumerate();
@@ -71,12 +71,12 @@
 #[test]
 fn slow_responses_that_are_not_queued_cause_no_rejections() {
     let slow =
-        || Fake::new(|_| Reply::Pieces(vec![(Duration::from_millis(130), raw("200 OK", "", "served"))]));
-    let servers: Vec<Fake> = (0..6).map(|_| slow()).collect();
+        || FakePeer::new(|_| Reply::Pieces(vec![(Duration::from_millis(130), raw("200 OK", "", "served"))]));
+    let servers: Vec<FakePeer> = (0..6).map(|_| slow()).collect();
     let limiter = start(&servers);
     let load = Load::on(&limiter);
     // Enough responses for an in-flight limit to be lowered, if such responses lowered it.
-    wait_until("many requests have been served", || servers.iter().map(Fake::count).sum::<usize>() > 100);
+    wait_until("many requests have been served", || servers.iter().map(FakePeer::count).sum::<usize>() > 100);
     load.row.store(0, Ordering::SeqCst);
     wait_until("many consecutive quotes are served", || load.row.load(Ordering::SeqCst) >= ROW);
     load.end();
@@ -87,7 +87,7 @@
 #[test]
 fn queued_responses_cause_rejections() {
     let turn = Mutex::new(());
-    let server = Fake::new(move |_| {
+    let server = FakePeer::new(move |_| {
         let _turn = turn.lock().expect("lock");
         thread::sleep(Duration::from_millis(60));
         ok("served")
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -22,7 +22,7 @@
 
 #[test]
 fn a_request_is_forwarded_unchanged_and_its_response_is_returned() {
-    let server = Fake::new(|m| ok(&format!("echo {}", m.text())));
+    let server = FakePeer::new(|m| ok(&format!("echo {}", m.text())));
     let limiter = Limiter::over(&[&server]);
     let mut client = limiter.client();
     let sent = post("bind", "a policy");
@@ -48,7 +48,7 @@
 
 #[test]
 fn a_tenant_beyond_its_quota_is_rejected_with_retry_after() {
-    let server = Fake::new(|_| ok("served"));
+    let server = FakePeer::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let mut settings = settings();
     // A Retry-After needs totals of the counter. With this timeout, the counter is not considered down on a
@@ -76,7 +76,7 @@
 
 #[test]
 fn an_empty_bucket_borrows_from_an_idle_quota() {
-    let server = Fake::new(|_| ok("served"));
+    let server = FakePeer::new(|_| ok("served"));
     let (discovery, counter) = (discovery(vec![instance("s-0", server.address, "in_service")]), counter());
     let mut settings = settings();
     settings["family-info"]["count-limit-s"] = json!(5.0);
@@ -103,7 +103,7 @@
 /// Sends a request to a server whose first response is a fault. Returns the final response, and the requests
 /// that the server received.
 fn after(fault: impl Fn() -> Reply + Send + Sync + 'static, request: &str) -> (Message, Vec<Message>) {
-    let server = Fake::new(at_first(1, fault));
+    let server = FakePeer::new(at_first(1, fault));
     let limiter = Limiter::over(&[&server]);
     (limiter.client().ask(request), server.seen())
 }
@@ -111,7 +111,7 @@
 #[test]
 fn a_request_of_any_class_is_retried_at_another_server_after_a_refused_connection() {
     for request in [quote("roomy", 9000), post("bind", "x"), post("once", "x")] {
-        let good = Fake::new(|_| ok("served"));
+        let good = FakePeer::new(|_| ok("served"));
         let (one, other) = (nobody(), nobody());
         let list = vec![
             instance("s-0", one.1, "in_service"),
@@ -159,7 +159,7 @@
 
 #[test]
 fn a_retry_that_is_still_connecting_when_its_deduplication_window_ends_is_not_sent() {
-    let hung = Fake::new(|_| Reply::Silence);
+    let hung = FakePeer::new(|_| Reply::Silence);
     let (listener, stuck, filled) = never_up();
     let discovery = discovery(vec![instance("s-0", hung.address, "in_service")]);
     discovery.beat();
@@ -175,10 +175,10 @@
     // The request may have executed when its connection is lost, and the only server that is left does not
     // accept a connection yet. A third server, which drains too, shows when the limiter knows the list: it
     // then closes its idle connection to that server.
-    let third = Fake::new(|_| ok("served"));
+    let third = FakePeer::new(|_| ok("served"));
     discovery.push(&chunk(&update(11, false, &[instance("s-2", third.address, "in_service")])));
     wait_until("the third server is known", || limiter.client().ask(&quote("roomy", 200)).status() == 200);
-    let drains = |n, fake: &Fake| instance(&format!("s-{n}"), fake.address, "terminating");
+    let drains = |n, fake: &FakePeer| instance(&format!("s-{n}"), fake.address, "terminating");
     let change = [drains(0, &hung), drains(2, &third), instance("s-1", stuck, "in_service")];
     discovery.push(&chunk(&update(12, false, &change)));
     wait_until("the change is known", || third.ended() == third.accepted());
@@ -192,7 +192,7 @@
 
 #[test]
 fn a_request_without_a_response_fails_before_its_deadline() {
-    let server = Fake::new(|_| Reply::Silence);
+    let server = FakePeer::new(|_| Reply::Silence);
     let limiter = Limiter::over(&[&server]);
     let began = Instant::now();
     let answer = limiter.client().ask(&quote("roomy", 1500));
@@ -207,9 +207,9 @@
     // Requests hang, and the limiter cancels the attempts and retries at another server. That server responds
     // only after the first one has seen its connection close, or records that it did not.
     let overlaps = Arc::new(AtomicU32::new(0));
-    let hung = Fake::new(|_| Reply::Silence);
+    let hung = FakePeer::new(|_| Reply::Silence);
     let (first, noted) = (hung.clone(), overlaps.clone());
-    let good = Fake::new(move |m| {
+    let good = FakePeer::new(move |m| {
         let id = m.header("x-correlation-id").unwrap_or_default().to_string();
         let end = Instant::now() + Duration::from_secs(3);
         while !first.let_go().contains(&id) {
@@ -243,7 +243,7 @@
 #[test]
 fn a_reused_connection_that_its_server_closed_loses_no_request() {
     // The server closes the connection after every response, without a header that announces it.
-    let server = Fake::new(|_| Reply::Last(raw("200 OK", "", "bye")));
+    let server = FakePeer::new(|_| Reply::Last(raw("200 OK", "", "bye")));
     let limiter = Limiter::over(&[&server]);
     let mut client = limiter.client();
     for n in 1..=5 {
@@ -256,10 +256,10 @@
 #[test]
 fn ejected_servers_are_used_again_later() {
     let (failing, go) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicBool::new(true)));
-    let servers: Vec<Fake> = (0..4)
+    let servers: Vec<FakePeer> = (0..4)
         .map(|_| {
             let (failing, gate) = (failing.clone(), go.clone());
-            Fake::new(move |_| {
+            FakePeer::new(move |_| {
                 wait_for_gate(&gate);
                 match failing.load(Ordering::SeqCst) {
                     true => Reply::Raw(raw("500 Internal Server Error", "", "")),
@@ -282,7 +282,7 @@
     failing.store(false, Ordering::SeqCst);
     // Sends `n` requests at once, which the servers hold until each of them has arrived or was rejected.
     let mut served_at_once = |n: usize| {
-        let seen = || servers.iter().map(Fake::count).sum::<usize>();
+        let seen = || servers.iter().map(FakePeer::count).sum::<usize>();
         let before = seen();
         go.store(false, Ordering::SeqCst);
         clients[..n].iter_mut().for_each(|c| c.send(&post("once", "x")));
@@ -310,7 +310,7 @@
 #[test]
 fn a_server_that_starts_draining_during_a_connect_gets_no_request() {
     let (listener, stuck, filled) = never_up();
-    let good = Fake::new(|_| ok("served"));
+    let good = FakePeer::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", stuck, "in_service")]);
     let mut settings = settings();
     settings["limits"]["connect-timeout-s"] = json!(10.0);
@@ -339,7 +339,7 @@
 
 #[test]
 fn a_removed_server_loses_its_requests_in_flight() {
-    let (hung, good) = (Fake::new(|_| Reply::Silence), Fake::new(|_| ok("served")));
+    let (hung, good) = (FakePeer::new(|_| Reply::Silence), FakePeer::new(|_| ok("served")));
     let discovery = discovery(vec![instance("s-0", hung.address, "in_service")]);
     // A single late response does not make the limiter cancel the attempt, so only the update of the list can
     // end it.
@@ -360,7 +360,7 @@
 
 #[test]
 fn a_server_that_moved_is_used_at_its_new_address() {
-    let (old, new) = (Fake::new(|_| ok("old")), Fake::new(|_| ok("new")));
+    let (old, new) = (FakePeer::new(|_| ok("old")), FakePeer::new(|_| ok("new")));
     let discovery = discovery(vec![instance("s-0", old.address, "in_service")]);
     let limiter = Limiter::start(settings(), &discovery, counter().address);
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).text(), "old");
@@ -372,7 +372,7 @@
 
 #[test]
 fn a_broken_watch_resumes_after_the_last_received_version() {
-    let server = Fake::new(|_| ok("served"));
+    let server = FakePeer::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let limiter = Limiter::start(settings(), &discovery, counter().address);
     assert!(discovery.seen()[0].first.starts_with("GET /discovery/hosts?watch=1"));
@@ -399,7 +399,7 @@
 
 #[test]
 fn an_invalid_server_entry_hides_no_other_entry() {
-    let server = Fake::new(|_| ok("served"));
+    let server = FakePeer::new(|_| ok("served"));
     let bad = json!({"instanceId": "s-bad", "hostPort": "nowhere", "lifecycle": "in_service"});
     let discovery = discovery(vec![bad, instance("s-0", server.address, "in_service")]);
     let limiter = Limiter::start(settings(), &discovery, counter().address);
@@ -410,7 +410,7 @@
 #[test]
 fn an_idle_watch_times_out() {
     // A network partition causes no error.
-    let server = Fake::new(|_| ok("served"));
+    let server = FakePeer::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let _limiter = Limiter::start(settings(), &discovery, counter().address);
     wait_until("a second watch", || discovery.count() == 2);
@@ -421,7 +421,7 @@
 
 #[test]
 fn the_counter_gets_the_forwarded_units() {
-    let (server, counter) = (Fake::new(|_| ok("served")), counter());
+    let (server, counter) = (FakePeer::new(|_| ok("served")), counter());
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let limiter = Limiter::start(settings(), &discovery, counter.address);
     let mut client = limiter.client();
@@ -447,8 +447,8 @@
     let rules: [fn() -> Reply; 4] =
         [|| Reply::Silence, || ok("no number"), || Reply::Last("garbage\r\n\r\n".into()), late];
     for (n, rule) in rules.into_iter().enumerate() {
-        let server = Fake::new(|_| ok("served"));
-        let counter = Fake::new(move |_| rule());
+        let server = FakePeer::new(|_| ok("served"));
+        let counter = FakePeer::new(move |_| rule());
         let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
         let limiter = Limiter::start(settings(), &discovery, counter.address);
         let mut client = limiter.client();
@@ -465,7 +465,7 @@
 
 #[test]
 fn a_counter_that_refuses_connections_is_retried() {
-    let server = Fake::new(|_| ok("served"));
+    let server = FakePeer::new(|_| ok("served"));
     let (counter, address) = nobody();
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let limiter = Limiter::start(settings(), &discovery, address);
@@ -485,7 +485,7 @@
 
 #[test]
 fn a_closed_log_does_not_end_the_limiter() {
-    let server = Fake::new(|_| ok("served"));
+    let server = FakePeer::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let limiter = Limiter::start(settings(), &discovery, counter().address);
     limiter.close_log();
@@ -499,7 +499,7 @@
 
 #[test]
 fn an_invalid_known_list_does_not_prevent_the_start() {
-    let server = Fake::new(|_| ok("served"));
+    let server = FakePeer::new(|_| ok("served"));
     for known in [json!({"generation": "x"}), json!("none"), json!({"generation": 3, "instances": [{}]})] {
         let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
         let limiter = Limiter::with_known(known.clone(), settings(), &discovery, counter().address);
--- a/crates/rate-limiter/tests/signals.rs
+++ b/crates/rate-limiter/tests/signals.rs
@@ -11,7 +11,7 @@
 
 #[test]
 fn sighup_switches_discovery_and_the_counter_to_the_addresses_in_the_file() {
-    let (old, new) = (Fake::new(|_| ok("old")), Fake::new(|_| ok("new")));
+    let (old, new) = (FakePeer::new(|_| ok("old")), FakePeer::new(|_| ok("new")));
     let (counter_1, counter_2) = (counter(), counter());
     let discovery_1 = discovery(vec![instance("s-0", old.address, "in_service")]);
     let discovery_2 = discovery(vec![instance("s-1", new.address, "in_service")]);
@@ -49,7 +49,7 @@
 
 #[test]
 fn sighup_with_a_missing_or_invalid_file_changes_nothing() {
-    let server = Fake::new(|_| ok("served"));
+    let server = FakePeer::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let mut limiter = Limiter::start(settings(), &discovery, counter().address);
     for (n, text) in [Some("{\"discovery\":"), Some("{\"counter\":\"nowhere\"}"), None].iter().enumerate() {
@@ -73,7 +73,7 @@
 fn sigterm_finishes_open_requests_and_still_accepts_new_ones() {
     let go = Arc::new(AtomicBool::new(false));
     let gate = go.clone();
-    let server = Fake::new(move |m| {
+    let server = FakePeer::new(move |m| {
         if m.first.contains("/bind/") {
             wait_for_gate(&gate);
         }
@@ -100,7 +100,7 @@
 
 #[test]
 fn sigterm_closes_no_connection_with_a_partly_received_request() {
-    let server = Fake::new(|_| ok("served"));
+    let server = FakePeer::new(|_| ok("served"));
     let mut limiter = Limiter::over(&[&server]);
     let (mut half, mut fresh, mut idle) = (limiter.client(), limiter.client(), limiter.client());
     for client in [&mut half, &mut idle] {
@@ -129,7 +129,7 @@
 
 #[test]
 fn requests_that_arrive_after_sigterm_get_responses_before_sigkill() {
-    let server = Fake::new(|_| Reply::Silence);
+    let server = FakePeer::new(|_| Reply::Silence);
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let mut settings = settings();
     settings["classes"][0]["deadline-s"] = json!(60.0);
@@ -148,7 +148,7 @@
 /// Checks requests that are sent around the moment at which their idle connections are closed: each gets a
 /// response, or is never forwarded. Each of 32 clients sends one, `idle` after its last response or later,
 /// and 0.2 ms after the client before it. `end` runs at the same time.
-fn cross(server: &Fake, limiter: &Limiter, idle: Duration, end: impl FnOnce()) {
+fn cross(server: &FakePeer, limiter: &Limiter, idle: Duration, end: impl FnOnce()) {
     let clients = (0..32).map(|_| {
         let mut client = limiter.client();
         assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
@@ -176,7 +176,7 @@
 
 #[test]
 fn a_request_sent_while_its_idle_connection_is_closed_gets_a_response_or_is_not_forwarded() {
-    let server = Fake::new(|_| ok("served"));
+    let server = FakePeer::new(|_| ok("served"));
     for _ in 0..4 {
         let mut limiter = Limiter::over(&[&server]);
         cross(&server, &limiter, Duration::ZERO, || limiter.terminate());
