--- a/crates/rate-limiter/tests/clients.rs
+++ b/crates/rate-limiter/tests/clients.rs
@@ -12,7 +12,7 @@
 #[test]
 fn a_client_that_disconnects_cancels_its_attempt() {
     let server = FakePeer::new(|_| Reply::Silence);
-    let limiter = Limiter::over(&[&server]);
+    let limiter = LimiterProcess::over(&[&server]);
     let mut client = limiter.client();
     client.send(&quote("roomy", 60_000));
     wait_until("the request is forwarded", || server.count() == 1);
@@ -28,7 +28,7 @@
     let mut settings = settings();
     // The deadline is so long that it does not end the attempt while the test waits.
     settings["classes"][0]["deadline-s"] = json!(120.0);
-    let limiter = Limiter::start(settings, &discovery, counter().address);
+    let limiter = LimiterProcess::start(settings, &discovery, counter().address);
     for (n, half) in [false, true].into_iter().enumerate() {
         let mut client = limiter.client();
         client.send(&(quote("roomy", 120_000) + &quote("roomy", 120_000) + &"x".repeat(100_000)));
@@ -63,7 +63,7 @@
     settings["limits"]["connect-timeout-s"] = json!(60.0);
     settings["limits"]["cancel"] = json!(cancel);
     settings["classes"][0]["deadline-s"] = json!(120.0);
-    let limiter = Limiter::start(settings, &discovery, counter().address);
+    let limiter = LimiterProcess::start(settings, &discovery, counter().address);
     // Once a later request has its response, the limiter has read what was sent before.
     let all_read = || assert_eq!(limiter.client().ask("GET /up HTTP/1.1\r\n\r\n").status(), 200);
     let mut leaving = limiter.client();
@@ -112,7 +112,7 @@
     let server = FakePeer::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     // There is room for about twenty clients, which is used up by clients whose bodies never arrive.
-    let limiter = Limiter::with_sockets(72, settings(), &discovery, counter().address);
+    let limiter = LimiterProcess::with_sockets(72, settings(), &discovery, counter().address);
     let body = post("bind", "12345678");
     let busy: Vec<Client> = (0..60)
         .map(|_| {
@@ -136,7 +136,7 @@
 #[test]
 fn a_request_past_its_deadline_is_rejected_and_not_forwarded() {
     let server = FakePeer::new(|_| ok("served"));
-    let limiter = Limiter::over(&[&server]);
+    let limiter = LimiterProcess::over(&[&server]);
     for left_ms in [0, 1, 10] {
         assert_eq!(limiter.client().ask(&quote("roomy", left_ms)).status(), 429, "{left_ms} ms");
     }
@@ -147,7 +147,7 @@
 #[test]
 fn malformed_requests_reach_no_server() {
     let server = FakePeer::new(|_| ok("served"));
-    let limiter = Limiter::over(&[&server]);
+    let limiter = LimiterProcess::over(&[&server]);
     let good = post("bind", "x");
     let mut cases = vec![
         ("no HTTP\r\n\r\n".to_string(), 400),
@@ -215,7 +215,7 @@
     let server = FakePeer::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     // With so few sockets, there is room for about twenty clients.
-    let limiter = Limiter::with_sockets(72, settings(), &discovery, counter().address);
+    let limiter = LimiterProcess::with_sockets(72, settings(), &discovery, counter().address);
     let mut clients: Vec<Client> = Vec::new();
     for n in 0..60 {
         let mut client = limiter.client();
@@ -235,7 +235,7 @@
         ok("served")
     });
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
-    let limiter = Limiter::with_sockets(40, settings(), &discovery, counter().address);
+    let limiter = LimiterProcess::with_sockets(40, settings(), &discovery, counter().address);
     // At most four clients may be connected. All of them have an open request, and stay connected after its
     // response.
     let mut clients: Vec<Client> = (0..12).map(|_| limiter.client()).collect();
@@ -252,7 +252,7 @@
 #[test]
 fn a_request_with_two_lengths_hides_no_other_request() {
     let server = FakePeer::new(|_| ok("served"));
-    let limiter = Limiter::over(&[&server]);
+    let limiter = LimiterProcess::over(&[&server]);
     let (hidden, outer) = (quote("roomy", 9000), post("bind", ""));
     let length = format!("Content-Length: {}\r\n", hidden.len() + 5);
     let chunked = "Transfer-Encoding: chunked\r\n";
@@ -280,7 +280,7 @@
         wait_for_gate(&gate);
         ok("served")
     });
-    let limiter = Limiter::over(&[&server]);
+    let limiter = LimiterProcess::over(&[&server]);
     let (mut first, copy) = (limiter.client(), quote("roomy", 9000));
     first.send(&copy);
     wait_until("the request is forwarded", || server.count() == 1);
@@ -295,7 +295,7 @@
 #[test]
 fn an_error_reaches_a_client_that_is_still_sending() {
     let server = FakePeer::new(|_| ok("served"));
-    let limiter = Limiter::over(&[&server]);
+    let limiter = LimiterProcess::over(&[&server]);
     let junk = "x".repeat(128 * 1024);
     for (text, status) in [
         (post("bind", "x").replace("Content-Length: 1\r\n", "Content-Length: 60000000\r\n"), 413),
@@ -325,7 +325,7 @@
 #[test]
 fn clients_without_a_complete_request_are_disconnected_in_time() {
     let server = FakePeer::new(|_| ok("served"));
-    let limiter = Limiter::over(&[&server]);
+    let limiter = LimiterProcess::over(&[&server]);
     let whole = post("bind", "12345678");
     let cases: [(&str, &str); 5] = [
         ("", ""),
@@ -361,7 +361,7 @@
     let server = FakePeer::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     // There is room for about twenty clients.
-    let limiter = Limiter::with_sockets(72, settings(), &discovery, counter().address);
+    let limiter = LimiterProcess::with_sockets(72, settings(), &discovery, counter().address);
     let mut usual: Vec<Client> = (0..8).map(|_| limiter.client()).collect();
     for client in &mut usual {
         assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
@@ -383,7 +383,7 @@
 #[test]
 fn an_idle_client_frees_its_slot() {
     let server = FakePeer::new(|_| ok("served"));
-    let limiter = Limiter::over(&[&server]);
+    let limiter = LimiterProcess::over(&[&server]);
     let mut client = limiter.client();
     assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
     let began = Instant::now();
--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -266,7 +266,7 @@
 }
 
 /// A running process of the binary.
-pub struct Limiter {
+pub struct LimiterProcess {
     pub address: SocketAddr,
     child: Child,
     errors: Arc<Mutex<String>>,
@@ -294,23 +294,33 @@
     command
 }
 
-impl Limiter {
+impl LimiterProcess {
     /// Starts a limiter and waits until it is ready.
-    pub fn start(settings: Value, discovery: &FakePeer, counter: SocketAddr) -> Limiter {
-        Limiter::with_sockets(1024, settings, discovery, counter)
+    pub fn start(settings: Value, discovery: &FakePeer, counter: SocketAddr) -> LimiterProcess {
+        LimiterProcess::with_sockets(1024, settings, discovery, counter)
     }
 
     /// Starts a limiter with a maximum number of sockets.
-    pub fn with_sockets(sockets: u32, settings: Value, discovery: &FakePeer, counter: SocketAddr) -> Limiter {
-        Limiter::configured(json!({"limits": {"sockets": sockets}}), settings, discovery, counter)
+    pub fn with_sockets(
+        sockets: u32,
+        settings: Value,
+        discovery: &FakePeer,
+        counter: SocketAddr,
+    ) -> LimiterProcess {
+        LimiterProcess::configured(json!({"limits": {"sockets": sockets}}), settings, discovery, counter)
     }
 
     /// Starts a limiter with the last server list that it knew before it was restarted.
-    pub fn with_known(known: Value, settings: Value, discovery: &FakePeer, counter: SocketAddr) -> Limiter {
-        Limiter::configured(json!({"known": known}), settings, discovery, counter)
+    pub fn with_known(
+        known: Value,
+        settings: Value,
+        discovery: &FakePeer,
+        counter: SocketAddr,
+    ) -> LimiterProcess {
+        LimiterProcess::configured(json!({"known": known}), settings, discovery, counter)
     }
 
-    fn configured(more: Value, settings: Value, discovery: &FakePeer, counter: SocketAddr) -> Limiter {
+    fn configured(more: Value, settings: Value, discovery: &FakePeer, counter: SocketAddr) -> LimiterProcess {
         let mut config = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "00000000000000ff",
             "discovery": discovery.address.to_string(), "counter": counter.to_string(),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings});
@@ -343,7 +353,7 @@
                 log.lock().expect("lock").push_str(&(line + "\n"));
             }
         });
-        let limiter = Limiter { address, child, errors, log_closed, file, config, early };
+        let limiter = LimiterProcess { address, child, errors, log_closed, file, config, early };
         wait_until("the limiter is ready", || {
             limiter.client().ask("GET /up HTTP/1.1\r\n\r\n").status() == 200
         });
@@ -351,10 +361,10 @@
     }
 
     /// Starts a limiter with these servers, all in service, and with a working counter.
-    pub fn over(servers: &[&FakePeer]) -> Limiter {
+    pub fn over(servers: &[&FakePeer]) -> LimiterProcess {
         let list = servers.iter().enumerate();
         let list = list.map(|(n, s)| instance(&format!("s-{n}"), s.address, "in_service")).collect();
-        Limiter::start(settings(), &discovery(list), counter().address)
+        LimiterProcess::start(settings(), &discovery(list), counter().address)
     }
 
     pub fn client(&self) -> Client {
@@ -411,7 +421,7 @@
     }
 }
 
-impl Drop for Limiter {
+impl Drop for LimiterProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/crates/rate-limiter/tests/discovery.rs
+++ b/crates/rate-limiter/tests/discovery.rs
@@ -26,7 +26,7 @@
     // Each line of the complete list is a chunk of its own, and so is each line break.
     let lines: String = list.trim_end().lines().map(|l| piece(l) + &piece("\n")).collect();
     let discovery = FakePeer::new(move |_| Reply::Raw(format!("{WATCH_HEAD}{lines}")));
-    let limiter = Limiter::start(settings(), &discovery, counter().address);
+    let limiter = LimiterProcess::start(settings(), &discovery, counter().address);
     let mut client = limiter.client();
     wait_until("the indented list is known", || client.ask(&quote("roomy", 9000)).text() == "first");
 
@@ -49,7 +49,7 @@
 fn a_message_that_never_ends_ends_the_watch() {
     let server = FakePeer::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
-    let _limiter = Limiter::start(settings(), &discovery, counter().address);
+    let _limiter = LimiterProcess::start(settings(), &discovery, counter().address);
     discovery.push(&piece("{\"generation\": 11, \"instances\": ["));
     // Empty lines do not extend the timeout within a message.
     wait_until("a second watch", || {
@@ -77,7 +77,7 @@
         2 => Reply::Silence,
         _ => Reply::Raw(format!("{WATCH_HEAD}{after}")),
     });
-    let limiter = Limiter::start(settings(), &discovery, counter().address);
+    let limiter = LimiterProcess::start(settings(), &discovery, counter().address);
     wait_until("the list is known", || limiter.client().ask(&quote("roomy", 9000)).text() == "old");
     wait_until("the second watch", || discovery.count() == 2);
     let began = Instant::now();
--- a/crates/rate-limiter/tests/overload.rs
+++ b/crates/rate-limiter/tests/overload.rs
@@ -24,7 +24,7 @@
 }
 
 impl Load {
-    fn on(limiter: &Limiter) -> Load {
+    fn on(limiter: &LimiterProcess) -> Load {
         let mut load =
             Load { refused: Arc::default(), row: Arc::default(), done: Arc::default(), clients: Vec::new() };
         for n in 0..CLIENTS {
@@ -58,12 +58,12 @@
     }
 }
 
-fn start(servers: &[FakePeer]) -> Limiter {
+fn start(servers: &[FakePeer]) -> LimiterProcess {
     let mut settings = settings();
     settings["classes"][1]["worth"] = json!(4.0);
     let list = servers.iter().enumerate();
     let list = list.map(|(n, s)| instance(&format!("s-{n}"), s.address, "in_service")).collect();
-    Limiter::start(settings, &discovery(list), counter().address)
+    LimiterProcess::start(settings, &discovery(list), counter().address)
 }
 
 /// The service time is a third of the target latency. A lower in-flight limit would not make such responses
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -23,7 +23,7 @@
 #[test]
 fn a_request_is_forwarded_unchanged_and_its_response_is_returned() {
     let server = FakePeer::new(|m| ok(&format!("echo {}", m.text())));
-    let limiter = Limiter::over(&[&server]);
+    let limiter = LimiterProcess::over(&[&server]);
     let mut client = limiter.client();
     let sent = post("bind", "a policy");
     let answer = client.ask(&sent);
@@ -54,7 +54,7 @@
     // A Retry-After needs totals of the counter. With this timeout, the counter is not considered down on a
     // slow machine.
     settings["family-info"]["count-limit-s"] = json!(5.0);
-    let limiter = Limiter::start(settings, &discovery, counter().address);
+    let limiter = LimiterProcess::start(settings, &discovery, counter().address);
     let (mut client, began) = (limiter.client(), Instant::now());
     let (mut served, mut refused) = (0, Vec::new());
     wait_until("a rejection has a Retry-After", || {
@@ -82,7 +82,7 @@
     settings["family-info"]["count-limit-s"] = json!(5.0);
     // This is one of two limiters: its bucket holds 80 units, and is refilled at 20 to 40 units/s.
     settings["tariffs"][1] = json!({"name": "small", "rate": 40.0, "depth": 160.0, "pays": 1.0});
-    let limiter = Limiter::start(settings, &discovery, counter.address);
+    let limiter = LimiterProcess::start(settings, &discovery, counter.address);
     let request = || quote("small", 9000).replace("units=1,spread=1", "units=4,spread=2");
     let mut client = limiter.client();
     let (mut served, mut filled, began) = (0.0, 0.0, Instant::now());
@@ -104,7 +104,7 @@
 /// that the server received.
 fn after(fault: impl Fn() -> Reply + Send + Sync + 'static, request: &str) -> (Message, Vec<Message>) {
     let server = FakePeer::new(at_first(1, fault));
-    let limiter = Limiter::over(&[&server]);
+    let limiter = LimiterProcess::over(&[&server]);
     (limiter.client().ask(request), server.seen())
 }
 
@@ -118,7 +118,7 @@
             instance("s-1", other.1, "in_service"),
             instance("s-2", good.address, "in_service"),
         ];
-        let limiter = Limiter::start(settings(), &discovery(list), counter().address);
+        let limiter = LimiterProcess::start(settings(), &discovery(list), counter().address);
         let mut client = limiter.client();
         let answer = client.ask(&request);
         assert_eq!((answer.status(), good.count()), (200, 1), "{}", answer.first);
@@ -167,7 +167,7 @@
     settings["limits"]["connect-timeout-s"] = json!(60.0);
     settings["classes"][1]["deadline-s"] = json!(120.0);
     settings["classes"][1]["window-s"] = json!(4.0);
-    let limiter = Limiter::start(settings, &discovery, counter().address);
+    let limiter = LimiterProcess::start(settings, &discovery, counter().address);
     let mut client = limiter.client();
     let request = post("bind", "x").replace("9000m", "120000m");
     client.send(&request);
@@ -193,7 +193,7 @@
 #[test]
 fn a_request_without_a_response_fails_before_its_deadline() {
     let server = FakePeer::new(|_| Reply::Silence);
-    let limiter = Limiter::over(&[&server]);
+    let limiter = LimiterProcess::over(&[&server]);
     let began = Instant::now();
     let answer = limiter.client().ask(&quote("roomy", 1500));
     let elapsed = began.elapsed();
@@ -223,7 +223,7 @@
     });
     let list = vec![instance("s-0", hung.address, "in_service")];
     let discovery = discovery(list);
-    let limiter = Limiter::start(settings(), &discovery, counter().address);
+    let limiter = LimiterProcess::start(settings(), &discovery, counter().address);
     // Two requests hang at the only server, then a second server is listed.
     let clients: Vec<_> = (0..2)
         .map(|_| {
@@ -244,7 +244,7 @@
 fn a_reused_connection_that_its_server_closed_loses_no_request() {
     // The server closes the connection after every response, without a header that announces it.
     let server = FakePeer::new(|_| Reply::Last(raw("200 OK", "", "bye")));
-    let limiter = Limiter::over(&[&server]);
+    let limiter = LimiterProcess::over(&[&server]);
     let mut client = limiter.client();
     for n in 1..=5 {
         assert_eq!(client.ask(&post("once", "x")).status(), 200);
@@ -273,7 +273,7 @@
     // With this number of limiters, the in-flight limit of this limiter is two at each of the four servers.
     let mut settings = settings();
     settings["peers-total"] = json!(8);
-    let limiter = Limiter::start(settings, &discovery(list), counter().address);
+    let limiter = LimiterProcess::start(settings, &discovery(list), counter().address);
     let mut clients: Vec<Client> = (0..4).map(|_| limiter.client()).collect();
     // These are three failures per server, so that the maximum number of servers is ejected.
     for _ in 0..12 {
@@ -314,7 +314,7 @@
     let discovery = discovery(vec![instance("s-0", stuck, "in_service")]);
     let mut settings = settings();
     settings["limits"]["connect-timeout-s"] = json!(10.0);
-    let limiter = Limiter::start(settings, &discovery, counter().address);
+    let limiter = LimiterProcess::start(settings, &discovery, counter().address);
     let mut client = limiter.client();
     client.send(&quote("roomy", 15_000));
     // The other server is listed while the limiter is connecting to the first one.
@@ -343,7 +343,7 @@
     let discovery = discovery(vec![instance("s-0", hung.address, "in_service")]);
     // A single late response does not make the limiter cancel the attempt, so only the update of the list can
     // end it.
-    let limiter = Limiter::start(settings(), &discovery, counter().address);
+    let limiter = LimiterProcess::start(settings(), &discovery, counter().address);
     let mut client = limiter.client();
     client.send(&post("bind", "x"));
     wait_until("the request is forwarded", || hung.count() == 1);
@@ -362,7 +362,7 @@
 fn a_server_that_moved_is_used_at_its_new_address() {
     let (old, new) = (FakePeer::new(|_| ok("old")), FakePeer::new(|_| ok("new")));
     let discovery = discovery(vec![instance("s-0", old.address, "in_service")]);
-    let limiter = Limiter::start(settings(), &discovery, counter().address);
+    let limiter = LimiterProcess::start(settings(), &discovery, counter().address);
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).text(), "old");
     discovery.push(&chunk(&update(11, false, &[instance("s-0", new.address, "in_service")])));
     wait_until("the idle connection is closed", || old.ended() == 1);
@@ -374,7 +374,7 @@
 fn a_broken_watch_resumes_after_the_last_received_version() {
     let server = FakePeer::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
-    let limiter = Limiter::start(settings(), &discovery, counter().address);
+    let limiter = LimiterProcess::start(settings(), &discovery, counter().address);
     assert!(discovery.seen()[0].first.starts_with("GET /discovery/hosts?watch=1"));
     wait_until("the first list is known", || limiter.client().ask(&quote("roomy", 9000)).status() == 200);
     // The watch ends; a message is not JSON; a message never ends; an entry has no required fields.
@@ -402,7 +402,7 @@
     let server = FakePeer::new(|_| ok("served"));
     let bad = json!({"instanceId": "s-bad", "hostPort": "nowhere", "lifecycle": "in_service"});
     let discovery = discovery(vec![bad, instance("s-0", server.address, "in_service")]);
-    let limiter = Limiter::start(settings(), &discovery, counter().address);
+    let limiter = LimiterProcess::start(settings(), &discovery, counter().address);
     wait_until("the valid entry is known", || limiter.client().ask(&quote("roomy", 9000)).status() == 200);
     assert_eq!(discovery.count(), 1, "the watch stays open");
 }
@@ -412,7 +412,7 @@
     // A network partition causes no error.
     let server = FakePeer::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
-    let _limiter = Limiter::start(settings(), &discovery, counter().address);
+    let _limiter = LimiterProcess::start(settings(), &discovery, counter().address);
     wait_until("a second watch", || discovery.count() == 2);
     wait_until("the first watch is closed", || discovery.ended() >= 1);
 }
@@ -423,7 +423,7 @@
 fn the_counter_gets_the_forwarded_units() {
     let (server, counter) = (FakePeer::new(|_| ok("served")), counter());
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
-    let limiter = Limiter::start(settings(), &discovery, counter.address);
+    let limiter = LimiterProcess::start(settings(), &discovery, counter.address);
     let mut client = limiter.client();
     for n in 0.. {
         assert!(n < 50, "the counter was not called");
@@ -450,7 +450,7 @@
         let server = FakePeer::new(|_| ok("served"));
         let counter = FakePeer::new(move |_| rule());
         let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
-        let limiter = Limiter::start(settings(), &discovery, counter.address);
+        let limiter = LimiterProcess::start(settings(), &discovery, counter.address);
         let mut client = limiter.client();
         wait_until("the counter was called", || {
             assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200, "rule {n}");
@@ -468,7 +468,7 @@
     let server = FakePeer::new(|_| ok("served"));
     let (counter, address) = nobody();
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
-    let limiter = Limiter::start(settings(), &discovery, address);
+    let limiter = LimiterProcess::start(settings(), &discovery, address);
     let mut client = limiter.client();
     for _ in 0..20 {
         assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
@@ -487,7 +487,7 @@
 fn a_closed_log_does_not_end_the_limiter() {
     let server = FakePeer::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
-    let limiter = Limiter::start(settings(), &discovery, counter().address);
+    let limiter = LimiterProcess::start(settings(), &discovery, counter().address);
     limiter.close_log();
     // Each broken watch writes a line to the log. The first line closes the log, the others find it closed.
     for watches in 2..5 {
@@ -502,7 +502,7 @@
     let server = FakePeer::new(|_| ok("served"));
     for known in [json!({"generation": "x"}), json!("none"), json!({"generation": 3, "instances": [{}]})] {
         let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
-        let limiter = Limiter::with_known(known.clone(), settings(), &discovery, counter().address);
+        let limiter = LimiterProcess::with_known(known.clone(), settings(), &discovery, counter().address);
         wait_until("the list is known", || limiter.client().ask(&quote("roomy", 9000)).status() == 200);
         assert!(limiter.early().contains("ROUTER_CONFIG") && limiter.early().contains("known"), "{known}");
         // The version is not known either, so the limiter requests the complete list.
--- a/crates/rate-limiter/tests/signals.rs
+++ b/crates/rate-limiter/tests/signals.rs
@@ -15,7 +15,7 @@
     let (counter_1, counter_2) = (counter(), counter());
     let discovery_1 = discovery(vec![instance("s-0", old.address, "in_service")]);
     let discovery_2 = discovery(vec![instance("s-1", new.address, "in_service")]);
-    let limiter = Limiter::start(settings(), &discovery_1, counter_1.address);
+    let limiter = LimiterProcess::start(settings(), &discovery_1, counter_1.address);
     let mut client = limiter.client();
     wait_until("the first counter is called", || {
         assert_eq!(client.ask(&quote("roomy", 9000)).text(), "old");
@@ -51,7 +51,7 @@
 fn sighup_with_a_missing_or_invalid_file_changes_nothing() {
     let server = FakePeer::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
-    let mut limiter = Limiter::start(settings(), &discovery, counter().address);
+    let mut limiter = LimiterProcess::start(settings(), &discovery, counter().address);
     for (n, text) in [Some("{\"discovery\":"), Some("{\"counter\":\"nowhere\"}"), None].iter().enumerate() {
         match text {
             Some(text) => std::fs::write(&limiter.file, text).expect("write"),
@@ -79,7 +79,7 @@
         }
         ok("served")
     });
-    let mut limiter = Limiter::over(&[&server]);
+    let mut limiter = LimiterProcess::over(&[&server]);
     let (mut busy, mut idle) = (limiter.client(), limiter.client());
     assert_eq!(idle.ask(&quote("roomy", 9000)).status(), 200);
     busy.send(&post("bind", "x"));
@@ -101,7 +101,7 @@
 #[test]
 fn sigterm_closes_no_connection_with_a_partly_received_request() {
     let server = FakePeer::new(|_| ok("served"));
-    let mut limiter = Limiter::over(&[&server]);
+    let mut limiter = LimiterProcess::over(&[&server]);
     let (mut half, mut fresh, mut idle) = (limiter.client(), limiter.client(), limiter.client());
     for client in [&mut half, &mut idle] {
         assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
@@ -133,7 +133,7 @@
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let mut settings = settings();
     settings["classes"][0]["deadline-s"] = json!(60.0);
-    let mut limiter = Limiter::start(settings, &discovery, counter().address);
+    let mut limiter = LimiterProcess::start(settings, &discovery, counter().address);
     let mut client = limiter.client();
     limiter.terminate();
     wait_until("the shutdown has begun", || limiter.errors().contains("SIGTERM"));
@@ -148,7 +148,7 @@
 /// Checks requests that are sent around the moment at which their idle connections are closed: each gets a
 /// response, or is never forwarded. Each of 32 clients sends one, `idle` after its last response or later,
 /// and 0.2 ms after the client before it. `end` runs at the same time.
-fn cross(server: &FakePeer, limiter: &Limiter, idle: Duration, end: impl FnOnce()) {
+fn cross(server: &FakePeer, limiter: &LimiterProcess, idle: Duration, end: impl FnOnce()) {
     let clients = (0..32).map(|_| {
         let mut client = limiter.client();
         assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
@@ -178,12 +178,12 @@
 fn a_request_sent_while_its_idle_connection_is_closed_gets_a_response_or_is_not_forwarded() {
     let server = FakePeer::new(|_| ok("served"));
     for _ in 0..4 {
-        let mut limiter = Limiter::over(&[&server]);
+        let mut limiter = LimiterProcess::over(&[&server]);
         cross(&server, &limiter, Duration::ZERO, || limiter.terminate());
         assert_eq!(limiter.wait().code(), Some(0));
     }
     // A limiter that keeps running closes connections that have been idle for too long (2.5 s).
-    let limiter = Limiter::over(&[&server]);
+    let limiter = LimiterProcess::over(&[&server]);
     cross(&server, &limiter, Duration::from_millis(2_498), || ());
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200);
 }
