--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -74,7 +74,7 @@
     /// Writes this text.
     Raw(String),
     /// Writes this text and closes the connection.
-    Last(String),
+    RawThenClose(String),
     /// Writes these texts, each after a pause.
     Pieces(Vec<(Duration, String)>),
     /// Writes nothing, and waits until the limiter closes the connection.
@@ -192,7 +192,7 @@
                     break;
                 }
             }
-            Reply::Last(text) => {
+            Reply::RawThenClose(text) => {
                 let _ = stream.write_all(text.as_bytes());
                 break;
             }
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -141,9 +141,9 @@
         || Reply::Raw(raw("500 Internal Server Error", "", "oops")),
         // Without the header `X-Unprocessed`, status 503 does not mean that the request was not executed.
         || Reply::Raw(raw("503 Service Unavailable", "", "")),
-        || Reply::Last(String::new()),
-        || Reply::Last("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly a part".into()),
-        || Reply::Last("!!! this is no HTTP\r\n\r\n".into()),
+        || Reply::RawThenClose(String::new()),
+        || Reply::RawThenClose("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly a part".into()),
+        || Reply::RawThenClose("!!! this is no HTTP\r\n\r\n".into()),
         || Reply::Raw(raw("200 OK", "", &"x".repeat(64 * 1024 + 1))),
     ];
     for (n, fault) in faults.into_iter().enumerate() {
@@ -243,7 +243,7 @@
 #[test]
 fn a_reused_connection_that_its_server_closed_loses_no_request() {
     // The server closes the connection after every response, without a header that announces it.
-    let server = FakePeer::new(|_| Reply::Last(raw("200 OK", "", "bye")));
+    let server = FakePeer::new(|_| Reply::RawThenClose(raw("200 OK", "", "bye")));
     let limiter = LimiterProcess::over(&[&server]);
     let mut client = limiter.client();
     for n in 1..=5 {
@@ -445,7 +445,7 @@
         ok("999999")
     };
     let rules: [fn() -> Reply; 4] =
-        [|| Reply::Silence, || ok("no number"), || Reply::Last("garbage\r\n\r\n".into()), late];
+        [|| Reply::Silence, || ok("no number"), || Reply::RawThenClose("garbage\r\n\r\n".into()), late];
     for (n, rule) in rules.into_iter().enumerate() {
         let server = FakePeer::new(|_| ok("served"));
         let counter = FakePeer::new(move |_| rule());
