--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -31,7 +31,7 @@
 /// A received HTTP message: its first line, its headers with names in lower case, and its body.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    pub first: String,
+    pub start_line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
@@ -42,7 +42,7 @@
     }
 
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 
     pub fn text(&self) -> String {
@@ -56,7 +56,7 @@
             let read = from.read_line(&mut text).ok()?;
             (read > 0).then(|| text.trim_end().to_string())
         };
-        let mut message = Message { first: line()?, ..Message::default() };
+        let mut message = Message { start_line: line()?, ..Message::default() };
         loop {
             let text = line()?;
             let Some((name, value)) = text.split_once(':') else { break };
@@ -239,7 +239,7 @@
 pub fn counter() -> FakePeer {
     let numbers: Mutex<std::collections::HashMap<String, f64>> = Mutex::default();
     FakePeer::new(move |call| {
-        let target = call.first.split(' ').nth(1).unwrap_or("");
+        let target = call.start_line.split(' ').nth(1).unwrap_or("");
         let (name, query) = target.split_once('?').unwrap_or((target, ""));
         let add = query.split('&').find_map(|q| q.strip_prefix("n=")?.parse::<f64>().ok()).unwrap_or(0.0);
         let mut numbers = numbers.lock().expect("lock");
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -34,13 +34,13 @@
     assert_eq!((answer.status(), answer.text().as_str()), (200, "echo "));
 
     let seen = server.seen();
-    assert_eq!(seen[0].first, "POST /bind/00000000b4d65521 HTTP/1.1");
+    assert_eq!(seen[0].start_line, "POST /bind/00000000b4d65521 HTTP/1.1");
     for name in ["X-Correlation-Id", "Idempotency-Key"] {
         let value = seen[0].header(&name.to_ascii_lowercase()).expect(name);
         assert!(sent.contains(&format!("{name}: {value}\r\n")), "{name}: {value}");
     }
     assert_eq!(seen[0].text(), "a policy");
-    assert_eq!(seen[1].first, "GET /quote/00000000b4d65521?from=tls&to=nce HTTP/1.1");
+    assert_eq!(seen[1].start_line, "GET /quote/00000000b4d65521?from=tls&to=nce HTTP/1.1");
     let left = seen[1].header("x-time-left").and_then(|l| l.strip_suffix('u')?.parse::<u64>().ok());
     assert!((1..1_500_000).contains(&left.expect("microseconds")), "{left:?}");
     assert_eq!(server.accepted(), 1, "the connection is reused");
@@ -62,7 +62,7 @@
         match answer.status() {
             200 => served += 1,
             429 => refused.push(answer.header("retry-after").map(|v| v.parse::<f64>())),
-            _ => panic!("{}", answer.first),
+            _ => panic!("{}", answer.start_line),
         }
         matches!(refused.last(), Some(Some(_)))
     });
@@ -121,7 +121,7 @@
         let limiter = LimiterProcess::start(settings(), &discovery(list), counter().address);
         let mut client = limiter.client();
         let answer = client.ask(&request);
-        assert_eq!((answer.status(), good.count()), (200, 1), "{}", answer.first);
+        assert_eq!((answer.status(), good.count()), (200, 1), "{}", answer.start_line);
     }
 }
 
@@ -148,12 +148,12 @@
     ];
     for (n, fault) in faults.into_iter().enumerate() {
         let (answer, seen) = after(fault, &post("bind", "x"));
-        assert_eq!((answer.status(), seen.len()), (200, 2), "fault {n}: {}", answer.first);
+        assert_eq!((answer.status(), seen.len()), (200, 2), "fault {n}: {}", answer.start_line);
         assert_eq!(answer.text(), "late but good", "an invalid response is never forwarded to a client");
         let key = |m: &Message| (m.header("idempotency-key").map(String::from), m.body.clone());
         assert_eq!(key(&seen[0]), key(&seen[1]), "the retry has the same idempotency key");
         let (answer, seen) = after(fault, &post("once", "x"));
-        assert_eq!((answer.status(), seen.len()), (502, 1), "fault {n}: {}", answer.first);
+        assert_eq!((answer.status(), seen.len()), (502, 1), "fault {n}: {}", answer.start_line);
     }
 }
 
@@ -186,7 +186,7 @@
     // All servers together deduplicate this class, so that a retry by the client is safe even after the
     // window.
     let answer = client.answer().expect("a response before the connection is established");
-    assert_eq!(answer.status(), 429, "{}", answer.first);
+    assert_eq!(answer.status(), 429, "{}", answer.start_line);
     drop((listener, filled));
 }
 
@@ -197,7 +197,7 @@
     let began = Instant::now();
     let answer = limiter.client().ask(&quote("roomy", 1500));
     let elapsed = began.elapsed();
-    assert!(answer.status() >= 429, "{}", answer.first);
+    assert!(answer.status() >= 429, "{}", answer.start_line);
     assert!(elapsed >= Duration::from_millis(200) && elapsed < Duration::from_secs(4), "{elapsed:?}");
     wait_until("the attempt's connection is closed", || server.ended() == server.accepted());
 }
@@ -375,7 +375,7 @@
     let server = FakePeer::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let limiter = LimiterProcess::start(settings(), &discovery, counter().address);
-    assert!(discovery.seen()[0].first.starts_with("GET /discovery/hosts?watch=1"));
+    assert!(discovery.seen()[0].start_line.starts_with("GET /discovery/hosts?watch=1"));
     wait_until("the first list is known", || limiter.client().ask(&quote("roomy", 9000)).status() == 200);
     // The watch ends; a message is not JSON; a message never ends; an entry has no required fields.
     let bad = [
@@ -391,7 +391,7 @@
             discovery.push(&chunk(bad));
         }
         wait_until("the watch is open again", || discovery.count() == n + 2);
-        assert_eq!(discovery.seen()[n + 1].first, "GET /discovery/hosts?watch=1&after=10 HTTP/1.1");
+        assert_eq!(discovery.seen()[n + 1].start_line, "GET /discovery/hosts?watch=1&after=10 HTTP/1.1");
         assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200, "the last list still applies");
     }
     wait_until("the errors are logged", || limiter.errors().matches("discovery: ").count() >= 4);
@@ -432,7 +432,7 @@
             break;
         }
     }
-    let call = counter.seen()[0].first.clone();
+    let call = counter.seen()[0].start_line.clone();
     let (path, query) = call.trim_end_matches(" HTTP/1.1").split_once('?').expect("a query");
     assert!(path.starts_with("POST /tally/") && path.len() <= "POST /tally/".len() + 64, "{call}");
     assert!(query.starts_with("n=") && query.contains("&keep_ms=40000"), "{call}");
@@ -506,7 +506,7 @@
         wait_until("the list is known", || limiter.client().ask(&quote("roomy", 9000)).status() == 200);
         assert!(limiter.early().contains("ROUTER_CONFIG") && limiter.early().contains("known"), "{known}");
         // The version is not known either, so the limiter requests the complete list.
-        assert_eq!(discovery.seen()[0].first, "GET /discovery/hosts?watch=1 HTTP/1.1");
+        assert_eq!(discovery.seen()[0].start_line, "GET /discovery/hosts?watch=1 HTTP/1.1");
     }
 }
 
--- a/crates/rate-limiter/tests/signals.rs
+++ b/crates/rate-limiter/tests/signals.rs
@@ -24,7 +24,7 @@
 
     limiter.move_to(discovery_2.address, counter_2.address);
     wait_until("the list of the second watch applies", || client.ask(&quote("roomy", 9000)).text() == "new");
-    assert_eq!(discovery_2.seen()[0].first, "GET /discovery/hosts?watch=1&after=10 HTTP/1.1");
+    assert_eq!(discovery_2.seen()[0].start_line, "GET /discovery/hosts?watch=1&after=10 HTTP/1.1");
     // The limiter closes its connections to the old addresses, and the old peers then close theirs.
     wait_until("the first watch is closed", || discovery_1.ended() == discovery_1.accepted());
     wait_until("the connections to the first counter are closed", || {
@@ -74,7 +74,7 @@
     let go = Arc::new(AtomicBool::new(false));
     let gate = go.clone();
     let server = FakePeer::new(move |m| {
-        if m.first.contains("/bind/") {
+        if m.start_line.contains("/bind/") {
             wait_for_gate(&gate);
         }
         ok("served")
