--- a/crates/rate-limiter/tests/clients.rs
+++ b/crates/rate-limiter/tests/clients.rs
@@ -128,7 +128,7 @@
     // Connections are accepted in order, so this one is accepted after that of the disconnected client.
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200);
     let id = request.split("X-Correlation-Id: ").nth(1).and_then(|rest| rest.get(..16)).expect("an id");
-    let own = server.seen().into_iter().filter(|m| m.header("x-correlation-id") == Some(id));
+    let own = server.requests().into_iter().filter(|m| m.header("x-correlation-id") == Some(id));
     assert_eq!(own.count(), 0);
     drop(busy);
 }
@@ -269,7 +269,7 @@
     let answer = client.ask(&text);
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     assert!(client.answer().is_none());
-    assert_eq!((server.count(), server.seen()[0].text().as_str()), (1, "x"));
+    assert_eq!((server.count(), server.requests()[0].text().as_str()), (1, "x"));
 }
 
 #[test]
--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -93,7 +93,7 @@
 
 #[derive(Default)]
 struct Log {
-    seen: Mutex<Vec<Message>>,
+    requests: Mutex<Vec<Message>>,
     accepted: AtomicU32,
     ended: AtomicU32,
     streams: Mutex<Vec<TcpStream>>,
@@ -127,13 +127,13 @@
     }
 
     /// Returns all requests so far.
-    pub fn seen(&self) -> Vec<Message> {
-        self.log.seen.lock().expect("lock").clone()
+    pub fn requests(&self) -> Vec<Message> {
+        self.log.requests.lock().expect("lock").clone()
     }
 
     /// Returns the number of requests so far.
     pub fn count(&self) -> usize {
-        self.log.seen.lock().expect("lock").len()
+        self.log.requests.lock().expect("lock").len()
     }
 
     /// Returns the number of connections accepted so far.
@@ -185,7 +185,7 @@
     let Ok(copy) = stream.try_clone() else { return };
     let mut reader = BufReader::new(copy);
     while let Some(message) = Message::read(&mut reader) {
-        log.seen.lock().expect("lock").push(message.clone());
+        log.requests.lock().expect("lock").push(message.clone());
         match rule(&message) {
             Reply::Raw(text) => {
                 if stream.write_all(text.as_bytes()).is_err() {
--- a/crates/rate-limiter/tests/discovery.rs
+++ b/crates/rate-limiter/tests/discovery.rs
@@ -56,7 +56,11 @@
         discovery.push(&piece("\n"));
         discovery.count() == 2
     });
-    assert!(discovery.seen()[1].start_line.contains("after=10 "), "{}", discovery.seen()[1].start_line);
+    assert!(
+        discovery.requests()[1].start_line.contains("after=10 "),
+        "{}",
+        discovery.requests()[1].start_line
+    );
 }
 
 #[test]
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -33,7 +33,7 @@
     let answer = client.ask(&quote("roomy", 1500));
     assert_eq!((answer.status(), answer.text().as_str()), (200, "echo "));
 
-    let seen = server.seen();
+    let seen = server.requests();
     assert_eq!(seen[0].start_line, "POST /bind/00000000b4d65521 HTTP/1.1");
     for name in ["X-Correlation-Id", "Idempotency-Key"] {
         let value = seen[0].header(&name.to_ascii_lowercase()).expect(name);
@@ -105,7 +105,7 @@
 fn after(fault: impl Fn() -> Reply + Send + Sync + 'static, request: &str) -> (Message, Vec<Message>) {
     let server = FakePeer::new(at_first(1, fault));
     let limiter = LimiterProcess::over(&[&server]);
-    (limiter.client().ask(request), server.seen())
+    (limiter.client().ask(request), server.requests())
 }
 
 #[test]
@@ -375,7 +375,7 @@
     let server = FakePeer::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let limiter = LimiterProcess::start(settings(), &discovery, counter().address);
-    assert!(discovery.seen()[0].start_line.starts_with("GET /discovery/hosts?watch=1"));
+    assert!(discovery.requests()[0].start_line.starts_with("GET /discovery/hosts?watch=1"));
     wait_until("the first list is known", || limiter.client().ask(&quote("roomy", 9000)).status() == 200);
     // The watch ends; a message is not JSON; a message never ends; an entry has no required fields.
     let bad = [
@@ -391,7 +391,7 @@
             discovery.push(&chunk(bad));
         }
         wait_until("the watch is open again", || discovery.count() == n + 2);
-        assert_eq!(discovery.seen()[n + 1].start_line, "GET /discovery/hosts?watch=1&after=10 HTTP/1.1");
+        assert_eq!(discovery.requests()[n + 1].start_line, "GET /discovery/hosts?watch=1&after=10 HTTP/1.1");
         assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200, "the last list still applies");
     }
     wait_until("the errors are logged", || limiter.errors().matches("discovery: ").count() >= 4);
@@ -432,7 +432,7 @@
             break;
         }
     }
-    let call = counter.seen()[0].start_line.clone();
+    let call = counter.requests()[0].start_line.clone();
     let (path, query) = call.trim_end_matches(" HTTP/1.1").split_once('?').expect("a query");
     assert!(path.starts_with("POST /tally/") && path.len() <= "POST /tally/".len() + 64, "{call}");
     assert!(query.starts_with("n=") && query.contains("&keep_ms=40000"), "{call}");
@@ -506,7 +506,7 @@
         wait_until("the list is known", || limiter.client().ask(&quote("roomy", 9000)).status() == 200);
         assert!(limiter.early().contains("ROUTER_CONFIG") && limiter.early().contains("known"), "{known}");
         // The version is not known either, so the limiter requests the complete list.
-        assert_eq!(discovery.seen()[0].start_line, "GET /discovery/hosts?watch=1 HTTP/1.1");
+        assert_eq!(discovery.requests()[0].start_line, "GET /discovery/hosts?watch=1 HTTP/1.1");
     }
 }
 
--- a/crates/rate-limiter/tests/signals.rs
+++ b/crates/rate-limiter/tests/signals.rs
@@ -24,7 +24,7 @@
 
     limiter.move_to(discovery_2.address, counter_2.address);
     wait_until("the list of the second watch applies", || client.ask(&quote("roomy", 9000)).text() == "new");
-    assert_eq!(discovery_2.seen()[0].start_line, "GET /discovery/hosts?watch=1&after=10 HTTP/1.1");
+    assert_eq!(discovery_2.requests()[0].start_line, "GET /discovery/hosts?watch=1&after=10 HTTP/1.1");
     // The limiter closes its connections to the old addresses, and the old peers then close theirs.
     wait_until("the first watch is closed", || discovery_1.ended() == discovery_1.accepted());
     wait_until("the connections to the first counter are closed", || {
@@ -170,7 +170,7 @@
     let asked: Vec<_> = asked.into_iter().map(|t| t.join().expect("joined")).collect();
     for (request, _) in asked.iter().filter(|(_, answer)| answer.is_none()) {
         let known = |m: &Message| m.header("x-correlation-id").is_some_and(|id| request.contains(id));
-        assert!(!server.seen().iter().any(known), "it was forwarded and got no response: {request}");
+        assert!(!server.requests().iter().any(known), "it was forwarded and got no response: {request}");
     }
 }
 
