--- a/crates/rate-limiter/tests/clients.rs
+++ b/crates/rate-limiter/tests/clients.rs
@@ -15,10 +15,10 @@
     let limiter = LimiterProcess::over(&[&server]);
     let mut client = limiter.client();
     client.send(&quote("roomy", 60_000));
-    wait_until("the request is forwarded", || server.count() == 1);
+    wait_until("the request is forwarded", || server.request_count() == 1);
     client.close();
     wait_until("its attempt is closed", || server.ended() == 1);
-    assert_eq!(server.count(), 1, "the request is not retried");
+    assert_eq!(server.request_count(), 1, "the request is not retried");
 }
 
 #[test]
@@ -32,7 +32,7 @@
     for (n, half) in [false, true].into_iter().enumerate() {
         let mut client = limiter.client();
         client.send(&(quote("roomy", 120_000) + &quote("roomy", 120_000) + &"x".repeat(100_000)));
-        wait_until("the request is forwarded", || server.count() == n + 1);
+        wait_until("the request is forwarded", || server.request_count() == n + 1);
         if half {
             // A client that shuts down its sending side counts as disconnected, since it may not read a
             // response.
@@ -42,7 +42,7 @@
         }
         wait_until("its attempt is closed", || server.ended() == n as u32 + 1);
     }
-    assert_eq!(server.count(), 2, "the bytes after the requests are not forwarded");
+    assert_eq!(server.request_count(), 2, "the bytes after the requests are not forwarded");
 }
 
 #[test]
@@ -140,7 +140,7 @@
     for left_ms in [0, 1, 10] {
         assert_eq!(limiter.client().ask(&quote("roomy", left_ms)).status(), 429, "{left_ms} ms");
     }
-    assert_eq!(server.count(), 0);
+    assert_eq!(server.request_count(), 0);
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200);
 }
 
@@ -206,7 +206,7 @@
     let mut client = limiter.client();
     client.send(&good[..good.len() - 1]);
     client.close();
-    assert_eq!(server.count(), 0);
+    assert_eq!(server.request_count(), 0);
     assert_eq!(limiter.client().ask(&good).status(), 200, "the limiter still serves requests");
 }
 
@@ -242,7 +242,7 @@
     for client in &mut clients {
         client.send(&quote("roomy", 9000));
     }
-    wait_until("some requests are forwarded", || server.count() > 0);
+    wait_until("some requests are forwarded", || server.request_count() > 0);
     go.store(true, Ordering::SeqCst);
     for client in &mut clients {
         assert!(matches!(client.answer(), Some(a) if a.status() == 200 || a.status() == 429));
@@ -262,14 +262,14 @@
         assert_eq!(client.ask(&text).status(), 400, "{both}");
         assert!(client.answer().is_none(), "the bytes after the request are not read");
     }
-    assert_eq!(server.count(), 0, "neither request reaches a server");
+    assert_eq!(server.request_count(), 0, "neither request reaches a server");
     // A request that is only chunked is served. The bytes after it are not read as a request either.
     let mut client = limiter.client();
     let text = outer.replace("Content-Length: 0\r\n", chunked) + "1\r\nx\r\n0\r\n\r\n" + &hidden;
     let answer = client.ask(&text);
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     assert!(client.answer().is_none());
-    assert_eq!((server.count(), server.requests()[0].text().as_str()), (1, "x"));
+    assert_eq!((server.request_count(), server.requests()[0].text().as_str()), (1, "x"));
 }
 
 #[test]
@@ -283,11 +283,11 @@
     let limiter = LimiterProcess::over(&[&server]);
     let (mut first, copy) = (limiter.client(), quote("roomy", 9000));
     first.send(&copy);
-    wait_until("the request is forwarded", || server.count() == 1);
+    wait_until("the request is forwarded", || server.request_count() == 1);
     assert_eq!(limiter.client().ask(&copy).status(), 409);
     go.store(true, Ordering::SeqCst);
     assert_eq!(first.answer().expect("a response").status(), 200);
-    assert_eq!(server.count(), 1);
+    assert_eq!(server.request_count(), 1);
     // After the final response, the id may be used again.
     assert_eq!(limiter.client().ask(&copy).status(), 200);
 }
@@ -317,7 +317,7 @@
             );
         }
     }
-    assert_eq!(server.count(), 0);
+    assert_eq!(server.request_count(), 0);
 }
 
 /// Each case has the beginning of a request, and the bytes that the client sends repeatedly after it. No
@@ -353,7 +353,7 @@
         // The time counts from the connect, however many bytes arrive: 3 s, and more for a slow machine.
         assert!(elapsed < Duration::from_secs(5), "case {n}: {elapsed:?}");
     }
-    assert_eq!(server.count(), 0);
+    assert_eq!(server.request_count(), 0);
 }
 
 #[test]
--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -132,7 +132,7 @@
     }
 
     /// Returns the number of requests so far.
-    pub fn count(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.log.requests.lock().expect("lock").len()
     }
 
--- a/crates/rate-limiter/tests/discovery.rs
+++ b/crates/rate-limiter/tests/discovery.rs
@@ -42,7 +42,11 @@
         discovery.push(&piece(&byte.to_string()));
     }
     wait_until("the third message is known", || client.ask(&quote("roomy", 9000)).text() == "third");
-    assert_eq!((discovery.count(), limiter.errors().as_str()), (1, ""), "one watch received all messages");
+    assert_eq!(
+        (discovery.request_count(), limiter.errors().as_str()),
+        (1, ""),
+        "one watch received all messages"
+    );
 }
 
 #[test]
@@ -54,7 +58,7 @@
     // Empty lines do not extend the timeout within a message.
     wait_until("a second watch", || {
         discovery.push(&piece("\n"));
-        discovery.count() == 2
+        discovery.request_count() == 2
     });
     assert!(
         discovery.requests()[1].start_line.contains("after=10 "),
@@ -83,7 +87,7 @@
     });
     let limiter = LimiterProcess::start(settings(), &discovery, counter().address);
     wait_until("the list is known", || limiter.client().ask(&quote("roomy", 9000)).text() == "old");
-    wait_until("the second watch", || discovery.count() == 2);
+    wait_until("the second watch", || discovery.request_count() == 2);
     let began = Instant::now();
     wait_until("the change is known", || limiter.client().ask(&quote("roomy", 9000)).text() == "new");
     // Two calls of at most 1 s and two backoffs, doubled for a slow machine. It would take longer if each
--- a/crates/rate-limiter/tests/invalid_responses.rs
+++ b/crates/rate-limiter/tests/invalid_responses.rs
@@ -31,7 +31,7 @@
         let answer = limiter.client().ask(&post("bind", "x"));
         assert_eq!((answer.status(), answer.text().as_str()), (200, "good"), "{fault:?}");
         assert!(began.elapsed() < Duration::from_millis(1500), "{fault:?}: {:?}", began.elapsed());
-        assert_eq!(server.count(), 2);
+        assert_eq!(server.request_count(), 2);
         wait_until("the connection is closed", || server.ended() >= 1);
     }
 }
--- a/crates/rate-limiter/tests/overload.rs
+++ b/crates/rate-limiter/tests/overload.rs
@@ -76,7 +76,9 @@
     let limiter = start(&servers);
     let load = Load::on(&limiter);
     // Enough responses for an in-flight limit to be lowered, if such responses lowered it.
-    wait_until("many requests have been served", || servers.iter().map(FakePeer::count).sum::<usize>() > 100);
+    wait_until("many requests have been served", || {
+        servers.iter().map(FakePeer::request_count).sum::<usize>() > 100
+    });
     load.row.store(0, Ordering::SeqCst);
     wait_until("many consecutive quotes are served", || load.row.load(Ordering::SeqCst) >= ROW);
     load.end();
@@ -94,7 +96,7 @@
     });
     let limiter = start(std::slice::from_ref(&server));
     let load = Load::on(&limiter);
-    wait_until("many requests have been served", || server.count() > 60);
+    wait_until("many requests have been served", || server.request_count() > 60);
     load.refused.store(0, Ordering::SeqCst);
     wait_until("quotes are rejected", || load.refused.load(Ordering::SeqCst) >= 20);
     load.end();
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -68,7 +68,7 @@
     });
     let advice = refused.pop().flatten();
     assert!(matches!(advice, Some(Ok(t)) if t > 0.0 && t <= 2.0), "{advice:?}");
-    assert_eq!(served, server.count(), "rejected requests reach no server");
+    assert_eq!(served, server.request_count(), "rejected requests reach no server");
     // A burst of 4 and one more each second. Half as much again is allowed for borrowing.
     let most = 6.0 + 2.0 * began.elapsed().as_secs_f64();
     assert!(served >= 4 && served as f64 <= most, "{served} served, maximum {most}");
@@ -121,7 +121,7 @@
         let limiter = LimiterProcess::start(settings(), &discovery(list), counter().address);
         let mut client = limiter.client();
         let answer = client.ask(&request);
-        assert_eq!((answer.status(), good.count()), (200, 1), "{}", answer.start_line);
+        assert_eq!((answer.status(), good.request_count()), (200, 1), "{}", answer.start_line);
     }
 }
 
@@ -171,7 +171,7 @@
     let mut client = limiter.client();
     let request = post("bind", "x").replace("9000m", "120000m");
     client.send(&request);
-    wait_until("the request is forwarded", || hung.count() == 1);
+    wait_until("the request is forwarded", || hung.request_count() == 1);
     // The request may have executed when its connection is lost, and the only server that is left does not
     // accept a connection yet. A third server, which drains too, shows when the limiter knows the list: it
     // then closes its idle connection to that server.
@@ -232,11 +232,11 @@
             client
         })
         .collect();
-    wait_until("both requests hang", || hung.count() == 2);
+    wait_until("both requests hang", || hung.request_count() == 2);
     discovery.push(&chunk(&update(11, false, &[instance("s-1", good.address, "in_service")])));
     let answers: Vec<_> = clients.into_iter().map(|mut c| c.answer().expect("a response").status()).collect();
     assert!(answers.contains(&200), "{answers:?}");
-    assert!(good.count() >= 1);
+    assert!(good.request_count() >= 1);
     assert_eq!(overlaps.load(Ordering::SeqCst), 0, "two attempts of a request were open at the same time");
 }
 
@@ -248,7 +248,7 @@
     let mut client = limiter.client();
     for n in 1..=5 {
         assert_eq!(client.ask(&post("once", "x")).status(), 200);
-        assert_eq!(server.count(), n);
+        assert_eq!(server.request_count(), n);
         wait_until("the server has closed", || server.ended() == n as u32);
     }
 }
@@ -282,7 +282,7 @@
     failing.store(false, Ordering::SeqCst);
     // Sends `n` requests at once, which the servers hold until each of them has arrived or was rejected.
     let mut served_at_once = |n: usize| {
-        let seen = || servers.iter().map(FakePeer::count).sum::<usize>();
+        let seen = || servers.iter().map(FakePeer::request_count).sum::<usize>();
         let before = seen();
         go.store(false, Ordering::SeqCst);
         clients[..n].iter_mut().for_each(|c| c.send(&post("once", "x")));
@@ -346,7 +346,7 @@
     let limiter = LimiterProcess::start(settings(), &discovery, counter().address);
     let mut client = limiter.client();
     client.send(&post("bind", "x"));
-    wait_until("the request is forwarded", || hung.count() == 1);
+    wait_until("the request is forwarded", || hung.request_count() == 1);
     // A complete list without the server removes it. The line arrives in two parts.
     let line = chunk(&update(11, true, &[instance("s-1", good.address, "in_service")]));
     let (head, tail) = line.split_at(line.len() / 2);
@@ -354,7 +354,7 @@
     std::thread::sleep(Duration::from_millis(20));
     discovery.push(tail);
     assert_eq!(client.answer().expect("a response").status(), 200);
-    assert_eq!((hung.count(), good.count()), (1, 1));
+    assert_eq!((hung.request_count(), good.request_count()), (1, 1));
     wait_until("the attempt at the removed server is closed", || hung.ended() == hung.accepted());
 }
 
@@ -367,7 +367,7 @@
     discovery.push(&chunk(&update(11, false, &[instance("s-0", new.address, "in_service")])));
     wait_until("the idle connection is closed", || old.ended() == 1);
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).text(), "new");
-    assert_eq!(old.count(), 1);
+    assert_eq!(old.request_count(), 1);
 }
 
 #[test]
@@ -390,7 +390,7 @@
         } else {
             discovery.push(&chunk(bad));
         }
-        wait_until("the watch is open again", || discovery.count() == n + 2);
+        wait_until("the watch is open again", || discovery.request_count() == n + 2);
         assert_eq!(discovery.requests()[n + 1].start_line, "GET /discovery/hosts?watch=1&after=10 HTTP/1.1");
         assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200, "the last list still applies");
     }
@@ -404,7 +404,7 @@
     let discovery = discovery(vec![bad, instance("s-0", server.address, "in_service")]);
     let limiter = LimiterProcess::start(settings(), &discovery, counter().address);
     wait_until("the valid entry is known", || limiter.client().ask(&quote("roomy", 9000)).status() == 200);
-    assert_eq!(discovery.count(), 1, "the watch stays open");
+    assert_eq!(discovery.request_count(), 1, "the watch stays open");
 }
 
 #[test]
@@ -413,7 +413,7 @@
     let server = FakePeer::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let _limiter = LimiterProcess::start(settings(), &discovery, counter().address);
-    wait_until("a second watch", || discovery.count() == 2);
+    wait_until("a second watch", || discovery.request_count() == 2);
     wait_until("the first watch is closed", || discovery.ended() >= 1);
 }
 
@@ -428,7 +428,7 @@
     for n in 0.. {
         assert!(n < 50, "the counter was not called");
         assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
-        if counter.count() > 0 {
+        if counter.request_count() > 0 {
             break;
         }
     }
@@ -454,7 +454,7 @@
         let mut client = limiter.client();
         wait_until("the counter was called", || {
             assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200, "rule {n}");
-            counter.count() >= 2
+            counter.request_count() >= 2
         });
         // The connection is closed after such a call, since a late response must not be read as that to the
         // next call.
@@ -492,7 +492,7 @@
     // Each broken watch writes a line to the log. The first line closes the log, the others find it closed.
     for watches in 2..5 {
         discovery.cut();
-        wait_until("the watch is open again", || discovery.count() == watches);
+        wait_until("the watch is open again", || discovery.request_count() == watches);
     }
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200);
 }
--- a/crates/rate-limiter/tests/signals.rs
+++ b/crates/rate-limiter/tests/signals.rs
@@ -19,7 +19,7 @@
     let mut client = limiter.client();
     wait_until("the first counter is called", || {
         assert_eq!(client.ask(&quote("roomy", 9000)).text(), "old");
-        counter_1.count() > 0
+        counter_1.request_count() > 0
     });
 
     limiter.move_to(discovery_2.address, counter_2.address);
@@ -30,19 +30,19 @@
     wait_until("the connections to the first counter are closed", || {
         counter_1.ended() == counter_1.accepted()
     });
-    let calls = counter_1.count();
+    let calls = counter_1.request_count();
     wait_until("the second counter is called", || {
         assert_eq!(client.ask(&quote("roomy", 9000)).text(), "new");
-        counter_2.count() > 0
+        counter_2.request_count() > 0
     });
-    assert_eq!(counter_1.count(), calls, "the first counter gets no more calls");
+    assert_eq!(counter_1.request_count(), calls, "the first counter gets no more calls");
 
     // Two changes back follow each other closely. The last one applies.
     limiter.move_to(discovery_1.address, counter_2.address);
     limiter.move_to(discovery_1.address, counter_1.address);
     wait_until("the first counter is called again", || {
         assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
-        counter_1.count() > calls
+        counter_1.request_count() > calls
     });
     assert_eq!(client.ask(&quote("roomy", 9000)).text(), "old");
 }
@@ -61,7 +61,7 @@
         wait_until("the error is logged", || limiter.errors().matches("SIGHUP").count() == n + 1);
         assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200);
     }
-    assert_eq!((discovery.count(), discovery.ended()), (1, 0), "the watch stays open");
+    assert_eq!((discovery.request_count(), discovery.ended()), (1, 0), "the watch stays open");
     limiter.terminate();
     limiter.signal("-HUP");
     assert_eq!(limiter.wait().code(), Some(0), "SIGHUP after SIGTERM does not kill the process");
@@ -83,7 +83,7 @@
     let (mut busy, mut idle) = (limiter.client(), limiter.client());
     assert_eq!(idle.ask(&quote("roomy", 9000)).status(), 200);
     busy.send(&post("bind", "x"));
-    wait_until("the request is forwarded", || server.count() == 2);
+    wait_until("the request is forwarded", || server.request_count() == 2);
 
     limiter.terminate();
     assert!(idle.answer().is_none(), "an idle connection is closed");
