--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -137,7 +137,7 @@
     }
 
     /// Returns the number of connections accepted so far.
-    pub fn accepted(&self) -> u32 {
+    pub fn accepted_count(&self) -> u32 {
         self.log.accepted.load(Ordering::SeqCst)
     }
 
--- a/crates/rate-limiter/tests/invalid_responses.rs
+++ b/crates/rate-limiter/tests/invalid_responses.rs
@@ -70,12 +70,12 @@
         std::thread::sleep(Duration::from_millis(6));
         assert_eq!(client.ask(&post("once", "x")).status(), 200);
         if began.elapsed() < Duration::from_millis(9) {
-            assert_eq!(server.accepted(), 2, "the reuse delay of the first connection is not over");
+            assert_eq!(server.accepted_count(), 2, "the reuse delay of the first connection is not over");
         }
         std::thread::sleep(Duration::from_millis(50));
-        let before = server.accepted();
+        let before = server.accepted_count();
         assert_eq!(client.ask(&post("once", "x")).status(), 200);
-        assert_eq!(server.accepted(), before, "a connection is reused after the reuse delay");
+        assert_eq!(server.accepted_count(), before, "a connection is reused after the reuse delay");
     }
 }
 
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -43,7 +43,7 @@
     assert_eq!(seen[1].start_line, "GET /quote/00000000b4d65521?from=tls&to=nce HTTP/1.1");
     let left = seen[1].header("x-time-left").and_then(|l| l.strip_suffix('u')?.parse::<u64>().ok());
     assert!((1..1_500_000).contains(&left.expect("microseconds")), "{left:?}");
-    assert_eq!(server.accepted(), 1, "the connection is reused");
+    assert_eq!(server.accepted_count(), 1, "the connection is reused");
 }
 
 #[test]
@@ -181,7 +181,7 @@
     let drains = |n, fake: &FakePeer| instance(&format!("s-{n}"), fake.address, "terminating");
     let change = [drains(0, &hung), drains(2, &third), instance("s-1", stuck, "in_service")];
     discovery.push(&chunk(&update(12, false, &change)));
-    wait_until("the change is known", || third.ended() == third.accepted());
+    wait_until("the change is known", || third.ended() == third.accepted_count());
     hung.cut();
     // All servers together deduplicate this class, so that a retry by the client is safe even after the
     // window.
@@ -199,7 +199,7 @@
     let elapsed = began.elapsed();
     assert!(answer.status() >= 429, "{}", answer.start_line);
     assert!(elapsed >= Duration::from_millis(200) && elapsed < Duration::from_secs(4), "{elapsed:?}");
-    wait_until("the attempt's connection is closed", || server.ended() == server.accepted());
+    wait_until("the attempt's connection is closed", || server.ended() == server.accepted_count());
 }
 
 #[test]
@@ -355,7 +355,7 @@
     discovery.push(tail);
     assert_eq!(client.answer().expect("a response").status(), 200);
     assert_eq!((hung.request_count(), good.request_count()), (1, 1));
-    wait_until("the attempt at the removed server is closed", || hung.ended() == hung.accepted());
+    wait_until("the attempt at the removed server is closed", || hung.ended() == hung.accepted_count());
 }
 
 #[test]
@@ -458,7 +458,7 @@
         });
         // The connection is closed after such a call, since a late response must not be read as that to the
         // next call.
-        assert!(counter.accepted() >= 2, "rule {n}");
+        assert!(counter.accepted_count() >= 2, "rule {n}");
         wait_until("the connections are closed", || counter.ended() >= 2);
     }
 }
--- a/crates/rate-limiter/tests/signals.rs
+++ b/crates/rate-limiter/tests/signals.rs
@@ -26,9 +26,9 @@
     wait_until("the list of the second watch applies", || client.ask(&quote("roomy", 9000)).text() == "new");
     assert_eq!(discovery_2.requests()[0].start_line, "GET /discovery/hosts?watch=1&after=10 HTTP/1.1");
     // The limiter closes its connections to the old addresses, and the old peers then close theirs.
-    wait_until("the first watch is closed", || discovery_1.ended() == discovery_1.accepted());
+    wait_until("the first watch is closed", || discovery_1.ended() == discovery_1.accepted_count());
     wait_until("the connections to the first counter are closed", || {
-        counter_1.ended() == counter_1.accepted()
+        counter_1.ended() == counter_1.accepted_count()
     });
     let calls = counter_1.request_count();
     wait_until("the second counter is called", || {
