--- a/crates/rate-limiter/tests/clients.rs
+++ b/crates/rate-limiter/tests/clients.rs
@@ -17,7 +17,7 @@
     client.send(&quote("roomy", 60_000));
     wait_until("the request is forwarded", || server.request_count() == 1);
     client.close();
-    wait_until("its attempt is closed", || server.ended() == 1);
+    wait_until("its attempt is closed", || server.closed_count() == 1);
     assert_eq!(server.request_count(), 1, "the request is not retried");
 }
 
@@ -40,7 +40,7 @@
         } else {
             client.close();
         }
-        wait_until("its attempt is closed", || server.ended() == n as u32 + 1);
+        wait_until("its attempt is closed", || server.closed_count() == n as u32 + 1);
     }
     assert_eq!(server.request_count(), 2, "the bytes after the requests are not forwarded");
 }
--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -95,7 +95,7 @@
 struct Log {
     requests: Mutex<Vec<Message>>,
     accepted: AtomicU32,
-    ended: AtomicU32,
+    closed: AtomicU32,
     streams: Mutex<Vec<TcpStream>>,
     let_go: Mutex<Vec<String>>,
 }
@@ -119,7 +119,7 @@
                 let (log, rule) = (log.clone(), rule.clone());
                 thread::spawn(move || {
                     serve(stream, &log, &*rule);
-                    log.ended.fetch_add(1, Ordering::SeqCst);
+                    log.closed.fetch_add(1, Ordering::SeqCst);
                 });
             }
         });
@@ -142,8 +142,8 @@
     }
 
     /// Returns the number of connections that either side has closed.
-    pub fn ended(&self) -> u32 {
-        self.log.ended.load(Ordering::SeqCst)
+    pub fn closed_count(&self) -> u32 {
+        self.log.closed.load(Ordering::SeqCst)
     }
 
     /// Returns the ids of the requests with [`Reply::Silence`] whose connections the limiter has closed.
--- a/crates/rate-limiter/tests/invalid_responses.rs
+++ b/crates/rate-limiter/tests/invalid_responses.rs
@@ -32,7 +32,7 @@
         assert_eq!((answer.status(), answer.text().as_str()), (200, "good"), "{fault:?}");
         assert!(began.elapsed() < Duration::from_millis(1500), "{fault:?}: {:?}", began.elapsed());
         assert_eq!(server.request_count(), 2);
-        wait_until("the connection is closed", || server.ended() >= 1);
+        wait_until("the connection is closed", || server.closed_count() >= 1);
     }
 }
 
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -181,7 +181,7 @@
     let drains = |n, fake: &FakePeer| instance(&format!("s-{n}"), fake.address, "terminating");
     let change = [drains(0, &hung), drains(2, &third), instance("s-1", stuck, "in_service")];
     discovery.push(&chunk(&update(12, false, &change)));
-    wait_until("the change is known", || third.ended() == third.accepted_count());
+    wait_until("the change is known", || third.closed_count() == third.accepted_count());
     hung.cut();
     // All servers together deduplicate this class, so that a retry by the client is safe even after the
     // window.
@@ -199,7 +199,7 @@
     let elapsed = began.elapsed();
     assert!(answer.status() >= 429, "{}", answer.start_line);
     assert!(elapsed >= Duration::from_millis(200) && elapsed < Duration::from_secs(4), "{elapsed:?}");
-    wait_until("the attempt's connection is closed", || server.ended() == server.accepted_count());
+    wait_until("the attempt's connection is closed", || server.closed_count() == server.accepted_count());
 }
 
 #[test]
@@ -249,7 +249,7 @@
     for n in 1..=5 {
         assert_eq!(client.ask(&post("once", "x")).status(), 200);
         assert_eq!(server.request_count(), n);
-        wait_until("the server has closed", || server.ended() == n as u32);
+        wait_until("the server has closed", || server.closed_count() == n as u32);
     }
 }
 
@@ -355,7 +355,9 @@
     discovery.push(tail);
     assert_eq!(client.answer().expect("a response").status(), 200);
     assert_eq!((hung.request_count(), good.request_count()), (1, 1));
-    wait_until("the attempt at the removed server is closed", || hung.ended() == hung.accepted_count());
+    wait_until("the attempt at the removed server is closed", || {
+        hung.closed_count() == hung.accepted_count()
+    });
 }
 
 #[test]
@@ -365,7 +367,7 @@
     let limiter = LimiterProcess::start(settings(), &discovery, counter().address);
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).text(), "old");
     discovery.push(&chunk(&update(11, false, &[instance("s-0", new.address, "in_service")])));
-    wait_until("the idle connection is closed", || old.ended() == 1);
+    wait_until("the idle connection is closed", || old.closed_count() == 1);
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).text(), "new");
     assert_eq!(old.request_count(), 1);
 }
@@ -414,7 +416,7 @@
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let _limiter = LimiterProcess::start(settings(), &discovery, counter().address);
     wait_until("a second watch", || discovery.request_count() == 2);
-    wait_until("the first watch is closed", || discovery.ended() >= 1);
+    wait_until("the first watch is closed", || discovery.closed_count() >= 1);
 }
 
 // ----- the counter -----
@@ -459,7 +461,7 @@
         // The connection is closed after such a call, since a late response must not be read as that to the
         // next call.
         assert!(counter.accepted_count() >= 2, "rule {n}");
-        wait_until("the connections are closed", || counter.ended() >= 2);
+        wait_until("the connections are closed", || counter.closed_count() >= 2);
     }
 }
 
--- a/crates/rate-limiter/tests/signals.rs
+++ b/crates/rate-limiter/tests/signals.rs
@@ -26,9 +26,9 @@
     wait_until("the list of the second watch applies", || client.ask(&quote("roomy", 9000)).text() == "new");
     assert_eq!(discovery_2.requests()[0].start_line, "GET /discovery/hosts?watch=1&after=10 HTTP/1.1");
     // The limiter closes its connections to the old addresses, and the old peers then close theirs.
-    wait_until("the first watch is closed", || discovery_1.ended() == discovery_1.accepted_count());
+    wait_until("the first watch is closed", || discovery_1.closed_count() == discovery_1.accepted_count());
     wait_until("the connections to the first counter are closed", || {
-        counter_1.ended() == counter_1.accepted_count()
+        counter_1.closed_count() == counter_1.accepted_count()
     });
     let calls = counter_1.request_count();
     wait_until("the second counter is called", || {
@@ -61,7 +61,7 @@
         wait_until("the error is logged", || limiter.errors().matches("SIGHUP").count() == n + 1);
         assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200);
     }
-    assert_eq!((discovery.request_count(), discovery.ended()), (1, 0), "the watch stays open");
+    assert_eq!((discovery.request_count(), discovery.closed_count()), (1, 0), "the watch stays open");
     limiter.terminate();
     limiter.signal("-HUP");
     assert_eq!(limiter.wait().code(), Some(0), "SIGHUP after SIGTERM does not kill the process");
