--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -97,7 +97,7 @@
     accepted: AtomicU32,
     closed: AtomicU32,
     streams: Mutex<Vec<TcpStream>>,
-    let_go: Mutex<Vec<String>>,
+    abandoned_ids: Mutex<Vec<String>>,
 }
 
 /// A fake peer that listens on a loopback socket, responds to each request by a rule, and records all
@@ -147,8 +147,8 @@
     }
 
     /// Returns the ids of the requests with [`Reply::Silence`] whose connections the limiter has closed.
-    pub fn let_go(&self) -> Vec<String> {
-        self.log.let_go.lock().expect("lock").clone()
+    pub fn abandoned_ids(&self) -> Vec<String> {
+        self.log.abandoned_ids.lock().expect("lock").clone()
     }
 
     /// Writes to all open connections.
@@ -205,7 +205,7 @@
             Reply::Silence => {
                 let _ = reader.read(&mut [0]);
                 let id = message.header("x-correlation-id").unwrap_or_default();
-                log.let_go.lock().expect("lock").push(id.to_string());
+                log.abandoned_ids.lock().expect("lock").push(id.to_string());
                 break;
             }
         }
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -212,7 +212,7 @@
     let good = FakePeer::new(move |m| {
         let id = m.header("x-correlation-id").unwrap_or_default().to_string();
         let end = Instant::now() + Duration::from_secs(3);
-        while !first.let_go().contains(&id) {
+        while !first.abandoned_ids().contains(&id) {
             if Instant::now() > end {
                 noted.fetch_add(1, Ordering::SeqCst);
                 break;
