--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -160,7 +160,7 @@
 
     /// Writes an empty line to each watch every 0.5 s for 30 s, as discovery does while nothing changes. That
     /// is longer than any test takes.
-    pub fn beat(&self) {
+    pub fn send_empty_lines(&self) {
         let fake = self.clone();
         thread::spawn(move || {
             for _ in 0..60 {
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -162,7 +162,7 @@
     let hung = FakePeer::new(|_| Reply::Silence);
     let (listener, stuck, filled) = never_up();
     let discovery = discovery(vec![instance("s-0", hung.address, "in_service")]);
-    discovery.beat();
+    discovery.send_empty_lines();
     let mut settings = settings();
     settings["limits"]["connect-timeout-s"] = json!(60.0);
     settings["classes"][1]["deadline-s"] = json!(120.0);
