--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -171,7 +171,7 @@
     }
 
     /// Closes all connections.
-    pub fn cut(&self) {
+    pub fn close_all(&self) {
         for stream in self.log.streams.lock().expect("lock").drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -182,7 +182,7 @@
     let change = [drains(0, &hung), drains(2, &third), instance("s-1", stuck, "in_service")];
     discovery.push(&chunk(&update(12, false, &change)));
     wait_until("the change is known", || third.closed_count() == third.accepted_count());
-    hung.cut();
+    hung.close_all();
     // All servers together deduplicate this class, so that a retry by the client is safe even after the
     // window.
     let answer = client.answer().expect("a response before the connection is established");
@@ -388,7 +388,7 @@
     ];
     for (n, bad) in bad.iter().enumerate() {
         if bad.is_empty() {
-            discovery.cut();
+            discovery.close_all();
         } else {
             discovery.push(&chunk(bad));
         }
@@ -493,7 +493,7 @@
     limiter.close_log();
     // Each broken watch writes a line to the log. The first line closes the log, the others find it closed.
     for watches in 2..5 {
-        discovery.cut();
+        discovery.close_all();
         wait_until("the watch is open again", || discovery.request_count() == watches);
     }
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200);
