--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -277,7 +277,7 @@
 }
 
 /// Writes a text to a new file in Cargo's directory for temporary files, which no other test uses.
-pub fn scratch(text: &str) -> std::path::PathBuf {
+pub fn write_config_file(text: &str) -> std::path::PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let name = format!("config-{}-{}.json", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
     let file = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
@@ -327,7 +327,7 @@
         for (key, value) in more.as_object().into_iter().flatten() {
             config[key] = value.clone();
         }
-        let file = scratch(&config.to_string());
+        let file = write_config_file(&config.to_string());
         let mut command = command();
         // The environment repeats a part of the file, as it does in production.
         command.env("ROUTER_DISCOVERY", discovery.address.to_string()).env("ROUTER_CONFIG", &file);
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -532,7 +532,7 @@
         (with("discovery", json!(null)), "ROUTER_DISCOVERY"),
     ] {
         let mut command = command();
-        let file = config.as_deref().map(scratch);
+        let file = config.as_deref().map(write_config_file);
         if let Some(file) = &file {
             command.env("ROUTER_CONFIG", file);
         }
