--- a/crates/rate-limiter/tests/clients.rs
+++ b/crates/rate-limiter/tests/clients.rs
@@ -112,7 +112,7 @@
     let server = FakePeer::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     // There is room for about twenty clients, which is used up by clients whose bodies never arrive.
-    let limiter = LimiterProcess::with_sockets(72, settings(), &discovery, counter().address);
+    let limiter = LimiterProcess::start_with_sockets(72, settings(), &discovery, counter().address);
     let body = post("bind", "12345678");
     let busy: Vec<Client> = (0..60)
         .map(|_| {
@@ -215,7 +215,7 @@
     let server = FakePeer::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     // With so few sockets, there is room for about twenty clients.
-    let limiter = LimiterProcess::with_sockets(72, settings(), &discovery, counter().address);
+    let limiter = LimiterProcess::start_with_sockets(72, settings(), &discovery, counter().address);
     let mut clients: Vec<Client> = Vec::new();
     for n in 0..60 {
         let mut client = limiter.client();
@@ -235,7 +235,7 @@
         ok("served")
     });
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
-    let limiter = LimiterProcess::with_sockets(40, settings(), &discovery, counter().address);
+    let limiter = LimiterProcess::start_with_sockets(40, settings(), &discovery, counter().address);
     // At most four clients may be connected. All of them have an open request, and stay connected after its
     // response.
     let mut clients: Vec<Client> = (0..12).map(|_| limiter.client()).collect();
@@ -361,7 +361,7 @@
     let server = FakePeer::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     // There is room for about twenty clients.
-    let limiter = LimiterProcess::with_sockets(72, settings(), &discovery, counter().address);
+    let limiter = LimiterProcess::start_with_sockets(72, settings(), &discovery, counter().address);
     let mut usual: Vec<Client> = (0..8).map(|_| limiter.client()).collect();
     for client in &mut usual {
         assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -297,11 +297,11 @@
 impl LimiterProcess {
     /// Starts a limiter and waits until it is ready.
     pub fn start(settings: Value, discovery: &FakePeer, counter: SocketAddr) -> LimiterProcess {
-        LimiterProcess::with_sockets(1024, settings, discovery, counter)
+        LimiterProcess::start_with_sockets(1024, settings, discovery, counter)
     }
 
     /// Starts a limiter with a maximum number of sockets.
-    pub fn with_sockets(
+    pub fn start_with_sockets(
         sockets: u32,
         settings: Value,
         discovery: &FakePeer,
