--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -311,7 +311,7 @@
     }
 
     /// Starts a limiter with the last server list that it knew before it was restarted.
-    pub fn with_known(
+    pub fn start_with_known_list(
         known: Value,
         settings: Value,
         discovery: &FakePeer,
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -504,7 +504,8 @@
     let server = FakePeer::new(|_| ok("served"));
     for known in [json!({"generation": "x"}), json!("none"), json!({"generation": 3, "instances": [{}]})] {
         let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
-        let limiter = LimiterProcess::with_known(known.clone(), settings(), &discovery, counter().address);
+        let limiter =
+            LimiterProcess::start_with_known_list(known.clone(), settings(), &discovery, counter().address);
         wait_until("the list is known", || limiter.client().ask(&quote("roomy", 9000)).status() == 200);
         assert!(limiter.early().contains("ROUTER_CONFIG") && limiter.early().contains("known"), "{known}");
         // The version is not known either, so the limiter requests the complete list.
