--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -307,7 +307,12 @@
         discovery: &FakePeer,
         counter: SocketAddr,
     ) -> LimiterProcess {
-        LimiterProcess::configured(json!({"limits": {"sockets": sockets}}), settings, discovery, counter)
+        LimiterProcess::start_with_config(
+            json!({"limits": {"sockets": sockets}}),
+            settings,
+            discovery,
+            counter,
+        )
     }
 
     /// Starts a limiter with the last server list that it knew before it was restarted.
@@ -317,10 +322,15 @@
         discovery: &FakePeer,
         counter: SocketAddr,
     ) -> LimiterProcess {
-        LimiterProcess::configured(json!({"known": known}), settings, discovery, counter)
+        LimiterProcess::start_with_config(json!({"known": known}), settings, discovery, counter)
     }
 
-    fn configured(more: Value, settings: Value, discovery: &FakePeer, counter: SocketAddr) -> LimiterProcess {
+    fn start_with_config(
+        more: Value,
+        settings: Value,
+        discovery: &FakePeer,
+        counter: SocketAddr,
+    ) -> LimiterProcess {
         let mut config = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "00000000000000ff",
             "discovery": discovery.address.to_string(), "counter": counter.to_string(),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings});
