--- a/crates/rate-limiter/tests/clients.rs
+++ b/crates/rate-limiter/tests/clients.rs
@@ -12,7 +12,7 @@
 #[test]
 fn a_client_that_disconnects_cancels_its_attempt() {
     let server = FakePeer::new(|_| Reply::Silence);
-    let limiter = LimiterProcess::over(&[&server]);
+    let limiter = LimiterProcess::start_with_servers(&[&server]);
     let mut client = limiter.client();
     client.send(&quote("roomy", 60_000));
     wait_until("the request is forwarded", || server.request_count() == 1);
@@ -136,7 +136,7 @@
 #[test]
 fn a_request_past_its_deadline_is_rejected_and_not_forwarded() {
     let server = FakePeer::new(|_| ok("served"));
-    let limiter = LimiterProcess::over(&[&server]);
+    let limiter = LimiterProcess::start_with_servers(&[&server]);
     for left_ms in [0, 1, 10] {
         assert_eq!(limiter.client().ask(&quote("roomy", left_ms)).status(), 429, "{left_ms} ms");
     }
@@ -147,7 +147,7 @@
 #[test]
 fn malformed_requests_reach_no_server() {
     let server = FakePeer::new(|_| ok("served"));
-    let limiter = LimiterProcess::over(&[&server]);
+    let limiter = LimiterProcess::start_with_servers(&[&server]);
     let good = post("bind", "x");
     let mut cases = vec![
         ("no HTTP\r\n\r\n".to_string(), 400),
@@ -252,7 +252,7 @@
 #[test]
 fn a_request_with_two_lengths_hides_no_other_request() {
     let server = FakePeer::new(|_| ok("served"));
-    let limiter = LimiterProcess::over(&[&server]);
+    let limiter = LimiterProcess::start_with_servers(&[&server]);
     let (hidden, outer) = (quote("roomy", 9000), post("bind", ""));
     let length = format!("Content-Length: {}\r\n", hidden.len() + 5);
     let chunked = "Transfer-Encoding: chunked\r\n";
@@ -280,7 +280,7 @@
         wait_for_gate(&gate);
         ok("served")
     });
-    let limiter = LimiterProcess::over(&[&server]);
+    let limiter = LimiterProcess::start_with_servers(&[&server]);
     let (mut first, copy) = (limiter.client(), quote("roomy", 9000));
     first.send(&copy);
     wait_until("the request is forwarded", || server.request_count() == 1);
@@ -295,7 +295,7 @@
 #[test]
 fn an_error_reaches_a_client_that_is_still_sending() {
     let server = FakePeer::new(|_| ok("served"));
-    let limiter = LimiterProcess::over(&[&server]);
+    let limiter = LimiterProcess::start_with_servers(&[&server]);
     let junk = "x".repeat(128 * 1024);
     for (text, status) in [
         (post("bind", "x").replace("Content-Length: 1\r\n", "Content-Length: 60000000\r\n"), 413),
@@ -325,7 +325,7 @@
 #[test]
 fn clients_without_a_complete_request_are_disconnected_in_time() {
     let server = FakePeer::new(|_| ok("served"));
-    let limiter = LimiterProcess::over(&[&server]);
+    let limiter = LimiterProcess::start_with_servers(&[&server]);
     let whole = post("bind", "12345678");
     let cases: [(&str, &str); 5] = [
         ("", ""),
@@ -383,7 +383,7 @@
 #[test]
 fn an_idle_client_frees_its_slot() {
     let server = FakePeer::new(|_| ok("served"));
-    let limiter = LimiterProcess::over(&[&server]);
+    let limiter = LimiterProcess::start_with_servers(&[&server]);
     let mut client = limiter.client();
     assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
     let began = Instant::now();
--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -371,7 +371,7 @@
     }
 
     /// Starts a limiter with these servers, all in service, and with a working counter.
-    pub fn over(servers: &[&FakePeer]) -> LimiterProcess {
+    pub fn start_with_servers(servers: &[&FakePeer]) -> LimiterProcess {
         let list = servers.iter().enumerate();
         let list = list.map(|(n, s)| instance(&format!("s-{n}"), s.address, "in_service")).collect();
         LimiterProcess::start(settings(), &discovery(list), counter().address)
--- a/crates/rate-limiter/tests/invalid_responses.rs
+++ b/crates/rate-limiter/tests/invalid_responses.rs
@@ -24,7 +24,7 @@
             0 => Reply::Raw(fault.into()),
             _ => ok("good"),
         });
-        let limiter = LimiterProcess::over(&[&server]);
+        let limiter = LimiterProcess::start_with_servers(&[&server]);
         // The request may have executed. It is retried only because of its idempotency key, and within the
         // time that its client has left.
         let began = Instant::now();
@@ -47,7 +47,7 @@
                 Some(ms) => Reply::Pieces(vec![(Duration::ZERO, good), (Duration::from_millis(ms), copy)]),
             }
         });
-        let limiter = LimiterProcess::over(&[&server]);
+        let limiter = LimiterProcess::start_with_servers(&[&server]);
         let mut client = limiter.client();
         for _ in 0..20 {
             let request = post("once", "x");
@@ -63,7 +63,7 @@
     // machine, the test only checks it less often.
     for _ in 0..5 {
         let server = FakePeer::new(|_| ok("served"));
-        let limiter = LimiterProcess::over(&[&server]);
+        let limiter = LimiterProcess::start_with_servers(&[&server]);
         let mut client = limiter.client();
         let began = Instant::now();
         assert_eq!(client.ask(&post("once", "x")).status(), 200);
@@ -87,7 +87,7 @@
             (Duration::from_millis(600), raw("200 OK", "", "served")),
         ])
     });
-    let limiter = LimiterProcess::over(&[&server]);
+    let limiter = LimiterProcess::start_with_servers(&[&server]);
     for _ in 0..2 {
         let answer = limiter.client().ask(&post("once", "x"));
         assert_eq!((answer.status(), answer.text().as_str()), (200, "served"));
@@ -99,7 +99,7 @@
     for figure in ["-5", "99999", "1e9", "NaN", "inf", "much"] {
         let headers = format!("X-Settled: {figure}\r\nX-Backend-Load: util={figure},queue=-1\r\n");
         let server = FakePeer::new(move |_| Reply::Raw(raw("200 OK", &headers, "served")));
-        let limiter = LimiterProcess::over(&[&server]);
+        let limiter = LimiterProcess::start_with_servers(&[&server]);
         let mut client = limiter.client();
         // The plan has a burst of four units.
         for n in 0..4 {
@@ -114,7 +114,7 @@
         let line = || (Duration::from_millis(10), "HTTP/1.1 103 Early Hints\r\n\r\n".to_string());
         Reply::Pieces((0..400).map(|_| line()).collect())
     });
-    let limiter = LimiterProcess::over(&[&server]);
+    let limiter = LimiterProcess::start_with_servers(&[&server]);
     let began = Instant::now();
     let answer = limiter.client().ask(&post("once", "x").replace("9000m", "1000m"));
     assert_eq!(answer.status(), 502, "the request may have executed");
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -23,7 +23,7 @@
 #[test]
 fn a_request_is_forwarded_unchanged_and_its_response_is_returned() {
     let server = FakePeer::new(|m| ok(&format!("echo {}", m.text())));
-    let limiter = LimiterProcess::over(&[&server]);
+    let limiter = LimiterProcess::start_with_servers(&[&server]);
     let mut client = limiter.client();
     let sent = post("bind", "a policy");
     let answer = client.ask(&sent);
@@ -104,7 +104,7 @@
 /// that the server received.
 fn after(fault: impl Fn() -> Reply + Send + Sync + 'static, request: &str) -> (Message, Vec<Message>) {
     let server = FakePeer::new(at_first(1, fault));
-    let limiter = LimiterProcess::over(&[&server]);
+    let limiter = LimiterProcess::start_with_servers(&[&server]);
     (limiter.client().ask(request), server.requests())
 }
 
@@ -193,7 +193,7 @@
 #[test]
 fn a_request_without_a_response_fails_before_its_deadline() {
     let server = FakePeer::new(|_| Reply::Silence);
-    let limiter = LimiterProcess::over(&[&server]);
+    let limiter = LimiterProcess::start_with_servers(&[&server]);
     let began = Instant::now();
     let answer = limiter.client().ask(&quote("roomy", 1500));
     let elapsed = began.elapsed();
@@ -244,7 +244,7 @@
 fn a_reused_connection_that_its_server_closed_loses_no_request() {
     // The server closes the connection after every response, without a header that announces it.
     let server = FakePeer::new(|_| Reply::RawThenClose(raw("200 OK", "", "bye")));
-    let limiter = LimiterProcess::over(&[&server]);
+    let limiter = LimiterProcess::start_with_servers(&[&server]);
     let mut client = limiter.client();
     for n in 1..=5 {
         assert_eq!(client.ask(&post("once", "x")).status(), 200);
--- a/crates/rate-limiter/tests/signals.rs
+++ b/crates/rate-limiter/tests/signals.rs
@@ -79,7 +79,7 @@
         }
         ok("served")
     });
-    let mut limiter = LimiterProcess::over(&[&server]);
+    let mut limiter = LimiterProcess::start_with_servers(&[&server]);
     let (mut busy, mut idle) = (limiter.client(), limiter.client());
     assert_eq!(idle.ask(&quote("roomy", 9000)).status(), 200);
     busy.send(&post("bind", "x"));
@@ -101,7 +101,7 @@
 #[test]
 fn sigterm_closes_no_connection_with_a_partly_received_request() {
     let server = FakePeer::new(|_| ok("served"));
-    let mut limiter = LimiterProcess::over(&[&server]);
+    let mut limiter = LimiterProcess::start_with_servers(&[&server]);
     let (mut half, mut fresh, mut idle) = (limiter.client(), limiter.client(), limiter.client());
     for client in [&mut half, &mut idle] {
         assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
@@ -178,12 +178,12 @@
 fn a_request_sent_while_its_idle_connection_is_closed_gets_a_response_or_is_not_forwarded() {
     let server = FakePeer::new(|_| ok("served"));
     for _ in 0..4 {
-        let mut limiter = LimiterProcess::over(&[&server]);
+        let mut limiter = LimiterProcess::start_with_servers(&[&server]);
         cross(&server, &limiter, Duration::ZERO, || limiter.terminate());
         assert_eq!(limiter.wait().code(), Some(0));
     }
     // A limiter that keeps running closes connections that have been idle for too long (2.5 s).
-    let limiter = LimiterProcess::over(&[&server]);
+    let limiter = LimiterProcess::start_with_servers(&[&server]);
     cross(&server, &limiter, Duration::from_millis(2_498), || ());
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200);
 }
