--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -393,7 +393,7 @@
     }
 
     /// Replaces the configuration file by one with these addresses, and sends SIGHUP.
-    pub fn move_to(&self, discovery: SocketAddr, counter: SocketAddr) {
+    pub fn reload_with_addresses(&self, discovery: SocketAddr, counter: SocketAddr) {
         let mut config = self.config.clone();
         config["discovery"] = json!(discovery.to_string());
         config["counter"] = json!(counter.to_string());
--- a/crates/rate-limiter/tests/signals.rs
+++ b/crates/rate-limiter/tests/signals.rs
@@ -22,7 +22,7 @@
         counter_1.request_count() > 0
     });
 
-    limiter.move_to(discovery_2.address, counter_2.address);
+    limiter.reload_with_addresses(discovery_2.address, counter_2.address);
     wait_until("the list of the second watch applies", || client.ask(&quote("roomy", 9000)).text() == "new");
     assert_eq!(discovery_2.requests()[0].start_line, "GET /discovery/hosts?watch=1&after=10 HTTP/1.1");
     // The limiter closes its connections to the old addresses, and the old peers then close theirs.
@@ -38,8 +38,8 @@
     assert_eq!(counter_1.request_count(), calls, "the first counter gets no more calls");
 
     // Two changes back follow each other closely. The last one applies.
-    limiter.move_to(discovery_1.address, counter_2.address);
-    limiter.move_to(discovery_1.address, counter_1.address);
+    limiter.reload_with_addresses(discovery_1.address, counter_2.address);
+    limiter.reload_with_addresses(discovery_1.address, counter_1.address);
     wait_until("the first counter is called again", || {
         assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
         counter_1.request_count() > calls
