--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -273,7 +273,7 @@
     log_closed: Arc<AtomicBool>,
     pub file: std::path::PathBuf,
     config: Value,
-    early: String,
+    startup_log: String,
 }
 
 /// Writes a text to a new file in Cargo's directory for temporary files, which no other test uses.
@@ -344,11 +344,11 @@
         let mut child = command.stderr(Stdio::piped()).spawn().expect("start the limiter");
         let mut lines = BufReader::new(child.stderr.take().expect("stderr")).lines();
         let errors: Arc<Mutex<String>> = Arc::default();
-        let mut early = String::new();
+        let mut startup_log = String::new();
         let address = loop {
             let line =
                 lines.next().expect("the line with the address on which the limiter listens").expect("utf-8");
-            early += &(line.clone() + "\n");
+            startup_log += &(line.clone() + "\n");
             if let Some((_, address)) = line.split_once("listening for clients address=") {
                 break address.parse().expect("an address");
             }
@@ -363,7 +363,7 @@
                 log.lock().expect("lock").push_str(&(line + "\n"));
             }
         });
-        let limiter = LimiterProcess { address, child, errors, log_closed, file, config, early };
+        let limiter = LimiterProcess { address, child, errors, log_closed, file, config, startup_log };
         wait_until("the limiter is ready", || {
             limiter.client().ask("GET /up HTTP/1.1\r\n\r\n").status() == 200
         });
@@ -421,8 +421,8 @@
     }
 
     /// Returns what the limiter wrote to standard error until it listened for clients.
-    pub fn early(&self) -> &str {
-        &self.early
+    pub fn startup_log(&self) -> &str {
+        &self.startup_log
     }
 
     /// Returns what the limiter has written to standard error since it listened for clients.
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -507,7 +507,10 @@
         let limiter =
             LimiterProcess::start_with_known_list(known.clone(), settings(), &discovery, counter().address);
         wait_until("the list is known", || limiter.client().ask(&quote("roomy", 9000)).status() == 200);
-        assert!(limiter.early().contains("ROUTER_CONFIG") && limiter.early().contains("known"), "{known}");
+        assert!(
+            limiter.startup_log().contains("ROUTER_CONFIG") && limiter.startup_log().contains("known"),
+            "{known}"
+        );
         // The version is not known either, so the limiter requests the complete list.
         assert_eq!(discovery.requests()[0].start_line, "GET /discovery/hosts?watch=1 HTTP/1.1");
     }
