--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -269,7 +269,7 @@
 pub struct LimiterProcess {
     pub address: SocketAddr,
     child: Child,
-    errors: Arc<Mutex<String>>,
+    log: Arc<Mutex<String>>,
     log_closed: Arc<AtomicBool>,
     pub file: std::path::PathBuf,
     config: Value,
@@ -343,7 +343,7 @@
         command.env("ROUTER_DISCOVERY", discovery.address.to_string()).env("ROUTER_CONFIG", &file);
         let mut child = command.stderr(Stdio::piped()).spawn().expect("start the limiter");
         let mut lines = BufReader::new(child.stderr.take().expect("stderr")).lines();
-        let errors: Arc<Mutex<String>> = Arc::default();
+        let log: Arc<Mutex<String>> = Arc::default();
         let mut startup_log = String::new();
         let address = loop {
             let line =
@@ -354,16 +354,16 @@
             }
         };
         let log_closed: Arc<AtomicBool> = Arc::default();
-        let (log, closed) = (errors.clone(), log_closed.clone());
+        let (log_writer, closed) = (log.clone(), log_closed.clone());
         thread::spawn(move || {
             for line in lines.map_while(Result::ok) {
                 if closed.load(Ordering::SeqCst) {
                     break;
                 }
-                log.lock().expect("lock").push_str(&(line + "\n"));
+                log_writer.lock().expect("lock").push_str(&(line + "\n"));
             }
         });
-        let limiter = LimiterProcess { address, child, errors, log_closed, file, config, startup_log };
+        let limiter = LimiterProcess { address, child, log, log_closed, file, config, startup_log };
         wait_until("the limiter is ready", || {
             limiter.client().ask("GET /up HTTP/1.1\r\n\r\n").status() == 200
         });
@@ -426,8 +426,8 @@
     }
 
     /// Returns what the limiter has written to standard error since it listened for clients.
-    pub fn errors(&self) -> String {
-        self.errors.lock().expect("lock").clone()
+    pub fn log(&self) -> String {
+        self.log.lock().expect("lock").clone()
     }
 }
 
--- a/crates/rate-limiter/tests/discovery.rs
+++ b/crates/rate-limiter/tests/discovery.rs
@@ -43,7 +43,7 @@
     }
     wait_until("the third message is known", || client.ask(&quote("roomy", 9000)).text() == "third");
     assert_eq!(
-        (discovery.request_count(), limiter.errors().as_str()),
+        (discovery.request_count(), limiter.log().as_str()),
         (1, ""),
         "one watch received all messages"
     );
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -396,7 +396,7 @@
         assert_eq!(discovery.requests()[n + 1].start_line, "GET /discovery/hosts?watch=1&after=10 HTTP/1.1");
         assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200, "the last list still applies");
     }
-    wait_until("the errors are logged", || limiter.errors().matches("discovery: ").count() >= 4);
+    wait_until("the errors are logged", || limiter.log().matches("discovery: ").count() >= 4);
 }
 
 #[test]
--- a/crates/rate-limiter/tests/signals.rs
+++ b/crates/rate-limiter/tests/signals.rs
@@ -58,7 +58,7 @@
             None => std::fs::remove_file(&limiter.file).expect("remove"),
         }
         limiter.signal("-HUP");
-        wait_until("the error is logged", || limiter.errors().matches("SIGHUP").count() == n + 1);
+        wait_until("the error is logged", || limiter.log().matches("SIGHUP").count() == n + 1);
         assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200);
     }
     assert_eq!((discovery.request_count(), discovery.closed_count()), (1, 0), "the watch stays open");
@@ -136,7 +136,7 @@
     let mut limiter = LimiterProcess::start(settings, &discovery, counter().address);
     let mut client = limiter.client();
     limiter.terminate();
-    wait_until("the shutdown has begun", || limiter.errors().contains("SIGTERM"));
+    wait_until("the shutdown has begun", || limiter.log().contains("SIGTERM"));
     let began = Instant::now();
     client.send(&quote("roomy", 60_000));
     // The deadline counts as at most 3 s, and 0.7 s are added. The rest is for a slow machine.
