--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -271,7 +271,7 @@
     child: Child,
     log: Arc<Mutex<String>>,
     log_closed: Arc<AtomicBool>,
-    pub file: std::path::PathBuf,
+    pub config_file: std::path::PathBuf,
     config: Value,
     startup_log: String,
 }
@@ -363,7 +363,8 @@
                 log_writer.lock().expect("lock").push_str(&(line + "\n"));
             }
         });
-        let limiter = LimiterProcess { address, child, log, log_closed, file, config, startup_log };
+        let limiter =
+            LimiterProcess { address, child, log, log_closed, config_file: file, config, startup_log };
         wait_until("the limiter is ready", || {
             limiter.client().ask("GET /up HTTP/1.1\r\n\r\n").status() == 200
         });
@@ -397,9 +398,9 @@
         let mut config = self.config.clone();
         config["discovery"] = json!(discovery.to_string());
         config["counter"] = json!(counter.to_string());
-        let new = self.file.with_extension("new");
+        let new = self.config_file.with_extension("new");
         std::fs::write(&new, config.to_string()).expect("write");
-        std::fs::rename(&new, &self.file).expect("rename");
+        std::fs::rename(&new, &self.config_file).expect("rename");
         self.signal("-HUP");
     }
 
@@ -435,7 +436,7 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.file);
+        let _ = std::fs::remove_file(&self.config_file);
     }
 }
 
--- a/crates/rate-limiter/tests/signals.rs
+++ b/crates/rate-limiter/tests/signals.rs
@@ -54,8 +54,8 @@
     let mut limiter = LimiterProcess::start(settings(), &discovery, counter().address);
     for (n, text) in [Some("{\"discovery\":"), Some("{\"counter\":\"nowhere\"}"), None].iter().enumerate() {
         match text {
-            Some(text) => std::fs::write(&limiter.file, text).expect("write"),
-            None => std::fs::remove_file(&limiter.file).expect("remove"),
+            Some(text) => std::fs::write(&limiter.config_file, text).expect("write"),
+            None => std::fs::remove_file(&limiter.config_file).expect("remove"),
         }
         limiter.signal("-HUP");
         wait_until("the error is logged", || limiter.log().matches("SIGHUP").count() == n + 1);
