--- a/crates/rate-limiter/tests/clients.rs
+++ b/crates/rate-limiter/tests/clients.rs
@@ -342,7 +342,7 @@
             std::thread::spawn(move || {
                 client.timeout(Duration::from_millis(100));
                 while began.elapsed() < TIMEOUT && !client.has_received() {
-                    client.send_quietly(more.as_bytes());
+                    client.send_ignoring_errors(more.as_bytes());
                 }
                 began.elapsed()
             })
--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -452,7 +452,7 @@
     }
 
     /// Sends bytes and ignores errors, since the limiter may have closed the connection.
-    pub fn send_quietly(&mut self, bytes: &[u8]) {
+    pub fn send_ignoring_errors(&mut self, bytes: &[u8]) {
         let _ = self.stream.write_all(bytes);
     }
 
--- a/crates/rate-limiter/tests/signals.rs
+++ b/crates/rate-limiter/tests/signals.rs
@@ -161,7 +161,7 @@
             let at = rested.max(soon) + Duration::from_micros(200 * n as u64);
             std::thread::sleep(at.saturating_duration_since(Instant::now()));
             let request = quote("roomy", 9000);
-            client.send_quietly(request.as_bytes());
+            client.send_ignoring_errors(request.as_bytes());
             (request, client.answer())
         })
     });
