--- a/crates/rate-limiter/tests/clients.rs
+++ b/crates/rate-limiter/tests/clients.rs
@@ -340,7 +340,7 @@
             let (mut client, began, more) = (limiter.client(), Instant::now(), more.to_string());
             client.send(start);
             std::thread::spawn(move || {
-                client.timeout(Duration::from_millis(100));
+                client.set_read_timeout(Duration::from_millis(100));
                 while began.elapsed() < TIMEOUT && !client.has_received() {
                     client.send_ignoring_errors(more.as_bytes());
                 }
--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -456,7 +456,7 @@
         let _ = self.stream.write_all(bytes);
     }
 
-    pub fn timeout(&self, time: Duration) {
+    pub fn set_read_timeout(&self, time: Duration) {
         self.stream.set_read_timeout(Some(time)).expect("set");
     }
 
