--- a/crates/rate-limiter/tests/clients.rs
+++ b/crates/rate-limiter/tests/clients.rs
@@ -200,7 +200,7 @@
         assert_ne!(text, good);
         let mut client = limiter.client();
         assert_eq!(client.ask(&text).status(), status, "{}", &text[..text.len().min(400)]);
-        assert!(client.answer().is_none(), "the connection is closed after the error response");
+        assert!(client.response().is_none(), "the connection is closed after the error response");
     }
     // A client sends an incomplete request and disconnects.
     let mut client = limiter.client();
@@ -222,7 +222,7 @@
         assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200, "client {n}");
         clients.push(client);
     }
-    assert!(clients[0].answer().is_none(), "the first connection was closed");
+    assert!(clients[0].response().is_none(), "the first connection was closed");
     assert_eq!(clients[59].ask(&quote("roomy", 9000)).status(), 200, "the last connection is still open");
 }
 
@@ -245,7 +245,7 @@
     wait_until("some requests are forwarded", || server.request_count() > 0);
     go.store(true, Ordering::SeqCst);
     for client in &mut clients {
-        assert!(matches!(client.answer(), Some(a) if a.status() == 200 || a.status() == 429));
+        assert!(matches!(client.response(), Some(a) if a.status() == 200 || a.status() == 429));
     }
 }
 
@@ -260,7 +260,7 @@
         let mut client = limiter.client();
         let text = outer.replace("Content-Length: 0\r\n", &both) + "0\r\n\r\n" + &hidden;
         assert_eq!(client.ask(&text).status(), 400, "{both}");
-        assert!(client.answer().is_none(), "the bytes after the request are not read");
+        assert!(client.response().is_none(), "the bytes after the request are not read");
     }
     assert_eq!(server.request_count(), 0, "neither request reaches a server");
     // A request that is only chunked is served. The bytes after it are not read as a request either.
@@ -268,7 +268,7 @@
     let text = outer.replace("Content-Length: 0\r\n", chunked) + "1\r\nx\r\n0\r\n\r\n" + &hidden;
     let answer = client.ask(&text);
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert!(client.answer().is_none());
+    assert!(client.response().is_none());
     assert_eq!((server.request_count(), server.requests()[0].text().as_str()), (1, "x"));
 }
 
@@ -286,7 +286,7 @@
     wait_until("the request is forwarded", || server.request_count() == 1);
     assert_eq!(limiter.client().ask(&copy).status(), 409);
     go.store(true, Ordering::SeqCst);
-    assert_eq!(first.answer().expect("a response").status(), 200);
+    assert_eq!(first.response().expect("a response").status(), 200);
     assert_eq!(server.request_count(), 1);
     // After the final response, the id may be used again.
     assert_eq!(limiter.client().ask(&copy).status(), 200);
@@ -311,7 +311,7 @@
                 client.send(std::str::from_utf8(piece).expect("text"));
             }
             assert_eq!(
-                client.answer().expect("the error response instead of a reset").status(),
+                client.response().expect("the error response instead of a reset").status(),
                 status,
                 "{text}"
             );
@@ -387,7 +387,7 @@
     let mut client = limiter.client();
     assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
     let began = Instant::now();
-    assert!(client.answer().is_none(), "the idle connection is closed");
+    assert!(client.response().is_none(), "the idle connection is closed");
     let idle = began.elapsed();
     assert!(idle > Duration::from_secs(2) && idle < Duration::from_secs(8), "{idle:?}");
 }
--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -469,14 +469,14 @@
     }
 
     /// Reads a response. Returns `None` if the connection ends before the response is complete.
-    pub fn answer(&mut self) -> Option<Message> {
+    pub fn response(&mut self) -> Option<Message> {
         Message::read(&mut self.reader)
     }
 
     /// Sends a request and reads its response.
     pub fn ask(&mut self, text: &str) -> Message {
         self.send(text);
-        self.answer().expect("a response")
+        self.response().expect("a response")
     }
 
     pub fn close(self) {
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -185,7 +185,7 @@
     hung.close_all();
     // All servers together deduplicate this class, so that a retry by the client is safe even after the
     // window.
-    let answer = client.answer().expect("a response before the connection is established");
+    let answer = client.response().expect("a response before the connection is established");
     assert_eq!(answer.status(), 429, "{}", answer.start_line);
     drop((listener, filled));
 }
@@ -234,7 +234,8 @@
         .collect();
     wait_until("both requests hang", || hung.request_count() == 2);
     discovery.push(&chunk(&update(11, false, &[instance("s-1", good.address, "in_service")])));
-    let answers: Vec<_> = clients.into_iter().map(|mut c| c.answer().expect("a response").status()).collect();
+    let answers: Vec<_> =
+        clients.into_iter().map(|mut c| c.response().expect("a response").status()).collect();
     assert!(answers.contains(&200), "{answers:?}");
     assert!(good.request_count() >= 1);
     assert_eq!(overlaps.load(Ordering::SeqCst), 0, "two attempts of a request were open at the same time");
@@ -291,7 +292,7 @@
             std::thread::sleep(Duration::from_millis(1));
         }
         go.store(true, Ordering::SeqCst);
-        clients[..n].iter_mut().all(|c| c.answer().expect("a response").status() == 200)
+        clients[..n].iter_mut().all(|c| c.response().expect("a response").status() == 200)
     };
     // After the ejections end, each server responds successfully again.
     std::thread::sleep(Duration::from_millis(1500));
@@ -322,7 +323,7 @@
     let began = Instant::now();
     let change = [instance("s-0", stuck, "terminating"), instance("s-1", good.address, "in_service")];
     discovery.push(&chunk(&update(11, false, &change)));
-    assert_eq!(client.answer().expect("a response").status(), 200);
+    assert_eq!(client.response().expect("a response").status(), 200);
     assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
     drop(filled);
     // The connections that are still in the kernel's accept queue have received no request.
@@ -353,7 +354,7 @@
     discovery.push(head);
     std::thread::sleep(Duration::from_millis(20));
     discovery.push(tail);
-    assert_eq!(client.answer().expect("a response").status(), 200);
+    assert_eq!(client.response().expect("a response").status(), 200);
     assert_eq!((hung.request_count(), good.request_count()), (1, 1));
     wait_until("the attempt at the removed server is closed", || {
         hung.closed_count() == hung.accepted_count()
--- a/crates/rate-limiter/tests/signals.rs
+++ b/crates/rate-limiter/tests/signals.rs
@@ -86,15 +86,15 @@
     wait_until("the request is forwarded", || server.request_count() == 2);
 
     limiter.terminate();
-    assert!(idle.answer().is_none(), "an idle connection is closed");
+    assert!(idle.response().is_none(), "an idle connection is closed");
     // New connections are still accepted for a while.
     let answer = limiter.client().ask(&quote("roomy", 9000));
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     assert_eq!(limiter.client().ask("GET /up HTTP/1.1\r\n\r\n").status(), 503);
     go.store(true, Ordering::SeqCst);
-    let answer = busy.answer().expect("a response");
+    let answer = busy.response().expect("a response");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert!(busy.answer().is_none(), "the connection is closed after the response");
+    assert!(busy.response().is_none(), "the connection is closed after the response");
     assert_eq!(limiter.wait().code(), Some(0));
 }
 
@@ -112,18 +112,18 @@
     // Once a later request has its response, the limiter has read what was sent before.
     assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200);
     limiter.terminate();
-    assert!(idle.answer().is_none(), "an idle connection is closed");
+    assert!(idle.response().is_none(), "an idle connection is closed");
     // This is longer than the time for which new connections are always accepted. After it, all idle
     // connections are closed.
     std::thread::sleep(Duration::from_millis(1_000));
     half.send(&next[40..]);
     fresh.send(&first[40..first.len() - 1]);
-    let answer = half.answer().expect("a response");
+    let answer = half.response().expect("a response");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     // These bytes exceed the rest of the request, and are unread when the response is written. The response
     // must not be lost by a reset.
     fresh.send(&format!("8{}", "x".repeat(100_000)));
-    assert_eq!(fresh.answer().expect("a response").status(), 200);
+    assert_eq!(fresh.response().expect("a response").status(), 200);
     assert_eq!(limiter.wait().code(), Some(0));
 }
 
@@ -140,7 +140,7 @@
     let began = Instant::now();
     client.send(&quote("roomy", 60_000));
     // The deadline counts as at most 3 s, and 0.7 s are added. The rest is for a slow machine.
-    assert!(client.answer().is_some_and(|answer| answer.status() >= 429));
+    assert!(client.response().is_some_and(|answer| answer.status() >= 429));
     assert!(began.elapsed() < Duration::from_secs(8), "{:?}", began.elapsed());
     assert_eq!(limiter.wait().code(), Some(0));
 }
@@ -162,7 +162,7 @@
             std::thread::sleep(at.saturating_duration_since(Instant::now()));
             let request = quote("roomy", 9000);
             client.send_ignoring_errors(request.as_bytes());
-            (request, client.answer())
+            (request, client.response())
         })
     });
     let asked: Vec<_> = asked.collect();
