--- a/crates/rate-limiter/tests/clients.rs
+++ b/crates/rate-limiter/tests/clients.rs
@@ -65,7 +65,7 @@
     settings["classes"][0]["deadline-s"] = json!(120.0);
     let limiter = LimiterProcess::start(settings, &discovery, counter().address);
     // Once a later request has its response, the limiter has read what was sent before.
-    let all_read = || assert_eq!(limiter.client().ask("GET /up HTTP/1.1\r\n\r\n").status(), 200);
+    let all_read = || assert_eq!(limiter.client().request("GET /up HTTP/1.1\r\n\r\n").status(), 200);
     let mut leaving = limiter.client();
     leaving.send(&(quote("roomy", 120_000) + behind));
     all_read();
@@ -126,7 +126,7 @@
     left.send(&(request.clone() + "GET /more"));
     left.close();
     // Connections are accepted in order, so this one is accepted after that of the disconnected client.
-    assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200);
+    assert_eq!(limiter.client().request(&quote("roomy", 9000)).status(), 200);
     let id = request.split("X-Correlation-Id: ").nth(1).and_then(|rest| rest.get(..16)).expect("an id");
     let own = server.requests().into_iter().filter(|m| m.header("x-correlation-id") == Some(id));
     assert_eq!(own.count(), 0);
@@ -138,10 +138,10 @@
     let server = FakePeer::new(|_| ok("served"));
     let limiter = LimiterProcess::start_with_servers(&[&server]);
     for left_ms in [0, 1, 10] {
-        assert_eq!(limiter.client().ask(&quote("roomy", left_ms)).status(), 429, "{left_ms} ms");
+        assert_eq!(limiter.client().request(&quote("roomy", left_ms)).status(), 429, "{left_ms} ms");
     }
     assert_eq!(server.request_count(), 0);
-    assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200);
+    assert_eq!(limiter.client().request(&quote("roomy", 9000)).status(), 200);
 }
 
 #[test]
@@ -199,7 +199,7 @@
     for (text, status) in cases {
         assert_ne!(text, good);
         let mut client = limiter.client();
-        assert_eq!(client.ask(&text).status(), status, "{}", &text[..text.len().min(400)]);
+        assert_eq!(client.request(&text).status(), status, "{}", &text[..text.len().min(400)]);
         assert!(client.response().is_none(), "the connection is closed after the error response");
     }
     // A client sends an incomplete request and disconnects.
@@ -207,7 +207,7 @@
     client.send(&good[..good.len() - 1]);
     client.close();
     assert_eq!(server.request_count(), 0);
-    assert_eq!(limiter.client().ask(&good).status(), 200, "the limiter still serves requests");
+    assert_eq!(limiter.client().request(&good).status(), 200, "the limiter still serves requests");
 }
 
 #[test]
@@ -219,11 +219,11 @@
     let mut clients: Vec<Client> = Vec::new();
     for n in 0..60 {
         let mut client = limiter.client();
-        assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200, "client {n}");
+        assert_eq!(client.request(&quote("roomy", 9000)).status(), 200, "client {n}");
         clients.push(client);
     }
     assert!(clients[0].response().is_none(), "the first connection was closed");
-    assert_eq!(clients[59].ask(&quote("roomy", 9000)).status(), 200, "the last connection is still open");
+    assert_eq!(clients[59].request(&quote("roomy", 9000)).status(), 200, "the last connection is still open");
 }
 
 #[test]
@@ -259,14 +259,14 @@
     for both in [format!("{length}{chunked}"), format!("{chunked}{length}")] {
         let mut client = limiter.client();
         let text = outer.replace("Content-Length: 0\r\n", &both) + "0\r\n\r\n" + &hidden;
-        assert_eq!(client.ask(&text).status(), 400, "{both}");
+        assert_eq!(client.request(&text).status(), 400, "{both}");
         assert!(client.response().is_none(), "the bytes after the request are not read");
     }
     assert_eq!(server.request_count(), 0, "neither request reaches a server");
     // A request that is only chunked is served. The bytes after it are not read as a request either.
     let mut client = limiter.client();
     let text = outer.replace("Content-Length: 0\r\n", chunked) + "1\r\nx\r\n0\r\n\r\n" + &hidden;
-    let answer = client.ask(&text);
+    let answer = client.request(&text);
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     assert!(client.response().is_none());
     assert_eq!((server.request_count(), server.requests()[0].text().as_str()), (1, "x"));
@@ -284,12 +284,12 @@
     let (mut first, copy) = (limiter.client(), quote("roomy", 9000));
     first.send(&copy);
     wait_until("the request is forwarded", || server.request_count() == 1);
-    assert_eq!(limiter.client().ask(&copy).status(), 409);
+    assert_eq!(limiter.client().request(&copy).status(), 409);
     go.store(true, Ordering::SeqCst);
     assert_eq!(first.response().expect("a response").status(), 200);
     assert_eq!(server.request_count(), 1);
     // After the final response, the id may be used again.
-    assert_eq!(limiter.client().ask(&copy).status(), 200);
+    assert_eq!(limiter.client().request(&copy).status(), 200);
 }
 
 #[test]
@@ -364,16 +364,16 @@
     let limiter = LimiterProcess::start_with_sockets(72, settings(), &discovery, counter().address);
     let mut usual: Vec<Client> = (0..8).map(|_| limiter.client()).collect();
     for client in &mut usual {
-        assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
+        assert_eq!(client.request(&quote("roomy", 9000)).status(), 200);
     }
     let _silent: Vec<Client> = (0..60).map(|_| limiter.client()).collect();
     // A client that connects after all of them is served before they are disconnected by the timeout.
     let began = Instant::now();
-    assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200);
+    assert_eq!(limiter.client().request(&quote("roomy", 9000)).status(), 200);
     assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
     for client in &mut usual {
         assert_eq!(
-            client.ask(&quote("roomy", 9000)).status(),
+            client.request(&quote("roomy", 9000)).status(),
             200,
             "clients that send requests stay connected"
         );
@@ -385,7 +385,7 @@
     let server = FakePeer::new(|_| ok("served"));
     let limiter = LimiterProcess::start_with_servers(&[&server]);
     let mut client = limiter.client();
-    assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
+    assert_eq!(client.request(&quote("roomy", 9000)).status(), 200);
     let began = Instant::now();
     assert!(client.response().is_none(), "the idle connection is closed");
     let idle = began.elapsed();
--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -366,7 +366,7 @@
         let limiter =
             LimiterProcess { address, child, log, log_closed, config_file: file, config, startup_log };
         wait_until("the limiter is ready", || {
-            limiter.client().ask("GET /up HTTP/1.1\r\n\r\n").status() == 200
+            limiter.client().request("GET /up HTTP/1.1\r\n\r\n").status() == 200
         });
         limiter
     }
@@ -474,7 +474,7 @@
     }
 
     /// Sends a request and reads its response.
-    pub fn ask(&mut self, text: &str) -> Message {
+    pub fn request(&mut self, text: &str) -> Message {
         self.send(text);
         self.response().expect("a response")
     }
--- a/crates/rate-limiter/tests/discovery.rs
+++ b/crates/rate-limiter/tests/discovery.rs
@@ -28,7 +28,7 @@
     let discovery = FakePeer::new(move |_| Reply::Raw(format!("{WATCH_HEAD}{lines}")));
     let limiter = LimiterProcess::start(settings(), &discovery, counter().address);
     let mut client = limiter.client();
-    wait_until("the indented list is known", || client.ask(&quote("roomy", 9000)).text() == "first");
+    wait_until("the indented list is known", || client.request(&quote("roomy", 9000)).text() == "first");
 
     // One chunk has two complete messages and the beginning of a third, whose rest follows byte by byte.
     let gone = update(11, false, &[instance("s-0", served.address, "terminating")]);
@@ -37,11 +37,11 @@
     let three = indented(&update(13, true, &[instance("s-2", third.address, "in_service")]));
     let (begun, rest) = three.split_at(7);
     discovery.push(&piece(&(two + begun)));
-    wait_until("the second message is known", || client.ask(&quote("roomy", 9000)).text() == "second");
+    wait_until("the second message is known", || client.request(&quote("roomy", 9000)).text() == "second");
     for byte in rest.chars() {
         discovery.push(&piece(&byte.to_string()));
     }
-    wait_until("the third message is known", || client.ask(&quote("roomy", 9000)).text() == "third");
+    wait_until("the third message is known", || client.request(&quote("roomy", 9000)).text() == "third");
     assert_eq!(
         (discovery.request_count(), limiter.log().as_str()),
         (1, ""),
@@ -86,10 +86,10 @@
         _ => Reply::Raw(format!("{WATCH_HEAD}{after}")),
     });
     let limiter = LimiterProcess::start(settings(), &discovery, counter().address);
-    wait_until("the list is known", || limiter.client().ask(&quote("roomy", 9000)).text() == "old");
+    wait_until("the list is known", || limiter.client().request(&quote("roomy", 9000)).text() == "old");
     wait_until("the second watch", || discovery.request_count() == 2);
     let began = Instant::now();
-    wait_until("the change is known", || limiter.client().ask(&quote("roomy", 9000)).text() == "new");
+    wait_until("the change is known", || limiter.client().request(&quote("roomy", 9000)).text() == "new");
     // Two calls of at most 1 s and two backoffs, doubled for a slow machine. It would take longer if each
     // call had the timeout of an open watch.
     assert!(began.elapsed() < Duration::from_millis(5_500), "{:?}", began.elapsed());
--- a/crates/rate-limiter/tests/invalid_responses.rs
+++ b/crates/rate-limiter/tests/invalid_responses.rs
@@ -28,7 +28,7 @@
         // The request may have executed. It is retried only because of its idempotency key, and within the
         // time that its client has left.
         let began = Instant::now();
-        let answer = limiter.client().ask(&post("bind", "x"));
+        let answer = limiter.client().request(&post("bind", "x"));
         assert_eq!((answer.status(), answer.text().as_str()), (200, "good"), "{fault:?}");
         assert!(began.elapsed() < Duration::from_millis(1500), "{fault:?}: {:?}", began.elapsed());
         assert_eq!(server.request_count(), 2);
@@ -51,7 +51,7 @@
         let mut client = limiter.client();
         for _ in 0..20 {
             let request = post("once", "x");
-            let answer = client.ask(&request);
+            let answer = client.request(&request);
             assert!(request.contains(&answer.text()), "{pause:?}: {}", answer.text());
         }
     }
@@ -66,15 +66,15 @@
         let limiter = LimiterProcess::start_with_servers(&[&server]);
         let mut client = limiter.client();
         let began = Instant::now();
-        assert_eq!(client.ask(&post("once", "x")).status(), 200);
+        assert_eq!(client.request(&post("once", "x")).status(), 200);
         std::thread::sleep(Duration::from_millis(6));
-        assert_eq!(client.ask(&post("once", "x")).status(), 200);
+        assert_eq!(client.request(&post("once", "x")).status(), 200);
         if began.elapsed() < Duration::from_millis(9) {
             assert_eq!(server.accepted_count(), 2, "the reuse delay of the first connection is not over");
         }
         std::thread::sleep(Duration::from_millis(50));
         let before = server.accepted_count();
-        assert_eq!(client.ask(&post("once", "x")).status(), 200);
+        assert_eq!(client.request(&post("once", "x")).status(), 200);
         assert_eq!(server.accepted_count(), before, "a connection is reused after the reuse delay");
     }
 }
@@ -89,7 +89,7 @@
     });
     let limiter = LimiterProcess::start_with_servers(&[&server]);
     for _ in 0..2 {
-        let answer = limiter.client().ask(&post("once", "x"));
+        let answer = limiter.client().request(&post("once", "x"));
         assert_eq!((answer.status(), answer.text().as_str()), (200, "served"));
     }
 }
@@ -103,7 +103,7 @@
         let mut client = limiter.client();
         // The plan has a burst of four units.
         for n in 0..4 {
-            assert_eq!(client.ask(&quote("small", 9000)).status(), 200, "{figure}: request {n}");
+            assert_eq!(client.request(&quote("small", 9000)).status(), 200, "{figure}: request {n}");
         }
     }
 }
@@ -116,8 +116,8 @@
     });
     let limiter = LimiterProcess::start_with_servers(&[&server]);
     let began = Instant::now();
-    let answer = limiter.client().ask(&post("once", "x").replace("9000m", "1000m"));
+    let answer = limiter.client().request(&post("once", "x").replace("9000m", "1000m"));
     assert_eq!(answer.status(), 502, "the request may have executed");
     assert!(began.elapsed() < Duration::from_secs(3), "{:?}", began.elapsed());
-    assert_eq!(limiter.client().ask("GET /up HTTP/1.1\r\n\r\n").status(), 200);
+    assert_eq!(limiter.client().request("GET /up HTTP/1.1\r\n\r\n").status(), 200);
 }
--- a/crates/rate-limiter/tests/overload.rs
+++ b/crates/rate-limiter/tests/overload.rs
@@ -36,8 +36,8 @@
                         break;
                     }
                     if turn % 4 == 0 {
-                        client.ask(&post("bind", "x"));
-                    } else if client.ask(&quote("roomy", 9000)).status() == 200 {
+                        client.request(&post("bind", "x"));
+                    } else if client.request(&quote("roomy", 9000)).status() == 200 {
                         row.fetch_add(1, Ordering::SeqCst);
                     } else {
                         row.store(0, Ordering::SeqCst);
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -26,11 +26,11 @@
     let limiter = LimiterProcess::start_with_servers(&[&server]);
     let mut client = limiter.client();
     let sent = post("bind", "a policy");
-    let answer = client.ask(&sent);
+    let answer = client.request(&sent);
     assert_eq!((answer.status(), answer.text().as_str()), (200, "echo a policy"));
     // The connection is reused only after a delay of some milliseconds.
     std::thread::sleep(Duration::from_millis(50));
-    let answer = client.ask(&quote("roomy", 1500));
+    let answer = client.request(&quote("roomy", 1500));
     assert_eq!((answer.status(), answer.text().as_str()), (200, "echo "));
 
     let seen = server.requests();
@@ -58,7 +58,7 @@
     let (mut client, began) = (limiter.client(), Instant::now());
     let (mut served, mut refused) = (0, Vec::new());
     wait_until("a rejection has a Retry-After", || {
-        let answer = client.ask(&quote("small", 9000));
+        let answer = client.request(&quote("small", 9000));
         match answer.status() {
             200 => served += 1,
             429 => refused.push(answer.header("retry-after").map(|v| v.parse::<f64>())),
@@ -87,11 +87,11 @@
     let mut client = limiter.client();
     let (mut served, mut filled, began) = (0.0, 0.0, Instant::now());
     wait_until("more units are served than the bucket held and was refilled with", || {
-        served += if client.ask(&request()).status() == 200 { 4.0 } else { 0.0 };
+        served += if client.request(&request()).status() == 200 { 4.0 } else { 0.0 };
         filled = 40.0 * began.elapsed().as_secs_f64();
         served > 80.0 + 8.0 + filled
     });
-    while client.ask(&request()).status() == 200 {
+    while client.request(&request()).status() == 200 {
         served += 4.0;
     }
     filled = 40.0 * began.elapsed().as_secs_f64();
@@ -105,7 +105,7 @@
 fn after(fault: impl Fn() -> Reply + Send + Sync + 'static, request: &str) -> (Message, Vec<Message>) {
     let server = FakePeer::new(at_first(1, fault));
     let limiter = LimiterProcess::start_with_servers(&[&server]);
-    (limiter.client().ask(request), server.requests())
+    (limiter.client().request(request), server.requests())
 }
 
 #[test]
@@ -120,7 +120,7 @@
         ];
         let limiter = LimiterProcess::start(settings(), &discovery(list), counter().address);
         let mut client = limiter.client();
-        let answer = client.ask(&request);
+        let answer = client.request(&request);
         assert_eq!((answer.status(), good.request_count()), (200, 1), "{}", answer.start_line);
     }
 }
@@ -177,7 +177,9 @@
     // then closes its idle connection to that server.
     let third = FakePeer::new(|_| ok("served"));
     discovery.push(&chunk(&update(11, false, &[instance("s-2", third.address, "in_service")])));
-    wait_until("the third server is known", || limiter.client().ask(&quote("roomy", 200)).status() == 200);
+    wait_until("the third server is known", || {
+        limiter.client().request(&quote("roomy", 200)).status() == 200
+    });
     let drains = |n, fake: &FakePeer| instance(&format!("s-{n}"), fake.address, "terminating");
     let change = [drains(0, &hung), drains(2, &third), instance("s-1", stuck, "in_service")];
     discovery.push(&chunk(&update(12, false, &change)));
@@ -195,7 +197,7 @@
     let server = FakePeer::new(|_| Reply::Silence);
     let limiter = LimiterProcess::start_with_servers(&[&server]);
     let began = Instant::now();
-    let answer = limiter.client().ask(&quote("roomy", 1500));
+    let answer = limiter.client().request(&quote("roomy", 1500));
     let elapsed = began.elapsed();
     assert!(answer.status() >= 429, "{}", answer.start_line);
     assert!(elapsed >= Duration::from_millis(200) && elapsed < Duration::from_secs(4), "{elapsed:?}");
@@ -248,7 +250,7 @@
     let limiter = LimiterProcess::start_with_servers(&[&server]);
     let mut client = limiter.client();
     for n in 1..=5 {
-        assert_eq!(client.ask(&post("once", "x")).status(), 200);
+        assert_eq!(client.request(&post("once", "x")).status(), 200);
         assert_eq!(server.request_count(), n);
         wait_until("the server has closed", || server.closed_count() == n as u32);
     }
@@ -278,7 +280,7 @@
     let mut clients: Vec<Client> = (0..4).map(|_| limiter.client()).collect();
     // These are three failures per server, so that the maximum number of servers is ejected.
     for _ in 0..12 {
-        assert_eq!(clients[0].ask(&post("once", "x")).status(), 502);
+        assert_eq!(clients[0].request(&post("once", "x")).status(), 502);
     }
     failing.store(false, Ordering::SeqCst);
     // Sends `n` requests at once, which the servers hold until each of them has arrived or was rejected.
@@ -366,10 +368,10 @@
     let (old, new) = (FakePeer::new(|_| ok("old")), FakePeer::new(|_| ok("new")));
     let discovery = discovery(vec![instance("s-0", old.address, "in_service")]);
     let limiter = LimiterProcess::start(settings(), &discovery, counter().address);
-    assert_eq!(limiter.client().ask(&quote("roomy", 9000)).text(), "old");
+    assert_eq!(limiter.client().request(&quote("roomy", 9000)).text(), "old");
     discovery.push(&chunk(&update(11, false, &[instance("s-0", new.address, "in_service")])));
     wait_until("the idle connection is closed", || old.closed_count() == 1);
-    assert_eq!(limiter.client().ask(&quote("roomy", 9000)).text(), "new");
+    assert_eq!(limiter.client().request(&quote("roomy", 9000)).text(), "new");
     assert_eq!(old.request_count(), 1);
 }
 
@@ -379,7 +381,7 @@
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let limiter = LimiterProcess::start(settings(), &discovery, counter().address);
     assert!(discovery.requests()[0].start_line.starts_with("GET /discovery/hosts?watch=1"));
-    wait_until("the first list is known", || limiter.client().ask(&quote("roomy", 9000)).status() == 200);
+    wait_until("the first list is known", || limiter.client().request(&quote("roomy", 9000)).status() == 200);
     // The watch ends; a message is not JSON; a message never ends; an entry has no required fields.
     let bad = [
         "",
@@ -395,7 +397,11 @@
         }
         wait_until("the watch is open again", || discovery.request_count() == n + 2);
         assert_eq!(discovery.requests()[n + 1].start_line, "GET /discovery/hosts?watch=1&after=10 HTTP/1.1");
-        assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200, "the last list still applies");
+        assert_eq!(
+            limiter.client().request(&quote("roomy", 9000)).status(),
+            200,
+            "the last list still applies"
+        );
     }
     wait_until("the errors are logged", || limiter.log().matches("discovery: ").count() >= 4);
 }
@@ -406,7 +412,9 @@
     let bad = json!({"instanceId": "s-bad", "hostPort": "nowhere", "lifecycle": "in_service"});
     let discovery = discovery(vec![bad, instance("s-0", server.address, "in_service")]);
     let limiter = LimiterProcess::start(settings(), &discovery, counter().address);
-    wait_until("the valid entry is known", || limiter.client().ask(&quote("roomy", 9000)).status() == 200);
+    wait_until("the valid entry is known", || {
+        limiter.client().request(&quote("roomy", 9000)).status() == 200
+    });
     assert_eq!(discovery.request_count(), 1, "the watch stays open");
 }
 
@@ -430,7 +438,7 @@
     let mut client = limiter.client();
     for n in 0.. {
         assert!(n < 50, "the counter was not called");
-        assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
+        assert_eq!(client.request(&quote("roomy", 9000)).status(), 200);
         if counter.request_count() > 0 {
             break;
         }
@@ -456,7 +464,7 @@
         let limiter = LimiterProcess::start(settings(), &discovery, counter.address);
         let mut client = limiter.client();
         wait_until("the counter was called", || {
-            assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200, "rule {n}");
+            assert_eq!(client.request(&quote("roomy", 9000)).status(), 200, "rule {n}");
             counter.request_count() >= 2
         });
         // The connection is closed after such a call, since a late response must not be read as that to the
@@ -474,12 +482,12 @@
     let limiter = LimiterProcess::start(settings(), &discovery, address);
     let mut client = limiter.client();
     for _ in 0..20 {
-        assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
+        assert_eq!(client.request(&quote("roomy", 9000)).status(), 200);
     }
     counter.listen(16).expect("listen");
     counter.set_nonblocking(true).expect("set");
     wait_until("the counter is called again", || {
-        assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
+        assert_eq!(client.request(&quote("roomy", 9000)).status(), 200);
         counter.accept().is_ok()
     });
 }
@@ -497,7 +505,7 @@
         discovery.close_all();
         wait_until("the watch is open again", || discovery.request_count() == watches);
     }
-    assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200);
+    assert_eq!(limiter.client().request(&quote("roomy", 9000)).status(), 200);
 }
 
 #[test]
@@ -507,7 +515,7 @@
         let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
         let limiter =
             LimiterProcess::start_with_known_list(known.clone(), settings(), &discovery, counter().address);
-        wait_until("the list is known", || limiter.client().ask(&quote("roomy", 9000)).status() == 200);
+        wait_until("the list is known", || limiter.client().request(&quote("roomy", 9000)).status() == 200);
         assert!(
             limiter.startup_log().contains("ROUTER_CONFIG") && limiter.startup_log().contains("known"),
             "{known}"
--- a/crates/rate-limiter/tests/signals.rs
+++ b/crates/rate-limiter/tests/signals.rs
@@ -18,12 +18,14 @@
     let limiter = LimiterProcess::start(settings(), &discovery_1, counter_1.address);
     let mut client = limiter.client();
     wait_until("the first counter is called", || {
-        assert_eq!(client.ask(&quote("roomy", 9000)).text(), "old");
+        assert_eq!(client.request(&quote("roomy", 9000)).text(), "old");
         counter_1.request_count() > 0
     });
 
     limiter.reload_with_addresses(discovery_2.address, counter_2.address);
-    wait_until("the list of the second watch applies", || client.ask(&quote("roomy", 9000)).text() == "new");
+    wait_until("the list of the second watch applies", || {
+        client.request(&quote("roomy", 9000)).text() == "new"
+    });
     assert_eq!(discovery_2.requests()[0].start_line, "GET /discovery/hosts?watch=1&after=10 HTTP/1.1");
     // The limiter closes its connections to the old addresses, and the old peers then close theirs.
     wait_until("the first watch is closed", || discovery_1.closed_count() == discovery_1.accepted_count());
@@ -32,7 +34,7 @@
     });
     let calls = counter_1.request_count();
     wait_until("the second counter is called", || {
-        assert_eq!(client.ask(&quote("roomy", 9000)).text(), "new");
+        assert_eq!(client.request(&quote("roomy", 9000)).text(), "new");
         counter_2.request_count() > 0
     });
     assert_eq!(counter_1.request_count(), calls, "the first counter gets no more calls");
@@ -41,10 +43,10 @@
     limiter.reload_with_addresses(discovery_1.address, counter_2.address);
     limiter.reload_with_addresses(discovery_1.address, counter_1.address);
     wait_until("the first counter is called again", || {
-        assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
+        assert_eq!(client.request(&quote("roomy", 9000)).status(), 200);
         counter_1.request_count() > calls
     });
-    assert_eq!(client.ask(&quote("roomy", 9000)).text(), "old");
+    assert_eq!(client.request(&quote("roomy", 9000)).text(), "old");
 }
 
 #[test]
@@ -59,7 +61,7 @@
         }
         limiter.signal("-HUP");
         wait_until("the error is logged", || limiter.log().matches("SIGHUP").count() == n + 1);
-        assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200);
+        assert_eq!(limiter.client().request(&quote("roomy", 9000)).status(), 200);
     }
     assert_eq!((discovery.request_count(), discovery.closed_count()), (1, 0), "the watch stays open");
     limiter.terminate();
@@ -81,16 +83,16 @@
     });
     let mut limiter = LimiterProcess::start_with_servers(&[&server]);
     let (mut busy, mut idle) = (limiter.client(), limiter.client());
-    assert_eq!(idle.ask(&quote("roomy", 9000)).status(), 200);
+    assert_eq!(idle.request(&quote("roomy", 9000)).status(), 200);
     busy.send(&post("bind", "x"));
     wait_until("the request is forwarded", || server.request_count() == 2);
 
     limiter.terminate();
     assert!(idle.response().is_none(), "an idle connection is closed");
     // New connections are still accepted for a while.
-    let answer = limiter.client().ask(&quote("roomy", 9000));
+    let answer = limiter.client().request(&quote("roomy", 9000));
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert_eq!(limiter.client().ask("GET /up HTTP/1.1\r\n\r\n").status(), 503);
+    assert_eq!(limiter.client().request("GET /up HTTP/1.1\r\n\r\n").status(), 503);
     go.store(true, Ordering::SeqCst);
     let answer = busy.response().expect("a response");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
@@ -104,13 +106,13 @@
     let mut limiter = LimiterProcess::start_with_servers(&[&server]);
     let (mut half, mut fresh, mut idle) = (limiter.client(), limiter.client(), limiter.client());
     for client in [&mut half, &mut idle] {
-        assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
+        assert_eq!(client.request(&quote("roomy", 9000)).status(), 200);
     }
     let (next, first) = (quote("roomy", 9000), post("bind", "12345678"));
     half.send(&next[..40]);
     fresh.send(&first[..40]);
     // Once a later request has its response, the limiter has read what was sent before.
-    assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200);
+    assert_eq!(limiter.client().request(&quote("roomy", 9000)).status(), 200);
     limiter.terminate();
     assert!(idle.response().is_none(), "an idle connection is closed");
     // This is longer than the time for which new connections are always accepted. After it, all idle
@@ -151,7 +153,7 @@
 fn cross(server: &FakePeer, limiter: &LimiterProcess, idle: Duration, end: impl FnOnce()) {
     let clients = (0..32).map(|_| {
         let mut client = limiter.client();
-        assert_eq!(client.ask(&quote("roomy", 9000)).status(), 200);
+        assert_eq!(client.request(&quote("roomy", 9000)).status(), 200);
         (client, Instant::now() + idle)
     });
     let clients: Vec<(Client, Instant)> = clients.collect();
@@ -185,5 +187,5 @@
     // A limiter that keeps running closes connections that have been idle for too long (2.5 s).
     let limiter = LimiterProcess::start_with_servers(&[&server]);
     cross(&server, &limiter, Duration::from_millis(2_498), || ());
-    assert_eq!(limiter.client().ask(&quote("roomy", 9000)).status(), 200);
+    assert_eq!(limiter.client().request(&quote("roomy", 9000)).status(), 200);
 }
