--- a/crates/rate-limiter/tests/clients.rs
+++ b/crates/rate-limiter/tests/clients.rs
@@ -36,7 +36,7 @@
         if half {
             // A client that shuts down its sending side counts as disconnected, since it may not read a
             // response.
-            client.end_sending();
+            client.shutdown_write();
         } else {
             client.close();
         }
--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -483,7 +483,7 @@
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 
-    pub fn end_sending(&self) {
+    pub fn shutdown_write(&self) {
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 }
