--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -512,7 +512,7 @@
 
 /// Returns a bound socket and its address, which refuses connections until the socket listens. The socket
 /// reserves the address, so that no other test gets it.
-pub fn nobody() -> (socket2::Socket, SocketAddr) {
+pub fn refusing_socket() -> (socket2::Socket, SocketAddr) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("socket");
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("bind");
     let address = socket.local_addr().ok().and_then(|a| a.as_socket()).expect("address");
@@ -522,7 +522,7 @@
 /// Returns a listener whose accept queue is full, so that connecting to it neither succeeds nor fails. The
 /// streams fill the queue.
 pub fn never_up() -> (socket2::Socket, SocketAddr, Vec<TcpStream>) {
-    let (socket, address) = nobody();
+    let (socket, address) = refusing_socket();
     socket.listen(0).expect("listen");
     let fill = || TcpStream::connect_timeout(&address, Duration::from_millis(300));
     let filled = std::iter::from_fn(|| fill().ok()).collect();
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -112,7 +112,7 @@
 fn a_request_of_any_class_is_retried_at_another_server_after_a_refused_connection() {
     for request in [quote("roomy", 9000), post("bind", "x"), post("once", "x")] {
         let good = FakePeer::new(|_| ok("served"));
-        let (one, other) = (nobody(), nobody());
+        let (one, other) = (refusing_socket(), refusing_socket());
         let list = vec![
             instance("s-0", one.1, "in_service"),
             instance("s-1", other.1, "in_service"),
@@ -477,7 +477,7 @@
 #[test]
 fn a_counter_that_refuses_connections_is_retried() {
     let server = FakePeer::new(|_| ok("served"));
-    let (counter, address) = nobody();
+    let (counter, address) = refusing_socket();
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let limiter = LimiterProcess::start(settings(), &discovery, address);
     let mut client = limiter.client();
