--- a/crates/rate-limiter/tests/clients.rs
+++ b/crates/rate-limiter/tests/clients.rs
@@ -57,7 +57,7 @@
 }
 
 fn disconnects_while_connecting(cancel: bool, behind: &str) {
-    let (listener, stuck, filled) = never_up();
+    let (listener, stuck, filled) = stalled_listener();
     let discovery = discovery(vec![instance("s-0", stuck, "in_service")]);
     let mut settings = settings();
     settings["limits"]["connect-timeout-s"] = json!(60.0);
--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -521,7 +521,7 @@
 
 /// Returns a listener whose accept queue is full, so that connecting to it neither succeeds nor fails. The
 /// streams fill the queue.
-pub fn never_up() -> (socket2::Socket, SocketAddr, Vec<TcpStream>) {
+pub fn stalled_listener() -> (socket2::Socket, SocketAddr, Vec<TcpStream>) {
     let (socket, address) = refusing_socket();
     socket.listen(0).expect("listen");
     let fill = || TcpStream::connect_timeout(&address, Duration::from_millis(300));
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -160,7 +160,7 @@
 #[test]
 fn a_retry_that_is_still_connecting_when_its_deduplication_window_ends_is_not_sent() {
     let hung = FakePeer::new(|_| Reply::Silence);
-    let (listener, stuck, filled) = never_up();
+    let (listener, stuck, filled) = stalled_listener();
     let discovery = discovery(vec![instance("s-0", hung.address, "in_service")]);
     discovery.send_empty_lines();
     let mut settings = settings();
@@ -312,7 +312,7 @@
 
 #[test]
 fn a_server_that_starts_draining_during_a_connect_gets_no_request() {
-    let (listener, stuck, filled) = never_up();
+    let (listener, stuck, filled) = stalled_listener();
     let good = FakePeer::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", stuck, "in_service")]);
     let mut settings = settings();
