--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -92,7 +92,7 @@
 }
 
 #[derive(Default)]
-struct Log {
+struct Recorded {
     requests: Mutex<Vec<Message>>,
     accepted: AtomicU32,
     closed: AtomicU32,
@@ -105,7 +105,7 @@
 #[derive(Clone)]
 pub struct FakePeer {
     pub address: SocketAddr,
-    log: Arc<Log>,
+    log: Arc<Recorded>,
 }
 
 impl FakePeer {
@@ -178,12 +178,12 @@
     }
 }
 
-fn serve(mut stream: TcpStream, log: &Log, rule: &dyn Fn(&Message) -> Reply) {
+fn serve(mut stream: TcpStream, log: &Recorded, rule: &dyn Fn(&Message) -> Reply) {
     let _ = stream.set_nodelay(true);
-    let Ok(copy) = stream.try_clone() else { return };
-    log.streams.lock().expect("lock").push(copy);
-    let Ok(copy) = stream.try_clone() else { return };
-    let mut reader = BufReader::new(copy);
+    let Ok(stream_copy) = stream.try_clone() else { return };
+    log.streams.lock().expect("lock").push(stream_copy);
+    let Ok(stream_copy) = stream.try_clone() else { return };
+    let mut reader = BufReader::new(stream_copy);
     while let Some(message) = Message::read(&mut reader) {
         log.requests.lock().expect("lock").push(message.clone());
         match rule(&message) {
@@ -237,14 +237,14 @@
 
 /// Starts a fake counter service, which keeps the total of each counter.
 pub fn counter() -> FakePeer {
-    let numbers: Mutex<std::collections::HashMap<String, f64>> = Mutex::default();
+    let totals: Mutex<std::collections::HashMap<String, f64>> = Mutex::default();
     FakePeer::new(move |call| {
         let target = call.start_line.split(' ').nth(1).unwrap_or("");
         let (name, query) = target.split_once('?').unwrap_or((target, ""));
-        let add = query.split('&').find_map(|q| q.strip_prefix("n=")?.parse::<f64>().ok()).unwrap_or(0.0);
-        let mut numbers = numbers.lock().expect("lock");
-        let total = numbers.entry(name.to_string()).or_default();
-        *total += add;
+        let amount = query.split('&').find_map(|q| q.strip_prefix("n=")?.parse::<f64>().ok()).unwrap_or(0.0);
+        let mut totals = totals.lock().expect("lock");
+        let total = totals.entry(name.to_string()).or_default();
+        *total += amount;
         ok(&total.to_string())
     })
 }
@@ -490,12 +490,13 @@
 
 static NEXT_ID: AtomicU32 = AtomicU32::new(1);
 
-/// Returns a request of class `quote`, which is idempotent. `left_ms` is the time that its client has left.
-pub fn quote(plan: &str, left_ms: u32) -> String {
+/// Returns a request of class `quote`, which is idempotent. `time_left_ms` is the time that its client has
+/// left, in milliseconds.
+pub fn quote(plan: &str, time_left_ms: u32) -> String {
     let id = NEXT_ID.fetch_add(1, Ordering::SeqCst);
     format!(
         "GET /quote/00000000b4d65521?from=tls&to=nce HTTP/1.1\r\nHost: api.internal\r\nX-Correlation-Id: {id:016x}\r\n\
-         X-Contract: {plan}\r\nX-Time-Left: {left_ms}m\r\nX-Metering: units=1,spread=1,first=0\r\n\r\n"
+         X-Contract: {plan}\r\nX-Time-Left: {time_left_ms}m\r\nX-Metering: units=1,spread=1,first=0\r\n\r\n"
     )
 }
 
--- a/crates/rate-limiter/tests/discovery.rs
+++ b/crates/rate-limiter/tests/discovery.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 /// Returns an HTTP chunk with exactly this text.
-fn piece(text: &str) -> String {
+fn exact_chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
@@ -24,7 +24,7 @@
     let first = [instance("s-0", served.address, "in_service")];
     let list = indented(&update(10, true, &first));
     // Each line of the complete list is a chunk of its own, and so is each line break.
-    let lines: String = list.trim_end().lines().map(|l| piece(l) + &piece("\n")).collect();
+    let lines: String = list.trim_end().lines().map(|l| exact_chunk(l) + &exact_chunk("\n")).collect();
     let discovery = FakePeer::new(move |_| Reply::Raw(format!("{WATCH_HEAD}{lines}")));
     let limiter = LimiterProcess::start(settings(), &discovery, counter().address);
     let mut client = limiter.client();
@@ -35,11 +35,11 @@
     let two =
         indented(&gone) + &indented(&update(12, false, &[instance("s-1", second.address, "in_service")]));
     let three = indented(&update(13, true, &[instance("s-2", third.address, "in_service")]));
-    let (begun, rest) = three.split_at(7);
-    discovery.push(&piece(&(two + begun)));
+    let (beginning, rest) = three.split_at(7);
+    discovery.push(&exact_chunk(&(two + beginning)));
     wait_until("the second message is known", || client.request(&quote("roomy", 9000)).text() == "second");
     for byte in rest.chars() {
-        discovery.push(&piece(&byte.to_string()));
+        discovery.push(&exact_chunk(&byte.to_string()));
     }
     wait_until("the third message is known", || client.request(&quote("roomy", 9000)).text() == "third");
     assert_eq!(
@@ -54,10 +54,10 @@
     let server = FakePeer::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let _limiter = LimiterProcess::start(settings(), &discovery, counter().address);
-    discovery.push(&piece("{\"generation\": 11, \"instances\": ["));
+    discovery.push(&exact_chunk("{\"generation\": 11, \"instances\": ["));
     // Empty lines do not extend the timeout within a message.
     wait_until("a second watch", || {
-        discovery.push(&piece("\n"));
+        discovery.push(&exact_chunk("\n"));
         discovery.request_count() == 2
     });
     assert!(
@@ -88,9 +88,9 @@
     let limiter = LimiterProcess::start(settings(), &discovery, counter().address);
     wait_until("the list is known", || limiter.client().request(&quote("roomy", 9000)).text() == "old");
     wait_until("the second watch", || discovery.request_count() == 2);
-    let began = Instant::now();
+    let started = Instant::now();
     wait_until("the change is known", || limiter.client().request(&quote("roomy", 9000)).text() == "new");
     // Two calls of at most 1 s and two backoffs, doubled for a slow machine. It would take longer if each
     // call had the timeout of an open watch.
-    assert!(began.elapsed() < Duration::from_millis(5_500), "{:?}", began.elapsed());
+    assert!(started.elapsed() < Duration::from_millis(5_500), "{:?}", started.elapsed());
 }
--- a/crates/rate-limiter/tests/invalid_responses.rs
+++ b/crates/rate-limiter/tests/invalid_responses.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn an_invalid_response_fails_at_once_and_closes_its_connection() {
-    let faults = [
+    let invalid_responses = [
         "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly a part",
         "HTTP/1.1 200 OK\r\nX-Endless: ",
         "HTTP/1.1 200 OK\r\n\r\nwith no length",
@@ -18,19 +18,19 @@
         "HTTP/1.1 2000 OK\r\n\r\n",
         "\u{1}\u{2}\u{3} noise",
     ];
-    for fault in faults {
+    for invalid in invalid_responses {
         let count = AtomicU32::new(0);
         let server = FakePeer::new(move |_| match count.fetch_add(1, Ordering::SeqCst) {
-            0 => Reply::Raw(fault.into()),
+            0 => Reply::Raw(invalid.into()),
             _ => ok("good"),
         });
         let limiter = LimiterProcess::start_with_servers(&[&server]);
         // The request may have executed. It is retried only because of its idempotency key, and within the
         // time that its client has left.
-        let began = Instant::now();
-        let answer = limiter.client().request(&post("bind", "x"));
-        assert_eq!((answer.status(), answer.text().as_str()), (200, "good"), "{fault:?}");
-        assert!(began.elapsed() < Duration::from_millis(1500), "{fault:?}: {:?}", began.elapsed());
+        let started = Instant::now();
+        let response = limiter.client().request(&post("bind", "x"));
+        assert_eq!((response.status(), response.text().as_str()), (200, "good"), "{invalid:?}");
+        assert!(started.elapsed() < Duration::from_millis(1500), "{invalid:?}: {:?}", started.elapsed());
         assert_eq!(server.request_count(), 2);
         wait_until("the connection is closed", || server.closed_count() >= 1);
     }
@@ -38,21 +38,21 @@
 
 #[test]
 fn bytes_after_a_response_are_not_read_as_the_next_response() {
-    let own = |m: &Message| m.header("x-correlation-id").unwrap_or_default().to_string();
+    let request_id = |m: &Message| m.header("x-correlation-id").unwrap_or_default().to_string();
     for pause in [None, Some(0), Some(1), Some(3)] {
         let server = FakePeer::new(move |m| {
-            let (good, copy) = (raw("200 OK", "", &own(m)), raw("200 OK", "", "a copy"));
+            let (valid, copy) = (raw("200 OK", "", &request_id(m)), raw("200 OK", "", "a copy"));
             match pause {
-                None => Reply::Raw(good + &copy),
-                Some(ms) => Reply::Pieces(vec![(Duration::ZERO, good), (Duration::from_millis(ms), copy)]),
+                None => Reply::Raw(valid + &copy),
+                Some(ms) => Reply::Pieces(vec![(Duration::ZERO, valid), (Duration::from_millis(ms), copy)]),
             }
         });
         let limiter = LimiterProcess::start_with_servers(&[&server]);
         let mut client = limiter.client();
         for _ in 0..20 {
             let request = post("once", "x");
-            let answer = client.request(&request);
-            assert!(request.contains(&answer.text()), "{pause:?}: {}", answer.text());
+            let response = client.request(&request);
+            assert!(request.contains(&response.text()), "{pause:?}: {}", response.text());
         }
     }
 }
@@ -65,11 +65,11 @@
         let server = FakePeer::new(|_| ok("served"));
         let limiter = LimiterProcess::start_with_servers(&[&server]);
         let mut client = limiter.client();
-        let began = Instant::now();
+        let started = Instant::now();
         assert_eq!(client.request(&post("once", "x")).status(), 200);
         std::thread::sleep(Duration::from_millis(6));
         assert_eq!(client.request(&post("once", "x")).status(), 200);
-        if began.elapsed() < Duration::from_millis(9) {
+        if started.elapsed() < Duration::from_millis(9) {
             assert_eq!(server.accepted_count(), 2, "the reuse delay of the first connection is not over");
         }
         std::thread::sleep(Duration::from_millis(50));
@@ -89,21 +89,21 @@
     });
     let limiter = LimiterProcess::start_with_servers(&[&server]);
     for _ in 0..2 {
-        let answer = limiter.client().request(&post("once", "x"));
-        assert_eq!((answer.status(), answer.text().as_str()), (200, "served"));
+        let response = limiter.client().request(&post("once", "x"));
+        assert_eq!((response.status(), response.text().as_str()), (200, "served"));
     }
 }
 
 #[test]
 fn an_invalid_number_in_a_response_blocks_no_tenant() {
-    for figure in ["-5", "99999", "1e9", "NaN", "inf", "much"] {
-        let headers = format!("X-Settled: {figure}\r\nX-Backend-Load: util={figure},queue=-1\r\n");
+    for number in ["-5", "99999", "1e9", "NaN", "inf", "much"] {
+        let headers = format!("X-Settled: {number}\r\nX-Backend-Load: util={number},queue=-1\r\n");
         let server = FakePeer::new(move |_| Reply::Raw(raw("200 OK", &headers, "served")));
         let limiter = LimiterProcess::start_with_servers(&[&server]);
         let mut client = limiter.client();
         // The plan has a burst of four units.
         for n in 0..4 {
-            assert_eq!(client.request(&quote("small", 9000)).status(), 200, "{figure}: request {n}");
+            assert_eq!(client.request(&quote("small", 9000)).status(), 200, "{number}: request {n}");
         }
     }
 }
@@ -115,9 +115,9 @@
         Reply::Pieces((0..400).map(|_| line()).collect())
     });
     let limiter = LimiterProcess::start_with_servers(&[&server]);
-    let began = Instant::now();
-    let answer = limiter.client().request(&post("once", "x").replace("9000m", "1000m"));
-    assert_eq!(answer.status(), 502, "the request may have executed");
-    assert!(began.elapsed() < Duration::from_secs(3), "{:?}", began.elapsed());
+    let started = Instant::now();
+    let response = limiter.client().request(&post("once", "x").replace("9000m", "1000m"));
+    assert_eq!(response.status(), 502, "the request may have executed");
+    assert!(started.elapsed() < Duration::from_secs(3), "{:?}", started.elapsed());
     assert_eq!(limiter.client().request("GET /up HTTP/1.1\r\n\r\n").status(), 200);
 }
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -13,7 +13,7 @@
 
 /// Returns the rule of a server that responds to its first `n` requests by `rule`, and successfully to all
 /// others.
-fn at_first(n: u32, rule: impl Fn() -> Reply + Send + Sync + 'static) -> impl Fn(&Message) -> Reply {
+fn respond_to_first(n: u32, rule: impl Fn() -> Reply + Send + Sync + 'static) -> impl Fn(&Message) -> Reply {
     let count = AtomicU32::new(0);
     move |_| if count.fetch_add(1, Ordering::SeqCst) < n { rule() } else { ok("late but good") }
 }
@@ -26,12 +26,12 @@
     let limiter = LimiterProcess::start_with_servers(&[&server]);
     let mut client = limiter.client();
     let sent = post("bind", "a policy");
-    let answer = client.request(&sent);
-    assert_eq!((answer.status(), answer.text().as_str()), (200, "echo a policy"));
+    let response = client.request(&sent);
+    assert_eq!((response.status(), response.text().as_str()), (200, "echo a policy"));
     // The connection is reused only after a delay of some milliseconds.
     std::thread::sleep(Duration::from_millis(50));
-    let answer = client.request(&quote("roomy", 1500));
-    assert_eq!((answer.status(), answer.text().as_str()), (200, "echo "));
+    let response = client.request(&quote("roomy", 1500));
+    assert_eq!((response.status(), response.text().as_str()), (200, "echo "));
 
     let seen = server.requests();
     assert_eq!(seen[0].start_line, "POST /bind/00000000b4d65521 HTTP/1.1");
@@ -41,8 +41,8 @@
     }
     assert_eq!(seen[0].text(), "a policy");
     assert_eq!(seen[1].start_line, "GET /quote/00000000b4d65521?from=tls&to=nce HTTP/1.1");
-    let left = seen[1].header("x-time-left").and_then(|l| l.strip_suffix('u')?.parse::<u64>().ok());
-    assert!((1..1_500_000).contains(&left.expect("microseconds")), "{left:?}");
+    let time_left = seen[1].header("x-time-left").and_then(|l| l.strip_suffix('u')?.parse::<u64>().ok());
+    assert!((1..1_500_000).contains(&time_left.expect("microseconds")), "{time_left:?}");
     assert_eq!(server.accepted_count(), 1, "the connection is reused");
 }
 
@@ -55,23 +55,23 @@
     // slow machine.
     settings["family-info"]["count-limit-s"] = json!(5.0);
     let limiter = LimiterProcess::start(settings, &discovery, counter().address);
-    let (mut client, began) = (limiter.client(), Instant::now());
-    let (mut served, mut refused) = (0, Vec::new());
+    let (mut client, started) = (limiter.client(), Instant::now());
+    let (mut served, mut rejected) = (0, Vec::new());
     wait_until("a rejection has a Retry-After", || {
-        let answer = client.request(&quote("small", 9000));
-        match answer.status() {
+        let response = client.request(&quote("small", 9000));
+        match response.status() {
             200 => served += 1,
-            429 => refused.push(answer.header("retry-after").map(|v| v.parse::<f64>())),
-            _ => panic!("{}", answer.start_line),
+            429 => rejected.push(response.header("retry-after").map(|v| v.parse::<f64>())),
+            _ => panic!("{}", response.start_line),
         }
-        matches!(refused.last(), Some(Some(_)))
+        matches!(rejected.last(), Some(Some(_)))
     });
-    let advice = refused.pop().flatten();
-    assert!(matches!(advice, Some(Ok(t)) if t > 0.0 && t <= 2.0), "{advice:?}");
+    let retry_after = rejected.pop().flatten();
+    assert!(matches!(retry_after, Some(Ok(t)) if t > 0.0 && t <= 2.0), "{retry_after:?}");
     assert_eq!(served, server.request_count(), "rejected requests reach no server");
     // A burst of 4 and one more each second. Half as much again is allowed for borrowing.
-    let most = 6.0 + 2.0 * began.elapsed().as_secs_f64();
-    assert!(served >= 4 && served as f64 <= most, "{served} served, maximum {most}");
+    let max_served = 6.0 + 2.0 * started.elapsed().as_secs_f64();
+    assert!(served >= 4 && served as f64 <= max_served, "{served} served, maximum {max_served}");
 }
 
 #[test]
@@ -85,16 +85,16 @@
     let limiter = LimiterProcess::start(settings, &discovery, counter.address);
     let request = || quote("small", 9000).replace("units=1,spread=1", "units=4,spread=2");
     let mut client = limiter.client();
-    let (mut served, mut filled, began) = (0.0, 0.0, Instant::now());
+    let (mut served, mut filled, started) = (0.0, 0.0, Instant::now());
     wait_until("more units are served than the bucket held and was refilled with", || {
         served += if client.request(&request()).status() == 200 { 4.0 } else { 0.0 };
-        filled = 40.0 * began.elapsed().as_secs_f64();
+        filled = 40.0 * started.elapsed().as_secs_f64();
         served > 80.0 + 8.0 + filled
     });
     while client.request(&request()).status() == 200 {
         served += 4.0;
     }
-    filled = 40.0 * began.elapsed().as_secs_f64();
+    filled = 40.0 * started.elapsed().as_secs_f64();
     assert!(served <= 80.0 + 48.0 + filled, "{served} units: more than the limiter may borrow");
 }
 
@@ -102,8 +102,11 @@
 
 /// Sends a request to a server whose first response is a fault. Returns the final response, and the requests
 /// that the server received.
-fn after(fault: impl Fn() -> Reply + Send + Sync + 'static, request: &str) -> (Message, Vec<Message>) {
-    let server = FakePeer::new(at_first(1, fault));
+fn send_with_first_response(
+    fault: impl Fn() -> Reply + Send + Sync + 'static,
+    request: &str,
+) -> (Message, Vec<Message>) {
+    let server = FakePeer::new(respond_to_first(1, fault));
     let limiter = LimiterProcess::start_with_servers(&[&server]);
     (limiter.client().request(request), server.requests())
 }
@@ -120,8 +123,8 @@
         ];
         let limiter = LimiterProcess::start(settings(), &discovery(list), counter().address);
         let mut client = limiter.client();
-        let answer = client.request(&request);
-        assert_eq!((answer.status(), good.request_count()), (200, 1), "{}", answer.start_line);
+        let response = client.request(&request);
+        assert_eq!((response.status(), good.request_count()), (200, 1), "{}", response.start_line);
     }
 }
 
@@ -129,8 +132,9 @@
 fn a_request_rejected_without_execution_is_retried_whatever_its_class() {
     for status in ["503 Service Unavailable", "504 Gateway Timeout"] {
         for request in [quote("roomy", 9000), post("bind", "x"), post("once", "x")] {
-            let (answer, seen) = after(move || Reply::Raw(raw(status, UNPROCESSED, "")), &request);
-            assert_eq!((answer.status(), seen.len()), (200, 2), "{request}");
+            let (response, seen) =
+                send_with_first_response(move || Reply::Raw(raw(status, UNPROCESSED, "")), &request);
+            assert_eq!((response.status(), seen.len()), (200, 2), "{request}");
         }
     }
 }
@@ -147,20 +151,20 @@
         || Reply::Raw(raw("200 OK", "", &"x".repeat(64 * 1024 + 1))),
     ];
     for (n, fault) in faults.into_iter().enumerate() {
-        let (answer, seen) = after(fault, &post("bind", "x"));
-        assert_eq!((answer.status(), seen.len()), (200, 2), "fault {n}: {}", answer.start_line);
-        assert_eq!(answer.text(), "late but good", "an invalid response is never forwarded to a client");
+        let (response, seen) = send_with_first_response(fault, &post("bind", "x"));
+        assert_eq!((response.status(), seen.len()), (200, 2), "fault {n}: {}", response.start_line);
+        assert_eq!(response.text(), "late but good", "an invalid response is never forwarded to a client");
         let key = |m: &Message| (m.header("idempotency-key").map(String::from), m.body.clone());
         assert_eq!(key(&seen[0]), key(&seen[1]), "the retry has the same idempotency key");
-        let (answer, seen) = after(fault, &post("once", "x"));
-        assert_eq!((answer.status(), seen.len()), (502, 1), "fault {n}: {}", answer.start_line);
+        let (response, seen) = send_with_first_response(fault, &post("once", "x"));
+        assert_eq!((response.status(), seen.len()), (502, 1), "fault {n}: {}", response.start_line);
     }
 }
 
 #[test]
 fn a_retry_that_is_still_connecting_when_its_deduplication_window_ends_is_not_sent() {
     let hung = FakePeer::new(|_| Reply::Silence);
-    let (listener, stuck, filled) = stalled_listener();
+    let (listener, stalled_address, filled) = stalled_listener();
     let discovery = discovery(vec![instance("s-0", hung.address, "in_service")]);
     discovery.send_empty_lines();
     let mut settings = settings();
@@ -181,14 +185,14 @@
         limiter.client().request(&quote("roomy", 200)).status() == 200
     });
     let drains = |n, fake: &FakePeer| instance(&format!("s-{n}"), fake.address, "terminating");
-    let change = [drains(0, &hung), drains(2, &third), instance("s-1", stuck, "in_service")];
+    let change = [drains(0, &hung), drains(2, &third), instance("s-1", stalled_address, "in_service")];
     discovery.push(&chunk(&update(12, false, &change)));
     wait_until("the change is known", || third.closed_count() == third.accepted_count());
     hung.close_all();
     // All servers together deduplicate this class, so that a retry by the client is safe even after the
     // window.
-    let answer = client.response().expect("a response before the connection is established");
-    assert_eq!(answer.status(), 429, "{}", answer.start_line);
+    let response = client.response().expect("a response before the connection is established");
+    assert_eq!(response.status(), 429, "{}", response.start_line);
     drop((listener, filled));
 }
 
@@ -196,10 +200,10 @@
 fn a_request_without_a_response_fails_before_its_deadline() {
     let server = FakePeer::new(|_| Reply::Silence);
     let limiter = LimiterProcess::start_with_servers(&[&server]);
-    let began = Instant::now();
-    let answer = limiter.client().request(&quote("roomy", 1500));
-    let elapsed = began.elapsed();
-    assert!(answer.status() >= 429, "{}", answer.start_line);
+    let started = Instant::now();
+    let response = limiter.client().request(&quote("roomy", 1500));
+    let elapsed = started.elapsed();
+    assert!(response.status() >= 429, "{}", response.start_line);
     assert!(elapsed >= Duration::from_millis(200) && elapsed < Duration::from_secs(4), "{elapsed:?}");
     wait_until("the attempt's connection is closed", || server.closed_count() == server.accepted_count());
 }
@@ -208,15 +212,15 @@
 fn an_attempt_starts_only_after_the_previous_one_is_closed() {
     // Requests hang, and the limiter cancels the attempts and retries at another server. That server responds
     // only after the first one has seen its connection close, or records that it did not.
-    let overlaps = Arc::new(AtomicU32::new(0));
+    let overlap_count = Arc::new(AtomicU32::new(0));
     let hung = FakePeer::new(|_| Reply::Silence);
-    let (first, noted) = (hung.clone(), overlaps.clone());
+    let (first, recorded) = (hung.clone(), overlap_count.clone());
     let good = FakePeer::new(move |m| {
         let id = m.header("x-correlation-id").unwrap_or_default().to_string();
         let end = Instant::now() + Duration::from_secs(3);
         while !first.abandoned_ids().contains(&id) {
             if Instant::now() > end {
-                noted.fetch_add(1, Ordering::SeqCst);
+                recorded.fetch_add(1, Ordering::SeqCst);
                 break;
             }
             std::thread::sleep(Duration::from_millis(1));
@@ -236,11 +240,15 @@
         .collect();
     wait_until("both requests hang", || hung.request_count() == 2);
     discovery.push(&chunk(&update(11, false, &[instance("s-1", good.address, "in_service")])));
-    let answers: Vec<_> =
+    let responses: Vec<_> =
         clients.into_iter().map(|mut c| c.response().expect("a response").status()).collect();
-    assert!(answers.contains(&200), "{answers:?}");
+    assert!(responses.contains(&200), "{responses:?}");
     assert!(good.request_count() >= 1);
-    assert_eq!(overlaps.load(Ordering::SeqCst), 0, "two attempts of a request were open at the same time");
+    assert_eq!(
+        overlap_count.load(Ordering::SeqCst),
+        0,
+        "two attempts of a request were open at the same time"
+    );
 }
 
 #[test]
@@ -258,12 +266,12 @@
 
 #[test]
 fn ejected_servers_are_used_again_later() {
-    let (failing, go) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicBool::new(true)));
+    let (failing, gate) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicBool::new(true)));
     let servers: Vec<FakePeer> = (0..4)
         .map(|_| {
-            let (failing, gate) = (failing.clone(), go.clone());
+            let (failing, server_gate) = (failing.clone(), gate.clone());
             FakePeer::new(move |_| {
-                wait_for_gate(&gate);
+                wait_for_gate(&server_gate);
                 match failing.load(Ordering::SeqCst) {
                     true => Reply::Raw(raw("500 Internal Server Error", "", "")),
                     false => ok("served"),
@@ -287,13 +295,13 @@
     let mut served_at_once = |n: usize| {
         let seen = || servers.iter().map(FakePeer::request_count).sum::<usize>();
         let before = seen();
-        go.store(false, Ordering::SeqCst);
+        gate.store(false, Ordering::SeqCst);
         clients[..n].iter_mut().for_each(|c| c.send(&post("once", "x")));
         let end = Instant::now() + Duration::from_millis(300);
         while seen() < before + n && Instant::now() < end {
             std::thread::sleep(Duration::from_millis(1));
         }
-        go.store(true, Ordering::SeqCst);
+        gate.store(true, Ordering::SeqCst);
         clients[..n].iter_mut().all(|c| c.response().expect("a response").status() == 200)
     };
     // After the ejections end, each server responds successfully again.
@@ -301,20 +309,20 @@
     served_at_once(4);
     // The number of requests is small, because each response in time raises the in-flight limit a little,
     // which would hide a permanent loss after a while.
-    let both = (0..5).any(|_| {
+    let served_both = (0..5).any(|_| {
         std::thread::sleep(Duration::from_millis(300));
         served_at_once(2)
     });
-    assert!(both, "the capacity of the ejected servers was never used again");
+    assert!(served_both, "the capacity of the ejected servers was never used again");
 }
 
 // ----- discovery -----
 
 #[test]
 fn a_server_that_starts_draining_during_a_connect_gets_no_request() {
-    let (listener, stuck, filled) = stalled_listener();
+    let (listener, stalled_address, filled) = stalled_listener();
     let good = FakePeer::new(|_| ok("served"));
-    let discovery = discovery(vec![instance("s-0", stuck, "in_service")]);
+    let discovery = discovery(vec![instance("s-0", stalled_address, "in_service")]);
     let mut settings = settings();
     settings["limits"]["connect-timeout-s"] = json!(10.0);
     let limiter = LimiterProcess::start(settings, &discovery, counter().address);
@@ -322,11 +330,12 @@
     client.send(&quote("roomy", 15_000));
     // The other server is listed while the limiter is connecting to the first one.
     std::thread::sleep(Duration::from_millis(100));
-    let began = Instant::now();
-    let change = [instance("s-0", stuck, "terminating"), instance("s-1", good.address, "in_service")];
+    let started = Instant::now();
+    let change =
+        [instance("s-0", stalled_address, "terminating"), instance("s-1", good.address, "in_service")];
     discovery.push(&chunk(&update(11, false, &change)));
     assert_eq!(client.response().expect("a response").status(), 200);
-    assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
+    assert!(started.elapsed() < Duration::from_secs(5), "{:?}", started.elapsed());
     drop(filled);
     // The connections that are still in the kernel's accept queue have received no request.
     listener.set_nonblocking(true).expect("set");
@@ -383,17 +392,17 @@
     assert!(discovery.requests()[0].start_line.starts_with("GET /discovery/hosts?watch=1"));
     wait_until("the first list is known", || limiter.client().request(&quote("roomy", 9000)).status() == 200);
     // The watch ends; a message is not JSON; a message never ends; an entry has no required fields.
-    let bad = [
+    let invalid = [
         "",
         "{\"generation\": 12, ]",
         "{\"generation\": 12, ",
         "{\"generation\":12,\"instances\":[{\"cell\":1}]}",
     ];
-    for (n, bad) in bad.iter().enumerate() {
-        if bad.is_empty() {
+    for (n, invalid) in invalid.iter().enumerate() {
+        if invalid.is_empty() {
             discovery.close_all();
         } else {
-            discovery.push(&chunk(bad));
+            discovery.push(&chunk(invalid));
         }
         wait_until("the watch is open again", || discovery.request_count() == n + 2);
         assert_eq!(discovery.requests()[n + 1].start_line, "GET /discovery/hosts?watch=1&after=10 HTTP/1.1");
@@ -409,8 +418,8 @@
 #[test]
 fn an_invalid_server_entry_hides_no_other_entry() {
     let server = FakePeer::new(|_| ok("served"));
-    let bad = json!({"instanceId": "s-bad", "hostPort": "nowhere", "lifecycle": "in_service"});
-    let discovery = discovery(vec![bad, instance("s-0", server.address, "in_service")]);
+    let invalid = json!({"instanceId": "s-bad", "hostPort": "nowhere", "lifecycle": "in_service"});
+    let discovery = discovery(vec![invalid, instance("s-0", server.address, "in_service")]);
     let limiter = LimiterProcess::start(settings(), &discovery, counter().address);
     wait_until("the valid entry is known", || {
         limiter.client().request(&quote("roomy", 9000)).status() == 200
@@ -527,15 +536,15 @@
 
 #[test]
 fn a_missing_or_invalid_configuration_is_reported_in_one_line() {
-    let whole = json!({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings()});
+    let valid = json!({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings()});
     let with = |key: &str, value: serde_json::Value| {
-        let mut config = whole.clone();
+        let mut config = valid.clone();
         config[key] = value;
         Some(config.to_string())
     };
     let mut no_classes = settings();
     no_classes["classes"] = json!([]);
-    for (config, named) in [
+    for (config, expected) in [
         (None, "ROUTER_CONFIG"),
         (Some("{\"listen\":".into()), "ROUTER_CONFIG"),
         (with("settings", json!(null)), "settings"),
@@ -553,7 +562,7 @@
         let message = String::from_utf8_lossy(&out.stderr);
         assert_eq!(out.status.code(), Some(1), "{message}");
         assert_eq!(message.lines().count(), 1, "{message}");
-        assert!(message.contains(named), "{named}: {message}");
+        assert!(message.contains(expected), "{expected}: {message}");
         if let Some(file) = file {
             let _ = std::fs::remove_file(file);
         }
--- a/crates/rate-limiter/tests/signals.rs
+++ b/crates/rate-limiter/tests/signals.rs
@@ -73,11 +73,11 @@
 
 #[test]
 fn sigterm_finishes_open_requests_and_still_accepts_new_ones() {
-    let go = Arc::new(AtomicBool::new(false));
-    let gate = go.clone();
+    let gate = Arc::new(AtomicBool::new(false));
+    let server_gate = gate.clone();
     let server = FakePeer::new(move |m| {
         if m.start_line.contains("/bind/") {
-            wait_for_gate(&gate);
+            wait_for_gate(&server_gate);
         }
         ok("served")
     });
@@ -90,12 +90,12 @@
     limiter.terminate();
     assert!(idle.response().is_none(), "an idle connection is closed");
     // New connections are still accepted for a while.
-    let answer = limiter.client().request(&quote("roomy", 9000));
-    assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+    let response = limiter.client().request(&quote("roomy", 9000));
+    assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
     assert_eq!(limiter.client().request("GET /up HTTP/1.1\r\n\r\n").status(), 503);
-    go.store(true, Ordering::SeqCst);
-    let answer = busy.response().expect("a response");
-    assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+    gate.store(true, Ordering::SeqCst);
+    let response = busy.response().expect("a response");
+    assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
     assert!(busy.response().is_none(), "the connection is closed after the response");
     assert_eq!(limiter.wait().code(), Some(0));
 }
@@ -104,13 +104,13 @@
 fn sigterm_closes_no_connection_with_a_partly_received_request() {
     let server = FakePeer::new(|_| ok("served"));
     let mut limiter = LimiterProcess::start_with_servers(&[&server]);
-    let (mut half, mut fresh, mut idle) = (limiter.client(), limiter.client(), limiter.client());
-    for client in [&mut half, &mut idle] {
+    let (mut partial, mut partial_first, mut idle) = (limiter.client(), limiter.client(), limiter.client());
+    for client in [&mut partial, &mut idle] {
         assert_eq!(client.request(&quote("roomy", 9000)).status(), 200);
     }
     let (next, first) = (quote("roomy", 9000), post("bind", "12345678"));
-    half.send(&next[..40]);
-    fresh.send(&first[..40]);
+    partial.send(&next[..40]);
+    partial_first.send(&first[..40]);
     // Once a later request has its response, the limiter has read what was sent before.
     assert_eq!(limiter.client().request(&quote("roomy", 9000)).status(), 200);
     limiter.terminate();
@@ -118,14 +118,14 @@
     // This is longer than the time for which new connections are always accepted. After it, all idle
     // connections are closed.
     std::thread::sleep(Duration::from_millis(1_000));
-    half.send(&next[40..]);
-    fresh.send(&first[40..first.len() - 1]);
-    let answer = half.response().expect("a response");
-    assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+    partial.send(&next[40..]);
+    partial_first.send(&first[40..first.len() - 1]);
+    let response = partial.response().expect("a response");
+    assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
     // These bytes exceed the rest of the request, and are unread when the response is written. The response
     // must not be lost by a reset.
-    fresh.send(&format!("8{}", "x".repeat(100_000)));
-    assert_eq!(fresh.response().expect("a response").status(), 200);
+    partial_first.send(&format!("8{}", "x".repeat(100_000)));
+    assert_eq!(partial_first.response().expect("a response").status(), 200);
     assert_eq!(limiter.wait().code(), Some(0));
 }
 
@@ -139,40 +139,49 @@
     let mut client = limiter.client();
     limiter.terminate();
     wait_until("the shutdown has begun", || limiter.log().contains("SIGTERM"));
-    let began = Instant::now();
+    let started = Instant::now();
     client.send(&quote("roomy", 60_000));
     // The deadline counts as at most 3 s, and 0.7 s are added. The rest is for a slow machine.
-    assert!(client.response().is_some_and(|answer| answer.status() >= 429));
-    assert!(began.elapsed() < Duration::from_secs(8), "{:?}", began.elapsed());
+    assert!(client.response().is_some_and(|response| response.status() >= 429));
+    assert!(started.elapsed() < Duration::from_secs(8), "{:?}", started.elapsed());
     assert_eq!(limiter.wait().code(), Some(0));
 }
 
 /// Checks requests that are sent around the moment at which their idle connections are closed: each gets a
 /// response, or is never forwarded. Each of 32 clients sends one, `idle` after its last response or later,
 /// and 0.2 ms after the client before it. `end` runs at the same time.
-fn cross(server: &FakePeer, limiter: &LimiterProcess, idle: Duration, end: impl FnOnce()) {
+fn check_requests_around_close(
+    server: &FakePeer,
+    limiter: &LimiterProcess,
+    idle: Duration,
+    end: impl FnOnce(),
+) {
     let clients = (0..32).map(|_| {
         let mut client = limiter.client();
         assert_eq!(client.request(&quote("roomy", 9000)).status(), 200);
         (client, Instant::now() + idle)
     });
     let clients: Vec<(Client, Instant)> = clients.collect();
-    let soon = Instant::now() + Duration::from_millis(2);
-    let asked = clients.into_iter().enumerate().map(|(n, (mut client, rested))| {
+    let earliest = Instant::now() + Duration::from_millis(2);
+    let exchanges = clients.into_iter().enumerate().map(|(n, (mut client, idle_until))| {
         std::thread::spawn(move || {
-            let at = rested.max(soon) + Duration::from_micros(200 * n as u64);
+            let at = idle_until.max(earliest) + Duration::from_micros(200 * n as u64);
             std::thread::sleep(at.saturating_duration_since(Instant::now()));
             let request = quote("roomy", 9000);
             client.send_ignoring_errors(request.as_bytes());
             (request, client.response())
         })
     });
-    let asked: Vec<_> = asked.collect();
+    let exchanges: Vec<_> = exchanges.collect();
     end();
-    let asked: Vec<_> = asked.into_iter().map(|t| t.join().expect("joined")).collect();
-    for (request, _) in asked.iter().filter(|(_, answer)| answer.is_none()) {
-        let known = |m: &Message| m.header("x-correlation-id").is_some_and(|id| request.contains(id));
-        assert!(!server.requests().iter().any(known), "it was forwarded and got no response: {request}");
+    let exchanges: Vec<_> = exchanges.into_iter().map(|t| t.join().expect("joined")).collect();
+    for (request, _) in exchanges.iter().filter(|(_, response)| response.is_none()) {
+        let is_this_request =
+            |m: &Message| m.header("x-correlation-id").is_some_and(|id| request.contains(id));
+        assert!(
+            !server.requests().iter().any(is_this_request),
+            "it was forwarded and got no response: {request}"
+        );
     }
 }
 
@@ -181,11 +190,11 @@
     let server = FakePeer::new(|_| ok("served"));
     for _ in 0..4 {
         let mut limiter = LimiterProcess::start_with_servers(&[&server]);
-        cross(&server, &limiter, Duration::ZERO, || limiter.terminate());
+        check_requests_around_close(&server, &limiter, Duration::ZERO, || limiter.terminate());
         assert_eq!(limiter.wait().code(), Some(0));
     }
     // A limiter that keeps running closes connections that have been idle for too long (2.5 s).
     let limiter = LimiterProcess::start_with_servers(&[&server]);
-    cross(&server, &limiter, Duration::from_millis(2_498), || ());
+    check_requests_around_close(&server, &limiter, Duration::from_millis(2_498), || ());
     assert_eq!(limiter.client().request(&quote("roomy", 9000)).status(), 200);
 }
