--- a/crates/rate-limiter/tests/clients.rs
+++ b/crates/rate-limiter/tests/clients.rs
@@ -199,7 +199,7 @@
     for name in ["X-Correlation-Id", "X-Contract", "X-Time-Left", "X-Metering", "Idempotency-Key"] {
         let without: Vec<&str> = valid.split("\r\n").filter(|line| !line.starts_with(name)).collect();
         cases.push((without.join("\r\n"), 400));
-        let twice = valid.split("\r\n").find(|line| line.starts_with(name)).expect("there");
+        let twice = valid.split("\r\n").find(|line| line.starts_with(name)).expect("the header line");
         cases.push((valid.replace(twice, &format!("{twice}\r\n{twice}")), 400));
     }
     for (text, status) in cases {
@@ -242,8 +242,8 @@
     });
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let limiter = LimiterProcess::start_with_sockets(40, settings(), &discovery, counter().address);
-    // At most four clients may be connected. All of them have an open request, and stay connected after its
-    // response.
+    // At most four clients may be connected at a time. Each of them has an open request, and stays connected
+    // after its response.
     let mut clients: Vec<Client> = (0..12).map(|_| limiter.client()).collect();
     for client in &mut clients {
         client.send(&quote("roomy", 9000));
--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -218,15 +218,18 @@
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
 
+/// Returns an entry of the server list.
 pub fn instance(id: &str, address: SocketAddr, lifecycle: &str) -> Value {
     json!({"instanceId": id, "hostPort": address.to_string(), "zone": "room-a", "machineType": "std",
         "cell": 1, "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0})
 }
 
+/// Returns a message of a watch: the complete server list if `reset` is true, else the changed entries.
 pub fn update(generation: u64, reset: bool, instances: &[Value]) -> String {
     json!({"generation": generation, "reset": reset, "instances": instances}).to_string()
 }
 
+/// The head of the response to a watch request.
 pub const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// Starts a fake discovery service whose first message on each watch is the complete list of these instances.
@@ -249,6 +252,7 @@
     })
 }
 
+/// Returns the settings in the configuration file of a limiter.
 pub fn settings() -> Value {
     let class = |name: &str, idempotency: &str| {
         json!({"name": name, "aim-s": 0.4, "deadline-s": 2.0, "worth": 1.0, "late-share": 0.0,
--- a/crates/rate-limiter/tests/discovery.rs
+++ b/crates/rate-limiter/tests/discovery.rs
@@ -56,7 +56,7 @@
     let _limiter = LimiterProcess::start(settings(), &discovery, counter().address);
     discovery.push(&exact_chunk("{\"generation\": 11, \"instances\": ["));
     // Empty lines do not extend the timeout within a message.
-    wait_until("a second watch", || {
+    wait_until("a second watch is open", || {
         discovery.push(&exact_chunk("\n"));
         discovery.request_count() == 2
     });
@@ -87,7 +87,7 @@
     });
     let limiter = LimiterProcess::start(settings(), &discovery, counter().address);
     wait_until("the list is known", || limiter.client().request(&quote("roomy", 9000)).text() == "old");
-    wait_until("the second watch", || discovery.request_count() == 2);
+    wait_until("the second watch is open", || discovery.request_count() == 2);
     let started = Instant::now();
     wait_until("the change is known", || limiter.client().request(&quote("roomy", 9000)).text() == "new");
     // Two calls of at most 1 s and two backoffs, doubled for a slow machine. It would take longer if each
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -260,7 +260,7 @@
     for n in 1..=5 {
         assert_eq!(client.request(&post("once", "x")).status(), 200);
         assert_eq!(server.request_count(), n);
-        wait_until("the server has closed", || server.closed_count() == n as u32);
+        wait_until("the server has closed the connection", || server.closed_count() == n as u32);
     }
 }
 
@@ -429,11 +429,11 @@
 
 #[test]
 fn an_idle_watch_times_out() {
-    // A network partition causes no error.
+    // Without a timeout, a network partition would leave the watch open, since it causes no error.
     let server = FakePeer::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let _limiter = LimiterProcess::start(settings(), &discovery, counter().address);
-    wait_until("a second watch", || discovery.request_count() == 2);
+    wait_until("a second watch is open", || discovery.request_count() == 2);
     wait_until("the first watch is closed", || discovery.closed_count() >= 1);
 }
 
--- a/crates/rate-limiter/tests/signals.rs
+++ b/crates/rate-limiter/tests/signals.rs
@@ -180,7 +180,7 @@
             |m: &Message| m.header("x-correlation-id").is_some_and(|id| request.contains(id));
         assert!(
             !server.requests().iter().any(is_this_request),
-            "it was forwarded and got no response: {request}"
+            "a request was forwarded and got no response: {request}"
         );
     }
 }
