--- a/crates/rate-limiter/tests/clients.rs
+++ b/crates/rate-limiter/tests/clients.rs
@@ -77,12 +77,12 @@
     let filler_addresses: Vec<_> = queue_fillers.iter().filter_map(|f| f.local_addr().ok()).collect();
     drop(queue_fillers);
     let mut client = limiter.client();
-    let last = quote("roomy", 120_000);
-    client.send(&last);
-    let id = last.split("X-Correlation-Id: ").nth(1).and_then(|rest| rest.get(..16)).expect("an id");
+    let last_request = quote("roomy", 120_000);
+    client.send(&last_request);
+    let id = last_request.split("X-Correlation-Id: ").nth(1).and_then(|rest| rest.get(..16)).expect("an id");
     listener.set_nonblocking(true).expect("set");
     let mut open: Vec<TcpStream> = Vec::new();
-    let (mut received, mut ended, mut buffer) = (String::new(), 0, [0; 4096]);
+    let (mut received, mut closed_count, mut buffer) = (String::new(), 0, [0; 4096]);
     wait_until("the last request arrives, and each other connection was closed or has received one", || {
         while let Ok((socket, peer)) = listener.accept() {
             if peer.as_socket().is_some_and(|peer| !filler_addresses.contains(&peer)) {
@@ -93,7 +93,7 @@
         }
         open.retain_mut(|stream| match stream.read(&mut buffer) {
             Ok(0) => {
-                ended += 1;
+                closed_count += 1;
                 false
             }
             Ok(n) => {
@@ -102,8 +102,8 @@
             }
             Err(_) => true,
         });
-        let carried = received.matches("GET /quote").count();
-        received.contains(id) && (cancel || ended + carried == 2)
+        let requests_received = received.matches("GET /quote").count();
+        received.contains(id) && (cancel || closed_count + requests_received == 2)
     });
     assert_eq!(received.matches("GET /quote").count(), 1, "cancel {cancel}: {received}");
 }
@@ -129,8 +129,8 @@
     // Connections are accepted in order, so this one is accepted after that of the disconnected client.
     assert_eq!(limiter.client().request(&quote("roomy", 9000)).status(), 200);
     let id = request.split("X-Correlation-Id: ").nth(1).and_then(|rest| rest.get(..16)).expect("an id");
-    let own = server.requests().into_iter().filter(|m| m.header("x-correlation-id") == Some(id));
-    assert_eq!(own.count(), 0);
+    let forwarded = server.requests().into_iter().filter(|m| m.header("x-correlation-id") == Some(id));
+    assert_eq!(forwarded.count(), 0);
     drop(incomplete);
 }
 
--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -105,55 +105,55 @@
 #[derive(Clone)]
 pub struct FakePeer {
     pub address: SocketAddr,
-    log: Arc<Recorded>,
+    recorded: Arc<Recorded>,
 }
 
 impl FakePeer {
     pub fn new(rule: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> FakePeer {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
-        let fake = FakePeer { address: listener.local_addr().expect("address"), log: Arc::default() };
-        let (log, rule) = (fake.log.clone(), Arc::new(rule));
+        let peer = FakePeer { address: listener.local_addr().expect("address"), recorded: Arc::default() };
+        let (recorded, rule) = (peer.recorded.clone(), Arc::new(rule));
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                log.accepted.fetch_add(1, Ordering::SeqCst);
-                let (log, rule) = (log.clone(), rule.clone());
+                recorded.accepted.fetch_add(1, Ordering::SeqCst);
+                let (recorded, rule) = (recorded.clone(), rule.clone());
                 thread::spawn(move || {
-                    serve(stream, &log, &*rule);
-                    log.closed.fetch_add(1, Ordering::SeqCst);
+                    serve(stream, &recorded, &*rule);
+                    recorded.closed.fetch_add(1, Ordering::SeqCst);
                 });
             }
         });
-        fake
+        peer
     }
 
     /// Returns all requests so far.
     pub fn requests(&self) -> Vec<Message> {
-        self.log.requests.lock().expect("lock").clone()
+        self.recorded.requests.lock().expect("lock").clone()
     }
 
     /// Returns the number of requests so far.
     pub fn request_count(&self) -> usize {
-        self.log.requests.lock().expect("lock").len()
+        self.recorded.requests.lock().expect("lock").len()
     }
 
     /// Returns the number of connections accepted so far.
     pub fn accepted_count(&self) -> u32 {
-        self.log.accepted.load(Ordering::SeqCst)
+        self.recorded.accepted.load(Ordering::SeqCst)
     }
 
     /// Returns the number of connections that either side has closed.
     pub fn closed_count(&self) -> u32 {
-        self.log.closed.load(Ordering::SeqCst)
+        self.recorded.closed.load(Ordering::SeqCst)
     }
 
     /// Returns the ids of the requests with [`Reply::Silence`] whose connections the limiter has closed.
     pub fn abandoned_ids(&self) -> Vec<String> {
-        self.log.abandoned_ids.lock().expect("lock").clone()
+        self.recorded.abandoned_ids.lock().expect("lock").clone()
     }
 
     /// Writes to all open connections.
     pub fn push(&self, bytes: &str) {
-        for mut stream in self.log.streams.lock().expect("lock").iter() {
+        for mut stream in self.recorded.streams.lock().expect("lock").iter() {
             let _ = stream.write_all(bytes.as_bytes());
         }
     }
@@ -161,31 +161,31 @@
     /// Writes an empty line to each watch every 0.5 s for 30 s, as discovery does while nothing changes. That
     /// is longer than any test takes.
     pub fn send_empty_lines(&self) {
-        let fake = self.clone();
+        let peer = self.clone();
         thread::spawn(move || {
             for _ in 0..60 {
                 thread::sleep(Duration::from_millis(500));
-                fake.push(&chunk(""));
+                peer.push(&chunk(""));
             }
         });
     }
 
     /// Closes all connections.
     pub fn close_all(&self) {
-        for stream in self.log.streams.lock().expect("lock").drain(..) {
+        for stream in self.recorded.streams.lock().expect("lock").drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 }
 
-fn serve(mut stream: TcpStream, log: &Recorded, rule: &dyn Fn(&Message) -> Reply) {
+fn serve(mut stream: TcpStream, recorded: &Recorded, rule: &dyn Fn(&Message) -> Reply) {
     let _ = stream.set_nodelay(true);
     let Ok(stream_copy) = stream.try_clone() else { return };
-    log.streams.lock().expect("lock").push(stream_copy);
+    recorded.streams.lock().expect("lock").push(stream_copy);
     let Ok(stream_copy) = stream.try_clone() else { return };
     let mut reader = BufReader::new(stream_copy);
     while let Some(message) = Message::read(&mut reader) {
-        log.requests.lock().expect("lock").push(message.clone());
+        recorded.requests.lock().expect("lock").push(message.clone());
         match rule(&message) {
             Reply::Raw(text) => {
                 if stream.write_all(text.as_bytes()).is_err() {
@@ -205,7 +205,7 @@
             Reply::Silence => {
                 let _ = reader.read(&mut [0]);
                 let id = message.header("x-correlation-id").unwrap_or_default();
-                log.abandoned_ids.lock().expect("lock").push(id.to_string());
+                recorded.abandoned_ids.lock().expect("lock").push(id.to_string());
                 break;
             }
         }
@@ -330,7 +330,7 @@
     }
 
     fn start_with_config(
-        more: Value,
+        extra_config: Value,
         settings: Value,
         discovery: &FakePeer,
         counter: SocketAddr,
@@ -338,7 +338,7 @@
         let mut config = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "00000000000000ff",
             "discovery": discovery.address.to_string(), "counter": counter.to_string(),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings});
-        for (key, value) in more.as_object().into_iter().flatten() {
+        for (key, value) in extra_config.as_object().into_iter().flatten() {
             config[key] = value.clone();
         }
         let file = write_config_file(&config.to_string());
--- a/crates/rate-limiter/tests/discovery.rs
+++ b/crates/rate-limiter/tests/discovery.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_message_that_never_ends_ends_the_watch() {
+fn an_incomplete_message_times_out_the_watch() {
     let server = FakePeer::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", server.address, "in_service")]);
     let _limiter = LimiterProcess::start(settings(), &discovery, counter().address);
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -33,15 +33,15 @@
     let response = client.request(&quote("roomy", 1500));
     assert_eq!((response.status(), response.text().as_str()), (200, "echo "));
 
-    let seen = server.requests();
-    assert_eq!(seen[0].start_line, "POST /bind/00000000b4d65521 HTTP/1.1");
+    let requests = server.requests();
+    assert_eq!(requests[0].start_line, "POST /bind/00000000b4d65521 HTTP/1.1");
     for name in ["X-Correlation-Id", "Idempotency-Key"] {
-        let value = seen[0].header(&name.to_ascii_lowercase()).expect(name);
+        let value = requests[0].header(&name.to_ascii_lowercase()).expect(name);
         assert!(sent.contains(&format!("{name}: {value}\r\n")), "{name}: {value}");
     }
-    assert_eq!(seen[0].text(), "a policy");
-    assert_eq!(seen[1].start_line, "GET /quote/00000000b4d65521?from=tls&to=nce HTTP/1.1");
-    let time_left = seen[1].header("x-time-left").and_then(|l| l.strip_suffix('u')?.parse::<u64>().ok());
+    assert_eq!(requests[0].text(), "a policy");
+    assert_eq!(requests[1].start_line, "GET /quote/00000000b4d65521?from=tls&to=nce HTTP/1.1");
+    let time_left = requests[1].header("x-time-left").and_then(|l| l.strip_suffix('u')?.parse::<u64>().ok());
     assert!((1..1_500_000).contains(&time_left.expect("microseconds")), "{time_left:?}");
     assert_eq!(server.accepted_count(), 1, "the connection is reused");
 }
@@ -85,17 +85,17 @@
     let limiter = LimiterProcess::start(settings, &discovery, counter.address);
     let request = || quote("small", 9000).replace("units=1,spread=1", "units=4,spread=2");
     let mut client = limiter.client();
-    let (mut served, mut filled, started) = (0.0, 0.0, Instant::now());
+    let (mut served, mut refilled, started) = (0.0, 0.0, Instant::now());
     wait_until("more units are served than the bucket held and was refilled with", || {
         served += if client.request(&request()).status() == 200 { 4.0 } else { 0.0 };
-        filled = 40.0 * started.elapsed().as_secs_f64();
-        served > 80.0 + 8.0 + filled
+        refilled = 40.0 * started.elapsed().as_secs_f64();
+        served > 80.0 + 8.0 + refilled
     });
     while client.request(&request()).status() == 200 {
         served += 4.0;
     }
-    filled = 40.0 * started.elapsed().as_secs_f64();
-    assert!(served <= 80.0 + 48.0 + filled, "{served} units: more than the limiter may borrow");
+    refilled = 40.0 * started.elapsed().as_secs_f64();
+    assert!(served <= 80.0 + 48.0 + refilled, "{served} units: more than the limiter may borrow");
 }
 
 // ----- outcomes -----
@@ -114,17 +114,17 @@
 #[test]
 fn a_request_of_any_class_is_retried_at_another_server_after_a_refused_connection() {
     for request in [quote("roomy", 9000), post("bind", "x"), post("once", "x")] {
-        let good = FakePeer::new(|_| ok("served"));
+        let working = FakePeer::new(|_| ok("served"));
         let (one, other) = (refusing_socket(), refusing_socket());
         let list = vec![
             instance("s-0", one.1, "in_service"),
             instance("s-1", other.1, "in_service"),
-            instance("s-2", good.address, "in_service"),
+            instance("s-2", working.address, "in_service"),
         ];
         let limiter = LimiterProcess::start(settings(), &discovery(list), counter().address);
         let mut client = limiter.client();
         let response = client.request(&request);
-        assert_eq!((response.status(), good.request_count()), (200, 1), "{}", response.start_line);
+        assert_eq!((response.status(), working.request_count()), (200, 1), "{}", response.start_line);
     }
 }
 
@@ -132,9 +132,9 @@
 fn a_request_rejected_without_execution_is_retried_whatever_its_class() {
     for status in ["503 Service Unavailable", "504 Gateway Timeout"] {
         for request in [quote("roomy", 9000), post("bind", "x"), post("once", "x")] {
-            let (response, seen) =
+            let (response, requests) =
                 send_with_first_response(move || Reply::Raw(raw(status, UNPROCESSED, "")), &request);
-            assert_eq!((response.status(), seen.len()), (200, 2), "{request}");
+            assert_eq!((response.status(), requests.len()), (200, 2), "{request}");
         }
     }
 }
@@ -151,20 +151,20 @@
         || Reply::Raw(raw("200 OK", "", &"x".repeat(64 * 1024 + 1))),
     ];
     for (n, fault) in faults.into_iter().enumerate() {
-        let (response, seen) = send_with_first_response(fault, &post("bind", "x"));
-        assert_eq!((response.status(), seen.len()), (200, 2), "fault {n}: {}", response.start_line);
+        let (response, requests) = send_with_first_response(fault, &post("bind", "x"));
+        assert_eq!((response.status(), requests.len()), (200, 2), "fault {n}: {}", response.start_line);
         assert_eq!(response.text(), "late but good", "an invalid response is never forwarded to a client");
         let key = |m: &Message| (m.header("idempotency-key").map(String::from), m.body.clone());
-        assert_eq!(key(&seen[0]), key(&seen[1]), "the retry has the same idempotency key");
-        let (response, seen) = send_with_first_response(fault, &post("once", "x"));
-        assert_eq!((response.status(), seen.len()), (502, 1), "fault {n}: {}", response.start_line);
+        assert_eq!(key(&requests[0]), key(&requests[1]), "the retry has the same idempotency key");
+        let (response, requests) = send_with_first_response(fault, &post("once", "x"));
+        assert_eq!((response.status(), requests.len()), (502, 1), "fault {n}: {}", response.start_line);
     }
 }
 
 #[test]
 fn a_retry_that_is_still_connecting_when_its_deduplication_window_ends_is_not_sent() {
     let hung = FakePeer::new(|_| Reply::Silence);
-    let (listener, stalled_address, filled) = stalled_listener();
+    let (listener, stalled_address, queue_fillers) = stalled_listener();
     let discovery = discovery(vec![instance("s-0", hung.address, "in_service")]);
     discovery.send_empty_lines();
     let mut settings = settings();
@@ -184,8 +184,8 @@
     wait_until("the third server is known", || {
         limiter.client().request(&quote("roomy", 200)).status() == 200
     });
-    let drains = |n, fake: &FakePeer| instance(&format!("s-{n}"), fake.address, "terminating");
-    let change = [drains(0, &hung), drains(2, &third), instance("s-1", stalled_address, "in_service")];
+    let draining = |n, peer: &FakePeer| instance(&format!("s-{n}"), peer.address, "terminating");
+    let change = [draining(0, &hung), draining(2, &third), instance("s-1", stalled_address, "in_service")];
     discovery.push(&chunk(&update(12, false, &change)));
     wait_until("the change is known", || third.closed_count() == third.accepted_count());
     hung.close_all();
@@ -193,7 +193,7 @@
     // window.
     let response = client.response().expect("a response before the connection is established");
     assert_eq!(response.status(), 429, "{}", response.start_line);
-    drop((listener, filled));
+    drop((listener, queue_fillers));
 }
 
 #[test]
@@ -215,7 +215,7 @@
     let overlap_count = Arc::new(AtomicU32::new(0));
     let hung = FakePeer::new(|_| Reply::Silence);
     let (first, recorded) = (hung.clone(), overlap_count.clone());
-    let good = FakePeer::new(move |m| {
+    let working = FakePeer::new(move |m| {
         let id = m.header("x-correlation-id").unwrap_or_default().to_string();
         let end = Instant::now() + Duration::from_secs(3);
         while !first.abandoned_ids().contains(&id) {
@@ -239,11 +239,11 @@
         })
         .collect();
     wait_until("both requests hang", || hung.request_count() == 2);
-    discovery.push(&chunk(&update(11, false, &[instance("s-1", good.address, "in_service")])));
+    discovery.push(&chunk(&update(11, false, &[instance("s-1", working.address, "in_service")])));
     let responses: Vec<_> =
         clients.into_iter().map(|mut c| c.response().expect("a response").status()).collect();
     assert!(responses.contains(&200), "{responses:?}");
-    assert!(good.request_count() >= 1);
+    assert!(working.request_count() >= 1);
     assert_eq!(
         overlap_count.load(Ordering::SeqCst),
         0,
@@ -293,12 +293,12 @@
     failing.store(false, Ordering::SeqCst);
     // Sends `n` requests at once, which the servers hold until each of them has arrived or was rejected.
     let mut served_at_once = |n: usize| {
-        let seen = || servers.iter().map(FakePeer::request_count).sum::<usize>();
-        let before = seen();
+        let request_count = || servers.iter().map(FakePeer::request_count).sum::<usize>();
+        let count_before = request_count();
         gate.store(false, Ordering::SeqCst);
         clients[..n].iter_mut().for_each(|c| c.send(&post("once", "x")));
         let end = Instant::now() + Duration::from_millis(300);
-        while seen() < before + n && Instant::now() < end {
+        while request_count() < count_before + n && Instant::now() < end {
             std::thread::sleep(Duration::from_millis(1));
         }
         gate.store(true, Ordering::SeqCst);
@@ -320,8 +320,8 @@
 
 #[test]
 fn a_server_that_starts_draining_during_a_connect_gets_no_request() {
-    let (listener, stalled_address, filled) = stalled_listener();
-    let good = FakePeer::new(|_| ok("served"));
+    let (listener, stalled_address, queue_fillers) = stalled_listener();
+    let working = FakePeer::new(|_| ok("served"));
     let discovery = discovery(vec![instance("s-0", stalled_address, "in_service")]);
     let mut settings = settings();
     settings["limits"]["connect-timeout-s"] = json!(10.0);
@@ -332,11 +332,11 @@
     std::thread::sleep(Duration::from_millis(100));
     let started = Instant::now();
     let change =
-        [instance("s-0", stalled_address, "terminating"), instance("s-1", good.address, "in_service")];
+        [instance("s-0", stalled_address, "terminating"), instance("s-1", working.address, "in_service")];
     discovery.push(&chunk(&update(11, false, &change)));
     assert_eq!(client.response().expect("a response").status(), 200);
     assert!(started.elapsed() < Duration::from_secs(5), "{:?}", started.elapsed());
-    drop(filled);
+    drop(queue_fillers);
     // The connections that are still in the kernel's accept queue have received no request.
     listener.set_nonblocking(true).expect("set");
     while let Ok((accepted, _)) = listener.accept() {
@@ -351,7 +351,7 @@
 
 #[test]
 fn a_removed_server_loses_its_requests_in_flight() {
-    let (hung, good) = (FakePeer::new(|_| Reply::Silence), FakePeer::new(|_| ok("served")));
+    let (hung, working) = (FakePeer::new(|_| Reply::Silence), FakePeer::new(|_| ok("served")));
     let discovery = discovery(vec![instance("s-0", hung.address, "in_service")]);
     // A single late response does not make the limiter cancel the attempt, so only the update of the list can
     // end it.
@@ -360,13 +360,13 @@
     client.send(&post("bind", "x"));
     wait_until("the request is forwarded", || hung.request_count() == 1);
     // A complete list without the server removes it. The line arrives in two parts.
-    let line = chunk(&update(11, true, &[instance("s-1", good.address, "in_service")]));
+    let line = chunk(&update(11, true, &[instance("s-1", working.address, "in_service")]));
     let (head, tail) = line.split_at(line.len() / 2);
     discovery.push(head);
     std::thread::sleep(Duration::from_millis(20));
     discovery.push(tail);
     assert_eq!(client.response().expect("a response").status(), 200);
-    assert_eq!((hung.request_count(), good.request_count()), (1, 1));
+    assert_eq!((hung.request_count(), working.request_count()), (1, 1));
     wait_until("the attempt at the removed server is closed", || {
         hung.closed_count() == hung.accepted_count()
     });
--- a/crates/rate-limiter/tests/signals.rs
+++ b/crates/rate-limiter/tests/signals.rs
@@ -149,12 +149,12 @@
 
 /// Checks requests that are sent around the moment at which their idle connections are closed: each gets a
 /// response, or is never forwarded. Each of 32 clients sends one, `idle` after its last response or later,
-/// and 0.2 ms after the client before it. `end` runs at the same time.
+/// and 0.2 ms after the client before it. `close` runs at the same time.
 fn check_requests_around_close(
     server: &FakePeer,
     limiter: &LimiterProcess,
     idle: Duration,
-    end: impl FnOnce(),
+    close: impl FnOnce(),
 ) {
     let clients = (0..32).map(|_| {
         let mut client = limiter.client();
@@ -173,7 +173,7 @@
         })
     });
     let exchanges: Vec<_> = exchanges.collect();
-    end();
+    close();
     let exchanges: Vec<_> = exchanges.into_iter().map(|t| t.join().expect("joined")).collect();
     for (request, _) in exchanges.iter().filter(|(_, response)| response.is_none()) {
         let is_this_request =
--- a/crates/rate-limiter/tests/simulator_protocol.rs
+++ b/crates/rate-limiter/tests/simulator_protocol.rs
@@ -26,17 +26,17 @@
     format!("TURN 10 1\nPROVISION 0 7 {config}\nREGISTRY 0 stale_copy 1 1\nITEM s:1 a std 0 in_service 1 -\nOVER_TO_YOU\n")
 }
 
-fn stdout(out: &Output) -> String {
-    String::from_utf8_lossy(&out.stdout).into_owned()
+fn stdout(output: &Output) -> String {
+    String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
 #[test]
 fn a_request_is_sent_counted_and_finished() {
-    let out = run(&(start()
+    let output = run(&(start()
         + "TURN 10.5 2\nSUBMIT 0 5 0 0 14.5 2 1 0 plain read key:a extra\nOVER_TO_YOU\n"
         + "TURN 10.6 3\nALARM 0 0\nENDED 0 5 0 0 1 s:1 0.1 100 - rif:3,busy:0.5\nOVER_TO_YOU\n"));
-    let text = stdout(&out);
-    assert!(out.status.success(), "{text}");
+    let text = stdout(&output);
+    assert!(output.status.success(), "{text}");
     assert!(text.contains("FOLLOW 0 1\n"), "{text}");
     assert!(text.contains("ASSIGN 0 5 0 s:1\n"), "{text}");
     // A new limiter calls the counter for half of the requests, and each call represents two.
@@ -47,26 +47,26 @@
 
 #[test]
 fn all_other_events_are_accepted() {
-    let out = run(&(start()
+    let output = run(&(start()
         + "TURN 11 2\nFIRST 0 5 0 s:1 0.1\nCLIENT_GONE 0 5\nTOTAL 0 3 100 0.002 x\nTOTAL 0 - 303 0.05 x\n"
         + "HEALTH_RESULT 0 s:1 0.001 100 busy:0.5\nINBOX 0 1 68\nALARM 0 someones\nNEW_KIND 0 1 2 3\n"
         + "REGISTRY 0 broken 2 0\nREGISTRY 0 patch 3 2\nITEM s:1 a std 0 terminating 1 -\nITEM s:2 b std 1 terminated 1 4\n"
         + "DESTROY 0\nSUBMIT 0 6 0 0 14.5 2 1 0 plain read key:a\nOVER_TO_YOU\nTURN 12 3\nOVER_TO_YOU\n"));
-    assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
-    assert!(stdout(&out).ends_with("NEXT 2\nNEXT 3\n"), "{}", stdout(&out));
+    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    assert!(stdout(&output).ends_with("NEXT 2\nNEXT 3\n"), "{}", stdout(&output));
 }
 
 #[test]
 fn rejections_and_failures_are_written() {
-    let drained = "REGISTRY 0 patch 2 1\nITEM s:1 a std 0 terminating 1 -\n";
-    let out = run(&(start()
+    let draining = "REGISTRY 0 patch 2 1\nITEM s:1 a std 0 terminating 1 -\n";
+    let output = run(&(start()
         + "TURN 11 2\n"
-        + drained
+        + draining
         + "SUBMIT 0 5 0 0 14.5 2 1 0 plain read key:a\nOVER_TO_YOU\n"));
-    assert!(stdout(&out).contains("SAY_NO 0 5 0.5\n"), "{}", stdout(&out));
+    assert!(stdout(&output).contains("SAY_NO 0 5 0.5\n"), "{}", stdout(&output));
     let late = "TURN 11 2\nSUBMIT 0 5 0 0 14.5 2 1 0 plain read key:a\nOVER_TO_YOU\nTURN 14.5 3\nALARM 0 21\nOVER_TO_YOU\n";
-    let out = run(&(start() + late));
-    assert!(stdout(&out).contains("END_FAILED 0 5\nSTOP_ATTEMPT 0 5 0\n"), "{}", stdout(&out));
+    let output = run(&(start() + late));
+    assert!(stdout(&output).contains("END_FAILED 0 5\nSTOP_ATTEMPT 0 5 0\n"), "{}", stdout(&output));
 }
 
 #[test]
@@ -81,9 +81,9 @@
         ("TURN 1 1\nREGISTRY 0 whole 1 2\nOVER_TO_YOU\n", "ITEM"),
         ("TURN 1 1\n", "ended within a batch"),
     ] {
-        let out = run(lines);
-        let message = String::from_utf8_lossy(&out.stderr).into_owned();
-        assert!(!out.status.success(), "{lines}");
+        let output = run(lines);
+        let message = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(!output.status.success(), "{lines}");
         assert!(message.contains(word) && message.contains("line "), "{lines}: {message}");
         assert!(!message.contains("panicked"), "{message}");
     }
@@ -102,7 +102,7 @@
     let submit = |id: u32| format!("SUBMIT 0 {id} 0 0 14.5 2 1 0 plain read key:a\n");
     // In one batch, instance 0 gets a request and is destroyed, and another one starts under the same number.
     // Instance 1 keeps running.
-    let out = run(&(start()
+    let output = run(&(start()
         + &format!("TURN 10.5 2\nPROVISION 1 7 {config}\n{}", list.replace("REGISTRY 0", "REGISTRY 1"))
         + &submit(5)
         + "SUBMIT 1 6 0 0 14.5 2 1 0 plain read key:a\nDESTROY 0\n"
@@ -113,8 +113,8 @@
         // An instance that is destroyed and not replaced performs no further action, even for a request in
         // the same batch.
         + &format!("TURN 10.8 5\n{}DESTROY 0\nOVER_TO_YOU\n", submit(8))));
-    let text = stdout(&out);
-    assert!(out.status.success(), "{text}");
+    let text = stdout(&output);
+    assert!(output.status.success(), "{text}");
     let batch = |n: u32| {
         let after = text.split(&format!("NEXT {}\n", n - 1)).nth(1).unwrap_or_default();
         after.split(&format!("NEXT {n}\n")).next().unwrap_or_default().to_string()
