--- a/crates/rate-limiter/tests/common/mod.rs
+++ b/crates/rate-limiter/tests/common/mod.rs
@@ -171,12 +171,12 @@
         (0..200).take_while(|_| self.serve(tenant, plan, 1.0)).count() as u32
     }
 
-    /// Responds to each pending counter call after 1 ms. `answer` returns the outcome and the total for the
+    /// Responds to each pending counter call after 1 ms. `respond` returns the outcome and the total for the
     /// amount of a call. Returns the number of calls.
-    pub fn respond_to_counter_calls(&mut self, answer: impl Fn(f64) -> (Outcome, f64)) -> usize {
+    pub fn respond_to_counter_calls(&mut self, respond: impl Fn(f64) -> (Outcome, f64)) -> usize {
         let calls = std::mem::take(&mut self.pending_calls);
         for (name, amount) in &calls {
-            let (outcome, total) = answer(*amount);
+            let (outcome, total) = respond(*amount);
             self.handle(Event::CounterResponse(CounterResponse {
                 name: name.clone(),
                 outcome,
--- a/crates/rate-limiter/tests/common/sockets.rs
+++ b/crates/rate-limiter/tests/common/sockets.rs
@@ -341,10 +341,10 @@
         for (key, value) in extra_config.as_object().into_iter().flatten() {
             config[key] = value.clone();
         }
-        let file = write_config_file(&config.to_string());
+        let config_file = write_config_file(&config.to_string());
         let mut command = command();
         // The environment repeats a part of the file, as it does in production.
-        command.env("ROUTER_DISCOVERY", discovery.address.to_string()).env("ROUTER_CONFIG", &file);
+        command.env("ROUTER_DISCOVERY", discovery.address.to_string()).env("ROUTER_CONFIG", &config_file);
         let mut child = command.stderr(Stdio::piped()).spawn().expect("start the limiter");
         let mut lines = BufReader::new(child.stderr.take().expect("stderr")).lines();
         let log: Arc<Mutex<String>> = Arc::default();
@@ -367,8 +367,7 @@
                 log_writer.lock().expect("lock").push_str(&(line + "\n"));
             }
         });
-        let limiter =
-            LimiterProcess { address, child, log, log_closed, config_file: file, config, startup_log };
+        let limiter = LimiterProcess { address, child, log, log_closed, config_file, config, startup_log };
         wait_until("the limiter is ready", || {
             limiter.client().request("GET /up HTTP/1.1\r\n\r\n").status() == 200
         });
--- a/crates/rate-limiter/tests/requests.rs
+++ b/crates/rate-limiter/tests/requests.rs
@@ -4,6 +4,8 @@
 use common::*;
 use rate_limiter::*;
 
+/// Returns the time and the token of a timer of a request. `kind` is 1 for the timer before the deadline, and
+/// 2 for the timer of a slow attempt.
 fn find_timer(actions: &[Action], id: u64, kind: u64) -> Option<(f64, u64)> {
     actions.iter().find_map(|a| match a {
         Action::SetTimer { at, token } if *token == id * 4 + kind => Some((*at, *token)),
@@ -151,16 +153,16 @@
         host.now = host.now.max(at);
         host.handle(Event::Timer { token }).iter().any(|a| matches!(a, Action::Cancel { .. }))
     };
-    for is_completed in [true, false] {
+    for first_completes in [true, false] {
         let mut host = Host::new(settings());
         host.handle(Event::ServerList(vec![server_entry(EAST_1, "east", ServerState::InService, None)]));
         let (id, actions) = host.submit("c", "plain", "read", 1.0);
         assert!(!is_cancelled(&mut host, id, &actions), "a single late attempt");
-        if is_completed {
+        if first_completes {
             host.end_attempt(id, 0, Outcome::Completed, None);
         }
         let (id, actions) = host.submit("d", "plain", "read", 1.0);
-        assert_eq!(is_cancelled(&mut host, id, &actions), !is_completed);
+        assert_eq!(is_cancelled(&mut host, id, &actions), !first_completes);
     }
 }
 
@@ -201,16 +203,16 @@
     // retry.
     let served = |abuse: bool| {
         let mut host = Host::new(settings());
-        let mut others = 0;
+        let mut served_others = 0;
         for n in 0..600u32 {
             host.now += 0.05;
             for _ in 0..if abuse { 20 } else { 0 } {
                 host.serve("abuser", "plain", 1.0);
             }
-            others += u32::from(host.serve(&format!("c{}", n % 10), "plain", 1.0));
-            host.respond_to_counter_calls(|add| (Outcome::Completed, add));
+            served_others += u32::from(host.serve(&format!("c{}", n % 10), "plain", 1.0));
+            host.respond_to_counter_calls(|amount| (Outcome::Completed, amount));
         }
-        others
+        served_others
     };
     assert_eq!(served(true), served(false));
 }
--- a/crates/rate-limiter/tests/servers.rs
+++ b/crates/rate-limiter/tests/servers.rs
@@ -100,6 +100,7 @@
     assert!(sent_to(&host.submit("c", "plain", "unsafe", 1.0).1).is_some());
     assert!(!host.serve("d", "plain", 1.0), "the in-flight limit of two is reached");
     host.now += 0.6;
+    // This is the token of the timer of a slow attempt.
     let actions = host.handle(Event::Timer { token: id * 4 + 2 });
     let at = actions.iter().find_map(|a| match a {
         Action::SetTimer { at, .. } => Some(*at),
@@ -154,6 +155,7 @@
             if class == "unsafe" && &*to == EAST_1 {
                 unsafe_at_east_1 += u32::from(n >= 20);
                 host.now += 0.7;
+                // This is the token of the timer of a slow attempt.
                 host.handle(Event::Timer { token: id * 4 + 2 });
                 host.handle(Event::ClientClosed { id });
                 host.end_attempt(id, 0, Outcome::Timeout, None);
