--- a/crates/rate-limiter/tests/server_load.rs
+++ b/crates/rate-limiter/tests/server_load.rs
@@ -41,12 +41,12 @@
         host.handle(Event::ServerList(fleet(60, |n| if n % 2 == 0 { 3.0 } else { 2.0 })));
         for n in 0..12 {
             host.now += 0.2;
-            let to = serve(&mut host, n, |_| None).expect("nothing is in flight");
+            let to = serve(&mut host, n, |_| None).expect("a server, since nothing is in flight");
             *sent.entry(to).or_default() += 1.0;
         }
     }
     let small: f64 = (0..60).filter(|n| n % 2 == 1).filter_map(|n| sent.get(&format!("10.0.1.{n}:1"))).sum();
-    // In proportion to their weight, they would get four tenths of 1,200 requests.
+    // In proportion to their weight, the smaller servers would get four tenths of 1,200 requests.
     assert!(small > 300.0, "{small} of 1200 requests at the smaller half of the servers");
     let most = sent.values().fold(0.0, |a: f64, b| a.max(*b));
     assert!(most <= 60.0, "{most} requests at one of 60 servers");
