--- a/crates/quillpulley/tests/control/agent.rs
+++ b/crates/quillpulley/tests/control/agent.rs
@@ -1,4 +1,4 @@
-//! Agents as control nodes see them: nodes of the relay tree, each on a link of its own.
+//! Simulated agents: nodes of the relay tree, each with its own link to a control node.
 
 use crate::cluster::TIMEOUT;
 use quillpulley::peer::{LinkId, PeerEvent, Peers};
@@ -12,10 +12,10 @@
 use tokio::task::LocalSet;
 use tokio::time::timeout;
 
-/// The longest that agents wait for each other's events.
+/// Maximum time that a step waits for an event of the first agent, during which the other agents do not run.
 const TICK: Duration = Duration::from_millis(10);
 
-/// Agents that take part in the tree while the test waits for something.
+/// Agents that run only while [`Agents::until`] waits for a condition.
 pub struct Agents {
     agents: Vec<Agent>,
     started: Instant,
@@ -32,38 +32,38 @@
 }
 
 impl Agents {
-    /// Connects an agent to each of these control nodes; the first one's proxy is `endpoint-0`.
+    /// Connects one agent to each of these control nodes. Agent and proxy number `n` are named `front-n`.
     pub fn connect(zone: &str, parents: impl Iterator<Item = SocketAddr>) -> Self {
-        let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
+        let runtime = Builder::new_current_thread().enable_all().build().expect("cannot start the runtime");
         let tasks = LocalSet::new();
         let connect = |(index, parent)| Agent::connect(&format!("front-{index}"), zone, parent);
         let agents = tasks.block_on(&runtime, async { parents.enumerate().map(connect).collect() });
         Agents { agents, started: Instant::now(), tasks, runtime }
     }
 
-    /// Waits until all agents know what the test wants.
+    /// Runs the agents until `wanted` holds for the state of each of them.
     pub fn until(&mut self, what: &str, wanted: impl Fn(&SyncNode<()>) -> bool) {
         let waiting = Instant::now();
         while !self.agents.iter().all(|agent| wanted(&agent.sync_node)) {
-            assert!(waiting.elapsed() < TIMEOUT, "not in time: {what}");
+            assert!(waiting.elapsed() < TIMEOUT, "timed out waiting for {what}");
             self.step();
         }
     }
 
-    /// One agent ends without a word.
+    /// Ends one agent, whose link closes without a message.
     pub fn lose(&mut self, index: usize) {
         let lost = self.agents.remove(index);
         self.tasks.block_on(&self.runtime, async { drop(lost) });
     }
 
-    /// Only one agent goes on.
+    /// Ends all agents except one.
     pub fn keep(&mut self, index: usize) {
         let kept = self.agents.swap_remove(index);
         let lost = std::mem::replace(&mut self.agents, vec![kept]);
         self.tasks.block_on(&self.runtime, async { drop(lost) });
     }
 
-    /// The epoch up to which the first agent's state goes.
+    /// Returns the epoch of the first agent's state.
     pub fn epoch(&self) -> u64 {
         self.agents[0].sync_node.revision().epoch
     }
@@ -79,7 +79,9 @@
         let first = &mut self.agents[0];
         let next = async { timeout(TICK, first.events.recv()).await };
         if let Ok(event) = self.tasks.block_on(&self.runtime, next) {
-            self.tasks.block_on(&self.runtime, async { first.take(now, event.expect("links")) });
+            self.tasks.block_on(&self.runtime, async {
+                first.take(now, event.expect("there are no more link events"))
+            });
         }
     }
 }
--- a/crates/quillpulley/tests/control/api.rs
+++ b/crates/quillpulley/tests/control/api.rs
@@ -1,4 +1,4 @@
-//! The operator's API over HTTP, with a main thread that responds as the test says.
+//! Tests of the operator API over HTTP. The test takes the place of the main thread and decides the responses.
 
 use quillpulley::control::api::{self, ApiRequest, Operation};
 use quillpulley::control::clock::Clock;
@@ -12,13 +12,13 @@
 
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An API whose calls the test takes and answers.
+/// Starts the API. Returns its address and the requests that the test has to answer.
 fn start() -> (SocketAddr, Receiver<Box<ApiRequest>>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a socket");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind the socket");
+    let address = listener.local_addr().expect("no valid address");
     let (send, requests) = mpsc::channel();
     let deliver = move |call| send.send(call).map_err(|rejected| rejected.0);
-    api::serve(listener, Clock::start(), deliver).expect("a server");
+    api::serve(listener, Clock::start(), deliver).expect("cannot start the server");
     (address, requests)
 }
 
@@ -28,24 +28,25 @@
     pub body: String,
 }
 
-/// Sends raw bytes and reads the answer up to the end of the connection.
+/// Sends a request and returns the response, which ends when the server closes the connection.
 pub fn send(address: SocketAddr, request: &str) -> HttpResponse {
     parse(&send_raw(address, request))
 }
 
-/// The same, as it came.
+/// Sends a request and returns the unparsed response, which ends when the server closes the connection.
 pub fn send_raw(address: SocketAddr, request: &str) -> String {
-    let mut stream = TcpStream::connect(address).expect("a connection");
-    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
-    stream.write_all(request.as_bytes()).expect("a request sent");
+    let mut stream = TcpStream::connect(address).expect("cannot connect");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("cannot set the timeout");
+    stream.write_all(request.as_bytes()).expect("cannot send the request");
     let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("an answer");
+    stream.read_to_string(&mut answer).expect("cannot read the response");
     answer
 }
 
 fn parse(answer: &str) -> HttpResponse {
-    let (head, body) = answer.split_once("\r\n\r\n").expect("a head");
-    let status = head.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status");
+    let (head, body) = answer.split_once("\r\n\r\n").expect("the response has no body");
+    let status =
+        head.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("the status is not a number");
     HttpResponse { status, headers: head.to_ascii_lowercase(), body: body.to_string() }
 }
 
@@ -61,14 +62,14 @@
     format!("{method} {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 }
 
-/// Sends a request, expects it as a call, and has it answered.
+/// Sends a request, expects it to be read as `expected`, and answers it with `answer`.
 fn exchange(request: String, expected: Operation, answer: Response) -> HttpResponse {
     let (address, requests) = start();
     let client = std::thread::spawn(move || send(address, &request));
-    let request = requests.recv_timeout(TIMEOUT).expect("a call");
+    let request = requests.recv_timeout(TIMEOUT).expect("no request");
     assert_eq!(request.operation, expected);
     request.responder.send(TimedResponse::without_expiry(answer));
-    client.join().expect("an answer")
+    client.join().expect("the client thread panicked")
 }
 
 fn evacuation(zone: &str, active: bool) -> Operation {
@@ -101,7 +102,7 @@
     assert_eq!(response.status, 200);
 }
 
-/// The bytes that the program at commit 0b0971f wrote.
+/// The expected bytes are those that the program at commit 0b0971f wrote.
 #[test]
 fn every_answer_is_written_with_the_same_bytes() {
     let json = |status: &str, more: &str, body: &str| {
@@ -111,7 +112,7 @@
              Connection: close\r\n{more}\r\n{body}"
         )
     };
-    let primary: SocketAddr = "10.0.0.4:8080".parse().expect("an address");
+    let primary: SocketAddr = "10.0.0.4:8080".parse().expect("no valid address");
     let location = "Location: http://10.0.0.4:8080/v1/Evacuate.Start/a\r\n";
     let again = "Retry-After: 0.2\r\n";
     let cases = [
@@ -155,10 +156,10 @@
         let client = std::thread::spawn(move || send_raw(address, &request));
         requests
             .recv_timeout(TIMEOUT)
-            .expect("a call")
+            .expect("no request")
             .responder
             .send(TimedResponse::without_expiry(answer.clone()));
-        assert_eq!(client.join().expect("an answer"), expected, "{answer:?}");
+        assert_eq!(client.join().expect("the client thread panicked"), expected, "{answer:?}");
     }
 }
 
@@ -183,7 +184,7 @@
 
 #[test]
 fn callers_are_redirected_to_the_primary_or_get_retry_after() {
-    let primary: SocketAddr = "10.0.0.4:8080".parse().expect("an address");
+    let primary: SocketAddr = "10.0.0.4:8080".parse().expect("no valid address");
     let path = "/v1/Evacuate.Start/a";
     let response = exchange(call("POST", path), evacuation("a", true), Response::Redirect(primary));
     assert_eq!(response.status, 307);
@@ -249,13 +250,13 @@
 fn a_body_that_ends_before_its_length_is_never_accepted() {
     let (address, requests) = start();
     for (length, body) in [(3000, "{}".to_string()), (500, "{}".to_string()), (3000, "x".repeat(2999))] {
-        let mut stream = TcpStream::connect(address).expect("a connection");
-        stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
+        let mut stream = TcpStream::connect(address).expect("cannot connect");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("cannot set the timeout");
         let request = replace("1", "").replace("Content-Length: 0", &format!("Content-Length: {length}"));
-        stream.write_all(format!("{request}{body}").as_bytes()).expect("a request sent");
-        stream.shutdown(std::net::Shutdown::Write).expect("an end");
+        stream.write_all(format!("{request}{body}").as_bytes()).expect("cannot send the request");
+        stream.shutdown(std::net::Shutdown::Write).expect("cannot shut down the connection");
         let mut answer = Vec::new();
-        stream.read_to_end(&mut answer).expect("an end");
+        stream.read_to_end(&mut answer).expect("cannot read the response");
         let answer = String::from_utf8_lossy(&answer);
         assert!(!answer.starts_with("HTTP/1.1 2") && !answer.starts_with("HTTP/1.1 4"), "{answer}");
     }
@@ -265,20 +266,20 @@
 #[test]
 fn a_caller_that_stalls_holds_up_nobody() {
     let (address, requests) = start();
-    let mut stalled = TcpStream::connect(address).expect("a connection");
+    let mut stalled = TcpStream::connect(address).expect("cannot connect");
     stalled
         .write_all(b"POST /v1/Config.Replace HTTP/1.1\r\nHost: x\r\nContent-Length: 9000\r\n\r\n{")
-        .expect("sent");
+        .expect("cannot send the request");
     let waiting = std::thread::spawn(move || send(address, &call("POST", "/v1/Evacuate.Start/a")));
-    let first = requests.recv_timeout(TIMEOUT).expect("a call");
-    // The first call has no answer yet when the second is answered.
+    let first = requests.recv_timeout(TIMEOUT).expect("no request");
+    // The second request is answered while the first one is still waiting for its response.
     let second = std::thread::spawn(move || send(address, &call("POST", "/v1/Evacuate.Start/b")));
     requests
         .recv_timeout(TIMEOUT)
-        .expect("a call")
+        .expect("no request")
         .responder
         .send(TimedResponse::without_expiry(Response::Acknowledged));
-    assert_eq!(second.join().expect("an answer").status, 200);
+    assert_eq!(second.join().expect("the client thread panicked").status, 200);
     first.responder.send(TimedResponse::without_expiry(Response::Acknowledged));
-    assert_eq!(waiting.join().expect("an answer").status, 200);
+    assert_eq!(waiting.join().expect("the client thread panicked").status, 200);
 }
--- a/crates/quillpulley/tests/control/clock.rs
+++ b/crates/quillpulley/tests/control/clock.rs
@@ -1,4 +1,4 @@
-//! Jumps of the monotonic clock, and what is written after one.
+//! Tests of the detection of clock jumps, and of the responses that are written after a jump.
 
 use crate::api::{call, send};
 use quillpulley::control::api::{self, Faults};
@@ -11,7 +11,7 @@
 
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Two clocks that a test sets, in milliseconds.
+/// The two clocks of a machine, set by the test, in milliseconds.
 #[derive(Clone, Default)]
 struct Clocks {
     monotonic: Arc<AtomicU64>,
@@ -39,7 +39,7 @@
     let clocks = Clocks::default();
     clocks.set(0, 1_000_000);
     let clock = clocks.clock();
-    // Both clocks, in milliseconds, and the jumps counted so far.
+    // The monotonic clock and the time of day in milliseconds, and the number of jumps counted so far.
     let readings = [
         (100, 1_000_100, 0),
         (200, 1_000_249, 0),
@@ -69,19 +69,20 @@
     }
 }
 
-/// The status that a caller gets whose response was decided before the machine stood still with its clock.
+/// Returns the status that a caller gets if the machine and its monotonic clock are paused for 20 s after the
+/// response was decided and before it is written.
 fn status_after_a_jump(decided: TimedResponse, faults: Faults) -> u16 {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a socket");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind the socket");
+    let address = listener.local_addr().expect("no valid address");
     let clocks = Clocks::default();
     let (deliver, requests) = mpsc::channel();
     let deliver = move |call| deliver.send(call).map_err(|rejected| rejected.0);
-    api::serve_with_faults(listener, clocks.clock(), faults, deliver).expect("a server");
+    api::serve_with_faults(listener, clocks.clock(), faults, deliver).expect("cannot start the server");
     let caller = std::thread::spawn(move || send(address, &call("GET", "/v1/Config.Get")));
-    let request = requests.recv_timeout(TIMEOUT).expect("a call");
+    let request = requests.recv_timeout(TIMEOUT).expect("no request");
     clocks.set(1, 20_000);
     request.responder.send(decided);
-    caller.join().expect("an answer").status
+    caller.join().expect("the client thread panicked").status
 }
 
 #[test]
@@ -90,8 +91,8 @@
     let decided = || TimedResponse::expiring_at(lease_end, Response::Conflict { current: 5 });
     assert_eq!(status_after_a_jump(decided(), Faults::default()), 503);
     assert_eq!(status_after_a_jump(decided(), Faults { skip_lease_check: true }), 412);
-    // The host had noticed the jump, and held the lease again, when it decided this one.
+    // The host decided this response after it had detected the jump and renewed the lease.
     assert_eq!(status_after_a_jump(decided().with_known_jumps(1), Faults::default()), 412);
-    let without_lease = TimedResponse::without_expiry(Response::Invalid("no number".to_string()));
+    let without_lease = TimedResponse::without_expiry(Response::Invalid("not a number".to_string()));
     assert_eq!(status_after_a_jump(without_lease, Faults::default()), 400);
 }
--- a/crates/quillpulley/tests/control/cluster.rs
+++ b/crates/quillpulley/tests/control/cluster.rs
@@ -1,4 +1,4 @@
-//! Control nodes as real processes on loopback addresses of their own, with an operator that calls them.
+//! Runs control nodes as real processes, each with its own loopback address, and sends them operator requests.
 
 use std::io::{BufRead, BufReader};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -9,11 +9,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a test waits for anything.
+/// Maximum time that a test waits for an expected event.
 pub const TIMEOUT: Duration = Duration::from_secs(30);
-/// Within which a call has to be answered; a process keeps a call for up to 3 s.
+/// Timeout of a request. It exceeds the 3 s for which a process may keep a request waiting.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Callers without a definite response try again when a process logs something, or after this time.
+/// Maximum time between two attempts. A line that a process logs starts the next attempt earlier.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 const LINK_PORT: u16 = 7720;
 const CONTROL_PORT: u16 = 8166;
@@ -21,18 +21,18 @@
 
 static CLUSTERS: AtomicU8 = AtomicU8::new(1);
 
-/// A control machine: its disk, and its process if it runs.
+/// A machine for a control node: its disk, and its process if that runs.
 struct Machine {
     process: Option<Child>,
     program: PathBuf,
-    /// How many lines all had logged when it was started last.
+    /// The number of lines that all processes had logged when this one was last started.
     started_at_line: usize,
     folder: PathBuf,
     bootstrap: bool,
     seeds: Vec<SocketAddr>,
 }
 
-/// Some control machines. Dropping it kills the processes and removes their disks.
+/// A set of control machines. Dropping it kills the processes and removes the disks.
 pub struct Cluster {
     machines: Vec<Machine>,
     network: [u8; 2],
@@ -43,19 +43,19 @@
     folder: PathBuf,
 }
 
-/// The response to a call.
+/// The response to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HttpResponse {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// The `Location` header.
+    /// The `Location` header; `None` if it is missing.
     pub location: Option<String>,
-    /// The body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
 impl Cluster {
-    /// Starts `count` machines for the first time, all of them seeds.
+    /// Creates a new system of `count` machines, all of which are seeds, and starts their processes.
     pub fn start(count: usize, platform: Option<SocketAddr>) -> Self {
         let mut cluster = Cluster::prepare(count, platform);
         for index in 0..count {
@@ -64,13 +64,13 @@
         cluster
     }
 
-    /// The same with no process running yet.
+    /// Creates a new system of `count` machines, all of which are seeds, without starting their processes.
     pub fn prepare(count: usize, platform: Option<SocketAddr>) -> Self {
         let process = std::process::id();
         let number = CLUSTERS.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("quillpulley-control-{process}-{number}"));
         let (log, lines) = mpsc::channel();
-        // Tests that run at the same time use other addresses.
+        // Clusters that run at the same time use different addresses.
         let network = [1 + (process % 250) as u8, number];
         let machines = Vec::new();
         let mut cluster = Cluster { machines, network, platform, lines, log, past_lines: Vec::new(), folder };
@@ -81,7 +81,7 @@
         cluster
     }
 
-    /// Adds a machine with an empty disk, whose process does not run yet.
+    /// Adds a machine with an empty disk, without starting its process. Returns the machine's index.
     pub fn add(&mut self, bootstrap: bool, seeds: Vec<SocketAddr>) -> usize {
         let index = self.machines.len();
         let folder = self.folder.join(format!("disk-{index}"));
@@ -91,12 +91,12 @@
         index
     }
 
-    /// Sets the build of the program that the next process of a machine runs.
+    /// Sets the program that a machine runs from its next start on.
     pub fn set_program(&mut self, index: usize, program: &Path) {
         self.machines[index].program = program.to_path_buf();
     }
 
-    /// Writes other seeds into the settings file of a machine, without a signal.
+    /// Replaces the seeds in the settings file of a machine, without signalling its process.
     pub fn set_seeds(&mut self, index: usize, seeds: Vec<SocketAddr>) {
         self.machines[index].seeds = seeds;
         self.write_settings(index);
@@ -104,23 +104,23 @@
 
     fn write_settings(&self, index: usize) -> PathBuf {
         let path = self.folder.join(format!("core-{index}.toml"));
-        std::fs::create_dir_all(&self.folder).expect("a folder");
-        std::fs::write(&path, self.settings(index)).expect("a settings file");
+        std::fs::create_dir_all(&self.folder).expect("cannot create the folder");
+        std::fs::write(&path, self.settings(index)).expect("cannot write the settings file");
         path
     }
 
-    /// The address of a machine.
+    /// Returns the IP address of a machine.
     pub fn address(&self, index: usize) -> Ipv4Addr {
         let [high, low] = self.network;
         Ipv4Addr::new(127, high, low, index as u8 + 1)
     }
 
-    /// Where other processes connect to a machine.
+    /// Returns the address at which a machine accepts links from other processes.
     pub fn link(&self, index: usize) -> SocketAddr {
         SocketAddr::from((self.address(index), LINK_PORT))
     }
 
-    /// The operator's API of a machine.
+    /// Returns the address of the operator API of a machine.
     pub fn control(&self, index: usize) -> SocketAddr {
         SocketAddr::from((self.address(index), CONTROL_PORT))
     }
@@ -155,8 +155,8 @@
             .env("QUILLPULLEY_CONFIG", settings)
             .stderr(Stdio::piped())
             .spawn()
-            .expect("a process");
-        let errors = process.stderr.take().expect("its log");
+            .expect("cannot start the process");
+        let errors = process.stderr.take().expect("stderr is not piped");
         let log = self.log.clone();
         thread::spawn(move || {
             for line in BufReader::new(errors).lines().map_while(Result::ok) {
@@ -170,51 +170,51 @@
         self.machines[index].process = Some(process);
     }
 
-    /// Kills a process.
+    /// Kills the process of a machine with SIGKILL.
     pub fn kill(&mut self, index: usize) {
-        let mut process = self.machines[index].process.take().expect("a process that runs");
-        process.kill().expect("killed");
-        process.wait().expect("an end");
+        let mut process = self.machines[index].process.take().expect("the process is not running");
+        process.kill().expect("cannot kill the process");
+        process.wait().expect("cannot wait for the process");
     }
 
-    /// Sends SIGTERM to a process and waits for its end.
+    /// Sends SIGTERM to the process of a machine and waits until it exits.
     pub fn terminate(&mut self, index: usize) -> ExitStatus {
         self.signal(index, "-TERM");
         self.wait(index)
     }
 
-    /// Waits for the end of a process.
+    /// Waits until the process of a machine exits.
     pub fn wait(&mut self, index: usize) -> ExitStatus {
-        let mut process = self.machines[index].process.take().expect("a process that runs");
-        process.wait().expect("an end")
+        let mut process = self.machines[index].process.take().expect("the process is not running");
+        process.wait().expect("cannot wait for the process")
     }
 
-    /// Sends a signal to a process.
+    /// Sends a signal, given as an option of `kill`, to the process of a machine.
     pub fn signal(&self, index: usize, signal: &str) {
-        let process = self.machines[index].process.as_ref().expect("a process that runs");
+        let process = self.machines[index].process.as_ref().expect("the process is not running");
         let sent = Command::new("kill").arg(signal).arg(process.id().to_string()).status();
-        assert!(sent.expect("kill runs").success());
+        assert!(sent.expect("cannot run kill").success());
     }
 
-    /// Puts a file in the place of the folder of a machine's disk.
+    /// Makes the data folder of a machine unusable: its parent becomes a file.
     pub fn break_disk(&mut self, index: usize) {
         let file = self.folder.join("no-folder");
-        std::fs::write(&file, "x").expect("a file");
+        std::fs::write(&file, "x").expect("cannot write the file");
         self.machines[index].folder = file.join("disk");
     }
 
-    /// Empties the disk of a machine whose process does not run.
+    /// Empties the disk of a machine whose process is not running. The machine no longer bootstraps.
     pub fn wipe(&mut self, index: usize) {
         let machine = &mut self.machines[index];
         machine.bootstrap = false;
-        std::fs::remove_dir_all(&machine.folder).expect("an empty disk");
+        std::fs::remove_dir_all(&machine.folder).expect("cannot remove the folder");
     }
 
     fn take_lines(&mut self) {
         self.past_lines.extend(self.lines.try_iter());
     }
 
-    /// Returns the node that the running process of a machine is: its address and the incarnation of its disk.
+    /// Returns the node id of the running process of a machine, as logged: its address and its incarnation.
     fn node(&mut self, index: usize) -> String {
         let started =
             format!("core-{index}: INFO control::replica_host::process: control node started node=");
@@ -225,8 +225,8 @@
         })
     }
 
-    /// Waits until a primary has added the running process of a machine as a member. A view that only names a former
-    /// incarnation of the machine does not count.
+    /// Waits until a primary has added the running process of a machine as a member. A view that contains only
+    /// an earlier incarnation of the machine does not count.
     pub fn wait_for_member(&mut self, index: usize) {
         let node = self.node(index);
         self.wait_for_view(index, "backups=[", |backups| backups.contains(&node.as_str()));
@@ -237,14 +237,15 @@
         let mut expected: Vec<String> = machines.iter().map(|index| self.node(*index)).collect();
         expected.sort();
         let newest = machines.iter().copied().max_by_key(|index| self.machines[*index].started_at_line);
-        self.wait_for_view(newest.expect("machines"), "witnesses=[", |witnesses| {
+        self.wait_for_view(newest.expect("no machines"), "witnesses=[", |witnesses| {
             let mut witnesses = witnesses.to_vec();
             witnesses.sort();
             witnesses == expected
         });
     }
 
-    /// Waits for a primary that has logged a view, with a list of addresses after `intro`.
+    /// Waits until a process has logged a view in which `is_wanted` holds for the list of nodes after `intro`.
+    /// Only lines since the last start of the machine count.
     fn wait_for_view(&mut self, index: usize, intro: &str, is_wanted: impl Fn(&[&str]) -> bool) {
         let shows_it = |line: &String| {
             let list = line.split_once(intro).and_then(|(_, rest)| rest.split_once(']'));
@@ -256,7 +257,7 @@
         });
     }
 
-    /// Retries until there is a result.
+    /// Retries `attempt` until it returns a result, and returns that. Panics after [`TIMEOUT`].
     pub fn until<T>(&mut self, what: &str, mut attempt: impl FnMut(&Self) -> Option<T>) -> T {
         let started = Instant::now();
         loop {
@@ -265,18 +266,18 @@
             }
             if started.elapsed() > TIMEOUT {
                 self.take_lines();
-                panic!("not in time: {what}\n{}", self.past_lines.join("\n"));
+                panic!("timed out waiting for {what}\n{}", self.past_lines.join("\n"));
             }
             self.past_lines.extend(self.lines.recv_timeout(RETRY_INTERVAL));
         }
     }
 
-    /// Calls one machine once.
+    /// Sends a request to one machine, once. Returns `None` if there is no response.
     pub fn call(&self, index: usize, operation: &Operation) -> Option<HttpResponse> {
         operation.send(self.control(index))
     }
 
-    /// Calls the machines until one gives a definite response, as the operator does.
+    /// Sends a request to the running machines in turn, as operators do, until one gives a definite response.
     pub fn call_until_definite(&mut self, operation: &Operation) -> HttpResponse {
         let running: Vec<usize> =
             (0..self.machines.len()).filter(|index| self.machines[*index].process.is_some()).collect();
@@ -292,7 +293,7 @@
         })
     }
 
-    /// The machine whose process is the primary.
+    /// Waits until there is a primary, and returns the index of its machine.
     pub fn primary(&mut self) -> usize {
         self.until("a primary", |cluster| {
             let answers = |index: &usize| {
@@ -306,7 +307,7 @@
         })
     }
 
-    /// Asks a directory for proxies.
+    /// Asks the directory of a machine for proxies. Returns `None` if there is no response.
     pub fn resolve(&self, index: usize, zone: &str) -> Option<HttpResponse> {
         let address = SocketAddr::from((self.address(index), DIRECTORY_PORT));
         let path = format!("/v1/resolve?Name=x&Region=none&Zone={zone}");
@@ -324,7 +325,7 @@
     }
 }
 
-/// A call of the operator.
+/// An operator request.
 #[derive(Clone)]
 pub struct Operation {
     method: &'static str,
@@ -334,22 +335,22 @@
 }
 
 impl Operation {
-    /// Asks for the configuration.
+    /// Reads the active configuration.
     pub fn get() -> Self {
         Operation { method: "GET", path: "/v1/Config.Get".to_string(), base: None, body: Vec::new() }
     }
 
-    /// Asks a process what it knows of the core.
+    /// Reads what a process knows of the status of the control nodes.
     pub fn status() -> Self {
         Operation { method: "GET", path: "/v1/Control.Status".to_string(), base: None, body: Vec::new() }
     }
 
-    /// Replaces the configuration.
+    /// Replaces the configuration of version `base`.
     pub fn replace(base: u64, body: Vec<u8>) -> Self {
         Operation { method: "POST", path: "/v1/Config.Replace".to_string(), base: Some(base), body }
     }
 
-    /// Evacuates a zone.
+    /// Starts the evacuation of a zone.
     pub fn start_evacuation(zone: &str) -> Self {
         Operation { method: "POST", path: format!("/v1/Evacuate.Start/{zone}"), base: None, body: Vec::new() }
     }
@@ -359,12 +360,12 @@
         Operation { method: "POST", path: format!("/v1/Evacuate.End/{zone}"), base: None, body: Vec::new() }
     }
 
-    /// Sends it to one process; returns nothing if there is no response.
+    /// Sends the request to the process at `address`. Returns `None` if there is no response.
     pub fn send(&self, address: SocketAddr) -> Option<HttpResponse> {
         self.send_to(&format!("http://{address}{}", self.path))
     }
 
-    /// Returns nothing if there is no response.
+    /// Sends the request to `url`. Returns `None` if there is no response.
     fn send_to(&self, url: &str) -> Option<HttpResponse> {
         let config = ureq::Agent::config_builder()
             .http_status_as_error(false)
--- a/crates/quillpulley/tests/control/commands.rs
+++ b/crates/quillpulley/tests/control/commands.rs
@@ -1,10 +1,15 @@
-//! Commands of the operator: one at a time, decided against the committed state.
+//! Tests of operator commands, which are decided one at a time against the committed state.
 //!
-//! Timelines have a line for each moment, with one column for what the operator sends, one for what the
-//! replicas report, and one for what is proposed and answered. Configurations are written `base>version`, with a
-//! letter where two of the same version differ, `+zone` and `-zone` are evacuations. `commit N` and `fail N`
-//! are the outcomes of command N; with `stale`, the lease has gone by then. Answers are `SENT: answer`, proposals
-//! `N: SENT`. `20@+zone` was received at 20 ms, and comes to the queue only now.
+//! Each line of a timeline has four columns: the time in ms, the commands that are queued, the event from the
+//! replicas, and the expected proposals and responses.
+//!
+//! - Commands: `BASE>VERSION` replaces the configuration; a letter after the version distinguishes
+//!   configurations of the same version. `+ZONE` starts an evacuation and `-ZONE` ends it. `20@+ZONE` was
+//!   received at 20 ms, but is queued only at the time of the line.
+//! - Events: `commit N` and `fail N` are the outcomes of proposal N; after `commit N stale`, the lease is no
+//!   longer held. `foreign COMMAND` applies a command that another primary proposed. `deposed` means that
+//!   another node has become the primary.
+//! - Results: `proposed N` is a new proposal, and `COMMAND RESPONSE` is a response.
 
 use crate::configuration;
 use quillpulley::control::commands::{Command, CommandQueue, Proposal};
@@ -25,7 +30,10 @@
 
 fn command(text: &str) -> Command {
     if let Some((base, version)) = text.split_once('>') {
-        return Command::Replace { base: base.parse().expect("a base"), body: configuration(version) };
+        return Command::Replace {
+            base: base.parse().expect("the base is not a number"),
+            body: configuration(version),
+        };
     }
     let (sign, zone) = text.split_at(1);
     Command::Evacuate { zone: zone.to_string(), active: sign == "+" }
@@ -35,7 +43,9 @@
     fn send(&mut self, now: Duration, sent: &str) {
         for text in sent.split_whitespace() {
             let (received_at, text) = match text.split_once('@') {
-                Some((time, text)) => (Duration::from_millis(time.parse().expect("a time")), text),
+                Some((time, text)) => {
+                    (Duration::from_millis(time.parse().expect("the time is not a number")), text)
+                }
                 None => (now, text),
             };
             self.commands.push(now, received_at, command(text), text.to_string());
@@ -48,22 +58,27 @@
             [] => {}
             ["commit", name] => self.commit(name, true),
             ["commit", name, "stale"] => self.commit(name, false),
-            ["fail", name] => self.commands.failed(name.parse().expect("a name")),
+            ["fail", name] => {
+                self.commands.failed(name.parse().expect("the proposal number is not a number"))
+            }
             ["foreign", text] => {
                 let mut other = CommandQueue::default();
                 other.push(Duration::ZERO, Duration::ZERO, command(text), ());
-                let proposal = other.next_proposal(&self.state).expect("a proposal");
+                let proposal = other.next_proposal(&self.state).expect("no such proposal");
                 self.apply(proposal.payload);
             }
             ["deposed"] => {
-                self.commands.abandon(&Response::Redirect("10.0.0.4:80".parse().expect("an address")))
+                self.commands.abandon(&Response::Redirect("10.0.0.4:80".parse().expect("no valid address")))
             }
             _ => panic!("unknown event {event}"),
         }
     }
 
     fn commit(&mut self, name: &str, holds_lease: bool) {
-        let proposal = self.proposed.remove(&name.parse().expect("a name")).expect("a proposal");
+        let proposal = self
+            .proposed
+            .remove(&name.parse().expect("the proposal number is not a number"))
+            .expect("no such proposal");
         self.apply(proposal.payload);
         self.commands.committed(proposal.number, &self.state, holds_lease);
     }
@@ -73,7 +88,7 @@
         self.state.apply(&Entry { epoch: 1, index: self.index, payload });
     }
 
-    /// What follows, as the last column has it.
+    /// Returns the proposals and responses at `now`, in the form of the last column.
     fn results(&mut self, now: Duration) -> String {
         self.commands.expire(now);
         let mut results = Vec::new();
@@ -106,8 +121,8 @@
     let mut harness = Harness::default();
     for line in timeline.lines().map(str::trim).filter(|line| !line.is_empty()) {
         let columns: Vec<&str> = line.split('|').map(str::trim).collect();
-        let [time, sent, replicas, expected] = columns[..] else { panic!("four columns: {line}") };
-        let now = Duration::from_millis(time.parse().expect("a time"));
+        let [time, sent, replicas, expected] = columns[..] else { panic!("not four columns: {line}") };
+        let now = Duration::from_millis(time.parse().expect("the time is not a number"));
         harness.send(now, sent);
         harness.replicas(replicas);
         assert_eq!(harness.results(now), expected, "{line}");
@@ -177,7 +192,7 @@
 
 #[test]
 fn a_command_that_an_earlier_entry_made_void_is_not_acknowledged() {
-    // Another primary's entry is applied between the decision and the commit.
+    // An entry of another primary is applied after the command was decided and before it is committed.
     play(
         "
            0 | 0>5 |             | proposed 1
@@ -236,7 +251,8 @@
 
 #[test]
 fn an_evacuation_that_was_held_up_does_not_undo_a_later_command() {
-    // It began, ended, and the first command comes once more out of a thread that stood still.
+    // A zone's evacuation is started and ended. Another start command, which was received before the end
+    // command, then reaches the queue late, because its thread did not run.
     play(
         "  0 | +a    |          | proposed 1
           10 |       | commit 1 | +a acknowledged
@@ -249,7 +265,8 @@
           80 | +a    |          | proposed 4
           90 |       | commit 4 | +a acknowledged",
     );
-    // The end found nothing to end, and holds all the same; as does one whose outcome is unknown.
+    // A command is recorded as the latest one for its zone even if it changes nothing, like `-a`, or if its
+    // outcome is unknown, like `+b`.
     play(
         "  0 | -a         |                | -a acknowledged
           10 | +b         |                | proposed 1
--- a/crates/quillpulley/tests/control/compatibility.rs
+++ b/crates/quillpulley/tests/control/compatibility.rs
@@ -1,8 +1,9 @@
-//! What earlier releases stored can be read, and responses are those of earlier releases, to the byte.
+//! Tests that data stored by an earlier release can be read, and that responses are identical to those of the
+//! earlier release, byte for byte.
 //!
-//! The folder `fixtures/data-folder` was written by the program at commit 0b0971f, started as the only control
-//! process of a new system: 280 configurations and 62 evacuations or ends of one. The files in `fixtures/answers` are
-//! what it then answered.
+//! The folder `fixtures/data-folder` was written by the program at commit 0b0971f, which ran as the only control
+//! node of a new system. It contains 280 configurations and 62 starts or ends of an evacuation. The files in
+//! `fixtures/answers` are the responses of that program afterwards.
 
 use crate::cluster::TIMEOUT;
 use quillpulley::control::replica_host::storage_thread::StorageThread;
@@ -15,38 +16,42 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// The address that the stored view names.
+/// The address of the control node in the stored view.
 const ADDRESS: Ipv4Addr = Ipv4Addr::new(127, 251, 0, 1);
 const CONTROL_PORT: u16 = 8166;
 const DIRECTORY_PORT: u16 = 8164;
 const LAST_VERSION: u64 = 280;
-/// How often a process that is starting is called.
+/// Time between two requests to a process that is starting.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 fn fixtures() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures")
 }
 
-/// A copy of the stored folder, which is removed at the end of its test.
+/// A copy of the stored folder, which is removed when it is dropped.
 struct DataFolder(PathBuf);
 
 impl DataFolder {
     fn copy(name: &str) -> Self {
         let folder = std::env::temp_dir().join(format!("quillpulley-stored-{}-{name}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
-        for file in std::fs::read_dir(fixtures().join("data-folder")).expect("the fixtures") {
-            let file = file.expect("a fixture");
-            std::fs::copy(file.path(), folder.join(file.file_name())).expect("a copy");
+        std::fs::create_dir_all(&folder).expect("cannot create the folder");
+        for file in std::fs::read_dir(fixtures().join("data-folder")).expect("cannot list the fixtures") {
+            let file = file.expect("cannot read the fixture");
+            std::fs::copy(file.path(), folder.join(file.file_name())).expect("cannot copy the fixture");
         }
         DataFolder(folder)
     }
 
-    /// Names and contents of its files.
+    /// Returns the paths and contents of its files, in the order of the paths.
     fn contents(&self) -> Vec<(PathBuf, Vec<u8>)> {
-        let files = std::fs::read_dir(&self.0).expect("the folder");
-        let mut paths: Vec<PathBuf> = files.map(|file| file.expect("a file").path()).collect();
+        let files = std::fs::read_dir(&self.0).expect("cannot list the folder");
+        let mut paths: Vec<PathBuf> =
+            files.map(|file| file.expect("cannot list the folder").path()).collect();
         paths.sort();
-        paths.into_iter().map(|path| (path.clone(), std::fs::read(path).expect("a file"))).collect()
+        paths
+            .into_iter()
+            .map(|path| (path.clone(), std::fs::read(path).expect("cannot read the file")))
+            .collect()
     }
 }
 
@@ -62,7 +67,7 @@
     )
 }
 
-/// The control process of a copy of the folder.
+/// A control process that runs on a copy of the stored folder.
 struct Control {
     process: Child,
     _folder: DataFolder,
@@ -79,10 +84,10 @@
              [FaultTolerance]\nMachines = 0\nZones = 0\nRegions = 0\n",
             folder.0.display()
         );
-        std::fs::write(&settings, text).expect("a settings file");
+        std::fs::write(&settings, text).expect("cannot write the settings file");
         let mut command = Command::new(env!("CARGO_BIN_EXE_quillpulley"));
         command.arg("control").env("QUILLPULLEY_CONFIG", &settings).stderr(Stdio::null());
-        let process = command.spawn().expect("the program starts");
+        let process = command.spawn().expect("cannot start the program");
         Control { process, _folder: folder }
     }
 }
@@ -94,13 +99,13 @@
     }
 }
 
-/// The whole answer to a call; none while nobody listens.
+/// Returns the complete response to a request; `None` if the connection is refused.
 fn exchange(port: u16, request: &str) -> Option<String> {
     let mut stream = TcpStream::connect(SocketAddr::from((ADDRESS, port))).ok()?;
-    stream.set_read_timeout(Some(TIMEOUT)).expect("a timeout");
-    stream.write_all(request.as_bytes()).expect("a request sent");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("cannot set the timeout");
+    stream.write_all(request.as_bytes()).expect("cannot send the request");
     let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("an answer");
+    stream.read_to_string(&mut answer).expect("cannot read the response");
     Some(answer)
 }
 
@@ -114,36 +119,36 @@
 }
 
 fn stored_answer(name: &str) -> String {
-    std::fs::read_to_string(fixtures().join("answers").join(name)).expect("a stored answer")
+    std::fs::read_to_string(fixtures().join("answers").join(name)).expect("cannot read the stored response")
 }
 
 #[test]
 fn a_folder_of_an_earlier_release_holds_the_same_state() {
     let folder = DataFolder::copy("state");
     let before = folder.contents();
-    let (_disk, recovered) = StorageThread::open(folder.0.clone(), drop).expect("a readable folder");
-    let record = recovered.record.expect("a witness record");
+    let (_disk, recovered) = StorageThread::open(folder.0.clone(), drop).expect("cannot open the folder");
+    let record = recovered.record.expect("no witness record");
     assert_eq!((record.incarnation, record.promised, record.promised_to.address()), (0, 1, ADDRESS));
-    let view = record.accepted.as_ref().expect("a view");
+    let view = record.accepted.as_ref().expect("no view");
     assert_eq!((view.epoch, view.primary.address(), view.activated), (1, ADDRESS, true));
-    let (last, snapshot) = recovered.snapshot.expect("a snapshot");
+    let (last, snapshot) = recovered.snapshot.expect("no snapshot");
     assert_eq!((last.epoch, last.index, recovered.entries.len()), (1, 257, 86));
 
     let mut state = ControlState::default();
-    state.restore(&snapshot).expect("a readable snapshot");
-    assert_eq!(state.snapshot(), snapshot, "a snapshot is written with the same bytes");
+    state.restore(&snapshot).expect("cannot restore the snapshot");
+    assert_eq!(state.snapshot(), snapshot, "the snapshot is not written with the same bytes");
     recovered.entries.iter().for_each(|entry| state.apply(entry));
     assert_eq!(state.version(), LAST_VERSION);
     assert_eq!(state.body(), Some(body(LAST_VERSION).as_bytes()));
     assert_eq!(state.evacuated_zones().collect::<Vec<_>>(), EVACUATED);
     let record = encode_value(&record);
-    let slots = std::fs::read(folder.0.join("record.slots")).expect("the record");
+    let slots = std::fs::read(folder.0.join("record.slots")).expect("cannot read the record");
     let is_written_so = slots.windows(record.len()).any(|window| window == record);
-    assert!(is_written_so, "a witness record is written with the same bytes");
-    assert_eq!(folder.contents(), before, "opening a sound folder changes nothing");
+    assert!(is_written_so, "the witness record is not written with the same bytes");
+    assert_eq!(folder.contents(), before, "opening an undamaged folder changed it");
 }
 
-/// The zones whose evacuation was begun and not ended.
+/// The zones that are being evacuated in the stored state.
 const EVACUATED: [&str; 4] = ["zone-0", "zone-1", "zone-3", "zone-5"];
 
 #[test]
@@ -156,7 +161,7 @@
             Some(answer) => break answer,
             None => std::thread::sleep(RETRY_INTERVAL),
         }
-        assert!(started.elapsed() < TIMEOUT, "the process does not answer");
+        assert!(started.elapsed() < TIMEOUT, "the process did not answer in time");
     };
     assert_eq!(first, stored_answer("config-get.http"));
     let cases = [
@@ -171,7 +176,7 @@
     for (name, request) in cases {
         assert_eq!(exchange(CONTROL_PORT, &request), Some(stored_answer(name)), "{name}");
     }
-    // The restarted process has been elected once more.
+    // The process has been elected again after its restart.
     let status = stored_answer("control-status.http").replace("\"Epoch\":1", "\"Epoch\":2");
     assert_eq!(exchange(CONTROL_PORT, &request("GET", "/v1/Control.Status", "", "")), Some(status));
     let resolve = "/v1/resolve?Name=x&Region=region-0&Zone=zone-0";
@@ -189,11 +194,11 @@
 fn a_folder_that_cannot_be_read_is_named_with_the_remedy_and_not_changed() {
     let folder = DataFolder::copy("damaged");
     let segment = folder.0.join("log-000000-000000000001.segment");
-    let mut bytes = std::fs::read(&segment).expect("the segment");
+    let mut bytes = std::fs::read(&segment).expect("cannot read the segment");
     bytes[60_000] ^= 0xff;
-    std::fs::write(&segment, bytes).expect("a damaged segment");
+    std::fs::write(&segment, bytes).expect("cannot write the segment");
     let before = folder.contents();
-    let error = StorageThread::open(folder.0.clone(), drop).err().expect("an error").to_string();
+    let error = StorageThread::open(folder.0.clone(), drop).err().expect("the folder was opened").to_string();
     assert!(error.contains("log-000000-000000000001.segment is damaged at byte"), "{error}");
     assert!(error.contains("empty the data folder, so that this machine joins as a new one"), "{error}");
     assert_eq!(folder.contents(), before);
--- a/crates/quillpulley/tests/control/directory.rs
+++ b/crates/quillpulley/tests/control/directory.rs
@@ -1,4 +1,4 @@
-//! The directory: the addresses that a client gets.
+//! Tests of the directory: the addresses that a client gets.
 
 use crate::api::send_raw;
 use quickcheck::{Arbitrary, Gen};
@@ -11,10 +11,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A proxy as `name zone region state`.
+/// Parses a proxy, written as `NAME ZONE REGION STATE`. The state is `starting`, `ready` or `leaving`
+/// (draining).
 fn endpoint(text: &str) -> ProxyEndpoint {
     let [name, zone, region, state] = text.split(' ').collect::<Vec<_>>()[..] else {
-        panic!("four words: {text}")
+        panic!("not four words: {text}")
     };
     ProxyEndpoint {
         name: name.to_string(),
@@ -37,10 +38,10 @@
     Directory { endpoints, coverage: Coverage::All, homes: Arc::default() }
 }
 
-/// The homes of routes as `host:home+home`; nothing after the colon where there are none.
+/// Parses routes, written as `HOST:HOME+HOME` with their home regions; a route without home regions is `HOST:`.
 fn homes(routes: &str) -> Arc<HomeTable> {
     let route = |text: &str| {
-        let (host, homes) = text.split_once(':').expect("homes");
+        let (host, homes) = text.split_once(':').expect("the homes are missing");
         let homes = homes.split('+').filter(|home| !home.is_empty()).map(str::to_string);
         (host.to_string(), homes.collect::<Vec<_>>())
     };
@@ -99,7 +100,7 @@
     let endpoints = directory(&["f1 a west starting", "f2 b east leaving"]);
     let known = Directory { homes: homes("h:"), ..endpoints.clone() };
     assert_eq!(chosen(&known, "a", "west"), "f1 f2");
-    // Without a configuration any request may have homes.
+    // Without a configuration it is unknown which requests have home regions.
     assert_eq!(chosen(&endpoints, "a", "west"), "f1");
     assert_eq!(chosen(&endpoints, "c", "north"), "f1 f2");
     assert_eq!(chosen(&directory(&[]), "a", "west"), "");
@@ -123,28 +124,29 @@
 
 const THREE_REGIONS: [&str; 4] = ["e a east ready", "w b west ready", "x b west ready", "n c north ready"];
 
-/// Where a client of east is sent, by the routes of its host and whether its proxies prefer west.
+/// Each case has the routes, the regions that the proxy in east prefers, and the proxies to which a client of
+/// host `h` in east is sent.
 #[test]
 fn clients_are_led_only_to_common_homes_of_the_routes_of_their_host() {
     let table = [
-        // All its routes have their homes elsewhere: nobody has to count.
+        // All routes of the host have their home regions elsewhere: the preference of the proxy does not count.
         ("h:west", "", "w x"),
         ("h:west+north", "", "w x n"),
         ("h:west+north h:west", "", "w x"),
         ("h:west+north h:west", "north", "w x"),
-        // No region is a home of all.
+        // No region is a home region of all routes that have one.
         ("h:west h:north", "west", "e"),
         ("h:west h:north h:", "west north", "e"),
-        // Some of its requests may be served here: the proxies count, within the common homes.
+        // Some requests may be served in east: the preference counts, but only for common home regions.
         ("h:west h:", "", "e"),
         ("h:west h:", "west", "w x"),
         ("h:west h:", "north", "e"),
         ("h:west+north h:", "west", "w x"),
         ("h:west+north h:east", "west north", "e"),
-        // All of them may be.
+        // All requests may be served in east.
         ("h:", "west", "e"),
         ("h:east+west h:", "west", "e"),
-        // Other hosts do not matter, unless no route is known for this one.
+        // The routes of other hosts count only if no route is known for this host.
         ("h: g:west", "west", "e"),
         ("g:west", "", "w x"),
         ("g:west i:north", "west north", "e"),
@@ -156,19 +158,20 @@
     }
 }
 
-/// All proxies of a region are restarted at the same time: its clients are sent to a home, and not anywhere.
+/// All proxies of a region drain because they are restarted at the same time. Clients of a host with home
+/// regions are then sent only to one of those regions.
 #[test]
 fn a_region_all_of_whose_proxies_drain_sends_home_bound_clients_to_other_homes() {
     let mut known = directory(&["e a east leaving", "f a east leaving", "w b west ready", "n c north ready"]);
     known.homes = homes("h:east+west g: i:east");
     assert_eq!(chosen_for(&known, "h", "a", "east"), "w");
     assert_eq!(chosen_for(&known, "g", "a", "east"), "w n");
-    assert_eq!(chosen_for(&known, "i", "a", "east"), "e f", "there is no other home");
+    assert_eq!(chosen_for(&known, "i", "a", "east"), "e f", "there is no other home region");
 
     known.endpoints[2] = endpoint("w b west starting");
     assert_eq!(chosen_for(&known, "h", "a", "east"), "e f w");
     known.endpoints.retain(|endpoint| endpoint.region == "north");
-    assert_eq!(chosen_for(&known, "h", "a", "east"), "n", "no front is left in any home");
+    assert_eq!(chosen_for(&known, "h", "a", "east"), "n", "no proxy is left in any home region");
 }
 
 #[test]
@@ -189,7 +192,7 @@
     assert_eq!(chosen(&known(Coverage::All), "a", "east"), "n");
 }
 
-/// The proxies of a region that is cut off cannot reach the servers elsewhere either.
+/// The proxies of a partitioned region cannot reach the servers of other regions either.
 #[test]
 fn disconnected_clients_who_are_served_better_elsewhere_are_sent_elsewhere() {
     let mut known = Directory { homes: homes("h:west g:east i:west i:"), ..directory(&["e a east ready"]) };
@@ -200,10 +203,10 @@
     known.endpoints[0].preferred_regions = vec!["west".to_string()];
     assert_eq!(chosen_for(&known, "i", "a", "east"), "");
     known.coverage = Coverage::All;
-    assert_eq!(chosen_for(&known, "h", "a", "east"), "e", "all fronts of the homes are lost");
+    assert_eq!(chosen_for(&known, "h", "a", "east"), "e", "all proxies of the home regions are lost");
 }
 
-/// Any proxies, routes of a few hosts, and what the directory knows.
+/// A random directory, and the routes from which its home regions were computed.
 #[derive(Clone, Debug)]
 struct AnyDirectory {
     directory: Directory,
@@ -219,9 +222,10 @@
 }
 
 fn any_endpoint(random: &mut Gen, number: usize) -> ProxyEndpoint {
-    let region = *random.choose(&REGIONS).expect("a region");
-    let zone = format!("{region}-{}", random.choose(&["a", "b"]).expect("a zone"));
-    let state = random.choose(&["starting", "ready", "ready", "ready", "leaving"]).expect("a state");
+    let region = *random.choose(&REGIONS).expect("no region to choose from");
+    let zone = format!("{region}-{}", random.choose(&["a", "b"]).expect("no zone to choose from"));
+    let state =
+        random.choose(&["starting", "ready", "ready", "ready", "leaving"]).expect("no state to choose from");
     let mut preferred_regions = some_regions(random);
     preferred_regions.retain(|preferred| preferred != region);
     ProxyEndpoint { preferred_regions, ..endpoint(&format!("f{number} {zone} {region} {state}")) }
@@ -232,9 +236,9 @@
         let count = usize::arbitrary(random) % 10;
         let endpoints = (0..count).map(|number| any_endpoint(random, number)).collect();
         let coverages = [Coverage::TooFew, Coverage::Settling, Coverage::All, Coverage::OwnReports];
-        let coverage = *random.choose(&coverages).expect("a coverage");
+        let coverage = *random.choose(&coverages).expect("no coverage to choose from");
         let count = usize::arbitrary(random) % 5;
-        let host = |random: &mut Gen| random.choose(&HOSTS[..2]).expect("a host").to_string();
+        let host = |random: &mut Gen| random.choose(&HOSTS[..2]).expect("no host to choose from").to_string();
         let routes: Vec<_> = (0..count).map(|_| (host(random), some_regions(random))).collect();
         let homes = HomeTable::new(routes.iter().map(|(host, homes)| (host.as_str(), homes.as_slice())));
         AnyDirectory { directory: Directory { endpoints, coverage, homes: Arc::new(homes) }, routes }
@@ -242,18 +246,19 @@
 }
 
 impl AnyDirectory {
-    /// The regions of the proxies that a client gets.
+    /// Returns the regions of the proxies that a client of `host` in `region` gets.
     fn listed_regions(&self, host: &str, region: &str) -> Vec<String> {
         let locality = Locality { zone: format!("{region}-a"), region: region.to_string() };
         let addresses = self.directory.choose(host, &locality);
         let region_of = |address: &String| {
             let endpoint = self.directory.endpoints.iter().find(|endpoint| endpoint.address == *address);
-            endpoint.expect("a known front").region.clone()
+            endpoint.expect("an unknown proxy").region.clone()
         };
         addresses.iter().map(region_of).collect()
     }
 
-    /// Whether a proxy is known in the client's region or in a home of all routes of the host that have homes.
+    /// Returns whether a proxy is known in the client's region, or in a home region of every route of the host that
+    /// has home regions.
     fn has_endpoints_for(&self, host: &str, region: &str) -> bool {
         let routes = self.routes.iter().filter(|(of, homes)| of == host && !homes.is_empty());
         let homes: Vec<_> = routes.map(|(_, homes)| homes).collect();
@@ -264,8 +269,9 @@
     }
 }
 
-/// However the demand is spread over routes and regions, none of it that has homes lands in a third region, as long
-/// as a proxy is known in the client's region or in a common home, or not all proxies can be known yet.
+/// A client of a host with home regions is never sent to a region that is neither its own nor a home region of
+/// each such route. The exception is a directory that knows all proxies, none of which is in the client's region or
+/// in a common home region.
 #[test]
 fn no_request_with_homes_is_led_to_a_third_region() {
     fn holds(any: AnyDirectory) -> bool {
@@ -302,21 +308,21 @@
     let config = ureq::Agent::config_builder().http_status_as_error(false);
     let config = config.timeout_global(Some(Duration::from_secs(10))).build();
     let agent = ureq::Agent::new_with_config(config);
-    let mut response = agent.get(format!("http://{address}{path}")).call().expect("an answer");
+    let mut response = agent.get(format!("http://{address}{path}")).call().expect("no response");
     let retry_after = response.headers().get("Retry-After").and_then(|value| value.to_str().ok());
     HttpResponse {
         status: response.status().as_u16(),
         retry_after: retry_after.map(str::to_string),
-        body: response.body_mut().read_to_vec().expect("a body"),
+        body: response.body_mut().read_to_vec().expect("cannot read the body"),
     }
 }
 
 #[test]
 fn clients_ask_over_http() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a socket");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind the socket");
+    let address = listener.local_addr().expect("no valid address");
     let board = DirectoryHandle::default();
-    directory::serve(listener, board.clone(), 1.5).expect("a server");
+    directory::serve(listener, board.clone(), 1.5).expect("cannot start the server");
 
     let unknown = ask(address, "/v1/resolve?Name=x&Region=west&Zone=a");
     assert_eq!((unknown.status, unknown.retry_after.as_deref()), (503, Some("0.2")));
@@ -332,9 +338,13 @@
     });
     let mut response = ask(address, "/v1/resolve?Name=x&Region=west&Zone=a%20b");
     assert_eq!(response.status, 200);
-    let answer = simd_json::to_owned_value(&mut response.body).expect("JSON");
-    let addresses: Vec<&str> =
-        answer.get_array("Addresses").expect("addresses").iter().filter_map(|value| value.as_str()).collect();
+    let answer = simd_json::to_owned_value(&mut response.body).expect("the body is not JSON");
+    let addresses: Vec<&str> = answer
+        .get_array("Addresses")
+        .expect("the addresses are missing")
+        .iter()
+        .filter_map(|value| value.as_str())
+        .collect();
     assert_eq!(addresses, ["f1", "f2"]);
     assert_eq!(answer.get("TtlS").and_then(|value| value.cast_f64()), Some(1.5));
 
@@ -342,7 +352,7 @@
         "GET /v1/resolve?Name=x&Region=west&Zone=a%20b HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
     let expected = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 36\r\n\
                     Connection: close\r\n\r\n{\"Addresses\":[\"f1\",\"f2\"],\"TtlS\":1.5}";
-    assert_eq!(send_raw(address, request), expected, "the bytes of the program at commit 0b0971f");
+    assert_eq!(send_raw(address, request), expected, "not the bytes of the program at commit 0b0971f");
 
     assert_eq!(ask(address, "/v1/other").status, 404);
 }
--- a/crates/quillpulley/tests/control/directory_staleness.rs
+++ b/crates/quillpulley/tests/control/directory_staleness.rs
@@ -1,6 +1,8 @@
-//! How long a proxy that has failed is still listed by directories, in virtual time: three control nodes in three
-//! regions, each with two agents, the real relay tree, publisher and view, and no monitors at all. What takes a
-//! proxy out of the answers here is silence alone; monitors only make it sooner.
+//! Tests how long directories still list a proxy that has failed, in virtual time.
+//!
+//! The system has three control nodes in three regions, each with two agents. The relay tree, the endpoint registry
+//! and the directory builder are the real ones. There are no monitors, which would only remove a proxy sooner:
+//! here a proxy is removed only because it is no longer reported.
 
 #[path = "directory_staleness/system.rs"]
 mod system;
@@ -9,14 +11,14 @@
 use std::time::Duration;
 use system::{agent, ms, State, System, AGENTS, CONTROL_NODES, TICK};
 
-/// The time for reports of an agent and of its control node to reach the primary.
+/// Time in which a report of an agent reaches the primary by way of the agent's control node.
 const REPORTED: Duration = Duration::from_millis(650);
 
 const ALL: [usize; CONTROL_NODES] = [0, 1, 2];
 
 #[track_caller]
 fn assert_within(time: u128, from: u128, to: u128) {
-    assert!((from..=to).contains(&time), "{time} ms is not from {from} to {to}");
+    assert!((from..=to).contains(&time), "{time} ms is not between {from} and {to} ms");
 }
 
 #[test]
@@ -56,8 +58,12 @@
     let mut system = System::stable();
     system.partitioned_region = Some(2);
     assert_within(system.time_until_delisted(&[0, 1, 2, 3], &[2]), 2_800, 3_100);
-    assert_eq!(system.listed(2), ["front-4", "front-5"], "it goes on with those that report to it");
-    assert_eq!(system.listed(0).len(), AGENTS - 2, "which the others do not tell any more");
+    assert_eq!(system.listed(2), ["front-4", "front-5"], "only the proxies that report to it are listed");
+    assert_eq!(
+        system.listed(0).len(),
+        AGENTS - 2,
+        "the proxies of the partitioned region are not listed elsewhere"
+    );
     system.heal();
     system.run(ms(4_000));
     assert!(ALL.iter().all(|control_node| system.listed(*control_node).len() == AGENTS));
@@ -73,7 +79,7 @@
         assert_within(system.time_until_delisted(&[4], &[2]), from, to);
         system.fail(agent(5), state);
         system.time_until_delisted(&[5], &[2]);
-        assert!(system.listed(2).is_empty(), "nobody reports: 503");
+        assert!(system.listed(2).is_empty(), "a proxy is listed although none reports");
     }
 }
 
@@ -115,15 +121,16 @@
     }
 }
 
-/// The longest times for which a proxy that is gone may be listed, and after an election or the beginning of a
-/// partition.
+/// Maximum time for which a failed proxy may be listed.
 const BOUND: Duration = Duration::from_millis(3_700);
+/// Time after an election or the start of a partition during which a failed proxy may be listed in any case.
 const AFTER_ELECTION_OR_PARTITION: Duration = Duration::from_millis(3_200);
 
-/// What happens in a random run at most.
+/// Maximum number of steps of a random run.
 const MAX_STEPS: usize = 30;
 
-/// Steps of a number for what happens, one for whom, and one for the time until the next.
+/// Plays a random run. Each step consists of a number that selects the event, one that selects the node or region,
+/// and the number of ticks (modulo 60) until the next step. Returns whether no failed proxy was listed too long.
 fn play_random(steps: Vec<(u8, u8, u8)>) -> bool {
     let mut system = System::stable();
     let mut lost_since: [Option<Duration>; AGENTS] = [None; AGENTS];
--- a/crates/quillpulley/tests/control/directory_staleness/system.rs
+++ b/crates/quillpulley/tests/control/directory_staleness/system.rs
@@ -1,4 +1,4 @@
-//! Three control nodes with their directories and six agents, in virtual time.
+//! A simulation in virtual time of three control nodes with their directories, and six agents.
 
 use quillpulley::control::directory::builder::{DirectoryBuilder, DirectoryInputs};
 use quillpulley::control::directory::{Coverage, Directory};
@@ -10,10 +10,11 @@
 
 pub(super) const CONTROL_NODES: usize = 3;
 pub(super) const AGENTS: usize = 6;
-/// How often processes look at what time has changed.
+/// Time between two ticks of each process.
 pub(super) const TICK: Duration = Duration::from_millis(50);
 pub(super) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
-/// An agent without news for this long tries another parent.
+/// Time after which a node without fresh state gives up its parent: an agent tries another control node, and a
+/// control node subscribes to the primary again.
 pub(super) const SEARCH_AFTER: Duration = Duration::from_secs(1);
 
 pub(super) fn ms(time: u64) -> Duration {
@@ -31,9 +32,9 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum State {
     Running,
-    /// Frozen or without power: its links say nothing.
+    /// Suspended or without power: its links stay open, but carry no messages.
     Unresponsive,
-    /// Killed: its links are closed.
+    /// Killed: its links have been closed.
     Ended,
 }
 
@@ -43,7 +44,7 @@
     pub(super) region: usize,
     pub(super) parent: Option<usize>,
     pub(super) parent_since: Duration,
-    /// Of control nodes.
+    /// The directory builder, which is used only by control nodes.
     pub(super) view: DirectoryBuilder,
     pub(super) directory: Directory,
     pub(super) dirty: bool,
@@ -83,7 +84,7 @@
 }
 
 impl System {
-    /// All are up and known everywhere; the primary is the control node of region 0.
+    /// Returns a system in which all nodes run and every directory lists all proxies. Control node 0 is the primary.
     pub(super) fn stable() -> Self {
         let now = Duration::ZERO;
         let nodes = (0..CONTROL_NODES + AGENTS).map(|number| Node::new(number, now)).collect();
@@ -93,7 +94,7 @@
         system.run(ms(10_000));
         let listed: Vec<Vec<String>> =
             (0..CONTROL_NODES).map(|control_node| system.listed(control_node)).collect();
-        assert!(listed.iter().all(|listed| listed.len() == AGENTS), "all are known: {listed:?}");
+        assert!(listed.iter().all(|listed| listed.len() == AGENTS), "not all proxies are listed: {listed:?}");
         system
     }
 
@@ -152,7 +153,7 @@
         }
     }
 
-    /// What a cut held up is lost: the links across it are made anew.
+    /// Ends the partition. Messages that it blocked are lost, and the links across it are closed and opened again.
     pub(super) fn heal(&mut self) {
         let Some(region) = self.partitioned_region else { return };
         for node in 0..self.nodes.len() {
@@ -168,7 +169,7 @@
         self.partitioned_region = None;
     }
 
-    /// A process starts anew and knows nothing.
+    /// Restarts a process, which loses its state.
     pub(super) fn restart(&mut self, node: usize) {
         self.fail(node, State::Ended);
         self.nodes[node] = Node::new(node, self.now);
@@ -241,7 +242,8 @@
         }
     }
 
-    /// Control nodes follow the primary; agents the control node of their region, or in turn the others.
+    /// Chooses the parent of a node: the primary for control nodes, and for agents the control node of their region or
+    /// else the others in turn.
     pub(super) fn find_parent(&mut self, node: usize) {
         let current = self.nodes[node].parent;
         let lately = self.now < self.nodes[node].parent_since + SEARCH_AFTER;
@@ -297,7 +299,8 @@
         }
     }
 
-    /// The proxies that the directory of a control node may tell, with those that leave in brackets.
+    /// Returns the names of the proxies that the directory of a control node knows, with draining ones in
+    /// parentheses; none if it knows too few to answer.
     pub(super) fn listed(&self, control_node: usize) -> Vec<String> {
         let directory = &self.nodes[control_node].directory;
         if self.nodes[control_node].state != State::Running || directory.coverage == Coverage::TooFew {
@@ -314,7 +317,8 @@
         control_nodes.iter().any(|control_node| self.listed(*control_node).contains(&name(number)))
     }
 
-    /// How long these directories go on telling any of these proxies.
+    /// Runs the system for 20 s. Returns the time in milliseconds after which none of these directories listed any
+    /// of these proxies any more.
     pub(super) fn time_until_delisted(&mut self, numbers: &[usize], control_nodes: &[usize]) -> u128 {
         let (start, mut last) = (self.now, self.now);
         for _ in 0..400 {
--- a/crates/quillpulley/tests/control/directory_view.rs
+++ b/crates/quillpulley/tests/control/directory_view.rs
@@ -1,4 +1,5 @@
-//! The directory's view of the published state and of the reports to its control node.
+//! Tests of the directory builder, which combines the published proxies with those that report to its control
+//! node.
 
 use quillpulley::control::directory::builder::{DirectoryBuilder, DirectoryInputs};
 use quillpulley::control::directory::{Coverage, Directory};
@@ -7,9 +8,10 @@
 use quillpulley_state_sync::{Change, Event, Options, SubtreeState, SyncNode};
 use std::time::Duration;
 
-/// A proxy as its name, its state and its incarnation: `f:r1`.
+/// Parses a proxy, written as its name, its state (`s`tarting, `r`eady or `l`eaving, that is, draining) and its
+/// incarnation: `f:r1`.
 fn endpoint(text: &str) -> ProxyEndpoint {
-    let (name, rest) = text.split_once(':').expect("a state");
+    let (name, rest) = text.split_once(':').expect("the state is missing");
     let (state, incarnation) = rest.split_at(1);
     ProxyEndpoint {
         name: name.to_string(),
@@ -22,7 +24,7 @@
             "r" => EndpointState::Ready,
             _ => EndpointState::Draining,
         },
-        incarnation: incarnation.parse().expect("a life"),
+        incarnation: incarnation.parse().expect("the incarnation is not a number"),
         preferred_regions: Vec::new(),
     }
 }
@@ -36,8 +38,9 @@
     format!("{}:{state}{}", endpoint.name, endpoint.incarnation)
 }
 
-/// What a view reports with these proxies published, the latest revision of which came at `moved`, and these reported.
-/// Reports are written as proxies, and as `!f:m,n` where `m` and `n` cannot reach `f`.
+/// The inputs of a directory builder at `now`. The published state last advanced at `moved`; both are in
+/// milliseconds. Proxies are written as for [`endpoint`]; `!f:m,n` among the reports means that the monitors `m` and
+/// `n` suspect the proxy `f`.
 struct Moment<'a> {
     now: u64,
     moved: u64,
@@ -51,7 +54,7 @@
     let (suspicions, endpoints): (Vec<&str>, Vec<&str>) =
         text.split_whitespace().partition(|entry| entry.starts_with('!'));
     let suspicion = |text: &str| {
-        let (suspect, monitors) = text[1..].split_once(':').expect("monitors");
+        let (suspect, monitors) = text[1..].split_once(':').expect("the monitors are missing");
         (suspect.to_string(), monitors.split(',').map(str::to_string).collect())
     };
     SubtreeState {
@@ -83,7 +86,7 @@
     shown.join(" ")
 }
 
-/// What is listed at a time; in brackets if it may not be all.
+/// Returns the proxies that the directory contains at `now`, in parentheses if they are too few to answer clients.
 fn listed(view: &mut DirectoryBuilder, now: u64, fresh: bool, published: &str, reported: &str) -> String {
     let moved = if fresh { now } else { 0 };
     let directory = directory(view, &Moment { now, moved, fresh, epoch: 1, published, reported });
@@ -114,9 +117,9 @@
     assert_eq!(listed(&mut view, 1000, false, "", "f:r1"), "(f:r1)");
     assert_eq!(listed(&mut view, 2499, false, "", "f:r1"), "(f:r1)");
     assert_eq!(listed(&mut view, 2500, false, "", "f:r1"), "f:r1");
-    // A proxy whose agent may be changing its parent counts for two seconds more.
+    // A proxy that is no longer reported is kept for 2 s, because its agent may be changing its parent.
     assert_eq!(listed(&mut view, 4499, false, "", ""), "f:r1");
-    // Once it knew enough it does not doubt any more.
+    // A directory that once knew enough proxies stays usable, even if it is empty.
     assert_eq!(listed(&mut view, 4500, false, "", ""), "");
 
     let mut view = DirectoryBuilder::default();
@@ -124,16 +127,20 @@
     assert_eq!(listed(&mut view, 20, true, "f:r1", ""), "f:r1");
 }
 
-/// Lines are a time in ms, when the latest revision came, `fresh` or `stale`, what is published, what is reported, and
-/// what the directory reports, with `own` before it if these are the own reports alone.
+/// Plays a timeline. Each line has six columns: the time in ms, the time at which the published state last advanced,
+/// `fresh` or `stale`, the published proxies, the reports to the control node, and the expected directory, preceded
+/// by `own` if its coverage is [`Coverage::OwnReports`].
 fn play(timeline: &str) {
     let mut view = DirectoryBuilder::default();
     for line in timeline.lines().map(str::trim).filter(|line| !line.is_empty()) {
         let columns: Vec<&str> = line.split('|').map(str::trim).collect();
         let [now, moved, freshness, published, reported, expected] = columns[..] else {
-            panic!("six columns: {line}")
+            panic!("not six columns: {line}")
         };
-        let (now, moved) = (now.parse().expect("a time"), moved.parse().expect("a time"));
+        let (now, moved) = (
+            now.parse().expect("the time is not a number"),
+            moved.parse().expect("the time is not a number"),
+        );
         let moment = Moment { now, moved, fresh: freshness == "fresh", epoch: 1, published, reported };
         let directory = directory(&mut view, &moment);
         let own = if directory.coverage == Coverage::OwnReports { "own " } else { "" };
@@ -232,7 +239,7 @@
         directory(&mut view, &Moment { now, moved, fresh, epoch: 1, published: "f:r1", reported: "" });
         [true, false].map(|fresh| view.depends_on_time(fresh))
     };
-    assert_eq!(is_waiting_after(0, 0, true), [true, true], "an election has just been");
+    assert_eq!(is_waiting_after(0, 0, true), [true, true], "an election has just taken place");
     assert_eq!(is_waiting_after(3000, 3000, true), [false, true]);
-    assert_eq!(is_waiting_after(4100, 3000, false), [true, true], "news are missing");
+    assert_eq!(is_waiting_after(4100, 3000, false), [true, true], "the published state is stale");
 }
--- a/crates/quillpulley/tests/control/disk.rs
+++ b/crates/quillpulley/tests/control/disk.rs
@@ -1,4 +1,4 @@
-//! The thread that owns the disk: what it stores, and that a failure is reported and not fatal.
+//! Tests of the storage thread: the data that it stores, and that it reports a failed write and continues.
 
 use crate::cluster::TIMEOUT;
 use quillpulley::control::replica_host::storage_thread::{StorageThread, WriteCompletion};
@@ -8,13 +8,13 @@
 use std::path::PathBuf;
 use std::sync::mpsc::{self, Receiver};
 
-/// A folder that is removed at the end of its test.
+/// A folder that is removed when it is dropped.
 struct TestFolder(PathBuf);
 
 impl TestFolder {
     fn new(name: &str) -> Self {
         let folder = std::env::temp_dir().join(format!("quillpulley-disk-{}-{name}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
+        std::fs::create_dir_all(&folder).expect("cannot create the folder");
         TestFolder(folder)
     }
 }
@@ -28,7 +28,7 @@
 fn open(folder: &TestFolder) -> (StorageThread, Recovered, Receiver<WriteCompletion>) {
     let (send, outcomes) = mpsc::channel();
     let deliver = move |completion| drop(send.send(completion));
-    let (disk, recovered) = StorageThread::open(folder.0.clone(), deliver).expect("a disk");
+    let (disk, recovered) = StorageThread::open(folder.0.clone(), deliver).expect("cannot open the folder");
     (disk, recovered, outcomes)
 }
 
@@ -79,11 +79,11 @@
 fn a_write_that_fails_is_reported_and_later_ones_may_succeed() {
     let folder = TestFolder::new("failure");
     let (disk, _, outcomes) = open(&folder);
-    std::fs::remove_dir_all(&folder.0).expect("a folder that is gone");
+    std::fs::remove_dir_all(&folder.0).expect("cannot remove the folder");
     let install = |index| Write::Install { last: position(index), snapshot: Vec::new(), entries: Vec::new() };
     disk.store(1, install(1));
     assert_eq!(outcomes.recv_timeout(TIMEOUT), Ok(WriteCompletion { ticket: 1, result: Err(WriteFailed) }));
-    std::fs::create_dir_all(&folder.0).expect("a folder");
+    std::fs::create_dir_all(&folder.0).expect("cannot create the folder");
     disk.store(2, install(2));
     assert_eq!(outcomes.recv_timeout(TIMEOUT), Ok(WriteCompletion { ticket: 2, result: Ok(()) }));
 }
@@ -92,7 +92,7 @@
 fn a_folder_that_is_none_cannot_be_opened() {
     let folder = TestFolder::new("file");
     let file = folder.0.join("file");
-    std::fs::write(&file, "x").expect("a file");
+    std::fs::write(&file, "x").expect("cannot write the file");
     let opened = StorageThread::open(file, |_| ());
     assert!(matches!(opened, Err(HostError::Storage(_))));
 }
--- a/crates/quillpulley/tests/control/endpoint_registry.rs
+++ b/crates/quillpulley/tests/control/endpoint_registry.rs
@@ -1,9 +1,9 @@
-//! The proxies that the primary publishes.
+//! Tests of the proxies that the primary publishes.
 //!
-//! Timelines have a line for each moment: the time in ms, what the tree reports, and what is published. A
-//! proxy is written as its name with its state, `s`tarting, `r`eady or `l`eaving, and its incarnation where it is
-//! not 1: `f:r`, `f:r2`. `!f:m` is a suspicion of the monitor `m`, and of others after commas. Published is
-//! shown likewise, `-f` for gone. A line without a report (`.`) only lets time pass.
+//! Each line of a timeline has three columns: the time in ms, the reports of the whole tree, and the expected
+//! changes. A proxy is written as its name, its state (`s`tarting, `r`eady or `l`eaving, that is, draining) and, if
+//! it is not 1, its incarnation: `f:r`, `f:r2`. `!f:m,n` means that the monitors `m` and `n` suspect the proxy
+//! `f`. Among the changes, `-f` is the removal of `f`. With `.` in place of the reports, only time passes.
 
 use quillpulley::control::distribution::endpoint_registry::EndpointRegistry;
 use quillpulley_protocol::{decode_value, encode_value, EndpointState, ProxyEndpoint, ProxyEndpointRef};
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 fn endpoint(text: &str) -> ProxyEndpoint {
-    let (name, rest) = text.split_once(':').expect("a state");
+    let (name, rest) = text.split_once(':').expect("the state is missing");
     let (state, incarnation) = rest.split_at(1);
     ProxyEndpoint {
         name: name.to_string(),
@@ -26,7 +26,11 @@
             "l" => EndpointState::Draining,
             other => panic!("unknown state {other}"),
         },
-        incarnation: if incarnation.is_empty() { 1 } else { incarnation.parse().expect("a life") },
+        incarnation: if incarnation.is_empty() {
+            1
+        } else {
+            incarnation.parse().expect("the incarnation is not a number")
+        },
         preferred_regions: Vec::new(),
     }
 }
@@ -35,7 +39,7 @@
     let (suspicions, endpoints): (Vec<&str>, Vec<&str>) =
         text.split_whitespace().partition(|entry| entry.starts_with('!'));
     let suspicion = |text: &str| {
-        let (suspect, monitors) = text[1..].split_once(':').expect("monitors");
+        let (suspect, monitors) = text[1..].split_once(':').expect("the monitors are missing");
         (suspect.to_string(), monitors.split(',').map(str::to_string).collect())
     };
     let endpoints = endpoints.into_iter().map(endpoint);
@@ -48,9 +52,10 @@
 
 fn show(change: &Change) -> String {
     let Some(value) = &change.value else {
-        return format!("-{}", change.key.strip_prefix("front/").expect("a front"));
+        return format!("-{}", change.key.strip_prefix("front/").expect("not the key of a proxy"));
     };
-    let endpoint: ProxyEndpoint = decode_value::<ProxyEndpointRef, ProxyEndpoint>(value).expect("a front");
+    let endpoint: ProxyEndpoint =
+        decode_value::<ProxyEndpointRef, ProxyEndpoint>(value).expect("not an encoded proxy");
     let state = match endpoint.state {
         EndpointState::Starting => "s",
         EndpointState::Ready => "r",
@@ -64,9 +69,9 @@
 fn play(mut endpoints: EndpointRegistry, timeline: &str) {
     for line in timeline.lines().map(str::trim).filter(|line| !line.is_empty()) {
         let mut columns = line.split('|').map(str::trim);
-        let mut column = || columns.next().expect("three columns");
+        let mut column = || columns.next().expect("fewer than three columns");
         let (time, reported, expected) = (column(), column(), column());
-        let now = Duration::from_millis(time.parse().expect("a time"));
+        let now = Duration::from_millis(time.parse().expect("the time is not a number"));
         let changes = match reported {
             "." => endpoints.tick(now),
             reported => endpoints.update(now, &tree(reported)),
--- a/crates/quillpulley/tests/control/expired_lease.rs
+++ b/crates/quillpulley/tests/control/expired_lease.rs
@@ -1,4 +1,5 @@
-//! Responses of a process that was frozen between the decision and the writing.
+//! Tests of responses whose lease expires because the process is suspended after a response was decided and
+//! before it is written.
 
 use crate::api::{call, send, HttpResponse};
 use quillpulley::control::api::{self, Faults};
@@ -11,31 +12,31 @@
 use std::time::Duration;
 
 const TIMEOUT: Duration = Duration::from_secs(10);
-/// The end of the lease under which all answers here are decided, in milliseconds.
+/// The end of the lease under which all responses of these tests are decided, in milliseconds.
 const LEASE_END_MS: u64 = 810;
 
-/// What a caller gets whose answer was decided at 0 and is written at `written_at_ms`.
+/// Returns the response that a caller gets if `answer` is decided at 0 ms and written at `written_at_ms`.
 fn written_at(written_at_ms: u64, faults: Faults, answer: Response) -> HttpResponse {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a socket");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind the socket");
+    let address = listener.local_addr().expect("no valid address");
     let milliseconds = Arc::new(AtomicU64::new(0));
     let shown = milliseconds.clone();
     let clock = Clock::from_fn(move || Duration::from_millis(shown.load(Ordering::SeqCst)));
     let (deliver, requests) = mpsc::channel();
     let deliver = move |call| deliver.send(call).map_err(|rejected| rejected.0);
-    api::serve_with_faults(listener, clock, faults, deliver).expect("a server");
+    api::serve_with_faults(listener, clock, faults, deliver).expect("cannot start the server");
     let caller = std::thread::spawn(move || send(address, &call("GET", "/v1/Config.Get")));
-    let request = requests.recv_timeout(TIMEOUT).expect("a call");
+    let request = requests.recv_timeout(TIMEOUT).expect("no request");
     let decided = TimedResponse::expiring_at(Duration::from_millis(LEASE_END_MS), answer);
-    // Here the process freezes.
+    // The process is suspended at this point.
     milliseconds.store(written_at_ms, Ordering::SeqCst);
     request.responder.send(decided);
-    caller.join().expect("an answer")
+    caller.join().expect("the client thread panicked")
 }
 
-/// Every answer that states the active state, or where that is known.
+/// Returns every kind of response that depends on the newest state or names the primary, with its status.
 fn statements() -> Vec<(u16, Response)> {
-    let primary = "10.0.0.4:8080".parse().expect("an address");
+    let primary = "10.0.0.4:8080".parse().expect("no valid address");
     vec![
         (200, Response::Acknowledged),
         (200, Response::Configuration(b"{\"Version\":5}".as_slice().into())),
@@ -46,7 +47,8 @@
     ]
 }
 
-/// The statuses of the statements that are written as they were decided, although the lease has ended.
+/// Returns the statuses of the lease-dependent responses that are written as decided although the lease has
+/// ended.
 fn statements_after_the_lease(faults: Faults) -> Vec<u16> {
     let times = [LEASE_END_MS, 20_000];
     let cases = times.into_iter().flat_map(|time| statements().into_iter().map(move |case| (time, case)));
@@ -78,9 +80,9 @@
 
 #[test]
 fn responses_without_expiry_are_written_at_any_time() {
-    let without_expiry = TimedResponse::without_expiry(Response::Invalid("no number".to_string()));
+    let without_expiry = TimedResponse::without_expiry(Response::Invalid("not a number".to_string()));
     assert_eq!(
         without_expiry.checked_at(Duration::from_secs(86_400)),
-        Response::Invalid("no number".to_string())
+        Response::Invalid("not a number".to_string())
     );
 }
--- a/crates/quillpulley/tests/control/frozen_host.rs
+++ b/crates/quillpulley/tests/control/frozen_host.rs
@@ -50,15 +50,15 @@
         let (now, writers_late) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
         let clock = main_clock(now.clone(), writers_late.clone());
 
-        let listener = TcpListener::bind((IP, 0)).expect("a socket");
-        let api = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind((IP, 0)).expect("cannot bind the socket");
+        let api = listener.local_addr().expect("no valid address");
         let (deliver, requests) = mpsc::channel();
         let deliver = move |call| deliver.send(call).map_err(|rejected| rejected.0);
-        api::serve_with_faults(listener, clock.clone(), faults, deliver).expect("a server");
+        api::serve_with_faults(listener, clock.clone(), faults, deliver).expect("cannot start the server");
 
         let (store, completions) = mpsc::channel();
         let deliver = move |completion| drop(store.send(completion));
-        let (disk, recovered) = StorageThread::open(folder.clone(), deliver).expect("a disk");
+        let (disk, recovered) = StorageThread::open(folder.clone(), deliver).expect("cannot open the folder");
         let me = NodeId::new(IP, 0);
         let options = Options {
             me,
@@ -81,7 +81,7 @@
             clock,
             me,
             peers,
-            replica: replica.expect("a replica"),
+            replica: replica.expect("cannot start the replica"),
             storage: disk,
             fetcher: None,
             directory: DirectoryHandle::default(),
@@ -114,7 +114,7 @@
     fn queue(&mut self, request: &str) -> (JoinHandle<HttpResponse>, Box<ApiRequest>) {
         let (api, request) = (self.api, request.to_string());
         let caller = thread::spawn(move || send(api, &request));
-        (caller, self.requests.recv_timeout(TIMEOUT).expect("a call"))
+        (caller, self.requests.recv_timeout(TIMEOUT).expect("no request"))
     }
 
     /// Calls until there is a clear answer.
@@ -124,7 +124,7 @@
             while !caller.is_finished() {
                 self.step();
             }
-            let response = caller.join().expect("an answer");
+            let response = caller.join().expect("the client thread panicked");
             if response.status != 503 {
                 return response;
             }
@@ -158,11 +158,11 @@
          DataDir = \"{}\"\n[Listen]\nControl = \"{api}\"\n[FaultTolerance]\nMachines = 0\n",
         folder.display()
     );
-    Settings::parse(&text).expect("settings")
+    Settings::parse(&text).expect("invalid settings")
 }
 
 fn text(version: &str) -> String {
-    String::from_utf8(configuration(version)).expect("text")
+    String::from_utf8(configuration(version)).expect("the text is not UTF-8")
 }
 
 fn get() -> String {
@@ -194,7 +194,7 @@
         let (caller, request) = harness.queue(&text);
         harness.freeze();
         harness.host.handle_request(*request);
-        assert_eq!(caller.join().expect("an answer").status, 503, "{text}");
+        assert_eq!(caller.join().expect("the client thread panicked").status, 503, "{text}");
     }
 }
 
@@ -204,7 +204,7 @@
     // Nothing else is with the disk when the order comes.
     harness.step();
     let caller = harness.request(&replace("5", &text("7")));
-    let completion = harness.completions.recv_timeout(TIMEOUT).expect("a write");
+    let completion = harness.completions.recv_timeout(TIMEOUT).expect("no write completed");
     harness.freeze();
     harness.host.handle_write_completed(completion);
     while !caller.is_finished() {
@@ -212,7 +212,7 @@
             harness.host.handle_write_completed(completion);
         }
     }
-    assert_eq!(caller.join().expect("an answer").status, 503);
+    assert_eq!(caller.join().expect("the client thread panicked").status, 503);
     // The order may be active all the same: sent again it is acknowledged.
     assert_eq!(harness.request_until_definite(&replace("5", &text("7"))).status, 200);
 }
@@ -224,7 +224,7 @@
         // The lease has just been renewed.
         harness.step();
         harness.writers_late.store(FREEZE_MS, Ordering::SeqCst);
-        harness.request(&request).join().expect("an answer").status
+        harness.request(&request).join().expect("the client thread panicked").status
     });
     statuses.filter(|status| *status != 503).collect()
 }
--- a/crates/quillpulley/tests/control/main.rs
+++ b/crates/quillpulley/tests/control/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the host of control nodes.
+//! Tests of control nodes.
 
 mod agent;
 mod api;
@@ -24,8 +24,8 @@
 mod servers;
 mod tree;
 
-/// A valid configuration of a version, written as a number and a letter for those of the same version that
-/// differ.
+/// Returns a valid configuration. `version` is its version number, followed by an optional letter that makes
+/// configurations of the same version differ.
 fn configuration(version: &str) -> Vec<u8> {
     let (digits, mark): (String, String) = version.chars().partition(char::is_ascii_digit);
     let text = format!(
--- a/crates/quillpulley/tests/control/mixed_releases.rs
+++ b/crates/quillpulley/tests/control/mixed_releases.rs
@@ -47,7 +47,8 @@
 #[test]
 #[ignore = "needs the program of an earlier release, named by QUILLPULLEY_EARLIER_PROGRAM"]
 fn processes_of_two_releases_work_together_while_they_are_exchanged() {
-    let earlier = PathBuf::from(std::env::var_os(EARLIER_PROGRAM).expect("an earlier program"));
+    let earlier =
+        PathBuf::from(std::env::var_os(EARLIER_PROGRAM).expect("QUILLPULLEY_EARLIER_PROGRAM is not set"));
     let present = PathBuf::from(env!("CARGO_BIN_EXE_quillpulley"));
     let mut cluster = Cluster::prepare(MACHINES, None);
     for index in 0..MACHINES {
--- a/crates/quillpulley/tests/control/platform.rs
+++ b/crates/quillpulley/tests/control/platform.rs
@@ -20,7 +20,7 @@
 
 #[test]
 fn a_page_is_read() {
-    let page = parse_page(&mut PAGE.as_bytes().to_vec()).expect("a page");
+    let page = parse_page(&mut PAGE.as_bytes().to_vec()).expect("cannot parse the page");
     assert_eq!(page.next_token.as_deref(), Some("p-50"));
     assert!(page.unreadable.is_empty());
     let [ready, draining] = &page.servers[..] else { panic!("two servers, not {:?}", page.servers) };
@@ -37,7 +37,7 @@
 fn a_broken_entry_is_reported_and_skipped() {
     let page = r#"{"Instances":[{"Id":"i-1","Service":"chat"},7,
         {"Id":"i-2","Service":"chat","Address":"10.0.0.8:80","Zone":"b","State":"ready"}],"NextToken":null}"#;
-    let page = parse_page(&mut page.as_bytes().to_vec()).expect("a page");
+    let page = parse_page(&mut page.as_bytes().to_vec()).expect("cannot parse the page");
     assert_eq!(page.unreadable, ["i-1", ""]);
     assert_eq!(page.servers.len(), 1);
     assert_eq!(page.next_token, None);
@@ -55,14 +55,14 @@
 
 /// A platform that gives one answer after the other and reports the paths it was asked for.
 fn platform(answers: Vec<(u16, String)>) -> (SocketAddr, Receiver<String>) {
-    let server = Server::http("127.0.0.1:0").expect("a server");
-    let address = server.server_addr().to_ip().expect("an address");
+    let server = Server::http("127.0.0.1:0").expect("cannot start the server");
+    let address = server.server_addr().to_ip().expect("no valid address");
     let (asked, paths) = mpsc::channel();
     std::thread::spawn(move || {
         for (status, body) in answers {
             let Ok(request) = server.recv() else { return };
-            asked.send(request.url().to_string()).expect("the test listens");
-            request.respond(Response::from_string(body).with_status_code(status)).expect("an answer");
+            asked.send(request.url().to_string()).expect("the test has ended");
+            request.respond(Response::from_string(body).with_status_code(status)).expect("cannot respond");
         }
     });
     (address, paths)
@@ -74,12 +74,12 @@
         vec![(200, PAGE.to_string()), (429, String::new()), (500, String::new()), (200, "x".to_string())];
     let (address, paths) = platform(answers);
     let (send, outcomes) = mpsc::channel();
-    let fetcher = Fetcher::start(address, move |outcome| send.send(outcome).expect("the test listens"));
-    let fetcher = fetcher.expect("a thread");
+    let fetcher = Fetcher::start(address, move |outcome| send.send(outcome).expect("the test has ended"));
+    let fetcher = fetcher.expect("cannot start the thread");
     let fetch = |token: Option<&str>| {
         fetcher.fetch(Fetch { token: token.map(str::to_string) });
-        let outcome = outcomes.recv_timeout(TIMEOUT).expect("an outcome");
-        (outcome, paths.recv_timeout(TIMEOUT).expect("a call"))
+        let outcome = outcomes.recv_timeout(TIMEOUT).expect("no outcome");
+        (outcome, paths.recv_timeout(TIMEOUT).expect("no request"))
     };
     let (page, path) = fetch(None);
     assert_eq!((page.map(|page| page.servers.len()), path.as_str()), (Ok(2), "/instances"));
@@ -92,11 +92,11 @@
 
 #[test]
 fn a_platform_that_is_down_is_an_error() {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a socket");
-    let address = listener.local_addr().expect("an address");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("cannot bind the socket");
+    let address = listener.local_addr().expect("no valid address");
     drop(listener);
     let (send, outcomes) = mpsc::channel();
-    let fetcher = Fetcher::start(address, move |outcome| send.send(outcome).expect("the test listens"));
-    fetcher.expect("a thread").fetch(Fetch { token: None });
+    let fetcher = Fetcher::start(address, move |outcome| send.send(outcome).expect("the test has ended"));
+    fetcher.expect("cannot start the thread").fetch(Fetch { token: None });
     assert!(matches!(outcomes.recv_timeout(TIMEOUT), Ok(Err(FetchError::Failed(_)))));
 }
--- a/crates/quillpulley/tests/control/processes.rs
+++ b/crates/quillpulley/tests/control/processes.rs
@@ -91,7 +91,7 @@
     });
     cluster.signal(first, "-CONT");
     for call in waiting {
-        let response = call.join().expect("a call");
+        let response = call.join().expect("the client thread panicked");
         assert!(response.is_none_or(|response| response.status == 307 || response.status == 503));
     }
     assert_eq!(cluster.call_until_definite(&Operation::get()).body, configuration("6"));
@@ -234,7 +234,7 @@
     for index in 0..3 {
         let place = format!(r#"{{"Address":"{}","Zone":"zone-{index}""#, cluster.address(index));
         assert!(text.contains(&place), "{text}");
-        let response = cluster.call(index, &Operation::status()).expect("an answer");
+        let response = cluster.call(index, &Operation::status()).expect("no response");
         assert_eq!(response.status, 200);
     }
     cluster.kill((primary + 1) % 3);
--- a/crates/quillpulley/tests/control/reader.rs
+++ b/crates/quillpulley/tests/control/reader.rs
@@ -41,7 +41,7 @@
         Some((count, next)) => (count, Some(next.to_string())),
         None => (text, None),
     };
-    let count: usize = count.trim().parse().expect("a count");
+    let count: usize = count.trim().parse().expect("the count is not a number");
     Page { servers: (0..count).map(server).collect(), unreadable: Vec::new(), next_token: next }
 }
 
@@ -70,7 +70,7 @@
                 self.handle_page(now, true, Err(FetchError::Unreadable(error)))
             }
             "has" => {
-                self.published = rest.parse().expect("a count");
+                self.published = rest.parse().expect("the count is not a number");
                 "-".to_string()
             }
             "reset" => {
@@ -90,9 +90,9 @@
     let mut harness = Harness { reader: ListReader::new(options(rate_per_s)), published: 0 };
     for line in timeline.lines().map(str::trim).filter(|line| !line.is_empty()) {
         let mut columns = line.split('|').map(str::trim);
-        let mut column = || columns.next().expect("three columns");
+        let mut column = || columns.next().expect("fewer than three columns");
         let (time, event, expected) = (column(), column(), column());
-        let now = Duration::from_millis(time.parse().expect("a time"));
+        let now = Duration::from_millis(time.parse().expect("the time is not a number"));
         assert_eq!(harness.handle_event(now, event), expected, "{line}");
     }
 }
--- a/crates/quillpulley/tests/control/servers.rs
+++ b/crates/quillpulley/tests/control/servers.rs
@@ -13,7 +13,7 @@
 
 fn server(text: &str) -> Server {
     let mut parts = text.split('/');
-    let id = parts.next().expect("an id").to_string();
+    let id = parts.next().expect("the id is missing").to_string();
     let mut server = Server {
         address: "a".to_string(),
         id,
@@ -29,10 +29,10 @@
         match part.split_at(1) {
             ("*", _) => server.state = ServerState::Draining,
             ("@", address) => server.address = address.to_string(),
-            ("w", count) => server.warmup_remaining_ms = count.parse().expect("a count"),
+            ("w", count) => server.warmup_remaining_ms = count.parse().expect("the count is not a number"),
             ("t", count) => {
                 server.has_time_remaining = true;
-                server.time_remaining_ms = count.parse().expect("a count");
+                server.time_remaining_ms = count.parse().expect("the count is not a number");
             }
             other => panic!("unknown mark {other:?}"),
         }
@@ -42,9 +42,9 @@
 
 fn show(change: &Change) -> String {
     let Some(value) = &change.value else {
-        return format!("-{}", change.key.strip_prefix("server/").expect("a server"));
+        return format!("-{}", change.key.strip_prefix("server/").expect("not the key of a server"));
     };
-    let server: Server = decode_value::<ServerRef, Server>(value).expect("a server");
+    let server: Server = decode_value::<ServerRef, Server>(value).expect("not an encoded server");
     let mut shown = server.id;
     if server.state == ServerState::Draining {
         shown += "/*";
@@ -73,9 +73,9 @@
 fn play(mut published: PublishedServers, timeline: &str) {
     for line in timeline.lines().map(str::trim).filter(|line| !line.is_empty()) {
         let mut columns = line.split('|').map(str::trim);
-        let mut column = || columns.next().expect("three columns");
+        let mut column = || columns.next().expect("fewer than three columns");
         let (time, list, expected) = (column(), column(), column());
-        let now = Duration::from_millis(time.parse().expect("a time"));
+        let now = Duration::from_millis(time.parse().expect("the time is not a number"));
         let changes = published.update(now, reading(list));
         let shown: Vec<String> = changes.iter().map(show).collect();
         assert_eq!(shown.join(" "), expected, "{line}");
--- a/crates/quillpulley/tests/control/tree.rs
+++ b/crates/quillpulley/tests/control/tree.rs
@@ -20,14 +20,14 @@
 
 impl Platform {
     fn start(servers: &[&str]) -> Self {
-        let server = tiny_http::Server::http("127.0.0.1:0").expect("a server");
-        let address = server.server_addr().to_ip().expect("an address");
+        let server = tiny_http::Server::http("127.0.0.1:0").expect("cannot start the server");
+        let address = server.server_addr().to_ip().expect("no valid address");
         let platform = Platform { address, list: Arc::default() };
         platform.set(servers);
         let list = platform.list.clone();
         std::thread::spawn(move || {
             for request in server.incoming_requests() {
-                let body = list.lock().expect("the list").clone();
+                let body = list.lock().expect("the lock is poisoned").clone();
                 request.respond(Response::from_string(body)).ok();
             }
         });
@@ -37,7 +37,7 @@
     /// Lists servers, each as its id and state.
     fn set(&self, servers: &[&str]) {
         let entry = |text: &&str| {
-            let (id, state) = text.split_once(' ').expect("a state");
+            let (id, state) = text.split_once(' ').expect("the state is missing");
             format!(
                 r#"{{"Id":"{id}","Service":"s","Address":"10.9.0.1:80","Zone":"zone-0","Version":"v1","Slots":4,
                 "State":"{state}","WarmupLeftMs":0}}"#
@@ -45,7 +45,7 @@
         };
         let entries: Vec<String> = servers.iter().map(entry).collect();
         let list = format!(r#"{{"Instances":[{}],"NextToken":null}}"#, entries.join(","));
-        *self.list.lock().expect("the list") = list;
+        *self.list.lock().expect("the lock is poisoned") = list;
     }
 }
 
@@ -102,7 +102,7 @@
     agents.until("both fronts", |sync_node| is_known(sync_node, "front-0") && is_known(sync_node, "front-1"));
     let resolved_addresses = |cluster: &Cluster, index| {
         let response = cluster.resolve(index, "zone-0")?;
-        (response.status == 200).then(|| String::from_utf8(response.body).expect("text"))
+        (response.status == 200).then(|| String::from_utf8(response.body).expect("the text is not UTF-8"))
     };
     for index in 0..3 {
         cluster.until("both fronts in the directory", |cluster| {
