--- a/crates/quillpulley/tests/control/api.rs
+++ b/crates/quillpulley/tests/control/api.rs
@@ -1,4 +1,5 @@
-//! Tests of the operator API over HTTP. The test takes the place of the main thread and decides the responses.
+//! Tests of the operator API over HTTP. The test takes the place of the main thread and decides the
+//! responses.
 
 use quillpulley::control::api::{self, ApiRequest, Operation};
 use quillpulley::control::clock::Clock;
--- a/crates/quillpulley/tests/control/cluster.rs
+++ b/crates/quillpulley/tests/control/cluster.rs
@@ -1,4 +1,5 @@
-//! Runs control nodes as real processes, each with its own loopback address, and sends them operator requests.
+//! Runs control nodes as real processes, each with its own loopback address, and sends them operator
+//! requests.
 
 use std::io::{BufRead, BufReader};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -225,8 +226,8 @@
         })
     }
 
-    /// Waits until a primary has added the running process of a machine as a member. A view that contains only
-    /// an earlier incarnation of the machine does not count.
+    /// Waits until a primary has added the running process of a machine as a member. A view that contains
+    /// only an earlier incarnation of the machine does not count.
     pub fn wait_for_member(&mut self, index: usize) {
         let node = self.node(index);
         self.wait_for_view(index, "backups=[", |backups| backups.contains(&node.as_str()));
@@ -244,8 +245,8 @@
         });
     }
 
-    /// Waits until a process has logged a view in which `is_wanted` holds for the list of nodes after `intro`.
-    /// Only lines since the last start of the machine count.
+    /// Waits until a process has logged a view in which `is_wanted` holds for the list of nodes after
+    /// `intro`. Only lines since the last start of the machine count.
     fn wait_for_view(&mut self, index: usize, intro: &str, is_wanted: impl Fn(&[&str]) -> bool) {
         let shows_it = |line: &String| {
             let list = line.split_once(intro).and_then(|(_, rest)| rest.split_once(']'));
--- a/crates/quillpulley/tests/control/compatibility.rs
+++ b/crates/quillpulley/tests/control/compatibility.rs
@@ -1,9 +1,9 @@
 //! Tests that data stored by an earlier release can be read, and that responses are identical to those of the
 //! earlier release, byte for byte.
 //!
-//! The folder `fixtures/data-folder` was written by the program at commit 0b0971f, which ran as the only control
-//! node of a new system. It contains 280 configurations and 62 starts or ends of an evacuation. The files in
-//! `fixtures/answers` are the responses of that program afterwards.
+//! The folder `fixtures/data-folder` was written by the program at commit 0b0971f, which ran as the only
+//! control node of a new system. It contains 280 configurations and 62 starts or ends of an evacuation. The
+//! files in `fixtures/answers` are the responses of that program afterwards.
 
 use crate::cluster::TIMEOUT;
 use quillpulley::control::replica_host::storage_thread::StorageThread;
@@ -99,7 +99,7 @@
     }
 }
 
-/// Returns the complete response to a request; `None` if the connection is refused.
+/// Returns the complete response to a request; `None` if the connection cannot be opened.
 fn exchange(port: u16, request: &str) -> Option<String> {
     let mut stream = TcpStream::connect(SocketAddr::from((ADDRESS, port))).ok()?;
     stream.set_read_timeout(Some(TIMEOUT)).expect("cannot set the timeout");
--- a/crates/quillpulley/tests/control/directory.rs
+++ b/crates/quillpulley/tests/control/directory.rs
@@ -38,7 +38,8 @@
     Directory { endpoints, coverage: Coverage::All, homes: Arc::default() }
 }
 
-/// Parses routes, written as `HOST:HOME+HOME` with their home regions; a route without home regions is `HOST:`.
+/// Parses routes, written as `HOST:HOME+HOME` with their home regions; a route without home regions is
+/// `HOST:`.
 fn homes(routes: &str) -> Arc<HomeTable> {
     let route = |text: &str| {
         let (host, homes) = text.split_once(':').expect("the homes are missing");
@@ -129,7 +130,8 @@
 #[test]
 fn clients_are_led_only_to_common_homes_of_the_routes_of_their_host() {
     let table = [
-        // All routes of the host have their home regions elsewhere: the preference of the proxy does not count.
+        // All routes of the host have their home regions elsewhere: the preference of the proxy does not
+        // count.
         ("h:west", "", "w x"),
         ("h:west+north", "", "w x n"),
         ("h:west+north h:west", "", "w x"),
@@ -257,8 +259,8 @@
         addresses.iter().map(region_of).collect()
     }
 
-    /// Returns whether a proxy is known in the client's region, or in a home region of every route of the host that
-    /// has home regions.
+    /// Returns whether a proxy is known in the client's region, or in a region that is a home region
+    /// of every route of the host that has home regions.
     fn has_endpoints_for(&self, host: &str, region: &str) -> bool {
         let routes = self.routes.iter().filter(|(of, homes)| of == host && !homes.is_empty());
         let homes: Vec<_> = routes.map(|(_, homes)| homes).collect();
@@ -269,9 +271,9 @@
     }
 }
 
-/// A client of a host with home regions is never sent to a region that is neither its own nor a home region of
-/// each such route. The exception is a directory that knows all proxies, none of which is in the client's region or
-/// in a common home region.
+/// A client of a host with home regions is never sent to a region that is neither its own nor a home region
+/// of each such route. The exception is a directory that knows all proxies, none of which is in the client's
+/// region or in a common home region.
 #[test]
 fn no_request_with_homes_is_led_to_a_third_region() {
     fn holds(any: AnyDirectory) -> bool {
--- a/crates/quillpulley/tests/control/directory_staleness.rs
+++ b/crates/quillpulley/tests/control/directory_staleness.rs
@@ -1,8 +1,8 @@
 //! Tests how long directories still list a proxy that has failed, in virtual time.
 //!
-//! The system has three control nodes in three regions, each with two agents. The relay tree, the endpoint registry
-//! and the directory builder are the real ones. There are no monitors, which would only remove a proxy sooner:
-//! here a proxy is removed only because it is no longer reported.
+//! The system has three control nodes in three regions, each with two agents. The relay tree, the endpoint
+//! registry and the directory builder are the real ones. There are no monitors, which would only remove a
+//! proxy sooner: here a proxy is removed only because it is no longer reported.
 
 #[path = "directory_staleness/system.rs"]
 mod system;
@@ -129,8 +129,9 @@
 /// Maximum number of steps of a random run.
 const MAX_STEPS: usize = 30;
 
-/// Plays a random run. Each step consists of a number that selects the event, one that selects the node or region,
-/// and the number of ticks (modulo 60) until the next step. Returns whether no failed proxy was listed too long.
+/// Plays a random run. Each step consists of a number that selects the event, one that selects the node or
+/// region, and the number of ticks (modulo 60) until the next step. Returns whether no failed proxy was
+/// listed too long.
 fn play_random(steps: Vec<(u8, u8, u8)>) -> bool {
     let mut system = System::stable();
     let mut lost_since: [Option<Duration>; AGENTS] = [None; AGENTS];
--- a/crates/quillpulley/tests/control/directory_staleness/system.rs
+++ b/crates/quillpulley/tests/control/directory_staleness/system.rs
@@ -13,8 +13,8 @@
 /// Time between two ticks of each process.
 pub(super) const TICK: Duration = Duration::from_millis(50);
 pub(super) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
-/// Time after which a node without fresh state gives up its parent: an agent tries another control node, and a
-/// control node subscribes to the primary again.
+/// Time after which a node without fresh state gives up its parent: an agent tries another control node, and
+/// a control node subscribes to the primary again.
 pub(super) const SEARCH_AFTER: Duration = Duration::from_secs(1);
 
 pub(super) fn ms(time: u64) -> Duration {
@@ -84,7 +84,8 @@
 }
 
 impl System {
-    /// Returns a system in which all nodes run and every directory lists all proxies. Control node 0 is the primary.
+    /// Returns a system in which all nodes run and every directory lists all proxies. Control node 0 is the
+    /// primary.
     pub(super) fn stable() -> Self {
         let now = Duration::ZERO;
         let nodes = (0..CONTROL_NODES + AGENTS).map(|number| Node::new(number, now)).collect();
@@ -153,7 +154,8 @@
         }
     }
 
-    /// Ends the partition. Messages that it blocked are lost, and the links across it are closed and opened again.
+    /// Ends the partition. Messages that it blocked are lost, and the links across it are closed and opened
+    /// again.
     pub(super) fn heal(&mut self) {
         let Some(region) = self.partitioned_region else { return };
         for node in 0..self.nodes.len() {
@@ -242,8 +244,8 @@
         }
     }
 
-    /// Chooses the parent of a node: the primary for control nodes, and for agents the control node of their region or
-    /// else the others in turn.
+    /// Chooses the parent of a node: the primary for control nodes, and for agents the control node of their
+    /// region or else the others in turn.
     pub(super) fn find_parent(&mut self, node: usize) {
         let current = self.nodes[node].parent;
         let lately = self.now < self.nodes[node].parent_since + SEARCH_AFTER;
@@ -317,8 +319,8 @@
         control_nodes.iter().any(|control_node| self.listed(*control_node).contains(&name(number)))
     }
 
-    /// Runs the system for 20 s. Returns the time in milliseconds after which none of these directories listed any
-    /// of these proxies any more.
+    /// Runs the system for 20 s. Returns the time in milliseconds after which none of these directories
+    /// listed any of these proxies any more.
     pub(super) fn time_until_delisted(&mut self, numbers: &[usize], control_nodes: &[usize]) -> u128 {
         let (start, mut last) = (self.now, self.now);
         for _ in 0..400 {
--- a/crates/quillpulley/tests/control/directory_view.rs
+++ b/crates/quillpulley/tests/control/directory_view.rs
@@ -8,8 +8,8 @@
 use quillpulley_state_sync::{Change, Event, Options, SubtreeState, SyncNode};
 use std::time::Duration;
 
-/// Parses a proxy, written as its name, its state (`s`tarting, `r`eady or `l`eaving, that is, draining) and its
-/// incarnation: `f:r1`.
+/// Parses a proxy, written as its name, its state (`s`tarting, `r`eady or `l`eaving, that is, draining) and
+/// its incarnation: `f:r1`.
 fn endpoint(text: &str) -> ProxyEndpoint {
     let (name, rest) = text.split_once(':').expect("the state is missing");
     let (state, incarnation) = rest.split_at(1);
@@ -39,8 +39,8 @@
 }
 
 /// The inputs of a directory builder at `now`. The published state last advanced at `moved`; both are in
-/// milliseconds. Proxies are written as for [`endpoint`]; `!f:m,n` among the reports means that the monitors `m` and
-/// `n` suspect the proxy `f`.
+/// milliseconds. Proxies are written as for [`endpoint`]; `!f:m,n` among the reports means that the monitors
+/// `m` and `n` suspect the proxy `f`.
 struct Moment<'a> {
     now: u64,
     moved: u64,
@@ -86,7 +86,8 @@
     shown.join(" ")
 }
 
-/// Returns the proxies that the directory contains at `now`, in parentheses if they are too few to answer clients.
+/// Returns the proxies that the directory contains at `now`, in parentheses if they are too few to answer
+/// clients.
 fn listed(view: &mut DirectoryBuilder, now: u64, fresh: bool, published: &str, reported: &str) -> String {
     let moved = if fresh { now } else { 0 };
     let directory = directory(view, &Moment { now, moved, fresh, epoch: 1, published, reported });
@@ -127,9 +128,9 @@
     assert_eq!(listed(&mut view, 20, true, "f:r1", ""), "f:r1");
 }
 
-/// Plays a timeline. Each line has six columns: the time in ms, the time at which the published state last advanced,
-/// `fresh` or `stale`, the published proxies, the reports to the control node, and the expected directory, preceded
-/// by `own` if its coverage is [`Coverage::OwnReports`].
+/// Plays a timeline. Each line has six columns: the time in ms, the time at which the published state last
+/// advanced, `fresh` or `stale`, the published proxies, the reports to the control node, and the expected
+/// directory, preceded by `own` if its coverage is [`Coverage::OwnReports`].
 fn play(timeline: &str) {
     let mut view = DirectoryBuilder::default();
     for line in timeline.lines().map(str::trim).filter(|line| !line.is_empty()) {
@@ -241,5 +242,5 @@
     };
     assert_eq!(is_waiting_after(0, 0, true), [true, true], "an election has just taken place");
     assert_eq!(is_waiting_after(3000, 3000, true), [false, true]);
-    assert_eq!(is_waiting_after(4100, 3000, false), [true, true], "the published state is stale");
+    assert_eq!(is_waiting_after(4100, 3000, false), [true, true], "the published state is not fresh");
 }
--- a/crates/quillpulley/tests/control/endpoint_registry.rs
+++ b/crates/quillpulley/tests/control/endpoint_registry.rs
@@ -1,9 +1,10 @@
 //! Tests of the proxies that the primary publishes.
 //!
 //! Each line of a timeline has three columns: the time in ms, the reports of the whole tree, and the expected
-//! changes. A proxy is written as its name, its state (`s`tarting, `r`eady or `l`eaving, that is, draining) and, if
-//! it is not 1, its incarnation: `f:r`, `f:r2`. `!f:m,n` means that the monitors `m` and `n` suspect the proxy
-//! `f`. Among the changes, `-f` is the removal of `f`. With `.` in place of the reports, only time passes.
+//! changes. A proxy is written as its name, its state (`s`tarting, `r`eady or `l`eaving, that is, draining)
+//! and, if it is not 1, its incarnation: `f:r`, `f:r2`. `!f:m,n` means that the monitors `m` and `n` suspect
+//! the proxy `f`. Among the changes, `-f` is the removal of `f`. With `.` in place of the reports, only time
+//! passes.
 
 use quillpulley::control::distribution::endpoint_registry::EndpointRegistry;
 use quillpulley_protocol::{decode_value, encode_value, EndpointState, ProxyEndpoint, ProxyEndpointRef};
--- a/crates/quillpulley/tests/control/frozen_host.rs
+++ b/crates/quillpulley/tests/control/frozen_host.rs
@@ -1,5 +1,5 @@
-//! A whole host, alone in its system, that freezes at every point between a call and its answer. Its clock is
-//! the test's; its sockets, disk and threads are real.
+//! Tests of a control host that is the only control node of its system, and that is suspended at each point
+//! between a request and its response. The test sets its clock; its sockets, disk and threads are real.
 
 use crate::api::{call, replace, send, HttpResponse};
 use crate::configuration;
@@ -23,7 +23,7 @@
 use std::time::Duration;
 
 const TIMEOUT: Duration = Duration::from_secs(10);
-/// Longer than any lease.
+/// The time for which the process is suspended, which exceeds every lease.
 const FREEZE_MS: u64 = 20_000;
 const TICK_MS: u64 = 50;
 const IP: Ipv4Addr = Ipv4Addr::LOCALHOST;
@@ -34,7 +34,7 @@
     host: ControlHost,
     /// The clock of the main thread, in milliseconds.
     now: Arc<AtomicU64>,
-    /// How much later the writers of answers come to look at the clock.
+    /// The time in milliseconds by which the clock of the writer threads is ahead of that of the main thread.
     writers_late: Arc<AtomicU64>,
     api: SocketAddr,
     requests: Receiver<Box<ApiRequest>>,
@@ -43,7 +43,7 @@
 }
 
 impl Harness {
-    /// A host that leads, with version 5 active.
+    /// Starts a host that is the primary and has activated configuration version 5.
     fn start(faults: Faults) -> Self {
         let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("quillpulley-frozen-{}-{number}", std::process::id()));
@@ -75,7 +75,7 @@
             region: "a".to_string(),
             control_address: api.to_string(),
         };
-        // Alone it dials nobody, and so its links need no runtime.
+        // A single control node connects to no peer, so its links need no runtime.
         let (peers, _) = Peers::new(hello);
         let components = Components {
             clock,
@@ -93,31 +93,31 @@
         harness
     }
 
-    /// Lets time pass and takes what the disk reports.
+    /// Advances the clock by one tick, and handles the writes that complete.
     fn step(&mut self) {
         self.now.fetch_add(TICK_MS, Ordering::SeqCst);
         self.host.tick();
-        // A write takes less than this by far; one that does not is taken at the next step.
+        // A write usually takes far less time than this. A slower one is handled in the next step.
         while let Ok(completion) = self.completions.recv_timeout(Duration::from_millis(20)) {
             self.host.handle_write_completed(completion);
         }
     }
 
-    /// Calls, and gives the call to the main thread once it has come.
+    /// Sends a request from another thread, and lets the host handle it once it has been received.
     fn request(&mut self, request: &str) -> JoinHandle<HttpResponse> {
         let (caller, request) = self.queue(request);
         self.host.handle_request(*request);
         caller
     }
 
-    /// Calls, and keeps the call in the queue of the main thread.
+    /// Sends a request from another thread, and returns it once it has been received, without handling it.
     fn queue(&mut self, request: &str) -> (JoinHandle<HttpResponse>, Box<ApiRequest>) {
         let (api, request) = (self.api, request.to_string());
         let caller = thread::spawn(move || send(api, &request));
         (caller, self.requests.recv_timeout(TIMEOUT).expect("no request"))
     }
 
-    /// Calls until there is a clear answer.
+    /// Sends a request repeatedly until the response is definite, that is, not 503.
     fn request_until_definite(&mut self, request: &str) -> HttpResponse {
         for _ in 0..400 {
             let caller = self.request(request);
@@ -143,7 +143,8 @@
     }
 }
 
-/// The clock of the test's own thread, which is the main thread of the host; writers may be late.
+/// Returns the clock of the host. The test's own thread, which is the host's main thread, reads `now`; other
+/// threads read a time that is later by `writers_late`.
 fn main_clock(now: Arc<AtomicU64>, writers_late: Arc<AtomicU64>) -> Clock {
     let main = thread::current().id();
     Clock::from_fn(move || {
@@ -169,7 +170,8 @@
     call("GET", "/v1/Config.Get")
 }
 
-/// Calls whose answers state the active state: a read, a command that is active, one on a wrong base, an invalid one.
+/// Returns requests whose responses depend on the newest state, with their statuses: a read, a command that
+/// is already in effect, one with an outdated base version, and an invalid one.
 fn statements() -> Vec<(String, u16)> {
     vec![
         (get(), 200),
@@ -201,7 +203,7 @@
 #[test]
 fn a_write_that_completed_while_the_process_was_frozen_is_not_acknowledged() {
     let mut harness = Harness::start(Faults::default());
-    // Nothing else is with the disk when the order comes.
+    // No other write is in progress when the command is received.
     harness.step();
     let caller = harness.request(&replace("5", &text("7")));
     let completion = harness.completions.recv_timeout(TIMEOUT).expect("no write completed");
@@ -213,15 +215,16 @@
         }
     }
     assert_eq!(caller.join().expect("the client thread panicked").status, 503);
-    // The order may be active all the same: sent again it is acknowledged.
+    // The command may have taken effect nevertheless: it is acknowledged when it is sent again.
     assert_eq!(harness.request_until_definite(&replace("5", &text("7"))).status, 200);
 }
 
-/// The statuses that get out though the process was frozen between the decision and the writing.
+/// Returns the statuses of the definite responses that are written although the process was suspended after
+/// they were decided.
 fn statements_of_late_writers(faults: Faults) -> Vec<u16> {
     let statuses = statements().into_iter().map(|(request, _)| {
         let mut harness = Harness::start(faults);
-        // The lease has just been renewed.
+        // After this step the lease has just been renewed.
         harness.step();
         harness.writers_late.store(FREEZE_MS, Ordering::SeqCst);
         harness.request(&request).join().expect("the client thread panicked").status
--- a/crates/quillpulley/tests/control/mixed_releases.rs
+++ b/crates/quillpulley/tests/control/mixed_releases.rs
@@ -1,14 +1,15 @@
-//! Control processes of an earlier release and of this one in one system, exchanged one by one under changes.
+//! Tests that control processes of an earlier release and of the current one work together, while they are
+//! replaced one by one and commands are executed.
 
 use crate::cluster::{Cluster, Operation};
 use crate::configuration;
 use std::path::{Path, PathBuf};
 
-/// Names the program of the earlier release.
+/// The environment variable that contains the path of the earlier release's program.
 const EARLIER_PROGRAM: &str = "QUILLPULLEY_EARLIER_PROGRAM";
 const MACHINES: usize = 3;
 
-/// Sends the next configurations, each on the one before, and a pair of evacuations.
+/// Activates five more configurations, each based on the one before, and starts and ends an evacuation.
 fn change(cluster: &mut Cluster, version: &mut u64) {
     for _ in 0..5 {
         let next = configuration(&(*version + 1).to_string());
@@ -19,7 +20,8 @@
     assert_eq!(cluster.call_until_definite(&Operation::end_evacuation("a")).status, 200);
 }
 
-/// The epoch of a view that has all machines as members and survives every tolerated loss.
+/// Returns the epoch of a view that contains all machines and survives every tolerated failure, as the
+/// primary reports it; `None` if there is no such view.
 fn complete_view(cluster: &Cluster) -> Option<u64> {
     (0..MACHINES).find_map(|index| {
         let status = String::from_utf8(cluster.call(index, &Operation::status())?.body).ok()?;
@@ -62,7 +64,7 @@
             exchange(&mut cluster, index, program, &mut version);
         }
     }
-    // The primary is killed under either release, too.
+    // The primary is killed twice, and its machine then runs the earlier release.
     for _ in 0..2 {
         let primary = cluster.primary();
         cluster.kill(primary);
--- a/crates/quillpulley/tests/control/peer_table.rs
+++ b/crates/quillpulley/tests/control/peer_table.rs
@@ -1,4 +1,4 @@
-//! The links between control nodes: which peers are dialled when, and which are removed.
+//! Tests of the links between control nodes: when the table connects to a peer, and when it forgets one.
 
 use quillpulley::control::replica_host::peer_table::{PeerChange, PeerTable};
 use quillpulley_protocol::{Hello, NodeId, PeerKind};
@@ -25,7 +25,7 @@
     }
 }
 
-/// A peer table that knows `OTHER` and has just dialled it as link 1.
+/// Returns a peer table that knows `OTHER`, to which it is connecting on link 1.
 fn dialling() -> PeerTable<u32> {
     let mut peer_table = PeerTable::new(ME);
     peer_table.learn(at(0), OTHER);
@@ -92,7 +92,7 @@
     assert!(peer_table.accepted(at(0), 9, node).is_empty());
     assert_eq!(peer_table.sender(9), Some(node));
     assert_eq!(peer_table.addresses_due(at(0)), [THIRD]);
-    // Its next link takes the place of the one before.
+    // A later link from the same address replaces the earlier one.
     let again = NodeId::new(THIRD, 4);
     assert_eq!(peer_table.accepted(at(5), 10, again), [9]);
     assert_eq!((peer_table.sender(9), peer_table.sender(10)), (None, Some(again)));
@@ -115,20 +115,21 @@
 
 #[test]
 fn a_peer_that_connects_is_dialled_again_at_once_where_an_attempt_hangs_or_a_delay_runs() {
-    // It was dialled before it had power: the attempt may hang.
+    // The first attempt may have been started before the remote machine ran, in which case it hangs.
     let mut peer_table = dialling();
     let node = NodeId::new(OTHER, 7);
     assert_eq!(peer_table.accepted(at(20), 9, node), [1]);
     assert_eq!(peer_table.addresses_due(at(20)), [OTHER]);
     peer_table.connecting(OTHER, 2);
     assert_eq!(peer_table.closed(at(21), 1, NO_JITTER), None);
-    // Once is enough: both sides would call off each other's attempts for ever.
+    // An attempt that replaced another one is not abandoned. Otherwise both nodes would keep abandoning each
+    // other's attempts.
     assert_eq!(peer_table.accepted(at(30), 10, node), [9]);
     assert!(peer_table.addresses_due(at(30)).is_empty());
     assert_eq!(peer_table.opened(2, hello(node)), Some(PeerChange::Connected(node)));
     assert_eq!(peer_table.accepted(at(40), 11, node), [10]);
     assert_eq!(peer_table.link_to(node), Some(2));
-    // A delay after a failure ends.
+    // A link that the peer opens ends the backoff after a failure.
     peer_table.closed(at(50), 2, NO_JITTER);
     assert!(peer_table.addresses_due(at(60)).is_empty());
     peer_table.accepted(at(60), 12, node);
--- a/crates/quillpulley/tests/control/platform.rs
+++ b/crates/quillpulley/tests/control/platform.rs
@@ -1,4 +1,4 @@
-//! Pages of the platform's list: how they are fetched and parsed.
+//! Tests of fetching and parsing the pages of the platform's list.
 
 use quillpulley::control::discovery::fetcher::Fetcher;
 use quillpulley::control::discovery::page::{parse_page, PageError};
@@ -23,7 +23,7 @@
     let page = parse_page(&mut PAGE.as_bytes().to_vec()).expect("cannot parse the page");
     assert_eq!(page.next_token.as_deref(), Some("p-50"));
     assert!(page.unreadable.is_empty());
-    let [ready, draining] = &page.servers[..] else { panic!("two servers, not {:?}", page.servers) };
+    let [ready, draining] = &page.servers[..] else { panic!("not two servers: {:?}", page.servers) };
     assert_eq!(
         (ready.id.as_str(), ready.state, ready.warmup_remaining_ms),
         ("i-1", ServerState::Ready, 1500)
@@ -53,7 +53,8 @@
     assert!(matches!(token, Err(PageError::Missing(_))));
 }
 
-/// A platform that gives one answer after the other and reports the paths it was asked for.
+/// Starts a platform that sends these responses in order. Returns its address and the paths that are
+/// requested.
 fn platform(answers: Vec<(u16, String)>) -> (SocketAddr, Receiver<String>) {
     let server = Server::http("127.0.0.1:0").expect("cannot start the server");
     let address = server.server_addr().to_ip().expect("no valid address");
--- a/crates/quillpulley/tests/control/processes.rs
+++ b/crates/quillpulley/tests/control/processes.rs
@@ -1,4 +1,5 @@
-//! Control nodes as processes: the responses to operators, and what survives the end of processes.
+//! Tests of control nodes that run as processes: their responses to operators, and the state that survives
+//! when processes end.
 
 use crate::cluster::{Cluster, Operation};
 use crate::configuration;
@@ -25,7 +26,7 @@
     cluster.kill(0);
     cluster.run(0);
     assert_eq!(cluster.call_until_definite(&Operation::get()).body, configuration("7"));
-    assert_eq!(replace(&mut cluster, 0, "5"), 200, "an old command again");
+    assert_eq!(replace(&mut cluster, 0, "5"), 200, "an earlier command is repeated");
     assert_eq!(replace(&mut cluster, 5, "8"), 412);
     assert!(cluster.terminate(0).success());
     cluster.run(0);
@@ -44,14 +45,14 @@
     let second = cluster.primary();
     assert_ne!(second, first);
 
-    // The first one comes back and sends callers to the second.
+    // The former primary is started again, and redirects callers to the new one.
     cluster.run(first);
     let expected = format!("http://{}/v1/Config.Get", cluster.control(second));
     cluster.until("a redirect", |cluster| {
         let response = cluster.call(first, &Operation::get())?;
         (response.status == 307 && response.location.as_ref() == Some(&expected)).then_some(())
     });
-    // It has caught up when the third one may go.
+    // Once the former primary is a member again, the third machine may fail.
     let third = 3 - first - second;
     cluster.wait_for_member(first);
     cluster.kill(third);
@@ -75,7 +76,7 @@
     assert_eq!(replace(&mut cluster, 0, "5"), 200);
     let first = cluster.primary();
     cluster.signal(first, "-STOP");
-    // These calls wait in its sockets until it wakes.
+    // These requests wait in the sockets of the process until it continues.
     let calls = [
         Operation::get(),
         Operation::replace(0, configuration("5")),
@@ -84,7 +85,7 @@
     let frozen = cluster.control(first);
     let waiting = calls.map(|call| std::thread::spawn(move || call.send(frozen)));
     let next = Operation::replace(5, configuration("6"));
-    cluster.until("another primary that takes the next one", |cluster| {
+    cluster.until("another primary that accepts the next configuration", |cluster| {
         let others = (0..3).filter(|index| *index != first);
         let statuses = others.filter_map(|index| cluster.call(index, &next).map(|response| response.status));
         statuses.into_iter().any(|status| status == 200).then_some(())
@@ -122,7 +123,8 @@
     cluster.run(first);
     let second = cluster.primary();
     assert_eq!(replace(&mut cluster, 5, "6"), 200);
-    // Once it is a member and a witness under its new identity, one of the machines that held the state may go.
+    // Once the machine is a member and a witness as a new incarnation, a machine that kept its state may
+    // fail.
     cluster.wait_for_member(first);
     cluster.wait_for_witnesses(&[0, 1, 2]);
     cluster.kill(second);
@@ -142,20 +144,21 @@
     cluster.run(new);
     cluster.wait_for_member(new);
     cluster.wait_for_witnesses(&[others[0], others[1], new]);
-    // With the new one, one of the old ones is enough.
+    // The new machine and one of the old ones are enough.
     cluster.kill(others[0]);
     assert_eq!(cluster.call_until_definite(&Operation::get()).body, configuration("5"));
     assert_eq!(replace(&mut cluster, 5, "6"), 200);
 }
 
-/// A cluster and a machine whose seeds lead nowhere.
+/// Starts a cluster of three machines and a fourth process, whose only seed does not exist. Then replaces
+/// that seed in the settings file. Returns the cluster and the index of the fourth machine.
 fn with_isolated_machine() -> (Cluster, usize) {
     let mut cluster = Cluster::start(3, None);
     assert_eq!(replace(&mut cluster, 0, "5"), 200);
     let nowhere = vec![cluster.control(9)];
     let isolated = cluster.add(false, nowhere);
     cluster.run(isolated);
-    cluster.until("an answer", |cluster| {
+    cluster.until("a response without a primary", |cluster| {
         cluster.call(isolated, &Operation::get()).filter(|response| response.status == 503)
     });
     let seeds = vec![cluster.control(0)];
@@ -202,11 +205,12 @@
     cluster.wipe(wiped);
     assert_eq!(replace(&mut cluster, 5, "6"), 200);
     cluster.signal(leaving, "-TERM");
-    cluster.until("a status that says so", |cluster| {
+    cluster.until("a status with the role `leaving`", |cluster| {
         let response = cluster.call(leaving, &Operation::status())?;
         String::from_utf8_lossy(&response.body).contains(r#""Role":"leaving""#).then_some(())
     });
-    // Of the three disks only two have the configuration: a command is still taken by both.
+    // Only two of the three disks have the configuration, one of them that of the process that shuts down. A
+    // command is still stored on both.
     assert_eq!(replace(&mut cluster, 6, "7"), 200);
     cluster.run(wiped);
     cluster.wait_for_member(wiped);
@@ -225,9 +229,9 @@
         let text = String::from_utf8(response.body).ok()?;
         text.contains(r#""Covered":true"#).then_some(text)
     };
-    let text = cluster.until("every loss covered", is_covered);
+    let text = cluster.until("a status in which every tolerated failure is covered", is_covered);
     assert!(text.contains(r#""Role":"primary""#), "{text}");
-    cluster.until("one witness to spare", |cluster| {
+    cluster.until("a status with one spare witness", |cluster| {
         let response = cluster.call(primary, &Operation::status())?;
         String::from_utf8_lossy(&response.body).contains(r#""SpareWitnesses":1"#).then_some(())
     });
@@ -239,7 +243,7 @@
     }
     cluster.kill((primary + 1) % 3);
     cluster.kill((primary + 2) % 3);
-    // Without the lease it still answers, and names no primary.
+    // Without the lease the process still reports its status, which names no primary.
     cluster.until("a status without a primary", |cluster| {
         let response = cluster.call(primary, &Operation::status())?;
         String::from_utf8_lossy(&response.body).contains(r#""Primary":null"#).then_some(())
--- a/crates/quillpulley/tests/control/publisher.rs
+++ b/crates/quillpulley/tests/control/publisher.rs
@@ -1,4 +1,4 @@
-//! The items that the root publishes of the control state and of the control nodes.
+//! Tests of the items that the root of the relay tree publishes for the control state and the control nodes.
 
 use quillpulley::control::distribution::published_state::{control_node_changes, state_changes};
 use quillpulley_control_state::{ControlState, EvacuationDecision};
@@ -9,7 +9,7 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// The store of a root that has published these items.
+/// Calls `look` with the store of a root that has published these items.
 fn with_store<T>(items: &[(String, &str)], look: impl FnOnce(&Store) -> T) -> T {
     let mut root = SyncNode::<u32>::new(Options::control_node("core"));
     let changes = items.iter().map(|(key, value)| set(key, value.as_bytes().to_vec()));
@@ -26,7 +26,7 @@
     let mut state = ControlState::default();
     for (index, zone) in (1..).zip(zones) {
         let EvacuationDecision::Propose(payload) = state.decide_evacuation(zone, true) else {
-            panic!("a new zone")
+            panic!("the zone is already evacuated")
         };
         state.apply(&Entry { epoch: 1, index, payload });
     }
--- a/crates/quillpulley/tests/control/reader.rs
+++ b/crates/quillpulley/tests/control/reader.rs
@@ -1,12 +1,15 @@
-//! Reading the platform's list: when pages are fetched, and which readings are accepted.
+//! Tests of the reader of the platform's list: when it fetches pages, and which readings it accepts.
 //!
-//! Timelines have a line for each moment: the time in ms, what happens, and what the reader does about it.
+//! Each line of a timeline has three columns: the time in ms, an event, and the reader's reaction.
 //!
-//! - `tick` asks what is to be fetched; `idle` asks without the lease.
-//! - `page N` brings a page with N servers, the last one; `page N > T` one that is followed by the page T.
-//! - `late N` brings a last page when the lease has gone; `429`, `500` and `broken` are failures.
-//! - `has N` sets how many servers are published; `reset` begins anew.
-//! - Results: `first`, `next T`, `complete N`, `failed` (after a success), `failed again`, `-`.
+//! - `tick` calls [`ListReader::tick`] with the lease, `idle` without it.
+//! - `page N` is the last page of the list, with N servers; `page N > T` is followed by the page with token
+//!   T.
+//! - `late N` is a last page that arrives when the lease is no longer held.
+//! - `429`, `500` and `broken` are failures: a rate limit, another status, and an unreadable page.
+//! - `has N` sets the number of published servers; `reset` calls [`ListReader::reset`].
+//! - Reactions: `first` fetches the first page and `next T` the page with token T; `complete N` is a reading
+//!   of N servers; `failed` is the first of consecutive failures and `failed again` a later one; `-` is none.
 
 use quillpulley::control::discovery::page::{Page, PageError};
 use quillpulley::control::discovery::reader::{Fetch, FetchError, ListReader, ReaderAction, ReaderOptions};
@@ -127,7 +130,7 @@
 
 #[test]
 fn long_lists_are_read_less_often() {
-    // Five pages at a quarter of 10 calls a second: one reading in 2 s.
+    // The reader uses a quarter of 10 requests per second, so reading five pages takes 2 s.
     play(
         10.0,
         "
--- a/crates/quillpulley/tests/control/relay.rs
+++ b/crates/quillpulley/tests/control/relay.rs
@@ -1,4 +1,4 @@
-//! The parents of control nodes in the relay tree.
+//! Tests of the parents and children of control nodes in the relay tree.
 
 use quillpulley::control::distribution::control_topology::{ChildMessage, ControlTopology, ParentChange};
 use quillpulley_protocol::{Body, NodeId, Report, Revision, Subscribe};
@@ -38,7 +38,7 @@
     assert_eq!(relay.choose_parent(at(10), Some(node(1)), None, |_| true), Some(ParentChange::Up));
     assert_eq!(relay.parent(), Some(node(1)));
     assert_eq!(relay.choose_parent(at(20), Some(node(1)), moved(15), |_| true), None);
-    // Its heartbeat is late: it stays the parent. Another one takes its place.
+    // A parent whose heartbeat is late stays the parent until another primary is known.
     assert_eq!(relay.choose_parent(at(500), None, moved(400), |_| true), None);
     assert_eq!(relay.choose_parent(at(600), Some(node(2)), moved(400), |_| true), Some(ParentChange::Up));
     assert_eq!(relay.parent(), Some(node(2)));
@@ -76,7 +76,7 @@
     assert_eq!(choose(&mut relay, 100), Some(ParentChange::Up));
     assert_eq!(choose(&mut relay, 110), None);
     relay.link_replaced(node(2));
-    assert_eq!(choose(&mut relay, 120), None, "that one is no parent");
+    assert_eq!(choose(&mut relay, 120), None, "that node is not the parent");
     relay.link_replaced(node(1));
     assert_eq!(choose(&mut relay, 130), Some(ParentChange::Up));
     assert_eq!(choose(&mut relay, 140), None);
--- a/crates/quillpulley/tests/control/servers.rs
+++ b/crates/quillpulley/tests/control/servers.rs
@@ -1,8 +1,11 @@
-//! The items that are published of the platform's list: only what their readers cannot derive.
+//! Tests of the items that the primary publishes for the servers of the platform's list. A server is
+//! published again only if subscribers cannot derive its new state, such as a countdown, from what was
+//! published before.
 //!
-//! Timelines have a line for each reading: its time in ms, the servers on the list, and what is published. A
-//! server is written as its id with what is special: `*` draining, `wN` cold for N ms, `tN` N ms left to it,
-//! `?` an entry that cannot be read, `@b` at another address. Published is shown likewise, `-x` for gone.
+//! Each line of a timeline has three columns: the time of a reading in ms, the servers on the list, and the
+//! expected changes. A server is written as its id and its attributes, separated by slashes: `*` for
+//! draining, `wN` for a warm-up of N ms, `tN` for a remaining time of N ms, and `@b` for the address `b`.
+//! `x?` is an entry with the id `x` that cannot be read. Among the changes, `-x` is the removal of `x`.
 
 use quillpulley::control::discovery::page::Reading;
 use quillpulley::control::discovery::published_servers::PublishedServers;
--- a/crates/quillpulley/tests/control/tree.rs
+++ b/crates/quillpulley/tests/control/tree.rs
@@ -1,4 +1,5 @@
-//! Control nodes as the top of the relay tree, with a platform, agents and clients that look for a proxy.
+//! Tests of control nodes as the top of the relay tree, with a platform, agents, and clients of the
+//! directory.
 
 use crate::agent::Agents;
 use crate::cluster::{Cluster, Operation};
@@ -12,7 +13,7 @@
 use std::sync::{Arc, Mutex};
 use tiny_http::Response;
 
-/// A platform whose list the test sets.
+/// A platform whose list of servers is set by the test.
 struct Platform {
     address: SocketAddr,
     list: Arc<Mutex<String>>,
@@ -34,7 +35,7 @@
         platform
     }
 
-    /// Lists servers, each as its id and state.
+    /// Replaces the list. Each server is written as its id and its state.
     fn set(&self, servers: &[&str]) {
         let entry = |text: &&str| {
             let (id, state) = text.split_once(' ').expect("the state is missing");
@@ -70,7 +71,7 @@
     let mut agents = Agents::connect("zone-0", (0..3).map(|index| cluster.link(index)));
     agents.until("the configuration", |sync_node| version(sync_node) == Some(5));
     agents.until("the servers", |sync_node| server_state(sync_node, "i-3") == Some(ServerState::Ready));
-    agents.until("the core", |sync_node| {
+    agents.until("the control nodes", |sync_node| {
         control_nodes.iter().all(|control_node| sync_node.store().get(control_node).is_some())
     });
 
@@ -79,10 +80,10 @@
     agents.until("a server that drains", |sync_node| {
         server_state(sync_node, "i-1") == Some(ServerState::Draining)
     });
-    agents.until("a server that is gone", |sync_node| server_state(sync_node, "i-3").is_none());
+    agents.until("the removal of a server", |sync_node| server_state(sync_node, "i-3").is_none());
     agents.until("an evacuation", |sync_node| sync_node.store().get(&evacuated_key("zone-0")).is_some());
 
-    // Another primary publishes on from where the first one was.
+    // After the primary was killed, the next one takes over what it has published.
     agents.keep((primary + 1) % 3);
     let epoch = agents.epoch();
     cluster.kill(primary);
@@ -90,7 +91,9 @@
     agents.until("the next configuration", |sync_node| {
         version(sync_node) == Some(6) && sync_node.revision().epoch > epoch
     });
-    agents.until("the servers still", |sync_node| server_state(sync_node, "i-2") == Some(ServerState::Ready));
+    agents.until("the servers that are still listed", |sync_node| {
+        server_state(sync_node, "i-2") == Some(ServerState::Ready)
+    });
 }
 
 #[test]
@@ -99,23 +102,24 @@
     let mut agents = Agents::connect("zone-0", (0..2).map(|index| cluster.link(index)));
     let is_known =
         |sync_node: &SyncNode<()>, name: &str| sync_node.store().get(&endpoint_key(name)).is_some();
-    agents.until("both fronts", |sync_node| is_known(sync_node, "front-0") && is_known(sync_node, "front-1"));
+    agents
+        .until("both proxies", |sync_node| is_known(sync_node, "front-0") && is_known(sync_node, "front-1"));
     let resolved_addresses = |cluster: &Cluster, index| {
         let response = cluster.resolve(index, "zone-0")?;
         (response.status == 200).then(|| String::from_utf8(response.body).expect("the text is not UTF-8"))
     };
     for index in 0..3 {
-        cluster.until("both fronts in the directory", |cluster| {
+        cluster.until("both proxies in the directory", |cluster| {
             let body = resolved_addresses(cluster, index)?;
             (body.contains("front-0:80") && body.contains("front-1:80")).then_some(())
         });
     }
     agents.lose(1);
-    agents.until("a front that is gone", |sync_node| {
+    agents.until("the removal of a proxy", |sync_node| {
         is_known(sync_node, "front-0") && !is_known(sync_node, "front-1")
     });
     for index in 0..3 {
-        cluster.until("one front in the directory", |cluster| {
+        cluster.until("only one proxy in the directory", |cluster| {
             let body = resolved_addresses(cluster, index)?;
             (body.contains("front-0:80") && !body.contains("front-1:80")).then_some(())
         });
