--- a/crates/quillpulley/tests/control/api.rs
+++ b/crates/quillpulley/tests/control/api.rs
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn calls_are_read_and_answers_written() {
+fn requests_are_parsed_and_responses_are_written() {
     let response = exchange(replace("5", "{}"), replacement(5, "{}"), Response::Acknowledged);
     assert_eq!(response.status, 200);
 
@@ -105,7 +105,7 @@
 
 /// The expected bytes are those that the program at commit 0b0971f wrote.
 #[test]
-fn every_answer_is_written_with_the_same_bytes() {
+fn every_response_is_written_with_the_same_bytes_as_before() {
     let json = |status: &str, more: &str, body: &str| {
         let length = body.len();
         format!(
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn the_configuration_comes_as_it_was_sent() {
+fn the_configuration_is_returned_byte_for_byte() {
     let body = format!("{{\"Version\":7,\"x\":\"{}\"}}", "y".repeat(100_000));
     let answer = Response::Configuration(body.clone().into_bytes().into());
     let response = exchange(call("GET", "/v1/Config.Get"), Operation::ReadConfiguration, answer);
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn what_is_forgotten_has_no_clear_answer_that_names_the_bound() {
+fn an_expired_history_gets_503_and_the_oldest_version() {
     let response = exchange(replace("5", "{}"), replacement(5, "{}"), Response::HistoryExpired { oldest: 9 });
     assert_eq!(response.status, 503);
     assert!(response.body.contains("below 9 is forgotten"), "{}", response.body);
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_call_that_nobody_takes_has_no_clear_answer() {
+fn a_request_that_cannot_be_delivered_gets_503() {
     let (address, requests) = start();
     drop(requests);
     assert_eq!(send(address, &call("POST", "/v1/Evacuate.Start/a")).status, 503);
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn a_body_that_comes_in_chunks_is_accepted_complete() {
+fn a_chunked_body_is_accepted_complete() {
     let request = "POST /v1/Config.Replace HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\
                    Quillpulley-If-Config-Version: 1\r\nTransfer-Encoding: chunked\r\n\r\n\
                    3\r\n{\"a\r\n4\r\n\":1}\r\n0\r\n\r\n";
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn a_body_that_ends_before_its_length_is_never_accepted() {
+fn a_truncated_body_is_never_accepted() {
     let (address, requests) = start();
     for (length, body) in [(3000, "{}".to_string()), (500, "{}".to_string()), (3000, "x".repeat(2999))] {
         let mut stream = TcpStream::connect(address).expect("cannot connect");
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn a_caller_that_stalls_holds_up_nobody() {
+fn a_stalled_caller_does_not_delay_others() {
     let (address, requests) = start();
     let mut stalled = TcpStream::connect(address).expect("cannot connect");
     stalled
--- a/crates/quillpulley/tests/control/clock.rs
+++ b/crates/quillpulley/tests/control/clock.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_clock_of_one_reading_never_jumps() {
+fn a_clock_with_a_single_source_never_jumps() {
     let clocks = Clocks::default();
     let monotonic = clocks.monotonic.clone();
     let clock = Clock::from_fn(move || Duration::from_millis(monotonic.load(Ordering::SeqCst)));
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn nothing_that_relies_on_a_lease_is_written_after_a_jump() {
+fn lease_dependent_responses_are_not_written_after_a_jump() {
     let lease_end = Duration::from_millis(810);
     let decided = || TimedResponse::expiring_at(lease_end, Response::Conflict { current: 5 });
     assert_eq!(status_after_a_jump(decided(), Faults::default()), 503);
--- a/crates/quillpulley/tests/control/commands.rs
+++ b/crates/quillpulley/tests/control/commands.rs
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_command_is_answered_when_it_is_committed() {
+fn a_command_is_acknowledged_when_it_is_committed() {
     play(
         "
            0 | 0>5 |          | proposed 1
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn the_same_command_again_is_acknowledged_without_an_entry() {
+fn a_repeated_command_is_acknowledged_without_a_log_entry() {
     play(
         "
            0 | 0>5     |          | proposed 1
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn of_two_configurations_on_one_base_one_is_accepted() {
+fn one_of_two_configurations_with_the_same_base_is_accepted() {
     play(
         "
            0 | 0>5a 0>5b 0>5a |          | proposed 1
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn what_is_invalid_or_out_of_date_is_rejected() {
+fn invalid_and_outdated_configurations_are_rejected() {
     play(
         "
            0 | 0>5     |          | proposed 1
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn the_next_command_is_decided_when_the_one_before_has_failed() {
+fn the_next_command_is_decided_after_the_previous_one_failed() {
     play(
         "
            0 | 0>5 0>6 |          | proposed 1
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_command_that_an_earlier_entry_made_void_is_not_acknowledged() {
+fn a_command_that_an_earlier_entry_overrides_is_not_acknowledged() {
     // An entry of another primary is applied after the command was decided and before it is committed.
     play(
         "
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn a_deposed_primary_gives_no_clear_answer_to_what_is_in_flight() {
+fn a_deposed_primary_reports_the_command_in_flight_as_unknown() {
     play(
         "
            0 | 0>5 +a |         | proposed 1
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn callers_wait_three_seconds_and_the_command_in_flight_stays_in_flight() {
+fn callers_time_out_after_three_seconds_and_the_command_stays_in_flight() {
     play(
         "
            0 | 0>5 |          | proposed 1
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn more_than_can_be_queued_is_rejected() {
+fn a_command_that_exceeds_the_queue_limit_is_rejected() {
     let mut commands = CommandQueue::default();
     let large = Command::Replace { base: 0, body: vec![0; 4_000_000] };
     for number in 0..9 {
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn an_evacuation_that_was_held_up_does_not_undo_a_later_command() {
+fn a_delayed_evacuation_does_not_undo_a_later_command() {
     // A zone's evacuation is started and ended. Another start command, which was received before the end
     // command, then reaches the queue late, because its thread did not run.
     play(
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn an_evacuation_that_was_held_up_and_asks_for_what_holds_is_acknowledged() {
+fn a_delayed_evacuation_that_changes_nothing_is_acknowledged() {
     play(
         "  0 | +a   |          | proposed 1
           10 |      | commit 1 | +a acknowledged
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn commands_that_were_received_one_after_the_other_take_effect_so_beside_one_in_flight() {
+fn queued_commands_take_effect_in_order_after_the_one_in_flight() {
     play(
         "  0 | 0>5   |          | proposed 1
           10 | +a    |          |
@@ -300,7 +300,7 @@
 }
 
 #[test]
-fn a_configuration_whose_body_took_long_to_come_is_decided_and_an_evacuation_that_late_is_not() {
+fn a_configuration_with_a_slow_body_is_decided_but_an_evacuation_as_late_expires() {
     play(
         " 9000 | 1000@0>5 |          | proposed 1
           9010 |          | commit 1 | 0>5 acknowledged
--- a/crates/quillpulley/tests/control/compatibility.rs
+++ b/crates/quillpulley/tests/control/compatibility.rs
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_folder_of_an_earlier_release_holds_the_same_state() {
+fn a_folder_of_an_earlier_release_is_read_with_the_same_state() {
     let folder = DataFolder::copy("state");
     let before = folder.contents();
     let (_disk, recovered) = StorageThread::open(folder.0.clone(), drop).expect("cannot open the folder");
@@ -152,7 +152,7 @@
 const EVACUATED: [&str; 4] = ["zone-0", "zone-1", "zone-3", "zone-5"];
 
 #[test]
-fn a_process_started_on_that_folder_answers_as_before() {
+fn a_process_on_a_folder_of_an_earlier_release_responds_as_before() {
     let _control = Control::start();
     let get = request("GET", "/v1/Config.Get", "", "");
     let started = Instant::now();
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_folder_that_cannot_be_read_is_named_with_the_remedy_and_not_changed() {
+fn an_unreadable_folder_is_reported_with_a_remedy_and_not_changed() {
     let folder = DataFolder::copy("damaged");
     let segment = folder.0.join("log-000000-000000000001.segment");
     let mut bytes = std::fs::read(&segment).expect("cannot read the segment");
--- a/crates/quillpulley/tests/control/directory.rs
+++ b/crates/quillpulley/tests/control/directory.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn clients_go_to_the_regions_that_most_proxies_of_theirs_prefer() {
+fn clients_go_to_the_regions_that_at_least_half_of_their_proxies_prefer() {
     let prefers =
         |text: &str| ProxyEndpoint { preferred_regions: vec!["west".to_string()], ..endpoint(text) };
     let ready = ["f1 a west ready", "f2 b north ready"].map(endpoint);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn an_answer_is_never_empty_if_any_proxy_is_known() {
+fn a_response_is_never_empty_if_a_proxy_is_known() {
     let endpoints = directory(&["f1 a west starting", "f2 b east leaving"]);
     let known = Directory { homes: homes("h:"), ..endpoints.clone() };
     assert_eq!(chosen(&known, "a", "west"), "f1 f2");
@@ -128,7 +128,7 @@
 /// Each case has the routes, the regions that the proxy in east prefers, and the proxies to which a client of
 /// host `h` in east is sent.
 #[test]
-fn clients_are_led_only_to_common_homes_of_the_routes_of_their_host() {
+fn clients_are_sent_only_to_common_home_regions_of_their_host() {
     let table = [
         // All routes of the host have their home regions elsewhere: the preference of the proxy does not
         // count.
@@ -163,7 +163,7 @@
 /// All proxies of a region drain because they are restarted at the same time. Clients of a host with home
 /// regions are then sent only to one of those regions.
 #[test]
-fn a_region_all_of_whose_proxies_drain_sends_home_bound_clients_to_other_homes() {
+fn clients_of_a_draining_region_are_sent_to_other_home_regions() {
     let mut known = directory(&["e a east leaving", "f a east leaving", "w b west ready", "n c north ready"]);
     known.homes = homes("h:east+west g: i:east");
     assert_eq!(chosen_for(&known, "h", "a", "east"), "w");
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn a_change_of_homes_counts_at_once() {
+fn a_change_of_home_regions_takes_effect_at_once() {
     let mut known = directory(&THREE_REGIONS);
     for (routes, expected) in [("h:west", "w x"), ("h:north", "n"), ("h:east+north", "e"), ("h:", "e")] {
         known.homes = homes(routes);
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn before_all_proxies_can_be_known_nobody_is_sent_to_a_region_that_is_no_home() {
+fn while_settling_no_client_is_sent_outside_the_home_regions() {
     let known =
         |coverage| Directory { coverage, homes: homes("h:east g:"), ..directory(&["n c north ready"]) };
     assert_eq!(chosen(&known(Coverage::Settling), "a", "east"), "");
@@ -196,7 +196,7 @@
 
 /// The proxies of a partitioned region cannot reach the servers of other regions either.
 #[test]
-fn disconnected_clients_who_are_served_better_elsewhere_are_sent_elsewhere() {
+fn a_disconnected_directory_lists_nothing_for_clients_served_better_elsewhere() {
     let mut known = Directory { homes: homes("h:west g:east i:west i:"), ..directory(&["e a east ready"]) };
     known.coverage = Coverage::OwnReports;
     assert_eq!(chosen_for(&known, "h", "a", "east"), "");
@@ -275,7 +275,7 @@
 /// of each such route. The exception is a directory that knows all proxies, none of which is in the client's
 /// region or in a common home region.
 #[test]
-fn no_request_with_homes_is_led_to_a_third_region() {
+fn no_request_with_home_regions_is_sent_to_a_third_region() {
     fn holds(any: AnyDirectory) -> bool {
         let clients = HOSTS[..2].iter().flat_map(|host| REGIONS.map(|region| (*host, region)));
         clients.into_iter().all(|(host, region)| {
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn once_all_proxies_are_known_somebody_is_listed() {
+fn a_directory_that_knows_all_proxies_lists_at_least_one() {
     fn holds(any: AnyDirectory) -> bool {
         let is_due = any.directory.coverage == Coverage::All && !any.directory.endpoints.is_empty();
         let clients = HOSTS.iter().flat_map(|host| REGIONS.map(|region| (*host, region)));
@@ -320,7 +320,7 @@
 }
 
 #[test]
-fn clients_ask_over_http() {
+fn the_directory_responds_over_http() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind the socket");
     let address = listener.local_addr().expect("no valid address");
     let board = DirectoryHandle::default();
--- a/crates/quillpulley/tests/control/directory_staleness.rs
+++ b/crates/quillpulley/tests/control/directory_staleness.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_proxy_that_dies_in_a_region_that_is_cut_off_is_listed_there_for_three_and_a_half_seconds() {
+fn a_proxy_that_fails_in_a_partitioned_region_is_listed_there_for_three_and_a_half_seconds() {
     for (state, from, to) in [(State::Ended, 1_800, 2_200), (State::Unresponsive, 2_800, 3_700)] {
         let mut system = System::stable();
         system.partitioned_region = Some(2);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn control_nodes_that_were_all_killed_list_no_proxy_that_died_with_them() {
+fn control_nodes_that_were_all_killed_list_no_proxy_that_ended_with_them() {
     let mut system = System::stable();
     ALL.into_iter().for_each(|control_node| system.fail(control_node, State::Ended));
     system.nodes[0].publisher = None;
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_proxy_whose_agent_is_gone_comes_back_with_it() {
+fn a_proxy_is_listed_again_once_its_agent_is_restarted() {
     let mut system = System::stable();
     system.fail(agent(3), State::Ended);
     system.run(ms(2_000));
@@ -176,6 +176,6 @@
 }
 
 #[test]
-fn whatever_happens_a_proxy_that_is_gone_is_soon_delisted() {
+fn a_failed_proxy_is_delisted_in_time_in_random_runs() {
     quickcheck::QuickCheck::new().quickcheck(play_random as fn(Vec<(u8, u8, u8)>) -> bool);
 }
--- a/crates/quillpulley/tests/control/directory_view.rs
+++ b/crates/quillpulley/tests/control/directory_view.rs
@@ -99,20 +99,20 @@
 }
 
 #[test]
-fn published_proxies_count_while_they_are_fresh() {
+fn only_published_proxies_are_listed_while_they_are_fresh() {
     let mut view = DirectoryBuilder::default();
     assert_eq!(listed(&mut view, 0, true, "f:r1 g:r1", "f:l1 h:r1"), "f:r1 g:r1");
 }
 
 #[test]
-fn out_of_date_state_is_joined_with_the_own_reports() {
+fn outdated_state_is_merged_with_the_reports_to_this_process() {
     let mut view = DirectoryBuilder::default();
     listed(&mut view, 0, true, "f:r1", "");
     assert_eq!(listed(&mut view, 10, false, "f:r1 g:r2", "f:l1 g:s1 h:r1"), "f:l1 g:r2 h:r1");
 }
 
 #[test]
-fn a_new_process_waits_for_fresh_state_or_a_while_after_it_knows_a_proxy() {
+fn a_new_process_waits_for_fresh_state_or_for_a_time_after_the_first_proxy() {
     let mut view = DirectoryBuilder::default();
     assert_eq!(listed(&mut view, 0, true, "", ""), "()");
     assert_eq!(listed(&mut view, 1000, false, "", "f:r1"), "(f:r1)");
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn three_seconds_after_the_latest_update_only_the_own_reports_count() {
+fn three_seconds_after_the_last_advance_only_reports_to_this_process_are_used() {
     play(
         "
            0 |   0 | fresh | f:r1 g:r1 | f:r1      | f:r1 g:r1
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_proxy_that_dies_while_its_directory_is_disconnected_is_listed_two_seconds_more() {
+fn a_proxy_that_fails_while_its_directory_is_disconnected_is_listed_for_two_more_seconds() {
     play(
         "
            0 | 0 | fresh | f:r1 g:r1 | f:r1 g:r1 | f:r1 g:r1
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn a_proxy_that_two_monitors_cannot_reach_is_not_listed_without_updates_either() {
+fn a_proxy_that_two_monitors_suspect_is_not_listed_by_a_disconnected_directory() {
     play(
         "
            0 | 0 | fresh | f:r1 g:r1 | f:r1 g:r1          | f:r1 g:r1
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn time_alone_changes_what_is_listed_only_while_something_is_open() {
+fn time_alone_changes_the_directory_only_while_it_is_settling_or_not_fresh() {
     let mut view = DirectoryBuilder::default();
     let mut is_waiting_after = |now, moved, fresh| {
         directory(&mut view, &Moment { now, moved, fresh, epoch: 1, published: "f:r1", reported: "" });
--- a/crates/quillpulley/tests/control/disk.rs
+++ b/crates/quillpulley/tests/control/disk.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn writes_are_done_in_order_and_found_again() {
+fn writes_are_stored_in_order_and_recovered() {
     let folder = TestFolder::new("order");
     let (disk, recovered, outcomes) = open(&folder);
     assert!(recovered.record.is_none() && recovered.entries.is_empty());
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_write_that_fails_is_reported_and_later_ones_may_succeed() {
+fn a_failed_write_is_reported_and_later_writes_may_succeed() {
     let folder = TestFolder::new("failure");
     let (disk, _, outcomes) = open(&folder);
     std::fs::remove_dir_all(&folder.0).expect("cannot remove the folder");
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_folder_that_is_none_cannot_be_opened() {
+fn a_file_cannot_be_opened_as_the_data_folder() {
     let folder = TestFolder::new("file");
     let file = folder.0.join("file");
     std::fs::write(&file, "x").expect("cannot write the file");
--- a/crates/quillpulley/tests/control/endpoint_registry.rs
+++ b/crates/quillpulley/tests/control/endpoint_registry.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn states_are_published_at_once() {
+fn changes_of_state_are_published_at_once() {
     play(
         EndpointRegistry::default(),
         "
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_proxy_that_comes_back_within_a_second_is_never_gone() {
+fn a_proxy_that_is_reported_again_within_a_second_stays_published() {
     play(
         EndpointRegistry::default(),
         "
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn two_monitors_are_believed_and_one_is_not() {
+fn a_proxy_is_removed_if_two_monitors_suspect_it_but_not_if_one_does() {
     play(
         EndpointRegistry::default(),
         "
--- a/crates/quillpulley/tests/control/expired_lease.rs
+++ b/crates/quillpulley/tests/control/expired_lease.rs
@@ -57,14 +57,14 @@
 }
 
 #[test]
-fn what_is_active_is_stated_while_the_lease_runs() {
+fn lease_dependent_responses_are_written_while_the_lease_runs() {
     for (status, answer) in statements() {
         assert_eq!(written_at(LEASE_END_MS - 1, Faults::default(), answer).status, status);
     }
 }
 
 #[test]
-fn nothing_is_stated_once_the_lease_has_ended() {
+fn lease_dependent_responses_are_not_written_after_the_lease_has_ended() {
     assert_eq!(statements_after_the_lease(Faults::default()), Vec::<u16>::new());
     let response =
         written_at(20_000, Faults::default(), Response::Configuration(b"{\"Version\":5}".as_slice().into()));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_writer_that_does_not_check_the_clock_is_caught() {
+fn a_writer_that_does_not_check_the_clock_is_detected() {
     let faults = Faults { skip_lease_check: true };
     assert!(!statements_after_the_lease(faults).is_empty());
 }
--- a/crates/quillpulley/tests/control/frozen_host.rs
+++ b/crates/quillpulley/tests/control/frozen_host.rs
@@ -238,6 +238,6 @@
 }
 
 #[test]
-fn a_host_whose_writers_do_not_check_the_lease_is_caught() {
+fn a_host_whose_writers_do_not_check_the_lease_is_detected() {
     assert_eq!(statements_of_late_writers(Faults { skip_lease_check: true }), [200, 200, 412, 400]);
 }
--- a/crates/quillpulley/tests/control/mixed_releases.rs
+++ b/crates/quillpulley/tests/control/mixed_releases.rs
@@ -48,7 +48,7 @@
 
 #[test]
 #[ignore = "needs the program of an earlier release, named by QUILLPULLEY_EARLIER_PROGRAM"]
-fn processes_of_two_releases_work_together_while_they_are_exchanged() {
+fn processes_of_two_releases_work_together_while_they_are_replaced() {
     let earlier =
         PathBuf::from(std::env::var_os(EARLIER_PROGRAM).expect("QUILLPULLEY_EARLIER_PROGRAM is not set"));
     let present = PathBuf::from(env!("CARGO_BIN_EXE_quillpulley"));
--- a/crates/quillpulley/tests/control/peer_table.rs
+++ b/crates/quillpulley/tests/control/peer_table.rs
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn jitter_makes_the_delay_half_as_long_again_at_most() {
+fn jitter_lengthens_the_backoff_by_at_most_half() {
     let mut peer_table = dialling();
     peer_table.closed(at(0), 1, 1.0);
     assert!(peer_table.addresses_due(at(149)).is_empty());
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn whoever_connects_is_dialled_in_turn() {
+fn an_incoming_link_leads_to_a_connection_attempt() {
     let mut peer_table: PeerTable<u32> = PeerTable::new(ME);
     let node = NodeId::new(THIRD, 3);
     assert!(peer_table.accepted(at(0), 9, node).is_empty());
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_link_that_introduces_itself_after_a_later_one_is_not_read() {
+fn a_link_whose_hello_arrives_after_that_of_a_later_link_is_closed() {
     let mut peer_table: PeerTable<u32> = PeerTable::new(ME);
     let (before, after) = (NodeId::new(THIRD, 3), NodeId::new(THIRD, 4));
     for late in [before, after] {
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_peer_that_connects_is_dialled_again_at_once_where_an_attempt_hangs_or_a_delay_runs() {
+fn an_incoming_link_replaces_a_hanging_attempt_and_ends_the_backoff() {
     // The first attempt may have been started before the remote machine ran, in which case it hangs.
     let mut peer_table = dialling();
     let node = NodeId::new(OTHER, 7);
@@ -137,14 +137,14 @@
 }
 
 #[test]
-fn the_own_address_is_never_dialled() {
+fn a_node_never_connects_to_itself() {
     let mut peer_table: PeerTable<u32> = PeerTable::new(ME);
     peer_table.learn(at(0), ME);
     assert!(peer_table.addresses_due(at(0)).is_empty());
 }
 
 #[test]
-fn a_process_that_is_someone_else_is_not_connected() {
+fn an_unexpected_process_is_not_connected() {
     let mut peer_table = dialling();
     assert_eq!(peer_table.opened(1, hello(NodeId::new(THIRD, 7))), None);
     let agent = Hello { kind: PeerKind::Agent, ..hello(NodeId::new(OTHER, 7)) };
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn addresses_that_stay_unreachable_are_forgotten_unless_they_are_kept() {
+fn addresses_that_stay_unreachable_are_forgotten_unless_they_are_in_a_view() {
     let mut peer_table = dialling();
     peer_table.learn(at(0), THIRD);
     peer_table.opened(1, hello(NodeId::new(OTHER, 7)));
--- a/crates/quillpulley/tests/control/platform.rs
+++ b/crates/quillpulley/tests/control/platform.rs
@@ -19,7 +19,7 @@
     ],"NextToken":"p-50"}"#;
 
 #[test]
-fn a_page_is_read() {
+fn a_page_is_parsed() {
     let page = parse_page(&mut PAGE.as_bytes().to_vec()).expect("cannot parse the page");
     assert_eq!(page.next_token.as_deref(), Some("p-50"));
     assert!(page.unreadable.is_empty());
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_broken_entry_is_reported_and_skipped() {
+fn an_unreadable_entry_is_reported_and_skipped() {
     let page = r#"{"Instances":[{"Id":"i-1","Service":"chat"},7,
         {"Id":"i-2","Service":"chat","Address":"10.0.0.8:80","Zone":"b","State":"ready"}],"NextToken":null}"#;
     let page = parse_page(&mut page.as_bytes().to_vec()).expect("cannot parse the page");
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_broken_page_is_an_error() {
+fn an_unreadable_page_is_an_error() {
     let cut = parse_page(&mut PAGE.as_bytes()[..100].to_vec());
     assert!(matches!(cut, Err(PageError::NotJson(_))));
     let empty = parse_page(&mut b"{}".to_vec());
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_platform_that_is_down_is_an_error() {
+fn an_unreachable_platform_is_an_error() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("cannot bind the socket");
     let address = listener.local_addr().expect("no valid address");
     drop(listener);
--- a/crates/quillpulley/tests/control/processes.rs
+++ b/crates/quillpulley/tests/control/processes.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_primary_that_was_frozen_gives_no_answer_from_the_past() {
+fn a_primary_that_was_suspended_gives_no_outdated_response() {
     let mut cluster = Cluster::start(3, None);
     assert_eq!(replace(&mut cluster, 0, "5"), 200);
     let first = cluster.primary();
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn all_processes_may_be_killed_at_once() {
+fn the_state_survives_if_all_processes_are_killed_at_once() {
     let mut cluster = Cluster::start(3, None);
     assert_eq!(replace(&mut cluster, 0, "5"), 200);
     assert_eq!(cluster.call_until_definite(&Operation::start_evacuation("a")).status, 200);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_machine_that_lost_its_disk_gets_the_state_again() {
+fn a_machine_that_lost_its_disk_recovers_the_state() {
     let mut cluster = Cluster::start(3, None);
     assert_eq!(replace(&mut cluster, 0, "5"), 200);
     let first = cluster.primary();
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_new_machine_takes_the_place_of_one_that_is_gone() {
+fn a_new_machine_replaces_a_lost_one() {
     let mut cluster = Cluster::start(3, None);
     assert_eq!(replace(&mut cluster, 0, "5"), 200);
     let first = cluster.primary();
@@ -180,13 +180,13 @@
 }
 
 #[test]
-fn a_machine_that_knows_nobody_reads_its_seeds_again_by_itself() {
+fn an_isolated_machine_reads_its_seeds_again_without_a_signal() {
     let (mut cluster, isolated) = with_isolated_machine();
     wait_for_redirect(&mut cluster, isolated);
 }
 
 #[test]
-fn a_disk_that_cannot_be_read_ends_the_process_at_its_start() {
+fn an_unusable_disk_ends_the_process_at_its_start() {
     let mut cluster = Cluster::start(1, None);
     assert_eq!(replace(&mut cluster, 0, "5"), 200);
     cluster.kill(0);
--- a/crates/quillpulley/tests/control/publisher.rs
+++ b/crates/quillpulley/tests/control/publisher.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn what_is_published_already_is_no_change() {
+fn published_items_are_not_published_again() {
     let items = [(evacuated_key("a"), "")];
     assert!(with_store(&items, |store| state_changes(store, &evacuated(&["a"]))).is_empty());
 }
--- a/crates/quillpulley/tests/control/reader.rs
+++ b/crates/quillpulley/tests/control/reader.rs
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn reads_again_every_interval() {
+fn the_list_is_read_once_per_interval() {
     play(
         44.0,
         "
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn nothing_is_read_or_believed_without_the_lease() {
+fn nothing_is_fetched_or_accepted_without_the_lease() {
     play(
         44.0,
         "
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn failures_back_off_and_begin_again() {
+fn failed_readings_are_retried_with_backoff() {
     play(
         44.0,
         "
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn a_chain_of_pages_that_runs_in_a_circle_is_abandoned() {
+fn a_reading_whose_page_tokens_repeat_fails() {
     play(
         44.0,
         "
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn an_empty_list_that_was_a_mistake_changes_nothing() {
+fn an_empty_reading_that_is_not_confirmed_is_discarded() {
     play(
         44.0,
         "
--- a/crates/quillpulley/tests/control/relay.rs
+++ b/crates/quillpulley/tests/control/relay.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_primary_that_was_heard_is_the_parent() {
+fn the_primary_that_sent_a_heartbeat_is_the_parent() {
     let mut relay = ControlTopology::default();
     let moved = |milliseconds| Some(at(milliseconds));
     assert_eq!(relay.choose_parent(at(0), None, None, |_| true), None);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_parent_that_cannot_be_reached_is_none() {
+fn an_unreachable_parent_is_dropped() {
     let mut relay = ControlTopology::default();
     assert_eq!(relay.choose_parent(at(0), Some(node(1)), None, |_| false), None);
     relay.choose_parent(at(10), Some(node(1)), None, |_| true);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_parent_that_brings_nothing_new_is_asked_again_every_second() {
+fn a_node_without_updates_subscribes_again_every_second() {
     let mut relay = ControlTopology::default();
     let mut choose = |now, moved| relay.choose_parent(at(now), Some(node(1)), Some(at(moved)), |_| true);
     assert_eq!(choose(100, 0), Some(ParentChange::Up));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_parent_whose_link_was_replaced_is_asked_again_at_once() {
+fn a_node_whose_parent_link_was_replaced_subscribes_again_at_once() {
     let mut relay = ControlTopology::default();
     let choose = |relay: &mut ControlTopology, now| {
         relay.choose_parent(at(now), Some(node(1)), Some(at(now)), |_| true)
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn who_applies_too_early_becomes_a_child_at_the_election() {
+fn an_early_subscriber_becomes_a_child_after_the_election() {
     let mut relay = ControlTopology::default();
     for body in [subscription(), report(false, 1), report(true, 2)] {
         assert_eq!(relay.handle_child_message(node(2), body), ChildMessage::Pending);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn reports_without_their_beginning_are_dropped() {
+fn incremental_reports_without_a_complete_one_are_dropped() {
     let mut relay = ControlTopology::default();
     relay.handle_child_message(node(2), report(true, 1));
     relay.handle_child_message(node(2), subscription());
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_root_that_resigns_has_no_control_node_as_a_child() {
+fn a_former_root_has_no_control_nodes_as_children() {
     let mut relay = ControlTopology::default();
     relay.become_root();
     relay.handle_child_message(node(2), subscription());
--- a/crates/quillpulley/tests/control/servers.rs
+++ b/crates/quillpulley/tests/control/servers.rs
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_keeps_what_was_published() {
+fn an_unreadable_entry_keeps_the_published_server() {
     play(
         PublishedServers::default(),
         "
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_new_primary_publishes_what_differs_and_starts_count_downs_again() {
+fn a_new_primary_publishes_differences_and_restarts_countdowns() {
     let inherited = ["x", "y/w3000", "z", "u/*/t900"]
         .map(|text| (server_key(&server(text).id), encode_value(server(text))));
     let items = inherited.iter().map(|(key, value)| (key.as_str(), value.as_slice()));
