--- a/crates/quillpulley/tests/control/agent.rs
+++ b/crates/quillpulley/tests/control/agent.rs
@@ -13,9 +13,9 @@
 use tokio::time::timeout;
 
 /// Maximum time that a step waits for an event of the first agent, during which the other agents do not run.
-const TICK: Duration = Duration::from_millis(10);
+const MAX_STEP_TIME: Duration = Duration::from_millis(10);
 
-/// Agents that run only while [`Agents::until`] waits for a condition.
+/// Agents that run only while [`Agents::wait_for`] waits for a condition.
 pub struct Agents {
     agents: Vec<Agent>,
     started: Instant,
@@ -41,26 +41,26 @@
         Agents { agents, started: Instant::now(), tasks, runtime }
     }
 
-    /// Runs the agents until `wanted` holds for the state of each of them.
-    pub fn until(&mut self, what: &str, wanted: impl Fn(&SyncNode<()>) -> bool) {
-        let waiting = Instant::now();
-        while !self.agents.iter().all(|agent| wanted(&agent.sync_node)) {
-            assert!(waiting.elapsed() < TIMEOUT, "timed out waiting for {what}");
+    /// Runs the agents until `is_reached` holds for the state of each of them.
+    pub fn wait_for(&mut self, what: &str, is_reached: impl Fn(&SyncNode<()>) -> bool) {
+        let wait_started = Instant::now();
+        while !self.agents.iter().all(|agent| is_reached(&agent.sync_node)) {
+            assert!(wait_started.elapsed() < TIMEOUT, "timed out waiting for {what}");
             self.step();
         }
     }
 
     /// Ends one agent, whose link closes without a message.
-    pub fn lose(&mut self, index: usize) {
-        let lost = self.agents.remove(index);
-        self.tasks.block_on(&self.runtime, async { drop(lost) });
+    pub fn end_agent(&mut self, index: usize) {
+        let ended = self.agents.remove(index);
+        self.tasks.block_on(&self.runtime, async { drop(ended) });
     }
 
     /// Ends all agents except one.
-    pub fn keep(&mut self, index: usize) {
+    pub fn keep_only(&mut self, index: usize) {
         let kept = self.agents.swap_remove(index);
-        let lost = std::mem::replace(&mut self.agents, vec![kept]);
-        self.tasks.block_on(&self.runtime, async { drop(lost) });
+        let ended = std::mem::replace(&mut self.agents, vec![kept]);
+        self.tasks.block_on(&self.runtime, async { drop(ended) });
     }
 
     /// Returns the epoch of the first agent's state.
@@ -72,15 +72,15 @@
         let now = self.started.elapsed();
         for agent in &mut self.agents {
             while let Ok(event) = agent.events.try_recv() {
-                self.tasks.block_on(&self.runtime, async { agent.take(now, event) });
+                self.tasks.block_on(&self.runtime, async { agent.handle_peer_event(now, event) });
             }
             agent.handle(now, Event::Tick);
         }
         let first = &mut self.agents[0];
-        let next = async { timeout(TICK, first.events.recv()).await };
+        let next = async { timeout(MAX_STEP_TIME, first.events.recv()).await };
         if let Ok(event) = self.tasks.block_on(&self.runtime, next) {
             self.tasks.block_on(&self.runtime, async {
-                first.take(now, event.expect("there are no more link events"))
+                first.handle_peer_event(now, event.expect("there are no more link events"))
             });
         }
     }
@@ -114,7 +114,7 @@
         agent
     }
 
-    fn take(&mut self, now: Duration, event: PeerEvent) {
+    fn handle_peer_event(&mut self, now: Duration, event: PeerEvent) {
         match event {
             PeerEvent::Opened { .. } => self.handle(now, Event::ParentUp),
             PeerEvent::Frame { body, .. } => self.handle(now, Event::ParentFrame(body)),
--- a/crates/quillpulley/tests/control/api.rs
+++ b/crates/quillpulley/tests/control/api.rs
@@ -14,11 +14,11 @@
 const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Starts the API. Returns its address and the requests that the test has to answer.
-fn start() -> (SocketAddr, Receiver<Box<ApiRequest>>) {
+fn start_api() -> (SocketAddr, Receiver<Box<ApiRequest>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind the socket");
     let address = listener.local_addr().expect("no valid address");
     let (send, requests) = mpsc::channel();
-    let deliver = move |call| send.send(call).map_err(|rejected| rejected.0);
+    let deliver = move |request| send.send(request).map_err(|rejected| rejected.0);
     api::serve(listener, Clock::start(), deliver).expect("cannot start the server");
     (address, requests)
 }
@@ -31,7 +31,7 @@
 
 /// Sends a request and returns the response, which ends when the server closes the connection.
 pub fn send(address: SocketAddr, request: &str) -> HttpResponse {
-    parse(&send_raw(address, request))
+    parse_response(&send_raw(address, request))
 }
 
 /// Sends a request and returns the unparsed response, which ends when the server closes the connection.
@@ -39,19 +39,19 @@
     let mut stream = TcpStream::connect(address).expect("cannot connect");
     stream.set_read_timeout(Some(TIMEOUT)).expect("cannot set the timeout");
     stream.write_all(request.as_bytes()).expect("cannot send the request");
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("cannot read the response");
-    answer
+    let mut response = String::new();
+    stream.read_to_string(&mut response).expect("cannot read the response");
+    response
 }
 
-fn parse(answer: &str) -> HttpResponse {
-    let (head, body) = answer.split_once("\r\n\r\n").expect("the response has no body");
+fn parse_response(response: &str) -> HttpResponse {
+    let (head, body) = response.split_once("\r\n\r\n").expect("the response has no body");
     let status =
         head.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("the status is not a number");
     HttpResponse { status, headers: head.to_ascii_lowercase(), body: body.to_string() }
 }
 
-pub fn replace(base: &str, body: &str) -> String {
+pub fn replace_request_text(base: &str, body: &str) -> String {
     let length = body.len();
     format!(
         "POST /v1/Config.Replace HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\
@@ -59,17 +59,17 @@
     )
 }
 
-pub fn call(method: &str, path: &str) -> String {
+pub fn request_text(method: &str, path: &str) -> String {
     format!("{method} {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 }
 
-/// Sends a request, expects it to be read as `expected`, and answers it with `answer`.
-fn exchange(request: String, expected: Operation, answer: Response) -> HttpResponse {
-    let (address, requests) = start();
+/// Sends a request, expects it to be read as `expected`, and answers it with `response`.
+fn exchange(request: String, expected: Operation, response: Response) -> HttpResponse {
+    let (address, requests) = start_api();
     let client = std::thread::spawn(move || send(address, &request));
     let request = requests.recv_timeout(TIMEOUT).expect("no request");
     assert_eq!(request.operation, expected);
-    request.responder.send(TimedResponse::without_expiry(answer));
+    request.responder.send(TimedResponse::without_expiry(response));
     client.join().expect("the client thread panicked")
 }
 
@@ -83,30 +83,37 @@
 
 #[test]
 fn requests_are_parsed_and_responses_are_written() {
-    let response = exchange(replace("5", "{}"), replacement(5, "{}"), Response::Acknowledged);
+    let response = exchange(replace_request_text("5", "{}"), replacement(5, "{}"), Response::Acknowledged);
     assert_eq!(response.status, 200);
 
-    let response = exchange(replace(" 0 ", "{}"), replacement(0, "{}"), Response::Conflict { current: 7 });
+    let response =
+        exchange(replace_request_text(" 0 ", "{}"), replacement(0, "{}"), Response::Conflict { current: 7 });
     assert_eq!(response.status, 412);
     assert!(response.body.contains("version 7"), "{}", response.body);
 
     let why = "a \"quoted\" reason".to_string();
-    let response = exchange(replace("5", "{}"), replacement(5, "{}"), Response::Invalid(why));
+    let response = exchange(replace_request_text("5", "{}"), replacement(5, "{}"), Response::Invalid(why));
     assert_eq!(response.status, 400);
     assert_eq!(response.body, r#"{"Error":"a \"quoted\" reason"}"#);
 
-    let response =
-        exchange(call("POST", "/v1/Evacuate.Start/a-1"), evacuation("a-1", true), Response::Acknowledged);
+    let response = exchange(
+        request_text("POST", "/v1/Evacuate.Start/a-1"),
+        evacuation("a-1", true),
+        Response::Acknowledged,
+    );
     assert_eq!(response.status, 200);
-    let response =
-        exchange(call("POST", "/v1/Evacuate.End/a%201"), evacuation("a 1", false), Response::Acknowledged);
+    let response = exchange(
+        request_text("POST", "/v1/Evacuate.End/a%201"),
+        evacuation("a 1", false),
+        Response::Acknowledged,
+    );
     assert_eq!(response.status, 200);
 }
 
 /// The expected bytes are those that the program at commit 0b0971f wrote.
 #[test]
 fn every_response_is_written_with_the_same_bytes_as_before() {
-    let json = |status: &str, more: &str, body: &str| {
+    let json_response = |status: &str, more: &str, body: &str| {
         let length = body.len();
         format!(
             "HTTP/1.1 {status}\r\nContent-Type: application/json\r\nContent-Length: {length}\r\n\
@@ -115,18 +122,18 @@
     };
     let primary: SocketAddr = "10.0.0.4:8080".parse().expect("no valid address");
     let location = "Location: http://10.0.0.4:8080/v1/Evacuate.Start/a\r\n";
-    let again = "Retry-After: 0.2\r\n";
+    let retry_after = "Retry-After: 0.2\r\n";
     let cases = [
-        (Response::Acknowledged, json("200 OK", "", "{}")),
-        (Response::Configuration(b"{ }".to_vec().into()), json("200 OK", "", "{ }")),
-        (Response::Status(b"{\"a\":1}".to_vec()), json("200 OK", "", "{\"a\":1}")),
+        (Response::Acknowledged, json_response("200 OK", "", "{}")),
+        (Response::Configuration(b"{ }".to_vec().into()), json_response("200 OK", "", "{ }")),
+        (Response::Status(b"{\"a\":1}".to_vec()), json_response("200 OK", "", "{\"a\":1}")),
         (
             Response::NoConfiguration,
-            json("404 Not Found", "", r#"{"Error":"no configuration has been taken yet"}"#),
+            json_response("404 Not Found", "", r#"{"Error":"no configuration has been taken yet"}"#),
         ),
         (
             Response::Conflict { current: 7 },
-            json(
+            json_response(
                 "412 Precondition Failed",
                 "",
                 r#"{"Error":"version 7 is in place: read it and build on it"}"#,
@@ -134,52 +141,56 @@
         ),
         (
             Response::HistoryExpired { oldest: 9 },
-            json(
+            json_response(
                 "503 Service Unavailable",
-                again,
+                retry_after,
                 r#"{"Error":"what was taken on versions below 9 is forgotten: read the configuration in force"}"#,
             ),
         ),
-        (Response::Invalid("why".to_string()), json("400 Bad Request", "", r#"{"Error":"why"}"#)),
-        (Response::Redirect(primary), json("307 Temporary Redirect", location, "{}")),
+        (Response::Invalid("why".to_string()), json_response("400 Bad Request", "", r#"{"Error":"why"}"#)),
+        (Response::Redirect(primary), json_response("307 Temporary Redirect", location, "{}")),
         (
             Response::Unavailable,
-            json(
+            json_response(
                 "503 Service Unavailable",
-                again,
+                retry_after,
                 r#"{"Error":"no primary has confirmed this: send it again"}"#,
             ),
         ),
     ];
-    for (answer, expected) in cases {
-        let (address, requests) = start();
-        let request = call("POST", "/v1/Evacuate.Start/a");
+    for (response, expected) in cases {
+        let (address, requests) = start_api();
+        let request = request_text("POST", "/v1/Evacuate.Start/a");
         let client = std::thread::spawn(move || send_raw(address, &request));
         requests
             .recv_timeout(TIMEOUT)
             .expect("no request")
             .responder
-            .send(TimedResponse::without_expiry(answer.clone()));
-        assert_eq!(client.join().expect("the client thread panicked"), expected, "{answer:?}");
+            .send(TimedResponse::without_expiry(response.clone()));
+        assert_eq!(client.join().expect("the client thread panicked"), expected, "{response:?}");
     }
 }
 
 #[test]
 fn the_configuration_is_returned_byte_for_byte() {
     let body = format!("{{\"Version\":7,\"x\":\"{}\"}}", "y".repeat(100_000));
-    let answer = Response::Configuration(body.clone().into_bytes().into());
-    let response = exchange(call("GET", "/v1/Config.Get"), Operation::ReadConfiguration, answer);
+    let configuration = Response::Configuration(body.clone().into_bytes().into());
+    let response =
+        exchange(request_text("GET", "/v1/Config.Get"), Operation::ReadConfiguration, configuration);
     assert_eq!(response.status, 200);
     assert!(response.headers.contains("content-type: application/json"), "{}", response.headers);
     assert!(response.headers.contains(&format!("content-length: {}", body.len())), "{}", response.headers);
     assert_eq!(response.body, body);
 
-    let response =
-        exchange(call("GET", "/v1/Config.Get"), Operation::ReadConfiguration, Response::NoConfiguration);
+    let response = exchange(
+        request_text("GET", "/v1/Config.Get"),
+        Operation::ReadConfiguration,
+        Response::NoConfiguration,
+    );
     assert_eq!(response.status, 404);
 
     let status = Response::Status(br#"{"Role":"follower"}"#.to_vec());
-    let response = exchange(call("GET", "/v1/Control.Status"), Operation::ReadStatus, status);
+    let response = exchange(request_text("GET", "/v1/Control.Status"), Operation::ReadStatus, status);
     assert_eq!((response.status, response.body.as_str()), (200, r#"{"Role":"follower"}"#));
 }
 
@@ -187,7 +198,7 @@
 fn callers_are_redirected_to_the_primary_or_get_retry_after() {
     let primary: SocketAddr = "10.0.0.4:8080".parse().expect("no valid address");
     let path = "/v1/Evacuate.Start/a";
-    let response = exchange(call("POST", path), evacuation("a", true), Response::Redirect(primary));
+    let response = exchange(request_text("POST", path), evacuation("a", true), Response::Redirect(primary));
     assert_eq!(response.status, 307);
     assert!(
         response.headers.contains("location: http://10.0.0.4:8080/v1/evacuate.start/a"),
@@ -195,14 +206,18 @@
         response.headers
     );
 
-    let response = exchange(call("POST", path), evacuation("a", true), Response::Unavailable);
+    let response = exchange(request_text("POST", path), evacuation("a", true), Response::Unavailable);
     assert_eq!(response.status, 503);
     assert!(response.headers.contains("retry-after: 0.2"), "{}", response.headers);
 }
 
 #[test]
 fn an_expired_history_gets_503_and_the_oldest_version() {
-    let response = exchange(replace("5", "{}"), replacement(5, "{}"), Response::HistoryExpired { oldest: 9 });
+    let response = exchange(
+        replace_request_text("5", "{}"),
+        replacement(5, "{}"),
+        Response::HistoryExpired { oldest: 9 },
+    );
     assert_eq!(response.status, 503);
     assert!(response.body.contains("below 9 is forgotten"), "{}", response.body);
     assert!(response.headers.contains("retry-after: 0.2"), "{}", response.headers);
@@ -210,27 +225,27 @@
 
 #[test]
 fn a_request_that_cannot_be_delivered_gets_503() {
-    let (address, requests) = start();
+    let (address, requests) = start_api();
     drop(requests);
-    assert_eq!(send(address, &call("POST", "/v1/Evacuate.Start/a")).status, 503);
+    assert_eq!(send(address, &request_text("POST", "/v1/Evacuate.Start/a")).status, 503);
 }
 
 #[test]
 fn other_paths_and_methods_are_rejected() {
-    let (address, requests) = start();
-    assert_eq!(send(address, &call("GET", "/v1/Config.Put")).status, 404);
-    assert_eq!(send(address, &call("GET", "/v2/Config.Get")).status, 404);
-    assert_eq!(send(address, &call("GET", "/v1/Config.Replace")).status, 405);
-    assert_eq!(send(address, &call("POST", "/v1/Config.Get")).status, 405);
-    assert_eq!(send(address, &call("GET", "/v1/Evacuate.Start/a")).status, 405);
-    assert_eq!(send(address, &call("POST", "/v1/Evacuate.Start/")).status, 400);
-    assert_eq!(send(address, &replace("new", "{}")).status, 400);
+    let (address, requests) = start_api();
+    assert_eq!(send(address, &request_text("GET", "/v1/Config.Put")).status, 404);
+    assert_eq!(send(address, &request_text("GET", "/v2/Config.Get")).status, 404);
+    assert_eq!(send(address, &request_text("GET", "/v1/Config.Replace")).status, 405);
+    assert_eq!(send(address, &request_text("POST", "/v1/Config.Get")).status, 405);
+    assert_eq!(send(address, &request_text("GET", "/v1/Evacuate.Start/a")).status, 405);
+    assert_eq!(send(address, &request_text("POST", "/v1/Evacuate.Start/")).status, 400);
+    assert_eq!(send(address, &replace_request_text("new", "{}")).status, 400);
     assert!(requests.try_recv().is_err());
 }
 
 #[test]
 fn a_body_that_is_too_long_is_rejected() {
-    let (address, requests) = start();
+    let (address, requests) = start_api();
     let head = "POST /v1/Config.Replace HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\
                 Quillpulley-If-Config-Version: 1\r\n";
     let response = send(address, &format!("{head}Content-Length: 4500001\r\n\r\n{}", "x".repeat(4_500_001)));
@@ -249,38 +264,41 @@
 
 #[test]
 fn a_truncated_body_is_never_accepted() {
-    let (address, requests) = start();
+    let (address, requests) = start_api();
     for (length, body) in [(3000, "{}".to_string()), (500, "{}".to_string()), (3000, "x".repeat(2999))] {
         let mut stream = TcpStream::connect(address).expect("cannot connect");
         stream.set_read_timeout(Some(TIMEOUT)).expect("cannot set the timeout");
-        let request = replace("1", "").replace("Content-Length: 0", &format!("Content-Length: {length}"));
+        let request =
+            replace_request_text("1", "").replace("Content-Length: 0", &format!("Content-Length: {length}"));
         stream.write_all(format!("{request}{body}").as_bytes()).expect("cannot send the request");
         stream.shutdown(std::net::Shutdown::Write).expect("cannot shut down the connection");
-        let mut answer = Vec::new();
-        stream.read_to_end(&mut answer).expect("cannot read the response");
-        let answer = String::from_utf8_lossy(&answer);
-        assert!(!answer.starts_with("HTTP/1.1 2") && !answer.starts_with("HTTP/1.1 4"), "{answer}");
+        let mut response = Vec::new();
+        stream.read_to_end(&mut response).expect("cannot read the response");
+        let response = String::from_utf8_lossy(&response);
+        assert!(!response.starts_with("HTTP/1.1 2") && !response.starts_with("HTTP/1.1 4"), "{response}");
     }
     assert!(requests.try_recv().is_err());
 }
 
 #[test]
 fn a_stalled_caller_does_not_delay_others() {
-    let (address, requests) = start();
+    let (address, requests) = start_api();
     let mut stalled = TcpStream::connect(address).expect("cannot connect");
     stalled
         .write_all(b"POST /v1/Config.Replace HTTP/1.1\r\nHost: x\r\nContent-Length: 9000\r\n\r\n{")
         .expect("cannot send the request");
-    let waiting = std::thread::spawn(move || send(address, &call("POST", "/v1/Evacuate.Start/a")));
-    let first = requests.recv_timeout(TIMEOUT).expect("no request");
+    let first_client =
+        std::thread::spawn(move || send(address, &request_text("POST", "/v1/Evacuate.Start/a")));
+    let first_request = requests.recv_timeout(TIMEOUT).expect("no request");
     // The second request is answered while the first one is still waiting for its response.
-    let second = std::thread::spawn(move || send(address, &call("POST", "/v1/Evacuate.Start/b")));
+    let second_client =
+        std::thread::spawn(move || send(address, &request_text("POST", "/v1/Evacuate.Start/b")));
     requests
         .recv_timeout(TIMEOUT)
         .expect("no request")
         .responder
         .send(TimedResponse::without_expiry(Response::Acknowledged));
-    assert_eq!(second.join().expect("the client thread panicked").status, 200);
-    first.responder.send(TimedResponse::without_expiry(Response::Acknowledged));
-    assert_eq!(waiting.join().expect("the client thread panicked").status, 200);
+    assert_eq!(second_client.join().expect("the client thread panicked").status, 200);
+    first_request.responder.send(TimedResponse::without_expiry(Response::Acknowledged));
+    assert_eq!(first_client.join().expect("the client thread panicked").status, 200);
 }
--- a/crates/quillpulley/tests/control/clock.rs
+++ b/crates/quillpulley/tests/control/clock.rs
@@ -1,6 +1,6 @@
 //! Tests of the detection of clock jumps, and of the responses that are written after a jump.
 
-use crate::api::{call, send};
+use crate::api::{request_text, send};
 use quillpulley::control::api::{self, Faults};
 use quillpulley::control::clock::{Clock, ClockReading};
 use quillpulley::control::response::{Response, TimedResponse};
@@ -71,28 +71,28 @@
 
 /// Returns the status that a caller gets if the machine and its monotonic clock are paused for 20 s after the
 /// response was decided and before it is written.
-fn status_after_a_jump(decided: TimedResponse, faults: Faults) -> u16 {
+fn status_after_a_jump(response: TimedResponse, faults: Faults) -> u16 {
     let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind the socket");
     let address = listener.local_addr().expect("no valid address");
     let clocks = Clocks::default();
     let (deliver, requests) = mpsc::channel();
-    let deliver = move |call| deliver.send(call).map_err(|rejected| rejected.0);
+    let deliver = move |request| deliver.send(request).map_err(|rejected| rejected.0);
     api::serve_with_faults(listener, clocks.clock(), faults, deliver).expect("cannot start the server");
-    let caller = std::thread::spawn(move || send(address, &call("GET", "/v1/Config.Get")));
+    let caller = std::thread::spawn(move || send(address, &request_text("GET", "/v1/Config.Get")));
     let request = requests.recv_timeout(TIMEOUT).expect("no request");
     clocks.set(1, 20_000);
-    request.responder.send(decided);
+    request.responder.send(response);
     caller.join().expect("the client thread panicked").status
 }
 
 #[test]
 fn lease_dependent_responses_are_not_written_after_a_jump() {
     let lease_end = Duration::from_millis(810);
-    let decided = || TimedResponse::expiring_at(lease_end, Response::Conflict { current: 5 });
-    assert_eq!(status_after_a_jump(decided(), Faults::default()), 503);
-    assert_eq!(status_after_a_jump(decided(), Faults { skip_lease_check: true }), 412);
+    let conflict = || TimedResponse::expiring_at(lease_end, Response::Conflict { current: 5 });
+    assert_eq!(status_after_a_jump(conflict(), Faults::default()), 503);
+    assert_eq!(status_after_a_jump(conflict(), Faults { skip_lease_check: true }), 412);
     // The host decided this response after it had detected the jump and renewed the lease.
-    assert_eq!(status_after_a_jump(decided().with_known_jumps(1), Faults::default()), 412);
+    assert_eq!(status_after_a_jump(conflict().with_known_jumps(1), Faults::default()), 412);
     let without_lease = TimedResponse::without_expiry(Response::Invalid("not a number".to_string()));
     assert_eq!(status_after_a_jump(without_lease, Faults::default()), 400);
 }
--- a/crates/quillpulley/tests/control/cluster.rs
+++ b/crates/quillpulley/tests/control/cluster.rs
@@ -38,9 +38,9 @@
     machines: Vec<Machine>,
     network: [u8; 2],
     platform: Option<SocketAddr>,
-    lines: Receiver<String>,
-    log: Sender<String>,
-    past_lines: Vec<String>,
+    log_receiver: Receiver<String>,
+    log_sender: Sender<String>,
+    log_lines: Vec<String>,
     folder: PathBuf,
 }
 
@@ -60,7 +60,7 @@
     pub fn start(count: usize, platform: Option<SocketAddr>) -> Self {
         let mut cluster = Cluster::prepare(count, platform);
         for index in 0..count {
-            cluster.run(index);
+            cluster.start_process(index);
         }
         cluster
     }
@@ -70,11 +70,12 @@
         let process = std::process::id();
         let number = CLUSTERS.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("quillpulley-control-{process}-{number}"));
-        let (log, lines) = mpsc::channel();
+        let (log_sender, log_receiver) = mpsc::channel();
         // Clusters that run at the same time use different addresses.
         let network = [1 + (process % 250) as u8, number];
         let machines = Vec::new();
-        let mut cluster = Cluster { machines, network, platform, lines, log, past_lines: Vec::new(), folder };
+        let mut cluster =
+            Cluster { machines, network, platform, log_receiver, log_sender, log_lines: Vec::new(), folder };
         let seeds: Vec<SocketAddr> = (0..count).map(|index| cluster.control(index)).collect();
         for _ in 0..count {
             cluster.add(true, seeds.clone());
@@ -149,7 +150,7 @@
     }
 
     /// Starts the process of a machine.
-    pub fn run(&mut self, index: usize) {
+    pub fn start_process(&mut self, index: usize) {
         let settings = self.write_settings(index);
         let mut process = Command::new(&self.machines[index].program)
             .arg("control")
@@ -157,17 +158,17 @@
             .stderr(Stdio::piped())
             .spawn()
             .expect("cannot start the process");
-        let errors = process.stderr.take().expect("stderr is not piped");
-        let log = self.log.clone();
+        let stderr = process.stderr.take().expect("stderr is not piped");
+        let log_sender = self.log_sender.clone();
         thread::spawn(move || {
-            for line in BufReader::new(errors).lines().map_while(Result::ok) {
-                if log.send(format!("core-{index}: {line}")).is_err() {
+            for line in BufReader::new(stderr).lines().map_while(Result::ok) {
+                if log_sender.send(format!("core-{index}: {line}")).is_err() {
                     return;
                 }
             }
         });
-        self.take_lines();
-        self.machines[index].started_at_line = self.past_lines.len();
+        self.collect_log_lines();
+        self.machines[index].started_at_line = self.log_lines.len();
         self.machines[index].process = Some(process);
     }
 
@@ -205,22 +206,22 @@
     }
 
     /// Empties the disk of a machine whose process is not running. The machine no longer bootstraps.
-    pub fn wipe(&mut self, index: usize) {
+    pub fn wipe_disk(&mut self, index: usize) {
         let machine = &mut self.machines[index];
         machine.bootstrap = false;
         std::fs::remove_dir_all(&machine.folder).expect("cannot remove the folder");
     }
 
-    fn take_lines(&mut self) {
-        self.past_lines.extend(self.lines.try_iter());
+    fn collect_log_lines(&mut self) {
+        self.log_lines.extend(self.log_receiver.try_iter());
     }
 
     /// Returns the node id of the running process of a machine, as logged: its address and its incarnation.
     fn node(&mut self, index: usize) -> String {
         let started =
             format!("core-{index}: INFO control::replica_host::process: control node started node=");
-        self.until("a process that has started", |cluster| {
-            let lines = &cluster.past_lines[cluster.machines[index].started_at_line..];
+        self.wait_for("a process that has started", |cluster| {
+            let lines = &cluster.log_lines[cluster.machines[index].started_at_line..];
             let node = lines.iter().find_map(|line| line.strip_prefix(started.as_str()))?;
             node.split(' ').next().map(str::to_string)
         })
@@ -246,30 +247,30 @@
     }
 
     /// Waits until a process has logged a view in which `is_wanted` holds for the list of nodes after
-    /// `intro`. Only lines since the last start of the machine count.
-    fn wait_for_view(&mut self, index: usize, intro: &str, is_wanted: impl Fn(&[&str]) -> bool) {
-        let shows_it = |line: &String| {
-            let list = line.split_once(intro).and_then(|(_, rest)| rest.split_once(']'));
+    /// `list_prefix`. Only lines since the last start of the machine count.
+    fn wait_for_view(&mut self, index: usize, list_prefix: &str, is_wanted: impl Fn(&[&str]) -> bool) {
+        let shows_expected_view = |line: &String| {
+            let list = line.split_once(list_prefix).and_then(|(_, rest)| rest.split_once(']'));
             list.is_some_and(|(nodes, _)| is_wanted(&nodes.split(", ").collect::<Vec<_>>()))
         };
-        self.until("the expected view", |cluster| {
-            let lines = &cluster.past_lines[cluster.machines[index].started_at_line..];
-            lines.iter().any(shows_it).then_some(())
+        self.wait_for("the expected view", |cluster| {
+            let lines = &cluster.log_lines[cluster.machines[index].started_at_line..];
+            lines.iter().any(shows_expected_view).then_some(())
         });
     }
 
     /// Retries `attempt` until it returns a result, and returns that. Panics after [`TIMEOUT`].
-    pub fn until<T>(&mut self, what: &str, mut attempt: impl FnMut(&Self) -> Option<T>) -> T {
+    pub fn wait_for<T>(&mut self, what: &str, mut attempt: impl FnMut(&Self) -> Option<T>) -> T {
         let started = Instant::now();
         loop {
             if let Some(result) = attempt(self) {
                 return result;
             }
             if started.elapsed() > TIMEOUT {
-                self.take_lines();
-                panic!("timed out waiting for {what}\n{}", self.past_lines.join("\n"));
+                self.collect_log_lines();
+                panic!("timed out waiting for {what}\n{}", self.log_lines.join("\n"));
             }
-            self.past_lines.extend(self.lines.recv_timeout(RETRY_INTERVAL));
+            self.log_lines.extend(self.log_receiver.recv_timeout(RETRY_INTERVAL));
         }
     }
 
@@ -283,7 +284,7 @@
         let running: Vec<usize> =
             (0..self.machines.len()).filter(|index| self.machines[*index].process.is_some()).collect();
         let mut attempt = 0;
-        self.until("a definite response", |cluster| {
+        self.wait_for("a definite response", |cluster| {
             attempt += 1;
             let response = operation.send(cluster.control(running[attempt % running.len()]))?;
             let response = match response.location {
@@ -296,15 +297,15 @@
 
     /// Waits until there is a primary, and returns the index of its machine.
     pub fn primary(&mut self) -> usize {
-        self.until("a primary", |cluster| {
-            let answers = |index: &usize| {
+        self.wait_for("a primary", |cluster| {
+            let is_primary = |index: &usize| {
                 let response = cluster.machines[*index]
                     .process
                     .as_ref()
                     .and_then(|_| cluster.call(*index, &Operation::get()));
                 response.is_some_and(|response| response.status == 200 || response.status == 404)
             };
-            (0..cluster.machines.len()).find(answers)
+            (0..cluster.machines.len()).find(is_primary)
         })
     }
 
--- a/crates/quillpulley/tests/control/commands.rs
+++ b/crates/quillpulley/tests/control/commands.rs
@@ -28,7 +28,7 @@
     index: u64,
 }
 
-fn command(text: &str) -> Command {
+fn parse_command(text: &str) -> Command {
     if let Some((base, version)) = text.split_once('>') {
         return Command::Replace {
             base: base.parse().expect("the base is not a number"),
@@ -40,7 +40,7 @@
 }
 
 impl Harness {
-    fn send(&mut self, now: Duration, sent: &str) {
+    fn queue_commands(&mut self, now: Duration, sent: &str) {
         for text in sent.split_whitespace() {
             let (received_at, text) = match text.split_once('@') {
                 Some((time, text)) => {
@@ -48,22 +48,22 @@
                 }
                 None => (now, text),
             };
-            self.commands.push(now, received_at, command(text), text.to_string());
+            self.commands.push(now, received_at, parse_command(text), text.to_string());
         }
     }
 
-    fn replicas(&mut self, event: &str) {
+    fn handle_replica_event(&mut self, event: &str) {
         let words: Vec<&str> = event.split_whitespace().collect();
         match words[..] {
             [] => {}
-            ["commit", name] => self.commit(name, true),
-            ["commit", name, "stale"] => self.commit(name, false),
-            ["fail", name] => {
-                self.commands.failed(name.parse().expect("the proposal number is not a number"))
+            ["commit", number] => self.commit(number, true),
+            ["commit", number, "stale"] => self.commit(number, false),
+            ["fail", number] => {
+                self.commands.failed(number.parse().expect("the proposal number is not a number"))
             }
             ["foreign", text] => {
                 let mut other = CommandQueue::default();
-                other.push(Duration::ZERO, Duration::ZERO, command(text), ());
+                other.push(Duration::ZERO, Duration::ZERO, parse_command(text), ());
                 let proposal = other.next_proposal(&self.state).expect("no such proposal");
                 self.apply(proposal.payload);
             }
@@ -74,10 +74,10 @@
         }
     }
 
-    fn commit(&mut self, name: &str, holds_lease: bool) {
+    fn commit(&mut self, number: &str, holds_lease: bool) {
         let proposal = self
             .proposed
-            .remove(&name.parse().expect("the proposal number is not a number"))
+            .remove(&number.parse().expect("the proposal number is not a number"))
             .expect("no such proposal");
         self.apply(proposal.payload);
         self.commands.committed(proposal.number, &self.state, holds_lease);
@@ -100,14 +100,14 @@
             self.commands
                 .take_responses()
                 .into_iter()
-                .map(|(sent, answer)| format!("{sent} {}", show(&answer))),
+                .map(|(sent, response)| format!("{sent} {}", format_response(&response))),
         );
         results.join(", ")
     }
 }
 
-fn show(answer: &Response) -> String {
-    match answer {
+fn format_response(response: &Response) -> String {
+    match response {
         Response::Acknowledged => "acknowledged".to_string(),
         Response::Conflict { current } => format!("conflict {current}"),
         Response::Invalid(_) => "invalid".to_string(),
@@ -117,21 +117,21 @@
     }
 }
 
-fn play(timeline: &str) {
+fn run_timeline(timeline: &str) {
     let mut harness = Harness::default();
     for line in timeline.lines().map(str::trim).filter(|line| !line.is_empty()) {
         let columns: Vec<&str> = line.split('|').map(str::trim).collect();
         let [time, sent, replicas, expected] = columns[..] else { panic!("not four columns: {line}") };
         let now = Duration::from_millis(time.parse().expect("the time is not a number"));
-        harness.send(now, sent);
-        harness.replicas(replicas);
+        harness.queue_commands(now, sent);
+        harness.handle_replica_event(replicas);
         assert_eq!(harness.results(now), expected, "{line}");
     }
 }
 
 #[test]
 fn a_command_is_acknowledged_when_it_is_committed() {
-    play(
+    run_timeline(
         "
            0 | 0>5 |          | proposed 1
           10 |     | commit 1 | 0>5 acknowledged
@@ -145,7 +145,7 @@
 
 #[test]
 fn a_repeated_command_is_acknowledged_without_a_log_entry() {
-    play(
+    run_timeline(
         "
            0 | 0>5     |          | proposed 1
           10 |         | commit 1 | 0>5 acknowledged
@@ -159,7 +159,7 @@
 
 #[test]
 fn one_of_two_configurations_with_the_same_base_is_accepted() {
-    play(
+    run_timeline(
         "
            0 | 0>5a 0>5b 0>5a |          | proposed 1
           10 |                | commit 1 | 0>5a acknowledged, 0>5b conflict 5, 0>5a acknowledged
@@ -169,7 +169,7 @@
 
 #[test]
 fn invalid_and_outdated_configurations_are_rejected() {
-    play(
+    run_timeline(
         "
            0 | 0>5     |          | proposed 1
           10 |         | commit 1 | 0>5 acknowledged
@@ -181,7 +181,7 @@
 
 #[test]
 fn the_next_command_is_decided_after_the_previous_one_failed() {
-    play(
+    run_timeline(
         "
            0 | 0>5 0>6 |          | proposed 1
           10 |         | fail 1   | proposed 2, 0>5 unavailable
@@ -193,7 +193,7 @@
 #[test]
 fn a_command_that_an_earlier_entry_overrides_is_not_acknowledged() {
     // An entry of another primary is applied after the command was decided and before it is committed.
-    play(
+    run_timeline(
         "
            0 | 0>5 |             | proposed 1
           10 |     | foreign 0>6 |
@@ -205,7 +205,7 @@
 
 #[test]
 fn nothing_is_acknowledged_without_the_lease() {
-    play(
+    run_timeline(
         "
            0 | 0>5 |                | proposed 1
           10 |     | commit 1 stale | 0>5 unavailable
@@ -216,7 +216,7 @@
 
 #[test]
 fn a_deposed_primary_reports_the_command_in_flight_as_unknown() {
-    play(
+    run_timeline(
         "
            0 | 0>5 +a |         | proposed 1
           10 |        | deposed | 0>5 unavailable, +a redirect
@@ -226,7 +226,7 @@
 
 #[test]
 fn callers_time_out_after_three_seconds_and_the_command_stays_in_flight() {
-    play(
+    run_timeline(
         "
            0 | 0>5 |          | proposed 1
          100 | 5>6 |          |
@@ -253,7 +253,7 @@
 fn a_delayed_evacuation_does_not_undo_a_later_command() {
     // A zone's evacuation is started and ended. Another start command, which was received before the end
     // command, then reaches the queue late, because its thread did not run.
-    play(
+    run_timeline(
         "  0 | +a    |          | proposed 1
           10 |       | commit 1 | +a acknowledged
           20 | -a    |          | proposed 2
@@ -267,7 +267,7 @@
     );
     // A command is recorded as the latest one for its zone even if it changes nothing, like `-a`, or if its
     // outcome is unknown, like `+b`.
-    play(
+    run_timeline(
         "  0 | -a         |                | -a acknowledged
           10 | +b         |                | proposed 1
           20 |            | commit 1 stale | +b unavailable
@@ -279,7 +279,7 @@
 
 #[test]
 fn a_delayed_evacuation_that_changes_nothing_is_acknowledged() {
-    play(
+    run_timeline(
         "  0 | +a   |          | proposed 1
           10 |      | commit 1 | +a acknowledged
           20 | +a   |          | +a acknowledged
@@ -289,7 +289,7 @@
 
 #[test]
 fn queued_commands_take_effect_in_order_after_the_one_in_flight() {
-    play(
+    run_timeline(
         "  0 | 0>5   |          | proposed 1
           10 | +a    |          |
           20 | -a    |          |
@@ -301,7 +301,7 @@
 
 #[test]
 fn a_configuration_with_a_slow_body_is_decided_but_an_evacuation_as_late_expires() {
-    play(
+    run_timeline(
         " 9000 | 1000@0>5 |          | proposed 1
           9010 |          | commit 1 | 0>5 acknowledged
           9020 | 6020@+a  |          | +a unavailable
--- a/crates/quillpulley/tests/control/compatibility.rs
+++ b/crates/quillpulley/tests/control/compatibility.rs
@@ -104,9 +104,9 @@
     let mut stream = TcpStream::connect(SocketAddr::from((ADDRESS, port))).ok()?;
     stream.set_read_timeout(Some(TIMEOUT)).expect("cannot set the timeout");
     stream.write_all(request.as_bytes()).expect("cannot send the request");
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("cannot read the response");
-    Some(answer)
+    let mut response = String::new();
+    stream.read_to_string(&mut response).expect("cannot read the response");
+    Some(response)
 }
 
 fn request(method: &str, path: &str, header: &str, body: &str) -> String {
@@ -118,7 +118,7 @@
     request("POST", "/v1/Config.Replace", &format!("Quillpulley-If-Config-Version: {base}\r\n"), body)
 }
 
-fn stored_answer(name: &str) -> String {
+fn stored_response(name: &str) -> String {
     std::fs::read_to_string(fixtures().join("answers").join(name)).expect("cannot read the stored response")
 }
 
@@ -143,8 +143,8 @@
     assert_eq!(state.evacuated_zones().collect::<Vec<_>>(), EVACUATED);
     let record = encode_value(&record);
     let slots = std::fs::read(folder.0.join("record.slots")).expect("cannot read the record");
-    let is_written_so = slots.windows(record.len()).any(|window| window == record);
-    assert!(is_written_so, "the witness record is not written with the same bytes");
+    let is_record_written = slots.windows(record.len()).any(|window| window == record);
+    assert!(is_record_written, "the witness record is not written with the same bytes");
     assert_eq!(folder.contents(), before, "opening an undamaged folder changed it");
 }
 
@@ -157,13 +157,13 @@
     let get = request("GET", "/v1/Config.Get", "", "");
     let started = Instant::now();
     let first = loop {
-        match exchange(CONTROL_PORT, &get).filter(|answer| answer.starts_with("HTTP/1.1 200")) {
-            Some(answer) => break answer,
+        match exchange(CONTROL_PORT, &get).filter(|response| response.starts_with("HTTP/1.1 200")) {
+            Some(response) => break response,
             None => std::thread::sleep(RETRY_INTERVAL),
         }
-        assert!(started.elapsed() < TIMEOUT, "the process did not answer in time");
+        assert!(started.elapsed() < TIMEOUT, "the process did not respond in time");
     };
-    assert_eq!(first, stored_answer("config-get.http"));
+    assert_eq!(first, stored_response("config-get.http"));
     let cases = [
         ("config-replace-taken.http", replace(LAST_VERSION - 1, &body(LAST_VERSION))),
         ("config-replace-conflict.http", replace(5, &body(LAST_VERSION + 1))),
@@ -174,10 +174,10 @@
         ("evacuate-without-zone.http", request("POST", "/v1/Evacuate.Start/", "", "")),
     ];
     for (name, request) in cases {
-        assert_eq!(exchange(CONTROL_PORT, &request), Some(stored_answer(name)), "{name}");
+        assert_eq!(exchange(CONTROL_PORT, &request), Some(stored_response(name)), "{name}");
     }
     // The process has been elected again after its restart.
-    let status = stored_answer("control-status.http").replace("\"Epoch\":1", "\"Epoch\":2");
+    let status = stored_response("control-status.http").replace("\"Epoch\":1", "\"Epoch\":2");
     assert_eq!(exchange(CONTROL_PORT, &request("GET", "/v1/Control.Status", "", "")), Some(status));
     let resolve = "/v1/resolve?Name=x&Region=region-0&Zone=zone-0";
     let cases = [
@@ -186,7 +186,7 @@
         ("resolve-unknown-path.http", request("GET", "/v1/elsewhere", "", "")),
     ];
     for (name, request) in cases {
-        assert_eq!(exchange(DIRECTORY_PORT, &request), Some(stored_answer(name)), "{name}");
+        assert_eq!(exchange(DIRECTORY_PORT, &request), Some(stored_response(name)), "{name}");
     }
 }
 
--- a/crates/quillpulley/tests/control/directory.rs
+++ b/crates/quillpulley/tests/control/directory.rs
@@ -78,22 +78,22 @@
 
 #[test]
 fn clients_go_to_the_regions_that_at_least_half_of_their_proxies_prefer() {
-    let prefers =
+    let prefers_west =
         |text: &str| ProxyEndpoint { preferred_regions: vec!["west".to_string()], ..endpoint(text) };
     let ready = ["f1 a west ready", "f2 b north ready"].map(endpoint);
-    let endpoints = |of_the_east: [ProxyEndpoint; 2]| ready.iter().cloned().chain(of_the_east).collect();
+    let endpoints = |in_east: [ProxyEndpoint; 2]| ready.iter().cloned().chain(in_east).collect();
     let homes = homes("h:west h:");
     let directory = |endpoints| Directory { endpoints, coverage: Coverage::All, homes: homes.clone() };
 
-    let one_of_two = directory(endpoints([prefers("f3 c east ready"), endpoint("f4 c east ready")]));
+    let one_of_two = directory(endpoints([prefers_west("f3 c east ready"), endpoint("f4 c east ready")]));
     assert_eq!(chosen(&one_of_two, "c", "east"), "f1");
     assert_eq!(chosen(&one_of_two, "b", "north"), "f2");
 
-    let leaving = directory(endpoints([prefers("f3 c east leaving"), endpoint("f4 c east ready")]));
+    let leaving = directory(endpoints([prefers_west("f3 c east leaving"), endpoint("f4 c east ready")]));
     assert_eq!(chosen(&leaving, "c", "east"), "f4");
 
-    let nobody_there = directory(vec![prefers("f3 c east ready"), endpoint("f1 a west starting")]);
-    assert_eq!(chosen(&nobody_there, "c", "east"), "f3");
+    let none_ready = directory(vec![prefers_west("f3 c east ready"), endpoint("f1 a west starting")]);
+    assert_eq!(chosen(&none_ready, "c", "east"), "f3");
 }
 
 #[test]
@@ -262,7 +262,7 @@
     /// Returns whether a proxy is known in the client's region, or in a region that is a home region
     /// of every route of the host that has home regions.
     fn has_endpoints_for(&self, host: &str, region: &str) -> bool {
-        let routes = self.routes.iter().filter(|(of, homes)| of == host && !homes.is_empty());
+        let routes = self.routes.iter().filter(|(route_host, homes)| route_host == host && !homes.is_empty());
         let homes: Vec<_> = routes.map(|(_, homes)| homes).collect();
         let suits = |endpoint: &ProxyEndpoint| {
             endpoint.region == region || homes.iter().all(|homes| homes.contains(&endpoint.region))
@@ -279,12 +279,13 @@
     fn holds(any: AnyDirectory) -> bool {
         let clients = HOSTS[..2].iter().flat_map(|host| REGIONS.map(|region| (*host, region)));
         clients.into_iter().all(|(host, region)| {
-            let bound = any.directory.coverage != Coverage::All || any.has_endpoints_for(host, region);
+            let must_hold = any.directory.coverage != Coverage::All || any.has_endpoints_for(host, region);
             let listed = any.listed_regions(host, region);
-            let routes = any.routes.iter().filter(|(of, homes)| of == host && !homes.is_empty());
-            let third =
+            let routes =
+                any.routes.iter().filter(|(route_host, homes)| route_host == host && !homes.is_empty());
+            let is_third_region =
                 |homes: &[String]| listed.iter().any(|listed| listed != region && !homes.contains(listed));
-            !bound || routes.into_iter().all(|(_, homes)| !third(homes))
+            !must_hold || routes.into_iter().all(|(_, homes)| !is_third_region(homes))
         })
     }
     quickcheck::QuickCheck::new().tests(20_000).quickcheck(holds as fn(AnyDirectory) -> bool);
@@ -293,9 +294,9 @@
 #[test]
 fn a_directory_that_knows_all_proxies_lists_at_least_one() {
     fn holds(any: AnyDirectory) -> bool {
-        let is_due = any.directory.coverage == Coverage::All && !any.directory.endpoints.is_empty();
+        let must_list = any.directory.coverage == Coverage::All && !any.directory.endpoints.is_empty();
         let clients = HOSTS.iter().flat_map(|host| REGIONS.map(|region| (*host, region)));
-        !is_due || clients.into_iter().all(|(host, region)| !any.listed_regions(host, region).is_empty())
+        !must_list || clients.into_iter().all(|(host, region)| !any.listed_regions(host, region).is_empty())
     }
     quickcheck::QuickCheck::new().tests(5_000).quickcheck(holds as fn(AnyDirectory) -> bool);
 }
@@ -306,7 +307,7 @@
     body: Vec<u8>,
 }
 
-fn ask(address: SocketAddr, path: &str) -> HttpResponse {
+fn get(address: SocketAddr, path: &str) -> HttpResponse {
     let config = ureq::Agent::config_builder().http_status_as_error(false);
     let config = config.timeout_global(Some(Duration::from_secs(10))).build();
     let agent = ureq::Agent::new_with_config(config);
@@ -323,13 +324,13 @@
 fn the_directory_responds_over_http() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind the socket");
     let address = listener.local_addr().expect("no valid address");
-    let board = DirectoryHandle::default();
-    directory::serve(listener, board.clone(), 1.5).expect("cannot start the server");
+    let handle = DirectoryHandle::default();
+    directory::serve(listener, handle.clone(), 1.5).expect("cannot start the server");
 
-    let unknown = ask(address, "/v1/resolve?Name=x&Region=west&Zone=a");
+    let unknown = get(address, "/v1/resolve?Name=x&Region=west&Zone=a");
     assert_eq!((unknown.status, unknown.retry_after.as_deref()), (503, Some("0.2")));
 
-    board.set(Directory {
+    handle.set(Directory {
         endpoints: vec![
             ProxyEndpoint { zone: "a b".to_string(), ..endpoint("f1 a west ready") },
             ProxyEndpoint { zone: "a b".to_string(), ..endpoint("f2 a west ready") },
@@ -338,17 +339,17 @@
         coverage: Coverage::All,
         homes: Arc::default(),
     });
-    let mut response = ask(address, "/v1/resolve?Name=x&Region=west&Zone=a%20b");
+    let mut response = get(address, "/v1/resolve?Name=x&Region=west&Zone=a%20b");
     assert_eq!(response.status, 200);
-    let answer = simd_json::to_owned_value(&mut response.body).expect("the body is not JSON");
-    let addresses: Vec<&str> = answer
+    let parsed = simd_json::to_owned_value(&mut response.body).expect("the body is not JSON");
+    let addresses: Vec<&str> = parsed
         .get_array("Addresses")
         .expect("the addresses are missing")
         .iter()
         .filter_map(|value| value.as_str())
         .collect();
     assert_eq!(addresses, ["f1", "f2"]);
-    assert_eq!(answer.get("TtlS").and_then(|value| value.cast_f64()), Some(1.5));
+    assert_eq!(parsed.get("TtlS").and_then(|value| value.cast_f64()), Some(1.5));
 
     let request =
         "GET /v1/resolve?Name=x&Region=west&Zone=a%20b HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
@@ -356,5 +357,5 @@
                     Connection: close\r\n\r\n{\"Addresses\":[\"f1\",\"f2\"],\"TtlS\":1.5}";
     assert_eq!(send_raw(address, request), expected, "not the bytes of the program at commit 0b0971f");
 
-    assert_eq!(ask(address, "/v1/other").status, 404);
+    assert_eq!(get(address, "/v1/other").status, 404);
 }
--- a/crates/quillpulley/tests/control/directory_staleness.rs
+++ b/crates/quillpulley/tests/control/directory_staleness.rs
@@ -12,9 +12,9 @@
 use system::{agent, ms, State, System, AGENTS, CONTROL_NODES, TICK};
 
 /// Time in which a report of an agent reaches the primary by way of the agent's control node.
-const REPORTED: Duration = Duration::from_millis(650);
+const REPORT_DELAY: Duration = Duration::from_millis(650);
 
-const ALL: [usize; CONTROL_NODES] = [0, 1, 2];
+const ALL_CONTROL_NODES: [usize; CONTROL_NODES] = [0, 1, 2];
 
 #[track_caller]
 fn assert_within(time: u128, from: u128, to: u128) {
@@ -25,14 +25,14 @@
 fn a_killed_proxy_is_listed_for_a_second() {
     let mut system = System::stable();
     system.fail(agent(3), State::Ended);
-    assert_within(system.time_until_delisted(&[3], &ALL), 900, 1_100);
+    assert_within(system.time_until_delisted(&[3], &ALL_CONTROL_NODES), 900, 1_100);
 }
 
 #[test]
 fn a_frozen_proxy_without_monitors_is_listed_for_two_and_a_half_seconds() {
     let mut system = System::stable();
     system.fail(agent(3), State::Unresponsive);
-    assert_within(system.time_until_delisted(&[3], &ALL), 1_800, 2_700);
+    assert_within(system.time_until_delisted(&[3], &ALL_CONTROL_NODES), 1_800, 2_700);
 }
 
 #[test]
@@ -47,7 +47,7 @@
 fn proxies_lost_with_the_primary_are_listed_until_three_seconds_after_the_election() {
     let mut system = System::stable();
     [0, agent(0), agent(1)].into_iter().for_each(|node| system.fail(node, State::Unresponsive));
-    system.run(ms(2_000));
+    system.advance(ms(2_000));
     system.elect(1);
     assert_within(system.time_until_delisted(&[0, 1], &[1, 2]), 2_800, 3_100);
     assert_eq!(system.listed(2).len(), AGENTS - 2);
@@ -65,8 +65,8 @@
         "the proxies of the partitioned region are not listed elsewhere"
     );
     system.heal();
-    system.run(ms(4_000));
-    assert!(ALL.iter().all(|control_node| system.listed(*control_node).len() == AGENTS));
+    system.advance(ms(4_000));
+    assert!(ALL_CONTROL_NODES.iter().all(|control_node| system.listed(*control_node).len() == AGENTS));
 }
 
 #[test]
@@ -74,7 +74,7 @@
     for (state, from, to) in [(State::Ended, 1_800, 2_200), (State::Unresponsive, 2_800, 3_700)] {
         let mut system = System::stable();
         system.partitioned_region = Some(2);
-        system.run(ms(10_000));
+        system.advance(ms(10_000));
         system.fail(agent(4), state);
         assert_within(system.time_until_delisted(&[4], &[2]), from, to);
         system.fail(agent(5), state);
@@ -86,26 +86,26 @@
 #[test]
 fn control_nodes_that_were_all_killed_list_no_proxy_that_ended_with_them() {
     let mut system = System::stable();
-    ALL.into_iter().for_each(|control_node| system.fail(control_node, State::Ended));
-    system.nodes[0].publisher = None;
+    ALL_CONTROL_NODES.into_iter().for_each(|control_node| system.fail(control_node, State::Ended));
+    system.nodes[0].registry = None;
     system.fail(agent(3), State::Ended);
-    system.run(ms(1_000));
-    ALL.into_iter().for_each(|control_node| system.restart(control_node));
-    system.run(ms(2_000));
+    system.advance(ms(1_000));
+    ALL_CONTROL_NODES.into_iter().for_each(|control_node| system.restart(control_node));
+    system.advance(ms(2_000));
     system.elect(1);
-    assert_eq!(system.time_until_delisted(&[3], &ALL), 0);
-    assert!(ALL.iter().all(|control_node| system.listed(*control_node).len() == AGENTS - 1));
+    assert_eq!(system.time_until_delisted(&[3], &ALL_CONTROL_NODES), 0);
+    assert!(ALL_CONTROL_NODES.iter().all(|control_node| system.listed(*control_node).len() == AGENTS - 1));
 }
 
 #[test]
 fn a_proxy_is_listed_again_once_its_agent_is_restarted() {
     let mut system = System::stable();
     system.fail(agent(3), State::Ended);
-    system.run(ms(2_000));
-    assert!(!system.is_listed_by(3, &ALL));
+    system.advance(ms(2_000));
+    assert!(!system.is_listed_by(3, &ALL_CONTROL_NODES));
     system.restart(agent(3));
-    system.run(REPORTED);
-    assert!(ALL.iter().all(|control_node| system.is_listed_by(3, &[*control_node])));
+    system.advance(REPORT_DELAY);
+    assert!(ALL_CONTROL_NODES.iter().all(|control_node| system.is_listed_by(3, &[*control_node])));
 }
 
 #[test]
@@ -113,18 +113,18 @@
     for partitioned_region in [None, Some(1)] {
         let mut system = System::stable();
         system.partitioned_region = partitioned_region;
-        system.run(ms(5_000));
+        system.advance(ms(5_000));
         system.report(3, EndpointState::Draining, 1);
-        system.run(REPORTED);
+        system.advance(REPORT_DELAY);
         assert!(system.listed(1).contains(&"(front-3)".to_string()));
-        assert!(!system.is_listed_by(3, &ALL));
+        assert!(!system.is_listed_by(3, &ALL_CONTROL_NODES));
     }
 }
 
 /// Maximum time for which a failed proxy may be listed.
-const BOUND: Duration = Duration::from_millis(3_700);
+const MAX_LISTED_TIME: Duration = Duration::from_millis(3_700);
 /// Time after an election or the start of a partition during which a failed proxy may be listed in any case.
-const AFTER_ELECTION_OR_PARTITION: Duration = Duration::from_millis(3_200);
+const DISTURBANCE_TIME: Duration = Duration::from_millis(3_200);
 
 /// Maximum number of steps of a random run.
 const MAX_STEPS: usize = 30;
@@ -135,17 +135,17 @@
 fn play_random(steps: Vec<(u8, u8, u8)>) -> bool {
     let mut system = System::stable();
     let mut lost_since: [Option<Duration>; AGENTS] = [None; AGENTS];
-    let mut disturbed = Duration::ZERO;
-    for (what, whom, time) in steps.into_iter().take(MAX_STEPS) {
-        let number = whom as usize % AGENTS;
-        match what % 6 {
+    let mut disturbed_at = Duration::ZERO;
+    for (event, target, ticks) in steps.into_iter().take(MAX_STEPS) {
+        let number = target as usize % AGENTS;
+        match event % 6 {
             0 => system.fail(agent(number), State::Ended),
             1 => system.fail(agent(number), State::Unresponsive),
             2 | 3 => system.restart(agent(number)),
             4 if system.partitioned_region.is_some() => system.heal(),
             4 => {
-                system.partitioned_region = Some(whom as usize % CONTROL_NODES);
-                disturbed = system.now;
+                system.partitioned_region = Some(target as usize % CONTROL_NODES);
+                disturbed_at = system.now;
             }
             _ => {
                 let control_node = (0..CONTROL_NODES).find(|control_node| {
@@ -153,19 +153,19 @@
                         && Some(*control_node) != system.primary()
                 });
                 system.elect(control_node.unwrap_or(0));
-                disturbed = system.now;
+                disturbed_at = system.now;
             }
         }
         for (number, since) in lost_since.iter_mut().enumerate() {
             let is_lost = system.nodes[agent(number)].state != State::Running;
             *since = is_lost.then(|| since.unwrap_or(system.now));
         }
-        for _ in 0..time as usize % 60 {
-            system.run(TICK);
-            let is_stable = system.now > disturbed + AFTER_ELECTION_OR_PARTITION;
-            let is_over = |since: &Duration| is_stable && system.now > *since + BOUND;
+        for _ in 0..ticks as usize % 60 {
+            system.advance(TICK);
+            let is_stable = system.now > disturbed_at + DISTURBANCE_TIME;
+            let is_overdue = |since: &Duration| is_stable && system.now > *since + MAX_LISTED_TIME;
             let listed_too_long = lost_since.iter().enumerate().any(|(number, since)| {
-                since.as_ref().is_some_and(is_over) && system.is_listed_by(number, &ALL)
+                since.as_ref().is_some_and(is_overdue) && system.is_listed_by(number, &ALL_CONTROL_NODES)
             });
             if listed_too_long {
                 return false;
--- a/crates/quillpulley/tests/control/directory_staleness/system.rs
+++ b/crates/quillpulley/tests/control/directory_staleness/system.rs
@@ -15,7 +15,7 @@
 pub(super) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 /// Time after which a node without fresh state gives up its parent: an agent tries another control node, and
 /// a control node subscribes to the primary again.
-pub(super) const SEARCH_AFTER: Duration = Duration::from_secs(1);
+pub(super) const PARENT_TIMEOUT: Duration = Duration::from_secs(1);
 
 pub(super) fn ms(time: u64) -> Duration {
     Duration::from_millis(time)
@@ -45,11 +45,11 @@
     pub(super) parent: Option<usize>,
     pub(super) parent_since: Duration,
     /// The directory builder, which is used only by control nodes.
-    pub(super) view: DirectoryBuilder,
+    pub(super) builder: DirectoryBuilder,
     pub(super) directory: Directory,
     pub(super) dirty: bool,
     pub(super) reports_dirty: bool,
-    pub(super) publisher: Option<EndpointRegistry>,
+    pub(super) registry: Option<EndpointRegistry>,
     pub(super) heartbeat_at: Duration,
 }
 
@@ -65,11 +65,11 @@
             region,
             parent: None,
             parent_since: now,
-            view: DirectoryBuilder::default(),
+            builder: DirectoryBuilder::default(),
             directory: Directory::default(),
             dirty: true,
             reports_dirty: true,
-            publisher: None,
+            registry: None,
             heartbeat_at: now,
         }
     }
@@ -92,7 +92,7 @@
         let mut system = System { now, nodes, queue: VecDeque::new(), partitioned_region: None, epoch: 0 };
         system.elect(0);
         (0..AGENTS).for_each(|number| system.report(number, EndpointState::Ready, 1));
-        system.run(ms(10_000));
+        system.advance(ms(10_000));
         let listed: Vec<Vec<String>> =
             (0..CONTROL_NODES).map(|control_node| system.listed(control_node)).collect();
         assert!(listed.iter().all(|listed| listed.len() == AGENTS), "not all proxies are listed: {listed:?}");
@@ -119,26 +119,26 @@
             preferred_regions: Vec::new(),
         };
         let report = LocalReport { endpoint: Some(endpoint), proxies: 1, ..LocalReport::default() };
-        self.event(node, Event::LocalReport(report));
+        self.handle_event(node, Event::LocalReport(report));
     }
 
     pub(super) fn elect(&mut self, control_node: usize) {
         for other in 0..CONTROL_NODES {
-            if self.nodes[other].publisher.take().is_some() && self.nodes[other].state == State::Running {
-                self.event(other, Event::LeaveRoot);
+            if self.nodes[other].registry.take().is_some() && self.nodes[other].state == State::Running {
+                self.handle_event(other, Event::LeaveRoot);
             }
         }
         self.epoch += 1;
         let node = &mut self.nodes[control_node];
-        node.publisher = Some(EndpointRegistry::inherit(self.now, node.sync_node.store().iter()));
+        node.registry = Some(EndpointRegistry::inherit(self.now, node.sync_node.store().iter()));
         node.reports_dirty = true;
         node.parent = None;
-        self.event(control_node, Event::BecomeRoot { epoch: self.epoch });
-        self.event(control_node, Event::Heartbeat);
+        self.handle_event(control_node, Event::BecomeRoot { epoch: self.epoch });
+        self.handle_event(control_node, Event::Heartbeat);
     }
 
     pub(super) fn primary(&self) -> Option<usize> {
-        (0..CONTROL_NODES).find(|control_node| self.nodes[*control_node].publisher.is_some())
+        (0..CONTROL_NODES).find(|control_node| self.nodes[*control_node].registry.is_some())
     }
 
     pub(super) fn fail(&mut self, node: usize, state: State) {
@@ -147,9 +147,9 @@
             for other in 0..self.nodes.len() {
                 if self.nodes[other].parent == Some(node) {
                     self.nodes[other].parent = None;
-                    self.event(other, Event::ParentDown);
+                    self.handle_event(other, Event::ParentDown);
                 }
-                self.event(other, Event::ChildDown(node));
+                self.handle_event(other, Event::ChildDown(node));
             }
         }
     }
@@ -164,8 +164,8 @@
             };
             if let Some(parent) = self.nodes[node].parent.filter(across) {
                 self.nodes[node].parent = None;
-                self.event(parent, Event::ChildDown(node));
-                self.event(node, Event::ParentDown);
+                self.handle_event(parent, Event::ChildDown(node));
+                self.handle_event(node, Event::ParentDown);
             }
         }
         self.partitioned_region = None;
@@ -180,7 +180,7 @@
         }
     }
 
-    pub(super) fn event(&mut self, node: usize, event: Event<usize>) {
+    pub(super) fn handle_event(&mut self, node: usize, event: Event<usize>) {
         self.queue.push_back((node, event));
         while let Some((node, event)) = self.queue.pop_front() {
             if self.nodes[node].state != State::Running {
@@ -207,7 +207,7 @@
             }
             Action::Changed(changed) => {
                 let node = &mut self.nodes[node];
-                node.dirty |= node.view.items_changed(&changed);
+                node.dirty |= node.builder.items_changed(&changed);
             }
             Action::EndpointsChanged => {
                 self.nodes[node].dirty = true;
@@ -229,30 +229,30 @@
         }
     }
 
-    pub(super) fn run(&mut self, time: Duration) {
+    pub(super) fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.now += TICK;
             for node in 0..self.nodes.len() {
                 if self.nodes[node].state == State::Running {
-                    self.find_parent(node);
-                    self.event(node, Event::Tick);
+                    self.choose_parent(node);
+                    self.handle_event(node, Event::Tick);
                     self.publish(node);
                 }
             }
-            (0..CONTROL_NODES).for_each(|control_node| self.show(control_node));
+            (0..CONTROL_NODES).for_each(|control_node| self.rebuild_directory(control_node));
         }
     }
 
     /// Chooses the parent of a node: the primary for control nodes, and for agents the control node of their
     /// region or else the others in turn.
-    pub(super) fn find_parent(&mut self, node: usize) {
+    pub(super) fn choose_parent(&mut self, node: usize) {
         let current = self.nodes[node].parent;
-        let lately = self.now < self.nodes[node].parent_since + SEARCH_AFTER;
+        let has_recent_parent = self.now < self.nodes[node].parent_since + PARENT_TIMEOUT;
         let fresh = self.nodes[node].sync_node.is_fresh(self.now);
         let candidate = if node < CONTROL_NODES {
             self.primary().filter(|primary| *primary != node && !self.nodes[node].sync_node.is_root())
-        } else if current.is_some() && (fresh || lately) {
+        } else if current.is_some() && (fresh || has_recent_parent) {
             current
         } else {
             let first = current.map_or(self.nodes[node].region, |current| current + 1);
@@ -260,44 +260,44 @@
                 .map(|control_node| control_node % CONTROL_NODES)
                 .find(|control_node| self.reaches(node, *control_node))
         };
-        let is_asked_again = node < CONTROL_NODES && !fresh && !lately;
-        if candidate == current && !is_asked_again {
+        let must_resubscribe = node < CONTROL_NODES && !fresh && !has_recent_parent;
+        if candidate == current && !must_resubscribe {
             return;
         }
         if let Some(parent) = current.filter(|parent| Some(*parent) != candidate) {
-            self.event(parent, Event::ChildDown(node));
+            self.handle_event(parent, Event::ChildDown(node));
         }
         self.nodes[node].parent = candidate;
         self.nodes[node].parent_since = self.now;
         if let Some(parent) = candidate.filter(|parent| self.reaches(node, *parent)) {
-            self.event(parent, Event::ChildUp(node));
-            self.event(node, Event::ParentUp);
+            self.handle_event(parent, Event::ChildUp(node));
+            self.handle_event(node, Event::ParentUp);
         }
     }
 
     pub(super) fn publish(&mut self, control_node: usize) {
         let now = self.now;
         let node = &mut self.nodes[control_node];
-        let Some(publisher) = &mut node.publisher else { return };
+        let Some(registry) = &mut node.registry else { return };
         let changes = if std::mem::take(&mut node.reports_dirty) {
-            publisher.update(now, node.sync_node.subtree())
+            registry.update(now, node.sync_node.subtree())
         } else {
-            publisher.tick(now)
+            registry.tick(now)
         };
         if !changes.is_empty() {
-            self.event(control_node, Event::Publish(changes));
+            self.handle_event(control_node, Event::Publish(changes));
         } else if now >= node.heartbeat_at + HEARTBEAT_INTERVAL {
             node.heartbeat_at = now;
-            self.event(control_node, Event::Heartbeat);
+            self.handle_event(control_node, Event::Heartbeat);
         }
     }
 
-    pub(super) fn show(&mut self, control_node: usize) {
+    pub(super) fn rebuild_directory(&mut self, control_node: usize) {
         let now = self.now;
         let node = &mut self.nodes[control_node];
-        let waiting = node.view.depends_on_time(node.sync_node.is_fresh(now));
-        if node.state == State::Running && (std::mem::take(&mut node.dirty) || waiting) {
-            node.directory = node.view.build(now, &DirectoryInputs::at(now, &node.sync_node));
+        let depends_on_time = node.builder.depends_on_time(node.sync_node.is_fresh(now));
+        if node.state == State::Running && (std::mem::take(&mut node.dirty) || depends_on_time) {
+            node.directory = node.builder.build(now, &DirectoryInputs::at(now, &node.sync_node));
         }
     }
 
@@ -308,11 +308,11 @@
         if self.nodes[control_node].state != State::Running || directory.coverage == Coverage::TooFew {
             return Vec::new();
         }
-        let shown = directory.endpoints.iter().map(|endpoint| match endpoint.state {
+        let names = directory.endpoints.iter().map(|endpoint| match endpoint.state {
             EndpointState::Draining => format!("({})", endpoint.name),
             EndpointState::Starting | EndpointState::Ready => endpoint.name.clone(),
         });
-        shown.collect()
+        names.collect()
     }
 
     pub(super) fn is_listed_by(&self, number: usize, control_nodes: &[usize]) -> bool {
@@ -324,7 +324,7 @@
     pub(super) fn time_until_delisted(&mut self, numbers: &[usize], control_nodes: &[usize]) -> u128 {
         let (start, mut last) = (self.now, self.now);
         for _ in 0..400 {
-            self.run(TICK);
+            self.advance(TICK);
             if numbers.iter().any(|number| self.is_listed_by(*number, control_nodes)) {
                 last = self.now;
             }
--- a/crates/quillpulley/tests/control/directory_view.rs
+++ b/crates/quillpulley/tests/control/directory_view.rs
@@ -29,7 +29,7 @@
     }
 }
 
-fn show(endpoint: &ProxyEndpoint) -> String {
+fn format_endpoint(endpoint: &ProxyEndpoint) -> String {
     let state = match endpoint.state {
         EndpointState::Starting => "s",
         EndpointState::Ready => "r",
@@ -38,12 +38,12 @@
     format!("{}:{state}{}", endpoint.name, endpoint.incarnation)
 }
 
-/// The inputs of a directory builder at `now`. The published state last advanced at `moved`; both are in
+/// The inputs of a directory builder at `now`. The published state last advanced at `advanced_at`; both are in
 /// milliseconds. Proxies are written as for [`endpoint`]; `!f:m,n` among the reports means that the monitors
 /// `m` and `n` suspect the proxy `f`.
-struct Moment<'a> {
+struct BuilderInputs<'a> {
     now: u64,
-    moved: u64,
+    advanced_at: u64,
     fresh: bool,
     epoch: u64,
     published: &'a str,
@@ -64,94 +64,96 @@
     }
 }
 
-fn directory(view: &mut DirectoryBuilder, moment: &Moment) -> Directory {
+fn directory(builder: &mut DirectoryBuilder, inputs: &BuilderInputs) -> Directory {
     let mut root = SyncNode::<u32>::new(Options::control_node("core"));
     let publish =
         |text| Change { key: endpoint_key(&endpoint(text).name), value: Some(encode_value(endpoint(text))) };
-    let changes = moment.published.split_whitespace().map(publish).collect();
-    root.handle(Duration::ZERO, Event::BecomeRoot { epoch: moment.epoch }, &mut Vec::new());
+    let changes = inputs.published.split_whitespace().map(publish).collect();
+    root.handle(Duration::ZERO, Event::BecomeRoot { epoch: inputs.epoch }, &mut Vec::new());
     root.handle(Duration::ZERO, Event::Publish(changes), &mut Vec::new());
-    let known = DirectoryInputs {
-        fresh: moment.fresh,
-        last_advanced: Some(Duration::from_millis(moment.moved)),
-        epoch: moment.epoch,
+    let directory_inputs = DirectoryInputs {
+        fresh: inputs.fresh,
+        last_advanced: Some(Duration::from_millis(inputs.advanced_at)),
+        epoch: inputs.epoch,
         store: root.store(),
-        subtree: &subtree(moment.reported),
+        subtree: &subtree(inputs.reported),
     };
-    view.build(Duration::from_millis(moment.now), &known)
+    builder.build(Duration::from_millis(inputs.now), &directory_inputs)
 }
 
-fn shown(directory: &Directory) -> String {
-    let shown: Vec<String> = directory.endpoints.iter().map(show).collect();
+fn format_directory(directory: &Directory) -> String {
+    let shown: Vec<String> = directory.endpoints.iter().map(format_endpoint).collect();
     shown.join(" ")
 }
 
 /// Returns the proxies that the directory contains at `now`, in parentheses if they are too few to answer
 /// clients.
-fn listed(view: &mut DirectoryBuilder, now: u64, fresh: bool, published: &str, reported: &str) -> String {
-    let moved = if fresh { now } else { 0 };
-    let directory = directory(view, &Moment { now, moved, fresh, epoch: 1, published, reported });
+fn listed(builder: &mut DirectoryBuilder, now: u64, fresh: bool, published: &str, reported: &str) -> String {
+    let advanced_at = if fresh { now } else { 0 };
+    let directory =
+        directory(builder, &BuilderInputs { now, advanced_at, fresh, epoch: 1, published, reported });
     if directory.coverage == Coverage::TooFew {
-        format!("({})", shown(&directory))
+        format!("({})", format_directory(&directory))
     } else {
-        shown(&directory)
+        format_directory(&directory)
     }
 }
 
 #[test]
 fn only_published_proxies_are_listed_while_they_are_fresh() {
-    let mut view = DirectoryBuilder::default();
-    assert_eq!(listed(&mut view, 0, true, "f:r1 g:r1", "f:l1 h:r1"), "f:r1 g:r1");
+    let mut builder = DirectoryBuilder::default();
+    assert_eq!(listed(&mut builder, 0, true, "f:r1 g:r1", "f:l1 h:r1"), "f:r1 g:r1");
 }
 
 #[test]
 fn outdated_state_is_merged_with_the_reports_to_this_process() {
-    let mut view = DirectoryBuilder::default();
-    listed(&mut view, 0, true, "f:r1", "");
-    assert_eq!(listed(&mut view, 10, false, "f:r1 g:r2", "f:l1 g:s1 h:r1"), "f:l1 g:r2 h:r1");
+    let mut builder = DirectoryBuilder::default();
+    listed(&mut builder, 0, true, "f:r1", "");
+    assert_eq!(listed(&mut builder, 10, false, "f:r1 g:r2", "f:l1 g:s1 h:r1"), "f:l1 g:r2 h:r1");
 }
 
 #[test]
 fn a_new_process_waits_for_fresh_state_or_for_a_time_after_the_first_proxy() {
-    let mut view = DirectoryBuilder::default();
-    assert_eq!(listed(&mut view, 0, true, "", ""), "()");
-    assert_eq!(listed(&mut view, 1000, false, "", "f:r1"), "(f:r1)");
-    assert_eq!(listed(&mut view, 2499, false, "", "f:r1"), "(f:r1)");
-    assert_eq!(listed(&mut view, 2500, false, "", "f:r1"), "f:r1");
+    let mut builder = DirectoryBuilder::default();
+    assert_eq!(listed(&mut builder, 0, true, "", ""), "()");
+    assert_eq!(listed(&mut builder, 1000, false, "", "f:r1"), "(f:r1)");
+    assert_eq!(listed(&mut builder, 2499, false, "", "f:r1"), "(f:r1)");
+    assert_eq!(listed(&mut builder, 2500, false, "", "f:r1"), "f:r1");
     // A proxy that is no longer reported is kept for 2 s, because its agent may be changing its parent.
-    assert_eq!(listed(&mut view, 4499, false, "", ""), "f:r1");
+    assert_eq!(listed(&mut builder, 4499, false, "", ""), "f:r1");
     // A directory that once knew enough proxies stays usable, even if it is empty.
-    assert_eq!(listed(&mut view, 4500, false, "", ""), "");
+    assert_eq!(listed(&mut builder, 4500, false, "", ""), "");
 
-    let mut view = DirectoryBuilder::default();
-    assert_eq!(listed(&mut view, 10, false, "f:r1", ""), "(f:r1)");
-    assert_eq!(listed(&mut view, 20, true, "f:r1", ""), "f:r1");
+    let mut builder = DirectoryBuilder::default();
+    assert_eq!(listed(&mut builder, 10, false, "f:r1", ""), "(f:r1)");
+    assert_eq!(listed(&mut builder, 20, true, "f:r1", ""), "f:r1");
 }
 
 /// Plays a timeline. Each line has six columns: the time in ms, the time at which the published state last
 /// advanced, `fresh` or `stale`, the published proxies, the reports to the control node, and the expected
 /// directory, preceded by `own` if its coverage is [`Coverage::OwnReports`].
-fn play(timeline: &str) {
-    let mut view = DirectoryBuilder::default();
+fn run_timeline(timeline: &str) {
+    let mut builder = DirectoryBuilder::default();
     for line in timeline.lines().map(str::trim).filter(|line| !line.is_empty()) {
         let columns: Vec<&str> = line.split('|').map(str::trim).collect();
-        let [now, moved, freshness, published, reported, expected] = columns[..] else {
+        let [now, advanced_at, freshness, published, reported, expected] = columns[..] else {
             panic!("not six columns: {line}")
         };
-        let (now, moved) = (
+        let (now, advanced_at) = (
             now.parse().expect("the time is not a number"),
-            moved.parse().expect("the time is not a number"),
+            advanced_at.parse().expect("the time is not a number"),
         );
-        let moment = Moment { now, moved, fresh: freshness == "fresh", epoch: 1, published, reported };
-        let directory = directory(&mut view, &moment);
+        let inputs =
+            BuilderInputs { now, advanced_at, fresh: freshness == "fresh", epoch: 1, published, reported };
+        let directory = directory(&mut builder, &inputs);
         let own = if directory.coverage == Coverage::OwnReports { "own " } else { "" };
-        assert_eq!(format!("{own}{}", shown(&directory)).trim(), expected, "{line}");
+        assert_eq!(format!("{own}{}", format_directory(&directory)).trim(), expected, "{line}");
     }
 }
 
 #[test]
 fn three_seconds_after_the_last_advance_only_reports_to_this_process_are_used() {
-    play(
+    run_timeline(
         "
            0 |   0 | fresh | f:r1 g:r1 | f:r1      | f:r1 g:r1
          900 | 900 | fresh | f:r1 g:r1 | f:r1      | f:r1 g:r1
@@ -166,7 +168,7 @@
 
 #[test]
 fn a_proxy_that_fails_while_its_directory_is_disconnected_is_listed_for_two_more_seconds() {
-    play(
+    run_timeline(
         "
            0 | 0 | fresh | f:r1 g:r1 | f:r1 g:r1 | f:r1 g:r1
         8000 | 0 | stale | f:r1 g:r1 | f:r1 g:r1 | own f:r1 g:r1
@@ -182,7 +184,7 @@
 
 #[test]
 fn an_agent_that_changes_its_parent_stays_listed_while_the_directory_is_disconnected() {
-    play(
+    run_timeline(
         "
            0 | 0 | fresh | f:r1 | f:r1 | f:r1
         5000 | 0 | stale | f:r1 | f:r1 | own f:r1
@@ -195,7 +197,7 @@
 
 #[test]
 fn a_proxy_that_two_monitors_suspect_is_not_listed_by_a_disconnected_directory() {
-    play(
+    run_timeline(
         "
            0 | 0 | fresh | f:r1 g:r1 | f:r1 g:r1          | f:r1 g:r1
         1500 | 0 | stale | f:r1 g:r1 | f:r1 g:r1 !f:h     | f:r1 g:r1
@@ -208,7 +210,7 @@
 
 #[test]
 fn a_proxy_that_drains_is_listed_as_draining_at_once_connected_or_not() {
-    play(
+    run_timeline(
         "
            0 | 0 | fresh | f:r1 g:r1 | f:r1 g:r1 | f:r1 g:r1
          100 |100| fresh | f:l1 g:r1 | f:l1 g:r1 | f:l1 g:r1
@@ -220,10 +222,11 @@
 
 #[test]
 fn a_directory_settles_three_seconds_after_its_start_and_after_each_election() {
-    let mut view = DirectoryBuilder::default();
+    let mut builder = DirectoryBuilder::default();
     let mut coverage = |now, epoch| {
-        let moment = Moment { now, moved: now, fresh: true, epoch, published: "f:r1", reported: "" };
-        directory(&mut view, &moment).coverage
+        let inputs =
+            BuilderInputs { now, advanced_at: now, fresh: true, epoch, published: "f:r1", reported: "" };
+        directory(&mut builder, &inputs).coverage
     };
     assert_eq!(coverage(0, 1), Coverage::Settling);
     assert_eq!(coverage(2999, 1), Coverage::Settling);
@@ -235,12 +238,15 @@
 
 #[test]
 fn time_alone_changes_the_directory_only_while_it_is_settling_or_not_fresh() {
-    let mut view = DirectoryBuilder::default();
-    let mut is_waiting_after = |now, moved, fresh| {
-        directory(&mut view, &Moment { now, moved, fresh, epoch: 1, published: "f:r1", reported: "" });
-        [true, false].map(|fresh| view.depends_on_time(fresh))
+    let mut builder = DirectoryBuilder::default();
+    let mut depends_on_time_after = |now, advanced_at, fresh| {
+        directory(
+            &mut builder,
+            &BuilderInputs { now, advanced_at, fresh, epoch: 1, published: "f:r1", reported: "" },
+        );
+        [true, false].map(|fresh| builder.depends_on_time(fresh))
     };
-    assert_eq!(is_waiting_after(0, 0, true), [true, true], "an election has just taken place");
-    assert_eq!(is_waiting_after(3000, 3000, true), [false, true]);
-    assert_eq!(is_waiting_after(4100, 3000, false), [true, true], "the published state is not fresh");
+    assert_eq!(depends_on_time_after(0, 0, true), [true, true], "an election has just taken place");
+    assert_eq!(depends_on_time_after(3000, 3000, true), [false, true]);
+    assert_eq!(depends_on_time_after(4100, 3000, false), [true, true], "the published state is not fresh");
 }
--- a/crates/quillpulley/tests/control/disk.rs
+++ b/crates/quillpulley/tests/control/disk.rs
@@ -26,10 +26,11 @@
 }
 
 fn open(folder: &TestFolder) -> (StorageThread, Recovered, Receiver<WriteCompletion>) {
-    let (send, outcomes) = mpsc::channel();
-    let deliver = move |completion| drop(send.send(completion));
-    let (disk, recovered) = StorageThread::open(folder.0.clone(), deliver).expect("cannot open the folder");
-    (disk, recovered, outcomes)
+    let (send_completion, completions) = mpsc::channel();
+    let deliver = move |completion| drop(send_completion.send(completion));
+    let (storage, recovered) =
+        StorageThread::open(folder.0.clone(), deliver).expect("cannot open the folder");
+    (storage, recovered, completions)
 }
 
 fn record(promised: u64) -> WitnessRecord {
@@ -47,7 +48,7 @@
 #[test]
 fn writes_are_stored_in_order_and_recovered() {
     let folder = TestFolder::new("order");
-    let (disk, recovered, outcomes) = open(&folder);
+    let (storage, recovered, completions) = open(&folder);
     assert!(recovered.record.is_none() && recovered.entries.is_empty());
     let writes = [
         Write::Record(record(1)),
@@ -56,20 +57,20 @@
         Write::Record(record(2)),
     ];
     for (ticket, write) in (1..).zip(writes) {
-        disk.store(ticket, write);
+        storage.store(ticket, write);
     }
     for ticket in 1..=4 {
-        assert_eq!(outcomes.recv_timeout(TIMEOUT), Ok(WriteCompletion { ticket, result: Ok(()) }));
+        assert_eq!(completions.recv_timeout(TIMEOUT), Ok(WriteCompletion { ticket, result: Ok(()) }));
     }
-    drop(disk);
+    drop(storage);
 
-    let (disk, recovered, outcomes) = open(&folder);
+    let (storage, recovered, completions) = open(&folder);
     assert_eq!(recovered.record, Some(record(2)));
     assert_eq!(recovered.snapshot, Some((position(1), b"one".to_vec())));
     assert_eq!(recovered.entries, [entry(2)]);
     let install = Write::Install { last: position(9), snapshot: b"nine".to_vec(), entries: vec![entry(10)] };
-    disk.store(1, install);
-    assert_eq!(outcomes.recv_timeout(TIMEOUT), Ok(WriteCompletion { ticket: 1, result: Ok(()) }));
+    storage.store(1, install);
+    assert_eq!(completions.recv_timeout(TIMEOUT), Ok(WriteCompletion { ticket: 1, result: Ok(()) }));
     let (_, recovered, _) = open(&folder);
     assert_eq!(recovered.snapshot, Some((position(9), b"nine".to_vec())));
     assert_eq!(recovered.entries, [entry(10)]);
@@ -78,14 +79,17 @@
 #[test]
 fn a_failed_write_is_reported_and_later_writes_may_succeed() {
     let folder = TestFolder::new("failure");
-    let (disk, _, outcomes) = open(&folder);
+    let (storage, _, completions) = open(&folder);
     std::fs::remove_dir_all(&folder.0).expect("cannot remove the folder");
     let install = |index| Write::Install { last: position(index), snapshot: Vec::new(), entries: Vec::new() };
-    disk.store(1, install(1));
-    assert_eq!(outcomes.recv_timeout(TIMEOUT), Ok(WriteCompletion { ticket: 1, result: Err(WriteFailed) }));
+    storage.store(1, install(1));
+    assert_eq!(
+        completions.recv_timeout(TIMEOUT),
+        Ok(WriteCompletion { ticket: 1, result: Err(WriteFailed) })
+    );
     std::fs::create_dir_all(&folder.0).expect("cannot create the folder");
-    disk.store(2, install(2));
-    assert_eq!(outcomes.recv_timeout(TIMEOUT), Ok(WriteCompletion { ticket: 2, result: Ok(()) }));
+    storage.store(2, install(2));
+    assert_eq!(completions.recv_timeout(TIMEOUT), Ok(WriteCompletion { ticket: 2, result: Ok(()) }));
 }
 
 #[test]
--- a/crates/quillpulley/tests/control/endpoint_registry.rs
+++ b/crates/quillpulley/tests/control/endpoint_registry.rs
@@ -51,7 +51,7 @@
     }
 }
 
-fn show(change: &Change) -> String {
+fn format_change(change: &Change) -> String {
     let Some(value) = &change.value else {
         return format!("-{}", change.key.strip_prefix("front/").expect("not the key of a proxy"));
     };
@@ -67,24 +67,24 @@
     format!("{}:{state}{incarnation}", endpoint.name)
 }
 
-fn play(mut endpoints: EndpointRegistry, timeline: &str) {
+fn run_timeline(mut registry: EndpointRegistry, timeline: &str) {
     for line in timeline.lines().map(str::trim).filter(|line| !line.is_empty()) {
         let mut columns = line.split('|').map(str::trim);
         let mut column = || columns.next().expect("fewer than three columns");
         let (time, reported, expected) = (column(), column(), column());
         let now = Duration::from_millis(time.parse().expect("the time is not a number"));
         let changes = match reported {
-            "." => endpoints.tick(now),
-            reported => endpoints.update(now, &tree(reported)),
+            "." => registry.tick(now),
+            reported => registry.update(now, &tree(reported)),
         };
-        let shown: Vec<String> = changes.iter().map(show).collect();
+        let shown: Vec<String> = changes.iter().map(format_change).collect();
         assert_eq!(shown.join(" "), expected, "{line}");
     }
 }
 
 #[test]
 fn changes_of_state_are_published_at_once() {
-    play(
+    run_timeline(
         EndpointRegistry::default(),
         "
            0 | f:s     | f:s
@@ -98,7 +98,7 @@
 
 #[test]
 fn a_proxy_that_is_reported_again_within_a_second_stays_published() {
-    play(
+    run_timeline(
         EndpointRegistry::default(),
         "
            0 | f:r g:r | f:r g:r
@@ -115,7 +115,7 @@
 
 #[test]
 fn a_proxy_is_removed_if_two_monitors_suspect_it_but_not_if_one_does() {
-    play(
+    run_timeline(
         EndpointRegistry::default(),
         "
            0 | f:r g:r          | f:r g:r
@@ -131,7 +131,7 @@
 fn a_new_primary_gives_the_agents_time_to_report() {
     let items = ["f:r", "g:r"].map(|text| (endpoint_key(&text[..1]), encode_value(endpoint(text))));
     let items = items.iter().map(|(key, value)| (key.as_str(), value.as_slice()));
-    play(
+    run_timeline(
         EndpointRegistry::inherit(Duration::ZERO, items),
         "
            0 |         |
--- a/crates/quillpulley/tests/control/frozen_host.rs
+++ b/crates/quillpulley/tests/control/frozen_host.rs
@@ -1,7 +1,7 @@
 //! Tests of a control host that is the only control node of its system, and that is suspended at each point
 //! between a request and its response. The test sets its clock; its sockets, disk and threads are real.
 
-use crate::api::{call, replace, send, HttpResponse};
+use crate::api::{replace_request_text, request_text, send, HttpResponse};
 use crate::configuration;
 use quillpulley::control::api::{self, ApiRequest, Faults};
 use quillpulley::control::clock::Clock;
@@ -35,7 +35,7 @@
     /// The clock of the main thread, in milliseconds.
     now: Arc<AtomicU64>,
     /// The time in milliseconds by which the clock of the writer threads is ahead of that of the main thread.
-    writers_late: Arc<AtomicU64>,
+    writer_delay_ms: Arc<AtomicU64>,
     api: SocketAddr,
     requests: Receiver<Box<ApiRequest>>,
     completions: Receiver<WriteCompletion>,
@@ -47,18 +47,19 @@
     fn start(faults: Faults) -> Self {
         let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("quillpulley-frozen-{}-{number}", std::process::id()));
-        let (now, writers_late) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
-        let clock = main_clock(now.clone(), writers_late.clone());
+        let (now, writer_delay_ms) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
+        let clock = host_clock(now.clone(), writer_delay_ms.clone());
 
         let listener = TcpListener::bind((IP, 0)).expect("cannot bind the socket");
         let api = listener.local_addr().expect("no valid address");
         let (deliver, requests) = mpsc::channel();
-        let deliver = move |call| deliver.send(call).map_err(|rejected| rejected.0);
+        let deliver = move |request| deliver.send(request).map_err(|rejected| rejected.0);
         api::serve_with_faults(listener, clock.clone(), faults, deliver).expect("cannot start the server");
 
-        let (store, completions) = mpsc::channel();
-        let deliver = move |completion| drop(store.send(completion));
-        let (disk, recovered) = StorageThread::open(folder.clone(), deliver).expect("cannot open the folder");
+        let (send_completion, completions) = mpsc::channel();
+        let deliver = move |completion| drop(send_completion.send(completion));
+        let (storage_thread, recovered) =
+            StorageThread::open(folder.clone(), deliver).expect("cannot open the folder");
         let me = NodeId::new(IP, 0);
         let options = Options {
             me,
@@ -82,13 +83,13 @@
             me,
             peers,
             replica: replica.expect("cannot start the replica"),
-            storage: disk,
+            storage: storage_thread,
             fetcher: None,
             directory: DirectoryHandle::default(),
         };
         let host = ControlHost::new(settings(api, &folder), components);
-        let mut harness = Harness { host, now, writers_late, api, requests, completions, folder };
-        let response = harness.request_until_definite(&replace("0", &text("5")));
+        let mut harness = Harness { host, now, writer_delay_ms, api, requests, completions, folder };
+        let response = harness.request_until_definite(&replace_request_text("0", &configuration_text("5")));
         assert_eq!(response.status, 200);
         harness
     }
@@ -144,12 +145,13 @@
 }
 
 /// Returns the clock of the host. The test's own thread, which is the host's main thread, reads `now`; other
-/// threads read a time that is later by `writers_late`.
-fn main_clock(now: Arc<AtomicU64>, writers_late: Arc<AtomicU64>) -> Clock {
-    let main = thread::current().id();
+/// threads read a time that is later by `writer_delay_ms`.
+fn host_clock(now: Arc<AtomicU64>, writer_delay_ms: Arc<AtomicU64>) -> Clock {
+    let main_thread = thread::current().id();
     Clock::from_fn(move || {
-        let late = if thread::current().id() == main { 0 } else { writers_late.load(Ordering::SeqCst) };
-        Duration::from_millis(now.load(Ordering::SeqCst) + late)
+        let delay_ms =
+            if thread::current().id() == main_thread { 0 } else { writer_delay_ms.load(Ordering::SeqCst) };
+        Duration::from_millis(now.load(Ordering::SeqCst) + delay_ms)
     })
 }
 
@@ -162,36 +164,36 @@
     Settings::parse(&text).expect("invalid settings")
 }
 
-fn text(version: &str) -> String {
+fn configuration_text(version: &str) -> String {
     String::from_utf8(configuration(version)).expect("the text is not UTF-8")
 }
 
-fn get() -> String {
-    call("GET", "/v1/Config.Get")
+fn get_request_text() -> String {
+    request_text("GET", "/v1/Config.Get")
 }
 
 /// Returns requests whose responses depend on the newest state, with their statuses: a read, a command that
 /// is already in effect, one with an outdated base version, and an invalid one.
-fn statements() -> Vec<(String, u16)> {
+fn lease_dependent_requests() -> Vec<(String, u16)> {
     vec![
-        (get(), 200),
-        (replace("0", &text("5")), 200),
-        (replace("0", &text("6")), 412),
-        (replace("5", &text("4")), 400),
+        (get_request_text(), 200),
+        (replace_request_text("0", &configuration_text("5")), 200),
+        (replace_request_text("0", &configuration_text("6")), 412),
+        (replace_request_text("5", &configuration_text("4")), 400),
     ]
 }
 
 #[test]
 fn a_primary_answers_while_its_lease_runs() {
     let mut harness = Harness::start(Faults::default());
-    for (request, status) in statements() {
+    for (request, status) in lease_dependent_requests() {
         assert_eq!(harness.request_until_definite(&request).status, status, "{request}");
     }
 }
 
 #[test]
 fn calls_that_waited_while_the_process_was_frozen_get_no_definite_response() {
-    for (text, _) in statements() {
+    for (text, _) in lease_dependent_requests() {
         let mut harness = Harness::start(Faults::default());
         let (caller, request) = harness.queue(&text);
         harness.freeze();
@@ -205,7 +207,7 @@
     let mut harness = Harness::start(Faults::default());
     // No other write is in progress when the command is received.
     harness.step();
-    let caller = harness.request(&replace("5", &text("7")));
+    let caller = harness.request(&replace_request_text("5", &configuration_text("7")));
     let completion = harness.completions.recv_timeout(TIMEOUT).expect("no write completed");
     harness.freeze();
     harness.host.handle_write_completed(completion);
@@ -216,17 +218,20 @@
     }
     assert_eq!(caller.join().expect("the client thread panicked").status, 503);
     // The command may have taken effect nevertheless: it is acknowledged when it is sent again.
-    assert_eq!(harness.request_until_definite(&replace("5", &text("7"))).status, 200);
+    assert_eq!(
+        harness.request_until_definite(&replace_request_text("5", &configuration_text("7"))).status,
+        200
+    );
 }
 
 /// Returns the statuses of the definite responses that are written although the process was suspended after
 /// they were decided.
-fn statements_of_late_writers(faults: Faults) -> Vec<u16> {
-    let statuses = statements().into_iter().map(|(request, _)| {
+fn statuses_of_late_writers(faults: Faults) -> Vec<u16> {
+    let statuses = lease_dependent_requests().into_iter().map(|(request, _)| {
         let mut harness = Harness::start(faults);
         // After this step the lease has just been renewed.
         harness.step();
-        harness.writers_late.store(FREEZE_MS, Ordering::SeqCst);
+        harness.writer_delay_ms.store(FREEZE_MS, Ordering::SeqCst);
         harness.request(&request).join().expect("the client thread panicked").status
     });
     statuses.filter(|status| *status != 503).collect()
@@ -234,10 +239,10 @@
 
 #[test]
 fn responses_that_are_written_after_a_freeze_are_not_definite() {
-    assert_eq!(statements_of_late_writers(Faults::default()), Vec::<u16>::new());
+    assert_eq!(statuses_of_late_writers(Faults::default()), Vec::<u16>::new());
 }
 
 #[test]
 fn a_host_whose_writers_do_not_check_the_lease_is_detected() {
-    assert_eq!(statements_of_late_writers(Faults { skip_lease_check: true }), [200, 200, 412, 400]);
+    assert_eq!(statuses_of_late_writers(Faults { skip_lease_check: true }), [200, 200, 412, 400]);
 }
--- a/crates/quillpulley/tests/control/mixed_releases.rs
+++ b/crates/quillpulley/tests/control/mixed_releases.rs
@@ -10,7 +10,7 @@
 const MACHINES: usize = 3;
 
 /// Activates five more configurations, each based on the one before, and starts and ends an evacuation.
-fn change(cluster: &mut Cluster, version: &mut u64) {
+fn execute_commands(cluster: &mut Cluster, version: &mut u64) {
     for _ in 0..5 {
         let next = configuration(&(*version + 1).to_string());
         assert_eq!(cluster.call_until_definite(&Operation::replace(*version, next)).status, 200);
@@ -33,15 +33,16 @@
     })
 }
 
-fn exchange(cluster: &mut Cluster, index: usize, program: &Path, version: &mut u64) {
-    let before = cluster.until("a complete view", complete_view);
+fn replace_program(cluster: &mut Cluster, index: usize, program: &Path, version: &mut u64) {
+    let before = cluster.wait_for("a complete view", complete_view);
     assert!(cluster.terminate(index).success());
-    change(cluster, version);
+    execute_commands(cluster, version);
     cluster.set_program(index, program);
-    cluster.run(index);
-    change(cluster, version);
-    cluster.until("a complete view again", |cluster| complete_view(cluster).filter(|epoch| *epoch > before));
-    change(cluster, version);
+    cluster.start_process(index);
+    execute_commands(cluster, version);
+    cluster
+        .wait_for("a complete view again", |cluster| complete_view(cluster).filter(|epoch| *epoch > before));
+    execute_commands(cluster, version);
     let newest = configuration(&version.to_string());
     assert_eq!(cluster.call_until_definite(&Operation::get()).body, newest);
 }
@@ -51,27 +52,27 @@
 fn processes_of_two_releases_work_together_while_they_are_replaced() {
     let earlier =
         PathBuf::from(std::env::var_os(EARLIER_PROGRAM).expect("QUILLPULLEY_EARLIER_PROGRAM is not set"));
-    let present = PathBuf::from(env!("CARGO_BIN_EXE_quillpulley"));
+    let current = PathBuf::from(env!("CARGO_BIN_EXE_quillpulley"));
     let mut cluster = Cluster::prepare(MACHINES, None);
     for index in 0..MACHINES {
         cluster.set_program(index, &earlier);
-        cluster.run(index);
+        cluster.start_process(index);
     }
     let mut version = 0;
-    change(&mut cluster, &mut version);
-    for program in [&present, &earlier, &present] {
+    execute_commands(&mut cluster, &mut version);
+    for program in [&current, &earlier, &current] {
         for index in 0..MACHINES {
-            exchange(&mut cluster, index, program, &mut version);
+            replace_program(&mut cluster, index, program, &mut version);
         }
     }
     // The primary is killed twice, and its machine then runs the earlier release.
     for _ in 0..2 {
         let primary = cluster.primary();
         cluster.kill(primary);
-        change(&mut cluster, &mut version);
+        execute_commands(&mut cluster, &mut version);
         cluster.set_program(primary, &earlier);
-        cluster.run(primary);
-        change(&mut cluster, &mut version);
-        cluster.until("a complete view", complete_view);
+        cluster.start_process(primary);
+        execute_commands(&mut cluster, &mut version);
+        cluster.wait_for("a complete view", complete_view);
     }
 }
--- a/crates/quillpulley/tests/control/peer_table.rs
+++ b/crates/quillpulley/tests/control/peer_table.rs
@@ -26,7 +26,7 @@
 }
 
 /// Returns a peer table that knows `OTHER`, to which it is connecting on link 1.
-fn dialling() -> PeerTable<u32> {
+fn connecting_table() -> PeerTable<u32> {
     let mut peer_table = PeerTable::new(ME);
     peer_table.learn(at(0), OTHER);
     assert_eq!(peer_table.addresses_due(at(0)), [OTHER]);
@@ -37,7 +37,7 @@
 
 #[test]
 fn a_peer_is_connected_while_the_own_link_is_open() {
-    let mut peer_table = dialling();
+    let mut peer_table = connecting_table();
     let node = NodeId::new(OTHER, 7);
     assert_eq!(peer_table.link_to(node), None);
     assert_eq!(peer_table.opened(1, hello(node)), Some(PeerChange::Connected(node)));
@@ -52,7 +52,7 @@
 
 #[test]
 fn an_address_may_come_back_with_another_incarnation() {
-    let mut peer_table = dialling();
+    let mut peer_table = connecting_table();
     let (before, after) = (NodeId::new(OTHER, 7), NodeId::new(OTHER, 8));
     peer_table.opened(1, hello(before));
     peer_table.closed(at(0), 1, NO_JITTER);
@@ -63,7 +63,7 @@
 
 #[test]
 fn failures_to_connect_back_off_up_to_a_second() {
-    let mut peer_table = dialling();
+    let mut peer_table = connecting_table();
     let mut now = 0;
     for delay in [100, 200, 400, 800, 1000, 1000] {
         assert_eq!(peer_table.closed(at(now), 1, NO_JITTER), None);
@@ -79,7 +79,7 @@
 
 #[test]
 fn jitter_lengthens_the_backoff_by_at_most_half() {
-    let mut peer_table = dialling();
+    let mut peer_table = connecting_table();
     peer_table.closed(at(0), 1, 1.0);
     assert!(peer_table.addresses_due(at(149)).is_empty());
     assert_eq!(peer_table.addresses_due(at(150)), [OTHER]);
@@ -116,7 +116,7 @@
 #[test]
 fn an_incoming_link_replaces_a_hanging_attempt_and_ends_the_backoff() {
     // The first attempt may have been started before the remote machine ran, in which case it hangs.
-    let mut peer_table = dialling();
+    let mut peer_table = connecting_table();
     let node = NodeId::new(OTHER, 7);
     assert_eq!(peer_table.accepted(at(20), 9, node), [1]);
     assert_eq!(peer_table.addresses_due(at(20)), [OTHER]);
@@ -145,7 +145,7 @@
 
 #[test]
 fn an_unexpected_process_is_not_connected() {
-    let mut peer_table = dialling();
+    let mut peer_table = connecting_table();
     assert_eq!(peer_table.opened(1, hello(NodeId::new(THIRD, 7))), None);
     let agent = Hello { kind: PeerKind::Agent, ..hello(NodeId::new(OTHER, 7)) };
     assert_eq!(peer_table.opened(1, agent), None);
@@ -154,7 +154,7 @@
 
 #[test]
 fn addresses_that_stay_unreachable_are_forgotten_unless_they_are_in_a_view() {
-    let mut peer_table = dialling();
+    let mut peer_table = connecting_table();
     peer_table.learn(at(0), THIRD);
     peer_table.opened(1, hello(NodeId::new(OTHER, 7)));
     peer_table.forget(at(60_000), |_| false);
--- a/crates/quillpulley/tests/control/platform.rs
+++ b/crates/quillpulley/tests/control/platform.rs
@@ -45,8 +45,8 @@
 
 #[test]
 fn an_unreadable_page_is_an_error() {
-    let cut = parse_page(&mut PAGE.as_bytes()[..100].to_vec());
-    assert!(matches!(cut, Err(PageError::NotJson(_))));
+    let truncated = parse_page(&mut PAGE.as_bytes()[..100].to_vec());
+    assert!(matches!(truncated, Err(PageError::NotJson(_))));
     let empty = parse_page(&mut b"{}".to_vec());
     assert_eq!(empty, Err(PageError::Missing("Instances")));
     let token = parse_page(&mut br#"{"Instances":[],"NextToken":7}"#.to_vec());
@@ -55,14 +55,14 @@
 
 /// Starts a platform that sends these responses in order. Returns its address and the paths that are
 /// requested.
-fn platform(answers: Vec<(u16, String)>) -> (SocketAddr, Receiver<String>) {
+fn start_platform(responses: Vec<(u16, String)>) -> (SocketAddr, Receiver<String>) {
     let server = Server::http("127.0.0.1:0").expect("cannot start the server");
     let address = server.server_addr().to_ip().expect("no valid address");
-    let (asked, paths) = mpsc::channel();
+    let (path_sender, paths) = mpsc::channel();
     std::thread::spawn(move || {
-        for (status, body) in answers {
+        for (status, body) in responses {
             let Ok(request) = server.recv() else { return };
-            asked.send(request.url().to_string()).expect("the test has ended");
+            path_sender.send(request.url().to_string()).expect("the test has ended");
             request.respond(Response::from_string(body).with_status_code(status)).expect("cannot respond");
         }
     });
@@ -71,9 +71,9 @@
 
 #[test]
 fn pages_are_fetched_one_after_the_other() {
-    let answers =
+    let responses =
         vec![(200, PAGE.to_string()), (429, String::new()), (500, String::new()), (200, "x".to_string())];
-    let (address, paths) = platform(answers);
+    let (address, paths) = start_platform(responses);
     let (send, outcomes) = mpsc::channel();
     let fetcher = Fetcher::start(address, move |outcome| send.send(outcome).expect("the test has ended"));
     let fetcher = fetcher.expect("cannot start the thread");
@@ -84,8 +84,8 @@
     };
     let (page, path) = fetch(None);
     assert_eq!((page.map(|page| page.servers.len()), path.as_str()), (Ok(2), "/instances"));
-    let (limited, path) = fetch(Some("p 50&x"));
-    assert_eq!(limited, Err(FetchError::RateLimited));
+    let (rate_limited, path) = fetch(Some("p 50&x"));
+    assert_eq!(rate_limited, Err(FetchError::RateLimited));
     assert_eq!(path, "/instances?PageToken=p%2050%26x");
     assert_eq!(fetch(None).0, Err(FetchError::Status(500)));
     assert!(matches!(fetch(None).0, Err(FetchError::Unreadable(_))));
--- a/crates/quillpulley/tests/control/processes.rs
+++ b/crates/quillpulley/tests/control/processes.rs
@@ -24,12 +24,12 @@
     assert_eq!(cluster.call_until_definite(&Operation::get()).body, configuration("7"));
 
     cluster.kill(0);
-    cluster.run(0);
+    cluster.start_process(0);
     assert_eq!(cluster.call_until_definite(&Operation::get()).body, configuration("7"));
     assert_eq!(replace(&mut cluster, 0, "5"), 200, "an earlier command is repeated");
     assert_eq!(replace(&mut cluster, 5, "8"), 412);
     assert!(cluster.terminate(0).success());
-    cluster.run(0);
+    cluster.start_process(0);
     assert_eq!(cluster.call_until_definite(&Operation::get()).body, configuration("7"));
 }
 
@@ -46,9 +46,9 @@
     assert_ne!(second, first);
 
     // The former primary is started again, and redirects callers to the new one.
-    cluster.run(first);
+    cluster.start_process(first);
     let expected = format!("http://{}/v1/Config.Get", cluster.control(second));
-    cluster.until("a redirect", |cluster| {
+    cluster.wait_for("a redirect", |cluster| {
         let response = cluster.call(first, &Operation::get())?;
         (response.status == 307 && response.location.as_ref() == Some(&expected)).then_some(())
     });
@@ -85,7 +85,7 @@
     let frozen = cluster.control(first);
     let waiting = calls.map(|call| std::thread::spawn(move || call.send(frozen)));
     let next = Operation::replace(5, configuration("6"));
-    cluster.until("another primary that accepts the next configuration", |cluster| {
+    cluster.wait_for("another primary that accepts the next configuration", |cluster| {
         let others = (0..3).filter(|index| *index != first);
         let statuses = others.filter_map(|index| cluster.call(index, &next).map(|response| response.status));
         statuses.into_iter().any(|status| status == 200).then_some(())
@@ -107,7 +107,7 @@
         cluster.kill(index);
     }
     for index in 0..3 {
-        cluster.run(index);
+        cluster.start_process(index);
     }
     assert_eq!(cluster.call_until_definite(&Operation::get()).body, configuration("5"));
     assert_eq!(replace(&mut cluster, 5, "6"), 200);
@@ -119,8 +119,8 @@
     assert_eq!(replace(&mut cluster, 0, "5"), 200);
     let first = cluster.primary();
     cluster.kill(first);
-    cluster.wipe(first);
-    cluster.run(first);
+    cluster.wipe_disk(first);
+    cluster.start_process(first);
     let second = cluster.primary();
     assert_eq!(replace(&mut cluster, 5, "6"), 200);
     // Once the machine is a member and a witness as a new incarnation, a machine that kept its state may
@@ -140,10 +140,10 @@
     cluster.kill(first);
     let others: Vec<usize> = (0..3).filter(|index| *index != first).collect();
     let seeds = others.iter().map(|index| cluster.control(*index)).collect();
-    let new = cluster.add(false, seeds);
-    cluster.run(new);
-    cluster.wait_for_member(new);
-    cluster.wait_for_witnesses(&[others[0], others[1], new]);
+    let added = cluster.add(false, seeds);
+    cluster.start_process(added);
+    cluster.wait_for_member(added);
+    cluster.wait_for_witnesses(&[others[0], others[1], added]);
     // The new machine and one of the old ones are enough.
     cluster.kill(others[0]);
     assert_eq!(cluster.call_until_definite(&Operation::get()).body, configuration("5"));
@@ -155,10 +155,10 @@
 fn with_isolated_machine() -> (Cluster, usize) {
     let mut cluster = Cluster::start(3, None);
     assert_eq!(replace(&mut cluster, 0, "5"), 200);
-    let nowhere = vec![cluster.control(9)];
-    let isolated = cluster.add(false, nowhere);
-    cluster.run(isolated);
-    cluster.until("a response without a primary", |cluster| {
+    let missing_seed = vec![cluster.control(9)];
+    let isolated = cluster.add(false, missing_seed);
+    cluster.start_process(isolated);
+    cluster.wait_for("a response without a primary", |cluster| {
         cluster.call(isolated, &Operation::get()).filter(|response| response.status == 503)
     });
     let seeds = vec![cluster.control(0)];
@@ -167,7 +167,7 @@
 }
 
 fn wait_for_redirect(cluster: &mut Cluster, index: usize) {
-    cluster.until("a redirect", |cluster| {
+    cluster.wait_for("a redirect", |cluster| {
         cluster.call(index, &Operation::get()).filter(|response| response.status == 307)
     });
 }
@@ -191,7 +191,7 @@
     assert_eq!(replace(&mut cluster, 0, "5"), 200);
     cluster.kill(0);
     cluster.break_disk(0);
-    cluster.run(0);
+    cluster.start_process(0);
     assert_eq!(cluster.wait(0).code(), Some(2));
 }
 
@@ -202,21 +202,21 @@
     let primary = cluster.primary();
     let (wiped, leaving) = ((primary + 1) % 3, (primary + 2) % 3);
     cluster.kill(wiped);
-    cluster.wipe(wiped);
+    cluster.wipe_disk(wiped);
     assert_eq!(replace(&mut cluster, 5, "6"), 200);
     cluster.signal(leaving, "-TERM");
-    cluster.until("a status with the role `leaving`", |cluster| {
+    cluster.wait_for("a status with the role `leaving`", |cluster| {
         let response = cluster.call(leaving, &Operation::status())?;
         String::from_utf8_lossy(&response.body).contains(r#""Role":"leaving""#).then_some(())
     });
     // Only two of the three disks have the configuration, one of them that of the process that shuts down. A
     // command is still stored on both.
     assert_eq!(replace(&mut cluster, 6, "7"), 200);
-    cluster.run(wiped);
+    cluster.start_process(wiped);
     cluster.wait_for_member(wiped);
     assert!(cluster.wait(leaving).success());
     cluster.kill(primary);
-    cluster.run(primary);
+    cluster.start_process(primary);
     assert_eq!(cluster.call_until_definite(&Operation::get()).body, configuration("7"));
 }
 
@@ -229,9 +229,9 @@
         let text = String::from_utf8(response.body).ok()?;
         text.contains(r#""Covered":true"#).then_some(text)
     };
-    let text = cluster.until("a status in which every tolerated failure is covered", is_covered);
+    let text = cluster.wait_for("a status in which every tolerated failure is covered", is_covered);
     assert!(text.contains(r#""Role":"primary""#), "{text}");
-    cluster.until("a status with one spare witness", |cluster| {
+    cluster.wait_for("a status with one spare witness", |cluster| {
         let response = cluster.call(primary, &Operation::status())?;
         String::from_utf8_lossy(&response.body).contains(r#""SpareWitnesses":1"#).then_some(())
     });
@@ -244,7 +244,7 @@
     cluster.kill((primary + 1) % 3);
     cluster.kill((primary + 2) % 3);
     // Without the lease the process still reports its status, which names no primary.
-    cluster.until("a status without a primary", |cluster| {
+    cluster.wait_for("a status without a primary", |cluster| {
         let response = cluster.call(primary, &Operation::status())?;
         String::from_utf8_lossy(&response.body).contains(r#""Primary":null"#).then_some(())
     });
--- a/crates/quillpulley/tests/control/reader.rs
+++ b/crates/quillpulley/tests/control/reader.rs
@@ -49,10 +49,10 @@
 }
 
 impl Harness {
-    fn handle_page(&mut self, now: Duration, leading: bool, outcome: Result<Page, FetchError>) -> String {
-        match self.reader.handle_page(now, leading, self.published, outcome) {
+    fn handle_page(&mut self, now: Duration, is_leader: bool, outcome: Result<Page, FetchError>) -> String {
+        match self.reader.handle_page(now, is_leader, self.published, outcome) {
             ReaderAction::Nothing => "-".to_string(),
-            ReaderAction::Fetch(fetch) => show(&fetch),
+            ReaderAction::Fetch(fetch) => format_fetch(&fetch),
             ReaderAction::Complete(reading) => format!("complete {}", reading.servers.len()),
             ReaderAction::Failed { first: true, .. } => "failed".to_string(),
             ReaderAction::Failed { first: false, .. } => "failed again".to_string(),
@@ -62,8 +62,8 @@
     fn handle_event(&mut self, now: Duration, event: &str) -> String {
         let (kind, rest) = event.split_once(' ').unwrap_or((event, ""));
         match kind {
-            "tick" => self.reader.tick(now, true).map_or("-".to_string(), |fetch| show(&fetch)),
-            "idle" => self.reader.tick(now, false).map_or("-".to_string(), |fetch| show(&fetch)),
+            "tick" => self.reader.tick(now, true).map_or("-".to_string(), |fetch| format_fetch(&fetch)),
+            "idle" => self.reader.tick(now, false).map_or("-".to_string(), |fetch| format_fetch(&fetch)),
             "page" => self.handle_page(now, true, Ok(page(rest))),
             "late" => self.handle_page(now, false, Ok(page(rest))),
             "429" => self.handle_page(now, true, Err(FetchError::RateLimited)),
@@ -85,11 +85,11 @@
     }
 }
 
-fn show(fetch: &Fetch) -> String {
+fn format_fetch(fetch: &Fetch) -> String {
     fetch.token.as_ref().map_or("first".to_string(), |token| format!("next {token}"))
 }
 
-fn play(rate_per_s: f64, timeline: &str) {
+fn run_timeline(rate_per_s: f64, timeline: &str) {
     let mut harness = Harness { reader: ListReader::new(options(rate_per_s)), published: 0 };
     for line in timeline.lines().map(str::trim).filter(|line| !line.is_empty()) {
         let mut columns = line.split('|').map(str::trim);
@@ -102,7 +102,7 @@
 
 #[test]
 fn the_list_is_read_once_per_interval() {
-    play(
+    run_timeline(
         44.0,
         "
            0 | tick     | first
@@ -117,7 +117,7 @@
 
 #[test]
 fn several_pages_are_one_reading() {
-    play(
+    run_timeline(
         44.0,
         "
            0 | tick         | first
@@ -131,7 +131,7 @@
 #[test]
 fn long_lists_are_read_less_often() {
     // The reader uses a quarter of 10 requests per second, so reading five pages takes 2 s.
-    play(
+    run_timeline(
         10.0,
         "
            0 | tick         | first
@@ -148,7 +148,7 @@
 
 #[test]
 fn nothing_is_fetched_or_accepted_without_the_lease() {
-    play(
+    run_timeline(
         44.0,
         "
            0 | idle     | -
@@ -163,7 +163,7 @@
 
 #[test]
 fn a_page_from_before_an_election_is_not_used() {
-    play(
+    run_timeline(
         44.0,
         "
            0 | tick     | first
@@ -178,7 +178,7 @@
 
 #[test]
 fn failed_readings_are_retried_with_backoff() {
-    play(
+    run_timeline(
         44.0,
         "
            0 | tick         | first
@@ -203,7 +203,7 @@
 
 #[test]
 fn a_reading_whose_page_tokens_repeat_fails() {
-    play(
+    run_timeline(
         44.0,
         "
            0 | tick         | first
@@ -216,7 +216,7 @@
 
 #[test]
 fn a_list_that_shrinks_by_more_than_half_is_confirmed_first() {
-    play(
+    run_timeline(
         44.0,
         "
            0 | has 8    | -
@@ -233,7 +233,7 @@
 
 #[test]
 fn an_empty_reading_that_is_not_confirmed_is_discarded() {
-    play(
+    run_timeline(
         44.0,
         "
            0 | has 8    | -
--- a/crates/quillpulley/tests/control/relay.rs
+++ b/crates/quillpulley/tests/control/relay.rs
@@ -32,32 +32,36 @@
 
 #[test]
 fn the_primary_that_sent_a_heartbeat_is_the_parent() {
-    let mut relay = ControlTopology::default();
-    let moved = |milliseconds| Some(at(milliseconds));
-    assert_eq!(relay.choose_parent(at(0), None, None, |_| true), None);
-    assert_eq!(relay.choose_parent(at(10), Some(node(1)), None, |_| true), Some(ParentChange::Up));
-    assert_eq!(relay.parent(), Some(node(1)));
-    assert_eq!(relay.choose_parent(at(20), Some(node(1)), moved(15), |_| true), None);
+    let mut topology = ControlTopology::default();
+    let advanced_at = |milliseconds| Some(at(milliseconds));
+    assert_eq!(topology.choose_parent(at(0), None, None, |_| true), None);
+    assert_eq!(topology.choose_parent(at(10), Some(node(1)), None, |_| true), Some(ParentChange::Up));
+    assert_eq!(topology.parent(), Some(node(1)));
+    assert_eq!(topology.choose_parent(at(20), Some(node(1)), advanced_at(15), |_| true), None);
     // A parent whose heartbeat is late stays the parent until another primary is known.
-    assert_eq!(relay.choose_parent(at(500), None, moved(400), |_| true), None);
-    assert_eq!(relay.choose_parent(at(600), Some(node(2)), moved(400), |_| true), Some(ParentChange::Up));
-    assert_eq!(relay.parent(), Some(node(2)));
+    assert_eq!(topology.choose_parent(at(500), None, advanced_at(400), |_| true), None);
+    assert_eq!(
+        topology.choose_parent(at(600), Some(node(2)), advanced_at(400), |_| true),
+        Some(ParentChange::Up)
+    );
+    assert_eq!(topology.parent(), Some(node(2)));
 }
 
 #[test]
 fn an_unreachable_parent_is_dropped() {
-    let mut relay = ControlTopology::default();
-    assert_eq!(relay.choose_parent(at(0), Some(node(1)), None, |_| false), None);
-    relay.choose_parent(at(10), Some(node(1)), None, |_| true);
-    assert_eq!(relay.choose_parent(at(20), Some(node(1)), None, |_| false), Some(ParentChange::Down));
-    assert_eq!(relay.parent(), None);
-    assert_eq!(relay.choose_parent(at(30), Some(node(1)), None, |_| true), Some(ParentChange::Up));
+    let mut topology = ControlTopology::default();
+    assert_eq!(topology.choose_parent(at(0), Some(node(1)), None, |_| false), None);
+    topology.choose_parent(at(10), Some(node(1)), None, |_| true);
+    assert_eq!(topology.choose_parent(at(20), Some(node(1)), None, |_| false), Some(ParentChange::Down));
+    assert_eq!(topology.parent(), None);
+    assert_eq!(topology.choose_parent(at(30), Some(node(1)), None, |_| true), Some(ParentChange::Up));
 }
 
 #[test]
 fn a_node_without_updates_subscribes_again_every_second() {
-    let mut relay = ControlTopology::default();
-    let mut choose = |now, moved| relay.choose_parent(at(now), Some(node(1)), Some(at(moved)), |_| true);
+    let mut topology = ControlTopology::default();
+    let mut choose =
+        |now, advanced_at| topology.choose_parent(at(now), Some(node(1)), Some(at(advanced_at)), |_| true);
     assert_eq!(choose(100, 0), Some(ParentChange::Up));
     assert_eq!(choose(1099, 0), None);
     assert_eq!(choose(1100, 0), Some(ParentChange::Up));
@@ -68,57 +72,57 @@
 
 #[test]
 fn a_node_whose_parent_link_was_replaced_subscribes_again_at_once() {
-    let mut relay = ControlTopology::default();
-    let choose = |relay: &mut ControlTopology, now| {
-        relay.choose_parent(at(now), Some(node(1)), Some(at(now)), |_| true)
+    let mut topology = ControlTopology::default();
+    let choose = |topology: &mut ControlTopology, now| {
+        topology.choose_parent(at(now), Some(node(1)), Some(at(now)), |_| true)
     };
-    relay.link_replaced(node(1));
-    assert_eq!(choose(&mut relay, 100), Some(ParentChange::Up));
-    assert_eq!(choose(&mut relay, 110), None);
-    relay.link_replaced(node(2));
-    assert_eq!(choose(&mut relay, 120), None, "that node is not the parent");
-    relay.link_replaced(node(1));
-    assert_eq!(choose(&mut relay, 130), Some(ParentChange::Up));
-    assert_eq!(choose(&mut relay, 140), None);
+    topology.link_replaced(node(1));
+    assert_eq!(choose(&mut topology, 100), Some(ParentChange::Up));
+    assert_eq!(choose(&mut topology, 110), None);
+    topology.link_replaced(node(2));
+    assert_eq!(choose(&mut topology, 120), None, "that node is not the parent");
+    topology.link_replaced(node(1));
+    assert_eq!(choose(&mut topology, 130), Some(ParentChange::Up));
+    assert_eq!(choose(&mut topology, 140), None);
 }
 
 #[test]
 fn an_early_subscriber_becomes_a_child_after_the_election() {
-    let mut relay = ControlTopology::default();
+    let mut topology = ControlTopology::default();
     for body in [subscription(), report(false, 1), report(true, 2)] {
-        assert_eq!(relay.handle_child_message(node(2), body), ChildMessage::Pending);
+        assert_eq!(topology.handle_child_message(node(2), body), ChildMessage::Pending);
     }
-    assert_eq!(relay.handle_child_message(node(3), subscription()), ChildMessage::Pending);
-    relay.become_root();
-    assert!(relay.admit_pending(|_| false).is_empty());
+    assert_eq!(topology.handle_child_message(node(3), subscription()), ChildMessage::Pending);
+    topology.become_root();
+    assert!(topology.admit_pending(|_| false).is_empty());
     let kept = vec![subscription(), report(false, 1), report(true, 2)];
-    assert_eq!(relay.admit_pending(|_| true), [(node(2), kept)]);
+    assert_eq!(topology.admit_pending(|_| true), [(node(2), kept)]);
     assert_eq!(
-        relay.handle_child_message(node(2), report(true, 3)),
+        topology.handle_child_message(node(2), report(true, 3)),
         ChildMessage::FromChild(report(true, 3))
     );
-    assert!(relay.remove(node(2)));
-    assert!(!relay.remove(node(2)));
+    assert!(topology.remove(node(2)));
+    assert!(!topology.remove(node(2)));
 }
 
 #[test]
 fn incremental_reports_without_a_complete_one_are_dropped() {
-    let mut relay = ControlTopology::default();
-    relay.handle_child_message(node(2), report(true, 1));
-    relay.handle_child_message(node(2), subscription());
-    assert!(relay.admit_pending(|_| true).is_empty());
-    relay.handle_child_message(node(2), report(false, 2));
-    assert_eq!(relay.admit_pending(|_| true), [(node(2), vec![subscription(), report(false, 2)])]);
+    let mut topology = ControlTopology::default();
+    topology.handle_child_message(node(2), report(true, 1));
+    topology.handle_child_message(node(2), subscription());
+    assert!(topology.admit_pending(|_| true).is_empty());
+    topology.handle_child_message(node(2), report(false, 2));
+    assert_eq!(topology.admit_pending(|_| true), [(node(2), vec![subscription(), report(false, 2)])]);
 }
 
 #[test]
 fn a_former_root_has_no_control_nodes_as_children() {
-    let mut relay = ControlTopology::default();
-    relay.become_root();
-    relay.handle_child_message(node(2), subscription());
-    relay.handle_child_message(node(2), report(false, 1));
-    relay.admit_pending(|_| true);
-    assert_eq!(relay.leave_root(), [node(2)]);
-    assert_eq!(relay.handle_child_message(node(2), report(true, 1)), ChildMessage::Pending);
-    assert!(relay.admit_pending(|_| true).is_empty());
+    let mut topology = ControlTopology::default();
+    topology.become_root();
+    topology.handle_child_message(node(2), subscription());
+    topology.handle_child_message(node(2), report(false, 1));
+    topology.admit_pending(|_| true);
+    assert_eq!(topology.leave_root(), [node(2)]);
+    assert_eq!(topology.handle_child_message(node(2), report(true, 1)), ChildMessage::Pending);
+    assert!(topology.admit_pending(|_| true).is_empty());
 }
--- a/crates/quillpulley/tests/control/servers.rs
+++ b/crates/quillpulley/tests/control/servers.rs
@@ -43,7 +43,7 @@
     server
 }
 
-fn show(change: &Change) -> String {
+fn format_change(change: &Change) -> String {
     let Some(value) = &change.value else {
         return format!("-{}", change.key.strip_prefix("server/").expect("not the key of a server"));
     };
@@ -73,21 +73,21 @@
     }
 }
 
-fn play(mut published: PublishedServers, timeline: &str) {
+fn run_timeline(mut published: PublishedServers, timeline: &str) {
     for line in timeline.lines().map(str::trim).filter(|line| !line.is_empty()) {
         let mut columns = line.split('|').map(str::trim);
         let mut column = || columns.next().expect("fewer than three columns");
         let (time, list, expected) = (column(), column(), column());
         let now = Duration::from_millis(time.parse().expect("the time is not a number"));
         let changes = published.update(now, reading(list));
-        let shown: Vec<String> = changes.iter().map(show).collect();
+        let shown: Vec<String> = changes.iter().map(format_change).collect();
         assert_eq!(shown.join(" "), expected, "{line}");
     }
 }
 
 #[test]
 fn only_changes_are_published() {
-    play(
+    run_timeline(
         PublishedServers::default(),
         "
            0 | x y     | x y
@@ -103,7 +103,7 @@
 
 #[test]
 fn a_warm_up_is_published_when_it_begins_when_it_grows_and_when_it_ends() {
-    play(
+    run_timeline(
         PublishedServers::default(),
         "
            0 | x/w3000 | x/w3000
@@ -119,7 +119,7 @@
 
 #[test]
 fn the_remaining_time_is_published_when_it_appears_and_when_it_drops() {
-    play(
+    run_timeline(
         PublishedServers::default(),
         "
            0 | x         | x
@@ -134,7 +134,7 @@
 
 #[test]
 fn an_unreadable_entry_keeps_the_published_server() {
-    play(
+    run_timeline(
         PublishedServers::default(),
         "
            0 | x y   | x y
@@ -152,7 +152,7 @@
     let items = inherited.iter().map(|(key, value)| (key.as_str(), value.as_slice()));
     let other = [("front/f".to_string(), Vec::new())];
     let others = other.iter().map(|(key, value): &(String, Vec<u8>)| (key.as_str(), value.as_slice()));
-    play(
+    run_timeline(
         PublishedServers::inherit(items.chain(others)),
         "
            0 | x y/w2500 u/*/t400 v | -z y/w2500 u/*/t400 v
--- a/crates/quillpulley/tests/control/tree.rs
+++ b/crates/quillpulley/tests/control/tree.rs
@@ -69,29 +69,29 @@
     let primary = cluster.primary();
     let control_nodes: Vec<String> = (0..3).map(|index| control_node_key(cluster.address(index))).collect();
     let mut agents = Agents::connect("zone-0", (0..3).map(|index| cluster.link(index)));
-    agents.until("the configuration", |sync_node| version(sync_node) == Some(5));
-    agents.until("the servers", |sync_node| server_state(sync_node, "i-3") == Some(ServerState::Ready));
-    agents.until("the control nodes", |sync_node| {
+    agents.wait_for("the configuration", |sync_node| version(sync_node) == Some(5));
+    agents.wait_for("the servers", |sync_node| server_state(sync_node, "i-3") == Some(ServerState::Ready));
+    agents.wait_for("the control nodes", |sync_node| {
         control_nodes.iter().all(|control_node| sync_node.store().get(control_node).is_some())
     });
 
     platform.set(&["i-1 draining", "i-2 ready"]);
     assert_eq!(cluster.call_until_definite(&Operation::start_evacuation("zone-0")).status, 200);
-    agents.until("a server that drains", |sync_node| {
+    agents.wait_for("a server that drains", |sync_node| {
         server_state(sync_node, "i-1") == Some(ServerState::Draining)
     });
-    agents.until("the removal of a server", |sync_node| server_state(sync_node, "i-3").is_none());
-    agents.until("an evacuation", |sync_node| sync_node.store().get(&evacuated_key("zone-0")).is_some());
+    agents.wait_for("the removal of a server", |sync_node| server_state(sync_node, "i-3").is_none());
+    agents.wait_for("an evacuation", |sync_node| sync_node.store().get(&evacuated_key("zone-0")).is_some());
 
     // After the primary was killed, the next one takes over what it has published.
-    agents.keep((primary + 1) % 3);
+    agents.keep_only((primary + 1) % 3);
     let epoch = agents.epoch();
     cluster.kill(primary);
     assert_eq!(cluster.call_until_definite(&Operation::replace(5, configuration("6"))).status, 200);
-    agents.until("the next configuration", |sync_node| {
+    agents.wait_for("the next configuration", |sync_node| {
         version(sync_node) == Some(6) && sync_node.revision().epoch > epoch
     });
-    agents.until("the servers that are still listed", |sync_node| {
+    agents.wait_for("the servers that are still listed", |sync_node| {
         server_state(sync_node, "i-2") == Some(ServerState::Ready)
     });
 }
@@ -102,24 +102,25 @@
     let mut agents = Agents::connect("zone-0", (0..2).map(|index| cluster.link(index)));
     let is_known =
         |sync_node: &SyncNode<()>, name: &str| sync_node.store().get(&endpoint_key(name)).is_some();
-    agents
-        .until("both proxies", |sync_node| is_known(sync_node, "front-0") && is_known(sync_node, "front-1"));
+    agents.wait_for("both proxies", |sync_node| {
+        is_known(sync_node, "front-0") && is_known(sync_node, "front-1")
+    });
     let resolved_addresses = |cluster: &Cluster, index| {
         let response = cluster.resolve(index, "zone-0")?;
         (response.status == 200).then(|| String::from_utf8(response.body).expect("the text is not UTF-8"))
     };
     for index in 0..3 {
-        cluster.until("both proxies in the directory", |cluster| {
+        cluster.wait_for("both proxies in the directory", |cluster| {
             let body = resolved_addresses(cluster, index)?;
             (body.contains("front-0:80") && body.contains("front-1:80")).then_some(())
         });
     }
-    agents.lose(1);
-    agents.until("the removal of a proxy", |sync_node| {
+    agents.end_agent(1);
+    agents.wait_for("the removal of a proxy", |sync_node| {
         is_known(sync_node, "front-0") && !is_known(sync_node, "front-1")
     });
     for index in 0..3 {
-        cluster.until("only one proxy in the directory", |cluster| {
+        cluster.wait_for("only one proxy in the directory", |cluster| {
             let body = resolved_addresses(cluster, index)?;
             (body.contains("front-0:80") && !body.contains("front-1:80")).then_some(())
         });
