--- a/crates/quillpulley/tests/control/cluster.rs
+++ b/crates/quillpulley/tests/control/cluster.rs
@@ -33,9 +33,10 @@
     seeds: Vec<SocketAddr>,
 }
 
-/// A set of control machines. Dropping it kills the processes and removes the disks.
+/// A set of machines that run control nodes. Dropping it kills the processes and removes the disks.
 pub struct Cluster {
     machines: Vec<Machine>,
+    /// The second and third byte of the IP addresses of the machines.
     network: [u8; 2],
     platform: Option<SocketAddr>,
     log_receiver: Receiver<String>,
--- a/crates/quillpulley/tests/control/directory_staleness.rs
+++ b/crates/quillpulley/tests/control/directory_staleness.rs
@@ -58,11 +58,11 @@
     let mut system = System::stable();
     system.partitioned_region = Some(2);
     assert_within(system.time_until_delisted(&[0, 1, 2, 3], &[2]), 2_800, 3_100);
-    assert_eq!(system.listed(2), ["front-4", "front-5"], "only the proxies that report to it are listed");
+    assert_eq!(system.listed(2), ["front-4", "front-5"], "only the proxies that report to it may be listed");
     assert_eq!(
         system.listed(0).len(),
         AGENTS - 2,
-        "the proxies of the partitioned region are not listed elsewhere"
+        "the proxies of the partitioned region must not be listed elsewhere"
     );
     system.heal();
     system.advance(ms(4_000));
