--- a/crates/quillpulley/tests/control/cluster.rs
+++ b/crates/quillpulley/tests/control/cluster.rs
@@ -13,14 +13,14 @@
 /// Maximum time that a test waits for an expected event.
 pub const TIMEOUT: Duration = Duration::from_secs(30);
 /// Timeout of a request. It exceeds the 3 s for which a process may keep a request waiting.
-const CALL_TIMEOUT: Duration = Duration::from_secs(10);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 /// Maximum time between two attempts. A line that a process logs starts the next attempt earlier.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 const LINK_PORT: u16 = 7720;
 const CONTROL_PORT: u16 = 8166;
 const DIRECTORY_PORT: u16 = 8164;
 
-static CLUSTERS: AtomicU8 = AtomicU8::new(1);
+static NEXT_CLUSTER_NUMBER: AtomicU8 = AtomicU8::new(1);
 
 /// A machine for a control node: its disk, and its process if that runs.
 struct Machine {
@@ -69,7 +69,7 @@
     /// Creates a new system of `count` machines, all of which are seeds, without starting their processes.
     pub fn prepare(count: usize, platform: Option<SocketAddr>) -> Self {
         let process = std::process::id();
-        let number = CLUSTERS.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_CLUSTER_NUMBER.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("quillpulley-control-{process}-{number}"));
         let (log_sender, log_receiver) = mpsc::channel();
         // Clusters that run at the same time use different addresses.
@@ -373,7 +373,7 @@
         let config = ureq::Agent::config_builder()
             .http_status_as_error(false)
             .max_redirects(0)
-            .timeout_global(Some(CALL_TIMEOUT))
+            .timeout_global(Some(REQUEST_TIMEOUT))
             .build();
         let agent = ureq::Agent::new_with_config(config);
         let mut response = match self.method {
--- a/crates/quillpulley/tests/control/directory_staleness.rs
+++ b/crates/quillpulley/tests/control/directory_staleness.rs
@@ -132,7 +132,7 @@
 /// Plays a random run. Each step consists of a number that selects the event, one that selects the node or
 /// region, and the number of ticks (modulo 60) until the next step. Returns whether no failed proxy was
 /// listed too long.
-fn play_random(steps: Vec<(u8, u8, u8)>) -> bool {
+fn delists_in_time(steps: Vec<(u8, u8, u8)>) -> bool {
     let mut system = System::stable();
     let mut lost_since: [Option<Duration>; AGENTS] = [None; AGENTS];
     let mut disturbed_at = Duration::ZERO;
@@ -177,5 +177,5 @@
 
 #[test]
 fn a_failed_proxy_is_delisted_in_time_in_random_runs() {
-    quickcheck::QuickCheck::new().quickcheck(play_random as fn(Vec<(u8, u8, u8)>) -> bool);
+    quickcheck::QuickCheck::new().quickcheck(delists_in_time as fn(Vec<(u8, u8, u8)>) -> bool);
 }
--- a/crates/quillpulley/tests/control/frozen_host.rs
+++ b/crates/quillpulley/tests/control/frozen_host.rs
@@ -28,7 +28,7 @@
 const TICK_MS: u64 = 50;
 const IP: Ipv4Addr = Ipv4Addr::LOCALHOST;
 
-static FOLDERS: AtomicU64 = AtomicU64::new(0);
+static NEXT_FOLDER_NUMBER: AtomicU64 = AtomicU64::new(0);
 
 struct Harness {
     host: ControlHost,
@@ -45,7 +45,7 @@
 impl Harness {
     /// Starts a host that is the primary and has activated configuration version 5.
     fn start(faults: Faults) -> Self {
-        let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_FOLDER_NUMBER.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("quillpulley-frozen-{}-{number}", std::process::id()));
         let (now, writer_delay_ms) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
         let clock = host_clock(now.clone(), writer_delay_ms.clone());
