--- a/crates/quillpulley/tests/control/mixed_releases.rs
+++ b/crates/quillpulley/tests/control/mixed_releases.rs
@@ -65,7 +65,8 @@
             replace_program(&mut cluster, index, program, &mut version);
         }
     }
-    // The primary is killed twice, and its machine then runs the earlier release.
+    // The primary is also killed: first while all machines run the current release, then while one of them
+    // runs the earlier one. A killed machine restarts with the earlier release.
     for _ in 0..2 {
         let primary = cluster.primary();
         cluster.kill(primary);
