--- a/crates/quillpulley/tests/control/directory_view.rs
+++ b/crates/quillpulley/tests/control/directory_view.rs
@@ -38,9 +38,9 @@
     format!("{}:{state}{}", endpoint.name, endpoint.incarnation)
 }
 
-/// The inputs of a directory builder at `now`. The published state last advanced at `advanced_at`; both are in
-/// milliseconds. Proxies are written as for [`endpoint`]; `!f:m,n` among the reports means that the monitors
-/// `m` and `n` suspect the proxy `f`.
+/// The inputs of a directory builder. The published state last advanced at `advanced_at`; this time and `now`
+/// are in milliseconds. Proxies are written as for [`endpoint`]; `!f:m,n` among the reports means that the
+/// monitors `m` and `n` suspect the proxy `f`.
 struct BuilderInputs<'a> {
     now: u64,
     advanced_at: u64,
