--- a/crates/quillpulley/tests/operators/checker.rs
+++ b/crates/quillpulley/tests/operators/checker.rs
@@ -1,4 +1,4 @@
-//! The invariants of all responses, stated once.
+//! The invariants that all responses and states must satisfy.
 
 use super::node::RequestId;
 use super::requests::Request;
@@ -8,47 +8,55 @@
 use quillpulley_replication::StateMachine;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A request as it was sent.
+/// A request, with the state of the system when it was sent.
 #[derive(Clone, Debug)]
 pub struct SentRequest {
     pub request: Request,
+    /// The time in milliseconds.
     pub sent_at: u64,
-    /// The newest version that was acknowledged to anybody when it was sent.
+    /// The newest version that had been acknowledged to any operator.
     newest: u64,
-    /// Returns whether a process may still act on it.
+    /// Whether a process may still act on the request.
     pub open: bool,
 }
 
-/// What is known of a configuration.
+/// The outcome of all requests to activate a configuration.
 #[derive(Clone, Debug, Default)]
 struct Outcome {
     acknowledged: bool,
     rejected: bool,
-    /// It has no open request, and got no definite response: when the last one ended.
+    /// The time in milliseconds at which the last request ended without a definite response; `None` while a
+    /// request is open, or after a definite response.
     abandoned_at: Option<u64>,
-    /// Another command was answered since, so it must not come into force any more.
+    /// Whether a command that was sent after `abandoned_at` has been answered. The configuration must then
+    /// not be activated any more, unless it is sent again.
     superseded: bool,
 }
 
+/// A base version, and the configuration to activate on it.
 type Change = (u64, Vec<u8>);
 
-/// All that was committed and answered so far.
+/// Checks the invariants against all entries that were applied and all responses that were given.
 #[derive(Default)]
 pub struct Checker {
-    /// The index of the last entry that was applied anywhere.
+    /// The index of the last entry that any process has applied.
     applied: u64,
-    /// The state that these make.
+    /// The state after all entries up to that index.
     pub state: ControlState,
-    /// What came into force on each base.
+    /// The configuration that was activated on each base version.
     chain: BTreeMap<u64, Vec<u8>>,
-    /// The texts of versions that came into force.
+    /// The activated configurations by version.
     versions: BTreeMap<u64, Vec<u8>>,
     outcomes: BTreeMap<Change, Outcome>,
+    /// The configuration that was acknowledged on each base version.
     acknowledged_on: BTreeMap<u64, Vec<u8>>,
     newest_acknowledged: u64,
     pub sent_requests: Vec<SentRequest>,
-    /// The last definite response to the only operator of a zone, with no command of its own in flight.
+    /// Whether each zone must be evacuated, according to the last acknowledgement to its only operator. A
+    /// zone has no value from the sending of a command until its acknowledgement, or while another command
+    /// for it is open.
     confirmed_evacuations: BTreeMap<String, bool>,
+    /// The number of responses of each kind.
     pub responses: BTreeMap<&'static str, usize>,
 }
 
@@ -74,7 +82,8 @@
         self.sent_requests.iter().any(is_open)
     }
 
-    /// The operator of a zone knows that its command holds.
+    /// Records that the operator of a zone has received an acknowledgement of its command, unless another
+    /// command for the zone is open.
     pub fn confirm_evacuation(&mut self, zone: &str, active: bool) {
         if !self.has_open_evacuation(zone) {
             self.confirmed_evacuations.insert(zone.to_string(), active);
@@ -82,13 +91,13 @@
         }
     }
 
-    /// An entry was applied by some process.
+    /// Records that a process has applied an entry. Ignores entries that another process has applied before.
     pub fn record_applied(&mut self, index: u64, entry: Option<Entry>) {
         if index <= self.applied {
             return;
         }
         let before = self.state.version();
-        self.state.apply(&entry.expect("whoever commits an entry has it on its disk"));
+        self.state.apply(&entry.expect("the first process that applies an entry has stored it"));
         self.applied = index;
         if self.state.version() != before {
             self.check_activated(before);
@@ -98,25 +107,28 @@
 
     fn check_activated(&mut self, base: u64) {
         let version = self.state.version();
-        assert!(version > base, "the version goes back");
-        let body = self.state.body().expect("a configuration").to_vec();
-        let outcome = self.outcomes.get(&(base, body.clone())).expect("only what was sent comes into force");
-        assert!(!outcome.rejected, "a rejected configuration on {base} came into force");
+        assert!(version > base, "the active version decreases");
+        let body = self.state.body().expect("a configuration is active").to_vec();
+        let outcome = self
+            .outcomes
+            .get(&(base, body.clone()))
+            .expect("an activated configuration was sent by an operator");
+        assert!(!outcome.rejected, "a rejected configuration on base version {base} was activated");
         assert!(
             !outcome.superseded,
-            "a configuration on {base} came into force after a later command was answered"
+            "a configuration on base version {base} was activated after a later command was answered"
         );
         self.chain.insert(base, body.clone());
         self.versions.insert(version, body);
     }
 
-    /// A process shows a state.
+    /// Checks that the configuration of a process was activated under its version.
     pub fn check_shown(&self, state: &ControlState) {
         let known = self.versions.get(&state.version()).map(Vec::as_slice);
-        assert_eq!(known, state.body(), "a state has a version that was never active");
+        assert_eq!(known, state.body(), "a process has a configuration that was never activated");
     }
 
-    /// A call was answered, or its process has ended.
+    /// Records that a request was answered, or that its process has ended.
     pub fn record_response(&mut self, now: u64, id: RequestId, response: Option<&Response>) {
         assert!(std::mem::replace(&mut self.sent_requests[id].open, false), "a request is answered twice");
         let SentRequest { request, newest, sent_at, .. } = self.sent_requests[id].clone();
@@ -137,52 +149,65 @@
         match (request, response) {
             (_, Response::Unavailable | Response::Redirect(_)) => {}
             (Request::Replace { base, version, body, valid }, Response::Acknowledged) => {
-                assert!(*valid, "an invalid configuration on {base} is acknowledged");
+                assert!(*valid, "an invalid configuration on base version {base} is acknowledged");
                 self.acknowledge(*base, *version, body);
             }
             (Request::Replace { base, body, .. }, Response::Conflict { current }) => {
-                assert!(*current >= newest, "rejected for version {current}, older than {newest}");
+                assert!(
+                    *current >= newest,
+                    "a conflict names version {current}, older than the acknowledged version {newest}"
+                );
                 self.reject(*base, body);
             }
             (Request::Replace { base, body, valid, .. }, Response::Invalid(why)) => {
-                assert!(!valid, "a valid configuration on {base} is rejected: {why}");
+                assert!(!valid, "a valid configuration on base version {base} is rejected: {why}");
                 self.reject(*base, body);
             }
             (Request::Evacuate { zone, active }, Response::Acknowledged) => {
-                assert_eq!(self.state.is_evacuated(zone), *active, "an evacuation of {zone} is not active");
+                assert_eq!(
+                    self.state.is_evacuated(zone),
+                    *active,
+                    "an acknowledged evacuation command for {zone} is not in effect"
+                );
             }
             (Request::Read, Response::NoConfiguration) => {
-                assert_eq!(newest, 0, "a read misses version {newest}")
+                assert_eq!(
+                    newest, 0,
+                    "a read returns no configuration although version {newest} was acknowledged"
+                )
             }
             (Request::Read, Response::Configuration(body)) => {
                 let found = self.versions.iter().rev().find(|(_, known)| known[..] == body[..]);
-                let (version, _) = found.expect("what is read was active");
-                assert!(*version >= newest, "a read of version {version} is older than {newest}");
+                let (version, _) = found.expect("a read returns an activated configuration");
+                assert!(
+                    *version >= newest,
+                    "a read of version {version} is older than the acknowledged version {newest}"
+                );
             }
-            (_, response) => panic!("{response:?} is no response to what was asked"),
+            (_, response) => panic!("{response:?} is not a response to this kind of request"),
         }
     }
 
     fn acknowledge(&mut self, base: u64, version: u64, body: &[u8]) {
         let winner = self.acknowledged_on.entry(base).or_insert_with(|| body.to_vec());
-        assert_eq!(winner, body, "two configurations on {base} are acknowledged");
+        assert_eq!(winner, body, "two configurations on base version {base} are acknowledged");
         assert!(
             self.chain.get(&base).is_some_and(|accepted| accepted == body),
-            "not active, but acknowledged"
+            "an acknowledged configuration on base version {base} is not in effect"
         );
         let outcome = self.outcomes.entry((base, body.to_vec())).or_default();
-        assert!(!outcome.rejected, "a rejected configuration on {base} is acknowledged");
+        assert!(!outcome.rejected, "a rejected configuration on base version {base} is acknowledged");
         outcome.acknowledged = true;
         self.newest_acknowledged = self.newest_acknowledged.max(version);
     }
 
     fn reject(&mut self, base: u64, body: &[u8]) {
         let accepted = self.chain.get(&base).is_some_and(|accepted| accepted == body);
-        assert!(!accepted, "a configuration on {base} that was accepted is rejected");
+        assert!(!accepted, "a configuration on base version {base} that was activated is rejected");
         self.outcomes.entry((base, body.to_vec())).or_default().rejected = true;
     }
 
-    /// A configuration that got no definite response, and of which no request is in flight, counts as abandoned.
+    /// Marks a configuration as abandoned if its last request has ended and none got a definite response.
     fn record_end(&mut self, now: u64, request: &Request, change: Change) {
         if self.sent_requests.iter().any(|sent| sent.open && sent.request == *request) {
             return;
@@ -193,8 +218,8 @@
         }
     }
 
-    /// A command that was sent at `sent_at` was answered: what was abandoned before that, and is not active, must
-    /// not come into force any more unless it is sent again.
+    /// Updates which configurations are superseded, after a response to a command that was sent at `sent_at`:
+    /// those that were abandoned before that time and have not been activated.
     fn supersede_abandoned(&mut self, sent_at: u64) {
         for ((base, body), outcome) in &mut self.outcomes {
             let is_active = self.chain.get(base).is_some_and(|accepted| accepted == body);
@@ -202,6 +227,7 @@
         }
     }
 
+    /// Checks that the zones are evacuated as their operators were told.
     fn check_zones(&self) {
         for (zone, active) in &self.confirmed_evacuations {
             let is = self.state.is_evacuated(zone);
@@ -209,18 +235,18 @@
         }
     }
 
-    /// All that was acknowledged is in the state of a process that leads.
+    /// Checks that the state of a lease holder includes all acknowledged versions.
     pub fn check_leader(&self, state: &ControlState) {
         let newest = self.newest_acknowledged;
-        assert!(state.version() >= newest, "the acknowledged version {newest} is lost");
+        assert!(state.version() >= newest, "the lease holder lacks the acknowledged version {newest}");
     }
 
-    /// The bases on which something came into force.
+    /// Returns the number of configurations that were activated.
     pub fn changes(&self) -> usize {
         self.chain.len()
     }
 
-    /// Versions that operators may build on: those that came into force lately.
+    /// Returns the newest activated versions, at most 3.
     pub fn recent_versions(&self) -> BTreeSet<u64> {
         self.versions.keys().rev().take(3).copied().collect()
     }
--- a/crates/quillpulley/tests/operators/faults.rs
+++ b/crates/quillpulley/tests/operators/faults.rs
@@ -1,4 +1,4 @@
-//! The faults that machines and links get.
+//! Starts and stops processes, and injects faults into machines, disks and links.
 
 use super::disk::{DiskImage, DiskMode};
 use super::network::NetworkOptions;
@@ -7,10 +7,11 @@
 use quillpulley_protocol::NodeId;
 use quillpulley_replication::{Event, FaultTolerance, Locality, Options, Role};
 
-/// So few entries that snapshots are frequent.
+/// The number of applied entries above which the log is compacted: so few that snapshots are frequent.
 const COMPACT_ENTRIES: usize = 8;
 
 impl World {
+    /// Starts a process on a machine unless one runs there.
     pub fn start(&mut self, machine: usize) {
         let seeds = (0..self.tolerated * 2 + 1).map(|seed| NodeId::new(address(seed), 0)).collect();
         let slot = &mut self.machines[machine];
@@ -34,7 +35,8 @@
         self.schedule(1, ScheduledEvent::Tick { machine, process });
     }
 
-    /// Ends the process, with any part of the write in flight on its disk.
+    /// Ends the process. A random part of the write in flight reaches the disk, unless the disk is full. Open
+    /// requests to the process end without a response.
     pub fn kill(&mut self, machine: usize) {
         let torn = self.random.usize(0..4);
         let slot = &mut self.machines[machine];
@@ -54,7 +56,8 @@
         }
     }
 
-    /// Empties the disk of a machine, which comes back as another node.
+    /// Ends the process and empties its disk. The machine restarts as a new node: with another incarnation,
+    /// and without bootstrapping the cluster.
     pub fn wipe(&mut self, machine: usize) {
         self.kill(machine);
         let incarnation = self.random.u64(1..);
@@ -65,10 +68,12 @@
         slot.bootstrap = false;
     }
 
+    /// Pauses the process. Its inputs are buffered until it resumes.
     pub fn freeze(&mut self, machine: usize) {
         self.machines[machine].frozen = true;
     }
 
+    /// Resumes a frozen process, which then handles the buffered inputs.
     pub fn resume(&mut self, machine: usize) {
         self.machines[machine].frozen = false;
         while let Some(input) = self.machines[machine].buffered.pop_front() {
@@ -76,10 +81,13 @@
         }
     }
 
+    /// Shuts the replica down gracefully; the process keeps running.
     pub fn shut_down(&mut self, machine: usize) {
         self.handle(machine, Input::Event(Event::Shutdown));
     }
 
+    /// Changes the mode of a disk. The write in flight completes in the new mode, unless that mode is
+    /// `Hangs`.
     pub fn set_disk(&mut self, machine: usize, mode: DiskMode) {
         let slot = &mut self.machines[machine];
         slot.mode = mode;
@@ -90,7 +98,7 @@
         }
     }
 
-    /// Cuts a machine off from all others; one-way, only what it sends is lost.
+    /// Partitions a machine from all others. Unless `both` is set, only the messages that it sends are lost.
     pub fn isolate(&mut self, machine: usize, both: bool) {
         for other in (0..self.machines.len()).filter(|other| *other != machine) {
             self.network.partition(machine, other);
@@ -100,7 +108,7 @@
         }
     }
 
-    /// The machine that holds the lease and is not frozen.
+    /// Returns the machine whose process holds the lease and is not frozen; `None` if there is none.
     pub fn leader(&self) -> Option<usize> {
         let is_leader = |machine: &usize| {
             let now = self.local(*machine);
@@ -111,7 +119,8 @@
         (0..self.machines.len()).find(is_leader)
     }
 
-    /// Returns whether every machine runs, is a member and a witness, so that one may lose its disk.
+    /// Returns whether every machine runs a process that is both a member and a witness of an activated view.
+    /// Only then may a machine lose its disk.
     pub fn is_complete(&self) -> bool {
         let Some(node) = self.leader().and_then(|leader| self.machines[leader].node.as_ref()) else {
             return false;
@@ -123,7 +132,8 @@
         all && view.activated && view.witnesses.len() == self.machines.len()
     }
 
-    /// Ends all faults.
+    /// Ends all faults, and starts a process on every machine that has none or whose process is shutting
+    /// down.
     pub fn heal(&mut self) {
         self.network.heal_all();
         self.network.options = NetworkOptions::default();
--- a/crates/quillpulley/tests/operators/main.rs
+++ b/crates/quillpulley/tests/operators/main.rs
@@ -1,8 +1,9 @@
-//! Operators against control nodes in virtual time.
+//! Simulation tests of operator commands in virtual time.
 //!
-//! Replicas of the control state, each with the queue of commands that the host gives it, on simulated disks and a
-//! simulated network. Several operators race for the same versions, lose responses and send again. After every step
-//! it is checked that no response was wrong.
+//! Each control node consists of a replica of the control state and a command queue, connected as in the
+//! replica host. Disks and network are simulated. Several operators compete for the same configuration
+//! versions, lose responses and send commands again. Every response and every state change is checked against
+//! the invariants in `checker`.
 
 #[path = "../../../replication/tests/replication/harness/disk.rs"]
 #[allow(dead_code)]
--- a/crates/quillpulley/tests/operators/node.rs
+++ b/crates/quillpulley/tests/operators/node.rs
@@ -1,4 +1,4 @@
-//! One control node: a replica and the commands of operators, put together as the host does it.
+//! A control node: a replica and the command queue, connected as in the replica host.
 
 use quillpulley::control::commands::{Command, CommandQueue};
 use quillpulley::control::response::Response;
@@ -13,22 +13,23 @@
 
 pub type RequestId = usize;
 
-/// Deliberate faults, each of which the checks have to catch.
+/// Faults injected into a node. The checks must detect each of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
     #[default]
     None,
-    /// Commands are decided and read answered without a lease check.
+    /// A node that has held the lease decides commands and answers reads as long as its view names it as
+    /// primary.
     NoLease,
-    /// Commands are decided although the log has some that are not applied.
+    /// Commands are decided while the log contains earlier commands that are not applied yet.
     BesideUnresolved,
-    /// A command is decided while another is in flight, and acknowledged once its entry is committed.
+    /// A command is decided while another is in flight, and is acknowledged once its entry is committed.
     Overlapping,
-    /// The configurations accepted before are not in snapshots.
+    /// Snapshots omit the history of earlier configurations.
     NoHistory,
 }
 
-/// What comes to a process.
+/// An input of a control node.
 #[derive(Clone, Debug)]
 pub enum Input {
     Event(Event),
@@ -36,12 +37,13 @@
     Read(RequestId),
 }
 
-/// What a process does.
+/// An effect of a control node that the simulation carries out.
 #[derive(Debug)]
 pub enum Output {
     Send(NodeId, Body),
     Store(u64, Write),
-    /// An entry is in the state. The first process to apply it has it on its disk, others perhaps not yet.
+    /// The entry at `index` is applied to the state. `entry` is `None` if this node has not written the
+    /// entry; the first node that applies an entry has it on its disk.
     Applied {
         index: u64,
         entry: Option<Entry>,
@@ -55,11 +57,11 @@
     pub replica: Replica<ControlState>,
     commands: CommandQueue<RequestId>,
     is_leader: bool,
-    /// Returns whether it was the primary, with the lease or without, when that was last looked at.
+    /// Whether the node was the primary, with or without the lease, at the last check.
     was_primary: bool,
-    /// The entries that it has accepted, by index.
+    /// All entries recovered from disk or written since, by index.
     log: BTreeMap<u64, Entry>,
-    /// Commands in flight where they overlap.
+    /// The requests in flight by proposal number, if `Fault::Overlapping` is injected.
     overlapping: BTreeMap<u64, RequestId>,
     outputs: Vec<Output>,
 }
@@ -72,7 +74,7 @@
         Node {
             me,
             fault,
-            replica: replica.expect("a sound disk"),
+            replica: replica.expect("the contents of the disk are valid"),
             commands: CommandQueue::default(),
             is_leader: false,
             was_primary: false,
@@ -119,13 +121,14 @@
         }
     }
 
-    /// A node that was elected has all that it inherited in its state, before it decides or answers anything.
+    /// Checks that a newly elected primary has applied all entries that it inherited, before it decides a
+    /// command or answers a request.
     fn check_inherited(&mut self, now: Duration) {
         let is_primary = matches!(self.replica.role(now), Role::Primary { .. });
         let was_elected = is_primary && !self.was_primary;
         assert!(
             !was_elected || !self.replica.has_unresolved_proposals(),
-            "a new primary lacks what it inherited"
+            "a new primary has not applied the entries that it inherited"
         );
         self.was_primary = is_primary;
     }
@@ -145,6 +148,7 @@
         self.is_leader = is_leader;
     }
 
+    /// Proposes the commands that can be decided now, and collects the responses to completed commands.
     fn advance(&mut self, now: Duration) {
         self.update_leadership(now);
         while let Some(proposal) = self.next_proposal(now) {
@@ -201,7 +205,7 @@
         }
     }
 
-    /// Keeps the entries, which are named by their index only when they are applied.
+    /// Records the written entries, because [`Action::Applied`] names an entry only by its index.
     fn record_entries(&mut self, write: &Write) {
         let (Write::Append(entries) | Write::Install { entries, .. }) = write else { return };
         self.log.extend(entries.iter().map(|entry| (entry.index, entry.clone())));
@@ -219,7 +223,7 @@
         })
     }
 
-    /// What the fault with overlapping commands does with one.
+    /// Decides and proposes a command without the command queue, for `Fault::Overlapping`.
     fn decide_at_once(&mut self, now: Duration, id: RequestId, command: &Command) {
         let state = self.replica.state();
         let decision = match command {
@@ -269,12 +273,13 @@
         }
     }
 
+    /// Removes the configuration history from a snapshot if `Fault::NoHistory` is injected.
     fn corrupt(&self, snapshot: Vec<u8>) -> Vec<u8> {
         if self.fault != Fault::NoHistory {
             return snapshot;
         }
         let read = decode_value::<ControlSnapshotRef<'_>, _>(&snapshot);
-        let mut snapshot: ControlSnapshot = read.expect("a snapshot");
+        let mut snapshot: ControlSnapshot = read.expect("the snapshot is valid");
         snapshot.history.clear();
         encode_value::<ControlSnapshot>(&snapshot)
     }
--- a/crates/quillpulley/tests/operators/operator.rs
+++ b/crates/quillpulley/tests/operators/operator.rs
@@ -1,4 +1,5 @@
-//! An operator: sends one command after the other, each unchanged until it has a definite response or is abandoned.
+//! A simulated operator. It has one pending request at a time, and resends it unchanged until it gets a
+//! definite response or abandons the request.
 
 use super::node::RequestId;
 use super::requests::{Request, INVALID_KINDS};
@@ -6,34 +7,40 @@
 use quillpulley::control::response::Response;
 use std::net::IpAddr;
 
-/// How long an operator waits for a response before it sends again.
+/// The time after which an operator stops waiting for a response and sends the request again.
 const RESPONSE_TIMEOUT_MS: u64 = 1000;
+/// The upper bound of the random delay before a request is sent again.
 const MAX_BACKOFF_MS: u64 = 200;
+/// The maximum number of redirects that an operator follows before it backs off.
 const MAX_REDIRECTS: usize = 2;
-/// Commands may be abandoned after this many sends.
+/// A request that was sent more often than this may be abandoned.
 const SENDS_BEFORE_ABANDONING: usize = 3;
 
-/// A command that an operator tries to get through.
+/// A request without a definite response.
 #[derive(Clone, Debug)]
 struct PendingRequest {
     request: Request,
+    /// The send that awaits its response, and its time in milliseconds.
     sent: Option<(RequestId, u64)>,
+    /// The number of redirects followed since the last backoff.
     redirects: usize,
     sends: usize,
+    /// The earliest time of the next send in milliseconds.
     next_at: u64,
 }
 
 pub struct Operator {
     number: usize,
     pending: Option<PendingRequest>,
-    /// The version that it believes active.
+    /// The configuration version that the operator believes to be active.
     known_version: u64,
-    /// Its zone, and whether it wants it evacuated next.
+    /// Whether the next evacuation command for the operator's zone starts the evacuation or ends it.
     evacuates_next: bool,
-    /// Commands that it may send again at any time.
+    /// Completed configuration commands, which the operator may send again at any time.
     past: Vec<Request>,
+    /// The number of requests that got a definite response or were abandoned.
     pub completed: usize,
-    /// It begins nothing new.
+    /// A stopped operator begins no new request, and does not abandon the pending one.
     pub is_stopped: bool,
 }
 
@@ -54,6 +61,8 @@
         self.pending.is_none()
     }
 
+    /// Handles the response to the pending request, or sends that request; begins a new one if none is
+    /// pending.
     pub fn poll(&mut self, world: &mut World) {
         let Some(mut pending) = self.pending.take().or_else(|| self.begin(world)) else { return };
         if let Some((id, sent_at)) = pending.sent {
@@ -79,7 +88,7 @@
         self.pending = Some(pending);
     }
 
-    /// Handles a response; returns whether the request is complete.
+    /// Handles a response, or the end of the connection (`None`). Returns whether the request is complete.
     fn handle_response(
         &mut self,
         world: &mut World,
@@ -91,7 +100,7 @@
                 pending.redirects += 1;
                 let found =
                     (0..world.machines.len()).find(|machine| IpAddr::V4(address(*machine)) == to.ip());
-                send(world, pending, found.expect("a redirect to a machine that there is"));
+                send(world, pending, found.expect("a redirect names the address of a machine"));
                 false
             }
             None | Some(Response::Redirect(_) | Response::Unavailable | Response::HistoryExpired { .. }) => {
@@ -107,6 +116,7 @@
         }
     }
 
+    /// Updates the operator's knowledge from a definite response.
     fn learn(&mut self, world: &mut World, request: &Request, response: &Response) {
         match (request, response) {
             (Request::Replace { version, .. }, Response::Acknowledged) => {
@@ -126,7 +136,9 @@
         }
     }
 
-    /// What to do next. Few marks and versions are in use, so that operators often meet.
+    /// Begins a random request; `None` if the operator is stopped, pauses, or cannot send a request of the
+    /// chosen kind. The requests use only a few marks and versions, so that commands of different operators
+    /// often conflict.
     fn begin(&mut self, world: &mut World) -> Option<PendingRequest> {
         if self.is_stopped || world.random.usize(0..4) == 0 {
             return None;
@@ -145,7 +157,8 @@
         Some(PendingRequest { request, sent: None, redirects: 0, sends: 0, next_at: world.now })
     }
 
-    /// Its own zone, evacuated and restored in turn; nothing while an older command for it may still arrive.
+    /// Returns a command that starts or ends, in turn, the evacuation of the operator's own zone; `None`
+    /// while an earlier command for this zone is open.
     fn evacuation(&mut self, world: &World) -> Option<Request> {
         let zone = format!("z{}", self.number);
         if world.checker.has_open_evacuation(&zone) {
--- a/crates/quillpulley/tests/operators/random.rs
+++ b/crates/quillpulley/tests/operators/random.rs
@@ -1,4 +1,5 @@
-//! Random runs: operators send commands while machines are killed, frozen, partitioned and wiped, and their disks fail.
+//! Random runs: operators send commands while machines are killed, frozen, partitioned and wiped, and disks
+//! fail.
 
 use super::disk::DiskMode;
 use super::network::NetworkOptions;
@@ -8,14 +9,16 @@
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 
+/// The number of random operations in a run, most of which start or end a fault.
 const OPERATIONS: usize = 40;
 const OPERATORS: usize = 4;
-/// How long after a cut a primary is without its lease and has not stepped down.
+/// The duration of a partition after which a primary has lost its lease but has not stepped down yet.
 const LEASE_LOST_MS: std::ops::Range<u64> = 650..1250;
-/// How soon after the last fault all commands are answered.
+/// The maximum time after the last fault until all commands are answered, and then until all states are
+/// equal.
 const RECOVERY_MS: u64 = 8000;
 
-/// What all runs of a test came to.
+/// The totals of all runs of a test.
 #[derive(Default)]
 pub struct Totals {
     pub runs: usize,
@@ -23,7 +26,7 @@
     pub responses: BTreeMap<&'static str, usize>,
 }
 
-/// Plays a run; panics if anything does not hold.
+/// Runs a simulation with random faults on `count` machines. Panics if an invariant is violated.
 pub fn play(seed: u64, count: usize, fault: Fault) -> World {
     let mut random = fastrand::Rng::with_seed(seed);
     let network = if random.bool() {
@@ -43,7 +46,7 @@
     world
 }
 
-/// The leader is cut off until its lease has ended, and no longer than it goes on without one.
+/// Partitions the leader until its lease has expired, and reconnects it before it steps down.
 fn lose_lease_shortly(world: &mut World, leader: usize, random: &mut fastrand::Rng) {
     world.isolate(leader, true);
     world.run_for(random.u64(LEASE_LOST_MS));
@@ -87,26 +90,34 @@
     }
 }
 
-/// After the faults every operator gets its response, and all states become the same.
+/// Ends all faults, and checks that every operator then gets its response and that all processes reach the
+/// newest state.
 fn check_recovery(world: &mut World) {
     world.heal();
     world.operators.iter_mut().for_each(|operator| operator.is_stopped = true);
     let all_idle = |world: &World| world.operators.iter().all(|operator| operator.is_idle());
-    assert!(world.run_until(RECOVERY_MS, all_idle), "an operator gets no response in a fault-free period");
+    assert!(
+        world.run_until(RECOVERY_MS, all_idle),
+        "an operator gets no response after all faults have ended"
+    );
     let all_same = |world: &World| {
         let states = world.machines.iter().filter_map(|machine| machine.node.as_ref());
         states.into_iter().all(|node| *node.replica.state() == world.checker.state)
     };
-    assert!(world.run_until(RECOVERY_MS, all_same), "not all states become the newest one");
+    assert!(
+        world.run_until(RECOVERY_MS, all_same),
+        "a process does not reach the newest state after all faults have ended"
+    );
 }
 
+/// Runs a property with random seeds: `tests` times, unless QUICKCHECK_TESTS gives another number.
 fn check_random(property: fn(u64) -> bool, tests: u64) {
     let tests = std::env::var("QUICKCHECK_TESTS").ok().and_then(|text| text.parse().ok()).unwrap_or(tests);
     QuickCheck::new().tests(tests).quickcheck(property);
 }
 
 fn add_to(totals: &Mutex<Totals>, world: &World) {
-    let mut totals = totals.lock().expect("the totals");
+    let mut totals = totals.lock().expect("the totals are not poisoned");
     totals.runs += 1;
     totals.changes += world.checker.changes();
     for (name, count) in &world.checker.responses {
@@ -115,7 +126,7 @@
 }
 
 fn print(what: &str, totals: &Mutex<Totals>) {
-    let totals = totals.lock().expect("the totals");
+    let totals = totals.lock().expect("the totals are not poisoned");
     println!("{what}: {} runs, {} changes, responses {:?}", totals.runs, totals.changes, totals.responses);
 }
 
--- a/crates/quillpulley/tests/operators/requests.rs
+++ b/crates/quillpulley/tests/operators/requests.rs
@@ -1,26 +1,28 @@
-//! What operators send: valid configurations, invalid ones of each kind, and evacuations.
+//! The requests of operators: valid configurations, each kind of invalid configuration, evacuations and
+//! reads.
 
 use quillpulley::control::commands::Command;
 
-/// What an operator asks for.
+/// A request from an operator.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Request {
-    /// A configuration: its base, its version, its text, and whether it could ever be accepted.
+    /// Activates a configuration: its base version, its own version, its text, and whether the text is valid
+    /// for that base version.
     Replace { base: u64, version: u64, body: Vec<u8>, valid: bool },
-    /// A zone is evacuated or restored.
+    /// Starts or ends the evacuation of a zone.
     Evacuate { zone: String, active: bool },
-    /// The newest configuration.
+    /// Reads the newest configuration.
     Read,
 }
 
 impl Request {
-    /// A valid configuration; the mark tells apart those of one version.
+    /// Returns a valid configuration. `mark` distinguishes configurations that have the same version.
     pub fn valid(base: u64, version: u64, mark: &str) -> Request {
         let body = text(version, &route("/a/", r#","Service":"s""#), mark);
         Request::Replace { base, version, body, valid: true }
     }
 
-    /// A configuration that is never to be active, of one of the kinds.
+    /// Returns an invalid configuration of the given kind, modulo [`INVALID_KINDS`].
     pub fn invalid(base: u64, kind: usize) -> Request {
         let next = base + 1;
         let service = r#","Service":"s""#;
@@ -39,7 +41,7 @@
         Request::Replace { base, version: next, body, valid: false }
     }
 
-    /// The command that it is for the processes; none for a read.
+    /// Returns the command that a process receives; `None` for a read.
     pub fn command(&self) -> Option<Command> {
         match self {
             Request::Replace { base, body, .. } => Some(Command::Replace { base: *base, body: body.clone() }),
@@ -51,7 +53,7 @@
     }
 }
 
-/// As many kinds of invalid configurations are there.
+/// The number of kinds of invalid configurations.
 pub const INVALID_KINDS: usize = 7;
 
 fn route(prefix: &str, fields: &str) -> String {
--- a/crates/quillpulley/tests/operators/scenarios.rs
+++ b/crates/quillpulley/tests/operators/scenarios.rs
@@ -1,4 +1,4 @@
-//! Single scenarios, each with a fault at every moment of a command.
+//! Scenarios, most of which are repeated with a fault at each millisecond after a command was sent.
 
 use super::network::NetworkOptions;
 use super::node::{Fault, RequestId};
@@ -6,23 +6,26 @@
 use super::world::World;
 use quillpulley::control::response::Response;
 
-/// The moments after the sending of a command at which a fault is injected, in milliseconds: up to its response.
+/// The times at which a fault is injected, in milliseconds after a command was sent. The range extends to the
+/// response.
 const MOMENTS: std::ops::Range<u64> = 0..80;
+/// The maximum time until a leader is elected.
 const ELECTION_MS: u64 = 4000;
+/// The maximum time that a sender waits for a response.
 const RESPONSE_MS: u64 = 1000;
-/// Commands are sent so often until there is a definite response.
+/// The maximum number of sends until a command gets a definite response.
 const SENDS: usize = 40;
 
-/// Three machines with a leader and version 5 active.
+/// Starts three machines and activates configuration version 5. Returns the leader as well.
 fn with_version_5(seed: u64) -> (World, usize) {
     let mut world = World::new(seed, 3, NetworkOptions::default(), Fault::None);
     assert!(world.run_until(ELECTION_MS, |world| world.is_complete()));
     assert_eq!(send_until_definite(&mut world, &Request::valid(0, 5, "first")), Response::Acknowledged);
-    let leader = world.leader().expect("a leader");
+    let leader = world.leader().expect("there is a leader");
     (world, leader)
 }
 
-/// Sends a command to one machine after the other until its response is definite.
+/// Sends a command to the machines in turn until it gets a definite response.
 fn send_until_definite(world: &mut World, request: &Request) -> Response {
     let mut response = None;
     for send in 0..SENDS {
@@ -33,15 +36,16 @@
             Some(definite) => return definite.clone(),
         }
     }
-    panic!("no definite response to a command, the last is {response:?}");
+    panic!("a command gets no definite response; the last response is {response:?}");
 }
 
+/// Waits for the response to a request; `None` if the connection ends or the time runs out.
 fn outcome(world: &mut World, id: RequestId) -> Option<Response> {
     world.run_until(RESPONSE_MS, |world| world.response_to(id).is_some());
     world.response_to(id).cloned().flatten()
 }
 
-/// Returns whether the log on a machine's disk has an entry with the command.
+/// Returns whether the log on a machine's disk contains an entry with the configuration of the command.
 fn is_on_disk(world: &World, machine: usize, request: &Request) -> bool {
     let Request::Replace { body, .. } = request else { return false };
     let entries = &world.machines[machine].disk.entries;
@@ -53,9 +57,9 @@
     *one == Response::Acknowledged && rejected(other) || *other == Response::Acknowledged && rejected(one)
 }
 
-//    operator | 7 on 5 |       |           | again, to any machine: done
-//    leader   |        | killed|           |
-//    others   |        |       | elect one |
+//    operator | sends 7 on base 5 |        |                | sends it again to any machine: acknowledged
+//    leader   |                   | killed |                |
+//    others   |                   |        | elect a leader |
 #[test]
 fn a_command_is_known_after_the_leader_was_killed_at_any_moment() {
     for moment in MOMENTS {
@@ -78,9 +82,10 @@
     }
 }
 
-//    one      | 7a on 5, to the leader  |        |           | again: one of them is done,
-//    other    | 7b on 5, to a backup    |        |           | again: the other is rejected
-//    leader   |                         | killed |           |
+// Exactly one of the two commands is acknowledged, and the other one is rejected:
+//    operator 1 | sends 7a on base 5 to the leader              |        | sends it again
+//    operator 2 | sends 7b on base 5 to a backup and the leader |        | sends it again
+//    leader     |                                               | killed |
 #[test]
 fn of_two_commands_at_two_machines_one_wins_when_the_leader_is_killed() {
     for moment in MOMENTS {
@@ -99,10 +104,11 @@
     }
 }
 
-//    one      | 7a on 5 |         |           |             |        | again: rejected, unless 7b was
-//    other    |         |         |           | 7b on 5     |        |
-//    leader   |         | cut off |           |             | joined | its own entry is cut off, if it is new
-//    others   |         |         | elect one | take 7b     |        |
+// The old leader truncates 7a if it was not committed. Exactly one of the two commands is acknowledged:
+//    operator 1 | sends 7a on base 5 |             |                |                  |             | again
+//    operator 2 |                  |             |                | sends 7b on base 5 |             |
+//    leader     |                   | partitioned |                |                   | reconnected |
+//    others     |                  |             | elect a leader | answer 7b          |             |
 #[test]
 fn a_truncated_entry_is_not_acknowledged() {
     let mut truncated_entries = 0;
@@ -113,27 +119,31 @@
         world.run_for(moment);
         world.isolate(leader, true);
         let moved = |world: &World| world.leader().is_some_and(|other| other != leader);
-        assert!(world.run_until(ELECTION_MS, moved), "cut off after {moment} ms");
-        let new = world.leader().expect("a leader");
+        assert!(world.run_until(ELECTION_MS, moved), "partitioned after {moment} ms");
+        let new = world.leader().expect("there is a leader");
         let id = world.send_request(new, &other);
-        let second = outcome(&mut world, id).expect("a response");
+        let second = outcome(&mut world, id).expect("the command is answered");
         let was_appended = is_on_disk(&world, leader, &one);
         world.network.heal_all();
         let first = send_until_definite(&mut world, &one);
         assert!(
             exactly_one_is_acknowledged(&first, &second),
-            "cut off after {moment} ms: {first:?}, {second:?}"
+            "partitioned after {moment} ms: {first:?}, {second:?}"
         );
         world.run_until(ELECTION_MS, |world| !is_on_disk(world, leader, &one));
         let is_there = is_on_disk(&world, leader, &one);
-        assert!(!is_there || first == Response::Acknowledged, "cut off after {moment} ms: the entry stays");
+        assert!(
+            !is_there || first == Response::Acknowledged,
+            "partitioned after {moment} ms: an unacknowledged entry is still on disk"
+        );
         truncated_entries += usize::from(was_appended && !is_there && second == Response::Acknowledged);
     }
-    assert!(truncated_entries > 0, "no entry of the old leader was cut off");
+    assert!(truncated_entries > 0, "no entry of the old leader was truncated");
 }
 
-//    operator | 7 on 5 |         |           |        | again: acknowledged, as a new command or the old one
-//    leader   |        | cut off |           | joined |
+// Each repetition is acknowledged, whether its entry is new or the one from the old leader:
+//    operator | sends 7 on base 5 |             | sends it again to the new leader |             | again
+//    leader   |                   | partitioned |                                  | reconnected |
 #[test]
 fn a_truncated_entry_may_be_accepted_again() {
     for moment in MOMENTS {
@@ -143,21 +153,24 @@
         world.run_for(moment);
         world.isolate(leader, true);
         let moved = |world: &World| world.leader().is_some_and(|other| other != leader);
-        assert!(world.run_until(ELECTION_MS, moved), "cut off after {moment} ms");
-        let new = world.leader().expect("a leader");
+        assert!(world.run_until(ELECTION_MS, moved), "partitioned after {moment} ms");
+        let new = world.leader().expect("there is a leader");
         let id = world.send_request(new, &command);
-        assert_eq!(outcome(&mut world, id), Some(Response::Acknowledged), "cut off after {moment} ms");
+        assert_eq!(outcome(&mut world, id), Some(Response::Acknowledged), "partitioned after {moment} ms");
         world.network.heal_all();
         assert_eq!(
             send_until_definite(&mut world, &command),
             Response::Acknowledged,
-            "cut off after {moment} ms"
+            "partitioned after {moment} ms"
         );
-        assert_eq!(world.checker.changes(), 2, "cut off after {moment} ms");
+        assert_eq!(world.checker.changes(), 2, "partitioned after {moment} ms");
     }
 }
 
-//    operators | 7 on 5, the same bytes from both, to the leader and to a backup | again: acknowledged to both
+// Both operators send the same bytes for version 7, and both are acknowledged when they send them again:
+//    operator 1 | sends 7 on base 5 to the leader |        | sends it again |           |
+//    operator 2 | sends 7 on base 5 to a backup   |        |                |           | sends it again
+//    leader     |                                 | killed |                | restarted |
 #[test]
 fn the_same_bytes_of_two_operators_are_acknowledged_to_both() {
     for moment in MOMENTS {
@@ -177,7 +190,8 @@
     }
 }
 
-/// Snapshots are made after 8 entries, so most of these commands are known from one.
+/// The log is compacted after 8 entries, so the outcome of most of these commands is known only from a
+/// snapshot.
 #[test]
 fn commands_are_known_after_all_have_restarted_from_their_disks() {
     let (mut world, _) = with_version_5(1);
@@ -200,8 +214,9 @@
     }
 }
 
-//    operator | +z | -z | +z (late) |        | again: acknowledged, and active
-//    leader   |    |    |           | killed |
+// Repeated for the start, the end and another start of the evacuation:
+//    operator | sends the command |        | sends it again, twice: acknowledged and in effect each time
+//    leader   |                   | killed |
 #[test]
 fn an_evacuation_again_is_acknowledged_and_active_across_a_failover() {
     let evacuate = |active| Request::Evacuate { zone: "z".to_string(), active };
@@ -223,13 +238,13 @@
             world.checker.confirm_evacuation("z", active);
             world.start(leader);
             world.run_for(ELECTION_MS);
-            leader = world.leader().expect("a leader");
+            leader = world.leader().expect("there is a leader");
         }
     }
 }
 
-//    backup | killed, started at once |
-//    others |                         | nothing is ordered
+//    backup   | killed | started after a pause | catches up
+//    operator |        |                       | sends nothing
 #[test]
 fn a_member_that_restarts_has_the_newest_state_without_a_new_command() {
     for pause in [0, 20, 50, 100, 200, 350] {
--- a/crates/quillpulley/tests/operators/world.rs
+++ b/crates/quillpulley/tests/operators/world.rs
@@ -1,4 +1,4 @@
-//! The machines, the time, and what is in flight between them.
+//! The simulation: machines, virtual time, and scheduled events.
 
 use super::checker::Checker;
 use super::disk::{DiskImage, DiskMode};
@@ -14,27 +14,37 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
+/// The interval between two ticks of a process.
 pub(super) const TICK_MS: u64 = 50;
+/// The minimum interval between two polls of an operator.
 const POLL_MS: u64 = 10;
+/// The minimum duration of a write.
 const DISK_MS: u64 = 2;
-/// How long a process takes to notice that a connection is dead.
+/// The time that a process takes to detect a broken connection.
 const DETECTION_MS: u64 = 300;
 
-/// A machine: an address, a disk, and a process if one runs.
+/// A machine: an address, a disk, and a process if one runs. Times are in milliseconds.
 pub struct Machine {
     pub id: NodeId,
     pub disk: DiskImage,
     pub mode: DiskMode,
+    /// Whether the node knows the first witnesses and may bootstrap the cluster.
     pub bootstrap: bool,
+    /// The node of the running process; `None` if no process runs.
     pub node: Option<Node>,
+    /// The number of processes started on this machine, which identifies the latest one.
     pub process: u64,
+    /// The start time of the latest process, at which its clock shows 0.
     pub started_at: u64,
     pub frozen: bool,
-    /// What comes while the process is frozen.
+    /// Inputs that arrived while the process was frozen.
     pub buffered: VecDeque<Input>,
+    /// The write in flight and its ticket.
     pub write: Option<(u64, Write)>,
-    /// The processes that this one has a connection to, and since when none could be made.
+    /// The connected processes by machine: the node and the number of its process.
     pub connections: BTreeMap<usize, (NodeId, u64)>,
+    /// The time, by machine, since which the connection has not matched the process that can be reached
+    /// there.
     pub broken_since: BTreeMap<usize, u64>,
 }
 
@@ -47,27 +57,32 @@
     Poll { operator: usize },
 }
 
+/// The state of a simulation. Times are in milliseconds since its start.
 pub struct World {
     pub now: u64,
+    /// The fault injected into every process.
     pub fault: Fault,
+    /// The number of failed machines that the cluster tolerates.
     pub tolerated: usize,
     pub machines: Vec<Machine>,
     pub network: Network,
     pub checker: Checker,
     pub operators: Vec<Operator>,
-    /// Answers, or the ends of connections, by the time from which their callers can see them.
+    /// The outcome of each completed request, which its caller sees from the given time on: a response, or
+    /// `None` if the connection ended without one.
     pub responses: BTreeMap<RequestId, (u64, Option<Response>)>,
-    /// Responses lost of a hundred.
+    /// The percentage of responses that are lost.
     pub lost_responses: u32,
     pub random: fastrand::Rng,
-    /// The machine that each call was sent to.
+    /// The machine to which each request was sent, by request id.
     pub(super) target_machines: Vec<usize>,
+    /// The scheduled events by time, then by the order in which they were scheduled.
     queue: BinaryHeap<Reverse<(u64, u64, ScheduledEvent)>>,
     sequence: u64,
 }
 
 impl World {
-    /// Machines that are the first witnesses, all running.
+    /// Creates `count` machines, which all run and are the first witnesses.
     pub fn new(seed: u64, count: usize, network: NetworkOptions, fault: Fault) -> Self {
         let mut world = World {
             now: 0,
@@ -97,7 +112,6 @@
         self.schedule(POLL_MS, ScheduledEvent::Poll { operator });
     }
 
-    /// Sends a request to a machine.
     pub fn send_request(&mut self, machine: usize, request: &Request) -> RequestId {
         let id = self.checker.record_sent(self.now, request);
         self.target_machines.push(machine);
@@ -106,7 +120,8 @@
         id
     }
 
-    /// Returns what the caller sees by now: a response, the end of its connection, or nothing.
+    /// Returns what the caller sees at this time: `Some(Some(_))` is a response, `Some(None)` is the end of
+    /// the connection, `None` means that the request is still open or that its response was lost.
     pub fn response_to(&self, id: RequestId) -> Option<&Option<Response>> {
         self.responses.get(&id).filter(|(at, _)| *at <= self.now).map(|(_, response)| response)
     }
@@ -115,7 +130,7 @@
         self.run_until(milliseconds, |_| false);
     }
 
-    /// Runs until a condition holds, at most for `milliseconds`. Returns whether it holds.
+    /// Runs until a condition holds, for at most `milliseconds`. Returns whether it holds.
     pub fn run_until(&mut self, milliseconds: u64, holds: impl Fn(&World) -> bool) -> bool {
         let end = self.now + milliseconds;
         while !holds(self) {
@@ -166,7 +181,7 @@
 
     fn deliver_request(&mut self, machine: usize, id: RequestId) {
         if !self.checker.sent_requests[id].open {
-            // The machine was killed meanwhile.
+            // The process was killed while the request was in flight.
             return;
         }
         if self.machines[machine].node.is_none() {
@@ -179,7 +194,7 @@
         self.handle(machine, input);
     }
 
-    /// A call is answered, or its process has gone.
+    /// Completes a request with a response, or with `None` if its process has ended.
     pub(super) fn complete_request(&mut self, id: RequestId, response: Option<Response>) {
         self.checker.record_response(self.now, id, response.as_ref());
         let is_lost = response.is_some() && self.random.u32(0..100) < self.lost_responses;
@@ -205,7 +220,8 @@
         self.handle(machine, Input::Event(Event::WriteCompleted { ticket, result }));
     }
 
-    /// Makes and drops connections as the network and the processes are.
+    /// Opens connections to the processes that can be reached, and closes those that have been broken for
+    /// [`DETECTION_MS`].
     fn check_connections(&mut self, machine: usize) {
         for other in (0..self.machines.len()).filter(|other| *other != machine) {
             let target = &self.machines[other];
@@ -260,6 +276,7 @@
         }
     }
 
+    /// Checks the state of a process against the invariants.
     fn check(&mut self, machine: usize) {
         let now = self.local(machine);
         let Some(node) = &self.machines[machine].node else { return };
@@ -285,6 +302,7 @@
         self.machines[machine].node.is_some() && self.machines[machine].process == process
     }
 
+    /// Returns the time on the clock of a process, which starts at 0 with the process.
     pub(super) fn local(&self, machine: usize) -> Duration {
         Duration::from_millis(self.now - self.machines[machine].started_at)
     }
@@ -318,7 +336,7 @@
     Ipv4Addr::new(10, 0, 0, 1 + machine as u8)
 }
 
-/// Each machine stands in a zone of its own.
+/// Returns the zone of a machine. Each machine is in a zone of its own.
 pub fn zone(machine: usize) -> String {
     format!("zone {machine}")
 }
