--- a/crates/quillpulley/tests/operators/scenarios.rs
+++ b/crates/quillpulley/tests/operators/scenarios.rs
@@ -105,10 +105,10 @@
 }
 
 // The old leader truncates 7a if it was not committed. Exactly one of the two commands is acknowledged:
-//    operator 1 | sends 7a on base 5 |             |                |                  |             | again
-//    operator 2 |                  |             |                | sends 7b on base 5 |             |
-//    leader     |                   | partitioned |                |                   | reconnected |
-//    others     |                  |             | elect a leader | answer 7b          |             |
+//    operator 1 | sends 7a on base 5 |             |                |                    |             | again
+//    operator 2 |                    |             |                | sends 7b on base 5 |             |
+//    leader     |                    | partitioned |                |                    | reconnected |
+//    others     |                    |             | elect a leader | answer 7b          |             |
 #[test]
 fn a_truncated_entry_is_not_acknowledged() {
     let mut truncated_entries = 0;
