--- a/crates/quillpulley/tests/operators/checker.rs
+++ b/crates/quillpulley/tests/operators/checker.rs
@@ -15,9 +15,9 @@
     /// The time in milliseconds.
     pub sent_at: u64,
     /// The newest version that had been acknowledged to any operator.
-    newest: u64,
+    min_version: u64,
     /// Whether a process may still act on the request.
-    pub open: bool,
+    pub is_open: bool,
 }
 
 /// The outcome of all requests to activate a configuration.
@@ -34,22 +34,22 @@
 }
 
 /// A base version, and the configuration to activate on it.
-type Change = (u64, Vec<u8>);
+type ConfigurationChange = (u64, Vec<u8>);
 
 /// Checks the invariants against all entries that were applied and all responses that were given.
 #[derive(Default)]
 pub struct Checker {
     /// The index of the last entry that any process has applied.
-    applied: u64,
+    applied_index: u64,
     /// The state after all entries up to that index.
     pub state: ControlState,
     /// The configuration that was activated on each base version.
-    chain: BTreeMap<u64, Vec<u8>>,
+    activated_by_base: BTreeMap<u64, Vec<u8>>,
     /// The activated configurations by version.
-    versions: BTreeMap<u64, Vec<u8>>,
-    outcomes: BTreeMap<Change, Outcome>,
+    activated_by_version: BTreeMap<u64, Vec<u8>>,
+    outcomes: BTreeMap<ConfigurationChange, Outcome>,
     /// The configuration that was acknowledged on each base version.
-    acknowledged_on: BTreeMap<u64, Vec<u8>>,
+    acknowledged_by_base: BTreeMap<u64, Vec<u8>>,
     newest_acknowledged: u64,
     pub sent_requests: Vec<SentRequest>,
     /// Whether each zone must be evacuated, according to the last acknowledgement to its only operator. A
@@ -69,15 +69,20 @@
         if let Request::Evacuate { zone, .. } = request {
             self.confirmed_evacuations.remove(zone);
         }
-        let newest = self.newest_acknowledged;
-        self.sent_requests.push(SentRequest { request: request.clone(), sent_at: now, newest, open: true });
+        let min_version = self.newest_acknowledged;
+        self.sent_requests.push(SentRequest {
+            request: request.clone(),
+            sent_at: now,
+            min_version,
+            is_open: true,
+        });
         self.sent_requests.len() - 1
     }
 
     /// Returns whether a process may still act on a command for the zone.
     pub fn has_open_evacuation(&self, wanted: &str) -> bool {
         let is_open = |sent: &SentRequest| {
-            sent.open && matches!(&sent.request, Request::Evacuate { zone, .. } if zone == wanted)
+            sent.is_open && matches!(&sent.request, Request::Evacuate { zone, .. } if zone == wanted)
         };
         self.sent_requests.iter().any(is_open)
     }
@@ -93,12 +98,12 @@
 
     /// Records that a process has applied an entry. Ignores entries that another process has applied before.
     pub fn record_applied(&mut self, index: u64, entry: Option<Entry>) {
-        if index <= self.applied {
+        if index <= self.applied_index {
             return;
         }
         let before = self.state.version();
         self.state.apply(&entry.expect("the first process that applies an entry has stored it"));
-        self.applied = index;
+        self.applied_index = index;
         if self.state.version() != before {
             self.check_activated(before);
         }
@@ -118,23 +123,23 @@
             !outcome.superseded,
             "a configuration on base version {base} was activated after a later command was answered"
         );
-        self.chain.insert(base, body.clone());
-        self.versions.insert(version, body);
+        self.activated_by_base.insert(base, body.clone());
+        self.activated_by_version.insert(version, body);
     }
 
     /// Checks that the configuration of a process was activated under its version.
-    pub fn check_shown(&self, state: &ControlState) {
-        let known = self.versions.get(&state.version()).map(Vec::as_slice);
+    pub fn check_active_configuration(&self, state: &ControlState) {
+        let known = self.activated_by_version.get(&state.version()).map(Vec::as_slice);
         assert_eq!(known, state.body(), "a process has a configuration that was never activated");
     }
 
     /// Records that a request was answered, or that its process has ended.
     pub fn record_response(&mut self, now: u64, id: RequestId, response: Option<&Response>) {
-        assert!(std::mem::replace(&mut self.sent_requests[id].open, false), "a request is answered twice");
-        let SentRequest { request, newest, sent_at, .. } = self.sent_requests[id].clone();
+        assert!(std::mem::replace(&mut self.sent_requests[id].is_open, false), "a request is answered twice");
+        let SentRequest { request, min_version, sent_at, .. } = self.sent_requests[id].clone();
         if let Some(response) = response {
-            *self.responses.entry(name(response)).or_default() += 1;
-            self.check_response(&request, newest, response);
+            *self.responses.entry(response_kind(response)).or_default() += 1;
+            self.check_response(&request, min_version, response);
             if !matches!(response, Response::Unavailable | Response::Redirect(_)) && request != Request::Read
             {
                 self.supersede_abandoned(sent_at);
@@ -145,7 +150,7 @@
         }
     }
 
-    fn check_response(&mut self, request: &Request, newest: u64, response: &Response) {
+    fn check_response(&mut self, request: &Request, min_version: u64, response: &Response) {
         match (request, response) {
             (_, Response::Unavailable | Response::Redirect(_)) => {}
             (Request::Replace { base, version, body, valid }, Response::Acknowledged) => {
@@ -154,8 +159,8 @@
             }
             (Request::Replace { base, body, .. }, Response::Conflict { current }) => {
                 assert!(
-                    *current >= newest,
-                    "a conflict names version {current}, older than the acknowledged version {newest}"
+                    *current >= min_version,
+                    "a conflict names version {current}, older than the acknowledged version {min_version}"
                 );
                 self.reject(*base, body);
             }
@@ -172,16 +177,16 @@
             }
             (Request::Read, Response::NoConfiguration) => {
                 assert_eq!(
-                    newest, 0,
-                    "a read returns no configuration although version {newest} was acknowledged"
+                    min_version, 0,
+                    "a read returns no configuration although version {min_version} was acknowledged"
                 )
             }
             (Request::Read, Response::Configuration(body)) => {
-                let found = self.versions.iter().rev().find(|(_, known)| known[..] == body[..]);
+                let found = self.activated_by_version.iter().rev().find(|(_, known)| known[..] == body[..]);
                 let (version, _) = found.expect("a read returns an activated configuration");
                 assert!(
-                    *version >= newest,
-                    "a read of version {version} is older than the acknowledged version {newest}"
+                    *version >= min_version,
+                    "a read of version {version} is older than the acknowledged version {min_version}"
                 );
             }
             (_, response) => panic!("{response:?} is not a response to this kind of request"),
@@ -189,10 +194,10 @@
     }
 
     fn acknowledge(&mut self, base: u64, version: u64, body: &[u8]) {
-        let winner = self.acknowledged_on.entry(base).or_insert_with(|| body.to_vec());
+        let winner = self.acknowledged_by_base.entry(base).or_insert_with(|| body.to_vec());
         assert_eq!(winner, body, "two configurations on base version {base} are acknowledged");
         assert!(
-            self.chain.get(&base).is_some_and(|accepted| accepted == body),
+            self.activated_by_base.get(&base).is_some_and(|accepted| accepted == body),
             "an acknowledged configuration on base version {base} is not in effect"
         );
         let outcome = self.outcomes.entry((base, body.to_vec())).or_default();
@@ -202,14 +207,14 @@
     }
 
     fn reject(&mut self, base: u64, body: &[u8]) {
-        let accepted = self.chain.get(&base).is_some_and(|accepted| accepted == body);
+        let accepted = self.activated_by_base.get(&base).is_some_and(|accepted| accepted == body);
         assert!(!accepted, "a configuration on base version {base} that was activated is rejected");
         self.outcomes.entry((base, body.to_vec())).or_default().rejected = true;
     }
 
     /// Marks a configuration as abandoned if its last request has ended and none got a definite response.
-    fn record_end(&mut self, now: u64, request: &Request, change: Change) {
-        if self.sent_requests.iter().any(|sent| sent.open && sent.request == *request) {
+    fn record_end(&mut self, now: u64, request: &Request, change: ConfigurationChange) {
+        if self.sent_requests.iter().any(|sent| sent.is_open && sent.request == *request) {
             return;
         }
         let outcome = self.outcomes.entry(change).or_default();
@@ -222,7 +227,7 @@
     /// those that were abandoned before that time and have not been activated.
     fn supersede_abandoned(&mut self, sent_at: u64) {
         for ((base, body), outcome) in &mut self.outcomes {
-            let is_active = self.chain.get(base).is_some_and(|accepted| accepted == body);
+            let is_active = self.activated_by_base.get(base).is_some_and(|accepted| accepted == body);
             outcome.superseded = !is_active && outcome.abandoned_at.is_some_and(|at| at < sent_at);
         }
     }
@@ -236,23 +241,26 @@
     }
 
     /// Checks that the state of a lease holder includes all acknowledged versions.
-    pub fn check_leader(&self, state: &ControlState) {
-        let newest = self.newest_acknowledged;
-        assert!(state.version() >= newest, "the lease holder lacks the acknowledged version {newest}");
+    pub fn check_lease_holder(&self, state: &ControlState) {
+        let min_version = self.newest_acknowledged;
+        assert!(
+            state.version() >= min_version,
+            "the lease holder lacks the acknowledged version {min_version}"
+        );
     }
 
     /// Returns the number of configurations that were activated.
-    pub fn changes(&self) -> usize {
-        self.chain.len()
+    pub fn activation_count(&self) -> usize {
+        self.activated_by_base.len()
     }
 
     /// Returns the newest activated versions, at most 3.
     pub fn recent_versions(&self) -> BTreeSet<u64> {
-        self.versions.keys().rev().take(3).copied().collect()
+        self.activated_by_version.keys().rev().take(3).copied().collect()
     }
 }
 
-fn name(response: &Response) -> &'static str {
+fn response_kind(response: &Response) -> &'static str {
     match response {
         Response::Acknowledged => "acknowledged",
         Response::Conflict { .. } => "conflict",
--- a/crates/quillpulley/tests/operators/faults.rs
+++ b/crates/quillpulley/tests/operators/faults.rs
@@ -13,7 +13,7 @@
 impl World {
     /// Starts a process on a machine unless one runs there.
     pub fn start(&mut self, machine: usize) {
-        let seeds = (0..self.tolerated * 2 + 1).map(|seed| NodeId::new(address(seed), 0)).collect();
+        let seeds = (0..self.tolerated_machines * 2 + 1).map(|seed| NodeId::new(address(seed), 0)).collect();
         let slot = &mut self.machines[machine];
         if slot.node.is_some() {
             return;
@@ -22,7 +22,7 @@
             me: slot.id,
             locality: Locality { zone: zone(machine), region: "region".to_string() },
             bootstrap: slot.bootstrap.then_some(seeds),
-            fault_tolerance: FaultTolerance { machines: self.tolerated, zones: 1, regions: 0 },
+            fault_tolerance: FaultTolerance { machines: self.tolerated_machines, zones: 1, regions: 0 },
             seed: self.random.u64(..),
             compact_entries: COMPACT_ENTRIES,
             ..Options::default()
@@ -43,14 +43,14 @@
         if slot.node.take().is_none() {
             return;
         }
-        if let (Some((_, write)), true) = (slot.write.take(), slot.mode != DiskMode::Full) {
+        if let (Some((_, write)), true) = (slot.pending_write.take(), slot.disk_mode != DiskMode::Full) {
             slot.disk.apply_torn(write, torn);
         }
         slot.connections.clear();
         slot.broken_since.clear();
         slot.buffered.clear();
         for id in 0..self.target_machines.len() {
-            if self.target_machines[id] == machine && self.checker.sent_requests[id].open {
+            if self.target_machines[id] == machine && self.checker.sent_requests[id].is_open {
                 self.complete_request(id, None);
             }
         }
@@ -63,7 +63,7 @@
         let incarnation = self.random.u64(1..);
         let slot = &mut self.machines[machine];
         slot.disk = DiskImage::default();
-        slot.mode = DiskMode::Healthy;
+        slot.disk_mode = DiskMode::Healthy;
         slot.id.incarnation = incarnation;
         slot.bootstrap = false;
     }
@@ -88,21 +88,22 @@
 
     /// Changes the mode of a disk. The write in flight completes in the new mode, unless that mode is
     /// `Hangs`.
-    pub fn set_disk(&mut self, machine: usize, mode: DiskMode) {
+    pub fn set_disk_mode(&mut self, machine: usize, mode: DiskMode) {
         let slot = &mut self.machines[machine];
-        slot.mode = mode;
+        slot.disk_mode = mode;
         let process = slot.process;
-        let waiting = slot.write.as_ref().map(|(ticket, _)| *ticket);
+        let waiting = slot.pending_write.as_ref().map(|(ticket, _)| *ticket);
         if let (Some(ticket), true) = (waiting, mode != DiskMode::Hangs) {
             self.schedule(2, ScheduledEvent::WriteDone { machine, process, ticket });
         }
     }
 
-    /// Partitions a machine from all others. Unless `both` is set, only the messages that it sends are lost.
-    pub fn isolate(&mut self, machine: usize, both: bool) {
+    /// Partitions a machine from all others. Unless `both_directions` is set, only the messages that it sends
+    /// are lost.
+    pub fn isolate(&mut self, machine: usize, both_directions: bool) {
         for other in (0..self.machines.len()).filter(|other| *other != machine) {
             self.network.partition(machine, other);
-            if both {
+            if both_directions {
                 self.network.partition(other, machine);
             }
         }
@@ -111,7 +112,7 @@
     /// Returns the machine whose process holds the lease and is not frozen; `None` if there is none.
     pub fn leader(&self) -> Option<usize> {
         let is_leader = |machine: &usize| {
-            let now = self.local(*machine);
+            let now = self.process_time(*machine);
             let slot = &self.machines[*machine];
             let role = slot.node.as_ref().map(|node| node.replica.role(now));
             !slot.frozen && matches!(role, Some(Role::Primary { holds_lease: true, .. }))
@@ -121,7 +122,7 @@
 
     /// Returns whether every machine runs a process that is both a member and a witness of an activated view.
     /// Only then may a machine lose its disk.
-    pub fn is_complete(&self) -> bool {
+    pub fn is_fully_replicated(&self) -> bool {
         let Some(node) = self.leader().and_then(|leader| self.machines[leader].node.as_ref()) else {
             return false;
         };
@@ -137,13 +138,13 @@
     pub fn heal(&mut self) {
         self.network.heal_all();
         self.network.options = NetworkOptions::default();
-        self.lost_responses = 0;
+        self.lost_response_percent = 0;
         for machine in 0..self.machines.len() {
-            self.set_disk(machine, DiskMode::Healthy);
+            self.set_disk_mode(machine, DiskMode::Healthy);
             if self.machines[machine].frozen {
                 self.resume(machine);
             }
-            let now = self.local(machine);
+            let now = self.process_time(machine);
             let role = self.machines[machine].node.as_ref().map(|node| node.replica.role(now));
             if role == Some(Role::ShuttingDown) {
                 self.kill(machine);
--- a/crates/quillpulley/tests/operators/node.rs
+++ b/crates/quillpulley/tests/operators/node.rs
@@ -20,13 +20,13 @@
     None,
     /// A node that has held the lease decides commands and answers reads as long as its view names it as
     /// primary.
-    NoLease,
+    NoLeaseCheck,
     /// Commands are decided while the log contains earlier commands that are not applied yet.
-    BesideUnresolved,
+    IgnoreUnresolved,
     /// A command is decided while another is in flight, and is acknowledged once its entry is committed.
-    Overlapping,
+    OverlappingCommands,
     /// Snapshots omit the history of earlier configurations.
-    NoHistory,
+    OmitHistory,
 }
 
 /// An input of a control node.
@@ -61,8 +61,8 @@
     was_primary: bool,
     /// All entries recovered from disk or written since, by index.
     log: BTreeMap<u64, Entry>,
-    /// The requests in flight by proposal number, if `Fault::Overlapping` is injected.
-    overlapping: BTreeMap<u64, RequestId>,
+    /// The requests in flight by proposal number, if `Fault::OverlappingCommands` is injected.
+    overlapping_requests: BTreeMap<u64, RequestId>,
     outputs: Vec<Output>,
 }
 
@@ -79,7 +79,7 @@
             is_leader: false,
             was_primary: false,
             log,
-            overlapping: BTreeMap::new(),
+            overlapping_requests: BTreeMap::new(),
             outputs: Vec::new(),
         }
     }
@@ -97,7 +97,8 @@
             Input::Command(id, command) => self.handle_command(now, id, command),
             Input::Read(id) => {
                 self.update_leadership(now);
-                let response = if self.is_leader { self.configuration() } else { self.redirect(now) };
+                let response =
+                    if self.is_leader { self.configuration_response() } else { self.redirect_response(now) };
                 self.outputs.push(Output::Response(id, response));
             }
         }
@@ -112,10 +113,10 @@
     fn handle_command(&mut self, now: Duration, id: RequestId, command: Command) {
         self.update_leadership(now);
         if !self.is_leader {
-            let response = self.redirect(now);
+            let response = self.redirect_response(now);
             self.outputs.push(Output::Response(id, response));
-        } else if self.fault == Fault::Overlapping {
-            self.decide_at_once(now, id, &command);
+        } else if self.fault == Fault::OverlappingCommands {
+            self.decide_without_queue(now, id, &command);
         } else {
             self.commands.push(now, now, command, id);
         }
@@ -123,7 +124,7 @@
 
     /// Checks that a newly elected primary has applied all entries that it inherited, before it decides a
     /// command or answers a request.
-    fn check_inherited(&mut self, now: Duration) {
+    fn check_new_primary(&mut self, now: Duration) {
         let is_primary = matches!(self.replica.role(now), Role::Primary { .. });
         let was_elected = is_primary && !self.was_primary;
         assert!(
@@ -134,15 +135,15 @@
     }
 
     fn update_leadership(&mut self, now: Duration) {
-        self.check_inherited(now);
-        let is_leader = if self.fault == Fault::NoLease {
+        self.check_new_primary(now);
+        let is_leader = if self.fault == Fault::NoLeaseCheck {
             self.is_leader && self.replica.view().is_some_and(|view| view.primary == self.me)
                 || self.holds_lease(now)
         } else {
             self.holds_lease(now)
         };
         if self.is_leader && !is_leader {
-            let response = self.redirect(now);
+            let response = self.redirect_response(now);
             self.commands.abandon(&response);
         }
         self.is_leader = is_leader;
@@ -160,11 +161,11 @@
 
     fn next_proposal(&mut self, now: Duration) -> Option<quillpulley::control::commands::Proposal> {
         match self.fault {
-            Fault::NoLease if self.is_leader => self.commands.next_proposal(self.replica.state()),
-            Fault::BesideUnresolved if self.holds_lease(now) => {
+            Fault::NoLeaseCheck if self.is_leader => self.commands.next_proposal(self.replica.state()),
+            Fault::IgnoreUnresolved if self.holds_lease(now) => {
                 self.commands.next_proposal(self.replica.state())
             }
-            Fault::NoLease | Fault::BesideUnresolved => None,
+            Fault::NoLeaseCheck | Fault::IgnoreUnresolved => None,
             _ if self.holds_lease(now) => self.commands.next_proposal_for(&self.replica),
             _ => None,
         }
@@ -180,10 +181,10 @@
 
     fn perform(&mut self, now: Duration, action: Action) {
         match action {
-            Action::Send { to, body } => self.outputs.push(Output::Send(to, self.corrupt_body(body))),
+            Action::Send { to, body } => self.outputs.push(Output::Send(to, self.omit_history_in_body(body))),
             Action::Store { ticket, write } => {
                 self.record_entries(&write);
-                let write = self.corrupt_write(write);
+                let write = self.omit_history_in_write(write);
                 self.outputs.push(Output::Store(ticket, write));
             }
             Action::Applied { index } => {
@@ -193,13 +194,15 @@
             Action::Committed { proposal } => {
                 let holds_lease = self.holds_lease(now);
                 self.commands.committed(proposal, self.replica.state(), holds_lease);
-                let overlapping = self.overlapping.remove(&proposal);
-                self.outputs.extend(overlapping.map(|id| Output::Response(id, Response::Acknowledged)));
+                let overlapping_requests = self.overlapping_requests.remove(&proposal);
+                self.outputs
+                    .extend(overlapping_requests.map(|id| Output::Response(id, Response::Acknowledged)));
             }
             Action::Rejected { proposal, .. } => {
                 self.commands.failed(proposal);
-                let overlapping = self.overlapping.remove(&proposal);
-                self.outputs.extend(overlapping.map(|id| Output::Response(id, Response::Unavailable)));
+                let overlapping_requests = self.overlapping_requests.remove(&proposal);
+                self.outputs
+                    .extend(overlapping_requests.map(|id| Output::Response(id, Response::Unavailable)));
             }
             Action::RoleChanged(_) => {}
         }
@@ -211,20 +214,20 @@
         self.log.extend(entries.iter().map(|entry| (entry.index, entry.clone())));
     }
 
-    fn configuration(&self) -> Response {
+    fn configuration_response(&self) -> Response {
         let body = self.replica.state().body();
         body.map_or(Response::NoConfiguration, |body| Response::Configuration(body.into()))
     }
 
-    fn redirect(&self, now: Duration) -> Response {
+    fn redirect_response(&self, now: Duration) -> Response {
         let primary = self.replica.primary_hint(now).filter(|primary| *primary != self.me);
         primary.map_or(Response::Unavailable, |primary| {
             Response::Redirect(SocketAddr::from((primary.address(), 80)))
         })
     }
 
-    /// Decides and proposes a command without the command queue, for `Fault::Overlapping`.
-    fn decide_at_once(&mut self, now: Duration, id: RequestId, command: &Command) {
+    /// Decides and proposes a command without the command queue, for `Fault::OverlappingCommands`.
+    fn decide_without_queue(&mut self, now: Duration, id: RequestId, command: &Command) {
         let state = self.replica.state();
         let decision = match command {
             Command::Replace { base, body } => match state.decide_replace(*base, body) {
@@ -243,39 +246,41 @@
             Ok(response) => self.outputs.push(Output::Response(id, response)),
             Err(payload) => {
                 let name = id as u64 + 1;
-                self.overlapping.insert(name, id);
+                self.overlapping_requests.insert(name, id);
                 self.replicate(now, Event::Propose { proposal: name, payload });
             }
         }
     }
 
-    fn corrupt_write(&self, write: Write) -> Write {
+    fn omit_history_in_write(&self, write: Write) -> Write {
         match write {
             Write::Install { last, snapshot, entries } => {
-                Write::Install { last, snapshot: self.corrupt(snapshot), entries }
+                Write::Install { last, snapshot: self.omit_history(snapshot), entries }
+            }
+            Write::Compact { last, snapshot } => {
+                Write::Compact { last, snapshot: self.omit_history(snapshot) }
             }
-            Write::Compact { last, snapshot } => Write::Compact { last, snapshot: self.corrupt(snapshot) },
             other => other,
         }
     }
 
-    fn corrupt_body(&self, body: Body) -> Body {
+    fn omit_history_in_body(&self, body: Body) -> Body {
         match body {
             Body::Install(mut install) => {
-                install.snapshot = self.corrupt(install.snapshot);
+                install.snapshot = self.omit_history(install.snapshot);
                 Body::Install(install)
             }
             Body::StateTransfer(mut transfer) => {
-                transfer.snapshot = self.corrupt(transfer.snapshot);
+                transfer.snapshot = self.omit_history(transfer.snapshot);
                 Body::StateTransfer(transfer)
             }
             other => other,
         }
     }
 
-    /// Removes the configuration history from a snapshot if `Fault::NoHistory` is injected.
-    fn corrupt(&self, snapshot: Vec<u8>) -> Vec<u8> {
-        if self.fault != Fault::NoHistory {
+    /// Removes the configuration history from a snapshot if `Fault::OmitHistory` is injected.
+    fn omit_history(&self, snapshot: Vec<u8>) -> Vec<u8> {
+        if self.fault != Fault::OmitHistory {
             return snapshot;
         }
         let read = decode_value::<ControlSnapshotRef<'_>, _>(&snapshot);
--- a/crates/quillpulley/tests/operators/operator.rs
+++ b/crates/quillpulley/tests/operators/operator.rs
@@ -2,7 +2,7 @@
 //! definite response or abandons the request.
 
 use super::node::RequestId;
-use super::requests::{Request, INVALID_KINDS};
+use super::requests::{Request, INVALID_KIND_COUNT};
 use super::world::{address, World};
 use quillpulley::control::response::Response;
 use std::net::IpAddr;
@@ -35,9 +35,9 @@
     /// The configuration version that the operator believes to be active.
     known_version: u64,
     /// Whether the next evacuation command for the operator's zone starts the evacuation or ends it.
-    evacuates_next: bool,
+    starts_evacuation_next: bool,
     /// Completed configuration commands, which the operator may send again at any time.
-    past: Vec<Request>,
+    past_requests: Vec<Request>,
     /// The number of requests that got a definite response or were abandoned.
     pub completed: usize,
     /// A stopped operator begins no new request, and does not abandon the pending one.
@@ -50,8 +50,8 @@
             number,
             pending: None,
             known_version: 0,
-            evacuates_next: true,
-            past: Vec::new(),
+            starts_evacuation_next: true,
+            past_requests: Vec::new(),
             completed: 0,
             is_stopped: false,
         }
@@ -64,7 +64,7 @@
     /// Handles the response to the pending request, or sends that request; begins a new one if none is
     /// pending.
     pub fn poll(&mut self, world: &mut World) {
-        let Some(mut pending) = self.pending.take().or_else(|| self.begin(world)) else { return };
+        let Some(mut pending) = self.pending.take().or_else(|| self.begin_request(world)) else { return };
         if let Some((id, sent_at)) = pending.sent {
             match world.response_to(id).cloned() {
                 Some(response) => {
@@ -109,7 +109,7 @@
                 false
             }
             Some(response) => {
-                self.learn(world, &pending.request, &response);
+                self.update_knowledge(world, &pending.request, &response);
                 self.completed += 1;
                 true
             }
@@ -117,7 +117,7 @@
     }
 
     /// Updates the operator's knowledge from a definite response.
-    fn learn(&mut self, world: &mut World, request: &Request, response: &Response) {
+    fn update_knowledge(&mut self, world: &mut World, request: &Request, response: &Response) {
         match (request, response) {
             (Request::Replace { version, .. }, Response::Acknowledged) => {
                 self.known_version = self.known_version.max(*version)
@@ -132,14 +132,14 @@
             _ => {}
         }
         if *request != Request::Read && !matches!(request, Request::Evacuate { .. }) {
-            self.past.push(request.clone());
+            self.past_requests.push(request.clone());
         }
     }
 
     /// Begins a random request; `None` if the operator is stopped, pauses, or cannot send a request of the
     /// chosen kind. The requests use only a few marks and versions, so that commands of different operators
     /// often conflict.
-    fn begin(&mut self, world: &mut World) -> Option<PendingRequest> {
+    fn begin_request(&mut self, world: &mut World) -> Option<PendingRequest> {
         if self.is_stopped || world.random.usize(0..4) == 0 {
             return None;
         }
@@ -148,10 +148,12 @@
                 let mark = ["a", "b", "c"][world.random.usize(0..3)];
                 Request::valid(self.known_version, self.known_version + world.random.u64(1..3), mark)
             }
-            10 => Request::invalid(self.known_version, world.random.usize(0..INVALID_KINDS)),
+            10 => Request::invalid(self.known_version, world.random.usize(0..INVALID_KIND_COUNT)),
             11 => Request::valid(self.known_version.saturating_sub(1), self.known_version + 1, "late"),
-            12..=14 => self.past.get(world.random.usize(0..self.past.len().max(1))).cloned()?,
-            15..=16 => self.evacuation(world)?,
+            12..=14 => {
+                self.past_requests.get(world.random.usize(0..self.past_requests.len().max(1))).cloned()?
+            }
+            15..=16 => self.next_evacuation(world)?,
             _ => Request::Read,
         };
         Some(PendingRequest { request, sent: None, redirects: 0, sends: 0, next_at: world.now })
@@ -159,13 +161,13 @@
 
     /// Returns a command that starts or ends, in turn, the evacuation of the operator's own zone; `None`
     /// while an earlier command for this zone is open.
-    fn evacuation(&mut self, world: &World) -> Option<Request> {
+    fn next_evacuation(&mut self, world: &World) -> Option<Request> {
         let zone = format!("z{}", self.number);
         if world.checker.has_open_evacuation(&zone) {
             return None;
         }
-        let active = self.evacuates_next;
-        self.evacuates_next = !active;
+        let active = self.starts_evacuation_next;
+        self.starts_evacuation_next = !active;
         Some(Request::Evacuate { zone, active })
     }
 }
--- a/crates/quillpulley/tests/operators/random.rs
+++ b/crates/quillpulley/tests/operators/random.rs
@@ -10,8 +10,8 @@
 use std::sync::Mutex;
 
 /// The number of random operations in a run, most of which start or end a fault.
-const OPERATIONS: usize = 40;
-const OPERATORS: usize = 4;
+const OPERATION_COUNT: usize = 40;
+const OPERATOR_COUNT: usize = 4;
 /// The duration of a partition after which a primary has lost its lease but has not stepped down yet.
 const LEASE_LOST_MS: std::ops::Range<u64> = 650..1250;
 /// The maximum time after the last fault until all commands are answered, and then until all states are
@@ -22,12 +22,12 @@
 #[derive(Default)]
 pub struct Totals {
     pub runs: usize,
-    pub changes: usize,
+    pub activation_count: usize,
     pub responses: BTreeMap<&'static str, usize>,
 }
 
 /// Runs a simulation with random faults on `count` machines. Panics if an invariant is violated.
-pub fn play(seed: u64, count: usize, fault: Fault) -> World {
+pub fn run_with_random_faults(seed: u64, count: usize, fault: Fault) -> World {
     let mut random = fastrand::Rng::with_seed(seed);
     let network = if random.bool() {
         NetworkOptions { min_delay_ms: 1, max_delay_ms: 60, lost: 20, duplicated: 30, delayed: 20, late: 0 }
@@ -36,8 +36,8 @@
     };
     let mut world = World::new(seed, count, network, fault);
     world.run_for(1500);
-    (0..OPERATORS).for_each(|_| world.add_operator());
-    for _ in 0..OPERATIONS {
+    (0..OPERATOR_COUNT).for_each(|_| world.add_operator());
+    for _ in 0..OPERATION_COUNT {
         let longest = [20, 150, 400, 400, 1000, 1500][random.usize(0..6)];
         world.run_for(random.u64(0..longest));
         perform_random_operation(&mut world, &mut random);
@@ -47,7 +47,7 @@
 }
 
 /// Partitions the leader until its lease has expired, and reconnects it before it steps down.
-fn lose_lease_shortly(world: &mut World, leader: usize, random: &mut fastrand::Rng) {
+fn lose_lease_briefly(world: &mut World, leader: usize, random: &mut fastrand::Rng) {
     world.isolate(leader, true);
     world.run_for(random.u64(LEASE_LOST_MS));
     world.network.heal_all();
@@ -67,14 +67,14 @@
         16 => world.isolate(leader, false),
         17 => world.isolate(any, true),
         18..=21 => world.network.heal_all(),
-        22 => world.lost_responses = 50,
-        23 => world.lost_responses = 0,
-        24 => world.set_disk(any, [DiskMode::Hangs, DiskMode::Full][random.usize(0..2)]),
-        25 => (0..world.machines.len()).for_each(|machine| world.set_disk(machine, DiskMode::Healthy)),
+        22 => world.lost_response_percent = 50,
+        23 => world.lost_response_percent = 0,
+        24 => world.set_disk_mode(any, [DiskMode::Hangs, DiskMode::Full][random.usize(0..2)]),
+        25 => (0..world.machines.len()).for_each(|machine| world.set_disk_mode(machine, DiskMode::Healthy)),
         26 => (0..world.machines.len()).for_each(|machine| world.kill(machine)),
         27 => world.shut_down(leader),
-        28..=29 => lose_lease_shortly(world, leader, random),
-        _ if world.is_complete() => {
+        28..=29 => lose_lease_briefly(world, leader, random),
+        _ if world.is_fully_replicated() => {
             world.wipe(any);
             world.start(any);
         }
@@ -111,44 +111,49 @@
 }
 
 /// Runs a property with random seeds: `tests` times, unless QUICKCHECK_TESTS gives another number.
-fn check_random(property: fn(u64) -> bool, tests: u64) {
+fn run_quickcheck(property: fn(u64) -> bool, tests: u64) {
     let tests = std::env::var("QUICKCHECK_TESTS").ok().and_then(|text| text.parse().ok()).unwrap_or(tests);
     QuickCheck::new().tests(tests).quickcheck(property);
 }
 
-fn add_to(totals: &Mutex<Totals>, world: &World) {
+fn add_to_totals(totals: &Mutex<Totals>, world: &World) {
     let mut totals = totals.lock().expect("the totals are not poisoned");
     totals.runs += 1;
-    totals.changes += world.checker.changes();
+    totals.activation_count += world.checker.activation_count();
     for (name, count) in &world.checker.responses {
         *totals.responses.entry(name).or_default() += count;
     }
 }
 
-fn print(what: &str, totals: &Mutex<Totals>) {
+fn print_totals(what: &str, totals: &Mutex<Totals>) {
     let totals = totals.lock().expect("the totals are not poisoned");
-    println!("{what}: {} runs, {} changes, responses {:?}", totals.runs, totals.changes, totals.responses);
+    println!(
+        "{what}: {} runs, {} changes, responses {:?}",
+        totals.runs, totals.activation_count, totals.responses
+    );
 }
 
-static THREE: Mutex<Totals> = Mutex::new(Totals { runs: 0, changes: 0, responses: BTreeMap::new() });
-static FIVE: Mutex<Totals> = Mutex::new(Totals { runs: 0, changes: 0, responses: BTreeMap::new() });
+static THREE_MACHINES: Mutex<Totals> =
+    Mutex::new(Totals { runs: 0, activation_count: 0, responses: BTreeMap::new() });
+static FIVE_MACHINES: Mutex<Totals> =
+    Mutex::new(Totals { runs: 0, activation_count: 0, responses: BTreeMap::new() });
 
 #[test]
 fn operators_of_three_machines_get_correct_responses() {
     fn property(seed: u64) -> bool {
-        add_to(&THREE, &play(seed, 3, Fault::None));
+        add_to_totals(&THREE_MACHINES, &run_with_random_faults(seed, 3, Fault::None));
         true
     }
-    check_random(property, 200);
-    print("three machines", &THREE);
+    run_quickcheck(property, 200);
+    print_totals("three machines", &THREE_MACHINES);
 }
 
 #[test]
 fn operators_of_five_machines_get_correct_responses() {
     fn property(seed: u64) -> bool {
-        add_to(&FIVE, &play(seed, 5, Fault::None));
+        add_to_totals(&FIVE_MACHINES, &run_with_random_faults(seed, 5, Fault::None));
         true
     }
-    check_random(property, 80);
-    print("five machines", &FIVE);
+    run_quickcheck(property, 80);
+    print_totals("five machines", &FIVE_MACHINES);
 }
--- a/crates/quillpulley/tests/operators/requests.rs
+++ b/crates/quillpulley/tests/operators/requests.rs
@@ -18,25 +18,29 @@
 impl Request {
     /// Returns a valid configuration. `mark` distinguishes configurations that have the same version.
     pub fn valid(base: u64, version: u64, mark: &str) -> Request {
-        let body = text(version, &route("/a/", r#","Service":"s""#), mark);
+        let body = configuration_text(version, &route_json("/a/", r#","Service":"s""#), mark);
         Request::Replace { base, version, body, valid: true }
     }
 
-    /// Returns an invalid configuration of the given kind, modulo [`INVALID_KINDS`].
+    /// Returns an invalid configuration of the given kind, modulo [`INVALID_KIND_COUNT`].
     pub fn invalid(base: u64, kind: usize) -> Request {
         let next = base + 1;
         let service = r#","Service":"s""#;
-        let body = match kind % INVALID_KINDS {
+        let body = match kind % INVALID_KIND_COUNT {
             0 => {
-                let whole = text(next, &route("/a/", service), "x");
+                let whole = configuration_text(next, &route_json("/a/", service), "x");
                 whole[..whole.len() * 2 / 3].to_vec()
             }
-            1 => text(next, &route("/a/", r#","Service":"unknown""#), "x"),
-            2 => text(next, &format!("{0},{0}", route("/a/", service)), "x"),
-            3 => text(next, &route("/a/", r#","TrafficSplit":[{"Service":"s","Weight":0}]"#), "x"),
-            4 => text(next, &route("/a/", &format!(r#"{service},"TimeoutMs":0"#)), "x"),
-            5 => text(base.saturating_sub(1), &route("/a/", service), "x"),
-            _ => text(base, &route("/a/", service), "x"),
+            1 => configuration_text(next, &route_json("/a/", r#","Service":"unknown""#), "x"),
+            2 => configuration_text(next, &format!("{0},{0}", route_json("/a/", service)), "x"),
+            3 => configuration_text(
+                next,
+                &route_json("/a/", r#","TrafficSplit":[{"Service":"s","Weight":0}]"#),
+                "x",
+            ),
+            4 => configuration_text(next, &route_json("/a/", &format!(r#"{service},"TimeoutMs":0"#)), "x"),
+            5 => configuration_text(base.saturating_sub(1), &route_json("/a/", service), "x"),
+            _ => configuration_text(base, &route_json("/a/", service), "x"),
         };
         Request::Replace { base, version: next, body, valid: false }
     }
@@ -54,13 +58,13 @@
 }
 
 /// The number of kinds of invalid configurations.
-pub const INVALID_KINDS: usize = 7;
+pub const INVALID_KIND_COUNT: usize = 7;
 
-fn route(prefix: &str, fields: &str) -> String {
+fn route_json(prefix: &str, fields: &str) -> String {
     format!(r#"{{"Host":"h","PathPrefix":"{prefix}"{fields}}}"#)
 }
 
-fn text(version: u64, routes: &str, mark: &str) -> Vec<u8> {
+fn configuration_text(version: u64, routes: &str, mark: &str) -> Vec<u8> {
     let text = format!(
         r#"{{"Version":{version},"Routes":[{routes}],"Services":[{{"Name":"s"}}],"Limits":{{}},"Mark":"{mark}"}}"#
     );
--- a/crates/quillpulley/tests/operators/scenarios.rs
+++ b/crates/quillpulley/tests/operators/scenarios.rs
@@ -8,18 +8,18 @@
 
 /// The times at which a fault is injected, in milliseconds after a command was sent. The range extends to the
 /// response.
-const MOMENTS: std::ops::Range<u64> = 0..80;
+const FAULT_DELAYS_MS: std::ops::Range<u64> = 0..80;
 /// The maximum time until a leader is elected.
-const ELECTION_MS: u64 = 4000;
+const ELECTION_TIMEOUT_MS: u64 = 4000;
 /// The maximum time that a sender waits for a response.
-const RESPONSE_MS: u64 = 1000;
+const RESPONSE_TIMEOUT_MS: u64 = 1000;
 /// The maximum number of sends until a command gets a definite response.
-const SENDS: usize = 40;
+const MAX_SENDS: usize = 40;
 
 /// Starts three machines and activates configuration version 5. Returns the leader as well.
-fn with_version_5(seed: u64) -> (World, usize) {
+fn start_with_version_5(seed: u64) -> (World, usize) {
     let mut world = World::new(seed, 3, NetworkOptions::default(), Fault::None);
-    assert!(world.run_until(ELECTION_MS, |world| world.is_complete()));
+    assert!(world.run_until(ELECTION_TIMEOUT_MS, |world| world.is_fully_replicated()));
     assert_eq!(send_until_definite(&mut world, &Request::valid(0, 5, "first")), Response::Acknowledged);
     let leader = world.leader().expect("there is a leader");
     (world, leader)
@@ -28,9 +28,9 @@
 /// Sends a command to the machines in turn until it gets a definite response.
 fn send_until_definite(world: &mut World, request: &Request) -> Response {
     let mut response = None;
-    for send in 0..SENDS {
+    for send in 0..MAX_SENDS {
         let id = world.send_request(send % world.machines.len(), request);
-        response = outcome(world, id);
+        response = await_response(world, id);
         match &response {
             None | Some(Response::Unavailable | Response::Redirect(_)) => world.run_for(100),
             Some(definite) => return definite.clone(),
@@ -40,8 +40,8 @@
 }
 
 /// Waits for the response to a request; `None` if the connection ends or the time runs out.
-fn outcome(world: &mut World, id: RequestId) -> Option<Response> {
-    world.run_until(RESPONSE_MS, |world| world.response_to(id).is_some());
+fn await_response(world: &mut World, id: RequestId) -> Option<Response> {
+    world.run_until(RESPONSE_TIMEOUT_MS, |world| world.response_to(id).is_some());
     world.response_to(id).cloned().flatten()
 }
 
@@ -62,8 +62,8 @@
 //    others   |                   |        | elect a leader |
 #[test]
 fn a_command_is_known_after_the_leader_was_killed_at_any_moment() {
-    for moment in MOMENTS {
-        let (mut world, leader) = with_version_5(moment);
+    for moment in FAULT_DELAYS_MS {
+        let (mut world, leader) = start_with_version_5(moment);
         let command = Request::valid(5, 7, "a");
         world.send_request(leader, &command);
         world.run_for(moment);
@@ -78,7 +78,7 @@
             Response::Acknowledged,
             "killed after {moment} ms"
         );
-        assert_eq!(world.checker.changes(), 2, "killed after {moment} ms");
+        assert_eq!(world.checker.activation_count(), 2, "killed after {moment} ms");
     }
 }
 
@@ -88,8 +88,8 @@
 //    leader     |                                               | killed |
 #[test]
 fn of_two_commands_at_two_machines_one_wins_when_the_leader_is_killed() {
-    for moment in MOMENTS {
-        let (mut world, leader) = with_version_5(moment);
+    for moment in FAULT_DELAYS_MS {
+        let (mut world, leader) = start_with_version_5(moment);
         let (one, other) = (Request::valid(5, 7, "a"), Request::valid(5, 7, "b"));
         world.send_request(leader, &one);
         world.send_request((leader + 1) % 3, &other);
@@ -112,17 +112,17 @@
 #[test]
 fn a_truncated_entry_is_not_acknowledged() {
     let mut truncated_entries = 0;
-    for moment in MOMENTS {
-        let (mut world, leader) = with_version_5(moment);
+    for moment in FAULT_DELAYS_MS {
+        let (mut world, leader) = start_with_version_5(moment);
         let (one, other) = (Request::valid(5, 7, "a"), Request::valid(5, 7, "b"));
         world.send_request(leader, &one);
         world.run_for(moment);
         world.isolate(leader, true);
         let moved = |world: &World| world.leader().is_some_and(|other| other != leader);
-        assert!(world.run_until(ELECTION_MS, moved), "partitioned after {moment} ms");
+        assert!(world.run_until(ELECTION_TIMEOUT_MS, moved), "partitioned after {moment} ms");
         let new = world.leader().expect("there is a leader");
         let id = world.send_request(new, &other);
-        let second = outcome(&mut world, id).expect("the command is answered");
+        let second = await_response(&mut world, id).expect("the command is answered");
         let was_appended = is_on_disk(&world, leader, &one);
         world.network.heal_all();
         let first = send_until_definite(&mut world, &one);
@@ -130,7 +130,7 @@
             exactly_one_is_acknowledged(&first, &second),
             "partitioned after {moment} ms: {first:?}, {second:?}"
         );
-        world.run_until(ELECTION_MS, |world| !is_on_disk(world, leader, &one));
+        world.run_until(ELECTION_TIMEOUT_MS, |world| !is_on_disk(world, leader, &one));
         let is_there = is_on_disk(&world, leader, &one);
         assert!(
             !is_there || first == Response::Acknowledged,
@@ -146,24 +146,28 @@
 //    leader   |                   | partitioned |                                  | reconnected |
 #[test]
 fn a_truncated_entry_may_be_accepted_again() {
-    for moment in MOMENTS {
-        let (mut world, leader) = with_version_5(moment);
+    for moment in FAULT_DELAYS_MS {
+        let (mut world, leader) = start_with_version_5(moment);
         let command = Request::valid(5, 7, "a");
         world.send_request(leader, &command);
         world.run_for(moment);
         world.isolate(leader, true);
         let moved = |world: &World| world.leader().is_some_and(|other| other != leader);
-        assert!(world.run_until(ELECTION_MS, moved), "partitioned after {moment} ms");
+        assert!(world.run_until(ELECTION_TIMEOUT_MS, moved), "partitioned after {moment} ms");
         let new = world.leader().expect("there is a leader");
         let id = world.send_request(new, &command);
-        assert_eq!(outcome(&mut world, id), Some(Response::Acknowledged), "partitioned after {moment} ms");
+        assert_eq!(
+            await_response(&mut world, id),
+            Some(Response::Acknowledged),
+            "partitioned after {moment} ms"
+        );
         world.network.heal_all();
         assert_eq!(
             send_until_definite(&mut world, &command),
             Response::Acknowledged,
             "partitioned after {moment} ms"
         );
-        assert_eq!(world.checker.changes(), 2, "partitioned after {moment} ms");
+        assert_eq!(world.checker.activation_count(), 2, "partitioned after {moment} ms");
     }
 }
 
@@ -173,8 +177,8 @@
 //    leader     |                                 | killed |                | restarted |
 #[test]
 fn the_same_bytes_of_two_operators_are_acknowledged_to_both() {
-    for moment in MOMENTS {
-        let (mut world, leader) = with_version_5(moment);
+    for moment in FAULT_DELAYS_MS {
+        let (mut world, leader) = start_with_version_5(moment);
         let command = Request::valid(5, 7, "a");
         world.send_request(leader, &command);
         world.send_request((leader + 1) % 3, &command);
@@ -194,7 +198,7 @@
 /// snapshot.
 #[test]
 fn commands_are_known_after_all_have_restarted_from_their_disks() {
-    let (mut world, _) = with_version_5(1);
+    let (mut world, _) = start_with_version_5(1);
     let commands: Vec<Request> = (5..35).map(|base| Request::valid(base, base + 1, "a")).collect();
     for command in &commands {
         assert_eq!(send_until_definite(&mut world, command), Response::Acknowledged);
@@ -220,8 +224,8 @@
 #[test]
 fn an_evacuation_again_is_acknowledged_and_active_across_a_failover() {
     let evacuate = |active| Request::Evacuate { zone: "z".to_string(), active };
-    for moment in MOMENTS {
-        let (mut world, mut leader) = with_version_5(moment);
+    for moment in FAULT_DELAYS_MS {
+        let (mut world, mut leader) = start_with_version_5(moment);
         for active in [true, false, true] {
             let id = world.send_request(leader, &evacuate(active));
             world.run_for(moment);
@@ -234,10 +238,10 @@
                 );
                 assert_eq!(world.checker.state.is_evacuated("z"), active, "killed after {moment} ms");
             }
-            assert!(!world.checker.sent_requests[id].open);
+            assert!(!world.checker.sent_requests[id].is_open);
             world.checker.confirm_evacuation("z", active);
             world.start(leader);
-            world.run_for(ELECTION_MS);
+            world.run_for(ELECTION_TIMEOUT_MS);
             leader = world.leader().expect("there is a leader");
         }
     }
@@ -248,7 +252,7 @@
 #[test]
 fn a_member_that_restarts_has_the_newest_state_without_a_new_command() {
     for pause in [0, 20, 50, 100, 200, 350] {
-        let (mut world, leader) = with_version_5(pause);
+        let (mut world, leader) = start_with_version_5(pause);
         let backup = (leader + 1) % 3;
         world.run_for(500);
         world.kill(backup);
--- a/crates/quillpulley/tests/operators/world.rs
+++ b/crates/quillpulley/tests/operators/world.rs
@@ -15,19 +15,19 @@
 use std::time::Duration;
 
 /// The interval between two ticks of a process.
-pub(super) const TICK_MS: u64 = 50;
+pub(super) const TICK_INTERVAL_MS: u64 = 50;
 /// The minimum interval between two polls of an operator.
-const POLL_MS: u64 = 10;
+const MIN_POLL_INTERVAL_MS: u64 = 10;
 /// The minimum duration of a write.
-const DISK_MS: u64 = 2;
+const MIN_WRITE_MS: u64 = 2;
 /// The time that a process takes to detect a broken connection.
-const DETECTION_MS: u64 = 300;
+const DISCONNECT_DETECTION_MS: u64 = 300;
 
 /// A machine: an address, a disk, and a process if one runs. Times are in milliseconds.
 pub struct Machine {
     pub id: NodeId,
     pub disk: DiskImage,
-    pub mode: DiskMode,
+    pub disk_mode: DiskMode,
     /// Whether the node knows the first witnesses and may bootstrap the cluster.
     pub bootstrap: bool,
     /// The node of the running process; `None` if no process runs.
@@ -40,7 +40,7 @@
     /// Inputs that arrived while the process was frozen.
     pub buffered: VecDeque<Input>,
     /// The write in flight and its ticket.
-    pub write: Option<(u64, Write)>,
+    pub pending_write: Option<(u64, Write)>,
     /// The connected processes by machine: the node and the number of its process.
     pub connections: BTreeMap<usize, (NodeId, u64)>,
     /// The time, by machine, since which the connection has not matched the process that can be reached
@@ -63,7 +63,7 @@
     /// The fault injected into every process.
     pub fault: Fault,
     /// The number of failed machines that the cluster tolerates.
-    pub tolerated: usize,
+    pub tolerated_machines: usize,
     pub machines: Vec<Machine>,
     pub network: Network,
     pub checker: Checker,
@@ -72,7 +72,7 @@
     /// `None` if the connection ended without one.
     pub responses: BTreeMap<RequestId, (u64, Option<Response>)>,
     /// The percentage of responses that are lost.
-    pub lost_responses: u32,
+    pub lost_response_percent: u32,
     pub random: fastrand::Rng,
     /// The machine to which each request was sent, by request id.
     pub(super) target_machines: Vec<usize>,
@@ -87,13 +87,13 @@
         let mut world = World {
             now: 0,
             fault,
-            tolerated: count / 2,
+            tolerated_machines: count / 2,
             machines: Vec::new(),
             network: Network::new(network),
             checker: Checker::default(),
             operators: Vec::new(),
             responses: BTreeMap::new(),
-            lost_responses: 0,
+            lost_response_percent: 0,
             random: fastrand::Rng::with_seed(seed),
             target_machines: Vec::new(),
             queue: BinaryHeap::new(),
@@ -109,7 +109,7 @@
     pub fn add_operator(&mut self) {
         let operator = self.operators.len();
         self.operators.push(Operator::new(operator));
-        self.schedule(POLL_MS, ScheduledEvent::Poll { operator });
+        self.schedule(MIN_POLL_INTERVAL_MS, ScheduledEvent::Poll { operator });
     }
 
     pub fn send_request(&mut self, machine: usize, request: &Request) -> RequestId {
@@ -161,13 +161,13 @@
                     if !self.machines[machine].frozen {
                         self.handle(machine, Input::Event(Event::Tick));
                     }
-                    self.schedule(TICK_MS, ScheduledEvent::Tick { machine, process });
+                    self.schedule(TICK_INTERVAL_MS, ScheduledEvent::Tick { machine, process });
                 }
             }
             ScheduledEvent::DeliverRequest { machine, id } => self.deliver_request(machine, id),
             ScheduledEvent::Poll { operator } => {
                 self.poll(operator);
-                let pause = POLL_MS + self.random.u64(0..POLL_MS);
+                let pause = MIN_POLL_INTERVAL_MS + self.random.u64(0..MIN_POLL_INTERVAL_MS);
                 self.schedule(pause, ScheduledEvent::Poll { operator });
             }
         }
@@ -180,7 +180,7 @@
     }
 
     fn deliver_request(&mut self, machine: usize, id: RequestId) {
-        if !self.checker.sent_requests[id].open {
+        if !self.checker.sent_requests[id].is_open {
             // The process was killed while the request was in flight.
             return;
         }
@@ -197,7 +197,7 @@
     /// Completes a request with a response, or with `None` if its process has ended.
     pub(super) fn complete_request(&mut self, id: RequestId, response: Option<Response>) {
         self.checker.record_response(self.now, id, response.as_ref());
-        let is_lost = response.is_some() && self.random.u32(0..100) < self.lost_responses;
+        let is_lost = response.is_some() && self.random.u32(0..100) < self.lost_response_percent;
         if !is_lost {
             let at = self.now + self.random.u64(1..20);
             self.responses.insert(id, (at, response));
@@ -206,12 +206,13 @@
 
     fn handle_write_completed(&mut self, machine: usize, process: u64, ticket: u64) {
         let slot = &mut self.machines[machine];
-        let is_current = slot.write.as_ref().is_some_and(|(current, _)| *current == ticket);
-        if slot.node.is_none() || slot.process != process || !is_current || slot.mode == DiskMode::Hangs {
+        let is_current = slot.pending_write.as_ref().is_some_and(|(current, _)| *current == ticket);
+        if slot.node.is_none() || slot.process != process || !is_current || slot.disk_mode == DiskMode::Hangs
+        {
             return;
         }
-        let Some((_, write)) = slot.write.take() else { return };
-        let result = if slot.mode == DiskMode::Full {
+        let Some((_, write)) = slot.pending_write.take() else { return };
+        let result = if slot.disk_mode == DiskMode::Full {
             Err(WriteFailed)
         } else {
             slot.disk.apply(write);
@@ -221,7 +222,7 @@
     }
 
     /// Opens connections to the processes that can be reached, and closes those that have been broken for
-    /// [`DETECTION_MS`].
+    /// [`DISCONNECT_DETECTION_MS`].
     fn check_connections(&mut self, machine: usize) {
         for other in (0..self.machines.len()).filter(|other| *other != machine) {
             let target = &self.machines[other];
@@ -235,7 +236,7 @@
             }
             let since = *slot.broken_since.entry(other).or_insert(self.now);
             if let Some((id, _)) = current {
-                if self.now >= since + DETECTION_MS {
+                if self.now >= since + DISCONNECT_DETECTION_MS {
                     slot.connections.remove(&other);
                     self.handle(machine, Input::Event(Event::Disconnected(id)));
                 }
@@ -249,7 +250,7 @@
     }
 
     pub(super) fn handle(&mut self, machine: usize, input: Input) {
-        let now = self.local(machine);
+        let now = self.process_time(machine);
         let slot = &mut self.machines[machine];
         let Some(node) = &mut slot.node else { return };
         if slot.frozen {
@@ -257,18 +258,18 @@
             return;
         }
         for output in node.handle(now, input) {
-            self.act(machine, output);
+            self.perform_output(machine, output);
         }
-        self.check(machine);
+        self.check_state(machine);
     }
 
-    fn act(&mut self, machine: usize, output: Output) {
+    fn perform_output(&mut self, machine: usize, output: Output) {
         match output {
             Output::Send(to, body) => self.send(machine, to, body),
             Output::Store(ticket, write) => {
                 let process = self.machines[machine].process;
-                self.machines[machine].write = Some((ticket, write));
-                let delay = DISK_MS + self.random.u64(0..4);
+                self.machines[machine].pending_write = Some((ticket, write));
+                let delay = MIN_WRITE_MS + self.random.u64(0..4);
                 self.schedule(delay, ScheduledEvent::WriteDone { machine, process, ticket });
             }
             Output::Applied { index, entry } => self.checker.record_applied(index, entry),
@@ -277,15 +278,15 @@
     }
 
     /// Checks the state of a process against the invariants.
-    fn check(&mut self, machine: usize) {
-        let now = self.local(machine);
+    fn check_state(&mut self, machine: usize) {
+        let now = self.process_time(machine);
         let Some(node) = &self.machines[machine].node else { return };
         let state = node.replica.state();
         if state.version() > 0 {
-            self.checker.check_shown(state);
+            self.checker.check_active_configuration(state);
         }
         if node.holds_lease(now) {
-            self.checker.check_leader(state);
+            self.checker.check_lease_holder(state);
         }
     }
 
@@ -303,7 +304,7 @@
     }
 
     /// Returns the time on the clock of a process, which starts at 0 with the process.
-    pub(super) fn local(&self, machine: usize) -> Duration {
+    pub(super) fn process_time(&self, machine: usize) -> Duration {
         Duration::from_millis(self.now - self.machines[machine].started_at)
     }
 
@@ -318,14 +319,14 @@
         Machine {
             id,
             disk: DiskImage::default(),
-            mode: DiskMode::Healthy,
+            disk_mode: DiskMode::Healthy,
             bootstrap: true,
             node: None,
             process: 0,
             started_at: 0,
             frozen: false,
             buffered: VecDeque::new(),
-            write: None,
+            pending_write: None,
             connections: BTreeMap::new(),
             broken_since: BTreeMap::new(),
         }
