--- a/crates/quillpulley/tests/operators/checker.rs
+++ b/crates/quillpulley/tests/operators/checker.rs
@@ -164,8 +164,8 @@
                 );
                 self.reject(*base, body);
             }
-            (Request::Replace { base, body, valid, .. }, Response::Invalid(why)) => {
-                assert!(!valid, "a valid configuration on base version {base} is rejected: {why}");
+            (Request::Replace { base, body, valid, .. }, Response::Invalid(reason)) => {
+                assert!(!valid, "a valid configuration on base version {base} is rejected: {reason}");
                 self.reject(*base, body);
             }
             (Request::Evacuate { zone, active }, Response::Acknowledged) => {
@@ -197,7 +197,7 @@
         let winner = self.acknowledged_by_base.entry(base).or_insert_with(|| body.to_vec());
         assert_eq!(winner, body, "two configurations on base version {base} are acknowledged");
         assert!(
-            self.activated_by_base.get(&base).is_some_and(|accepted| accepted == body),
+            self.activated_by_base.get(&base).is_some_and(|activated| activated == body),
             "an acknowledged configuration on base version {base} is not in effect"
         );
         let outcome = self.outcomes.entry((base, body.to_vec())).or_default();
@@ -207,8 +207,8 @@
     }
 
     fn reject(&mut self, base: u64, body: &[u8]) {
-        let accepted = self.activated_by_base.get(&base).is_some_and(|accepted| accepted == body);
-        assert!(!accepted, "a configuration on base version {base} that was activated is rejected");
+        let activated = self.activated_by_base.get(&base).is_some_and(|activated| activated == body);
+        assert!(!activated, "a configuration on base version {base} that was activated is rejected");
         self.outcomes.entry((base, body.to_vec())).or_default().rejected = true;
     }
 
@@ -227,7 +227,7 @@
     /// those that were abandoned before that time and have not been activated.
     fn supersede_abandoned(&mut self, sent_at: u64) {
         for ((base, body), outcome) in &mut self.outcomes {
-            let is_active = self.activated_by_base.get(base).is_some_and(|accepted| accepted == body);
+            let is_active = self.activated_by_base.get(base).is_some_and(|activated| activated == body);
             outcome.superseded = !is_active && outcome.abandoned_at.is_some_and(|at| at < sent_at);
         }
     }
@@ -235,8 +235,8 @@
     /// Checks that the zones are evacuated as their operators were told.
     fn check_zones(&self) {
         for (zone, active) in &self.confirmed_evacuations {
-            let is = self.state.is_evacuated(zone);
-            assert_eq!(is, *active, "the evacuation of {zone} changed without a command");
+            let is_evacuated = self.state.is_evacuated(zone);
+            assert_eq!(is_evacuated, *active, "the evacuation of {zone} changed without a command");
         }
     }
 
--- a/crates/quillpulley/tests/operators/faults.rs
+++ b/crates/quillpulley/tests/operators/faults.rs
@@ -38,13 +38,13 @@
     /// Ends the process. A random part of the write in flight reaches the disk, unless the disk is full. Open
     /// requests to the process end without a response.
     pub fn kill(&mut self, machine: usize) {
-        let torn = self.random.usize(0..4);
+        let kept_entries = self.random.usize(0..4);
         let slot = &mut self.machines[machine];
         if slot.node.take().is_none() {
             return;
         }
         if let (Some((_, write)), true) = (slot.pending_write.take(), slot.disk_mode != DiskMode::Full) {
-            slot.disk.apply_torn(write, torn);
+            slot.disk.apply_torn(write, kept_entries);
         }
         slot.connections.clear();
         slot.broken_since.clear();
@@ -92,8 +92,8 @@
         let slot = &mut self.machines[machine];
         slot.disk_mode = mode;
         let process = slot.process;
-        let waiting = slot.pending_write.as_ref().map(|(ticket, _)| *ticket);
-        if let (Some(ticket), true) = (waiting, mode != DiskMode::Hangs) {
+        let pending_ticket = slot.pending_write.as_ref().map(|(ticket, _)| *ticket);
+        if let (Some(ticket), true) = (pending_ticket, mode != DiskMode::Hangs) {
             self.schedule(2, ScheduledEvent::WriteDone { machine, process, ticket });
         }
     }
@@ -129,8 +129,9 @@
         let Some(view) = node.replica.view() else { return false };
         let is_included =
             |id: &NodeId| (view.primary == *id || view.backups.contains(id)) && view.witnesses.contains(id);
-        let all = self.machines.iter().all(|machine| machine.node.is_some() && is_included(&machine.id));
-        all && view.activated && view.witnesses.len() == self.machines.len()
+        let all_included =
+            self.machines.iter().all(|machine| machine.node.is_some() && is_included(&machine.id));
+        all_included && view.activated && view.witnesses.len() == self.machines.len()
     }
 
     /// Ends all faults, and starts a process on every machine that has none or whose process is shutting
--- a/crates/quillpulley/tests/operators/node.rs
+++ b/crates/quillpulley/tests/operators/node.rs
@@ -87,9 +87,9 @@
     pub fn handle(&mut self, now: Duration, input: Input) -> Vec<Output> {
         match input {
             Input::Event(event) => {
-                let ticks = event == Event::Tick;
+                let is_tick = event == Event::Tick;
                 self.replicate(now, event);
-                if ticks {
+                if is_tick {
                     self.update_leadership(now);
                     self.commands.expire(now);
                 }
@@ -194,15 +194,13 @@
             Action::Committed { proposal } => {
                 let holds_lease = self.holds_lease(now);
                 self.commands.committed(proposal, self.replica.state(), holds_lease);
-                let overlapping_requests = self.overlapping_requests.remove(&proposal);
-                self.outputs
-                    .extend(overlapping_requests.map(|id| Output::Response(id, Response::Acknowledged)));
+                let request = self.overlapping_requests.remove(&proposal);
+                self.outputs.extend(request.map(|id| Output::Response(id, Response::Acknowledged)));
             }
             Action::Rejected { proposal, .. } => {
                 self.commands.failed(proposal);
-                let overlapping_requests = self.overlapping_requests.remove(&proposal);
-                self.outputs
-                    .extend(overlapping_requests.map(|id| Output::Response(id, Response::Unavailable)));
+                let request = self.overlapping_requests.remove(&proposal);
+                self.outputs.extend(request.map(|id| Output::Response(id, Response::Unavailable)));
             }
             Action::RoleChanged(_) => {}
         }
@@ -245,9 +243,9 @@
         match decision {
             Ok(response) => self.outputs.push(Output::Response(id, response)),
             Err(payload) => {
-                let name = id as u64 + 1;
-                self.overlapping_requests.insert(name, id);
-                self.replicate(now, Event::Propose { proposal: name, payload });
+                let proposal = id as u64 + 1;
+                self.overlapping_requests.insert(proposal, id);
+                self.replicate(now, Event::Propose { proposal, payload });
             }
         }
     }
@@ -283,8 +281,8 @@
         if self.fault != Fault::OmitHistory {
             return snapshot;
         }
-        let read = decode_value::<ControlSnapshotRef<'_>, _>(&snapshot);
-        let mut snapshot: ControlSnapshot = read.expect("the snapshot is valid");
+        let decoded = decode_value::<ControlSnapshotRef<'_>, _>(&snapshot);
+        let mut snapshot: ControlSnapshot = decoded.expect("the snapshot is valid");
         snapshot.history.clear();
         encode_value::<ControlSnapshot>(&snapshot)
     }
--- a/crates/quillpulley/tests/operators/random.rs
+++ b/crates/quillpulley/tests/operators/random.rs
@@ -38,8 +38,8 @@
     world.run_for(1500);
     (0..OPERATOR_COUNT).for_each(|_| world.add_operator());
     for _ in 0..OPERATION_COUNT {
-        let longest = [20, 150, 400, 400, 1000, 1500][random.usize(0..6)];
-        world.run_for(random.u64(0..longest));
+        let max_pause_ms = [20, 150, 400, 400, 1000, 1500][random.usize(0..6)];
+        world.run_for(random.u64(0..max_pause_ms));
         perform_random_operation(&mut world, &mut random);
     }
     check_recovery(&mut world);
@@ -54,29 +54,29 @@
 }
 
 fn perform_random_operation(world: &mut World, random: &mut fastrand::Rng) {
-    let any = random.usize(0..world.machines.len());
-    let leader = world.leader().unwrap_or(any);
+    let random_machine = random.usize(0..world.machines.len());
+    let leader = world.leader().unwrap_or(random_machine);
     match random.usize(0..32) {
         0..=1 => world.kill(leader),
-        2 => world.kill(any),
+        2 => world.kill(random_machine),
         3..=6 => (0..world.machines.len()).for_each(|machine| world.start(machine)),
         7..=8 => world.freeze(leader),
-        9 => world.freeze(any),
+        9 => world.freeze(random_machine),
         10..=13 => resume_all(world),
         14..=15 => world.isolate(leader, true),
         16 => world.isolate(leader, false),
-        17 => world.isolate(any, true),
+        17 => world.isolate(random_machine, true),
         18..=21 => world.network.heal_all(),
         22 => world.lost_response_percent = 50,
         23 => world.lost_response_percent = 0,
-        24 => world.set_disk_mode(any, [DiskMode::Hangs, DiskMode::Full][random.usize(0..2)]),
+        24 => world.set_disk_mode(random_machine, [DiskMode::Hangs, DiskMode::Full][random.usize(0..2)]),
         25 => (0..world.machines.len()).for_each(|machine| world.set_disk_mode(machine, DiskMode::Healthy)),
         26 => (0..world.machines.len()).for_each(|machine| world.kill(machine)),
         27 => world.shut_down(leader),
         28..=29 => lose_lease_briefly(world, leader, random),
         _ if world.is_fully_replicated() => {
-            world.wipe(any);
-            world.start(any);
+            world.wipe(random_machine);
+            world.start(random_machine);
         }
         _ => {}
     }
@@ -125,10 +125,10 @@
     }
 }
 
-fn print_totals(what: &str, totals: &Mutex<Totals>) {
+fn print_totals(label: &str, totals: &Mutex<Totals>) {
     let totals = totals.lock().expect("the totals are not poisoned");
     println!(
-        "{what}: {} runs, {} changes, responses {:?}",
+        "{label}: {} runs, {} activations, responses {:?}",
         totals.runs, totals.activation_count, totals.responses
     );
 }
--- a/crates/quillpulley/tests/operators/requests.rs
+++ b/crates/quillpulley/tests/operators/requests.rs
@@ -24,25 +24,29 @@
 
     /// Returns an invalid configuration of the given kind, modulo [`INVALID_KIND_COUNT`].
     pub fn invalid(base: u64, kind: usize) -> Request {
-        let next = base + 1;
+        let next_version = base + 1;
         let service = r#","Service":"s""#;
         let body = match kind % INVALID_KIND_COUNT {
             0 => {
-                let whole = configuration_text(next, &route_json("/a/", service), "x");
-                whole[..whole.len() * 2 / 3].to_vec()
+                let complete_text = configuration_text(next_version, &route_json("/a/", service), "x");
+                complete_text[..complete_text.len() * 2 / 3].to_vec()
             }
-            1 => configuration_text(next, &route_json("/a/", r#","Service":"unknown""#), "x"),
-            2 => configuration_text(next, &format!("{0},{0}", route_json("/a/", service)), "x"),
+            1 => configuration_text(next_version, &route_json("/a/", r#","Service":"unknown""#), "x"),
+            2 => configuration_text(next_version, &format!("{0},{0}", route_json("/a/", service)), "x"),
             3 => configuration_text(
-                next,
+                next_version,
                 &route_json("/a/", r#","TrafficSplit":[{"Service":"s","Weight":0}]"#),
                 "x",
             ),
-            4 => configuration_text(next, &route_json("/a/", &format!(r#"{service},"TimeoutMs":0"#)), "x"),
+            4 => configuration_text(
+                next_version,
+                &route_json("/a/", &format!(r#"{service},"TimeoutMs":0"#)),
+                "x",
+            ),
             5 => configuration_text(base.saturating_sub(1), &route_json("/a/", service), "x"),
             _ => configuration_text(base, &route_json("/a/", service), "x"),
         };
-        Request::Replace { base, version: next, body, valid: false }
+        Request::Replace { base, version: next_version, body, valid: false }
     }
 
     /// Returns the command that a process receives; `None` for a read.
--- a/crates/quillpulley/tests/operators/scenarios.rs
+++ b/crates/quillpulley/tests/operators/scenarios.rs
@@ -62,23 +62,23 @@
 //    others   |                   |        | elect a leader |
 #[test]
 fn a_command_is_known_after_the_leader_was_killed_at_any_moment() {
-    for moment in FAULT_DELAYS_MS {
-        let (mut world, leader) = start_with_version_5(moment);
+    for delay_ms in FAULT_DELAYS_MS {
+        let (mut world, leader) = start_with_version_5(delay_ms);
         let command = Request::valid(5, 7, "a");
         world.send_request(leader, &command);
-        world.run_for(moment);
+        world.run_for(delay_ms);
         world.kill(leader);
         assert_eq!(
             send_until_definite(&mut world, &command),
             Response::Acknowledged,
-            "killed after {moment} ms"
+            "killed after {delay_ms} ms"
         );
         assert_eq!(
             send_until_definite(&mut world, &command),
             Response::Acknowledged,
-            "killed after {moment} ms"
+            "killed after {delay_ms} ms"
         );
-        assert_eq!(world.checker.activation_count(), 2, "killed after {moment} ms");
+        assert_eq!(world.checker.activation_count(), 2, "killed after {delay_ms} ms");
     }
 }
 
@@ -88,18 +88,19 @@
 //    leader     |                                               | killed |
 #[test]
 fn of_two_commands_at_two_machines_one_wins_when_the_leader_is_killed() {
-    for moment in FAULT_DELAYS_MS {
-        let (mut world, leader) = start_with_version_5(moment);
-        let (one, other) = (Request::valid(5, 7, "a"), Request::valid(5, 7, "b"));
-        world.send_request(leader, &one);
-        world.send_request((leader + 1) % 3, &other);
-        world.send_request(leader, &other);
-        world.run_for(moment);
+    for delay_ms in FAULT_DELAYS_MS {
+        let (mut world, leader) = start_with_version_5(delay_ms);
+        let (command_a, command_b) = (Request::valid(5, 7, "a"), Request::valid(5, 7, "b"));
+        world.send_request(leader, &command_a);
+        world.send_request((leader + 1) % 3, &command_b);
+        world.send_request(leader, &command_b);
+        world.run_for(delay_ms);
         world.kill(leader);
-        let responses = (send_until_definite(&mut world, &one), send_until_definite(&mut world, &other));
+        let responses =
+            (send_until_definite(&mut world, &command_a), send_until_definite(&mut world, &command_b));
         assert!(
             exactly_one_is_acknowledged(&responses.0, &responses.1),
-            "killed after {moment} ms: {responses:?}"
+            "killed after {delay_ms} ms: {responses:?}"
         );
     }
 }
@@ -112,31 +113,32 @@
 #[test]
 fn a_truncated_entry_is_not_acknowledged() {
     let mut truncated_entries = 0;
-    for moment in FAULT_DELAYS_MS {
-        let (mut world, leader) = start_with_version_5(moment);
-        let (one, other) = (Request::valid(5, 7, "a"), Request::valid(5, 7, "b"));
-        world.send_request(leader, &one);
-        world.run_for(moment);
+    for delay_ms in FAULT_DELAYS_MS {
+        let (mut world, leader) = start_with_version_5(delay_ms);
+        let (command_a, command_b) = (Request::valid(5, 7, "a"), Request::valid(5, 7, "b"));
+        world.send_request(leader, &command_a);
+        world.run_for(delay_ms);
         world.isolate(leader, true);
-        let moved = |world: &World| world.leader().is_some_and(|other| other != leader);
-        assert!(world.run_until(ELECTION_TIMEOUT_MS, moved), "partitioned after {moment} ms");
-        let new = world.leader().expect("there is a leader");
-        let id = world.send_request(new, &other);
-        let second = await_response(&mut world, id).expect("the command is answered");
-        let was_appended = is_on_disk(&world, leader, &one);
+        let has_new_leader = |world: &World| world.leader().is_some_and(|other| other != leader);
+        assert!(world.run_until(ELECTION_TIMEOUT_MS, has_new_leader), "partitioned after {delay_ms} ms");
+        let new_leader = world.leader().expect("there is a leader");
+        let id = world.send_request(new_leader, &command_b);
+        let second_response = await_response(&mut world, id).expect("the command is answered");
+        let was_appended = is_on_disk(&world, leader, &command_a);
         world.network.heal_all();
-        let first = send_until_definite(&mut world, &one);
+        let first_response = send_until_definite(&mut world, &command_a);
         assert!(
-            exactly_one_is_acknowledged(&first, &second),
-            "partitioned after {moment} ms: {first:?}, {second:?}"
+            exactly_one_is_acknowledged(&first_response, &second_response),
+            "partitioned after {delay_ms} ms: {first_response:?}, {second_response:?}"
         );
-        world.run_until(ELECTION_TIMEOUT_MS, |world| !is_on_disk(world, leader, &one));
-        let is_there = is_on_disk(&world, leader, &one);
+        world.run_until(ELECTION_TIMEOUT_MS, |world| !is_on_disk(world, leader, &command_a));
+        let is_still_on_disk = is_on_disk(&world, leader, &command_a);
         assert!(
-            !is_there || first == Response::Acknowledged,
-            "partitioned after {moment} ms: an unacknowledged entry is still on disk"
+            !is_still_on_disk || first_response == Response::Acknowledged,
+            "partitioned after {delay_ms} ms: an unacknowledged entry is still on disk"
         );
-        truncated_entries += usize::from(was_appended && !is_there && second == Response::Acknowledged);
+        truncated_entries +=
+            usize::from(was_appended && !is_still_on_disk && second_response == Response::Acknowledged);
     }
     assert!(truncated_entries > 0, "no entry of the old leader was truncated");
 }
@@ -146,28 +148,28 @@
 //    leader   |                   | partitioned |                                  | reconnected |
 #[test]
 fn a_truncated_entry_may_be_accepted_again() {
-    for moment in FAULT_DELAYS_MS {
-        let (mut world, leader) = start_with_version_5(moment);
+    for delay_ms in FAULT_DELAYS_MS {
+        let (mut world, leader) = start_with_version_5(delay_ms);
         let command = Request::valid(5, 7, "a");
         world.send_request(leader, &command);
-        world.run_for(moment);
+        world.run_for(delay_ms);
         world.isolate(leader, true);
-        let moved = |world: &World| world.leader().is_some_and(|other| other != leader);
-        assert!(world.run_until(ELECTION_TIMEOUT_MS, moved), "partitioned after {moment} ms");
-        let new = world.leader().expect("there is a leader");
-        let id = world.send_request(new, &command);
+        let has_new_leader = |world: &World| world.leader().is_some_and(|other| other != leader);
+        assert!(world.run_until(ELECTION_TIMEOUT_MS, has_new_leader), "partitioned after {delay_ms} ms");
+        let new_leader = world.leader().expect("there is a leader");
+        let id = world.send_request(new_leader, &command);
         assert_eq!(
             await_response(&mut world, id),
             Some(Response::Acknowledged),
-            "partitioned after {moment} ms"
+            "partitioned after {delay_ms} ms"
         );
         world.network.heal_all();
         assert_eq!(
             send_until_definite(&mut world, &command),
             Response::Acknowledged,
-            "partitioned after {moment} ms"
+            "partitioned after {delay_ms} ms"
         );
-        assert_eq!(world.checker.activation_count(), 2, "partitioned after {moment} ms");
+        assert_eq!(world.checker.activation_count(), 2, "partitioned after {delay_ms} ms");
     }
 }
 
@@ -177,12 +179,12 @@
 //    leader     |                                 | killed |                | restarted |
 #[test]
 fn the_same_bytes_of_two_operators_are_acknowledged_to_both() {
-    for moment in FAULT_DELAYS_MS {
-        let (mut world, leader) = start_with_version_5(moment);
+    for delay_ms in FAULT_DELAYS_MS {
+        let (mut world, leader) = start_with_version_5(delay_ms);
         let command = Request::valid(5, 7, "a");
         world.send_request(leader, &command);
         world.send_request((leader + 1) % 3, &command);
-        world.run_for(moment);
+        world.run_for(delay_ms);
         world.kill(leader);
         assert_eq!(send_until_definite(&mut world, &command), Response::Acknowledged);
         world.start(leader);
@@ -209,9 +211,9 @@
         for command in &commands {
             assert_eq!(send_until_definite(&mut world, command), Response::Acknowledged, "round {round}");
         }
-        let loser = Request::valid(20, 21, "b");
+        let conflicting = Request::valid(20, 21, "b");
         assert_eq!(
-            send_until_definite(&mut world, &loser),
+            send_until_definite(&mut world, &conflicting),
             Response::Conflict { current: 35 },
             "round {round}"
         );
@@ -224,19 +226,19 @@
 #[test]
 fn an_evacuation_again_is_acknowledged_and_active_across_a_failover() {
     let evacuate = |active| Request::Evacuate { zone: "z".to_string(), active };
-    for moment in FAULT_DELAYS_MS {
-        let (mut world, mut leader) = start_with_version_5(moment);
+    for delay_ms in FAULT_DELAYS_MS {
+        let (mut world, mut leader) = start_with_version_5(delay_ms);
         for active in [true, false, true] {
             let id = world.send_request(leader, &evacuate(active));
-            world.run_for(moment);
+            world.run_for(delay_ms);
             world.kill(leader);
             for _ in 0..2 {
                 assert_eq!(
                     send_until_definite(&mut world, &evacuate(active)),
                     Response::Acknowledged,
-                    "killed after {moment} ms"
+                    "killed after {delay_ms} ms"
                 );
-                assert_eq!(world.checker.state.is_evacuated("z"), active, "killed after {moment} ms");
+                assert_eq!(world.checker.state.is_evacuated("z"), active, "killed after {delay_ms} ms");
             }
             assert!(!world.checker.sent_requests[id].is_open);
             world.checker.confirm_evacuation("z", active);
@@ -251,17 +253,17 @@
 //    operator |        |                       | sends nothing
 #[test]
 fn a_member_that_restarts_has_the_newest_state_without_a_new_command() {
-    for pause in [0, 20, 50, 100, 200, 350] {
-        let (mut world, leader) = start_with_version_5(pause);
+    for pause_ms in [0, 20, 50, 100, 200, 350] {
+        let (mut world, leader) = start_with_version_5(pause_ms);
         let backup = (leader + 1) % 3;
         world.run_for(500);
         world.kill(backup);
-        world.run_for(pause);
+        world.run_for(pause_ms);
         world.start(backup);
         let has_all = |world: &World| {
             let node = world.machines[backup].node.as_ref();
             node.is_some_and(|node| *node.replica.state() == world.checker.state)
         };
-        assert!(world.run_until(2000, has_all), "started after {pause} ms");
+        assert!(world.run_until(2000, has_all), "started after {pause_ms} ms");
     }
 }
--- a/crates/quillpulley/tests/operators/world.rs
+++ b/crates/quillpulley/tests/operators/world.rs
@@ -174,9 +174,9 @@
     }
 
     fn poll(&mut self, operator: usize) {
-        let mut accepted = std::mem::replace(&mut self.operators[operator], Operator::new(operator));
-        accepted.poll(self);
-        self.operators[operator] = accepted;
+        let mut current_operator = std::mem::replace(&mut self.operators[operator], Operator::new(operator));
+        current_operator.poll(self);
+        self.operators[operator] = current_operator;
     }
 
     fn deliver_request(&mut self, machine: usize, id: RequestId) {
@@ -227,10 +227,10 @@
         for other in (0..self.machines.len()).filter(|other| *other != machine) {
             let target = &self.machines[other];
             let is_open = target.node.is_some() && self.network.can_exchange(machine, other);
-            let wanted = is_open.then_some((target.id, target.process));
+            let reachable_process = is_open.then_some((target.id, target.process));
             let slot = &mut self.machines[machine];
             let current = slot.connections.get(&other).copied();
-            if current == wanted {
+            if current == reachable_process {
                 slot.broken_since.remove(&other);
                 continue;
             }
@@ -240,7 +240,7 @@
                     slot.connections.remove(&other);
                     self.handle(machine, Input::Event(Event::Disconnected(id)));
                 }
-            } else if let Some((id, process)) = wanted {
+            } else if let Some((id, process)) = reachable_process {
                 slot.connections.insert(other, (id, process));
                 let locality = Locality { zone: zone(other), region: "region".to_string() };
                 self.handle(machine, Input::Event(Event::LocalityLearned { node: id, locality }));
