--- a/crates/quillpulley/tests/operators/injected_faults.rs
+++ b/crates/quillpulley/tests/operators/injected_faults.rs
@@ -21,24 +21,24 @@
 }
 
 #[test]
-fn commands_decided_without_the_lease_are_caught() {
+fn commands_decided_without_the_lease_are_detected() {
     let expected = ["is older than", "older than", "is rejected", "was activated"];
     assert!(first_expected_failure(Fault::NoLeaseCheck, &expected).is_some());
 }
 
 #[test]
-fn commands_decided_beside_open_ones_are_caught() {
+fn commands_decided_before_earlier_ones_are_applied_are_detected() {
     let expected = ["after a later command was answered", "changed without a command"];
     assert!(first_expected_failure(Fault::IgnoreUnresolved, &expected).is_some());
 }
 
 #[test]
-fn commands_that_overlap_are_caught() {
+fn overlapping_commands_are_detected() {
     assert!(first_expected_failure(Fault::OverlappingCommands, &["are acknowledged", "is not in effect"])
         .is_some());
 }
 
 #[test]
-fn snapshots_without_the_history_are_caught() {
+fn snapshots_without_the_history_are_detected() {
     assert!(first_expected_failure(Fault::OmitHistory, &["that was activated is rejected"]).is_some());
 }
--- a/crates/quillpulley/tests/operators/scenarios.rs
+++ b/crates/quillpulley/tests/operators/scenarios.rs
@@ -61,7 +61,7 @@
 //    leader   |                   | killed |                |
 //    others   |                   |        | elect a leader |
 #[test]
-fn a_command_is_known_after_the_leader_was_killed_at_any_moment() {
+fn a_command_sent_again_is_acknowledged_when_the_leader_is_killed_at_any_time() {
     for delay_ms in FAULT_DELAYS_MS {
         let (mut world, leader) = start_with_version_5(delay_ms);
         let command = Request::valid(5, 7, "a");
@@ -87,7 +87,7 @@
 //    operator 2 | sends 7b on base 5 to a backup and the leader |        | sends it again
 //    leader     |                                               | killed |
 #[test]
-fn of_two_commands_at_two_machines_one_wins_when_the_leader_is_killed() {
+fn exactly_one_of_two_conflicting_commands_is_acknowledged_when_the_leader_is_killed() {
     for delay_ms in FAULT_DELAYS_MS {
         let (mut world, leader) = start_with_version_5(delay_ms);
         let (command_a, command_b) = (Request::valid(5, 7, "a"), Request::valid(5, 7, "b"));
@@ -111,7 +111,7 @@
 //    leader     |                    | partitioned |                |                    | reconnected |
 //    others     |                    |             | elect a leader | answer 7b          |             |
 #[test]
-fn a_truncated_entry_is_not_acknowledged() {
+fn a_command_is_not_acknowledged_for_a_truncated_entry() {
     let mut truncated_entries = 0;
     for delay_ms in FAULT_DELAYS_MS {
         let (mut world, leader) = start_with_version_5(delay_ms);
@@ -147,7 +147,7 @@
 //    operator | sends 7 on base 5 |             | sends it again to the new leader |             | again
 //    leader   |                   | partitioned |                                  | reconnected |
 #[test]
-fn a_truncated_entry_may_be_accepted_again() {
+fn a_command_is_acknowledged_again_even_if_its_first_entry_is_truncated() {
     for delay_ms in FAULT_DELAYS_MS {
         let (mut world, leader) = start_with_version_5(delay_ms);
         let command = Request::valid(5, 7, "a");
@@ -178,7 +178,7 @@
 //    operator 2 | sends 7 on base 5 to a backup   |        |                |           | sends it again
 //    leader     |                                 | killed |                | restarted |
 #[test]
-fn the_same_bytes_of_two_operators_are_acknowledged_to_both() {
+fn the_same_configuration_from_two_operators_is_acknowledged_to_both() {
     for delay_ms in FAULT_DELAYS_MS {
         let (mut world, leader) = start_with_version_5(delay_ms);
         let command = Request::valid(5, 7, "a");
@@ -199,7 +199,7 @@
 /// The log is compacted after 8 entries, so the outcome of most of these commands is known only from a
 /// snapshot.
 #[test]
-fn commands_are_known_after_all_have_restarted_from_their_disks() {
+fn commands_sent_again_get_the_same_response_after_all_machines_restart() {
     let (mut world, _) = start_with_version_5(1);
     let commands: Vec<Request> = (5..35).map(|base| Request::valid(base, base + 1, "a")).collect();
     for command in &commands {
@@ -224,7 +224,7 @@
 //    operator | sends the command |        | sends it again, twice: acknowledged and in effect each time
 //    leader   |                   | killed |
 #[test]
-fn an_evacuation_again_is_acknowledged_and_active_across_a_failover() {
+fn an_evacuation_command_sent_again_is_in_effect_after_a_failover() {
     let evacuate = |active| Request::Evacuate { zone: "z".to_string(), active };
     for delay_ms in FAULT_DELAYS_MS {
         let (mut world, mut leader) = start_with_version_5(delay_ms);
@@ -252,7 +252,7 @@
 //    backup   | killed | started after a pause | catches up
 //    operator |        |                       | sends nothing
 #[test]
-fn a_member_that_restarts_has_the_newest_state_without_a_new_command() {
+fn a_restarted_member_catches_up_without_a_new_command() {
     for pause_ms in [0, 20, 50, 100, 200, 350] {
         let (mut world, leader) = start_with_version_5(pause_ms);
         let backup = (leader + 1) % 3;
