--- a/crates/quillpulley/tests/operators/checker.rs
+++ b/crates/quillpulley/tests/operators/checker.rs
@@ -14,7 +14,8 @@
     pub request: Request,
     /// The time in milliseconds.
     pub sent_at: u64,
-    /// The newest version that had been acknowledged to any operator.
+    /// The newest version that had been acknowledged to any operator. Responses must not be based on an older
+    /// one.
     min_version: u64,
     /// Whether a process may still act on the request.
     pub is_open: bool,
@@ -50,6 +51,7 @@
     outcomes: BTreeMap<ConfigurationChange, Outcome>,
     /// The configuration that was acknowledged on each base version.
     acknowledged_by_base: BTreeMap<u64, Vec<u8>>,
+    /// The newest version that has been acknowledged to any operator.
     newest_acknowledged: u64,
     pub sent_requests: Vec<SentRequest>,
     /// Whether each zone must be evacuated, according to the last acknowledgement to its only operator. A
--- a/crates/quillpulley/tests/operators/node.rs
+++ b/crates/quillpulley/tests/operators/node.rs
@@ -59,7 +59,7 @@
     is_leader: bool,
     /// Whether the node was the primary, with or without the lease, at the last check.
     was_primary: bool,
-    /// All entries recovered from disk or written since, by index.
+    /// All entries recovered from disk or passed to a write since, by index.
     log: BTreeMap<u64, Entry>,
     /// The requests in flight by proposal number, if `Fault::OverlappingCommands` is injected.
     overlapping_requests: BTreeMap<u64, RequestId>,
--- a/crates/quillpulley/tests/operators/operator.rs
+++ b/crates/quillpulley/tests/operators/operator.rs
@@ -116,7 +116,8 @@
         }
     }
 
-    /// Updates the operator's knowledge from a definite response.
+    /// Updates the known version or confirms an evacuation after a definite response, and records the
+    /// completed command.
     fn update_knowledge(&mut self, world: &mut World, request: &Request, response: &Response) {
         match (request, response) {
             (Request::Replace { version, .. }, Response::Acknowledged) => {
--- a/crates/quillpulley/tests/operators/scenarios.rs
+++ b/crates/quillpulley/tests/operators/scenarios.rs
@@ -6,8 +6,8 @@
 use super::world::World;
 use quillpulley::control::response::Response;
 
-/// The times at which a fault is injected, in milliseconds after a command was sent. The range extends to the
-/// response.
+/// The times at which a fault is injected, in milliseconds after a command was sent. The range covers the
+/// time until the response.
 const FAULT_DELAYS_MS: std::ops::Range<u64> = 0..80;
 /// The maximum time until a leader is elected.
 const ELECTION_TIMEOUT_MS: u64 = 4000;
@@ -105,11 +105,12 @@
     }
 }
 
-// The old leader truncates 7a if it was not committed. Exactly one of the two commands is acknowledged:
-//    operator 1 | sends 7a on base 5 |             |                |                    |             | again
-//    operator 2 |                    |             |                | sends 7b on base 5 |             |
-//    leader     |                    | partitioned |                |                    | reconnected |
-//    others     |                    |             | elect a leader | answer 7b          |             |
+// Both commands have base version 5. The old leader truncates 7a if it was not committed. Exactly one of the two
+// commands is acknowledged:
+//    operator 1 | sends 7a |             |                |           |             | sends 7a again
+//    operator 2 |          |             |                | sends 7b  |             |
+//    leader     |          | partitioned |                |           | reconnected |
+//    others     |          |             | elect a leader | answer 7b |             |
 #[test]
 fn a_command_is_not_acknowledged_for_a_truncated_entry() {
     let mut truncated_entries = 0;
--- a/crates/quillpulley/tests/operators/world.rs
+++ b/crates/quillpulley/tests/operators/world.rs
@@ -48,6 +48,8 @@
     pub broken_since: BTreeMap<usize, u64>,
 }
 
+/// A scheduled event. Events for a process that has ended are ignored, and so are messages to a replaced
+/// node.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ScheduledEvent {
     Deliver { to: usize, id: NodeId, from: NodeId, body: Body },
@@ -78,6 +80,7 @@
     pub(super) target_machines: Vec<usize>,
     /// The scheduled events by time, then by the order in which they were scheduled.
     queue: BinaryHeap<Reverse<(u64, u64, ScheduledEvent)>>,
+    /// The number of events scheduled so far, which orders events of the same time.
     sequence: u64,
 }
 
