--- a/crates/quillpulley/tests/operators/faults.rs
+++ b/crates/quillpulley/tests/operators/faults.rs
@@ -122,7 +122,7 @@
 
     /// Returns whether every machine runs a process that is both a member and a witness of an activated view.
     /// Only then may a machine lose its disk.
-    pub fn is_fully_replicated(&self) -> bool {
+    pub fn has_full_membership(&self) -> bool {
         let Some(node) = self.leader().and_then(|leader| self.machines[leader].node.as_ref()) else {
             return false;
         };
--- a/crates/quillpulley/tests/operators/node.rs
+++ b/crates/quillpulley/tests/operators/node.rs
@@ -88,7 +88,7 @@
         match input {
             Input::Event(event) => {
                 let is_tick = event == Event::Tick;
-                self.replicate(now, event);
+                self.handle_replica_event(now, event);
                 if is_tick {
                     self.update_leadership(now);
                     self.commands.expire(now);
@@ -153,7 +153,10 @@
     fn advance(&mut self, now: Duration) {
         self.update_leadership(now);
         while let Some(proposal) = self.next_proposal(now) {
-            self.replicate(now, Event::Propose { proposal: proposal.number, payload: proposal.payload });
+            self.handle_replica_event(
+                now,
+                Event::Propose { proposal: proposal.number, payload: proposal.payload },
+            );
         }
         let responses = self.commands.take_responses();
         self.outputs.extend(responses.into_iter().map(|(id, response)| Output::Response(id, response)));
@@ -171,15 +174,15 @@
         }
     }
 
-    fn replicate(&mut self, now: Duration, event: Event) {
+    fn handle_replica_event(&mut self, now: Duration, event: Event) {
         let mut actions = Vec::new();
         self.replica.handle(now, event, &mut actions);
         for action in actions {
-            self.perform(now, action);
+            self.perform_action(now, action);
         }
     }
 
-    fn perform(&mut self, now: Duration, action: Action) {
+    fn perform_action(&mut self, now: Duration, action: Action) {
         match action {
             Action::Send { to, body } => self.outputs.push(Output::Send(to, self.omit_history_in_body(body))),
             Action::Store { ticket, write } => {
@@ -245,7 +248,7 @@
             Err(payload) => {
                 let proposal = id as u64 + 1;
                 self.overlapping_requests.insert(proposal, id);
-                self.replicate(now, Event::Propose { proposal, payload });
+                self.handle_replica_event(now, Event::Propose { proposal, payload });
             }
         }
     }
--- a/crates/quillpulley/tests/operators/random.rs
+++ b/crates/quillpulley/tests/operators/random.rs
@@ -13,10 +13,10 @@
 const OPERATION_COUNT: usize = 40;
 const OPERATOR_COUNT: usize = 4;
 /// The duration of a partition after which a primary has lost its lease but has not stepped down yet.
-const LEASE_LOST_MS: std::ops::Range<u64> = 650..1250;
+const LEASE_LOSS_PARTITION_MS: std::ops::Range<u64> = 650..1250;
 /// The maximum time after the last fault until all commands are answered, and then until all states are
 /// equal.
-const RECOVERY_MS: u64 = 8000;
+const RECOVERY_TIMEOUT_MS: u64 = 8000;
 
 /// The totals of all runs of a test.
 #[derive(Default)]
@@ -49,7 +49,7 @@
 /// Partitions the leader until its lease has expired, and reconnects it before it steps down.
 fn lose_lease_briefly(world: &mut World, leader: usize, random: &mut fastrand::Rng) {
     world.isolate(leader, true);
-    world.run_for(random.u64(LEASE_LOST_MS));
+    world.run_for(random.u64(LEASE_LOSS_PARTITION_MS));
     world.network.heal_all();
 }
 
@@ -74,7 +74,7 @@
         26 => (0..world.machines.len()).for_each(|machine| world.kill(machine)),
         27 => world.shut_down(leader),
         28..=29 => lose_lease_briefly(world, leader, random),
-        _ if world.is_fully_replicated() => {
+        _ if world.has_full_membership() => {
             world.wipe(random_machine);
             world.start(random_machine);
         }
@@ -97,7 +97,7 @@
     world.operators.iter_mut().for_each(|operator| operator.is_stopped = true);
     let all_idle = |world: &World| world.operators.iter().all(|operator| operator.is_idle());
     assert!(
-        world.run_until(RECOVERY_MS, all_idle),
+        world.run_until(RECOVERY_TIMEOUT_MS, all_idle),
         "an operator gets no response after all faults have ended"
     );
     let all_same = |world: &World| {
@@ -105,7 +105,7 @@
         states.into_iter().all(|node| *node.replica.state() == world.checker.state)
     };
     assert!(
-        world.run_until(RECOVERY_MS, all_same),
+        world.run_until(RECOVERY_TIMEOUT_MS, all_same),
         "a process does not reach the newest state after all faults have ended"
     );
 }
--- a/crates/quillpulley/tests/operators/scenarios.rs
+++ b/crates/quillpulley/tests/operators/scenarios.rs
@@ -19,7 +19,7 @@
 /// Starts three machines and activates configuration version 5. Returns the leader as well.
 fn start_with_version_5(seed: u64) -> (World, usize) {
     let mut world = World::new(seed, 3, NetworkOptions::default(), Fault::None);
-    assert!(world.run_until(ELECTION_TIMEOUT_MS, |world| world.is_fully_replicated()));
+    assert!(world.run_until(ELECTION_TIMEOUT_MS, |world| world.has_full_membership()));
     assert_eq!(send_until_definite(&mut world, &Request::valid(0, 5, "first")), Response::Acknowledged);
     let leader = world.leader().expect("there is a leader");
     (world, leader)
--- a/crates/quillpulley/tests/operators/world.rs
+++ b/crates/quillpulley/tests/operators/world.rs
@@ -229,8 +229,8 @@
     fn check_connections(&mut self, machine: usize) {
         for other in (0..self.machines.len()).filter(|other| *other != machine) {
             let target = &self.machines[other];
-            let is_open = target.node.is_some() && self.network.can_exchange(machine, other);
-            let reachable_process = is_open.then_some((target.id, target.process));
+            let is_reachable = target.node.is_some() && self.network.can_exchange(machine, other);
+            let reachable_process = is_reachable.then_some((target.id, target.process));
             let slot = &mut self.machines[machine];
             let current = slot.connections.get(&other).copied();
             if current == reachable_process {
