--- a/crates/quillpulley/tests/operators/scenarios.rs
+++ b/crates/quillpulley/tests/operators/scenarios.rs
@@ -105,8 +105,8 @@
     }
 }
 
-// Both commands have base version 5. The old leader truncates 7a if it was not committed. Exactly one of the two
-// commands is acknowledged:
+// Both commands have base version 5. The old leader truncates 7a if it was not committed. Exactly one of the
+// two commands is acknowledged:
 //    operator 1 | sends 7a |             |                |           |             | sends 7a again
 //    operator 2 |          |             |                | sends 7b  |             |
 //    leader     |          | partitioned |                |           | reconnected |
