--- a/crates/rate-limiter/src/bin/rate-limiter/counter.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/counter.rs
@@ -58,6 +58,7 @@
     }
 }
 
+/// The client of the counter service.
 pub struct Counter {
     address: Cell<Option<SocketAddr>>,
     timeout: Duration,
--- a/crates/rate-limiter/src/bin/rate-limiter/host/clock.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/host/clock.rs
@@ -11,7 +11,9 @@
 /// must mean the same at each.
 #[derive(Clone, Copy)]
 pub struct Clock {
+    /// The start of the clock.
     instant: Instant,
+    /// The Unix time at the start of the clock.
     unix: Duration,
 }
 
--- a/crates/rate-limiter/src/bin/rate-limiter/process.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/process.rs
@@ -21,10 +21,11 @@
 
 /// How long connections are still accepted after SIGTERM. New connections arrive for up to 0.4 s after it.
 const ACCEPT_TIME: Duration = Duration::from_millis(600);
-/// Maximum part of the longest deadline that counts for the time of SIGKILL, in seconds: SIGKILL follows SIGTERM after
-/// the longest deadline, limited to this value, plus 0.7 s.
+/// Limit in seconds of the longest deadline, from which the time of SIGKILL is computed: SIGKILL follows SIGTERM after
+/// the longest deadline, at most this value, plus 0.7 s.
 const MAX_KILL_DEADLINE_S: f64 = 3.0;
-/// Maximum part of the longest deadline for which a shutdown waits for open requests, in seconds.
+/// Maximum time for which a shutdown waits for open requests, in seconds, apart from [`DRAIN_MARGIN`]. The shutdown
+/// waits for the longest deadline if that is shorter.
 const MAX_DRAIN_S: f64 = 60.0;
 /// How long a shutdown waits for open requests beyond the longest deadline.
 const DRAIN_MARGIN: Duration = Duration::from_millis(50);
--- a/crates/rate-limiter/src/bin/rate-limiter/upstream/forwarded_request.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/upstream/forwarded_request.rs
@@ -22,7 +22,8 @@
 }
 
 impl ForwardedRequest {
-    /// Builds the request for a server. Its remaining time header gives the time until `give_up_at`, when the attempt ends.
+    /// Builds the request for a server. The header [`TIME_REMAINING`] gives the time until `give_up_at`, when the attempt
+    /// ends.
     pub fn for_server(&self, address: SocketAddr, give_up_at: Instant) -> Request<Full<Bytes>> {
         let remaining = give_up_at.saturating_duration_since(Instant::now()).as_micros();
         let mut request = Request::new(Full::new(self.body.clone()));
--- a/crates/rate-limiter/src/bin/rate-limiter/upstream/response.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/upstream/response.rs
@@ -8,7 +8,7 @@
 use hyper::{Response, StatusCode};
 use rate_limiter::{LoadReport, Outcome};
 
-/// Maximum valid value in a load report, for all units.
+/// Maximum valid number in a load report, the same for all its values.
 const MAX_LOAD: f64 = 1e6;
 
 /// Classifies a complete response to a request. `max_units` is the maximum number of units of a request.
--- a/crates/rate-limiter/src/interface/event.rs
+++ b/crates/rate-limiter/src/interface/event.rs
@@ -10,7 +10,7 @@
     Completed,
     /// An error response; the request may have executed.
     Error,
-    /// Rejected without execution.
+    /// The request was rejected and not executed.
     Rejected,
     /// No response in time; the request may have executed.
     Timeout,
@@ -18,7 +18,7 @@
     ConnectFailed,
     /// The connection was lost; the request may have executed.
     Reset,
-    /// Cancelled; the request may have executed.
+    /// The attempt was cancelled; the request may have executed.
     Cancelled,
     /// The request was not sent, for a reason that is not the server's fault.
     NotSent,
--- a/crates/rate-limiter/src/interface/settings.rs
+++ b/crates/rate-limiter/src/interface/settings.rs
@@ -3,12 +3,12 @@
 /// Whether a request of a class may be executed more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Safe to execute any number of times.
+    /// The request is safe to execute any number of times.
     #[default]
     Idempotent,
     /// The request carries an idempotency key, by which the servers of one [`Scope`] deduplicate it for some time.
     Keyed,
-    /// Must never execute twice.
+    /// The request must never execute twice.
     NonIdempotent,
 }
 
@@ -104,9 +104,11 @@
     pub initial_capacity: f64,
     /// The time from the start of a server until it has its full capacity.
     pub warmup_time: f64,
-    /// A cold server fails if its load exceeds this multiple of its current capacity ...
+    /// A cold server fails if its load exceeds this multiple of its current capacity for
+    /// [`Settings::overload_window`].
     pub overload_factor: f64,
-    /// ... for this time.
+    /// How long the load of a cold server must exceed [`Settings::overload_factor`] times its current capacity before
+    /// the server fails.
     pub overload_window: f64,
     /// Maximum number of attempts of a request.
     pub max_attempts: u32,
--- a/crates/rate-limiter/src/limiter/attempts.rs
+++ b/crates/rate-limiter/src/limiter/attempts.rs
@@ -11,11 +11,11 @@
 };
 use std::sync::Arc;
 
-/// An attempt is slow after this multiple of the mean latency, ...
+/// The time after which an attempt is slow, as a multiple of the mean latency.
 const SLOW_FACTOR: f64 = 6.0;
-/// ... but not before this fraction of the target latency, ...
+/// Minimum time after which an attempt is slow, as a fraction of the target latency.
 const MIN_SLOW_FRACTION: f64 = 0.5;
-/// ... and no later than after this fraction of it.
+/// Maximum time after which an attempt is slow, as a fraction of the target latency.
 const MAX_SLOW_FRACTION: f64 = 0.8;
 /// The fraction of the deduplication window during which a keyed request may be retried.
 const DEDUPLICATION_FRACTION: f64 = 0.9;
@@ -31,9 +31,9 @@
     pub(super) zone: Arc<str>,
     pub(super) cell: i64,
     sent_at: f64,
-    /// Whether it has no outcome yet.
+    /// Whether the attempt has no outcome yet.
     is_open: bool,
-    /// Whether it is included in `Server::in_flight`.
+    /// Whether the attempt is included in `Server::in_flight`.
     is_in_flight: bool,
     /// Whether the server may have executed the request. True until an outcome proves that it did not.
     may_have_executed: bool,
--- a/crates/rate-limiter/src/limiter/counter_sync.rs
+++ b/crates/rate-limiter/src/limiter/counter_sync.rs
@@ -17,12 +17,13 @@
 /// The length of a counter window in seconds. Each window has its own counter, so that the errors of lost and repeated
 /// additions end with the window.
 pub(super) const COUNTER_WINDOW: f64 = 20.0;
-/// The time to live of a counter, in windows, and its maximum in seconds.
+/// The time to live of a counter, in windows.
 const COUNTER_TTL_WINDOWS: f64 = 2.0;
+/// Maximum time to live of a counter, in seconds.
 const MAX_COUNTER_TTL: f64 = 60.0;
-/// The time constant of averaged rates, in mean report intervals, ...
+/// The time constant of averaged rates, in mean report intervals.
 const AVERAGING_REPORTS: f64 = 4.0;
-/// ... and its maximum, in counter windows.
+/// Maximum time constant of averaged rates, in counter windows.
 const MAX_AVERAGING_WINDOWS: f64 = 0.5;
 /// The weight of one report interval in the moving average of the intervals.
 const REPORT_INTERVAL_GAIN: f64 = 0.3;
--- a/crates/rate-limiter/src/limiter/discovery_backoff.rs
+++ b/crates/rate-limiter/src/limiter/discovery_backoff.rs
@@ -10,11 +10,11 @@
 /// Maximum delay before later retries in seconds if the server list is pushed. Calls are cheap in this case, because the
 /// agent on the local machine responds, and changes must apply without delay.
 const MAX_PUSHED_BACKOFF: f64 = 0.5;
-/// Maximum delay before later retries in seconds if the list is polled, where each call costs discovery work. It is the
-/// larger of this value, ...
+/// Maximum delay before later retries in seconds if the list is polled, where each call costs discovery work. The
+/// maximum is [`POLLED_BACKOFF_FACTOR`] times `Settings::discovery_deadline` if that is longer.
 const MAX_POLLED_BACKOFF: f64 = 2.5;
-/// ... and this multiple of `Settings::discovery_deadline`. After a failed call, the time in which a limiter must call
-/// discovery is four times that deadline.
+/// The multiple of `Settings::discovery_deadline` that is the maximum delay if it exceeds [`MAX_POLLED_BACKOFF`]. After a
+/// failed call, the time in which a limiter must call discovery is four times that deadline.
 const POLLED_BACKOFF_FACTOR: f64 = 2.0;
 /// The ratio of successive backoff delays.
 const BACKOFF_FACTOR: f64 = 4.0;
--- a/crates/rate-limiter/src/limiter/heavy_hitters.rs
+++ b/crates/rate-limiter/src/limiter/heavy_hitters.rs
@@ -31,9 +31,9 @@
 /// The number of further reads of an invalid entry before it is skipped. An entry is invalid if two limiters added to it
 /// at the same time, or if a call that should have undone an addition was lost.
 const MAX_INVALID_READS: u32 = 4;
-/// A tenant is listed if its demand exceeds its burst plus this multiple of its quota, ...
+/// A tenant is listed only if its demand exceeds its burst plus this multiple of its quota.
 const MIN_DEMAND_FACTOR: f64 = 1.2;
-/// ... and if the cost of its excess is more than this fraction of `HeavyHitters::max_quota_cost`.
+/// A tenant is listed only if the cost of its excess is more than this fraction of `HeavyHitters::max_quota_cost`.
 const MIN_EXCESS_COST: f64 = 0.2;
 /// A tenant is listed again if the admitted fraction that its demand requires has shrunk by this factor.
 const RELIST_FACTOR: f64 = 2.0;
@@ -48,10 +48,13 @@
 mod entry {
     use super::hash;
 
+    /// The number of different values to which tenants are hashed in entries.
     const TENANTS: u64 = 40_009;
+    /// The number of levels to which admitted fractions are quantized.
     const LEVELS: u64 = 16;
     /// The ratio of the admitted fractions of successive levels.
     const LEVEL_RATIO: f64 = 0.75;
+    /// The modulus of the check digit.
     const CHECK: u64 = 13;
 
     /// A decoded list entry.
--- a/crates/rate-limiter/src/limiter/mod.rs
+++ b/crates/rate-limiter/src/limiter/mod.rs
@@ -60,6 +60,7 @@
 }
 
 impl Timer {
+    /// The factor of the request id in a token. The remainder of a token identifies the kind of its timer.
     const KINDS: u64 = 4;
 
     fn token(self) -> u64 {
@@ -147,7 +148,8 @@
     /// Handles an event and appends the resulting actions to `actions`, in the order in which they are to be performed.
     pub fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
-        // Uses a flag instead of comparing times, because a real clock advances between `new` and the first event.
+        // A flag is used instead of a comparison of times, because a real clock advances between `new` and the first
+        // event.
         if !std::mem::replace(&mut self.timer_started, true) {
             actions.push(Action::SetTimer { at: now + TICK_INTERVAL, token: Timer::Tick.token() });
         }
--- a/crates/rate-limiter/src/limiter/outlier_detection.rs
+++ b/crates/rate-limiter/src/limiter/outlier_detection.rs
@@ -5,9 +5,9 @@
 
 /// Consecutive failures after which a server is ejected.
 pub(super) const MAX_FAILURES: u32 = 3;
-/// The duration of the first ejection, as a multiple of the time scale. Each consecutive ejection doubles it, ...
+/// The duration of the first ejection, as a multiple of the time scale. Each consecutive ejection doubles the duration.
 const EJECTION_TIME: f64 = 3.0;
-/// ... up to this number of doublings.
+/// Maximum number of doublings of the duration of an ejection.
 const MAX_DOUBLINGS: u32 = 3;
 /// Consecutive late attempts or failures after which a server is considered unresponsive.
 const UNRESPONSIVE_ATTEMPTS: u32 = 2;
@@ -22,7 +22,7 @@
 const MAX_LATENCY_RATIO: f64 = 30.0;
 /// The amount that each late attempt of a class adds to the server's slowness factor for that class.
 const LATE_PENALTY: f64 = 4.0;
-/// The time constant with which that penalty decays, as a multiple of the time scale, per late attempt.
+/// The time constant with which [`LATE_PENALTY`] decays, as a multiple of the time scale, per late attempt.
 const LATE_DECAY: f64 = 8.0;
 
 /// Whether a recorded latency is that of a response, or the time so far of a late attempt.
--- a/crates/rate-limiter/src/limiter/quota.rs
+++ b/crates/rate-limiter/src/limiter/quota.rs
@@ -23,7 +23,8 @@
 /// The fraction of the plan's burst that a bucket smaller than one request may borrow if the quota is completely idle.
 /// The borrowed amount is proportional to the idle fraction of the quota.
 const SMALL_BUCKET_BORROWED_BURST: f64 = 0.7;
-/// The same for any other bucket, as a fraction of its own burst.
+/// The fraction of its own burst that any other bucket may borrow if the quota is completely idle. The borrowed amount
+/// is proportional to the idle fraction of the quota.
 const BORROWED_BURST: f64 = 0.3;
 /// Minimum divisor, which avoids division by zero.
 const EPSILON: f64 = 1e-9;
@@ -171,7 +172,7 @@
         self.refilled_at = now;
         // Without borrowing, a bucket smaller than one request would reject most requests even if the quota is idle. The
         // shares of other buckets lag behind when load moves to this limiter, after a restart, and after lost counter
-        // calls. The amount is limited because many limiters can lend the same idle units within one report interval,
+        // calls. The amount is limited because many limiters can borrow the same idle units within one report interval,
         // which exceeds the quota.
         let idle = known.map_or(0.0, |totals| (1.0 - totals.used / plan.rate.max(EPSILON)).max(0.0));
         let max_borrowed_burst =
@@ -179,7 +180,8 @@
         Refilled { rate, borrowed_burst: max_borrowed_burst * idle }
     }
 
-    /// Returns whether the tenant can be evicted: it is idle, and refilled, its quota and hard rate limit would be full.
+    /// Returns whether the tenant can be evicted: it is idle, and the buckets of its quota and of its hard rate limit
+    /// would be full after a refill.
     fn can_be_evicted(&self, context: Context<'_>) -> bool {
         let plan = &context.settings.plans[self.plan];
         let idle_time = context.now - self.refilled_at;
--- a/crates/rate-limiter/src/limiter/servers.rs
+++ b/crates/rate-limiter/src/limiter/servers.rs
@@ -51,7 +51,7 @@
     pub(super) last_success: f64,
     /// Consecutive failures.
     pub(super) failures: u32,
-    /// Late attempts by class index. Shorter than the list of classes until the first latency is recorded.
+    /// Late attempts by class index. Empty until the first latency is recorded.
     pub(super) late_attempts: Vec<LateAttempts>,
     /// Consecutive ejections without a completed response in between.
     pub(super) ejections: u32,
--- a/crates/rate-limiter/src/limiter/slow_start.rs
+++ b/crates/rate-limiter/src/limiter/slow_start.rs
@@ -7,7 +7,7 @@
 use super::{hash, Context};
 use crate::interface::ServerId;
 
-/// The fraction of the load at which a cold server fails that is used as its limit.
+/// The load limit of a cold server, as a fraction of the load at which it fails.
 const SLOW_START_FRACTION: f64 = 0.6;
 /// Minimum limit of sends to a cold server in an overload window, from all limiters together.
 const MIN_SLOW_START_SENDS: f64 = 4.0;
--- a/crates/rate-limiter/src/settings_file.rs
+++ b/crates/rate-limiter/src/settings_file.rs
@@ -13,7 +13,7 @@
 }
 
 impl LoadReport {
-    /// Sets the value with this name in the settings or in a server's response. Unknown names are ignored.
+    /// Sets a value of the report by its name. Each value has two names; unknown names are ignored.
     pub fn set(&mut self, name: &str, value: f64) {
         match name {
             "rif" | "inflight" => self.in_flight = Some(value),
--- a/crates/rate-limiter/tests/clients.rs
+++ b/crates/rate-limiter/tests/clients.rs
@@ -199,7 +199,7 @@
     for name in ["X-Correlation-Id", "X-Contract", "X-Time-Left", "X-Metering", "Idempotency-Key"] {
         let without: Vec<&str> = valid.split("\r\n").filter(|line| !line.starts_with(name)).collect();
         cases.push((without.join("\r\n"), 400));
-        let twice = valid.split("\r\n").find(|line| line.starts_with(name)).expect("there");
+        let twice = valid.split("\r\n").find(|line| line.starts_with(name)).expect("a line with this header");
         cases.push((valid.replace(twice, &format!("{twice}\r\n{twice}")), 400));
     }
     for (text, status) in cases {
--- a/crates/rate-limiter/tests/overload.rs
+++ b/crates/rate-limiter/tests/overload.rs
@@ -80,7 +80,7 @@
     let servers: Vec<FakePeer> = (0..6).map(|_| slow()).collect();
     let limiter = start_limiter(&servers);
     let load = Load::start(&limiter);
-    // Enough responses for an in-flight limit to be lowered, if such responses lowered it.
+    // By then, an in-flight limit that adapts to latency would be lowered, if there were one.
     wait_until("many requests have been served", || {
         servers.iter().map(FakePeer::request_count).sum::<usize>() > 100
     });
--- a/crates/rate-limiter/tests/program.rs
+++ b/crates/rate-limiter/tests/program.rs
@@ -307,8 +307,8 @@
     // After the ejections end, each server responds successfully again.
     std::thread::sleep(Duration::from_millis(1500));
     served_at_once(4);
-    // The number of requests is small, because each response in time raises the in-flight limit a little,
-    // which would hide a permanent loss after a while.
+    // The number of requests is small, because an in-flight limit that rises a little with each response in
+    // time would hide a permanent loss after a while.
     let served_both = (0..5).any(|_| {
         std::thread::sleep(Duration::from_millis(300));
         served_at_once(2)
--- a/crates/rate-limiter/tests/requests.rs
+++ b/crates/rate-limiter/tests/requests.rs
@@ -138,7 +138,7 @@
 fn a_streamed_response_has_no_deadline() {
     let mut host = Host::new(settings());
     let (id, actions) = host.submit("c", "plain", "read", 1.0);
-    let (at, token) = find_timer(&actions, id, 1).expect("timer");
+    let (at, token) = find_timer(&actions, id, 1).expect("a timer before the deadline");
     host.handle(Event::StreamStarted { id });
     host.now = at;
     assert!(host.handle(Event::Timer { token }).is_empty());
@@ -149,7 +149,7 @@
     // Guards against cascading ejections, and against taking a seldom used server for unresponsive: a single
     // late response shows only that a server is slow.
     let is_cancelled = |host: &mut Host, id: u64, actions: &[Action]| {
-        let (at, token) = find_timer(actions, id, 2).expect("timeout");
+        let (at, token) = find_timer(actions, id, 2).expect("a timer for the slow attempt");
         host.now = host.now.max(at);
         host.handle(Event::Timer { token }).iter().any(|a| matches!(a, Action::Cancel { .. }))
     };
@@ -177,7 +177,7 @@
         let mut cancels = 0;
         for n in 0..2 {
             let (id, actions) = host.submit(&format!("c{n}"), "plain", "read", 1.0);
-            let (at, token) = find_timer(&actions, id, 2).expect("timeout");
+            let (at, token) = find_timer(&actions, id, 2).expect("a timer for the slow attempt");
             for step in 1..=10 {
                 if !stalled {
                     host.now = host.now.max(at - 0.5 + f64::from(step) * 0.05);
--- a/crates/rate-limiter/tests/servers.rs
+++ b/crates/rate-limiter/tests/servers.rs
@@ -35,7 +35,7 @@
         }
         open_requests.push_back(id);
         if open_requests.len() > 12 {
-            let id = open_requests.pop_front().expect("one");
+            let id = open_requests.pop_front().expect("an open request");
             host.end_attempt(id, 0, Outcome::Completed, None);
         }
     }
