--- a/crates/rate-limiter/src/bin/rate-limiter/clients/request_head.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/clients/request_head.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 const METERING: HeaderName = HeaderName::from_static("x-metering");
-const CONTRACT: HeaderName = HeaderName::from_static("x-contract");
+const PLAN: HeaderName = HeaderName::from_static("x-contract");
 /// Marks a retry by the client.
 pub const RETRY_MARK: HeaderName = HeaderName::from_static("x-repeat");
 
@@ -26,7 +26,7 @@
 /// Tenant numbers are below this limit, and are written with `TENANT_DIGITS` hexadecimal digits.
 const MAX_TENANT: u64 = 1 << 33;
 const TENANT_DIGITS: usize = 16;
-const HEXADECIMAL: u32 = 16;
+const HEXADECIMAL_RADIX: u32 = 16;
 /// Maximum length of a number, in bytes.
 const MAX_NUMBER_LENGTH: usize = 20;
 const SECONDS_PER_MILLISECOND: f64 = 1e-3;
@@ -80,7 +80,7 @@
         let tenant = parse_tenant(tenant).ok_or(RequestError::InvalidTenant)?;
         let correlation_id = single_id(headers, CORRELATION_ID);
         let correlation_id = correlation_id.ok_or(RequestError::InvalidCorrelationId)?;
-        let plan = single_text(headers, CONTRACT);
+        let plan = single_text(headers, PLAN);
         let plan = plan.filter(|name| settings.plans.iter().any(|plan| plan.name == *name));
         let plan = plan.ok_or(RequestError::UnknownPlan)?;
         let time_remaining = single_text(headers, TIME_REMAINING);
@@ -138,7 +138,7 @@
 /// Parses a tenant number, and returns it in its canonical form of lowercase hexadecimal digits.
 fn parse_tenant(text: &str) -> Option<String> {
     let is_hexadecimal = text.len() == TENANT_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-    let number = u64::from_str_radix(text, HEXADECIMAL).ok().filter(|_| is_hexadecimal)?;
+    let number = u64::from_str_radix(text, HEXADECIMAL_RADIX).ok().filter(|_| is_hexadecimal)?;
     (number < MAX_TENANT).then(|| format!("{number:016x}"))
 }
 
--- a/crates/rate-limiter/src/bin/rate-limiter/process.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/process.rs
@@ -36,7 +36,7 @@
 /// The fraction of the memory that the bodies of open requests may use. Responses may use the same amount again, and
 /// each connection has a buffer of a few kilobytes.
 const BODY_MEMORY_FRACTION: f64 = 0.125;
-const MEGABYTE: f64 = 1024.0 * 1024.0;
+const BYTES_PER_MEGABYTE: f64 = 1024.0 * 1024.0;
 /// The exit code after a panic.
 const PANIC_EXIT_CODE: i32 = 101;
 
@@ -125,7 +125,7 @@
     let counter = Counter::new(counter, &settings);
     let discovery = Discovery::new(discovery, &settings);
     let host = Host::new(settings.clone(), seed, servers, counter, discovery);
-    let body_budget = (memory_mb * BODY_MEMORY_FRACTION * MEGABYTE) as usize;
+    let body_budget = (memory_mb * BODY_MEMORY_FRACTION * BYTES_PER_MEGABYTE) as usize;
     let clients = Clients::new(host.clone(), settings, sockets - sockets / 2, body_budget);
 
     spawn_local(host.clone().run_timers());
--- a/crates/rate-limiter/src/bin/rate-limiter/upstream/attempt.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/upstream/attempt.rs
@@ -175,7 +175,7 @@
     ) -> Result<ClientConnection, Outcome> {
         let until = Instant::now() + self.connect_timeout;
         let earlier = send_by.filter(|send_by| *send_by < until);
-        let connecting = ClientConnection::connect(address, &self.open, CONNECTION_LIMITS);
+        let connecting = ClientConnection::connect(address, &self.open_sockets, CONNECTION_LIMITS);
         match timeout_at(earlier.unwrap_or(until), connecting).await {
             Ok(connection) => connection.map_err(|_| Outcome::ConnectFailed),
             Err(_) if earlier.is_some() => Err(Outcome::NotSent),
--- a/crates/rate-limiter/src/bin/rate-limiter/upstream/mod.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/upstream/mod.rs
@@ -29,9 +29,9 @@
 /// closes the connection, it would end with a reset, and it would be unknown whether it was executed.
 const IDLE_FRACTION: f64 = 0.5;
 /// The idle timeout of servers in seconds if the settings contain none.
-const DEFAULT_IDLE_S: f64 = 10.0;
+const DEFAULT_IDLE_TIMEOUT_S: f64 = 10.0;
 /// The connect timeout in seconds if the settings contain none.
-const DEFAULT_CONNECT_S: f64 = 0.25;
+const DEFAULT_CONNECT_TIMEOUT_S: f64 = 0.25;
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 const PROBE_PATH: &str = "/metrics/load";
 /// The interval between checks of idle connections.
@@ -55,28 +55,28 @@
     connect_timeout: Duration,
     idle_timeout: Duration,
     /// The number of open sockets.
-    open: Rc<Cell<usize>>,
+    open_sockets: Rc<Cell<usize>>,
     /// Maximum number of open sockets.
-    max_open: usize,
+    max_open_sockets: usize,
     /// Maximum units of a request.
     max_units: f64,
 }
 
 impl Servers {
-    /// Creates an empty table for up to `max_open` connections.
-    pub fn new(settings: &Settings, max_open: usize) -> Self {
+    /// Creates an empty table for up to `max_open_sockets` connections.
+    pub fn new(settings: &Settings, max_open_sockets: usize) -> Self {
         let positive_or =
             |value: f64, default| if value > 0.0 && value.is_finite() { value } else { default };
-        let server_idle_timeout = positive_or(settings.server_idle_timeout, DEFAULT_IDLE_S);
+        let server_idle_timeout = positive_or(settings.server_idle_timeout, DEFAULT_IDLE_TIMEOUT_S);
         Servers {
             servers: RefCell::default(),
             connect_timeout: Duration::from_secs_f64(positive_or(
                 settings.connect_timeout,
-                DEFAULT_CONNECT_S,
+                DEFAULT_CONNECT_TIMEOUT_S,
             )),
             idle_timeout: Duration::from_secs_f64(IDLE_FRACTION * server_idle_timeout),
-            open: Rc::default(),
-            max_open,
+            open_sockets: Rc::default(),
+            max_open_sockets,
             max_units: positive_or(settings.max_units, f64::MAX),
         }
     }
@@ -180,7 +180,7 @@
     /// Returns whether another connection may be opened. At the maximum, this closes the connection that has been idle
     /// longest, and returns false if no connection is idle.
     fn ensure_descriptor(&self) -> bool {
-        if self.open.get() < self.max_open {
+        if self.open_sockets.get() < self.max_open_sockets {
             return true;
         }
         let mut servers = self.servers.borrow_mut();
--- a/crates/rate-limiter/src/limiter/attempts.rs
+++ b/crates/rate-limiter/src/limiter/attempts.rs
@@ -259,7 +259,7 @@
         if must_correct {
             tenant.tokens -= actual - estimate;
             let correction = if now < tenant.next_report { actual - estimate } else { 0.0 };
-            tenant.unreported_used = (tenant.unreported_used + correction).max(0.0);
+            tenant.unreported_admitted = (tenant.unreported_admitted + correction).max(0.0);
         }
     }
 
--- a/crates/rate-limiter/src/limiter/counter_sync.rs
+++ b/crates/rate-limiter/src/limiter/counter_sync.rs
@@ -52,7 +52,7 @@
     pub(super) tenant: Arc<str>,
     window: i64,
     /// The admitted steps that this report adds.
-    used: f64,
+    admitted: f64,
     /// The rejected steps that this report adds.
     rejected: f64,
 }
@@ -122,7 +122,7 @@
             return None;
         }
         let accumulated =
-            if admitted { &mut tenant.unreported_used } else { &mut tenant.unreported_rejected };
+            if admitted { &mut tenant.unreported_admitted } else { &mut tenant.unreported_rejected };
         *accumulated += if must_wait { units } else { units / call_probability };
         if must_wait {
             return None;
@@ -148,17 +148,17 @@
             let rounding = if units % step == 0.0 { 0.0 } else { draw };
             (units / step + rounding).floor().clamp(0.0, max_added_steps(counted, max, tenant.limiters))
         };
-        let used = steps(tenant.unreported_used, counted.used, PACKING_BASE - 1.0);
+        let admitted = steps(tenant.unreported_admitted, counted.admitted, PACKING_BASE - 1.0);
         let rejected = steps(tenant.unreported_rejected, counted.rejected, MAX_REJECTED_STEPS);
-        tenant.unreported_used = 0.0;
+        tenant.unreported_admitted = 0.0;
         tenant.unreported_rejected = 0.0;
         tenant.is_reporting = true;
         tenant.next_report = now + REPORT_INTERVAL * (1.0 - REPORT_JITTER / 2.0 + REPORT_JITTER * draw);
         let name = counter_name(key, window);
-        self.reports.insert(name.clone(), Report { tenant: key.clone(), window, used, rejected });
+        self.reports.insert(name.clone(), Report { tenant: key.clone(), window, admitted, rejected });
         Action::AddToCounter {
             name,
-            amount: used + rejected * PACKING_BASE,
+            amount: admitted + rejected * PACKING_BASE,
             ttl: (COUNTER_WINDOW * COUNTER_TTL_WINDOWS).min(MAX_COUNTER_TTL),
         }
     }
@@ -200,7 +200,7 @@
 
 /// The steps that all limiters together have added to a counter since the last response to this limiter.
 struct CountedSteps {
-    used: f64,
+    admitted: f64,
     rejected: f64,
 }
 
@@ -226,7 +226,7 @@
         let since = last.map_or(f64::MIN, |totals| totals.updated_at).max(window_start);
         let span = (now - since).max(REPORT_INTERVAL / 4.0);
         self.totals = Some(self.averaged_totals(plan, now, last, report, &added, span));
-        Some(MeasuredDemand { units: (added.used + added.rejected) * step_units(plan), seconds: span })
+        Some(MeasuredDemand { units: (added.admitted + added.rejected) * step_units(plan), seconds: span })
     }
 
     /// Restores the units of a failed report, so that they are reported again. After a timeout they are not restored,
@@ -236,7 +236,7 @@
             return;
         }
         let step = step_units(plan);
-        self.unreported_used += report.used * step;
+        self.unreported_admitted += report.admitted * step;
         self.unreported_rejected += report.rejected * step;
     }
 
@@ -245,10 +245,10 @@
     fn record_total(&mut self, report: &Report, total: f64) -> Option<CountedSteps> {
         let before = self.counted.in_window(report.window);
         self.counted = unpack(report.window, total);
-        let used = self.counted.used - before.used;
+        let admitted = self.counted.admitted - before.admitted;
         let rejected = self.counted.rejected - before.rejected;
-        let is_lost = total < 0.0 || used < report.used || rejected < report.rejected;
-        (!is_lost).then_some(CountedSteps { used, rejected })
+        let is_lost = total < 0.0 || admitted < report.admitted || rejected < report.rejected;
+        (!is_lost).then_some(CountedSteps { admitted, rejected })
     }
 
     /// Returns the totals, updated with the steps that were added in the last `span` seconds.
@@ -276,9 +276,9 @@
         let mean = |mean: f64, steps: f64, span: f64| mean_rate(mean, steps * step, span, time_constant);
         let totals = last.unwrap_or_default();
         Totals {
-            own_demand: mean(totals.own_demand, report.used + report.rejected, own_span),
-            demand: mean(totals.demand, added.used + added.rejected, span),
-            used: mean(totals.used, added.used, span),
+            own_demand: mean(totals.own_demand, report.admitted + report.rejected, own_span),
+            demand: mean(totals.demand, added.admitted + added.rejected, span),
+            admitted: mean(totals.admitted, added.admitted, span),
             updated_at: now,
             averaging_time,
         }
@@ -289,7 +289,7 @@
 fn unpack(window: i64, total: f64) -> CounterState {
     CounterState {
         window,
-        used: (total % PACKING_BASE).max(0.0),
+        admitted: (total % PACKING_BASE).max(0.0),
         rejected: (total / PACKING_BASE).floor().max(0.0),
     }
 }
--- a/crates/rate-limiter/src/limiter/heavy_hitters.rs
+++ b/crates/rate-limiter/src/limiter/heavy_hitters.rs
@@ -55,7 +55,7 @@
     /// The ratio of the admitted fractions of successive levels.
     const LEVEL_RATIO: f64 = 0.75;
     /// The modulus of the check digit.
-    const CHECK: u64 = 13;
+    const CHECK_MODULUS: u64 = 13;
 
     /// A decoded list entry.
     #[derive(Clone, Copy, Debug, PartialEq)]
@@ -72,7 +72,7 @@
     }
 
     fn check_digit(body: u64) -> u64 {
-        (body / CHECK + body) % CHECK
+        (body / CHECK_MODULUS + body) % CHECK_MODULUS
     }
 
     /// Encodes the entry of a tenant. The admitted fraction is rounded to a power of [`LEVEL_RATIO`].
@@ -80,13 +80,13 @@
         let level =
             (admitted_fraction.ln() / LEVEL_RATIO.ln()).round().clamp(0.0, LEVELS as f64 - 1.0) as u64;
         let body = tenant_of(key) * LEVELS + level;
-        body * CHECK + check_digit(body) + 1
+        body * CHECK_MODULUS + check_digit(body) + 1
     }
 
     /// Decodes an entry. Returns `None` if the number is not a valid entry.
     pub fn decode(number: f64) -> Option<Entry> {
         let number = (number >= 1.0 && number.fract() == 0.0).then(|| number as u64 - 1)?;
-        let (body, check) = (number / CHECK, number % CHECK);
+        let (body, check) = (number / CHECK_MODULUS, number % CHECK_MODULUS);
         let is_valid = check == check_digit(body) && body / LEVELS < TENANTS;
         let admitted_fraction = || LEVEL_RATIO.powi((body % LEVELS) as i32);
         is_valid.then(|| Entry { tenant: body / LEVELS, admitted_fraction: admitted_fraction() })
--- a/crates/rate-limiter/src/limiter/quota.rs
+++ b/crates/rate-limiter/src/limiter/quota.rs
@@ -37,7 +37,7 @@
     /// The demand at all limiters, admitted and rejected.
     pub(super) demand: f64,
     /// The admitted part of `demand`.
-    pub(super) used: f64,
+    pub(super) admitted: f64,
     pub(super) updated_at: f64,
     /// The time constant of the averaged rates, in seconds.
     pub(super) averaging_time: f64,
@@ -60,7 +60,7 @@
     /// Attempts in flight from this limiter.
     pub(super) in_flight: u32,
     /// Units admitted and rejected that are not yet reported to the counter.
-    pub(super) unreported_used: f64,
+    pub(super) unreported_admitted: f64,
     pub(super) unreported_rejected: f64,
     /// Whether a report to the counter is awaiting its response.
     pub(super) is_reporting: bool,
@@ -80,13 +80,13 @@
 #[derive(Clone, Copy)]
 pub(super) struct CounterState {
     pub(super) window: i64,
-    pub(super) used: f64,
+    pub(super) admitted: f64,
     pub(super) rejected: f64,
 }
 
 impl Default for CounterState {
     fn default() -> Self {
-        CounterState { window: i64::MIN, used: 0.0, rejected: 0.0 }
+        CounterState { window: i64::MIN, admitted: 0.0, rejected: 0.0 }
     }
 }
 
@@ -95,7 +95,7 @@
     pub(super) fn in_window(self, window: i64) -> CounterState {
         match self.window == window {
             true => self,
-            false => CounterState { window, used: 0.0, rejected: 0.0 },
+            false => CounterState { window, admitted: 0.0, rejected: 0.0 },
         }
     }
 }
@@ -124,7 +124,7 @@
     let weight = (totals.own_demand * totals.averaging_time + prior / limiters.max(1.0))
         / (totals.demand * totals.averaging_time + prior);
     let weighted = quota * weight.clamp(0.0, 1.0);
-    weighted.max(even_share.min(weighted + (quota - totals.used).max(0.0)))
+    weighted.max(even_share.min(weighted + (quota - totals.admitted).max(0.0)))
 }
 
 /// Returns whether the plan's burst, divided among the tenant's limiters, is less than one unit at each limiter. Since a
@@ -174,7 +174,7 @@
         // shares of other buckets lag behind when load moves to this limiter, after a restart, and after lost counter
         // calls. The amount is limited because many limiters can borrow the same idle units within one report interval,
         // which exceeds the quota.
-        let idle = known.map_or(0.0, |totals| (1.0 - totals.used / plan.rate.max(EPSILON)).max(0.0));
+        let idle = known.map_or(0.0, |totals| (1.0 - totals.admitted / plan.rate.max(EPSILON)).max(0.0));
         let max_borrowed_burst =
             if burst < units { SMALL_BUCKET_BORROWED_BURST * plan.burst } else { BORROWED_BURST * burst };
         Refilled { rate, borrowed_burst: max_borrowed_burst * idle }
