--- a/crates/rate-limiter/src/bin/rate-limiter/config.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/config.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-const DEFAULT_SOCKETS: usize = 1_024;
+const DEFAULT_MAX_SOCKETS: usize = 1_024;
 const DEFAULT_MEMORY_MB: f64 = 32.0;
 /// The radix of a seed, and the multiplier of the hash that is used if the text is not a number in this radix.
 const SEED_RADIX: u32 = 16;
@@ -104,7 +104,7 @@
             settings,
             known_servers: file.known.and_then(|known| read_known_servers(&path, known)),
             seed: parse_seed(&file.seed),
-            max_sockets: file.limits.sockets.unwrap_or(DEFAULT_SOCKETS),
+            max_sockets: file.limits.sockets.unwrap_or(DEFAULT_MAX_SOCKETS),
             memory_mb: file.limits.memory_mb.filter(|mb| *mb > 0.0).unwrap_or(DEFAULT_MEMORY_MB),
             path,
         })
--- a/crates/rate-limiter/src/limiter/servers.rs
+++ b/crates/rate-limiter/src/limiter/servers.rs
@@ -24,7 +24,7 @@
 /// Minimum capacity used as a divisor of loads.
 const MIN_CAPACITY: f64 = 1e-6;
 
-/// The consecutive late attempts of a class at a server.
+/// The consecutive late attempts of a class at a server. An attempt is late if it is slow and has no response yet.
 #[derive(Clone, Copy)]
 pub(super) struct LateAttempts {
     /// The number of late attempts since the server last responded to a request of the class.
--- a/crates/rate-limiter/tests/clients.rs
+++ b/crates/rate-limiter/tests/clients.rs
@@ -51,12 +51,12 @@
     // attempts.
     for cancel in [true, false] {
         for extra_bytes in ["", "GET /more"] {
-            disconnects_while_connecting(cancel, extra_bytes);
+            check_disconnect_while_connecting(cancel, extra_bytes);
         }
     }
 }
 
-fn disconnects_while_connecting(cancel: bool, extra_bytes: &str) {
+fn check_disconnect_while_connecting(cancel: bool, extra_bytes: &str) {
     let (listener, stalled_address, queue_fillers) = stalled_listener();
     let discovery = discovery(vec![instance("s-0", stalled_address, "in_service")]);
     let mut settings = settings();
@@ -387,7 +387,7 @@
 }
 
 #[test]
-fn an_idle_client_frees_its_slot() {
+fn an_idle_client_is_disconnected() {
     let server = FakePeer::new(|_| ok("served"));
     let limiter = LimiterProcess::start_with_servers(&[&server]);
     let mut client = limiter.client();
--- a/crates/rate-limiter/tests/quota.rs
+++ b/crates/rate-limiter/tests/quota.rs
@@ -5,24 +5,24 @@
 use rate_limiter::*;
 
 /// Submits a tenant's requests for 17 s, and responds to the counter calls with totals of all limiters: for
-/// each unit of demand at this limiter, `demand_ratio` units of demand, of which `used_ratio` units were
+/// each unit of demand at this limiter, `demand_ratio` units of demand, of which `admitted_ratio` units were
 /// admitted. Returns the last total.
-fn run_with_totals(host: &mut Host, tenant: &str, demand_ratio: f64, used_ratio: f64) -> f64 {
-    let (mut counter_name, mut total_rejected, mut total_used) = (String::new(), 0.0f64, 0.0f64);
+fn run_with_totals(host: &mut Host, tenant: &str, demand_ratio: f64, admitted_ratio: f64) -> f64 {
+    let (mut counter_name, mut total_rejected, mut total_admitted) = (String::new(), 0.0f64, 0.0f64);
     for _ in 0..170 {
         host.now += 0.1;
         host.serve(tenant, "plain", 1.0);
         for (name, amount) in std::mem::take(&mut host.pending_calls) {
             if name != counter_name {
-                (counter_name, total_rejected, total_used) = (name.clone(), 0.0, 0.0);
+                (counter_name, total_rejected, total_admitted) = (name.clone(), 0.0, 0.0);
             }
-            let (own_used, own_rejected) = (amount % PACKING_BASE, (amount / PACKING_BASE).floor());
-            let own_demand = own_used + own_rejected;
-            let others_used =
-                (own_demand * used_ratio - own_used).clamp(0.0, own_demand * (demand_ratio - 1.0));
-            total_used += own_used + others_used;
-            total_rejected += own_rejected + own_demand * (demand_ratio - 1.0) - others_used;
-            let total = total_rejected.round() * PACKING_BASE + total_used.round();
+            let (own_admitted, own_rejected) = (amount % PACKING_BASE, (amount / PACKING_BASE).floor());
+            let own_demand = own_admitted + own_rejected;
+            let others_admitted =
+                (own_demand * admitted_ratio - own_admitted).clamp(0.0, own_demand * (demand_ratio - 1.0));
+            total_admitted += own_admitted + others_admitted;
+            total_rejected += own_rejected + own_demand * (demand_ratio - 1.0) - others_admitted;
+            let total = total_rejected.round() * PACKING_BASE + total_admitted.round();
             host.handle(Event::CounterResponse(CounterResponse {
                 name,
                 outcome: Outcome::Completed,
@@ -31,7 +31,7 @@
             }));
         }
     }
-    total_rejected.round() * PACKING_BASE + total_used.round()
+    total_rejected.round() * PACKING_BASE + total_admitted.round()
 }
 
 /// Returns this limiter's share of a tenant's quota in units per second, measured by draining the bucket and
@@ -191,7 +191,7 @@
     let tenant_limiters = 300;
     let mut host = Host::new(Settings { limiter_count: tenant_limiters, ..settings() }).with_quick_counter();
     host.tenant_limiters = tenant_limiters;
-    let (mut used, mut rejected, mut counter_name) = (0.0, 0.0, String::new());
+    let (mut admitted, mut rejected, mut counter_name) = (0.0, 0.0, String::new());
     for _ in 0..3000 {
         host.now += 0.05;
         for _ in 0..20 {
@@ -199,15 +199,15 @@
         }
         for (name, amount) in std::mem::take(&mut host.pending_calls) {
             if name != counter_name {
-                (used, rejected, counter_name) = (0.0, 0.0, name.clone());
+                (admitted, rejected, counter_name) = (0.0, 0.0, name.clone());
             }
-            used += amount % PACKING_BASE * f64::from(tenant_limiters);
+            admitted += amount % PACKING_BASE * f64::from(tenant_limiters);
             rejected += (amount / PACKING_BASE).floor() * f64::from(tenant_limiters);
             assert!(
-                used < PACKING_BASE && rejected + 1.0 < 10_000_000.0 / PACKING_BASE,
-                "{used} used, {rejected} rejected"
+                admitted < PACKING_BASE && rejected + 1.0 < 10_000_000.0 / PACKING_BASE,
+                "{admitted} admitted, {rejected} rejected"
             );
-            let total = used + rejected * PACKING_BASE;
+            let total = admitted + rejected * PACKING_BASE;
             host.handle(Event::CounterResponse(CounterResponse {
                 name,
                 outcome: Outcome::Completed,
--- a/crates/rate-limiter/tests/servers.rs
+++ b/crates/rate-limiter/tests/servers.rs
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_class_without_responses_moves_to_another_server_alone() {
+fn only_the_class_without_responses_moves_to_another_server() {
     // Guards against a server that does not respond to one class. It is not ejected, since it responds to the
     // others.
     let mut host = Host::new(settings());
--- a/crates/rate-limiter/tests/simulator_protocol.rs
+++ b/crates/rate-limiter/tests/simulator_protocol.rs
@@ -21,7 +21,7 @@
 "family-info":{"has-counter":true,"count-limit-s":0.05},"limits":{"max-attempts":3,"cancel":true,"retry-after":true,
 "max-retry-after-s":2.0},"invariants":{"ramp-time-s":10.0,"start-capacity":0.2,"fall-multiple":3.0,"overload-for-s":2.0}}"#;
 
-fn start() -> String {
+fn first_batch() -> String {
     let config = CONFIG.replace('\n', "");
     format!("TURN 10 1\nPROVISION 0 7 {config}\nREGISTRY 0 stale_copy 1 1\nITEM s:1 a std 0 in_service 1 -\nOVER_TO_YOU\n")
 }
@@ -32,7 +32,7 @@
 
 #[test]
 fn a_request_is_sent_counted_and_finished() {
-    let output = run(&(start()
+    let output = run(&(first_batch()
         + "TURN 10.5 2\nSUBMIT 0 5 0 0 14.5 2 1 0 plain read key:a extra\nOVER_TO_YOU\n"
         + "TURN 10.6 3\nALARM 0 0\nENDED 0 5 0 0 1 s:1 0.1 100 - rif:3,busy:0.5\nOVER_TO_YOU\n"));
     let text = stdout(&output);
@@ -47,7 +47,7 @@
 
 #[test]
 fn all_other_events_are_accepted() {
-    let output = run(&(start()
+    let output = run(&(first_batch()
         + "TURN 11 2\nFIRST 0 5 0 s:1 0.1\nCLIENT_GONE 0 5\nTOTAL 0 3 100 0.002 x\nTOTAL 0 - 303 0.05 x\n"
         + "HEALTH_RESULT 0 s:1 0.001 100 busy:0.5\nINBOX 0 1 68\nALARM 0 someones\nNEW_KIND 0 1 2 3\n"
         + "REGISTRY 0 broken 2 0\nREGISTRY 0 patch 3 2\nITEM s:1 a std 0 terminating 1 -\nITEM s:2 b std 1 terminated 1 4\n"
@@ -59,13 +59,13 @@
 #[test]
 fn rejections_and_failures_are_written() {
     let draining = "REGISTRY 0 patch 2 1\nITEM s:1 a std 0 terminating 1 -\n";
-    let output = run(&(start()
+    let output = run(&(first_batch()
         + "TURN 11 2\n"
         + draining
         + "SUBMIT 0 5 0 0 14.5 2 1 0 plain read key:a\nOVER_TO_YOU\n"));
     assert!(stdout(&output).contains("SAY_NO 0 5 0.5\n"), "{}", stdout(&output));
     let late = "TURN 11 2\nSUBMIT 0 5 0 0 14.5 2 1 0 plain read key:a\nOVER_TO_YOU\nTURN 14.5 3\nALARM 0 21\nOVER_TO_YOU\n";
-    let output = run(&(start() + late));
+    let output = run(&(first_batch() + late));
     assert!(stdout(&output).contains("END_FAILED 0 5\nSTOP_ATTEMPT 0 5 0\n"), "{}", stdout(&output));
 }
 
@@ -92,7 +92,7 @@
 #[test]
 fn end_of_input_between_batches_is_success() {
     assert!(run("").status.success());
-    assert!(run(&start()).status.success());
+    assert!(run(&first_batch()).status.success());
 }
 
 #[test]
@@ -102,7 +102,7 @@
     let submit = |id: u32| format!("SUBMIT 0 {id} 0 0 14.5 2 1 0 plain read key:a\n");
     // In one batch, instance 0 gets a request and is destroyed, and another one starts under the same number.
     // Instance 1 keeps running.
-    let output = run(&(start()
+    let output = run(&(first_batch()
         + &format!("TURN 10.5 2\nPROVISION 1 7 {config}\n{}", list.replace("REGISTRY 0", "REGISTRY 1"))
         + &submit(5)
         + "SUBMIT 1 6 0 0 14.5 2 1 0 plain read key:a\nDESTROY 0\n"
