--- a/crates/rate-limiter/src/bin/rate-limiter/process.rs
+++ b/crates/rate-limiter/src/bin/rate-limiter/process.rs
@@ -21,7 +21,7 @@
 
 /// How long connections are still accepted after SIGTERM. New connections arrive for up to 0.4 s after it.
 const ACCEPT_TIME: Duration = Duration::from_millis(600);
-/// Limit in seconds of the longest deadline, from which the time of SIGKILL is computed: SIGKILL follows SIGTERM after
+/// Upper limit in seconds of the longest deadline when the time of SIGKILL is computed: SIGKILL follows SIGTERM after
 /// the longest deadline, at most this value, plus 0.7 s.
 const MAX_KILL_DEADLINE_S: f64 = 3.0;
 /// Maximum time for which a shutdown waits for open requests, in seconds, apart from [`DRAIN_MARGIN`]. The shutdown
--- a/crates/rate-limiter/src/limiter/discovery_backoff.rs
+++ b/crates/rate-limiter/src/limiter/discovery_backoff.rs
@@ -13,8 +13,8 @@
 /// Maximum delay before later retries in seconds if the list is polled, where each call costs discovery work. The
 /// maximum is [`POLLED_BACKOFF_FACTOR`] times `Settings::discovery_deadline` if that is longer.
 const MAX_POLLED_BACKOFF: f64 = 2.5;
-/// The multiple of `Settings::discovery_deadline` that is the maximum delay if it exceeds [`MAX_POLLED_BACKOFF`]. After a
-/// failed call, the time in which a limiter must call discovery is four times that deadline.
+/// The multiple of `Settings::discovery_deadline` that replaces [`MAX_POLLED_BACKOFF`] if it is longer. After a failed
+/// call, the time in which a limiter must call discovery is four times that deadline.
 const POLLED_BACKOFF_FACTOR: f64 = 2.0;
 /// The ratio of successive backoff delays.
 const BACKOFF_FACTOR: f64 = 4.0;
