--- a/crates/membership/src/target.rs
+++ b/crates/membership/src/target.rs
@@ -42,7 +42,7 @@
         self.health == Health::Unresponsive
     }
 
-    /// Records that a ping is sent, since the time for an acknowledgement of the earlier ones has passed.
+    /// Records that a ping is sent. The time to acknowledge the pings in `unacknowledged` has passed.
     /// `interval` is the time to the next ping if this one is acknowledged. If it is not, the next ping
     /// follows after `retry_interval`, or after `interval` if the target is already suspected.
     pub(crate) fn ping(
@@ -61,8 +61,8 @@
         self.next_ping_at = now + if self.is_unresponsive() { interval } else { options.retry_interval };
     }
 
-    /// Records an acknowledgement. One of a ping that is not in `unacknowledged` any more is ignored, since
-    /// it says nothing about the current state of the target.
+    /// Records an acknowledgement. An acknowledgement of a ping that is no longer in `unacknowledged` is
+    /// ignored, because it says nothing about the current state of the target.
     pub(crate) fn acknowledge(&mut self, sequence: u64) {
         if self.unacknowledged.contains(&sequence) {
             self.next_ping_at = self.next_ping_if_acknowledged;
--- a/crates/membership/tests/monitoring.rs
+++ b/crates/membership/tests/monitoring.rs
@@ -40,6 +40,7 @@
     partitioned: Vec<bool>,
     /// The offset at which the periods of a node's CPU quota begin, in milliseconds; `None` without a quota.
     quota_offsets_ms: Vec<Option<u64>>,
+    /// The fraction of the datagrams that are lost.
     loss: f64,
     random: fastrand::Rng,
     in_transit: BinaryHeap<Reverse<InTransit>>,
--- a/crates/protocol/src/framing.rs
+++ b/crates/protocol/src/framing.rs
@@ -18,8 +18,8 @@
 const LENGTH_BITS: u32 = 26;
 const LANE_SHIFT: u32 = LENGTH_BITS;
 const KIND_SHIFT: u32 = LANE_SHIFT + 2;
-/// Consumed bytes are removed from the buffer once there are more than this, or no others. The capacity of the buffer is
-/// then reduced to this, or to its length if that is greater.
+/// Consumed bytes are removed from the buffer once there are more than this, or once all bytes are consumed. The capacity
+/// of the buffer is then reduced to this, or to its length if that is greater.
 const COMPACTION_THRESHOLD_BYTES: usize = 64 * 1024;
 /// An encoder releases its memory after it has written a message longer than this.
 const RETAINED_BUILDER_BYTES: usize = 64 * 1024;
@@ -243,7 +243,8 @@
 }
 
 fn read_credit(bytes: &[u8]) -> Result<usize, ProtocolError> {
-    let bytes =
-        bytes.try_into().map_err(|_| ProtocolError::Malformed("credit frame without a count".to_string()))?;
+    let bytes = bytes
+        .try_into()
+        .map_err(|_| ProtocolError::Malformed("acknowledgement without a number of bytes".to_string()))?;
     Ok(u32::from_le_bytes(bytes) as usize)
 }
--- a/crates/protocol/src/queue.rs
+++ b/crates/protocol/src/queue.rs
@@ -101,8 +101,8 @@
         Ok(())
     }
 
-    /// Returns the next bytes to be written. Empty if the queue is empty, or if only chunks are queued and the window of
-    /// unacknowledged chunks is full.
+    /// Returns the next bytes to be written. The slice is empty if the queue is empty, or if only chunks are queued and the
+    /// window of unacknowledged chunks is full.
     pub fn pending(&mut self) -> &[u8] {
         while self.ready_bytes() < MAX_CHUNK_BYTES && self.in_flight < CHUNK_WINDOW_BYTES {
             let Some(message) = self.next_message() else { break };
@@ -146,6 +146,7 @@
         self.ready.len() - self.written
     }
 
+    /// Returns the number of queued bytes that count towards the limit of [`FrameQueue::push`].
     fn bounded_bytes(&self) -> usize {
         self.ready_bytes() + self.ordered.iter().map(Message::remaining).sum::<usize>()
     }
--- a/crates/retry-budget/tests/cap.rs
+++ b/crates/retry-budget/tests/cap.rs
@@ -117,7 +117,8 @@
     counts.iter().filter(|(time, _)| inside(time)).map(|(_, count)| count).sum()
 }
 
-/// Returns whether the retries of all proxies are within the system-wide bound, for one window.
+/// Returns whether the retries of all proxies are within the system-wide bound, for the window that ends at `end`, in
+/// nanoseconds.
 fn is_within_bound(traffic: &Traffic, end: i128) -> bool {
     let window = WINDOW.as_nanos() as i128;
     let requests = [0, window / 2, window].map(|before| count_in_window(&traffic.requests, end - before));
@@ -125,7 +126,8 @@
     count_in_window(&traffic.retries, end) as f64 <= RATIO * max_requests as f64 + SLACK
 }
 
-/// Returns the window ends to be checked. Between two consecutive ones, no count of [`is_within_bound`] changes.
+/// Returns the window ends to be checked, in nanoseconds. Between two consecutive ones, no count of [`is_within_bound`]
+/// changes.
 fn window_ends(traffic: &Traffic) -> impl Iterator<Item = i128> + '_ {
     let half = WINDOW.as_nanos() as i128 / 2;
     let times = traffic.requests.iter().chain(&traffic.retries).map(|(time, _)| time.as_nanos() as i128);
--- a/crates/settings/src/sections.rs
+++ b/crates/settings/src/sections.rs
@@ -143,10 +143,10 @@
     pub budget_window: Duration,
     /// `RetrySlack`: the number of retries beyond the ratio that are allowed in a window. Defaults to 10.
     pub retry_slack: f64,
-    /// `WarmupOvershoot`: the factor by which the request rate of a server that is warming up may exceed its configured
-    /// rate. Defaults to 1.5.
+    /// `WarmupOvershoot`: the factor on the `WarmupPerS` of a service in the limit on requests to a server that is warming
+    /// up. Defaults to 1.5.
     pub warmup_overshoot: f64,
-    /// `WarmupSlack`: the requests per second that are allowed beyond that. Defaults to 5.
+    /// `WarmupSlack`: the requests per second that are added to this limit. Defaults to 5.
     pub warmup_slack: f64,
     /// `EvacMs`: the time within which an evacuation must be active on all machines. Defaults to 5 s.
     pub evacuation_deadline: Duration,
--- a/crates/state-sync/src/aggregation.rs
+++ b/crates/state-sync/src/aggregation.rs
@@ -138,8 +138,7 @@
         }
     }
 
-    /// Sends the changes of the totals to the children, and the complete totals to children that have none
-    /// yet.
+    /// Sends the changes of the totals to the children, and the full totals to children that have none yet.
     fn send_totals_to_children(
         &mut self,
         now: Duration,
--- a/crates/state-sync/src/children.rs
+++ b/crates/state-sync/src/children.rs
@@ -33,7 +33,7 @@
     pub(crate) suspended_report: Option<Report>,
     /// Whether the child has sent a complete report.
     pub(crate) has_reported: bool,
-    /// Whether the child was sent complete totals and still has them.
+    /// Whether the child was sent full totals and still has them.
     pub(crate) has_totals: bool,
 }
 
--- a/crates/state-sync/src/options.rs
+++ b/crates/state-sync/src/options.rs
@@ -17,8 +17,8 @@
 ///
 /// At the target size of 900 proxies and 4,700 servers, 5 KB/s per proxy leave room for about five services
 /// and 10 servers per frame. The counters of all servers, which are 113 KB, do not fit. They are sent in full
-/// only on a new connection; after that, each server would be sent only once in two minutes if all of them
-/// changed.
+/// only on a new connection. After that, at 10 servers per frame, each server would be sent only once in two
+/// minutes if all of them changed.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// The name of this node. It is the monitor's name in the node's suspicions, and the name of the proxy on
--- a/crates/state-sync/src/parent_selection.rs
+++ b/crates/state-sync/src/parent_selection.rs
@@ -10,8 +10,8 @@
 use std::collections::HashSet;
 use std::net::Ipv4Addr;
 
-/// Maximum number of children that an agent has by its rank. It may have more for some time after others have
-/// failed.
+/// Maximum number of children of an agent in the heap. An agent may have more for some time after other agents
+/// have failed.
 pub const FAN_OUT: usize = 16;
 
 /// A process that may become the parent of an agent.
--- a/crates/state-sync/src/totals.rs
+++ b/crates/state-sync/src/totals.rs
@@ -37,7 +37,7 @@
     own_id: u64,
     current: Totals,
     origin: Origin,
-    /// The parent's totals on this link; `None` until it has sent complete totals.
+    /// The parent's totals on this link; `None` until it has sent full totals.
     parent_counters: Option<CounterTable>,
     /// Whether `current` equals the parent's totals, so that the counters in its next delta can be forwarded
     /// unchanged.
@@ -74,15 +74,14 @@
         }
     }
 
-    /// Handles that a link to a parent was opened or closed. Deltas are invalid until the parent sends
-    /// complete totals.
+    /// Resets the state of the link to the parent. Deltas are ignored until the parent sends full totals.
     pub(crate) fn reset_parent(&mut self) {
         self.parent_counters = None;
         self.can_forward_deltas = false;
     }
 
     /// Applies the parent's totals. Returns the frame for the children, or `None` if the parent's frame is a
-    /// delta without previous complete totals, or is in a loop.
+    /// delta without previous full totals, or is in a loop.
     pub(crate) fn handle_parent(
         &mut self,
         now: Duration,
@@ -141,7 +140,8 @@
         std::mem::take(&mut self.has_changed)
     }
 
-    /// Returns the complete totals, for a child that has none. The header is taken from `delta`.
+    /// Returns the full totals (not a delta), for a child that has none. The other fields of the header are
+    /// taken from `delta`.
     pub(crate) fn complete_totals(&self, delta: &protocol::Totals) -> protocol::Totals {
         difference(
             &CounterTable::default(),
--- a/crates/state-sync/tests/network/timeline.rs
+++ b/crates/state-sync/tests/network/timeline.rs
@@ -2,8 +2,8 @@
 //!
 //! The first row names the nodes. Each further row begins with its time in milliseconds. The actions in its
 //! cells are performed from left to right, then all frames are delivered (except to frozen nodes), and then
-//! the expectations, which begin with `=`, are checked. A cell may hold several of them, separated by `;`.
-//! Between rows, nodes tick when they are due.
+//! the expectations, which begin with `=`, are checked. A cell may hold several actions and expectations,
+//! separated by `;`. Between rows, nodes tick when they are due.
 //!
 //! | action or expectation | meaning |
 //! | --- | --- |
--- a/crates/state-sync/tests/resubscription.rs
+++ b/crates/state-sync/tests/resubscription.rs
@@ -1,4 +1,4 @@
-//! Tests of a child that subscribes again, while its parent takes the connection for the previous one.
+//! Tests of a child that subscribes again on a connection that its parent considers unchanged.
 
 use quillpulley_protocol::Body;
 use quillpulley_state_sync::{Action, Event, LocalReport, Options, SyncNode};
