--- a/crates/protocol/src/framing.rs
+++ b/crates/protocol/src/framing.rs
@@ -119,7 +119,7 @@
     /// An acknowledgement of chunks: the number of their bytes, as a four-byte little-endian integer. Acknowledgements are
     /// sent on [`Lane::Control`]. On [`Lane::State`], this frame with the number 0 announces that its sender can decompress
     /// messages; earlier releases without compression ignore the lane and read it as an acknowledgement of 0 bytes.
-    Credit,
+    Acknowledgement,
     /// The last chunk of a compressed message.
     LastCompressedChunk,
 }
@@ -145,7 +145,7 @@
             0 => (FrameKind::Complete, MAX_FRAME_BYTES),
             1 => (FrameKind::Chunk, MAX_CHUNK_BYTES),
             2 => (FrameKind::LastChunk, MAX_CHUNK_BYTES),
-            3 => (FrameKind::Credit, PREFIX_BYTES),
+            3 => (FrameKind::Acknowledgement, PREFIX_BYTES),
             4 => (FrameKind::LastCompressedChunk, MAX_CHUNK_BYTES),
             _ => return Err(ProtocolError::TooLong(word as usize)),
         };
@@ -194,8 +194,8 @@
             self.consumed += PREFIX_BYTES + length;
             match kind {
                 FrameKind::Complete => return decode_frame(bytes).map(Some),
-                FrameKind::Credit => {
-                    self.acknowledged_bytes += read_credit(bytes)?;
+                FrameKind::Acknowledgement => {
+                    self.acknowledged_bytes += read_acknowledgement(bytes)?;
                     self.peer_decompresses |= lane == Lane::State;
                 }
                 FrameKind::Chunk | FrameKind::LastChunk | FrameKind::LastCompressedChunk => {
@@ -238,11 +238,11 @@
 /// Returns the frame that announces that this process can decompress messages. It is sent directly after the `Hello`.
 pub fn compression_announcement() -> Vec<u8> {
     let nothing = 0u32.to_le_bytes();
-    let prefix = Prefix { kind: FrameKind::Credit, lane: Lane::State, length: nothing.len() };
+    let prefix = Prefix { kind: FrameKind::Acknowledgement, lane: Lane::State, length: nothing.len() };
     [prefix.encode(), nothing].concat()
 }
 
-fn read_credit(bytes: &[u8]) -> Result<usize, ProtocolError> {
+fn read_acknowledgement(bytes: &[u8]) -> Result<usize, ProtocolError> {
     let bytes = bytes
         .try_into()
         .map_err(|_| ProtocolError::Malformed("acknowledgement without a number of bytes".to_string()))?;
