--- a/crates/protocol/src/queue.rs
+++ b/crates/protocol/src/queue.rs
@@ -133,7 +133,7 @@
     }
 
     /// Records that the peer has acknowledged this many bytes of chunks.
-    pub fn receive_credit(&mut self, bytes: usize) {
+    pub fn receive_acknowledgement(&mut self, bytes: usize) {
         self.in_flight = self.in_flight.saturating_sub(bytes);
     }
 
--- a/crates/protocol/tests/queue.rs
+++ b/crates/protocol/tests/queue.rs
@@ -67,7 +67,7 @@
         self.reverse_queue.advance(acknowledgements.len());
         self.reverse_decoder.push(&acknowledgements);
         assert!(self.reverse_decoder.next_frame().expect("no message").is_none());
-        self.queue.receive_credit(self.reverse_decoder.take_credited());
+        self.queue.receive_acknowledgement(self.reverse_decoder.take_credited());
     }
 
     fn transfer_all(&mut self) {
--- a/crates/quillpulley/src/peer/outbound.rs
+++ b/crates/quillpulley/src/peer/outbound.rs
@@ -58,7 +58,7 @@
         if received_bytes > 0 {
             self.queue.acknowledge_chunks(received_bytes);
         }
-        self.queue.receive_credit(acknowledged_bytes);
+        self.queue.receive_acknowledgement(acknowledged_bytes);
     }
 
     /// Enables compression of long log entries and states. The peer must have announced that it can decompress them.
--- a/crates/quillpulley/tests/catch_up/world.rs
+++ b/crates/quillpulley/tests/catch_up/world.rs
@@ -281,7 +281,7 @@
             if received_bytes > 0 {
                 reverse.queue.acknowledge_chunks(received_bytes);
             }
-            reverse.queue.receive_credit(acknowledged_bytes);
+            reverse.queue.receive_acknowledgement(acknowledged_bytes);
         }
         self.send_packet(to);
         let from = self.machines[from].id;
