--- a/crates/protocol/src/framing.rs
+++ b/crates/protocol/src/framing.rs
@@ -230,7 +230,7 @@
     }
 
     /// Returns the number of bytes of chunks that the peer has acknowledged since the last call.
-    pub fn take_credited(&mut self) -> usize {
+    pub fn take_acknowledged(&mut self) -> usize {
         std::mem::take(&mut self.acknowledged_bytes)
     }
 }
--- a/crates/protocol/tests/queue.rs
+++ b/crates/protocol/tests/queue.rs
@@ -67,7 +67,7 @@
         self.reverse_queue.advance(acknowledgements.len());
         self.reverse_decoder.push(&acknowledgements);
         assert!(self.reverse_decoder.next_frame().expect("no message").is_none());
-        self.queue.receive_acknowledgement(self.reverse_decoder.take_credited());
+        self.queue.receive_acknowledgement(self.reverse_decoder.take_acknowledged());
     }
 
     fn transfer_all(&mut self) {
@@ -262,7 +262,7 @@
     assert_eq!(compression_announcement(), [&(4u32 | 2 << 26 | 3 << 28).to_le_bytes()[..], &[0; 4]].concat());
     decoder.push(&compression_announcement());
     assert_eq!(decoder.next_frame(), Ok(None));
-    assert_eq!(decoder.take_credited(), 0);
+    assert_eq!(decoder.take_acknowledged(), 0);
     assert!(decoder.peer_decompresses());
     let mut other = FrameDecoder::default();
     let mut queue = FrameQueue::default();
--- a/crates/quillpulley/src/peer/link.rs
+++ b/crates/quillpulley/src/peer/link.rs
@@ -196,7 +196,7 @@
             self.outbound.borrow_mut().enable_compression();
         }
         let (received_bytes, acknowledged_bytes) =
-            (self.decoder.take_received(), self.decoder.take_credited());
+            (self.decoder.take_received(), self.decoder.take_acknowledged());
         if received_bytes == 0 && acknowledged_bytes == 0 {
             return Ok(());
         }
--- a/crates/quillpulley/tests/catch_up/world.rs
+++ b/crates/quillpulley/tests/catch_up/world.rs
@@ -276,7 +276,7 @@
             bodies.push(body);
         }
         let (received_bytes, acknowledged_bytes) =
-            (pipe.decoder.take_received(), pipe.decoder.take_credited());
+            (pipe.decoder.take_received(), pipe.decoder.take_acknowledged());
         if let Some(reverse) = self.pipes.get_mut(&(to, from)) {
             if received_bytes > 0 {
                 reverse.queue.acknowledge_chunks(received_bytes);
