--- a/crates/protocol/src/framing.rs
+++ b/crates/protocol/src/framing.rs
@@ -161,7 +161,7 @@
 #[derive(Default)]
 pub struct FrameDecoder {
     buffer: Vec<u8>,
-    consumed: usize,
+    consumed_bytes: usize,
     /// For each lane, the chunks of the current message that were received so far.
     partial_messages: [Vec<u8>; LANE_COUNT],
     received_bytes: usize,
@@ -172,10 +172,10 @@
 impl FrameDecoder {
     /// Adds received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
-        if self.consumed > COMPACTION_THRESHOLD_BYTES || self.consumed == self.buffer.len() {
-            self.buffer.drain(..self.consumed);
+        if self.consumed_bytes > COMPACTION_THRESHOLD_BYTES || self.consumed_bytes == self.buffer.len() {
+            self.buffer.drain(..self.consumed_bytes);
             self.buffer.shrink_to(COMPACTION_THRESHOLD_BYTES);
-            self.consumed = 0;
+            self.consumed_bytes = 0;
         }
         self.buffer.extend_from_slice(bytes);
     }
@@ -187,11 +187,11 @@
     /// [`ProtocolError`] if a frame is invalid or a message is too long.
     pub fn next_frame(&mut self) -> Result<Option<Body>, ProtocolError> {
         loop {
-            let pending = &self.buffer[self.consumed..];
+            let pending = &self.buffer[self.consumed_bytes..];
             let Some((prefix, rest)) = pending.split_first_chunk::<PREFIX_BYTES>() else { return Ok(None) };
             let Prefix { kind, lane, length } = Prefix::decode(*prefix)?;
             let Some(bytes) = rest.get(..length) else { return Ok(None) };
-            self.consumed += PREFIX_BYTES + length;
+            self.consumed_bytes += PREFIX_BYTES + length;
             match kind {
                 FrameKind::Complete => return decode_frame(bytes).map(Some),
                 FrameKind::Acknowledgement => {
--- a/crates/protocol/src/queue.rs
+++ b/crates/protocol/src/queue.rs
@@ -24,12 +24,12 @@
     lane: Lane,
     bytes: Vec<u8>,
     is_compressed: bool,
-    sent: usize,
+    sent_bytes: usize,
 }
 
 impl Message {
     fn remaining(&self) -> usize {
-        self.bytes.len() - self.sent
+        self.bytes.len() - self.sent_bytes
     }
 }
 
@@ -38,7 +38,7 @@
 pub struct FrameQueue {
     /// Encoded frames in the order in which they are written.
     ready: Vec<u8>,
-    written: usize,
+    written_bytes: usize,
     /// Queued messages of [`Lane::Ordered`], which are sent in chunks.
     ordered: VecDeque<Message>,
     /// Queued messages of [`Lane::State`]: at most one that has been sent in part, and one behind it.
@@ -47,7 +47,7 @@
     /// that the two lanes share the link.
     prefer_state_lane: bool,
     /// The bytes of sent chunks that the peer has not acknowledged yet.
-    in_flight: usize,
+    in_flight_bytes: usize,
     /// Whether the peer can decompress messages.
     compression_enabled: bool,
 }
@@ -71,7 +71,7 @@
     /// [`QueueFull`] if the message is rejected.
     pub fn push(&mut self, lane: Lane, message: &[u8], max_bytes: usize) -> Result<(), QueueFull> {
         if lane == Lane::State {
-            self.states.retain(|pending| pending.sent > 0);
+            self.states.retain(|pending| pending.sent_bytes > 0);
         } else {
             let before = self.bounded_bytes();
             if before > 0 && before + message.len() > max_bytes {
@@ -93,7 +93,7 @@
         let compressed = is_compressible.then(|| compress(message)).flatten();
         let is_compressed = compressed.is_some();
         let bytes = compressed.unwrap_or_else(|| message.to_vec());
-        let message = Message { lane, bytes, is_compressed, sent: 0 };
+        let message = Message { lane, bytes, is_compressed, sent_bytes: 0 };
         match lane {
             Lane::State => self.states.push_back(message),
             _ => self.ordered.push_back(message),
@@ -104,37 +104,38 @@
     /// Returns the next bytes to be written. The slice is empty if the queue is empty, or if only chunks are queued and the
     /// window of unacknowledged chunks is full.
     pub fn pending(&mut self) -> &[u8] {
-        while self.ready_bytes() < MAX_CHUNK_BYTES && self.in_flight < CHUNK_WINDOW_BYTES {
+        while self.ready_bytes() < MAX_CHUNK_BYTES && self.in_flight_bytes < CHUNK_WINDOW_BYTES {
             let Some(message) = self.next_message() else { break };
             self.take_chunk(message);
         }
-        &self.ready[self.written..]
+        &self.ready[self.written_bytes..]
     }
 
     /// Records that this many of the [`FrameQueue::pending`] bytes were written.
-    pub fn advance(&mut self, written: usize) {
-        self.written += written;
-        if self.written == self.ready.len() {
+    pub fn advance(&mut self, written_bytes: usize) {
+        self.written_bytes += written_bytes;
+        if self.written_bytes == self.ready.len() {
             self.ready.clear();
             self.ready.shrink_to(RETAINED_BUFFER_BYTES);
-            self.written = 0;
-        } else if self.written > RETAINED_BUFFER_BYTES {
-            self.ready.drain(..self.written);
-            self.written = 0;
+            self.written_bytes = 0;
+        } else if self.written_bytes > RETAINED_BUFFER_BYTES {
+            self.ready.drain(..self.written_bytes);
+            self.written_bytes = 0;
         }
     }
 
     /// Queues an acknowledgement of this many bytes of chunks from the peer.
     pub fn acknowledge_chunks(&mut self, bytes: usize) {
         let byte_count = (bytes as u32).to_le_bytes();
-        let prefix = Prefix { kind: FrameKind::Acknowledgement, lane: Lane::Control, length: byte_count.len() };
+        let prefix =
+            Prefix { kind: FrameKind::Acknowledgement, lane: Lane::Control, length: byte_count.len() };
         self.ready.extend_from_slice(&prefix.encode());
         self.ready.extend_from_slice(&byte_count);
     }
 
     /// Records that the peer has acknowledged this many bytes of chunks.
     pub fn receive_acknowledgement(&mut self, bytes: usize) {
-        self.in_flight = self.in_flight.saturating_sub(bytes);
+        self.in_flight_bytes = self.in_flight_bytes.saturating_sub(bytes);
     }
 
     /// Returns the total number of queued bytes.
@@ -143,7 +144,7 @@
     }
 
     fn ready_bytes(&self) -> usize {
-        self.ready.len() - self.written
+        self.ready.len() - self.written_bytes
     }
 
     /// Returns the number of queued bytes that count towards the limit of [`FrameQueue::push`].
@@ -169,11 +170,11 @@
             (true, false) => FrameKind::LastChunk,
             (true, true) => FrameKind::LastCompressedChunk,
         };
-        let chunk = &message.bytes[message.sent..message.sent + length];
+        let chunk = &message.bytes[message.sent_bytes..message.sent_bytes + length];
         self.ready.extend_from_slice(&Prefix { kind, lane: message.lane, length }.encode());
         self.ready.extend_from_slice(chunk);
-        self.in_flight += length;
-        message.sent += length;
+        self.in_flight_bytes += length;
+        message.sent_bytes += length;
         match (kind, message.lane) {
             (FrameKind::LastChunk | FrameKind::LastCompressedChunk, _) => {}
             (_, Lane::State) => self.states.push_front(message),
--- a/crates/protocol/tests/compatibility.rs
+++ b/crates/protocol/tests/compatibility.rs
@@ -282,8 +282,8 @@
     let snapshot = unhex(expected["ControlSnapshot"]);
     let snapshot: ControlSnapshot = decode_value::<ControlSnapshotRef, _>(&snapshot).expect("a snapshot");
     assert_eq!((snapshot.version, snapshot.history.len(), snapshot.config_index), (12, 2, 39));
-    let order = unhex(expected["OrderEvacuation"]);
-    let order: LogCommand = decode_value::<LogCommandRef, _>(&order).expect("an entry's payload");
+    let command = unhex(expected["OrderEvacuation"]);
+    let command: LogCommand = decode_value::<LogCommandRef, _>(&command).expect("an entry's payload");
     let evacuation = Evacuation { zone: "zone-a".to_string(), active: true };
-    assert_eq!(order.body, Some(LogCommandBody::Evacuation(Box::new(evacuation))));
+    assert_eq!(command.body, Some(LogCommandBody::Evacuation(Box::new(evacuation))));
 }
--- a/crates/protocol/tests/queue.rs
+++ b/crates/protocol/tests/queue.rs
@@ -6,7 +6,7 @@
     LeaseGrant, Position, Update, CHUNK_WINDOW_BYTES, MAX_CHUNK_BYTES,
 };
 
-const MAXIMUM: usize = 8 * 1024 * 1024;
+const MAX_QUEUE_BYTES: usize = 8 * 1024 * 1024;
 
 fn install(bytes: usize) -> Body {
     let snapshot = (0..bytes).map(|index| (index % 251) as u8).collect();
@@ -43,7 +43,9 @@
 
 impl TestLink {
     fn send(&mut self, body: &Body) {
-        self.queue.push(Lane::of(body), self.encoder.message(body), MAXIMUM).expect("the queue has room");
+        self.queue
+            .push(Lane::of(body), self.encoder.message(body), MAX_QUEUE_BYTES)
+            .expect("the queue has room");
     }
 
     /// Transfers at most `max_bytes` bytes to the receiver. Returns how many were transferred.
@@ -151,13 +153,13 @@
     for round in 0..1_000 {
         link.send(&grant(round));
     }
-    let mut refused = FrameQueue::default();
-    let long = vec![0; MAXIMUM];
-    refused
-        .push(Lane::Ordered, &long, MAXIMUM)
+    let mut full_queue = FrameQueue::default();
+    let long = vec![0; MAX_QUEUE_BYTES];
+    full_queue
+        .push(Lane::Ordered, &long, MAX_QUEUE_BYTES)
         .expect("a message may exceed the limit if the queue is empty");
-    assert!(refused.push(Lane::Ordered, &[0; 100], MAXIMUM).is_err());
-    assert!(refused.push(Lane::State, &long, MAXIMUM).is_ok());
+    assert!(full_queue.push(Lane::Ordered, &[0; 100], MAX_QUEUE_BYTES).is_err());
+    assert!(full_queue.push(Lane::State, &long, MAX_QUEUE_BYTES).is_ok());
 }
 
 #[test]
