--- a/crates/state-sync/src/aggregate.rs
+++ b/crates/state-sync/src/aggregate.rs
@@ -24,12 +24,12 @@
     pub(crate) downward: PendingChanges,
 }
 
-/// Keys of the entries that have changed since they were last sent.
+/// Keys of the entries that have changed since they were last sent, and whether the number of proxies has changed.
 #[derive(Debug, Default)]
 pub(crate) struct PendingChanges {
     endpoints: BTreeSet<String>,
     suspects: BTreeSet<String>,
-    proxies: bool,
+    proxies_changed: bool,
     services: BTreeSet<String>,
     servers: BTreeSet<u64>,
     /// The last server that was sent. The next frame continues after it, so that servers are sent in
@@ -41,7 +41,7 @@
     pub(crate) fn is_empty(&self) -> bool {
         self.endpoints.is_empty()
             && self.suspects.is_empty()
-            && !self.proxies
+            && !self.proxies_changed
             && self.services.is_empty()
             && self.servers.is_empty()
     }
@@ -51,7 +51,7 @@
     }
 
     fn mark_counters(&mut self, dirty: &DirtyKeys, proxies: u32) {
-        self.proxies |= dirty.proxies_before != proxies;
+        self.proxies_changed |= dirty.proxies_before != proxies;
         self.services.extend(dirty.services.iter().map(|change| change.key.clone()));
         self.servers.extend(dirty.servers.iter().map(|change| change.key));
     }
@@ -120,7 +120,7 @@
         let merged = &self.merged;
         let servers = self.upward.take_servers(max_servers);
         let pending = &mut self.upward;
-        pending.proxies = false;
+        pending.proxies_changed = false;
         let (present, removed): (Vec<_>, Vec<_>) = std::mem::take(&mut pending.endpoints)
             .into_iter()
             .partition(|name| merged.endpoints.contains_key(name));
@@ -142,7 +142,7 @@
     pub(crate) fn delta_totals(&mut self, complete: bool, max_servers: usize) -> Totals {
         let counters = &self.merged.counters;
         let servers = self.downward.take_servers(max_servers);
-        self.downward.proxies = false;
+        self.downward.proxies_changed = false;
         let services = std::mem::take(&mut self.downward.services);
         Totals {
             complete,
--- a/crates/state-sync/src/aggregation.rs
+++ b/crates/state-sync/src/aggregation.rs
@@ -60,9 +60,9 @@
 
     fn suspend_report(&mut self, child: Child, actions: &mut Vec<Action<Child>>) {
         let source = Source::Child(child);
-        let reports = self.aggregate.contribution(source).map(|subtree| subtree.to_report());
+        let report = self.aggregate.contribution(source).map(|subtree| subtree.to_report());
         if let Some(state) = self.children.get_mut(child) {
-            state.suspended_report = Some(reports.unwrap_or_default());
+            state.suspended_report = Some(report.unwrap_or_default());
         }
         if self.aggregate.remove(source) {
             actions.push(Action::EndpointsChanged);
@@ -149,9 +149,8 @@
         let with_totals = self.children.children_where(|child| child.has_totals);
         let without_totals = self.children.children_where(|child| !child.has_totals);
         if !without_totals.is_empty() {
-            let complete_totals = self.totals.complete_totals(&delta);
-            actions
-                .push(Action::SendChildren(without_totals.clone(), Body::Totals(Box::new(complete_totals))));
+            let full_totals = self.totals.full_totals(&delta);
+            actions.push(Action::SendChildren(without_totals.clone(), Body::Totals(Box::new(full_totals))));
         }
         if !with_totals.is_empty() {
             actions.push(Action::SendChildren(with_totals, Body::Totals(Box::new(delta))));
--- a/crates/state-sync/src/counters.rs
+++ b/crates/state-sync/src/counters.rs
@@ -147,13 +147,13 @@
 }
 
 /// Converts the entry of a service from its form in a frame.
-pub(crate) fn retry_counters(count: ServiceCounters) -> (String, RetryCounters) {
+pub(crate) fn retry_counters(entry: ServiceCounters) -> (String, RetryCounters) {
     let counters = RetryCounters {
-        requests: count.requests,
-        retries: count.retries,
-        rejected_retries: count.rejected_retries,
+        requests: entry.requests,
+        retries: entry.retries,
+        rejected_retries: entry.rejected_retries,
     };
-    (count.service, counters)
+    (entry.service, counters)
 }
 
 /// Converts the entry of a server to its form in a frame.
--- a/crates/state-sync/src/totals.rs
+++ b/crates/state-sync/src/totals.rs
@@ -142,7 +142,7 @@
 
     /// Returns the full totals (not a delta), for a child that has none. The other fields of the header are
     /// taken from `delta`.
-    pub(crate) fn complete_totals(&self, delta: &protocol::Totals) -> protocol::Totals {
+    pub(crate) fn full_totals(&self, delta: &protocol::Totals) -> protocol::Totals {
         difference(
             &CounterTable::default(),
             &self.current.counters,
--- a/crates/state-sync/src/updates.rs
+++ b/crates/state-sync/src/updates.rs
@@ -85,9 +85,9 @@
     }
 
     /// Returns the changes of a response: its items, and the removal of all other items in its ranges.
-    fn changes_of_repair(&self, complete: &[u8], items: Vec<Item>) -> Vec<Change> {
+    fn changes_of_repair(&self, ranges: &[u8], items: Vec<Item>) -> Vec<Change> {
         let present: HashSet<&str> = items.iter().map(|item| item.key.as_str()).collect();
-        let removed = self.store.keys_in_ranges(complete).filter(|key| !present.contains(key));
+        let removed = self.store.keys_in_ranges(ranges).filter(|key| !present.contains(key));
         let removed: Vec<Change> = removed.map(|key| Change { key: key.to_string(), value: None }).collect();
         removed.into_iter().chain(items.into_iter().map(change_from_frame)).collect()
     }
--- a/crates/state-sync/tests/frame_sizes.rs
+++ b/crates/state-sync/tests/frame_sizes.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_heartbeat_is_small() {
+fn a_heartbeat_takes_100_bytes_at_most() {
     let mut root: SyncNode<u32> = SyncNode::new(Options::new("root"));
     let mut child: SyncNode<u32> = SyncNode::new(Options::new("child"));
     let mut actions = Vec::new();
@@ -71,12 +71,12 @@
 }
 
 #[test]
-fn an_empty_report_is_small() {
+fn an_empty_report_takes_100_bytes_at_most() {
     assert!(report_size(LocalReport::default()) <= 100, "{}", report_size(LocalReport::default()));
 }
 
 #[test]
-fn each_service_takes_fifty_bytes_at_most() {
+fn each_service_takes_50_bytes_at_most() {
     assert!(report_size(services(20)) - report_size(services(10)) <= 500);
 }
 
@@ -97,6 +97,6 @@
         incarnation: 1,
         preferred_regions: Vec::new(),
     };
-    let with = report_size(LocalReport { endpoint: Some(endpoint), ..LocalReport::default() });
-    assert!(with - report_size(LocalReport::default()) <= 150, "{with}");
+    let size = report_size(LocalReport { endpoint: Some(endpoint), ..LocalReport::default() });
+    assert!(size - report_size(LocalReport::default()) <= 150, "{size}");
 }
--- a/crates/state-sync/tests/published_state.rs
+++ b/crates/state-sync/tests/published_state.rs
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn a_removal_that_only_some_nodes_have_received() {
+fn a_removal_reaches_all_nodes_when_some_receive_it_late() {
     run_timeline(
         "
           | root           | x             | y            | leaf
@@ -226,7 +226,7 @@
 /// The delta that `x` sends from 1:2 to 1:5 does not list `a`, which has changed and changed back. The leaf,
 /// which is at 1:3, must not apply it as if it listed all changes since then.
 #[test]
-fn a_reverted_change_that_only_the_child_has_received_in_part() {
+fn a_child_ahead_of_its_parent_drops_a_change_that_was_reverted() {
     run_timeline(
         "
           | root     | x                   | y         | leaf
@@ -242,7 +242,7 @@
 }
 
 /// Returns options with a limit on the bytes of responses. The item `a=1` has two bytes.
-fn repair_bytes(name: &str, repair_bytes: usize) -> Options {
+fn options_with_repair_bytes(name: &str, repair_bytes: usize) -> Options {
     Options { repair_bytes, repair_interval: Duration::from_millis(50), ..Options::new(name) }
 }
 
@@ -257,7 +257,7 @@
        51 |         | = 1:2 a=1 | = 1:2 a=1 | = 0:0
       101 |         | = 1:2 a=1 | = 1:2 a=1 | = 1:2 a=1
     ",
-        |name| repair_bytes(name, 2),
+        |name| options_with_repair_bytes(name, 2),
     );
 }
 
@@ -274,7 +274,7 @@
       151 |         | = 1:2 a=1 | = 1:2 a=1 | = 0:0
       201 |         | = 1:2 a=1 | = 1:2 a=1 | = 1:2 a=1
     ",
-        |name| repair_bytes(name, 1),
+        |name| options_with_repair_bytes(name, 1),
     );
 }
 
--- a/crates/state-sync/tests/resubscription.rs
+++ b/crates/state-sync/tests/resubscription.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_child_that_subscribes_again_is_sent_all_totals_again() {
+fn a_child_that_subscribes_again_is_sent_full_totals_again() {
     let mut pair = Pair::new();
     pair.at_child(Event::LocalReport(LocalReport { proxies: 2, ..LocalReport::default() }));
     pair.at_child(Event::ParentUp);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_restarted_child_is_sent_all_totals() {
+fn a_restarted_child_is_sent_full_totals() {
     let mut pair = Pair::new();
     pair.at_child(Event::LocalReport(LocalReport { proxies: 2, ..LocalReport::default() }));
     pair.at_child(Event::ParentUp);
