--- a/crates/membership/tests/monitoring.rs
+++ b/crates/membership/tests/monitoring.rs
@@ -139,13 +139,13 @@
     /// Returns the earliest time, not before `time`, at which a node runs. A node with a quota runs during
     /// the first tenth of each period.
     fn earliest_running_time(&self, node: usize, time: Duration) -> Duration {
-        let Some(offset) = self.quota_offsets_ms[node] else { return time };
-        let since = time.as_micros() as u64 + 1000 * (QUOTA_PERIOD_MS - offset);
-        let phase = since % (1000 * QUOTA_PERIOD_MS);
-        if phase < 1000 * QUOTA_PERIOD_MS / 10 || time == Duration::MAX {
+        let Some(offset_ms) = self.quota_offsets_ms[node] else { return time };
+        let elapsed_us = time.as_micros() as u64 + 1000 * (QUOTA_PERIOD_MS - offset_ms);
+        let phase_us = elapsed_us % (1000 * QUOTA_PERIOD_MS);
+        if phase_us < 1000 * QUOTA_PERIOD_MS / 10 || time == Duration::MAX {
             return time;
         }
-        time + Duration::from_micros(1000 * QUOTA_PERIOD_MS - phase)
+        time + Duration::from_micros(1000 * QUOTA_PERIOD_MS - phase_us)
     }
 
     fn deliver(&mut self, number: u64, to: usize, from: usize) {
@@ -324,7 +324,7 @@
 }
 
 #[test]
-fn exactly_as_many_monitors_as_configured_have_the_highest_ranks() {
+fn each_node_has_exactly_the_configured_number_of_monitors() {
     // The nodes agree on the monitors without communication. Checked for two to eight nodes.
     for count in 2..=8 {
         let network = Network::new(count, 0.0);
--- a/crates/retry-budget/tests/budgets.rs
+++ b/crates/retry-budget/tests/budgets.rs
@@ -23,7 +23,7 @@
         Proxy { budgets: RetryBudgets::new(OPTIONS), now: WINDOW * 2, totals, proxies }
     }
 
-    fn send_totals(&mut self) {
+    fn receive_totals(&mut self) {
         let totals = std::slice::from_ref(&self.totals);
         self.budgets.set_totals(self.now, totals, self.proxies, true);
     }
@@ -37,7 +37,7 @@
         self.now += STEP;
         match event {
             'f' => self.budgets.record_request(self.now, SERVICE),
-            't' => self.send_totals(),
+            't' => self.receive_totals(),
             'R' | 'r' => return if self.budgets.try_retry(self.now, SERVICE) { 'R' } else { 'r' },
             _ => {}
         }
@@ -77,7 +77,7 @@
 #[test]
 fn without_totals_the_limit_is_a_fraction_of_own_requests() {
     let mut proxy = Proxy::new(totals(1000, 0, 0), 4);
-    proxy.send_totals();
+    proxy.receive_totals();
     proxy.run(&"f".repeat(90));
     proxy.budgets.set_totals(proxy.now, &[], 0, false);
     // 90 requests in the window allow 18 retries in 10 s.
--- a/crates/retry-budget/tests/cap.rs
+++ b/crates/retry-budget/tests/cap.rs
@@ -35,8 +35,8 @@
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
-        let gaps = [0, 0, 0, 0, 1, 20, 499, 900, 4_900, 9_900];
-        let gap = Duration::from_millis(*g.choose(&gaps).unwrap_or(&0));
+        let gaps_ms = [0, 0, 0, 0, 1, 20, 499, 900, 4_900, 9_900];
+        let gap = Duration::from_millis(*g.choose(&gaps_ms).unwrap_or(&0));
         let proxy = Some(usize::arbitrary(g) % PROXIES).filter(|_| bool::arbitrary(g));
         let event = match u8::arbitrary(g) % 16 {
             0..=2 => Event::Requests(u8::arbitrary(g) % 60),
@@ -161,7 +161,7 @@
     assert!((11..=20).contains(&burst), "{burst} retries for 100 requests in the window");
 }
 
-const SLOTS: i64 = 20;
+const SLOTS_PER_WINDOW: i64 = 20;
 const WITHOUT_SLACK: Options = Options { slack: 0.0, ..OPTIONS };
 
 /// Returns the number of retries that the cap allows in the last of these slots, each of half a second. For
@@ -174,12 +174,12 @@
         (from..=to).filter_map(|slot| usize::try_from(slot).ok()).filter_map(|slot| requests.get(slot)).sum()
     };
     let allowance = |end: i64| {
-        let this = sum(end - SLOTS + 1, end);
-        let half_before = sum(end - SLOTS * 3 / 2 + 1, end - SLOTS / 2 - 1);
-        let before = sum(end - SLOTS * 2 + 1, end - SLOTS - 1);
+        let this = sum(end - SLOTS_PER_WINDOW + 1, end);
+        let half_before = sum(end - SLOTS_PER_WINDOW * 3 / 2 + 1, end - SLOTS_PER_WINDOW / 2 - 1);
+        let before = sum(end - SLOTS_PER_WINDOW * 2 + 1, end - SLOTS_PER_WINDOW - 1);
         RATIO * (0.25 * f64::from(this) + 0.25 * f64::from(half_before) + 0.5 * f64::from(before))
     };
-    let limit = (newest..=newest + SLOTS).map(allowance).fold(f64::INFINITY, f64::min);
+    let limit = (newest..=newest + SLOTS_PER_WINDOW).map(allowance).fold(f64::INFINITY, f64::min);
     (0..).find(|retries| f64::from(retries + 1) > limit).unwrap_or_default()
 }
 
@@ -187,7 +187,7 @@
 /// allows.
 fn sent_retries(requests: &[u32]) -> u32 {
     let mut budgets = RetryBudgets::new(WITHOUT_SLACK);
-    let slot = WINDOW / SLOTS as u32;
+    let slot = WINDOW / SLOTS_PER_WINDOW as u32;
     let totals =
         [ServiceUsage { service: SERVICE.to_string(), requests: 1_000_000, retries: 0, rejected_retries: 0 }];
     let mut now = Duration::ZERO;
--- a/crates/serving-config/tests/configuration.rs
+++ b/crates/serving-config/tests/configuration.rs
@@ -102,13 +102,13 @@
 
 #[test]
 fn weights_must_add_up_to_more_than_0() {
-    let none = ConfigurationError::NoWeight { route: "h.example/a/".to_string() };
+    let no_weight = ConfigurationError::NoWeight { route: "h.example/a/".to_string() };
     assert_eq!(
         route_error(r#","TrafficSplit":[{"Service":"s","Weight":0},{"Service":"t","Weight":0.0}]"#),
-        none
+        no_weight
     );
-    assert_eq!(route_error(r#","TrafficSplit":[]"#), none);
-    assert_eq!(route_error(r#","Service":"s","TrafficSplit":[{"Service":"t","Weight":0}]"#), none);
+    assert_eq!(route_error(r#","TrafficSplit":[]"#), no_weight);
+    assert_eq!(route_error(r#","Service":"s","TrafficSplit":[{"Service":"t","Weight":0}]"#), no_weight);
     let split =
         one_route(r#","TrafficSplit":[{"Service":"s","Weight":0},{"Service":"t","Weight":1e308}]"#).split;
     assert!(split.iter().map(|share| share.weight).sum::<f64>().is_finite());
@@ -116,9 +116,9 @@
 
 #[test]
 fn timeouts_must_not_be_0_and_prefixes_must_not_be_empty() {
-    let none = ConfigurationError::NoTimeout { route: "h.example/a/".to_string() };
-    assert_eq!(route_error(r#","Service":"s","TimeoutMs":0"#), none);
-    assert_eq!(route_error(r#","Service":"s","TimeoutMs":0.0"#), none);
+    let no_timeout = ConfigurationError::NoTimeout { route: "h.example/a/".to_string() };
+    assert_eq!(route_error(r#","Service":"s","TimeoutMs":0"#), no_timeout);
+    assert_eq!(route_error(r#","Service":"s","TimeoutMs":0.0"#), no_timeout);
     let empty = error(&body(1, &[&route("", ",\"Service\":\"s\"")]));
     assert!(matches!(empty, ConfigurationError::NoPrefix { .. }));
 }
