--- a/crates/protocol/src/queue.rs
+++ b/crates/protocol/src/queue.rs
@@ -126,11 +126,10 @@
 
     /// Queues an acknowledgement of this many bytes of chunks from the peer.
     pub fn acknowledge_chunks(&mut self, bytes: usize) {
-        let byte_count = (bytes as u32).to_le_bytes();
-        let prefix =
-            Prefix { kind: FrameKind::Acknowledgement, lane: Lane::Control, length: byte_count.len() };
+        let payload = (bytes as u32).to_le_bytes();
+        let prefix = Prefix { kind: FrameKind::Acknowledgement, lane: Lane::Control, length: payload.len() };
         self.ready.extend_from_slice(&prefix.encode());
-        self.ready.extend_from_slice(&byte_count);
+        self.ready.extend_from_slice(&payload);
     }
 
     /// Records that the peer has acknowledged this many bytes of chunks.
--- a/crates/state-sync/src/aggregate.rs
+++ b/crates/state-sync/src/aggregate.rs
@@ -24,7 +24,8 @@
     pub(crate) downward: PendingChanges,
 }
 
-/// Keys of the entries that have changed since they were last sent, and whether the number of proxies has changed.
+/// Keys of the entries that have changed since they were last sent, and whether the number of proxies has
+/// changed.
 #[derive(Debug, Default)]
 pub(crate) struct PendingChanges {
     endpoints: BTreeSet<String>,
