--- a/crates/membership/tests/monitoring.rs
+++ b/crates/membership/tests/monitoring.rs
@@ -44,7 +44,9 @@
     loss: f64,
     random: fastrand::Rng,
     in_transit: BinaryHeap<Reverse<InTransit>>,
+    /// The bodies of the datagrams in transit, by the number of the datagram.
     bodies: BTreeMap<u64, Body>,
+    /// The number of datagrams sent so far, including lost ones. It is also the number of the latest datagram.
     sent: u64,
     /// All suspicions: the time at which each began, the monitor, and the name of the suspected node.
     suspicions: Vec<(Duration, usize, String)>,
--- a/crates/protocol/tests/queue.rs
+++ b/crates/protocol/tests/queue.rs
@@ -179,6 +179,7 @@
 #[test]
 fn too_many_chunks_of_one_message_are_an_error() {
     let mut decoder = FrameDecoder::default();
+    // A chunk (kind 1) on the lane `State` (number 2).
     let chunk =
         [&(MAX_CHUNK_BYTES as u32 | 2 << 26 | 1 << 28).to_le_bytes()[..], &vec![0; MAX_CHUNK_BYTES]].concat();
     let fails = (0..=512).any(|_| {
@@ -277,6 +278,7 @@
 #[test]
 fn an_invalid_compressed_message_is_an_error() {
     let compressed = |bytes: &[u8]| {
+        // The last chunk of a compressed message (kind 4) on the lane `State` (number 2).
         let prefix = bytes.len() as u32 | 2 << 26 | 4 << 28;
         let mut decoder = FrameDecoder::default();
         decoder.push(&[&prefix.to_le_bytes()[..], bytes].concat());
