--- a/crates/membership/src/monitor.rs
+++ b/crates/membership/src/monitor.rs
@@ -1,7 +1,7 @@
 //! Decides which peers a node pings, and which of them it suspects to have failed.
 //!
-//! Each peer is pinged by the `monitors` other nodes with the highest rendezvous scores for its name. A node
-//! therefore pings about `monitors` peers, however many nodes the system has.
+//! Each peer is pinged by the `monitors_per_peer` other nodes with the highest rendezvous scores for its name. A node
+//! therefore pings about `monitors_per_peer` peers, however many nodes the system has.
 
 use crate::rendezvous::Key;
 use crate::target::Target;
@@ -16,7 +16,7 @@
     /// The name of this node.
     pub name: String,
     /// The number of nodes that monitor each peer.
-    pub monitors: usize,
+    pub monitors_per_peer: usize,
     /// The time between two pings to a target that responds or is suspected. A jitter of up to an eighth is
     /// added or subtracted.
     pub ping_interval: Duration,
@@ -35,7 +35,7 @@
     pub fn new(name: &str, seed: u64) -> Self {
         MonitorOptions {
             name: name.to_string(),
-            monitors: 3,
+            monitors_per_peer: 3,
             ping_interval: Duration::from_millis(400),
             retry_interval: Duration::from_millis(200),
             max_unacknowledged: 5,
@@ -144,8 +144,8 @@
         }
     }
 
-    /// Returns whether this node is one of the `monitors` nodes with the highest scores for `peer`. The
-    /// search ends as soon as `monitors` nodes with higher scores are found, so that only a fraction of all
+    /// Returns whether this node is one of the `monitors_per_peer` nodes with the highest scores for `peer`. The
+    /// search ends as soon as `monitors_per_peer` nodes with higher scores are found, so that only a fraction of all
     /// pairs of nodes is scored.
     fn is_monitor_of(&self, peer: &str, peers: &[Peer]) -> bool {
         let own_name = self.options.name.as_str();
@@ -156,7 +156,7 @@
         let own_rank = key.rank(own_name);
         let others = peers.iter().map(|other| other.name.as_str()).filter(|other| *other != peer);
         let higher_ranked = others.filter(|other| key.rank(other) < own_rank);
-        higher_ranked.take(self.options.monitors).count() < self.options.monitors
+        higher_ranked.take(self.options.monitors_per_peer).count() < self.options.monitors_per_peer
     }
 
     fn acknowledge_ping(&mut self, now: Duration, ping: &Ping, from: SocketAddr, actions: &mut Vec<Action>) {
