--- a/crates/state-sync/src/updates.rs
+++ b/crates/state-sync/src/updates.rs
@@ -212,10 +212,10 @@
 
     /// Returns when a subscription must be sent again, or when a delayed response can be sent.
     pub(crate) fn updates_due(&self) -> Duration {
-        let is_waiting = self.remaining_repair_bytes <= 0
+        let has_delayed_response = self.remaining_repair_bytes <= 0
             && self.children.values().any(|child| child.subscription().is_some());
         match self.role {
-            _ if is_waiting => self.repair_interval_began_at + self.options.repair_interval,
+            _ if has_delayed_response => self.repair_interval_began_at + self.options.repair_interval,
             Role::Subscribing { at } => at + self.options.resubscribe_after,
             Role::Root { .. } | Role::Orphan | Role::Following => Duration::MAX,
         }
