--- a/crates/membership/src/monitor.rs
+++ b/crates/membership/src/monitor.rs
@@ -1,7 +1,7 @@
 //! Decides which peers a node pings, and which of them it suspects to have failed.
 //!
-//! Each peer is pinged by the `monitors_per_peer` other nodes with the highest rendezvous scores for its name. A node
-//! therefore pings about `monitors_per_peer` peers, however many nodes the system has.
+//! Each peer is pinged by the `monitors_per_peer` other nodes with the highest rendezvous scores for its
+//! name. A node therefore pings about `monitors_per_peer` peers, however many nodes the system has.
 
 use crate::rendezvous::Key;
 use crate::target::Target;
@@ -144,9 +144,9 @@
         }
     }
 
-    /// Returns whether this node is one of the `monitors_per_peer` nodes with the highest scores for `peer`. The
-    /// search ends as soon as `monitors_per_peer` nodes with higher scores are found, so that only a fraction of all
-    /// pairs of nodes is scored.
+    /// Returns whether this node is one of the `monitors_per_peer` nodes with the highest scores for `peer`.
+    /// The search ends as soon as `monitors_per_peer` nodes with higher scores are found, so that only a
+    /// fraction of all pairs of nodes is scored.
     fn is_monitor_of(&self, peer: &str, peers: &[Peer]) -> bool {
         let own_name = self.options.name.as_str();
         if peer == own_name {
