--- a/crates/http1-client/src/server_connection.rs
+++ b/crates/http1-client/src/server_connection.rs
@@ -73,7 +73,7 @@
     aborted: Cell<bool>,
     /// Whether the connection closes at once, even if a request is open.
     closes_at_once: Cell<bool>,
-    /// Asks the connection to close.
+    /// Notified to ask the connection to close.
     close: Notify,
 }
 
--- a/crates/http1-client/tests/client_connection/server.rs
+++ b/crates/http1-client/tests/client_connection/server.rs
@@ -25,7 +25,7 @@
     pub signals: Semaphore,
     /// One permit for each `wait` step after which the server may continue.
     pub continue_permits: Semaphore,
-    /// The first lines of the requests, in lower case.
+    /// The request lines, in lower case.
     pub requests: RefCell<Vec<String>>,
     /// The bodies of the requests.
     pub bodies: RefCell<Vec<Vec<u8>>>,
--- a/crates/load-balancer/src/balancer/outlier_detection.rs
+++ b/crates/load-balancer/src/balancer/outlier_detection.rs
@@ -19,7 +19,7 @@
 /// The time after which a health check without a result is ignored.
 const CHECK_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The health of a server.
+/// Whether a server is healthy, ejected, or being probed after an ejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EjectionState {
     /// The server responds, and has failed `failures` times since its latest response.
--- a/crates/load-balancer/src/balancer/service_rate.rs
+++ b/crates/load-balancer/src/balancer/service_rate.rs
@@ -123,8 +123,9 @@
 }
 
 impl ServiceRate {
-    /// Records the time to the first byte of a response from a server at `distance`, which had to prefill
-    /// `work_tokens` before it. Returns the milliseconds per token of work, without the network latency.
+    /// Records the time to the first byte of a response from a server that had to prefill `work_tokens` tokens
+    /// before it. `distance` is the `Distance` of the server as an index. Returns the milliseconds per token of
+    /// work, without the network latency.
     pub(crate) fn record_first_byte(&mut self, time: Duration, distance: usize, work_tokens: f64) -> f64 {
         let milliseconds = time.as_secs_f64() * 1e3;
         let min_ms = self.min_first_byte_ms[distance].get_or_insert(milliseconds);
--- a/crates/load-balancer/src/balancer/unseen_load.rs
+++ b/crates/load-balancer/src/balancer/unseen_load.rs
@@ -18,6 +18,7 @@
 /// The distribution of the random number of unseen requests at a server.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct UnseenLoad {
+    /// The scale parameter of the distribution, in requests.
     scale: f64,
 }
 
--- a/crates/quillpulley/src/proxy/downstream/client_service.rs
+++ b/crates/quillpulley/src/proxy/downstream/client_service.rs
@@ -190,7 +190,10 @@
     }
 
     fn accept_failed(&self, error: &io::Error) {
-        log::warn!(error:% = error; "cannot accept clients: raise the limit of open files if this persists");
+        log::warn!(
+            error:% = error;
+            "cannot accept client connections: raise the limit of open files if this persists"
+        );
     }
 }
 
--- a/crates/quillpulley/src/proxy/downstream/readiness.rs
+++ b/crates/quillpulley/src/proxy/downstream/readiness.rs
@@ -65,6 +65,9 @@
     }
 
     fn accept_failed(&self, error: &io::Error) {
-        log::warn!(error:% = error; "cannot accept checks: raise the limit of open files if this persists");
+        log::warn!(
+            error:% = error;
+            "cannot accept connections for readiness checks: raise the limit of open files if this persists"
+        );
     }
 }
--- a/crates/quillpulley/src/proxy/upstream/connection_pool.rs
+++ b/crates/quillpulley/src/proxy/upstream/connection_pool.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::time::{timeout, Instant};
 
-/// Three times the longest round trip between regions, plus a margin.
+/// Maximum time to establish a connection: three times the longest round trip between regions, plus a margin.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// TCP user timeout: a connection breaks if the server acknowledges no data for this long.
 const USER_TIMEOUT: Duration = Duration::from_secs(3);
--- a/crates/quillpulley/src/proxy/upstream/health_check.rs
+++ b/crates/quillpulley/src/proxy/upstream/health_check.rs
@@ -20,8 +20,8 @@
 
 /// Interval at which due health checks are looked for.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// How long due health checks are looked for after a failure. Longer than a server stays ejected without a
-/// check.
+/// How long due health checks are looked for after a failure. This is longer than a server stays ejected
+/// without a check.
 const CHECK_PERIOD_AFTER_FAILURE: Duration = Duration::from_secs(12);
 /// Timeout of a health check.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(500);
--- a/crates/quillpulley/src/proxy/upstream/response_head.rs
+++ b/crates/quillpulley/src/proxy/upstream/response_head.rs
@@ -25,8 +25,7 @@
         /// Whether the server rejected the request because it is full.
         full: bool,
     },
-    /// The server did not execute the request, as it is not the intended one: another server listens at the
-    /// address (421).
+    /// Another server than the intended one listens at the address (421). It did not execute the request.
     Misdirected,
     /// The response to another request, or a response that violates the protocol.
     Invalid,
--- a/crates/quillpulley/src/proxy/upstream/upstreams.rs
+++ b/crates/quillpulley/src/proxy/upstream/upstreams.rs
@@ -1,8 +1,8 @@
 //! The state that all upstream requests share: the load balancer, the connection pool, and the memory budget
 //! for bodies.
 //!
-//! It does not know the queued requests. A [`CapacityListener`] is notified when a server may have capacity
-//! again.
+//! Queued requests are not part of this state. A [`CapacityListener`] is notified when a server may have
+//! capacity again.
 
 use super::connection_pool::{ConnectionPool, UpstreamPeer};
 use super::recent_failures::RecentFailures;
@@ -28,7 +28,7 @@
 pub struct HealthCheckTarget {
     /// The key, id and address of the server.
     pub peer: UpstreamPeer,
-    /// The name of its service.
+    /// The name of the service that the server belongs to.
     pub service: String,
 }
 
@@ -94,7 +94,7 @@
         &self.buffers
     }
 
-    /// Returns the time of the last failure at a server.
+    /// Returns the record of the last failure at any server.
     pub fn failures(&self) -> &RecentFailures {
         &self.failures
     }
--- a/crates/quillpulley/tests/proxy/timelines.rs
+++ b/crates/quillpulley/tests/proxy/timelines.rs
@@ -14,7 +14,7 @@
 
 /// Number of bytes that exceeds what the kernel buffers for a connection that is not read.
 const LONG_BODY_BYTES: usize = 8 * 1024 * 1024;
-/// Longer than the reuse delay of connections to servers, which is 10 ms.
+/// How long `reuse-delay` waits: longer than the reuse delay of connections to servers, which is 10 ms.
 const REUSE_WAIT: Duration = Duration::from_millis(15);
 
 /// A test case: one line of a table.
