--- a/crates/load-balancer/tests/eligibility.rs
+++ b/crates/load-balancer/tests/eligibility.rs
@@ -116,9 +116,9 @@
 
 /// A change of the listed servers or evacuated zones, or a request.
 ///
-/// The `state` of a server is 0 if it is draining, 1 if it will be removed at short notice, and 2 if it is cold;
-/// otherwise it is ready and warm. The `outcome` of a request modulo 3 is 0 if the request stays in flight, 1 if
-/// it completes, and 2 if its client closes the connection.
+/// The `state` of a server is 0 if it is draining, 1 if it will be removed at short notice, and 2 if it is
+/// cold; otherwise it is ready and warm. The `outcome` of a request modulo 3 is 0 if the request stays in
+/// flight, 1 if it completes, and 2 if its client closes the connection.
 #[derive(Clone, Debug)]
 enum Event {
     Put { server: usize, zone: usize, state: u8 },
--- a/crates/quillpulley/src/proxy/shutdown/drain_deadline.rs
+++ b/crates/quillpulley/src/proxy/shutdown/drain_deadline.rs
@@ -9,9 +9,9 @@
 
 use std::time::Duration;
 
-/// How long all requests are accepted after the signal. The platform excuses requests that are truncated at
-/// the exit only if they were sent within 3 s after the signal; the rest of the 3 s allows for a signal that
-/// is noticed late.
+/// How long all requests are accepted after the signal. The platform tolerates that requests are truncated
+/// at the exit only if they were sent within 3 s after the signal; the rest of the 3 s allows for a signal
+/// that is noticed late.
 const ACCEPT_ALL_PERIOD: Duration = Duration::from_millis(2_900);
 /// Minimum time between the end of the period in which all requests are accepted, and SIGKILL.
 const MIN_FINISH_TIME: Duration = Duration::from_secs(3);
--- a/crates/quillpulley/tests/proxy/support/agent.rs
+++ b/crates/quillpulley/tests/proxy/support/agent.rs
@@ -17,7 +17,7 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, Instant};
 
-/// An agent that is the root of the synchronization tree, with the proxy as its only child.
+/// An agent that is the root of the relay tree, with the proxy as its only child.
 pub struct FakeAgent {
     shared: Rc<Shared>,
     port: u16,
