--- a/crates/quillpulley/src/proxy/process.rs
+++ b/crates/quillpulley/src/proxy/process.rs
@@ -163,13 +163,13 @@
         log::info!(open_requests = state.open_requests.len(); "SIGTERM received, draining");
         state.lifecycle.begin_drain(now, deadline);
         self.urgent_report.notify_one();
-        sleep_until(state.at(deadline.accepts_all_until())).await;
+        sleep_until(state.instant_at(deadline.accepts_all_until())).await;
         self.clients.set_draining();
-        if timeout_at(state.at(deadline.response_cutoff()), self.clients.all_closed()).await.is_ok() {
+        if timeout_at(state.instant_at(deadline.response_cutoff()), self.clients.all_closed()).await.is_ok() {
             return;
         }
         state.lifecycle.signal_response_cutoff();
-        if timeout_at(state.at(deadline.exits_at()), self.clients.all_closed()).await.is_err() {
+        if timeout_at(state.instant_at(deadline.exits_at()), self.clients.all_closed()).await.is_err() {
             log::warn!(open_requests = state.open_requests.len(); "exiting with requests still open");
         }
     }
--- a/crates/quillpulley/src/proxy/state.rs
+++ b/crates/quillpulley/src/proxy/state.rs
@@ -95,7 +95,7 @@
     }
 
     /// Converts a time since the start of the process to an instant.
-    pub fn at(&self, time: Duration) -> Instant {
+    pub fn instant_at(&self, time: Duration) -> Instant {
         self.upstreams.started_at() + time
     }
 
