--- a/crates/http1-client/tests/client_connection/responses.rs
+++ b/crates/http1-client/tests/client_connection/responses.rs
@@ -17,9 +17,8 @@
 
 /// The maximum duration of a test, and the timeout of connections.
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// The size of a body that exceeds the kernel's buffers for a connection that the server does not read, in
-/// bytes.
-const LONG_BODY: usize = 32 * 1024 * 1024;
+/// The size of a body that exceeds the kernel's buffers for a connection that the server does not read.
+const LONG_BODY_BYTES: usize = 32 * 1024 * 1024;
 
 const LIMITS: ConnectionLimits = ConnectionLimits {
     max_body: 1024,
@@ -148,7 +147,7 @@
     run(async {
         let (address, shared) = start(&["head ok wait body signal request ok"]).await;
         let mut connection = connect(address).await;
-        assert_eq!(outcome(connection.exchange(request(vec![b'w'; LONG_BODY])).await), "200 done");
+        assert_eq!(outcome(connection.exchange(request(vec![b'w'; LONG_BODY_BYTES])).await), "200 done");
         assert_eq!(connection.socket().write_progress(), WriteProgress::Partial);
         assert!(connection.is_writing());
         assert!(!is_usable(&mut connection).await, "the next request has to wait");
@@ -159,7 +158,7 @@
         };
         connection.drive(rest_read).await;
         assert!(shared.bodies.borrow()[0].iter().all(|byte| *byte == b'w'));
-        assert_eq!(shared.bodies.borrow()[0].len(), LONG_BODY);
+        assert_eq!(shared.bodies.borrow()[0].len(), LONG_BODY_BYTES);
         assert!(!connection.is_writing() && is_usable(&mut connection).await);
         assert_eq!(outcome(connection.exchange(request(b"next".to_vec())).await), "200 done");
         assert_eq!(shared.bodies.borrow()[1], b"next");
@@ -171,7 +170,7 @@
     run(async {
         let (address, shared) = start(&["head signal reset"]).await;
         let mut connection = connect(address).await;
-        let result = outcome(connection.exchange(request(vec![b'w'; LONG_BODY])).await);
+        let result = outcome(connection.exchange(request(vec![b'w'; LONG_BODY_BYTES])).await);
         wait_for_signal(&shared).await;
         assert_eq!(
             (result.as_str(), connection.socket().write_progress()),
--- a/crates/load-balancer/src/balancer/in_flight.rs
+++ b/crates/load-balancer/src/balancer/in_flight.rs
@@ -85,11 +85,11 @@
         let time = now.saturating_sub(request.sent_at);
         let work = f64::from(request.request_load.prefill_tokens) + request.queued_tokens;
         if let Some(service) = self.services.get_mut(&server.info.service) {
-            let per_token = service.rate.record_first_byte(time, server.distance as usize, work);
+            let ms_per_token = service.rate.record_first_byte(time, server.distance as usize, work);
             if self.options.ablation.fitted_prefill_time() {
                 service.rate.prefill = PrefillTime::default();
             }
-            server.speed.add(now, per_token);
+            server.speed.add(now, ms_per_token);
         }
         self.record_response(now, ticket.server);
     }
--- a/crates/load-balancer/src/balancer/outlier_detection.rs
+++ b/crates/load-balancer/src/balancer/outlier_detection.rs
@@ -24,9 +24,9 @@
 enum EjectionState {
     /// The server responds, and has failed `failures` times since its latest response.
     Healthy { failures: u32 },
-    /// The server is ejected until a time, for the `count`th time in a row. `check` is when the latest health
-    /// check was started.
-    Ejected { until: Duration, count: u32, check: Option<Duration> },
+    /// The server is ejected until the time `until`, for the `count`th time in a row. `check_started_at` is
+    /// when the latest health check was started; `None` if none was since the server entered this state.
+    Ejected { until: Duration, count: u32, check_started_at: Option<Duration> },
     /// One request has been sent to the server as a probe. Its outcome determines the next state.
     Probing { count: u32 },
 }
@@ -120,16 +120,16 @@
             }
             (EjectionState::Probing { count }, HealthEvent::Failed(_)) => ejected(now, count + 1),
             (EjectionState::Probing { count }, HealthEvent::ProbeAbandoned) => {
-                EjectionState::Ejected { until: now, count, check: None }
+                EjectionState::Ejected { until: now, count, check_started_at: None }
             }
-            (EjectionState::Ejected { count, check: Some(_), .. }, HealthEvent::CheckFailed) => {
+            (EjectionState::Ejected { count, check_started_at: Some(_), .. }, HealthEvent::CheckFailed) => {
                 ejected(now, count + 1)
             }
             (EjectionState::Ejected { count, .. }, HealthEvent::ProbeStarted) => {
                 EjectionState::Probing { count }
             }
             (EjectionState::Ejected { until, count, .. }, HealthEvent::CheckStarted) => {
-                EjectionState::Ejected { until, count, check: Some(now) }
+                EjectionState::Ejected { until, count, check_started_at: Some(now) }
             }
             // Failures of requests that were sent before the ejection are no new information.
             (state, _) => state,
@@ -145,8 +145,8 @@
         let delay = if urgent { URGENT_PROBE_DELAY } else { Duration::ZERO };
         match self.state {
             EjectionState::Healthy { .. } => HealthStatus::Healthy,
-            EjectionState::Ejected { until, check, .. }
-                if now >= until + delay && !is_check_pending(check, now) =>
+            EjectionState::Ejected { until, check_started_at, .. }
+                if now >= until + delay && !is_check_pending(check_started_at, now) =>
             {
                 HealthStatus::ProbeDue
             }
@@ -156,21 +156,21 @@
 
     /// Returns whether a health check is due.
     pub(crate) fn is_check_due(&self, now: Duration) -> bool {
-        let EjectionState::Ejected { until, check, .. } = self.state else { return false };
-        now + CHECK_LEAD_TIME >= until && !is_check_pending(check, now)
+        let EjectionState::Ejected { until, check_started_at, .. } = self.state else { return false };
+        now + CHECK_LEAD_TIME >= until && !is_check_pending(check_started_at, now)
     }
 }
 
 /// Returns whether a health check has started and its result is still awaited.
-fn is_check_pending(check: Option<Duration>, now: Duration) -> bool {
-    check.is_some_and(|begun| now < begun + CHECK_TIMEOUT)
+fn is_check_pending(check_started_at: Option<Duration>, now: Duration) -> bool {
+    check_started_at.is_some_and(|started_at| now < started_at + CHECK_TIMEOUT)
 }
 
 /// Returns the state of a server that is ejected for the `count`th time in a row.
 fn ejected(now: Duration, count: u32) -> EjectionState {
     let doublings = count.saturating_sub(1).min(16);
     let time = FIRST_EJECTION_TIME.saturating_mul(1 << doublings).min(MAX_EJECTION_TIME);
-    EjectionState::Ejected { until: now + time, count, check: None }
+    EjectionState::Ejected { until: now + time, count, check_started_at: None }
 }
 
 /// The numbers of failures and requests of a server, with exponential decay.
--- a/crates/load-balancer/src/balancer/service_rate.rs
+++ b/crates/load-balancer/src/balancer/service_rate.rs
@@ -57,15 +57,15 @@
 }
 
 impl Speed {
-    /// Returns the ratio of the time per token to the median of the service's servers; 1 if either is
-    /// unknown. The difference from 1 decays with the age of the latest sample.
-    pub(crate) fn slowness(&self, now: Duration, median: Option<f64>) -> f64 {
-        let (Some(own), Some(median)) = (self.mean.reliable(), median) else { return 1.0 };
-        if median <= 0.0 {
+    /// Returns the ratio of the time per token to `median_ms`, the median of the service's servers; 1 if
+    /// either is unknown. The difference from 1 decays with the age of the latest sample.
+    pub(crate) fn slowness(&self, now: Duration, median_ms: Option<f64>) -> f64 {
+        let (Some(own_ms), Some(median_ms)) = (self.mean.reliable(), median_ms) else { return 1.0 };
+        if median_ms <= 0.0 {
             return 1.0;
         }
-        let age = now.saturating_sub(self.updated_at).as_secs_f64();
-        1.0 + (own / median - 1.0) * 0.5_f64.powf(age / SLOWNESS_HALF_LIFE_S)
+        let age_s = now.saturating_sub(self.updated_at).as_secs_f64();
+        1.0 + (own_ms / median_ms - 1.0) * 0.5_f64.powf(age_s / SLOWNESS_HALF_LIFE_S)
     }
 
     /// Returns the mean time per token in milliseconds; `None` while there are too few samples.
@@ -123,9 +123,9 @@
 }
 
 impl ServiceRate {
-    /// Records the time to the first byte of a response from a server that had to prefill `work_tokens` tokens
-    /// before it. `distance` is the `Distance` of the server as an index. Returns the milliseconds per token of
-    /// work, without the network latency.
+    /// Records the time to the first byte of a response from a server that had to prefill `work_tokens`
+    /// tokens before it. `distance` is the `Distance` of the server as an index. Returns the milliseconds per
+    /// token of work, without the network latency.
     pub(crate) fn record_first_byte(&mut self, time: Duration, distance: usize, work_tokens: f64) -> f64 {
         let milliseconds = time.as_secs_f64() * 1e3;
         let min_ms = self.min_first_byte_ms[distance].get_or_insert(milliseconds);
@@ -133,11 +133,11 @@
         let network_latency_ms =
             *min_ms - self.min_first_byte_ms.iter().flatten().copied().fold(f64::INFINITY, f64::min);
         let server_ms = (milliseconds - network_latency_ms).max(0.0);
-        let per_token = server_ms / (BASE_TOKENS + work_tokens);
+        let ms_per_token = server_ms / (BASE_TOKENS + work_tokens);
         self.prefill.record(work_tokens, server_ms);
         self.first_byte_ms.add(milliseconds);
-        self.token_ms.add(per_token);
-        per_token
+        self.token_ms.add(ms_per_token);
+        ms_per_token
     }
 
     pub(crate) fn record_end(&mut self, time: Duration) {
--- a/crates/load-balancer/tests/model_servers.rs
+++ b/crates/load-balancer/tests/model_servers.rs
@@ -36,11 +36,11 @@
     ]
 }
 
-fn long(document: u64) -> [PromptSegment; 3] {
+fn with_long_prefix(document: u64) -> [PromptSegment; 3] {
     segments(document % 4, 2_500, document, 3_800)
 }
 
-fn short(document: u64) -> [PromptSegment; 3] {
+fn with_short_prefix(document: u64) -> [PromptSegment; 3] {
     segments(document % 4, 120, document, 80)
 }
 
@@ -65,8 +65,10 @@
     let mut balancers = ["a1", "b1", "c1"].map(fleet);
     let mut used = BTreeSet::new();
     for document in 0..200 {
-        let servers: BTreeSet<ServerKey> =
-            balancers.iter_mut().map(|balancer| chosen(balancer, &request(&long(document)))).collect();
+        let servers: BTreeSet<ServerKey> = balancers
+            .iter_mut()
+            .map(|balancer| chosen(balancer, &request(&with_long_prefix(document))))
+            .collect();
         assert_eq!(servers.len(), 1, "for document {document}");
         used.extend(servers);
     }
@@ -78,8 +80,8 @@
     for zone in ["a1", "b1", "c1"] {
         let (mut one, mut other) = (fleet(zone), fleet(zone));
         for document in 0..50 {
-            let server = chosen(&mut one, &request(&short(document)));
-            assert_eq!(server, chosen(&mut other, &request(&short(document))));
+            let server = chosen(&mut one, &request(&with_short_prefix(document)));
+            assert_eq!(server, chosen(&mut other, &request(&with_short_prefix(document))));
             assert_eq!(region(&one, server), zone[..1]);
         }
     }
@@ -90,8 +92,8 @@
     let (mut complete, mut remaining) = (fleet("a1"), fleet("a1"));
     let removed = remaining.remove_server(NOW, "s2").expect("the server was listed");
     for document in 0..200 {
-        let before = chosen(&mut complete, &request(&long(document)));
-        let after = chosen(&mut remaining, &request(&long(document)));
+        let before = chosen(&mut complete, &request(&with_long_prefix(document)));
+        let after = chosen(&mut remaining, &request(&with_long_prefix(document)));
         assert!(before == after || before == removed, "document {document} moved");
     }
 }
@@ -100,13 +102,13 @@
 fn proxies_of_a_region_agree_on_the_next_server_if_the_first_is_excluded() {
     let mut balancers = ["a1", "b1", "c1"].map(fleet);
     for document in 0..50 {
-        let prompt_segments = long(document);
+        let prompt_segments = with_long_prefix(document);
         // With a small body, it costs little to send the request to another region.
         let demand = Demand { body_bytes: 100, ..request(&prompt_segments) };
         let first = chosen(&mut balancers[0], &demand);
         let next = |balancer: &mut Balancer| balancer.choose(NOW, &demand, &[first]);
-        let nexts: Vec<Choice> = balancers.iter_mut().map(next).collect();
-        let regions: BTreeSet<String> = nexts
+        let next_choices: Vec<Choice> = balancers.iter_mut().map(next).collect();
+        let regions: BTreeSet<String> = next_choices
             .iter()
             .zip(&balancers)
             .filter_map(|(choice, balancer)| match choice {
@@ -114,7 +116,7 @@
                 _ => None,
             })
             .collect();
-        let servers: BTreeSet<String> = nexts.iter().map(|choice| format!("{choice:?}")).collect();
+        let servers: BTreeSet<String> = next_choices.iter().map(|choice| format!("{choice:?}")).collect();
         assert!(servers.len() <= regions.len(), "at most one server in each region");
     }
 }
@@ -142,12 +144,12 @@
     let homes = ["b".to_owned(), "c".to_owned()];
     let mut balancer = fleet("c1");
     for document in 0..50 {
-        let prompt_segments = short(document);
+        let prompt_segments = with_short_prefix(document);
         let key = chosen(&mut balancer, &Demand { homes: &homes, ..request(&prompt_segments) });
         assert_eq!(region(&balancer, key), "c");
     }
     let mut balancer = fleet("a1");
-    let prompt_segments = short(1);
+    let prompt_segments = with_short_prefix(1);
     let key = chosen(&mut balancer, &Demand { homes: &homes, ..request(&prompt_segments) });
     assert_ne!(region(&balancer, key), "a");
 }
@@ -155,12 +157,12 @@
 #[test]
 fn a_server_with_long_prompts_queued_is_avoided() {
     let mut balancer = fleet("a1");
-    let usual_server = chosen(&mut balancer, &request(&short(1)));
+    let usual_server = chosen(&mut balancer, &request(&with_short_prefix(1)));
     let id = balancer.server(usual_server).expect("the server is listed").id.clone();
     let load =
         ServerLoad { server: server_hash(&id), running: 0, waiting: 4, prompt_tokens: 60_000, failures: 0 };
     balancer.set_totals(NOW, &[load]);
-    let other = chosen(&mut balancer, &request(&short(1)));
+    let other = chosen(&mut balancer, &request(&with_short_prefix(1)));
     assert_ne!(other, usual_server);
     assert_eq!(region(&balancer, other), "a");
 }
@@ -203,7 +205,7 @@
 #[test]
 fn no_request_is_rejected_while_half_of_the_slots_are_free() {
     let mut balancer = fleet("a1");
-    let prompt_segments = long(1);
+    let prompt_segments = with_long_prefix(1);
     let demand = Demand { target_latency: ms(1), ..request(&prompt_segments) };
     for _ in 0..(9 * 32) {
         let Choice::Send(key) = balancer.choose(NOW, &demand, &[]) else { panic!("rejected") };
--- a/crates/load-balancer/tests/request_queue.rs
+++ b/crates/load-balancer/tests/request_queue.rs
@@ -10,16 +10,21 @@
     Duration::from_millis(milliseconds)
 }
 
-fn terms(priority: u32, target_latency: u64) -> QueueTerms {
-    QueueTerms { priority, target_latency: ms(target_latency), deadline: ms(60_000), bytes: 100 }
+fn terms(priority: u32, target_latency_ms: u64) -> QueueTerms {
+    QueueTerms { priority, target_latency: ms(target_latency_ms), deadline: ms(60_000), bytes: 100 }
 }
 
 fn queue() -> RequestQueue<&'static str> {
     RequestQueue::new(LIMITS)
 }
 
-fn push(queue: &mut RequestQueue<&'static str>, now: u64, terms: QueueTerms, name: &'static str) -> QueueKey {
-    queue.push(ms(now), terms, name).expect("the request fits the limits").key
+fn push(
+    queue: &mut RequestQueue<&'static str>,
+    now_ms: u64,
+    terms: QueueTerms,
+    name: &'static str,
+) -> QueueKey {
+    queue.push(ms(now_ms), terms, name).expect("the request fits the limits").key
 }
 
 #[test]
@@ -120,7 +125,7 @@
 enum Step {
     Push {
         priority: u32,
-        target_latency: u64,
+        target_latency_ms: u64,
         bytes: usize,
     },
     Next,
@@ -136,7 +141,7 @@
             1 => Step::Remove(usize::arbitrary(g)),
             _ => Step::Push {
                 priority: u32::arbitrary(g) % 3,
-                target_latency: u64::arbitrary(g) % 2_000,
+                target_latency_ms: u64::arbitrary(g) % 2_000,
                 bytes: usize::arbitrary(g) % 700,
             },
         }
@@ -151,8 +156,8 @@
         for (number, step) in steps.iter().enumerate() {
             let now = ms(number as u64 * 20);
             let removed = match *step {
-                Step::Push { priority, target_latency, bytes } => {
-                    let terms = QueueTerms { bytes, ..terms(priority, target_latency) };
+                Step::Push { priority, target_latency_ms, bytes } => {
+                    let terms = QueueTerms { bytes, ..terms(priority, target_latency_ms) };
                     expected.push((number, bytes));
                     match queue.push(now, terms, (number, bytes)) {
                         Ok(queued) => {
--- a/crates/load-balancer/tests/stale_loads.rs
+++ b/crates/load-balancer/tests/stale_loads.rs
@@ -47,9 +47,9 @@
 }
 
 /// Returns how many requests each server gets from all proxies until the next report, if `running` requests
-/// run at every server but one, which has `least`. Before that, the proxies send requests for some seconds,
-/// so that they know their request rate.
-fn sent_until_next_report(running: u32, least: u32) -> BTreeMap<String, usize> {
+/// run at every server but one, and `least_running` at that one. Before that, the proxies send requests for
+/// some seconds, so that they know their request rate.
+fn sent_until_next_report(running: u32, least_running: u32) -> BTreeMap<String, usize> {
     let mut balancers = fleet();
     let mut now = Duration::ZERO;
     while now < Duration::from_secs(4) {
@@ -63,7 +63,7 @@
     }
     let load = |n: usize| {
         let id = format!("s{n}");
-        let running = if id == LEAST_LOADED { least } else { running };
+        let running = if id == LEAST_LOADED { least_running } else { running };
         ServerLoad { server: server_hash(&id), running, waiting: 0, prompt_tokens: 0, failures: 0 }
     };
     let totals: Vec<ServerLoad> = (0..SERVERS).map(load).collect();
--- a/crates/quillpulley/src/proxy/state.rs
+++ b/crates/quillpulley/src/proxy/state.rs
@@ -107,8 +107,8 @@
         log::info!(version = configuration.version; "configuration active");
         let config = Rc::new(ActiveConfig::new(configuration));
         self.upstreams.set_services(config.services());
-        let before = self.config.replace(config.clone());
-        if before.is_some_and(|before| before.homes().all() != config.homes().all()) {
+        let previous = self.config.replace(config.clone());
+        if previous.is_some_and(|previous| previous.homes().all() != config.homes().all()) {
             self.home_demand.reset();
         }
         self.lifecycle.handle(self.now(), Event::ConfigurationKnown);
--- a/crates/quillpulley/src/proxy/sync/sync_client.rs
+++ b/crates/quillpulley/src/proxy/sync/sync_client.rs
@@ -39,7 +39,7 @@
 pub struct SyncClient {
     state: Rc<ProxyState>,
     endpoint: ProxyEndpoint,
-    agent: SocketAddr,
+    agent_address: SocketAddr,
     peers: Rc<Peers>,
     events: UnboundedReceiver<PeerEvent>,
     link: AgentLink,
@@ -58,7 +58,7 @@
         SyncClient {
             state,
             endpoint: own_endpoint(settings, endpoint),
-            agent: SocketAddr::from((Ipv4Addr::LOCALHOST, settings.proxy_port())),
+            agent_address: SocketAddr::from((Ipv4Addr::LOCALHOST, settings.proxy_port())),
             peers,
             events,
             link: AgentLink::Down { retry_at: Instant::now() },
@@ -104,7 +104,7 @@
 
     fn connect_if_due(&mut self) {
         if matches!(self.link, AgentLink::Down { retry_at } if retry_at <= Instant::now()) {
-            let link = self.peers.connect(self.agent);
+            let link = self.peers.connect(self.agent_address);
             self.change_link(AgentLink::Connecting(link));
         }
     }
@@ -134,11 +134,14 @@
         self.link = next;
         match next {
             AgentLink::Up(_) => {
-                log::info!(address:% = self.agent; "connected to the agent");
+                log::info!(address:% = self.agent_address; "connected to the agent");
                 self.handle(Event::ParentUp);
             }
             AgentLink::Down { .. } if was_up => {
-                log::warn!(address:% = self.agent; "agent disconnected; serving with the last known state");
+                log::warn!(
+                    address:% = self.agent_address;
+                    "agent disconnected; serving with the last known state"
+                );
                 self.handle(Event::ParentDown);
             }
             AgentLink::Down { .. } | AgentLink::Connecting(_) => {}
--- a/crates/quillpulley/src/proxy/upstream/connection_pool.rs
+++ b/crates/quillpulley/src/proxy/upstream/connection_pool.rs
@@ -144,12 +144,12 @@
         }
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
-        let of_server = idle.entry(server).or_default();
-        if of_server.len() >= quota.max(MIN_IDLE_CONNECTIONS) {
-            of_server.remove(0);
+        let server_connections = idle.entry(server).or_default();
+        if server_connections.len() >= quota.max(MIN_IDLE_CONNECTIONS) {
+            server_connections.remove(0);
         }
         let (reusable_at, expires_at) = (now + REUSE_DELAY, now + idle_time);
-        of_server.push(IdleConnection { connection, reusable_at, expires_at });
+        server_connections.push(IdleConnection { connection, reusable_at, expires_at });
     }
 
     /// Closes all idle connections to a server.
@@ -162,7 +162,7 @@
     pub fn abort_all(&self, server: ServerKey) {
         self.close_idle_to(server);
         let abortable = self.abortable.borrow();
-        for (_, socket) in abortable.values().filter(|(of, _)| *of == server) {
+        for (_, socket) in abortable.values().filter(|(owner, _)| *owner == server) {
             socket.abort();
         }
     }
@@ -178,9 +178,9 @@
     /// Closes the idle connections that have expired.
     pub fn close_expired(&self) {
         let now = Instant::now();
-        self.idle.borrow_mut().retain(|_, of_server| {
-            of_server.retain(|idle| now < idle.expires_at);
-            !of_server.is_empty()
+        self.idle.borrow_mut().retain(|_, server_connections| {
+            server_connections.retain(|idle| now < idle.expires_at);
+            !server_connections.is_empty()
         });
     }
 
@@ -188,11 +188,11 @@
     /// unusable.
     fn reuse(&self, server: ServerKey, cx: &mut Context<'_>) -> Option<ClientConnection> {
         let mut idle = self.idle.borrow_mut();
-        let of_server = idle.get_mut(&server)?;
+        let server_connections = idle.get_mut(&server)?;
         let now = Instant::now();
         loop {
-            let latest = of_server.iter().rposition(|idle| now >= idle.reusable_at)?;
-            let IdleConnection { mut connection, expires_at, .. } = of_server.remove(latest);
+            let latest = server_connections.iter().rposition(|idle| now >= idle.reusable_at)?;
+            let IdleConnection { mut connection, expires_at, .. } = server_connections.remove(latest);
             if now >= expires_at {
                 continue;
             }
@@ -211,8 +211,8 @@
             return true;
         }
         let mut idle = self.idle.borrow_mut();
-        let candidates = idle.values_mut().filter(|of_server| !of_server.is_empty());
-        let oldest = candidates.min_by_key(|of_server| of_server[0].expires_at);
-        oldest.map(|of_server| of_server.remove(0)).is_some()
+        let candidates = idle.values_mut().filter(|server_connections| !server_connections.is_empty());
+        let oldest = candidates.min_by_key(|server_connections| server_connections[0].expires_at);
+        oldest.map(|server_connections| server_connections.remove(0)).is_some()
     }
 }
--- a/crates/quillpulley/tests/proxy/preferred_regions.rs
+++ b/crates/quillpulley/tests/proxy/preferred_regions.rs
@@ -21,11 +21,11 @@
 #[test]
 fn only_requests_to_hosts_that_are_partly_served_in_this_region_are_counted() {
     run(async {
-        let homed = route("bound", "idempotent", "\"HomeRegions\":[\"west\"]");
-        let free = route("free", "idempotent", "");
-        let elsewhere =
+        let only_west = route("bound", "idempotent", "\"HomeRegions\":[\"west\"]");
+        let unrestricted = route("free", "idempotent", "");
+        let other_host =
             route("all", "idempotent", "\"HomeRegions\":[\"north\"]").replace("h.example", "g.example");
-        let proxy = Proxy::start(&configuration(1, &[&homed, &free, &elsewhere]), &[]).await;
+        let proxy = Proxy::start(&configuration(1, &[&only_west, &unrestricted, &other_host]), &[]).await;
         let _others = send(&proxy, "g.example", "/all/", 30).await;
         let _counted = send(&proxy, "h.example", "/bound/", 25).await;
         proxy.agent.wait_for_endpoint(|endpoint| !endpoint.preferred_regions.is_empty()).await;
--- a/crates/quillpulley/tests/proxy/process_lifecycle.rs
+++ b/crates/quillpulley/tests/proxy/process_lifecycle.rs
@@ -204,9 +204,9 @@
         // The new configuration removes one route, gives the other another service and a timeout of 1 ms, and
         // sets the idle timeout of client connections to 1 ms.
         let elsewhere = route("s", "streaming", "\"Service\":\"none\",\"TimeoutMs\":1");
-        let least_idle =
+        let new_configuration =
             configuration(2, &[&elsewhere]).replace("\"IdleTimeoutMs\":15000", "\"IdleTimeoutMs\":1");
-        proxy.agent.publish_configuration(&least_idle);
+        proxy.agent.publish_configuration(&new_configuration);
         assert!(idle.is_closed().await);
 
         plain_call.respond_ok("done").await;
--- a/crates/quillpulley/tests/proxy_retry_state.rs
+++ b/crates/quillpulley/tests/proxy_retry_state.rs
@@ -166,16 +166,16 @@
         let max_attempts = u32::from(max_attempts).max(1);
         let mut state =
             RetryState::new(RetryPolicy { is_idempotent, max_attempts, retries_after_reset: false });
-        let (mut sends, mut counted) = (0, 0);
+        let (mut sends, mut attempts) = (0, 0);
         for AttemptResult(event) in results {
             state.handle(Event::UpstreamChosen);
             state.handle(Event::Connected);
             sends += 1;
-            counted += u32::from(!matches!(event, Event::NotSent | Event::Misdirected));
+            attempts += u32::from(!matches!(event, Event::NotSent | Event::Misdirected));
             if let Step::Finish(_) = state.handle(event) {
                 break;
             }
         }
-        sends <= 4 && counted <= max_attempts
+        sends <= 4 && attempts <= max_attempts
     }
 }
