--- a/crates/load-balancer/src/demand.rs
+++ b/crates/load-balancer/src/demand.rs
@@ -18,7 +18,7 @@
     /// The name of the service that must serve the request.
     pub service: &'a str,
     /// The home regions: the only regions in which the request may be served. Any region if empty.
-    pub homes: &'a [String],
+    pub home_regions: &'a [String],
     /// The segments of the prompt in order. All but the last are shared with other requests; the last one
     /// belongs to this request or its session alone.
     pub segments: &'a [PromptSegment],
@@ -59,6 +59,6 @@
 
     /// Returns whether the request may be served in `region`.
     pub(crate) fn may_be_served_in(&self, region: &str) -> bool {
-        self.homes.is_empty() || self.homes.iter().any(|home| home == region)
+        self.home_regions.is_empty() || self.home_regions.iter().any(|home| home == region)
     }
 }
--- a/crates/load-balancer/tests/common/fleet.rs
+++ b/crates/load-balancer/tests/common/fleet.rs
@@ -42,7 +42,7 @@
     pub body_bytes: usize,
     pub priority: u32,
     pub target_latency: Duration,
-    pub homes: Vec<String>,
+    pub home_regions: Vec<String>,
 }
 
 pub struct Options {
@@ -266,7 +266,7 @@
         let kind = &self.options.kinds[kind_index];
         let demand = Demand {
             service: ENGINE,
-            homes: &kind.homes,
+            home_regions: &kind.home_regions,
             segments: &segments,
             prompt_tokens: segments.iter().map(|segment| segment.tokens).sum(),
             output_tokens,
--- a/crates/load-balancer/tests/common/mod.rs
+++ b/crates/load-balancer/tests/common/mod.rs
@@ -102,7 +102,7 @@
 pub fn demand(service: &str) -> Demand<'_> {
     Demand {
         service,
-        homes: &[],
+        home_regions: &[],
         segments: &[],
         prompt_tokens: 0,
         output_tokens: 0,
--- a/crates/load-balancer/tests/eligibility.rs
+++ b/crates/load-balancer/tests/eligibility.rs
@@ -124,7 +124,7 @@
     Put { server: usize, zone: usize, state: u8 },
     Remove { server: usize },
     Evacuate { zones: Vec<bool> },
-    Request { engine: bool, homes: Vec<usize>, exclude: Vec<usize>, outcome: u8 },
+    Request { engine: bool, home_regions: Vec<usize>, exclude: Vec<usize>, outcome: u8 },
 }
 
 const SERVERS: usize = 8;
@@ -142,7 +142,7 @@
             4 => Event::Evacuate { zones: ZONES.map(|_| u8::arbitrary(g) % 4 == 0).to_vec() },
             _ => Event::Request {
                 engine: bool::arbitrary(g),
-                homes: Vec::<usize>::arbitrary(g).into_iter().map(|home| home % 3).take(2).collect(),
+                home_regions: Vec::<usize>::arbitrary(g).into_iter().map(|home| home % 3).take(2).collect(),
                 exclude: Vec::<usize>::arbitrary(g)
                     .into_iter()
                     .map(|server| server % SERVERS)
@@ -176,10 +176,15 @@
                 self.evacuated = evacuated.map(|(zone, _)| zone.to_string()).collect();
                 self.balancer.set_evacuated(self.now, &self.evacuated);
             }
-            Event::Request { engine, homes, exclude, outcome } => {
+            Event::Request { engine, home_regions, exclude, outcome } => {
                 let service = if *engine { ENGINE } else { PLAIN };
-                let homes: Vec<String> = homes.iter().map(|home| REGIONS[*home].to_owned()).collect();
-                return self.request(&Demand { homes: &homes, ..demand(service) }, exclude, *outcome);
+                let home_regions: Vec<String> =
+                    home_regions.iter().map(|home| REGIONS[*home].to_owned()).collect();
+                return self.request(
+                    &Demand { home_regions: &home_regions, ..demand(service) },
+                    exclude,
+                    *outcome,
+                );
             }
         }
         true
@@ -217,7 +222,8 @@
                 && server.state == ServerState::Ready
                 && !server.has_time_remaining
                 && !self.evacuated.contains(&server.zone)
-                && (demand.homes.is_empty() || demand.homes.contains(&server.zone[..1].to_owned()))
+                && (demand.home_regions.is_empty()
+                    || demand.home_regions.contains(&server.zone[..1].to_owned()))
         })
     }
 }
--- a/crates/load-balancer/tests/fleet_scenarios.rs
+++ b/crates/load-balancer/tests/fleet_scenarios.rs
@@ -23,7 +23,7 @@
         body_bytes: 18_000,
         priority: 0,
         target_latency: Duration::from_millis(800),
-        homes: vec![],
+        home_regions: vec![],
     };
     let long_responses = RequestKind {
         requests_per_s: 30.0 * load_factor * response_factor,
@@ -33,7 +33,7 @@
         body_bytes: 1_700,
         priority: 1,
         target_latency: Duration::from_millis(1_000),
-        homes: vec!["a".to_owned(), "b".to_owned()],
+        home_regions: vec!["a".to_owned(), "b".to_owned()],
     };
     vec![long_prompts, long_responses]
 }
--- a/crates/load-balancer/tests/model_servers.rs
+++ b/crates/load-balancer/tests/model_servers.rs
@@ -141,16 +141,16 @@
 
 #[test]
 fn the_nearest_home_region_is_used() {
-    let homes = ["b".to_owned(), "c".to_owned()];
+    let home_regions = ["b".to_owned(), "c".to_owned()];
     let mut balancer = fleet("c1");
     for document in 0..50 {
         let prompt_segments = with_short_prefix(document);
-        let key = chosen(&mut balancer, &Demand { homes: &homes, ..request(&prompt_segments) });
+        let key = chosen(&mut balancer, &Demand { home_regions: &home_regions, ..request(&prompt_segments) });
         assert_eq!(region(&balancer, key), "c");
     }
     let mut balancer = fleet("a1");
     let prompt_segments = with_short_prefix(1);
-    let key = chosen(&mut balancer, &Demand { homes: &homes, ..request(&prompt_segments) });
+    let key = chosen(&mut balancer, &Demand { home_regions: &home_regions, ..request(&prompt_segments) });
     assert_ne!(region(&balancer, key), "a");
 }
 
--- a/crates/load-balancer/tests/plain_servers.rs
+++ b/crates/load-balancer/tests/plain_servers.rs
@@ -125,8 +125,8 @@
 
 #[test]
 fn home_regions_take_precedence_over_distance() {
-    let homes = ["c".to_owned()];
-    let demand = Demand { homes: &homes, ..demand(PLAIN) };
+    let home_regions = ["c".to_owned()];
+    let demand = Demand { home_regions: &home_regions, ..demand(PLAIN) };
     assert_eq!(Fleet::new().send(&demand), Some(3));
 }
 
--- a/crates/quillpulley/src/proxy/downstream/request.rs
+++ b/crates/quillpulley/src/proxy/downstream/request.rs
@@ -160,7 +160,7 @@
         let RequestContext { request, decision } = self;
         Demand {
             service: &decision.service,
-            homes: &decision.home_regions,
+            home_regions: &decision.home_regions,
             segments: &request.segments,
             prompt_tokens: request.prompt_tokens,
             output_tokens: request.output_tokens,
