--- a/crates/http1-client/tests/client_connection/responses.rs
+++ b/crates/http1-client/tests/client_connection/responses.rs
@@ -74,19 +74,19 @@
 const SCRIPTS: &[(&str, &str, WriteProgress, bool)] = &[
     ("request ok signal", "200 done", WriteProgress::Complete, true),
     ("request chunked signal", "200 done", WriteProgress::Complete, true),
-    ("request empty signal", "204 ", WriteProgress::Complete, true),
-    ("request hint ok signal", "200 done", WriteProgress::Complete, true),
-    ("request bare signal close", "200 done", WriteProgress::Complete, false),
-    ("request bare signal reset", "Broken", WriteProgress::Complete, false),
+    ("request status-204 signal", "204 ", WriteProgress::Complete, true),
+    ("request status-103 ok signal", "200 done", WriteProgress::Complete, true),
+    ("request unframed signal close", "200 done", WriteProgress::Complete, false),
+    ("request unframed signal reset", "Broken", WriteProgress::Complete, false),
     ("request ok ok signal", "200 done", WriteProgress::Complete, false),
-    ("request ok hint signal", "200 done", WriteProgress::Complete, false),
-    ("request half-head signal close", "Broken", WriteProgress::Complete, false),
-    ("request half-head signal reset", "Broken", WriteProgress::Complete, false),
-    ("request half-body signal close", "Broken", WriteProgress::Complete, false),
-    ("request half-body signal reset", "Broken", WriteProgress::Complete, false),
-    ("request half-chunk signal close", "Broken", WriteProgress::Complete, false),
-    ("request half-chunk signal reset", "Broken", WriteProgress::Complete, false),
-    ("request noise signal", "Broken", WriteProgress::Complete, false),
+    ("request ok status-103 signal", "200 done", WriteProgress::Complete, false),
+    ("request partial-head signal close", "Broken", WriteProgress::Complete, false),
+    ("request partial-head signal reset", "Broken", WriteProgress::Complete, false),
+    ("request partial-body signal close", "Broken", WriteProgress::Complete, false),
+    ("request partial-body signal reset", "Broken", WriteProgress::Complete, false),
+    ("request partial-chunk signal close", "Broken", WriteProgress::Complete, false),
+    ("request partial-chunk signal reset", "Broken", WriteProgress::Complete, false),
+    ("request not-http signal", "Broken", WriteProgress::Complete, false),
     ("request signal close", "Broken", WriteProgress::Complete, false),
     ("request signal reset", "Broken", WriteProgress::Complete, false),
     // The server does not read the body, but it could have: the kernel has taken all of the request.
@@ -111,7 +111,8 @@
 #[test]
 fn a_request_on_a_connection_that_the_server_ended_fails() {
     run(async {
-        for script in ["reset", "close", "ok close", "noise close", "request ok reset", "request ok close"] {
+        for script in ["reset", "close", "ok close", "not-http close", "request ok reset", "request ok close"]
+        {
             let (address, _) = start(Box::leak(Box::new([script]))).await;
             let mut connection = connect(address).await;
             if script.starts_with("request") {
@@ -182,7 +183,7 @@
 #[test]
 fn an_abort_by_the_client_is_not_taken_for_the_end_of_the_response() {
     run(async {
-        let (address, shared) = start(&["request bare signal"]).await;
+        let (address, shared) = start(&["request unframed signal"]).await;
         let mut connection = connect(address).await;
         let response =
             connection.send(request(b"work".to_vec())).await.expect("the head of the response arrives");
@@ -199,7 +200,7 @@
 #[test]
 fn responses_on_different_connections_may_arrive_in_another_order() {
     run(async {
-        let (address, shared) = start(&["request signal wait ok", "request bare close"]).await;
+        let (address, shared) = start(&["request signal wait ok", "request unframed close"]).await;
         let (mut first, mut second) = (connect(address).await, connect(address).await);
         let slow = first.exchange(request(b"slow".to_vec()));
         let fast = async {
@@ -235,7 +236,7 @@
 #[test]
 fn a_connection_whose_response_is_not_complete_cannot_be_reused() {
     run(async {
-        let (address, shared) = start(&["request half-body signal"]).await;
+        let (address, shared) = start(&["request partial-body signal"]).await;
         let mut connection = connect(address).await;
         let response =
             connection.send(request(b"work".to_vec())).await.expect("the head of the response arrives");
--- a/crates/http1-client/tests/client_connection/server.rs
+++ b/crates/http1-client/tests/client_connection/server.rs
@@ -3,10 +3,15 @@
 //! | word | step |
 //! | --- | --- |
 //! | `head`, `body`, `request` | reads the head of a request, its body, or both |
-//! | `ok`, `chunked`, `bare`, `empty` | sends a response: with length, chunked, without length, status 204 |
-//! | `half-head`, `half-body`, `half-chunk` | sends the beginning of a response |
-//! | `hint`, `noise` | sends an informational response (103), or bytes that are not HTTP |
-//! | `signal`, `wait` | signals the test that this step is reached, waits for the test |
+//! | `ok` | responds with 200 and `Content-Length` |
+//! | `chunked` | responds with 200 and a chunked body |
+//! | `unframed` | responds with 200 and a body that extends to the end of the connection |
+//! | `status-204` | responds with 204, which has no body |
+//! | `partial-head`, `partial-body`, `partial-chunk` | writes an incomplete response that ends in this part |
+//! | `status-103` | writes an informational response (103), which precedes the final response |
+//! | `not-http` | writes data that is not HTTP |
+//! | `signal` | signals to the test that this step is reached |
+//! | `wait` | waits until the test lets the server continue |
 //! | `reset`, `close` | resets the connection, or closes it |
 
 use socket2::SockRef;
@@ -85,13 +90,13 @@
     match word {
         "ok" => format!("{ok}Content-Length: 4\r\n\r\ndone"),
         "chunked" => format!("{ok}Transfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n"),
-        "bare" => format!("{ok}\r\ndone"),
-        "empty" => "HTTP/1.1 204 No Content\r\n\r\n".to_string(),
-        "half-head" => "HTTP/1.1 200 O".to_string(),
-        "half-body" => format!("{ok}Content-Length: 4\r\n\r\ndo"),
-        "half-chunk" => format!("{ok}Transfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n"),
-        "hint" => "HTTP/1.1 103 Early Hints\r\n\r\n".to_string(),
-        "noise" => "no HTTP at all\r\n\r\n".to_string(),
+        "unframed" => format!("{ok}\r\ndone"),
+        "status-204" => "HTTP/1.1 204 No Content\r\n\r\n".to_string(),
+        "partial-head" => "HTTP/1.1 200 O".to_string(),
+        "partial-body" => format!("{ok}Content-Length: 4\r\n\r\ndo"),
+        "partial-chunk" => format!("{ok}Transfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n"),
+        "status-103" => "HTTP/1.1 103 Early Hints\r\n\r\n".to_string(),
+        "not-http" => "no HTTP at all\r\n\r\n".to_string(),
         _ => panic!("unknown step: {word}"),
     }
 }
