--- a/crates/load-balancer/tests/common/fleet.rs
+++ b/crates/load-balancer/tests/common/fleet.rs
@@ -158,7 +158,7 @@
     }
 
     pub fn run(mut self) -> Metrics {
-        let total: f64 = self.options.kinds.iter().map(|kind| kind.requests_per_s).sum();
+        let total_requests_per_s: f64 = self.options.kinds.iter().map(|kind| kind.requests_per_s).sum();
         let mut now = Duration::ZERO;
         let mut next_arrival = Duration::ZERO;
         let mut next_exchange = Duration::ZERO;
@@ -166,8 +166,8 @@
             now += ms(1);
             while next_arrival <= now {
                 self.send_random_request(now);
-                let gap = -(1.0 - self.random.f64()).ln() / total;
-                next_arrival += Duration::from_secs_f64(gap);
+                let gap_s = -(1.0 - self.random.f64()).ln() / total_requests_per_s;
+                next_arrival += Duration::from_secs_f64(gap_s);
             }
             if next_exchange <= now {
                 self.exchange_loads(now);
@@ -229,8 +229,8 @@
 
     /// Sends a request of a random kind with random segments from a random proxy.
     fn send_random_request(&mut self, now: Duration) {
-        let total: f64 = self.options.kinds.iter().map(|kind| kind.requests_per_s).sum();
-        let mut remaining = self.random.f64() * total;
+        let total_requests_per_s: f64 = self.options.kinds.iter().map(|kind| kind.requests_per_s).sum();
+        let mut remaining = self.random.f64() * total_requests_per_s;
         let mut index = 0;
         while remaining >= self.options.kinds[index].requests_per_s {
             remaining -= self.options.kinds[index].requests_per_s;
