--- a/crates/http1-client/src/socket.rs
+++ b/crates/http1-client/src/socket.rs
@@ -38,6 +38,7 @@
     response_started: Cell<bool>,
     /// The first bytes received since [`Socket::record_input`].
     recorded_input: RefCell<Vec<u8>>,
+    /// The maximum length of `recorded_input`, in bytes; 0 while nothing is recorded.
     record_limit: Cell<usize>,
     /// Whether [`Socket::abort`] was called.
     aborted: Cell<bool>,
--- a/crates/quillpulley/src/proxy/admission/buffer_budget.rs
+++ b/crates/quillpulley/src/proxy/admission/buffer_budget.rs
@@ -11,6 +11,7 @@
 #[derive(Clone)]
 pub struct BufferBudget(Rc<Budget>);
 
+/// The state that the clones of a budget share, in bytes.
 struct Budget {
     limit: usize,
     reserved: Cell<usize>,
--- a/crates/quillpulley/src/proxy/streaming/event_splitter.rs
+++ b/crates/quillpulley/src/proxy/streaming/event_splitter.rs
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub struct EventSplitter {
     buffer: BytesMut,
-    /// The length of the prefix of the buffer that is known to contain no end of an event.
+    /// The number of bytes at the start of the buffer that are known to contain no end of an event.
     searched: usize,
     position: Position,
 }
--- a/crates/quillpulley/src/proxy/upstream/connection_pool.rs
+++ b/crates/quillpulley/src/proxy/upstream/connection_pool.rs
@@ -75,6 +75,7 @@
     idle: RefCell<HashMap<ServerKey, Vec<IdleConnection>>>,
     /// The number of open sockets to servers, idle or in use.
     open: Rc<Cell<usize>>,
+    /// The maximum of `open`.
     max_open: usize,
     /// The sockets to abort when their server is removed, by the id of their guard.
     abortable: RefCell<HashMap<u64, (ServerKey, Rc<Socket>)>>,
