--- a/crates/control-state/tests/control_state.rs
+++ b/crates/control-state/tests/control_state.rs
@@ -64,7 +64,8 @@
     replica.replace_accepted(0, &body);
     assert_eq!((replica.state.version(), replica.state.body()), (3, Some(body.as_slice())));
     assert_eq!(replica.state.config_index(), 1);
-    let configuration = replica.state.configuration().expect("valid").expect("there");
+    let configuration =
+        replica.state.configuration().expect("a valid configuration").expect("an active configuration");
     assert_eq!(configuration, parse(&body));
 }
 
@@ -251,8 +252,9 @@
     ]
 }
 
-/// Each kind is rejected before a valid change, while that is proposed but not applied, after it, and by a
-/// replica that was restored from a snapshot. Nothing of it is appended to the log.
+/// Each invalid configuration is rejected before a valid one is proposed, while the valid one is proposed but
+/// not applied, after it is applied, and by a replica that was restored from a snapshot. No invalid
+/// configuration is appended to the log.
 #[test]
 fn invalid_configurations_are_always_rejected() {
     for (kind, base, invalid_body) in rejected_configurations() {
@@ -356,7 +358,7 @@
                 return false;
             }
             if after > before {
-                accepted.push((before, replica.state.body().expect("taken").to_vec()));
+                accepted.push((before, replica.state.body().expect("an active configuration").to_vec()));
             }
         }
         accepted
--- a/crates/replication/src/durability.rs
+++ b/crates/replication/src/durability.rs
@@ -16,7 +16,7 @@
 /// The maximum time that acknowledgements wait for connected nodes in other failure domains to become members or
 /// witnesses.
 const DOMAIN_WAIT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The minimum time between the end of such a wait and the next one.
+/// The minimum time between the end of a wait for other failure domains and the start of the next one.
 const MIN_DOMAIN_WAIT_INTERVAL: Duration = Duration::from_secs(10);
 
 /// The tolerated failures that a view does not survive.
@@ -83,8 +83,8 @@
         now <= since + DOMAIN_WAIT_TIMEOUT
     }
 
-    /// Starts and ends waits for nodes in other failure domains. Logs a new status once it is covered, acknowledges
-    /// commits, or has too few members to do so.
+    /// Starts and ends waits for nodes in other failure domains. Logs a changed status once the view survives all
+    /// tolerated failures, acknowledges commits, or has too few members to do so.
     pub fn update(
         &mut self,
         now: Duration,
--- a/crates/replication/src/event.rs
+++ b/crates/replication/src/event.rs
@@ -19,7 +19,7 @@
     LocalityLearned {
         /// The node.
         node: NodeId,
-        /// Its failure domains.
+        /// The failure domains of the node.
         locality: Locality,
     },
     /// A connection to the node is established: messages can be sent to it from now on.
@@ -62,7 +62,7 @@
     },
     /// Make a write durable and report the result with [`Event::WriteCompleted`]. At most one write is in flight.
     Store {
-        /// The ticket of the write.
+        /// The number that identifies the write in [`Event::WriteCompleted`].
         ticket: u64,
         /// The write.
         write: Write,
@@ -159,7 +159,7 @@
     Candidate,
     /// The replica is the primary of an epoch. It may act as primary only while it holds the lease.
     Primary {
-        /// The epoch of its view.
+        /// The epoch of the view that the primary has formed.
         epoch: u64,
         /// Whether the replica holds the lease.
         holds_lease: bool,
--- a/crates/replication/src/lease.rs
+++ b/crates/replication/src/lease.rs
@@ -4,9 +4,9 @@
 //! which it received the request. Therefore the holder's lease expires first, as long as the rates of their clocks
 //! differ by less than the safety margin.
 //!
-//! A primary that no longer receives answers from majorities of the witnesses only *probes*: a probe, a request of
-//! round [`PROBE_ROUND`], is answered but grants no lease. So if requests arrive but the answers are lost, the
-//! witnesses do not keep renewing the lease, and can elect another primary soon.
+//! A primary that no longer receives replies from majorities of the witnesses only *probes*: a probe, a request of
+//! round [`PROBE_ROUND`], gets a reply but no lease. So if requests arrive but the replies are lost, the witnesses do
+//! not keep renewing the lease, and can elect another primary soon.
 
 use quillpulley_protocol::NodeId;
 use std::collections::{BTreeMap, VecDeque};
@@ -17,7 +17,7 @@
 
 /// The holder leaves this fraction (1/10) of the lease duration unused, since clocks may run at different rates.
 const SAFETY_MARGIN_DIVISOR: u32 = 10;
-/// The round number of probes, which request an answer but no lease. Grants of this round never count.
+/// The round number of probes, which request a reply but no lease. Grants of this round never count.
 pub(crate) const PROBE_ROUND: u64 = 0;
 
 /// A round of lease requests to all witnesses.
@@ -38,7 +38,7 @@
     rounds: VecDeque<Round>,
     /// For each witness, the time at which the newest round that it has granted was sent.
     granted: BTreeMap<NodeId, Duration>,
-    /// For each witness, the time at which its latest answer was received, whether or not that was a grant.
+    /// For each witness, the time at which its latest reply was received, whether or not that was a grant.
     answered: BTreeMap<NodeId, Duration>,
 }
 
@@ -79,7 +79,7 @@
         self.granted.clear();
     }
 
-    /// Records that an answer of a witness was received.
+    /// Records that a reply of a witness was received.
     pub fn record_answer(&mut self, now: Duration, witness: NodeId) {
         self.answered.insert(witness, now);
     }
@@ -90,7 +90,7 @@
         Some(sent_at + self.duration - self.duration / SAFETY_MARGIN_DIVISOR)
     }
 
-    /// Returns the latest time since which majorities of all the sets have answered; `None` if they never have.
+    /// Returns the latest time since which majorities of all the sets have replied; `None` if they never have.
     pub fn answered_at(&self, sets: &[&[NodeId]]) -> Option<Duration> {
         time_reached_by_majorities(&self.answered, sets)
     }
--- a/crates/replication/src/log.rs
+++ b/crates/replication/src/log.rs
@@ -8,9 +8,10 @@
 /// Why entries are not appended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AppendError {
-    /// The log does not hold the entry that precedes them, or their indices are not consecutive.
+    /// The log does not hold the entry that precedes the new entries, or the indices of the new entries are not
+    /// consecutive.
     Mismatch,
-    /// They conflict with committed entries. The cause is a bug, or a disk that lost writes that it had confirmed.
+    /// The new entries conflict with committed entries. The cause is a bug, or a disk that lost writes that it had confirmed.
     ConflictsWithCommitted,
 }
 
--- a/crates/replication/src/member_state.rs
+++ b/crates/replication/src/member_state.rs
@@ -1,7 +1,7 @@
 //! The replicated data of a member: its state machine, its log, and the position up to which the log is applied.
 //!
 //! Invariants: `applied` never decreases; an entry is applied only once it is committed; a commit index of a primary
-//! counts only up to the index up to which the log is known to match that primary's log.
+//! counts only as far as the log is known to match that primary's log.
 
 use displaydoc::Display;
 use quillpulley_protocol::{Entry, Position, StateTransfer};
--- a/crates/replication/src/options.rs
+++ b/crates/replication/src/options.rs
@@ -76,7 +76,7 @@
     },
     /// {0}
     Snapshot(RestoreError),
-    /// the log on disk has a gap between entries {last} and {next}: empty the data folder, so that this machine joins anew
+    /// the log on disk has a gap between entries {last} and {next}: empty the data folder, so that this machine joins as a new one
     Gap {
         /// The index of the last entry that the snapshot covers.
         last: u64,
--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -18,29 +18,30 @@
 ];
 /// The time after which an announcement of a shutdown expires.
 const SHUTDOWN_ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The time after a drop of a node after which its earlier drops no longer count.
+/// If a node was not dropped for longer than this time, its earlier drops no longer count.
 const FORGET_DROPS_AFTER: Duration = Duration::from_secs(30);
 
 /// Another control node.
 #[derive(Clone, Debug, Default)]
 struct Peer {
     is_connected: bool,
-    /// Its failure domains; `None` if no `Hello` of it was received since the start of this process.
+    /// The failure domains of the peer; `None` if no `Hello` of the peer was received since the start of this process.
     locality: Option<Locality>,
-    /// The time of its last reply; `None` before the first.
+    /// The time of the last reply of the peer; `None` before the first reply.
     last_reply_at: Option<Duration>,
-    /// The time since which it has been responsive without interruption.
+    /// The time since which the peer has been responsive without interruption, or the time of its last drop if that is
+    /// later; `None` before the first reply.
     responsive_since: Option<Duration>,
-    /// The end of its log according to its last report.
+    /// The end of the peer's log, according to the last report of the peer.
     log_end: Position,
-    /// Whether it has promised an epoch to another node and rejects the epoch of this node, according to its last
-    /// report.
+    /// Whether the peer has promised an epoch to another node and therefore rejects the epoch of this node, according to
+    /// the last report of the peer.
     is_rejecting: bool,
-    /// The time until which it counts as shutting down, since it has announced its shutdown.
+    /// The time until which the peer counts as shutting down: its last announcement of a shutdown expires then.
     shutting_down_until: Duration,
-    /// How often it was dropped recently.
+    /// The number of recent drops of the peer.
     recent_drops: usize,
-    /// The time of the last drop.
+    /// The time of the last drop of the peer.
     dropped_at: Duration,
 }
 
--- a/crates/replication/src/primary.rs
+++ b/crates/replication/src/primary.rs
@@ -9,14 +9,14 @@
 use crate::proposals::Proposals;
 use crate::view::witness_sets;
 
-/// The number of half heartbeat intervals without answers from majorities of the witnesses after which a primary
-/// requests no lease until they answer again.
+/// The number of half heartbeat intervals without replies from majorities of the witnesses after which a primary
+/// requests no lease until they reply again.
 const MAX_UNANSWERED_HALF_HEARTBEATS: u32 = 3;
 
 /// Why a primary steps down or a candidate gives up.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub(crate) enum ResignReason {
-    /// another node leads or campaigns with a higher epoch
+    /// another node is the primary or a candidate with a higher epoch
     Superseded,
     /// a newer view excludes this node or has another primary
     Excluded,
@@ -37,10 +37,11 @@
 pub(crate) struct PrimaryState {
     view: View,
     elected_at: Duration,
-    /// The time since which it has requested the lease without discarding grants: that of its election, or of the
-    /// latest clock jump.
+    /// The time since which the primary has requested the lease without discarding grants: the time of its election, or
+    /// of the latest clock jump.
     lease_requested_since: Duration,
-    /// The index at which its log ended at its election. All members hold the log up to it, so it is committed.
+    /// The index of the entry that marks the start of the epoch in which the primary was elected. All members held the
+    /// log up to this entry at the election, so it is committed.
     inherited_index: u64,
     lease: Lease,
     next_heartbeat: Duration,
@@ -93,7 +94,7 @@
         now >= self.next_heartbeat
     }
 
-    /// Begins a round of lease requests in an epoch, or of probes if the witnesses have not answered recently, and
+    /// Begins a round of lease requests in an epoch, or of probes if the witnesses have not replied recently, and
     /// returns its number.
     pub fn begin_lease_round(&mut self, now: Duration, epoch: u64, interval: Duration) -> u64 {
         self.next_heartbeat = now + interval;
@@ -104,13 +105,13 @@
         }
     }
 
-    /// Returns whether majorities of the witnesses have answered recently. The election counts as an answer.
+    /// Returns whether majorities of the witnesses have replied recently. The election counts as a reply.
     pub fn has_recent_answers(&self, now: Duration, interval: Duration) -> bool {
         let answered_at = self.lease.answered_at(&witness_sets(&self.view)).unwrap_or_default();
         now <= answered_at.max(self.elected_at) + interval * MAX_UNANSWERED_HALF_HEARTBEATS / 2
     }
 
-    /// Records that a witness has answered a request or a probe.
+    /// Records that a witness has replied to a request or a probe.
     pub fn record_lease_answer(&mut self, now: Duration, witness: NodeId) {
         self.lease.record_answer(now, witness);
     }
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -31,18 +31,19 @@
 /// The progress of one replication target.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Progress {
-    /// The position up to which its log durably matches; `None` if none is known.
+    /// The position up to which the log of the target durably matches; `None` if none is known.
     matched: Option<Position>,
-    /// The position up to which its log probably matches.
+    /// The position up to which the log of the target probably matches.
     probable_match: Position,
-    /// Whether it needs a snapshot, because no entry that it holds was found in the log.
+    /// Whether the target needs a snapshot, because no entry that it holds was found in the log.
     needs_snapshot: bool,
     in_flight: Option<InFlight>,
-    /// The time before which nothing is sent to it, because it has rejected a message.
+    /// The time before which nothing is sent to the target, because it has rejected a message.
     paused_until: Duration,
-    /// Whether it needs the commit index again: it may have restarted, and then does not know how far to apply its log.
+    /// Whether the target needs the commit index again: it may have restarted, and then does not know how far to apply
+    /// its log.
     needs_commit_index: bool,
-    /// The time since which it has made no progress although it lacks entries; `None` if it lacks none.
+    /// The time since which the target has made no progress although it lacks entries; `None` if it lacks none.
     behind_since: Option<Duration>,
 }
 
@@ -74,24 +75,25 @@
         }
     }
 
-    /// Returns the position up to which its log durably matches; `None` if none is known.
+    /// Returns the position up to which the log of the target durably matches; `None` if none is known.
     pub fn matched(&self) -> Option<Position> {
         self.matched
     }
 
-    /// Returns the position up to which its log durably matches or, if none is known, probably matches.
+    /// Returns the position up to which the log of the target durably matches or, if none is known, probably matches.
     pub fn probable_match(&self) -> Position {
         self.matched.unwrap_or(self.probable_match)
     }
 
-    /// Returns whether it lacks entries but has made no progress for longer than `timeout` plus the additional time
+    /// Returns whether the target lacks entries but has made no progress for longer than `timeout` plus the additional time
     /// for the size of the message in flight.
     pub fn is_stalled(&self, now: Duration, timeout: Duration) -> bool {
         let bytes = self.in_flight.map_or(0, |message| message.bytes);
         self.behind_since.is_some_and(|since| now > since + timeout + per_mb(TIMEOUT_PER_MB, bytes))
     }
 
-    /// Makes the message in flight due again at once, or else an empty message with the commit index.
+    /// Makes the next message due at once, even if the target lacks no entries and the message only contains the commit
+    /// index.
     fn resend(&mut self) {
         self.in_flight = None;
         self.needs_commit_index = true;
@@ -187,7 +189,8 @@
         self.nodes.remove(&node);
     }
 
-    /// Makes the message in flight to a node due again at once, or else an empty message with the commit index.
+    /// Makes the next message to a node due at once, even if the node lacks no entries and the message only contains the
+    /// commit index.
     pub fn resend(&mut self, node: NodeId) {
         if let Some(progress) = self.nodes.get_mut(&node) {
             progress.resend();
--- a/crates/replication/src/replica/primary.rs
+++ b/crates/replication/src/replica/primary.rs
@@ -115,7 +115,7 @@
     }
 
     /// Requests the lease from all nodes and sends them the view and the commit index. If the witnesses have not
-    /// answered recently, the primary only probes them and does not keep other nodes from standing for election.
+    /// replied recently, the primary only probes them and does not keep other nodes from standing for election.
     fn send_heartbeat(&mut self) {
         let holds_lease = self.holds_lease(self.now);
         let Some(primary) = &mut self.primary else { return };
--- a/crates/replication/src/shutdown.rs
+++ b/crates/replication/src/shutdown.rs
@@ -13,8 +13,8 @@
 pub(crate) struct GracefulShutdown {
     has_begun: bool,
     next_announcement_at: Duration,
-    /// The epoch of the newest active view that its primary has reported to this node; `None` if that view needs this
-    /// node.
+    /// The epoch of the view that a primary reported last to this node, if that view is active and does not need this
+    /// node; `None` otherwise.
     dispensable_in_epoch: Option<u64>,
 }
 
--- a/crates/replication/src/witness.rs
+++ b/crates/replication/src/witness.rs
@@ -9,7 +9,7 @@
 use crate::view::is_newer;
 use crate::Faults;
 
-/// A grant that expires at a given time.
+/// A lease, or the candidacy of a node: it excludes nodes other than the grantee until it expires.
 #[derive(Clone, Copy, Debug)]
 struct Grant {
     grantee: NodeId,
@@ -45,7 +45,8 @@
     lease: Option<Grant>,
     /// The candidate that received the latest promise. It only delays the pre-votes of others.
     candidate: Option<Grant>,
-    /// The node that resigned last, and the epoch: its delayed messages of that epoch or older ones are not admitted.
+    /// The node that resigned last, and the epoch from which it resigned. Delayed messages of this node with this epoch
+    /// or an older one are not admitted.
     resigned: Option<(NodeId, u64)>,
     /// Whether promises are given although a lease has not expired. Only an injected fault sets this.
     ignores_lease: bool,
--- a/crates/replication/tests/replication/harness/checker.rs
+++ b/crates/replication/tests/replication/harness/checker.rs
@@ -42,7 +42,7 @@
 
 impl Checker {
     /// Checks that a state which had `checked_entries` entries before has not lost any, and that its entries
-    /// are those that other states have at the same indexes.
+    /// are those that other states have at the same indices.
     pub fn check_state(&mut self, history: &CommandHistory, checked_entries: usize) {
         let length = history.entries.len();
         assert!(length >= checked_entries, "the state goes back from {checked_entries} entries to {length}");
--- a/crates/replication/tests/replication/harness/durability.rs
+++ b/crates/replication/tests/replication/harness/durability.rs
@@ -20,7 +20,7 @@
         self.disk.record.as_ref()?.accepted.as_deref()
     }
 
-    /// Returns whether its log or snapshot holds the entry at a position.
+    /// Returns whether the log or the snapshot of the node holds the entry at a position.
     fn holds(&self, position: Position) -> bool {
         let is_entry = |entry: &quillpulley_protocol::Entry| {
             entry.index == position.index && entry.epoch == position.epoch
@@ -28,7 +28,7 @@
         position.index <= self.covered() || self.disk.entries.iter().any(is_entry)
     }
 
-    /// Returns the index of the last entry that its snapshot covers; 0 without a snapshot.
+    /// Returns the index of the last entry that the snapshot of the node covers; 0 without a snapshot.
     fn covered(&self) -> u64 {
         self.disk.snapshot.as_ref().map_or(0, |(last, _)| last.index)
     }
--- a/crates/replication/tests/replication/harness/inspect.rs
+++ b/crates/replication/tests/replication/harness/inspect.rs
@@ -91,7 +91,7 @@
         self.machines[machine].replica.as_ref().map(|replica| replica.role(now))
     }
 
-    /// Returns the machine that holds the lease and is not frozen.
+    /// Returns the leader: the machine that is the primary, holds the lease and is not frozen.
     pub fn leader(&self) -> Option<usize> {
         let is_leader = |machine: &usize| {
             !self.machines[*machine].frozen
--- a/crates/replication/tests/replication/harness/messages.rs
+++ b/crates/replication/tests/replication/harness/messages.rs
@@ -8,11 +8,11 @@
 /// What a message implies about the disk of its sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Requirement {
-    /// It holds a promise of this epoch or a higher one.
+    /// The disk holds a promise of this epoch or a higher one.
     Promised(u64),
-    /// It holds an accepted view of this epoch or a higher one.
+    /// The disk holds an accepted view of this epoch or a higher one.
     Accepted(u64),
-    /// Its log reaches this index.
+    /// The log on the disk reaches this index.
     Stored(u64),
 }
 
--- a/crates/replication/tests/replication/harness/simulation.rs
+++ b/crates/replication/tests/replication/harness/simulation.rs
@@ -32,6 +32,7 @@
 #[derive(Clone, Debug)]
 pub struct SimulationOptions {
     pub seed: u64,
+    /// The number of machines that may lose their disks at once.
     pub tolerated: usize,
     pub tolerated_zones: usize,
     pub tolerated_regions: usize,
@@ -84,8 +85,9 @@
     pub disk: DiskImage,
     pub disk_mode: DiskMode,
     pub replica: Option<Replica<CommandHistory>>,
-    /// The number of processes that were started on this machine; identifies the current one.
+    /// The number of processes that were started on this machine. It identifies the current process.
     pub(super) process: u64,
+    /// The virtual time in milliseconds at which the current process was started.
     pub(super) started_at: u64,
     /// The number of milliseconds by which its clock advances per second.
     pub(super) clock_rate: u64,
@@ -110,7 +112,7 @@
     pub(super) elected_in: Option<u64>,
     /// The total time in milliseconds for which its clock was stopped since the start of the process.
     pub(super) clock_lag: u64,
-    /// The time at which its clock was stopped; `None` while the clock runs.
+    /// The virtual time in milliseconds at which its clock was stopped; `None` while the clock runs.
     pub(super) paused_at: Option<u64>,
     /// The CPU quota of its process; `None` if it is not limited.
     pub quota: Option<Quota>,
@@ -122,6 +124,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ScheduledEvent {
+    /// A message arrives at a machine. It is lost if the machine is no longer the node `id`.
     Deliver {
         to: usize,
         id: NodeId,
@@ -161,6 +164,7 @@
 
 pub struct Simulation {
     pub options: SimulationOptions,
+    /// The virtual time in milliseconds.
     pub now: u64,
     pub machines: Vec<Machine>,
     pub network: Network,
@@ -172,12 +176,13 @@
     pub(super) proposals: Vec<Command>,
     /// The number of each proposal, and the machine and the process that received it.
     pub(super) received_proposals: Vec<(u64, usize, u64)>,
-    /// The epoch and the time of the last lease that was granted, by witness and grantee.
+    /// The epoch and the time in milliseconds of the last lease that was granted, by witness and grantee.
     pub(super) grants: BTreeMap<(NodeId, NodeId), (u64, u64)>,
     /// The number of reads that were served.
     pub reads: u64,
-    /// The nodes whose disks were lost, and the time of each loss.
+    /// The nodes whose disks were lost, and the time of each loss in milliseconds.
     pub(super) lost: Vec<(NodeId, u64)>,
+    /// The scheduled events, each with its time in milliseconds and its sequence number.
     pub(super) queue: BinaryHeap<Reverse<(u64, u64, ScheduledEvent)>>,
     pub(super) sequence: u64,
     /// A description of each event, for the message of a failed test.
--- a/crates/replication/tests/replication/harness/timeline.rs
+++ b/crates/replication/tests/replication/harness/timeline.rs
@@ -26,14 +26,14 @@
 //! | `hints:B` `no-hint` | the primary that it names to its clients |
 //! | `acked=N` `rejected=N` `unresolved=N` | the outcome of command N |
 //!
-//! The column `*` stands for the machine that leads at that time.
+//! The column `*` stands for the leader at that time: the primary that holds the lease and is not frozen.
 
 use super::disk::DiskMode;
 use super::simulation::Simulation;
 use quillpulley_replication::Role;
 use std::collections::BTreeMap;
 
-/// The column of the machine that leads.
+/// The name of the column for the machine that leads.
 const LEADER: &str = "*";
 
 /// Runs a timeline. `names` maps the names of columns to machines.
--- a/crates/replication/tests/replication/model/cluster.rs
+++ b/crates/replication/tests/replication/model/cluster.rs
@@ -16,7 +16,7 @@
 /// The number of machines that may lose their disks at once.
 pub(super) const TOLERATED: usize = 1;
 const TICK_MS: u64 = 50;
-/// Long enough for every lease and timer to expire.
+/// Longer than a lease (900 ms), so that every granted lease expires.
 const TIME_JUMP_MS: u64 = 1200;
 /// The maximum number of messages in flight on a link; further messages are lost.
 const LINK_CAPACITY: usize = 4;
@@ -47,9 +47,12 @@
 /// A few nodes and the messages in flight between them.
 #[derive(Clone)]
 pub struct Cluster {
+    /// The virtual time in milliseconds.
     pub now: u64,
     pub nodes: Vec<Node>,
+    /// The messages in flight on each link, each with the node that it is sent to.
     pub links: BTreeMap<Link, VecDeque<(NodeId, Body)>>,
+    /// The number of faults that have occurred in the current path.
     pub faults: u8,
     /// All commands so far; command number `n` is at index `n - 1`.
     pub commands: Vec<Command>,
--- a/crates/replication/tests/replication/model/inspect.rs
+++ b/crates/replication/tests/replication/model/inspect.rs
@@ -11,6 +11,7 @@
 };
 
 impl Cluster {
+    /// Returns the nodes that are primaries and hold the lease.
     pub fn leaders(&self) -> Vec<usize> {
         let leads = |node: &usize| {
             matches!(self.nodes[*node].replica.role(self.time()), Role::Primary { holds_lease: true, .. })
--- a/crates/replication/tests/replication/model/late_messages.rs
+++ b/crates/replication/tests/replication/model/late_messages.rs
@@ -79,8 +79,8 @@
 
 /// A primary has learned of a high epoch and claims a higher one to drop a node. Then the other node is
 /// partitioned from it too, and the two elect another primary in a lower epoch. Returns the holders of the
-/// lease once the former primary reaches the node that was not elected again; `None` if it steps down before
-/// the election.
+/// lease once the former primary is connected again to the node that was not elected; `None` if it steps down
+/// before the election.
 ///
 /// The claim follows a heartbeat closely and the former primary ticks often. Therefore it still holds its
 /// lease when the claim times out, and claims the epoch again. `delay_ms` delays the campaign of the node
--- a/crates/replication/tests/replication/model/mod.rs
+++ b/crates/replication/tests/replication/model/mod.rs
@@ -3,11 +3,11 @@
 //! sequences of the next few events are explored, faults included.
 //!
 //! A write is durable at once in the model, unless the process crashes in it. A frozen node receives no
-//! events. By default every second state is an initial state; in the longer scenarios, every second one of
-//! those in which messages other than heartbeats are in flight.
+//! events. Most tests sample every second of the initial states; the longer scenarios sample only those in which
+//! messages other than heartbeats are in flight.
 //!
-//! `MODEL_DEPTH` sets the number of states in a path, and makes every state an initial state. Each test
-//! prints the number of distinct states that it has visited:
+//! `MODEL_DEPTH` sets the number of states in a path, and then no initial state is left out by sampling. Each
+//! test prints the number of distinct states that it has visited:
 //!
 //! ```text
 //! MODEL_DEPTH=6 cargo test --release -p quillpulley-replication model:: -- --nocapture
--- a/crates/replication/tests/replication/random.rs
+++ b/crates/replication/tests/replication/random.rs
@@ -51,6 +51,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Step {
+    /// The time before the operation, in milliseconds.
     pause: u64,
     operation: Operation,
     machine: usize,
--- a/crates/replication/tests/replication/reads.rs
+++ b/crates/replication/tests/replication/reads.rs
@@ -68,6 +68,7 @@
 struct PendingResponse {
     machine: usize,
     process: u64,
+    /// The virtual time in milliseconds from which the response may be written.
     due: u64,
     /// The end of the lease by the machine's own clock.
     valid_until: Duration,
@@ -75,11 +76,12 @@
     accepted: Vec<u64>,
 }
 
-/// The counters of a run.
+/// The numbers of responses and of redirect checks in a run.
 #[derive(Default, Debug, Clone, Copy)]
 struct Counts {
     prepared: usize,
     written: usize,
+    /// The number of responses that were not written because the lease had ended.
     expired: usize,
     /// The number of checks of the redirects from a machine.
     redirect_checks: usize,
@@ -94,6 +96,7 @@
     /// Whether a response is written only if the lease has not ended by then.
     checks_lease_end: bool,
     pending: Vec<PendingResponse>,
+    /// The machine that each command was sent to, by the number of the command.
     proposers: BTreeMap<u64, usize>,
     counts: Counts,
 }
@@ -204,7 +207,7 @@
         self.simulation.detect_partitions();
     }
 
-    /// Prepares the response to a read on a machine, if that holds its lease.
+    /// Prepares the response to a read on a machine, if the machine holds the lease.
     fn prepare_response(&mut self, machine: usize) {
         if self.simulation.machines[machine].frozen {
             return;
--- a/crates/replication/tests/replication/scenarios/failure_domains.rs
+++ b/crates/replication/tests/replication/scenarios/failure_domains.rs
@@ -15,6 +15,7 @@
 /// The time within which a command has to be acknowledged: the default of `AckMs`.
 const ACKNOWLEDGE_TIMEOUT_MS: u64 = 5000;
 
+/// The zones and regions of machines.
 const A: (&str, &str) = ("zone-a", "east");
 const A2: (&str, &str) = ("zone-a2", "east");
 const B: (&str, &str) = ("zone-b", "west");
--- a/crates/replication/tests/replication/scenarios/overlapping_losses.rs
+++ b/crates/replication/tests/replication/scenarios/overlapping_losses.rs
@@ -114,7 +114,10 @@
         check_acknowledgement(&mut simulation);
         let leader = simulation.leader().expect("no primary");
         let now = simulation.checker.acknowledged.len();
-        assert!(acknowledged > 0 && now > acknowledged, "seed {seed}: {acknowledged}, {now}");
+        assert!(
+            acknowledged > 0 && now > acknowledged,
+            "seed {seed}: {acknowledged} commands acknowledged before the losses, {now} after them"
+        );
         simulation.read(leader);
         simulation.run_for(STEP_MS);
     }
--- a/crates/replication/tests/replication/seeded.rs
+++ b/crates/replication/tests/replication/seeded.rs
@@ -73,10 +73,12 @@
 struct Coverage {
     runs: u64,
     steps: u64,
+    /// The virtual time in seconds.
     seconds: u64,
     commands: u64,
     acknowledged: u64,
     reads: u64,
+    /// The number of epochs in which a replica held the lease.
     primaries: u64,
     lost_disks: u64,
     recoveries: u64,
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -45,7 +45,8 @@
     OutOfOrder {
         /// The index of the entry.
         found: u64,
-        /// The highest index that the entry may have.
+        /// The index that the entry should have, or, for the first entry of a call, the highest index that it may
+        /// have.
         expected: u64,
     },
 }
--- a/crates/storage/src/record.rs
+++ b/crates/storage/src/record.rs
@@ -12,19 +12,19 @@
 const SLOT_BYTES: usize = 4096;
 const SLOT_COUNT: usize = 2;
 const MAGIC: u32 = u32::from_le_bytes(*b"QPre");
-/// The length of the fields before the record: magic, checksum, number, length of the record.
+/// The length of the fields before the record: magic, checksum, sequence number, length of the record.
 const HEADER_BYTES: usize = 20;
 /// The length of the fields that the checksum does not cover: the magic and the checksum.
 const UNCHECKSUMMED_BYTES: usize = 8;
 
-/// The maximum length of a record.
+/// The maximum length of a record, in bytes.
 pub const MAX_RECORD_BYTES: usize = SLOT_BYTES - HEADER_BYTES;
 
 /// The file of the record.
 pub(crate) struct RecordFile<F: Files> {
     /// `None` if the file could not be created, or has to be created again by the next save.
     file: Option<F::File>,
-    /// The number of the last record that was synced; 0 before the first record.
+    /// The sequence number of the last record that was synced; 0 before the first record.
     number: u64,
     /// Whether the slot that the next record goes to holds a torn record. The slot must be zeroed before
     /// another record is written to it, since the remains of two torn writes could together form the older of
@@ -93,8 +93,8 @@
     FileName::Record.to_string()
 }
 
-/// Returns the index of the slot for the record with this number. The first record has number 1 and goes to
-/// slot 1.
+/// Returns the index of the slot for the record with this sequence number. The first record has the sequence
+/// number 1 and goes to slot 1.
 fn slot_index(number: u64) -> usize {
     (number % SLOT_COUNT as u64) as usize
 }
@@ -116,7 +116,7 @@
 
 /// The contents of both slots.
 struct Slots {
-    /// The complete record with the highest number.
+    /// The complete record with the highest sequence number.
     newest: Option<NumberedRecord>,
     /// Whether the other slot holds a torn record.
     other_slot_is_torn: bool,
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -141,8 +141,8 @@
 }
 
 /// Reads the header and the records of a segment. `next_first_index` is the first index of the following
-/// segment, and `covered_index` is the index of the last entry that the snapshot covers. Returns `None` for a
-/// last segment without a complete record, whose creation was interrupted.
+/// segment, and `covered_index` is the index of the last entry that the snapshot covers. Returns `None` if
+/// this is the last segment and has no complete record, because its creation was interrupted.
 fn read_segment(
     name: FileName,
     bytes: &[u8],
--- a/crates/storage/src/segments.rs
+++ b/crates/storage/src/segments.rs
@@ -38,8 +38,8 @@
     }
 }
 
-/// The consecutive segments of a generation, without segments that the snapshot covers completely. A last
-/// segment is kept even if it is covered.
+/// The consecutive segments of a generation, without segments that the snapshot covers completely. The
+/// last segment is kept even if it is covered.
 ///
 /// After an error, the last segment may be longer on disk than in memory, and the folder may contain unused
 /// files. `truncate_to_length` and the removal of unused files correct that.
--- a/crates/storage/tests/damage.rs
+++ b/crates/storage/tests/damage.rs
@@ -179,7 +179,7 @@
         let names = ["log-000000-000000000001.segment", "snapshot-000000-000000000001.snapshot", "record.slots",
             "snapshot.temporary", "log-x-1.segment"];
         let disk = Disk::new(1);
-        let file = disk.create(names[usize::from(kind) % names.len()]).expect("made");
+        let file = disk.create(names[usize::from(kind) % names.len()]).expect("created");
         file.write(0, &bytes).expect("written");
         let _ = try_open(&disk);
         true
