--- a/crates/replication/src/lease.rs
+++ b/crates/replication/src/lease.rs
@@ -80,7 +80,7 @@
     }
 
     /// Records that a reply of a witness was received.
-    pub fn record_answer(&mut self, now: Duration, witness: NodeId) {
+    pub fn record_reply(&mut self, now: Duration, witness: NodeId) {
         self.answered.insert(witness, now);
     }
 
--- a/crates/replication/src/primary.rs
+++ b/crates/replication/src/primary.rs
@@ -113,7 +113,7 @@
 
     /// Records that a witness has replied to a request or a probe.
     pub fn record_lease_answer(&mut self, now: Duration, witness: NodeId) {
-        self.lease.record_answer(now, witness);
+        self.lease.record_reply(now, witness);
     }
 
     pub fn record_lease_grant(&mut self, witness: NodeId, round: u64, epoch: u64) {
