--- a/crates/replication/src/lease.rs
+++ b/crates/replication/src/lease.rs
@@ -91,7 +91,7 @@
     }
 
     /// Returns the latest time since which majorities of all the sets have replied; `None` if they never have.
-    pub fn answered_at(&self, sets: &[&[NodeId]]) -> Option<Duration> {
+    pub fn replied_at(&self, sets: &[&[NodeId]]) -> Option<Duration> {
         time_reached_by_majorities(&self.answered, sets)
     }
 }
--- a/crates/replication/src/primary.rs
+++ b/crates/replication/src/primary.rs
@@ -107,8 +107,8 @@
 
     /// Returns whether majorities of the witnesses have replied recently. The election counts as a reply.
     pub fn has_recent_answers(&self, now: Duration, interval: Duration) -> bool {
-        let answered_at = self.lease.answered_at(&witness_sets(&self.view)).unwrap_or_default();
-        now <= answered_at.max(self.elected_at) + interval * MAX_UNANSWERED_HALF_HEARTBEATS / 2
+        let replied_at = self.lease.replied_at(&witness_sets(&self.view)).unwrap_or_default();
+        now <= replied_at.max(self.elected_at) + interval * MAX_UNANSWERED_HALF_HEARTBEATS / 2
     }
 
     /// Records that a witness has replied to a request or a probe.
