--- a/crates/replication/src/lease.rs
+++ b/crates/replication/src/lease.rs
@@ -39,7 +39,7 @@
     /// For each witness, the time at which the newest round that it has granted was sent.
     granted: BTreeMap<NodeId, Duration>,
     /// For each witness, the time at which its latest reply was received, whether or not that was a grant.
-    answered: BTreeMap<NodeId, Duration>,
+    replied: BTreeMap<NodeId, Duration>,
 }
 
 impl Lease {
@@ -50,7 +50,7 @@
             next_round: PROBE_ROUND + 1,
             rounds: VecDeque::new(),
             granted: BTreeMap::new(),
-            answered: BTreeMap::new(),
+            replied: BTreeMap::new(),
         }
     }
 
@@ -81,7 +81,7 @@
 
     /// Records that a reply of a witness was received.
     pub fn record_reply(&mut self, now: Duration, witness: NodeId) {
-        self.answered.insert(witness, now);
+        self.replied.insert(witness, now);
     }
 
     /// Returns the end of the lease that majorities of all the sets have granted; `None` if they never have.
@@ -92,7 +92,7 @@
 
     /// Returns the latest time since which majorities of all the sets have replied; `None` if they never have.
     pub fn replied_at(&self, sets: &[&[NodeId]]) -> Option<Duration> {
-        time_reached_by_majorities(&self.answered, sets)
+        time_reached_by_majorities(&self.replied, sets)
     }
 }
 
