--- a/crates/replication/src/primary.rs
+++ b/crates/replication/src/primary.rs
@@ -98,7 +98,7 @@
     /// returns its number.
     pub fn begin_lease_round(&mut self, now: Duration, epoch: u64, interval: Duration) -> u64 {
         self.next_heartbeat = now + interval;
-        if self.has_recent_answers(now, interval) {
+        if self.has_recent_replies(now, interval) {
             self.lease.begin_round(now, epoch)
         } else {
             PROBE_ROUND
@@ -106,7 +106,7 @@
     }
 
     /// Returns whether majorities of the witnesses have replied recently. The election counts as a reply.
-    pub fn has_recent_answers(&self, now: Duration, interval: Duration) -> bool {
+    pub fn has_recent_replies(&self, now: Duration, interval: Duration) -> bool {
         let replied_at = self.lease.replied_at(&witness_sets(&self.view)).unwrap_or_default();
         now <= replied_at.max(self.elected_at) + interval * MAX_UNANSWERED_HALF_HEARTBEATS / 2
     }
