--- a/crates/replication/src/primary.rs
+++ b/crates/replication/src/primary.rs
@@ -112,7 +112,7 @@
     }
 
     /// Records that a witness has replied to a request or a probe.
-    pub fn record_lease_answer(&mut self, now: Duration, witness: NodeId) {
+    pub fn record_lease_reply(&mut self, now: Duration, witness: NodeId) {
         self.lease.record_reply(now, witness);
     }
 
--- a/crates/replication/src/replica/primary.rs
+++ b/crates/replication/src/replica/primary.rs
@@ -137,7 +137,7 @@
         let heartbeat = self.options.heartbeat;
         let Some(primary) = &mut self.primary else { return };
         let had_recent_answers = primary.has_recent_replies(self.now, heartbeat);
-        primary.record_lease_answer(self.now, from);
+        primary.record_lease_reply(self.now, from);
         if grant.epoch >= primary.view().epoch {
             let is_rejecting = !grant.granted && grant.promised >= grant.epoch;
             self.peers.set_rejecting(from, is_rejecting);
