--- a/crates/replication/src/replica/acceptor.rs
+++ b/crates/replication/src/replica/acceptor.rs
@@ -23,7 +23,7 @@
         }
         let Prepare { epoch, pre_vote, .. } = prepare;
         if pre_vote {
-            self.answer_pre_vote(from, epoch);
+            self.reply_to_pre_vote(from, epoch);
             return;
         }
         let vote = self.witness.vote(self.now, epoch, from, PRE_VOTE_DEFERRAL);
@@ -38,7 +38,7 @@
         }
     }
 
-    fn answer_pre_vote(&mut self, from: NodeId, epoch: u64) {
+    fn reply_to_pre_vote(&mut self, from: NodeId, epoch: u64) {
         if !self.writes.is_usable(self.now) {
             return;
         }
