--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -89,7 +89,7 @@
     }
 
     /// Records the end of a node's log.
-    pub fn record_position(&mut self, node: NodeId, log_end: Position) {
+    pub fn record_log_end(&mut self, node: NodeId, log_end: Position) {
         self.get_mut(node).log_end = log_end;
     }
 
--- a/crates/replication/src/replica/election.rs
+++ b/crates/replication/src/replica/election.rs
@@ -92,7 +92,7 @@
 
     pub(super) fn handle_promise(&mut self, from: NodeId, promise: Promise) {
         self.peers.record_reply(self.now, from);
-        self.peers.record_position(from, promise.last);
+        self.peers.record_log_end(from, promise.last);
         self.observe_epoch(promise.promised);
         let Some(change) = &mut self.view_change else { return };
         let is_expected = match change.phase() {
--- a/crates/replication/src/replica/primary.rs
+++ b/crates/replication/src/replica/primary.rs
@@ -133,7 +133,7 @@
         self.observe_epoch(grant.promised);
         let held_lease = self.holds_lease(self.now);
         self.peers.record_reply(self.now, from);
-        self.peers.record_position(from, grant.last);
+        self.peers.record_log_end(from, grant.last);
         let heartbeat = self.options.heartbeat;
         let Some(primary) = &mut self.primary else { return };
         let had_recent_answers = primary.has_recent_replies(self.now, heartbeat);
