--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -155,7 +155,7 @@
     }
 
     /// Returns the end of a node's log according to its last report.
-    pub fn last_position(&self, node: NodeId) -> Position {
+    pub fn log_end(&self, node: NodeId) -> Position {
         self.get(node).map(|peer| peer.log_end).unwrap_or_default()
     }
 
--- a/crates/replication/src/replica/replication.rs
+++ b/crates/replication/src/replica/replication.rs
@@ -48,7 +48,7 @@
         let mut nodes = self.primary.as_ref().map(|primary| members(primary.view())).unwrap_or_default();
         nodes.extend(learners);
         if let Some(tracker) = &mut self.tracker {
-            nodes.iter().for_each(|node| tracker.add(*node, self.peers.last_position(*node)));
+            nodes.iter().for_each(|node| tracker.add(*node, self.peers.log_end(*node)));
         }
         nodes
     }
--- a/crates/replication/src/replica/view_change.rs
+++ b/crates/replication/src/replica/view_change.rs
@@ -104,7 +104,7 @@
         let mut tracker = ProgressTracker::new(epoch);
         for node in change.targets() {
             let known = self.tracker.as_ref().and_then(|tracker| tracker.get(*node));
-            let reported = self.peers.last_position(*node);
+            let reported = self.peers.log_end(*node);
             tracker.add(*node, known.map_or(reported, |progress| progress.probable_match()));
         }
         self.tracker = Some(tracker);
@@ -125,7 +125,7 @@
         for node in self.peers.connected() {
             let stays = needed.contains(&node) || !self.peers.is_shutting_down(self.now, node);
             if stays && change.add_target(node) {
-                tracker.add(node, self.peers.last_position(node));
+                tracker.add(node, self.peers.log_end(node));
             }
         }
     }
