--- a/crates/control-state/src/history.rs
+++ b/crates/control-state/src/history.rs
@@ -10,7 +10,7 @@
 
 /// The result of looking up a configuration and its base version in the history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum DedupLookup {
+pub(super) enum LookupResult {
     /// The configuration was applied on this base version.
     Applied,
     /// The configuration was not applied on this base version.
@@ -35,11 +35,11 @@
     }
 
     /// Looks up a configuration by its base version and the hash of its content.
-    pub fn look_up(&self, base: u64, content_hash: u64) -> DedupLookup {
+    pub fn look_up(&self, base: u64, content_hash: u64) -> LookupResult {
         match self.applied.front() {
-            Some(first) if base < first.base => DedupLookup::Expired { oldest: first.base },
-            _ if self.content_hash_on(base) == Some(content_hash) => DedupLookup::Applied,
-            _ => DedupLookup::NotApplied,
+            Some(first) if base < first.base => LookupResult::Expired { oldest: first.base },
+            _ if self.content_hash_on(base) == Some(content_hash) => LookupResult::Applied,
+            _ => LookupResult::NotApplied,
         }
     }
 
--- a/crates/control-state/src/lib.rs
+++ b/crates/control-state/src/lib.rs
@@ -21,7 +21,7 @@
 pub use decision::{EvacuationDecision, ReplaceDecision};
 pub use history::HISTORY_LENGTH;
 
-use history::{DedupLookup, History};
+use history::{History, LookupResult};
 pub use published::published_items;
 use quillpulley_protocol::{
     decode_value, encode_value, AppliedConfig, ControlSnapshot, ControlSnapshotRef, Entry, EvacuatedZone,
@@ -96,9 +96,9 @@
     pub fn decide_replace(&self, base: u64, body: &[u8]) -> ReplaceDecision {
         let content_hash = history::content_hash(body);
         match self.history.look_up(base, content_hash) {
-            DedupLookup::Applied => return ReplaceDecision::AlreadyApplied,
-            DedupLookup::Expired { oldest } => return ReplaceDecision::HistoryExpired { oldest },
-            DedupLookup::NotApplied => {}
+            LookupResult::Applied => return ReplaceDecision::AlreadyApplied,
+            LookupResult::Expired { oldest } => return ReplaceDecision::HistoryExpired { oldest },
+            LookupResult::NotApplied => {}
         }
         if base != self.version {
             return ReplaceDecision::Conflict { current: self.version };
