--- a/crates/replication/tests/replication/harness/durability.rs
+++ b/crates/replication/tests/replication/harness/durability.rs
@@ -36,7 +36,11 @@
 
 /// Returns how some majority of witnesses could continue without an acknowledged entry, or from a view with
 /// too few members; `None` if no majority could. `acknowledged` is sorted by index.
-pub fn violation(survivors: &[Survivor], acknowledged: &[Position], tolerated: usize) -> Option<String> {
+pub fn violation(
+    survivors: &[Survivor],
+    acknowledged: &[Position],
+    tolerated_machines: usize,
+) -> Option<String> {
     if acknowledged.is_empty() {
         return None;
     }
@@ -44,7 +48,7 @@
         let chosen = (0..survivors.len()).filter(|index| subset & (1 << index) != 0);
         let quorum: Vec<Survivor> = chosen.map(|index| survivors[index]).collect();
         let view = deciding_view(&quorum)?;
-        missing_entry(&view, survivors, acknowledged).or_else(|| too_few_members(&view, tolerated))
+        missing_entry(&view, survivors, acknowledged).or_else(|| too_few_members(&view, tolerated_machines))
     })
 }
 
@@ -60,9 +64,11 @@
 }
 
 /// Returns a description of the violation if a view has so few members that all may be lost at once.
-fn too_few_members(view: &View, tolerated: usize) -> Option<String> {
-    let is_small = view.backups.len() < tolerated;
-    is_small.then(|| format!("all acknowledged entries could be lost with {tolerated} members of {view:?}"))
+fn too_few_members(view: &View, tolerated_machines: usize) -> Option<String> {
+    let is_small = view.backups.len() < tolerated_machines;
+    is_small.then(|| {
+        format!("all acknowledged entries could be lost with {tolerated_machines} members of {view:?}")
+    })
 }
 
 /// Returns a description of the violation if no member of the view remains, or one lacks an acknowledged
@@ -104,7 +110,7 @@
 
 /// Returns whether a view keeps a majority of its witnesses after the tolerated losses. While the view is not
 /// activated, its previous witnesses count. The bootstrap view, which has epoch 0, never has enough.
-pub fn has_enough_witnesses(view: &View, tolerated: usize) -> bool {
+pub fn has_enough_witnesses(view: &View, tolerated_machines: usize) -> bool {
     let counted_witnesses = if view.activated { &view.witnesses } else { &view.previous_witnesses };
-    view.epoch > 0 && counted_witnesses.len() > 2 * tolerated
+    view.epoch > 0 && counted_witnesses.len() > 2 * tolerated_machines
 }
--- a/crates/replication/tests/replication/harness/faults.rs
+++ b/crates/replication/tests/replication/harness/faults.rs
@@ -91,7 +91,7 @@
             locality: self.locality_of(machine),
             bootstrap: self.machines[machine].bootstrap.clone(),
             fault_tolerance: FaultTolerance {
-                machines: self.options.tolerated,
+                machines: self.options.tolerated_machines,
                 zones: self.options.tolerated_zones,
                 regions: self.options.tolerated_regions,
             },
--- a/crates/replication/tests/replication/harness/inspect.rs
+++ b/crates/replication/tests/replication/harness/inspect.rs
@@ -26,10 +26,10 @@
             self.now < at + CATCH_UP_MS || newest.iter().any(|view| durability::includes(view, *node))
         };
         let lost = self.lost.iter().filter(counts).count() + 1;
-        let tolerated = self.options.tolerated;
+        let tolerated_machines = self.options.tolerated_machines;
         let have_enough_witnesses =
-            newest.iter().all(|view| durability::has_enough_witnesses(view, tolerated));
-        !self.machines[machine].removed && lost <= tolerated && have_enough_witnesses
+            newest.iter().all(|view| durability::has_enough_witnesses(view, tolerated_machines));
+        !self.machines[machine].removed && lost <= tolerated_machines && have_enough_witnesses
     }
 
     /// Returns the machines that were not removed.
@@ -192,7 +192,8 @@
         let present = self.machines.iter().filter(|machine| !machine.removed);
         let survivors: Vec<Survivor> =
             present.map(|machine| Survivor { id: machine.id, disk: &machine.disk }).collect();
-        let violation = durability::violation(&survivors, &self.checker.positions, self.options.tolerated);
+        let violation =
+            durability::violation(&survivors, &self.checker.positions, self.options.tolerated_machines);
         assert!(violation.is_none(), "{}", violation.unwrap_or_default());
     }
 
--- a/crates/replication/tests/replication/harness/simulation.rs
+++ b/crates/replication/tests/replication/harness/simulation.rs
@@ -33,7 +33,7 @@
 pub struct SimulationOptions {
     pub seed: u64,
     /// The number of machines that may lose their disks at once.
-    pub tolerated: usize,
+    pub tolerated_machines: usize,
     pub tolerated_zones: usize,
     pub tolerated_regions: usize,
     /// The zone and the region of each machine, by its number. Machines beyond the end of the list have none.
@@ -61,7 +61,7 @@
         let network = NetworkOptions::default();
         SimulationOptions {
             seed: 1,
-            tolerated: 1,
+            tolerated_machines: 1,
             tolerated_zones: 0,
             tolerated_regions: 0,
             localities: Vec::new(),
--- a/crates/replication/tests/replication/random.rs
+++ b/crates/replication/tests/replication/random.rs
@@ -157,7 +157,7 @@
 #[test]
 fn random_schedules_of_three_machines_that_tolerate_one_loss() {
     fn property(schedule: Schedule) -> bool {
-        check(&schedule, 3, SimulationOptions { tolerated: 1, ..SimulationOptions::default() });
+        check(&schedule, 3, SimulationOptions { tolerated_machines: 1, ..SimulationOptions::default() });
         true
     }
     check_random(property, 300);
@@ -166,7 +166,7 @@
 #[test]
 fn random_schedules_of_five_machines_that_tolerate_two_losses() {
     fn property(schedule: Schedule) -> bool {
-        check(&schedule, 5, SimulationOptions { tolerated: 2, ..SimulationOptions::default() });
+        check(&schedule, 5, SimulationOptions { tolerated_machines: 2, ..SimulationOptions::default() });
         true
     }
     check_random(property, 150);
--- a/crates/replication/tests/replication/reads.rs
+++ b/crates/replication/tests/replication/reads.rs
@@ -112,8 +112,12 @@
             late: 0,
         };
         let network = if seed.is_multiple_of(2) { NetworkOptions::default() } else { lossy };
-        let options =
-            SimulationOptions { seed, tolerated: count / 2, network, ..SimulationOptions::default() };
+        let options = SimulationOptions {
+            seed,
+            tolerated_machines: count / 2,
+            network,
+            ..SimulationOptions::default()
+        };
         let mut simulation = Simulation::first_start(options, count, 3);
         simulation.run_for(3000);
         ReadRun {
--- a/crates/replication/tests/replication/scenarios/graceful_shutdown.rs
+++ b/crates/replication/tests/replication/scenarios/graceful_shutdown.rs
@@ -218,7 +218,7 @@
     let simulation = &mut cluster.simulation;
     simulation.kill(away, false);
     assert!(simulation.run_until(3000, |simulation| simulation.members().len() == 2));
-    simulation.options.tolerated = 2;
+    simulation.options.tolerated_machines = 2;
     simulation.start(away);
     simulation.run_for(100);
     simulation.shut_down(away);
--- a/crates/replication/tests/replication/scenarios/loss_orders.rs
+++ b/crates/replication/tests/replication/scenarios/loss_orders.rs
@@ -8,9 +8,12 @@
 /// The maximum time of an election, and then of an acknowledgement.
 const TIMEOUT_MS: u64 = 3000;
 
-fn stable_simulation(count: usize, tolerated: usize) -> Simulation {
-    let mut simulation =
-        Simulation::first_start(SimulationOptions { tolerated, ..SimulationOptions::default() }, count, 3);
+fn stable_simulation(count: usize, tolerated_machines: usize) -> Simulation {
+    let mut simulation = Simulation::first_start(
+        SimulationOptions { tolerated_machines, ..SimulationOptions::default() },
+        count,
+        3,
+    );
     let is_complete = |simulation: &Simulation| {
         simulation.members().len() == count && simulation.witnesses().len() == count
     };
@@ -44,8 +47,8 @@
 /// Kills machines in an order, without restarting them, until commands are no longer acknowledged. Checks
 /// that the number of spare witnesses predicts each outcome. Returns the number of killed machines; one more
 /// than all of `order` if commands are acknowledged to the end.
-fn losses_until_stopped(count: usize, tolerated: usize, order: &[usize]) -> usize {
-    let mut simulation = stable_simulation(count, tolerated);
+fn losses_until_stopped(count: usize, tolerated_machines: usize, order: &[usize]) -> usize {
+    let mut simulation = stable_simulation(count, tolerated_machines);
     for (lost, machine) in order.iter().enumerate() {
         let spare = simulation.spare_witnesses().expect("no primary");
         simulation.kill(*machine, true);
@@ -66,9 +69,9 @@
 
 #[test]
 fn spare_witnesses_predict_the_outcome_of_losses_in_every_order() {
-    for (count, tolerated, stopped_by) in [(3, 1, 2), (5, 2, 3)] {
+    for (count, tolerated_machines, stopped_by) in [(3, 1, 2), (5, 2, 3)] {
         for order in orders(count, stopped_by) {
-            assert_eq!(losses_until_stopped(count, tolerated, &order), stopped_by, "{order:?}");
+            assert_eq!(losses_until_stopped(count, tolerated_machines, &order), stopped_by, "{order:?}");
         }
     }
 }
--- a/crates/replication/tests/replication/scenarios/lost_machines.rs
+++ b/crates/replication/tests/replication/scenarios/lost_machines.rs
@@ -99,7 +99,7 @@
 #[test]
 fn all_nine_machines_become_members_and_witnesses() {
     for seed in 0..SEEDS {
-        let options = SimulationOptions { seed, tolerated: 2, ..SimulationOptions::default() };
+        let options = SimulationOptions { seed, tolerated_machines: 2, ..SimulationOptions::default() };
         let mut simulation = Simulation::first_start(options, 9, 3);
         let is_complete =
             |simulation: &Simulation| simulation.members().len() == 9 && simulation.witnesses().len() == 9;
--- a/crates/replication/tests/replication/scenarios/mod.rs
+++ b/crates/replication/tests/replication/scenarios/mod.rs
@@ -29,8 +29,8 @@
 }
 
 impl<const N: usize> StableCluster<N> {
-    pub fn new(seed: u64, tolerated: usize, names: [&'static str; N]) -> Self {
-        Self::with(SimulationOptions { seed, tolerated, ..SimulationOptions::default() }, names)
+    pub fn new(seed: u64, tolerated_machines: usize, names: [&'static str; N]) -> Self {
+        Self::with(SimulationOptions { seed, tolerated_machines, ..SimulationOptions::default() }, names)
     }
 
     pub fn with(options: SimulationOptions, names: [&'static str; N]) -> Self {
--- a/crates/replication/tests/replication/scenarios/overlapping_losses.rs
+++ b/crates/replication/tests/replication/scenarios/overlapping_losses.rs
@@ -11,10 +11,10 @@
 
 /// Starts three machines of which one may be lost, or, with an odd seed, five of which two may be lost.
 fn start(seed: u64) -> Simulation {
-    let tolerated = 1 + (seed % 2) as usize;
-    let count = 2 * tolerated + 1;
+    let tolerated_machines = 1 + (seed % 2) as usize;
+    let count = 2 * tolerated_machines + 1;
     let mut simulation = Simulation::first_start(
-        SimulationOptions { seed, tolerated, ..SimulationOptions::default() },
+        SimulationOptions { seed, tolerated_machines, ..SimulationOptions::default() },
         count,
         3,
     );
@@ -99,11 +99,11 @@
         }
         let acknowledged = simulation.checker.acknowledged.len();
         let machines = shuffled_machines(&mut simulation);
-        let tolerated = simulation.options.tolerated;
+        let tolerated_machines = simulation.options.tolerated_machines;
         for machine in &machines {
             simulation.kill(*machine, true);
         }
-        for machine in &machines[..tolerated] {
+        for machine in &machines[..tolerated_machines] {
             simulation.wipe(*machine);
         }
         for machine in machines {
--- a/crates/replication/tests/replication/seeded.rs
+++ b/crates/replication/tests/replication/seeded.rs
@@ -119,7 +119,7 @@
     let options = SimulationOptions {
         seed,
         network,
-        tolerated: TOLERATED,
+        tolerated_machines: TOLERATED,
         tolerated_zones: 1,
         tolerated_regions: 1,
         announces_zones: true,
