--- a/crates/replication/tests/replication/harness/faults.rs
+++ b/crates/replication/tests/replication/harness/faults.rs
@@ -10,7 +10,7 @@
 use super::network::NetworkOptions;
 use super::simulation::{
     address, Machine, ScheduledEvent, Simulation, SimulationOptions, COMPACT_BYTES, CONNECT_MS, DETECTION_MS,
-    DISK_MS, ZONES,
+    MIN_WRITE_MS, ZONES,
 };
 
 /// Returns the name of a machine: a letter, or from the 27th machine on `m` and its number.
@@ -240,7 +240,7 @@
         slot.disk_mode = disk_mode;
         if let (Some((ticket, _)), true) = (&slot.write, disk_mode != DiskMode::Hangs) {
             let done = ScheduledEvent::WriteDone { machine, process: slot.process, ticket: *ticket };
-            self.schedule(DISK_MS, done);
+            self.schedule(MIN_WRITE_MS, done);
         }
     }
 
--- a/crates/replication/tests/replication/harness/simulation.rs
+++ b/crates/replication/tests/replication/harness/simulation.rs
@@ -23,7 +23,7 @@
 /// The time that a process takes to establish a connection, or to detect that the peer has closed one.
 pub(super) const CONNECT_MS: u64 = 40;
 /// The minimum duration of a write to a healthy disk.
-pub(super) const DISK_MS: u64 = 2;
+pub(super) const MIN_WRITE_MS: u64 = 2;
 /// The factor by which the writes of a slow disk take longer.
 const SLOW_DISK: u64 = 30;
 /// The size of the log's payloads, in bytes, above which replicas compact the log.
@@ -370,7 +370,7 @@
                 slot.writes += 1;
                 let done = ScheduledEvent::WriteDone { machine, process: slot.process, ticket };
                 let factor = if slot.disk_mode == DiskMode::Slow { SLOW_DISK } else { 1 };
-                let delay = (DISK_MS + self.random.u64(0..4)) * factor;
+                let delay = (MIN_WRITE_MS + self.random.u64(0..4)) * factor;
                 self.schedule(delay, done);
             }
             Action::Committed { proposal } => {
