--- a/crates/replication/tests/replication/harness/simulation.rs
+++ b/crates/replication/tests/replication/harness/simulation.rs
@@ -25,7 +25,7 @@
 /// The minimum duration of a write to a healthy disk.
 pub(super) const MIN_WRITE_MS: u64 = 2;
 /// The factor by which the writes of a slow disk take longer.
-const SLOW_DISK: u64 = 30;
+const SLOW_DISK_FACTOR: u64 = 30;
 /// The size of the log's payloads, in bytes, above which replicas compact the log.
 pub(super) const COMPACT_BYTES: usize = 1500;
 
@@ -369,7 +369,7 @@
                 slot.write = Some((ticket, write));
                 slot.writes += 1;
                 let done = ScheduledEvent::WriteDone { machine, process: slot.process, ticket };
-                let factor = if slot.disk_mode == DiskMode::Slow { SLOW_DISK } else { 1 };
+                let factor = if slot.disk_mode == DiskMode::Slow { SLOW_DISK_FACTOR } else { 1 };
                 let delay = (MIN_WRITE_MS + self.random.u64(0..4)) * factor;
                 self.schedule(delay, done);
             }
