--- a/crates/replication/tests/replication/harness/clients.rs
+++ b/crates/replication/tests/replication/harness/clients.rs
@@ -7,7 +7,7 @@
 use super::simulation::{ScheduledEvent, Simulation};
 
 /// The maximum padding of a payload in bytes.
-const PADDING: usize = 300;
+const MAX_PADDING_BYTES: usize = 300;
 /// The maximum time from a read to its response, unless the process is frozen in between.
 const MAX_READ_MS: u64 = 5;
 
@@ -39,7 +39,7 @@
         self.proposals.push(command);
         let proposal = self.proposals.len() as u64;
         let mut payload = command.payload(proposal);
-        payload.resize(payload.len() + self.random.usize(0..=PADDING), 0);
+        payload.resize(payload.len() + self.random.usize(0..=MAX_PADDING_BYTES), 0);
         self.received_proposals.push((proposal, machine, self.machines[machine].process));
         self.trace_event(machine, &format!("receives command {} on base {}", command.number, command.base));
         self.handle(machine, Event::Propose { proposal, payload });
