--- a/crates/replication/tests/replication/scenarios/lost_machines.rs
+++ b/crates/replication/tests/replication/scenarios/lost_machines.rs
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_first_start_without_one_of_the_seeds() {
+fn a_first_start_without_one_of_the_bootstrap_witnesses() {
     for seed in 0..SEEDS {
         let mut simulation =
             Simulation::first_start(SimulationOptions { seed, ..SimulationOptions::default() }, 4, 3);
