--- a/crates/replication/src/replica/primary.rs
+++ b/crates/replication/src/replica/primary.rs
@@ -136,7 +136,7 @@
         self.peers.record_log_end(from, grant.last);
         let heartbeat = self.options.heartbeat;
         let Some(primary) = &mut self.primary else { return };
-        let had_recent_answers = primary.has_recent_replies(self.now, heartbeat);
+        let had_recent_replies = primary.has_recent_replies(self.now, heartbeat);
         primary.record_lease_reply(self.now, from);
         if grant.epoch >= primary.view().epoch {
             let is_rejecting = !grant.granted && grant.promised >= grant.epoch;
@@ -145,9 +145,9 @@
         if grant.granted {
             primary.record_lease_grant(from, grant.round, grant.epoch);
         }
-        let answers_have_resumed = !had_recent_answers && primary.has_recent_replies(self.now, heartbeat);
+        let replies_have_resumed = !had_recent_replies && primary.has_recent_replies(self.now, heartbeat);
         let has_gained_lease = !held_lease && self.holds_lease(self.now);
-        if answers_have_resumed || has_gained_lease {
+        if replies_have_resumed || has_gained_lease {
             // Probes request no lease, and the other nodes follow only a primary that claims to hold it.
             self.send_heartbeat();
         }
--- a/crates/replication/tests/replication/harness/faults.rs
+++ b/crates/replication/tests/replication/harness/faults.rs
@@ -22,11 +22,12 @@
 }
 
 impl Simulation {
-    /// Creates a simulation of `count` machines that start for the first time, all within 300 ms. The first
-    /// `seeds` of them are the bootstrap witnesses.
-    pub fn first_start(options: SimulationOptions, count: usize, seeds: usize) -> Self {
+    /// Creates a simulation of `count` machines that start for the first time, all within 300 ms. The first ones
+    /// are the bootstrap witnesses, whose number is `bootstrap_witnesses`.
+    pub fn first_start(options: SimulationOptions, count: usize, bootstrap_witnesses: usize) -> Self {
         let mut simulation = Simulation::new(options);
-        let witnesses: Vec<NodeId> = (0..seeds).map(|machine| NodeId::new(address(machine), 0)).collect();
+        let witnesses: Vec<NodeId> =
+            (0..bootstrap_witnesses).map(|machine| NodeId::new(address(machine), 0)).collect();
         for machine in 0..count {
             simulation.add(NodeId::new(address(machine), 0), Some(witnesses.clone()));
         }
@@ -130,21 +131,21 @@
 
     /// Kills the process. The other machines detect this after `CONNECT_MS`, or after `DETECTION_MS` if the
     /// machine lost power, since then it does not close its connections.
-    pub fn kill(&mut self, machine: usize, power: bool) {
-        self.trace_event(machine, if power { "loses power" } else { "is killed" });
-        let torn = self.random.usize(0..4);
+    pub fn kill(&mut self, machine: usize, loses_power: bool) {
+        self.trace_event(machine, if loses_power { "loses power" } else { "is killed" });
+        let kept = self.random.usize(0..4);
         let slot = &mut self.machines[machine];
         if slot.replica.take().is_none() {
             return;
         }
         if let Some((_, write)) = slot.write.take() {
             if slot.disk_mode != DiskMode::Full {
-                slot.disk.apply_torn(write, torn);
+                slot.disk.apply_torn(write, kept);
             }
         }
         slot.connections.clear();
         slot.buffered.clear();
-        let detection = if power { DETECTION_MS } else { CONNECT_MS };
+        let detection = if loses_power { DETECTION_MS } else { CONNECT_MS };
         for other in 0..self.machines.len() {
             self.schedule_disconnect(other, machine, detection);
         }
--- a/crates/replication/tests/replication/model/cluster.rs
+++ b/crates/replication/tests/replication/model/cluster.rs
@@ -12,9 +12,9 @@
 use crate::harness::disk::DiskImage;
 
 /// The number of bootstrap witnesses.
-const SEEDS: usize = 3;
+const BOOTSTRAP_WITNESSES: usize = 3;
 /// The number of machines that may lose their disks at once.
-pub(super) const TOLERATED: usize = 1;
+pub(super) const TOLERATED_MACHINES: usize = 1;
 const TICK_MS: u64 = 50;
 /// Longer than a lease (900 ms), so that every granted lease expires.
 const TIME_JUMP_MS: u64 = 1200;
@@ -142,8 +142,8 @@
             violated_invariant: None,
         };
         for id in &ids {
-            let seeds = ids[..SEEDS].to_vec();
-            cluster.nodes.push(cluster.start_node(*id, DiskImage::default(), Some(seeds)));
+            let bootstrap_witnesses = ids[..BOOTSTRAP_WITNESSES].to_vec();
+            cluster.nodes.push(cluster.start_node(*id, DiskImage::default(), Some(bootstrap_witnesses)));
         }
         for node in 0..count {
             cluster.connect(node);
@@ -157,7 +157,7 @@
             bootstrap,
             seed: u64::from(id.ip),
             faults: self.injected_faults,
-            fault_tolerance: FaultTolerance { machines: TOLERATED, zones: 0, regions: 0 },
+            fault_tolerance: FaultTolerance { machines: TOLERATED_MACHINES, zones: 0, regions: 0 },
             compact_entries: self.compact_entries,
             ..Options::default()
         };
--- a/crates/replication/tests/replication/model/inspect.rs
+++ b/crates/replication/tests/replication/model/inspect.rs
@@ -4,7 +4,7 @@
 use quillpulley_replication::Role;
 use std::collections::BTreeSet;
 
-use super::cluster::{Cluster, Node, TOLERATED};
+use super::cluster::{Cluster, Node, TOLERATED_MACHINES};
 use crate::harness::disk::DiskImage;
 use crate::harness::durability::{
     has_enough_witnesses, includes, possibly_newest_views, violation, Survivor,
@@ -78,7 +78,7 @@
             .map(|node| Survivor { id: self.nodes[*node].id, disk: &self.nodes[*node].disk })
             .collect();
         let positions: Vec<Position> = self.acknowledged.iter().map(|(position, _)| *position).collect();
-        let on_disk = || violation(&survivors, &positions, TOLERATED);
+        let on_disk = || violation(&survivors, &positions, TOLERATED_MACHINES);
         self.violated_invariant.clone().or_else(on_disk).or_else(|| self.stale_read())
     }
 
@@ -99,7 +99,7 @@
         let newest = possibly_newest_views(&disks, self.lost.len());
         let is_included = |node: &&NodeId| newest.iter().any(|view| includes(view, **node));
         let lost = self.lost.iter().filter(is_included).count() + 1;
-        lost <= TOLERATED && newest.iter().all(|view| has_enough_witnesses(view, TOLERATED))
+        lost <= TOLERATED_MACHINES && newest.iter().all(|view| has_enough_witnesses(view, TOLERATED_MACHINES))
     }
 
     /// Returns how many of the nodes are members of the leader's view; 0 without a leader.
--- a/crates/replication/tests/replication/operations.rs
+++ b/crates/replication/tests/replication/operations.rs
@@ -219,14 +219,14 @@
     }
 }
 
-fn isolate(simulation: &mut Simulation, machine: usize, both: bool) {
+fn isolate(simulation: &mut Simulation, machine: usize, both_directions: bool) {
     for other in (0..simulation.machines.len()).filter(|other| *other != machine) {
         simulation.network.partition(machine, other);
-        if both {
+        if both_directions {
             simulation.network.partition(other, machine);
         }
     }
-    if both {
+    if both_directions {
         simulation.detect_partitions();
     }
 }
--- a/crates/replication/tests/replication/random.rs
+++ b/crates/replication/tests/replication/random.rs
@@ -52,7 +52,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Step {
     /// The time before the operation, in milliseconds.
-    pause: u64,
+    pause_ms: u64,
     operation: Operation,
     machine: usize,
 }
@@ -68,7 +68,7 @@
     fn random(random: &mut fastrand::Rng) -> Self {
         let max_pause = [20, 150, 400, 400, 1000, 2500][random.usize(0..6)];
         Step {
-            pause: random.u64(0..max_pause),
+            pause_ms: random.u64(0..max_pause),
             operation: OPERATIONS[random.usize(0..OPERATIONS.len())],
             machine: random.usize(0..60),
         }
@@ -112,7 +112,7 @@
     let options = SimulationOptions { seed: schedule.seed, network, ..options };
     let mut simulation = Simulation::first_start(options, count, 3);
     for step in &schedule.steps {
-        simulation.run_for(step.pause);
+        simulation.run_for(step.pause_ms);
         let present = simulation.present();
         let machine = present[step.machine % present.len()];
         perform(&mut simulation, step.operation, machine);
--- a/crates/replication/tests/replication/reads.rs
+++ b/crates/replication/tests/replication/reads.rs
@@ -69,7 +69,7 @@
     machine: usize,
     process: u64,
     /// The virtual time in milliseconds from which the response may be written.
-    due: u64,
+    due_at: u64,
     /// The end of the lease by the machine's own clock.
     valid_until: Duration,
     /// The accepted commands in the state that the response reports.
@@ -225,7 +225,7 @@
         let pending = PendingResponse {
             machine,
             process: self.simulation.process(machine),
-            due: self.simulation.now + self.random.u64(0..MAX_WRITE_DELAY_MS),
+            due_at: self.simulation.now + self.random.u64(0..MAX_WRITE_DELAY_MS),
             valid_until,
             accepted: accepted.map(|applied| applied.command).collect(),
         };
@@ -249,7 +249,7 @@
             if !runs || self.simulation.process(response.machine) != response.process {
                 continue;
             }
-            if self.simulation.machines[response.machine].frozen || response.due > self.simulation.now {
+            if self.simulation.machines[response.machine].frozen || response.due_at > self.simulation.now {
                 self.pending.push(response);
             } else {
                 self.write_response(&response);
--- a/crates/replication/tests/replication/scenarios/overlapping_losses.rs
+++ b/crates/replication/tests/replication/scenarios/overlapping_losses.rs
@@ -73,8 +73,8 @@
             let machines = shuffled_machines(&mut simulation);
             let lost = simulation.random.usize(1..=machines.len());
             for machine in &machines[..lost] {
-                let power = simulation.random.bool();
-                simulation.kill(*machine, power);
+                let loses_power = simulation.random.bool();
+                simulation.kill(*machine, loses_power);
                 let pause = simulation.random.u64(0..40);
                 simulation.run_for(pause);
             }
@@ -97,7 +97,7 @@
         for _ in 0..5 {
             read_and_propose(&mut simulation);
         }
-        let acknowledged = simulation.checker.acknowledged.len();
+        let acknowledged_before = simulation.checker.acknowledged.len();
         let machines = shuffled_machines(&mut simulation);
         let tolerated_machines = simulation.options.tolerated_machines;
         for machine in &machines {
@@ -113,10 +113,10 @@
         }
         check_acknowledgement(&mut simulation);
         let leader = simulation.leader().expect("no primary");
-        let now = simulation.checker.acknowledged.len();
+        let acknowledged_after = simulation.checker.acknowledged.len();
         assert!(
-            acknowledged > 0 && now > acknowledged,
-            "seed {seed}: {acknowledged} commands acknowledged before the losses, {now} after them"
+            acknowledged_before > 0 && acknowledged_after > acknowledged_before,
+            "seed {seed}: {acknowledged_before} commands acknowledged before the losses, {acknowledged_after} after them"
         );
         simulation.read(leader);
         simulation.run_for(STEP_MS);
--- a/crates/replication/tests/replication/scenarios/state_transfer.rs
+++ b/crates/replication/tests/replication/scenarios/state_transfer.rs
@@ -8,7 +8,7 @@
 const WRITES: u64 = 7;
 
 /// A wiped member crashes in its write number `write`, and 10 ms later the primary loses power. Both restart.
-fn crash_in_write(seed: u64, write: u64, power: bool) {
+fn crash_in_write(seed: u64, write: u64, loses_power: bool) {
     let mut cluster = StableCluster::new(seed, 1, ["P", "B", "C"]);
     for _ in 0..COMMANDS {
         let leader = cluster.simulation.leader().expect("no primary");
@@ -19,10 +19,10 @@
     let member = cluster.names[1].1;
     let is_writing = |simulation: &crate::harness::Simulation| simulation.write_count(member) >= write;
     assert!(cluster.simulation.run_until(5000, is_writing), "the member does not start write {write}");
-    let end = if power { "power-loss" } else { "kill" };
+    let operation = if loses_power { "power-loss" } else { "kill" };
     cluster.run_timeline(&format!(
         "time | P              | B              | C              | *
-            0 |                | {end}          |                |
+            0 |                | {operation}    |                |
            10 | power-loss     |                |                |
           200 | start          | start          |                |
          3200 |                |                |                | propose=1
--- a/crates/replication/tests/replication/seeded.rs
+++ b/crates/replication/tests/replication/seeded.rs
@@ -26,7 +26,7 @@
 const THREADS: u64 = 3;
 const MACHINES: usize = 5;
 const BOOTSTRAP_WITNESSES: usize = 3;
-const TOLERATED: usize = 2;
+const TOLERATED_MACHINES: usize = 2;
 /// The maximum deviation of clock rates, per thousand, in either direction.
 const CLOCK_DRIFT: u64 = 30;
 /// The number of steps between two fault-free periods.
@@ -99,13 +99,13 @@
 }
 
 fn pick(random: &mut fastrand::Rng) -> Operation {
-    let total: u32 = OPERATIONS.iter().map(|(_, share)| share).sum();
-    let mut left = random.u32(0..total);
-    for (operation, share) in OPERATIONS {
-        if left < share {
+    let total: u32 = OPERATIONS.iter().map(|(_, weight)| weight).sum();
+    let mut remaining = random.u32(0..total);
+    for (operation, weight) in OPERATIONS {
+        if remaining < weight {
             return operation;
         }
-        left -= share;
+        remaining -= weight;
     }
     Operation::Read
 }
@@ -119,7 +119,7 @@
     let options = SimulationOptions {
         seed,
         network,
-        tolerated_machines: TOLERATED,
+        tolerated_machines: TOLERATED_MACHINES,
         tolerated_zones: 1,
         tolerated_regions: 1,
         announces_zones: true,
--- a/crates/storage/tests/crashes.rs
+++ b/crates/storage/tests/crashes.rs
@@ -63,8 +63,8 @@
         };
         let faults = [Fault::PowerLoss, Fault::OneCallFails, Fault::AllWritesFail, Fault::GrowthFails];
         let fault = *gen.choose(&faults).expect("faults");
-        let step = usize::arbitrary(gen) % 10;
-        Step { operation, fault: (u8::arbitrary(gen) % 3 == 0).then_some((fault, step)) }
+        let operations_before = usize::arbitrary(gen) % 10;
+        Step { operation, fault: (u8::arbitrary(gen) % 3 == 0).then_some((fault, operations_before)) }
     }
 }
 
@@ -156,8 +156,8 @@
     }
 
     fn run_step(&mut self, step: &Step) {
-        if let Some((fault, after)) = step.fault {
-            self.disk.schedule(fault, after);
+        if let Some((fault, operations_before)) = step.fault {
+            self.disk.schedule(fault, operations_before);
         }
         self.step_number += 1;
         match step.operation.clone() {
@@ -267,9 +267,9 @@
                 Some(Fault::GrowthFails),
             ];
             let fault = faults[self.random.below(faults.len())];
-            let after = self.random.below(8);
+            let operations_before = self.random.below(8);
             if let Some(fault) = fault {
-                self.disk.schedule(fault, after);
+                self.disk.schedule(fault, operations_before);
             }
             let opened = try_open(&self.disk);
             self.disk.clear_faults();
@@ -334,14 +334,17 @@
     let faults = [Fault::PowerLoss, Fault::OneCallFails, Fault::AllWritesFail, Fault::GrowthFails];
     for seed in 0..20 {
         for operation in &operations {
-            for (fault, after) in faults.iter().flat_map(|fault| (0..10).map(move |after| (*fault, after))) {
+            for (fault, operations_before) in faults
+                .iter()
+                .flat_map(|fault| (0..10).map(move |operations_before| (*fault, operations_before)))
+            {
                 let without_fault = |operation| Step { operation, fault: None };
                 let append =
                     || without_fault(Operation::Append { before_end: 0, stored_count: 0, new_count: 1 });
                 let mut steps =
                     vec![without_fault(Operation::SaveRecord), without_fault(Operation::SaveRecord)];
                 steps.extend((0..10).map(|_| append()));
-                steps.push(Step { operation: operation.clone(), fault: Some((fault, after)) });
+                steps.push(Step { operation: operation.clone(), fault: Some((fault, operations_before)) });
                 steps.push(append());
                 run_scenario(Scenario { seed, steps });
             }
@@ -357,12 +360,14 @@
 //    kill or loss of power | recovery finds nothing of the installation
 #[test]
 fn a_failed_installation_is_not_recovered_in_part() {
-    for (seed, after) in (0..50).flat_map(|seed| (0..8).map(move |after| (seed, after))) {
+    for (seed, operations_before) in
+        (0..50).flat_map(|seed| (0..8).map(move |operations_before| (seed, operations_before)))
+    {
         let install = Operation::Install { index: 23, new_count: 4 };
         let append = Operation::Append { before_end: 1, stored_count: 5, new_count: 1 };
         let steps = vec![
             Step { operation: install, fault: Some((Fault::OneCallFails, 9)) },
-            Step { operation: append, fault: Some((Fault::OneCallFails, after)) },
+            Step { operation: append, fault: Some((Fault::OneCallFails, operations_before)) },
             Step {
                 operation: if seed % 2 == 0 { Operation::Kill } else { Operation::LosePower },
                 fault: None,
@@ -373,14 +378,14 @@
 }
 
 quickcheck! {
-    fn a_failed_call_may_be_retried(seed: u64, one_call_fails: bool, after: usize) -> bool {
+    fn a_failed_call_may_be_retried(seed: u64, one_call_fails: bool, operations_before: usize) -> bool {
         let disk = Disk::new(seed);
         let (mut storage, _) = open(&disk);
         storage.append(&entries(1, 1, 9)).expect("appended");
         let mut retried = |call: &mut dyn FnMut(&mut Storage<Disk>) -> Result<(), StorageError>| {
             disk.schedule(
                 if one_call_fails { Fault::OneCallFails } else { Fault::AllWritesFail },
-                after % 10,
+                operations_before % 10,
             );
             if call(&mut storage).is_err() {
                 disk.clear_faults();
@@ -411,12 +416,12 @@
 fn an_installation_after_a_failed_one_is_atomic() {
     let faults = [Fault::PowerLoss, Fault::OneCallFails, Fault::AllWritesFail, Fault::GrowthFails];
     for (first, second) in faults.iter().flat_map(|first| faults.map(|second| (*first, second))) {
-        for (after, second_after) in
-            (0..10).flat_map(|after| (0..10).map(move |second_after| (after, second_after)))
-        {
+        for (operations_before, second_operations_before) in (0..10).flat_map(|operations_before| {
+            (0..10).map(move |second_operations_before| (operations_before, second_operations_before))
+        }) {
             let without_fault = |operation| Step { operation, fault: None };
             let append = || without_fault(Operation::Append { before_end: 0, stored_count: 0, new_count: 2 });
-            let seed = (after * 10 + second_after) as u64;
+            let seed = (operations_before * 10 + second_operations_before) as u64;
             let last = if seed.is_multiple_of(2) { Operation::Kill } else { Operation::LosePower };
             run_scenario(Scenario {
                 seed,
@@ -424,17 +429,17 @@
                     append(),
                     Step {
                         operation: Operation::Install { index: 4, new_count: 3 },
-                        fault: Some((first, after)),
+                        fault: Some((first, operations_before)),
                     },
                     Step {
                         operation: Operation::Install { index: 30, new_count: 0 },
-                        fault: Some((second, second_after)),
+                        fault: Some((second, second_operations_before)),
                     },
                     without_fault(last),
                     append(),
                     Step {
                         operation: Operation::Compact { index_choice: 1 },
-                        fault: Some((first, second_after)),
+                        fault: Some((first, second_operations_before)),
                     },
                 ],
             });
--- a/crates/storage/tests/damage.rs
+++ b/crates/storage/tests/damage.rs
@@ -37,8 +37,8 @@
         segments(&disk).into_iter().map(|name| (name.clone(), disk.length(&name))).collect()
     };
     assert!(lengths.len() > 2);
-    for (place, (name, length)) in lengths.iter().enumerate() {
-        let is_last = place + 1 == lengths.len();
+    for (segment_number, (name, length)) in lengths.iter().enumerate() {
+        let is_last = segment_number + 1 == lengths.len();
         for offset in 0..*length {
             let disk = filled();
             disk.damage(name, flip_bit(offset));
@@ -137,14 +137,14 @@
 #[test]
 fn covered_segments_that_reappear_are_ignored() {
     let names = segments(&filled());
-    for back in 0..names.len() {
+    for reappearing in 0..names.len() {
         let disk = filled();
         let contents: Vec<Vec<u8>> = names.iter().map(|name| disk.read(name)).collect();
         let (mut storage, _) = open(&disk);
         storage.compact(position(1, 12), b"twelve").expect("compacted");
         drop(storage);
         segments(&disk).iter().for_each(|name| disk.remove_durably(name));
-        disk.create_durably(&names[back], &contents[back]);
+        disk.create_durably(&names[reappearing], &contents[reappearing]);
         let (mut storage, found) = open(&disk);
         assert_eq!((found.entries, storage.last_index()), (Vec::new(), 12));
         storage.append(&entries(2, 13, 13)).expect("appended");
@@ -160,9 +160,9 @@
         storage.compact(position(1, 5), b"five").expect("compacted");
         let names = disk.names();
         disk.damage(&names[file % names.len()], |bytes| {
-            for (place, byte) in damage {
-                let place = usize::from(place) % bytes.len();
-                bytes[place] = byte;
+            for (offset, byte) in damage {
+                let offset = usize::from(offset) % bytes.len();
+                bytes[offset] = byte;
             }
             if cut {
                 bytes.truncate(usize::from(length) % bytes.len());
