--- a/crates/replication/src/log.rs
+++ b/crates/replication/src/log.rs
@@ -11,7 +11,8 @@
     /// The log does not hold the entry that precedes the new entries, or the indices of the new entries are not
     /// consecutive.
     Mismatch,
-    /// The new entries conflict with committed entries. The cause is a bug, or a disk that lost writes that it had confirmed.
+    /// The new entries conflict with committed entries. The cause is a bug, or a disk that lost writes that it had
+    /// confirmed.
     ConflictsWithCommitted,
 }
 
--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -34,8 +34,8 @@
     responsive_since: Option<Duration>,
     /// The end of the peer's log, according to the last report of the peer.
     log_end: Position,
-    /// Whether the peer has promised an epoch to another node and therefore rejects the epoch of this node, according to
-    /// the last report of the peer.
+    /// Whether the peer has promised an epoch to another node and therefore rejects the epoch of this node, according
+    /// to the last report of the peer.
     is_rejecting: bool,
     /// The time until which the peer counts as shutting down: its last announcement of a shutdown expires then.
     shutting_down_until: Duration,
--- a/crates/replication/src/progress.rs
+++ b/crates/replication/src/progress.rs
@@ -85,15 +85,15 @@
         self.matched.unwrap_or(self.probable_match)
     }
 
-    /// Returns whether the target lacks entries but has made no progress for longer than `timeout` plus the additional time
-    /// for the size of the message in flight.
+    /// Returns whether the target lacks entries but has made no progress for longer than `timeout` plus the additional
+    /// time for the size of the message in flight.
     pub fn is_stalled(&self, now: Duration, timeout: Duration) -> bool {
         let bytes = self.in_flight.map_or(0, |message| message.bytes);
         self.behind_since.is_some_and(|since| now > since + timeout + per_mb(TIMEOUT_PER_MB, bytes))
     }
 
-    /// Makes the next message due at once, even if the target lacks no entries and the message only contains the commit
-    /// index.
+    /// Makes a message due at once: the one in flight again, or, if the target lacks no entries, an empty one with the
+    /// commit index.
     fn resend(&mut self) {
         self.in_flight = None;
         self.needs_commit_index = true;
@@ -189,8 +189,8 @@
         self.nodes.remove(&node);
     }
 
-    /// Makes the next message to a node due at once, even if the node lacks no entries and the message only contains the
-    /// commit index.
+    /// Makes a message to a node due at once: the one in flight again, or, if the node lacks no entries, an empty one
+    /// with the commit index.
     pub fn resend(&mut self, node: NodeId) {
         if let Some(progress) = self.nodes.get_mut(&node) {
             progress.resend();
--- a/crates/replication/src/replica/follower.rs
+++ b/crates/replication/src/replica/follower.rs
@@ -14,8 +14,8 @@
 
 impl<S: StateMachine> Replica<S> {
     /// Admits a message of an epoch that concerns the log, and from then on, even after a restart, no message of an
-    /// older epoch. Queues the witness record; replies have to wait until it is durable. Returns false if the message is
-    /// not admitted.
+    /// older epoch. Queues the witness record; replies have to wait until it is durable. Returns false if the message
+    /// is not admitted.
     fn admit_log_message(&mut self, from: NodeId, epoch: u64) -> bool {
         if from == self.options.me {
             return false;
