--- a/crates/replication/tests/replication/harness/timeline.rs
+++ b/crates/replication/tests/replication/harness/timeline.rs
@@ -24,7 +24,7 @@
 //! | `leads` `follows` `deposed` `no-lease` | the role of the machine |
 //! | `member` `no-member` `witness` `no-witness` | its membership in the leader's view |
 //! | `hints:B` `no-hint` | the primary that it names to its clients |
-//! | `acked=N` `rejected=N` `unresolved=N` | the outcome of command N |
+//! | `acked=N` `not-acked=N` `rejected=N` | whether command N was acknowledged, was not acknowledged, or was rejected |
 //!
 //! The column `*` stands for the leader at that time: the primary that holds the lease and is not frozen.
 
@@ -165,7 +165,7 @@
             "rejected" => simulation
                 .checker
                 .is_rejected(self.commands[&argument.parse().expect("the argument is not a number")]),
-            "unresolved" => !acknowledged(),
+            "not-acked" => !acknowledged(),
             _ => panic!("`{verb}` is neither an operation nor an assertion"),
         }
     }
--- a/crates/replication/tests/replication/scenarios/partition_times.rs
+++ b/crates/replication/tests/replication/scenarios/partition_times.rs
@@ -80,7 +80,7 @@
           810 | no-lease             |         |         |
           925 | no-hint              | no-hint | no-hint |
          1310 | deposed              |         |         |
-        20000 | unresolved=1 no-hint |         |         |",
+        20000 | not-acked=1 no-hint  |         |         |",
     );
 }
 
--- a/crates/replication/tests/replication/scenarios/partitions_and_disks.rs
+++ b/crates/replication/tests/replication/scenarios/partitions_and_disks.rs
@@ -10,7 +10,7 @@
          2000 |                    |   |   | propose=1
          3000 | resume             |   |   | acked=1
          3000 | propose=2 no-lease |   |   |
-         3200 | unresolved=2       |   |   |
+         3200 | not-acked=2        |   |   |
          5000 | follows member     |   |   | propose=3
          5200 |                    |   |   | acked=3",
     );
@@ -23,7 +23,7 @@
             0 | propose=1 freeze |   |   |
          2500 |                  |   |   | propose=2
          2600 | resume           |   |   |
-         3500 | unresolved=1     |   |   | acked=2",
+         3500 | not-acked=1      |   |   | acked=2",
     );
 }
 
@@ -36,7 +36,7 @@
          2200 | no-lease                            |   |   | propose=2
          2500 |                                     |   |   | acked=2
          4000 | heal                                |   |   |
-         6500 | follows member unresolved=1 witness |   |   | propose=3
+         6500 | follows member not-acked=1 witness  |   |   | propose=3
          6700 |                                     |   |   | acked=3",
     );
 }
@@ -85,9 +85,9 @@
             0 | partition:C partition:D partition:E | partition:C partition:D partition:E |        |        |        |
           300 | propose=1                           |                                     |        |        |        |
          2500 | no-lease                            | no-lease                            |        |        |        | propose=2
-         2700 | unresolved=1                        |                                     |        |        |        | acked=2
+         2700 | not-acked=1                         |                                     |        |        |        | acked=2
          4000 | heal                                | heal                                |        |        |        |
-         7000 | member unresolved=1                 | member                              | member | member | member | propose=3
+         7000 | member not-acked=1                  | member                              | member | member | member | propose=3
          7200 |                                     |                                     |        |        |        | acked=3",
     );
 }
@@ -101,7 +101,7 @@
          3000 |                |   |   | acked=2
          4000 | repair         |   |   |
          6500 | member follows |   |   | propose=3
-         6700 | unresolved=1   |   |   | acked=3",
+         6700 | not-acked=1    |   |   | acked=3",
     );
 }
 
--- a/crates/replication/tests/replication/scenarios/restarts.rs
+++ b/crates/replication/tests/replication/scenarios/restarts.rs
@@ -8,7 +8,7 @@
     three(
         "time | P                    | B                    | C
             0 | propose=1 propose=2  | propose=3            |
-          150 | acked=1 unresolved=2 | follows unresolved=3 | follows
+          150 | acked=1 not-acked=2  | follows not-acked=3  | follows
           150 | propose=4            |                      |
           300 | acked=4 leads        |                      |",
     );
