--- a/crates/quillpulley/src/agent/datagrams.rs
+++ b/crates/quillpulley/src/agent/datagrams.rs
@@ -40,7 +40,9 @@
                     Err(error) => debug!(peer:% = from, error:% = error; "skipping an invalid datagram"),
                 },
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return None,
-                Err(error) => debug!(error:% = error; "cannot receive: an earlier datagram was refused"),
+                Err(error) => {
+                    debug!(error:% = error; "cannot receive a datagram: an earlier one may have been refused")
+                }
             }
         }
         None
--- a/crates/quillpulley/src/agent/parent_search/mod.rs
+++ b/crates/quillpulley/src/agent/parent_search/mod.rs
@@ -85,6 +85,7 @@
     attempts: Vec<ParentCandidate>,
     parent: Option<Parent>,
     revision_advanced: Duration,
+    /// The number of connection attempts that have failed since one last succeeded.
     failures: u32,
     penalties: Penalties,
     random: fastrand::Rng,
--- a/crates/quillpulley/src/command_line/help.rs
+++ b/crates/quillpulley/src/command_line/help.rs
@@ -1,6 +1,6 @@
 //! The texts that `--help` prints.
 
-/// Of the program, without a subcommand.
+/// The help text of the program without a subcommand.
 pub const PROGRAM: &str = "\
 quillpulley serves language models and applications across regions.
 
@@ -21,7 +21,7 @@
 end on SIGTERM, and exit with 0, or with 2 where they cannot start.
 ";
 
-/// Of `proxy`.
+/// The help text of `quillpulley proxy`.
 pub const PROXY: &str = "\
 Serves clients: takes requests at Listen.Front of the settings and passes them on to servers. It answers checks
 at Listen.Ready with 200 once it has the published state from the agent of its machine.
@@ -35,7 +35,7 @@
 On SIGTERM it finishes what it has read, for GraceS at most.
 ";
 
-/// Of `agent`.
+/// The help text of `quillpulley agent`.
 pub const AGENT: &str = "\
 Keeps the link to the control plane, passes published state on to the proxy of its machine and to other agents,
 and sums up their counts. It uses the second and the third port of PortRange.
@@ -50,7 +50,7 @@
 again.
 ";
 
-/// Of `control`.
+/// The help text of `quillpulley control`.
 pub const CONTROL: &str = "\
 Serves the operator at Listen.Control and clients that ask where to go at Listen.Directory, and keeps the
 control state in DataDir together with the other core processes. It uses the first port of PortRange.
@@ -65,7 +65,7 @@
 settings again.
 ";
 
-/// Of `check`.
+/// The help text of `quillpulley check`.
 pub const CHECK: &str = "\
 Checks settings files (TOML) and operator's configurations (JSON), which are told apart by their contents. For
 each file it prints what is wrong and what to do about it, or that it is fine. Settings have to hold what those need
--- a/crates/quillpulley/src/control/directory/builder.rs
+++ b/crates/quillpulley/src/control/directory/builder.rs
@@ -61,7 +61,10 @@
 /// Builds directories, and tracks whether enough endpoints are known to answer clients.
 #[derive(Default)]
 pub struct DirectoryBuilder {
+    /// The time at which the first endpoint became known; `None` before.
     first_known_at: Option<Duration>,
+    /// Whether the initial wait has ended: an endpoint was known, and either the published state was fresh or
+    /// `INITIAL_WAIT` had passed.
     has_waited: bool,
     reported: ReportedEndpoints,
     homes: HomeCache,
--- a/crates/quillpulley/src/control/distribution/endpoint_registry.rs
+++ b/crates/quillpulley/src/control/distribution/endpoint_registry.rs
@@ -9,7 +9,8 @@
 /// Time for which an endpoint stays published after it is no longer reported. Its agent may be changing its
 /// parent.
 pub const ABSENCE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The same time after an election, when all agents change their parents.
+/// Time for which an endpoint stays published after an election unless it is reported. It is longer than
+/// [`ABSENCE_TIMEOUT`], because all agents change their parents then.
 pub const ABSENCE_TIMEOUT_AFTER_ELECTION: Duration = Duration::from_secs(3);
 /// Minimum number of monitors that must suspect an endpoint before it counts as unreachable.
 const MIN_SUSPECTING_MONITORS: usize = 2;
--- a/crates/quillpulley/src/control/replica_host/links.rs
+++ b/crates/quillpulley/src/control/replica_host/links.rs
@@ -169,7 +169,7 @@
         std::iter::once(self.me.clone()).chain(others).collect()
     }
 
-    /// Adds addresses of control nodes. New ones are due to be connected to at once.
+    /// Adds addresses of control nodes. The first connection attempt to a new address is due at once.
     pub fn learn(&mut self, now: Duration, addresses: impl IntoIterator<Item = Ipv4Addr>) {
         for address in addresses {
             self.table.learn(now, address);
--- a/crates/quillpulley/src/control/replica_host/process.rs
+++ b/crates/quillpulley/src/control/replica_host/process.rs
@@ -48,7 +48,7 @@
 /// Runs a control node until it has shut down.
 ///
 /// # Errors
-/// [`HostError`] if it cannot start.
+/// [`HostError`] if the control node cannot start.
 pub fn run(settings: Settings) -> Result<(), HostError> {
     exit_on_panic();
     runtime::block_on(async {
--- a/crates/quillpulley/src/control/replica_host/storage_thread.rs
+++ b/crates/quillpulley/src/control/replica_host/storage_thread.rs
@@ -1,4 +1,5 @@
-//! The thread that owns the disk. A faulty disk may block for seconds, so no other thread waits for it.
+//! The thread that owns the disk. A faulty disk may block for seconds, so no other thread waits for
+//! its writes.
 
 use crate::HostError;
 use quillpulley_protocol::{decode_value, encode_value, WitnessRecord, WitnessRecordRef};
--- a/crates/quillpulley/tests/catch_up/disk.rs
+++ b/crates/quillpulley/tests/catch_up/disk.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// An in-memory directory. Its contents persist when a process is killed.
+/// An in-memory folder. Its contents persist when a process is killed.
 #[derive(Clone, Default)]
 pub struct MemoryFolder(Rc<Shared>);
 
--- a/crates/quillpulley/tests/catch_up/main.rs
+++ b/crates/quillpulley/tests/catch_up/main.rs
@@ -18,8 +18,9 @@
 /// The maximum time until a heartbeat arrives. It includes the time to send the chunks that are already in flight, and
 /// the latency of the link.
 const MAX_HEARTBEAT_US: u64 = 300_000;
-/// The maximum number of bytes that a control node may have on its disk, and in memory in its log and on its links.
+/// The maximum number of bytes that a control node may have on its disk.
 const MAX_DISK_BYTES: usize = 44_000_000;
+/// The maximum number of bytes that a control node may have in memory, in its log and in the queues of its links.
 const MAX_MEMORY_BYTES: usize = 64_000_000;
 
 /// Returns a machine that is not the primary.
@@ -74,7 +75,8 @@
     assert!(world.slowest_heartbeat < MAX_HEARTBEAT_US, "{} us", world.slowest_heartbeat);
 }
 
-/// Lets a machine miss 300 commands, and restarts it. The measurements begin at the restart. `prepare` is called before.
+/// Lets a machine miss 300 commands, and restarts it. The measurements begin at the restart. `prepare` is called
+/// before the restart.
 fn restart_after_300_commands(count: usize, prepare: impl Fn(&mut World, usize)) -> (World, usize) {
     let mut world = World::new(count);
     world.run_commands(3, MAX_COMMAND_BYTES);
--- a/crates/quillpulley/tests/catch_up/world.rs
+++ b/crates/quillpulley/tests/catch_up/world.rs
@@ -42,7 +42,9 @@
     }
 
     fn restore(&mut self, snapshot: &[u8]) -> Result<(), RestoreError> {
-        let (count, body) = snapshot.split_first_chunk().ok_or(RestoreError { reason: "short".into() })?;
+        let (count, body) = snapshot
+            .split_first_chunk()
+            .ok_or(RestoreError { reason: "the snapshot lacks the count".into() })?;
         *self = Counter { count: u64::from_le_bytes(*count), body: body.to_vec() };
         Ok(())
     }
@@ -58,7 +60,7 @@
     /// Packets in the socket buffer of the sender.
     socket: VecDeque<Vec<u8>>,
     decoder: FrameDecoder,
-    /// The times at which the heartbeats that are in flight were sent.
+    /// The times at which the heartbeats that are in flight were sent, in microseconds.
     heartbeats: VecDeque<u64>,
 }
 
@@ -66,9 +68,13 @@
     pub id: NodeId,
     pub replica: Option<Replica<Counter>>,
     pub disk: Disk,
+    /// The number of starts and kills of processes on the machine. Events for an earlier process are ignored.
     incarnation: u64,
+    /// The time at which the process was started, in microseconds.
     started_at: u64,
+    /// Whether a packet is being sent.
     sending: bool,
+    /// The machine to which the next packet is sent, if its connection has one.
     next_target: usize,
 }
 
@@ -89,22 +95,28 @@
 }
 
 pub struct World {
+    /// The virtual time in microseconds.
     pub now: u64,
     pub machines: Vec<Machine>,
     pipes: BTreeMap<(usize, usize), Pipe>,
+    /// The scheduled events by their times in microseconds, then by the order in which they were scheduled.
     queue: BinaryHeap<Reverse<(u64, u64, ScheduledEvent)>>,
+    /// The number of events scheduled so far.
     sequence: u64,
     encoder: FrameEncoder,
     witnesses: Vec<NodeId>,
     faults: Faults,
     links: Links,
-    /// The number of acknowledged commands, and of rejected commands that may nevertheless take effect.
+    /// The number of acknowledged commands.
     pub acknowledged: u64,
+    /// The number of rejected commands that may nevertheless take effect.
     pub unknown_outcomes: u64,
     next_command: u64,
+    /// The number of the command in flight, and the time in microseconds at which it was proposed.
     in_flight: Option<(u64, u64)>,
-    /// The longest time that a command and a heartbeat have taken, in microseconds.
+    /// The longest time that a command has taken, in microseconds.
     pub slowest_command: u64,
+    /// The longest time that a heartbeat has taken to arrive, in microseconds.
     pub slowest_heartbeat: u64,
     /// The maximum number of bytes that the queues of the links and the log of one machine have held.
     pub peak_memory: usize,
--- a/crates/quillpulley/tests/system/machines.rs
+++ b/crates/quillpulley/tests/system/machines.rs
@@ -19,11 +19,11 @@
 }
 
 impl Machines {
-    /// Allocates addresses and ports, and creates an empty directory for settings files and disks.
+    /// Allocates addresses and ports, and creates an empty folder for settings files and disks.
     pub fn new(name: &str) -> Machines {
         static NEXT: AtomicU8 = AtomicU8::new(101);
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("system").join(name);
-        // The directory may be left over from an earlier run.
+        // The folder may be left over from an earlier run.
         let _ = fs::remove_dir_all(&folder);
         fs::create_dir_all(&folder).expect("a folder");
         Machines { network: NEXT.fetch_add(1, Ordering::Relaxed), first_port: free_ports(), folder }
@@ -103,12 +103,15 @@
         path
     }
 
+    /// Returns the IP address of a machine. `kind` is 0 for control nodes, 1 for the machine of the proxy, 2 for servers
+    /// and 3 for the platform.
     fn ip(&self, kind: u8, number: u8) -> Ipv4Addr {
         Ipv4Addr::new(127, self.network, kind, number)
     }
 
-    fn address(&self, kind: u8, number: u8, port: u16) -> SocketAddr {
-        SocketAddr::from((self.ip(kind, number), self.first_port + port))
+    /// Returns the address of a machine with the port that is `port_offset` above the first port of the test.
+    fn address(&self, kind: u8, number: u8, port_offset: u16) -> SocketAddr {
+        SocketAddr::from((self.ip(kind, number), self.first_port + port_offset))
     }
 }
 
--- a/crates/quillpulley/tests/system/processes.rs
+++ b/crates/quillpulley/tests/system/processes.rs
@@ -74,7 +74,7 @@
     pub fn wait_for_exit(&mut self) -> Option<i32> {
         let started = Instant::now();
         loop {
-            if let Some(status) = self.child.try_wait().expect("its status") {
+            if let Some(status) = self.child.try_wait().expect("the status of the process") {
                 return status.code();
             }
             assert!(started.elapsed() < TIMEOUT, "{} does not exit", self.role);
