--- a/crates/quillpulley/src/agent/host/mod.rs
+++ b/crates/quillpulley/src/agent/host/mod.rs
@@ -28,7 +28,7 @@
 const TIMER_GRANULARITY: Duration = Duration::from_millis(25);
 /// How often the settings are reloaded while the agent has no parent, because the list of seeds may change without a
 /// SIGHUP.
-const SEEDS_INTERVAL: Duration = Duration::from_secs(3);
+const SEED_RELOAD_INTERVAL: Duration = Duration::from_secs(3);
 /// The maximum number of incoming links: enough for the children in the relay tree, and for some more that are changing
 /// their parent.
 const MAX_CHILDREN: usize = 128;
@@ -118,7 +118,7 @@
             self.monitor.next_tick(),
             self.parent_search.next_tick(),
             self.drain.next_tick(),
-            self.now() + SEEDS_INTERVAL,
+            self.now() + SEED_RELOAD_INTERVAL,
         ];
         let due = due.into_iter().min().unwrap_or_default().max(self.now());
         let steps = due.as_millis() / TIMER_GRANULARITY.as_millis() + 1;
@@ -182,7 +182,7 @@
     fn reload_seeds_if_due(&mut self) {
         let now = self.now();
         let Some(since) = self.parent_search.searching_since() else { return };
-        if now >= self.seeds_read_at.max(since) + SEEDS_INTERVAL {
+        if now >= self.seeds_read_at.max(since) + SEED_RELOAD_INTERVAL {
             warn!(seconds = (now - since).as_secs(); "no parent found that sends current published state; reloading the seeds");
             self.reload_seeds();
         }
--- a/crates/quillpulley/src/agent/parent_search/mod.rs
+++ b/crates/quillpulley/src/agent/parent_search/mod.rs
@@ -84,7 +84,7 @@
     /// The candidates to which a connection attempt is in progress.
     attempts: Vec<ParentCandidate>,
     parent: Option<Parent>,
-    revision_advanced: Duration,
+    revision_advanced_at: Duration,
     /// The number of connection attempts that have failed since one last succeeded.
     failures: u32,
     penalties: Penalties,
@@ -100,7 +100,7 @@
             candidates: Vec::new(),
             attempts: Vec::new(),
             parent: None,
-            revision_advanced: Duration::ZERO,
+            revision_advanced_at: Duration::ZERO,
             failures: 0,
             penalties: Penalties::default(),
             random: fastrand::Rng::with_seed(seed),
@@ -192,7 +192,7 @@
     }
 
     fn revision_advanced(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        self.revision_advanced = now;
+        self.revision_advanced_at = now;
         let Some(parent) = self.parent else { return };
         match now.saturating_sub(parent.since) >= PENALTY_RESET_AFTER {
             true => self.penalties.clear(parent.candidate),
@@ -238,8 +238,9 @@
     /// Connects to the best candidate without a penalty, if it is better than the parent and no attempt is in progress.
     fn connect_to_better(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let Some(parent) = self.parent else { return };
-        let mut free = self.candidates.iter().filter(|c| self.penalties.remaining(now, **c).is_zero());
-        let Some(best) = free.next().copied() else { return };
+        let mut without_penalty =
+            self.candidates.iter().filter(|c| self.penalties.remaining(now, **c).is_zero());
+        let Some(best) = without_penalty.next().copied() else { return };
         if self.attempts.is_empty() && self.is_better(best, parent.candidate) {
             self.connect(best, actions);
         }
@@ -297,7 +298,7 @@
     /// Returns when the parent will be considered stalled, unless the revision advances before then.
     fn deadline(&self) -> Duration {
         let Some(parent) = self.parent else { return Duration::MAX };
-        self.revision_advanced.max(parent.since) + parent.stall_timeout
+        self.revision_advanced_at.max(parent.since) + parent.stall_timeout
     }
 
     fn stall_timeout(&mut self, candidate: ParentCandidate) -> Duration {
