--- a/crates/quillpulley/tests/control/commands.rs
+++ b/crates/quillpulley/tests/control/commands.rs
@@ -300,7 +300,7 @@
 }
 
 #[test]
-fn a_configuration_with_a_slow_body_is_decided_but_an_evacuation_as_late_expires() {
+fn the_timeout_runs_from_queueing_for_configurations_and_from_receipt_for_evacuations() {
     run_timeline(
         " 9000 | 1000@0>5 |          | proposed 1
           9010 |          | commit 1 | 0>5 acknowledged
