--- a/crates/quillpulley/tests/control/peer_table.rs
+++ b/crates/quillpulley/tests/control/peer_table.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_peer_is_connected_while_the_own_link_is_open() {
+fn a_peer_counts_as_connected_while_the_link_to_it_is_open() {
     let mut peer_table = connecting_table();
     let node = NodeId::new(OTHER, 7);
     assert_eq!(peer_table.link_to(node), None);
