--- a/crates/quillpulley/tests/control/cluster.rs
+++ b/crates/quillpulley/tests/control/cluster.rs
@@ -77,7 +77,7 @@
         let machines = Vec::new();
         let mut cluster =
             Cluster { machines, network, platform, log_receiver, log_sender, log_lines: Vec::new(), folder };
-        let seeds: Vec<SocketAddr> = (0..count).map(|index| cluster.control(index)).collect();
+        let seeds: Vec<SocketAddr> = (0..count).map(|index| cluster.control_address(index)).collect();
         for _ in 0..count {
             cluster.add(true, seeds.clone());
         }
@@ -119,12 +119,12 @@
     }
 
     /// Returns the address at which a machine accepts links from other processes.
-    pub fn link(&self, index: usize) -> SocketAddr {
+    pub fn link_address(&self, index: usize) -> SocketAddr {
         SocketAddr::from((self.address(index), LINK_PORT))
     }
 
     /// Returns the address of the operator API of a machine.
-    pub fn control(&self, index: usize) -> SocketAddr {
+    pub fn control_address(&self, index: usize) -> SocketAddr {
         SocketAddr::from((self.address(index), CONTROL_PORT))
     }
 
@@ -142,7 +142,7 @@
             seeds.join(", "),
             machine.bootstrap,
             machine.folder.display(),
-            self.control(index),
+            self.control_address(index),
             (self.machines.len() - 1) / 2,
             (self.machines.len() - 1) / 2,
             (self.machines.len() - 1) / 2,
@@ -277,7 +277,7 @@
 
     /// Sends a request to one machine, once. Returns `None` if there is no response.
     pub fn call(&self, index: usize, operation: &Operation) -> Option<HttpResponse> {
-        operation.send(self.control(index))
+        operation.send(self.control_address(index))
     }
 
     /// Sends a request to the running machines in turn, as operators do, until one gives a definite response.
@@ -287,7 +287,7 @@
         let mut attempt = 0;
         self.wait_for("a definite response", |cluster| {
             attempt += 1;
-            let response = operation.send(cluster.control(running[attempt % running.len()]))?;
+            let response = operation.send(cluster.control_address(running[attempt % running.len()]))?;
             let response = match response.location {
                 Some(location) => operation.send_to(&location)?,
                 None => response,
--- a/crates/quillpulley/tests/control/processes.rs
+++ b/crates/quillpulley/tests/control/processes.rs
@@ -47,7 +47,7 @@
 
     // The former primary is started again, and redirects callers to the new one.
     cluster.start_process(first);
-    let expected = format!("http://{}/v1/Config.Get", cluster.control(second));
+    let expected = format!("http://{}/v1/Config.Get", cluster.control_address(second));
     cluster.wait_for("a redirect", |cluster| {
         let response = cluster.call(first, &Operation::get())?;
         (response.status == 307 && response.location.as_ref() == Some(&expected)).then_some(())
@@ -82,7 +82,7 @@
         Operation::replace(0, configuration("5")),
         Operation::replace(5, configuration("7")),
     ];
-    let frozen = cluster.control(first);
+    let frozen = cluster.control_address(first);
     let waiting = calls.map(|call| std::thread::spawn(move || call.send(frozen)));
     let next = Operation::replace(5, configuration("6"));
     cluster.wait_for("another primary that accepts the next configuration", |cluster| {
@@ -139,7 +139,7 @@
     let first = cluster.primary();
     cluster.kill(first);
     let others: Vec<usize> = (0..3).filter(|index| *index != first).collect();
-    let seeds = others.iter().map(|index| cluster.control(*index)).collect();
+    let seeds = others.iter().map(|index| cluster.control_address(*index)).collect();
     let added = cluster.add(false, seeds);
     cluster.start_process(added);
     cluster.wait_for_member(added);
@@ -155,13 +155,13 @@
 fn with_isolated_machine() -> (Cluster, usize) {
     let mut cluster = Cluster::start(3, None);
     assert_eq!(replace(&mut cluster, 0, "5"), 200);
-    let missing_seed = vec![cluster.control(9)];
+    let missing_seed = vec![cluster.control_address(9)];
     let isolated = cluster.add(false, missing_seed);
     cluster.start_process(isolated);
     cluster.wait_for("a response without a primary", |cluster| {
         cluster.call(isolated, &Operation::get()).filter(|response| response.status == 503)
     });
-    let seeds = vec![cluster.control(0)];
+    let seeds = vec![cluster.control_address(0)];
     cluster.set_seeds(isolated, seeds);
     (cluster, isolated)
 }
--- a/crates/quillpulley/tests/control/tree.rs
+++ b/crates/quillpulley/tests/control/tree.rs
@@ -68,7 +68,7 @@
     assert_eq!(cluster.call_until_definite(&Operation::replace(0, configuration("5"))).status, 200);
     let primary = cluster.primary();
     let control_nodes: Vec<String> = (0..3).map(|index| control_node_key(cluster.address(index))).collect();
-    let mut agents = Agents::connect("zone-0", (0..3).map(|index| cluster.link(index)));
+    let mut agents = Agents::connect("zone-0", (0..3).map(|index| cluster.link_address(index)));
     agents.wait_for("the configuration", |sync_node| version(sync_node) == Some(5));
     agents.wait_for("the servers", |sync_node| server_state(sync_node, "i-3") == Some(ServerState::Ready));
     agents.wait_for("the control nodes", |sync_node| {
@@ -99,7 +99,7 @@
 #[test]
 fn the_directory_lists_the_proxies_of_all_agents() {
     let mut cluster = Cluster::start(3, None);
-    let mut agents = Agents::connect("zone-0", (0..2).map(|index| cluster.link(index)));
+    let mut agents = Agents::connect("zone-0", (0..2).map(|index| cluster.link_address(index)));
     let is_known =
         |sync_node: &SyncNode<()>, name: &str| sync_node.store().get(&endpoint_key(name)).is_some();
     agents.wait_for("both proxies", |sync_node| {
