--- a/crates/quillpulley/tests/agent.rs
+++ b/crates/quillpulley/tests/agent.rs
@@ -78,7 +78,7 @@
 
 /// An agent that runs in a task of its own.
 struct Agent {
-    commands: UnboundedSender<ProcessSignal>,
+    signals: UnboundedSender<ProcessSignal>,
     task: JoinHandle<()>,
     /// The address on which the agent accepts its proxy.
     proxy: SocketAddr,
@@ -96,16 +96,16 @@
             proxy,
             datagrams: UdpSocket::bind(agents).await.expect("a free port"),
         };
-        let (commands, receiver) = unbounded_channel();
+        let (signals, receiver) = unbounded_channel();
         let shared = Rc::new(RefCell::new(settings.clone()));
         let current_settings = shared.clone();
         let load = Box::new(move || Ok(current_settings.borrow().clone()));
         let task = spawn_local(serve(settings, sockets, receiver, load));
-        Agent { commands, task, proxy: proxy_address, settings: shared }
+        Agent { signals, task, proxy: proxy_address, settings: shared }
     }
 
-    fn command(&self, command: ProcessSignal) {
-        self.commands.send(command).expect("the agent runs");
+    fn send_signal(&self, signal: ProcessSignal) {
+        self.signals.send(signal).expect("the agent runs");
     }
 }
 
@@ -142,8 +142,8 @@
         let mut older = TcpStream::connect(agent.proxy).await.expect("a connection");
         let mut proxy = Node::proxy(agent.proxy, machines.report(1));
         proxy.until("the first state", |state| state.holds("route/x", b"first")).await;
-        let introduction = Body::Hello(Box::new(hello(PeerKind::Proxy, "front-1")));
-        older.write_all(&encode_frame(introduction)).await.expect("the hello is sent");
+        let late_hello = Body::Hello(Box::new(hello(PeerKind::Proxy, "front-1")));
+        older.write_all(&encode_frame(late_hello)).await.expect("the hello is sent");
         expect("the older connection to close", read_to_end(&mut older)).await;
         control_node.publish("route/x", b"second".to_vec());
         proxy.until("the second state", |state| state.holds("route/x", b"second")).await;
@@ -221,7 +221,7 @@
             proxy.until("the state", |state| state.holds("route/x", b"down the tree")).await;
         }
         let (top, other) = if state.children.contains("front-1") { (0, "front-2") } else { (1, "front-1") };
-        agents[top].command(ProcessSignal::Shutdown);
+        agents[top].send_signal(ProcessSignal::Shutdown);
         control_node.until("the other agent", |state| state.children.contains(other)).await;
     });
 }
@@ -235,7 +235,7 @@
         let mut agent = Agent::start(machines.settings(1, port, &[machines.control_node(1)])).await;
         let mut proxy = Node::proxy(agent.proxy, machines.report(1));
         proxy.until("fresh state", |state| state.fresh).await;
-        agent.command(ProcessSignal::Shutdown);
+        agent.send_signal(ProcessSignal::Shutdown);
         control_node.publish("route/x", b"late".to_vec());
         proxy.until("the state that was published late", |state| state.holds("route/x", b"late")).await;
         assert!(!agent.task.is_finished());
@@ -250,7 +250,7 @@
         let machines = Machines::new();
         let (port, _) = bind_same_port([machines.control_node(1)]).await;
         let agent = Agent::start(machines.settings(1, port, &[])).await;
-        agent.command(ProcessSignal::Shutdown);
+        agent.send_signal(ProcessSignal::Shutdown);
         expect("the agent to exit", agent.task).await.expect("the agent does not panic");
     });
 }
@@ -263,7 +263,7 @@
         let mut control_node = Node::control_node(listener, 1);
         let agent = Agent::start(machines.settings(1, port, &[machines.control_node(2)])).await;
         *agent.settings.borrow_mut() = machines.settings(1, port, &[machines.control_node(1)]);
-        agent.command(ProcessSignal::Reload);
+        agent.send_signal(ProcessSignal::Reload);
         control_node.until("the agent", |state| state.children.contains("front-1")).await;
     });
 }
--- a/crates/quillpulley/tests/catch_up/disk.rs
+++ b/crates/quillpulley/tests/catch_up/disk.rs
@@ -14,9 +14,9 @@
 #[derive(Default)]
 struct Shared {
     files: RefCell<BTreeMap<String, Contents>>,
-    capacity: Cell<usize>,
-    peak: Cell<usize>,
-    written: Cell<usize>,
+    capacity_bytes: Cell<usize>,
+    peak_bytes: Cell<usize>,
+    written_bytes: Cell<usize>,
     syncs: Cell<u64>,
 }
 
@@ -26,7 +26,7 @@
     }
 
     fn record_peak(&self) {
-        self.peak.set(self.peak.get().max(self.used()));
+        self.peak_bytes.set(self.peak_bytes.get().max(self.used()));
     }
 }
 
@@ -80,7 +80,7 @@
     fn write(&self, offset: u64, bytes: &[u8]) -> io::Result<()> {
         let end = offset as usize + bytes.len();
         let grows_by = end.saturating_sub(self.1.borrow().len());
-        if self.0.used() + grows_by > self.0.capacity.get() {
+        if self.0.used() + grows_by > self.0.capacity_bytes.get() {
             return Err(io::ErrorKind::StorageFull.into());
         }
         let mut contents = self.1.borrow_mut();
@@ -88,7 +88,7 @@
         contents.resize(length, 0);
         contents[offset as usize..end].copy_from_slice(bytes);
         drop(contents);
-        self.0.written.set(self.0.written.get() + bytes.len());
+        self.0.written_bytes.set(self.0.written_bytes.get() + bytes.len());
         self.0.record_peak();
         Ok(())
     }
@@ -128,7 +128,7 @@
 impl Disk {
     pub fn new() -> Self {
         let folder = MemoryFolder::default();
-        folder.0.capacity.set(DISK_BYTES);
+        folder.0.capacity_bytes.set(DISK_BYTES);
         Disk { folder, storage: None, speed: USUAL }
     }
 
@@ -145,7 +145,7 @@
     /// Performs a write. Returns its result, and the time that it would take on a real disk, in microseconds.
     pub fn write(&mut self, write: Write) -> (Result<(), WriteFailed>, u64) {
         let shared = &self.folder.0;
-        let before = (shared.syncs.get(), shared.written.get());
+        let before = (shared.syncs.get(), shared.written_bytes.get());
         let storage = self.storage.as_mut().expect("an open disk");
         let outcome = match write {
             Write::Record(record) => storage.save_record(&encode_value(record)),
@@ -154,19 +154,19 @@
             Write::Compact { last, snapshot } => storage.compact(last, &snapshot),
         };
         let syncs = shared.syncs.get() - before.0;
-        let bytes = shared.written.get() - before.1;
-        let time = syncs * self.speed.sync_us + (bytes as f64 / self.speed.bytes_per_us) as u64;
-        (outcome.map_err(|_| WriteFailed), time)
+        let bytes = shared.written_bytes.get() - before.1;
+        let time_us = syncs * self.speed.sync_us + (bytes as f64 / self.speed.bytes_per_us) as u64;
+        (outcome.map_err(|_| WriteFailed), time_us)
     }
 
     /// Sets whether the disk is full, in which case files cannot grow.
     pub fn set_full(&mut self, full: bool) {
         let shared = &self.folder.0;
-        shared.capacity.set(if full { 0 } else { DISK_BYTES });
+        shared.capacity_bytes.set(if full { 0 } else { DISK_BYTES });
     }
 
     /// Returns the maximum number of bytes that the disk has held.
-    pub fn peak(&self) -> usize {
-        self.folder.0.peak.get()
+    pub fn peak_bytes(&self) -> usize {
+        self.folder.0.peak_bytes.get()
     }
 }
--- a/crates/quillpulley/tests/catch_up/main.rs
+++ b/crates/quillpulley/tests/catch_up/main.rs
@@ -31,9 +31,9 @@
 
 fn check_bounds(world: &World) {
     for machine in &world.machines {
-        assert!(machine.disk.peak() < MAX_DISK_BYTES, "{} bytes on disk", machine.disk.peak());
+        assert!(machine.disk.peak_bytes() < MAX_DISK_BYTES, "{} bytes on disk", machine.disk.peak_bytes());
     }
-    assert!(world.peak_memory < MAX_MEMORY_BYTES, "{} bytes in memory", world.peak_memory);
+    assert!(world.peak_memory_bytes < MAX_MEMORY_BYTES, "{} bytes in memory", world.peak_memory_bytes);
 }
 
 /// Runs until a machine is a member, and sends a command 100 ms after each previous one. Returns how long that took, in
@@ -49,12 +49,12 @@
         }
         world.run_until(5_000, |world| world.is_idle() || is_member(world));
     }
-    let time = (world.now - started) / 1_000;
+    let time_ms = (world.now - started) / 1_000;
     world.run_until(5_000, World::is_idle);
     world.run_for(500);
     let primary = world.primary().expect("a primary");
     assert_eq!(world.count(machine), world.count(primary), "the member has applied all commands");
-    time
+    time_ms
 }
 
 #[test]
@@ -66,13 +66,13 @@
     }
     println!(
         "disk {:?}, memory {}, slowest command {} ms, heartbeat {} ms",
-        world.machines.iter().map(|machine| machine.disk.peak()).collect::<Vec<_>>(),
-        world.peak_memory,
-        world.slowest_command / 1_000,
-        world.slowest_heartbeat / 1_000
+        world.machines.iter().map(|machine| machine.disk.peak_bytes()).collect::<Vec<_>>(),
+        world.peak_memory_bytes,
+        world.slowest_command_us / 1_000,
+        world.slowest_heartbeat_us / 1_000
     );
     assert_eq!(world.members().len(), 3);
-    assert!(world.slowest_heartbeat < MAX_HEARTBEAT_US, "{} us", world.slowest_heartbeat);
+    assert!(world.slowest_heartbeat_us < MAX_HEARTBEAT_US, "{} us", world.slowest_heartbeat_us);
 }
 
 /// Lets a machine miss 300 commands, and restarts it. The measurements begin at the restart. `prepare` is called
@@ -86,17 +86,17 @@
     world.run_commands(4, MAX_COMMAND_BYTES);
     prepare(&mut world, absent);
     world.start(absent);
-    world.slowest_command = 0;
-    world.slowest_heartbeat = 0;
+    world.slowest_command_us = 0;
+    world.slowest_heartbeat_us = 0;
     (world, absent)
 }
 
-fn report(world: &World, time: u64) {
+fn report(world: &World, time_ms: u64) {
     println!(
-        "caught up in {time} ms, slowest command {} ms, heartbeat {} ms, {} bytes in memory",
-        world.slowest_command / 1_000,
-        world.slowest_heartbeat / 1_000,
-        world.peak_memory
+        "caught up in {time_ms} ms, slowest command {} ms, heartbeat {} ms, {} bytes in memory",
+        world.slowest_command_us / 1_000,
+        world.slowest_heartbeat_us / 1_000,
+        world.peak_memory_bytes
     );
 }
 
@@ -105,17 +105,17 @@
     for count in [3, 5] {
         for command_bytes in [2_000, MAX_COMMAND_BYTES] {
             let (mut world, absent) = restart_after_300_commands(count, |_, _| {});
-            let time = time_to_catch_up(&mut world, absent, command_bytes);
-            report(&world, time);
+            let time_ms = time_to_catch_up(&mut world, absent, command_bytes);
+            report(&world, time_ms);
             let limit = if count == 5 && command_bytes == MAX_COMMAND_BYTES {
                 MAX_CATCH_UP_FIVE_MACHINES_MS
             } else {
                 MAX_CATCH_UP_MS
             };
-            assert!(time < limit, "{time} ms");
-            assert!(world.slowest_heartbeat < MAX_HEARTBEAT_US, "{} us", world.slowest_heartbeat);
+            assert!(time_ms < limit, "{time_ms} ms");
+            assert!(world.slowest_heartbeat_us < MAX_HEARTBEAT_US, "{} us", world.slowest_heartbeat_us);
             let limit = if command_bytes == MAX_COMMAND_BYTES { 3_000_000 } else { 1_000_000 };
-            assert!(world.slowest_command < limit, "{} us", world.slowest_command);
+            assert!(world.slowest_command_us < limit, "{} us", world.slowest_command_us);
             check_bounds(&world);
         }
     }
@@ -125,26 +125,26 @@
 fn a_member_with_a_slow_disk_catches_up_in_time() {
     let (mut world, absent) =
         restart_after_300_commands(3, |world, absent| world.machines[absent].disk.speed = SLOW);
-    let time = time_to_catch_up(&mut world, absent, 2_000);
-    report(&world, time);
-    assert!(time < MAX_CATCH_UP_MS, "{time} ms");
+    let time_ms = time_to_catch_up(&mut world, absent, 2_000);
+    report(&world, time_ms);
+    assert!(time_ms < MAX_CATCH_UP_MS, "{time_ms} ms");
     let epoch = world.view_epoch();
     world.run_commands(200, 2_000);
     assert_eq!((world.view_epoch(), world.members().len()), (epoch, 3), "the machine stays a member");
     // Each of these commands takes more than one second to write to the slow disk.
-    world.slowest_command = 0;
+    world.slowest_command_us = 0;
     let started = world.now;
     world.run_commands(40, MAX_COMMAND_BYTES);
     let view_changes = world.view_epoch() - epoch;
     println!(
         "{view_changes} view changes in {} s, slowest command {} ms",
         (world.now - started) / 1_000_000,
-        world.slowest_command / 1_000
+        world.slowest_command_us / 1_000
     );
     assert!(view_changes <= 12, "{view_changes} view changes");
-    assert!(world.slowest_command < 5_000_000, "{} us", world.slowest_command);
-    let time = time_to_catch_up(&mut world, absent, 2_000);
-    assert!(time < 2 * MAX_CATCH_UP_MS, "{time} ms");
+    assert!(world.slowest_command_us < 5_000_000, "{} us", world.slowest_command_us);
+    let time_ms = time_to_catch_up(&mut world, absent, 2_000);
+    assert!(time_ms < 2 * MAX_CATCH_UP_MS, "{time_ms} ms");
     check_bounds(&world);
 }
 
@@ -160,11 +160,11 @@
     world.run_for(20_000);
     assert_eq!(world.members().len(), 2, "commands are processed without the member");
     assert!(world.view_epoch() <= epoch + 2, "epoch {} after {epoch}", world.view_epoch());
-    assert!(world.slowest_command < 3_000_000, "{} us", world.slowest_command);
+    assert!(world.slowest_command_us < 3_000_000, "{} us", world.slowest_command_us);
     world.machines[full].disk.set_full(false);
-    let time = time_to_catch_up(&mut world, full, 2_000);
-    report(&world, time);
-    assert!(time < MAX_CATCH_UP_MS, "{time} ms");
+    let time_ms = time_to_catch_up(&mut world, full, 2_000);
+    report(&world, time_ms);
+    assert!(time_ms < MAX_CATCH_UP_MS, "{time_ms} ms");
     check_bounds(&world);
 }
 
@@ -177,9 +177,9 @@
     let full = backup_machine(&world);
     let (epoch, started) = (world.view_epoch(), world.now);
     while world.now < started + 60_000_000 {
-        for (is_full, time) in [(true, 2_000_000), (false, 1_000_000)] {
+        for (is_full, duration_us) in [(true, 2_000_000), (false, 1_000_000)] {
             world.machines[full].disk.set_full(is_full);
-            let end = world.now + time;
+            let end = world.now + duration_us;
             while world.now < end {
                 world.run_commands(1, 2_000);
                 world.run_for(50);
@@ -190,7 +190,7 @@
     println!("{view_changes} view changes in a minute, {} commands", world.acknowledged);
     assert!(view_changes <= 26, "{view_changes} view changes in a minute");
     assert!(world.acknowledged > 450, "{} commands in a minute", world.acknowledged);
-    assert!(world.slowest_command < 1_500_000, "{} us", world.slowest_command);
+    assert!(world.slowest_command_us < 1_500_000, "{} us", world.slowest_command_us);
 }
 
 #[test]
@@ -202,11 +202,11 @@
     world.run_commands(296, 2_000);
     world.run_commands(4, MAX_COMMAND_BYTES);
     world.start(absent);
-    world.slowest_command = 0;
-    world.slowest_heartbeat = 0;
-    let time = time_to_catch_up(&mut world, absent, MAX_COMMAND_BYTES);
-    report(&world, time);
-    assert!(time < MAX_CATCH_UP_MS / 2, "{time} ms");
-    assert!(world.slowest_heartbeat < MAX_HEARTBEAT_US, "{} us", world.slowest_heartbeat);
+    world.slowest_command_us = 0;
+    world.slowest_heartbeat_us = 0;
+    let time_ms = time_to_catch_up(&mut world, absent, MAX_COMMAND_BYTES);
+    report(&world, time_ms);
+    assert!(time_ms < MAX_CATCH_UP_MS / 2, "{time_ms} ms");
+    assert!(world.slowest_heartbeat_us < MAX_HEARTBEAT_US, "{} us", world.slowest_heartbeat_us);
     check_bounds(&world);
 }
--- a/crates/quillpulley/tests/catch_up/world.rs
+++ b/crates/quillpulley/tests/catch_up/world.rs
@@ -115,11 +115,11 @@
     /// The number of the command in flight, and the time in microseconds at which it was proposed.
     in_flight: Option<(u64, u64)>,
     /// The longest time that a command has taken, in microseconds.
-    pub slowest_command: u64,
+    pub slowest_command_us: u64,
     /// The longest time that a heartbeat has taken to arrive, in microseconds.
-    pub slowest_heartbeat: u64,
+    pub slowest_heartbeat_us: u64,
     /// The maximum number of bytes that the queues of the links and the log of one machine have held.
-    pub peak_memory: usize,
+    pub peak_memory_bytes: usize,
 }
 
 impl World {
@@ -155,9 +155,9 @@
             unknown_outcomes: 0,
             next_command: 1,
             in_flight: None,
-            slowest_command: 0,
-            slowest_heartbeat: 0,
-            peak_memory: 0,
+            slowest_command_us: 0,
+            slowest_heartbeat_us: 0,
+            peak_memory_bytes: 0,
         };
         (0..count).for_each(|machine| world.start(machine));
         assert!(
@@ -283,7 +283,7 @@
         while let Some(body) = pipe.decoder.next_frame().expect("messages") {
             if is_heartbeat(&body) {
                 let sent_at = pipe.heartbeats.pop_front().expect("a heartbeat was sent");
-                self.slowest_heartbeat = self.slowest_heartbeat.max(self.now - sent_at);
+                self.slowest_heartbeat_us = self.slowest_heartbeat_us.max(self.now - sent_at);
             }
             bodies.push(body);
         }
@@ -324,10 +324,13 @@
             let Some(bytes) = pipe.socket.pop_front() else { continue };
             let length = bytes.len();
             let connection = pipe.connection;
-            let busy = (length as f64 / BYTES_PER_US) as u64;
+            let transmission_us = (length as f64 / BYTES_PER_US) as u64;
             self.machines[machine].sending = true;
-            self.schedule(busy, ScheduledEvent::Sent { machine });
-            self.schedule(busy + LATENCY_US, ScheduledEvent::Arrive { from: machine, to, connection, bytes });
+            self.schedule(transmission_us, ScheduledEvent::Sent { machine });
+            self.schedule(
+                transmission_us + LATENCY_US,
+                ScheduledEvent::Arrive { from: machine, to, connection, bytes },
+            );
             return;
         }
     }
@@ -342,7 +345,7 @@
         }
         let queued = self.pipes.range((machine, 0)..(machine + 1, 0)).map(|(_, pipe)| pipe.queue.bytes());
         let log = self.machines[machine].replica.as_ref().map_or(0, Replica::log_bytes);
-        self.peak_memory = self.peak_memory.max(log + queued.sum::<usize>());
+        self.peak_memory_bytes = self.peak_memory_bytes.max(log + queued.sum::<usize>());
     }
 
     fn perform(&mut self, machine: usize, action: Action) {
@@ -350,7 +353,7 @@
             Action::Send { to, body } => self.send(machine, to, &body),
             Action::Store { ticket, write } => {
                 let machine_state = &mut self.machines[machine];
-                let (result, time) = machine_state.disk.write(write);
+                let (result, time_us) = machine_state.disk.write(write);
                 let result = result.map_err(|_| ());
                 let stored = ScheduledEvent::Stored {
                     machine,
@@ -358,7 +361,7 @@
                     ticket,
                     result,
                 };
-                self.schedule(time, stored);
+                self.schedule(time_us, stored);
             }
             Action::Committed { proposal } => {
                 self.acknowledged += 1;
@@ -374,7 +377,7 @@
 
     fn command_finished(&mut self, command: u64) {
         if let Some((_, at)) = self.in_flight.take_if(|(in_flight, _)| *in_flight == command) {
-            self.slowest_command = self.slowest_command.max(self.now - at);
+            self.slowest_command_us = self.slowest_command_us.max(self.now - at);
         }
     }
 
@@ -390,9 +393,9 @@
         self.send_packet(machine);
     }
 
-    fn schedule(&mut self, delay: u64, scheduled: ScheduledEvent) {
+    fn schedule(&mut self, delay_us: u64, scheduled: ScheduledEvent) {
         self.sequence += 1;
-        self.queue.push(Reverse((self.now + delay, self.sequence, scheduled)));
+        self.queue.push(Reverse((self.now + delay_us, self.sequence, scheduled)));
     }
 
     /// Sends a command of this many bytes to the primary. Returns whether there is a primary.
--- a/crates/quillpulley/tests/command_line.rs
+++ b/crates/quillpulley/tests/command_line.rs
@@ -30,16 +30,16 @@
     command.output().expect("the program runs")
 }
 
-fn out(output: &Output) -> String {
+fn stdout_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-fn err(output: &Output) -> String {
+fn stderr_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
 /// Writes a file with this name and these contents to the temporary directory of the build. Returns its path.
-fn file(name: &str, contents: &str) -> PathBuf {
+fn write_file(name: &str, contents: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     fs::write(&path, contents).expect("a file");
     path
@@ -58,7 +58,7 @@
     ] {
         let output = quillpulley(arguments);
         assert_eq!(output.status.code(), Some(0), "{arguments:?}");
-        assert!(out(&output).contains(part), "{arguments:?}: {}", out(&output));
+        assert!(stdout_text(&output).contains(part), "{arguments:?}: {}", stdout_text(&output));
     }
 }
 
@@ -74,7 +74,7 @@
     ] {
         let arguments: Vec<&str> = subcommand.into_iter().chain(["--help"]).collect();
         let output = quillpulley(&arguments);
-        assert_eq!((output.status.code(), out(&output).as_str()), (Some(0), text), "{arguments:?}");
+        assert_eq!((output.status.code(), stdout_text(&output).as_str()), (Some(0), text), "{arguments:?}");
     }
 }
 
@@ -90,7 +90,7 @@
     ] {
         let output = quillpulley(arguments);
         assert_eq!(output.status.code(), Some(2), "{arguments:?}");
-        assert!(err(&output).contains(part), "{arguments:?}: {}", err(&output));
+        assert!(stderr_text(&output).contains(part), "{arguments:?}: {}", stderr_text(&output));
     }
 }
 
@@ -99,34 +99,48 @@
     for role in ["proxy", "agent", "control"] {
         let output = quillpulley(&[role]);
         assert_eq!(output.status.code(), Some(2), "{role}");
-        assert!(err(&output).contains("set it to the path of the settings file"), "{}", err(&output));
+        assert!(
+            stderr_text(&output).contains("set it to the path of the settings file"),
+            "{}",
+            stderr_text(&output)
+        );
     }
 }
 
 #[test]
 fn check_accepts_valid_files() {
-    let settings = file("fine.toml", SETTINGS);
-    let configuration = file("fine.json", CONFIGURATION);
+    let settings = write_file("fine.toml", SETTINGS);
+    let configuration = write_file("fine.json", CONFIGURATION);
     let output = quillpulley(&[OsStr::new("check"), settings.as_os_str(), configuration.as_os_str()]);
-    assert_eq!(output.status.code(), Some(0), "{}", out(&output));
-    assert!(out(&output).contains("fine.toml: settings of front-zona-10-1, no errors"), "{}", out(&output));
-    assert!(out(&output).contains("fine.json: configuration 7, no errors"), "{}", out(&output));
+    assert_eq!(output.status.code(), Some(0), "{}", stdout_text(&output));
+    assert!(
+        stdout_text(&output).contains("fine.toml: settings of front-zona-10-1, no errors"),
+        "{}",
+        stdout_text(&output)
+    );
+    assert!(
+        stdout_text(&output).contains("fine.json: configuration 7, no errors"),
+        "{}",
+        stdout_text(&output)
+    );
 }
 
 #[test]
 fn check_reports_each_invalid_file_and_how_to_correct_it() {
-    let fine = file("fine-too.toml", SETTINGS);
-    let no_ip = file("no-ip.toml", &SETTINGS.replace("Ip = ", "Address = "));
-    let no_toml = file("no-toml.toml", "Ip = ");
-    let no_service =
-        file("no-service.json", &CONFIGURATION.replace("\"Name\": \"card-service\"", "\"Name\": \"x\""));
+    let fine = write_file("fine-too.toml", SETTINGS);
+    let no_ip = write_file("no-ip.toml", &SETTINGS.replace("Ip = ", "Address = "));
+    let no_toml = write_file("no-toml.toml", "Ip = ");
+    let no_service = write_file(
+        "no-service.json",
+        &CONFIGURATION.replace("\"Name\": \"card-service\"", "\"Name\": \"x\""),
+    );
     let missing = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("missing.toml");
     let files = [&fine, &no_ip, &no_toml, &no_service, &missing];
     let mut arguments = vec![OsStr::new("check")];
     arguments.extend(files.iter().map(|file| file.as_os_str()));
     let output = quillpulley(&arguments);
     assert_eq!(output.status.code(), Some(1));
-    let printed = out(&output);
+    let printed = stdout_text(&output);
     for part in [
         "fine-too.toml: settings of front-zona-10-1, no errors",
         "no-ip.toml: the settings lack Ip: add it as an IPv4 address",
@@ -156,9 +170,9 @@
     .enumerate()
     {
         let name = format!("serves-{number}.toml");
-        let path = file(&name, &format!("Serves = [\"{serves}\"]\n{SETTINGS}{rest}"));
+        let path = write_file(&name, &format!("Serves = [\"{serves}\"]\n{SETTINGS}{rest}"));
         let output = quillpulley(&[OsStr::new("check"), path.as_os_str()]);
-        assert!(out(&output).contains(expected), "{serves}: {}", out(&output));
+        assert!(stdout_text(&output).contains(expected), "{serves}: {}", stdout_text(&output));
         assert_eq!(output.status.success(), expected == "no errors", "{serves}");
     }
 }
@@ -167,5 +181,5 @@
 fn an_unknown_mechanism_cannot_be_disabled() {
     let output = quillpulley(&["proxy", "--without", "nothing_of_this_name"]);
     assert_eq!(output.status.code(), Some(2));
-    assert!(err(&output).contains("see quillpulley proxy --help"), "{}", err(&output));
+    assert!(stderr_text(&output).contains("see quillpulley proxy --help"), "{}", stderr_text(&output));
 }
--- a/crates/quillpulley/tests/common/tree.rs
+++ b/crates/quillpulley/tests/common/tree.rs
@@ -167,7 +167,7 @@
         }
     }
 
-    async fn run(mut self, mut commands: UnboundedReceiver<Command>, mut revisions: bool) {
+    async fn run(mut self, mut commands: UnboundedReceiver<Command>, mut sends_heartbeats: bool) {
         let mut ticks = interval(HEARTBEAT_INTERVAL);
         loop {
             tokio::select! {
@@ -175,11 +175,11 @@
                 Some(command) = commands.recv() => match command {
                     Command::Publish(changes) => self.handle(Event::Publish(changes)),
                     Command::Report(report) => self.handle(Event::LocalReport(report)),
-                    Command::StopHeartbeats => revisions = false,
+                    Command::StopHeartbeats => sends_heartbeats = false,
                 },
                 _ = ticks.tick() => {
                     self.handle(Event::Tick);
-                    if revisions {
+                    if sends_heartbeats {
                         self.handle(Event::Heartbeat);
                     }
                 }
--- a/crates/quillpulley/tests/control/compatibility.rs
+++ b/crates/quillpulley/tests/control/compatibility.rs
@@ -140,7 +140,7 @@
     recovered.entries.iter().for_each(|entry| state.apply(entry));
     assert_eq!(state.version(), LAST_VERSION);
     assert_eq!(state.body(), Some(body(LAST_VERSION).as_bytes()));
-    assert_eq!(state.evacuated_zones().collect::<Vec<_>>(), EVACUATED);
+    assert_eq!(state.evacuated_zones().collect::<Vec<_>>(), EVACUATED_ZONES);
     let record = encode_value(&record);
     let slots = std::fs::read(folder.0.join("record.slots")).expect("cannot read the record");
     let is_record_written = slots.windows(record.len()).any(|window| window == record);
@@ -149,7 +149,7 @@
 }
 
 /// The zones that are being evacuated in the stored state.
-const EVACUATED: [&str; 4] = ["zone-0", "zone-1", "zone-3", "zone-5"];
+const EVACUATED_ZONES: [&str; 4] = ["zone-0", "zone-1", "zone-3", "zone-5"];
 
 #[test]
 fn a_process_on_a_folder_of_an_earlier_release_responds_as_before() {
--- a/crates/quillpulley/tests/control/directory_staleness.rs
+++ b/crates/quillpulley/tests/control/directory_staleness.rs
@@ -9,12 +9,12 @@
 
 use quillpulley_protocol::EndpointState;
 use std::time::Duration;
-use system::{agent, ms, State, System, AGENTS, CONTROL_NODES, TICK};
+use system::{agent, ms, State, System, AGENT_COUNT, CONTROL_NODE_COUNT, TICK};
 
 /// Time in which a report of an agent reaches the primary by way of the agent's control node.
 const REPORT_DELAY: Duration = Duration::from_millis(650);
 
-const ALL_CONTROL_NODES: [usize; CONTROL_NODES] = [0, 1, 2];
+const ALL_CONTROL_NODES: [usize; CONTROL_NODE_COUNT] = [0, 1, 2];
 
 #[track_caller]
 fn assert_within(time: u128, from: u128, to: u128) {
@@ -40,7 +40,7 @@
     let mut system = System::stable();
     [1, agent(2), agent(3)].into_iter().for_each(|node| system.fail(node, State::Unresponsive));
     assert_within(system.time_until_delisted(&[2, 3], &[0, 2]), 1_800, 2_700);
-    assert_eq!(system.listed(0).len(), AGENTS - 2);
+    assert_eq!(system.listed(0).len(), AGENT_COUNT - 2);
 }
 
 #[test]
@@ -50,7 +50,7 @@
     system.advance(ms(2_000));
     system.elect(1);
     assert_within(system.time_until_delisted(&[0, 1], &[1, 2]), 2_800, 3_100);
-    assert_eq!(system.listed(2).len(), AGENTS - 2);
+    assert_eq!(system.listed(2).len(), AGENT_COUNT - 2);
 }
 
 #[test]
@@ -61,12 +61,12 @@
     assert_eq!(system.listed(2), ["front-4", "front-5"], "only the proxies that report to it may be listed");
     assert_eq!(
         system.listed(0).len(),
-        AGENTS - 2,
+        AGENT_COUNT - 2,
         "the proxies of the partitioned region must not be listed elsewhere"
     );
     system.heal();
     system.advance(ms(4_000));
-    assert!(ALL_CONTROL_NODES.iter().all(|control_node| system.listed(*control_node).len() == AGENTS));
+    assert!(ALL_CONTROL_NODES.iter().all(|control_node| system.listed(*control_node).len() == AGENT_COUNT));
 }
 
 #[test]
@@ -94,7 +94,9 @@
     system.advance(ms(2_000));
     system.elect(1);
     assert_eq!(system.time_until_delisted(&[3], &ALL_CONTROL_NODES), 0);
-    assert!(ALL_CONTROL_NODES.iter().all(|control_node| system.listed(*control_node).len() == AGENTS - 1));
+    assert!(ALL_CONTROL_NODES
+        .iter()
+        .all(|control_node| system.listed(*control_node).len() == AGENT_COUNT - 1));
 }
 
 #[test]
@@ -134,21 +136,21 @@
 /// listed too long.
 fn delists_in_time(steps: Vec<(u8, u8, u8)>) -> bool {
     let mut system = System::stable();
-    let mut lost_since: [Option<Duration>; AGENTS] = [None; AGENTS];
+    let mut lost_since: [Option<Duration>; AGENT_COUNT] = [None; AGENT_COUNT];
     let mut disturbed_at = Duration::ZERO;
     for (event, target, ticks) in steps.into_iter().take(MAX_STEPS) {
-        let number = target as usize % AGENTS;
+        let number = target as usize % AGENT_COUNT;
         match event % 6 {
             0 => system.fail(agent(number), State::Ended),
             1 => system.fail(agent(number), State::Unresponsive),
             2 | 3 => system.restart(agent(number)),
             4 if system.partitioned_region.is_some() => system.heal(),
             4 => {
-                system.partitioned_region = Some(target as usize % CONTROL_NODES);
+                system.partitioned_region = Some(target as usize % CONTROL_NODE_COUNT);
                 disturbed_at = system.now;
             }
             _ => {
-                let control_node = (0..CONTROL_NODES).find(|control_node| {
+                let control_node = (0..CONTROL_NODE_COUNT).find(|control_node| {
                     Some(*control_node) != system.partitioned_region
                         && Some(*control_node) != system.primary()
                 });
--- a/crates/quillpulley/tests/control/directory_staleness/system.rs
+++ b/crates/quillpulley/tests/control/directory_staleness/system.rs
@@ -8,8 +8,8 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-pub(super) const CONTROL_NODES: usize = 3;
-pub(super) const AGENTS: usize = 6;
+pub(super) const CONTROL_NODE_COUNT: usize = 3;
+pub(super) const AGENT_COUNT: usize = 6;
 /// Time between two ticks of each process.
 pub(super) const TICK: Duration = Duration::from_millis(50);
 pub(super) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
@@ -22,7 +22,7 @@
 }
 
 pub(super) fn agent(number: usize) -> usize {
-    CONTROL_NODES + number
+    CONTROL_NODE_COUNT + number
 }
 
 pub(super) fn name(number: usize) -> String {
@@ -47,15 +47,15 @@
     /// The directory builder, which is used only by control nodes.
     pub(super) builder: DirectoryBuilder,
     pub(super) directory: Directory,
-    pub(super) dirty: bool,
-    pub(super) reports_dirty: bool,
+    pub(super) directory_changed: bool,
+    pub(super) reports_changed: bool,
     pub(super) registry: Option<EndpointRegistry>,
     pub(super) heartbeat_at: Duration,
 }
 
 impl Node {
     pub(super) fn new(number: usize, now: Duration) -> Self {
-        let (region, options) = match number.checked_sub(CONTROL_NODES) {
+        let (region, options) = match number.checked_sub(CONTROL_NODE_COUNT) {
             None => (number, Options::control_node(&format!("core-{number}"))),
             Some(agent) => (agent / 2, Options::new(&name(agent))),
         };
@@ -67,8 +67,8 @@
             parent_since: now,
             builder: DirectoryBuilder::default(),
             directory: Directory::default(),
-            dirty: true,
-            reports_dirty: true,
+            directory_changed: true,
+            reports_changed: true,
             registry: None,
             heartbeat_at: now,
         }
@@ -88,14 +88,17 @@
     /// primary.
     pub(super) fn stable() -> Self {
         let now = Duration::ZERO;
-        let nodes = (0..CONTROL_NODES + AGENTS).map(|number| Node::new(number, now)).collect();
+        let nodes = (0..CONTROL_NODE_COUNT + AGENT_COUNT).map(|number| Node::new(number, now)).collect();
         let mut system = System { now, nodes, queue: VecDeque::new(), partitioned_region: None, epoch: 0 };
         system.elect(0);
-        (0..AGENTS).for_each(|number| system.report(number, EndpointState::Ready, 1));
+        (0..AGENT_COUNT).for_each(|number| system.report(number, EndpointState::Ready, 1));
         system.advance(ms(10_000));
         let listed: Vec<Vec<String>> =
-            (0..CONTROL_NODES).map(|control_node| system.listed(control_node)).collect();
-        assert!(listed.iter().all(|listed| listed.len() == AGENTS), "not all proxies are listed: {listed:?}");
+            (0..CONTROL_NODE_COUNT).map(|control_node| system.listed(control_node)).collect();
+        assert!(
+            listed.iter().all(|listed| listed.len() == AGENT_COUNT),
+            "not all proxies are listed: {listed:?}"
+        );
         system
     }
 
@@ -123,7 +126,7 @@
     }
 
     pub(super) fn elect(&mut self, control_node: usize) {
-        for other in 0..CONTROL_NODES {
+        for other in 0..CONTROL_NODE_COUNT {
             if self.nodes[other].registry.take().is_some() && self.nodes[other].state == State::Running {
                 self.handle_event(other, Event::LeaveRoot);
             }
@@ -131,14 +134,14 @@
         self.epoch += 1;
         let node = &mut self.nodes[control_node];
         node.registry = Some(EndpointRegistry::inherit(self.now, node.sync_node.store().iter()));
-        node.reports_dirty = true;
+        node.reports_changed = true;
         node.parent = None;
         self.handle_event(control_node, Event::BecomeRoot { epoch: self.epoch });
         self.handle_event(control_node, Event::Heartbeat);
     }
 
     pub(super) fn primary(&self) -> Option<usize> {
-        (0..CONTROL_NODES).find(|control_node| self.nodes[*control_node].registry.is_some())
+        (0..CONTROL_NODE_COUNT).find(|control_node| self.nodes[*control_node].registry.is_some())
     }
 
     pub(super) fn fail(&mut self, node: usize, state: State) {
@@ -175,8 +178,8 @@
     pub(super) fn restart(&mut self, node: usize) {
         self.fail(node, State::Ended);
         self.nodes[node] = Node::new(node, self.now);
-        if node >= CONTROL_NODES {
-            self.report(node - CONTROL_NODES, EndpointState::Ready, 2 + self.now.as_millis() as u64);
+        if node >= CONTROL_NODE_COUNT {
+            self.report(node - CONTROL_NODE_COUNT, EndpointState::Ready, 2 + self.now.as_millis() as u64);
         }
     }
 
@@ -207,11 +210,11 @@
             }
             Action::Changed(changed) => {
                 let node = &mut self.nodes[node];
-                node.dirty |= node.builder.items_changed(&changed);
+                node.directory_changed |= node.builder.items_changed(&changed);
             }
             Action::EndpointsChanged => {
-                self.nodes[node].dirty = true;
-                self.nodes[node].reports_dirty = true;
+                self.nodes[node].directory_changed = true;
+                self.nodes[node].reports_changed = true;
             }
             Action::TotalsChanged => {}
         }
@@ -240,7 +243,7 @@
                     self.publish(node);
                 }
             }
-            (0..CONTROL_NODES).for_each(|control_node| self.rebuild_directory(control_node));
+            (0..CONTROL_NODE_COUNT).for_each(|control_node| self.rebuild_directory(control_node));
         }
     }
 
@@ -250,17 +253,17 @@
         let current = self.nodes[node].parent;
         let has_recent_parent = self.now < self.nodes[node].parent_since + PARENT_TIMEOUT;
         let fresh = self.nodes[node].sync_node.is_fresh(self.now);
-        let candidate = if node < CONTROL_NODES {
+        let candidate = if node < CONTROL_NODE_COUNT {
             self.primary().filter(|primary| *primary != node && !self.nodes[node].sync_node.is_root())
         } else if current.is_some() && (fresh || has_recent_parent) {
             current
         } else {
             let first = current.map_or(self.nodes[node].region, |current| current + 1);
-            (first..first + CONTROL_NODES)
-                .map(|control_node| control_node % CONTROL_NODES)
+            (first..first + CONTROL_NODE_COUNT)
+                .map(|control_node| control_node % CONTROL_NODE_COUNT)
                 .find(|control_node| self.reaches(node, *control_node))
         };
-        let must_resubscribe = node < CONTROL_NODES && !fresh && !has_recent_parent;
+        let must_resubscribe = node < CONTROL_NODE_COUNT && !fresh && !has_recent_parent;
         if candidate == current && !must_resubscribe {
             return;
         }
@@ -279,7 +282,7 @@
         let now = self.now;
         let node = &mut self.nodes[control_node];
         let Some(registry) = &mut node.registry else { return };
-        let changes = if std::mem::take(&mut node.reports_dirty) {
+        let changes = if std::mem::take(&mut node.reports_changed) {
             registry.update(now, node.sync_node.subtree())
         } else {
             registry.tick(now)
@@ -296,7 +299,7 @@
         let now = self.now;
         let node = &mut self.nodes[control_node];
         let depends_on_time = node.builder.depends_on_time(node.sync_node.is_fresh(now));
-        if node.state == State::Running && (std::mem::take(&mut node.dirty) || depends_on_time) {
+        if node.state == State::Running && (std::mem::take(&mut node.directory_changed) || depends_on_time) {
             node.directory = node.builder.build(now, &DirectoryInputs::at(now, &node.sync_node));
         }
     }
--- a/crates/quillpulley/tests/control/mixed_releases.rs
+++ b/crates/quillpulley/tests/control/mixed_releases.rs
@@ -7,7 +7,7 @@
 
 /// The environment variable that contains the path of the earlier release's program.
 const EARLIER_PROGRAM: &str = "QUILLPULLEY_EARLIER_PROGRAM";
-const MACHINES: usize = 3;
+const MACHINE_COUNT: usize = 3;
 
 /// Activates five more configurations, each based on the one before, and starts and ends an evacuation.
 fn execute_commands(cluster: &mut Cluster, version: &mut u64) {
@@ -23,10 +23,10 @@
 /// Returns the epoch of a view that contains all machines and survives every tolerated failure, as the
 /// primary reports it; `None` if there is no such view.
 fn complete_view(cluster: &Cluster) -> Option<u64> {
-    (0..MACHINES).find_map(|index| {
+    (0..MACHINE_COUNT).find_map(|index| {
         let status = String::from_utf8(cluster.call(index, &Operation::status())?.body).ok()?;
         let members = status.split_once("\"Members\":[")?.1.split_once(']')?.0;
-        let is_complete = members.matches("\"Address\"").count() == MACHINES;
+        let is_complete = members.matches("\"Address\"").count() == MACHINE_COUNT;
         let is_primary = status.contains("\"Role\":\"primary\"") && status.contains("\"Covered\":true");
         let epoch = status.split_once("\"Epoch\":")?.1.split_once(',')?.0.parse().ok()?;
         (is_complete && is_primary).then_some(epoch)
@@ -53,15 +53,15 @@
     let earlier =
         PathBuf::from(std::env::var_os(EARLIER_PROGRAM).expect("QUILLPULLEY_EARLIER_PROGRAM is not set"));
     let current = PathBuf::from(env!("CARGO_BIN_EXE_quillpulley"));
-    let mut cluster = Cluster::prepare(MACHINES, None);
-    for index in 0..MACHINES {
+    let mut cluster = Cluster::prepare(MACHINE_COUNT, None);
+    for index in 0..MACHINE_COUNT {
         cluster.set_program(index, &earlier);
         cluster.start_process(index);
     }
     let mut version = 0;
     execute_commands(&mut cluster, &mut version);
     for program in [&current, &earlier, &current] {
-        for index in 0..MACHINES {
+        for index in 0..MACHINE_COUNT {
             replace_program(&mut cluster, index, program, &mut version);
         }
     }
--- a/crates/quillpulley/tests/parent_search.rs
+++ b/crates/quillpulley/tests/parent_search.rs
@@ -49,14 +49,14 @@
     for seed in 0..20 {
         let mut parent_search = ParentSearch::new(seed);
         for line in timeline.lines().map(str::trim).filter(|line| !line.is_empty()) {
-            let [time, happens, expected] = line.split('|').map(str::trim).collect::<Vec<_>>()[..] else {
+            let [time, event_text, expected] = line.split('|').map(str::trim).collect::<Vec<_>>()[..] else {
                 panic!("a line must have three columns: {line}");
             };
             let now = Duration::from_millis(time.parse().expect("milliseconds"));
             let mut actions = Vec::new();
-            parent_search.handle(now, event(happens), &mut actions);
-            let done: Vec<String> = actions.iter().map(action_text).collect();
-            assert_eq!(done.join(", "), expected, "seed {seed}: {line}");
+            parent_search.handle(now, event(event_text), &mut actions);
+            let actual: Vec<String> = actions.iter().map(action_text).collect();
+            assert_eq!(actual.join(", "), expected, "seed {seed}: {line}");
         }
     }
 }
@@ -224,18 +224,18 @@
 #[test]
 fn a_failed_candidate_is_reported_until_its_penalty_expires_or_its_revision_advances() {
     let mut parent_search = ParentSearch::new(1);
-    let mut happens = |milliseconds: u64, text: &str| {
+    let mut failed_after = |milliseconds: u64, text: &str| {
         let now = Duration::from_millis(milliseconds);
         parent_search.handle(now, event(text), &mut Vec::new());
         parent_search.failed_candidates(now).into_iter().map(name).collect::<Vec<_>>().join(" ")
     };
-    assert_eq!(happens(0, "candidates A1 C1"), "");
-    assert_eq!(happens(10, "lost A1"), "A1");
-    assert_eq!(happens(500, ""), "A1");
-    assert_eq!(happens(600, "opened C1"), "A1");
-    assert_eq!(happens(2_000, ""), "C1 A1");
-    assert_eq!(happens(2_010, ""), "C1");
-    assert_eq!(happens(2_020, "advanced"), "");
+    assert_eq!(failed_after(0, "candidates A1 C1"), "");
+    assert_eq!(failed_after(10, "lost A1"), "A1");
+    assert_eq!(failed_after(500, ""), "A1");
+    assert_eq!(failed_after(600, "opened C1"), "A1");
+    assert_eq!(failed_after(2_000, ""), "C1 A1");
+    assert_eq!(failed_after(2_010, ""), "C1");
+    assert_eq!(failed_after(2_020, "advanced"), "");
 }
 
 quickcheck! {
@@ -247,21 +247,21 @@
         let (mut connecting, mut parent) = (Vec::new(), None);
         let mut now = Duration::ZERO;
         let mut actions = Vec::new();
-        for (wait, what, which) in steps {
+        for (wait, event_number, target) in steps {
             now += Duration::from_millis(u64::from(wait) * 10);
-            let which = candidate(names[usize::from(which) % names.len()]);
-            let event = match what % 6 {
+            let target = candidate(names[usize::from(target) % names.len()]);
+            let event = match event_number % 6 {
                 0 => Event::Candidates(names.iter().map(|name| candidate(name)).collect()),
                 1 => Event::Candidates(vec![candidate("C3"), candidate("A1")]),
-                2 if connecting.contains(&which) => Event::Opened(which),
-                3 if connecting.contains(&which) || parent == Some(which) => Event::Lost(which),
+                2 if connecting.contains(&target) => Event::Opened(target),
+                3 if connecting.contains(&target) || parent == Some(target) => Event::Lost(target),
                 4 => Event::RevisionAdvanced,
                 _ => Event::Tick,
             };
-            let opened = matches!(event, Event::Opened(_)).then_some(which);
+            let opened = matches!(event, Event::Opened(_)).then_some(target);
             if matches!(event, Event::Lost(_)) {
-                connecting.retain(|other| *other != which);
-                parent = parent.filter(|other| *other != which);
+                connecting.retain(|other| *other != target);
+                parent = parent.filter(|other| *other != target);
             }
             parent_search.handle(now, event, &mut actions);
             let mut closing = Vec::new();
--- a/crates/quillpulley/tests/system/machines.rs
+++ b/crates/quillpulley/tests/system/machines.rs
@@ -9,7 +9,7 @@
 /// The numbers of the control nodes.
 pub const CONTROL_NODES: RangeInclusive<u8> = 1..=3;
 /// The number of ports that a machine uses: those for traffic between the processes, and those for external callers.
-const PORTS: u16 = 20;
+const PORT_COUNT: u16 = 20;
 
 /// The machines of one test. Their addresses are not used by any other test.
 pub struct Machines {
@@ -115,13 +115,13 @@
     }
 }
 
-/// Returns the first of [`PORTS`] consecutive ports that are free on localhost.
+/// Returns the first of [`PORT_COUNT`] consecutive ports that are free on localhost.
 fn free_ports() -> u16 {
     loop {
         let probe = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
         let first = probe.local_addr().expect("an address").port();
         let is_free = |port| TcpListener::bind((Ipv4Addr::LOCALHOST, port)).is_ok();
-        if first < u16::MAX - PORTS && (first + 1..first + PORTS).all(is_free) {
+        if first < u16::MAX - PORT_COUNT && (first + 1..first + PORT_COUNT).all(is_free) {
             return first;
         }
     }
--- a/crates/quillpulley/tests/system/main.rs
+++ b/crates/quillpulley/tests/system/main.rs
@@ -87,7 +87,9 @@
     /// Waits until the proxy reports that it is ready.
     fn until_ready(&mut self) {
         let ready = self.machines.ready();
-        self.proxy.until("readiness", || Request::get("/v1/ready").send(ready).filter(|a| a.status == 200));
+        self.proxy.until("readiness", || {
+            Request::get("/v1/ready").send(ready).filter(|response| response.status == 200)
+        });
     }
 
     /// Sends a client request to the proxy.
@@ -169,7 +171,7 @@
         system.proxy.until("the newest configuration", || {
             Request::get("/v1/Config.Get")
                 .send_following(control)
-                .filter(|a| a.body.contains("\"Version\":5"))
+                .filter(|response| response.body.contains("\"Version\":5"))
         });
     }
 }
