--- a/crates/quillpulley/src/control/api/http.rs
+++ b/crates/quillpulley/src/control/api/http.rs
@@ -18,7 +18,7 @@
 /// descriptors.
 const RESTART_DELAY: Duration = Duration::from_millis(100);
 
-/// Responds to a request. It is called by several threads.
+/// A function that responds to a request. Several threads call it.
 pub type Handler = Arc<dyn Fn(Request) + Send + Sync>;
 
 /// Sets socket options that accepted connections inherit: `TCP_NODELAY`, and keepalive and user timeouts that
@@ -89,6 +89,7 @@
             Ok(server) => *current = Arc::new(server),
             Err(error) => log::warn!(error:% = error; "failed to restart the HTTP server"),
         }
+        // Wakes the other threads, which may still wait for a request to the stopped server.
         for _ in 1..self.threads {
             stopped.unblock();
         }
--- a/crates/quillpulley/src/control/directory/selection.rs
+++ b/crates/quillpulley/src/control/directory/selection.rs
@@ -115,6 +115,7 @@
         ready.filter(|endpoint| is_wanted(endpoint)).collect()
     }
 
+    /// Returns whether the endpoint is in the client's zone or region.
     fn is_near(&self, endpoint: &ProxyEndpoint) -> bool {
         endpoint.zone == self.locality.zone || endpoint.region == self.locality.region
     }
--- a/crates/quillpulley/src/control/replica_host/host.rs
+++ b/crates/quillpulley/src/control/replica_host/host.rs
@@ -26,7 +26,7 @@
 use quillpulley_state_sync as state_sync;
 use std::time::Duration;
 
-/// A control node. It owns the node's whole state.
+/// The part of a control node that runs on the main thread and owns the whole state of the node.
 pub struct ControlHost {
     clock: Clock,
     /// The number of clock jumps of which the replica has been notified.
--- a/crates/quillpulley/src/control/replica_host/status.rs
+++ b/crates/quillpulley/src/control/replica_host/status.rs
@@ -11,7 +11,8 @@
 use simd_json::{json, OwnedValue};
 use std::time::Duration;
 
-/// Returns the status. It is valid for as long as the primary that it names may be named.
+/// Returns the status. It expires when the primary that it names is no longer known to be the primary, and does
+/// not expire if it names none.
 pub fn response(snapshot: &StatusSnapshot<'_>, now: Duration) -> TimedResponse {
     snapshot.while_primary_is_known(now, Response::Status(to_json(snapshot, now)))
 }
--- a/crates/quillpulley/src/control/replica_host/status_snapshot.rs
+++ b/crates/quillpulley/src/control/replica_host/status_snapshot.rs
@@ -28,8 +28,8 @@
         TimedResponse::expiring_at(lease_end, response)
     }
 
-    /// Returns a response that is valid for as long as the currently known primary may be named. It does not
-    /// expire if no primary is known.
+    /// Returns a response that expires when the currently known primary is no longer known to be the primary.
+    /// The response does not expire if no primary is known.
     pub fn while_primary_is_known(&self, now: Duration, response: Response) -> TimedResponse {
         match self.replica.primary_until(now) {
             Some((_, until)) => TimedResponse::expiring_at(until, response),
--- a/crates/quillpulley/src/peer/link.rs
+++ b/crates/quillpulley/src/peer/link.rs
@@ -25,8 +25,8 @@
 const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
 /// The delay after `accept` has failed. The most likely cause is that the process has run out of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// The maximum number of bytes in one read.
-const READ_SIZE: usize = 16 * 1024;
+/// The maximum number of bytes that are read from a socket at once.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// Why a link closed.
 #[derive(Debug, Display)]
@@ -226,7 +226,7 @@
     }
 
     fn poll_read(&mut self, context: &mut Context<'_>) -> Poll<Result<(), CloseReason>> {
-        let mut bytes = [MaybeUninit::uninit(); READ_SIZE];
+        let mut bytes = [MaybeUninit::uninit(); READ_BUFFER_BYTES];
         let mut buffer = ReadBuf::uninit(&mut bytes);
         ready!(Pin::new(&mut self.stream).poll_read(context, &mut buffer)).map_err(CloseReason::Io)?;
         if buffer.filled().is_empty() {
--- a/crates/quillpulley/src/peer/link_table.rs
+++ b/crates/quillpulley/src/peer/link_table.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// The queue of a link, which the link table shares with the task of the link.
+/// The outgoing messages of a link, which the link table shares with the task of the link.
 pub type SharedOutbound = Rc<RefCell<Outbound>>;
 
 /// The state of a link.
