--- a/crates/quillpulley/src/control/api/request.rs
+++ b/crates/quillpulley/src/control/api/request.rs
@@ -8,7 +8,7 @@
 
 /// Maximum length of a request body, in bytes.
 pub const MAX_BODY_BYTES: usize = 4_500_000;
-const BASE_HEADER: &str = "Quillpulley-If-Config-Version";
+const BASE_VERSION_HEADER: &str = "Quillpulley-If-Config-Version";
 
 /// The operation that an operator requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -80,7 +80,7 @@
 }
 
 fn parse_replacement(request: &mut Request) -> Result<Operation, RequestError> {
-    let base = http::header(request, BASE_HEADER).and_then(|value| value.trim().parse().ok());
+    let base = http::header(request, BASE_VERSION_HEADER).and_then(|value| value.trim().parse().ok());
     let body = read_body(request)?;
     let base = base.ok_or(RequestError::NoBaseVersion)?;
     Ok(Operation::Execute(Command::Replace { base, body }))
--- a/crates/quillpulley/src/control/discovery/reader.rs
+++ b/crates/quillpulley/src/control/discovery/reader.rs
@@ -61,7 +61,7 @@
 
 #[derive(Default)]
 struct PartialReading {
-    started: Duration,
+    started_at: Duration,
     pages: usize,
     reading: Reading,
     tokens: BTreeSet<String>,
@@ -103,7 +103,7 @@
         match self.state {
             ReaderState::WaitingUntil(at) if is_leader && at <= now => {
                 self.state =
-                    ReaderState::Reading(PartialReading { started: now, ..PartialReading::default() });
+                    ReaderState::Reading(PartialReading { started_at: now, ..PartialReading::default() });
                 Some(Fetch { token: None })
             }
             _ => None,
@@ -168,7 +168,7 @@
             return ReaderAction::Nothing;
         }
         self.unconfirmed_size = None;
-        let next = partial.started + self.interval_for(partial.pages);
+        let next = partial.started_at + self.interval_for(partial.pages);
         self.state = ReaderState::WaitingUntil(next.max(now));
         ReaderAction::Complete(partial.reading)
     }
--- a/crates/quillpulley/tests/control/frozen_host.rs
+++ b/crates/quillpulley/tests/control/frozen_host.rs
@@ -33,7 +33,7 @@
 struct Harness {
     host: ControlHost,
     /// The clock of the main thread, in milliseconds.
-    now: Arc<AtomicU64>,
+    now_ms: Arc<AtomicU64>,
     /// The time in milliseconds by which the clock of the writer threads is ahead of that of the main thread.
     writer_delay_ms: Arc<AtomicU64>,
     api: SocketAddr,
@@ -47,8 +47,8 @@
     fn start(faults: Faults) -> Self {
         let number = NEXT_FOLDER_NUMBER.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("quillpulley-frozen-{}-{number}", std::process::id()));
-        let (now, writer_delay_ms) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
-        let clock = host_clock(now.clone(), writer_delay_ms.clone());
+        let (now_ms, writer_delay_ms) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
+        let clock = host_clock(now_ms.clone(), writer_delay_ms.clone());
 
         let listener = TcpListener::bind((IP, 0)).expect("cannot bind the socket");
         let api = listener.local_addr().expect("no valid address");
@@ -88,7 +88,7 @@
             directory: DirectoryHandle::default(),
         };
         let host = ControlHost::new(settings(api, &folder), components);
-        let mut harness = Harness { host, now, writer_delay_ms, api, requests, completions, folder };
+        let mut harness = Harness { host, now_ms, writer_delay_ms, api, requests, completions, folder };
         let response = harness.request_until_definite(&replace_request_text("0", &configuration_text("5")));
         assert_eq!(response.status, 200);
         harness
@@ -96,7 +96,7 @@
 
     /// Advances the clock by one tick, and handles the writes that complete.
     fn step(&mut self) {
-        self.now.fetch_add(TICK_MS, Ordering::SeqCst);
+        self.now_ms.fetch_add(TICK_MS, Ordering::SeqCst);
         self.host.tick();
         // A write usually takes far less time than this. A slower one is handled in the next step.
         while let Ok(completion) = self.completions.recv_timeout(Duration::from_millis(20)) {
@@ -134,7 +134,7 @@
     }
 
     fn freeze(&self) {
-        self.now.fetch_add(FREEZE_MS, Ordering::SeqCst);
+        self.now_ms.fetch_add(FREEZE_MS, Ordering::SeqCst);
     }
 }
 
@@ -144,14 +144,14 @@
     }
 }
 
-/// Returns the clock of the host. The test's own thread, which is the host's main thread, reads `now`; other
+/// Returns the clock of the host. The test's own thread, which is the host's main thread, reads `now_ms`; other
 /// threads read a time that is later by `writer_delay_ms`.
-fn host_clock(now: Arc<AtomicU64>, writer_delay_ms: Arc<AtomicU64>) -> Clock {
+fn host_clock(now_ms: Arc<AtomicU64>, writer_delay_ms: Arc<AtomicU64>) -> Clock {
     let main_thread = thread::current().id();
     Clock::from_fn(move || {
         let delay_ms =
             if thread::current().id() == main_thread { 0 } else { writer_delay_ms.load(Ordering::SeqCst) };
-        Duration::from_millis(now.load(Ordering::SeqCst) + delay_ms)
+        Duration::from_millis(now_ms.load(Ordering::SeqCst) + delay_ms)
     })
 }
 
--- a/crates/quillpulley/tests/control/publisher.rs
+++ b/crates/quillpulley/tests/control/publisher.rs
@@ -9,13 +9,13 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// Calls `look` with the store of a root that has published these items.
-fn with_store<T>(items: &[(String, &str)], look: impl FnOnce(&Store) -> T) -> T {
+/// Calls `inspect` with the store of a root that has published these items.
+fn with_store<T>(items: &[(String, &str)], inspect: impl FnOnce(&Store) -> T) -> T {
     let mut root = SyncNode::<u32>::new(Options::control_node("core"));
     let changes = items.iter().map(|(key, value)| set(key, value.as_bytes().to_vec()));
     root.handle(Duration::ZERO, Event::BecomeRoot { epoch: 1 }, &mut Vec::new());
     root.handle(Duration::ZERO, Event::Publish(changes.collect()), &mut Vec::new());
-    look(root.store())
+    inspect(root.store())
 }
 
 fn set(key: &str, value: Vec<u8>) -> Change {
