--- a/crates/quillpulley/tests/agent.rs
+++ b/crates/quillpulley/tests/agent.rs
@@ -20,6 +20,7 @@
 
 /// The machines of one test. Their addresses are not used by any other test.
 struct Machines {
+    /// The second byte of the addresses.
     network: u8,
 }
 
--- a/crates/quillpulley/tests/catch_up/main.rs
+++ b/crates/quillpulley/tests/catch_up/main.rs
@@ -91,7 +91,7 @@
     (world, absent)
 }
 
-fn report(world: &World, time_ms: u64) {
+fn print_measurements(world: &World, time_ms: u64) {
     println!(
         "caught up in {time_ms} ms, slowest command {} ms, heartbeat {} ms, {} bytes in memory",
         world.slowest_command_us / 1_000,
@@ -106,7 +106,7 @@
         for command_bytes in [2_000, MAX_COMMAND_BYTES] {
             let (mut world, absent) = restart_after_300_commands(count, |_, _| {});
             let time_ms = time_to_catch_up(&mut world, absent, command_bytes);
-            report(&world, time_ms);
+            print_measurements(&world, time_ms);
             let limit = if count == 5 && command_bytes == MAX_COMMAND_BYTES {
                 MAX_CATCH_UP_FIVE_MACHINES_MS
             } else {
@@ -126,7 +126,7 @@
     let (mut world, absent) =
         restart_after_300_commands(3, |world, absent| world.machines[absent].disk.speed = SLOW);
     let time_ms = time_to_catch_up(&mut world, absent, 2_000);
-    report(&world, time_ms);
+    print_measurements(&world, time_ms);
     assert!(time_ms < MAX_CATCH_UP_MS, "{time_ms} ms");
     let epoch = world.view_epoch();
     world.run_commands(200, 2_000);
@@ -163,7 +163,7 @@
     assert!(world.slowest_command_us < 3_000_000, "{} us", world.slowest_command_us);
     world.machines[full].disk.set_full(false);
     let time_ms = time_to_catch_up(&mut world, full, 2_000);
-    report(&world, time_ms);
+    print_measurements(&world, time_ms);
     assert!(time_ms < MAX_CATCH_UP_MS, "{time_ms} ms");
     check_bounds(&world);
 }
@@ -205,7 +205,7 @@
     world.slowest_command_us = 0;
     world.slowest_heartbeat_us = 0;
     let time_ms = time_to_catch_up(&mut world, absent, MAX_COMMAND_BYTES);
-    report(&world, time_ms);
+    print_measurements(&world, time_ms);
     assert!(time_ms < MAX_CATCH_UP_MS / 2, "{time_ms} ms");
     assert!(world.slowest_heartbeat_us < MAX_HEARTBEAT_US, "{} us", world.slowest_heartbeat_us);
     check_bounds(&world);
--- a/crates/quillpulley/tests/catch_up/world.rs
+++ b/crates/quillpulley/tests/catch_up/world.rs
@@ -13,13 +13,16 @@
 
 /// The bandwidth of a machine for everything that it sends to the others: 86 Mbit/s.
 const BYTES_PER_US: f64 = 10.75;
+/// The time that a packet takes from one machine to another after it has been sent.
 const LATENCY_US: u64 = 12_000;
-const TICK_US: u64 = 50_000;
+/// The interval between two ticks of a replica.
+const TICK_INTERVAL_US: u64 = 50_000;
 /// The number of bytes that the kernel buffers for a connection before they are sent.
 const SOCKET_BUFFER_BYTES: usize = 2 * 1024 * 1024;
 const PACKET_BYTES: usize = 16 * 1024;
 const MAX_QUEUED_BYTES: usize = 8 * 1024 * 1024;
-const CONNECT_US: u64 = 50_000;
+/// The time from the start of a process until its connections open.
+const CONNECT_DELAY_US: u64 = 50_000;
 
 /// A state machine that stores the number of commands and the latest of the longest payloads, so that its state stays
 /// large even if short commands follow.
@@ -184,9 +187,9 @@
         machine_state.replica = Some(
             Replica::new(options, recovered, Counter::default(), Duration::ZERO).expect("the replica starts"),
         );
-        self.schedule(TICK_US, ScheduledEvent::Tick { machine, incarnation });
+        self.schedule(TICK_INTERVAL_US, ScheduledEvent::Tick { machine, incarnation });
         for other in 0..self.machines.len() {
-            self.schedule(CONNECT_US, ScheduledEvent::Connect { one: machine, other });
+            self.schedule(CONNECT_DELAY_US, ScheduledEvent::Connect { one: machine, other });
         }
     }
 
@@ -263,7 +266,7 @@
                 if self.machines[machine].incarnation == incarnation =>
             {
                 self.handle(machine, Event::Tick);
-                self.schedule(TICK_US, ScheduledEvent::Tick { machine, incarnation });
+                self.schedule(TICK_INTERVAL_US, ScheduledEvent::Tick { machine, incarnation });
             }
             ScheduledEvent::Sent { machine } => {
                 self.machines[machine].sending = false;
--- a/crates/quillpulley/tests/control/directory_staleness/system.rs
+++ b/crates/quillpulley/tests/control/directory_staleness/system.rs
@@ -49,6 +49,7 @@
     pub(super) directory: Directory,
     pub(super) directory_changed: bool,
     pub(super) reports_changed: bool,
+    /// The registry of the published proxies; `None` unless the node is the primary.
     pub(super) registry: Option<EndpointRegistry>,
     pub(super) heartbeat_at: Duration,
 }
@@ -79,6 +80,7 @@
     pub(super) now: Duration,
     pub(super) nodes: Vec<Node>,
     pub(super) queue: VecDeque<(usize, Event<usize>)>,
+    /// The region whose nodes are partitioned from all others; `None` without a partition.
     pub(super) partitioned_region: Option<usize>,
     pub(super) epoch: u64,
 }
--- a/crates/quillpulley/tests/peer.rs
+++ b/crates/quillpulley/tests/peer.rs
@@ -58,13 +58,13 @@
                     (outgoing_link, "core", false, address)
                 );
             }
-            other => panic!("{other:?}"),
+            other => panic!("{other:?} instead of an opened link"),
         }
         match control_node.event().await {
             PeerEvent::Opened { hello: Hello { name, kind, .. }, incoming, .. } => {
                 assert_eq!((name.as_str(), kind, incoming), ("agent", PeerKind::Agent, true));
             }
-            other => panic!("{other:?}"),
+            other => panic!("{other:?} instead of an opened link"),
         }
     });
 }
--- a/crates/quillpulley/tests/system/machines.rs
+++ b/crates/quillpulley/tests/system/machines.rs
@@ -13,6 +13,7 @@
 
 /// The machines of one test. Their addresses are not used by any other test.
 pub struct Machines {
+    /// The second byte of the addresses.
     network: u8,
     first_port: u16,
     folder: PathBuf,
